--- a/server/gateway.go
+++ b/server/gateway.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/loop"
 )
 
-// gateway is one connection of a gateway.
-type gateway struct {
+// gatewayConn is one connection of a gateway.
+type gatewayConn struct {
 	server  *Server
 	place   *list.Element // among the server's connections
 	conn    *loop.Conn
@@ -30,7 +30,7 @@
 		return nil
 	}
 	s.count.accepted++
-	g := &gateway{server: s, conn: c, tries: map[front.Stream]*try{}, smokes: map[front.Stream]bool{}, since: s.loop.Now()}
+	g := &gatewayConn{server: s, conn: c, tries: map[front.Stream]*try{}, smokes: map[front.Stream]bool{}, since: s.loop.Now()}
 	g.session = s.protocol(c, g)
 	g.place = s.gateways.PushBack(g)
 	return g
@@ -38,10 +38,10 @@
 
 // connections are those of gateways in the order of accepting: what is done to several of them must not hang on chance, or a
 // rehearsal could not be played again. The one that is handed on may end meanwhile.
-func (s *Server) connections() iter.Seq[*gateway] {
-	return func(yield func(*gateway) bool) {
+func (s *Server) connections() iter.Seq[*gatewayConn] {
+	return func(yield func(*gatewayConn) bool) {
 		for e := s.gateways.Front(); e != nil; {
-			g := e.Value.(*gateway)
+			g := e.Value.(*gatewayConn)
 			if e = e.Next(); !yield(g) {
 				return
 			}
@@ -56,10 +56,10 @@
 }
 
 // Connected implements loop.ConnHandler; gateways dial, not the server.
-func (g *gateway) Connected(*loop.Conn) {}
+func (g *gatewayConn) Connected(*loop.Conn) {}
 
 // Data implements loop.ConnHandler.
-func (g *gateway) Data(_ *loop.Conn, p []byte) {
+func (g *gatewayConn) Data(_ *loop.Conn, p []byte) {
 	sound := g.sound
 	if g.session.Feed(p) != nil {
 		g.server.count.broken++
@@ -76,35 +76,35 @@
 }
 
 // finish ends a connection from which nothing can be expected; answers that are on their way still go out.
-func (g *gateway) finish() {
+func (g *gatewayConn) finish() {
 	g.giveUp()
 	g.conn.CloseSent()
 }
 
 // close ends a connection now.
-func (g *gateway) close() {
+func (g *gatewayConn) close() {
 	g.conn.Close()
 	g.end()
 }
 
 // closeFinished closes a connection that the gateway did not want kept, once its answer is sent.
-func (g *gateway) closeFinished() {
+func (g *gatewayConn) closeFinished() {
 	if g.session.Finished() {
 		g.conn.CloseSent()
 	}
 }
 
 // Closed implements loop.ConnHandler.
-func (g *gateway) Closed(*loop.Conn, error) { g.end() }
+func (g *gatewayConn) Closed(*loop.Conn, error) { g.end() }
 
 // end forgets a connection that is gone.
-func (g *gateway) end() {
+func (g *gatewayConn) end() {
 	g.server.gateways.Remove(g.place)
 	g.giveUp()
 }
 
 // giveUp forgets the requests of a connection: nobody waits for them any more.
-func (g *gateway) giveUp() {
+func (g *gatewayConn) giveUp() {
 	s := g.server
 	g.session.Close()
 	for _, t := range sorted(g.tries) {
@@ -122,12 +122,12 @@
 }
 
 // Request implements front.Handler.
-func (g *gateway) Request(_ front.Session, id front.Stream, r front.Request) {
+func (g *gatewayConn) Request(_ front.Session, id front.Stream, r front.Request) {
 	g.server.request(g, id, r)
 }
 
 // Aborted implements front.Handler: the gateway wants no answer, but the protocol owes it an end.
-func (g *gateway) Aborted(_ front.Session, id front.Stream) {
+func (g *gatewayConn) Aborted(_ front.Session, id front.Stream) {
 	s := g.server
 	s.count.aborted++
 	if g.smokes[id] {
@@ -145,7 +145,7 @@
 }
 
 // Flawed implements front.Handler.
-func (g *gateway) Flawed(_ front.Session, id front.Stream, f front.Flaw) {
+func (g *gatewayConn) Flawed(_ front.Session, id front.Stream, f front.Flaw) {
 	g.Rejected(f)
 	a := front.Answer{Status: statusInvalid, Overloaded: f == front.TooMany}
 	if f == front.TooLarge {
@@ -155,7 +155,7 @@
 }
 
 // Rejected implements front.Handler.
-func (g *gateway) Rejected(f front.Flaw) {
+func (g *gatewayConn) Rejected(f front.Flaw) {
 	c := &g.server.count
 	switch f {
 	case front.TooLarge:
@@ -170,7 +170,7 @@
 }
 
 // answer sends an answer with the value that callers read.
-func (g *gateway) answer(id front.Stream, a front.Answer) {
+func (g *gatewayConn) answer(id front.Stream, a front.Answer) {
 	if hint := g.server.hint; hint != "" && !a.Overloaded {
 		a.Fields = append(a.Fields, front.Field{Name: "Server-Hint", Value: hint})
 	}
--- a/server/guard_test.go
+++ b/server/guard_test.go
@@ -35,8 +35,8 @@
 	s := &Server{log: zap.NewNop(), loop: l, clock: newClock(l.Now()), told: told, keys: newKeyTable(1<<20, 0),
 		classCounts: make([]classCounters, len(told.Classes)),
 		tries:       map[tillerusher.RequestID]*try{}, byWire: map[string]*try{}}
-	s.link = interpreter{&interp.Dialer{Link: interp.NewLink(s)}, s.told}
-	g := &gateway{server: s, session: session, tries: map[front.Stream]*try{}}
+	s.link = interpreterBackend{&interp.Dialer{Link: interp.NewLink(s)}, s.told}
+	g := &gatewayConn{server: s, session: session, tries: map[front.Stream]*try{}}
 	for i := range tries {
 		r := keyedTry(i+1, "k", time.Duration(i)*time.Second)
 		r.from, r.stream, r.wire = g, front.Stream(i+1), string(rune('a'+i))
--- a/server/idle.go
+++ b/server/idle.go
@@ -25,20 +25,20 @@
 )
 
 // owed tells whether requests of the connection are owed an answer.
-func (g *gateway) owed() bool { return len(g.tries)+len(g.smokes) > 0 }
+func (g *gatewayConn) owed() bool { return len(g.tries)+len(g.smokes) > 0 }
 
 // resting tells whether nothing is under way on the connection: no request is open, and none has come in part. A gateway
 // may write slowly.
-func (g *gateway) resting() bool { return g.session.Open() == 0 && !g.session.Unfinished() }
+func (g *gatewayConn) resting() bool { return g.session.Open() == 0 && !g.session.Unfinished() }
 
 // overdue tells whether a connection has to go, as it has not sent a whole request in time.
-func (g *gateway) overdue(now time.Time) bool {
+func (g *gatewayConn) overdue(now time.Time) bool {
 	return !g.conn.Closing() && !g.since.IsZero() && now.Sub(g.since) >= unfinishedMost && !g.owed()
 }
 
 // rest is how long a connection may carry nothing: one that is closed right after the accept would only be made
 // again.
-func (g *gateway) rest(idle time.Duration) time.Duration {
+func (g *gatewayConn) rest(idle time.Duration) time.Duration {
 	if g.sound == 0 {
 		return max(idle, freshFor)
 	}
@@ -82,7 +82,7 @@
 // room for each other, however new, where they are half of all: gateways may need the other half. One for which bytes
 // wait unread stays as long as there is another: it may be a gateway whose request has just come.
 func (s *Server) makeRoom() bool {
-	var victim, oldest, unread *gateway
+	var victim, oldest, unread *gatewayConn
 	best, silent := 0, 0
 	now := s.loop.Now()
 	for g := range s.connections() { // of two alike the older one is taken
--- a/server/reload.go
+++ b/server/reload.go
@@ -31,7 +31,7 @@
 			s.tell(true) // the list must not wait for the next report
 		}
 	}
-	if i, ok := s.link.(interpreter); ok {
+	if i, ok := s.link.(interpreterBackend); ok {
 		i.Move(cfg.Interpreter)
 	}
 	next := *s.cfg // the caller keeps what it gave to New
--- a/server/requests.go
+++ b/server/requests.go
@@ -14,7 +14,7 @@
 )
 
 // request takes in a whole request.
-func (s *Server) request(g *gateway, id front.Stream, r front.Request) {
+func (s *Server) request(g *gatewayConn, id front.Stream, r front.Request) {
 	if r.Path == healthPath {
 		s.check(g, id, r)
 		return
--- a/server/server.go
+++ b/server/server.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	s.intake = s.read
-	s.begin = func() worker { return interpreter{interp.Dial(s.loop, s.cfg.Interpreter, s), s.told} }
+	s.begin = func() worker { return interpreterBackend{interp.Dial(s.loop, s.cfg.Interpreter, s), s.told} }
 	return s, nil
 }
 
--- a/server/try.go
+++ b/server/try.go
@@ -25,7 +25,7 @@
 type try struct {
 	id       tillerusher.RequestID
 	wire     string // Request-Id, by which the interpreter knows it
-	from     *gateway
+	from     *gatewayConn
 	stream   front.Stream
 	class    int
 	keyed    bool // repeats of it can be told by key
--- a/server/worker.go
+++ b/server/worker.go
@@ -29,17 +29,17 @@
 	Close()
 }
 
-// interpreter is the worker on this platform.
-type interpreter struct {
+// interpreterBackend is the worker on this platform.
+type interpreterBackend struct {
 	*interp.Dialer
 	told *settings.Told
 }
 
 // Apply implements worker.
-func (i interpreter) Apply(t *try) { i.Dialer.Apply(t.wire, i.told.Classes[t.class], t.body) }
+func (i interpreterBackend) Apply(t *try) { i.Dialer.Apply(t.wire, i.told.Classes[t.class], t.body) }
 
 // Counters implements worker.
-func (i interpreter) Counters() []reading {
+func (i interpreterBackend) Counters() []reading {
 	l := &i.Count
 	return []reading{{"links", l.Links}, {"applied", l.Applied}, {"reapplied", l.Reapplied}, {"breaks", l.Broken},
 		{"notices", l.Notices}, {"replayed", l.Replayed}, {"unknown_notices", l.Unknown}, {"unanswered", l.Unanswered}}
