--- a/admission.go
+++ b/admission/admission.go
@@ -1,6 +1,6 @@
 // Admission and refusal. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import (
 	"math"
--- a/calls.go
+++ b/admission/calls.go
@@ -1,6 +1,6 @@
 // Calls that requests make while they run. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import "time"
 
--- a/drain.go
+++ b/admission/drain.go
@@ -1,6 +1,6 @@
 // The drain of a process that is to stop. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import (
 	"fmt"
--- a/events.go
+++ b/admission/events.go
@@ -1,6 +1,6 @@
 // The start of an Instance and its remaining events. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import (
 	"math"
--- a/example_test.go
+++ b/admission/example_test.go
@@ -1,18 +1,18 @@
-package tillerusher_test
+package admission_test
 
 import (
 	"fmt"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // printer carries out the few actions that this example needs; the others are promoted from the nil interface
 // and must not be called.
-type printer struct{ tillerusher.Actions }
+type printer struct{ admission.Actions }
 
-func (printer) Run(id tillerusher.RequestID) { fmt.Println("run", id) }
-func (printer) Refuse(id tillerusher.RequestID, stayAway time.Duration, _ bool) {
+func (printer) Run(id admission.RequestID) { fmt.Println("run", id) }
+func (printer) Refuse(id admission.RequestID, stayAway time.Duration, _ bool) {
 	fmt.Println("refuse", id, "and stay away for", stayAway)
 }
 func (printer) Health(good, _ bool)         { fmt.Println("healthy:", good) }
@@ -22,14 +22,14 @@
 
 // A server with one class of requests takes one in, ends it, and leaves.
 func Example() {
-	settings := tillerusher.Settings{
+	settings := admission.Settings{
 		Servers: 3, Callers: 2, Cores: 4, Tick: 5 * time.Millisecond,
-		Classes:  []tillerusher.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
-		Tenants:  []tillerusher.Tenant{{Quota: 30}},
+		Classes:  []admission.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
+		Tenants:  []admission.Tenant{{Quota: 30}},
 		MemoryKB: 1 << 20, RunFactor: 4, CrowdFactor: 6, DrainGrace: 2 * time.Second,
 		RetryAfter: time.Second, Deadlines: true,
 	}
-	instance, err := tillerusher.New(settings, printer{})
+	instance, err := admission.New(settings, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -38,16 +38,16 @@
 	instance.Settle(now)
 
 	now += 10 * time.Millisecond
-	instance.Request(now, tillerusher.Request{ID: 1, SizeKB: 20, Budget: 3 * time.Second})
+	instance.Request(now, admission.Request{ID: 1, SizeKB: 20, Budget: 3 * time.Second})
 	instance.Settle(now) // once after each group of simultaneous events
 
 	now += 200 * time.Millisecond
-	instance.Done(now, 1, tillerusher.OK)
+	instance.Done(now, 1, admission.OK)
 	instance.Drain(now, 5*time.Second)
 	instance.Settle(now)
 
 	now += 2500 * time.Millisecond
-	instance.Request(now, tillerusher.Request{ID: 2, SizeKB: 20, Budget: 3 * time.Second})
+	instance.Request(now, admission.Request{ID: 2, SizeKB: 20, Budget: 3 * time.Second})
 	instance.Settle(now)
 	// Output:
 	// healthy: true
--- a/feedback.go
+++ b/admission/feedback.go
@@ -1,6 +1,6 @@
 // Feedback to callers, health and idle connections. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import "time"
 
--- a/inspect.go
+++ b/admission/inspect.go
@@ -1,6 +1,6 @@
 // What an Instance knows, for operators who ask why it decided as it did. Nothing here decides.
 
-package tillerusher
+package admission
 
 import "time"
 
--- a/keys.go
+++ b/admission/keys.go
@@ -1,6 +1,6 @@
 // The keys of requests that must run once only. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 // keepKey remembers the key of a request that must run once only, and that of a read whose answer may serve
 // others that ask for the same.
--- a/limit.go
+++ b/admission/limit.go
@@ -1,6 +1,6 @@
 // The concurrency limit and the detection of stalls. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import (
 	"fmt"
--- a/policy_test.go
+++ b/admission/policy_test.go
@@ -1,4 +1,4 @@
-package tillerusher
+package admission
 
 import (
 	"fmt"
--- a/queue.go
+++ b/admission/queue.go
@@ -1,6 +1,6 @@
 // The queue: predicted waits, the order of runs, and fair shares. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 // starvedPart is the part of the fair share of runs under which a class counts as starved. The operators want
 // half of the fair share served; the rest covers runs that end too late.
--- a/rate.go
+++ b/admission/rate.go
@@ -1,6 +1,6 @@
 // Tenants' rates after EARRRL and their thresholds. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import (
 	"math"
--- a/runtime.go
+++ b/admission/runtime.go
@@ -1,6 +1,6 @@
 // What is learned of how long runs take. The interface is in tillerusher.go.
 
-package tillerusher
+package admission
 
 import (
 	"math"
--- a/snapshot.go
+++ b/admission/snapshot.go
@@ -1,6 +1,6 @@
 // The exact state of an Instance as bytes, and an Instance made from them. Nothing here decides.
 
-package tillerusher
+package admission
 
 import (
 	"encoding/binary"
--- a/state.go
+++ b/admission/state.go
@@ -1,6 +1,6 @@
 // What an Instance keeps of its requests, classes and tenants. Nothing here decides: the decisions are in the policy files.
 
-package tillerusher
+package admission
 
 import (
 	"math"
--- a/tillerusher.go
+++ b/admission/tillerusher.go
@@ -10,7 +10,7 @@
 //
 // This file holds the interface only; every decision is in the policy files that
 // deploy/balancer.toml names.
-package tillerusher
+package admission
 
 import "time"
 
--- a/validate.go
+++ b/admission/validate.go
@@ -1,6 +1,6 @@
 // The check of the settings of an Instance. Nothing here decides.
 
-package tillerusher
+package admission
 
 import (
 	"fmt"
--- a/cmd/tillerusher/capture_test.go
+++ b/cmd/catalogue-server/capture_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"tillerusher/internal/capture"
+	"tillerusher/internal/fake"
 	"tillerusher/internal/replay"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/servertest"
 )
 
 // replayed replays what a node recorded, from one end to the other and from each segment's state.
@@ -34,13 +34,13 @@
 // that.
 func TestCapture(t *testing.T) {
 	dir := t.TempDir()
-	it := testkit.NewInterpreter(t)
-	n := testkit.Start(t, program+" serve --capture "+dir, it, nil)
+	it := servertest.NewInterpreter(t)
+	n := servertest.Start(t, program+" serve --capture "+dir, it, nil)
 	n.WaitUp()
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("").Records(1), standin.Reserve(1, "x").Records(2))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("").Records(1), fake.Reserve(1, "x").Records(2))
 	runs := n.WaitApplied(2)
-	g.Write(standin.Reserve(1, "x").Records(3))
+	g.Write(fake.Reserve(1, "x").Records(3))
 	it.Cut()
 	for _, run := range runs {
 		it.End(run.ID, "OK", []byte("y"))
@@ -52,7 +52,7 @@
 	}
 	n.Signal(syscall.SIGHUP)
 	n.WaitCounter("reloads", 1)
-	g.Write(standin.Lookup("").Records(1))
+	g.Write(fake.Lookup("").Records(1))
 	n.WaitApplied(3)
 	n.Signal(syscall.SIGTERM)
 	if a := g.Answer(1); a.Status != 500 && a.Status != 503 {
@@ -87,10 +87,10 @@
 
 // TestArguments has wrong ones told in one line.
 func TestArguments(t *testing.T) {
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	for args, want := range map[string]string{"sreve": "want serve", "--sepia": "not defined",
 		"--settings /nowhere": "/nowhere", "--capture /dev/null/x": "capture:"} {
-		n := testkit.Start(t, program+" "+args, it, nil)
+		n := servertest.Start(t, program+" "+args, it, nil)
 		if code := n.WaitExit(); code != 2 || !strings.Contains(n.Log(), want) || strings.Count(n.Log(), "\n") != 1 {
 			t.Errorf("%s: exit status %d, log %q", args, code, n.Log())
 		}
--- a/cmd/tillerusher/kill_test.go
+++ b/cmd/catalogue-server/kill_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"tillerusher/internal/capture"
+	"tillerusher/internal/fake"
 	"tillerusher/internal/replay"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/servertest"
 )
 
 // kills is how often TestKills kills a server; docs/design/capture.md has the figures of 200.
@@ -24,11 +24,11 @@
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 0))
 	dir := t.TempDir()
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	it.Prompt()
 	records, torn, unanswered := uint64(0), 0, 0
 	for kill := range *kills {
-		n := testkit.Start(t, program+" serve --capture "+dir, it, nil)
+		n := servertest.Start(t, program+" serve --capture "+dir, it, nil)
 		n.WaitUp()
 		var answers atomic.Int64
 		most := rng.Int64N(3000) // answers before the kill
@@ -37,7 +37,7 @@
 			defer close(ended)
 			flood(n.Addr, &answers)
 		}()
-		testkit.Wait(t, "answers", func() bool { return answers.Load() >= most })
+		servertest.Wait(t, "answers", func() bool { return answers.Load() >= most })
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // anywhere between two of them
 		n.Signal(syscall.SIGKILL)
 		n.WaitExit()
@@ -73,16 +73,16 @@
 
 // flood keeps requests of all kinds open on one connection until that ends.
 func flood(addr string, answers *atomic.Int64) {
-	g, err := standin.Dial(addr)
+	g, err := fake.Dial(addr)
 	if err != nil {
 		return
 	}
 	defer g.Close()
 	send := func(id uint16) error {
 		if id%3 == 0 {
-			return g.Write(standin.Reserve(rand.IntN(100), "x").Records(id))
+			return g.Write(fake.Reserve(rand.IntN(100), "x").Records(id))
 		}
-		return g.Write(standin.Lookup("x").Records(id))
+		return g.Write(fake.Lookup("x").Records(id))
 	}
 	for id := range uint16(16) {
 		if send(id+1) != nil {
--- a/cmd/tillerusher/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
 )
 
 // program starts the built command by the line of the deploy file, which the tests start as the platform does.
@@ -55,18 +55,18 @@
 }
 
 // start starts a node whose interpreter is up, and waits until it serves.
-func start(t *testing.T, prepare func(it *testkit.Interpreter)) *testkit.Node {
+func start(t *testing.T, prepare func(it *servertest.Interpreter)) *servertest.Node {
 	t.Helper()
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	if prepare != nil {
 		prepare(it)
 	}
-	n := testkit.Start(t, program, it, nil)
+	n := servertest.Start(t, program, it, nil)
 	n.WaitUp()
 	return n
 }
 
-func prompt(it *testkit.Interpreter) { it.Prompt() }
+func prompt(it *servertest.Interpreter) { it.Prompt() }
 
 // TestServe has requests of both classes served, with any bytes, and looks at what goes along.
 func TestServe(t *testing.T) {
@@ -74,8 +74,8 @@
 	if got := n.Report(); got != "announce n3 true" {
 		t.Errorf("report %q", got)
 	}
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("a\x00\xff").Records(1), standin.Reserve(1, "").Records(2))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("a\x00\xff").Records(1), fake.Reserve(1, "").Records(2))
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "[a\x00\xff]" {
 		t.Errorf("answer %+v", a)
 	}
@@ -88,12 +88,12 @@
 		}
 	}
 	// The module sets the value that callers read at its first look at the gauges.
-	testkit.Wait(t, "the hint on an answer", func() bool {
-		g.Write(standin.Lookup("").Records(1))
+	servertest.Wait(t, "the hint on an answer", func() bool {
+		g.Write(fake.Lookup("").Records(1))
 		return g.Answer(1).Header.Get("Server-Hint") != ""
 	})
-	flawed := standin.Lookup(strings.Repeat("b", 2049))
-	for _, r := range []standin.Request{standin.Health(false), flawed, standin.Lookup("").With("Account", "")} {
+	flawed := fake.Lookup(strings.Repeat("b", 2049))
+	for _, r := range []fake.Request{fake.Health(false), flawed, fake.Lookup("").With("Account", "")} {
 		g.Write(r.Records(1))
 		if a := g.Answer(1); a.Header.Get("Server-Hint") == "" {
 			t.Errorf("answer without the hint %+v", a)
@@ -108,8 +108,8 @@
 // are answered by that run.
 func TestRepeats(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	first, second := standin.Reserve(7, "x"), standin.Reserve(7, "x").With("Attempt-Again", "1")
+	g := servertest.Dial(t, n.Addr)
+	first, second := fake.Reserve(7, "x"), fake.Reserve(7, "x").With("Attempt-Again", "1")
 	g.Write(append(first.Records(1), second.Records(2)...))
 	n.End(n.WaitApplied(1)[0].ID, "OK", []byte("done"))
 	for id := range uint16(2) {
@@ -117,8 +117,8 @@
 			t.Errorf("answer %+v", a)
 		}
 	}
-	other := testkit.Dial(t, n.Addr)
-	other.Write(standin.Reserve(7, "x").With("Attempt-Again", "1").Records(1))
+	other := servertest.Dial(t, n.Addr)
+	other.Write(fake.Reserve(7, "x").With("Attempt-Again", "1").Records(1))
 	if a := other.Answer(1); a.Status != 200 || string(a.Body) != "done" {
 		t.Errorf("answer to the later try %+v", a)
 	}
@@ -130,12 +130,12 @@
 
 // TestClassesAreCounted has one request of a class served and one of another refused: the counters of each class tell so, and why.
 func TestClassesAreCounted(t *testing.T) {
-	n := start(t, func(it *testkit.Interpreter) { it.Busy(1) })
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("").Records(1), standin.Lookup("").Records(2)) // one a core
+	n := start(t, func(it *servertest.Interpreter) { it.Busy(1) })
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("").Records(1), fake.Lookup("").Records(2)) // one a core
 	runs := n.WaitApplied(2)
 	n.WaitGauges()
-	old := standin.Reserve(7, "x").With("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
+	old := fake.Reserve(7, "x").With("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
 	g.Write(old.Records(3))
 	if a := g.Answer(3); a.Status != 503 {
 		t.Fatalf("answer %+v", a)
@@ -146,7 +146,7 @@
 	}
 	type class struct{ Requests, Served, Refused, Failed int }
 	var line struct{ Classes map[string]class }
-	testkit.Wait(t, "counters by class", func() bool {
+	servertest.Wait(t, "counters by class", func() bool {
 		n.Signal(syscall.SIGUSR1)
 		for _, text := range strings.Split(n.Log(), "\n") {
 			if strings.Contains(text, `"msg":"classes"`) {
@@ -168,17 +168,17 @@
 // TestRefusedFreesKey has a keyed request turned away from the hold as its time runs out: it never ran, so a
 // further try of it counts as new and is run.
 func TestRefusedFreesKey(t *testing.T) {
-	n := start(t, func(it *testkit.Interpreter) { it.Busy(1) })
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("").Records(1), standin.Lookup("").Records(2)) // one a core
+	n := start(t, func(it *servertest.Interpreter) { it.Busy(1) })
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("").Records(1), fake.Lookup("").Records(2)) // one a core
 	runs := n.WaitApplied(2)
 	n.WaitGauges() // by an older reading the cores have room
-	waiting := standin.Reserve(7, "x").With("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
+	waiting := fake.Reserve(7, "x").With("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
 	g.Write(waiting.Records(3))
 	if a := g.Answer(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Fatalf("answer %+v", a)
 	}
-	g.Write(standin.Reserve(7, "x").With("Attempt-Again", "1").Records(4))
+	g.Write(fake.Reserve(7, "x").With("Attempt-Again", "1").Records(4))
 	for _, run := range runs {
 		n.End(run.ID, "OK", nil)
 	}
@@ -191,13 +191,13 @@
 // TestFailedRun answers a request whose run failed, and never runs another try of it.
 func TestFailedRun(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Reserve(7, "x").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Reserve(7, "x").Records(1))
 	n.End(n.WaitApplied(1)[0].ID, "ERROR", nil)
 	if a := g.Answer(1); a.Status != 500 {
 		t.Errorf("answer %+v", a)
 	}
-	g.Write(standin.Reserve(7, "x").Records(2))
+	g.Write(fake.Reserve(7, "x").Records(2))
 	if a := g.Answer(2); a.Status != 500 || a.Protocol != 0 {
 		t.Errorf("answer to the second try %+v", a)
 	}
@@ -210,13 +210,13 @@
 // and nothing runs twice.
 func TestLinkLost(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Reserve(1, "x").Records(1))
 	first := n.WaitApplied(1)[0].ID
 	n.Refuse(true)
 	n.Cut()
 	n.End(first, "OK", []byte("while away"))
-	g.Write(standin.Reserve(2, "y").Records(2)) // asked for while no link stands
+	g.Write(fake.Reserve(2, "y").Records(2)) // asked for while no link stands
 	n.WaitCounter("open", 2)
 	n.Refuse(false)
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "while away" {
@@ -238,14 +238,14 @@
 // result of that run.
 func TestCallerLost(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Reserve(1, "x").Records(1))
 	run := n.WaitApplied(1)[0].ID
 	g.Close()
 	n.WaitCounter("lost", 1)
 	n.End(run, "OK", []byte("kept"))
-	g = testkit.Dial(t, n.Addr)
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g = servertest.Dial(t, n.Addr)
+	g.Write(fake.Reserve(1, "x").Records(1))
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "kept" {
 		t.Errorf("answer %+v", a)
 	}
@@ -257,11 +257,11 @@
 // TestDue fails a request whose run does not end in time, counted from its arrival at the machine.
 func TestDue(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
+	g := servertest.Dial(t, n.Addr)
 	const unread = 3300 * time.Millisecond // of 3.7 s
 	sent := time.Now()
 	arrived := sent.Add(-unread)
-	g.Write(standin.Lookup("").With("Received-At", strconv.FormatInt(arrived.UnixMilli(), 10)).Records(1))
+	g.Write(fake.Lookup("").With("Received-At", strconv.FormatInt(arrived.UnixMilli(), 10)).Records(1))
 	a := g.Answer(1)
 	if a.Status != 500 && a.Status != 503 {
 		t.Errorf("answer %+v", a)
@@ -271,7 +271,7 @@
 	}
 	// The run is stopped, and its end is no second answer.
 	n.WaitCounter("running", 0)
-	g.Write(standin.Health(false).Records(2))
+	g.Write(fake.Health(false).Records(2))
 	if a := g.Answer(0); a.ID != 2 {
 		t.Errorf("second answer %+v", a)
 	}
@@ -282,15 +282,15 @@
 func TestDrain(t *testing.T) {
 	n := start(t, nil)
 	n.Report()
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("").Records(1))
 	run := n.WaitApplied(1)[0].ID
 	n.Signal(syscall.SIGTERM)
-	testkit.Wait(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
+	servertest.Wait(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
 	begun := time.Now()
-	testkit.Wait(t, "the report of the leave", func() bool { return n.Report() == "announce n3 false" })
-	testkit.Wait(t, "the end of the grace", func() bool { return time.Since(begun) > 400*time.Millisecond })
-	g.Write(standin.Lookup("late").Records(2))
+	servertest.Wait(t, "the report of the leave", func() bool { return n.Report() == "announce n3 false" })
+	servertest.Wait(t, "the end of the grace", func() bool { return time.Since(begun) > 400*time.Millisecond })
+	g.Write(fake.Lookup("late").Records(2))
 	if a := g.Answer(2); a.Status != 503 || a.Header.Get("Back-Off-Ms") != "1000" {
 		t.Errorf("answer after the grace %+v", a)
 	}
@@ -313,8 +313,8 @@
 // TestDrainStuck leaves with a run that never ends: its request is failed and the process goes.
 func TestDrainStuck(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Reserve(1, "x").Records(1))
 	n.WaitApplied(1)
 	n.Signal(syscall.SIGTERM)
 	if a := g.Answer(1); a.Status != 500 {
@@ -329,10 +329,10 @@
 // TestBadInput answers what can be answered, closes only what is broken, and counts both.
 func TestBadInput(t *testing.T) {
 	n := start(t, prompt)
-	g := testkit.Dial(t, n.Addr)
-	good := standin.Reserve(1, "x")
+	g := servertest.Dial(t, n.Addr)
+	good := fake.Reserve(1, "x")
 	for what, c := range map[string]struct {
-		r      standin.Request
+		r      fake.Request
 		status int
 	}{
 		"no id":           {good.With("Request-Id", ""), 400},
@@ -354,10 +354,10 @@
 		"strange mark":    {good.With("Attempt-Again", "yes"), 400},
 		"long ago":        {good.With("Received-At", "1"), 400},
 		"far ahead":       {good.With("Received-At", strconv.FormatInt(time.Now().Add(time.Hour).UnixMilli(), 10)), 400},
-		"unknown class":   {standin.Request{Method: "POST", Path: "/v1/brake-fluid", Fields: good.Fields}, 400},
-		"no class":        {standin.Request{Method: "POST", Path: "/stock-reserve", Fields: good.Fields}, 400},
-		"wrong method":    {standin.Request{Method: "GET", Path: good.Path, Fields: good.Fields}, 400},
-		"long body":       {standin.Reserve(1, strings.Repeat("b", 2049)), 413},
+		"unknown class":   {fake.Request{Method: "POST", Path: "/v1/brake-fluid", Fields: good.Fields}, 400},
+		"no class":        {fake.Request{Method: "POST", Path: "/stock-reserve", Fields: good.Fields}, 400},
+		"wrong method":    {fake.Request{Method: "GET", Path: good.Path, Fields: good.Fields}, 400},
+		"long body":       {fake.Reserve(1, strings.Repeat("b", 2049)), 413},
 	} {
 		g.Write(c.r.Records(1))
 		if a := g.Answer(1); a.Status != c.status {
@@ -368,7 +368,7 @@
 	if a := g.Answer(1); a.Status != 400 || string(a.Body) != `field Account is "`+strings.Repeat("a", 40)+"\"\n" {
 		t.Errorf("the answer does not name the field: %+v", a)
 	}
-	broken := testkit.Dial(t, n.Addr)
+	broken := servertest.Dial(t, n.Addr)
 	broken.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	broken.Ended()
 	g.Write(good.With("Sent-By", "4294967296").Records(2)) // the number of a gateway has no limit
@@ -384,19 +384,19 @@
 // gets the result, and the copies of a request that was turned away are not taken for further tries.
 func TestBorrowed(t *testing.T) {
 	n := start(t, prompt)
-	g := testkit.Dial(t, n.Addr)
-	r := standin.Reserve(1, "x")
+	g := servertest.Dial(t, n.Addr)
+	r := fake.Reserve(1, "x")
 	g.Write(r.Records(1))
 	if a := g.Answer(1); a.Status != 200 {
 		t.Fatalf("answer %+v", a)
 	}
-	other := standin.Reserve(1, "y")
-	late := standin.Lookup("").With("Received-At", strconv.FormatInt(time.Now().Add(-5*time.Second).UnixMilli(), 10))
+	other := fake.Reserve(1, "y")
+	late := fake.Lookup("").With("Received-At", strconv.FormatInt(time.Now().Add(-5*time.Second).UnixMilli(), 10))
 	g.Write(late.Records(1))
 	if a := g.Answer(1); a.Status != 503 {
 		t.Errorf("answer to a request whose time is over %+v", a)
 	}
-	for what, r := range map[string]standin.Request{"its id": r, "its key with another body": other, "an id that was refused": late} {
+	for what, r := range map[string]fake.Request{"its id": r, "its key with another body": other, "an id that was refused": late} {
 		g.Write(r.Records(1))
 		if a := g.Answer(1); a.Status != 400 {
 			t.Errorf("%s: answer %+v", what, a)
@@ -410,14 +410,14 @@
 // request that its key belongs to is served.
 func TestUnknownFreesKey(t *testing.T) {
 	n := start(t, prompt)
-	g := testkit.Dial(t, n.Addr)
-	stray := standin.Reserve(1, "x")
+	g := servertest.Dial(t, n.Addr)
+	stray := fake.Reserve(1, "x")
 	n.Unknown(stray.ID())
 	g.Write(stray.Records(1))
 	if a := g.Answer(1); a.Status != 500 {
 		t.Errorf("answer to the stray %+v", a)
 	}
-	g.Write(standin.Reserve(1, "y").Records(2))
+	g.Write(fake.Reserve(1, "y").Records(2))
 	if a := g.Answer(2); a.Status != 200 || string(a.Body) != "[y]" {
 		t.Errorf("answer %+v", a)
 	}
@@ -426,9 +426,9 @@
 // TestTooMany fills a connection: what is over its limit gets the protocol's own answer.
 func TestTooMany(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
+	g := servertest.Dial(t, n.Addr)
 	for id := range uint16(33) {
-		g.Write(standin.Lookup("").Records(id + 1))
+		g.Write(fake.Lookup("").Records(id + 1))
 	}
 	if a := g.Answer(33); a.Protocol != 2 || a.Status != 0 {
 		t.Errorf("answer %+v", a)
@@ -439,16 +439,16 @@
 // TestAbort ends a request that its gateway gave up, once.
 func TestAbort(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("").Records(1))
 	run := n.WaitApplied(1)[0].ID
-	g.Write(standin.Record(standin.Abort, 1, nil, 0))
+	g.Write(fake.Record(fake.Abort, 1, nil, 0))
 	if a := g.Answer(1); a.Status != 500 {
 		t.Errorf("answer %+v", a)
 	}
 	n.End(run, "OK", []byte("unwanted"))
 	n.WaitCounter("running", 0)
-	g.Write(standin.Health(false).Records(2))
+	g.Write(fake.Health(false).Records(2))
 	if a := g.Answer(0); a.ID != 2 {
 		t.Errorf("second answer %+v", a)
 	}
@@ -456,11 +456,11 @@
 
 // TestNotYetUp has an interpreter that comes up late: checks fail until then, and nothing is announced.
 func TestNotYetUp(t *testing.T) {
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	it.Down()
-	n := testkit.Start(t, program, it, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Health(false).Records(1), standin.Lookup("").Records(2))
+	n := servertest.Start(t, program, it, nil)
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Health(false).Records(1), fake.Lookup("").Records(2))
 	if a := g.Answer(1); a.Status != 503 {
 		t.Errorf("health check %+v", a)
 	}
@@ -495,8 +495,8 @@
 	if err := unix.Prlimit(n.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Wait(t, "a caller to be turned away", func() bool {
-		testkit.Dial(t, n.Addr)
+	servertest.Wait(t, "a caller to be turned away", func() bool {
+		servertest.Dial(t, n.Addr)
 		n.Signal(syscall.SIGUSR1)
 		return n.Counter("accept_errors") > 0
 	})
@@ -504,9 +504,9 @@
 		t.Fatal(err)
 	}
 	// One that came while none was free may still be turned away; the next ones are served.
-	testkit.Wait(t, "a caller to be served", func() bool {
-		g := testkit.Dial(t, n.Addr)
-		if g.Gateway.Write(standin.Lookup("").Records(1)) != nil {
+	servertest.Wait(t, "a caller to be served", func() bool {
+		g := servertest.Dial(t, n.Addr)
+		if g.Gateway.Write(fake.Lookup("").Records(1)) != nil {
 			return false
 		}
 		a, err := g.TryAnswer(1)
@@ -534,8 +534,8 @@
 		"address already in ": nil,
 	} {
 		if change == nil {
-			it := testkit.NewInterpreter(t)
-			first := testkit.Start(t, program, it, nil)
+			it := servertest.NewInterpreter(t)
+			first := servertest.Start(t, program, it, nil)
 			first.WaitUp()
 			cmd := exec.Command("/bin/sh", "-c", program)
 			cmd.Env = append(os.Environ(), "RELAY_CONFIG="+first.ConfigPath, "RELAY_LISTEN="+first.Addr)
@@ -545,7 +545,7 @@
 			}
 			continue
 		}
-		n := testkit.Start(t, program, testkit.NewInterpreter(t), change)
+		n := servertest.Start(t, program, servertest.NewInterpreter(t), change)
 		status := n.WaitExit()
 		if log := n.Log(); status == 0 || !strings.Contains(log, field) || strings.Count(log, "\n") != 1 {
 			t.Errorf("%s: exit status %d, output %q", field, status, log)
--- a/cmd/tillerusher/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -7,27 +7,27 @@
 	"syscall"
 	"testing"
 
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
 )
 
 // TestReload moves the interpreter and the announce service while a request runs and another is asked for: runs,
 // notices and keys go on at the new addresses, twice in a row, and the old ones are left.
 func TestReload(t *testing.T) {
 	n := start(t, nil)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Reserve(1, "x").Records(1))
 	first := n.WaitApplied(1)[0].ID
 	for range 2 {
-		addr, reports := n.Move(), testkit.NewAnnounce(t)
+		addr, reports := n.Move(), servertest.NewAnnounce(t)
 		n.Configure(func(c map[string]any) { c["vm"], c["announce"] = addr, reports.LocalAddr().String() })
 		n.Signal(syscall.SIGHUP)
-		testkit.Wait(t, "the link at the new address", func() bool { return n.LinkAt() == addr })
-		if got := testkit.ReadReport(t, reports); got != "announce n3 true" {
+		servertest.Wait(t, "the link at the new address", func() bool { return n.LinkAt() == addr })
+		if got := servertest.ReadReport(t, reports); got != "announce n3 true" {
 			t.Errorf("report at the new address %q", got)
 		}
 	}
-	g.Write(standin.Reserve(2, "y").Records(2))
+	g.Write(fake.Reserve(2, "y").Records(2))
 	second := n.WaitApplied(2)[1].ID
 	n.End(first, "OK", []byte("one"))
 	n.End(second, "OK", []byte("two"))
@@ -36,7 +36,7 @@
 			t.Errorf("answer to request %d: %+v", id, a)
 		}
 	}
-	g.Write(standin.Reserve(1, "x").Records(3))
+	g.Write(fake.Reserve(1, "x").Records(3))
 	if a := g.Answer(3); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("answer to the repeat %+v", a)
 	}
@@ -60,7 +60,7 @@
 			edit(c)
 		})
 		n.Signal(syscall.SIGHUP)
-		testkit.Wait(t, "the complaint about "+field, func() bool {
+		servertest.Wait(t, "the complaint about "+field, func() bool {
 			for _, line := range strings.Split(n.Log(), "\n") {
 				if strings.Contains(line, "configuration not reloaded") && strings.Contains(line, field) {
 					return true
@@ -73,8 +73,8 @@
 		t.Fatal(err)
 	}
 	n.Signal(syscall.SIGHUP)
-	g := testkit.Dial(t, addr)
-	g.Write(standin.Lookup("still here").Records(1))
+	g := servertest.Dial(t, addr)
+	g.Write(fake.Lookup("still here").Records(1))
 	if a := g.Answer(1); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
@@ -85,10 +85,10 @@
 // TestReloadAnyTime sends SIGHUP at moments at which nothing can be done with it: before the interpreter is up,
 // while the link is being made anew, and during a drain.
 func TestReloadAnyTime(t *testing.T) {
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	it.Down()
-	n := testkit.Start(t, program, it, nil)
-	testkit.Dial(t, n.Addr) // it listens
+	n := servertest.Start(t, program, it, nil)
+	servertest.Dial(t, n.Addr) // it listens
 	hup := func() {
 		addr := n.Move()
 		n.Configure(func(c map[string]any) { c["vm"] = addr })
@@ -103,13 +103,13 @@
 	hup()
 	n.WaitCounter("reloads", 2)
 	n.Refuse(false)
-	g := testkit.Dial(t, n.Addr)
-	g.Write(standin.Lookup("").Records(1))
+	g := servertest.Dial(t, n.Addr)
+	g.Write(fake.Lookup("").Records(1))
 	run := n.WaitApplied(1)[0].ID
 	n.Signal(syscall.SIGTERM)
-	testkit.Wait(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
+	servertest.Wait(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
 	hup()
-	testkit.Wait(t, "the link at the last address", func() bool { return n.LinkAt() == it.Addr() })
+	servertest.Wait(t, "the link at the last address", func() bool { return n.LinkAt() == it.Addr() })
 	n.End(run, "OK", []byte("done"))
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "done" {
 		t.Errorf("answer %+v", a)
@@ -121,12 +121,12 @@
 
 // TestReloadEarly sends SIGHUP again and again from the first moment of the process on.
 func TestReloadEarly(t *testing.T) {
-	n := testkit.Start(t, program, testkit.NewInterpreter(t), nil)
-	testkit.Wait(t, "the shell to become the program", func() bool {
+	n := servertest.Start(t, program, servertest.NewInterpreter(t), nil)
+	servertest.Wait(t, "the shell to become the program", func() bool {
 		name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", n.Process.Pid))
 		return err == nil && strings.TrimSpace(string(name)) == "tillerusher"
 	})
-	testkit.Wait(t, "a configuration to be taken over", func() bool {
+	servertest.Wait(t, "a configuration to be taken over", func() bool {
 		n.Signal(syscall.SIGHUP)
 		return strings.Contains(n.Log(), "configuration reloaded")
 	})
--- a/cmd/tillerusher/rude_test.go
+++ b/cmd/catalogue-server/rude_test.go
@@ -6,38 +6,38 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
 )
 
 // TestUnfinished has callers that are silent or stop half way, next to a gateway that pauses: they are closed
 // within 3 s, and it is not.
 func TestUnfinished(t *testing.T) {
 	n := start(t, prompt)
-	sound := testkit.Dial(t, n.Addr)
-	whole := standin.Lookup("x").Records(1)
+	sound := servertest.Dial(t, n.Addr)
+	whole := fake.Lookup("x").Records(1)
 	sound.Write(whole[:40])
 	begun := time.Now()
-	silent, half, cut := testkit.Dial(t, n.Addr), testkit.Dial(t, n.Addr), testkit.Dial(t, n.Addr)
+	silent, half, cut := servertest.Dial(t, n.Addr), servertest.Dial(t, n.Addr), servertest.Dial(t, n.Addr)
 	half.Write(whole[:len(whole)-8])
-	cut.Write(standin.Lookup("").Records(1))
+	cut.Write(fake.Lookup("").Records(1))
 	if a := cut.Answer(1); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
-	cut.Write(standin.Lookup("").Records(2)[:20])
-	testkit.Wait(t, "a pause", func() bool { return time.Since(begun) > 500*time.Millisecond })
+	cut.Write(fake.Lookup("").Records(2)[:20])
+	servertest.Wait(t, "a pause", func() bool { return time.Since(begun) > 500*time.Millisecond })
 	sound.Write(whole[40:])
 	if a := sound.Answer(1); a.Status != 200 {
 		t.Errorf("answer to the gateway that paused %+v", a)
 	}
-	for what, g := range map[string]*testkit.Gateway{"silent": silent, "half a request": half, "half a second request": cut} {
+	for what, g := range map[string]*servertest.Gateway{"silent": silent, "half a request": half, "half a second request": cut} {
 		g.Ended()
 		if took := time.Since(begun); took < 2*time.Second {
 			t.Errorf("%s: closed after %v, too soon for a gateway that pauses", what, took)
 		}
 	}
 	n.WaitCounter("unfinished", 3)
-	sound.Write(standin.Lookup("").Records(2))
+	sound.Write(fake.Lookup("").Records(2))
 	if a := sound.Answer(2); a.Status != 200 {
 		t.Errorf("answer to the gateway %+v", a)
 	}
@@ -47,10 +47,10 @@
 // connection ends without the body being read whole.
 func TestEndless(t *testing.T) {
 	n := start(t, prompt)
-	g := testkit.Dial(t, n.Addr)
-	r := standin.Lookup("")
-	g.Write(standin.BeginRecord(1, 1, true), standin.Record(standin.Params, 1, r.ParamBytes(), 0), standin.Record(standin.Params, 1, nil, 0))
-	g.Write(bytes.Repeat(standin.Record(standin.Stdin, 1, make([]byte, 65000), 0), 100))
+	g := servertest.Dial(t, n.Addr)
+	r := fake.Lookup("")
+	g.Write(fake.BeginRecord(1, 1, true), fake.Record(fake.Params, 1, r.ParamBytes(), 0), fake.Record(fake.Params, 1, nil, 0))
+	g.Write(bytes.Repeat(fake.Record(fake.Stdin, 1, make([]byte, 65000), 0), 100))
 	if a := g.Answer(1); a.Status != 413 {
 		t.Errorf("answer %+v", a)
 	}
@@ -61,38 +61,38 @@
 // TestCrowd has hundreds connect and stay silent, or ask once and stay, where descriptors are few: gateways still
 // get in and are served, and one that was there before is left alone.
 func TestCrowd(t *testing.T) {
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	it.Prompt()
-	n := testkit.Start(t, program, it, func(c map[string]any) {
+	n := servertest.Start(t, program, it, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 64}
 	})
 	n.WaitUp()
-	resident := testkit.Dial(t, n.Addr)
+	resident := servertest.Dial(t, n.Addr)
 	// On a loaded machine a run may take long enough to look like a stall: then it is refused, and comes again.
-	serve := func(g *testkit.Gateway) {
+	serve := func(g *servertest.Gateway) {
 		t.Helper()
-		testkit.Wait(t, "the resident to be served", func() bool {
-			g.Write(standin.Lookup("").Records(1))
+		servertest.Wait(t, "the resident to be served", func() bool {
+			g.Write(fake.Lookup("").Records(1))
 			return g.Answer(1).Status == 200
 		})
 	}
 	for range 10 {
 		for range 20 {
-			testkit.Dial(t, n.Addr)
+			servertest.Dial(t, n.Addr)
 		}
 		for range 10 { // ask once and stay, those that get in
-			g := testkit.Dial(t, n.Addr)
-			g.Write(standin.Lookup("").Records(1))
+			g := servertest.Dial(t, n.Addr)
+			g.Write(fake.Lookup("").Records(1))
 			g.TryAnswer(1)
 		}
-		testkit.Wait(t, "a newcomer to be served", func() bool {
-			g := testkit.Dial(t, n.Addr)
-			g.Write(standin.Lookup("").Records(1))
+		servertest.Wait(t, "a newcomer to be served", func() bool {
+			g := servertest.Dial(t, n.Addr)
+			g.Write(fake.Lookup("").Records(1))
 			_, err := g.TryAnswer(1)
 			return err == nil
 		})
 		serve(resident)
 	}
 	n.Signal(syscall.SIGUSR1)
-	testkit.Wait(t, "the counters", func() bool { return n.Counter("made_room") > 0 })
+	servertest.Wait(t, "the counters", func() bool { return n.Counter("made_room") > 0 })
 }
--- a/cmd/tillerusher/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/rules"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/invariant"
+	"tillerusher/internal/servertest"
 )
 
 // stateKills is how often TestStateKills kills a server; docs/design/state.md has the figures of 2,000.
@@ -22,17 +22,17 @@
 
 // slips sends keyed requests, most of them for few keys, and tells the observer.
 type slips struct {
-	observer *rules.Observer
+	observer *invariant.Observer
 	rng      *rand.Rand
 	keys     int // that there are so far
 
 	mu     sync.Mutex
-	counts map[rules.Answer]int
+	counts map[invariant.Answer]int
 	killed int // tries that were open when the server died
 }
 
 // next makes one try.
-func (s *slips) next() (standin.Request, rules.Try) {
+func (s *slips) next() (fake.Request, invariant.Try) {
 	n := s.rng.IntN(s.keys + 1)
 	switch {
 	case n == s.keys:
@@ -41,14 +41,14 @@
 		n = max(s.keys-1-s.rng.IntN(5), 0) // the newest are the most popular
 	}
 	body := fmt.Sprint("slip ", n)
-	r := standin.Reserve(n, body)
+	r := fake.Reserve(n, body)
 	now := time.Now()
-	return r, rules.Try{ID: r.ID(), Key: r.Fields["Once-Key"], Once: true, Result: "[" + body + "]", Received: now, Due: now.Add(standin.ReserveDeadline + 5*time.Second)}
+	return r, invariant.Try{ID: r.ID(), Key: r.Fields["Once-Key"], Once: true, Result: "[" + body + "]", Received: now, Due: now.Add(fake.ReserveDeadline + 5*time.Second)}
 }
 
 // load keeps so many tries open on one connection until it ends, and returns how many were answered.
 func (s *slips) load(t *testing.T, addr string, answered func()) {
-	g, err := standin.Dial(addr)
+	g, err := fake.Dial(addr)
 	if err != nil {
 		return
 	}
@@ -80,12 +80,12 @@
 		if err != nil {
 			return
 		}
-		kind := rules.Failed
+		kind := invariant.Failed
 		switch {
 		case a.Status == 200:
-			kind = rules.Served
+			kind = invariant.Served
 		case a.Status == 503:
-			kind = rules.Refused
+			kind = invariant.Refused
 		}
 		s.mu.Lock()
 		s.counts[kind]++
@@ -105,13 +105,13 @@
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	dir := t.TempDir()
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	it.Prompt()
-	s := &slips{observer: rules.New(standin.Window), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[rules.Answer]int{}}
-	it.OnApply(func(a standin.Apply) { s.observer.Ran(a.ID) })
+	s := &slips{observer: invariant.New(fake.Window), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Answer]int{}}
+	it.OnApply(func(a fake.Apply) { s.observer.Ran(a.ID) })
 	recovered := 0
 	for range *stateKills {
-		n := testkit.Start(t, program+" serve --state "+dir, it, nil)
+		n := servertest.Start(t, program+" serve --state "+dir, it, nil)
 		n.WaitUp()
 		most, answers := s.rng.IntN(400), make(chan bool, 1<<16)
 		ended := make(chan bool)
@@ -119,7 +119,7 @@
 			defer close(ended)
 			s.load(t, n.Addr, func() { answers <- true })
 		}()
-		testkit.Wait(t, "answers", func() bool { return len(answers) >= most })
+		servertest.Wait(t, "answers", func() bool { return len(answers) >= most })
 		time.Sleep(time.Duration(rand.IntN(2000)) * time.Microsecond) // anywhere between two of them
 		n.Signal(syscall.SIGKILL)
 		n.WaitExit()
@@ -132,8 +132,8 @@
 		t.Errorf("%d rules were broken, the first: %s", len(b), b[0])
 	}
 	t.Logf("%d kills: %d slips, %d served, %d refused, %d failed, %d open at a kill; %d starts found state", *stateKills, s.keys,
-		s.counts[rules.Served], s.counts[rules.Refused], s.counts[rules.Failed], s.killed, recovered)
-	if s.counts[rules.Served] == 0 || recovered < *stateKills/2 {
+		s.counts[invariant.Served], s.counts[invariant.Refused], s.counts[invariant.Failed], s.killed, recovered)
+	if s.counts[invariant.Served] == 0 || recovered < *stateKills/2 {
 		t.Error("nothing was served, or no start found state")
 	}
 }
@@ -142,23 +142,23 @@
 // honest failure, and one that never came be run.
 func TestStateRestart(t *testing.T) {
 	dir := t.TempDir()
-	it := testkit.NewInterpreter(t)
-	ask := func(n *testkit.Node, number int) standin.Answer {
-		g := testkit.Dial(t, n.Addr)
-		g.Write(standin.Reserve(number, "b").Records(1))
+	it := servertest.NewInterpreter(t)
+	ask := func(n *servertest.Node, number int) fake.Answer {
+		g := servertest.Dial(t, n.Addr)
+		g.Write(fake.Reserve(number, "b").Records(1))
 		return g.Answer(1)
 	}
-	n := testkit.Start(t, program+" serve --state "+dir, it, nil)
+	n := servertest.Start(t, program+" serve --state "+dir, it, nil)
 	n.WaitUp()
-	g := testkit.Dial(t, n.Addr)
-	first, second := standin.Reserve(1, "b"), standin.Reserve(2, "b")
+	g := servertest.Dial(t, n.Addr)
+	first, second := fake.Reserve(1, "b"), fake.Reserve(2, "b")
 	g.Write(first.Records(1), second.Records(2))
 	it.WaitApplied(2)
 	it.End(first.ID(), "OK", []byte("one"))
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Fatalf("answer %+v", a)
 	}
-	testkit.Wait(t, "the result on the disk", func() bool {
+	servertest.Wait(t, "the result on the disk", func() bool {
 		n.Signal(syscall.SIGUSR1)
 		return strings.Contains(n.Log(), "\"results_kept\":1")
 	})
@@ -166,7 +166,7 @@
 	n.WaitExit()
 	it.End(second.ID(), "OK", []byte("two")) // nobody hears of it
 	it.Prompt()
-	n = testkit.Start(t, program+" serve --state "+dir, it, nil)
+	n = servertest.Start(t, program+" serve --state "+dir, it, nil)
 	n.WaitUp()
 	if a := ask(n, 1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("a repeat of what finished: %+v", a)
@@ -181,7 +181,7 @@
 	if status := n.WaitExit(); status != 0 {
 		t.Errorf("status %d after the drain", status)
 	}
-	n = testkit.Start(t, program+" serve --state "+dir, it, nil)
+	n = servertest.Start(t, program+" serve --state "+dir, it, nil)
 	n.WaitUp()
 	if a := ask(n, 3); a.Status != 200 || string(a.Body) != "[b]" || len(it.Applied()) != 3 {
 		t.Errorf("a repeat after a drain: %+v, %d runs", a, len(it.Applied()))
@@ -192,15 +192,15 @@
 // lookups served, and keyed ones taken again by itself.
 func TestStateFullDisk(t *testing.T) {
 	full := filepath.Join(t.TempDir(), "full")
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	it.Prompt()
-	n := testkit.Start(t, "exec "+kit+" state serve --dir "+t.TempDir()+" --full-while "+full, it, nil)
+	n := servertest.Start(t, "exec "+kit+" state serve --dir "+t.TempDir()+" --full-while "+full, it, nil)
 	n.WaitUp()
-	g := testkit.Dial(t, n.Addr)
+	g := servertest.Dial(t, n.Addr)
 	number := 0
-	ask := func() standin.Answer {
+	ask := func() fake.Answer {
 		number++
-		g.Write(standin.Reserve(number, "b").Records(1))
+		g.Write(fake.Reserve(number, "b").Records(1))
 		return g.Answer(1)
 	}
 	for round := range 3 {
@@ -210,7 +210,7 @@
 		if err := os.WriteFile(full, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Wait(t, "the disk to be found full", func() bool { return ask().Status == 503 })
+		servertest.Wait(t, "the disk to be found full", func() bool { return ask().Status == 503 })
 		applied := len(it.Applied())
 		if a := ask(); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 			t.Errorf("round %d: a keyed request with a full disk: %+v", round, a)
@@ -218,14 +218,14 @@
 		if len(it.Applied()) != applied {
 			t.Error("a request that was refused ran")
 		}
-		g.Write(standin.Lookup("x").Records(2))
+		g.Write(fake.Lookup("x").Records(2))
 		if a := g.Answer(2); a.Status != 200 {
 			t.Errorf("round %d: a lookup with a full disk: %+v", round, a)
 		}
 		if err := os.Remove(full); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Wait(t, "the disk to be asked again", func() bool { return ask().Status == 200 })
+		servertest.Wait(t, "the disk to be asked again", func() bool { return ask().Status == 200 })
 	}
 	for _, line := range []string{"state not written", "no space left on device", "state written again"} {
 		if !strings.Contains(n.Log(), line) {
@@ -242,18 +242,18 @@
 // repeats of what the drain finished.
 func TestStateRelease(t *testing.T) {
 	dir := t.TempDir()
-	it := testkit.NewInterpreter(t)
-	old := testkit.Start(t, program+" serve --state "+dir, it, nil)
+	it := servertest.NewInterpreter(t)
+	old := servertest.Start(t, program+" serve --state "+dir, it, nil)
 	old.WaitUp()
-	g := testkit.Dial(t, old.Addr)
-	r := standin.Reserve(1, "b")
+	g := servertest.Dial(t, old.Addr)
+	r := fake.Reserve(1, "b")
 	g.Write(r.Records(1))
 	it.WaitApplied(1)
 	old.Signal(syscall.SIGTERM)
-	successor := testkit.Start(t, program+" serve --state "+dir, it, nil)
-	testkit.Wait(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
-	third := testkit.Start(t, program+" serve --state "+dir, it, nil) // told to leave while it waits
-	testkit.Wait(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the folder") })
+	successor := servertest.Start(t, program+" serve --state "+dir, it, nil)
+	servertest.Wait(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
+	third := servertest.Start(t, program+" serve --state "+dir, it, nil) // told to leave while it waits
+	servertest.Wait(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the folder") })
 	third.Signal(syscall.SIGTERM)
 	if status := third.WaitExit(); status != 0 {
 		t.Errorf("told to leave while it waits: status %d", status)
@@ -266,8 +266,8 @@
 		t.Errorf("status %d after the drain", status)
 	}
 	successor.WaitUp()
-	h := testkit.Dial(t, successor.Addr)
-	h.Write(standin.Reserve(1, "b").Records(1))
+	h := servertest.Dial(t, successor.Addr)
+	h.Write(fake.Reserve(1, "b").Records(1))
 	if a := h.Answer(1); a.Status != 200 || string(a.Body) != "one" || len(it.Applied()) != 1 {
 		t.Errorf("a repeat at the successor: %+v, %d runs", a, len(it.Applied()))
 	}
@@ -276,12 +276,12 @@
 // TestStateFolders has folders that are not this server's, or not to be used, told in one line.
 func TestStateFolders(t *testing.T) {
 	dir := t.TempDir()
-	it := testkit.NewInterpreter(t)
-	n := testkit.Start(t, program+" serve --state "+dir, it, nil)
+	it := servertest.NewInterpreter(t)
+	n := servertest.Start(t, program+" serve --state "+dir, it, nil)
 	n.WaitUp()
 	refused := func(name, text string) {
 		t.Helper()
-		m := testkit.StartNamed(t, program+" serve --state "+dir, it, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
+		m := servertest.StartNamed(t, program+" serve --state "+dir, it, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
 		status := m.WaitExit()
 		lines := strings.Split(strings.TrimSpace(m.Log()), "\n")
 		if strings.Contains(lines[0], "waiting for the folder") {
--- a/cmd/tillerkit/config.go
+++ b/cmd/cataloguectl/config.go
@@ -11,7 +11,7 @@
 
 	"tillerusher/internal/nginx"
 	"tillerusher/internal/route"
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 )
 
 func configCommand() *cobra.Command {
@@ -21,7 +21,7 @@
 		Example: "  tillerkit config check routes.sexp && kill -HUP $PID", Args: cobra.ExactArgs(1),
 		Long: "check reads a description and all that it includes." + statuses,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := routing.Load(args[0])
+			d, err := routeconfig.Load(args[0])
 			if err != nil {
 				return inputError{err}
 			}
@@ -37,7 +37,7 @@
 	c.AddCommand(&cobra.Command{Use: "show FILE", Short: "Print a description with its includes in the one canonical form",
 		Example: "  tillerkit config show routes.sexp | diff - routes.sexp", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := routing.Load(args[0])
+			d, err := routeconfig.Load(args[0])
 			if err != nil {
 				return inputError{err}
 			}
@@ -99,7 +99,7 @@
 }
 
 // writeDescription writes a description to a new file or to standard output.
-func writeDescription(p printer, d *routing.Description, out string) error {
+func writeDescription(p printer, d *routeconfig.Description, out string) error {
 	if out == "" {
 		p.text(d.Format())
 		return nil
@@ -113,7 +113,7 @@
 }
 
 // explainPath says how a path finds its location in each server that listens.
-func explainPath(p printer, d *routing.Description, host, path string) error {
+func explainPath(p printer, d *routeconfig.Description, host, path string) error {
 	table, err := d.Table()
 	if err != nil {
 		return inputError{err}
@@ -168,7 +168,7 @@
 		result.Status = 301
 		p.line("  a redirect to %s/", m.Path)
 	default:
-		l := m.Location.Value.(*routing.Location)
+		l := m.Location.Value.(*routeconfig.Location)
 		result.Location, result.At, result.Pool, result.Status = m.Location.String(), m.Location.At, l.Pool, l.Status
 		switch {
 		case l.Status != 0 && !m.Settled:
--- a/cmd/tillerkit/model.go
+++ b/cmd/cataloguectl/model.go
@@ -18,9 +18,9 @@
 
 	"github.com/spf13/cobra"
 
+	"tillerusher/internal/calibration"
+	"tillerusher/internal/clustersim"
 	"tillerusher/internal/experiment"
-	"tillerusher/internal/fidelity"
-	"tillerusher/internal/model"
 	"tillerusher/internal/report"
 )
 
@@ -55,7 +55,7 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
-			w := model.Defaults()
+			w := clustersim.Defaults()
 			switch {
 			case len(args) == 1 && day != "":
 				return errors.New("a file and --day are two worlds: want one of them")
@@ -68,10 +68,10 @@
 					return inputError{err}
 				}
 			case day != "":
-				if !slices.Contains(model.DayKinds(), model.DayKind(day)) {
-					return fmt.Errorf("no kind of day is called %q, want one of %v", day, model.DayKinds())
+				if !slices.Contains(clustersim.DayKinds(), clustersim.DayKind(day)) {
+					return fmt.Errorf("no kind of day is called %q, want one of %v", day, clustersim.DayKinds())
 				}
-				w = model.Day(model.DayKind(day), number)
+				w = clustersim.Day(clustersim.DayKind(day), number)
 			}
 			if load > 0 {
 				w.Load(load)
@@ -79,13 +79,13 @@
 			w.Reasons = true
 			ctx, stop := interrupted(cmd)
 			defer stop()
-			var results []*model.Result
+			var results []*clustersim.Result
 			for _, name := range policies {
 				policy, err := experiment.PolicyOf(name)
 				if err != nil {
 					return err
 				}
-				r, err := model.Run(ctx, w, policy, seed)
+				r, err := clustersim.Run(ctx, w, policy, seed)
 				if err != nil {
 					return inputError{err}
 				}
@@ -93,7 +93,7 @@
 				printRun(p, name, r)
 				if err := p.object(struct {
 					Policy string `json:"policy"`
-					*model.Result
+					*clustersim.Result
 				}{name, r}); err != nil {
 					return err
 				}
@@ -133,7 +133,7 @@
 }
 
 // printRun prints the summary of a run.
-func printRun(p printer, policy string, r *model.Result) {
+func printRun(p printer, policy string, r *clustersim.Result) {
 	p.line("%s in %s (seed %d): %d servers, %d requests in %.0f s, load %.2f", policy, r.World, r.Seed, r.Servers, r.Requests, r.Seconds, r.Load)
 	p.line("  share %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f, waste %.3f, score %.4f", r.Share, r.Worst10, r.WorstOf,
 		r.WorstTen, r.Waste, r.G)
@@ -166,14 +166,14 @@
 }
 
 // runPage is a report of runs of one world.
-func runPage(w model.World, policies []string, results []*model.Result) report.Page {
+func runPage(w clustersim.World, policies []string, results []*clustersim.Result) report.Page {
 	var shades [][2]float64
 	var incidents []string
 	for _, i := range w.Incidents {
 		shades = append(shades, [2]float64{i.From.Seconds(), min((i.From + i.For).Seconds(), w.For.Seconds())})
 		incidents = append(incidents, i.String())
 	}
-	chart := func(title, y string, at func(model.Second) float64) report.Chart {
+	chart := func(title, y string, at func(clustersim.Second) float64) report.Chart {
 		c := report.Chart{Title: title, X: "seconds", Y: y, Shades: shades}
 		for k, r := range results {
 			l := report.Line{Name: policies[k]}
@@ -213,15 +213,15 @@
 		}
 	}
 	summary.Charts = []report.Chart{
-		chart("Share of the worth asked for, served in its aim", "share", func(s model.Second) float64 {
+		chart("Share of the worth asked for, served in its aim", "share", func(s clustersim.Second) float64 {
 			if s.Asked == 0 {
 				return 1
 			}
 			return s.Earned / s.Asked
 		}),
-		chart("Work asked for over what the fleet can do", "load", func(s model.Second) float64 { return s.Work / max(capacity, 1e-9) }),
-		chart("Tries that ended", "tries a second", func(s model.Second) float64 { return float64(s.Tries) }),
-		chart("Refusals", "refusals a second", func(s model.Second) float64 { return float64(s.Refused) }),
+		chart("Work asked for over what the fleet can do", "load", func(s clustersim.Second) float64 { return s.Work / max(capacity, 1e-9) }),
+		chart("Tries that ended", "tries a second", func(s clustersim.Second) float64 { return float64(s.Tries) }),
+		chart("Refusals", "refusals a second", func(s clustersim.Second) float64 { return float64(s.Refused) }),
 	}
 	reasons := report.Section{Title: "Refusals by reason", Head: []string{"policy", "because", "refusals"}}
 	for k, r := range results {
@@ -234,7 +234,7 @@
 }
 
 // meanWork is the work of a request that was drawn in runs.
-func meanWork(results []*model.Result) float64 {
+func meanWork(results []*clustersim.Result) float64 {
 	work, n := 0.0, 0
 	for _, r := range results {
 		for _, s := range r.Timeline {
@@ -249,7 +249,7 @@
 func whole0(v float64) string { return strconv.FormatFloat(v, 'f', 0, 64) }
 
 // timelineCSV writes the figures of each second.
-func timelineCSV(w io.Writer, policies []string, results []*model.Result) error {
+func timelineCSV(w io.Writer, policies []string, results []*clustersim.Result) error {
 	out := csv.NewWriter(w)
 	rows := [][]string{{"policy", "second", "asked", "earned", "work", "tries", "served", "refused", "failed"}}
 	for k, r := range results {
@@ -542,7 +542,7 @@
 			}
 			ctx, stop := interrupted(cmd)
 			defer stop()
-			rows, err := fidelity.Hold(ctx, daemon, span, seeds, atOnce, progressOf("worlds", len(fidelity.Worlds())))
+			rows, err := calibration.Hold(ctx, daemon, span, seeds, atOnce, progressOf("worlds", len(calibration.Worlds())))
 			if err != nil {
 				return inputError{err}
 			}
--- a/cmd/tillerkit/pool.go
+++ b/cmd/cataloguectl/pool.go
@@ -7,13 +7,13 @@
 
 	"github.com/spf13/cobra"
 
-	"tillerusher/internal/poolstorm"
 	"tillerusher/internal/report"
+	"tillerusher/internal/retrysim"
 )
 
 func poolCommand() *cobra.Command {
 	c := &cobra.Command{Use: "pool", Short: "Play bad moments to the decisions of a pool"}
-	cfg := poolstorm.Defaults()
+	cfg := retrysim.Defaults()
 	var out string
 	storm := &cobra.Command{Use: "storm", Short: "Play a retry storm with and without the budget for further tries",
 		Long: "storm has every member fail a part of its tries for a while, in virtual time, and tells the load on the members\n" +
@@ -37,16 +37,16 @@
 }
 
 // playPool plays the storm twice, prints both and draws them.
-func playPool(p printer, cfg poolstorm.Config, out string) error {
+func playPool(p printer, cfg retrysim.Config, out string) error {
 	chart := report.Chart{Title: fmt.Sprintf("%.0f %% of all tries fail", 100*cfg.Fails), X: "seconds", Y: "load on the members over what is offered",
 		From: cfg.From.Seconds(), To: cfg.To.Seconds(), Limit: 1.2}
-	result := map[string][]poolstorm.Point{}
+	result := map[string][]retrysim.Point{}
 	for _, with := range []bool{true, false} {
 		c, name := cfg, "with the budget"
 		if !with {
 			c.Share, name = 0, "without"
 		}
-		points, err := poolstorm.Run(c)
+		points, err := retrysim.Run(c)
 		if err != nil {
 			return err
 		}
--- a/cmd/tillerkit/recovery.go
+++ b/cmd/cataloguectl/recovery.go
@@ -4,12 +4,12 @@
 	"github.com/spf13/cobra"
 
 	"tillerusher/internal/experiment"
+	"tillerusher/internal/loadtest"
 	"tillerusher/internal/report"
-	"tillerusher/internal/storm"
 )
 
 func stateRecoveryCommand() *cobra.Command {
-	c := storm.RecoveryConfig{Config: storm.Defaults(), Pairs: 20, Parallel: 2}
+	c := loadtest.RecoveryConfig{Config: loadtest.Defaults(), Pairs: 20, Parallel: 2}
 	c.Requests, c.Tail = 12000, 0
 	var picture string
 	cmd := &cobra.Command{Use: "recovery", Short: "Measure how soon a daemon serves as before it was killed, with its state and without",
@@ -27,7 +27,7 @@
 				return err
 			}
 			c.Args, c.Progress = []string{"serve"}, progressOf("storms", 2*c.Pairs)
-			list, err := storm.MeasureRecovery(cmd.Context(), c)
+			list, err := loadtest.MeasureRecovery(cmd.Context(), c)
 			if err != nil {
 				return inputError{err}
 			}
@@ -72,7 +72,7 @@
 }
 
 // differences prints what the remembered ones did otherwise than the cold ones of their seeds.
-func differences(p printer, list []storm.Recovery) {
+func differences(p printer, list []loadtest.Recovery) {
 	var seconds, after []float64
 	never := map[bool]int{}
 	for n := 0; n+1 < len(list); n += 2 {
@@ -81,7 +81,7 @@
 		if cold.Seconds >= 0 && warm.Seconds >= 0 {
 			seconds = append(seconds, warm.Seconds-cold.Seconds)
 		}
-		for _, r := range []storm.Recovery{cold, warm} {
+		for _, r := range []loadtest.Recovery{cold, warm} {
 			if r.Seconds < 0 {
 				never[r.Cold]++
 			}
@@ -95,10 +95,10 @@
 }
 
 // drawRecovery draws the mean shares of both kinds over time, counted from the restart.
-func drawRecovery(path string, list []storm.Recovery) error {
+func drawRecovery(path string, list []loadtest.Recovery) error {
 	chart := report.Chart{Title: "Share of requests served round a restart", X: "seconds after the kill", Y: "share"}
 	for _, cold := range []bool{true, false} {
-		sums := map[int]storm.Share{}
+		sums := map[int]loadtest.Share{}
 		least, most := 0, 0
 		for _, r := range list {
 			if r.Cold != cold {
@@ -114,7 +114,7 @@
 		l := report.Line{Name: recoveryName(cold)}
 		for n := least; n <= most; n++ {
 			if s := sums[n]; s.Requests > 0 {
-				l.Points = append(l.Points, [2]float64{float64(n) * storm.Step.Seconds(), float64(s.Served) / float64(s.Requests)})
+				l.Points = append(l.Points, [2]float64{float64(n) * loadtest.Step.Seconds(), float64(s.Served) / float64(s.Requests)})
 			}
 		}
 		chart.Lines = append(chart.Lines, l)
--- a/cmd/tillerkit/rehearse.go
+++ b/cmd/cataloguectl/rehearse.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"tillerusher/internal/rehearsal"
 	"tillerusher/internal/report"
+	"tillerusher/internal/scenario"
 )
 
 func rehearseCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 	return &cobra.Command{Use: "list", Short: "Name the scenarios that ship with the kit", Args: cobra.NoArgs, Long: "list names each scenario and what it teaches." + statuses,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
-			list, err := rehearsal.Library()
+			list, err := scenario.Library()
 			if err != nil {
 				return err
 			}
@@ -41,7 +41,7 @@
 }
 
 // printDay prints a day's report.
-func printDay(p printer, r *rehearsal.Report) {
+func printDay(p printer, r *scenario.Report) {
 	p.line("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", r.Scenario, r.Seed, r.Requests, r.Tries, r.Share, r.P50, r.P99)
 	p.line("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", r.Served, r.Refused, r.Failed,
 		r.Lost, r.Unsent, r.Unanswered, r.Runs)
@@ -68,7 +68,7 @@
 		Long:    "run plays a scenario of the library, or of a file that ends in .sexp. Exit status 1 where a rule is broken or what was\nexpected does not hold." + statuses,
 		Example: "  tillerkit rehearse run rolling-deploy --seed 7\n  tillerkit rehearse run friday.sexp --page friday.html",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := rehearsal.Find(args[0])
+			s, err := scenario.Find(args[0])
 			if err != nil {
 				return inputError{err}
 			}
@@ -80,8 +80,8 @@
 }
 
 // playDay plays a day, prints it, and says how to play it again where something is wrong.
-func playDay(p printer, s *rehearsal.Scenario, seed uint64, again, page string) error {
-	r, err := rehearsal.Run(s, seed)
+func playDay(p printer, s *scenario.Scenario, seed uint64, again, page string) error {
+	r, err := scenario.Run(s, seed)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 }
 
 // dayPage is the page of a day.
-func dayPage(s *rehearsal.Scenario, r *rehearsal.Report) report.Page {
+func dayPage(s *scenario.Scenario, r *scenario.Report) report.Page {
 	share := report.Line{Name: "share of requests served"}
 	load := report.Line{Name: "requests"}
 	for n, second := range r.Seconds {
@@ -141,7 +141,7 @@
 			p := newPrinter(cmd)
 			ctx, cancel := context.WithTimeout(cmd.Context(), length)
 			defer cancel()
-			h, err := rehearsal.Hunt(ctx, first, seeds, most, parallel, progressOf("seeds", seeds))
+			h, err := scenario.Hunt(ctx, first, seeds, most, parallel, progressOf("seeds", seeds))
 			if err != nil {
 				return err
 			}
@@ -186,7 +186,7 @@
 			if err != nil {
 				return err
 			}
-			return playDay(newPrinter(cmd), rehearsal.Draw(seed), seed, "tillerkit rehearse replay "+args[0], "")
+			return playDay(newPrinter(cmd), scenario.Draw(seed), seed, "tillerkit rehearse replay "+args[0], "")
 		}}
 }
 
@@ -199,11 +199,11 @@
 				return err
 			}
 			p := newPrinter(cmd)
-			s, err := rehearsal.Shrink(rehearsal.Draw(seed), seed)
+			s, err := scenario.Shrink(scenario.Draw(seed), seed)
 			if err != nil {
 				return err
 			}
-			r, err := rehearsal.Run(s, seed)
+			r, err := scenario.Run(s, seed)
 			if err != nil {
 				return err
 			}
--- a/cmd/tillerkit/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 	"tillerusher/internal/replay"
 )
@@ -130,7 +130,7 @@
 		if len(f.set) == 0 {
 			return nil, nil
 		}
-		outcomes, _, err := replay.Model(segments, func(*tillerusher.Settings) error { return nil })
+		outcomes, _, err := replay.Model(segments, func(*admission.Settings) error { return nil })
 		return outcomes, err
 	}
 	file, err := os.Open(f.against)
--- a/cmd/tillerkit/state.go
+++ b/cmd/cataloguectl/state.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"tillerusher/internal/durable"
+	"tillerusher/internal/idempotency"
 	"tillerusher/internal/store"
 )
 
@@ -31,9 +31,9 @@
 }
 
 // eachRecord reads all records of a folder; those that can't be read are handed on with their error.
-func eachRecord(s *store.Store, visit func(name string, e durable.Entry, size int, err error) error) error {
-	return s.Each(durable.Prefix, func(name, value []byte) error {
-		e, err := durable.Decode(string(name), value)
+func eachRecord(s *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
+	return s.Each(idempotency.Prefix, func(name, value []byte) error {
+		e, err := idempotency.Decode(string(name), value)
 		return visit(string(name), e, len(value), err)
 	})
 }
@@ -61,7 +61,7 @@
 		RunE: onState(true, func(p printer, s *store.Store) error {
 			id, now := s.Identity(), time.Now()
 			states, over, unread, bytes := map[string]int{}, 0, 0, 0
-			err := eachRecord(s, func(_ string, e durable.Entry, size int, err error) error {
+			err := eachRecord(s, func(_ string, e idempotency.Entry, size int, err error) error {
 				bytes += size
 				switch {
 				case err != nil:
@@ -100,7 +100,7 @@
 		Args: cobra.ExactArgs(1),
 		RunE: onState(true, func(p printer, s *store.Store) error {
 			whole, bad := 0, []string{}
-			err := eachRecord(s, func(_ string, _ durable.Entry, _ int, err error) error {
+			err := eachRecord(s, func(_ string, _ idempotency.Entry, _ int, err error) error {
 				if err != nil {
 					bad = append(bad, err.Error())
 				} else {
@@ -133,7 +133,7 @@
 			"size of its answer, in the order of classes and keys." + statuses,
 		Args: cobra.ExactArgs(1), Example: "  tillerkit state dump /var/lib/tillerusher/state --json",
 		RunE: onState(true, func(p printer, s *store.Store) error {
-			err := eachRecord(s, func(name string, e durable.Entry, _ int, err error) error {
+			err := eachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
 				k := kept{Class: e.Key.Class, Key: e.Key.Key, State: e.State.String(), Stamp: e.Stamp.UTC(), Until: e.Until.UTC(), Status: e.Answer.Status,
 					Bytes: len(e.Answer.Body)}
 				if err != nil {
@@ -170,12 +170,12 @@
 }
 
 // stateRemove is a command that removes the records that a condition names, and rewrites the folder.
-func stateRemove(use, short, long, word string, when func(e durable.Entry, err error, now time.Time) bool) *cobra.Command {
+func stateRemove(use, short, long, word string, when func(e idempotency.Entry, err error, now time.Time) bool) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Long: long + statuses, Args: cobra.ExactArgs(1),
 		RunE: onState(false, func(p printer, s *store.Store) error {
 			var names []string
 			now := time.Now()
-			err := eachRecord(s, func(name string, e durable.Entry, _ int, err error) error {
+			err := eachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
 				if when(e, err, now) {
 					names = append(names, name)
 					if err != nil {
@@ -203,11 +203,11 @@
 func stateRepairCommand() *cobra.Command {
 	return stateRemove("repair DIR", "Remove records that can't be read", "repair removes the records that verify names. Repeats of their requests may "+
 		"run again: that is why a server\nleaves them in place and says so, and does not do this by itself.", "that could not be read are removed",
-		func(_ durable.Entry, err error, _ time.Time) bool { return err != nil })
+		func(_ idempotency.Entry, err error, _ time.Time) bool { return err != nil })
 }
 
 func stateExpireCommand() *cobra.Command {
 	return stateRemove("expire DIR", "Remove records whose window has passed", "expire removes what no repeat can ask for any more; a server does so by "+
 		"itself, a second after it ran out.", "whose window has passed are removed",
-		func(e durable.Entry, err error, now time.Time) bool { return err == nil && now.After(e.Until) })
+		func(e idempotency.Entry, err error, now time.Time) bool { return err == nil && now.After(e.Until) })
 }
--- a/cmd/tillerkit/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/durable"
+	"tillerusher/internal/idempotency"
 	"tillerusher/internal/store"
 )
 
@@ -22,15 +22,15 @@
 	}
 	now := time.Now()
 	var changes []store.Change
-	add := func(key string, state durable.State, until time.Time, body string) {
-		e := durable.Entry{Key: durable.Key{Class: "stock-reserve", Key: key}, State: state, Stamp: now, Until: until,
-			Answer: durable.Answer{Status: 200, Body: []byte(body)}}
+	add := func(key string, state idempotency.State, until time.Time, body string) {
+		e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: key}, State: state, Stamp: now, Until: until,
+			Answer: idempotency.Answer{Status: 200, Body: []byte(body)}}
 		changes = append(changes, store.Change{Name: e.Key.Name(), Value: e.Encode()})
 	}
-	add("aa", durable.Done, now.Add(time.Hour), "result")
-	add("bb", durable.Intent, now.Add(time.Hour), "")
-	add("cc", durable.Done, now.Add(-time.Hour), "old")
-	add("dd", durable.Done, now.Add(time.Hour), "flipped")
+	add("aa", idempotency.Done, now.Add(time.Hour), "result")
+	add("bb", idempotency.Intent, now.Add(time.Hour), "")
+	add("cc", idempotency.Done, now.Add(-time.Hour), "old")
+	add("dd", idempotency.Done, now.Add(time.Hour), "flipped")
 	changes[3].Value[12] ^= 1
 	done := make(chan error, 1)
 	if err := s.Write(changes, func(err error) { done <- err }); err != nil {
--- a/cmd/tillerkit/statecost.go
+++ b/cmd/cataloguectl/statecost.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/spf13/cobra"
 
-	"tillerusher/internal/sickdisk"
+	"tillerusher/internal/faultfs"
+	"tillerusher/internal/loadtest"
 	"tillerusher/internal/store"
-	"tillerusher/internal/storm"
 	"tillerusher/server"
 )
 
@@ -22,14 +22,14 @@
 func (e errServed) Error() string { return fmt.Sprintf("the server ended with status %d", e.status) }
 
 // sickFlags are the flags of a disk's habits.
-func sickFlags(cmd *cobra.Command, h *sickdisk.Habits) {
+func sickFlags(cmd *cobra.Command, h *faultfs.Habits) {
 	f := cmd.Flags()
 	f.DurationVar(&h.Stall, "stall", h.Stall, "how long the disk stands still at a time")
 	f.DurationVar(&h.Every, "every", max(h.Every, time.Second), "from the begin of one such time to the next")
 }
 
 func stateServeCommand() *cobra.Command {
-	var h sickdisk.Habits
+	var h faultfs.Habits
 	var dir string
 	cmd := &cobra.Command{Use: "serve", Short: "Be a catalogue server that keeps its state on a sick disk",
 		Long: "serve is `tillerusher serve --state DIR` over a disk that stands still now and then or is full at times, to rehearse\n" +
@@ -47,7 +47,7 @@
 				args = append(args, "--state", dir)
 			}
 			status := server.StateMain(args, os.Getenv, os.Stderr, func(ctx context.Context, f server.Folder) (server.Keeper, error) {
-				return store.OpenWait(ctx, store.Config{Dir: f.Directory, Server: f.Server, Site: f.Site, FS: sickdisk.Wrap(vfs.Default, h)}, f.Waiting)
+				return store.OpenWait(ctx, store.Config{Dir: f.Directory, Server: f.Server, Site: f.Site, FS: faultfs.Wrap(vfs.Default, h)}, f.Waiting)
 			})
 			if status != 0 {
 				return errServed{status}
@@ -62,8 +62,8 @@
 }
 
 func stateCostCommand() *cobra.Command {
-	c := storm.StateCostConfig{HoldConfig: storm.HoldConfig{Gateways: 8, Open: 8, For: 5 * time.Second, Rounds: 5, Pin: 0}, KeyedRate: 100,
-		Sick: sickdisk.Habits{Stall: 100 * time.Millisecond, Every: time.Second}}
+	c := loadtest.StateCostConfig{HoldConfig: loadtest.HoldConfig{Gateways: 8, Open: 8, For: 5 * time.Second, Rounds: 5, Pin: 0}, KeyedRate: 100,
+		Sick: faultfs.Habits{Stall: 100 * time.Millisecond, Every: time.Second}}
 	cmd := &cobra.Command{Use: "cost", Short: "Measure what keeping state costs a daemon on one core",
 		Long: "cost has a daemon on one core answer as many lookups as it can, beside keyed requests at a rate on a connection of their\n" +
 			"own: with nothing kept, on the disk of the temporary directory, and on that disk standing still now and then, in\n" +
@@ -83,7 +83,7 @@
 				return err
 			}
 			c.Daemon, c.Progress = self, progressOf("rounds", 3*c.Rounds)
-			r, err := storm.MeasureStateCost(cmd.Context(), c)
+			r, err := loadtest.MeasureStateCost(cmd.Context(), c)
 			if err != nil {
 				return inputError{err}
 			}
@@ -91,7 +91,7 @@
 				p.line("disk %-8s  lookups %8.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms  keyed %5.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms, %d not served, %.2f syncs each",
 					l.Disk, l.Lookups.Rate, l.Lookups.P50, l.Lookups.P99, l.Lookups.P999, l.Keyed.Rate, l.Keyed.P50, l.Keyed.P99, l.Keyed.P999, l.Refused, l.Syncs)
 			}
-			for _, disk := range []storm.Disk{storm.SoundDisk, storm.SickDisk} {
+			for _, disk := range []loadtest.Disk{loadtest.SoundDisk, loadtest.SickDisk} {
 				for _, class := range []string{"lookups", "keyed"} {
 					m := r.Ratio[disk][class]
 					p.line("%s over none, %s, median of %d: rate %.3f, p50 %.3f, p99 %.3f, p99.9 %.3f", disk, class, c.Rounds, m["rate"], m["p50"], m["p99"], m["p999"])
--- a/cmd/tillerkit/storm.go
+++ b/cmd/cataloguectl/storm.go
@@ -12,11 +12,11 @@
 
 	"tillerusher/internal/arrival"
 	"tillerusher/internal/capture"
-	"tillerusher/internal/storm"
+	"tillerusher/internal/loadtest"
 )
 
 func stormCommand() *cobra.Command {
-	c := storm.Defaults()
+	c := loadtest.Defaults()
 	var dir, settings, state, recorded string
 	c.Arrival = arrival.Config{Burst: 2, Part: 0.2, Stay: 2 * time.Second, Swing: 0.5, Day: 10 * time.Second}
 	cmd := &cobra.Command{Use: "storm", Short: "Start a daemon with stand-ins on loopback and drive a bounded storm at it",
@@ -52,7 +52,7 @@
 				c.Args = append(c.Args, "--capture", dir)
 			}
 			c.Progress = progress(c.Requests)
-			r, err := storm.Run(cmd.Context(), c)
+			r, err := loadtest.Run(cmd.Context(), c)
 			if err != nil {
 				return inputError{err}
 			}
@@ -100,7 +100,7 @@
 }
 
 func costCommand() *cobra.Command {
-	c := storm.HoldConfig{Gateways: 8, Open: 8, For: 3 * time.Second, Rounds: 5, Pin: 0}
+	c := loadtest.HoldConfig{Gateways: 8, Open: 8, For: 3 * time.Second, Rounds: 5, Pin: 0}
 	cmd := &cobra.Command{Use: "cost", Short: "Measure what capturing costs a daemon on one core",
 		Long: "cost has a daemon on one core answer as much as it can, with the capture on and off in turn, and prints the\n" +
 			"median of the ratios." + statuses,
@@ -115,7 +115,7 @@
 				return err
 			}
 			c.Progress = progress(2 * c.Rounds)
-			r, err := storm.MeasureCost(cmd.Context(), c)
+			r, err := loadtest.MeasureCost(cmd.Context(), c)
 			if err != nil {
 				return inputError{err}
 			}
@@ -134,7 +134,7 @@
 }
 
 // holdFlags are the flags of a measurement at full load.
-func holdFlags(cmd *cobra.Command, c *storm.HoldConfig, gateways, rounds string) {
+func holdFlags(cmd *cobra.Command, c *loadtest.HoldConfig, gateways, rounds string) {
 	f := cmd.Flags()
 	f.IntVar(&c.Gateways, "gateways", c.Gateways, gateways)
 	f.IntVar(&c.Open, "open", c.Open, "requests that each connection keeps open")
@@ -159,7 +159,7 @@
 }
 
 // printStorm prints the summary of a storm.
-func printStorm(p printer, r *storm.Result) {
+func printStorm(p printer, r *loadtest.Result) {
 	p.line("%d requests in %d tries over %.1f s (seed %d), %.0f tries answered a second", r.Requests, r.Tries, r.Seconds, r.Seed, r.Rate)
 	p.line("served %d, refused %d, failed %d, connection lost %d, no room to send %d", r.Served, r.Refused, r.Failed, r.Lost, r.Unsent)
 	p.line("share of requests served %.3f; %d repeats; %d interpreter links", r.Share, r.Repeats, r.Links)
--- a/cmd/adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -9,22 +9,22 @@
 	"runtime/debug"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/settings"
-	"tillerusher/internal/wire"
+	"tillerusher/internal/simulatorwire"
 )
 
 // hosted is one instance with what its settings say.
 type hosted struct {
-	instance *tillerusher.Instance
-	actions  *wire.Actions
+	instance *admission.Instance
+	actions  *simulatorwire.Actions
 	told     *settings.Told
 	touched  bool
 }
 
 // host holds all instances of this process.
 type host struct {
-	reply     wire.Reply
+	reply     simulatorwire.Reply
 	instances map[uint32]*hosted
 	touched   []*hosted // those with an event in the batch, in order of their first
 }
@@ -39,8 +39,8 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := &host{instances: map[uint32]*hosted{}}
-	reader := wire.NewReader(in)
-	var batch wire.Batch
+	reader := simulatorwire.NewReader(in)
+	var batch simulatorwire.Batch
 	for {
 		if err := reader.Next(&batch); err == io.EOF {
 			return nil
@@ -58,20 +58,20 @@
 }
 
 // handle dispatches the events of a batch and settles each instance that had one.
-func (h *host) handle(b *wire.Batch) error {
+func (h *host) handle(b *simulatorwire.Batch) error {
 	h.touched = h.touched[:0]
 	for i := range b.Events {
 		e := &b.Events[i]
-		if e.Code == wire.Attach {
+		if e.Code == simulatorwire.Attach {
 			h.guard(e.Instance, func() { h.attach(e) })
 		}
-		if e.Code == wire.Stop {
+		if e.Code == simulatorwire.Stop {
 			h.drop(e.Instance)
 			continue
 		}
 		target := h.instances[e.Instance]
 		if target == nil {
-			if e.Code == wire.Attach {
+			if e.Code == simulatorwire.Attach {
 				continue // New refused it, which the reply reports
 			}
 			return fmt.Errorf("event for instance %d, which was not attached", e.Instance)
@@ -103,13 +103,13 @@
 }
 
 // attach starts an instance in place of any earlier one of its number.
-func (h *host) attach(e *wire.Event) {
+func (h *host) attach(e *simulatorwire.Event) {
 	h.drop(e.Instance)
 	told, err := settings.Parse(e.Settings)
-	actions := &wire.Actions{Reply: &h.reply, Instance: e.Instance}
-	var instance *tillerusher.Instance
+	actions := &simulatorwire.Actions{Reply: &h.reply, Instance: e.Instance}
+	var instance *admission.Instance
 	if err == nil {
-		instance, err = tillerusher.New(told.Module, actions)
+		instance, err = admission.New(told.Module, actions)
 	}
 	if err != nil {
 		h.reply.Exception(e.Instance, err.Error())
@@ -127,21 +127,21 @@
 }
 
 // dispatch hands one event to the instance.
-func (t *hosted) dispatch(now time.Duration, e *wire.Event) {
+func (t *hosted) dispatch(now time.Duration, e *simulatorwire.Event) {
 	switch e.Code {
-	case wire.Call:
+	case simulatorwire.Call:
 		t.instance.Request(now, e.Request)
-	case wire.Left:
+	case simulatorwire.Left:
 		t.instance.Gone(now, e.ID)
-	case wire.Finished:
+	case simulatorwire.Finished:
 		t.instance.Done(now, e.ID, e.Outcome)
-	case wire.Blocked:
+	case simulatorwire.Blocked:
 		t.instance.Blocked(now, e.ID)
-	case wire.CameBack:
+	case simulatorwire.CameBack:
 		t.instance.Called(now, e.ID, e.Outcome, e.Duration)
-	case wire.SigTerm:
+	case simulatorwire.SigTerm:
 		t.instance.Drain(now, e.Duration)
-	case wire.Ring:
+	case simulatorwire.Ring:
 		t.instance.Timer(now, e.Token, t.told.Read(e.Gauges))
 	}
 }
--- a/internal/peer/base.go
+++ b/internal/baseline/base.go
@@ -1,10 +1,10 @@
-package peer
+package baseline
 
 import (
 	"slices"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // policy is what a peer decides by itself.
@@ -16,7 +16,7 @@
 	// ended hears of the end of a run.
 	ended(r *request, ok bool)
 	// look is called ten times a second with the gauges.
-	look(g tillerusher.Gauges)
+	look(g admission.Gauges)
 }
 
 // dueToken is that of a timer for one request that is due soon.
@@ -32,7 +32,7 @@
 
 // request is one that a peer knows of.
 type request struct {
-	tillerusher.Request
+	admission.Request
 	came    time.Duration // when it reached the machine
 	due     time.Duration
 	began   time.Duration // when it was run
@@ -53,14 +53,14 @@
 
 // base implements tillerusher.Events round a policy.
 type base struct {
-	set    tillerusher.Settings
-	do     tillerusher.Actions
+	set    admission.Settings
+	do     admission.Actions
 	policy policy
 
 	now, start time.Duration
 	begun      bool
 	hold       []*request // in the order of reading
-	all        map[tillerusher.RequestID]*request
+	all        map[admission.RequestID]*request
 	running    int
 	kb         float64
 	keys       []kept // soonest to go first
@@ -71,12 +71,12 @@
 
 // kept is a key that is remembered.
 type kept struct {
-	id    tillerusher.RequestID
+	id    admission.RequestID
 	until time.Duration
 }
 
-func newBase(s tillerusher.Settings, a tillerusher.Actions) *base {
-	return &base{set: s, do: a, all: map[tillerusher.RequestID]*request{}}
+func newBase(s admission.Settings, a admission.Actions) *base {
+	return &base{set: s, do: a, all: map[admission.RequestID]*request{}}
 }
 
 // tick takes over the time.
@@ -109,7 +109,7 @@
 }
 
 // Request implements tillerusher.Events.
-func (b *base) Request(now time.Duration, q tillerusher.Request) {
+func (b *base) Request(now time.Duration, q admission.Request) {
 	b.tick(now)
 	class := b.set.Classes[q.Class]
 	r := &request{Request: q, came: now - q.Waited}
@@ -132,7 +132,7 @@
 		return
 	}
 	keyKB := 0.0
-	if class.Effect == tillerusher.Keyed {
+	if class.Effect == admission.Keyed {
 		keyKB = b.set.KeyKB
 	}
 	late := b.draining && r.came > b.notice+b.set.DrainGrace
@@ -140,7 +140,7 @@
 		b.turnAway(r)
 		return
 	}
-	if class.Effect == tillerusher.Keyed {
+	if class.Effect == admission.Keyed {
 		until := r.came + class.Window
 		b.do.Keep(q.ID, until-now)
 		b.keys = append(b.keys, kept{q.ID, until})
@@ -150,7 +150,7 @@
 
 // turnAway refuses a request that never ran.
 func (b *base) turnAway(r *request) {
-	if b.set.Classes[r.Class].Effect == tillerusher.Keyed {
+	if b.set.Classes[r.Class].Effect == admission.Keyed {
 		if i := slices.IndexFunc(b.keys, func(k kept) bool { return k.id == r.ID }); i >= 0 {
 			b.keys = slices.Delete(b.keys, i, i+1)
 			b.do.Forget(r.ID)
@@ -202,7 +202,7 @@
 }
 
 // Done implements tillerusher.Events.
-func (b *base) Done(now time.Duration, id tillerusher.RequestID, o tillerusher.Outcome) {
+func (b *base) Done(now time.Duration, id admission.RequestID, o admission.Outcome) {
 	b.tick(now)
 	r := b.all[id]
 	if r == nil {
@@ -211,12 +211,12 @@
 	ran := r.running
 	b.forget(r)
 	if ran {
-		b.policy.ended(r, o == tillerusher.OK)
+		b.policy.ended(r, o == admission.OK)
 	}
 }
 
 // Gone implements tillerusher.Events.
-func (b *base) Gone(now time.Duration, id tillerusher.RequestID) {
+func (b *base) Gone(now time.Duration, id admission.RequestID) {
 	b.tick(now)
 	if r := b.all[id]; r != nil && !r.running {
 		b.forget(r)
@@ -234,7 +234,7 @@
 }
 
 // Timer implements tillerusher.Events.
-func (b *base) Timer(now time.Duration, token uint32, g tillerusher.Gauges) {
+func (b *base) Timer(now time.Duration, token uint32, g admission.Gauges) {
 	b.tick(now)
 	if token != dueToken {
 		b.policy.look(g)
@@ -250,7 +250,7 @@
 	for _, r := range due {
 		if r.running { // its answer is owed, though its work goes on
 			b.do.Fail(r.ID)
-			if b.set.StopMode != tillerusher.StopNone && b.set.Classes[r.Class].Effect == tillerusher.Safe {
+			if b.set.StopMode != admission.StopNone && b.set.Classes[r.Class].Effect == admission.Safe {
 				b.do.Halt(r.ID)
 			}
 			r.due = 1 << 62
@@ -262,10 +262,10 @@
 }
 
 // Blocked implements tillerusher.Events: nothing is called.
-func (b *base) Blocked(time.Duration, tillerusher.RequestID) {}
+func (b *base) Blocked(time.Duration, admission.RequestID) {}
 
 // Called implements tillerusher.Events.
-func (b *base) Called(time.Duration, tillerusher.RequestID, tillerusher.Outcome, time.Duration) {}
+func (b *base) Called(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
 
 // first is the held request that came first.
 func (b *base) first() *request {
--- a/internal/peer/codel.go
+++ b/internal/baseline/codel.go
@@ -1,9 +1,9 @@
-package peer
+package baseline
 
 import (
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // The figures of CoDel with an adaptive LIFO, as Facebook uses them (Maurer, "Fail at Scale", ACM Queue 13(8), 2015).
@@ -20,7 +20,7 @@
 }
 
 // CoDel is controlled delay with an adaptive LIFO: three requests for every two cores run.
-func CoDel(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error) {
+func CoDel(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	b := newBase(s, a)
 	b.policy = &codel{base: b, run: max(s.Cores*3/2, 1)}
 	return b, nil
@@ -61,7 +61,7 @@
 }
 
 func (c *codel) ended(*request, bool) {}
-func (c *codel) look(tillerusher.Gauges) {
+func (c *codel) look(admission.Gauges) {
 	if len(c.hold) == 0 {
 		c.empty = c.now
 	}
--- a/internal/peer/gradient.go
+++ b/internal/baseline/gradient.go
@@ -1,4 +1,4 @@
-package peer
+package baseline
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/failsafe-go/failsafe-go/adaptivelimiter"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // gradient runs as many requests as the adaptive limiter of failsafe-go lets it, and turns the others away once a short
@@ -24,7 +24,7 @@
 // library itself, with a line of four requests a core before it. The limiter reads the wall clock and offers no other, so
 // its permits are given this package's clock; that reaches into fields that are not exported, and fails with an error
 // where another version of the library has other ones.
-func Gradient(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error) {
+func Gradient(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	b := newBase(s, a)
 	g := &gradient{base: b, clock: &virtual{}, wait: 4 * s.Cores}
 	g.limiter = adaptivelimiter.NewBuilder[any]().WithLimits(1, uint(max(200*s.Cores, 2)), uint(s.Cores)).
@@ -92,4 +92,4 @@
 	}
 }
 
-func (g *gradient) look(tillerusher.Gauges) {}
+func (g *gradient) look(admission.Gauges) {}
--- a/internal/peer/line.go
+++ b/internal/baseline/line.go
@@ -1,6 +1,6 @@
-package peer
+package baseline
 
-import "tillerusher"
+import "tillerusher/admission"
 
 // line is a plain pool: so many run, so many more wait in the order of reading, all others are turned away.
 type line struct {
@@ -9,8 +9,8 @@
 }
 
 // Line is a plain pool with a line of a length: each core runs and keeps waiting so many. A negative wait is any number.
-func Line(run, wait int) func(tillerusher.Settings, tillerusher.Actions) (tillerusher.Events, error) {
-	return func(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error) {
+func Line(run, wait int) func(admission.Settings, admission.Actions) (admission.Events, error) {
+	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
 		b := newBase(s, a)
 		l := &line{b, run * s.Cores, wait * s.Cores}
 		b.policy = l
@@ -32,5 +32,5 @@
 	return l.first()
 }
 
-func (l *line) ended(*request, bool)    {}
-func (l *line) look(tillerusher.Gauges) {}
+func (l *line) ended(*request, bool)  {}
+func (l *line) look(admission.Gauges) {}
--- a/internal/peer/peer_test.go
+++ b/internal/baseline/peer_test.go
@@ -1,30 +1,30 @@
-package peer
+package baseline
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // TestGradient has the library's limiter go by the virtual clock: where four cores are shared by all that runs, its limit
 // settles near what keeps them busy, whatever the wall clock says, and no permit is lost.
 func TestGradient(t *testing.T) {
-	s := tillerusher.Settings{Cores: 4, CrowdFactor: 1000, MemoryKB: 1e9, RunFactor: 1,
-		Classes: []tillerusher.Class{{Aim: time.Second, Deadline: time.Hour}}}
-	e, err := Gradient(s, tillerusher.NoActions{})
+	s := admission.Settings{Cores: 4, CrowdFactor: 1000, MemoryKB: 1e9, RunFactor: 1,
+		Classes: []admission.Class{{Aim: time.Second, Deadline: time.Hour}}}
+	e, err := Gradient(s, admission.NoActions{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := e.(*base)
 	g := b.policy.(*gradient)
-	now, id, limits := time.Duration(0), tillerusher.RequestID(0), map[int]int{}
-	var runs []tillerusher.RequestID // each ends a core's 10 ms after the one before
+	now, id, limits := time.Duration(0), admission.RequestID(0), map[int]int{}
+	var runs []admission.RequestID // each ends a core's 10 ms after the one before
 	for range 40_000 {
 		for len(b.hold) < 4 {
 			id++
-			b.Request(now, tillerusher.Request{ID: id, SizeKB: 1})
+			b.Request(now, admission.Request{ID: id, SizeKB: 1})
 		}
 		b.Settle(now)
 		runs = runs[:0]
@@ -35,7 +35,7 @@
 		}
 		slices.Sort(runs)
 		now += 10 * time.Millisecond / time.Duration(min(len(runs), 4))
-		b.Done(now, runs[0], tillerusher.OK)
+		b.Done(now, runs[0], admission.OK)
 		limits[g.limiter.Limit()]++
 	}
 	limit := g.limiter.Limit()
@@ -44,7 +44,7 @@
 		t.Errorf("the limit is %d, and took %d values", limit, len(limits))
 	}
 	for _, id := range runs[1:] {
-		b.Done(now, id, tillerusher.OK)
+		b.Done(now, id, admission.OK)
 	}
 	for _, r := range b.all {
 		b.Gone(now, r.ID)
--- a/internal/peer/worth.go
+++ b/internal/baseline/worth.go
@@ -1,9 +1,9 @@
-package peer
+package baseline
 
 import (
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // worth runs the worthiest first and turns the least worthy away when the line is too long for its aims.
@@ -14,7 +14,7 @@
 
 // Worth goes by the worth of classes: the line is in the order of worth for the time of a run, and what would wait beyond
 // its aim behind those before it is turned away.
-func Worth(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error) {
+func Worth(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	b := newBase(s, a)
 	b.policy = &worth{base: b, times: make([]float64, len(s.Classes))}
 	return b, nil
@@ -61,7 +61,7 @@
 }
 
 // look turns away what is past its aim.
-func (w *worth) look(tillerusher.Gauges) {
+func (w *worth) look(admission.Gauges) {
 	for i := 0; i < len(w.hold); {
 		if r := w.hold[i]; w.now-r.came > w.set.Classes[r.Class].Aim+time.Duration(float64(time.Second)*w.times[r.Class]) {
 			w.turnAway(r)
--- a/internal/fidelity/fidelity.go
+++ b/internal/calibration/fidelity.go
@@ -1,6 +1,6 @@
 // Package fidelity holds the model against the real daemon: the same small worlds are played over loopback, by a storm with
 // its stand-in interpreter, and in virtual time.
-package fidelity
+package calibration
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"time"
 
 	"tillerusher/internal/arrival"
-	"tillerusher/internal/model"
-	"tillerusher/internal/storm"
+	"tillerusher/internal/clustersim"
+	"tillerusher/internal/loadtest"
 )
 
 // World is one world that both can play.
@@ -83,19 +83,19 @@
 const turn = 220 * time.Microsecond
 
 // world is the world as the model has it.
-func (w World) world(span time.Duration) model.World {
-	m := model.Defaults()
+func (w World) world(span time.Duration) clustersim.World {
+	m := clustersim.Defaults()
 	m.Name, m.For = w.Name, span
 	s := &m.Servers
 	s.N, s.Listed, s.Cores, s.SpeedCV, s.Thrash, s.Read = 1, 2, w.Cores, 0, 0, 0
 	s.MemoryKB, s.KeyKB, s.RunFactor, s.HoldKB = 40000, 50, 16, [2]float64{24.5, 24.5}
 	s.DrainGrace, s.RetryAfter, s.Unread = 300*time.Millisecond, time.Second, 1<<16
 	for i := range m.Classes {
-		m.Classes[i].Work, m.Classes[i].Dist = w.Work+turn, model.Exponential
+		m.Classes[i].Work, m.Classes[i].Dist = w.Work+turn, clustersim.Exponential
 	}
 	m.Classes[0].Share, m.Classes[1].Share = 1-w.Keyed, w.Keyed
-	m.Tenants = []model.Tenant{{Name: "central", Share: 0.7, Quota: 55}, {Name: "northern", Share: 0.3, Quota: 26}}
-	m.Callers = []model.Gateway{{N: 3, Share: 1, Choice: model.Round, Again: model.Patient, Tries: w.Tries, Repeats: w.Repeat, Endless: true}}
+	m.Tenants = []clustersim.Tenant{{Name: "central", Share: 0.7, Quota: 55}, {Name: "northern", Share: 0.3, Quota: 26}}
+	m.Callers = []clustersim.Gateway{{N: 3, Share: 1, Choice: clustersim.Round, Again: clustersim.Patient, Tries: w.Tries, Repeats: w.Repeat, Endless: true}}
 	m.Delay, m.ListDelay, m.Arrival, m.Skew = hop/2, 0, w.arrivals(), 0
 	return m
 }
@@ -157,11 +157,11 @@
 
 // real plays a world over loopback.
 func (w World) real(ctx context.Context, daemon string, span time.Duration, seed uint64) (Figures, error) {
-	c := storm.Defaults()
+	c := loadtest.Defaults()
 	c.Daemon, c.Args, c.Requests, c.Rate, c.Seed = daemon, []string{"serve"}, int(span.Seconds()*w.rate()), w.rate(), seed
 	c.Keyed, c.Repeat, c.Tries, c.Cores, c.Work = w.Keyed, w.Repeat, w.Tries, w.Cores, w.Work
 	c.CutLink, c.Reload, c.Tail, c.Arrival = false, false, 0, w.arrivals()
-	r, err := storm.Run(ctx, c)
+	r, err := loadtest.Run(ctx, c)
 	if err != nil {
 		return Figures{}, err
 	}
@@ -174,13 +174,13 @@
 // model plays a world in virtual time, with the arrivals of the storm of that seed.
 func (w World) model(ctx context.Context, span time.Duration, seed uint64) (Figures, error) {
 	m := w.world(span)
-	times, err := storm.Arrivals(w.arrivals(), seed, int(span.Seconds()*w.rate()))
+	times, err := loadtest.Arrivals(w.arrivals(), seed, int(span.Seconds()*w.rate()))
 	if err != nil {
 		return Figures{}, err
 	}
 	m.Arrival = arrival.Config{Kind: arrival.Replay, Recorded: times}
 	m.For = times[len(times)-1] + time.Second
-	r, err := model.Run(ctx, m, model.Module, seed)
+	r, err := clustersim.Run(ctx, m, clustersim.Module, seed)
 	if err != nil {
 		return Figures{}, err
 	}
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // Kind says what a record is of.
@@ -85,19 +85,19 @@
 
 // Record is one event, action or note. Which fields mean something goes by the kind.
 type Record struct {
-	Kind    Kind                  `json:"kind"`
-	At      time.Duration         `json:"at"` // the module's clock; an action has that of its event
-	ID      tillerusher.RequestID `json:"id,omitempty"`
-	Asked   tillerusher.Request   `json:"asked,omitzero"`  // Request
-	Outcome tillerusher.Outcome   `json:"outcome"`         // Done, Called
-	Span    time.Duration         `json:"span,omitempty"`  // Called took, Drain left, Refuse stayAway, Call timeout, Keep lifetime, CloseIdle idle, After wait
-	Token   uint32                `json:"token,omitempty"` // Timer, After
-	Gauges  tillerusher.Gauges    `json:"gauges,omitzero"` // Timer
-	Value   float64               `json:"value,omitempty"` // Say
-	Yes     bool                  `json:"yes,omitempty"`   // Refuse last, Health good
-	Stored  bool                  `json:"stored,omitempty"`
-	Text    string                `json:"text,omitempty"` // Log, Remark; Names: the Request-Id
-	Key     string                `json:"key,omitempty"`  // Names: the key, where there is one
+	Kind    Kind                `json:"kind"`
+	At      time.Duration       `json:"at"` // the module's clock; an action has that of its event
+	ID      admission.RequestID `json:"id,omitempty"`
+	Asked   admission.Request   `json:"asked,omitzero"`  // Request
+	Outcome admission.Outcome   `json:"outcome"`         // Done, Called
+	Span    time.Duration       `json:"span,omitempty"`  // Called took, Drain left, Refuse stayAway, Call timeout, Keep lifetime, CloseIdle idle, After wait
+	Token   uint32              `json:"token,omitempty"` // Timer, After
+	Gauges  admission.Gauges    `json:"gauges,omitzero"` // Timer
+	Value   float64             `json:"value,omitempty"` // Say
+	Yes     bool                `json:"yes,omitempty"`   // Refuse last, Health good
+	Stored  bool                `json:"stored,omitempty"`
+	Text    string              `json:"text,omitempty"` // Log, Remark; Names: the Request-Id
+	Key     string              `json:"key,omitempty"`  // Names: the key, where there is one
 }
 
 // errRecord says that bytes are no record.
@@ -162,7 +162,7 @@
 	return b
 }
 
-func appendID(b []byte, id tillerusher.RequestID) []byte { return appendUint(b, uint64(id)) }
+func appendID(b []byte, id admission.RequestID) []byte { return appendUint(b, uint64(id)) }
 
 // appendInt and appendUint are calls of their own, or their loops would stand in appendRecord thirty times.
 //
@@ -240,13 +240,13 @@
 		q.Retry, q.Repeats, q.SizeKB, q.Work = d.bool(), d.id(), d.float(), d.span()
 		r.ID = q.ID
 	case Done:
-		r.ID, r.Outcome = d.id(), tillerusher.Outcome(d.byte())
+		r.ID, r.Outcome = d.id(), admission.Outcome(d.byte())
 	case Called:
-		r.ID, r.Outcome, r.Span = d.id(), tillerusher.Outcome(d.byte()), d.span()
+		r.ID, r.Outcome, r.Span = d.id(), admission.Outcome(d.byte()), d.span()
 	case Drain, CloseIdle:
 		r.Span = d.span()
 	case Timer:
-		r.Token, r.Gauges = uint32(d.uvarint()), tillerusher.Gauges{Busy: d.float(), Runnable: d.float()}
+		r.Token, r.Gauges = uint32(d.uvarint()), admission.Gauges{Busy: d.float(), Runnable: d.float()}
 	case Refuse:
 		r.ID, r.Span, r.Yes = d.id(), d.span(), d.bool()
 	case Call, Keep:
@@ -303,7 +303,7 @@
 
 func (d *decoder) span() time.Duration { return time.Duration(d.varint()) }
 
-func (d *decoder) id() tillerusher.RequestID { return tillerusher.RequestID(d.uvarint()) }
+func (d *decoder) id() admission.RequestID { return admission.RequestID(d.uvarint()) }
 
 func (d *decoder) float() float64 { return math.Float64frombits(binary.LittleEndian.Uint64(d.take(8))) }
 
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // testSettings are those of a server of two cores.
-func testSettings() tillerusher.Settings {
-	return tillerusher.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 40000, KeyKB: 50,
+func testSettings() admission.Settings {
+	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 40000, KeyKB: 50,
 		RunFactor: 16, CrowdFactor: 8, RetryAfter: time.Second, CallerIdle: 15 * time.Second,
-		Classes: []tillerusher.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: tillerusher.Keyed, Window: 5 * time.Second}},
-		Tenants: []tillerusher.Tenant{{Quota: 55}, {Quota: 26}}}
+		Classes: []admission.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
+			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: admission.Keyed, Window: 5 * time.Second}},
+		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
 // bench is a recorder with a module behind it.
@@ -26,7 +26,7 @@
 	*Recorder
 	tap *Tap
 	now time.Duration
-	id  tillerusher.RequestID
+	id  admission.RequestID
 }
 
 // record starts a module that is recorded.
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tap := NewTap(rec, tillerusher.NoActions{})
-	m, err := tillerusher.New(testSettings(), tap)
+	tap := NewTap(rec, admission.NoActions{})
+	m, err := admission.New(testSettings(), tap)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,12 +50,12 @@
 	b.now += 3 * time.Millisecond
 	b.id++
 	b.tap.Names(b.id, "00000000000000aa", "")
-	b.tap.Request(b.now, tillerusher.Request{ID: b.id, Class: int(b.id % 2), Tenant: int(b.id % 2), Caller: 1, SizeKB: 24.5})
+	b.tap.Request(b.now, admission.Request{ID: b.id, Class: int(b.id % 2), Tenant: int(b.id % 2), Caller: 1, SizeKB: 24.5})
 	if b.id > 4 {
-		b.tap.Done(b.now, b.id-4, tillerusher.OK)
+		b.tap.Done(b.now, b.id-4, admission.OK)
 	}
 	if b.id%30 == 0 {
-		b.tap.Timer(b.now, 0, tillerusher.Gauges{Busy: 0.5, Runnable: 2})
+		b.tap.Timer(b.now, 0, admission.Gauges{Busy: 0.5, Runnable: 2})
 	}
 	b.tap.Settle(b.now)
 }
@@ -104,7 +104,7 @@
 			if !s.Complete || len(s.Damage) > 0 || s.Snapshot == nil || s.Meta.Server != "n3" {
 				t.Errorf("%s: complete %t, damage %v", s.Path, s.Complete, s.Damage)
 			}
-			if _, err := tillerusher.Restore(s.Snapshot, tillerusher.NoActions{}); err != nil {
+			if _, err := admission.Restore(s.Snapshot, admission.NoActions{}); err != nil {
 				t.Error(err)
 			}
 			if i > 0 && s.Meta.Run == segments[i-1].Meta.Run && !s.Continues(segments[i-1]) {
@@ -329,21 +329,21 @@
 		b.ReportMetric(float64(c.Lost)/float64(c.Records+c.Lost), "lost")
 	})
 	b.Run("off", func(b *testing.B) {
-		m, err := tillerusher.New(testSettings(), tillerusher.NoActions{})
+		m, err := admission.New(testSettings(), admission.NoActions{})
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.ReportAllocs()
-		now, id := time.Duration(0), tillerusher.RequestID(0)
+		now, id := time.Duration(0), admission.RequestID(0)
 		for b.Loop() {
 			now += 3 * time.Millisecond
 			id++
-			m.Request(now, tillerusher.Request{ID: id, Class: int(id % 2), Tenant: int(id % 2), Caller: 1, SizeKB: 24.5})
+			m.Request(now, admission.Request{ID: id, Class: int(id % 2), Tenant: int(id % 2), Caller: 1, SizeKB: 24.5})
 			if id > 4 {
-				m.Done(now, id-4, tillerusher.OK)
+				m.Done(now, id-4, admission.OK)
 			}
 			if id%30 == 0 {
-				m.Timer(now, 0, tillerusher.Gauges{Busy: 0.5, Runnable: 2})
+				m.Timer(now, 0, admission.Gauges{Busy: 0.5, Runnable: 2})
 			}
 			m.Settle(now)
 		}
--- a/internal/capture/tap.go
+++ b/internal/capture/tap.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // Module is what a tap records: the decision module, whose state can be taken.
 type Module interface {
-	tillerusher.Events
+	admission.Events
 	Snapshot(to []byte) []byte
 }
 
@@ -17,13 +17,13 @@
 type Tap struct {
 	rec    *Recorder
 	module Module
-	do     tillerusher.Actions
+	do     admission.Actions
 	now    time.Duration
 }
 
 // NewTap returns a tap before the host's actions. The module is made with the tap as its actions, and then given
 // to Attach.
-func NewTap(rec *Recorder, do tillerusher.Actions) *Tap { return &Tap{rec: rec, do: do} }
+func NewTap(rec *Recorder, do admission.Actions) *Tap { return &Tap{rec: rec, do: do} }
 
 // Attach sets the module, whose state before its first event begins the record.
 func (t *Tap) Attach(m Module, now time.Duration) {
@@ -32,7 +32,7 @@
 }
 
 // Names notes the Request-Id of the request that comes next, and its key where it has one.
-func (t *Tap) Names(id tillerusher.RequestID, wire, key string) {
+func (t *Tap) Names(id admission.RequestID, wire, key string) {
 	t.rec.add(&Record{Kind: Names, At: t.now, ID: id, Text: wire, Key: key})
 }
 
@@ -45,31 +45,31 @@
 }
 
 // Request implements tillerusher.Events.
-func (t *Tap) Request(now time.Duration, q tillerusher.Request) {
+func (t *Tap) Request(now time.Duration, q admission.Request) {
 	t.event(Record{Kind: Request, At: now, ID: q.ID, Asked: q})
 	t.module.Request(now, q)
 }
 
 // Gone implements tillerusher.Events.
-func (t *Tap) Gone(now time.Duration, id tillerusher.RequestID) {
+func (t *Tap) Gone(now time.Duration, id admission.RequestID) {
 	t.event(Record{Kind: Gone, At: now, ID: id})
 	t.module.Gone(now, id)
 }
 
 // Done implements tillerusher.Events.
-func (t *Tap) Done(now time.Duration, id tillerusher.RequestID, o tillerusher.Outcome) {
+func (t *Tap) Done(now time.Duration, id admission.RequestID, o admission.Outcome) {
 	t.event(Record{Kind: Done, At: now, ID: id, Outcome: o})
 	t.module.Done(now, id, o)
 }
 
 // Blocked implements tillerusher.Events.
-func (t *Tap) Blocked(now time.Duration, id tillerusher.RequestID) {
+func (t *Tap) Blocked(now time.Duration, id admission.RequestID) {
 	t.event(Record{Kind: Blocked, At: now, ID: id})
 	t.module.Blocked(now, id)
 }
 
 // Called implements tillerusher.Events.
-func (t *Tap) Called(now time.Duration, id tillerusher.RequestID, o tillerusher.Outcome, took time.Duration) {
+func (t *Tap) Called(now time.Duration, id admission.RequestID, o admission.Outcome, took time.Duration) {
 	t.event(Record{Kind: Called, At: now, ID: id, Outcome: o, Span: took})
 	t.module.Called(now, id, o, took)
 }
@@ -81,7 +81,7 @@
 }
 
 // Timer implements tillerusher.Events.
-func (t *Tap) Timer(now time.Duration, token uint32, g tillerusher.Gauges) {
+func (t *Tap) Timer(now time.Duration, token uint32, g admission.Gauges) {
 	t.event(Record{Kind: Timer, At: now, Token: token, Gauges: g})
 	t.module.Timer(now, token, g)
 }
@@ -94,55 +94,55 @@
 }
 
 // Run implements tillerusher.Actions.
-func (t *Tap) Run(id tillerusher.RequestID) {
+func (t *Tap) Run(id admission.RequestID) {
 	t.event(Record{Kind: Run, At: t.now, ID: id})
 	t.do.Run(id)
 }
 
 // Refuse implements tillerusher.Actions.
-func (t *Tap) Refuse(id tillerusher.RequestID, stayAway time.Duration, last bool) {
+func (t *Tap) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	t.event(Record{Kind: Refuse, At: t.now, ID: id, Span: stayAway, Yes: last})
 	t.do.Refuse(id, stayAway, last)
 }
 
 // Fail implements tillerusher.Actions.
-func (t *Tap) Fail(id tillerusher.RequestID) {
+func (t *Tap) Fail(id admission.RequestID) {
 	t.event(Record{Kind: Fail, At: t.now, ID: id})
 	t.do.Fail(id)
 }
 
 // Call implements tillerusher.Actions.
-func (t *Tap) Call(id tillerusher.RequestID, timeout time.Duration) {
+func (t *Tap) Call(id admission.RequestID, timeout time.Duration) {
 	t.event(Record{Kind: Call, At: t.now, ID: id, Span: timeout})
 	t.do.Call(id, timeout)
 }
 
 // Skip implements tillerusher.Actions.
-func (t *Tap) Skip(id tillerusher.RequestID) {
+func (t *Tap) Skip(id admission.RequestID) {
 	t.event(Record{Kind: Skip, At: t.now, ID: id})
 	t.do.Skip(id)
 }
 
 // Halt implements tillerusher.Actions.
-func (t *Tap) Halt(id tillerusher.RequestID) {
+func (t *Tap) Halt(id admission.RequestID) {
 	t.event(Record{Kind: Halt, At: t.now, ID: id})
 	t.do.Halt(id)
 }
 
 // Keep implements tillerusher.Actions.
-func (t *Tap) Keep(id tillerusher.RequestID, lifetime time.Duration) {
+func (t *Tap) Keep(id admission.RequestID, lifetime time.Duration) {
 	t.event(Record{Kind: Keep, At: t.now, ID: id, Span: lifetime})
 	t.do.Keep(id, lifetime)
 }
 
 // Forget implements tillerusher.Actions.
-func (t *Tap) Forget(id tillerusher.RequestID) {
+func (t *Tap) Forget(id admission.RequestID) {
 	t.event(Record{Kind: Forget, At: t.now, ID: id})
 	t.do.Forget(id)
 }
 
 // Reuse implements tillerusher.Actions.
-func (t *Tap) Reuse(id tillerusher.RequestID) {
+func (t *Tap) Reuse(id admission.RequestID) {
 	t.event(Record{Kind: Reuse, At: t.now, ID: id})
 	t.do.Reuse(id)
 }
--- a/internal/cgi/cgi.go
+++ b/internal/cgi/cgi.go
@@ -8,15 +8,15 @@
 	"strconv"
 	"strings"
 
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 // ErrResponse says that a response makes no sense.
 var ErrResponse = errors.New("cgi: response makes no sense")
 
 // Parse reads a whole response. Without a Status field its status is 200, as section 6.3.3 has it.
-func Parse(response []byte) (front.Answer, error) {
-	a := front.Answer{Status: 200}
+func Parse(response []byte) (gateway.Answer, error) {
+	a := gateway.Answer{Status: 200}
 	rest := response
 	for {
 		line, after, ok := bytes.Cut(rest, []byte{'\n'})
@@ -34,7 +34,7 @@
 		}
 		value = strings.TrimSpace(value)
 		if !strings.EqualFold(name, "Status") {
-			a.Fields = append(a.Fields, front.Field{Name: name, Value: value})
+			a.Fields = append(a.Fields, gateway.Field{Name: name, Value: value})
 			continue
 		}
 		code, _, _ := strings.Cut(value, " ")
--- a/internal/model/doc.go
+++ b/internal/clustersim/doc.go
@@ -7,4 +7,4 @@
 // The world is that of the operators' brief: all that runs shares the cores and slows down in a crowd, reading costs work,
 // held and running requests and remembered keys share a memory, a fresh server is cold, lists of servers are late, gateways
 // can't be changed. An observer that shares no state with the servers checks the four rules in every run.
-package model
+package clustersim
--- a/internal/model/model_test.go
+++ b/internal/clustersim/model_test.go
@@ -1,4 +1,4 @@
-package model
+package clustersim
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 
 	"pgregory.net/rapid"
 
-	"tillerusher/internal/peer"
+	"tillerusher/internal/baseline"
 )
 
 // policies are all that a server may decide by.
 func policies() map[string]Policy {
-	return map[string]Policy{"module": Module, "line": peer.Line(2, 4), "nolimit": peer.NoLimit, "codel": peer.CoDel, "worth": peer.Worth,
-		"gradient": peer.Gradient}
+	return map[string]Policy{"module": Module, "line": baseline.Line(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel, "worth": baseline.Worth,
+		"gradient": baseline.Gradient}
 }
 
 func play(t testing.TB, w World, p Policy, seed uint64) *Result {
@@ -154,7 +154,7 @@
 	w.Load(0.7)
 	w.Callers = []Gateway{{N: 4, Share: 1, Choice: Round, Again: Hasty, Tries: 4, Wait: 0.7, Heeds: true}}
 	w.Incidents = []Incident{{What: Jump, From: 15 * time.Second, For: 6 * time.Second, Size: 2.5}}
-	if r := play(t, w, peer.NoLimit, 1); r.Recovery.Recovered {
+	if r := play(t, w, baseline.NoLimit, 1); r.Recovery.Recovered {
 		t.Errorf("without limits it recovers: %+v", r.Recovery)
 	}
 	if r := play(t, w, Module, 1); !r.Recovery.Recovered || len(r.Breaches) > 0 {
--- a/internal/model/request.go
+++ b/internal/clustersim/request.go
@@ -1,4 +1,4 @@
-package model
+package clustersim
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // request is what a client wants: a first try and whatever further tries its gateway makes.
@@ -47,7 +47,7 @@
 	patient *event // when the gateway looks elsewhere meanwhile
 
 	// What the server knows of it.
-	id       tillerusher.RequestID
+	id       admission.RequestID
 	state    phase
 	job      *job
 	answered bool
@@ -55,7 +55,7 @@
 	repeats  *visit
 	waiters  []*visit // repeats that wait for its end
 	readAt   time.Duration
-	reason   tillerusher.Reason // for which it would be turned away on arrival
+	reason   admission.Reason // for which it would be turned away on arrival
 }
 
 // why is the reason of its refusal, as far as it is told.
@@ -63,7 +63,7 @@
 	switch {
 	case now > v.readAt:
 		return "it was held, and its time ran short"
-	case v.reason == tillerusher.Admitted:
+	case v.reason == admission.Admitted:
 		return "it was given up right after it was taken in"
 	}
 	return v.reason.String()
--- a/internal/model/result.go
+++ b/internal/clustersim/result.go
@@ -1,4 +1,4 @@
-package model
+package clustersim
 
 import (
 	"math"
--- a/internal/model/server.go
+++ b/internal/clustersim/server.go
@@ -1,11 +1,11 @@
-package model
+package clustersim
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // The events of a server.
@@ -40,7 +40,7 @@
 
 	up       bool
 	life     int
-	module   tillerusher.Events
+	module   admission.Events
 	started  time.Duration
 	cold     bool
 	draining bool
@@ -50,10 +50,10 @@
 	coresAt  *event
 	unread   []*visit
 	reading  int
-	visits   map[tillerusher.RequestID]*visit
-	lastID   tillerusher.RequestID
+	visits   map[admission.RequestID]*visit
+	lastID   admission.RequestID
 	keys     map[uint64]*entry
-	holders  map[tillerusher.RequestID]uint64 // the keys that tries hold
+	holders  map[admission.RequestID]uint64 // the keys that tries hold
 	swept    time.Duration
 	touched  bool
 	value    float64 // what callers read
@@ -72,7 +72,7 @@
 	s.life++
 	s.up, s.cold, s.draining, s.closed, s.started = true, cold, false, false, s.sim.now
 	s.cores = cores{n: float64(w.Servers.Cores), thrash: w.Servers.Thrash, thrashAt: w.Servers.ThrashAt, last: s.sim.now}
-	s.visits, s.keys, s.holders = map[tillerusher.RequestID]*visit{}, map[uint64]*entry{}, map[tillerusher.RequestID]uint64{}
+	s.visits, s.keys, s.holders = map[admission.RequestID]*visit{}, map[uint64]*entry{}, map[admission.RequestID]uint64{}
 	s.unread, s.reading, s.runTime, s.runTimes = nil, 0, 0, nil
 	s.value, s.told, s.healthy = 0, false, true
 	s.setSpeed()
@@ -96,30 +96,30 @@
 }
 
 // settings is what a module is told of the world.
-func (w *World) settings() tillerusher.Settings {
+func (w *World) settings() admission.Settings {
 	s := &w.Servers
-	set := tillerusher.Settings{Servers: s.N, Cores: s.Cores, Tick: s.Tick, ColdShare: s.ColdShare, ColdFor: s.ColdFor,
+	set := admission.Settings{Servers: s.N, Cores: s.Cores, Tick: s.Tick, ColdShare: s.ColdShare, ColdFor: s.ColdFor,
 		MemoryKB: s.MemoryKB, KeyKB: s.KeyKB, RunFactor: s.RunFactor, CrowdFactor: s.CrowdFactor, DrainGrace: s.DrainGrace,
-		StopMode: tillerusher.StopDrop, RetryAfter: s.RetryAfter, CallerIdle: s.CallerIdle}
+		StopMode: admission.StopDrop, RetryAfter: s.RetryAfter, CallerIdle: s.CallerIdle}
 	set.Feedback, _ = s.Feedback.module()
 	if s.NoStop {
-		set.StopMode = tillerusher.StopNone
+		set.StopMode = admission.StopNone
 	}
 	if s.Listed > 0 {
 		set.Servers = s.Listed
 	}
 	for _, c := range w.Classes {
-		k := tillerusher.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		k := admission.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
 		switch {
 		case c.Keyed:
-			k.Effect, k.Window = tillerusher.Keyed, c.Window
+			k.Effect, k.Window = admission.Keyed, c.Window
 		case c.Unsafe:
-			k.Effect = tillerusher.Unsafe
+			k.Effect = admission.Unsafe
 		}
 		set.Classes = append(set.Classes, k)
 	}
 	for _, t := range w.Tenants {
-		set.Tenants = append(set.Tenants, tillerusher.Tenant{Quota: t.Quota})
+		set.Tenants = append(set.Tenants, admission.Tenant{Quota: t.Quota})
 	}
 	for _, g := range w.Callers {
 		set.Callers += g.N
@@ -223,8 +223,8 @@
 }
 
 // gauges are the readings of the server, as far as its site tells them.
-func (s *server) gauges() tillerusher.Gauges {
-	g := tillerusher.Gauges{Busy: s.cores.busy, Runnable: float64(len(s.cores.jobs))}
+func (s *server) gauges() admission.Gauges {
+	g := admission.Gauges{Busy: s.cores.busy, Runnable: float64(len(s.cores.jobs))}
 	if s.sim.world.Servers.NoRunnable {
 		g.Runnable = -1
 	}
@@ -304,7 +304,7 @@
 	s.visits[v.id] = v
 	s.sim.observer.wasRead(v.n, s.sim.now)
 	class := &s.sim.world.Classes[v.req.class]
-	q := tillerusher.Request{ID: v.id, Class: v.req.class, Tenant: v.req.tenant, Caller: v.req.gateway.n, Waited: s.sim.now - v.arrived,
+	q := admission.Request{ID: v.id, Class: v.req.class, Tenant: v.req.tenant, Caller: v.req.gateway.n, Waited: s.sim.now - v.arrived,
 		Retry: v.again, SizeKB: v.req.sizeKB}
 	if class.Keyed {
 		if v.repeats = s.find(v); v.repeats != nil {
@@ -324,7 +324,7 @@
 
 // weigher is a module that can say why it would turn an arrival away.
 type weigher interface {
-	Weigh(now time.Duration, q tillerusher.Request) tillerusher.Weighing
+	Weigh(now time.Duration, q admission.Request) admission.Weighing
 }
 
 // find is the try that a new arrival repeats, or nil.
@@ -361,16 +361,16 @@
 func (s *server) finish(v *visit) {
 	v.job = nil
 	s.sim.observer.ended(v.n, s.n)
-	outcome := tillerusher.OK
+	outcome := admission.OK
 	if s.failing > 0 && s.sim.faults.Float64() < s.failing {
-		outcome = tillerusher.Errored
+		outcome = admission.Errored
 	}
 	s.end(v, outcome)
 }
 
 // end tells the gateway and the module how a run ended, and then those that waited for it.
-func (s *server) end(v *visit, o tillerusher.Outcome) {
-	v.state, v.ok = ended, o == tillerusher.OK
+func (s *server) end(v *visit, o admission.Outcome) {
+	v.state, v.ok = ended, o == admission.OK
 	if v.ok {
 		s.answer(v, served, 0, false)
 	} else {
@@ -391,9 +391,9 @@
 	if v.answered {
 		return
 	}
-	outcome, kind := tillerusher.Errored, failed
+	outcome, kind := admission.Errored, failed
 	if ok {
-		outcome, kind = tillerusher.OK, served
+		outcome, kind = admission.OK, served
 	}
 	v.state = ended
 	s.answer(v, kind, 0, false)
@@ -419,7 +419,7 @@
 }
 
 // Run implements tillerusher.Actions.
-func (s *server) Run(id tillerusher.RequestID) {
+func (s *server) Run(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.answered || v.state != held {
 		return
@@ -430,7 +430,7 @@
 			s.sim.result.Prevented++ // as the server prevents it, whatever the module says
 			v.state = ended
 			s.answer(v, failed, 0, false)
-			s.later(0, deferred, func() { s.module.Done(s.sim.now, id, tillerusher.Errored); s.touch() })
+			s.later(0, deferred, func() { s.module.Done(s.sim.now, id, admission.Errored); s.touch() })
 			return
 		}
 		e.ran, e.ranUntil = v, v.arrived+class.Window
@@ -461,7 +461,7 @@
 }
 
 // Refuse implements tillerusher.Actions.
-func (s *server) Refuse(id tillerusher.RequestID, stayAway time.Duration, last bool) {
+func (s *server) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	if v := s.visits[id]; v != nil && !v.answered {
 		if s.sim.world.Reasons {
 			s.sim.result.Reasons[v.why(s.sim.now)]++
@@ -474,7 +474,7 @@
 }
 
 // Fail implements tillerusher.Actions.
-func (s *server) Fail(id tillerusher.RequestID) {
+func (s *server) Fail(id admission.RequestID) {
 	if v := s.visits[id]; v != nil && !v.answered {
 		s.answer(v, failed, 0, false)
 		s.leave(v)
@@ -484,7 +484,7 @@
 }
 
 // Halt implements tillerusher.Actions: what runs is stopped, and its work is lost.
-func (s *server) Halt(id tillerusher.RequestID) {
+func (s *server) Halt(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.state != running || v.job == nil {
 		return
@@ -493,11 +493,11 @@
 	s.cores.take(v.job)
 	v.job = nil
 	s.sim.observer.ended(v.n, s.n)
-	s.later(0, deferred, func() { s.end(v, tillerusher.Cancelled) })
+	s.later(0, deferred, func() { s.end(v, admission.Cancelled) })
 }
 
 // Keep implements tillerusher.Actions.
-func (s *server) Keep(id tillerusher.RequestID, lifetime time.Duration) {
+func (s *server) Keep(id admission.RequestID, lifetime time.Duration) {
 	v := s.visits[id]
 	if v == nil || v.req.key == 0 {
 		return
@@ -513,7 +513,7 @@
 }
 
 // Forget implements tillerusher.Actions.
-func (s *server) Forget(id tillerusher.RequestID) {
+func (s *server) Forget(id admission.RequestID) {
 	k, ok := s.holders[id]
 	if !ok {
 		return
@@ -527,7 +527,7 @@
 }
 
 // Reuse implements tillerusher.Actions.
-func (s *server) Reuse(id tillerusher.RequestID) {
+func (s *server) Reuse(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.answered || v.repeats == nil {
 		return
@@ -560,10 +560,10 @@
 func (s *server) CloseIdle(time.Duration) {}
 
 // Call implements tillerusher.Actions: nothing is called.
-func (s *server) Call(tillerusher.RequestID, time.Duration) {}
+func (s *server) Call(admission.RequestID, time.Duration) {}
 
 // Skip implements tillerusher.Actions.
-func (s *server) Skip(tillerusher.RequestID) {}
+func (s *server) Skip(admission.RequestID) {}
 
 // Log implements tillerusher.Actions.
 func (s *server) Log(string) { s.sim.result.Remarks++ }
--- a/internal/model/sim.go
+++ b/internal/clustersim/sim.go
@@ -1,4 +1,4 @@
-package model
+package clustersim
 
 import (
 	"cmp"
@@ -7,16 +7,16 @@
 	"slices"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/arrival"
 )
 
 // Policy makes what a server decides by: tillerusher.New, or one to compare it with.
-type Policy func(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error)
+type Policy func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
 // Module is the real decision module.
-func Module(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error) {
-	return tillerusher.New(s, a)
+func Module(s admission.Settings, a admission.Actions) (admission.Events, error) {
+	return admission.New(s, a)
 }
 
 // kind is how a try ended.
--- a/internal/model/theory_test.go
+++ b/internal/clustersim/theory_test.go
@@ -1,4 +1,4 @@
-package model
+package clustersim
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"tillerusher/internal/arrival"
-	"tillerusher/internal/peer"
+	"tillerusher/internal/baseline"
 )
 
 // bare is a world in which nothing but arrivals and cores counts: what theory knows of it holds exactly.
@@ -79,15 +79,15 @@
 		policy Policy
 		want   float64
 	}{
-		{"M/M/1 by Erlang", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), peer.Line(1, -1), s / (1 - 0.7)},
-		{"M/M/6 by Erlang C", bare(1, 6, work, Exponential, 1, 0.85, 4*time.Hour), peer.Line(1, -1),
+		{"M/M/1 by Erlang", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.Line(1, -1), s / (1 - 0.7)},
+		{"M/M/6 by Erlang C", bare(1, 6, work, Exponential, 1, 0.85, 4*time.Hour), baseline.Line(1, -1),
 			s + erlangC(6, 6*0.85)*s/(6*(1-0.85))},
-		{"M/D/1 by Pollaczek and Khinchine", bare(1, 1, work, Constant, 0, 0.8, 8*time.Hour), peer.Line(1, -1),
+		{"M/D/1 by Pollaczek and Khinchine", bare(1, 1, work, Constant, 0, 0.8, 8*time.Hour), baseline.Line(1, -1),
 			s + 0.8*s/(2*(1-0.8))},
-		{"M/G/1 by Pollaczek and Khinchine", bare(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), peer.Line(1, -1),
+		{"M/G/1 by Pollaczek and Khinchine", bare(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), baseline.Line(1, -1),
 			s + 0.6*s*(1+1.2*1.2)/(2*(1-0.6))},
-		{"M/M/1-PS", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), peer.NoLimit, s / (1 - 0.7)},
-		{"M/G/1-PS, which work's spread does not change", bare(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), peer.NoLimit, s / (1 - 0.6)},
+		{"M/M/1-PS", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.NoLimit, s / (1 - 0.7)},
+		{"M/G/1-PS, which work's spread does not change", bare(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
 	} {
 		c.world.For = time.Duration(float64(c.world.For) / 20 * *scale)
 		mean, half := means(t, c.world, c.policy, 12)
@@ -111,7 +111,7 @@
 			term = math.Pow(rho, math.Pow(2, float64(i))-2)
 			want += term * work.Seconds()
 		}
-		mean, half := means(t, w, peer.Line(1, -1), 4)
+		mean, half := means(t, w, baseline.Line(1, -1), 4)
 		off := math.Abs(mean-want) / want
 		t.Logf("load %.1f: %.5f s +- %.5f, the limit %.5f, %.2f %% off", rho, mean, half, want, 100*off)
 		if off > max(0.02, half/want) { // it starts empty
--- a/internal/model/world.go
+++ b/internal/clustersim/world.go
@@ -1,11 +1,11 @@
-package model
+package clustersim
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/arrival"
 )
 
@@ -75,18 +75,18 @@
 )
 
 // module is the feedback as the module's settings name it.
-func (f Feedback) module() (tillerusher.Feedback, bool) {
+func (f Feedback) module() (admission.Feedback, bool) {
 	switch f {
 	case "", Level:
-		return tillerusher.FeedbackLevel, true
+		return admission.FeedbackLevel, true
 	case Credit:
-		return tillerusher.FeedbackCredit, true
+		return admission.FeedbackCredit, true
 	case Probability:
-		return tillerusher.FeedbackWeight, true
+		return admission.FeedbackWeight, true
 	case Silent:
-		return tillerusher.FeedbackNone, true
+		return admission.FeedbackNone, true
 	}
-	return tillerusher.FeedbackNone, false
+	return admission.FeedbackNone, false
 }
 
 // Dist is a distribution of the work of requests.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tillerusher/internal/capture"
-	"tillerusher/internal/durable"
+	"tillerusher/internal/idempotency"
 	"tillerusher/internal/sexp"
 )
 
@@ -20,11 +20,13 @@
 // State is where and how much a server keeps over restarts.
 type State struct {
 	Directory string
-	durable.Limits
+	idempotency.Limits
 }
 
 // DefaultState is what is kept where the file says no figures.
-func DefaultState() *State { return &State{Limits: durable.Limits{Entries: 20000, Bytes: 16 << 20}} }
+func DefaultState() *State {
+	return &State{Limits: idempotency.Limits{Entries: 20000, Bytes: 16 << 20}}
+}
 
 // Operator is what the operators' own file says; what is absent is nil.
 type Operator struct {
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
 // Package loop runs one goroutine over epoll: sockets, coarse timers and work handed over from elsewhere. A
 // round gathers all that is ready, reads the clock once, reports what came in order, lets the owner settle,
 // and then sends what each connection has to send in one write.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/servertest"
 )
 
 // echo is a handler that answers with what it reads.
@@ -80,7 +80,7 @@
 	}()
 	got := make([]byte, 0, len(sent))
 	buf := make([]byte, 1<<16)
-	c.SetReadDeadline(time.Now().Add(testkit.Patience))
+	c.SetReadDeadline(time.Now().Add(servertest.Patience))
 	for len(got) < len(sent) {
 		n, err := c.Read(buf)
 		got = append(got, buf[:n]...)
@@ -144,7 +144,7 @@
 		total += <-settled
 	}
 	for _, c := range conns {
-		c.SetReadDeadline(time.Now().Add(testkit.Patience))
+		c.SetReadDeadline(time.Now().Add(servertest.Patience))
 		if _, err := io.ReadFull(c, make([]byte, 3)); err != nil {
 			t.Error(err)
 		}
@@ -167,7 +167,7 @@
 		t.Error(err)
 	}
 	refused := newEcho()
-	nobody := netip.MustParseAddrPort(testkit.FreeAddr(t))
+	nobody := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	l.Post(func() {
 		if _, err := l.Dial(nobody, refused); err != nil {
 			t.Error(err)
@@ -196,7 +196,7 @@
 	l.Post(func() {
 		// Written while the loop stands in this round: it waits in the socket.
 		io.WriteString(c, "b")
-		for end := time.Now().Add(testkit.Patience); conn.Quiet(0) && time.Now().Before(end); {
+		for end := time.Now().Add(servertest.Patience); conn.Quiet(0) && time.Now().Before(end); {
 		}
 		quiet <- conn.Quiet(0)
 	})
@@ -216,7 +216,7 @@
 		conn.Write([]byte("bye"))
 		conn.CloseSent()
 	})
-	c.SetReadDeadline(time.Now().Add(testkit.Patience))
+	c.SetReadDeadline(time.Now().Add(servertest.Patience))
 	if rest, err := io.ReadAll(c); string(rest) != "bye" || err != nil {
 		t.Errorf("read %q, %v", rest, err)
 	}
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(servertest.Patience))
 	return c
 }
 
@@ -301,7 +301,7 @@
 	io.WriteString(late, "a")
 	select {
 	case <-answered:
-	case <-time.After(testkit.Patience):
+	case <-time.After(servertest.Patience):
 		t.Error("a connection was not read beside many that never pause")
 	}
 	size := make(chan int)
--- a/internal/loop/system.go
+++ b/internal/eventloop/system.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"net/netip"
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/gonum/mat"
 
-	"tillerusher/internal/model"
+	"tillerusher/internal/clustersim"
 )
 
 // Job is one run of an experiment.
@@ -20,18 +20,18 @@
 	Day    string             // or the day
 	Policy string
 	Seed   uint64
-	world  model.World
+	world  clustersim.World
 }
 
 // Plan is all runs in their order: by point, then by policy, then by seed.
 func (e *Experiment) Plan() ([]Job, error) {
 	var jobs []Job
-	worlds := []model.World{e.World}
+	worlds := []clustersim.World{e.World}
 	if e.Days.Count > 0 {
 		worlds = nil
 		for _, kind := range e.Days.Kinds {
 			for n := range e.Days.Count {
-				worlds = append(worlds, model.Day(kind, e.Days.From+uint64(n)))
+				worlds = append(worlds, clustersim.Day(kind, e.Days.From+uint64(n)))
 			}
 		}
 	}
@@ -119,10 +119,10 @@
 }
 
 // First is the world of the plan's first point.
-func (e *Experiment) First() (model.World, error) {
+func (e *Experiment) First() (clustersim.World, error) {
 	jobs, err := e.Plan()
 	if err != nil {
-		return model.World{}, err
+		return clustersim.World{}, err
 	}
 	return jobs[0].world, nil
 }
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -6,10 +6,10 @@
 	"slices"
 	"strings"
 
-	"tillerusher"
-	"tillerusher/internal/durable"
-	"tillerusher/internal/model"
-	"tillerusher/internal/peer"
+	"tillerusher/admission"
+	"tillerusher/internal/baseline"
+	"tillerusher/internal/clustersim"
+	"tillerusher/internal/idempotency"
 )
 
 // Policies are the names of all policies, the module's first.
@@ -19,29 +19,29 @@
 	return append([]string{"module"}, slices.Delete(names, i, i+1)...)
 }
 
-func policies() map[string]model.Policy {
-	return map[string]model.Policy{"module": model.Module, "line": peer.Line(2, 4), "nolimit": peer.NoLimit, "codel": peer.CoDel,
-		"gradient": peer.Gradient, "worth": peer.Worth, "remembering": remembering()}
+func policies() map[string]clustersim.Policy {
+	return map[string]clustersim.Policy{"module": clustersim.Module, "line": baseline.Line(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel,
+		"gradient": baseline.Gradient, "worth": baseline.Worth, "remembering": remembering()}
 }
 
 // remembering is the module on servers whose folders survive: a process that starts is told what one before it learned. It
 // is made anew for each run, which one goroutine plays.
-func remembering() model.Policy {
-	var before []*tillerusher.Instance
-	return func(s tillerusher.Settings, a tillerusher.Actions) (tillerusher.Events, error) {
-		in, err := tillerusher.New(s, a)
+func remembering() clustersim.Policy {
+	var before []*admission.Instance
+	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
+		in, err := admission.New(s, a)
 		if err != nil {
 			return nil, err
 		}
 		for _, old := range before {
-			l := durable.Learned{}
+			l := idempotency.Learned{}
 			for i, c := range old.Learned().Classes {
-				l.Classes = append(l.Classes, durable.LearnedClass{Name: fmt.Sprint(i), Run: c.Run, Wall: c.Wall, Runs: c.Runs})
+				l.Classes = append(l.Classes, idempotency.LearnedClass{Name: fmt.Sprint(i), Run: c.Run, Wall: c.Wall, Runs: c.Runs})
 			}
 			if kept := l.Weigh(l.Saved, ""); len(kept) == len(s.Classes) {
-				var told tillerusher.Learned
+				var told admission.Learned
 				for _, c := range kept {
-					told.Classes = append(told.Classes, tillerusher.LearnedClass{Run: c.Run, Wall: c.Wall, Runs: c.Runs})
+					told.Classes = append(told.Classes, admission.LearnedClass{Run: c.Run, Wall: c.Wall, Runs: c.Runs})
 				}
 				in.Recall(told)
 				break
@@ -53,7 +53,7 @@
 }
 
 // PolicyOf is the policy of a name.
-func PolicyOf(name string) (model.Policy, error) {
+func PolicyOf(name string) (clustersim.Policy, error) {
 	if p, ok := policies()[name]; ok {
 		return p, nil
 	}
--- a/internal/experiment/read.go
+++ b/internal/experiment/read.go
@@ -10,14 +10,14 @@
 
 	"tillerusher/internal/arrival"
 	"tillerusher/internal/capture"
-	"tillerusher/internal/model"
+	"tillerusher/internal/clustersim"
 	"tillerusher/internal/sexp"
 )
 
 // Experiment is what a file says.
 type Experiment struct {
 	Name     string
-	World    model.World
+	World    clustersim.World
 	Days     DayRange // in place of the world, where Count is not 0
 	Policies []string
 	Seeds    uint64 // of each point, from 1 on
@@ -28,7 +28,7 @@
 
 // DayRange are days drawn from the brief's ranges.
 type DayRange struct {
-	Kinds []model.DayKind
+	Kinds []clustersim.DayKind
 	Count int // of each kind
 	From  uint64
 }
@@ -46,7 +46,7 @@
 	Name     string
 	From, To float64
 	Steps    int // of a grid
-	set      func(*model.World, float64)
+	set      func(*clustersim.World, float64)
 }
 
 // WorldForm is the form of the file that says what its world is, as text, or "" where it has none.
@@ -71,7 +71,7 @@
 }
 
 func read(file string, forms []sexp.Node) (*Experiment, error) {
-	e := &Experiment{Name: filepath.Base(file), World: model.Defaults(), Policies: []string{"module"}, Seeds: 5, Sweep: Sweep{How: "grid", Seed: 1}}
+	e := &Experiment{Name: filepath.Base(file), World: clustersim.Defaults(), Policies: []string{"module"}, Seeds: 5, Sweep: Sweep{How: "grid", Seed: 1}}
 	seeds := 5
 	err := sexp.EachOnce(forms, map[string]func(sexp.Node) error{
 		"name":     sexp.Text(&e.Name),
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	e.Seeds = uint64(seeds)
-	if e.World.Name == model.Defaults().Name {
+	if e.World.Name == clustersim.Defaults().Name {
 		e.World.Name = e.Name
 	}
 	if e.Days.Count > 0 && len(e.Sweep.Vary) > 0 && e.Sweep.How != "grid" {
@@ -118,10 +118,10 @@
 		"from":  sexp.Int(&from, 0, math.MaxInt32),
 		"kinds": func(k sexp.Node) error {
 			for _, a := range k.Args() {
-				if !slices.Contains(model.DayKinds(), model.DayKind(a.Text)) {
-					return sexp.Errorf(a.At, "found %v, want a kind of day of %v", a, model.DayKinds())
+				if !slices.Contains(clustersim.DayKinds(), clustersim.DayKind(a.Text)) {
+					return sexp.Errorf(a.At, "found %v, want a kind of day of %v", a, clustersim.DayKinds())
 				}
-				to.Kinds = append(to.Kinds, model.DayKind(a.Text))
+				to.Kinds = append(to.Kinds, clustersim.DayKind(a.Text))
 			}
 			return nil
 		},
@@ -130,7 +130,7 @@
 		err = sexp.Errorf(n.At, "(days ...) without (count N)")
 	}
 	if to.From = uint64(from); len(to.Kinds) == 0 {
-		to.Kinds = model.DayKinds()
+		to.Kinds = clustersim.DayKinds()
 	}
 	return err
 }
@@ -186,7 +186,7 @@
 
 // readWorld reads the forms of a world over what is there. A day of the brief is the base of the others, wherever it
 // stands among them.
-func readWorld(forms []sexp.Node, w *model.World) error {
+func readWorld(forms []sexp.Node, w *clustersim.World) error {
 	day, number := "", 1
 	base := map[string]func(sexp.Node) error{"day": sexp.Text(&day), "number": sexp.Int(&number, 0, math.MaxInt32)}
 	for _, f := range forms {
@@ -197,12 +197,12 @@
 		if err := read(f); err != nil {
 			return err
 		}
-		if f.Name() == "day" && !slices.Contains(model.DayKinds(), model.DayKind(day)) {
-			return sexp.Errorf(f.At, "no kind of day is called %q, want one of %v", day, model.DayKinds())
+		if f.Name() == "day" && !slices.Contains(clustersim.DayKinds(), clustersim.DayKind(day)) {
+			return sexp.Errorf(f.At, "no kind of day is called %q, want one of %v", day, clustersim.DayKinds())
 		}
 	}
 	if day != "" {
-		*w = model.Day(model.DayKind(day), uint64(number))
+		*w = clustersim.Day(clustersim.DayKind(day), uint64(number))
 	}
 	load := w.Arrival.Rate / w.Capacity()
 	own := *w
@@ -241,7 +241,7 @@
 	return nil
 }
 
-func readServers(n sexp.Node, s *model.Servers) error {
+func readServers(n sexp.Node, s *clustersim.Servers) error {
 	hold := func(form sexp.Node) error {
 		args := form.Args()
 		if len(args) != 2 {
@@ -286,25 +286,25 @@
 	return nil
 }
 
-func readClass(n sexp.Node, to *[]model.Class) (err error) {
-	c := model.Class{Share: 1, Work: 100 * time.Millisecond, Dist: model.LogNormal, CV: 1, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}
+func readClass(n sexp.Node, to *[]clustersim.Class) (err error) {
+	c := clustersim.Class{Share: 1, Work: 100 * time.Millisecond, Dist: clustersim.LogNormal, CV: 1, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}
 	if c.Name, err = n.Word(1, "the name of a class"); err != nil {
 		return err
 	}
 	dist := string(c.Dist)
 	err = sexp.Fields(n.Rest(2), map[string]func(sexp.Node) error{
 		"share": sexp.Number(&c.Share, 0, 1e6), "work": sexp.Duration(&c.Work, time.Microsecond, time.Hour),
-		"dist":   sexp.OneOf(&dist, string(model.Constant), string(model.Exponential), string(model.LogNormal), string(model.Pareto)),
+		"dist":   sexp.OneOf(&dist, string(clustersim.Constant), string(clustersim.Exponential), string(clustersim.LogNormal), string(clustersim.Pareto)),
 		"spread": sexp.Number(&c.CV, 0, 100), "aim": sexp.Duration(&c.Aim, time.Millisecond, 24*time.Hour),
 		"deadline": sexp.Duration(&c.Deadline, time.Millisecond, 24*time.Hour), "worth": sexp.Number(&c.Worth, 0, 1e6),
 		"late-worth": sexp.Number(&c.LateWorth, 0, 1), "window": sexp.Duration(&c.Window, 0, 24*time.Hour)})
-	c.Dist, c.Keyed = model.Dist(dist), c.Window > 0
+	c.Dist, c.Keyed = clustersim.Dist(dist), c.Window > 0
 	*to = append(*to, c)
 	return err
 }
 
-func readTenant(n sexp.Node, to *[]model.Tenant) (err error) {
-	t := model.Tenant{}
+func readTenant(n sexp.Node, to *[]clustersim.Tenant) (err error) {
+	t := clustersim.Tenant{}
 	if t.Name, err = n.Word(1, "the name of a tenant"); err != nil {
 		return err
 	}
@@ -313,8 +313,8 @@
 	return err
 }
 
-func readGateways(n sexp.Node, to *[]model.Gateway) error {
-	g := model.Gateway{N: 1, Share: 1, Choice: model.Round, Again: model.Budgeted, Tries: 3, Budget: 0.2, Heeds: true}
+func readGateways(n sexp.Node, to *[]clustersim.Gateway) error {
+	g := clustersim.Gateway{N: 1, Share: 1, Choice: clustersim.Round, Again: clustersim.Budgeted, Tries: 3, Budget: 0.2, Heeds: true}
 	choice, again, heeds, checked := string(g.Choice), string(g.Again), "yes", "no"
 	err := sexp.Fields(n.Args(), map[string]func(sexp.Node) error{
 		"n": sexp.Int(&g.N, 1, 10_000), "share": sexp.Number(&g.Share, 0, 1e6), "tries": sexp.Int(&g.Tries, 1, 1000),
@@ -322,19 +322,19 @@
 		"again":  sexp.OneOf(&again, "never", "unbounded", "budgeted", "hasty", "copies", "patient"),
 		"budget": sexp.Number(&g.Budget, 0, 100), "wait": sexp.Number(&g.Wait, 0, 100), "heeds": sexp.OneOf(&heeds, "yes", "no"),
 		"subset": sexp.Int(&g.Subset, 0, 100_000), "checked": sexp.OneOf(&checked, "yes", "no"), "repeats": sexp.Number(&g.Repeats, 0, 1)})
-	g.Choice, g.Again, g.Heeds, g.Checked = model.Choice(choice), model.Again(again), heeds == "yes", checked == "yes"
+	g.Choice, g.Again, g.Heeds, g.Checked = clustersim.Choice(choice), clustersim.Again(again), heeds == "yes", checked == "yes"
 	*to = append(*to, g)
 	return err
 }
 
-func readIncident(n sexp.Node, to *[]model.Incident) error {
+func readIncident(n sexp.Node, to *[]clustersim.Incident) error {
 	what, err := n.Word(1, "a kind of incident")
 	if err != nil {
 		return err
 	}
-	i := model.Incident{What: model.What(what), From: 10 * time.Second, For: 10 * time.Second, Size: 1}
+	i := clustersim.Incident{What: clustersim.What(what), From: 10 * time.Second, For: 10 * time.Second, Size: 1}
 	if !i.Known() {
-		return sexp.Errorf(n.At, "no incident is called %q, want one of %v", what, model.Whats())
+		return sexp.Errorf(n.At, "no incident is called %q, want one of %v", what, clustersim.Whats())
 	}
 	err = sexp.Fields(n.Rest(2), map[string]func(sexp.Node) error{
 		"from": sexp.Duration(&i.From, 0, 24*time.Hour), "for": sexp.Duration(&i.For, 0, 24*time.Hour),
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -13,7 +13,7 @@
 	"runtime"
 	"sync"
 
-	"tillerusher/internal/model"
+	"tillerusher/internal/clustersim"
 )
 
 // Row is one line of a results file: a run with its measures, or why it could not be made.
@@ -46,7 +46,7 @@
 	for i := range jobs {
 		if err := e.Encode(struct {
 			Job
-			World model.World
+			World clustersim.World
 		}{jobs[i], jobs[i].world}); err != nil {
 			return "", fmt.Errorf("experiment: %w", err)
 		}
@@ -55,7 +55,7 @@
 }
 
 // measures are the figures of a result by the names that plots and comparisons go by.
-func measures(r *model.Result) map[string]float64 {
+func measures(r *clustersim.Result) map[string]float64 {
 	m := map[string]float64{"g": r.G, "share": r.Share, "worst10": r.Worst10, "worst-class": r.WorstOf, "worst-tenant": r.WorstTen,
 		"waste": r.Waste, "late": r.Late, "p50": r.P50, "p99": r.P99, "p999": r.P999, "load": r.Load, "requests": float64(r.Requests),
 		"tries": float64(r.Tries) / float64(max(r.Requests, 1)), "fell": float64(r.Fell), "events": float64(r.Events)}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return row, err
 	}
-	r, err := model.Run(ctx, j.world, p, j.Seed)
+	r, err := clustersim.Run(ctx, j.world, p, j.Seed)
 	switch {
 	case ctx.Err() != nil:
 		return row, ctx.Err()
--- a/internal/standin/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
--- a/internal/standin/requests.go
+++ b/internal/fake/requests.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"tillerusher/internal/rules"
+	"tillerusher/internal/invariant"
 )
 
 // tries numbers the requests of a process.
@@ -51,14 +51,14 @@
 }
 
 // Outcome is what an answer means to the caller.
-func (a Answer) Outcome() rules.Answer {
+func (a Answer) Outcome() invariant.Answer {
 	switch {
 	case a.Status == 200:
-		return rules.Served
+		return invariant.Served
 	case a.Status == 429 || a.Status == 503 || a.Protocol != 0:
-		return rules.Refused
+		return invariant.Refused
 	}
-	return rules.Failed
+	return invariant.Failed
 }
 
 // ID is the request's Request-Id.
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -5,12 +5,12 @@
 	"fmt"
 
 	"tillerusher/internal/cgi"
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 // AppendRequest adds a whole request in the role Responder, whose connection is to be kept. Most responders take one
 // request at a time on a connection; a number of its own for each tells its answer from a late one to another.
-func AppendRequest(b []byte, id uint16, params []front.Field, body []byte) []byte {
+func AppendRequest(b []byte, id uint16, params []gateway.Field, body []byte) []byte {
 	b = append(appendHeader(b, typeBegin, id, 8), 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
 	var list []byte
 	for _, p := range params {
@@ -87,9 +87,9 @@
 func (r *Response) Closed() bool { return r.ended }
 
 // Answer reads the whole answer.
-func (r *Response) Answer() (front.Answer, error) {
+func (r *Response) Answer() (gateway.Answer, error) {
 	if r.status != statusComplete {
-		return front.Answer{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.status)
+		return gateway.Answer{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.status)
 	}
 	a, err := cgi.Parse(r.out)
 	if err != nil {
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -5,18 +5,18 @@
 	"strings"
 	"testing"
 
-	"tillerusher/internal/front"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/gateway"
 )
 
 // answerBytes are a member's answer with padding, a word for the log and a management record between.
 func answerBytes(id uint16, text string) []byte {
-	b := standin.Record(standin.Stdout, id, []byte(text[:len(text)/2]), 3)
-	b = append(b, standin.Record(7, id, []byte("a warning"), 0)...)
-	b = append(b, standin.Record(standin.Unknown, 0, make([]byte, 8), 0)...)
-	b = append(b, standin.Record(standin.Stdout, id, []byte(text[len(text)/2:]), 0)...)
-	b = append(b, standin.Record(standin.Stdout, id, nil, 0)...)
-	return append(b, standin.Record(standin.End, id, make([]byte, 8), 0)...)
+	b := fake.Record(fake.Stdout, id, []byte(text[:len(text)/2]), 3)
+	b = append(b, fake.Record(7, id, []byte("a warning"), 0)...)
+	b = append(b, fake.Record(fake.Unknown, 0, make([]byte, 8), 0)...)
+	b = append(b, fake.Record(fake.Stdout, id, []byte(text[len(text)/2:]), 0)...)
+	b = append(b, fake.Record(fake.Stdout, id, nil, 0)...)
+	return append(b, fake.Record(fake.End, id, make([]byte, 8), 0)...)
 }
 
 // TestResponse puts an answer together wherever its bytes are split.
@@ -33,7 +33,7 @@
 		}
 		a, err := r.Answer()
 		if err != nil || a.Status != 404 || string(a.Body) != "the body\n\n" || len(a.Fields) != 2 ||
-			a.Fields[0] != (front.Field{Name: "X-A", Value: "b: c"}) {
+			a.Fields[0] != (gateway.Field{Name: "X-A", Value: "b: c"}) {
 			t.Fatalf("split at %d: %+v, %v", split, a, err)
 		}
 	}
@@ -41,14 +41,14 @@
 
 // TestResponseOdd turns away what makes no sense, in the stream and in the header.
 func TestResponseOdd(t *testing.T) {
-	end := standin.Record(standin.End, 1, make([]byte, 8), 0)
+	end := fake.Record(fake.End, 1, make([]byte, 8), 0)
 	for what, b := range map[string][]byte{
 		"another request's": answerBytes(2, "Status: 200\r\n\r\n"),
 		"behind the end":    append(answerBytes(1, "\r\nx"), end...),
-		"too long":          standin.Record(standin.Stdout, 1, make([]byte, 1001), 0),
-		"an odd record":     standin.Record(standin.Params, 1, []byte("x"), 0),
+		"too long":          fake.Record(fake.Stdout, 1, make([]byte, 1001), 0),
+		"an odd record":     fake.Record(fake.Params, 1, []byte("x"), 0),
 		"no FastCGI":        []byte("HTTP/1.1 200 OK\r\n\r\n"),
-		"a short end":       standin.Record(standin.End, 1, make([]byte, 4), 0),
+		"a short end":       fake.Record(fake.End, 1, make([]byte, 4), 0),
 	} {
 		r := Response{ID: 1, Most: 1000}
 		if _, err := r.Feed(b); !errors.Is(err, ErrResponse) {
@@ -70,7 +70,7 @@
 // TestRequestRoundTrip has a session read what the client side writes.
 func TestRequestRoundTrip(t *testing.T) {
 	long := strings.Repeat("x", 70_000)
-	b := AppendRequest(nil, 9, []front.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "SCRIPT_NAME", Value: "/a"},
+	b := AppendRequest(nil, 9, []gateway.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "SCRIPT_NAME", Value: "/a"},
 		{Name: "REQUEST_URI", Value: "/a?b"}, {Name: "HTTP_X_LONG", Value: strings.Repeat("y", 200)}}, []byte(long))
 	rec := &reading{}
 	s := New(Limits{Requests: 4, Params: 1 << 10, Body: 1 << 20, Memory: 1 << 20, Raw: true})(rec, rec)
@@ -86,13 +86,13 @@
 
 // reading keeps the request that a session hands over.
 type reading struct {
-	front.Handler
-	request front.Request
+	gateway.Handler
+	request gateway.Request
 }
 
 func (r *reading) Write([]byte) {}
 
-func (r *reading) Request(_ front.Session, _ front.Stream, q front.Request) { r.request = q }
+func (r *reading) Request(_ gateway.Session, _ gateway.Stream, q gateway.Request) { r.request = q }
 
 // FuzzResponse feeds any bytes without a panic.
 func FuzzResponse(f *testing.F) {
--- a/internal/fastcgi/model_test.go
+++ b/internal/fastcgi/model_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"tillerusher/internal/front"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/gateway"
 )
 
 // modelRequest is what the model knows of an open request.
@@ -55,7 +55,7 @@
 					t.Skip("a second begin breaks the stream")
 				}
 				role := rapid.SampledFrom([]uint16{1, 1, 1, 3}).Draw(t, "role")
-				m.send(t, standin.BeginRecord(id, role, true))
+				m.send(t, fake.BeginRecord(id, role, true))
 				if role != 1 || len(m.open) == testLimits.Requests {
 					m.answers++
 				} else {
@@ -65,16 +65,16 @@
 			"params": func(t *rapid.T) {
 				id := id(t)
 				cut := rapid.IntRange(1, len(list)-1).Draw(t, "cut")
-				m.send(t, standin.Record(standin.Params, id, list[:cut], padding(t)))
-				m.send(t, standin.Record(standin.Params, id, list[cut:], padding(t)))
-				m.send(t, standin.Record(standin.Params, id, nil, padding(t)))
+				m.send(t, fake.Record(fake.Params, id, list[:cut], padding(t)))
+				m.send(t, fake.Record(fake.Params, id, list[cut:], padding(t)))
+				m.send(t, fake.Record(fake.Params, id, nil, padding(t)))
 				if q := m.open[id]; q != nil {
 					q.paramsDone = true
 				}
 			},
 			"body": func(t *rapid.T) {
 				id, part := id(t), rapid.SliceOfN(rapid.Byte(), 1, 60).Draw(t, "part")
-				m.send(t, standin.Record(standin.Stdin, id, part, padding(t)))
+				m.send(t, fake.Record(fake.Stdin, id, part, padding(t)))
 				if q := m.open[id]; q != nil && !q.handed {
 					if q.body = append(q.body, part...); len(q.body) > testLimits.Body {
 						delete(m.open, id) // answered at once
@@ -84,7 +84,7 @@
 			},
 			"last": func(t *rapid.T) {
 				id := id(t)
-				m.send(t, standin.Record(standin.Stdin, id, nil, padding(t)))
+				m.send(t, fake.Record(fake.Stdin, id, nil, padding(t)))
 				q := m.open[id]
 				switch {
 				case q == nil || q.handed:
@@ -93,14 +93,14 @@
 					m.answers++
 				default:
 					q.handed = true
-					if got := m.got[front.Stream(id)]; !bytes.Equal(got.Body, q.body) || got.Fields["sent-by"] != "4" {
+					if got := m.got[gateway.Stream(id)]; !bytes.Equal(got.Body, q.body) || got.Fields["sent-by"] != "4" {
 						t.Fatalf("handed over %+v, want the body %q", got, q.body)
 					}
 				}
 			},
 			"abort": func(t *rapid.T) {
 				id := id(t)
-				m.send(t, standin.Record(standin.Abort, id, nil, padding(t)))
+				m.send(t, fake.Record(fake.Abort, id, nil, padding(t)))
 				switch q := m.open[id]; {
 				case q == nil:
 				case q.handed:
@@ -112,17 +112,17 @@
 			},
 			"answer": func(t *rapid.T) {
 				id := id(t)
-				m.session.Answer(front.Stream(id), front.Answer{Status: 200, Body: []byte{byte(id)},
+				m.session.Answer(gateway.Stream(id), gateway.Answer{Status: 200, Body: []byte{byte(id)},
 					Overloaded: rapid.Bool().Draw(t, "overloaded")})
 				if q := m.open[id]; q != nil && q.handed {
 					delete(m.open, id)
-					delete(m.got, front.Stream(id))
+					delete(m.got, gateway.Stream(id))
 					m.answers++
 				}
 			},
 			"manage": func(t *rapid.T) {
-				kind := rapid.SampledFrom([]byte{standin.GetValues, 50}).Draw(t, "kind")
-				m.send(t, standin.Record(kind, 0, standin.Pair("FCGI_MAX_REQS", "", false), padding(t)))
+				kind := rapid.SampledFrom([]byte{fake.GetValues, 50}).Draw(t, "kind")
+				m.send(t, fake.Record(kind, 0, fake.Pair("FCGI_MAX_REQS", "", false), padding(t)))
 				m.answers++
 			},
 			"": func(t *rapid.T) {
@@ -147,8 +147,8 @@
 // FuzzFeed makes sure that no bytes of a gateway panic, and that the split of a stream changes nothing.
 func FuzzFeed(f *testing.F) {
 	f.Add(lookup("body").Records(1), 9)
-	f.Add(append(standin.BeginRecord(2, 1, false), standin.Record(standin.Abort, 2, nil, 9)...), 17)
-	f.Add(standin.Record(standin.GetValues, 0, standin.Pair("FCGI_MAX_REQS", "", true), 1), 3)
+	f.Add(append(fake.BeginRecord(2, 1, false), fake.Record(fake.Abort, 2, nil, 9)...), 17)
+	f.Add(fake.Record(fake.GetValues, 0, fake.Pair("FCGI_MAX_REQS", "", true), 1), 3)
 	f.Fuzz(func(t *testing.T, stream []byte, cut int) {
 		whole, split := newPeer(t), newPeer(t)
 		whole.feed(stream)
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 // errFinished ends the parsing of a connection that is to be closed.
@@ -46,15 +46,15 @@
 	paramsDone bool
 	handed     bool // the handler has it
 	flawed     bool
-	flaw       front.Flaw
+	flaw       gateway.Flaw
 	booked     int // bytes taken from the budget
 }
 
 // Session is the state of one connection.
 type Session struct {
 	limits   Limits
-	out      front.Output
-	handler  front.Handler
+	out      gateway.Output
+	handler  gateway.Handler
 	parse    parser
 	open     map[uint16]*request
 	control  []byte // content of a BEGIN_REQUEST or management record
@@ -65,9 +65,9 @@
 }
 
 // New returns a protocol whose sessions keep to the limits.
-func New(l Limits) front.Protocol {
+func New(l Limits) gateway.Protocol {
 	common := &shared{left: l.Memory}
-	return func(out front.Output, h front.Handler) front.Session {
+	return func(out gateway.Output, h gateway.Handler) gateway.Session {
 		return &Session{limits: l, shared: common, out: out, handler: h, open: map[uint16]*request{}}
 	}
 }
@@ -124,12 +124,12 @@
 // grow appends to a part of a request within its limit.
 func (s *Session) grow(q *request, to, p []byte, limit int) []byte {
 	if len(to)+len(p) > limit {
-		q.spoil(front.TooLarge)
+		q.spoil(gateway.TooLarge)
 		return to
 	}
 	// Requests that come in slowly on many connections must not fill the memory.
 	if len(p) > s.shared.left {
-		q.spoil(front.TooMany)
+		q.spoil(gateway.TooMany)
 		return to
 	}
 	s.shared.left -= len(p)
@@ -138,7 +138,7 @@
 }
 
 // spoil notes the first flaw of a request.
-func (q *request) spoil(f front.Flaw) {
+func (q *request) spoil(f gateway.Flaw) {
 	if !q.flawed {
 		q.flawed, q.flaw = true, f
 	}
@@ -189,7 +189,7 @@
 		}
 	case typeAbort:
 		if q.handed {
-			s.handler.Aborted(s, front.Stream(r.id))
+			s.handler.Aborted(s, gateway.Stream(r.id))
 		} else {
 			s.coming--
 			s.finish(r.id, q, appendEnd(s.shared.records[:0], r.id, 1, statusComplete))
@@ -210,9 +210,9 @@
 	keep := content[2]&flagKeepConn != 0
 	switch {
 	case role != roleResponder:
-		s.reject(r.id, keep, front.BadRole, statusUnknownRole)
+		s.reject(r.id, keep, gateway.BadRole, statusUnknownRole)
 	case len(s.open) >= s.limits.Requests:
-		s.reject(r.id, keep, front.TooMany, statusOverloaded)
+		s.reject(r.id, keep, gateway.TooMany, statusOverloaded)
 	default:
 		s.open[r.id] = &request{keep: keep}
 		s.coming++
@@ -221,7 +221,7 @@
 }
 
 // reject ends a request that was not opened.
-func (s *Session) reject(id uint16, keep bool, f front.Flaw, status byte) {
+func (s *Session) reject(id uint16, keep bool, f gateway.Flaw, status byte) {
 	s.write(appendEnd(s.shared.records[:0], id, 1, status))
 	s.finished = s.finished || !keep
 	s.handler.Rejected(f)
@@ -231,28 +231,28 @@
 func (s *Session) complete(id uint16, q *request) {
 	q.handed = true
 	s.coming--
-	r := front.Request{Body: q.body, Fields: make(map[string]string, 16)}
+	r := gateway.Request{Body: q.body, Fields: make(map[string]string, 16)}
 	if s.limits.Raw {
 		r.Params = make(map[string]string, 16)
 	}
 	if !q.paramsDone {
-		q.spoil(front.Malformed)
+		q.spoil(gateway.Malformed)
 	}
 	if !q.flawed && pairs(q.params, func(name, value []byte) { set(&r, string(name), string(value)) }) != nil {
-		q.spoil(front.Malformed)
+		q.spoil(gateway.Malformed)
 	}
 	q.params = nil
 	if q.flawed {
 		q.body = nil
-		s.handler.Flawed(s, front.Stream(id), q.flaw)
+		s.handler.Flawed(s, gateway.Stream(id), q.flaw)
 		return
 	}
 	s.excess = 0
-	s.handler.Request(s, front.Stream(id), r)
+	s.handler.Request(s, gateway.Stream(id), r)
 }
 
 // set stores one parameter.
-func set(r *front.Request, name, value string) {
+func set(r *gateway.Request, name, value string) {
 	if r.Params != nil {
 		r.Params[name] = value
 	}
@@ -273,7 +273,7 @@
 }
 
 // Answer implements front.Session.
-func (s *Session) Answer(stream front.Stream, a front.Answer) {
+func (s *Session) Answer(stream gateway.Stream, a gateway.Answer) {
 	id := uint16(stream)
 	q := s.open[id]
 	if q == nil || !q.handed {
--- a/internal/fastcgi/session_test.go
+++ b/internal/fastcgi/session_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"tillerusher/internal/front"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/gateway"
 )
 
 // reporter is what peer needs of a test, be it Go's or rapid's.
@@ -20,19 +20,19 @@
 // peer stands on both sides of a session: it is its handler, and it reads what the session writes.
 type peer struct {
 	t       reporter
-	session front.Session
-	reader  standin.Reader
-	got     map[front.Stream]front.Request // handed over, not answered
-	aborted []front.Stream
-	flaws   []front.Flaw
-	answers []standin.Answer
+	session gateway.Session
+	reader  fake.Reader
+	got     map[gateway.Stream]gateway.Request // handed over, not answered
+	aborted []gateway.Stream
+	flaws   []gateway.Flaw
+	answers []fake.Answer
 	err     error
 }
 
 var testLimits = Limits{Requests: 4, Params: 1000, Body: 100, Memory: 5000}
 
 func newPeer(t reporter) *peer {
-	p := &peer{t: t, got: map[front.Stream]front.Request{}}
+	p := &peer{t: t, got: map[gateway.Stream]gateway.Request{}}
 	p.session = New(testLimits)(p, p)
 	return p
 }
@@ -46,14 +46,14 @@
 	p.answers = append(p.answers, answers...)
 }
 
-func (p *peer) Request(_ front.Session, id front.Stream, r front.Request) { p.got[id] = r }
-func (p *peer) Aborted(_ front.Session, id front.Stream)                  { p.aborted = append(p.aborted, id) }
-func (p *peer) Rejected(f front.Flaw)                                     { p.flaws = append(p.flaws, f) }
+func (p *peer) Request(_ gateway.Session, id gateway.Stream, r gateway.Request) { p.got[id] = r }
+func (p *peer) Aborted(_ gateway.Session, id gateway.Stream)                    { p.aborted = append(p.aborted, id) }
+func (p *peer) Rejected(f gateway.Flaw)                                         { p.flaws = append(p.flaws, f) }
 
 // Flawed answers as a server would.
-func (p *peer) Flawed(s front.Session, id front.Stream, f front.Flaw) {
+func (p *peer) Flawed(s gateway.Session, id gateway.Stream, f gateway.Flaw) {
 	p.flaws = append(p.flaws, f)
-	s.Answer(id, front.Answer{Status: map[front.Flaw]int{front.TooLarge: 413, front.Malformed: 400}[f], Overloaded: f == front.TooMany})
+	s.Answer(id, gateway.Answer{Status: map[gateway.Flaw]int{gateway.TooLarge: 413, gateway.Malformed: 400}[f], Overloaded: f == gateway.TooMany})
 }
 
 // feed sends bytes to the session.
@@ -66,7 +66,7 @@
 }
 
 // answer answers a request and returns what the gateway read.
-func (p *peer) answer(id front.Stream, a front.Answer) standin.Answer {
+func (p *peer) answer(id gateway.Stream, a gateway.Answer) fake.Answer {
 	p.t.Helper()
 	n := len(p.answers)
 	p.session.Answer(id, a)
@@ -77,8 +77,8 @@
 	return p.answers[n]
 }
 
-func lookup(body string) standin.Request {
-	return standin.Request{Method: "POST", Path: "/v1/part-lookup", Query: "a=1",
+func lookup(body string) fake.Request {
+	return fake.Request{Method: "POST", Path: "/v1/part-lookup", Query: "a=1",
 		Fields: map[string]string{"Request-Id": "9b1f03aa5c7e2d41", "Sent-By": "4"}, Body: []byte(body)}
 }
 
@@ -91,10 +91,10 @@
 		single[i] = whole[i : i+1]
 	}
 	list := r.ParamBytes()
-	several := [][]byte{standin.BeginRecord(5, 1, true), standin.Record(standin.Params, 5, list[:9], 7),
-		standin.Record(standin.Params, 5, list[9:], 0), standin.Record(standin.Params, 5, nil, 0),
-		standin.Record(standin.Stdin, 5, r.Body[:4], 0), standin.Record(standin.Stdin, 5, r.Body[4:], 200),
-		standin.Record(standin.Stdin, 5, nil, 0)}
+	several := [][]byte{fake.BeginRecord(5, 1, true), fake.Record(fake.Params, 5, list[:9], 7),
+		fake.Record(fake.Params, 5, list[9:], 0), fake.Record(fake.Params, 5, nil, 0),
+		fake.Record(fake.Stdin, 5, r.Body[:4], 0), fake.Record(fake.Stdin, 5, r.Body[4:], 200),
+		fake.Record(fake.Stdin, 5, nil, 0)}
 	for name, parts := range map[string][][]byte{"whole": {whole}, "single bytes": single, "several records": several} {
 		p := newPeer(t)
 		p.feed(parts...)
@@ -107,7 +107,7 @@
 			!bytes.Equal(got.Body, r.Body) {
 			t.Errorf("%s: %+v", name, got)
 		}
-		a := p.answer(5, front.Answer{Status: 200, Fields: []front.Field{{Name: "Server-Hint", Value: "0.5"}}, Body: []byte("result\r\n\r\n")})
+		a := p.answer(5, gateway.Answer{Status: 200, Fields: []gateway.Field{{Name: "Server-Hint", Value: "0.5"}}, Body: []byte("result\r\n\r\n")})
 		if a.ID != 5 || a.Status != 200 || a.Header.Get("Server-Hint") != "0.5" || string(a.Body) != "result\r\n\r\n" {
 			t.Errorf("%s: answer %+v", name, a)
 		}
@@ -126,16 +126,16 @@
 	if string(p.got[1].Body) != "first" || string(p.got[2].Body) != "second" {
 		t.Fatalf("handed over: %v", p.got)
 	}
-	if got := p.answer(2, front.Answer{Status: 503}); got.ID != 2 || got.Status != 503 {
+	if got := p.answer(2, gateway.Answer{Status: 503}); got.ID != 2 || got.Status != 503 {
 		t.Errorf("answer %+v", got)
 	}
 	p.feed(lookup("again").Records(2))
 	if string(p.got[2].Body) != "again" {
 		t.Errorf("the id was not free again: %v", p.got)
 	}
-	p.answer(1, front.Answer{Status: 200})
-	p.answer(2, front.Answer{Status: 200})
-	p.session.Answer(2, front.Answer{Status: 500})
+	p.answer(1, gateway.Answer{Status: 200})
+	p.answer(2, gateway.Answer{Status: 200})
+	p.session.Answer(2, gateway.Answer{Status: 500})
 	if len(p.answers) != 3 {
 		t.Errorf("%d answers to 3 requests", len(p.answers))
 	}
@@ -150,29 +150,29 @@
 	if len(p.got) != 4 || len(p.answers) != 2 || p.answers[0].Protocol != statusOverloaded || p.answers[0].Status != 0 {
 		t.Errorf("%d handed over, answers %+v", len(p.got), p.answers)
 	}
-	if p.err != nil || p.flaws[0] != front.TooMany {
+	if p.err != nil || p.flaws[0] != gateway.TooMany {
 		t.Errorf("error %v, flaws %v", p.err, p.flaws)
 	}
 }
 
 // TestFlawed answers requests that can't be handed over, and goes on with the connection.
 func TestFlawed(t *testing.T) {
-	cut := standin.BeginRecord(1, 1, true)
-	cut = append(cut, standin.Record(standin.Params, 1, []byte{5, 5, 'a'}, 0)...)
-	cut = append(cut, standin.Record(standin.Params, 1, nil, 0)...)
-	cut = append(cut, standin.Record(standin.Stdin, 1, nil, 0)...)
-	noParams := append(standin.BeginRecord(1, 1, true), standin.Record(standin.Stdin, 1, nil, 0)...)
+	cut := fake.BeginRecord(1, 1, true)
+	cut = append(cut, fake.Record(fake.Params, 1, []byte{5, 5, 'a'}, 0)...)
+	cut = append(cut, fake.Record(fake.Params, 1, nil, 0)...)
+	cut = append(cut, fake.Record(fake.Stdin, 1, nil, 0)...)
+	noParams := append(fake.BeginRecord(1, 1, true), fake.Record(fake.Stdin, 1, nil, 0)...)
 	manyParams := lookup("")
 	manyParams.Fields["Once-Key"] = strings.Repeat("k", 2000)
 	for name, c := range map[string]struct {
 		records []byte
 		status  int
-		flaw    front.Flaw
+		flaw    gateway.Flaw
 	}{
-		"cut pairs":           {cut, 400, front.Malformed},
-		"parameters left out": {noParams, 400, front.Malformed},
-		"long parameters":     {manyParams.Records(1), 413, front.TooLarge},
-		"long body":           {lookup(strings.Repeat("b", 101)).Records(1), 413, front.TooLarge},
+		"cut pairs":           {cut, 400, gateway.Malformed},
+		"parameters left out": {noParams, 400, gateway.Malformed},
+		"long parameters":     {manyParams.Records(1), 413, gateway.TooLarge},
+		"long body":           {lookup(strings.Repeat("b", 101)).Records(1), 413, gateway.TooLarge},
 	} {
 		p := newPeer(t)
 		p.feed(c.records)
@@ -188,12 +188,12 @@
 
 // TestBroken finds streams after which nothing can be understood.
 func TestBroken(t *testing.T) {
-	begin := standin.BeginRecord(3, 1, true)
+	begin := fake.BeginRecord(3, 1, true)
 	for name, parts := range map[string][][]byte{
 		"id in use":   {begin, begin},
-		"short begin": {standin.Record(standin.Begin, 1, []byte{0, 1}, 0)},
+		"short begin": {fake.Record(fake.Begin, 1, []byte{0, 1}, 0)},
 		"not FastCGI": {[]byte("GET / HTTP/1.1\r\n\r\n")},
-		"cut values":  {standin.Record(standin.GetValues, 0, []byte{9, 9}, 0)},
+		"cut values":  {fake.Record(fake.GetValues, 0, []byte{9, 9}, 0)},
 	} {
 		p := newPeer(t)
 		p.feed(parts...)
@@ -206,16 +206,16 @@
 // TestAbort covers requests that are still coming and requests that were handed over: each gets one end.
 func TestAbort(t *testing.T) {
 	p := newPeer(t)
-	p.feed(standin.BeginRecord(1, 1, true), standin.Record(standin.Abort, 1, nil, 0))
+	p.feed(fake.BeginRecord(1, 1, true), fake.Record(fake.Abort, 1, nil, 0))
 	if len(p.answers) != 1 || p.answers[0].ID != 1 || p.session.Open() != 0 || len(p.aborted) != 0 {
 		t.Fatalf("answers %+v, told %v", p.answers, p.aborted)
 	}
-	p.feed(standin.Record(standin.Params, 1, []byte("late"), 0), standin.Record(standin.Abort, 1, nil, 0))
-	p.feed(lookup("").Records(2), standin.Record(standin.Abort, 2, nil, 0))
+	p.feed(fake.Record(fake.Params, 1, []byte("late"), 0), fake.Record(fake.Abort, 1, nil, 0))
+	p.feed(lookup("").Records(2), fake.Record(fake.Abort, 2, nil, 0))
 	if len(p.answers) != 1 || len(p.aborted) != 1 || p.aborted[0] != 2 {
 		t.Fatalf("answers %+v, told %v", p.answers, p.aborted)
 	}
-	if a := p.answer(2, front.Answer{Status: 500}); a.ID != 2 {
+	if a := p.answer(2, gateway.Answer{Status: 500}); a.ID != 2 {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -223,18 +223,18 @@
 // TestManagement answers queries about the application, and records and roles that are not known.
 func TestManagement(t *testing.T) {
 	p := newPeer(t)
-	query := append(standin.Pair("FCGI_MPXS_CONNS", "", false), standin.Pair("FCGI_MAX_REQS", "", false)...)
-	p.feed(standin.Record(standin.GetValues, 0, append(query, standin.Pair("OTHER", "", false)...), 2))
-	want := append(standin.Pair("FCGI_MPXS_CONNS", "1", false), standin.Pair("FCGI_MAX_REQS", "4", false)...)
-	if len(p.answers) != 1 || p.answers[0].Kind != standin.Values || !bytes.Equal(p.answers[0].Content, want) {
+	query := append(fake.Pair("FCGI_MPXS_CONNS", "", false), fake.Pair("FCGI_MAX_REQS", "", false)...)
+	p.feed(fake.Record(fake.GetValues, 0, append(query, fake.Pair("OTHER", "", false)...), 2))
+	want := append(fake.Pair("FCGI_MPXS_CONNS", "1", false), fake.Pair("FCGI_MAX_REQS", "4", false)...)
+	if len(p.answers) != 1 || p.answers[0].Kind != fake.Values || !bytes.Equal(p.answers[0].Content, want) {
 		t.Errorf("values %+v", p.answers)
 	}
-	p.feed(standin.Record(77, 0, []byte("?"), 0))
-	if a := p.answers[len(p.answers)-1]; a.Kind != standin.Unknown || a.Content[0] != 77 {
+	p.feed(fake.Record(77, 0, []byte("?"), 0))
+	if a := p.answers[len(p.answers)-1]; a.Kind != fake.Unknown || a.Content[0] != 77 {
 		t.Errorf("unknown type: %+v", a)
 	}
-	p.feed(standin.BeginRecord(1, 2, true), standin.Record(standin.Stdin, 1, nil, 0))
-	if a := p.answers[len(p.answers)-1]; a.ID != 1 || a.Protocol != statusUnknownRole || p.flaws[0] != front.BadRole {
+	p.feed(fake.BeginRecord(1, 2, true), fake.Record(fake.Stdin, 1, nil, 0))
+	if a := p.answers[len(p.answers)-1]; a.ID != 1 || a.Protocol != statusUnknownRole || p.flaws[0] != gateway.BadRole {
 		t.Errorf("unknown role: %+v, flaws %v", a, p.flaws)
 	}
 	if p.err != nil {
@@ -250,10 +250,10 @@
 	first.session, second.session = protocol(first, first), protocol(second, second)
 	first.feed(lookup(strings.Repeat("b", 100)).Records(1), lookup(strings.Repeat("b", 100)).Records(2))
 	second.feed(lookup(strings.Repeat("b", 100)).Records(1), lookup(strings.Repeat("b", 100)).Records(2))
-	if len(first.got) != 2 || len(second.answers) != 2 || second.answers[0].Protocol != statusOverloaded || second.flaws[0] != front.TooMany {
+	if len(first.got) != 2 || len(second.answers) != 2 || second.answers[0].Protocol != statusOverloaded || second.flaws[0] != gateway.TooMany {
 		t.Fatalf("handed over %d and %d, answers %+v", len(first.got), len(second.got), second.answers)
 	}
-	first.answer(1, front.Answer{Status: 200})
+	first.answer(1, gateway.Answer{Status: 200})
 	first.session.Close()
 	second.feed(lookup(strings.Repeat("b", 100)).Records(1), lookup(strings.Repeat("b", 100)).Records(2))
 	if len(second.got) != 2 {
@@ -268,12 +268,12 @@
 	last := lookup("last").Records(2)
 	last[8+2] = 0 // the flags of BEGIN_REQUEST
 	p.feed(last)
-	p.answer(2, front.Answer{Status: 200})
+	p.answer(2, gateway.Answer{Status: 200})
 	if p.session.Finished() {
 		t.Error("finished while a request is open")
 	}
 	p.feed(lookup("too late").Records(3))
-	p.answer(1, front.Answer{Status: 200})
+	p.answer(1, gateway.Answer{Status: 200})
 	if !p.session.Finished() || len(p.got) != 0 {
 		t.Errorf("finished %t, handed over %v", p.session.Finished(), p.got)
 	}
--- a/internal/sickdisk/sickdisk.go
+++ b/internal/faultfs/sickdisk.go
@@ -1,6 +1,6 @@
 // Package sickdisk is a file layer with the habits of a sick disk, for rehearsals and measurements: one that stands still now
 // and then, and one that is full for a while. The programs that serve do not link it.
-package sickdisk
+package faultfs
 
 import (
 	"fmt"
--- a/internal/sickdisk/sickdisk_test.go
+++ b/internal/faultfs/sickdisk_test.go
@@ -1,4 +1,4 @@
-package sickdisk
+package faultfs
 
 import (
 	"errors"
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
 	"tillerusher/internal/pool"
 )
 
@@ -18,12 +18,12 @@
 	target   *target
 	protocol *protocol // the target's, when the connection was made
 	addr     string
-	conn     *loop.Conn
+	conn     *eventloop.Conn
 	job      *job
 	sent     bool   // any of the job may have reached the member
 	number   uint16 // of the last request
 	response response
-	timer    *loop.Timer
+	timer    *eventloop.Timer
 	ended    bool
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Connected implements loop.ConnHandler.
-func (c *conn) Connected(*loop.Conn) {
+func (c *conn) Connected(*eventloop.Conn) {
 	if c.job == nil {
 		c.close()
 		return
@@ -83,7 +83,7 @@
 }
 
 // Data implements loop.ConnHandler.
-func (c *conn) Data(_ *loop.Conn, p []byte) {
+func (c *conn) Data(_ *eventloop.Conn, p []byte) {
 	if c.job == nil {
 		c.drop() // an answer to nothing, or a second one
 		return
@@ -148,7 +148,7 @@
 }
 
 // Closed implements loop.ConnHandler.
-func (c *conn) Closed(_ *loop.Conn, err error) {
+func (c *conn) Closed(_ *eventloop.Conn, err error) {
 	c.ended = true
 	switch {
 	case c.job == nil:
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"tillerusher/internal/front"
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/gateway"
 	"tillerusher/internal/pool"
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 )
 
 // End says how a job ended.
@@ -40,14 +40,14 @@
 	Pool   string
 	Key    []byte // for the hash methods
 	Once   bool   // it must not run twice
-	Params []front.Field
+	Params []gateway.Field
 	Body   []byte
 }
 
 // Handler hears of ends, once for each job. Where no member answered, the answer has only the status that nginx has for
 // that: 504 where a member took too long, 502 otherwise.
 type Handler interface {
-	Ended(id string, end End, a front.Answer)
+	Ended(id string, end End, a gateway.Answer)
 	// Changed tells of a member that is out, in, ejected or gone.
 	Changed(pool string, c pool.Change)
 }
@@ -60,7 +60,7 @@
 
 // Link passes jobs on. It belongs to the loop's goroutine.
 type Link struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	handler Handler
 	start   time.Time
 	pools   map[string]*target
@@ -70,7 +70,7 @@
 
 // target is a pool with its connections.
 type target struct {
-	cfg      routing.Pool
+	cfg      routeconfig.Pool
 	protocol *protocol
 	pool     *pool.Pool
 	idle     map[string][]*conn // by member, the one used last at the end
@@ -83,12 +83,12 @@
 	target *target
 	choice pool.Request
 	conn   *conn
-	began  time.Time     // of the try under way
-	last   *front.Answer // of a member whose answer called for another try
+	began  time.Time       // of the try under way
+	last   *gateway.Answer // of a member whose answer called for another try
 }
 
 // New returns a link that has no pools yet.
-func New(l *loop.Loop, h Handler) *Link {
+func New(l *eventloop.Loop, h Handler) *Link {
 	return &Link{loop: l, handler: h, start: l.Now(), pools: map[string]*target{}, jobs: map[string]*job{}}
 }
 
@@ -96,7 +96,7 @@
 func (l *Link) now() time.Duration { return l.loop.Now().Sub(l.start) }
 
 // Update takes over pools: those that stay keep what is known of their members, those that left end what they have.
-func (l *Link) Update(pools []routing.Pool, random func() *rand.Rand) error {
+func (l *Link) Update(pools []routeconfig.Pool, random func() *rand.Rand) error {
 	next := make(map[string]*target, len(pools))
 	for _, cfg := range pools {
 		t := l.pools[cfg.Name]
@@ -184,7 +184,7 @@
 func (l *Link) Apply(j Job) {
 	t := l.pools[j.Pool]
 	if t == nil { // it left with a reload since the request was routed
-		l.handler.Ended(j.ID, Unrun, front.Answer{Status: statusBad})
+		l.handler.Ended(j.ID, Unrun, gateway.Answer{Status: statusBad})
 		return
 	}
 	w := &job{Job: j, target: t, choice: pool.Request{Key: j.Key}}
@@ -201,7 +201,7 @@
 		l.end(w, Answered, *w.last) // no better one is to be had
 		return
 	case !ok:
-		l.end(w, Unrun, front.Answer{Status: statusBad})
+		l.end(w, Unrun, gateway.Answer{Status: statusBad})
 		return
 	}
 	l.Count.Tries++
@@ -255,11 +255,11 @@
 
 // failed ends a try that brought no answer to be passed on, and goes on with another member or not at all. Answer is
 // what the member said, where it said anything.
-func (l *Link) failed(w *job, addr string, f pool.Failure, a *front.Answer) {
+func (l *Link) failed(w *job, addr string, f pool.Failure, a *gateway.Answer) {
 	l.done(w, addr, pool.Failed)
 	v := w.target.pool.Next(&w.choice, f, w.target.cfg.Next, l.now())
 	l.Count.Verdicts[v]++
-	none := front.Answer{Status: statusBad}
+	none := gateway.Answer{Status: statusBad}
 	if f.Condition == pool.Timeout {
 		none.Status = statusLate
 	}
@@ -277,7 +277,7 @@
 }
 
 // end ends a job.
-func (l *Link) end(w *job, e End, a front.Answer) {
+func (l *Link) end(w *job, e End, a gateway.Answer) {
 	if l.jobs[w.ID] != w {
 		return
 	}
@@ -304,7 +304,7 @@
 		if sent {
 			e = Lost
 		}
-		l.handler.Ended(id, e, front.Answer{Status: statusBad})
+		l.handler.Ended(id, e, gateway.Answer{Status: statusBad})
 	}
 }
 
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"tillerusher/internal/fastcgi"
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 	"tillerusher/internal/scgi"
 )
 
@@ -17,12 +17,12 @@
 	// Overloaded tells whether the member turned the request away unseen.
 	Overloaded() bool
 	// Answer reads the whole answer.
-	Answer() (front.Answer, error)
+	Answer() (gateway.Answer, error)
 }
 
 // protocol is how members of a pool are spoken to.
 type protocol struct {
-	request  func(b []byte, number uint16, params []front.Field, body []byte) []byte
+	request  func(b []byte, number uint16, params []gateway.Field, body []byte) []byte
 	response func(number uint16) response
 	keeps    bool // connections can be used again
 }
@@ -35,7 +35,7 @@
 			return &fastcgi.Response{ID: number, Most: maxAnswer}
 		}, keeps: true}, nil
 	case "scgi":
-		return &protocol{request: func(b []byte, _ uint16, params []front.Field, body []byte) []byte {
+		return &protocol{request: func(b []byte, _ uint16, params []gateway.Field, body []byte) []byte {
 			return scgi.AppendRequest(b, params, body)
 		}, response: func(uint16) response { return &scgi.Response{Most: maxAnswer} }}, nil
 	}
--- a/internal/front/front.go
+++ b/internal/gateway/front.go
@@ -1,6 +1,6 @@
 // Package front holds what the server and a gateway protocol agree on: requests come in, answers go out, and
 // a connection may go away. A second protocol would implement Session beside the one for FastCGI.
-package front
+package gateway
 
 // Stream names one open request of a connection.
 type Stream uint32
--- a/internal/durable/doc.go
+++ b/internal/idempotency/doc.go
@@ -5,4 +5,4 @@
 // The order is that of a write-ahead log: an intent is down before its run is asked for, its result after it. So after a
 // death a repeat of what finished gets the stored answer, one whose intent has no result an honest failure (whether it ran
 // is not known), and one without an intent runs, for it never has.
-package durable
+package idempotency
--- a/internal/durable/record.go
+++ b/internal/idempotency/record.go
@@ -1,4 +1,4 @@
-package durable
+package idempotency
 
 import (
 	"encoding/binary"
--- a/internal/interp/dial.go
+++ b/internal/interpreter/dial.go
@@ -1,11 +1,11 @@
-package interp
+package interpreter
 
 import (
 	"errors"
 	"net/netip"
 	"time"
 
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
 )
 
 // redial is the least time between two tries to connect: a link that stood is made anew at once, since no run
@@ -15,11 +15,11 @@
 // Dialer keeps a Link connected.
 type Dialer struct {
 	*Link
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	to      netip.AddrPort
-	conn    *loop.Conn
-	ticker  *loop.Timer
-	redial  *loop.Timer
+	conn    *eventloop.Conn
+	ticker  *eventloop.Timer
+	redial  *eventloop.Timer
 	dialled time.Time
 	stands  bool // the connection is made
 	told    bool // the present trouble was reported
@@ -27,7 +27,7 @@
 }
 
 // Dial starts connecting and goes on until Close.
-func Dial(l *loop.Loop, to netip.AddrPort, h Handler) *Dialer {
+func Dial(l *eventloop.Loop, to netip.AddrPort, h Handler) *Dialer {
 	d := &Dialer{Link: NewLink(h), loop: l, to: to}
 	d.dial()
 	d.tick()
@@ -83,13 +83,13 @@
 }
 
 // Connected implements loop.ConnHandler.
-func (d *Dialer) Connected(c *loop.Conn) {
+func (d *Dialer) Connected(c *eventloop.Conn) {
 	d.told, d.stands = false, true
 	d.Link.Connected(c.Write, d.loop.Now())
 }
 
 // Data implements loop.ConnHandler.
-func (d *Dialer) Data(c *loop.Conn, p []byte) {
+func (d *Dialer) Data(c *eventloop.Conn, p []byte) {
 	if err := d.Feed(p); err != nil {
 		c.Close()
 		d.Closed(c, err)
@@ -97,7 +97,7 @@
 }
 
 // Closed implements loop.ConnHandler.
-func (d *Dialer) Closed(_ *loop.Conn, err error) {
+func (d *Dialer) Closed(_ *eventloop.Conn, err error) {
 	d.conn = nil
 	d.Lost()
 	if !d.told {
--- a/internal/interp/dial_test.go
+++ b/internal/interpreter/dial_test.go
@@ -1,4 +1,4 @@
-package interp
+package interpreter
 
 import (
 	"io"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
 )
 
 // TestRedial loses a link that stood: the next is dialled at once, since no run starts until then.
 func TestRedial(t *testing.T) {
-	l, err := loop.New(loop.Kernel{}, time.Millisecond, 1<<20)
+	l, err := eventloop.New(eventloop.Kernel{}, time.Millisecond, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/interp/link_test.go
+++ b/internal/interpreter/link_test.go
@@ -1,4 +1,4 @@
-package interp
+package interpreter
 
 import (
 	"encoding/base64"
--- a/internal/interp/message.go
+++ b/internal/interpreter/message.go
@@ -1,5 +1,5 @@
 // Package interp keeps the link to the interpreter, which does the work: JSON objects, one a line.
-package interp
+package interpreter
 
 import "time"
 
--- a/internal/rules/rules.go
+++ b/internal/invariant/rules.go
@@ -1,6 +1,6 @@
 // Package rules is an outside observer of a server: it is told what was sent, answered and run, and names every
 // breach of the rules that hold whatever the server decides. It shares no state and no code with the server.
-package rules
+package invariant
 
 import (
 	"fmt"
--- a/internal/announce/announce.go
+++ b/internal/loadreport/announce.go
@@ -1,23 +1,23 @@
 // Package announce reports to the announce service, one datagram a report.
-package announce
+package loadreport
 
 import (
 	"fmt"
 	"net/netip"
 
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
 )
 
 // Reporter sends reports for one server. A report gets no answer, and one that can't be sent is not repeated:
 // the next is due soon.
 type Reporter struct {
-	system loop.System
+	system eventloop.System
 	fd     int
 	name   string
 }
 
 // New returns a reporter to the service at the address.
-func New(system loop.System, to netip.AddrPort, name string) (*Reporter, error) {
+func New(system eventloop.System, to netip.AddrPort, name string) (*Reporter, error) {
 	fd, err := system.Datagram(to)
 	if err != nil {
 		return nil, fmt.Errorf("announce: %w", err)
--- a/internal/announce/announce_test.go
+++ b/internal/loadreport/announce_test.go
@@ -1,12 +1,12 @@
-package announce
+package loadreport
 
 import (
 	"net"
 	"testing"
 	"time"
 
-	"tillerusher/internal/loop"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/servertest"
 )
 
 // reporting is a reporter that ends with the test, and the service that it reports to.
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	addr = service.LocalAddr().(*net.UDPAddr)
-	if r, err = New(loop.Kernel{}, addr.AddrPort(), "n3"); err != nil {
+	if r, err = New(eventloop.Kernel{}, addr.AddrPort(), "n3"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
@@ -34,7 +34,7 @@
 		if err := r.Report(accepting); err != nil {
 			t.Fatal(err)
 		}
-		service.SetReadDeadline(time.Now().Add(testkit.Patience))
+		service.SetReadDeadline(time.Now().Add(servertest.Patience))
 		if n, err := service.Read(buf); err != nil || string(buf[:n]) != want {
 			t.Errorf("read %q, %v, want %q", buf[:n], err, want)
 		}
@@ -65,7 +65,7 @@
 	if err := r.Report(true); err == nil {
 		t.Error("that nobody heard the first was not told")
 	}
-	service.SetReadDeadline(time.Now().Add(testkit.Patience))
+	service.SetReadDeadline(time.Now().Add(servertest.Patience))
 	buf := make([]byte, 100)
 	if n, err := service.Read(buf); err != nil || string(buf[:n]) != "announce n3 true" {
 		t.Errorf("read %q, %v", buf[:n], err)
--- a/internal/storm/config.go
+++ b/internal/loadtest/config.go
@@ -1,7 +1,7 @@
 // Package storm starts a real daemon with the project's own stand-ins on loopback and drives a bounded, mixed load at
 // it: first tries at an open rate, further tries, repeats of what was served, a lost link, a reload and a drain.
 // Latency counts from the moment a request was meant to be sent, so a server that stands still cannot hide it.
-package storm
+package loadtest
 
 import (
 	"fmt"
--- a/internal/storm/daemon.go
+++ b/internal/loadtest/daemon.go
@@ -1,4 +1,4 @@
-package storm
+package loadtest
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
 )
 
 const (
@@ -28,7 +28,7 @@
 
 // daemon is the program under the storm, with the stand-ins that it talks to.
 type daemon struct {
-	interpreter *standin.Interpreter
+	interpreter *fake.Interpreter
 	announce    *net.UDPConn
 	addr        string
 	dir         string
@@ -62,21 +62,21 @@
 			d.kill()
 		}
 	}()
-	if d.interpreter, err = standin.NewInterpreter(); err != nil {
+	if d.interpreter, err = fake.NewInterpreter(); err != nil {
 		return d, fmt.Errorf("storm: interpreter: %w", err)
 	}
-	d.interpreter.Work(c.Cores, standin.BodyWork)
+	d.interpreter.Work(c.Cores, fake.BodyWork)
 	if d.announce, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		return d, fmt.Errorf("storm: announce service: %w", err)
 	}
-	if d.addr, err = standin.FreeAddr(); err != nil {
+	if d.addr, err = fake.FreeAddr(); err != nil {
 		return d, fmt.Errorf("storm: %w", err)
 	}
 	if d.dir, err = os.MkdirTemp("", "tillerusher-storm"); err != nil {
 		return d, fmt.Errorf("storm: %w", err)
 	}
 	d.config = map[string]any{"name": "storm", "listen": d.addr, "vm": d.interpreter.Addr(),
-		"announce": d.announce.LocalAddr().String(), "stop_ms": stopMS, "settings": json.RawMessage(standin.Settings),
+		"announce": d.announce.LocalAddr().String(), "stop_ms": stopMS, "settings": json.RawMessage(fake.Settings),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": c.MemoryMB, "sockets": sockets}}
 	if err = d.configure(); err != nil {
 		return d, err
@@ -171,12 +171,12 @@
 }
 
 func (d *daemon) healthy() bool {
-	g, err := standin.Dial(d.addr)
+	g, err := fake.Dial(d.addr)
 	if err != nil {
 		return false
 	}
 	defer g.Close()
-	if g.Write(standin.Health(false).Records(1)) != nil {
+	if g.Write(fake.Health(false).Records(1)) != nil {
 		return false
 	}
 	a, err := g.Read(1, time.Now().Add(time.Second))
--- a/internal/storm/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -1,10 +1,10 @@
-package storm
+package loadtest
 
 import (
 	"sync"
 	"time"
 
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
 )
 
 // maxOpen is how many requests a connection may have open.
@@ -24,7 +24,7 @@
 	storm *storm
 
 	mu   sync.Mutex
-	conn *standin.Gateway // nil until the first try, and after an end
+	conn *fake.Gateway // nil until the first try, and after an end
 	open map[uint16]*try
 	free []uint16
 }
@@ -45,7 +45,7 @@
 		return false
 	}
 	if g.conn == nil {
-		conn, err := standin.Dial(g.storm.daemon.addr)
+		conn, err := fake.Dial(g.storm.daemon.addr)
 		if err != nil {
 			return false
 		}
@@ -66,7 +66,7 @@
 }
 
 // read takes in the answers of one connection.
-func (g *gateway) read(conn *standin.Gateway) {
+func (g *gateway) read(conn *fake.Gateway) {
 	defer g.storm.readers.Done()
 	for {
 		a, err := conn.Read(0, time.Time{})
@@ -90,7 +90,7 @@
 }
 
 // end forgets a connection, with the lock held. What was open on it stays unanswered, which the observer reports.
-func (g *gateway) end(conn *standin.Gateway) {
+func (g *gateway) end(conn *fake.Gateway) {
 	conn.Close()
 	if g.conn != conn {
 		return
--- a/internal/storm/hold.go
+++ b/internal/loadtest/hold.go
@@ -1,4 +1,4 @@
-package storm
+package loadtest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
 )
 
 // Load is what a daemon held while its callers always had as much open as they may. Latencies are in milliseconds.
@@ -163,7 +163,7 @@
 
 // caller keeps so many requests open on one connection until the end, and returns how long each took.
 func caller(addr string, open int, end time.Time) (*hdrhistogram.Histogram, error) {
-	g, err := standin.Dial(addr)
+	g, err := fake.Dial(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	sent := make([]time.Time, open+1)
 	send := func(id uint16) error {
 		sent[id] = time.Now()
-		return g.Write(standin.Lookup("a body of a usual length, say").Records(id))
+		return g.Write(fake.Lookup("a body of a usual length, say").Records(id))
 	}
 	for id := range open {
 		if err := send(uint16(id + 1)); err != nil {
--- a/internal/storm/recovery.go
+++ b/internal/loadtest/recovery.go
@@ -1,4 +1,4 @@
-package storm
+package loadtest
 
 import (
 	"context"
--- a/internal/storm/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -1,4 +1,4 @@
-package storm
+package loadtest
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tillerusher/internal/sickdisk"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/faultfs"
 )
 
 // Disk is what a server keeps its state on in a comparison.
@@ -29,7 +29,7 @@
 type StateCostConfig struct {
 	HoldConfig
 	KeyedRate float64 // keyed requests a second, on a connection of their own
-	Sick      sickdisk.Habits
+	Sick      faultfs.Habits
 }
 
 // StateLoad is a round: what lookups and keyed requests got on a disk. Lookups come as fast as they are answered, keyed ones at
@@ -143,7 +143,7 @@
 
 // run sends until the end and waits for all answers.
 func (p *paced) run(addr string, end time.Time) error {
-	g, err := standin.Dial(addr)
+	g, err := fake.Dial(addr)
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 			mu.Lock()
 			intended[id] = next
 			mu.Unlock()
-			if err := g.Write(standin.Reserve(n, "a body of a usual length, say").Records(id)); err != nil {
+			if err := g.Write(fake.Reserve(n, "a body of a usual length, say").Records(id)); err != nil {
 				return err
 			}
 		}
--- a/internal/storm/storm.go
+++ b/internal/loadtest/storm.go
@@ -1,4 +1,4 @@
-package storm
+package loadtest
 
 import (
 	"container/heap"
@@ -14,8 +14,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"tillerusher/internal/arrival"
-	"tillerusher/internal/rules"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/invariant"
 )
 
 const (
@@ -71,7 +71,7 @@
 type storm struct {
 	cfg      Config
 	daemon   *daemon
-	observer *rules.Observer
+	observer *invariant.Observer
 	gateways []*gateway
 	readers  sync.WaitGroup
 	turn     int
@@ -137,10 +137,10 @@
 		return nil, err
 	}
 	defer d.kill()
-	s := &storm{cfg: c, daemon: d, observer: rules.New(standin.Window), rng: rand.New(rand.NewPCG(c.Seed, 0)),
+	s := &storm{cfg: c, daemon: d, observer: invariant.New(fake.Window), rng: rand.New(rand.NewPCG(c.Seed, 0)),
 		latency: newLatencies()}
 	s.result.Seed = c.Seed
-	d.interpreter.OnApply(func(a standin.Apply) { s.observer.Ran(a.ID) })
+	d.interpreter.OnApply(func(a fake.Apply) { s.observer.Ran(a.ID) })
 	for range c.Gateways {
 		s.gateways = append(s.gateways, newGateway(s))
 	}
@@ -239,7 +239,7 @@
 	if s.rng.Float64() < s.cfg.Keyed {
 		r.key = fmt.Sprintf("%016x%016x", s.rng.Uint64(), n)
 	}
-	r.body = standin.WorkBody(strconv.Itoa(n), time.Duration(s.rng.ExpFloat64()*float64(s.cfg.Work)))
+	r.body = fake.WorkBody(strconv.Itoa(n), time.Duration(s.rng.ExpFloat64()*float64(s.cfg.Work)))
 	return s.again(r, at)
 }
 
@@ -270,7 +270,7 @@
 
 // records is a try as it is written.
 func (s *storm) records(t *try, id uint16) []byte {
-	r := standin.Try(t.id, t.request.key, t.received, t.request.body)
+	r := fake.Try(t.id, t.request.key, t.received, t.request.body)
 	r.Fields["Account"] = t.request.tenant
 	if t.number > 1 {
 		r.Fields["Attempt-Again"] = "1"
@@ -279,21 +279,21 @@
 }
 
 // told is a try as the observer is told of it.
-func (s *storm) told(t *try) rules.Try {
+func (s *storm) told(t *try) invariant.Try {
 	keyed := t.request.key != ""
-	return rules.Try{ID: t.id, Key: t.request.key, Once: keyed, Received: t.received, Result: string(standin.Result(t.request.body)),
-		Due: t.received.Add(standin.Deadline(keyed) + answerSlack)}
+	return invariant.Try{ID: t.id, Key: t.request.key, Once: keyed, Received: t.received, Result: string(fake.Result(t.request.body)),
+		Due: t.received.Add(fake.Deadline(keyed) + answerSlack)}
 }
 
 // answered takes in an answer and decides whether a further try follows.
-func (s *storm) answered(t *try, a standin.Answer, now time.Time) {
+func (s *storm) answered(t *try, a fake.Answer, now time.Time) {
 	kind := a.Outcome()
 	s.observer.Answered(t.id, kind, string(a.Body), now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := t.request
 	switch kind {
-	case rules.Served:
+	case invariant.Served:
 		s.result.Served++
 		if !r.served {
 			r.served = true
@@ -308,7 +308,7 @@
 			wait := time.Duration(s.rng.Float64() * float64(2*time.Second))
 			heap.Push(&s.later, s.again(r, now.Add(wait)))
 		}
-	case rules.Refused:
+	case invariant.Refused:
 		s.result.Refused++
 		if r.tries < s.cfg.Tries && a.Header.Get("Final-Refusal") == "" && !s.ended {
 			ms, err := strconv.Atoi(a.Header.Get("Back-Off-Ms"))
@@ -367,7 +367,7 @@
 	ms := func(q float64) float64 { return float64(s.latency.ValueAtQuantile(q)) / 1000 }
 	r.P50, r.P99, r.P999 = ms(50), ms(99), ms(99.9)
 	r.Links = s.daemon.interpreter.Links()
-	r.Breaches = s.observer.Breaches(time.Now().Add(standin.ReserveDeadline + time.Second))
+	r.Breaches = s.observer.Breaches(time.Now().Add(fake.ReserveDeadline + time.Second))
 	if r.Exit != 0 {
 		r.Breaches = append(r.Breaches, fmt.Sprintf("the daemon ended with status %d", r.Exit))
 	}
--- a/internal/chores/chores.go
+++ b/internal/maintenance/chores.go
@@ -2,7 +2,7 @@
 // clock. Each chore has a priority, a least time between two runs, a cost that it is expected to have, and a deadline after
 // which it runs whatever else goes on; all share budgets of time and bytes a second, and none runs before its deadline while
 // the server is pressed.
-package chores
+package maintenance
 
 import (
 	"cmp"
--- a/internal/chores/chores_test.go
+++ b/internal/maintenance/chores_test.go
@@ -1,4 +1,4 @@
-package chores
+package maintenance
 
 import (
 	"testing"
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,25 +10,25 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/internal/routing"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/servertest"
 	"tillerusher/server"
 )
 
 // TestMetrics has requests of a server that routes show in its metrics, by pool and member.
 func TestMetrics(t *testing.T) {
-	m, err := standin.NewMember("a")
+	m, err := fake.NewMember("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Stop)
-	d, err := routing.Parse("f", []byte("(class web (effect by-method)) (pool app (member "+m.Addr()+
+	d, err := routeconfig.Parse("f", []byte("(class web (effect by-method)) (pool app (member "+m.Addr()+
 		")) (server (listen 0.0.0.0:0) (location prefix / (pool app) (class web)))"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := netip.MustParseAddrPort(testkit.FreeAddr(t))
+	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	s, err := server.NewRouter(&server.RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256,
 		Description: d, Seed: 1}, zap.NewNop())
 	if err != nil {
@@ -36,9 +36,9 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
-	g := testkit.Dial(t, at.String())
+	g := servertest.Dial(t, at.String())
 	for range 3 {
-		g.Write(standin.Request{Method: "GET", Path: "/x"}.Records(1))
+		g.Write(fake.Request{Method: "GET", Path: "/x"}.Records(1))
 		if a := g.Answer(1); a.Status != 200 {
 			t.Errorf("answer %+v", a)
 		}
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -12,7 +12,7 @@
 
 	"tillerusher/internal/pool"
 	"tillerusher/internal/route"
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 	"tillerusher/internal/sexp"
 )
 
@@ -21,10 +21,10 @@
 
 // Import turns a configuration into a description, and names all that is not carried over. The error is for what
 // can't be read at all.
-func Import(list []*Directive) (*routing.Description, []Remark, error) {
-	m := &importer{d: &routing.Description{Capacity: routing.DefaultCapacity, Classes: []routing.Class{{Name: className, Aim: time.Second,
-		Deadline: time.Minute, Effect: routing.ByMethod, Worth: 1}}}, upstreams: map[string]*upstream{}, used: map[string]bool{},
-		pools: map[string]string{}, goes: map[*routing.Location]goes{}}
+func Import(list []*Directive) (*routeconfig.Description, []Remark, error) {
+	m := &importer{d: &routeconfig.Description{Capacity: routeconfig.DefaultCapacity, Classes: []routeconfig.Class{{Name: className, Aim: time.Second,
+		Deadline: time.Minute, Effect: routeconfig.ByMethod, Worth: 1}}}, upstreams: map[string]*upstream{}, used: map[string]bool{},
+		pools: map[string]string{}, goes: map[*routeconfig.Location]goes{}}
 	http := list
 	for _, d := range list {
 		if d.Name == "http" {
@@ -45,12 +45,12 @@
 
 // importer is an import under way.
 type importer struct {
-	d         *routing.Description
+	d         *routeconfig.Description
 	remarks   []Remark
 	upstreams map[string]*upstream
 	used      map[string]bool   // names of pools
 	pools     map[string]string // names by what makes a pool of its own
-	goes      map[*routing.Location]goes
+	goes      map[*routeconfig.Location]goes
 }
 
 // upstream is an upstream block.
@@ -78,13 +78,13 @@
 // scope is what a level inherits to those within it.
 type scope struct {
 	merge     bool
-	fallbacks []routing.Fallback
+	fallbacks []routeconfig.Fallback
 	passing   map[string]passing // by protocol: fastcgi and scgi have directives of their own
 }
 
 // passing is what a level inherits of how requests are passed on by one protocol.
 type passing struct {
-	params    []routing.Param
+	params    []routeconfig.Param
 	next      pool.Condition
 	tries     int
 	tryFor    time.Duration
@@ -156,7 +156,7 @@
 // inherit is the scope of a level: the one around it with the level's own directives.
 func (m *importer) inherit(outer scope, list []*Directive) (scope, error) {
 	s := scope{merge: outer.merge, passing: maps.Clone(outer.passing)}
-	params, pages := map[string][]routing.Param{}, false
+	params, pages := map[string][]routeconfig.Param{}, false
 	for _, d := range list {
 		if !inherited(d.Name) {
 			continue
@@ -271,12 +271,12 @@
 }
 
 // param takes a parameter for members. Those whose values need variables are named.
-func (m *importer) param(list []routing.Param, d *Directive) ([]routing.Param, error) {
+func (m *importer) param(list []routeconfig.Param, d *Directive) ([]routeconfig.Param, error) {
 	if len(d.Args) < 2 || len(d.Args) > 3 {
 		return nil, sexp.Errorf(d.At, "%s has %d arguments, want a name and a value", d.Name, len(d.Args))
 	}
 	if list == nil {
-		list = []routing.Param{}
+		list = []routeconfig.Param{}
 	}
 	if strings.Contains(d.Arg(1), "$") {
 		if !gatewayParams[d.Arg(0)] {
@@ -284,7 +284,7 @@
 		}
 		return list, nil
 	}
-	return append(list, routing.Param{Name: d.Arg(0), Value: d.Arg(1)}), nil
+	return append(list, routeconfig.Param{Name: d.Arg(0), Value: d.Arg(1)}), nil
 }
 
 // gatewayParams are parameters that members get from the gateway's own request, as nginx's fastcgi_params sets them.
@@ -295,7 +295,7 @@
 // conditions reads next_upstream.
 func (m *importer) conditions(d *Directive) (all pool.Condition, err error) {
 	for _, w := range d.Args {
-		c, err := routing.Condition(w.Text)
+		c, err := routeconfig.Condition(w.Text)
 		if err != nil {
 			return 0, sexp.Errorf(w.At, "found %q in %s, want a condition such as error or http_503", w.Text, d.Name)
 		}
@@ -316,7 +316,7 @@
 		m.note(d, Changes, "only named locations take over for statuses")
 		return nil
 	}
-	f := routing.Fallback{Name: name, As: routing.Same}
+	f := routeconfig.Fallback{Name: name, As: routeconfig.Same}
 	if as, ok := strings.CutPrefix(texts[len(texts)-1], "="); ok {
 		texts = texts[:len(texts)-1]
 		f.As = 0
@@ -471,7 +471,7 @@
 
 // server imports a server.
 func (m *importer) server(d *Directive, outer scope) error {
-	s := routing.Server{At: d.At}
+	s := routeconfig.Server{At: d.At}
 	inner, err := m.inherit(outer, d.Block)
 	if err != nil {
 		return err
@@ -486,7 +486,7 @@
 		case l.Name == "server_name":
 			s.Names = append(s.Names, l.Texts()...)
 		case l.Name == "location":
-			var loc *routing.Location
+			var loc *routeconfig.Location
 			if loc, err = m.location(l, inner); loc != nil {
 				s.Locations = append(s.Locations, loc)
 			}
@@ -502,13 +502,13 @@
 		}
 	}
 	m.passNames(&s)
-	if len(inner.fallbacks) > 0 && !slices.ContainsFunc(s.Locations, func(l *routing.Location) bool {
+	if len(inner.fallbacks) > 0 && !slices.ContainsFunc(s.Locations, func(l *routeconfig.Location) bool {
 		return l.Pattern == "/" && (l.Kind == route.Prefix || l.Kind == route.NoRegex)
 	}) { // what no location takes is a 404, for which the server may have a fallback
-		s.Locations = append(s.Locations, &routing.Location{Kind: route.Prefix, Pattern: "/", Fallbacks: inner.fallbacks, At: d.At})
+		s.Locations = append(s.Locations, &routeconfig.Location{Kind: route.Prefix, Pattern: "/", Fallbacks: inner.fallbacks, At: d.At})
 	}
 	if len(s.Listen) == 0 {
-		s.Listen = []routing.Listen{{Addr: netip.MustParseAddrPort("0.0.0.0:80")}}
+		s.Listen = []routeconfig.Listen{{Addr: netip.MustParseAddrPort("0.0.0.0:80")}}
 	}
 	m.fallOnly(d, &s)
 	m.d.Servers = append(m.d.Servers, s)
@@ -516,7 +516,7 @@
 }
 
 // listen reads where a server is reached.
-func (m *importer) listen(s *routing.Server, d *Directive) error {
+func (m *importer) listen(s *routeconfig.Server, d *Directive) error {
 	text := d.Arg(0)
 	if _, err := strconv.Atoi(text); err == nil {
 		text = "0.0.0.0:" + text
@@ -530,7 +530,7 @@
 		m.note(d, Changes, "only addresses and ports are listened at")
 		return nil
 	}
-	l := routing.Listen{Addr: addr}
+	l := routeconfig.Listen{Addr: addr}
 	for _, w := range d.Args[1:] {
 		switch w.Text {
 		case "default_server", "default":
@@ -546,8 +546,8 @@
 }
 
 // location imports a location and what is nested in it.
-func (m *importer) location(d *Directive, outer scope) (*routing.Location, error) {
-	l := &routing.Location{At: d.At, Intercept: true}
+func (m *importer) location(d *Directive, outer scope) (*routeconfig.Location, error) {
+	l := &routeconfig.Location{At: d.At, Intercept: true}
 	if err := pattern(l, d); err != nil {
 		return nil, err
 	}
@@ -571,7 +571,7 @@
 		case c.Name == "try_files":
 			files = c
 		case c.Name == "location":
-			var inner *routing.Location
+			var inner *routeconfig.Location
 			if inner, err = m.location(c, s); inner != nil {
 				l.Locations = append(l.Locations, inner)
 			}
@@ -589,7 +589,7 @@
 }
 
 // pattern reads a location's modifier and pattern, which may stand in one word.
-func pattern(l *routing.Location, d *Directive) error {
+func pattern(l *routeconfig.Location, d *Directive) error {
 	kinds := map[string]route.Kind{"=": route.Exact, "~": route.Regex, "~*": route.RegexFold, "^~": route.NoRegex}
 	args := d.Texts()
 	switch len(args) {
@@ -617,7 +617,7 @@
 }
 
 // answer reads a return.
-func (m *importer) answer(l *routing.Location, d *Directive) error {
+func (m *importer) answer(l *routeconfig.Location, d *Directive) error {
 	text, value := d.Arg(0), d.Arg(1)
 	status, err := strconv.Atoi(text)
 	if err != nil && len(d.Args) == 1 {
@@ -637,7 +637,7 @@
 }
 
 // pass sends a location's requests to a pool.
-func (m *importer) pass(l *routing.Location, d *Directive, s scope) error {
+func (m *importer) pass(l *routeconfig.Location, d *Directive, s scope) error {
 	target := d.Arg(0)
 	if strings.Contains(target, "$") {
 		m.note(d, Unsafe, "the pool is named through a variable")
@@ -654,7 +654,7 @@
 	}
 	protocol, _ := protocolOf(d.Name)
 	by := s.passing[protocol]
-	p := routing.Pool{Config: u.cfg, HashKey: u.hashKey, Protocol: protocol, Next: by.next, Keepalive: u.keepalive,
+	p := routeconfig.Pool{Config: u.cfg, HashKey: u.hashKey, Protocol: protocol, Next: by.next, Keepalive: u.keepalive,
 		Connect: by.connect, Read: by.read, Send: by.send, At: d.At}
 	p.Tries, p.TryFor = by.tries, by.tryFor
 	key := fmt.Sprint(target, p.Protocol, p.Next, p.Tries, p.TryFor, p.Connect, p.Read, p.Send)
