--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -10,7 +10,7 @@
 	"testing/fstest"
 	"time"
 
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 	"tillerusher/internal/sexp"
 )
 
@@ -24,7 +24,7 @@
 }
 
 // load imports one text.
-func load(t testing.TB, text string) (*routing.Description, []Remark, error) {
+func load(t testing.TB, text string) (*routeconfig.Description, []Remark, error) {
 	t.Helper()
 	list, err := Parse(files("nginx.conf", text), "nginx.conf")
 	if err != nil {
@@ -159,7 +159,7 @@
 	if _, named := got["fastcgi_param12"]; !named {
 		t.Error("a parameter made of variables is dropped without a word")
 	}
-	again, err := routing.Parse("again", []byte(text))
+	again, err := routeconfig.Parse("again", []byte(text))
 	if err != nil {
 		t.Fatalf("%v in\n%s", err, text)
 	}
@@ -214,7 +214,7 @@
 			for _, r := range remarks {
 				got += r.String() + "\n"
 			}
-			if _, err := routing.Parse("again", []byte(d.Format())); err != nil {
+			if _, err := routeconfig.Parse("again", []byte(d.Format())); err != nil {
 				t.Errorf("%s: what is imported can't be read: %v\n%s", line, err, got)
 			}
 		}
@@ -238,7 +238,7 @@
 		if err != nil || d == nil {
 			return
 		}
-		if _, err := routing.Parse("again", []byte(d.Format())); err != nil {
+		if _, err := routeconfig.Parse("again", []byte(d.Format())); err != nil {
 			// What the table turns away, such as regexes that RE2 can't carry, is told when the description is read.
 			if !strings.Contains(err.Error(), ":") {
 				t.Errorf("error without its place: %v", err)
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -6,15 +6,15 @@
 	"strings"
 
 	"tillerusher/internal/route"
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 	"tillerusher/internal/sexp"
 )
 
 // rewriting is what a level's rewrites come to so far.
 type rewriting struct {
-	list *[]routing.Rewrite
-	in   *routing.Location // nil in a server
-	over bool              // a return stands before: what follows is never reached
+	list *[]routeconfig.Rewrite
+	in   *routeconfig.Location // nil in a server
+	over bool                  // a return stands before: what follows is never reached
 }
 
 // variable finds what a rewrite's target may not hold: a variable that is no group.
@@ -24,7 +24,7 @@
 func (m *importer) rewrite(r *rewriting, d *Directive) error {
 	flag, err := route.Onward, error(nil)
 	if len(d.Args) == 3 {
-		flag, err = routing.Flag(d.Arg(2))
+		flag, err = routeconfig.Flag(d.Arg(2))
 	}
 	if len(d.Args) < 2 || len(d.Args) > 3 || err != nil {
 		return sexp.Errorf(d.At, "want rewrite REGEX TARGET with last, break, redirect, permanent or no flag")
@@ -54,7 +54,7 @@
 			return sexp.Errorf(d.At, "found %s in rewrite %s, whose regex has %d groups", group, regex, re.NumSubexp())
 		}
 	}
-	*r.list = append(*r.list, routing.Rewrite{Pattern: regex, To: to, Flag: flag, At: d.At})
+	*r.list = append(*r.list, routeconfig.Rewrite{Pattern: regex, To: to, Flag: flag, At: d.At})
 	return nil
 }
 
@@ -65,7 +65,7 @@
 }
 
 // tryFiles takes what try_files leaves where no files are: its last argument. A location that passes to a pool keeps it.
-func (m *importer) tryFiles(l *routing.Location, d *Directive) {
+func (m *importer) tryFiles(l *routeconfig.Location, d *Directive) {
 	last := d.Arg(len(d.Args) - 1)
 	name, named := strings.CutPrefix(last, "@")
 	status, isStatus := strings.CutPrefix(last, "=")
@@ -87,15 +87,15 @@
 }
 
 // passNames has locations that go to a named one do what that does.
-func (m *importer) passNames(s *routing.Server) {
-	named := map[string]*routing.Location{}
+func (m *importer) passNames(s *routeconfig.Server) {
+	named := map[string]*routeconfig.Location{}
 	for _, l := range s.Locations {
 		if l.Kind == route.Named {
 			named[l.Pattern] = l
 		}
 	}
-	var each func(list []*routing.Location)
-	each = func(list []*routing.Location) {
+	var each func(list []*routeconfig.Location)
+	each = func(list []*routeconfig.Location) {
 		for _, l := range list {
 			each(l.Locations)
 			g, ok := m.goes[l]
@@ -116,18 +116,18 @@
 
 // fallOnly takes away the fallbacks to named locations that a server does not have: error_page may stand around servers
 // of which only some have them.
-func (m *importer) fallOnly(d *Directive, s *routing.Server) {
+func (m *importer) fallOnly(d *Directive, s *routeconfig.Server) {
 	has, told := map[string]bool{}, map[string]bool{}
 	for _, l := range s.Locations {
 		if l.Kind == route.Named {
 			has[l.Pattern] = true
 		}
 	}
-	var each func(list []*routing.Location)
-	each = func(list []*routing.Location) {
+	var each func(list []*routeconfig.Location)
+	each = func(list []*routeconfig.Location) {
 		for _, l := range list {
 			each(l.Locations)
-			var kept []routing.Fallback
+			var kept []routeconfig.Fallback
 			for _, f := range l.Fallbacks {
 				switch {
 				case has[f.Name]:
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -8,17 +8,17 @@
 	"io"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
 // Change is a try that ends otherwise.
 type Change struct {
-	ID   tillerusher.RequestID `json:"id"`
-	Wire string                `json:"request_id,omitempty"`
-	At   time.Duration         `json:"at"`
-	From Ending                `json:"from"`
-	To   Ending                `json:"to"`
+	ID   admission.RequestID `json:"id"`
+	Wire string              `json:"request_id,omitempty"`
+	At   time.Duration       `json:"at"`
+	From Ending              `json:"from"`
+	To   Ending              `json:"to"`
 }
 
 // Comparison is what two modelled replays of one capture differ in.
@@ -29,9 +29,9 @@
 }
 
 // Compare sets two replays of the same tries side by side.
-func Compare(before, after []*Outcome, m capture.Meta, classes []tillerusher.Class) Comparison {
+func Compare(before, after []*Outcome, m capture.Meta, classes []admission.Class) Comparison {
 	c := Comparison{Changes: []Change{}, Before: Tallies(before, m, classes), After: Tallies(after, m, classes)}
-	byID := make(map[tillerusher.RequestID]*Outcome, len(after))
+	byID := make(map[admission.RequestID]*Outcome, len(after))
 	for _, o := range after {
 		byID[o.ID] = o
 	}
--- a/internal/replay/cut.go
+++ b/internal/replay/cut.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -37,7 +37,7 @@
 	var p *Piece
 	var notes []capture.Record // before the event that comes next
 	between := true
-	take := func(at capture.Position, event *capture.Record, in *tillerusher.Instance) {
+	take := func(at capture.Position, event *capture.Record, in *admission.Instance) {
 		if p != nil || !between || event.At < s.From {
 			return
 		}
@@ -47,7 +47,7 @@
 		p = &Piece{Meta: meta, Snapshot: in.Snapshot(nil), Records: notes}
 	}
 	r, err := Run(segments, false, Visitor{
-		Before: func(at capture.Position, event *capture.Record, in *tillerusher.Instance) error {
+		Before: func(at capture.Position, event *capture.Record, in *admission.Instance) error {
 			take(at, event, in)
 			notes = nil
 			return nil
@@ -60,7 +60,7 @@
 			}
 			return nil
 		},
-		After: func(_ capture.Position, event *capture.Record, actions []capture.Record, _ *tillerusher.Instance) error {
+		After: func(_ capture.Position, event *capture.Record, actions []capture.Record, _ *admission.Instance) error {
 			between = event.Kind == capture.Settle
 			if p == nil {
 				return nil
@@ -142,14 +142,14 @@
 
 // Watch hears of each event that a piece is fed with: the module before and after it, and what it decided.
 type Watch interface {
-	Event(event *capture.Record, actions []capture.Record, in *tillerusher.Instance)
+	Event(event *capture.Record, actions []capture.Record, in *admission.Instance)
 }
 
 // Redecide feeds the piece's events to this program's module, tells watch of them, and returns the piece with this
 // program's actions in place of the recorded ones.
 func (p *Piece) Redecide(watch Watch) (*Piece, error) {
 	var sink Sink
-	in, err := tillerusher.Restore(p.Snapshot, &sink)
+	in, err := admission.Restore(p.Snapshot, &sink)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -32,24 +32,24 @@
 
 // Story is what became of one try, and what the module knew when it decided.
 type Story struct {
-	ID       tillerusher.RequestID  `json:"id"`
-	Wire     string                 `json:"request_id,omitempty"`
-	Key      string                 `json:"key,omitempty"`
-	Class    string                 `json:"class"`
-	Tenant   string                 `json:"tenant,omitempty"`
-	Asked    tillerusher.Request    `json:"asked"`
-	At       time.Duration          `json:"at"` // read, by the module's clock
-	Unix     time.Time              `json:"unix"`
-	Weighing *tillerusher.Weighing  `json:"weighing,omitempty"` // nil where no state is known
-	Known    *tillerusher.Insight   `json:"known,omitempty"`    // when it was read
-	Steps    []Step                 `json:"steps"`
-	Ending   Ending                 `json:"ending"`
-	EndAt    time.Duration          `json:"end_at"`
-	OnRead   bool                   `json:"on_read"`          // it ended as it was read
-	Judged   *tillerusher.Judgement `json:"judged,omitempty"` // how it looked when it was answered later
-	EndKnown *tillerusher.Insight   `json:"end_known,omitempty"`
-	Late     time.Duration          `json:"late,omitempty"`   // served so much after its aim
-	AimAt    time.Duration          `json:"aim_at,omitempty"` // when an answer stopped earning its full worth
+	ID       admission.RequestID  `json:"id"`
+	Wire     string               `json:"request_id,omitempty"`
+	Key      string               `json:"key,omitempty"`
+	Class    string               `json:"class"`
+	Tenant   string               `json:"tenant,omitempty"`
+	Asked    admission.Request    `json:"asked"`
+	At       time.Duration        `json:"at"` // read, by the module's clock
+	Unix     time.Time            `json:"unix"`
+	Weighing *admission.Weighing  `json:"weighing,omitempty"` // nil where no state is known
+	Known    *admission.Insight   `json:"known,omitempty"`    // when it was read
+	Steps    []Step               `json:"steps"`
+	Ending   Ending               `json:"ending"`
+	EndAt    time.Duration        `json:"end_at"`
+	OnRead   bool                 `json:"on_read"`          // it ended as it was read
+	Judged   *admission.Judgement `json:"judged,omitempty"` // how it looked when it was answered later
+	EndKnown *admission.Insight   `json:"end_known,omitempty"`
+	Late     time.Duration        `json:"late,omitempty"`   // served so much after its aim
+	AimAt    time.Duration        `json:"aim_at,omitempty"` // when an answer stopped earning its full worth
 	answered bool
 	endMark  mark
 	readMark mark
@@ -64,7 +64,7 @@
 // owner names a request over several starts of the server.
 type owner struct {
 	run string
-	id  tillerusher.RequestID
+	id  admission.RequestID
 }
 
 // ErrUnknown says that a capture has nothing of what was asked for.
@@ -75,7 +75,7 @@
 func Explain(segments []*capture.Segment, name string) ([]*Story, error) {
 	var stories []*Story
 	byOwner := map[owner]*Story{}
-	number := tillerusher.RequestID(0)
+	number := admission.RequestID(0)
 	if text, ok := strings.CutPrefix(name, "#"); ok {
 		if _, err := fmt.Sscanf(text, "%d", &number); err != nil {
 			return nil, fmt.Errorf("replay: %q is no number of a request", name)
@@ -83,7 +83,7 @@
 	}
 	var event mark // of the event whose actions follow
 	for _, s := range segments {
-		names := map[tillerusher.RequestID]capture.Record{}
+		names := map[admission.RequestID]capture.Record{}
 		err := s.Each(func(p capture.Position, r *capture.Record) error {
 			if r.Kind.Event() {
 				event = mark{s, p.Number}
@@ -156,7 +156,7 @@
 		return Reused, false
 	case capture.Done:
 		switch {
-		case r.Outcome != tillerusher.OK:
+		case r.Outcome != admission.OK:
 			return Errored, true
 		case now == Reused:
 			return Reused, true
@@ -204,7 +204,7 @@
 			ends[s.endMark] = append(ends[s.endMark], s)
 		}
 	}
-	_, err := Run(segments, false, Visitor{Before: func(p capture.Position, r *capture.Record, in *tillerusher.Instance) error {
+	_, err := Run(segments, false, Visitor{Before: func(p capture.Position, r *capture.Record, in *admission.Instance) error {
 		at := mark{p.Segment, p.Number}
 		for _, s := range reads[at] {
 			weighing, known := in.Weigh(r.At, s.Asked), in.Inspect()
@@ -229,20 +229,20 @@
 
 // Moment is what the module knew at a time.
 type Moment struct {
-	At    time.Duration           `json:"at"`
-	Unix  time.Time               `json:"unix"`
-	Known tillerusher.Insight     `json:"known"`
-	Held  []tillerusher.RequestID `json:"held"`
-	Cores []tillerusher.RequestID `json:"on_cores"`
-	Near  []Decision              `json:"near"` // decisions within the span around it
+	At    time.Duration         `json:"at"`
+	Unix  time.Time             `json:"unix"`
+	Known admission.Insight     `json:"known"`
+	Held  []admission.RequestID `json:"held"`
+	Cores []admission.RequestID `json:"on_cores"`
+	Near  []Decision            `json:"near"` // decisions within the span around it
 }
 
 // Decision is one answer or run near a moment.
 type Decision struct {
-	At   time.Duration         `json:"at"`
-	ID   tillerusher.RequestID `json:"id"`
-	Wire string                `json:"request_id,omitempty"`
-	Text string                `json:"text"`
+	At   time.Duration       `json:"at"`
+	ID   admission.RequestID `json:"id"`
+	Wire string              `json:"request_id,omitempty"`
+	Text string              `json:"text"`
 }
 
 // mostNear bounds the decisions that are told of a moment.
@@ -253,7 +253,7 @@
 func At(segments []*capture.Segment, at, span time.Duration) (*Moment, error) {
 	var m *Moment
 	var near []Decision
-	names := map[tillerusher.RequestID]string{}
+	names := map[admission.RequestID]string{}
 	_, err := Run(segments, false, Visitor{
 		Note: func(_ capture.Position, r *capture.Record) error {
 			if r.Kind == capture.Names {
@@ -261,14 +261,14 @@
 			}
 			return nil
 		},
-		Before: func(p capture.Position, r *capture.Record, in *tillerusher.Instance) error {
+		Before: func(p capture.Position, r *capture.Record, in *admission.Instance) error {
 			if m == nil && r.At >= at {
 				m = &Moment{At: r.At, Unix: p.Segment.Unix(r.At), Known: in.Inspect()}
 				m.Held, m.Cores = in.Queue()
 			}
 			return nil
 		},
-		After: func(_ capture.Position, r *capture.Record, actions []capture.Record, _ *tillerusher.Instance) error {
+		After: func(_ capture.Position, r *capture.Record, actions []capture.Record, _ *admission.Instance) error {
 			if r.At > at+span {
 				return capture.ErrStop
 			}
--- a/internal/replay/outcome.go
+++ b/internal/replay/outcome.go
@@ -8,28 +8,28 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
 // Outcome is how one try ended.
 type Outcome struct {
-	ID      tillerusher.RequestID `json:"id"`
-	Wire    string                `json:"request_id,omitempty"`
-	Class   int                   `json:"class"`
-	Tenant  int                   `json:"tenant"`
-	Retry   bool                  `json:"retry,omitempty"`
-	Arrived time.Duration         `json:"arrived"` // at the machine
-	Read    time.Duration         `json:"read"`
-	RunAt   time.Duration         `json:"run_at,omitempty"` // 0 = not run
-	RunEnd  time.Duration         `json:"run_end,omitempty"`
-	Work    time.Duration         `json:"work,omitempty"` // time of a core that its run took, the cores shared evenly
-	Ending  Ending                `json:"ending"`
-	EndAt   time.Duration         `json:"end_at,omitempty"`
+	ID      admission.RequestID `json:"id"`
+	Wire    string              `json:"request_id,omitempty"`
+	Class   int                 `json:"class"`
+	Tenant  int                 `json:"tenant"`
+	Retry   bool                `json:"retry,omitempty"`
+	Arrived time.Duration       `json:"arrived"` // at the machine
+	Read    time.Duration       `json:"read"`
+	RunAt   time.Duration       `json:"run_at,omitempty"` // 0 = not run
+	RunEnd  time.Duration       `json:"run_end,omitempty"`
+	Work    time.Duration       `json:"work,omitempty"` // time of a core that its run took, the cores shared evenly
+	Ending  Ending              `json:"ending"`
+	EndAt   time.Duration       `json:"end_at,omitempty"`
 }
 
 // OnTime tells whether the try was served within its class's aim.
-func (o *Outcome) OnTime(classes []tillerusher.Class) bool {
+func (o *Outcome) OnTime(classes []admission.Class) bool {
 	return o.good() && o.Class < len(classes) && o.EndAt-o.Arrived <= classes[o.Class].Aim
 }
 
@@ -39,15 +39,15 @@
 type ledger struct {
 	cores   float64
 	order   []*Outcome
-	byID    map[tillerusher.RequestID]*Outcome
+	byID    map[admission.RequestID]*Outcome
 	running int
 	clock   float64 // seconds of core time of a try that had always been running
-	begun   map[tillerusher.RequestID]float64
+	begun   map[admission.RequestID]float64
 	now     time.Duration
 }
 
 func newLedger(cores int) *ledger {
-	return &ledger{cores: float64(cores), byID: map[tillerusher.RequestID]*Outcome{}, begun: map[tillerusher.RequestID]float64{}}
+	return &ledger{cores: float64(cores), byID: map[admission.RequestID]*Outcome{}, begun: map[admission.RequestID]float64{}}
 }
 
 // pass moves the clock.
@@ -98,7 +98,7 @@
 // Outcomes are the ends of all tries of one start of the server, as they were recorded.
 func Outcomes(segments []*capture.Segment, cores int) ([]*Outcome, error) {
 	l := newLedger(cores)
-	names := map[tillerusher.RequestID]string{}
+	names := map[admission.RequestID]string{}
 	for _, s := range segments {
 		err := s.Each(func(_ capture.Position, r *capture.Record) error {
 			if r.Kind == capture.Names {
@@ -153,7 +153,7 @@
 	return min(max(d.Microseconds(), 1), longestLatency.Microseconds())
 }
 
-func (t *tallied) add(o *Outcome, classes []tillerusher.Class) {
+func (t *tallied) add(o *Outcome, classes []admission.Class) {
 	t.Tries++
 	if o.Retry {
 		t.Retries++
@@ -187,7 +187,7 @@
 }
 
 // Tallies sums up tries by class and tenant, and all of them first.
-func Tallies(outcomes []*Outcome, m capture.Meta, classes []tillerusher.Class) []Tally {
+func Tallies(outcomes []*Outcome, m capture.Meta, classes []admission.Class) []Tally {
 	type group struct{ class, tenant int }
 	all, groups := newTallied("all", "all"), map[group]*tallied{}
 	var order []group
@@ -211,16 +211,16 @@
 }
 
 // Settings are those of the module in the first segment whose state can be read.
-func Settings(segments []*capture.Segment) (tillerusher.Settings, error) {
+func Settings(segments []*capture.Segment) (admission.Settings, error) {
 	for _, s := range segments {
 		if s.Snapshot == nil {
 			continue
 		}
-		in, err := tillerusher.Restore(s.Snapshot, &Sink{})
+		in, err := admission.Restore(s.Snapshot, &Sink{})
 		if err != nil {
-			return tillerusher.Settings{}, fmt.Errorf("%s: %w", s.Path, err)
+			return admission.Settings{}, fmt.Errorf("%s: %w", s.Path, err)
 		}
 		return in.Settings(), nil
 	}
-	return tillerusher.Settings{}, ErrNoState
+	return admission.Settings{}, ErrNoState
 }
--- a/internal/replay/predicate.go
+++ b/internal/replay/predicate.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -33,7 +33,7 @@
 		}
 		return func() Predicate {
 			return &seenAction{match: func(a *capture.Record) bool {
-				return a.Kind == actions[kind] && a.ID == tillerusher.RequestID(id)
+				return a.Kind == actions[kind] && a.ID == admission.RequestID(id)
 			}}
 		}, nil
 	case kind == "log" && rest != "":
@@ -59,7 +59,7 @@
 }
 
 // Event implements Watch.
-func (s *seenAction) Event(_ *capture.Record, actions []capture.Record, _ *tillerusher.Instance) {
+func (s *seenAction) Event(_ *capture.Record, actions []capture.Record, _ *admission.Instance) {
 	for i := range actions {
 		s.seen = s.seen || s.match(&actions[i])
 	}
@@ -78,7 +78,7 @@
 }
 
 // Event implements Watch.
-func (j *Jam) Event(event *capture.Record, _ []capture.Record, in *tillerusher.Instance) {
+func (j *Jam) Event(event *capture.Record, _ []capture.Record, in *admission.Instance) {
 	if event.Kind != capture.Settle {
 		return
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -31,13 +31,13 @@
 
 // Difference is where a replay did not decide what was recorded.
 type Difference struct {
-	Segment  string              `json:"segment"`
-	Number   uint64              `json:"number"` // of the event's record within the run
-	Event    *capture.Record     `json:"event,omitempty"`
-	Recorded *capture.Record     `json:"recorded,omitempty"` // nil: nothing more was recorded
-	Replayed *capture.Record     `json:"replayed,omitempty"` // nil: nothing more was decided
-	State    bool                `json:"state,omitempty"`    // the state at the segment's start is another one
-	Before   tillerusher.Insight `json:"before"`             // what the module knew before the event
+	Segment  string            `json:"segment"`
+	Number   uint64            `json:"number"` // of the event's record within the run
+	Event    *capture.Record   `json:"event,omitempty"`
+	Recorded *capture.Record   `json:"recorded,omitempty"` // nil: nothing more was recorded
+	Replayed *capture.Record   `json:"replayed,omitempty"` // nil: nothing more was decided
+	State    bool              `json:"state,omitempty"`    // the state at the segment's start is another one
+	Before   admission.Insight `json:"before"`             // what the module knew before the event
 }
 
 // String names the place and both actions.
@@ -52,8 +52,8 @@
 // Visitor follows a replay. Before is called with the module as it is before each event, After with the actions
 // that the event led to. Nil functions are not called. An error ends the replay.
 type Visitor struct {
-	Before func(p capture.Position, event *capture.Record, in *tillerusher.Instance) error
-	After  func(p capture.Position, event *capture.Record, actions []capture.Record, in *tillerusher.Instance) error
+	Before func(p capture.Position, event *capture.Record, in *admission.Instance) error
+	After  func(p capture.Position, event *capture.Record, actions []capture.Record, in *admission.Instance) error
 	Note   func(p capture.Position, note *capture.Record) error
 }
 
@@ -82,7 +82,7 @@
 type machine struct {
 	visitor Visitor
 	result  Result
-	in      *tillerusher.Instance // nil where no state is known
+	in      *admission.Instance // nil where no state is known
 	sink    Sink
 	event   capture.Record // the last event, whose actions are compared
 	at      capture.Position
@@ -139,7 +139,7 @@
 	if s.Snapshot == nil {
 		return nil // damaged: its events are skipped
 	}
-	in, err := tillerusher.Restore(s.Snapshot, &m.sink)
+	in, err := admission.Restore(s.Snapshot, &m.sink)
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 }
 
 // stateBefore replays the segment once more up to the event that differs.
-func (m *machine) stateBefore() (known tillerusher.Insight) {
+func (m *machine) stateBefore() (known admission.Insight) {
 	again := machine{}
 	if again.restore(m.at.Segment) != nil || again.in == nil {
 		return known
@@ -259,7 +259,7 @@
 }
 
 // Feed tells a module of a recorded event.
-func Feed(m tillerusher.Events, r *capture.Record) {
+func Feed(m admission.Events, r *capture.Record) {
 	switch r.Kind {
 	case capture.Request:
 		m.Request(r.At, r.Asked)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -60,27 +60,27 @@
 	return nil
 }
 
-func testSettings() tillerusher.Settings {
-	return tillerusher.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 10000, KeyKB: 50,
+func testSettings() admission.Settings {
+	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 10000, KeyKB: 50,
 		RunFactor: 16, CrowdFactor: 8, RetryAfter: time.Second, CallerIdle: 15 * time.Second, Deadlines: true,
-		DrainGrace: 300 * time.Millisecond, StopMode: tillerusher.StopDrop, Below: tillerusher.DependencyTier,
-		Fresh: time.Second, Feedback: tillerusher.FeedbackCredit,
-		Classes: []tillerusher.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, SkipWorth: 0.5},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: tillerusher.Keyed, Window: 5 * time.Second},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: tillerusher.Unsafe}},
-		Tenants: []tillerusher.Tenant{{Quota: 55}, {Quota: 26}}}
+		DrainGrace: 300 * time.Millisecond, StopMode: admission.StopDrop, Below: admission.DependencyTier,
+		Fresh: time.Second, Feedback: admission.FeedbackCredit,
+		Classes: []admission.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, SkipWorth: 0.5},
+			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: admission.Keyed, Window: 5 * time.Second},
+			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: admission.Unsafe}},
+		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
 // draw makes up a stream of events, legal or not, for a module behind a tap.
-func draw(t *rapid.T, e tillerusher.Events) {
-	now, last := time.Duration(0), tillerusher.RequestID(0)
+func draw(t *rapid.T, e admission.Events) {
+	now, last := time.Duration(0), admission.RequestID(0)
 	for range rapid.IntRange(1, 60).Draw(t, "rounds") {
 		// The clock stands, goes on, or jumps by minutes.
 		now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 7 * time.Millisecond, 90 * time.Millisecond,
 			3 * time.Minute}).Draw(t, "wait")
 		for range rapid.IntRange(1, 6).Draw(t, "events") {
-			id := tillerusher.RequestID(rapid.Uint32Range(0, uint32(last)).Draw(t, "id"))
-			outcome := tillerusher.Outcome(rapid.IntRange(0, int(tillerusher.Moot)).Draw(t, "outcome"))
+			id := admission.RequestID(rapid.Uint32Range(0, uint32(last)).Draw(t, "id"))
+			outcome := admission.Outcome(rapid.IntRange(0, int(admission.Moot)).Draw(t, "outcome"))
 			switch rapid.IntRange(0, 12).Draw(t, "kind") {
 			case 0:
 				e.Gone(now, id)
@@ -91,7 +91,7 @@
 			case 5:
 				e.Called(now, id, outcome, time.Duration(id)*time.Millisecond)
 			case 6:
-				e.Timer(now, 0, tillerusher.Gauges{Busy: rapid.Float64Range(-1, 1).Draw(t, "busy"),
+				e.Timer(now, 0, admission.Gauges{Busy: rapid.Float64Range(-1, 1).Draw(t, "busy"),
 					Runnable: float64(rapid.IntRange(-1, 5).Draw(t, "runnable"))})
 			case 7:
 				if last > 40 {
@@ -99,7 +99,7 @@
 				}
 			default:
 				last++
-				e.Request(now, tillerusher.Request{ID: last, Class: rapid.IntRange(0, 2).Draw(t, "class"),
+				e.Request(now, admission.Request{ID: last, Class: rapid.IntRange(0, 2).Draw(t, "class"),
 					Tenant: int(last % 2), Caller: int(last % 3), Subject: uint64(id), Retry: id%3 == 0, Repeats: id,
 					Waited: time.Duration(id) * time.Millisecond, Budget: time.Second, SizeKB: 24.5})
 			}
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		tap := capture.NewTap(rec, &Sink{})
-		m, err := tillerusher.New(testSettings(), tap)
+		m, err := admission.New(testSettings(), tap)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,7 +234,7 @@
 		if !strings.Contains(words, o.Wire) || !strings.Contains(words, "before it in the hold") {
 			t.Errorf("told: %s", words)
 		}
-		if o.Ending == Refused && s.OnRead && s.Weighing.Reason == tillerusher.Admitted {
+		if o.Ending == Refused && s.OnRead && s.Weighing.Reason == admission.Admitted {
 			t.Errorf("%s was refused as it was read, and no reason is told", o.Wire)
 		}
 	}
--- a/internal/replay/set.go
+++ b/internal/replay/set.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -29,8 +29,8 @@
 }
 
 // Apply returns a function for Model that makes the changes; m names the classes and tenants.
-func Apply(list []Setting, m capture.Meta) func(*tillerusher.Settings) error {
-	return func(s *tillerusher.Settings) error {
+func Apply(list []Setting, m capture.Meta) func(*admission.Settings) error {
+	return func(s *admission.Settings) error {
 		for _, c := range list {
 			if err := c.apply(s, m); err != nil {
 				return fmt.Errorf("setting %s=%s: %w", c.Name, c.Value, err)
@@ -41,7 +41,7 @@
 }
 
 // apply makes one change.
-func (c Setting) apply(s *tillerusher.Settings, m capture.Meta) error {
+func (c Setting) apply(s *admission.Settings, m capture.Meta) error {
 	name, of, _ := strings.Cut(c.Name, ".")
 	switch name {
 	case "aim", "deadline", "worth":
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -53,7 +53,7 @@
 
 // unit is what is dropped at once: a request with all that happens to it, or one other event by its place.
 type unit struct {
-	id    tillerusher.RequestID
+	id    admission.RequestID
 	place int
 }
 
--- a/internal/replay/sink.go
+++ b/internal/replay/sink.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -22,37 +22,37 @@
 }
 
 // Run implements tillerusher.Actions.
-func (s *Sink) Run(id tillerusher.RequestID) { s.add(capture.Record{Kind: capture.Run, ID: id}) }
+func (s *Sink) Run(id admission.RequestID) { s.add(capture.Record{Kind: capture.Run, ID: id}) }
 
 // Refuse implements tillerusher.Actions.
-func (s *Sink) Refuse(id tillerusher.RequestID, stayAway time.Duration, last bool) {
+func (s *Sink) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	s.add(capture.Record{Kind: capture.Refuse, ID: id, Span: stayAway, Yes: last})
 }
 
 // Fail implements tillerusher.Actions.
-func (s *Sink) Fail(id tillerusher.RequestID) { s.add(capture.Record{Kind: capture.Fail, ID: id}) }
+func (s *Sink) Fail(id admission.RequestID) { s.add(capture.Record{Kind: capture.Fail, ID: id}) }
 
 // Call implements tillerusher.Actions.
-func (s *Sink) Call(id tillerusher.RequestID, timeout time.Duration) {
+func (s *Sink) Call(id admission.RequestID, timeout time.Duration) {
 	s.add(capture.Record{Kind: capture.Call, ID: id, Span: timeout})
 }
 
 // Skip implements tillerusher.Actions.
-func (s *Sink) Skip(id tillerusher.RequestID) { s.add(capture.Record{Kind: capture.Skip, ID: id}) }
+func (s *Sink) Skip(id admission.RequestID) { s.add(capture.Record{Kind: capture.Skip, ID: id}) }
 
 // Halt implements tillerusher.Actions.
-func (s *Sink) Halt(id tillerusher.RequestID) { s.add(capture.Record{Kind: capture.Halt, ID: id}) }
+func (s *Sink) Halt(id admission.RequestID) { s.add(capture.Record{Kind: capture.Halt, ID: id}) }
 
 // Keep implements tillerusher.Actions.
-func (s *Sink) Keep(id tillerusher.RequestID, lifetime time.Duration) {
+func (s *Sink) Keep(id admission.RequestID, lifetime time.Duration) {
 	s.add(capture.Record{Kind: capture.Keep, ID: id, Span: lifetime})
 }
 
 // Forget implements tillerusher.Actions.
-func (s *Sink) Forget(id tillerusher.RequestID) { s.add(capture.Record{Kind: capture.Forget, ID: id}) }
+func (s *Sink) Forget(id admission.RequestID) { s.add(capture.Record{Kind: capture.Forget, ID: id}) }
 
 // Reuse implements tillerusher.Actions.
-func (s *Sink) Reuse(id tillerusher.RequestID) { s.add(capture.Record{Kind: capture.Reuse, ID: id}) }
+func (s *Sink) Reuse(id admission.RequestID) { s.add(capture.Record{Kind: capture.Reuse, ID: id}) }
 
 // Say implements tillerusher.Actions.
 func (s *Sink) Say(value float64) { s.add(capture.Record{Kind: capture.Say, Value: value}) }
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -18,17 +18,17 @@
 // the mean of their class where they were not run, and the cores are shared evenly; the gauges follow from that.
 // Callers do not react to other answers: further tries come as they were recorded, no more and no fewer. Change alters
 // the settings; nil leaves them as they are.
-func Model(segments []*capture.Segment, change func(*tillerusher.Settings) error) ([]*Outcome, tillerusher.Settings, error) {
+func Model(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Outcome, admission.Settings, error) {
 	if len(segments) == 0 || segments[0].Snapshot == nil {
-		return nil, tillerusher.Settings{}, ErrNoState
+		return nil, admission.Settings{}, ErrNoState
 	}
 	w := &world{now: segments[0].Meta.Module}
-	was, err := tillerusher.Restore(segments[0].Snapshot, w)
+	was, err := admission.Restore(segments[0].Snapshot, w)
 	if err != nil {
-		return nil, tillerusher.Settings{}, err
+		return nil, admission.Settings{}, err
 	}
-	if w.in, err = tillerusher.RestoreWith(segments[0].Snapshot, w, change); err != nil {
-		return nil, tillerusher.Settings{}, err
+	if w.in, err = admission.RestoreWith(segments[0].Snapshot, w, change); err != nil {
+		return nil, admission.Settings{}, err
 	}
 	w.set = w.in.Settings()
 	recorded, err := Outcomes(segments, was.Settings().Cores)
@@ -47,29 +47,29 @@
 
 // world is the host of a modelled replay.
 type world struct {
-	tillerusher.NoActions // what changes nothing here
+	admission.NoActions // what changes nothing here
 
-	in      *tillerusher.Instance
-	set     tillerusher.Settings
+	in      *admission.Instance
+	set     admission.Settings
 	ledger  *ledger
 	now     time.Duration
 	queue   happenings
 	order   int
-	work    map[tillerusher.RequestID]time.Duration
+	work    map[admission.RequestID]time.Duration
 	mean    []time.Duration // by class
 	typical time.Duration   // of all classes
 	runs    []*modelRun     // on the cores
 	busy    float64
-	waiting map[tillerusher.RequestID][]tillerusher.RequestID // repeats that wait for a run, by its try
-	asked   map[tillerusher.RequestID]*capture.Record
-	result  map[tillerusher.RequestID]bool // tries whose run made a result
-	later   []capture.Record               // events that actions led to
-	ends    time.Duration                  // of the recording
+	waiting map[admission.RequestID][]admission.RequestID // repeats that wait for a run, by its try
+	asked   map[admission.RequestID]*capture.Record
+	result  map[admission.RequestID]bool // tries whose run made a result
+	later   []capture.Record             // events that actions led to
+	ends    time.Duration                // of the recording
 }
 
 // modelRun is a run and how much of its work is left.
 type modelRun struct {
-	id   tillerusher.RequestID
+	id   admission.RequestID
 	left time.Duration
 }
 
@@ -98,7 +98,7 @@
 
 // learn takes the work of runs from what was recorded.
 func (w *world) learn(recorded []*Outcome) {
-	w.work = map[tillerusher.RequestID]time.Duration{}
+	w.work = map[admission.RequestID]time.Duration{}
 	w.mean = make([]time.Duration, len(w.set.Classes))
 	counts := make([]int, len(w.set.Classes))
 	total, count := time.Duration(0), 0
@@ -134,9 +134,9 @@
 
 // load queues what does not depend on decisions.
 func (w *world) load(segments []*capture.Segment) error {
-	w.waiting = map[tillerusher.RequestID][]tillerusher.RequestID{}
-	w.asked, w.result = map[tillerusher.RequestID]*capture.Record{}, map[tillerusher.RequestID]bool{}
-	names := map[tillerusher.RequestID]string{}
+	w.waiting = map[admission.RequestID][]admission.RequestID{}
+	w.asked, w.result = map[admission.RequestID]*capture.Record{}, map[admission.RequestID]bool{}
+	names := map[admission.RequestID]string{}
 	for _, s := range segments {
 		err := s.Each(func(_ capture.Position, r *capture.Record) error {
 			w.ends = max(w.ends, r.At)
@@ -181,7 +181,7 @@
 			w.pass(h.at)
 			h.event.At = max(h.at, w.now)
 			if h.event.Kind == capture.Timer {
-				h.event.Gauges = tillerusher.Gauges{Busy: w.busy, Runnable: float64(len(w.runs))}
+				h.event.Gauges = admission.Gauges{Busy: w.busy, Runnable: float64(len(w.runs))}
 			}
 			w.tell(h.event, h.wire)
 		}
@@ -245,12 +245,12 @@
 func (w *world) end(run *modelRun) {
 	w.remove(run.id)
 	w.result[run.id] = true
-	w.tell(capture.Record{Kind: capture.Done, At: w.now, ID: run.id, Outcome: tillerusher.OK}, "")
-	w.release(run.id, tillerusher.OK)
+	w.tell(capture.Record{Kind: capture.Done, At: w.now, ID: run.id, Outcome: admission.OK}, "")
+	w.release(run.id, admission.OK)
 }
 
 // release answers the repeats that waited for a run.
-func (w *world) release(id tillerusher.RequestID, o tillerusher.Outcome) {
+func (w *world) release(id admission.RequestID, o admission.Outcome) {
 	for _, f := range w.waiting[id] {
 		w.later = append(w.later, capture.Record{Kind: capture.Done, ID: f, Outcome: o})
 	}
@@ -258,7 +258,7 @@
 }
 
 // remove takes a run off the cores, and tells whether it was on them.
-func (w *world) remove(id tillerusher.RequestID) bool {
+func (w *world) remove(id admission.RequestID) bool {
 	for i, r := range w.runs {
 		if r.id == id {
 			w.runs = append(w.runs[:i], w.runs[i+1:]...)
@@ -269,12 +269,12 @@
 }
 
 // note takes an action into the ledger.
-func (w *world) note(k capture.Kind, id tillerusher.RequestID) {
+func (w *world) note(k capture.Kind, id admission.RequestID) {
 	w.ledger.record(&capture.Record{Kind: k, At: w.now, ID: id}, "")
 }
 
 // Run implements tillerusher.Actions.
-func (w *world) Run(id tillerusher.RequestID) {
+func (w *world) Run(id admission.RequestID) {
 	w.note(capture.Run, id)
 	work, known := w.work[id]
 	if r := w.asked[id]; !known && r != nil && r.Asked.Class < len(w.mean) {
@@ -284,21 +284,21 @@
 }
 
 // Refuse implements tillerusher.Actions.
-func (w *world) Refuse(id tillerusher.RequestID, _ time.Duration, _ bool) { w.note(capture.Refuse, id) }
+func (w *world) Refuse(id admission.RequestID, _ time.Duration, _ bool) { w.note(capture.Refuse, id) }
 
 // Fail implements tillerusher.Actions.
-func (w *world) Fail(id tillerusher.RequestID) { w.note(capture.Fail, id) }
+func (w *world) Fail(id admission.RequestID) { w.note(capture.Fail, id) }
 
 // Halt implements tillerusher.Actions.
-func (w *world) Halt(id tillerusher.RequestID) {
+func (w *world) Halt(id admission.RequestID) {
 	if w.remove(id) {
-		w.later = append(w.later, capture.Record{Kind: capture.Done, ID: id, Outcome: tillerusher.Cancelled})
-		w.release(id, tillerusher.Errored)
+		w.later = append(w.later, capture.Record{Kind: capture.Done, ID: id, Outcome: admission.Cancelled})
+		w.release(id, admission.Errored)
 	}
 }
 
 // Reuse implements tillerusher.Actions.
-func (w *world) Reuse(id tillerusher.RequestID) {
+func (w *world) Reuse(id admission.RequestID) {
 	w.note(capture.Reuse, id)
 	source := id
 	for r := w.asked[source]; r != nil && r.Asked.Repeats != 0 && !w.result[source] && !w.onCores(source); r = w.asked[source] {
@@ -308,14 +308,14 @@
 		w.waiting[source] = append(w.waiting[source], id)
 		return
 	}
-	o := tillerusher.Errored
+	o := admission.Errored
 	if w.result[source] || w.asked[source] == nil { // a run before the recording is taken to have gone well
-		o = tillerusher.OK
+		o = admission.OK
 	}
 	w.later = append(w.later, capture.Record{Kind: capture.Done, ID: id, Outcome: o})
 }
 
-func (w *world) onCores(id tillerusher.RequestID) bool {
+func (w *world) onCores(id admission.RequestID) bool {
 	for _, r := range w.runs {
 		if r.id == id {
 			return true
@@ -330,6 +330,6 @@
 }
 
 // Call implements tillerusher.Actions: calls go well at once.
-func (w *world) Call(id tillerusher.RequestID, _ time.Duration) {
-	w.later = append(w.later, capture.Record{Kind: capture.Called, ID: id, Outcome: tillerusher.OK})
+func (w *world) Call(id admission.RequestID, _ time.Duration) {
+	w.later = append(w.later, capture.Record{Kind: capture.Called, ID: id, Outcome: admission.OK})
 }
--- a/internal/replay/words.go
+++ b/internal/replay/words.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // clockTime is how times of day are written.
@@ -59,7 +59,7 @@
 		if s.OnRead && s.Weighing != nil {
 			return []string{fmt.Sprintf("It was %s at once: %s.", word, s.Weighing.Reason)}
 		}
-		if s.Judged != nil && s.Judged.Reason != tillerusher.Admitted {
+		if s.Judged != nil && s.Judged.Reason != admission.Admitted {
 			return []string{fmt.Sprintf("It was %s after %s while it was %s: %s.", word, after, s.Judged.Phase, s.Judged.Reason)}
 		}
 		return []string{fmt.Sprintf("It was %s after %s.", word, after)}
@@ -88,7 +88,7 @@
 }
 
 // weighed says how an arrival looked.
-func weighed(w *tillerusher.Weighing, now time.Duration, known *tillerusher.Insight) []string {
+func weighed(w *admission.Weighing, now time.Duration, known *admission.Insight) []string {
 	lines := []string{fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", w.N, ms(now-w.T), w.Rate)}
 	if w.Threshold > 0 {
 		lines[0] += fmt.Sprintf(" over a threshold of %.1f/s: %.2f times it", w.Threshold, w.Excess)
@@ -104,7 +104,7 @@
 }
 
 // judged says how a request looked that was held or ran.
-func judged(j *tillerusher.Judgement, now time.Duration, known *tillerusher.Insight) []string {
+func judged(j *admission.Judgement, now time.Duration, known *admission.Insight) []string {
 	var lines []string
 	if j != nil {
 		lines = append(lines, fmt.Sprintf("%s; a run of it was expected to take %s; its aim was %s, its due time %s", j.Phase,
@@ -126,7 +126,7 @@
 }
 
 // Knew says what the module knew.
-func Knew(i *tillerusher.Insight) []string {
+func Knew(i *admission.Insight) []string {
 	flags := ""
 	for _, f := range []struct {
 		is   bool
@@ -154,11 +154,11 @@
 const mostNamed = 10
 
 // stood names the requests that stood before one.
-func stood(held, cores []tillerusher.RequestID) []string {
+func stood(held, cores []admission.RequestID) []string {
 	return []string{"before it in the hold: " + numbers(held), "on the cores: " + numbers(cores)}
 }
 
-func numbers(ids []tillerusher.RequestID) string {
+func numbers(ids []admission.RequestID) string {
 	if len(ids) == 0 {
 		return "none"
 	}
--- a/internal/poolstorm/poolstorm.go
+++ b/internal/retrysim/poolstorm.go
@@ -1,6 +1,6 @@
 // Package poolstorm plays a retry storm to the decisions of a pool in virtual time: what a budget for further tries is
 // for can be seen without a socket.
-package poolstorm
+package retrysim
 
 import (
 	"fmt"
--- a/internal/poolstorm/poolstorm_test.go
+++ b/internal/retrysim/poolstorm_test.go
@@ -1,4 +1,4 @@
-package poolstorm
+package retrysim
 
 import (
 	"reflect"
--- a/internal/routing/description.go
+++ b/internal/routeconfig/description.go
@@ -1,4 +1,4 @@
-package routing
+package routeconfig
 
 import (
 	"net/netip"
--- a/internal/rehearsal/counters.go
+++ b/internal/scenario/counters.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"go.uber.org/zap/zapcore"
--- a/internal/rehearsal/gateway.go
+++ b/internal/scenario/gateway.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"tillerusher/internal/rules"
-	"tillerusher/internal/simos"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/invariant"
+	"tillerusher/internal/simnet"
 )
 
 const (
@@ -54,10 +54,10 @@
 type conn struct {
 	gateway *gateway
 	node    *node
-	stream  *simos.Stream
+	stream  *simnet.Stream
 	up      bool
 	slow    bool // it reads so slowly that an answer's time says nothing of the server
-	reader  standin.Reader
+	reader  fake.Reader
 	open    map[uint16]*try
 	free    []uint16
 }
@@ -74,7 +74,7 @@
 
 // dial makes the connection.
 func (c *conn) dial() {
-	c.reader, c.open, c.free, c.slow = standin.Reader{}, map[uint16]*try{}, nil, false
+	c.reader, c.open, c.free, c.slow = fake.Reader{}, map[uint16]*try{}, nil, false
 	for id := uint16(maxOpen); id > 0; id-- {
 		c.free = append(c.free, id)
 	}
@@ -179,14 +179,14 @@
 	id := c.free[len(c.free)-1]
 	c.free = c.free[:len(c.free)-1]
 	c.open[id] = t
-	q := standin.Try(t.id, r.key, w.Now(), r.body)
+	q := fake.Try(t.id, r.key, w.Now(), r.body)
 	q.Fields["Account"] = r.tenant
 	if r.tries > 1 {
 		q.Fields["Attempt-Again"] = "1"
 	}
 	keyed := r.key != ""
-	told := rules.Try{ID: t.id, Once: keyed, Result: string(standin.Result(r.body)), Received: w.Now(),
-		Due: w.Now().Add(standin.Deadline(keyed) + answerSlack)}
+	told := invariant.Try{ID: t.id, Once: keyed, Result: string(fake.Result(r.body)), Received: w.Now(),
+		Due: w.Now().Add(fake.Deadline(keyed) + answerSlack)}
 	if keyed {
 		told.Key = fmt.Sprintf("%s at %s, life %d", r.key, c.node.name(), c.node.life)
 	}
@@ -205,7 +205,7 @@
 	if g.rng.Float64() < g.run.scenario.Aborts {
 		w.After(time.Duration(g.rng.Int64N(int64(200*time.Millisecond))), func() {
 			if c.open[id] == t {
-				c.stream.Write(standin.Record(standin.Abort, id, nil, 0))
+				c.stream.Write(fake.Record(fake.Abort, id, nil, 0))
 			}
 		})
 	}
@@ -213,7 +213,7 @@
 
 // stranger is a connection that is no gateway's: it sends something or nothing, and stays until it is closed.
 type stranger struct {
-	stream *simos.Stream
+	stream *simnet.Stream
 	sends  []byte
 }
 
@@ -233,16 +233,16 @@
 func (s *stranger) Closed(error) {}
 
 // answered takes in an answer, and decides whether a further try follows.
-func (g *gateway) answered(t *try, a standin.Answer, at time.Time) {
+func (g *gateway) answered(t *try, a fake.Answer, at time.Time) {
 	r := t.request
 	kind := a.Outcome()
 	g.run.observer.Answered(t.id, kind, string(a.Body), at)
 	delete(g.run.open, t.id)
 	switch kind {
-	case rules.Served:
+	case invariant.Served:
 		g.run.report.Served++
 		g.run.served(r)
-	case rules.Refused:
+	case invariant.Refused:
 		g.run.report.Refused++
 		if a.Header.Get("Final-Refusal") != "" {
 			return
@@ -270,7 +270,7 @@
 
 // again makes a further try after a while, where the caller still waits.
 func (g *gateway) again(r *request, wait time.Duration) {
-	if r.tries >= g.run.scenario.Tries || g.run.world.Elapsed()+wait-r.came > standin.Deadline(r.key != "") || g.run.over {
+	if r.tries >= g.run.scenario.Tries || g.run.world.Elapsed()+wait-r.came > fake.Deadline(r.key != "") || g.run.over {
 		return
 	}
 	g.run.world.After(wait, func() {
--- a/internal/rehearsal/hunt.go
+++ b/internal/scenario/hunt.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"tillerusher/internal/simos"
+	"tillerusher/internal/simnet"
 )
 
 // Draw is a short day with faults and incidents that a seed draws.
@@ -21,7 +21,7 @@
 	s.Rate = 50 + 500*rng.Float64()
 	s.Keyed, s.Heeds = rng.Float64(), float64(rng.IntN(2))
 	s.Work = time.Duration(1+rng.IntN(20)) * time.Millisecond
-	s.Net = simos.Net{Delay: time.Duration(rng.IntN(500)) * time.Microsecond, Jitter: time.Duration(rng.IntN(2000)) * time.Microsecond,
+	s.Net = simnet.Net{Delay: time.Duration(rng.IntN(500)) * time.Microsecond, Jitter: time.Duration(rng.IntN(2000)) * time.Microsecond,
 		Partial: rng.Float64() * 0.5, Lost: rng.Float64() * 0.1, Doubled: rng.Float64() * 0.1}
 	s.Repeats, s.Hedges, s.Aborts = rng.Float64()*0.5, rng.Float64()*0.2, rng.Float64()*0.05
 	if rng.IntN(3) == 0 {
@@ -46,16 +46,16 @@
 
 // Hunted is what a hunt saw.
 type Hunted struct {
-	Seeds    int          `json:"seeds"`
-	Requests int          `json:"requests"`
-	Tries    int          `json:"tries"`
-	Runs     int          `json:"runs"`
-	Served   int          `json:"served"`
-	Refused  int          `json:"refused"`
-	Failed   int          `json:"failed"`
-	Lost     int          `json:"lost"`
-	World    simos.Counts `json:"world"`
-	Found    []Finding    `json:"found"`
+	Seeds    int           `json:"seeds"`
+	Requests int           `json:"requests"`
+	Tries    int           `json:"tries"`
+	Runs     int           `json:"runs"`
+	Served   int           `json:"served"`
+	Refused  int           `json:"refused"`
+	Failed   int           `json:"failed"`
+	Lost     int           `json:"lost"`
+	World    simnet.Counts `json:"world"`
+	Found    []Finding     `json:"found"`
 }
 
 // Hunt plays days that seeds draw, from one seed on, until so many were played, the context ends, or so many broke a rule.
--- a/internal/rehearsal/node.go
+++ b/internal/scenario/node.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"tillerusher/internal/config"
-	"tillerusher/internal/simos"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/simnet"
 	"tillerusher/server"
 )
 
@@ -25,13 +25,13 @@
 	run         *run
 	number      int
 	host, vm    netip.Addr
-	process     *simos.Process
+	process     *simnet.Process
 	server      *server.Server
-	interpreter *standin.Interpreter
+	interpreter *fake.Interpreter
 	slow        float64
 	life        int
-	dead        bool          // it was killed in this life
-	newest      *simos.Stream // of the links
+	dead        bool           // it was killed in this life
+	newest      *simnet.Stream // of the links
 	counters    *counters
 	moved       uint16 // how often the interpreter moved between its two addresses
 	leaving     bool
@@ -59,11 +59,11 @@
 
 // newInterpreter has a new interpreter take the links that come from now on.
 func (n *node) newInterpreter() {
-	it := standin.NewQuietInterpreter(n.run.world)
-	it.Work(n.run.scenario.Cores, func(a standin.Apply) time.Duration {
-		return time.Duration(float64(standin.BodyWork(a)) * n.slow)
+	it := fake.NewQuietInterpreter(n.run.world)
+	it.Work(n.run.scenario.Cores, func(a fake.Apply) time.Duration {
+		return time.Duration(float64(fake.BodyWork(a)) * n.slow)
 	})
-	it.OnApply(func(a standin.Apply) {
+	it.OnApply(func(a fake.Apply) {
 		n.runs++
 		n.run.ran(a.ID)
 	})
@@ -75,11 +75,11 @@
 
 // link is a server's connection to the interpreter.
 type link struct {
-	to   *standin.Link
-	from *simos.Stream
+	to   *fake.Link
+	from *simnet.Stream
 }
 
-func (n *node) link(s *simos.Stream) simos.Actor {
+func (n *node) link(s *simnet.Stream) simnet.Actor {
 	n.newest = s
 	return &link{n.interpreter.Attach(s), s}
 }
@@ -107,7 +107,7 @@
 	n.life++
 	n.started = n.run.world.Elapsed()
 	n.leaving, n.dead, n.counters = false, false, &counters{}
-	n.process = n.run.world.Start(n.name(), n.host, n.run.scenario.Files, func(p *simos.Process) error {
+	n.process = n.run.world.Start(n.name(), n.host, n.run.scenario.Files, func(p *simnet.Process) error {
 		s, err := server.NewOn(p, n.config(), zap.New(n.counters))
 		if err != nil {
 			return err
--- a/internal/rehearsal/probe.go
+++ b/internal/scenario/probe.go
@@ -1,12 +1,12 @@
-package rehearsal
+package scenario
 
 import (
 	"fmt"
 	"io"
 	"net/netip"
 
-	"tillerusher/internal/simos"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/simnet"
 )
 
 // probe asks a server for a lookup and a reservation after the day, on a connection of its own: a server that is left alone
@@ -14,8 +14,8 @@
 type probe struct {
 	run    *run
 	node   *node
-	stream *simos.Stream
-	reader standin.Reader
+	stream *simnet.Stream
+	reader fake.Reader
 	served int
 	heard  []string
 }
@@ -41,7 +41,7 @@
 			key, stream = fmt.Sprintf("%032x", p.run.tries), 2
 		}
 		p.run.probes[id] = true
-		p.stream.Write(standin.Try(id, key, p.run.world.Now(), standin.WorkBody("probe", 0)).Records(stream))
+		p.stream.Write(fake.Try(id, key, p.run.world.Now(), fake.WorkBody("probe", 0)).Records(stream))
 	}
 }
 
--- a/internal/rehearsal/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tillerusher/internal/rules"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/invariant"
 	"tillerusher/internal/settings"
-	"tillerusher/internal/simos"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/simnet"
 )
 
 // announceAt is where servers say whether they accept.
@@ -39,37 +39,37 @@
 
 // Report is what came of a day. Latencies are in milliseconds, of served requests from when they came.
 type Report struct {
-	Scenario   string       `json:"scenario"`
-	Seed       uint64       `json:"seed"`
-	Requests   int          `json:"requests"`
-	Tries      int          `json:"tries"`
-	Served     int          `json:"served"` // tries
-	Refused    int          `json:"refused"`
-	Failed     int          `json:"failed"`
-	Lost       int          `json:"lost"`
-	Unsent     int          `json:"unsent"`
-	Unanswered int          `json:"unanswered"`
-	Runs       int          `json:"runs"`
-	Share      float64      `json:"share"`
-	P50        float64      `json:"p50_ms"`
-	P99        float64      `json:"p99_ms"`
-	Recovered  float64      `json:"recovered_s"` // after the last incident; -1 is never, and 0 where there is none
-	Breaches   []string     `json:"breaches"`
-	BreachesN  int          `json:"breaches_in_all"`
-	Missed     []string     `json:"missed"` // expectations
-	Seconds    []Second     `json:"seconds"`
-	World      simos.Counts `json:"world"`
+	Scenario   string        `json:"scenario"`
+	Seed       uint64        `json:"seed"`
+	Requests   int           `json:"requests"`
+	Tries      int           `json:"tries"`
+	Served     int           `json:"served"` // tries
+	Refused    int           `json:"refused"`
+	Failed     int           `json:"failed"`
+	Lost       int           `json:"lost"`
+	Unsent     int           `json:"unsent"`
+	Unanswered int           `json:"unanswered"`
+	Runs       int           `json:"runs"`
+	Share      float64       `json:"share"`
+	P50        float64       `json:"p50_ms"`
+	P99        float64       `json:"p99_ms"`
+	Recovered  float64       `json:"recovered_s"` // after the last incident; -1 is never, and 0 where there is none
+	Breaches   []string      `json:"breaches"`
+	BreachesN  int           `json:"breaches_in_all"`
+	Missed     []string      `json:"missed"` // expectations
+	Seconds    []Second      `json:"seconds"`
+	World      simnet.Counts `json:"world"`
 }
 
 // run is one under way.
 type run struct {
 	scenario  *Scenario
 	told      *settings.Told
-	world     *simos.World
+	world     *simnet.World
 	rng       *rand.Rand
 	nodes     []*node
 	gateways  []*gateway
-	observer  *rules.Observer
+	observer  *invariant.Observer
 	accepting map[string]bool
 	open      map[string]*try
 	probes    map[string]bool // ids of tries that are no caller's
@@ -93,11 +93,11 @@
 
 // newRun has everything stand ready.
 func newRun(s *Scenario, seed uint64) (*run, error) {
-	told, err := settings.Parse([]byte(standin.Settings))
+	told, err := settings.Parse([]byte(fake.Settings))
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
-	r := &run{scenario: s, told: told, world: simos.New(seed, begin), rng: rand.New(rand.NewPCG(seed, 1)), observer: rules.New(standin.Window),
+	r := &run{scenario: s, told: told, world: simnet.New(seed, begin), rng: rand.New(rand.NewPCG(seed, 1)), observer: invariant.New(fake.Window),
 		accepting: map[string]bool{}, open: map[string]*try{}, probes: map[string]bool{}, jump: 1, latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3),
 		report: &Report{Scenario: s.Name, Seed: seed}}
 	r.world.Net = s.Net
@@ -119,7 +119,7 @@
 // play goes through the day.
 func (r *run) play() *Report {
 	s := r.scenario
-	end := warm + s.Length + standin.ReserveDeadline
+	end := warm + s.Length + fake.ReserveDeadline
 	r.world.Run(end)
 	r.over = true
 	end += s.Calm
@@ -177,7 +177,7 @@
 	if r.rng.Float64() < r.scenario.Keyed {
 		q.key = fmt.Sprintf("%016x%016x", r.rng.Uint64(), number)
 	}
-	q.body = standin.WorkBody(fmt.Sprint(number), time.Duration(r.rng.ExpFloat64()*float64(r.scenario.Work)))
+	q.body = fake.WorkBody(fmt.Sprint(number), time.Duration(r.rng.ExpFloat64()*float64(r.scenario.Work)))
 	r.requests = append(r.requests, q)
 	r.second(q).Requests++
 	r.gateways[r.rng.IntN(len(r.gateways))].send(q)
@@ -286,7 +286,7 @@
 
 // garbage is what is no request: chance, the begin of a request, or a request with a byte changed.
 func (r *run) garbage() []byte {
-	whole := standin.Request{Method: "POST", Path: "/v1/part-lookup", Body: []byte("x"), Fields: map[string]string{"Request-Id": "00000000000000ff"}}.Records(1)
+	whole := fake.Request{Method: "POST", Path: "/v1/part-lookup", Body: []byte("x"), Fields: map[string]string{"Request-Id": "00000000000000ff"}}.Records(1)
 	switch r.rng.IntN(3) {
 	case 0:
 		b := make([]byte, 1+r.rng.IntN(200))
--- a/internal/rehearsal/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,16 +1,16 @@
 // Package rehearsal plays bad days through the real server, its loop and its sessions included, on a simulated system: whole
 // fleets with their interpreters, gateways and announce service in one thread, in virtual time, from one seed. An outside
 // observer checks the rules after what happens, and a report says what came of the day.
-package rehearsal
+package scenario
 
 import (
 	"fmt"
 	"os"
 	"time"
 
+	"tillerusher/internal/fake"
 	"tillerusher/internal/sexp"
-	"tillerusher/internal/simos"
-	"tillerusher/internal/standin"
+	"tillerusher/internal/simnet"
 )
 
 // Scenario is a day that is played.
@@ -32,7 +32,7 @@
 	Hedges    float64 // part of the keyed tries that are sent again while they are open
 	Aborts    float64 // part of the tries that their gateway takes back
 	Files     int     // descriptors of each server
-	Net       simos.Net
+	Net       simnet.Net
 	Incidents []Incident
 	Expect    Expectations
 }
@@ -74,8 +74,8 @@
 
 // Defaults are what a scenario is where its file says nothing.
 func Defaults() Scenario {
-	return Scenario{Length: 20 * time.Second, Calm: standin.Window + 10*time.Second, Servers: 3, Cores: 2, Work: 4 * time.Millisecond, Rate: 600, Keyed: 0.2, Gateways: 4, Tries: 3, Heeds: 1,
-		Pause: 100 * time.Millisecond, Repeats: 0.05, Files: serverFiles, Net: simos.Net{Delay: 50 * time.Microsecond, Jitter: 150 * time.Microsecond, Partial: 0.05, Lost: 0.01, Doubled: 0.01}}
+	return Scenario{Length: 20 * time.Second, Calm: fake.Window + 10*time.Second, Servers: 3, Cores: 2, Work: 4 * time.Millisecond, Rate: 600, Keyed: 0.2, Gateways: 4, Tries: 3, Heeds: 1,
+		Pause: 100 * time.Millisecond, Repeats: 0.05, Files: serverFiles, Net: simnet.Net{Delay: 50 * time.Microsecond, Jitter: 150 * time.Microsecond, Partial: 0.05, Lost: 0.01, Doubled: 0.01}}
 }
 
 // Load reads a scenario's file.
--- a/internal/scgi/client.go
+++ b/internal/scgi/client.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"tillerusher/internal/cgi"
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 // The fields that every request has: the length of the body, which comes first, and the protocol's version.
@@ -22,7 +22,7 @@
 
 // AppendRequest adds a whole request. Params of the two fields that the protocol sets itself are passed over, and so are
 // those with a zero byte in them, which no request can carry.
-func AppendRequest(b []byte, params []front.Field, body []byte) []byte {
+func AppendRequest(b []byte, params []gateway.Field, body []byte) []byte {
 	list := appendField(nil, lengthField, strconv.Itoa(len(body)))
 	list = appendField(list, versionField, version)
 	for _, p := range params {
@@ -67,7 +67,7 @@
 
 // Answer reads the whole answer. One that says how long it is must be as long: a member that died half way ends its
 // connection as one that is done does.
-func (r *Response) Answer() (front.Answer, error) {
+func (r *Response) Answer() (gateway.Answer, error) {
 	a, err := cgi.Parse(r.out)
 	if err != nil {
 		return a, fmt.Errorf("%w: %w", ErrResponse, err)
--- a/internal/scgi/client_test.go
+++ b/internal/scgi/client_test.go
@@ -9,12 +9,12 @@
 
 	"pgregory.net/rapid"
 
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 // TestRequest is the example of the protocol's page.
 func TestRequest(t *testing.T) {
-	got := AppendRequest(nil, []front.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "CONTENT_LENGTH", Value: "9"},
+	got := AppendRequest(nil, []gateway.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "CONTENT_LENGTH", Value: "9"},
 		{Name: "REQUEST_URI", Value: "/deepthought"}, {Name: "ODD", Value: "a\x00b"}},
 		[]byte("What is the answer to life?"))
 	want := "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00,What is the answer to life?"
--- a/internal/testkit/gateway.go
+++ b/internal/servertest/gateway.go
@@ -1,26 +1,26 @@
-package testkit
+package servertest
 
 import (
 	"net"
 	"testing"
 	"time"
 
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
 )
 
 // Gateway is one connection to a server, which fails the test where it can't go on.
 type Gateway struct {
 	t testing.TB
-	*standin.Gateway
+	*fake.Gateway
 }
 
 // Dial connects to a server, which may still be starting.
 func Dial(t testing.TB, addr string) *Gateway {
 	t.Helper()
-	var g *standin.Gateway
+	var g *fake.Gateway
 	Wait(t, "a connection to "+addr, func() (ok bool) {
 		var err error
-		g, err = standin.Dial(addr)
+		g, err = fake.Dial(addr)
 		return err == nil
 	})
 	t.Cleanup(g.Close)
@@ -38,7 +38,7 @@
 }
 
 // Answer returns the next answer to the request, or to any where id is 0.
-func (g *Gateway) Answer(id uint16) standin.Answer {
+func (g *Gateway) Answer(id uint16) fake.Answer {
 	g.t.Helper()
 	a, err := g.TryAnswer(id)
 	if err != nil {
@@ -48,7 +48,7 @@
 }
 
 // TryAnswer returns the next answer to the request, or why there is none.
-func (g *Gateway) TryAnswer(id uint16) (standin.Answer, error) {
+func (g *Gateway) TryAnswer(id uint16) (fake.Answer, error) {
 	return g.Read(id, time.Now().Add(Patience))
 }
 
--- a/internal/testkit/crossing/crossing.go
+++ b/internal/servertest/interleave/crossing.go
@@ -1,6 +1,6 @@
 // Package crossing has a test do something between two system calls of a loop: a byte comes after the look into a
 // socket and before its close, a call after the last accept. The order is the test's own, and no sleep's.
-package crossing
+package interleave
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
 )
 
 // Call is a system call that a test may come before.
@@ -27,13 +27,13 @@
 
 // System is a loop's system that tells a test of calls before they are made.
 type System struct {
-	loop.System
+	eventloop.System
 	mu     sync.Mutex
 	before func(call Call, fd int) (done bool)
 }
 
 // New is the machine's own system, with nothing in between yet.
-func New() *System { return &System{System: loop.Kernel{}} }
+func New() *System { return &System{System: eventloop.Kernel{}} }
 
 // Before has a function called before each call until it returns true, on the goroutine that makes the call.
 func (s *System) Before(do func(call Call, fd int) (done bool)) {
--- a/internal/testkit/interpreter.go
+++ b/internal/servertest/interpreter.go
@@ -1,13 +1,13 @@
 // Package testkit starts the stand-ins of internal/standin and nodes for tests, and fails the test where they can't
 // go on.
-package testkit
+package servertest
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
 )
 
 // Patience is how long a test waits for what has to come; a loaded machine may need much of it.
@@ -26,13 +26,13 @@
 // Interpreter is an interpreter that ends with its test.
 type Interpreter struct {
 	t testing.TB
-	*standin.Interpreter
+	*fake.Interpreter
 }
 
 // NewInterpreter starts an interpreter that is up and ends runs only when told.
 func NewInterpreter(t testing.TB) *Interpreter {
 	t.Helper()
-	it, err := standin.NewInterpreter()
+	it, err := fake.NewInterpreter()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 }
 
 // WaitApplied waits until so many runs were started, and returns them.
-func (it *Interpreter) WaitApplied(n int) []standin.Apply {
+func (it *Interpreter) WaitApplied(n int) []fake.Apply {
 	it.t.Helper()
 	Wait(it.t, fmt.Sprintf("%d runs", n), func() bool { return len(it.Applied()) >= n })
 	return it.Applied()
--- a/internal/testkit/node.go
+++ b/internal/servertest/node.go
@@ -1,4 +1,4 @@
-package testkit
+package servertest
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/standin"
+	"tillerusher/internal/fake"
 )
 
 // Node is one running server with all that it talks to.
@@ -51,7 +51,7 @@
 // FreeAddr returns a loopback address that nothing listens at.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
-	addr, err := standin.FreeAddr()
+	addr, err := fake.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	reports := NewAnnounce(t)
 	n := &Node{Interpreter: it, Addr: FreeAddr(t), t: t, reports: reports, exited: make(chan struct{})}
 	config := map[string]any{"name": "n3", "listen": n.Addr, "vm": it.Addr(), "announce": reports.LocalAddr().String(),
-		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(standin.Settings),
+		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.Settings),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
 	if change != nil {
 		change(config)
@@ -207,7 +207,7 @@
 	Wait(n.t, "a healthy node", func() bool {
 		g := Dial(n.t, n.Addr)
 		defer g.Close()
-		g.Write(standin.Health(false).Records(1))
+		g.Write(fake.Health(false).Records(1))
 		return g.Answer(1).Status == 200
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // settingsText mirrors the JSON object of an attach event; unknown keys are skipped.
@@ -75,15 +75,15 @@
 
 // Told is what the settings say to the host of an instance.
 type Told struct {
-	Module  tillerusher.Settings
+	Module  admission.Settings
 	Classes []string // names, by index
 	Tenants []string // names, by index
 	Gauges  []string // names, in the order of the readings
 }
 
 // Read names the gauges of a reading.
-func (t *Told) Read(values []float64) tillerusher.Gauges {
-	g := tillerusher.Gauges{Busy: -1, Runnable: -1}
+func (t *Told) Read(values []float64) admission.Gauges {
+	g := admission.Gauges{Busy: -1, Runnable: -1}
 	for i, name := range t.Gauges {
 		switch {
 		case i >= len(values):
@@ -110,7 +110,7 @@
 	}
 	told := &Told{Gauges: t.Info.Gauges}
 	s := &told.Module
-	*s = tillerusher.Settings{
+	*s = admission.Settings{
 		Servers: *t.Servers, Callers: t.Info.Callers, Cores: t.Info.Cores, Tick: t.Tick,
 		Cold: t.Info.Cold, ColdShare: t.Rules.ColdShare, ColdFor: t.Rules.ColdFor,
 		MemoryKB: t.Info.MemoryKB, KeyKB: t.Info.KeyKB, RunFactor: t.Info.RunFactor,
@@ -124,15 +124,15 @@
 		s.RetryAfter = t.Limits.MaxRetryAfter
 	}
 	for _, r := range t.Realms {
-		s.Tenants = append(s.Tenants, tillerusher.Tenant{Quota: r.Quota})
+		s.Tenants = append(s.Tenants, admission.Tenant{Quota: r.Quota})
 		told.Tenants = append(told.Tenants, r.Name)
 	}
 	var err error
 	for i, l := range t.Lanes {
-		c := tillerusher.Class{Aim: l.Aim, AimStretch: l.AimStretch, Deadline: l.Deadline, Worth: l.Worth,
+		c := admission.Class{Aim: l.Aim, AimStretch: l.AimStretch, Deadline: l.Deadline, Worth: l.Worth,
 			LateWorth: l.LateWorth, Window: l.Window}
-		if c.Effect, err = lookup("lanes[].repeat", l.Repeat, map[string]tillerusher.Effect{
-			"retryable": tillerusher.Safe, "dedup": tillerusher.Keyed, "fragile": tillerusher.Unsafe}); err != nil {
+		if c.Effect, err = lookup("lanes[].repeat", l.Repeat, map[string]admission.Effect{
+			"retryable": admission.Safe, "dedup": admission.Keyed, "fragile": admission.Unsafe}); err != nil {
 			return nil, err
 		}
 		if i < len(t.Info.SkipWorth) {
@@ -141,17 +141,17 @@
 		s.Classes = append(s.Classes, c)
 		told.Classes = append(told.Classes, l.Name)
 	}
-	if s.StopMode, err = lookup("family-info.stop-mode", t.Info.StopMode, map[string]tillerusher.StopMode{
-		"none": tillerusher.StopNone, "drop": tillerusher.StopDrop, "pause": tillerusher.StopPause}); err != nil {
+	if s.StopMode, err = lookup("family-info.stop-mode", t.Info.StopMode, map[string]admission.StopMode{
+		"none": admission.StopNone, "drop": admission.StopDrop, "pause": admission.StopPause}); err != nil {
 		return nil, err
 	}
-	if s.Below, err = lookup("family-info.below", t.Info.Below, map[string]tillerusher.Dependency{
-		"none": tillerusher.DependencyNone, "shared": tillerusher.DependencyShared, "tier": tillerusher.DependencyTier}); err != nil {
+	if s.Below, err = lookup("family-info.below", t.Info.Below, map[string]admission.Dependency{
+		"none": admission.DependencyNone, "shared": admission.DependencyShared, "tier": admission.DependencyTier}); err != nil {
 		return nil, err
 	}
-	s.Feedback, err = lookup("family-info.say", t.Info.Say, map[string]tillerusher.Feedback{
-		"none": tillerusher.FeedbackNone, "level": tillerusher.FeedbackLevel,
-		"credit": tillerusher.FeedbackCredit, "weight": tillerusher.FeedbackWeight})
+	s.Feedback, err = lookup("family-info.say", t.Info.Say, map[string]admission.Feedback{
+		"none": admission.FeedbackNone, "level": admission.FeedbackLevel,
+		"credit": admission.FeedbackCredit, "weight": admission.FeedbackWeight})
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 func (t *Told) KeyedSite() string {
 	var parts []string
 	for i, c := range t.Module.Classes {
-		if c.Effect == tillerusher.Keyed {
+		if c.Effect == admission.Keyed {
 			parts = append(parts, fmt.Sprintf("%s %v", t.Classes[i], c.Window))
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 const settingsExample = `{"unknown": [1], "family-info": {"below": "tier", "caller-idle-ns": 30000000000, "callers": 3,
@@ -25,11 +25,11 @@
 	}
 	s := told.Module
 	if s.Cores != 6 || s.Servers != 11 || s.Tick != 4*time.Millisecond || !s.Cold ||
-		s.StopMode != tillerusher.StopDrop || s.Feedback != tillerusher.FeedbackWeight ||
-		s.Below != tillerusher.DependencyTier || s.RetryAfter != time.Second || s.Tenants[0].Quota != 33 {
+		s.StopMode != admission.StopDrop || s.Feedback != admission.FeedbackWeight ||
+		s.Below != admission.DependencyTier || s.RetryAfter != time.Second || s.Tenants[0].Quota != 33 {
 		t.Errorf("settings %+v", s)
 	}
-	if c := s.Classes[1]; c.Effect != tillerusher.Keyed || c.Window != 17058*time.Millisecond || c.SkipWorth != 0 || c.Worth != 2 {
+	if c := s.Classes[1]; c.Effect != admission.Keyed || c.Window != 17058*time.Millisecond || c.SkipWorth != 0 || c.Worth != 2 {
 		t.Errorf("class %+v", c)
 	}
 	if s.Classes[0].SkipWorth != 0.3 || !reflect.DeepEqual(told.Gauges, []string{"cpu_busy", "sockets"}) {
--- a/internal/simos/process.go
+++ b/internal/simnet/process.go
@@ -1,4 +1,4 @@
-package simos
+package simnet
 
 import (
 	"fmt"
--- a/internal/simos/world.go
+++ b/internal/simnet/world.go
@@ -3,7 +3,7 @@
 // the real server runs on it, loop and all; the parties round it are actors, which are called when something comes.
 //
 // What a call does follows the manual pages of epoll(7), tcp(7), connect(2), accept(2), read(2), write(2) and shutdown(2).
-package simos
+package simnet
 
 import (
 	"container/heap"
--- a/internal/wire/frame.go
+++ b/internal/simulatorwire/frame.go
@@ -1,6 +1,6 @@
 // Package wire reads batches of events and writes replies in the simulator's binary framing. It translates
 // and decides nothing.
-package wire
+package simulatorwire
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // Sizes of the framing in bytes.
@@ -48,11 +48,11 @@
 type Event struct {
 	Code     Code
 	Instance uint32
-	ID       tillerusher.RequestID
+	ID       admission.RequestID
 	Token    uint32
 	Duration time.Duration // time since the start, or until the process stops
-	Outcome  tillerusher.Outcome
-	Request  tillerusher.Request
+	Outcome  admission.Outcome
+	Request  admission.Request
 	Gauges   []float64
 	Settings []byte
 }
@@ -64,9 +64,9 @@
 }
 
 // outcomes translates the codes of the wire.
-var outcomes = map[byte]tillerusher.Outcome{
-	0: tillerusher.OK, 255: tillerusher.Errored, 254: tillerusher.Rejected, 253: tillerusher.TimedOut,
-	252: tillerusher.Unreachable, 251: tillerusher.Reset, 250: tillerusher.Cancelled, 249: tillerusher.Moot,
+var outcomes = map[byte]admission.Outcome{
+	0: admission.OK, 255: admission.Errored, 254: admission.Rejected, 253: admission.TimedOut,
+	252: admission.Unreachable, 251: admission.Reset, 250: admission.Cancelled, 249: admission.Moot,
 }
 
 // Reader decodes batches from a stream.
@@ -121,7 +121,7 @@
 	u32 := func(at int) uint32 { return binary.LittleEndian.Uint32(p[at:]) }
 	u64 := func(at int) uint64 { return binary.LittleEndian.Uint64(p[at:]) }
 	f32 := func(at int) float64 { return float64(math.Float32frombits(u32(at))) }
-	e := Event{Code: Code(p[0]), Instance: u32(1), ID: tillerusher.RequestID(u32(5))}
+	e := Event{Code: Code(p[0]), Instance: u32(1), ID: admission.RequestID(u32(5))}
 	var known bool
 	switch e.Code {
 	case Attach:
@@ -148,10 +148,10 @@
 		}
 	case Call:
 		opts := binary.LittleEndian.Uint16(p[34:])
-		e.Request = tillerusher.Request{
+		e.Request = admission.Request{
 			ID: e.ID, Subject: u64(9), Waited: time.Duration(u64(17)), Class: int(p[25]),
 			Budget: time.Duration(u64(26)), Retry: opts&optRetry != 0, Tenant: int(u32(36)),
-			Caller: int(binary.LittleEndian.Uint16(p[40:])), Repeats: tillerusher.RequestID(u32(42)),
+			Caller: int(binary.LittleEndian.Uint16(p[40:])), Repeats: admission.RequestID(u32(42)),
 			SizeKB: f32(46),
 		}
 		if opts&optHint != 0 {
@@ -212,7 +212,7 @@
 	Instance uint32
 }
 
-func (a *Actions) request(code byte, id tillerusher.RequestID) []byte {
+func (a *Actions) request(code byte, id admission.RequestID) []byte {
 	p := a.Reply.add(code, a.Instance)
 	binary.LittleEndian.PutUint32(p[5:], uint32(id))
 	return p
@@ -227,39 +227,39 @@
 }
 
 // Run implements tillerusher.Actions.
-func (a *Actions) Run(id tillerusher.RequestID) { a.request(77, id) }
+func (a *Actions) Run(id admission.RequestID) { a.request(77, id) }
 
 // Refuse implements tillerusher.Actions.
-func (a *Actions) Refuse(id tillerusher.RequestID, stayAway time.Duration, last bool) {
+func (a *Actions) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	p := a.request(72, id)
 	putTime(p[9:], stayAway)
 	putBool(p[17:], last)
 }
 
 // Fail implements tillerusher.Actions.
-func (a *Actions) Fail(id tillerusher.RequestID) { a.request(79, id) }
+func (a *Actions) Fail(id admission.RequestID) { a.request(79, id) }
 
 // Call implements tillerusher.Actions.
-func (a *Actions) Call(id tillerusher.RequestID, timeout time.Duration) {
+func (a *Actions) Call(id admission.RequestID, timeout time.Duration) {
 	putTime(a.request(71, id)[9:], timeout)
 }
 
 // Skip implements tillerusher.Actions.
-func (a *Actions) Skip(id tillerusher.RequestID) { a.request(66, id) }
+func (a *Actions) Skip(id admission.RequestID) { a.request(66, id) }
 
 // Halt implements tillerusher.Actions.
-func (a *Actions) Halt(id tillerusher.RequestID) { a.request(76, id) }
+func (a *Actions) Halt(id admission.RequestID) { a.request(76, id) }
 
 // Keep implements tillerusher.Actions.
-func (a *Actions) Keep(id tillerusher.RequestID, lifetime time.Duration) {
+func (a *Actions) Keep(id admission.RequestID, lifetime time.Duration) {
 	putTime(a.request(73, id)[9:], lifetime)
 }
 
 // Forget implements tillerusher.Actions.
-func (a *Actions) Forget(id tillerusher.RequestID) { a.request(78, id) }
+func (a *Actions) Forget(id admission.RequestID) { a.request(78, id) }
 
 // Reuse implements tillerusher.Actions.
-func (a *Actions) Reuse(id tillerusher.RequestID) { a.request(70, id) }
+func (a *Actions) Reuse(id admission.RequestID) { a.request(70, id) }
 
 // Say implements tillerusher.Actions.
 func (a *Actions) Say(value float64) {
--- a/internal/wire/frame_test.go
+++ b/internal/simulatorwire/frame_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulatorwire
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // frame turns spaced hex into bytes; +N stands for N zero bytes.
@@ -49,7 +49,7 @@
 	if b.Now != 0x1f568bf90 || len(b.Events) != 3 {
 		t.Fatalf("clock %d, %d events", b.Now, len(b.Events))
 	}
-	want := tillerusher.Request{ID: 0x5d3a91c4, Subject: 0x91f03b7c55d20a64, Waited: 1850 * time.Microsecond,
+	want := admission.Request{ID: 0x5d3a91c4, Subject: 0x91f03b7c55d20a64, Waited: 1850 * time.Microsecond,
 		Budget: 240 * time.Millisecond, Caller: 17, Repeats: 0x0e6f2b19, SizeKB: 24.5,
 		Work: 12 * time.Millisecond}
 	if got := b.Events[0].Request; !reflect.DeepEqual(got, want) {
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/cockroachdb/pebble/vfs"
 
-	"tillerusher/internal/durable"
+	"tillerusher/internal/idempotency"
 )
 
 // touch is one operation on one record: a write of a value, or a read where it is nil.
@@ -117,9 +117,9 @@
 					for i := range body {
 						body[i] = byte(chance.Uint32())
 					}
-					e := durable.Entry{Key: durable.Key{Class: "stock-reserve", Key: fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())},
-						State: durable.Done, Stamp: time.Now(), Until: time.Now(), Sum: chance.Uint64(), Answer: durable.Answer{Status: 200, Body: body,
-							Fields: []durable.Field{{Name: "Content-Type", Value: "application/json"}}}}
+					e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())},
+						State: idempotency.Done, Stamp: time.Now(), Until: time.Now(), Sum: chance.Uint64(), Answer: idempotency.Answer{Status: 200, Body: body,
+							Fields: []idempotency.Field{{Name: "Content-Type", Value: "application/json"}}}}
 					changes = append(changes, Change{Name: e.Key.Name(), Value: e.Encode()})
 				}
 				if err := write(s, changes...); err != nil {
--- a/internal/store/slips_test.go
+++ b/internal/store/slips_test.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 
-	"tillerusher/internal/durable"
-	"tillerusher/internal/rules"
+	"tillerusher/internal/idempotency"
+	"tillerusher/internal/invariant"
 )
 
 // The slips' world: how long a key must not run again, how long a try may be on its way, and how many cuts a folder lives
@@ -39,7 +39,7 @@
 type slipWorld struct {
 	rng      *rand.Rand
 	fsys     *vfs.MemFS
-	observer *rules.Observer
+	observer *invariant.Observer
 	now      time.Time // of the callers
 	skew     time.Duration
 	tries    int
@@ -50,9 +50,9 @@
 type slipLife struct {
 	*slipWorld
 	store   *Store
-	rules   *durable.Journal
-	known   map[durable.Key]*slip
-	running []durable.Key
+	rules   *idempotency.Journal
+	known   map[idempotency.Key]*slip
+	running []idempotency.Key
 	posted  chan func()
 	pending int // orders whose end was not heard of
 	dead    atomic.Bool
@@ -64,7 +64,7 @@
 // live plays one life: the power goes at a random call to the file layer, and whatever was not synced is lost, torn or kept
 // in part.
 func (w *slipWorld) live(t *testing.T) error {
-	l := &slipLife{slipWorld: w, known: map[durable.Key]*slip{}, posted: make(chan func(), 1024)}
+	l := &slipLife{slipWorld: w, known: map[idempotency.Key]*slip{}, posted: make(chan func(), 1024)}
 	var calls atomic.Int64
 	at := int64(1 + w.rng.IntN(160))
 	disk := errorfs.Wrap(w.fsys, errorfs.InjectorFunc(func(errorfs.Op, string) error {
@@ -108,14 +108,14 @@
 	if l.store, err = Open(config(disk)); err != nil {
 		return err
 	}
-	l.rules = durable.New(durable.Limits{Entries: 10, Bytes: 3000})
-	err = l.store.Each(durable.Prefix, func(name, value []byte) error { return l.rules.Load(string(name), value) })
+	l.rules = idempotency.New(idempotency.Limits{Entries: 10, Bytes: 3000})
+	err = l.store.Each(idempotency.Prefix, func(name, value []byte) error { return l.rules.Load(string(name), value) })
 	if err != nil {
 		return err
 	}
 	for _, e := range l.rules.Entries() {
 		if !l.clock().After(e.Until) {
-			l.known[e.Key] = &slip{until: e.Stamp.Add(slipWindow), over: true, failed: e.State != durable.Done}
+			l.known[e.Key] = &slip{until: e.Stamp.Add(slipWindow), over: true, failed: e.State != idempotency.Done}
 			l.counts["recovered "+e.State.String()]++
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // write hands over changes; then hears on the life's own goroutine that they are down, unless the power went before.
-func (l *slipLife) write(changes []durable.Change, then func(err error)) {
+func (l *slipLife) write(changes []idempotency.Change, then func(err error)) {
 	if len(changes) == 0 {
 		return
 	}
@@ -164,9 +164,9 @@
 // arrive has a try come in, most of them for few keys.
 func (l *slipLife) arrive() {
 	n := min(l.rng.IntN(slipKeys), l.rng.IntN(slipKeys))
-	k := durable.Key{Class: "stock-reserve", Key: fmt.Sprint("slip ", n)}
+	k := idempotency.Key{Class: "stock-reserve", Key: fmt.Sprint("slip ", n)}
 	l.tries++
-	try := rules.Try{ID: fmt.Sprint(l.tries), Key: k.Key, Once: true, Result: k.Key, Due: l.now.Add(24 * time.Hour),
+	try := invariant.Try{ID: fmt.Sprint(l.tries), Key: k.Key, Once: true, Result: k.Key, Due: l.now.Add(24 * time.Hour),
 		Received: l.now.Add(-time.Duration(l.rng.Int64N(int64(slipDelay))))}
 	l.observer.Sent(try)
 	if s := l.known[k]; s != nil && !try.Received.After(s.until) {
@@ -174,19 +174,19 @@
 		case !s.over:
 			s.waiting = append(s.waiting, try.ID)
 		case s.failed:
-			l.answer(try.ID, rules.Failed, k)
+			l.answer(try.ID, invariant.Failed, k)
 		default:
-			l.answer(try.ID, rules.Served, k)
+			l.answer(try.ID, invariant.Served, k)
 		}
 		return
 	}
-	if l.rules.Admit(l.clock()) != durable.Protected {
-		l.answer(try.ID, rules.Refused, k)
+	if l.rules.Admit(l.clock()) != idempotency.Protected {
+		l.answer(try.ID, invariant.Refused, k)
 		return
 	}
 	s := &slip{until: try.Received.Add(slipWindow), waiting: []string{try.ID}, before: l.known[k]}
 	l.known[k] = s
-	l.write(l.rules.Intend(durable.Entry{Key: k, Stamp: try.Received, Until: s.until.Add(slipDelay)}), func(err error) {
+	l.write(l.rules.Intend(idempotency.Entry{Key: k, Stamp: try.Received, Until: s.until.Add(slipDelay)}), func(err error) {
 		switch {
 		case err != nil:
 			l.rules.Wrote(err, l.clock())
@@ -204,8 +204,8 @@
 }
 
 // takeBack refuses what waits for a request that nothing ran for.
-func (l *slipLife) takeBack(k durable.Key) {
-	l.over(k, rules.Refused)
+func (l *slipLife) takeBack(k idempotency.Key) {
+	l.over(k, invariant.Refused)
 	if l.known[k] = l.known[k].before; l.known[k] == nil {
 		delete(l.known, k)
 	}
@@ -216,16 +216,16 @@
 	i := l.rng.IntN(len(l.running))
 	k := l.running[i]
 	l.running = append(l.running[:i], l.running[i+1:]...)
-	l.over(k, rules.Served)
+	l.over(k, invariant.Served)
 	body := append([]byte(k.Key), make([]byte, l.rng.IntN(600))...)
-	l.write(l.rules.Finish(k, durable.Answer{Status: 200, Body: body}), nil)
+	l.write(l.rules.Finish(k, idempotency.Answer{Status: 200, Body: body}), nil)
 }
 
 // over answers all that wait for a request.
-func (l *slipLife) over(k durable.Key, kind rules.Answer) {
+func (l *slipLife) over(k idempotency.Key, kind invariant.Answer) {
 	s := l.known[k]
 	s.over = true
-	if kind == rules.Served {
+	if kind == invariant.Served {
 		s.before = nil
 	}
 	for _, id := range s.waiting {
@@ -234,7 +234,7 @@
 	s.waiting = nil
 }
 
-func (l *slipLife) answer(id string, kind rules.Answer, k durable.Key) {
+func (l *slipLife) answer(id string, kind invariant.Answer, k idempotency.Key) {
 	l.counts[[]string{"served", "refused", "failed"}[kind]]++
 	l.observer.Answered(id, kind, k.Key, l.now)
 }
@@ -281,7 +281,7 @@
 
 // playSlips plays one folder's lives.
 func playSlips(t *testing.T, seed, n uint64) (map[string]int, error) {
-	w := &slipWorld{rng: rand.New(rand.NewPCG(seed, n)), fsys: vfs.NewStrictMem(), observer: rules.New(slipWindow), counts: map[string]int{},
+	w := &slipWorld{rng: rand.New(rand.NewPCG(seed, n)), fsys: vfs.NewStrictMem(), observer: invariant.New(slipWindow), counts: map[string]int{},
 		now: time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)}
 	for life := range slipLives {
 		if err := w.live(t); err != nil {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -8,11 +8,11 @@
 
 	"github.com/cockroachdb/pebble"
 
-	"tillerusher/internal/durable"
+	"tillerusher/internal/idempotency"
 )
 
 // Change is one record to be written, or removed where its value is nil.
-type Change = durable.Change
+type Change = idempotency.Change
 
 // The errors of handing over changes.
 var (
@@ -43,7 +43,7 @@
 	bytes   int
 	closed  bool
 	ended   chan struct{}
-	counts  durable.StoreCounts
+	counts  idempotency.StoreCounts
 }
 
 func startWriter(s *Store) *writer {
@@ -75,7 +75,7 @@
 }
 
 // Counts are what the store did since it was opened.
-func (s *Store) Counts() durable.StoreCounts {
+func (s *Store) Counts() idempotency.StoreCounts {
 	s.writer.mu.Lock()
 	defer s.writer.mu.Unlock()
 	return s.writer.counts
--- a/server/actions.go
+++ b/server/actions.go
@@ -6,8 +6,8 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
-	"tillerusher/internal/front"
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
 )
 
 // The statuses of answers.
@@ -23,7 +23,7 @@
 type actions struct{ *Server }
 
 // Run implements tillerusher.Actions.
-func (a actions) Run(id tillerusher.RequestID) {
+func (a actions) Run(id admission.RequestID) {
 	t := a.tries[id]
 	if t == nil || t.answered || t.state == running {
 		return
@@ -33,8 +33,8 @@
 		a.count.ranTwice++
 		a.log.Error("second run prevented", zap.String("request", t.wire))
 		a.remark("second run of %d prevented", id)
-		a.answer(t, front.Answer{Status: statusFailed})
-		a.after(func() { a.module.Done(a.event(), id, tillerusher.Errored) })
+		a.answer(t, gateway.Answer{Status: statusFailed})
+		a.after(func() { a.module.Done(a.event(), id, admission.Errored) })
 		return
 	}
 	a.count.runs++
@@ -47,7 +47,7 @@
 }
 
 // Refuse implements tillerusher.Actions.
-func (a actions) Refuse(id tillerusher.RequestID, stayAway time.Duration, last bool) {
+func (a actions) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	t := a.tries[id]
 	if t == nil || t.answered {
 		return
@@ -67,22 +67,22 @@
 }
 
 // refusal is an answer that says when to come back, where that is honoured, and whether to try no other server.
-func refusal(stayAway time.Duration, last bool) front.Answer {
-	r := front.Answer{Status: statusRefused}
+func refusal(stayAway time.Duration, last bool) gateway.Answer {
+	r := gateway.Answer{Status: statusRefused}
 	if stayAway > 0 {
 		ms := (stayAway + time.Millisecond - 1) / time.Millisecond
-		r.Fields = append(r.Fields, front.Field{Name: "Back-Off-Ms", Value: strconv.FormatInt(int64(ms), 10)})
+		r.Fields = append(r.Fields, gateway.Field{Name: "Back-Off-Ms", Value: strconv.FormatInt(int64(ms), 10)})
 	}
 	if last {
-		r.Fields = append(r.Fields, front.Field{Name: "Final-Refusal", Value: "1"})
+		r.Fields = append(r.Fields, gateway.Field{Name: "Final-Refusal", Value: "1"})
 	}
 	return r
 }
 
 // Fail implements tillerusher.Actions.
-func (a actions) Fail(id tillerusher.RequestID) {
+func (a actions) Fail(id admission.RequestID) {
 	if t := a.tries[id]; t != nil && !t.answered {
-		a.answer(t, front.Answer{Status: statusFailed})
+		a.answer(t, gateway.Answer{Status: statusFailed})
 		t.halted = t.awaits
 		a.withdraw(t)
 		a.drop(t)
@@ -96,12 +96,12 @@
 	}
 	t.state = broken
 	a.unclaim(t)
-	a.after(func() { a.over(t, tillerusher.Cancelled) })
+	a.after(func() { a.over(t, admission.Cancelled) })
 	return true
 }
 
 // Halt implements tillerusher.Actions.
-func (a actions) Halt(id tillerusher.RequestID) {
+func (a actions) Halt(id admission.RequestID) {
 	t := a.tries[id]
 	switch {
 	case t == nil || t.state != running || a.withdraw(t):
@@ -113,19 +113,19 @@
 }
 
 // Keep implements tillerusher.Actions.
-func (a actions) Keep(id tillerusher.RequestID, lifetime time.Duration) {
+func (a actions) Keep(id admission.RequestID, lifetime time.Duration) {
 	if t := a.tries[id]; t != nil && t.keyed {
 		a.keys.keep(t, a.clock.now+lifetime)
 	}
 }
 
 // Forget implements tillerusher.Actions.
-func (a actions) Forget(id tillerusher.RequestID) {
+func (a actions) Forget(id admission.RequestID) {
 	a.keys.forget(id)
 }
 
 // Reuse implements tillerusher.Actions.
-func (a actions) Reuse(id tillerusher.RequestID) {
+func (a actions) Reuse(id admission.RequestID) {
 	t := a.tries[id]
 	if t == nil || t.answered {
 		return
@@ -160,12 +160,12 @@
 func (a actions) Log(line string) { a.log.Info("decision", zap.String("text", line)) }
 
 // Call implements tillerusher.Actions; the module hears of no calls, as Awaits ends the requests that come to one.
-func (a actions) Call(id tillerusher.RequestID, _ time.Duration) { a.noCalls(id) }
+func (a actions) Call(id admission.RequestID, _ time.Duration) { a.noCalls(id) }
 
 // Skip implements tillerusher.Actions, as Call.
-func (a actions) Skip(id tillerusher.RequestID) { a.noCalls(id) }
+func (a actions) Skip(id admission.RequestID) { a.noCalls(id) }
 
 // noCalls reports a decision that nothing can have led to.
-func (a actions) noCalls(id tillerusher.RequestID) {
+func (a actions) noCalls(id admission.RequestID) {
 	a.log.Error("call without a dependency", zap.Uint32("id", uint32(id)))
 }
--- a/server/calls_test.go
+++ b/server/calls_test.go
@@ -4,22 +4,22 @@
 	"fmt"
 	"testing"
 
-	"tillerusher"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/admission"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
 )
 
 // TestCallsBelow serves a site whose requests call what lies below. No page says how such a call is made, so a run
 // that comes to one is given up: its request is answered at once, refused only where it has no effect, and its end is
 // awaited. Requests that make no call are served as ever.
 func TestCallsBelow(t *testing.T) {
-	for _, below := range []tillerusher.Dependency{tillerusher.DependencyTier, tillerusher.DependencyShared} {
+	for _, below := range []admission.Dependency{admission.DependencyTier, admission.DependencyShared} {
 		t.Run(fmt.Sprint(below), func(t *testing.T) {
 			told := testTold(t)
 			told.Module.Below = below
 			s, it := runAt(t, told)
-			g := testkit.Dial(t, s.cfg.Listen.String())
-			g.Write(standin.Lookup("calls").Records(1), standin.Reserve(1, "calls").Records(2))
+			g := servertest.Dial(t, s.cfg.Listen.String())
+			g.Write(fake.Lookup("calls").Records(1), fake.Reserve(1, "calls").Records(2))
 			for _, r := range it.WaitApplied(2) {
 				it.Await(r.ID, []byte("the call"))
 			}
@@ -32,11 +32,11 @@
 			for _, r := range it.Applied() {
 				it.End(r.ID, "STOPPED", nil)
 			}
-			g.Write(standin.Reserve(1, "calls").Records(3))
+			g.Write(fake.Reserve(1, "calls").Records(3))
 			if a := g.Answer(3); a.Status != statusFailed || len(it.Applied()) != 2 {
 				t.Errorf("a reserve that may have run, again: %+v, runs %v", a, it.Applied())
 			}
-			g.Write(standin.Lookup("calls nothing").Records(4))
+			g.Write(fake.Lookup("calls nothing").Records(4))
 			it.End(it.WaitApplied(3)[2].ID, "OK", []byte("x"))
 			if a := g.Answer(4); a.Status != 200 {
 				t.Errorf("a lookup without a call: %+v", a)
--- a/server/classes.go
+++ b/server/classes.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // classCounters tell what a server took in and answered of one class since its start.
@@ -14,14 +14,14 @@
 }
 
 // rejectionNames are the names in the log of the reasons for which the module turns requests away.
-var rejectionNames = map[tillerusher.Reason]string{
-	tillerusher.AfterGrace: "after_grace", tillerusher.Stalled: "stalled", tillerusher.NoMemory: "no_memory",
-	tillerusher.Due: "due", tillerusher.OverThreshold: "over_threshold", tillerusher.WaitTooLong: "wait_too_long",
-	tillerusher.NoTimeLeft: "no_time_left", tillerusher.WorthNothing: "worth_nothing", tillerusher.LateWhileFull: "late_while_full"}
+var rejectionNames = map[admission.Reason]string{
+	admission.AfterGrace: "after_grace", admission.Stalled: "stalled", admission.NoMemory: "no_memory",
+	admission.Due: "due", admission.OverThreshold: "over_threshold", admission.WaitTooLong: "wait_too_long",
+	admission.NoTimeLeft: "no_time_left", admission.WorthNothing: "worth_nothing", admission.LateWhileFull: "late_while_full"}
 
 // reportClasses logs the counters of each class, and what the module knows of it, in one line.
 func (s *Server) reportClasses(why string) {
-	var known []tillerusher.ClassInsight
+	var known []admission.ClassInsight
 	if s.decisions != nil {
 		known = s.decisions.Inspect().Classes
 	}
@@ -39,13 +39,13 @@
 }
 
 // insightFields are what the module knows of a class: readings of the moment, and why requests were turned away since the start.
-func insightFields(i *tillerusher.ClassInsight) []zap.Field {
+func insightFields(i *admission.ClassInsight) []zap.Field {
 	fields := []zap.Field{zap.Bool("starved", i.Starved), zap.Int("held", i.Within+i.Over), zap.Int("learned_runs", i.Runs),
 		zap.Int64("core_ms", i.CoreTime.Round(time.Millisecond).Milliseconds()),
 		zap.Int64("wall_ms", i.Wall.Round(time.Millisecond).Milliseconds())}
 	for why, n := range i.Rejections {
 		if n > 0 {
-			fields = append(fields, zap.Uint64(rejectionNames[tillerusher.Reason(why)], n))
+			fields = append(fields, zap.Uint64(rejectionNames[admission.Reason(why)], n))
 		}
 	}
 	return fields
--- a/server/corpus_test.go
+++ b/server/corpus_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
+	"tillerusher/internal/fake"
 	"tillerusher/internal/nginx"
 	"tillerusher/internal/route/routemodel"
-	"tillerusher/internal/standin"
 )
 
 // original is the reading of a configuration: what its own directives say, by the model of the manual.
@@ -265,7 +265,7 @@
 			_, g := serveRoutes(t, d)
 			for _, host := range corpusHosts {
 				for _, path := range corpusPaths {
-					r := standin.Request{Method: "GET", Path: path, Fields: map[string]string{"Host": host}}
+					r := fake.Request{Method: "GET", Path: path, Fields: map[string]string{"Host": host}}
 					g.Write(r.Records(1))
 					a := g.Answer(1)
 					got := strings.TrimSpace(a.Header.Get("X-Member") + " " + fmt.Sprint(a.Status))
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -13,16 +13,16 @@
 
 	"golang.org/x/sys/unix"
 
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
-	"tillerusher/internal/testkit/crossing"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
+	"tillerusher/internal/servertest/interleave"
 )
 
 // Each test here has one thing come between two others, in an order of its own making: docs/design/crossings.md has
 // the list, and what is ruled out by reading.
 
 // ends waits for the end of a connection, and fails where it was reset instead, or brought anything more.
-func ends(t *testing.T, g *testkit.Gateway) {
+func ends(t *testing.T, g *servertest.Gateway) {
 	t.Helper()
 	if a, err := g.TryAnswer(0); !errors.Is(err, io.EOF) {
 		t.Errorf("%+v, %v instead of a clean end", a, err)
@@ -30,10 +30,10 @@
 }
 
 // atEnd has something done just before the server ends its side of a connection, by whatever call.
-func atEnd(system *crossing.System, of net.Conn, do func()) <-chan bool {
+func atEnd(system *interleave.System, of net.Conn, do func()) <-chan bool {
 	done := make(chan bool)
-	system.Before(func(call crossing.Call, fd int) bool {
-		if call != crossing.Shutdown && call != crossing.Close || !crossing.Peer(fd, of) {
+	system.Before(func(call interleave.Call, fd int) bool {
+		if call != interleave.Shutdown && call != interleave.Close || !interleave.Peer(fd, of) {
 			return false
 		}
 		do()
@@ -53,16 +53,16 @@
 // TestCrossIdleClose has a request, or half of one, come in the very moment in which a resting connection is closed:
 // the gateway reads the answer that it had not read yet, then a clean end and no reset, and the request is not run.
 func TestCrossIdleClose(t *testing.T) {
-	whole := standin.Lookup("crosses").Records(2)
+	whole := fake.Lookup("crosses").Records(2)
 	for what, late := range map[string][]byte{"a request": whole, "half a request": whole[:30], "a byte": whole[:1]} {
 		t.Run(what, func(t *testing.T) {
-			system := crossing.New()
+			system := interleave.New()
 			s, it := runOn(t, system, testTold(t))
-			g := testkit.Dial(t, s.cfg.Listen.String())
+			g := servertest.Dial(t, s.cfg.Listen.String())
 			done := atEnd(system, g.Conn(), func() { g.Write(late) })
-			g.Write(standin.Lookup("answered").Records(1))
+			g.Write(fake.Lookup("answered").Records(1))
 			it.End(it.WaitApplied(1)[0].ID, "OK", []byte("x"))
-			testkit.Wait(t, "the module's own setting", func() (set bool) {
+			servertest.Wait(t, "the module's own setting", func() (set bool) {
 				do(s, func() { set = s.idle > 0 })
 				return set
 			})
@@ -86,9 +86,9 @@
 	s, it := run(t)
 	it.Prompt()
 	for cut := 1; cut < 24; cut++ {
-		g := testkit.Dial(t, s.cfg.Listen.String())
+		g := servertest.Dial(t, s.cfg.Listen.String())
 		check(g, false)
-		whole := standin.Lookup("slowly").Records(2)
+		whole := fake.Lookup("slowly").Records(2)
 		g.Write(whole[:cut])
 		nextRound(s)
 		do(s, func() {
@@ -106,10 +106,10 @@
 
 // TestCrossUnfinished has the rest of a request come as the connection is closed for being late with it.
 func TestCrossUnfinished(t *testing.T) {
-	system := crossing.New()
+	system := interleave.New()
 	s, it := runOn(t, system, testTold(t))
-	g := testkit.Dial(t, s.cfg.Listen.String())
-	whole := standin.Lookup("late").Records(1)
+	g := servertest.Dial(t, s.cfg.Listen.String())
+	whole := fake.Lookup("late").Records(1)
 	done := atEnd(system, g.Conn(), func() { g.Write(whole[30:]) })
 	g.Write(whole[:30])
 	nextRound(s)
@@ -134,16 +134,16 @@
 	for what, end := range map[string]func(s *Server){"resting": (*Server).drain, "time up": (*Server).stop,
 		"not yet up": (*Server).drain} {
 		t.Run(what, func(t *testing.T) {
-			system := crossing.New()
-			it := testkit.NewInterpreter(t)
+			system := interleave.New()
+			it := servertest.NewInterpreter(t)
 			if what == "not yet up" {
 				it.Down()
 			}
 			s := runWith(t, system, testTold(t), it)
-			g := testkit.Dial(t, s.cfg.Listen.String())
-			testkit.Wait(t, "the interpreter", func() bool { return what == "not yet up" || check(g, false) == 200 })
+			g := servertest.Dial(t, s.cfg.Listen.String())
+			servertest.Wait(t, "the interpreter", func() bool { return what == "not yet up" || check(g, false) == 200 })
 			check(g, false)
-			done := atEnd(system, g.Conn(), func() { g.Write(standin.Lookup("crosses").Records(2)) })
+			done := atEnd(system, g.Conn(), func() { g.Write(fake.Lookup("crosses").Records(2)) })
 			s.loop.Post(func() { end(s) })
 			<-done
 			ends(t, g)
@@ -156,19 +156,19 @@
 
 // TestCrossRoom has a gateway's first request lie unread as a newcomer needs room: silent callers go before it.
 func TestCrossRoom(t *testing.T) {
-	system := crossing.New()
+	system := interleave.New()
 	s, it := runOn(t, system, testTold(t))
 	most := s.cfg.Limits.Sockets - spareSockets
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	for range most - 1 {
-		testkit.Dial(t, s.cfg.Listen.String())
+		servertest.Dial(t, s.cfg.Listen.String())
 	}
-	testkit.Wait(t, "all to be let in", func() (in bool) {
+	servertest.Wait(t, "all to be let in", func() (in bool) {
 		do(s, func() { in = s.gateways.Len() == most })
 		return in
 	})
 	do(s, func() {
-		g.Write(standin.Lookup("just came").Records(1))
+		g.Write(fake.Lookup("just came").Records(1))
 		if !s.makeRoom() {
 			t.Error("no room was made")
 		}
@@ -182,21 +182,21 @@
 // TestCrossListener has a caller come with a request just before the last look for callers: it is taken in and
 // answered. One that comes after that, as the listener closes, is not let in, and nothing of it is run.
 func TestCrossListener(t *testing.T) {
-	system := crossing.New()
+	system := interleave.New()
 	s, it := runOn(t, system, testTold(t))
 	it.Prompt()
-	var g, after *testkit.Gateway
+	var g, after *servertest.Gateway
 	done := make(chan bool)
 	do(s, func() {
 		s.drain()
-		system.Before(func(call crossing.Call, fd int) bool {
+		system.Before(func(call interleave.Call, fd int) bool {
 			switch {
-			case call == crossing.Accept && g == nil:
-				g = testkit.Dial(t, s.cfg.Listen.String())
-				g.Write(standin.Lookup("in time").Records(1))
-			case call == crossing.Close && after == nil && isListener(fd):
-				after = testkit.Dial(t, s.cfg.Listen.String())
-				after.Write(standin.Lookup("too late").Records(1))
+			case call == interleave.Accept && g == nil:
+				g = servertest.Dial(t, s.cfg.Listen.String())
+				g.Write(fake.Lookup("in time").Records(1))
+			case call == interleave.Close && after == nil && isListener(fd):
+				after = servertest.Dial(t, s.cfg.Listen.String())
+				after.Write(fake.Lookup("too late").Records(1))
 				close(done)
 				return true
 			}
@@ -230,16 +230,16 @@
 	told := testTold(t)
 	told.Module.DrainGrace = 500 * time.Millisecond
 	s, it := runAt(t, told)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	do(s, func() {
-		g.Write(standin.Lookup("with the notice").Records(1))
+		g.Write(fake.Lookup("with the notice").Records(1))
 		s.drain()
 	})
-	received := func(r standin.Request, late time.Duration) standin.Request {
+	received := func(r fake.Request, late time.Duration) fake.Request {
 		return r.With("Received-At", strconv.FormatInt(time.Now().Add(late).UnixMilli(), 10))
 	}
 	it.WaitApplied(1)
-	g.Write(standin.Lookup("within the grace").Records(2))
+	g.Write(fake.Lookup("within the grace").Records(2))
 	for _, r := range it.WaitApplied(2) {
 		it.End(r.ID, "OK", []byte("x"))
 	}
@@ -249,7 +249,7 @@
 		}
 	}
 	do(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // a second goes by
-	g.Write(received(standin.Lookup("after the grace"), 0).Records(3))
+	g.Write(received(fake.Lookup("after the grace"), 0).Records(3))
 	if a := g.Answer(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Errorf("after the grace: %+v", a)
 	}
@@ -265,8 +265,8 @@
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
 			s, it := run(t)
-			g := testkit.Dial(t, s.cfg.Listen.String())
-			g.Write(standin.Reserve(1, "x").Records(1))
+			g := servertest.Dial(t, s.cfg.Listen.String())
+			g.Write(fake.Reserve(1, "x").Records(1))
 			id := it.WaitApplied(1)[0].ID
 			moved := it.Move()
 			cfg := *s.cfg
@@ -297,7 +297,7 @@
 // and while the gauges are asked for: each run begins once, ends once and is answered once.
 func TestCrossLink(t *testing.T) {
 	s, it := run(t)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	move := func(with func()) {
 		t.Helper()
 		moved := it.Move()
@@ -308,14 +308,14 @@
 			s.reload(&cfg)
 		})
 	}
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g.Write(fake.Reserve(1, "x").Records(1))
 	id := it.WaitApplied(1)[0].ID
 	move(func() { it.End(id, "OK", []byte("one")) })
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("end unread on the old link: %+v", a)
 	}
 	// The command goes out at the end of the round in which the request is read, so the link goes in the next.
-	g.Write(standin.Reserve(2, "y").Records(2))
+	g.Write(fake.Reserve(2, "y").Records(2))
 	nextRound(s)
 	move(func() {})
 	it.End(it.WaitApplied(2)[1].ID, "OK", []byte("two"))
@@ -327,7 +327,7 @@
 	if <-asked {
 		t.Error("a question on a link that went was answered as if it had come through")
 	}
-	g.Write(standin.Reserve(2, "y").Records(3))
+	g.Write(fake.Reserve(2, "y").Records(3))
 	if a := g.Answer(3); a.Status != 200 || string(a.Body) != "two" {
 		t.Errorf("repeat on the new link: %+v", a)
 	}
@@ -342,23 +342,23 @@
 	told := testTold(t)
 	told.Module.Classes[1].Deadline = 300 * time.Millisecond
 	s, it := runAt(t, told)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	it.Refuse(true)
 	it.Cut()
-	testkit.Wait(t, "the link to be lost", func() (lost bool) {
+	servertest.Wait(t, "the link to be lost", func() (lost bool) {
 		do(s, func() { lost = !s.link.Ready() })
 		return lost
 	})
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g.Write(fake.Reserve(1, "x").Records(1))
 	if a := g.Answer(1); a.Status != 500 {
 		t.Errorf("due with the link down: %+v", a)
 	}
 	it.Refuse(false)
-	testkit.Wait(t, "a new link", func() (stands bool) {
+	servertest.Wait(t, "a new link", func() (stands bool) {
 		do(s, func() { stands = s.link.Ready() })
 		return stands
 	})
-	g.Write(standin.Reserve(1, "x").With("Attempt-Again", "1").Records(2))
+	g.Write(fake.Reserve(1, "x").With("Attempt-Again", "1").Records(2))
 	runs := it.WaitApplied(1)
 	it.End(runs[0].ID, "OK", []byte("result"))
 	if a := g.Answer(2); len(runs) != 1 || a.Status != 200 && a.Status != 500 { // 500 where the machine is slow
@@ -369,25 +369,25 @@
 // TestCrossReset has callers reset their connection right after it was accepted, before and after it is first read,
 // with nothing, half a request or a whole one sent: the server goes on, and holds nothing of them.
 func TestCrossReset(t *testing.T) {
-	whole := standin.Lookup("gone").Records(1)
+	whole := fake.Lookup("gone").Records(1)
 	for what, sent := range map[string][]byte{"nothing": nil, "half a request": whole[:30], "a request": whole} {
 		t.Run(what, func(t *testing.T) {
-			system := crossing.New()
+			system := interleave.New()
 			s, it := runOn(t, system, testTold(t))
 			reset := func(c net.Conn) {
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 			}
 			done := make(chan bool)
-			var g *testkit.Gateway
+			var g *servertest.Gateway
 			do(s, func() { // one that is reset while it waits to be accepted
-				early := testkit.Dial(t, s.cfg.Listen.String())
+				early := servertest.Dial(t, s.cfg.Listen.String())
 				early.Write(sent)
 				reset(early.Conn())
-				g = testkit.Dial(t, s.cfg.Listen.String())
+				g = servertest.Dial(t, s.cfg.Listen.String())
 				g.Write(sent)
-				system.Before(func(call crossing.Call, fd int) bool { // and one between the accept and the read
-					if call != crossing.Read || !crossing.Peer(fd, g.Conn()) {
+				system.Before(func(call interleave.Call, fd int) bool { // and one between the accept and the read
+					if call != interleave.Read || !interleave.Peer(fd, g.Conn()) {
 						return false
 					}
 					reset(g.Conn())
@@ -399,14 +399,14 @@
 				do(s, func() { g.Write([]byte{1}) })
 			}
 			<-done
-			testkit.Wait(t, "the connections to be forgotten", func() (gone bool) {
+			servertest.Wait(t, "the connections to be forgotten", func() (gone bool) {
 				do(s, func() { gone = s.gateways.Len() <= 1 && len(s.tries) == 0 })
 				for _, r := range it.Applied() {
 					it.End(r.ID, "STOPPED", nil)
 				}
 				return gone
 			})
-			next := testkit.Dial(t, s.cfg.Listen.String())
+			next := servertest.Dial(t, s.cfg.Listen.String())
 			if got := check(next, false); got != 200 {
 				t.Errorf("the next caller: %d", got)
 			}
@@ -420,22 +420,22 @@
 	for _, end := range []string{"OK", "ERROR"} {
 		t.Run(end, func(t *testing.T) {
 			s, it := run(t)
-			first, second := testkit.Dial(t, s.cfg.Listen.String()), testkit.Dial(t, s.cfg.Listen.String())
+			first, second := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
 			check(second, false)
 			for n := range 20 { // the order in which epoll tells of them differs from round to round
-				first.Write(standin.Reserve(n, "x").Records(1))
+				first.Write(fake.Reserve(n, "x").Records(1))
 				id := it.WaitApplied(n + 1)[n].ID
 				do(s, func() {
 					if n%2 == 0 {
-						second.Write(standin.Reserve(n, "x").With("Attempt-Again", "1").Records(2))
+						second.Write(fake.Reserve(n, "x").With("Attempt-Again", "1").Records(2))
 						it.End(id, end, []byte("result"))
 					} else {
 						it.End(id, end, []byte("result"))
-						second.Write(standin.Reserve(n, "x").With("Attempt-Again", "1").Records(2))
+						second.Write(fake.Reserve(n, "x").With("Attempt-Again", "1").Records(2))
 					}
 				})
 				want := map[string]int{"OK": 200, "ERROR": 500}[end]
-				for g, id := range map[*testkit.Gateway]uint16{first: 1, second: 2} {
+				for g, id := range map[*servertest.Gateway]uint16{first: 1, second: 2} {
 					if a := g.Answer(id); a.Status != want || end == "OK" && string(a.Body) != "result" {
 						t.Errorf("request %d, try %d: %+v", n, id, a)
 					}
@@ -455,10 +455,10 @@
 	window := 700 * time.Millisecond
 	told.Module.Classes[1].Window = window
 	s, it := runAt(t, told)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	received := time.Now().Truncate(time.Millisecond)
 	try := func(n int, after time.Duration) []byte {
-		return standin.Reserve(1, "x").With("Received-At", strconv.FormatInt(received.Add(after).UnixMilli(), 10)).Records(uint16(n))
+		return fake.Reserve(1, "x").With("Received-At", strconv.FormatInt(received.Add(after).UnixMilli(), 10)).Records(uint16(n))
 	}
 	g.Write(try(1, 0))
 	it.End(it.WaitApplied(1)[0].ID, "OK", []byte("result"))
@@ -479,12 +479,12 @@
 	told := testTold(t)
 	told.Module.DrainGrace = 500 * time.Millisecond
 	s, it := runAt(t, told)
-	g := testkit.Dial(t, s.cfg.Listen.String())
-	g.Write(standin.Reserve(1, "x").Records(1))
+	g := servertest.Dial(t, s.cfg.Listen.String())
+	g.Write(fake.Reserve(1, "x").Records(1))
 	id := it.WaitApplied(1)[0].ID
 	do(s, func() {
 		s.drain()
-		g.Write(standin.Reserve(1, "x").Records(2))
+		g.Write(fake.Reserve(1, "x").Records(2))
 	})
 	nextRound(s)
 	it.End(id, "OK", []byte("result"))
@@ -493,7 +493,7 @@
 			t.Errorf("try %d: %+v", try+1, a)
 		}
 	}
-	g.Write(standin.Reserve(1, "x").Records(3))
+	g.Write(fake.Reserve(1, "x").Records(3))
 	if a := g.Answer(3); a.Status != 200 || string(a.Body) != "result" {
 		t.Errorf("a try after the end: %+v", a)
 	}
@@ -510,14 +510,14 @@
 		t.Run(fmt.Sprintf("reads %t", reads), func(t *testing.T) {
 			s, it := run(t)
 			it.Prompt()
-			g := testkit.Dial(t, s.cfg.Listen.String())
+			g := servertest.Dial(t, s.cfg.Listen.String())
 			g.Conn().(*net.TCPConn).SetReadBuffer(4 << 10)
 			body := bytes.Repeat([]byte("x"), 2000)
 			sent := 0
-			testkit.Wait(t, "a full buffer", func() (full bool) {
+			servertest.Wait(t, "a full buffer", func() (full bool) {
 				for range maxOpen / 2 {
 					sent++
-					g.Write(standin.Lookup(string(body)).Records(uint16(sent)))
+					g.Write(fake.Lookup(string(body)).Records(uint16(sent)))
 				}
 				nextRound(s)
 				do(s, func() {
--- a/server/drain.go
+++ b/server/drain.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 const (
@@ -65,7 +65,7 @@
 // is sent and the connections have ended on the other side, too: a process that exits over unread bytes resets them.
 func (s *Server) stop() {
 	for _, t := range sorted(s.tries) {
-		s.answer(t, front.Answer{Status: statusFailed})
+		s.answer(t, gateway.Answer{Status: statusFailed})
 	}
 	s.part()
 	s.loop.After(stopMargin/2, s.loop.Stop)
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -7,30 +7,30 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/internal/front"
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/gateway"
 )
 
 // gatewayConn is one connection of a gateway.
 type gatewayConn struct {
 	server  *Server
 	place   *list.Element // among the server's connections
-	conn    *loop.Conn
-	session front.Session
-	tries   map[front.Stream]*try
-	smokes  map[front.Stream]bool // deep health checks under way
-	since   time.Time             // when what has not come whole was begun; zero = nothing
-	sound   uint64                // requests that came whole and made sense
+	conn    *eventloop.Conn
+	session gateway.Session
+	tries   map[gateway.Stream]*try
+	smokes  map[gateway.Stream]bool // deep health checks under way
+	since   time.Time               // when what has not come whole was begun; zero = nothing
+	sound   uint64                  // requests that came whole and made sense
 }
 
 // accept takes in a new connection, while descriptors are left for everything else.
-func (s *Server) accept(c *loop.Conn) loop.ConnHandler {
+func (s *Server) accept(c *eventloop.Conn) eventloop.ConnHandler {
 	if s.gateways.Len() >= s.cfg.Limits.Sockets-spareSockets && !s.makeRoom() {
 		s.count.turnedAway++
 		return nil
 	}
 	s.count.accepted++
-	g := &gatewayConn{server: s, conn: c, tries: map[front.Stream]*try{}, smokes: map[front.Stream]bool{}, since: s.loop.Now()}
+	g := &gatewayConn{server: s, conn: c, tries: map[gateway.Stream]*try{}, smokes: map[gateway.Stream]bool{}, since: s.loop.Now()}
 	g.session = s.protocol(c, g)
 	g.place = s.gateways.PushBack(g)
 	return g
@@ -56,10 +56,10 @@
 }
 
 // Connected implements loop.ConnHandler; gateways dial, not the server.
-func (g *gatewayConn) Connected(*loop.Conn) {}
+func (g *gatewayConn) Connected(*eventloop.Conn) {}
 
 // Data implements loop.ConnHandler.
-func (g *gatewayConn) Data(_ *loop.Conn, p []byte) {
+func (g *gatewayConn) Data(_ *eventloop.Conn, p []byte) {
 	sound := g.sound
 	if g.session.Feed(p) != nil {
 		g.server.count.broken++
@@ -95,7 +95,7 @@
 }
 
 // Closed implements loop.ConnHandler.
-func (g *gatewayConn) Closed(*loop.Conn, error) { g.end() }
+func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.end() }
 
 // end forgets a connection that is gone.
 func (g *gatewayConn) end() {
@@ -122,47 +122,47 @@
 }
 
 // Request implements front.Handler.
-func (g *gatewayConn) Request(_ front.Session, id front.Stream, r front.Request) {
+func (g *gatewayConn) Request(_ gateway.Session, id gateway.Stream, r gateway.Request) {
 	g.server.request(g, id, r)
 }
 
 // Aborted implements front.Handler: the gateway wants no answer, but the protocol owes it an end.
-func (g *gatewayConn) Aborted(_ front.Session, id front.Stream) {
+func (g *gatewayConn) Aborted(_ gateway.Session, id gateway.Stream) {
 	s := g.server
 	s.count.aborted++
 	if g.smokes[id] {
 		delete(g.smokes, id)
-		g.answer(id, front.Answer{Status: statusFailed})
+		g.answer(id, gateway.Answer{Status: statusFailed})
 		return
 	}
 	t := g.tries[id]
 	if t == nil {
 		return
 	}
-	s.answer(t, front.Answer{Status: statusFailed})
+	s.answer(t, gateway.Answer{Status: statusFailed})
 	s.module.Gone(s.event(), t.id)
 	s.drop(t)
 }
 
 // Flawed implements front.Handler.
-func (g *gatewayConn) Flawed(_ front.Session, id front.Stream, f front.Flaw) {
+func (g *gatewayConn) Flawed(_ gateway.Session, id gateway.Stream, f gateway.Flaw) {
 	g.Rejected(f)
-	a := front.Answer{Status: statusInvalid, Overloaded: f == front.TooMany}
-	if f == front.TooLarge {
+	a := gateway.Answer{Status: statusInvalid, Overloaded: f == gateway.TooMany}
+	if f == gateway.TooLarge {
 		a.Status = statusTooLarge
 	}
 	g.answer(id, a)
 }
 
 // Rejected implements front.Handler.
-func (g *gatewayConn) Rejected(f front.Flaw) {
+func (g *gatewayConn) Rejected(f gateway.Flaw) {
 	c := &g.server.count
 	switch f {
-	case front.TooLarge:
+	case gateway.TooLarge:
 		c.tooLarge++
-	case front.TooMany:
+	case gateway.TooMany:
 		c.tooMany++
-	case front.BadRole:
+	case gateway.BadRole:
 		c.badRole++
 	default:
 		c.malformed++
@@ -170,9 +170,9 @@
 }
 
 // answer sends an answer with the value that callers read.
-func (g *gatewayConn) answer(id front.Stream, a front.Answer) {
+func (g *gatewayConn) answer(id gateway.Stream, a gateway.Answer) {
 	if hint := g.server.hint; hint != "" && !a.Overloaded {
-		a.Fields = append(a.Fields, front.Field{Name: "Server-Hint", Value: hint})
+		a.Fields = append(a.Fields, gateway.Field{Name: "Server-Hint", Value: hint})
 	}
 	g.session.Answer(id, a)
 	g.closeFinished()
--- a/server/guard_test.go
+++ b/server/guard_test.go
@@ -6,26 +6,26 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
-	"tillerusher/internal/front"
-	"tillerusher/internal/interp"
-	"tillerusher/internal/loop"
+	"tillerusher/admission"
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/interpreter"
 )
 
 // quiet is a session that notes what it is told to answer.
-type quiet struct{ answers []front.Answer }
+type quiet struct{ answers []gateway.Answer }
 
-func (q *quiet) Feed([]byte) error                     { return nil }
-func (q *quiet) Answer(_ front.Stream, a front.Answer) { q.answers = append(q.answers, a) }
-func (q *quiet) Open() int                             { return 0 }
-func (q *quiet) Close()                                {}
-func (q *quiet) Finished() bool                        { return false }
-func (q *quiet) Unfinished() bool                      { return false }
+func (q *quiet) Feed([]byte) error                         { return nil }
+func (q *quiet) Answer(_ gateway.Stream, a gateway.Answer) { q.answers = append(q.answers, a) }
+func (q *quiet) Open() int                                 { return 0 }
+func (q *quiet) Close()                                    {}
+func (q *quiet) Finished() bool                            { return false }
+func (q *quiet) Unfinished() bool                          { return false }
 
 // guarded is a server without sockets that has taken in keyed tries of one request.
 func guarded(t *testing.T, tries int) (actions, *quiet) {
 	t.Helper()
-	l, err := loop.New(loop.Kernel{}, 5*time.Millisecond, 1<<20)
+	l, err := eventloop.New(eventloop.Kernel{}, 5*time.Millisecond, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,12 +34,12 @@
 	told := testTold(t)
 	s := &Server{log: zap.NewNop(), loop: l, clock: newClock(l.Now()), told: told, keys: newKeyTable(1<<20, 0),
 		classCounts: make([]classCounters, len(told.Classes)),
-		tries:       map[tillerusher.RequestID]*try{}, byWire: map[string]*try{}}
-	s.link = interpreterBackend{&interp.Dialer{Link: interp.NewLink(s)}, s.told}
-	g := &gatewayConn{server: s, session: session, tries: map[front.Stream]*try{}}
+		tries:       map[admission.RequestID]*try{}, byWire: map[string]*try{}}
+	s.link = interpreterBackend{&interpreter.Dialer{Link: interpreter.NewLink(s)}, s.told}
+	g := &gatewayConn{server: s, session: session, tries: map[gateway.Stream]*try{}}
 	for i := range tries {
 		r := keyedTry(i+1, "k", time.Duration(i)*time.Second)
-		r.from, r.stream, r.wire = g, front.Stream(i+1), string(rune('a'+i))
+		r.from, r.stream, r.wire = g, gateway.Stream(i+1), string(rune('a'+i))
 		s.tries[r.id], s.byWire[r.wire], g.tries[r.stream] = r, r, r
 	}
 	return actions{s}, session
--- a/server/health.go
+++ b/server/health.go
@@ -4,7 +4,7 @@
 	"net/url"
 	"time"
 
-	"tillerusher/internal/front"
+	"tillerusher/internal/gateway"
 )
 
 // healthPath is where health checks arrive.
@@ -12,7 +12,7 @@
 
 // check answers a health check: from the module's setting, or, where the gateway asks whether work gets done
 // and the setting alone may not answer, by the outcome of a deep check.
-func (s *Server) check(g *gatewayConn, id front.Stream, r front.Request) {
+func (s *Server) check(g *gatewayConn, id gateway.Stream, r gateway.Request) {
 	s.count.checks++
 	g.sound++
 	query, _ := url.ParseQuery(r.Query) // what is not understood asks for nothing
@@ -30,13 +30,13 @@
 }
 
 // checked sends the outcome of a health check.
-func (s *Server) checked(g *gatewayConn, id front.Stream, good bool) {
+func (s *Server) checked(g *gatewayConn, id gateway.Stream, good bool) {
 	status := statusServed
 	if !good {
 		s.count.checksBad++
 		status = statusRefused
 	}
-	g.answer(id, front.Answer{Status: status})
+	g.answer(id, gateway.Answer{Status: status})
 }
 
 const (
--- a/server/hop_test.go
+++ b/server/hop_test.go
@@ -13,22 +13,22 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tillerusher/internal/routing"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/servertest"
 )
 
 // plainRequest is what a gateway of the usual kind sends for a read.
 func plainRequest(id uint16) []byte {
-	b := standin.BeginRecord(id, 1, true)
+	b := fake.BeginRecord(id, 1, true)
 	var params []byte
 	for _, p := range [][2]string{{"REQUEST_METHOD", "GET"}, {"SCRIPT_NAME", "/p"}, {"REQUEST_URI", "/p"},
 		{"SERVER_PROTOCOL", "HTTP/1.1"}, {"HTTP_HOST", "x"}, {"REMOTE_ADDR", "127.0.0.1"}} {
-		params = append(params, standin.Pair(p[0], p[1], false)...)
+		params = append(params, fake.Pair(p[0], p[1], false)...)
 	}
-	b = append(b, standin.Record(standin.Params, id, params, 0)...)
-	b = append(b, standin.Record(standin.Params, id, nil, 0)...)
-	return append(b, standin.Record(standin.Stdin, id, nil, 0)...)
+	b = append(b, fake.Record(fake.Params, id, params, 0)...)
+	b = append(b, fake.Record(fake.Params, id, nil, 0)...)
+	return append(b, fake.Record(fake.Stdin, id, nil, 0)...)
 }
 
 // BenchmarkHop sets requests straight to a responder of net/http/fcgi that does nothing beside those that come there
@@ -42,7 +42,7 @@
 	go fcgi.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	text := strings.Replace(routes, "(member @A) (member @B) (keepalive 4)", "(member "+l.Addr().String()+") (keepalive 32)", 1)
 	text = strings.Replace(text, "(capacity 8)", "(capacity 64)", 1)
-	d, err := routing.Parse("f", []byte(text))
+	d, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			g, err := standin.Dial(addr)
+			g, err := fake.Dial(addr)
 			if err != nil {
 				b.Error(err)
 				return
@@ -102,23 +102,23 @@
 	const gateways, streams = 8, 32
 	text := strings.Replace(routes, "(member @A) (member @B)", "(member "+l.Addr().String()+")", 1)
 	text = strings.Replace(strings.Replace(text, "(capacity 8)", "(capacity 1000)", 1), "(read 300ms)", "(read 1m)", 1)
-	d, err := routing.Parse("f", []byte(text))
+	d, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		s, g := serveRoutes(b, d)
 		before := heap()
-		conns := []*testkit.Gateway{g}
+		conns := []*servertest.Gateway{g}
 		for range gateways - 1 {
-			conns = append(conns, testkit.Dial(b, s.cfg.Listen.String()))
+			conns = append(conns, servertest.Dial(b, s.cfg.Listen.String()))
 		}
 		for _, c := range conns {
 			for id := range streams {
 				c.Write(plainRequest(uint16(id + 1)))
 			}
 		}
-		testkit.Wait(b, "all requests at members", func() (all bool) {
+		servertest.Wait(b, "all requests at members", func() (all bool) {
 			do(s, func() { all = s.link.Runs() == gateways*streams })
 			return all
 		})
--- a/server/journal.go
+++ b/server/journal.go
@@ -8,17 +8,17 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
-	"tillerusher/internal/chores"
-	"tillerusher/internal/durable"
-	"tillerusher/internal/front"
-	"tillerusher/internal/interp"
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/idempotency"
+	"tillerusher/internal/interpreter"
+	"tillerusher/internal/maintenance"
 )
 
 // Keeper keeps records over restarts; internal/store is one. Write never waits, and tells from any goroutine what became
 // of the changes.
 type Keeper interface {
-	Write(changes []durable.Change, done func(error)) error
+	Write(changes []idempotency.Change, done func(error)) error
 	Each(prefix string, visit func(name, value []byte) error) error
 	Get(name string) ([]byte, error) // nil where there is none
 	Secret() []byte
@@ -26,7 +26,7 @@
 	// Compact gives back the room of what was removed, if there is much, and returns how many bytes it rewrote. It may take
 	// long, and is called from a goroutine of its own.
 	Compact() (int64, error)
-	Counts() durable.StoreCounts
+	Counts() idempotency.StoreCounts
 	Close() error
 }
 
@@ -34,12 +34,12 @@
 type keeping interface {
 	// sumOf sums a body, and recall tells a new module what an earlier process learned.
 	sumOf(body []byte) uint64
-	recall(module *tillerusher.Instance)
+	recall(module *admission.Instance)
 	// turnsAway tells whether a try can't be protected now; run has one run once its intent is down.
 	turnsAway(t *try) bool
 	run(t *try)
 	// finish has the result of a run kept, and free the key of one that nothing ran for be free again.
-	finish(t *try, a front.Answer)
+	finish(t *try, a gateway.Answer)
 	free(t *try)
 	// work does the background work that is due.
 	work()
@@ -64,10 +64,10 @@
 type journal struct {
 	*Server
 	keep    Keeper
-	rules   *durable.Journal
-	machine string                 // on which this runs
-	learned []durable.LearnedClass // what an earlier process learned, as far as it counts
-	chores  *chores.Scheduler
+	rules   *idempotency.Journal
+	machine string                     // on which this runs
+	learned []idempotency.LearnedClass // what an earlier process learned, as far as it counts
+	chores  *maintenance.Scheduler
 	begun   time.Time
 	// unprotected counts the keyed requests that were turned away because they could not be protected.
 	unprotected, recovered, unread uint64
@@ -75,20 +75,20 @@
 
 // Persist has keyed results outlast the process, and takes in what an earlier one left. It has to be called before Run,
 // which closes the keeper in the end.
-func (s *Server) Persist(k Keeper, limits durable.Limits) error {
-	j := &journal{Server: s, keep: k, rules: durable.New(limits), machine: k.Machine(), begun: s.loop.Now()}
+func (s *Server) Persist(k Keeper, limits idempotency.Limits) error {
+	j := &journal{Server: s, keep: k, rules: idempotency.New(limits), machine: k.Machine(), begun: s.loop.Now()}
 	var err error
-	j.chores, err = chores.New(chores.Budget{Time: choreTime, Bytes: choreBytes}, 0,
-		chores.Chore{Name: choreExpire, Priority: 2, Every: time.Second, Deadline: 10 * time.Second},
-		chores.Chore{Name: choreSave, Priority: 1, Every: 10 * time.Second, Deadline: 2 * time.Minute},
-		chores.Chore{Name: choreCompact, Priority: 0, Every: 5 * time.Second, Deadline: time.Minute})
+	j.chores, err = maintenance.New(maintenance.Budget{Time: choreTime, Bytes: choreBytes}, 0,
+		maintenance.Chore{Name: choreExpire, Priority: 2, Every: time.Second, Deadline: 10 * time.Second},
+		maintenance.Chore{Name: choreSave, Priority: 1, Every: 10 * time.Second, Deadline: 2 * time.Minute},
+		maintenance.Chore{Name: choreCompact, Priority: 0, Every: 5 * time.Second, Deadline: time.Minute})
 	if err != nil {
 		return err
 	}
 	if err := j.readLearned(); err != nil {
 		return err
 	}
-	err = k.Each(durable.Prefix, func(name, value []byte) error {
+	err = k.Each(idempotency.Prefix, func(name, value []byte) error {
 		if err := j.rules.Load(string(name), value); err != nil {
 			j.unread++
 			s.log.Error("state record not read", zap.Error(err)) // what is whole counts; this one's repeats may run
@@ -111,31 +111,31 @@
 }
 
 // recover makes a request that an earlier process may have run known again, as a try that is over.
-func (j *journal) recover(class int, e durable.Entry) {
+func (j *journal) recover(class int, e idempotency.Entry) {
 	j.recovered++
 	j.lastID++
 	t := &try{id: j.lastID, class: class, keyed: true, once: true, key: keyID{class, e.Key.Key}, stamp: e.Stamp, sum: e.Sum, answered: true,
 		state: broken}
 	j.keys.recall(t, e.Stamp.Add(j.window(class)))
-	if e.State == durable.Done {
+	if e.State == idempotency.Done {
 		t.state = done
 		j.keys.store(t, answerOf(e.Answer))
 	}
 }
 
 // answerOf and recordOf turn answers into each other.
-func answerOf(a durable.Answer) front.Answer {
-	out := front.Answer{Status: a.Status, Body: a.Body}
+func answerOf(a idempotency.Answer) gateway.Answer {
+	out := gateway.Answer{Status: a.Status, Body: a.Body}
 	for _, f := range a.Fields {
-		out.Fields = append(out.Fields, front.Field{Name: f.Name, Value: f.Value})
+		out.Fields = append(out.Fields, gateway.Field{Name: f.Name, Value: f.Value})
 	}
 	return out
 }
 
-func recordOf(a front.Answer) durable.Answer {
-	out := durable.Answer{Status: a.Status, Body: a.Body}
+func recordOf(a gateway.Answer) idempotency.Answer {
+	out := idempotency.Answer{Status: a.Status, Body: a.Body}
 	for _, f := range a.Fields {
-		out.Fields = append(out.Fields, durable.Field{Name: f.Name, Value: f.Value})
+		out.Fields = append(out.Fields, idempotency.Field{Name: f.Name, Value: f.Value})
 	}
 	return out
 }
@@ -149,8 +149,8 @@
 }
 
 // key is a try's key as records have it.
-func (j *journal) key(t *try) durable.Key {
-	return durable.Key{Class: j.told.Classes[t.class], Key: t.key.key}
+func (j *journal) key(t *try) idempotency.Key {
+	return idempotency.Key{Class: j.told.Classes[t.class], Key: t.key.key}
 }
 
 // turnsAway tells whether a keyed request that repeats none can't be protected now.
@@ -158,7 +158,7 @@
 	if !t.keyed || !t.once || t.repeats != nil {
 		return false
 	}
-	if v := j.rules.Admit(j.loop.Now().Round(0)); v != durable.Protected {
+	if v := j.rules.Admit(j.loop.Now().Round(0)); v != idempotency.Protected {
 		if j.unprotected++; j.unprotected&(j.unprotected-1) == 0 { // the first, the second, the fourth ...
 			j.log.Warn("keyed request turned away", zap.Stringer("why", v), zap.Uint64("so_far", j.unprotected))
 		}
@@ -177,7 +177,7 @@
 	t.awaits = true
 	// A try is run until its deadline, so one that was received within the window may come so much after it.
 	until := t.stamp.Add(j.window(t.class) + j.patience)
-	changes := j.rules.Intend(durable.Entry{Key: j.key(t), Stamp: t.stamp, Until: until, Sum: t.sum})
+	changes := j.rules.Intend(idempotency.Entry{Key: j.key(t), Stamp: t.stamp, Until: until, Sum: t.sum})
 	err := j.keep.Write(changes, func(err error) { j.loop.Post(func() { j.intended(t, err) }) })
 	if err != nil {
 		j.after(func() { j.intended(t, err) })
@@ -194,13 +194,13 @@
 		if t.state == running {
 			j.unprotected++
 			j.answer(t, refusal(j.told.Module.RetryAfter, false)) // nothing ran, and the caller may hear so
-			j.ran(t.wire, interp.EndRejected, front.Answer{})
+			j.ran(t.wire, interpreter.EndRejected, gateway.Answer{})
 		}
 	case t.state != running || t.halted:
 		j.write(j.rules.Drop(j.key(t)))
 		if t.state == running {
 			j.keys.disclaim(t)
-			j.over(t, tillerusher.Cancelled)
+			j.over(t, admission.Cancelled)
 		}
 	default:
 		j.link.Apply(t)
@@ -208,13 +208,13 @@
 }
 
 // finish has the result of a try kept.
-func (j *journal) finish(t *try, a front.Answer) { j.write(j.rules.Finish(j.key(t), recordOf(a))) }
+func (j *journal) finish(t *try, a gateway.Answer) { j.write(j.rules.Finish(j.key(t), recordOf(a))) }
 
 // free has the key of a try be free again, which nothing ran for.
 func (j *journal) free(t *try) { j.write(j.rules.Drop(j.key(t))) }
 
 // write hands over changes that nothing waits for.
-func (j *journal) write(changes []durable.Change) {
+func (j *journal) write(changes []idempotency.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -243,11 +243,11 @@
 
 // readLearned reads what an earlier process learned. What can't be read is none.
 func (j *journal) readLearned() error {
-	text, err := j.keep.Get(durable.LearnedName)
+	text, err := j.keep.Get(idempotency.LearnedName)
 	if err != nil || text == nil {
 		return err
 	}
-	l, err := durable.DecodeLearned(text)
+	l, err := idempotency.DecodeLearned(text)
 	if err != nil {
 		j.unread++
 		j.log.Error("state record not read", zap.Error(err))
@@ -259,11 +259,11 @@
 }
 
 // recall tells a new module what an earlier process learned.
-func (j *journal) recall(module *tillerusher.Instance) {
-	l := tillerusher.Learned{Classes: make([]tillerusher.LearnedClass, len(j.told.Classes))}
+func (j *journal) recall(module *admission.Instance) {
+	l := admission.Learned{Classes: make([]admission.LearnedClass, len(j.told.Classes))}
 	for _, c := range j.learned {
 		if i, known := j.classes[c.Name]; known {
-			l.Classes[i] = tillerusher.LearnedClass{Run: c.Run, Wall: c.Wall, Runs: c.Runs}
+			l.Classes[i] = admission.LearnedClass{Run: c.Run, Wall: c.Wall, Runs: c.Runs}
 		}
 	}
 	module.Recall(l)
@@ -274,12 +274,12 @@
 	if j.decisions == nil {
 		return 0
 	}
-	l := durable.Learned{Saved: j.loop.Now().Round(0), Machine: j.machine}
+	l := idempotency.Learned{Saved: j.loop.Now().Round(0), Machine: j.machine}
 	for i, c := range j.decisions.Learned().Classes {
-		l.Classes = append(l.Classes, durable.LearnedClass{Name: j.told.Classes[i], Run: c.Run, Wall: c.Wall, Runs: c.Runs})
+		l.Classes = append(l.Classes, idempotency.LearnedClass{Name: j.told.Classes[i], Run: c.Run, Wall: c.Wall, Runs: c.Runs})
 	}
 	text := l.Encode()
-	j.write([]durable.Change{{Name: durable.LearnedName, Value: text}})
+	j.write([]idempotency.Change{{Name: idempotency.LearnedName, Value: text}})
 	return int64(len(text))
 }
 
@@ -288,7 +288,7 @@
 	now := j.loop.Now()
 	pressed := j.decisions != nil && j.decisions.Inspect().Pressed
 	for name := j.chores.Next(now.Sub(j.begun), pressed); name != ""; name = j.chores.Next(now.Sub(j.begun), pressed) {
-		begun, cost := time.Now(), chores.Cost{}
+		begun, cost := time.Now(), maintenance.Cost{}
 		switch name {
 		case choreCompact:
 			j.compact()
@@ -314,7 +314,7 @@
 		bytes, err := j.keep.Compact()
 		took := time.Since(begun)
 		j.loop.Post(func() {
-			j.chores.Done(choreCompact, j.loop.Now().Sub(j.begun), chores.Cost{Time: took, Bytes: bytes})
+			j.chores.Done(choreCompact, j.loop.Now().Sub(j.begun), maintenance.Cost{Time: took, Bytes: bytes})
 			if err != nil { // writes find out by themselves how the disk does
 				j.log.Warn("state not compacted", zap.Error(err))
 			}
--- a/server/journal_test.go
+++ b/server/journal_test.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 
 	"tillerusher/internal/config"
-	"tillerusher/internal/durable"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/idempotency"
+	"tillerusher/internal/servertest"
 )
 
 // keeper is a folder that tests make slow and sick.
@@ -26,7 +26,7 @@
 	closed  bool
 }
 
-func (k *keeper) Write(changes []durable.Change, done func(error)) error {
+func (k *keeper) Write(changes []idempotency.Change, done func(error)) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	write := func() {
@@ -88,10 +88,10 @@
 	return k.records[name], nil
 }
 
-func (k *keeper) Secret() []byte              { return []byte("secret") }
-func (k *keeper) Machine() string             { return "m" }
-func (k *keeper) Counts() durable.StoreCounts { return durable.StoreCounts{} }
-func (k *keeper) Compact() (int64, error)     { return 0, nil }
+func (k *keeper) Secret() []byte                  { return []byte("secret") }
+func (k *keeper) Machine() string                 { return "m" }
+func (k *keeper) Counts() idempotency.StoreCounts { return idempotency.StoreCounts{} }
+func (k *keeper) Compact() (int64, error)         { return 0, nil }
 func (k *keeper) Close() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -100,11 +100,11 @@
 }
 
 // has tells whether a record of a state is there.
-func (k *keeper) has(state durable.State) bool {
+func (k *keeper) has(state idempotency.State) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name, value := range k.records {
-		if e, err := durable.Decode(name, value); err == nil && e.State == state {
+		if e, err := idempotency.Decode(name, value); err == nil && e.State == state {
 			return true
 		}
 	}
@@ -112,10 +112,10 @@
 }
 
 // keepServer starts a server that keeps its state.
-func keepServer(t *testing.T, k *keeper, limits durable.Limits) (*Server, *testkit.Interpreter, *testkit.Gateway) {
+func keepServer(t *testing.T, k *keeper, limits idempotency.Limits) (*Server, *servertest.Interpreter, *servertest.Gateway) {
 	t.Helper()
-	it := testkit.NewInterpreter(t)
-	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(testkit.FreeAddr(t)), Interpreter: netip.MustParseAddrPort(it.Addr()),
+	it := servertest.NewInterpreter(t)
+	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)), Interpreter: netip.MustParseAddrPort(it.Addr()),
 		Announce: netip.MustParseAddrPort("127.0.0.1:9"), Stop: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64},
 		Settings: testTold(t)}
 	s, err := New(cfg, zap.NewNop())
@@ -131,12 +131,12 @@
 		}
 	})
 	serveFor(t, s)
-	g := testkit.Dial(t, cfg.Listen.String())
-	testkit.Wait(t, "a healthy server", func() bool { return check(g, false) == 200 })
+	g := servertest.Dial(t, cfg.Listen.String())
+	servertest.Wait(t, "a healthy server", func() bool { return check(g, false) == 200 })
 	return s, it, g
 }
 
-var roomy = durable.Limits{Entries: 100, Bytes: 1 << 20}
+var roomy = idempotency.Limits{Entries: 100, Bytes: 1 << 20}
 
 // TestSlowDisk has a disk that stands still hold up keyed runs and nothing else: no run is asked for before its intent is
 // down, and lookups are served meanwhile.
@@ -144,9 +144,9 @@
 	k := &keeper{records: map[string][]byte{}, held: true}
 	_, it, g := keepServer(t, k, roomy)
 	it.Prompt()
-	g.Write(standin.Reserve(1, "b").Records(1))
+	g.Write(fake.Reserve(1, "b").Records(1))
 	for i := range 20 {
-		g.Write(standin.Lookup("x").Records(2))
+		g.Write(fake.Lookup("x").Records(2))
 		if a := g.Answer(2); a.Status != 200 {
 			t.Fatalf("lookup %d: %+v", i, a)
 		}
@@ -160,7 +160,7 @@
 	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("answer %+v", a)
 	}
-	testkit.Wait(t, "the result", func() bool { return k.has(durable.Done) })
+	servertest.Wait(t, "the result", func() bool { return k.has(idempotency.Done) })
 }
 
 // TestSickDisk has keyed requests refused while writes fail, lookups served, and keyed ones taken again once it is well.
@@ -168,15 +168,15 @@
 	k := &keeper{records: map[string][]byte{}, fails: errors.New("no space left on device")}
 	s, it, g := keepServer(t, k, roomy)
 	it.Prompt()
-	ask := func(number int) standin.Answer {
-		g.Write(standin.Reserve(number, "b").Records(1))
+	ask := func(number int) fake.Answer {
+		g.Write(fake.Reserve(number, "b").Records(1))
 		return g.Answer(1)
 	}
 	for n := range 5 {
 		if a := ask(n); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 			t.Errorf("keyed request %d with a failing disk: %+v", n, a)
 		}
-		g.Write(standin.Lookup("x").Records(2))
+		g.Write(fake.Lookup("x").Records(2))
 		if a := g.Answer(2); a.Status != 200 {
 			t.Errorf("lookup with a failing disk: %+v", a)
 		}
@@ -185,7 +185,7 @@
 		t.Errorf("%d runs, want the five lookups", n)
 	}
 	k.set(false, nil)
-	testkit.Wait(t, "the disk to be asked again", func() bool { return ask(0).Status == 200 })
+	servertest.Wait(t, "the disk to be asked again", func() bool { return ask(0).Status == 200 })
 	if a := ask(0); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("a repeat: %+v", a)
 	}
@@ -199,17 +199,17 @@
 // TestNoRoomForKeys has keyed requests beyond the bound refused, not run without protection, and repeats answered.
 func TestNoRoomForKeys(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}}
-	_, it, g := keepServer(t, k, durable.Limits{Entries: 3, Bytes: 1 << 20})
+	_, it, g := keepServer(t, k, idempotency.Limits{Entries: 3, Bytes: 1 << 20})
 	it.Prompt()
 	statuses := map[int]int{}
 	for n := range 6 {
-		g.Write(standin.Reserve(n, "b").Records(1))
+		g.Write(fake.Reserve(n, "b").Records(1))
 		statuses[g.Answer(1).Status]++
 	}
 	if statuses[200] != 3 || statuses[503] != 3 {
 		t.Errorf("statuses %v", statuses)
 	}
-	g.Write(standin.Reserve(0, "b").Records(1))
+	g.Write(fake.Reserve(0, "b").Records(1))
 	if a := g.Answer(1); a.Status != 200 || len(it.Applied()) != 3 {
 		t.Errorf("a repeat at the bound: %+v, %d runs", a, len(it.Applied()))
 	}
@@ -219,8 +219,8 @@
 func TestDrainWithIntents(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}, held: true}
 	s, it, g := keepServer(t, k, roomy)
-	g.Write(standin.Reserve(1, "b").Records(1))
-	testkit.Wait(t, "the intent", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return len(k.waiting) == 1 })
+	g.Write(fake.Reserve(1, "b").Records(1))
+	servertest.Wait(t, "the intent", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return len(k.waiting) == 1 })
 	s.Drain()
 	if a := g.Answer(1); a.Status == 200 {
 		t.Errorf("answer %+v without a run", a)
@@ -236,14 +236,14 @@
 	t.Run("before", func(t *testing.T) {
 		_, it, g := keepServer(t, k, roomy)
 		it.Prompt()
-		g.Write(standin.Reserve(1, "b").Records(1))
+		g.Write(fake.Reserve(1, "b").Records(1))
 		g.Answer(1)
-		testkit.Wait(t, "the result", func() bool { return k.has(durable.Done) })
+		servertest.Wait(t, "the result", func() bool { return k.has(idempotency.Done) })
 	})
 	k.closed = false
 	_, it, g := keepServer(t, k, roomy)
 	for body, want := range map[string]int{"b": 200, "other": 400} {
-		g.Write(standin.Reserve(1, body).Records(1))
+		g.Write(fake.Reserve(1, body).Records(1))
 		if a := g.Answer(1); a.Status != want {
 			t.Errorf("body %s: %+v, want %d", body, a, want)
 		}
--- a/server/keys.go
+++ b/server/keys.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"tillerusher"
-	"tillerusher/internal/front"
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
 )
 
 // keyID names an entry: tries of one request agree in both.
@@ -36,7 +36,7 @@
 // repeats then fail, which is no second run.
 type keyTable struct {
 	entries map[keyID]*entry
-	holders map[tillerusher.RequestID]*try // the tries that hold an entry, answered or not
+	holders map[admission.RequestID]*try // the tries that hold an entry, answered or not
 	results []stored
 	bytes   int // of the results kept
 	limit   int
@@ -46,7 +46,7 @@
 
 // newKeyTable returns an empty table that keeps results of so many bytes, and those of reads for so long.
 func newKeyTable(limit int, fresh time.Duration) keyTable {
-	return keyTable{entries: map[keyID]*entry{}, holders: map[tillerusher.RequestID]*try{}, limit: limit, fresh: fresh}
+	return keyTable{entries: map[keyID]*entry{}, holders: map[admission.RequestID]*try{}, limit: limit, fresh: fresh}
 }
 
 // find returns the try that a new arrival repeats, or nil: the one kept, or, where the module's entry ran out
@@ -96,7 +96,7 @@
 // forget takes the key from its holder; what was run stays known. The holder is known here by itself: a try
 // that was turned away is forgotten elsewhere before the module gives up its key, and a key left behind would
 // fail every further try of a request that never ran.
-func (k *keyTable) forget(id tillerusher.RequestID) {
+func (k *keyTable) forget(id admission.RequestID) {
 	t := k.holders[id]
 	if t == nil {
 		return
@@ -162,7 +162,7 @@
 }
 
 // store keeps the result of a try that was run and gives up the oldest results over the limit.
-func (k *keyTable) store(t *try, result front.Answer) {
+func (k *keyTable) store(t *try, result gateway.Answer) {
 	if e := k.entries[t.key]; e == nil || e.ran != t && e.holder != t {
 		return
 	}
@@ -182,7 +182,7 @@
 
 // release frees a stored result.
 func (k *keyTable) release(r stored) {
-	r.t.result, r.t.stored = front.Answer{}, false
+	r.t.result, r.t.stored = gateway.Answer{}, false
 	k.bytes -= r.size
 }
 
--- a/server/keys_test.go
+++ b/server/keys_test.go
@@ -6,12 +6,12 @@
 
 	"pgregory.net/rapid"
 
-	"tillerusher"
-	"tillerusher/internal/front"
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
 )
 
 func keyedTry(id int, key string, arrived time.Duration) *try {
-	return &try{id: tillerusher.RequestID(id), class: 1, keyed: true, once: true, key: keyID{1, key}, arrived: arrived, stamp: at(arrived)}
+	return &try{id: admission.RequestID(id), class: 1, keyed: true, once: true, key: keyID{1, key}, arrived: arrived, stamp: at(arrived)}
 }
 
 // at is a moment of the Unix clock.
@@ -92,7 +92,7 @@
 		tries[key] = r
 		k.keep(r, window)
 		k.claim(r, window)
-		k.store(r, front.Answer{Body: make([]byte, 10)})
+		k.store(r, gateway.Answer{Body: make([]byte, 10)})
 	}
 	if tries["a"].stored || !tries["b"].stored || !tries["c"].stored || k.bytes != 20 || k.dropped != 1 {
 		t.Errorf("%d bytes kept, %d dropped", k.bytes, k.dropped)
@@ -101,7 +101,7 @@
 		t.Error("a request ran again since its result was given up")
 	}
 	stranger := keyedTry(10, "z", 0)
-	k.store(stranger, front.Answer{Body: make([]byte, 5)})
+	k.store(stranger, gateway.Answer{Body: make([]byte, 5)})
 	if stranger.stored {
 		t.Error("a result was kept that nothing can find")
 	}
@@ -161,7 +161,7 @@
 				if allowed && r.state == unrun {
 					ran[r.key.key] = r.arrived
 					r.state = done
-					k.store(r, front.Answer{Body: make([]byte, 90)})
+					k.store(r, gateway.Answer{Body: make([]byte, 90)})
 				}
 			},
 			"forget": func(t *rapid.T) {
--- a/server/log_test.go
+++ b/server/log_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/servertest"
 )
 
 // stuck is a log that nobody reads.
@@ -32,7 +32,7 @@
 	}()
 	select {
 	case <-returned:
-	case <-time.After(testkit.Patience):
+	case <-time.After(servertest.Patience):
 		t.Fatal("the log blocked")
 	}
 }
--- a/server/pieces_test.go
+++ b/server/pieces_test.go
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/interp"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/interpreter"
+	"tillerusher/internal/servertest"
 )
 
 // forms are legal ways of writing one request under a number, each in records of its own.
-func forms(r standin.Request, id uint16) map[string][]byte {
+func forms(r fake.Request, id uint16) map[string][]byte {
 	params := r.ParamBytes()
-	begin := standin.BeginRecord(id, 1, true)
+	begin := fake.BeginRecord(id, 1, true)
 	record := func(kind byte, content []byte, padding byte) []byte {
-		return standin.Record(kind, id, content, padding)
+		return fake.Record(kind, id, content, padding)
 	}
 	chop := func(kind byte, content []byte, size int, padding byte) (b []byte) {
 		for len(content) > 0 {
@@ -43,22 +43,22 @@
 				n[i], p = int(binary.BigEndian.Uint32(p)&^(1<<31)), p[4:]
 			}
 		}
-		long = append(long, standin.Pair(string(p[:n[0]]), string(p[n[0]:n[0]+n[1]]), true)...)
+		long = append(long, fake.Pair(string(p[:n[0]]), string(p[n[0]:n[0]+n[1]]), true)...)
 		p = p[n[0]+n[1]:]
 	}
-	more := join(params, standin.Pair("SERVER_PROTOCOL", "HTTP/1.1", false), standin.Pair("HTTP_X_MORE", "", true),
-		standin.Pair("CONTENT_LENGTH", fmt.Sprint(len(r.Body)), false))
+	more := join(params, fake.Pair("SERVER_PROTOCOL", "HTTP/1.1", false), fake.Pair("HTTP_X_MORE", "", true),
+		fake.Pair("CONTENT_LENGTH", fmt.Sprint(len(r.Body)), false))
 	return map[string][]byte{
 		"plain":                r.Records(id),
-		"a byte a record":      join(begin, chop(standin.Params, params, 1, 0), chop(standin.Stdin, r.Body, 1, 0)),
-		"padding of 255":       join(begin, chop(standin.Params, params, 100, 255), chop(standin.Stdin, r.Body, 3, 255)),
-		"padding on the begin": join(standin.Record(standin.Begin, id, begin[8:], 9), chop(standin.Params, params, 7, 1), chop(standin.Stdin, r.Body, 2, 2)),
-		"long lengths":         join(begin, chop(standin.Params, long, 500, 0), chop(standin.Stdin, r.Body, 500, 0)),
-		"more parameters":      join(begin, chop(standin.Params, more, 33, 0), chop(standin.Stdin, r.Body, 500, 0)),
-		"the body first":       join(begin, record(standin.Stdin, r.Body[:3], 0), chop(standin.Params, params, 500, 0), chop(standin.Stdin, r.Body[3:], 500, 0)),
-		"a question between":   join(begin, standin.Record(standin.GetValues, 0, standin.Pair("FCGI_MAX_REQS", "", false), 0), chop(standin.Params, params, 500, 0), chop(standin.Stdin, r.Body, 500, 0)),
-		"an abort of another":  join(begin, standin.Record(standin.Abort, id+1000, nil, 0), chop(standin.Params, params, 500, 0), chop(standin.Stdin, r.Body, 500, 0)),
-		"data on the side":     join(begin, chop(standin.Params, params, 500, 0), chop(8, []byte("file"), 500, 0), chop(standin.Stdin, r.Body, 500, 0)),
+		"a byte a record":      join(begin, chop(fake.Params, params, 1, 0), chop(fake.Stdin, r.Body, 1, 0)),
+		"padding of 255":       join(begin, chop(fake.Params, params, 100, 255), chop(fake.Stdin, r.Body, 3, 255)),
+		"padding on the begin": join(fake.Record(fake.Begin, id, begin[8:], 9), chop(fake.Params, params, 7, 1), chop(fake.Stdin, r.Body, 2, 2)),
+		"long lengths":         join(begin, chop(fake.Params, long, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
+		"more parameters":      join(begin, chop(fake.Params, more, 33, 0), chop(fake.Stdin, r.Body, 500, 0)),
+		"the body first":       join(begin, record(fake.Stdin, r.Body[:3], 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body[3:], 500, 0)),
+		"a question between":   join(begin, fake.Record(fake.GetValues, 0, fake.Pair("FCGI_MAX_REQS", "", false), 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
+		"an abort of another":  join(begin, fake.Record(fake.Abort, id+1000, nil, 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
+		"data on the side":     join(begin, chop(fake.Params, params, 500, 0), chop(8, []byte("file"), 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
 	}
 }
 
@@ -68,11 +68,11 @@
 	s, it := run(t)
 	it.Prompt()
 	n := uint16(0)
-	ask := func(g *testkit.Gateway, what string, pieces func(text []byte) [][]byte) {
+	ask := func(g *servertest.Gateway, what string, pieces func(text []byte) [][]byte) {
 		t.Helper()
 		n++
 		body := fmt.Sprintf("body %d", n)
-		for i, p := range pieces(forms(standin.Lookup(body), n)[what]) {
+		for i, p := range pieces(forms(fake.Lookup(body), n)[what]) {
 			if i > 0 {
 				nextRound(s)
 			}
@@ -80,7 +80,7 @@
 		}
 		for {
 			a := g.Answer(0)
-			if a.Kind == standin.Values {
+			if a.Kind == fake.Values {
 				continue
 			}
 			if a.ID != n || a.Status != 200 || string(a.Body) != "["+body+"]" {
@@ -89,10 +89,10 @@
 			return
 		}
 	}
-	for what := range forms(standin.Lookup("body"), 1) {
+	for what := range forms(fake.Lookup("body"), 1) {
 		t.Run(strings.ReplaceAll(what, " ", "-"), func(t *testing.T) {
-			g := testkit.Dial(t, s.cfg.Listen.String())
-			whole := forms(standin.Lookup("body 10000"), 10000)[what]
+			g := servertest.Dial(t, s.cfg.Listen.String())
+			whole := forms(fake.Lookup("body 10000"), 10000)[what]
 			stride := max(len(whole)/400, 1) // forms of many records are long, and repeat themselves
 			for cut := 1; cut < len(whole)-40; cut += stride {
 				ask(g, what, func(b []byte) [][]byte {
@@ -124,7 +124,7 @@
 		t.Run(strings.ReplaceAll(what, " ", "-"), func(t *testing.T) {
 			for cut := range len(notice) {
 				e := &endings{}
-				link := interp.NewLink(e)
+				link := interpreter.NewLink(e)
 				link.Connected(func(p []byte) {}, time.Now())
 				say := func(text string) {
 					if err := link.Feed([]byte(text)); err != nil {
@@ -155,8 +155,8 @@
 func (e *endings) Up(bool, time.Duration) {}
 func (e *endings) Awaits(string)          {}
 func (e *endings) Trouble(string, error)  {}
-func (e *endings) Ended(_ string, end interp.End, result []byte) {
-	if e.ended++; end == interp.EndOK {
+func (e *endings) Ended(_ string, end interpreter.End, result []byte) {
+	if e.ended++; end == interpreter.EndOK {
 		e.result = string(result)
 	}
 }
--- a/server/reads_test.go
+++ b/server/reads_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
 )
 
 // reader asks for what lies under a subject.
-func reader(subject, body string) standin.Request {
-	return standin.Lookup(body).With("Resource-Key", subject)
+func reader(subject, body string) fake.Request {
+	return fake.Lookup(body).With("Resource-Key", subject)
 }
 
 // TestSharedReads asks for one subject at a site where the answer to a read may serve others: for the same thing it
@@ -20,7 +20,7 @@
 	told := testTold(t)
 	told.Module.Fresh = time.Hour
 	s, it := runAt(t, told)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	g.Write(reader("00aa", "fits what").Records(1))
 	it.WaitApplied(1)
 	g.Write(reader("00aa", "costs what").Records(2), reader("00AA", "fits what").Records(3))
@@ -52,7 +52,7 @@
 	told := testTold(t)
 	told.Module.Fresh = time.Nanosecond
 	s, it := runAt(t, told)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	for i, end := range []string{"OK", "ERROR", "OK"} {
 		g.Write(reader("00aa", "fits what").Records(uint16(i + 1)))
 		it.End(it.WaitApplied(i + 1)[i].ID, end, []byte("x"))
--- a/server/record.go
+++ b/server/record.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
@@ -34,14 +34,14 @@
 }
 
 // newModule starts the decision module, behind a tap where what it is told and decides is recorded.
-func (s *Server) newModule(set tillerusher.Settings) (tillerusher.Events, error) {
-	var does tillerusher.Actions = actions{s}
+func (s *Server) newModule(set admission.Settings) (admission.Events, error) {
+	var does admission.Actions = actions{s}
 	var tap *capture.Tap
 	if s.recorder != nil {
 		tap = capture.NewTap(s.recorder, does)
 		does = tap
 	}
-	module, err := tillerusher.New(set, does)
+	module, err := admission.New(set, does)
 	if err != nil {
 		return nil, err
 	}
--- a/server/reload.go
+++ b/server/reload.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/internal/announce"
+	"tillerusher/internal/loadreport"
 )
 
 // Reload goes on with a configuration that was read anew; any goroutine may call it. The addresses of the
@@ -20,7 +20,7 @@
 		return
 	}
 	if cfg.Announce != s.cfg.Announce {
-		reporter, err := announce.New(s.loop.System(), cfg.Announce, s.cfg.Name)
+		reporter, err := loadreport.New(s.loop.System(), cfg.Announce, s.cfg.Name)
 		if err != nil {
 			s.log.Error("configuration not reloaded", zap.NamedError("announce", err))
 			return
--- a/server/requests.go
+++ b/server/requests.go
@@ -8,13 +8,13 @@
 	"strconv"
 	"time"
 
-	"tillerusher"
-	"tillerusher/internal/front"
-	"tillerusher/internal/interp"
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/interpreter"
 )
 
 // request takes in a whole request.
-func (s *Server) request(g *gatewayConn, id front.Stream, r front.Request) {
+func (s *Server) request(g *gatewayConn, id gateway.Stream, r gateway.Request) {
 	if r.Path == healthPath {
 		s.check(g, id, r)
 		return
@@ -39,7 +39,7 @@
 	}
 	if err != nil {
 		s.count.invalid++
-		g.answer(id, front.Answer{Status: statusInvalid, Body: []byte(err.Error() + "\n")})
+		g.answer(id, gateway.Answer{Status: statusInvalid, Body: []byte(err.Error() + "\n")})
 		return
 	}
 	g.sound++
@@ -85,7 +85,7 @@
 }
 
 // answer gives a try its final answer.
-func (s *Server) answer(t *try, a front.Answer) {
+func (s *Server) answer(t *try, a gateway.Answer) {
 	if t.answered {
 		return
 	}
@@ -116,14 +116,14 @@
 }
 
 // ran ends the run of a try.
-func (s *Server) ran(wire string, end interp.End, result front.Answer) {
+func (s *Server) ran(wire string, end interpreter.End, result gateway.Answer) {
 	t := s.byWire[wire]
 	if t == nil || t.state != running {
 		return
 	}
 	s.count.ended++
 	switch end {
-	case interp.EndOK:
+	case interpreter.EndOK:
 		t.state, t.ended = done, s.clock.now
 		if t.keyed {
 			s.keys.store(t, result)
@@ -132,20 +132,20 @@
 			s.journal.finish(t, result)
 		}
 		s.answer(t, result)
-		s.finish(t, tillerusher.OK, result)
-	case interp.EndStopped:
+		s.finish(t, admission.OK, result)
+	case interpreter.EndStopped:
 		s.count.stopped++
-		s.over(t, tillerusher.Cancelled)
-	case interp.EndRejected:
+		s.over(t, admission.Cancelled)
+	case interpreter.EndRejected:
 		s.count.errored++
 		s.unclaim(t)
-		s.over(t, tillerusher.Moot)
-	case interp.EndMoot:
+		s.over(t, admission.Moot)
+	case interpreter.EndMoot:
 		s.count.moot++
-		s.over(t, tillerusher.Moot)
+		s.over(t, admission.Moot)
 	default:
 		s.count.errored++
-		s.over(t, tillerusher.Errored)
+		s.over(t, admission.Errored)
 	}
 }
 
@@ -159,14 +159,14 @@
 
 // over ends a run that made no result. The answer that may still be owed is a failure: whether anything was
 // done is not known.
-func (s *Server) over(t *try, o tillerusher.Outcome) {
+func (s *Server) over(t *try, o admission.Outcome) {
 	t.state = broken
-	s.answer(t, front.Answer{Status: statusFailed})
-	s.finish(t, o, front.Answer{})
+	s.answer(t, gateway.Answer{Status: statusFailed})
+	s.finish(t, o, gateway.Answer{})
 }
 
 // finish tells the module how a run ended, and then those that waited for it.
-func (s *Server) finish(t *try, o tillerusher.Outcome, result front.Answer) {
+func (s *Server) finish(t *try, o admission.Outcome, result gateway.Answer) {
 	s.module.Done(s.event(), t.id, o)
 	waiters := t.waiters
 	t.waiters = nil
@@ -179,24 +179,24 @@
 // echo answers a repeat from the kept result of the try that was run.
 func (s *Server) echo(t, source *try) {
 	if source == nil || !source.stored {
-		s.echoed(t, false, front.Answer{})
+		s.echoed(t, false, gateway.Answer{})
 		return
 	}
 	s.echoed(t, true, source.result)
 }
 
 // echoed gives a repeat its outcome.
-func (s *Server) echoed(t *try, ok bool, result front.Answer) {
+func (s *Server) echoed(t *try, ok bool, result gateway.Answer) {
 	if t.answered {
 		return
 	}
-	outcome := tillerusher.Errored
+	outcome := admission.Errored
 	if ok {
-		outcome = tillerusher.OK
+		outcome = admission.OK
 		s.count.reused++
 		s.answer(t, result)
 	} else {
-		s.answer(t, front.Answer{Status: statusFailed})
+		s.answer(t, gateway.Answer{Status: statusFailed})
 	}
 	s.module.Done(s.event(), t.id, outcome)
 	s.drop(t)
--- a/server/routed.go
+++ b/server/routed.go
@@ -14,16 +14,16 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
+	"tillerusher/admission"
 	"tillerusher/internal/config"
+	"tillerusher/internal/eventloop"
 	"tillerusher/internal/fastcgi"
 	"tillerusher/internal/forward"
-	"tillerusher/internal/front"
-	"tillerusher/internal/interp"
-	"tillerusher/internal/loop"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/interpreter"
 	"tillerusher/internal/pool"
 	"tillerusher/internal/route"
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 	"tillerusher/internal/settings"
 )
 
@@ -34,7 +34,7 @@
 	Stop        time.Duration // from SIGTERM to SIGKILL
 	MemoryMB    int
 	Sockets     int
-	Description *routing.Description
+	Description *routeconfig.Description
 	Seed        uint64 // of random choices
 	Operator    *config.Operator
 }
@@ -53,8 +53,8 @@
 	*forward.Link
 	server  *Server
 	table   *route.Table
-	desc    *routing.Description
-	pools   map[string]*routing.Pool // of desc, by name
+	desc    *routeconfig.Description
+	pools   map[string]*routeconfig.Pool // of desc, by name
 	at      netip.AddrPort
 	classes map[string]routedClass
 	random  *rand.Rand
@@ -81,7 +81,7 @@
 		base.Capture = cfg.Operator.Capture
 	}
 	base.Limits.Cores, base.Limits.MemoryMB, base.Limits.Sockets = 1, cfg.MemoryMB, cfg.Sockets
-	s, err := open(loop.Kernel{}, base, log, fastcgi.Limits{Requests: maxOpen, Params: maxParams, Body: routeBody,
+	s, err := open(eventloop.Kernel{}, base, log, fastcgi.Limits{Requests: maxOpen, Params: maxParams, Body: routeBody,
 		Memory: cfg.MemoryMB << 20 / requestPart, Raw: true})
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 }
 
 // Reroute goes on with another description; any goroutine may call it. Requests that are open go on where they are.
-func (s *Server) Reroute(d *routing.Description) {
+func (s *Server) Reroute(d *routeconfig.Description) {
 	s.loop.Post(func() {
 		r, ok := s.link.(*router)
 		if !ok {
@@ -120,7 +120,7 @@
 var errClasses = errors.New("classes and capacity need a restart")
 
 // update takes over a description.
-func (r *router) update(d *routing.Description) error {
+func (r *router) update(d *routeconfig.Description) error {
 	if r.desc != nil && (!slices.EqualFunc(r.desc.Classes, d.Classes, sameClass) || r.desc.Capacity != d.Capacity) {
 		return errClasses
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	r.table, r.desc, r.pools = table, d, make(map[string]*routing.Pool, len(d.Pools))
+	r.table, r.desc, r.pools = table, d, make(map[string]*routeconfig.Pool, len(d.Pools))
 	for i := range d.Pools {
 		r.pools[d.Pools[i].Name] = &d.Pools[i]
 	}
@@ -143,7 +143,7 @@
 }
 
 // forwardable tells what of a description can be read and not be served.
-func forwardable(d *routing.Description) error {
+func forwardable(d *routeconfig.Description) error {
 	if len(d.Servers) == 0 || len(d.Classes) == 0 {
 		return errors.New("routes: a description without (server ...) or (class ...)")
 	}
@@ -151,7 +151,7 @@
 }
 
 // sameClass compares all but the place.
-func sameClass(a, b routing.Class) bool {
+func sameClass(a, b routeconfig.Class) bool {
 	a.At = b.At
 	return a == b
 }
@@ -160,30 +160,30 @@
 func routeSettings(cfg *RouterConfig) (*settings.Told, map[string]routedClass) {
 	d := cfg.Description
 	told := &settings.Told{Gauges: []string{"cpu_busy", "runnable"}}
-	told.Module = tillerusher.Settings{Servers: 1, Callers: 1, Cores: d.Capacity, Apart: true, Tick: 5 * time.Millisecond,
+	told.Module = admission.Settings{Servers: 1, Callers: 1, Cores: d.Capacity, Apart: true, Tick: 5 * time.Millisecond,
 		MemoryKB: float64(cfg.MemoryMB<<10) / routeMemory, KeyKB: 1, RunFactor: 2, CrowdFactor: 2, DrainGrace: routeGrace,
-		StopMode: tillerusher.StopDrop, RetryAfter: time.Second, CallerIdle: routeIdle}
+		StopMode: admission.StopDrop, RetryAfter: time.Second, CallerIdle: routeIdle}
 	classes := map[string]routedClass{}
-	add := func(c routing.Class, name string, e tillerusher.Effect) int {
+	add := func(c routeconfig.Class, name string, e admission.Effect) int {
 		told.Classes = append(told.Classes, name)
-		told.Module.Classes = append(told.Module.Classes, tillerusher.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
+		told.Module.Classes = append(told.Module.Classes, admission.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
 			LateWorth: 0.5, Effect: e, Window: c.Window})
 		return len(told.Classes) - 1
 	}
 	for _, c := range d.Classes {
 		var rc routedClass
 		switch c.Effect {
-		case routing.Safe:
-			rc.safe = add(c, c.Name, tillerusher.Safe)
+		case routeconfig.Safe:
+			rc.safe = add(c, c.Name, admission.Safe)
 			rc.other = rc.safe
-		case routing.ByMethod:
-			rc.safe = add(c, c.Name+" (reads)", tillerusher.Safe)
-			rc.other, rc.once = add(c, c.Name+" (writes)", tillerusher.Unsafe), true
-		case routing.Keyed:
-			rc.safe = add(c, c.Name, tillerusher.Keyed)
+		case routeconfig.ByMethod:
+			rc.safe = add(c, c.Name+" (reads)", admission.Safe)
+			rc.other, rc.once = add(c, c.Name+" (writes)", admission.Unsafe), true
+		case routeconfig.Keyed:
+			rc.safe = add(c, c.Name, admission.Keyed)
 			rc.other, rc.once, rc.keyed = rc.safe, true, true
 		default:
-			rc.safe = add(c, c.Name, tillerusher.Unsafe)
+			rc.safe = add(c, c.Name, admission.Unsafe)
 			rc.other, rc.once = rc.safe, true
 		}
 		classes[c.Name] = rc
@@ -195,10 +195,10 @@
 var safeMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
 // intake finds a request's route. Where that does not lead to a pool the answer is returned.
-func (r *router) intake(q front.Request, now time.Duration) (*try, tillerusher.Request, *front.Answer, error) {
+func (r *router) intake(q gateway.Request, now time.Duration) (*try, admission.Request, *gateway.Answer, error) {
 	server, _ := r.table.Server(r.reached(q), q.Fields["host"])
 	if server == nil {
-		return nil, tillerusher.Request{}, &front.Answer{Status: 404}, nil
+		return nil, admission.Request{}, &gateway.Answer{Status: 404}, nil
 	}
 	raw := q.Path
 	if q.URI != "" {
@@ -206,7 +206,7 @@
 	}
 	m, err := server.Resolve(raw, q.Query)
 	if err != nil {
-		return nil, tillerusher.Request{}, &front.Answer{Status: statusInvalid}, nil
+		return nil, admission.Request{}, &gateway.Answer{Status: statusInvalid}, nil
 	}
 	if m.Redirect {
 		m.Status, m.To = 301, m.Path+"/"
@@ -216,16 +216,16 @@
 	}
 	switch {
 	case m.To != "":
-		return nil, tillerusher.Request{}, &front.Answer{Status: m.Status, Fields: []front.Field{{Name: "Location", Value: m.To}}}, nil
+		return nil, admission.Request{}, &gateway.Answer{Status: m.Status, Fields: []gateway.Field{{Name: "Location", Value: m.To}}}, nil
 	case m.Status != 0:
-		return nil, tillerusher.Request{}, &front.Answer{Status: m.Status}, nil
+		return nil, admission.Request{}, &gateway.Answer{Status: m.Status}, nil
 	case m.Location == nil:
-		return nil, tillerusher.Request{}, &front.Answer{Status: 404}, nil
+		return nil, admission.Request{}, &gateway.Answer{Status: 404}, nil
 	}
-	rt := &routed{request: q, server: server, location: m.Location.Value.(*routing.Location), asked: raw, path: m.Path,
+	rt := &routed{request: q, server: server, location: m.Location.Value.(*routeconfig.Location), asked: raw, path: m.Path,
 		query: m.Query, rewritten: m.Rewritten}
 	if a := rt.direct(m.Settled); a != nil {
-		return nil, tillerusher.Request{}, a, nil
+		return nil, admission.Request{}, a, nil
 	}
 	t, mq, err := r.read(q, rt.location, now)
 	if t != nil {
@@ -236,12 +236,12 @@
 
 // direct is the answer of a route that leads to no pool, or nil. A status without a text of its own may lead on to a
 // fallback, which then is the route.
-func (rt *routed) direct(settled bool) *front.Answer {
+func (rt *routed) direct(settled bool) *gateway.Answer {
 	l := rt.location
 	if l.Pool != "" && (l.Status == 0 || settled) {
 		return nil
 	}
-	a := &front.Answer{Status: 404}
+	a := &gateway.Answer{Status: 404}
 	if l.Status != 0 && !settled {
 		if a = returned(l); l.Text != "" {
 			return a
@@ -275,8 +275,8 @@
 		if named == nil {
 			return false // the description was checked
 		}
-		rt.location, rt.fell, rt.as = named.Value.(*routing.Location), true, f.As
-		if f.As == routing.Same {
+		rt.location, rt.fell, rt.as = named.Value.(*routeconfig.Location), true, f.As
+		if f.As == routeconfig.Same {
 			rt.as = status
 		}
 		return true
@@ -294,7 +294,7 @@
 
 // reached is the address at which the gateway's caller reached it, where the gateway tells, and else that of this
 // server.
-func (r *router) reached(q front.Request) netip.AddrPort {
+func (r *router) reached(q gateway.Request) netip.AddrPort {
 	at, err := netip.ParseAddrPort(net.JoinHostPort(q.Params["SERVER_ADDR"], q.Params["SERVER_PORT"]))
 	if err != nil {
 		return r.at
@@ -303,21 +303,21 @@
 }
 
 // returned is the answer of a location that has one of its own.
-func returned(l *routing.Location) *front.Answer {
-	a := &front.Answer{Status: l.Status}
+func returned(l *routeconfig.Location) *gateway.Answer {
+	a := &gateway.Answer{Status: l.Status}
 	if l.Status >= 300 && l.Status < 400 && l.Text != "" {
-		a.Fields = []front.Field{{Name: "Location", Value: l.Text}}
+		a.Fields = []gateway.Field{{Name: "Location", Value: l.Text}}
 	} else if l.Text != "" {
-		a.Fields, a.Body = []front.Field{{Name: "Content-Type", Value: "text/plain"}}, []byte(l.Text)
+		a.Fields, a.Body = []gateway.Field{{Name: "Content-Type", Value: "text/plain"}}, []byte(l.Text)
 	}
 	return a
 }
 
 // routed is what is known of the route of a try.
 type routed struct {
-	request   front.Request
+	request   gateway.Request
 	server    *route.Server
-	location  *routing.Location
+	location  *routeconfig.Location
 	asked     string // path as it was asked for
 	path      string // normalised, behind rewrites
 	query     string // likewise
@@ -330,13 +330,13 @@
 func routeOf(t *try) *routed {
 	rt, ok := t.routed.(*routed)
 	if !ok {
-		return &routed{location: &routing.Location{}} // no such try is made: it goes to no pool
+		return &routed{location: &routeconfig.Location{}} // no such try is made: it goes to no pool
 	}
 	return rt
 }
 
 // read turns a request into a try. Gateways may send the platform's fields; none has to be there.
-func (r *router) read(q front.Request, l *routing.Location, now time.Duration) (*try, tillerusher.Request, error) {
+func (r *router) read(q gateway.Request, l *routeconfig.Location, now time.Duration) (*try, admission.Request, error) {
 	f := &fields{of: q.Fields}
 	c := r.classes[l.Class]
 	r.number++
@@ -352,7 +352,7 @@
 			f.fail("Received-At", q.Fields["received-at"])
 		}
 	}
-	mq := tillerusher.Request{Class: t.class, Retry: q.Fields["attempt-again"] == "1",
+	mq := admission.Request{Class: t.class, Retry: q.Fields["attempt-again"] == "1",
 		Caller: int(f.number("Sent-By", 0, maxSender, 0)), SizeKB: 1 + float64(len(q.Body))/1024}
 	if c.keyed {
 		t.keyed, t.key = true, keyID{t.class, f.text("Once-Key")}
@@ -410,12 +410,12 @@
 }
 
 // params are the parameters that a member gets: those of the gateway, and those of the location in their place.
-func (r *router) params(rt *routed) []front.Field {
-	list := make([]front.Field, 0, len(rt.request.Params)+len(rt.location.Params))
+func (r *router) params(rt *routed) []gateway.Field {
+	list := make([]gateway.Field, 0, len(rt.request.Params)+len(rt.location.Params))
 	own := map[string]bool{}
 	for _, p := range rt.location.Params {
 		own[p.Name] = true
-		list = append(list, front.Field{Name: p.Name, Value: p.Value})
+		list = append(list, gateway.Field{Name: p.Name, Value: p.Value})
 	}
 	for _, name := range slices.Sorted(maps.Keys(rt.request.Params)) {
 		value := rt.request.Params[name]
@@ -428,14 +428,14 @@
 			}
 		}
 		if !own[name] {
-			list = append(list, front.Field{Name: name, Value: value})
+			list = append(list, gateway.Field{Name: name, Value: value})
 		}
 	}
 	return list
 }
 
 // Ended implements forward.Handler.
-func (r *router) Ended(id string, e forward.End, a front.Answer) {
+func (r *router) Ended(id string, e forward.End, a gateway.Answer) {
 	t := r.server.byWire[id]
 	if t == nil || t.routed == nil {
 		return // nobody waits for it
@@ -448,9 +448,9 @@
 		a.Status = routeOf(t).status(a.Status)
 		r.end(t, e, a)
 	case forward.Lost:
-		r.server.ran(id, interp.EndError, front.Answer{})
+		r.server.ran(id, interpreter.EndError, gateway.Answer{})
 	default:
-		r.server.ran(id, interp.EndRejected, front.Answer{})
+		r.server.ran(id, interpreter.EndRejected, gateway.Answer{})
 	}
 }
 
@@ -474,21 +474,21 @@
 		a.Status = rt.status(a.Status)
 		r.end(t, e, a)
 	default:
-		r.end(t, e, front.Answer{Status: rt.status(404)})
+		r.end(t, e, gateway.Answer{Status: rt.status(404)})
 	}
 	return true
 }
 
 // end ends a request with an answer. Gateways read 429 and 503 as the word that nothing ran and send the request again.
 // That a member says them proves no such thing, so what must not run twice has failed.
-func (r *router) end(t *try, e forward.End, a front.Answer) {
+func (r *router) end(t *try, e forward.End, a gateway.Answer) {
 	switch {
 	case e == forward.Unrun:
 		r.server.keys.disclaim(t) // nothing ran: the key is free
 	case t.once && (a.Status == 429 || a.Status == 503):
 		a.Status = 502
 	}
-	r.server.ran(t.wire, interp.EndOK, a)
+	r.server.ran(t.wire, interpreter.EndOK, a)
 }
 
 // Changed implements forward.Handler.
--- a/server/routed_storm_test.go
+++ b/server/routed_storm_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"tillerusher/internal/routing"
-	"tillerusher/internal/rules"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/invariant"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/servertest"
 )
 
 // storms is how often TestRouteStorm is played; docs/design/routes.md has what 100 showed.
@@ -37,7 +37,7 @@
 func TestRouteStorm(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
-	totals := map[rules.Answer]int{}
+	totals := map[invariant.Answer]int{}
 	for run := range *storms {
 		begin, protocol := member, "" // by turns
 		if run%2 == 1 {
@@ -47,16 +47,16 @@
 			playRouteStorm(t, rand.New(rand.NewPCG(seed, uint64(run))), totals, begin, protocol)
 		})
 	}
-	t.Logf("%d storms: %d served, %d refused, %d failed", *storms, totals[rules.Served], totals[rules.Refused], totals[rules.Failed])
-	if totals[rules.Served] < 100**storms {
+	t.Logf("%d storms: %d served, %d refused, %d failed", *storms, totals[invariant.Served], totals[invariant.Refused], totals[invariant.Failed])
+	if totals[invariant.Served] < 100**storms {
 		t.Error("the storms were none")
 	}
 }
 
-func playRouteStorm(t *testing.T, rng *rand.Rand, totals map[rules.Answer]int,
-	begin func(testing.TB, string) *standin.Member, protocol string) {
-	observer := rules.New(30 * time.Second)
-	var members []*standin.Member
+func playRouteStorm(t *testing.T, rng *rand.Rand, totals map[invariant.Answer]int,
+	begin func(testing.TB, string) *fake.Member, protocol string) {
+	observer := invariant.New(30 * time.Second)
+	var members []*fake.Member
 	for _, name := range []string{"a", "b", "c", "d"} {
 		m := begin(t, name)
 		m.OnRequest(func(params map[string]string) { observer.Ran(params["HTTP_X_TRY"]) })
@@ -64,7 +64,7 @@
 	}
 	spare := begin(t, "spare")
 	spare.OnRequest(func(params map[string]string) { observer.Ran(params["HTTP_X_TRY"]) })
-	with := func(some []*standin.Member) *routing.Description {
+	with := func(some []*fake.Member) *routeconfig.Description {
 		text := ""
 		for _, m := range some {
 			text += "(member " + m.Addr() + " (max-fails 3) (fail-timeout 200ms)) "
@@ -78,7 +78,7 @@
 	for n := range 4 {
 		conn := g
 		if n > 0 {
-			conn = testkit.Dial(t, s.cfg.Listen.String())
+			conn = servertest.Dial(t, s.cfg.Listen.String())
 		}
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		callers.Add(1)
@@ -104,16 +104,16 @@
 const incidents = 60
 
 // trouble changes members and routes under the callers' load.
-func trouble(rng *rand.Rand, s *Server, all, members []*standin.Member, with func([]*standin.Member) *routing.Description) {
-	down := map[*standin.Member]bool{}
+func trouble(rng *rand.Rand, s *Server, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Description) {
+	down := map[*fake.Member]bool{}
 	for range incidents {
 		time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
 		m := all[rng.IntN(len(all))]
 		switch rng.IntN(6) {
 		case 0:
-			m.Set(standin.Mood(rng.IntN(int(standin.Deaf)+1)), 0)
+			m.Set(fake.Mood(rng.IntN(int(fake.Deaf)+1)), 0)
 		case 1:
-			m.Set(standin.Sound, time.Duration(rng.IntN(60))*time.Millisecond)
+			m.Set(fake.Sound, time.Duration(rng.IntN(60))*time.Millisecond)
 		case 2:
 			if !down[m] {
 				m.Stop()
@@ -126,19 +126,19 @@
 		case 4:
 			s.Reroute(with(members[:1+rng.IntN(len(members))]))
 		default:
-			m.Set(standin.Sound, 0)
+			m.Set(fake.Sound, 0)
 		}
 	}
 }
 
 // callRoutes sends requests of all kinds on one connection, four at a time, until the storm is over, and counts the
 // answers.
-func callRoutes(t *testing.T, g *testkit.Gateway, observer *rules.Observer, rng *rand.Rand, caller int, over <-chan bool) map[rules.Answer]int {
-	counts := map[rules.Answer]int{}
+func callRoutes(t *testing.T, g *servertest.Gateway, observer *invariant.Observer, rng *rand.Rand, caller int, over <-chan bool) map[invariant.Answer]int {
+	counts := map[invariant.Answer]int{}
 	open := map[uint16]string{}
 	send := func(stream uint16, n int) {
 		id := fmt.Sprintf("%d-%d", caller, n)
-		try := rules.Try{ID: id, Received: time.Now(), Due: time.Now().Add(4*time.Second + 500*time.Millisecond)}
+		try := invariant.Try{ID: id, Received: time.Now(), Due: time.Now().Add(4*time.Second + 500*time.Millisecond)}
 		r := get("/r", "")
 		switch rng.IntN(4) {
 		case 0:
@@ -165,13 +165,13 @@
 			t.Errorf("caller %d: %v", caller, err)
 			return counts
 		}
-		kind, body := rules.Failed, ""
+		kind, body := invariant.Failed, ""
 		switch {
 		case a.Status == 200:
-			kind = rules.Served
+			kind = invariant.Served
 			_, body, _ = strings.Cut(string(a.Body), " ") // without the member's name
 		case a.Status == 503:
-			kind = rules.Refused
+			kind = invariant.Refused
 		}
 		counts[kind]++
 		observer.Answered(open[a.ID], kind, body, time.Now())
--- a/server/routed_test.go
+++ b/server/routed_test.go
@@ -9,15 +9,15 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/internal/routing"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/servertest"
 )
 
 // member starts a member that ends with the test.
-func member(t testing.TB, name string) *standin.Member {
+func member(t testing.TB, name string) *fake.Member {
 	t.Helper()
-	m, err := standin.NewMember(name)
+	m, err := fake.NewMember(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,9 +26,9 @@
 }
 
 // scgiMember starts a member that speaks SCGI and ends with the test.
-func scgiMember(t testing.TB, name string) *standin.Member {
+func scgiMember(t testing.TB, name string) *fake.Member {
 	t.Helper()
-	m, err := standin.NewSCGIMember(name)
+	m, err := fake.NewSCGIMember(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,12 +37,12 @@
 }
 
 // describe reads a description in which A, B and C stand for the members' addresses.
-func describe(t testing.TB, text string, members ...*standin.Member) *routing.Description {
+func describe(t testing.TB, text string, members ...*fake.Member) *routeconfig.Description {
 	t.Helper()
 	for i, m := range members {
 		text = strings.ReplaceAll(text, "@"+string(rune('A'+i)), m.Addr())
 	}
-	d, err := routing.Parse("f", []byte(text))
+	d, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,21 +61,21 @@
   (location prefix /docs/ (pool app) (class web)))`
 
 // serveRoutes starts a server that routes, and returns it with a gateway.
-func serveRoutes(t testing.TB, d *routing.Description) (*Server, *testkit.Gateway) {
+func serveRoutes(t testing.TB, d *routeconfig.Description) (*Server, *servertest.Gateway) {
 	t.Helper()
-	at := netip.MustParseAddrPort(testkit.FreeAddr(t))
+	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	s, err := NewRouter(&RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256, Description: d,
 		Seed: 1}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	serveFor(t, s)
-	return s, testkit.Dial(t, at.String())
+	return s, servertest.Dial(t, at.String())
 }
 
 // get is a request without any of the platform's fields.
-func get(path, body string) standin.Request {
-	r := standin.Request{Method: "GET", Path: path, Body: []byte(body), Fields: map[string]string{"Host": "x"}}
+func get(path, body string) fake.Request {
+	r := fake.Request{Method: "GET", Path: path, Body: []byte(body), Fields: map[string]string{"Host": "x"}}
 	if body != "" {
 		r.Method = "POST"
 	}
@@ -115,11 +115,11 @@
 	t.Run("scgi", func(t *testing.T) { routeFailures(t, scgiMember, "(protocol scgi)") })
 }
 
-func routeFailures(t *testing.T, member func(testing.TB, string) *standin.Member, protocol string) {
+func routeFailures(t *testing.T, member func(testing.TB, string) *fake.Member, protocol string) {
 	routes := strings.Replace(routes, "(keepalive", protocol+" (keepalive", 1)
-	for _, mood := range []standin.Mood{standin.Silent, standin.Half, standin.Failing, standin.Closing, standin.Overload,
-		standin.Twice, standin.Garbled} {
-		if mood == standin.Twice && protocol == "" {
+	for _, mood := range []fake.Mood{fake.Silent, fake.Half, fake.Failing, fake.Closing, fake.Overload,
+		fake.Twice, fake.Garbled} {
+		if mood == fake.Twice && protocol == "" {
 			continue // the first answer is whole, and its connection goes no further
 		}
 		a, b := member(t, "a"), member(t, "b")
@@ -135,8 +135,8 @@
 	}
 	a, b := member(t, "a"), member(t, "b")
 	_, g := serveRoutes(t, describe(t, routes, a, b))
-	a.Set(standin.Half, 0)
-	b.Set(standin.Half, 0)
+	a.Set(fake.Half, 0)
+	b.Set(fake.Half, 0)
 	g.Write(get("/w", "body").Records(1))
 	if ans := g.Answer(1); ans.Status != 500 {
 		t.Errorf("a write that may have run: %+v", ans)
@@ -179,7 +179,7 @@
 	}
 	before := ask()
 	s.Reroute(describe(t, strings.NewReplacer("(member @A)", "", "(keepalive", "(protocol scgi) (keepalive").Replace(routes), a, b))
-	testkit.Wait(t, "the new routes", func() bool { return ask() == "b" })
+	servertest.Wait(t, "the new routes", func() bool { return ask() == "b" })
 	if before != "a" {
 		t.Errorf("before the reload: %s", before)
 	}
@@ -189,7 +189,7 @@
 // answer.
 func TestRouteSend(t *testing.T) {
 	a, b := member(t, "a"), member(t, "b")
-	a.Set(standin.Deaf, 0)
+	a.Set(fake.Deaf, 0)
 	a.Stop() // what it listens with was made before it was deaf
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 	text := strings.Replace(routes, "(read 300ms)", "(read 1h) (send 100ms)", 1)
 	s, g := serveRoutes(t, describe(t, strings.ReplaceAll(text, "3s", "1h"), a, b))
 	for range 2 { // one of them goes to a first
-		r := standin.Request{Method: "GET", Path: "/r", Body: make([]byte, 800<<10), Fields: map[string]string{"Host": "x"}}
+		r := fake.Request{Method: "GET", Path: "/r", Body: make([]byte, 800<<10), Fields: map[string]string{"Host": "x"}}
 		g.Write(r.Records(1))
 		if ans := g.Answer(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
 			t.Errorf("answer %d of %s", ans.Status, ans.Header.Get("X-Member"))
@@ -214,8 +214,8 @@
 // take a 503 as the word that nothing ran.
 func TestRouteUnavailable(t *testing.T) {
 	a, b := scgiMember(t, "a"), scgiMember(t, "b")
-	a.Set(standin.Overload, 0)
-	b.Set(standin.Overload, 0)
+	a.Set(fake.Overload, 0)
+	b.Set(fake.Overload, 0)
 	_, g := serveRoutes(t, describe(t, strings.Replace(routes, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
 	for body, want := range map[string]int{"": 503, "a write": 502} {
 		g.Write(get("/x", body).Records(1))
@@ -243,28 +243,28 @@
   (location prefix /told (return 410 "text") (fallback other 410))
   (location named other (pool second) (class web) (fallback other 500 502))
   (location named sorry (return 503)))`, a, b))
-	ask := func(r standin.Request) string {
+	ask := func(r fake.Request) string {
 		g.Write(r.Records(1))
 		ans := g.Answer(1)
 		return strings.TrimSpace(fmt.Sprint(ans.Status, " ", ans.Header.Get("X-Member")))
 	}
-	expect := func(what string, r standin.Request, want string) {
+	expect := func(what string, r fake.Request, want string) {
 		t.Helper()
 		if got := ask(r); got != want {
 			t.Errorf("%s: %s, want %s", what, got, want)
 		}
 	}
-	a.Set(standin.Failing, 0)
+	a.Set(fake.Failing, 0)
 	expect("a read whose member fails", get("/x", ""), "200 b")
 	expect("a write whose member failed", get("/x", "w"), "500")
 	expect("an error that is not intercepted", get("/kept", ""), "500")
 	expect("the status that led to it", get("/same", ""), "500 b")
 	expect("a return", get("/gone", ""), "299 b")
 	expect("a return with a text", get("/told", ""), "410")
-	b.Set(standin.Failing, 0)
+	b.Set(fake.Failing, 0)
 	expect("a fallback that fails too", get("/x", ""), "500")
-	b.Set(standin.Sound, 0)
-	a.Set(standin.Half, 0)
+	b.Set(fake.Sound, 0)
+	a.Set(fake.Half, 0)
 	expect("a write that may have run", get("/x", "w"), "500")
 	expect("a booking that may have run", get("/book", "w").With("Once-Key", "k1"), "502")
 	a.Stop()
@@ -273,7 +273,7 @@
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
-	a.Set(standin.Sound, 0)
+	a.Set(fake.Sound, 0)
 	expect("the same again, which has not run", get("/book", "w").With("Once-Key", "k2"), "200 a")
 	expect("the one that may have run", get("/book", "w").With("Once-Key", "k1"), "502")
 }
@@ -321,7 +321,7 @@
 func TestRouteKeyed(t *testing.T) {
 	a, b := member(t, "a"), member(t, "b")
 	_, g := serveRoutes(t, describe(t, routes, a, b))
-	a.Set(standin.Sound, 50*time.Millisecond)
+	a.Set(fake.Sound, 50*time.Millisecond)
 	r := get("/book", "x").With("Once-Key", "k1")
 	g.Write(r.Records(1), r.Records(2))
 	first, second := g.Answer(1), g.Answer(2)
@@ -364,11 +364,11 @@
 func TestReroute(t *testing.T) {
 	a, b := member(t, "a"), member(t, "b")
 	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a, b))
-	a.Set(standin.Sound, 200*time.Millisecond)
+	a.Set(fake.Sound, 200*time.Millisecond)
 	g.Write(get("/open", "").Records(1))
-	testkit.Wait(t, "the request at the member", func() bool { return len(a.Seen()) == 1 })
+	servertest.Wait(t, "the request at the member", func() bool { return len(a.Seen()) == 1 })
 	s.Reroute(describe(t, strings.Replace(routes, "(member @A)", "", 1), a, b))
-	testkit.Wait(t, "the new routes", func() (n bool) {
+	servertest.Wait(t, "the new routes", func() (n bool) {
 		do(s, func() { n = s.count.reloads == 1 })
 		return n
 	})
--- a/server/routemain.go
+++ b/server/routemain.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/internal/routing"
+	"tillerusher/internal/routeconfig"
 )
 
 const routeUsage = `tillerusher route takes requests of gateways over FastCGI, has the decision module admit them, and passes them to the
@@ -85,7 +85,7 @@
 	tune(s.cfg)
 	go func() {
 		for range reload {
-			if d, err := routing.Load(*file); err != nil {
+			if d, err := routeconfig.Load(*file); err != nil {
 				log.Error("configuration not reloaded", zap.Error(err))
 			} else {
 				s.Reroute(d)
@@ -108,7 +108,7 @@
 	if c.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("arguments: --listen %s: want an IP address and a port", listen)
 	}
-	if c.Description, err = routing.Load(file); err != nil {
+	if c.Description, err = routeconfig.Load(file); err != nil {
 		return err
 	}
 	c.Seed = uint64(time.Now().UnixNano()) ^ uint64(syscall.Getpid())
--- a/server/server.go
+++ b/server/server.go
@@ -13,14 +13,14 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher"
-	"tillerusher/internal/announce"
+	"tillerusher/admission"
 	"tillerusher/internal/capture"
 	"tillerusher/internal/config"
+	"tillerusher/internal/eventloop"
 	"tillerusher/internal/fastcgi"
-	"tillerusher/internal/front"
-	"tillerusher/internal/interp"
-	"tillerusher/internal/loop"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/interpreter"
+	"tillerusher/internal/loadreport"
 	"tillerusher/internal/settings"
 )
 
@@ -54,30 +54,30 @@
 	cfg      *config.Config
 	told     *settings.Told
 	log      *zap.Logger
-	protocol front.Protocol
-	loop     *loop.Loop
-	listener *loop.Listener
+	protocol gateway.Protocol
+	loop     *eventloop.Loop
+	listener *eventloop.Listener
 	link     worker
 	begin    func() worker // makes link
 	intake   intake
-	reporter *announce.Reporter
+	reporter *loadreport.Reporter
 
 	clock  clock
-	module tillerusher.Events // nil until the interpreter is up
+	module admission.Events // nil until the interpreter is up
 	// decisions is the module behind the tap, to be looked into; nil until the interpreter is up.
-	decisions *tillerusher.Instance
+	decisions *admission.Instance
 	touched   bool     // the module heard of something in this round
 	later     []func() // events that actions led to
-	lastID    tillerusher.RequestID
+	lastID    admission.RequestID
 
 	journal  keeping           // nil where keyed results do not outlast the process
 	recorder *capture.Recorder // nil where nothing is recorded
 	tap      *capture.Tap      // likewise, and until the module starts
 
 	classes, tenants map[string]int
-	gateways         list.List                      // of *gateway, in the order of accepting
-	tries            map[tillerusher.RequestID]*try // owed an answer, or running
-	byWire           map[string]*try                // the same, by Request-Id
+	gateways         list.List                    // of *gateway, in the order of accepting
+	tries            map[admission.RequestID]*try // owed an answer, or running
+	byWire           map[string]*try              // the same, by Request-Id
 	keys             keyTable
 	seen             seenIDs
 	sums             maphash.Seed  // of the sums of bodies, which no sender can foresee
@@ -86,40 +86,40 @@
 	hint               string
 	healthy, fromStore bool
 	idle               time.Duration // what the module set, 0 = nothing yet
-	idleScan           *loop.Timer
+	idleScan           *eventloop.Timer
 	draining           bool
 	count              counters
 	classCounts        []classCounters // by the index of the class
 }
 
 // New returns a server that listens at its address. Run has to be called next, or Close.
-func New(cfg *Config, log *zap.Logger) (*Server, error) { return NewOn(loop.Kernel{}, cfg, log) }
+func New(cfg *Config, log *zap.Logger) (*Server, error) { return NewOn(eventloop.Kernel{}, cfg, log) }
 
 // NewOn is New on a system that need not be the machine's.
-func NewOn(system loop.System, cfg *Config, log *zap.Logger) (*Server, error) {
+func NewOn(system eventloop.System, cfg *Config, log *zap.Logger) (*Server, error) {
 	s, err := open(system, cfg, log, fastcgi.Limits{Requests: maxOpen, Params: maxParams, Body: maxBody,
 		Memory: cfg.Limits.MemoryMB << 20 / requestPart})
 	if err != nil {
 		return nil, err
 	}
 	s.intake = s.read
-	s.begin = func() worker { return interpreterBackend{interp.Dial(s.loop, s.cfg.Interpreter, s), s.told} }
+	s.begin = func() worker { return interpreterBackend{interpreter.Dial(s.loop, s.cfg.Interpreter, s), s.told} }
 	return s, nil
 }
 
 // open returns a server that listens, without the worker and the intake that it needs.
-func open(system loop.System, cfg *Config, log *zap.Logger, limits fastcgi.Limits) (*Server, error) {
+func open(system eventloop.System, cfg *Config, log *zap.Logger, limits fastcgi.Limits) (*Server, error) {
 	if err := servable(cfg); err != nil {
 		return nil, err
 	}
 	told := cfg.Settings
-	l, err := loop.New(system, min(max(told.Module.Tick, time.Millisecond), 10*time.Millisecond), cfg.Limits.MemoryMB<<20/outputPart)
+	l, err := eventloop.New(system, min(max(told.Module.Tick, time.Millisecond), 10*time.Millisecond), cfg.Limits.MemoryMB<<20/outputPart)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{cfg: cfg, told: told, log: log, loop: l, clock: newClock(l.Now()), protocol: fastcgi.New(limits),
 		classes: index(told.Classes), tenants: index(told.Tenants),
-		tries: map[tillerusher.RequestID]*try{}, byWire: map[string]*try{},
+		tries: map[admission.RequestID]*try{}, byWire: map[string]*try{},
 		classCounts: make([]classCounters, len(told.Classes)),
 		keys:        newKeyTable(cfg.Limits.MemoryMB<<20/resultPart, told.Module.Fresh), sums: maphash.MakeSeed()}
 	for _, c := range told.Module.Classes {
@@ -127,12 +127,12 @@
 	}
 	s.seen = newSeenIDs(max(2*s.patience, seenLeast), cfg.Limits.MemoryMB<<20/seenPart/seenSize)
 	if cfg.Announce.IsValid() {
-		if s.reporter, err = announce.New(system, cfg.Announce, cfg.Name); err != nil {
+		if s.reporter, err = loadreport.New(system, cfg.Announce, cfg.Name); err != nil {
 			l.Close()
 			return nil, err
 		}
 	}
-	if s.listener, err = l.Listen(cfg.Listen, loop.Accepted{Conn: s.accept, Failed: s.acceptFailed}); err != nil {
+	if s.listener, err = l.Listen(cfg.Listen, eventloop.Accepted{Conn: s.accept, Failed: s.acceptFailed}); err != nil {
 		s.closeReporter()
 		l.Close()
 		return nil, err
@@ -147,7 +147,7 @@
 // servable tells what is wrong with settings that can be read: what the module can't work with is found now,
 // not when the interpreter comes up. Any dependency is served, though no call to it can be made: see Awaits.
 func servable(cfg *Config) error {
-	if _, err := tillerusher.New(cfg.Settings.Module, nil); err != nil {
+	if _, err := admission.New(cfg.Settings.Module, nil); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	return nil
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -9,17 +9,17 @@
 	"go.uber.org/zap"
 
 	"tillerusher/internal/config"
-	"tillerusher/internal/loop"
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/servertest"
 	"tillerusher/internal/settings"
-	"tillerusher/internal/standin"
-	"tillerusher/internal/testkit"
 )
 
 // testTold is what the test's settings say, but for the cores: so many have to have ended their first runs before a time
 // without an end is taken for a stall that a test on a slow machine never gets there. Stalls are the module's tests' affair.
 func testTold(t *testing.T) *settings.Told {
 	t.Helper()
-	told, err := settings.Parse([]byte(standin.Settings))
+	told, err := settings.Parse([]byte(fake.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,32 +28,32 @@
 }
 
 // run starts a server with an interpreter, which serves when it returns, and drains it with the test.
-func run(t *testing.T) (*Server, *testkit.Interpreter) {
+func run(t *testing.T) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	return runAt(t, testTold(t))
 }
 
 // runAt is run at a site.
-func runAt(t *testing.T, told *settings.Told) (*Server, *testkit.Interpreter) {
+func runAt(t *testing.T, told *settings.Told) (*Server, *servertest.Interpreter) {
 	t.Helper()
-	return runOn(t, loop.Kernel{}, told)
+	return runOn(t, eventloop.Kernel{}, told)
 }
 
 // runOn is runAt on a system that need not be the machine's.
-func runOn(t *testing.T, system loop.System, told *settings.Told) (*Server, *testkit.Interpreter) {
+func runOn(t *testing.T, system eventloop.System, told *settings.Told) (*Server, *servertest.Interpreter) {
 	t.Helper()
-	it := testkit.NewInterpreter(t)
+	it := servertest.NewInterpreter(t)
 	s := runWith(t, system, told, it)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	defer g.Close()
-	testkit.Wait(t, "a healthy server", func() bool { return check(g, false) == 200 })
+	servertest.Wait(t, "a healthy server", func() bool { return check(g, false) == 200 })
 	return s, it
 }
 
 // runWith starts a server with an interpreter that need not be up.
-func runWith(t *testing.T, system loop.System, told *settings.Told, it *testkit.Interpreter) *Server {
+func runWith(t *testing.T, system eventloop.System, told *settings.Told, it *servertest.Interpreter) *Server {
 	t.Helper()
-	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(testkit.FreeAddr(t)),
+	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)),
 		Interpreter: netip.MustParseAddrPort(it.Addr()), Announce: netip.MustParseAddrPort("127.0.0.1:9"),
 		Stop: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64}, Settings: told}
 	s, err := NewOn(system, cfg, zap.NewNop())
@@ -78,8 +78,8 @@
 }
 
 // check asks for the server's health.
-func check(g *testkit.Gateway, full bool) int {
-	g.Write(standin.Health(full).Records(1))
+func check(g *servertest.Gateway, full bool) int {
+	g.Write(fake.Health(full).Records(1))
 	return g.Answer(1).Status
 }
 
@@ -97,7 +97,7 @@
 // only when the work was done, and not waited for without end.
 func TestDeepCheck(t *testing.T) {
 	s, it := run(t)
-	g := testkit.Dial(t, s.cfg.Listen.String())
+	g := servertest.Dial(t, s.cfg.Listen.String())
 	do(s, func() { s.fromStore = false })
 	if got := check(g, true); got != 200 {
 		t.Errorf("deep check of a server that works: %d", got)
@@ -119,11 +119,11 @@
 // request.
 func TestCloseIdle(t *testing.T) {
 	s, it := run(t)
-	idle, busy := testkit.Dial(t, s.cfg.Listen.String()), testkit.Dial(t, s.cfg.Listen.String())
+	idle, busy := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
 	check(idle, false)
-	busy.Write(standin.Lookup("").Records(1))
+	busy.Write(fake.Lookup("").Records(1))
 	run := it.WaitApplied(1)[0].ID
-	testkit.Wait(t, "the module's own setting", func() (set bool) {
+	servertest.Wait(t, "the module's own setting", func() (set bool) {
 		do(s, func() { set = s.idle > 0 })
 		return set
 	})
--- a/server/timer.go
+++ b/server/timer.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tillerusher"
+	"tillerusher/admission"
 )
 
 // gaugeWait is how long a timer of the module waits for the gauges that go with it.
@@ -13,13 +13,13 @@
 // say of the moment; where the interpreter does not tell them soon it goes without.
 func (s *Server) ring(token uint32) {
 	rung := false
-	end := func(g tillerusher.Gauges) {
+	end := func(g admission.Gauges) {
 		if !rung {
 			rung = true
 			s.module.Timer(s.event(), token, g)
 		}
 	}
-	none := tillerusher.Gauges{Busy: -1, Runnable: -1}
+	none := admission.Gauges{Busy: -1, Runnable: -1}
 	if !s.link.Ready() {
 		end(none)
 		return
