--- a/server/try.go
+++ b/server/try.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"tillerusher"
-	"tillerusher/internal/front"
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
 )
 
 // progress is how far the run of a try has come.
@@ -23,10 +23,10 @@
 
 // try is one request of a gateway, from its reading to the end of its answer and its run.
 type try struct {
-	id       tillerusher.RequestID
+	id       admission.RequestID
 	wire     string // Request-Id, by which the interpreter knows it
 	from     *gatewayConn
-	stream   front.Stream
+	stream   gateway.Stream
 	class    int
 	keyed    bool // repeats of it can be told by key
 	once     bool // it must not run twice
@@ -38,14 +38,14 @@
 	repeats  *try
 	answered bool // no answer is owed any more
 	state    progress
-	ended    time.Duration // done: when, by the module's clock
-	awaits   bool          // its intent is being written: the run is not asked for yet
-	halted   bool          // and it will not be
-	result   front.Answer  // kept for repeats
-	routed   any           // its route, where the server routes: a *routed, which the catalogue server need not know
-	stored   bool          // result is valid
-	expired  bool          // no repeat can find it any more
-	waiters  []*try        // repeats that wait for its run
+	ended    time.Duration  // done: when, by the module's clock
+	awaits   bool           // its intent is being written: the run is not asked for yet
+	halted   bool           // and it will not be
+	result   gateway.Answer // kept for repeats
+	routed   any            // its route, where the server routes: a *routed, which the catalogue server need not know
+	stored   bool           // result is valid
+	expired  bool           // no repeat can find it any more
+	waiters  []*try         // repeats that wait for its run
 }
 
 // The bounds of figures. What is outside is no request of a gateway, and must not reach the module's estimates:
@@ -110,7 +110,7 @@
 
 // intake turns a request of a gateway into a try and what the module is told of it, or into an answer that needs
 // neither.
-type intake func(r front.Request, now time.Duration) (*try, tillerusher.Request, *front.Answer, error)
+type intake func(r gateway.Request, now time.Duration) (*try, admission.Request, *gateway.Answer, error)
 
 // sum is that of a body, where tries of one request must agree in it.
 func (s *Server) sum(body []byte) uint64 {
@@ -121,7 +121,7 @@
 }
 
 // read is the intake on this platform.
-func (s *Server) read(r front.Request, now time.Duration) (*try, tillerusher.Request, *front.Answer, error) {
+func (s *Server) read(r gateway.Request, now time.Duration) (*try, admission.Request, *gateway.Answer, error) {
 	f := &fields{of: r.Fields}
 	class, known := s.classes[strings.TrimPrefix(r.Path, classPath)]
 	if !known || !strings.HasPrefix(r.Path, classPath) {
@@ -139,7 +139,7 @@
 	if again := r.Fields["attempt-again"]; again != "" && again != "1" {
 		f.fail("Attempt-Again", again)
 	}
-	q := tillerusher.Request{Class: class, Retry: r.Fields["attempt-again"] == "1",
+	q := admission.Request{Class: class, Retry: r.Fields["attempt-again"] == "1",
 		Caller: int(f.number("Sent-By", 0, maxSender, 0)),
 		Work:   time.Duration(f.number("Work-Estimate", 0, maxWork, 0) * float64(time.Millisecond)),
 		SizeKB: f.number("Footprint-Kb", leastFootprint, maxFootprint)}
@@ -157,10 +157,10 @@
 	}
 	set := s.told.Module
 	switch effect := set.Classes[class].Effect; {
-	case effect == tillerusher.Keyed:
+	case effect == admission.Keyed:
 		t.keyed, t.once, t.key = true, true, keyID{class, strings.ToLower(f.hex("Once-Key", 32))}
 		t.sum = s.sum(r.Body)
-	case effect == tillerusher.Unsafe:
+	case effect == admission.Unsafe:
 		t.once = true
 	case r.Fields["resource-key"] != "":
 		subject, err := strconv.ParseUint(r.Fields["resource-key"], 16, 64)
--- a/server/worker.go
+++ b/server/worker.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"tillerusher/internal/front"
-	"tillerusher/internal/interp"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/interpreter"
 	"tillerusher/internal/settings"
 )
 
@@ -31,7 +31,7 @@
 
 // interpreterBackend is the worker on this platform.
 type interpreterBackend struct {
-	*interp.Dialer
+	*interpreter.Dialer
 	told *settings.Told
 }
 
@@ -58,7 +58,7 @@
 		return // its run ends by itself
 	}
 	if t.once {
-		s.answer(t, front.Answer{Status: statusFailed})
+		s.answer(t, gateway.Answer{Status: statusFailed})
 	} else {
 		s.answer(t, refusal(s.told.Module.RetryAfter, true))
 	}
@@ -66,6 +66,6 @@
 }
 
 // Ended implements interp.Handler.
-func (s *Server) Ended(wire string, end interp.End, result []byte) {
-	s.ran(wire, end, front.Answer{Status: statusServed, Body: result})
+func (s *Server) Ended(wire string, end interpreter.End, result []byte) {
+	s.ran(wire, end, gateway.Answer{Status: statusServed, Body: result})
 }
