--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,4 +1,4 @@
-// Admission and refusal. The interface is in tillerusher.go.
+// Admission and refusal. The interface is in interface.go.
 
 package admission
 
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,4 +1,4 @@
-// Calls that requests make while they run. The interface is in tillerusher.go.
+// Calls that requests make while they run. The interface is in interface.go.
 
 package admission
 
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -1,4 +1,4 @@
-// The drain of a process that is to stop. The interface is in tillerusher.go.
+// The drain of a process that is to stop. The interface is in interface.go.
 
 package admission
 
--- a/admission/events.go
+++ b/admission/events.go
@@ -1,4 +1,4 @@
-// The start of an Instance and its remaining events. The interface is in tillerusher.go.
+// The start of an Instance and its remaining events. The interface is in interface.go.
 
 package admission
 
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -1,4 +1,4 @@
-// Feedback to callers, health and idle connections. The interface is in tillerusher.go.
+// Feedback to callers, health and idle connections. The interface is in interface.go.
 
 package admission
 
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -1,4 +1,4 @@
-// The keys of requests that must run once only. The interface is in tillerusher.go.
+// The keys of requests that must run once only. The interface is in interface.go.
 
 package admission
 
--- a/admission/learned.go
+++ b/admission/learned.go
@@ -1,5 +1,5 @@
 // What an Instance has learned of its classes, apart from what is in hand, and an Instance told of it at its start. How much
-// an earlier process's knowledge counts is decided by internal/durable; nothing here decides.
+// an earlier process's knowledge counts is decided by internal/idempotency; nothing here decides.
 
 package admission
 
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -1,4 +1,4 @@
-// The concurrency limit and the detection of stalls. The interface is in tillerusher.go.
+// The concurrency limit and the detection of stalls. The interface is in interface.go.
 
 package admission
 
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"os"
+	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -674,7 +675,7 @@
 // policyFiles are the files that the deploy file names as the decision module.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
-	text, err := os.ReadFile("deploy/balancer.toml")
+	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -684,7 +685,7 @@
 	}
 	var files []string
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		files = append(files, string(name[1]))
+		files = append(files, filepath.Join("..", string(name[1])))
 	}
 	return files
 }
@@ -699,7 +700,7 @@
 			t.Fatal(err)
 		}
 		head, _, _ := strings.Cut(string(text), "\npackage ")
-		if !strings.Contains(head, "tillerusher.go") {
+		if !strings.Contains(head, "interface.go") {
 			t.Errorf("%s: the head does not name the interface file", name)
 		}
 		for _, line := range strings.Split(string(text), "\n") {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,4 +1,4 @@
-// The queue: predicted waits, the order of runs, and fair shares. The interface is in tillerusher.go.
+// The queue: predicted waits, the order of runs, and fair shares. The interface is in interface.go.
 
 package admission
 
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -1,4 +1,4 @@
-// Tenants' rates after EARRRL and their thresholds. The interface is in tillerusher.go.
+// Tenants' rates after EARRRL and their thresholds. The interface is in interface.go.
 
 package admission
 
--- a/admission/runtime.go
+++ b/admission/runtime.go
@@ -1,4 +1,4 @@
-// What is learned of how long runs take. The interface is in tillerusher.go.
+// What is learned of how long runs take. The interface is in interface.go.
 
 package admission
 
--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -1,4 +1,4 @@
-// Command tillerusher-route routes requests of gateways to pools; tillerusher route starts it.
+// Command catalogue-router routes requests of gateways to pools; catalogue-server route starts it.
 package main
 
 import (
--- a/cmd/catalogue-server-durable/main.go
+++ b/cmd/catalogue-server-durable/main.go
@@ -1,4 +1,4 @@
-// Command tillerusher-state is one catalogue server that keeps state over restarts; tillerusher serve --state DIR becomes it,
+// Command catalogue-server-durable is one catalogue server that keeps state over restarts; catalogue-server serve --state DIR becomes it,
 // so that the program on machines without a disk stays small.
 package main
 
--- a/cmd/catalogue-server/deps_test.go
+++ b/cmd/catalogue-server/deps_test.go
@@ -13,8 +13,8 @@
 		t.Fatal(err)
 	}
 	for _, dep := range strings.Fields(string(out)) {
-		for _, not := range []string{"tillerusher/internal/replay", "tillerusher/internal/storm", "tillerusher/internal/standin",
-			"tillerusher/internal/rules", "spf13", "HdrHistogram", "progressbar", "compress/zstd", "cbor",
+		for _, not := range []string{"tillerusher/internal/replay", "tillerusher/internal/loadtest", "tillerusher/internal/fake",
+			"tillerusher/internal/invariant", "spf13", "HdrHistogram", "progressbar", "compress/zstd", "cbor",
 			"prometheus", "tillerusher/internal/nginx", "tillerusher/internal/metrics"} {
 			if strings.Contains(dep, not) {
 				t.Errorf("the daemon links %s", dep)
--- a/cmd/catalogue-server/main.go
+++ b/cmd/catalogue-server/main.go
@@ -1,4 +1,4 @@
-// Command tillerusher is one catalogue server.
+// Command catalogue-server is one catalogue server.
 package main
 
 import (
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -34,23 +34,23 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	binary := filepath.Join(dir, "tillerusher")
+	binary := filepath.Join(dir, "catalogue-server")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 		return 1
 	}
-	if out, err := exec.Command("go", "build", "-o", dir, "../tillerusher-state", "../tillerkit").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", dir, "../catalogue-server-durable", "../cataloguectl").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 		return 1
 	}
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
-	line := regexp.MustCompile(`(?m)^run = "(.*bin/tillerusher)"$`).FindSubmatch(deploy)
+	line := regexp.MustCompile(`(?m)^run = "(.*bin/catalogue-server)"$`).FindSubmatch(deploy)
 	if err != nil || line == nil {
-		fmt.Fprintln(os.Stderr, "deploy/balancer.toml starts no bin/tillerusher", err)
+		fmt.Fprintln(os.Stderr, "deploy/balancer.toml starts no bin/catalogue-server", err)
 		return 1
 	}
-	program = strings.Replace(string(line[1]), "bin/tillerusher", binary, 1)
-	kit = filepath.Join(dir, "tillerkit")
+	program = strings.Replace(string(line[1]), "bin/catalogue-server", binary, 1)
+	kit = filepath.Join(dir, "cataloguectl")
 	return m.Run()
 }
 
--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -124,7 +124,7 @@
 	n := servertest.Start(t, program, servertest.NewInterpreter(t), nil)
 	servertest.Wait(t, "the shell to become the program", func() bool {
 		name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", n.Process.Pid))
-		return err == nil && strings.TrimSpace(string(name)) == "tillerusher"
+		return err == nil && strings.TrimSpace(string(name)) == "catalogue-serve" // the kernel keeps 15 bytes of a name
 	})
 	servertest.Wait(t, "a configuration to be taken over", func() bool {
 		n.Signal(syscall.SIGHUP)
--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -12,7 +12,7 @@
 
 func captureCommand() *cobra.Command {
 	c := &cobra.Command{Use: "capture", Short: "Look into captures, check and cut them",
-		Long: "A capture is a directory of segments, or one of them, as `tillerusher serve --capture DIR` writes it."}
+		Long: "A capture is a directory of segments, or one of them, as `catalogue-server serve --capture DIR` writes it."}
 	c.AddCommand(infoCommand(), verifyCommand(), catCommand(), statsCommand(), cutCommand(), shrinkCommand())
 	return c
 }
@@ -43,7 +43,7 @@
 
 func infoCommand() *cobra.Command {
 	return &cobra.Command{Use: "info CAPTURE...", Short: "Say what is in captures, a line for each segment",
-		Example: "  tillerkit capture info /var/lib/tillerusher/capture\n  tillerkit capture info --json 0000000007.capture",
+		Example: "  cataloguectl capture info /var/lib/tillerusher/capture\n  cataloguectl capture info --json 0000000007.capture",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
 			for _, s := range segments {
@@ -83,7 +83,7 @@
 func verifyCommand() *cobra.Command {
 	return &cobra.Command{Use: "verify CAPTURE...", Short: "Check captures for damage and gaps",
 		Long:    "verify reads every block of captures and names what is damaged or missing." + statuses,
-		Example: "  tillerkit capture verify /var/lib/tillerusher/capture && echo sound",
+		Example: "  cataloguectl capture verify /var/lib/tillerusher/capture && echo sound",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, unreadable int) error {
 			flaws := unreadable
@@ -109,7 +109,7 @@
 	var from, to time.Duration
 	var only []string
 	c := &cobra.Command{Use: "cat CAPTURE...", Short: "Print records, one a line",
-		Example: "  tillerkit capture cat DIR --from 2m --to 2m10s\n  tillerkit capture cat --json --kind refuse,fail DIR",
+		Example: "  cataloguectl capture cat DIR --from 2m --to 2m10s\n  cataloguectl capture cat --json --kind refuse,fail DIR",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
 			wanted := map[string]bool{}
--- a/cmd/cataloguectl/config.go
+++ b/cmd/cataloguectl/config.go
@@ -16,9 +16,9 @@
 
 func configCommand() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "Check and show descriptions of routes and pools",
-		Long: "A description is what `tillerusher route --config FILE` reads; docs/routes.md states its grammar."}
+		Long: "A description is what `catalogue-server route --config FILE` reads; docs/routes.md states its grammar."}
 	c.AddCommand(&cobra.Command{Use: "check FILE", Short: "Say whether a description can be served, or what is wrong and where",
-		Example: "  tillerkit config check routes.sexp && kill -HUP $PID", Args: cobra.ExactArgs(1),
+		Example: "  cataloguectl config check routes.sexp && kill -HUP $PID", Args: cobra.ExactArgs(1),
 		Long: "check reads a description and all that it includes." + statuses,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			d, err := routeconfig.Load(args[0])
@@ -35,7 +35,7 @@
 			return p.object(d)
 		}})
 	c.AddCommand(&cobra.Command{Use: "show FILE", Short: "Print a description with its includes in the one canonical form",
-		Example: "  tillerkit config show routes.sexp | diff - routes.sexp", Args: cobra.ExactArgs(1),
+		Example: "  cataloguectl config show routes.sexp | diff - routes.sexp", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			d, err := routeconfig.Load(args[0])
 			if err != nil {
@@ -55,9 +55,9 @@
 		Long: "nginx reads a configuration and all that it includes, and prints a description. Everything that is not carried\n" +
 			"over is named on standard error by file, line and column, with the reason and its severity: harmless, changes\n" +
 			"behaviour, or unsafe. docs/nginx.md lists every directive." + statuses,
-		Example: "  tillerkit import nginx /etc/nginx/nginx.conf -o routes.sexp\n" +
-			"  tillerkit import nginx nginx.conf --strict >/dev/null\n" +
-			"  tillerkit import nginx nginx.conf --explain /docs/a.php --host www.example.org",
+		Example: "  cataloguectl import nginx /etc/nginx/nginx.conf -o routes.sexp\n" +
+			"  cataloguectl import nginx nginx.conf --strict >/dev/null\n" +
+			"  cataloguectl import nginx nginx.conf --explain /docs/a.php --host www.example.org",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
--- a/cmd/cataloguectl/cut.go
+++ b/cmd/cataloguectl/cut.go
@@ -13,7 +13,7 @@
 
 func statsCommand() *cobra.Command {
 	return &cobra.Command{Use: "stats CAPTURE...", Short: "Sum up how requests ended, by class and tenant",
-		Example: "  tillerkit capture stats DIR\n  tillerkit capture stats --json DIR",
+		Example: "  cataloguectl capture stats DIR\n  cataloguectl capture stats --json DIR",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
 			for i, s := range segments {
@@ -61,8 +61,8 @@
 		Long: "cut takes a part of a capture, by the module's clock or around all tries of a request, from the last moment\n" +
 			"between two rounds before it to the end of its last round, with the state at its start. With --redecide the\n" +
 			"events are kept and this program's own decisions take the place of the recorded ones." + statuses,
-		Example: "  tillerkit capture cut DIR --around 9b1f03aa5c7e2d41 -o complaint.capture\n" +
-			"  tillerkit capture cut DIR --from 2m --to 2m30s -o half-minute.capture",
+		Example: "  cataloguectl capture cut DIR --around 9b1f03aa5c7e2d41 -o complaint.capture\n" +
+			"  cataloguectl capture cut DIR --from 2m --to 2m30s -o half-minute.capture",
 		Args: cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
 			segments = replay.Start(segments, "")
@@ -132,7 +132,7 @@
 			"  refused:N, failed:N, run:N  the module's request N is refused, failed or run\n" +
 			"  log:TEXT                    the module logs a line with the text\n" +
 			"  jam:500ms                   for so long requests are held and none runs, though nothing is stalled" + statuses,
-		Example: "  tillerkit capture shrink complaint.capture --keep refused:4711 -o small.capture",
+		Example: "  cataloguectl capture shrink complaint.capture --keep refused:4711 -o small.capture",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -21,7 +21,7 @@
 			"number (#N) why they were refused, failed or late: what the module knew and which requests stood before them.\n" +
 			"For a time (14:05:03.2 UTC on the capture's day, RFC 3339, or 2m3s of the module's clock) it tells what the module\n" +
 			"knew then and what it decided around it." + statuses,
-		Example: "  tillerkit explain 9b1f03aa5c7e2d41 DIR\n  tillerkit explain '#4711' DIR --json\n  tillerkit explain 14:05:03 DIR --around 20ms",
+		Example: "  cataloguectl explain 9b1f03aa5c7e2d41 DIR\n  cataloguectl explain '#4711' DIR --json\n  cataloguectl explain 14:05:03 DIR --around 20ms",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
--- a/cmd/cataloguectl/main.go
+++ b/cmd/cataloguectl/main.go
@@ -1,4 +1,4 @@
-// Command tillerkit is the operators' command line beside the daemon: captures and their replay, storms on loopback, routes
+// Command cataloguectl is the operators' command line beside the daemon: captures and their replay, storms on loopback, routes
 // and their import, fleets in virtual time, and what servers keep over restarts.
 package main
 
@@ -35,8 +35,8 @@
 
 // execute runs one command line and returns its exit status.
 func execute(args []string, stdout, stderr io.Writer) int {
-	root := &cobra.Command{Use: "tillerkit", Short: "Look into, replay and rehearse catalogue servers",
-		Long:         "tillerkit looks into what a catalogue server recorded, replays it, and lets storms loose on one.\n" + statuses,
+	root := &cobra.Command{Use: "cataloguectl", Short: "Look into, replay and rehearse catalogue servers",
+		Long:         "cataloguectl looks into what a catalogue server recorded, replays it, and lets storms loose on one.\n" + statuses,
 		SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().Bool("json", false, "print JSON, one object a line where there are many")
 	root.AddCommand(captureCommand(), replayCommand(), explainCommand(), configCommand(), importCommand(), poolCommand(), stormCommand(), modelCommand(), stateCommand(), rehearseCommand())
@@ -61,6 +61,6 @@
 		fmt.Fprintln(root.ErrOrStderr(), err)
 		return statusNoInput
 	}
-	fmt.Fprintf(root.ErrOrStderr(), "%v; see tillerkit --help\n", err)
+	fmt.Fprintf(root.ErrOrStderr(), "%v; see cataloguectl --help\n", err)
 	return statusUsage
 }
--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -144,8 +144,8 @@
 // TestStorm lets a small storm loose on the daemon and replays what it captured.
 func TestStorm(t *testing.T) {
 	dir := t.TempDir()
-	daemon := filepath.Join(dir, "tillerusher")
-	if out, err := exec.Command("go", "build", "-o", daemon, "../tillerusher").CombinedOutput(); err != nil {
+	daemon := filepath.Join(dir, "catalogue-server")
+	if out, err := exec.Command("go", "build", "-o", daemon, "../catalogue-server").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	args := []string{"storm", "--daemon", daemon, "--requests", "400", "--capture", filepath.Join(dir, "c"), "--json"}
--- a/cmd/cataloguectl/model.go
+++ b/cmd/cataloguectl/model.go
@@ -50,8 +50,8 @@
 	cmd := &cobra.Command{Use: "run [FILE]", Short: "Play one world and say what came of it",
 		Long: "run plays the world of an experiment's file, or a day of the operators' brief, once with each policy, and prints\n" +
 			"shares, latencies, how tries ended, broken rules and whether the fleet recovered from its incidents." + statuses,
-		Example: "  tillerkit model run --day storm --number 3 --policy module,codel --html storm.html\n" +
-			"  tillerkit model run examples/metastable.sexp --policy module,nolimit --json",
+		Example: "  cataloguectl model run --day storm --number 3 --policy module,codel --html storm.html\n" +
+			"  cataloguectl model run examples/metastable.sexp --policy module,nolimit --json",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
@@ -267,7 +267,7 @@
 	cmd := &cobra.Command{Use: "sweep FILE", Short: "Run an experiment over all cores; one that was stopped goes on",
 		Long: "sweep plays all runs of an experiment and keeps their measures in a file, one line of JSON a run, in the order of the\n" +
 			"plan. Where the file is there already it goes on behind its last whole line." + statuses,
-		Example: "  tillerkit model sweep examples/load.sexp --output load.results",
+		Example: "  cataloguectl model sweep examples/load.sexp --output load.results",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
@@ -330,7 +330,7 @@
 	var by string
 	cmd := &cobra.Command{Use: "show RESULTS", Short: "Tell means of measures with their intervals",
 		Long:    "show tells the mean of measures by policy, with the interval at 95 % by the bootstrap." + statuses,
-		Example: "  tillerkit model show days.results --by day --measure g,share,p99", Args: cobra.ExactArgs(1),
+		Example: "  cataloguectl model show days.results --by day --measure g,share,p99", Args: cobra.ExactArgs(1),
 		RunE: onResults(func(p printer, r *experiment.Results, _ []string) error {
 			for _, m := range measures {
 				groups, err := r.Groups(m, by)
@@ -359,7 +359,7 @@
 	cmd := &cobra.Command{Use: "compare RESULTS", Short: "Compare two policies in pairs of equal points and seeds",
 		Long: "compare tells how far one policy is over another in runs of the same point and seed, with the interval at 95 % by the\n" +
 			"bootstrap over the pairs, and says so where no difference is seen." + statuses,
-		Example: "  tillerkit model compare days.results --by day --b codel\n  tillerkit model compare days.results --b codel --worst 10",
+		Example: "  cataloguectl model compare days.results --by day --b codel\n  cataloguectl model compare days.results --b codel --worst 10",
 		Args:    cobra.ExactArgs(1),
 		RunE: onResults(func(p printer, r *experiment.Results, _ []string) error {
 			for _, m := range measures {
@@ -403,7 +403,7 @@
 	cmd := &cobra.Command{Use: "plot RESULTS", Short: "Draw a measure over what was varied, with intervals",
 		Long: "plot draws the mean of a measure for each policy over a variable, with its interval at 95 %: as a picture (.svg), a page\n" +
 			"with the figures (.html) or a table (.csv), by the ending of the file." + statuses,
-		Example: "  tillerkit model plot load.results --x load --measure g --output load.svg", Args: cobra.ExactArgs(1),
+		Example: "  cataloguectl model plot load.results --x load --measure g --output load.svg", Args: cobra.ExactArgs(1),
 		RunE: onResults(func(p printer, r *experiment.Results, _ []string) error {
 			groups, err := r.Groups(measure, x)
 			if err != nil {
@@ -465,7 +465,7 @@
 	cmd := &cobra.Command{Use: "worst FILE", Short: "Search for the points of a sweep's ranges at which a policy does worst",
 		Long: "worst looks within the ranges of an experiment's (vary ...) forms for the points at which a policy does worst, or stays\n" +
 			"furthest under another one, by the cross-entropy method, and writes the worst as experiments of their own." + statuses,
-		Example: "  tillerkit model worst examples/hunt.sexp --against codel --cases 3 --dir found", Args: cobra.ExactArgs(1),
+		Example: "  cataloguectl model worst examples/hunt.sexp --against codel --cases 3 --dir found", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
 			for _, name := range []string{h.Policy, h.Against} {
@@ -531,7 +531,7 @@
 	cmd := &cobra.Command{Use: "hold", Short: "Hold the model against the real daemon in twelve worlds",
 		Long: "hold plays twelve small worlds, from calm to far over, by the real daemon over loopback and in the model, and tells share\n" +
 			"and latencies of both, with all that lies further apart than 0.03 of share or 15 % of a latency." + statuses,
-		Example: "  tillerkit model hold --for 30s", Args: cobra.NoArgs,
+		Example: "  cataloguectl model hold --for 30s", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
 			if span < time.Second || seeds < 1 || atOnce < 1 {
@@ -558,7 +558,7 @@
 			return found(missed)
 		}}
 	f := cmd.Flags()
-	f.StringVar(&daemon, "daemon", "", "the daemon's program; the tillerusher beside this one if empty")
+	f.StringVar(&daemon, "daemon", "", "the daemon's program; the catalogue-server beside this one if empty")
 	f.DurationVar(&span, "for", span, "length of each world")
 	f.IntVar(&seeds, "seeds", seeds, "runs of the model for each")
 	f.IntVar(&atOnce, "at-once", atOnce, "worlds that are played at once over loopback")
--- a/cmd/cataloguectl/pool.go
+++ b/cmd/cataloguectl/pool.go
@@ -18,7 +18,7 @@
 	storm := &cobra.Command{Use: "storm", Short: "Play a retry storm with and without the budget for further tries",
 		Long: "storm has every member fail a part of its tries for a while, in virtual time, and tells the load on the members\n" +
 			"over what is offered, with the budget and without." + statuses,
-		Example: "  tillerkit pool storm --fails 0.3 --output storm.svg", Args: cobra.NoArgs,
+		Example: "  cataloguectl pool storm --fails 0.3 --output storm.svg", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if cfg.Members < 1 || !(cfg.Rate > 0) || cfg.Fails < 0 || cfg.Fails > 1 || cfg.Share <= 0 {
 				return errors.New("members and rate must be more than 0, fails 0 to 1, share more than 0")
--- a/cmd/cataloguectl/recovery.go
+++ b/cmd/cataloguectl/recovery.go
@@ -16,7 +16,7 @@
 		Long: "recovery plays storms in pairs of one seed. Half way the daemon is killed and started again: with the folder that it\n" +
 			"left, and with none. It prints how long it took until the share of requests served was back to 95 % of before, with\n" +
 			"intervals at 95 %." + statuses,
-		Example: "  tillerkit state recovery --pairs 20 --picture recovery.svg",
+		Example: "  cataloguectl state recovery --pairs 20 --picture recovery.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
@@ -53,7 +53,7 @@
 			return found(breaches > 0)
 		}}
 	f := cmd.Flags()
-	f.StringVar(&c.Daemon, "daemon", "", "the daemon's program; the tillerusher beside this one if empty")
+	f.StringVar(&c.Daemon, "daemon", "", "the daemon's program; the catalogue-server beside this one if empty")
 	f.IntVar(&c.Pairs, "pairs", c.Pairs, "pairs of storms")
 	f.IntVar(&c.Parallel, "parallel", c.Parallel, "storms at a time")
 	f.IntVar(&c.Requests, "requests", c.Requests, "first tries of each storm")
--- a/cmd/cataloguectl/rehearse.go
+++ b/cmd/cataloguectl/rehearse.go
@@ -66,13 +66,13 @@
 	seed, page := uint64(1), ""
 	cmd := &cobra.Command{Use: "run NAME", Short: "Play a scenario", Args: cobra.ExactArgs(1),
 		Long:    "run plays a scenario of the library, or of a file that ends in .sexp. Exit status 1 where a rule is broken or what was\nexpected does not hold." + statuses,
-		Example: "  tillerkit rehearse run rolling-deploy --seed 7\n  tillerkit rehearse run friday.sexp --page friday.html",
+		Example: "  cataloguectl rehearse run rolling-deploy --seed 7\n  cataloguectl rehearse run friday.sexp --page friday.html",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Find(args[0])
 			if err != nil {
 				return inputError{err}
 			}
-			return playDay(newPrinter(cmd), s, seed, fmt.Sprintf("tillerkit rehearse run %s --seed %d", args[0], seed), page)
+			return playDay(newPrinter(cmd), s, seed, fmt.Sprintf("cataloguectl rehearse run %s --seed %d", args[0], seed), page)
 		}}
 	cmd.Flags().StringVar(&page, "page", "", "file for a page (HTML) with the figures and a picture of the day")
 	cmd.Flags().Uint64Var(&seed, "seed", seed, "seed of all that is drawn")
@@ -136,7 +136,7 @@
 	first, seeds, most, parallel, length := uint64(1), 1_000_000_000, 5, runtime.GOMAXPROCS(0), time.Minute
 	cmd := &cobra.Command{Use: "hunt", Short: "Play days that seeds draw until a rule breaks", Args: cobra.NoArgs,
 		Long:    "hunt plays short days whose fleet, load, network faults and incidents are drawn by a seed, one seed after the other, and\nnames those that break a rule, with the command that plays them again." + statuses,
-		Example: "  tillerkit rehearse hunt --for 10m\n  tillerkit rehearse hunt --first 1 --seeds 1000",
+		Example: "  cataloguectl rehearse hunt --for 10m\n  cataloguectl rehearse hunt --first 1 --seeds 1000",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
 			ctx, cancel := context.WithTimeout(cmd.Context(), length)
@@ -153,7 +153,7 @@
 				if len(f.Report.Breaches) > 0 {
 					what = f.Report.Breaches[0]
 				}
-				p.line("seed %d: %s\n  again: tillerkit rehearse replay %d", f.Seed, what, f.Seed)
+				p.line("seed %d: %s\n  again: cataloguectl rehearse replay %d", f.Seed, what, f.Seed)
 			}
 			if err := p.object(h); err != nil {
 				return err
@@ -180,13 +180,13 @@
 
 func rehearseReplayCommand() *cobra.Command {
 	return &cobra.Command{Use: "replay SEED", Short: "Play a day that a hunt drew again", Args: cobra.ExactArgs(1),
-		Long: "replay plays the day that a seed of hunt draws." + statuses, Example: "  tillerkit rehearse replay 4711",
+		Long: "replay plays the day that a seed of hunt draws." + statuses, Example: "  cataloguectl rehearse replay 4711",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			seed, err := seedArg(args[0])
 			if err != nil {
 				return err
 			}
-			return playDay(newPrinter(cmd), scenario.Draw(seed), seed, "tillerkit rehearse replay "+args[0], "")
+			return playDay(newPrinter(cmd), scenario.Draw(seed), seed, "cataloguectl rehearse replay "+args[0], "")
 		}}
 }
 
--- a/cmd/cataloguectl/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -14,7 +14,7 @@
 	"tillerusher/internal/replay"
 )
 
-// replayFlags are those of tillerkit replay.
+// replayFlags are those of cataloguectl replay.
 type replayFlags struct {
 	fresh          bool
 	set            []string
@@ -30,9 +30,9 @@
 			"take the time that they were recorded to take, and callers do not react to other answers. --set changes settings\n" +
 			"(cores=4, quota.northern=40, aim.part-lookup=1s; a wrong one tells which there are), --write keeps this build's\n" +
 			"outcome in a file, and --against compares this build with such a file of another one." + statuses,
-		Example: "  tillerkit replay /var/lib/tillerusher/capture\n  tillerkit replay --fresh DIR   # from every segment's snapshot\n" +
-			"  tillerkit replay DIR --set quota.northern=40\n" +
-			"  old/tillerkit replay DIR --write old.json; new/tillerkit replay DIR --against old.json",
+		Example: "  cataloguectl replay /var/lib/tillerusher/capture\n  cataloguectl replay --fresh DIR   # from every segment's snapshot\n" +
+			"  cataloguectl replay DIR --set quota.northern=40\n" +
+			"  old/cataloguectl replay DIR --write old.json; new/cataloguectl replay DIR --against old.json",
 		Args: cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
 			if len(f.set) > 0 || f.write != "" || f.against != "" {
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -12,7 +12,7 @@
 
 func stateCommand() *cobra.Command {
 	c := &cobra.Command{Use: "state", Short: "Look into what a server keeps over restarts, check and mend it",
-		Long: "state looks into the folder of `tillerusher serve --state DIR`; docs/state.md says what is in it. A folder that a server\n" +
+		Long: "state looks into the folder of `catalogue-server serve --state DIR`; docs/state.md says what is in it. A folder that a server\n" +
 			"uses can't be opened: stop the server, or copy the folder." + statuses}
 	c.AddCommand(stateInfoCommand(), stateVerifyCommand(), stateDumpCommand(), stateRepairCommand(), stateExpireCommand(), stateServeCommand(), stateCostCommand(), stateRecoveryCommand())
 	return c
@@ -57,7 +57,7 @@
 func stateInfoCommand() *cobra.Command {
 	return &cobra.Command{Use: "info DIR", Short: "Say whose a folder is and how much it keeps",
 		Long: "info says whose a folder is, since when, how many records it has by state, and how many ran out." + statuses,
-		Args: cobra.ExactArgs(1), Example: "  tillerkit state info /var/lib/tillerusher/state",
+		Args: cobra.ExactArgs(1), Example: "  cataloguectl state info /var/lib/tillerusher/state",
 		RunE: onState(true, func(p printer, s *store.Store) error {
 			id, now := s.Identity(), time.Now()
 			states, over, unread, bytes := map[string]int{}, 0, 0, 0
@@ -131,7 +131,7 @@
 	return &cobra.Command{Use: "dump DIR", Short: "Print all records, one a line",
 		Long: "dump prints the class, the key, the state, when the try that ran was received, until when it must not run again, and the\n" +
 			"size of its answer, in the order of classes and keys." + statuses,
-		Args: cobra.ExactArgs(1), Example: "  tillerkit state dump /var/lib/tillerusher/state --json",
+		Args: cobra.ExactArgs(1), Example: "  cataloguectl state dump /var/lib/tillerusher/state --json",
 		RunE: onState(true, func(p printer, s *store.Store) error {
 			err := eachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
 				k := kept{Class: e.Key.Class, Key: e.Key.Key, State: e.State.String(), Stamp: e.Stamp.UTC(), Until: e.Until.UTC(), Status: e.Answer.Status,
--- a/cmd/cataloguectl/statecost.go
+++ b/cmd/cataloguectl/statecost.go
@@ -32,11 +32,11 @@
 	var h faultfs.Habits
 	var dir string
 	cmd := &cobra.Command{Use: "serve", Short: "Be a catalogue server that keeps its state on a sick disk",
-		Long: "serve is `tillerusher serve --state DIR` over a disk that stands still now and then or is full at times, to rehearse\n" +
-			"what a server does then. Without --dir nothing is kept. It is configured as tillerusher is, and its exit status is\n" +
-			"tillerusher's: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.",
-		Example: "  RELAY_CONFIG=/run/balancer/config.json tillerkit state serve --dir /tmp/state --stall 100ms --every 1s\n" +
-			"  RELAY_CONFIG=/run/balancer/config.json tillerkit state serve --dir /tmp/state --full-while /tmp/full  # touch /tmp/full",
+		Long: "serve is `catalogue-server serve --state DIR` over a disk that stands still now and then or is full at times, to rehearse\n" +
+			"what a server does then. Without --dir nothing is kept. It is configured as catalogue-server is, and its exit status is\n" +
+			"catalogue-server's: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.",
+		Example: "  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --stall 100ms --every 1s\n" +
+			"  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --full-while /tmp/full  # touch /tmp/full",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := h.Check(); err != nil {
@@ -68,7 +68,7 @@
 		Long: "cost has a daemon on one core answer as many lookups as it can, beside keyed requests at a rate on a connection of their\n" +
 			"own: with nothing kept, on the disk of the temporary directory, and on that disk standing still now and then, in\n" +
 			"turn. It prints the medians of the ratios to nothing kept." + statuses,
-		Example: "  tillerkit state cost --keyed-rate 500 --rounds 3\n  tillerkit state cost --stall 100ms --every 500ms",
+		Example: "  cataloguectl state cost --keyed-rate 500 --rounds 3\n  cataloguectl state cost --stall 100ms --every 500ms",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
--- a/cmd/cataloguectl/storm.go
+++ b/cmd/cataloguectl/storm.go
@@ -23,8 +23,8 @@
 		Long: "storm starts the daemon with the project's own interpreter, gateways and announce service on loopback, and drives\n" +
 			"a mixed load at it that asks for more than the interpreter can do: first tries, further tries, repeats, a lost\n" +
 			"link, a reload and a drain. It checks the rules from outside. Nothing but loopback is used." + statuses,
-		Example: "  tillerkit storm\n  tillerkit storm --capture /tmp/storm && tillerkit replay /tmp/storm\n" +
-			"  tillerkit storm --requests 2000 --rate 300 --json",
+		Example: "  cataloguectl storm\n  cataloguectl storm --capture /tmp/storm && cataloguectl replay /tmp/storm\n" +
+			"  cataloguectl storm --requests 2000 --rate 300 --json",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
@@ -64,7 +64,7 @@
 		}}
 	cmd.AddCommand(costCommand())
 	f := cmd.Flags()
-	f.StringVar(&c.Daemon, "daemon", "", "the daemon's program; the tillerusher beside this one if empty")
+	f.StringVar(&c.Daemon, "daemon", "", "the daemon's program; the catalogue-server beside this one if empty")
 	f.StringVar(&dir, "capture", "", "directory in which the daemon records what it is told and decides")
 	f.StringVar(&state, "state", "", "directory in which the daemon keeps results of keyed requests")
 	f.StringVar(&settings, "settings", "", "file of operators' settings for the daemon")
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	*daemon = filepath.Join(filepath.Dir(self), "tillerusher")
+	*daemon = filepath.Join(filepath.Dir(self), "catalogue-server")
 	return nil
 }
 
@@ -104,7 +104,7 @@
 	cmd := &cobra.Command{Use: "cost", Short: "Measure what capturing costs a daemon on one core",
 		Long: "cost has a daemon on one core answer as much as it can, with the capture on and off in turn, and prints the\n" +
 			"median of the ratios." + statuses,
-		Example: "  tillerkit storm cost --rounds 10 --for 5s",
+		Example: "  cataloguectl storm cost --rounds 10 --for 5s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
@@ -128,7 +128,7 @@
 			return p.object(r)
 		}}
 	f := cmd.Flags()
-	f.StringVar(&c.Daemon, "daemon", "", "the daemon's program; the tillerusher beside this one if empty")
+	f.StringVar(&c.Daemon, "daemon", "", "the daemon's program; the catalogue-server beside this one if empty")
 	holdFlags(cmd, &c, "connections", "pairs of rounds")
 	return cmd
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts many instances of the decision module for the simulator: it reads batches of events
+// Command simulator-adapter hosts many instances of the decision module for the simulator: it reads batches of events
 // on standard input and writes one flushed reply for each on standard output.
 package main
 
--- a/deploy/settings.sexp
+++ b/deploy/settings.sexp
@@ -1,8 +1,8 @@
-; The operators' own settings, read by `tillerusher serve --settings deploy/settings.sexp`.
+; The operators' own settings, read by `catalogue-server serve --settings deploy/settings.sexp`.
 ; All is off here: this platform's disk counts as memory. Sizes are decimal (kB, MB, GB) or binary (KiB, MiB, GiB),
 ; times have a unit (us, ms, s, m, h).
 
-; Record what the decision module is told and decides, for `tillerkit replay` and `tillerkit explain`.
+; Record what the decision module is told and decides, for `cataloguectl replay` and `cataloguectl explain`.
 ; (capture
 ;   (directory "/var/lib/tillerusher/capture") ; one for each server
 ;   (segment 8MiB)    ; a new segment is begun at this size
--- a/internal/baseline/base.go
+++ b/internal/baseline/base.go
@@ -51,7 +51,7 @@
 	stayAway = 250 * time.Millisecond
 )
 
-// base implements tillerusher.Events round a policy.
+// base implements admission.Events round a policy.
 type base struct {
 	set    admission.Settings
 	do     admission.Actions
@@ -108,7 +108,7 @@
 	return max(int(crowdPart*float64(b.set.Cores)*(1+(b.set.CrowdFactor-1)*share)), 1)
 }
 
-// Request implements tillerusher.Events.
+// Request implements admission.Events.
 func (b *base) Request(now time.Duration, q admission.Request) {
 	b.tick(now)
 	class := b.set.Classes[q.Class]
@@ -181,7 +181,7 @@
 	delete(b.all, r.ID)
 }
 
-// Settle implements tillerusher.Events: it runs what the policy wants to run.
+// Settle implements admission.Events: it runs what the policy wants to run.
 func (b *base) Settle(now time.Duration) {
 	b.tick(now)
 	for len(b.hold) > 0 && b.running < b.crowd() {
@@ -201,7 +201,7 @@
 	}
 }
 
-// Done implements tillerusher.Events.
+// Done implements admission.Events.
 func (b *base) Done(now time.Duration, id admission.RequestID, o admission.Outcome) {
 	b.tick(now)
 	r := b.all[id]
@@ -215,7 +215,7 @@
 	}
 }
 
-// Gone implements tillerusher.Events.
+// Gone implements admission.Events.
 func (b *base) Gone(now time.Duration, id admission.RequestID) {
 	b.tick(now)
 	if r := b.all[id]; r != nil && !r.running {
@@ -223,7 +223,7 @@
 	}
 }
 
-// Drain implements tillerusher.Events.
+// Drain implements admission.Events.
 func (b *base) Drain(now, left time.Duration) {
 	b.tick(now)
 	b.draining, b.notice, b.stopAt = true, now, now+left
@@ -233,7 +233,7 @@
 	b.do.Health(false, true)
 }
 
-// Timer implements tillerusher.Events.
+// Timer implements admission.Events.
 func (b *base) Timer(now time.Duration, token uint32, g admission.Gauges) {
 	b.tick(now)
 	if token != dueToken {
@@ -261,10 +261,10 @@
 	}
 }
 
-// Blocked implements tillerusher.Events: nothing is called.
+// Blocked implements admission.Events: nothing is called.
 func (b *base) Blocked(time.Duration, admission.RequestID) {}
 
-// Called implements tillerusher.Events.
+// Called implements admission.Events.
 func (b *base) Called(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
 
 // first is the held request that came first.
--- a/internal/capture/tap.go
+++ b/internal/capture/tap.go
@@ -44,134 +44,134 @@
 	t.rec.add(&r)
 }
 
-// Request implements tillerusher.Events.
+// Request implements admission.Events.
 func (t *Tap) Request(now time.Duration, q admission.Request) {
 	t.event(Record{Kind: Request, At: now, ID: q.ID, Asked: q})
 	t.module.Request(now, q)
 }
 
-// Gone implements tillerusher.Events.
+// Gone implements admission.Events.
 func (t *Tap) Gone(now time.Duration, id admission.RequestID) {
 	t.event(Record{Kind: Gone, At: now, ID: id})
 	t.module.Gone(now, id)
 }
 
-// Done implements tillerusher.Events.
+// Done implements admission.Events.
 func (t *Tap) Done(now time.Duration, id admission.RequestID, o admission.Outcome) {
 	t.event(Record{Kind: Done, At: now, ID: id, Outcome: o})
 	t.module.Done(now, id, o)
 }
 
-// Blocked implements tillerusher.Events.
+// Blocked implements admission.Events.
 func (t *Tap) Blocked(now time.Duration, id admission.RequestID) {
 	t.event(Record{Kind: Blocked, At: now, ID: id})
 	t.module.Blocked(now, id)
 }
 
-// Called implements tillerusher.Events.
+// Called implements admission.Events.
 func (t *Tap) Called(now time.Duration, id admission.RequestID, o admission.Outcome, took time.Duration) {
 	t.event(Record{Kind: Called, At: now, ID: id, Outcome: o, Span: took})
 	t.module.Called(now, id, o, took)
 }
 
-// Drain implements tillerusher.Events.
+// Drain implements admission.Events.
 func (t *Tap) Drain(now, left time.Duration) {
 	t.event(Record{Kind: Drain, At: now, Span: left})
 	t.module.Drain(now, left)
 }
 
-// Timer implements tillerusher.Events.
+// Timer implements admission.Events.
 func (t *Tap) Timer(now time.Duration, token uint32, g admission.Gauges) {
 	t.event(Record{Kind: Timer, At: now, Token: token, Gauges: g})
 	t.module.Timer(now, token, g)
 }
 
-// Settle implements tillerusher.Events.
+// Settle implements admission.Events.
 func (t *Tap) Settle(now time.Duration) {
 	t.event(Record{Kind: Settle, At: now})
 	t.module.Settle(now)
 	t.rec.round(now, t.module.Snapshot)
 }
 
-// Run implements tillerusher.Actions.
+// Run implements admission.Actions.
 func (t *Tap) Run(id admission.RequestID) {
 	t.event(Record{Kind: Run, At: t.now, ID: id})
 	t.do.Run(id)
 }
 
-// Refuse implements tillerusher.Actions.
+// Refuse implements admission.Actions.
 func (t *Tap) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	t.event(Record{Kind: Refuse, At: t.now, ID: id, Span: stayAway, Yes: last})
 	t.do.Refuse(id, stayAway, last)
 }
 
-// Fail implements tillerusher.Actions.
+// Fail implements admission.Actions.
 func (t *Tap) Fail(id admission.RequestID) {
 	t.event(Record{Kind: Fail, At: t.now, ID: id})
 	t.do.Fail(id)
 }
 
-// Call implements tillerusher.Actions.
+// Call implements admission.Actions.
 func (t *Tap) Call(id admission.RequestID, timeout time.Duration) {
 	t.event(Record{Kind: Call, At: t.now, ID: id, Span: timeout})
 	t.do.Call(id, timeout)
 }
 
-// Skip implements tillerusher.Actions.
+// Skip implements admission.Actions.
 func (t *Tap) Skip(id admission.RequestID) {
 	t.event(Record{Kind: Skip, At: t.now, ID: id})
 	t.do.Skip(id)
 }
 
-// Halt implements tillerusher.Actions.
+// Halt implements admission.Actions.
 func (t *Tap) Halt(id admission.RequestID) {
 	t.event(Record{Kind: Halt, At: t.now, ID: id})
 	t.do.Halt(id)
 }
 
-// Keep implements tillerusher.Actions.
+// Keep implements admission.Actions.
 func (t *Tap) Keep(id admission.RequestID, lifetime time.Duration) {
 	t.event(Record{Kind: Keep, At: t.now, ID: id, Span: lifetime})
 	t.do.Keep(id, lifetime)
 }
 
-// Forget implements tillerusher.Actions.
+// Forget implements admission.Actions.
 func (t *Tap) Forget(id admission.RequestID) {
 	t.event(Record{Kind: Forget, At: t.now, ID: id})
 	t.do.Forget(id)
 }
 
-// Reuse implements tillerusher.Actions.
+// Reuse implements admission.Actions.
 func (t *Tap) Reuse(id admission.RequestID) {
 	t.event(Record{Kind: Reuse, At: t.now, ID: id})
 	t.do.Reuse(id)
 }
 
-// Say implements tillerusher.Actions.
+// Say implements admission.Actions.
 func (t *Tap) Say(value float64) {
 	t.event(Record{Kind: Say, At: t.now, Value: value})
 	t.do.Say(value)
 }
 
-// Health implements tillerusher.Actions.
+// Health implements admission.Actions.
 func (t *Tap) Health(good, fromStore bool) {
 	t.event(Record{Kind: Health, At: t.now, Yes: good, Stored: fromStore})
 	t.do.Health(good, fromStore)
 }
 
-// CloseIdle implements tillerusher.Actions.
+// CloseIdle implements admission.Actions.
 func (t *Tap) CloseIdle(idle time.Duration) {
 	t.event(Record{Kind: CloseIdle, At: t.now, Span: idle})
 	t.do.CloseIdle(idle)
 }
 
-// After implements tillerusher.Actions.
+// After implements admission.Actions.
 func (t *Tap) After(wait time.Duration, token uint32) {
 	t.event(Record{Kind: After, At: t.now, Span: wait, Token: token})
 	t.do.After(wait, token)
 }
 
-// Log implements tillerusher.Actions.
+// Log implements admission.Actions.
 func (t *Tap) Log(line string) {
 	t.event(Record{Kind: Log, At: t.now, Text: line})
 	t.do.Log(line)
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -418,7 +418,7 @@
 	s.sim.answer(v, k, stayAway, last)
 }
 
-// Run implements tillerusher.Actions.
+// Run implements admission.Actions.
 func (s *server) Run(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.answered || v.state != held {
@@ -460,7 +460,7 @@
 	}
 }
 
-// Refuse implements tillerusher.Actions.
+// Refuse implements admission.Actions.
 func (s *server) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	if v := s.visits[id]; v != nil && !v.answered {
 		if s.sim.world.Reasons {
@@ -473,7 +473,7 @@
 	}
 }
 
-// Fail implements tillerusher.Actions.
+// Fail implements admission.Actions.
 func (s *server) Fail(id admission.RequestID) {
 	if v := s.visits[id]; v != nil && !v.answered {
 		s.answer(v, failed, 0, false)
@@ -483,7 +483,7 @@
 	}
 }
 
-// Halt implements tillerusher.Actions: what runs is stopped, and its work is lost.
+// Halt implements admission.Actions: what runs is stopped, and its work is lost.
 func (s *server) Halt(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.state != running || v.job == nil {
@@ -496,7 +496,7 @@
 	s.later(0, deferred, func() { s.end(v, admission.Cancelled) })
 }
 
-// Keep implements tillerusher.Actions.
+// Keep implements admission.Actions.
 func (s *server) Keep(id admission.RequestID, lifetime time.Duration) {
 	v := s.visits[id]
 	if v == nil || v.req.key == 0 {
@@ -512,7 +512,7 @@
 	s.checkMemory()
 }
 
-// Forget implements tillerusher.Actions.
+// Forget implements admission.Actions.
 func (s *server) Forget(id admission.RequestID) {
 	k, ok := s.holders[id]
 	if !ok {
@@ -526,7 +526,7 @@
 	}
 }
 
-// Reuse implements tillerusher.Actions.
+// Reuse implements admission.Actions.
 func (s *server) Reuse(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.answered || v.repeats == nil {
@@ -545,27 +545,27 @@
 	s.later(0, deferred, func() { s.echo(v, source.ok) })
 }
 
-// Say implements tillerusher.Actions.
+// Say implements admission.Actions.
 func (s *server) Say(value float64) { s.value, s.told = value, true }
 
-// Health implements tillerusher.Actions.
+// Health implements admission.Actions.
 func (s *server) Health(good, _ bool) { s.healthy = good }
 
-// After implements tillerusher.Actions.
+// After implements admission.Actions.
 func (s *server) After(wait time.Duration, t uint32) {
 	s.later(max(wait, time.Microsecond), timerDue, token(t))
 }
 
-// CloseIdle implements tillerusher.Actions: connections are not modelled.
+// CloseIdle implements admission.Actions: connections are not modelled.
 func (s *server) CloseIdle(time.Duration) {}
 
-// Call implements tillerusher.Actions: nothing is called.
+// Call implements admission.Actions: nothing is called.
 func (s *server) Call(admission.RequestID, time.Duration) {}
 
-// Skip implements tillerusher.Actions.
+// Skip implements admission.Actions.
 func (s *server) Skip(admission.RequestID) {}
 
-// Log implements tillerusher.Actions.
+// Log implements admission.Actions.
 func (s *server) Log(string) { s.sim.result.Remarks++ }
 
 // checkMemory has a server that needs more memory than it has fall over.
--- a/internal/clustersim/sim.go
+++ b/internal/clustersim/sim.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/arrival"
 )
 
-// Policy makes what a server decides by: tillerusher.New, or one to compare it with.
+// Policy makes what a server decides by: admission.New, or one to compare it with.
 type Policy func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
 // Module is the real decision module.
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -25,7 +25,7 @@
 )
 
 // StateCostConfig is what the cost of keeping state is measured with. The daemon is a program with the command line of
-// `tillerkit state serve`, so that one program plays all disks.
+// `cataloguectl state serve`, so that one program plays all disks.
 type StateCostConfig struct {
 	HoldConfig
 	KeyedRate float64 // keyed requests a second, on a connection of their own
@@ -52,7 +52,7 @@
 // MeasureStateCost has a daemon on one core answer as many lookups as it can beside keyed requests at a rate, on each disk in
 // turn.
 func MeasureStateCost(ctx context.Context, c StateCostConfig) (*StateCost, error) {
-	dir, err := os.MkdirTemp("", "tillerusher-state")
+	dir, err := os.MkdirTemp("", "catalogue-server-durable")
 	if err != nil {
 		return nil, fmt.Errorf("storm: %w", err)
 	}
--- a/internal/replay/sink.go
+++ b/internal/replay/sink.go
@@ -21,56 +21,56 @@
 	s.Actions = append(s.Actions, r)
 }
 
-// Run implements tillerusher.Actions.
+// Run implements admission.Actions.
 func (s *Sink) Run(id admission.RequestID) { s.add(capture.Record{Kind: capture.Run, ID: id}) }
 
-// Refuse implements tillerusher.Actions.
+// Refuse implements admission.Actions.
 func (s *Sink) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	s.add(capture.Record{Kind: capture.Refuse, ID: id, Span: stayAway, Yes: last})
 }
 
-// Fail implements tillerusher.Actions.
+// Fail implements admission.Actions.
 func (s *Sink) Fail(id admission.RequestID) { s.add(capture.Record{Kind: capture.Fail, ID: id}) }
 
-// Call implements tillerusher.Actions.
+// Call implements admission.Actions.
 func (s *Sink) Call(id admission.RequestID, timeout time.Duration) {
 	s.add(capture.Record{Kind: capture.Call, ID: id, Span: timeout})
 }
 
-// Skip implements tillerusher.Actions.
+// Skip implements admission.Actions.
 func (s *Sink) Skip(id admission.RequestID) { s.add(capture.Record{Kind: capture.Skip, ID: id}) }
 
-// Halt implements tillerusher.Actions.
+// Halt implements admission.Actions.
 func (s *Sink) Halt(id admission.RequestID) { s.add(capture.Record{Kind: capture.Halt, ID: id}) }
 
-// Keep implements tillerusher.Actions.
+// Keep implements admission.Actions.
 func (s *Sink) Keep(id admission.RequestID, lifetime time.Duration) {
 	s.add(capture.Record{Kind: capture.Keep, ID: id, Span: lifetime})
 }
 
-// Forget implements tillerusher.Actions.
+// Forget implements admission.Actions.
 func (s *Sink) Forget(id admission.RequestID) { s.add(capture.Record{Kind: capture.Forget, ID: id}) }
 
-// Reuse implements tillerusher.Actions.
+// Reuse implements admission.Actions.
 func (s *Sink) Reuse(id admission.RequestID) { s.add(capture.Record{Kind: capture.Reuse, ID: id}) }
 
-// Say implements tillerusher.Actions.
+// Say implements admission.Actions.
 func (s *Sink) Say(value float64) { s.add(capture.Record{Kind: capture.Say, Value: value}) }
 
-// Health implements tillerusher.Actions.
+// Health implements admission.Actions.
 func (s *Sink) Health(good, fromStore bool) {
 	s.add(capture.Record{Kind: capture.Health, Yes: good, Stored: fromStore})
 }
 
-// CloseIdle implements tillerusher.Actions.
+// CloseIdle implements admission.Actions.
 func (s *Sink) CloseIdle(idle time.Duration) {
 	s.add(capture.Record{Kind: capture.CloseIdle, Span: idle})
 }
 
-// After implements tillerusher.Actions.
+// After implements admission.Actions.
 func (s *Sink) After(wait time.Duration, token uint32) {
 	s.add(capture.Record{Kind: capture.After, Span: wait, Token: token})
 }
 
-// Log implements tillerusher.Actions.
+// Log implements admission.Actions.
 func (s *Sink) Log(line string) { s.add(capture.Record{Kind: capture.Log, Text: line}) }
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -273,7 +273,7 @@
 	w.ledger.record(&capture.Record{Kind: k, At: w.now, ID: id}, "")
 }
 
-// Run implements tillerusher.Actions.
+// Run implements admission.Actions.
 func (w *world) Run(id admission.RequestID) {
 	w.note(capture.Run, id)
 	work, known := w.work[id]
@@ -283,13 +283,13 @@
 	w.runs = append(w.runs, &modelRun{id, work})
 }
 
-// Refuse implements tillerusher.Actions.
+// Refuse implements admission.Actions.
 func (w *world) Refuse(id admission.RequestID, _ time.Duration, _ bool) { w.note(capture.Refuse, id) }
 
-// Fail implements tillerusher.Actions.
+// Fail implements admission.Actions.
 func (w *world) Fail(id admission.RequestID) { w.note(capture.Fail, id) }
 
-// Halt implements tillerusher.Actions.
+// Halt implements admission.Actions.
 func (w *world) Halt(id admission.RequestID) {
 	if w.remove(id) {
 		w.later = append(w.later, capture.Record{Kind: capture.Done, ID: id, Outcome: admission.Cancelled})
@@ -297,7 +297,7 @@
 	}
 }
 
-// Reuse implements tillerusher.Actions.
+// Reuse implements admission.Actions.
 func (w *world) Reuse(id admission.RequestID) {
 	w.note(capture.Reuse, id)
 	source := id
@@ -324,12 +324,12 @@
 	return false
 }
 
-// After implements tillerusher.Actions.
+// After implements admission.Actions.
 func (w *world) After(wait time.Duration, token uint32) {
 	w.push(w.now+wait, capture.Record{Kind: capture.Timer, Token: token}, "")
 }
 
-// Call implements tillerusher.Actions: calls go well at once.
+// Call implements admission.Actions: calls go well at once.
 func (w *world) Call(id admission.RequestID, _ time.Duration) {
 	w.later = append(w.later, capture.Record{Kind: capture.Called, ID: id, Outcome: admission.OK})
 }
--- a/internal/scenario/library.go
+++ b/internal/scenario/library.go
@@ -46,5 +46,5 @@
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("rehearsal: no scenario %q; `tillerkit rehearse list` names them, and a file ends in .sexp", name)
+	return nil, fmt.Errorf("rehearsal: no scenario %q; `cataloguectl rehearse list` names them, and a file ends in .sexp", name)
 }
--- a/internal/scenario/rehearsal_test.go
+++ b/internal/scenario/rehearsal_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestHunt plays days that seeds draw; `tillerkit rehearse hunt` plays many more.
+// TestHunt plays days that seeds draw; `cataloguectl rehearse hunt` plays many more.
 func TestHunt(t *testing.T) {
 	first := rand.Uint64() >> 1
 	t.Logf("from seed %d", first)
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range h.Found {
-		t.Errorf("seed %d: %v, %d unanswered; again: tillerkit rehearse replay %d", f.Seed, f.Report.Breaches, f.Report.Unanswered, f.Seed)
+		t.Errorf("seed %d: %v, %d unanswered; again: cataloguectl rehearse replay %d", f.Seed, f.Report.Breaches, f.Report.Unanswered, f.Seed)
 	}
 	if h.Seeds == 0 || h.Served == 0 || h.World.Kills == 0 || h.World.Resets == 0 {
 		t.Errorf("nothing happened: %+v", h)
--- a/internal/servertest/interpreter.go
+++ b/internal/servertest/interpreter.go
@@ -1,4 +1,4 @@
-// Package testkit starts the stand-ins of internal/standin and nodes for tests, and fails the test where they can't
+// Package testkit starts the stand-ins of internal/fake and nodes for tests, and fails the test where they can't
 // go on.
 package servertest
 
--- a/internal/simulatorwire/frame.go
+++ b/internal/simulatorwire/frame.go
@@ -206,7 +206,7 @@
 	r.tail = append(r.tail, text...)
 }
 
-// Actions writes one instance's actions into a reply; it implements tillerusher.Actions.
+// Actions writes one instance's actions into a reply; it implements admission.Actions.
 type Actions struct {
 	Reply    *Reply
 	Instance uint32
@@ -226,63 +226,63 @@
 	}
 }
 
-// Run implements tillerusher.Actions.
+// Run implements admission.Actions.
 func (a *Actions) Run(id admission.RequestID) { a.request(77, id) }
 
-// Refuse implements tillerusher.Actions.
+// Refuse implements admission.Actions.
 func (a *Actions) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	p := a.request(72, id)
 	putTime(p[9:], stayAway)
 	putBool(p[17:], last)
 }
 
-// Fail implements tillerusher.Actions.
+// Fail implements admission.Actions.
 func (a *Actions) Fail(id admission.RequestID) { a.request(79, id) }
 
-// Call implements tillerusher.Actions.
+// Call implements admission.Actions.
 func (a *Actions) Call(id admission.RequestID, timeout time.Duration) {
 	putTime(a.request(71, id)[9:], timeout)
 }
 
-// Skip implements tillerusher.Actions.
+// Skip implements admission.Actions.
 func (a *Actions) Skip(id admission.RequestID) { a.request(66, id) }
 
-// Halt implements tillerusher.Actions.
+// Halt implements admission.Actions.
 func (a *Actions) Halt(id admission.RequestID) { a.request(76, id) }
 
-// Keep implements tillerusher.Actions.
+// Keep implements admission.Actions.
 func (a *Actions) Keep(id admission.RequestID, lifetime time.Duration) {
 	putTime(a.request(73, id)[9:], lifetime)
 }
 
-// Forget implements tillerusher.Actions.
+// Forget implements admission.Actions.
 func (a *Actions) Forget(id admission.RequestID) { a.request(78, id) }
 
-// Reuse implements tillerusher.Actions.
+// Reuse implements admission.Actions.
 func (a *Actions) Reuse(id admission.RequestID) { a.request(70, id) }
 
-// Say implements tillerusher.Actions.
+// Say implements admission.Actions.
 func (a *Actions) Say(value float64) {
 	p := a.Reply.add(68, a.Instance)
 	binary.LittleEndian.PutUint32(p[5:], math.Float32bits(float32(value)))
 }
 
-// Health implements tillerusher.Actions.
+// Health implements admission.Actions.
 func (a *Actions) Health(good, fromStore bool) {
 	p := a.Reply.add(74, a.Instance)
 	putBool(p[5:], good)
 	putBool(p[6:], fromStore)
 }
 
-// CloseIdle implements tillerusher.Actions.
+// CloseIdle implements admission.Actions.
 func (a *Actions) CloseIdle(idle time.Duration) { putTime(a.Reply.add(67, a.Instance)[5:], idle) }
 
-// After implements tillerusher.Actions.
+// After implements admission.Actions.
 func (a *Actions) After(wait time.Duration, token uint32) {
 	p := a.Reply.add(69, a.Instance)
 	putTime(p[5:], wait)
 	binary.LittleEndian.PutUint32(p[13:], token)
 }
 
-// Log implements tillerusher.Actions.
+// Log implements admission.Actions.
 func (a *Actions) Log(line string) { a.Reply.text(65, a.Instance, line) }
--- a/server/actions.go
+++ b/server/actions.go
@@ -22,7 +22,7 @@
 // actions carries out what the module decides.
 type actions struct{ *Server }
 
-// Run implements tillerusher.Actions.
+// Run implements admission.Actions.
 func (a actions) Run(id admission.RequestID) {
 	t := a.tries[id]
 	if t == nil || t.answered || t.state == running {
@@ -46,7 +46,7 @@
 	a.link.Apply(t)
 }
 
-// Refuse implements tillerusher.Actions.
+// Refuse implements admission.Actions.
 func (a actions) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
 	t := a.tries[id]
 	if t == nil || t.answered {
@@ -79,7 +79,7 @@
 	return r
 }
 
-// Fail implements tillerusher.Actions.
+// Fail implements admission.Actions.
 func (a actions) Fail(id admission.RequestID) {
 	if t := a.tries[id]; t != nil && !t.answered {
 		a.answer(t, gateway.Answer{Status: statusFailed})
@@ -100,7 +100,7 @@
 	return true
 }
 
-// Halt implements tillerusher.Actions.
+// Halt implements admission.Actions.
 func (a actions) Halt(id admission.RequestID) {
 	t := a.tries[id]
 	switch {
@@ -112,19 +112,19 @@
 	}
 }
 
-// Keep implements tillerusher.Actions.
+// Keep implements admission.Actions.
 func (a actions) Keep(id admission.RequestID, lifetime time.Duration) {
 	if t := a.tries[id]; t != nil && t.keyed {
 		a.keys.keep(t, a.clock.now+lifetime)
 	}
 }
 
-// Forget implements tillerusher.Actions.
+// Forget implements admission.Actions.
 func (a actions) Forget(id admission.RequestID) {
 	a.keys.forget(id)
 }
 
-// Reuse implements tillerusher.Actions.
+// Reuse implements admission.Actions.
 func (a actions) Reuse(id admission.RequestID) {
 	t := a.tries[id]
 	if t == nil || t.answered {
@@ -138,31 +138,31 @@
 	a.after(func() { a.echo(t, source) })
 }
 
-// Say implements tillerusher.Actions.
+// Say implements admission.Actions.
 func (a actions) Say(value float64) { a.hint = strconv.FormatFloat(value, 'f', 4, 64) }
 
-// Health implements tillerusher.Actions.
+// Health implements admission.Actions.
 func (a actions) Health(good, fromStore bool) { a.healthy, a.fromStore = good, fromStore }
 
-// CloseIdle implements tillerusher.Actions.
+// CloseIdle implements admission.Actions.
 func (a actions) CloseIdle(idle time.Duration) {
 	a.idle = idle
 	a.loop.Cancel(a.idleScan)
 	a.scanIdle()
 }
 
-// After implements tillerusher.Actions.
+// After implements admission.Actions.
 func (a actions) After(wait time.Duration, token uint32) {
 	a.loop.After(wait, func() { a.ring(token) })
 }
 
-// Log implements tillerusher.Actions.
+// Log implements admission.Actions.
 func (a actions) Log(line string) { a.log.Info("decision", zap.String("text", line)) }
 
-// Call implements tillerusher.Actions; the module hears of no calls, as Awaits ends the requests that come to one.
+// Call implements admission.Actions; the module hears of no calls, as Awaits ends the requests that come to one.
 func (a actions) Call(id admission.RequestID, _ time.Duration) { a.noCalls(id) }
 
-// Skip implements tillerusher.Actions, as Call.
+// Skip implements admission.Actions, as Call.
 func (a actions) Skip(id admission.RequestID) { a.noCalls(id) }
 
 // noCalls reports a decision that nothing can have led to.
--- a/server/args.go
+++ b/server/args.go
@@ -12,11 +12,11 @@
 	"tillerusher/internal/config"
 )
 
-const usage = `tillerusher is one catalogue server, configured by RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN.
+const usage = `catalogue-server is one catalogue server, configured by RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN.
 
 Usage:
-  tillerusher [serve] [flags]
-  tillerusher route --config FILE [flags]    route to pools, see tillerusher route --help
+  catalogue-server [serve] [flags]
+  catalogue-server route --config FILE [flags]    route to pools, see catalogue-server route --help
 
 Flags:
   --settings FILE   the operators' own settings, S-expressions as in deploy/settings.sexp
@@ -24,9 +24,9 @@
   --state DIR       keep results of keyed requests in the directory, so that a restart does not run them again
 
 Examples:
-  RELAY_CONFIG=/run/balancer/config.json tillerusher
-  RELAY_CONFIG=/run/balancer/config.json tillerusher serve --capture /var/lib/tillerusher/capture
-  RELAY_CONFIG=/run/balancer/config.json tillerusher serve --state /var/lib/tillerusher/state
+  RELAY_CONFIG=/run/balancer/config.json catalogue-server
+  RELAY_CONFIG=/run/balancer/config.json catalogue-server serve --capture /var/lib/tillerusher/capture
+  RELAY_CONFIG=/run/balancer/config.json catalogue-server serve --state /var/lib/tillerusher/state
 
 SIGTERM drains the server, SIGHUP has RELAY_CONFIG read anew, SIGUSR1 logs the counters.
 Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.
@@ -35,8 +35,8 @@
 // The programs that route and that keep state over restarts. They are programs of their own, so that the catalogue server
 // stays as small as its machine wants it.
 const (
-	routeProgram = "tillerusher-route"
-	stateProgram = "tillerusher-state"
+	routeProgram = "catalogue-router"
+	stateProgram = "catalogue-server-durable"
 )
 
 // become goes on as another program, which lies beside this one. It returns only where it can't.
@@ -56,7 +56,7 @@
 	if len(args) > 0 && args[0] == "serve" {
 		args = args[1:]
 	}
-	flags := flag.NewFlagSet("tillerusher", flag.ContinueOnError)
+	flags := flag.NewFlagSet("catalogue-server", flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // the error is told once, by the caller
 	settings := flags.String("settings", "", "")
 	directory := flags.String("capture", "", "")
@@ -65,10 +65,10 @@
 		fmt.Fprint(stderr, usage)
 		return nil, err
 	} else if err != nil {
-		return nil, fmt.Errorf("arguments: %w; see tillerusher --help", err)
+		return nil, fmt.Errorf("arguments: %w; see catalogue-server --help", err)
 	}
 	if flags.NArg() > 0 {
-		return nil, fmt.Errorf("arguments: %q is not known, want serve, route or flags; see tillerusher --help", flags.Arg(0))
+		return nil, fmt.Errorf("arguments: %q is not known, want serve, route or flags; see catalogue-server --help", flags.Arg(0))
 	}
 	o, err := operator(*settings, *directory)
 	if err == nil && *state != "" {
--- a/server/journal.go
+++ b/server/journal.go
@@ -59,7 +59,7 @@
 	choreBytes   = 2 << 20
 )
 
-// journal carries out what internal/durable decides: the intent of a keyed run is down before it is asked for, and its
+// journal carries out what internal/idempotency decides: the intent of a keyed run is down before it is asked for, and its
 // result after it.
 type journal struct {
 	*Server
--- a/server/routemain.go
+++ b/server/routemain.go
@@ -14,14 +14,14 @@
 	"tillerusher/internal/routeconfig"
 )
 
-const routeUsage = `tillerusher route takes requests of gateways over FastCGI, has the decision module admit them, and passes them to the
+const routeUsage = `catalogue-server route takes requests of gateways over FastCGI, has the decision module admit them, and passes them to the
 members of pools over FastCGI.
 
 Usage:
-  tillerusher route --config FILE [flags]
+  catalogue-server route --config FILE [flags]
 
 Flags:
-  --config FILE       routes and pools, see docs/routes.md; tillerkit import nginx makes one
+  --config FILE       routes and pools, see docs/routes.md; cataloguectl import nginx makes one
   --listen ADDR       where gateways connect (127.0.0.1:4100)
   --name NAME         name in the log (router)
   --stop TIME         from SIGTERM to the end at the latest (5s)
@@ -32,7 +32,7 @@
   --capture DIR       record what the decision module is told and decides
 
 Example:
-  tillerusher route --config routes.sexp --listen 127.0.0.1:4100
+  catalogue-server route --config routes.sexp --listen 127.0.0.1:4100
 
 SIGTERM drains the server, SIGHUP has FILE read anew, SIGUSR1 logs the counters.
 Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or routes.
@@ -43,7 +43,7 @@
 func RouteMain(args []string, stderr io.Writer, metrics func(s *Server, addr string) error) int {
 	drain, reload, report := catch(syscall.SIGTERM, syscall.SIGINT), catch(syscall.SIGHUP), catch(syscall.SIGUSR1)
 	c := &RouterConfig{}
-	flags := flag.NewFlagSet("tillerusher route", flag.ContinueOnError)
+	flags := flag.NewFlagSet("catalogue-server route", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	file := flags.String("config", "", "")
 	listen := flags.String("listen", "127.0.0.1:4100", "")
@@ -99,9 +99,9 @@
 func (c *RouterConfig) complete(flags *flag.FlagSet, file, listen string) (err error) {
 	switch {
 	case flags.NArg() > 0:
-		return fmt.Errorf("arguments: %q is not known; see tillerusher route --help", flags.Arg(0))
+		return fmt.Errorf("arguments: %q is not known; see catalogue-server route --help", flags.Arg(0))
 	case file == "":
-		return errors.New("arguments: --config FILE is missing; see tillerusher route --help")
+		return errors.New("arguments: --config FILE is missing; see catalogue-server route --help")
 	case c.MemoryMB < 16 || c.Sockets < 64 || c.Stop < time.Second:
 		return fmt.Errorf("arguments: %d MB, %d sockets and %v to stop, want at least 16, 64 and 1s", c.MemoryMB, c.Sockets, c.Stop)
 	}
