--- a/admission/interface.go
+++ b/admission/interface.go
@@ -113,18 +113,18 @@
 	Class   int           // index into Settings.Classes
 	Tenant  int           // index into Settings.Tenants
 	Caller  int           // number of the balancer that sent it
-	Subject uint64        // what a safe read is about; 0 = not told
-	Waited  time.Duration // time since it reached the machine
-	Budget  time.Duration // how long its caller still waits, where Settings.Deadlines
-	Retry   bool          // marked as a further try
-	Repeats RequestID     // an earlier request whose result may answer this one; 0 = none
+	Subject uint64        `json:"Subject"` // what a safe read is about; 0 = not told
+	Waited  time.Duration `json:"Waited"`  // time since it reached the machine
+	Budget  time.Duration `json:"Budget"`  // how long its caller still waits, where Settings.Deadlines
+	Retry   bool          `json:"Retry"`   // marked as a further try
+	Repeats RequestID     `json:"Repeats"` // an earlier request whose result may answer this one; 0 = none
 	SizeKB  float64       // memory while held
 	Work    time.Duration // expected work on a standard core; 0 = not told
 }
 
 // Gauges are the server's own readings, which come with each Timer. A reading the host lacks is negative.
 type Gauges struct {
-	Busy     float64 // busy part of the cores, 0 to 1, over the last half second
+	Busy     float64 `json:"Busy"` // busy part of the cores, 0 to 1, over the last half second
 	Runnable float64 // what wants a core now: runs, reading, checks and new connections
 }
 
--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -31,22 +31,24 @@
 type Config struct {
 	Kind  Kind
 	Rate  float64       // arrivals a second, in the mean
-	Burst float64       // Bursty: the rate of its bursts over the mean
-	Part  float64       // Bursty: part of the time that is bursts
-	Stay  time.Duration // Bursty: mean length of a burst
-	Swing float64       // Diurnal: how far the rate swings, as a part of the mean
-	Day   time.Duration // Diurnal: length of a swing
-	Jumps []Jump        // of any kind but Replay
-
-	Recorded []time.Duration // Replay
-	Factor   float64         // Replay: how many times as fast they come; 0 is 1
+	Burst float64       `json:"Burst"` // Bursty: the rate of its bursts over the mean
+	Part  float64       `json:"Part"`  // Bursty: part of the time that is bursts
+	Stay  time.Duration `json:"Stay"`  // Bursty: mean length of a burst
+	Swing float64       `json:"Swing"` // Diurnal: how far the rate swings, as a part of the mean
+	Day   time.Duration `json:"Day"`   // Diurnal: length of a swing
+	Jumps []Jump        `json:"Jumps"` // of any kind but Replay
+
+	Recorded []time.Duration `json:"Recorded"` // Replay
+	Factor   float64         `json:"Factor"`   // Replay: how many times as fast they come; 0 is 1
 }
 
 // Jump is a stretch in which the rate is a multiple of what it would be. It rises and falls evenly.
 type Jump struct {
-	From, For  time.Duration
-	Factor     float64
-	Rise, Fall time.Duration // within For
+	From   time.Duration `json:"From"`
+	For    time.Duration `json:"For"`
+	Factor float64
+	Rise   time.Duration `json:"Rise"` // within For
+	Fall   time.Duration `json:"Fall"` // within For
 }
 
 // at is the factor of a jump at a time.
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -30,12 +30,12 @@
 
 // Incident is something that goes wrong for a while.
 type Incident struct {
-	What What
-	From time.Duration
-	For  time.Duration
-	Part float64 // of the servers
-	Size float64
-	Rise time.Duration
+	What What          `json:"What"`
+	From time.Duration `json:"From"`
+	For  time.Duration `json:"For"`
+	Part float64       `json:"Part"` // of the servers
+	Size float64       `json:"Size"`
+	Rise time.Duration `json:"Rise"`
 }
 
 // String tells an incident in a few words.
--- a/internal/clustersim/world.go
+++ b/internal/clustersim/world.go
@@ -12,55 +12,55 @@
 // World is all that a run is made of but its policy and its seed.
 type World struct {
 	Name    string
-	For     time.Duration // in which first tries come; what is open then is played to its end
+	For     time.Duration `json:"For"` // in which first tries come; what is open then is played to its end
 	Servers Servers
 	Classes []Class
 	Tenants []Tenant
-	Callers []Gateway // each kind of gateway
+	Callers []Gateway `json:"Callers"` // each kind of gateway
 	Arrival arrival.Config
 
-	Subjects int     // distinct ones
+	Subjects int     `json:"Subjects"` // distinct ones
 	Skew     float64 // of their popularity: the exponent of a Zipf distribution, over 1; 0 is none
 
-	Delay     time.Duration // mean of a message's way through the network
-	ListDelay time.Duration // how late gateways learn of the list of servers
+	Delay     time.Duration `json:"Delay"`     // mean of a message's way through the network
+	ListDelay time.Duration `json:"ListDelay"` // how late gateways learn of the list of servers
 	Incidents []Incident
 
-	Reasons bool // tell why the module refuses on arrival, which takes about as long again as the run
+	Reasons bool `json:"Reasons"` // tell why the module refuses on arrival, which takes about as long again as the run
 }
 
 // Servers is the fleet.
 type Servers struct {
-	N           int
-	Listed      int // servers that a module is told of at its start; 0 is N
+	N           int `json:"N"`
+	Listed      int `json:"Listed"` // servers that a module is told of at its start; 0 is N
 	Cores       int
 	Speed       float64       // mean speed of a core: work done in a second
 	SpeedCV     float64       // how servers differ in it
-	Thrash      float64       // how much less the cores get done for each run a core over ThrashAt
-	ThrashAt    float64       //
-	Read        float64       // work of reading a request, over the mean work of all requests
+	Thrash      float64       `json:"Thrash"`   // how much less the cores get done for each run a core over ThrashAt
+	ThrashAt    float64       `json:"ThrashAt"` //
+	Read        float64       `json:"Read"`     // work of reading a request, over the mean work of all requests
 	MemoryKB    float64       // of held and running requests and keys
 	KeyKB       float64       // of a key
-	HoldKB      [2]float64    // of a held request, least and most
-	RunFactor   float64       // of a running one over that
-	ColdShare   float64       // speed of a fresh server over its full speed
-	ColdFor     time.Duration // until it is warm
-	CrowdFactor float64       // running requests a core that a warm server survives
-	CrowdOver   time.Duration // in the mean of this time
-	DrainGrace  time.Duration
-	Stop        time.Duration // from the notice to leave to the end
-	Restart     time.Duration // of a server that fell over
-	Unread      int           // requests a core that may lie unread; more get no connection
+	HoldKB      [2]float64    `json:"HoldKB"`      // of a held request, least and most
+	RunFactor   float64       `json:"RunFactor"`   // of a running one over that
+	ColdShare   float64       `json:"ColdShare"`   // speed of a fresh server over its full speed
+	ColdFor     time.Duration `json:"ColdFor"`     // until it is warm
+	CrowdFactor float64       `json:"CrowdFactor"` // running requests a core that a warm server survives
+	CrowdOver   time.Duration `json:"CrowdOver"`   // in the mean of this time
+	DrainGrace  time.Duration `json:"DrainGrace"`
+	Stop        time.Duration `json:"Stop"`    // from the notice to leave to the end
+	Restart     time.Duration `json:"Restart"` // of a server that fell over
+	Unread      int           `json:"Unread"`  // requests a core that may lie unread; more get no connection
 	Tick        time.Duration
-	Heeded      time.Duration // for which a gateway goes by a level that it was told
-	RetryAfter  time.Duration // longest advice that is honoured; 0 is none
-	Slack       time.Duration // how late an answer may be
-	CheckEvery  time.Duration // health checks by gateways that go by them
-	CallerIdle  time.Duration
-	OverWorth   float64 // of a request beyond its tenant's share
+	Heeded      time.Duration `json:"Heeded"`     // for which a gateway goes by a level that it was told
+	RetryAfter  time.Duration `json:"RetryAfter"` // longest advice that is honoured; 0 is none
+	Slack       time.Duration `json:"Slack"`      // how late an answer may be
+	CheckEvery  time.Duration `json:"CheckEvery"` // health checks by gateways that go by them
+	CallerIdle  time.Duration `json:"CallerIdle"`
+	OverWorth   float64       `json:"OverWorth"` // of a request beyond its tenant's share
 	Feedback    Feedback
-	NoStop      bool // running work can't be stopped
-	NoRunnable  bool // the gauge of what wants a core at this moment is not told
+	NoStop      bool `json:"NoStop"`     // running work can't be stopped
+	NoRunnable  bool `json:"NoRunnable"` // the gauge of what wants a core at this moment is not told
 }
 
 // Feedback is how gateways read the value that servers tell them. The zero value is Level.
@@ -104,16 +104,16 @@
 type Class struct {
 	Name      string
 	Share     float64
-	Work      time.Duration // mean, on a core of speed 1
-	Dist      Dist
+	Work      time.Duration `json:"Work"` // mean, on a core of speed 1
+	Dist      Dist          `json:"Dist"`
 	CV        float64
-	Aim       time.Duration
+	Aim       time.Duration `json:"Aim"`
 	Deadline  time.Duration
-	Worth     float64
-	LateWorth float64
-	Keyed     bool
-	Unsafe    bool // it must run once only, and its repeats can't be told
-	Window    time.Duration
+	Worth     float64       `json:"Worth"`
+	LateWorth float64       `json:"LateWorth"`
+	Keyed     bool          `json:"Keyed"`
+	Unsafe    bool          `json:"Unsafe"` // it must run once only, and its repeats can't be told
+	Window    time.Duration `json:"Window"`
 }
 
 // once tells whether a request of the class must not run a second time.
@@ -155,18 +155,18 @@
 
 // Gateway is a kind of gateway and its habits.
 type Gateway struct {
-	N       int
+	N       int     `json:"N"`
 	Share   float64 // of the requests, of all of this kind together
-	Choice  Choice
-	Again   Again
-	Tries   int     // of one request
-	Budget  float64 // Budgeted: further tries for each first one
-	Wait    float64 // Hasty, Copies: part of the aim after which it tries again
-	Heeds   bool    // it does as servers tell: levels, times to stay away, the wish that no other be tried
-	Subset  int     // servers that it keeps to; 0 is all
-	Checked bool    // it goes by health checks
-	Endless bool    // its clients wait however long it takes
-	Repeats float64 // part of the served keyed requests that come again within 2 s
+	Choice  Choice  `json:"Choice"`
+	Again   Again   `json:"Again"`
+	Tries   int     `json:"Tries"`   // of one request
+	Budget  float64 `json:"Budget"`  // Budgeted: further tries for each first one
+	Wait    float64 `json:"Wait"`    // Hasty, Copies: part of the aim after which it tries again
+	Heeds   bool    `json:"Heeds"`   // it does as servers tell: levels, times to stay away, the wish that no other be tried
+	Subset  int     `json:"Subset"`  // servers that it keeps to; 0 is all
+	Checked bool    `json:"Checked"` // it goes by health checks
+	Endless bool    `json:"Endless"` // its clients wait however long it takes
+	Repeats float64 `json:"Repeats"` // part of the served keyed requests that come again within 2 s
 }
 
 // Defaults are the middle of the operators' brief, at the size of the fleet that they run.
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -17,7 +17,7 @@
 type Job struct {
 	Point  int                // of the plan
 	Values map[string]float64 // what is varied there
-	Day    string             // or the day
+	Day    string             `json:"Day"` // or the day
 	Policy string
 	Seed   uint64
 	world  clustersim.World
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -49,21 +49,21 @@
 // Config is what a pool is told.
 type Config struct {
 	Name    string
-	Method  Method
+	Method  Method `json:"Method"`
 	Members []Member
 
-	Tries       int           // of one request, the first included; 0 is any number
-	TryFor      time.Duration // no further try is begun later than this after the first; 0 is no bound
-	BudgetShare float64       // further tries for each first one; 0 is no budget
-	BudgetLeast float64       // further tries a second that are allowed in any case
-	BudgetBurst float64       // further tries that may come at once
+	Tries       int           `json:"Tries"`       // of one request, the first included; 0 is any number
+	TryFor      time.Duration `json:"TryFor"`      // no further try is begun later than this after the first; 0 is no bound
+	BudgetShare float64       `json:"BudgetShare"` // further tries for each first one; 0 is no budget
+	BudgetLeast float64       `json:"BudgetLeast"` // further tries a second that are allowed in any case
+	BudgetBurst float64       `json:"BudgetBurst"` // further tries that may come at once
 
-	EjectFactor float64       // a member is ejected at so many times the others' median latency; 0 is never
-	EjectErrors float64       // or when so large a part of its last tries failed; 0 is never
-	EjectAfter  int           // tries that have to be seen before
-	EjectFor    time.Duration // the first time; twice as long each further time in a row
-	EjectMost   float64       // part of the members that may be out at once
-	PanicUnder  float64       // part of the members in below which all are used, ejected or not
+	EjectFactor float64       `json:"EjectFactor"` // a member is ejected at so many times the others' median latency; 0 is never
+	EjectErrors float64       `json:"EjectErrors"` // or when so large a part of its last tries failed; 0 is never
+	EjectAfter  int           `json:"EjectAfter"`  // tries that have to be seen before
+	EjectFor    time.Duration `json:"EjectFor"`    // the first time; twice as long each further time in a row
+	EjectMost   float64       `json:"EjectMost"`   // part of the members that may be out at once
+	PanicUnder  float64       `json:"PanicUnder"`  // part of the members in below which all are used, ejected or not
 }
 
 // Defaults are nginx's, and a budget and ejection that only a broken pool meets.
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -23,11 +23,11 @@
 type Location struct {
 	Kind      Kind
 	Pattern   string // without the modifier; of a named one without @
-	Redirect  bool   // a Prefix that ends in a slash: the same path without it is redirected to it
+	Redirect  bool   `json:"Redirect"` // a Prefix that ends in a slash: the same path without it is redirected to it
 	Rewrites  []*Rewrite
 	Locations []*Location
 	Value     any    // what it stands for; the table only hands it on
-	At        string // where it was defined, for messages
+	At        string `json:"At"` // where it was defined, for messages
 
 	re     *regexp.Regexp
 	parent *Location
@@ -224,7 +224,7 @@
 type Step struct {
 	Location *Location // or that of the rewrite; nil for a server's
 	Rewrite  *Rewrite  // nil where the step is no rewrite's
-	What     string
+	What     string    `json:"What"`
 }
 
 // String is the step as it is told to operators.
--- a/internal/route/rewrite.go
+++ b/internal/route/rewrite.go
@@ -21,9 +21,9 @@
 // Rewrite changes the path of a request, or sends its caller elsewhere.
 type Rewrite struct {
 	Pattern string // a regex of RE2, matched against the normalised path
-	To      string // $1 to $9 stand for what groups matched; behind a ? stands a query, to which that of the request is added unless To ends with a ?
+	To      string `json:"To"` // $1 to $9 stand for what groups matched; behind a ? stands a query, to which that of the request is added unless To ends with a ?
 	Flag    Flag
-	At      string // where it was defined, for messages
+	At      string `json:"At"` // where it was defined, for messages
 
 	re *regexp.Regexp
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -16,23 +16,23 @@
 // Scenario is a day that is played.
 type Scenario struct {
 	Name      string
-	Teaches   string
-	Length    time.Duration
-	Calm      time.Duration // after it, before servers are probed: kept keys count as memory, and may be all of it
+	Teaches   string        `json:"Teaches"`
+	Length    time.Duration `json:"Length"`
+	Calm      time.Duration `json:"Calm"` // after it, before servers are probed: kept keys count as memory, and may be all of it
 	Servers   int
 	Cores     int           // of each server's interpreter
-	Work      time.Duration // mean time of a core that a run takes
+	Work      time.Duration `json:"Work"` // mean time of a core that a run takes
 	Rate      float64       // requests a second, over all servers
-	Keyed     float64       // part of them that must run once only
+	Keyed     float64       `json:"Keyed"` // part of them that must run once only
 	Gateways  int
-	Tries     int     // of one request, the first included
-	Heeds     float64 // part of the gateways that come back when they were told to; the others come after their pause
-	Pause     time.Duration
-	Repeats   float64 // part of the served keyed requests that come again
-	Hedges    float64 // part of the keyed tries that are sent again while they are open
-	Aborts    float64 // part of the tries that their gateway takes back
-	Files     int     // descriptors of each server
-	Net       simnet.Net
+	Tries     int           `json:"Tries"` // of one request, the first included
+	Heeds     float64       `json:"Heeds"` // part of the gateways that come back when they were told to; the others come after their pause
+	Pause     time.Duration `json:"Pause"`
+	Repeats   float64       `json:"Repeats"` // part of the served keyed requests that come again
+	Hedges    float64       `json:"Hedges"`  // part of the keyed tries that are sent again while they are open
+	Aborts    float64       `json:"Aborts"`  // part of the tries that their gateway takes back
+	Files     int           `json:"Files"`   // descriptors of each server
+	Net       simnet.Net    `json:"Net"`
 	Incidents []Incident
 	Expect    Expectations
 }
@@ -59,17 +59,17 @@
 // Incident is something that happens to servers at a time.
 type Incident struct {
 	At     time.Duration
-	For    time.Duration
+	For    time.Duration `json:"For"`
 	Kind   Kind
-	Server int // from 1; 0 is all
-	Times  float64
-	Apart  time.Duration // between one server and the next
+	Server int           // from 1; 0 is all
+	Times  float64       `json:"Times"`
+	Apart  time.Duration `json:"Apart"` // between one server and the next
 }
 
 // Expectations are what has to hold; the zero value of each asks for nothing.
 type Expectations struct {
-	Share     float64       // of requests served, at least
-	Recovered time.Duration // from the end of the last incident until the share is back to 95 % of before the first
+	Share     float64       `json:"Share"`     // of requests served, at least
+	Recovered time.Duration `json:"Recovered"` // from the end of the last incident until the share is back to 95 % of before the first
 }
 
 // Defaults are what a scenario is where its file says nothing.
--- a/internal/simnet/world.go
+++ b/internal/simnet/world.go
@@ -16,9 +16,9 @@
 type Net struct {
 	Delay   time.Duration // least time that a segment takes
 	Jitter  time.Duration // and up to so much more
-	Partial float64       // of reads and writes that take a part of what they could
-	Lost    float64       // of datagrams
-	Doubled float64       // of datagrams
+	Partial float64       `json:"Partial"` // of reads and writes that take a part of what they could
+	Lost    float64       `json:"Lost"`    // of datagrams
+	Doubled float64       `json:"Doubled"` // of datagrams
 }
 
 // Counts count what happened, faults by their kind.
