--- a/admission/admission.go
+++ b/admission/admission.go
@@ -25,7 +25,7 @@
 	}
 	r := in.read(q)
 	if in.repeated(r, q) {
-		in.repeat(r, q.Repeats)
+		in.repeat(r, q.RetryOf)
 	} else {
 		in.admit(r)
 	}
@@ -38,22 +38,22 @@
 func (in *Instance) read(q Request) *request {
 	q.Class = min(max(q.Class, 0), len(in.set.Classes)-1)
 	c := in.set.Classes[q.Class]
-	r := &request{id: q.ID, class: q.Class, retry: q.Retry, subject: q.Subject != 0,
-		arrived: in.now - q.Waited, sizeKB: max(q.SizeKB, 0)}
-	in.readDelay += (max(q.Waited, 0).Seconds() - in.readDelay) * learnWeight
+	r := &request{id: q.ID, class: q.Class, retry: q.IsRetry, subject: q.ResourceID != 0,
+		arrived: in.now - q.QueueingDelay, sizeKB: max(q.SizeKB, 0)}
+	in.readDelay += (max(q.QueueingDelay, 0).Seconds() - in.readDelay) * learnWeight
 	in.retries *= 1 - learnWeight
-	if q.Retry {
+	if q.IsRetry {
 		in.retries += learnWeight
 	}
 	r.due = r.arrived + c.Deadline
-	if in.set.Deadlines && q.Budget > 0 {
-		r.due = in.now + q.Budget
+	if in.set.HasDeadlines && q.RemainingTime > 0 {
+		r.due = in.now + q.RemainingTime
 	}
 	r.due = max(r.due, in.now)
 	if in.draining {
 		r.due = min(r.due, in.stopAt)
 	}
-	aim := c.Aim + time.Duration(c.AimStretch*float64(q.Work))
+	aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(q.Work))
 	r.useful = min(r.arrived+min(aim, c.Deadline)-in.age(q), r.due)
 	if r.excess = in.excess(q); r.excess > 1 {
 		r.rank = 1
@@ -66,18 +66,18 @@
 
 // repeated tells whether the request is answered by what becomes of the one that it repeats.
 func (in *Instance) repeated(r *request, q Request) bool {
-	return q.Repeats != 0 && !in.unrun[q.Repeats] && in.set.Classes[r.class].Effect != Unsafe
+	return q.RetryOf != 0 && !in.unrun[q.RetryOf] && in.set.Classes[r.class].Effect != NonIdempotent
 }
 
 // age is how long before this try the first of its request began, as far as that can be told. A caller waits
 // for a first try as long as its habit is, and for a further try at most until the deadline of all: one that
 // waits longer than any first try tells by that what is left.
 func (in *Instance) age(q Request) time.Duration {
-	s, wait := &in.classes[q.Class], q.Budget+max(q.Waited, 0)
-	if !q.Retry {
+	s, wait := &in.classes[q.Class], q.RemainingTime+max(q.QueueingDelay, 0)
+	if !q.IsRetry {
 		s.patience = max(s.patience, wait)
 	}
-	if !in.set.Deadlines || s.patience == 0 || wait <= s.patience+in.set.Tick {
+	if !in.set.HasDeadlines || s.patience == 0 || wait <= s.patience+in.set.Tick {
 		return 0
 	}
 	return max(in.set.Classes[q.Class].Deadline-wait, 0)
@@ -98,12 +98,12 @@
 	r.ran = original == nil || original.state != held
 	switch {
 	case in.afterGrace(r):
-		in.answer(r, AfterGrace)
+		in.answer(r, AfterDrainGrace)
 	case !r.ran || !in.fits(r):
-		in.answer(r, NoMemory)
+		in.answer(r, OutOfMemory)
 	default:
 		in.setState(r, echoing)
-		in.do.Reuse(r.id)
+		in.do.ReplayResult(r.id)
 	}
 }
 
@@ -120,22 +120,22 @@
 func (in *Instance) rejection(r *request) Reason {
 	switch {
 	case in.afterGrace(r):
-		return AfterGrace
+		return AfterDrainGrace
 	case in.stalled:
 		return Stalled
 	case !in.fits(r):
-		return NoMemory
+		return OutOfMemory
 	case r.due <= in.now+in.margin():
-		return Due
+		return DeadlineReached
 	case !in.overloaded():
 		return Admitted
 	}
 	wait := in.predictedWait(r)
 	switch {
 	case in.overThreshold(r, wait):
-		return OverThreshold
+		return RateOverThreshold
 	case in.fruitless(r) || in.classes[r.class].run > 0 && wait > in.slack(r):
-		return WaitTooLong
+		return PredictedWaitTooLong
 	}
 	return Admitted
 }
@@ -150,10 +150,10 @@
 // can ever be run.
 func (in *Instance) fits(r *request) bool {
 	most := in.set.MemoryKB * memoryMargin
-	run := in.set.RunFactor * r.sizeKB
+	run := in.set.RunningMemoryFactor * r.sizeKB
 	runs := max(run, min(float64(in.set.Cores)*run, (most-in.keysKB())/2))
 	need := in.memory() + max(0, runs-in.runKB)
-	if in.set.Classes[r.class].Effect == Keyed {
+	if in.set.Classes[r.class].Effect == IdempotentByKey {
 		need += in.set.KeyKB
 	}
 	return need <= most
@@ -169,7 +169,7 @@
 	if effect || r.state == running || r.state == calling || r.state == asking {
 		in.do.Fail(r.id)
 	} else {
-		in.do.Refuse(r.id, in.backOff(r), (r.retry || in.retryStorm()) && !in.stalled)
+		in.do.Reject(r.id, in.backOff(r), (r.retry || in.retryStorm()) && !in.stalled)
 		in.classes[r.class].rejections[why]++
 		if in.sharesFairly(r) {
 			in.classes[r.class].rejected.count(in.now, in.lambda)
@@ -183,9 +183,9 @@
 // the most in a storm: half an aim. Longer advice has all callers leave idle cores and come back at once.
 func (in *Instance) backOff(r *request) time.Duration {
 	if in.stalled || in.draining {
-		return in.set.RetryAfter
+		return in.set.MaxRetryAfter
 	}
-	most, seconds := min(in.set.RetryAfter, in.longestAim/2), in.longestWait()
+	most, seconds := min(in.set.MaxRetryAfter, in.longestAim/2), in.longestWait()
 	if in.retryStorm() {
 		return most
 	} else if r.excess > 1 {
@@ -208,10 +208,10 @@
 		in.countWasted(r)
 		// One at its call ends there by itself, charged as if it ran until then; its call may linger below.
 		if r.state == calling {
-			in.callDebt += in.set.CallStays.Seconds()
+			in.callDebt += in.set.CallLinger.Seconds()
 		}
 		if r.state == running && in.set.StopMode != StopNone && in.set.Classes[r.class].Effect == Safe {
-			in.do.Halt(r.id)
+			in.do.Stop(r.id)
 		}
 		in.setState(r, ended)
 		return
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Blocked reports that a running request waits for a decision on a call.
-func (in *Instance) Blocked(now time.Duration, id RequestID) {
+// CallRequested reports that a running request waits for a decision on a call.
+func (in *Instance) CallRequested(now time.Duration, id RequestID) {
 	in.tick(now)
 	r := in.byID[id]
 	if r == nil || r.state != running {
@@ -17,8 +17,8 @@
 	in.setState(r, asking)
 }
 
-// Called reports the outcome of a call.
-func (in *Instance) Called(now time.Duration, id RequestID, o Outcome, took time.Duration) {
+// CallFinished reports the outcome of a call.
+func (in *Instance) CallFinished(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	in.tick(now)
 	r := in.byID[id]
 	if r == nil || r.state != calling {
@@ -35,12 +35,12 @@
 		return
 	}
 	if o == TimedOut {
-		in.callDebt += in.set.CallStays.Seconds()
+		in.callDebt += in.set.CallLinger.Seconds()
 	}
 	in.setState(r, asking)
 	r.calls++
-	if o != Rejected && o != Unreachable && o != Moot && in.set.Classes[r.class].Effect != Safe {
-		in.answer(r, Due) // the call may have had its effect: never a second one
+	if o != Rejected && o != Unreachable && o != NotStarted && in.set.Classes[r.class].Effect != Safe {
+		in.answer(r, DeadlineReached) // the call may have had its effect: never a second one
 		return
 	}
 	r.callAt = now + time.Duration(r.calls)*pollInterval/2
@@ -66,8 +66,8 @@
 	c := in.set.Classes[r.class]
 	rest := seconds(in.runTime(r.class) / 2)
 	left := r.useful - in.now - rest
-	if c.SkipWorth > 0 && (r.calls > 2 || left < seconds(in.expectedCall()/2)) {
-		in.do.Skip(r.id)
+	if c.SkippedCallWeight > 0 && (r.calls > 2 || left < seconds(in.expectedCall()/2)) {
+		in.do.SkipCall(r.id)
 		r.partStart = in.coreClock
 		in.setState(r, running)
 		return
@@ -77,13 +77,13 @@
 		// Some calls hang, whatever the cause: enough time is kept to make another.
 		timeout = min(left, max(left/3, seconds(4*in.expectedCall())))
 	}
-	if in.set.Below == DependencyShared {
+	if in.set.Downstream == DependencyShared {
 		// All servers' calls in hand must stay under what the dependency survives on the mean: parts under
 		// one and calls that linger are paid for between calls; no call may outlast the time of the mean.
-		if in.inHand > 0 && float64(in.inHand+1) > in.set.FairCalls || in.callDebt > 0 {
+		if in.inHand > 0 && float64(in.inHand+1) > in.set.FairCallShare || in.callDebt > 0 {
 			return
 		}
-		timeout = min(timeout, time.Duration(float64(in.set.CallsOver)*min(in.set.FairCalls, 1)/2))
+		timeout = min(timeout, time.Duration(float64(in.set.CallAveragingTime)*min(in.set.FairCallShare, 1)/2))
 	}
 	in.do.Call(r.id, max(timeout, in.set.Tick))
 	in.setState(r, calling)
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -9,7 +9,7 @@
 
 // afterGrace tells whether the request came after the grace of a drain.
 func (in *Instance) afterGrace(r *request) bool {
-	return in.draining && r.arrived > in.notice+in.set.DrainGrace
+	return in.draining && r.arrived > in.notice+in.set.DrainGracePeriod
 }
 
 // Drain reports the notice that the process is stopped after the time.
@@ -31,5 +31,5 @@
 // leaving tells whether callers should look for another server: only when the grace of a drain nears its end,
 // as what arrives until then is run, and sent away sooner it crowds servers whose successors few know of.
 func (in *Instance) leaving() bool {
-	return in.draining && in.now+min(2*pollInterval, in.set.DrainGrace/4) >= in.notice+in.set.DrainGrace
+	return in.draining && in.now+min(2*pollInterval, in.set.DrainGracePeriod/4) >= in.notice+in.set.DrainGracePeriod
 }
--- a/admission/events.go
+++ b/admission/events.go
@@ -23,7 +23,7 @@
 		keys: make([][]*key, len(s.Classes)), classes: make([]classStats, len(s.Classes)),
 		concurrencyLimit: float64(s.Cores), runnable: -1, weight: 1, advertised: -1, healthy: true}
 	for _, c := range s.Classes {
-		in.longestAim = max(in.longestAim, c.Aim)
+		in.longestAim = max(in.longestAim, c.LatencyObjective)
 	}
 	for _, t := range s.Tenants {
 		in.quotas += max(t.Quota, 1e-3)
@@ -33,16 +33,16 @@
 	return in, nil
 }
 
-// Gone reports that the caller of a request no longer waits.
-func (in *Instance) Gone(now time.Duration, id RequestID) {
+// Cancel reports that the caller of a request no longer waits.
+func (in *Instance) Cancel(now time.Duration, id RequestID) {
 	in.tick(now)
 	if r := in.byID[id]; r != nil && r.state != ended {
 		in.finish(r)
 	}
 }
 
-// Done reports the end of a run or of a reuse.
-func (in *Instance) Done(now time.Duration, id RequestID, o Outcome) {
+// RunFinished reports the end of a run or of a reuse.
+func (in *Instance) RunFinished(now time.Duration, id RequestID, o Outcome) {
 	in.tick(now)
 	r := in.byID[id]
 	if r == nil || r.state == held || r.state == follows {
@@ -81,8 +81,8 @@
 		return
 	}
 	in.nextPoll = now + pollInterval
-	if g.Busy >= 0 {
-		in.busy, in.runnable = g.Busy, g.Runnable
+	if g.Utilization >= 0 {
+		in.busy, in.runnable = g.Utilization, g.Runnable
 	}
 	in.countCallers()
 	in.adjustLimit()
@@ -112,7 +112,7 @@
 	all := in.all
 	for _, r := range all {
 		if r.state != over && r.state != ended && r.due <= in.now+in.margin() {
-			in.answer(r, Due)
+			in.answer(r, DeadlineReached)
 		}
 	}
 	for _, r := range all {
@@ -135,5 +135,5 @@
 		return
 	}
 	in.wakeAt = next
-	in.do.After(next-in.now, 0)
+	in.do.SetTimer(next-in.now, 0)
 }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -12,22 +12,22 @@
 type printer struct{ admission.Actions }
 
 func (printer) Run(id admission.RequestID) { fmt.Println("run", id) }
-func (printer) Refuse(id admission.RequestID, stayAway time.Duration, _ bool) {
+func (printer) Reject(id admission.RequestID, stayAway time.Duration, _ bool) {
 	fmt.Println("refuse", id, "and stay away for", stayAway)
 }
-func (printer) Health(good, _ bool)         { fmt.Println("healthy:", good) }
-func (printer) After(time.Duration, uint32) {} // a server would set a timer that ends in Instance.Timer
-func (printer) CloseIdle(time.Duration)     {}
-func (printer) Log(line string)             { fmt.Println("log:", line) }
+func (printer) SetHealth(good, _ bool)             { fmt.Println("healthy:", good) }
+func (printer) SetTimer(time.Duration, uint32)     {} // a server would set a timer that ends in Instance.Timer
+func (printer) CloseIdleConnections(time.Duration) {}
+func (printer) Log(line string)                    { fmt.Println("log:", line) }
 
 // A server with one class of requests takes one in, ends it, and leaves.
 func Example() {
 	settings := admission.Settings{
 		Servers: 3, Callers: 2, Cores: 4, Tick: 5 * time.Millisecond,
-		Classes:  []admission.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
+		Classes:  []admission.Class{{LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1}},
 		Tenants:  []admission.Tenant{{Quota: 30}},
-		MemoryKB: 1 << 20, RunFactor: 4, CrowdFactor: 6, DrainGrace: 2 * time.Second,
-		RetryAfter: time.Second, Deadlines: true,
+		MemoryKB: 1 << 20, RunningMemoryFactor: 4, MaxConcurrencyFactor: 6, DrainGracePeriod: 2 * time.Second,
+		MaxRetryAfter: time.Second, HasDeadlines: true,
 	}
 	instance, err := admission.New(settings, printer{})
 	if err != nil {
@@ -38,16 +38,16 @@
 	instance.Settle(now)
 
 	now += 10 * time.Millisecond
-	instance.Request(now, admission.Request{ID: 1, SizeKB: 20, Budget: 3 * time.Second})
+	instance.Request(now, admission.Request{ID: 1, SizeKB: 20, RemainingTime: 3 * time.Second})
 	instance.Settle(now) // once after each group of simultaneous events
 
 	now += 200 * time.Millisecond
-	instance.Done(now, 1, admission.OK)
+	instance.RunFinished(now, 1, admission.OK)
 	instance.Drain(now, 5*time.Second)
 	instance.Settle(now)
 
 	now += 2500 * time.Millisecond
-	instance.Request(now, admission.Request{ID: 2, SizeKB: 20, Budget: 3 * time.Second})
+	instance.Request(now, admission.Request{ID: 2, SizeKB: 20, RemainingTime: 3 * time.Second})
 	instance.Settle(now)
 	// Output:
 	// healthy: true
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -27,9 +27,9 @@
 // advance has the clock and the module's timer go on.
 func (s *server) advance(d time.Duration) {
 	s.now += d
-	g := Gauges{Busy: 0.5, Runnable: 0}
+	g := Gauges{Utilization: 0.5, Runnable: 0}
 	if s.full {
-		g = Gauges{Busy: 1, Runnable: 100}
+		g = Gauges{Utilization: 1, Runnable: 100}
 	}
 	s.in.Timer(s.now, 0, g)
 	s.in.Settle(s.now)
@@ -39,7 +39,7 @@
 func (s *server) ask(class int, change func(*Request)) RequestID {
 	s.lastID++
 	q := ask(s.lastID, class)
-	q.Budget = 0
+	q.RemainingTime = 0
 	if change != nil {
 		change(&q)
 	}
@@ -80,9 +80,9 @@
 
 // twoClasses are settings of 300 servers and 150 callers: a class with an aim of 0.6 s and one with an aim of 6 s.
 func twoClasses() Settings {
-	return Settings{Servers: 300, Callers: 150, Cores: 2, Tick: 5 * ms, MemoryKB: 1e6, RunFactor: 4, CrowdFactor: 8,
-		DrainGrace: 2 * time.Second, RetryAfter: time.Second,
-		Classes: []Class{{Aim: 600 * ms, Deadline: 1500 * ms, Worth: 1}, {Aim: 6 * time.Second, Deadline: 15 * time.Second, Worth: 1}}}
+	return Settings{Servers: 300, Callers: 150, Cores: 2, Tick: 5 * ms, MemoryKB: 1e6, RunningMemoryFactor: 4, MaxConcurrencyFactor: 8,
+		DrainGracePeriod: 2 * time.Second, MaxRetryAfter: time.Second,
+		Classes: []Class{{LatencyObjective: 600 * ms, Deadline: 1500 * ms, Weight: 1}, {LatencyObjective: 6 * time.Second, Deadline: 15 * time.Second, Weight: 1}}}
 }
 
 // TestWaitLeavesOutWhatGoesLater holds two seconds of work whose aim is long: a request with a short aim goes before all of it,
@@ -92,7 +92,7 @@
 	for _, class := range []int{0, 1} { // a run of each is known to take 0.2 s
 		s.ask(class, nil)
 		s.advance(200 * ms)
-		s.in.Done(s.now, s.lastID, OK)
+		s.in.RunFinished(s.now, s.lastID, OK)
 	}
 	s.full = true
 	s.advance(100 * ms)
@@ -114,7 +114,7 @@
 	for range 10 {
 		id := s.ask(0, nil)
 		s.advance(1400 * ms)
-		s.in.Done(s.now, id, OK)
+		s.in.RunFinished(s.now, id, OK)
 	}
 	s.full = true
 	for range 10 {
@@ -130,13 +130,13 @@
 		for _, id := range s.ran() {
 			if quick[id] {
 				quickRuns++
-				s.in.Done(s.now+10*ms, id, OK)
+				s.in.RunFinished(s.now+10*ms, id, OK)
 			} else {
 				running = append(running, id)
 			}
 		}
 		if len(running) > 0 {
-			s.in.Done(s.now+10*ms, running[0], OK)
+			s.in.RunFinished(s.now+10*ms, running[0], OK)
 			running = running[1:]
 		}
 	}
@@ -165,7 +165,7 @@
 	for range 10 {
 		id := s.ask(1, nil)
 		s.advance(100 * ms)
-		s.in.Done(s.now, id, OK)
+		s.in.RunFinished(s.now, id, OK)
 	}
 	s.full = true
 	s.ask(1, nil)
@@ -197,7 +197,7 @@
 func partOver(t *testing.T, perHalfLife, factor float64) float64 {
 	t.Helper()
 	s := twoClasses()
-	slice := perHalfLife / s.Classes[1].Aim.Seconds() // of one tenant at this server, per second
+	slice := perHalfLife / s.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
 	s.Tenants = []Tenant{{Quota: slice * float64(s.Servers)}, {Quota: 1e9}}
 	in, _ := start(t, s)
 	const arrivals = 4000
@@ -259,7 +259,7 @@
 // class goes before the rich ones that are held, until it has its part again.
 func TestStarvedClassGoesFirst(t *testing.T) {
 	set := twoClasses()
-	set.Classes[1].Worth = 100
+	set.Classes[1].Weight = 100
 	s := newServer(t, set)
 	in := s.in
 	in.learn(0, 0.1, 0.1)
@@ -276,7 +276,7 @@
 	}
 	s.rec.take()
 	cheap := s.ask(0, nil)
-	in.Done(s.now, ids[0], OK)
+	in.RunFinished(s.now, ids[0], OK)
 	in.Settle(s.now)
 	if got := s.rec.take("run", "refuse"); !did(got, "run", cheap) {
 		t.Errorf("got %q, want a run of %d", got, cheap)
@@ -285,7 +285,7 @@
 		in.classes[0].started.count(s.now, in.lambda)
 	}
 	s.ask(0, nil)
-	in.Done(s.now, ids[1], OK)
+	in.RunFinished(s.now, ids[1], OK)
 	in.Settle(s.now)
 	if got := s.rec.take("run", "refuse"); !did(got, "run", ids[2]) {
 		t.Errorf("got %q, want a run of %d", got, ids[2])
@@ -327,19 +327,19 @@
 // are made again later, so that they can show that they are fast again. What is left out is learned from by nobody.
 func TestSlowCallsAreTriedAgain(t *testing.T) {
 	set := twoClasses()
-	set.Below = DependencyTier
-	set.Classes[0].SkipWorth = 0.5
+	set.Downstream = DependencyTier
+	set.Classes[0].SkippedCallWeight = 0.5
 	s := newServer(t, set)
 	call := func(took time.Duration) (called bool) {
 		id := s.ask(0, nil)
-		s.in.Blocked(s.now, id)
+		s.in.CallRequested(s.now, id)
 		s.in.Settle(s.now)
 		called = did(s.rec.take("call"), "call", id)
 		s.advance(took)
 		if called {
-			s.in.Called(s.now, id, OK, took)
+			s.in.CallFinished(s.now, id, OK, took)
 		}
-		s.in.Done(s.now, id, OK)
+		s.in.RunFinished(s.now, id, OK)
 		return called
 	}
 	for range 10 {
@@ -371,7 +371,7 @@
 			s.in.learn(i, run, run)
 			id := s.ask(i, nil)
 			s.advance(ms)
-			s.in.Done(s.now, id, Errored)
+			s.in.RunFinished(s.now, id, Failed)
 		}
 		s.advance(200 * ms)
 		said := s.rec.take("say")
@@ -387,12 +387,12 @@
 func TestKeysLeaveLargeRequestsRoom(t *testing.T) {
 	set := twoClasses()
 	set.MemoryKB, set.KeyKB = 10000, 10
-	set.Classes[1].Effect, set.Classes[1].Window = Keyed, time.Hour
+	set.Classes[1].Effect, set.Classes[1].KeyWindow = IdempotentByKey, time.Hour
 	s := newServer(t, set)
 	for range 600 {
 		id := s.ask(1, func(q *Request) { q.SizeKB = 1 })
 		s.advance(10 * ms)
-		s.in.Done(s.now, id, OK)
+		s.in.RunFinished(s.now, id, OK)
 	}
 	if s.in.keyCount < 500 {
 		t.Fatalf("%d keys: the test shows nothing", s.in.keyCount)
@@ -429,10 +429,10 @@
 			id := running[0]
 			running = running[1:]
 			if class[id] == 0 && !served {
-				s.in.Gone(s.now, id)
-				s.in.Done(s.now, id, Cancelled)
+				s.in.Cancel(s.now, id)
+				s.in.RunFinished(s.now, id, Cancelled)
 			} else {
-				s.in.Done(s.now, id, OK)
+				s.in.RunFinished(s.now, id, OK)
 			}
 		}
 		if step == 899 {
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -8,17 +8,17 @@
 // the few that are accepted: where callers come more rarely than two aims it goes then, before they would
 // close it. Not while tries are made again: closing lets them in, and each costs a handshake.
 func (in *Instance) updateIdleTimeout() {
-	idle := min(2*in.longestAim, in.set.CallerIdle)
+	idle := min(2*in.longestAim, in.set.CallerIdleTimeout)
 	come := in.arrivals.rate(in.now, in.lambda) * idle.Seconds()
 	if in.retries > 0.3 || in.retryStorm() || come > float64(in.set.Callers) {
-		idle = in.set.CallerIdle
+		idle = in.set.CallerIdleTimeout
 	}
 	if in.leaving() {
 		idle = max(in.set.Tick, 10*time.Millisecond)
 	}
 	if idle != in.idleTimeout {
 		in.idleTimeout = idle
-		in.do.CloseIdle(idle)
+		in.do.CloseIdleConnections(idle)
 	}
 }
 
@@ -39,7 +39,7 @@
 	healthy := !in.stalled && !in.draining
 	if healthy != in.healthy {
 		in.healthy = healthy
-		in.do.Health(healthy, true)
+		in.do.SetHealth(healthy, true)
 	}
 	weight := in.weight
 	away := in.stalled || in.leaving()
@@ -70,6 +70,6 @@
 	}
 	if value != in.advertised {
 		in.advertised = value
-		in.do.Say(value)
+		in.do.AdvertiseLoad(value)
 	}
 }
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -73,9 +73,9 @@
 		h.t.Fatalf("%v: run of %d, which is over or not held", h.now, id)
 	}
 	class := h.set.Classes[r.q.Class]
-	if class.Effect == Keyed {
+	if class.Effect == IdempotentByKey {
 		at, ran := h.ranAt[r.root]
-		if ran && r.arrived < at+class.Window {
+		if ran && r.arrived < at+class.KeyWindow {
 			h.t.Fatalf("%v: %d runs a second time within its window", h.now, id)
 		}
 		if _, kept := h.keys[id]; !kept {
@@ -86,7 +86,7 @@
 	if class.Effect != Safe && r.ran {
 		h.t.Fatalf("%v: %d with an effect runs again", h.now, id)
 	}
-	if h.stop > 0 && r.arrived > h.notice+h.set.DrainGrace {
+	if h.stop > 0 && r.arrived > h.notice+h.set.DrainGracePeriod {
 		h.t.Fatalf("%v: %d arrived after the grace and runs", h.now, id)
 	}
 	r.phase, r.ran = atWork, true
@@ -122,7 +122,7 @@
 
 func (h *host) skip(id RequestID) {
 	r := h.get(id, "skip")
-	if h.set.Classes[r.q.Class].SkipWorth == 0 {
+	if h.set.Classes[r.q.Class].SkippedCallWeight == 0 {
 		h.t.Fatalf("%v: skip of %d is not allowed", h.now, id)
 	}
 	if r.phase == atCall {
@@ -137,7 +137,7 @@
 	}
 	if r.phase == atWork && (r.answered || r.gone) && h.rng.Intn(4) > 0 { // else the cores stand still
 		r.phase = finished
-		h.later(func() { h.in.Done(h.now, id, Cancelled) })
+		h.later(func() { h.in.RunFinished(h.now, id, Cancelled) })
 	}
 }
 
@@ -156,7 +156,7 @@
 
 func (h *host) reuse(id RequestID) {
 	r := h.get(id, "reuse")
-	if r.q.Repeats == 0 || r.phase != inHold {
+	if r.q.RetryOf == 0 || r.phase != inHold {
 		h.t.Fatalf("%v: reuse of %d is not allowed", h.now, id)
 	}
 	r.phase = awaiting
@@ -177,9 +177,9 @@
 			memory += r.q.SizeKB
 		case atWork:
 			crowd++
-			memory += r.q.SizeKB * h.set.RunFactor
+			memory += r.q.SizeKB * h.set.RunningMemoryFactor
 		case atCall, outCall:
-			memory += r.q.SizeKB * h.set.RunFactor
+			memory += r.q.SizeKB * h.set.RunningMemoryFactor
 			if r.phase == outCall {
 				calls++
 			}
@@ -205,17 +205,17 @@
 			sum += c
 		}
 		share := 1.0
-		if h.set.Cold {
-			share = min(1, h.set.ColdShare+(1-h.set.ColdShare)*float64(h.now)/float64(h.set.ColdFor))
+		if h.set.WarmingUp {
+			share = min(1, h.set.InitialCapacity+(1-h.set.InitialCapacity)*float64(h.now)/float64(h.set.WarmUpTime))
 		}
-		if limit := float64(h.set.Cores) * (1 + (h.set.CrowdFactor-1)*share); sum/float64(n) > limit {
+		if limit := float64(h.set.Cores) * (1 + (h.set.MaxConcurrencyFactor-1)*share); sum/float64(n) > limit {
 			h.t.Fatalf("%v: %.1f on the cores on the mean, %.1f survive", h.now, sum/float64(n), limit)
 		}
 	}
-	if h.set.Below == DependencyShared {
-		h.debt += (calls - max(h.set.FairCalls, 0)) * step.Seconds()
+	if h.set.Downstream == DependencyShared {
+		h.debt += (calls - max(h.set.FairCallShare, 0)) * step.Seconds()
 		h.debt = max(h.debt, 0)
-		if h.debt > h.set.CallsOver.Seconds()*max(1, h.set.FairCalls) {
+		if h.debt > h.set.CallAveragingTime.Seconds()*max(1, h.set.FairCallShare) {
 			h.t.Fatalf("%v: calls in hand run far over this server's part", h.now)
 		}
 	}
@@ -224,13 +224,13 @@
 // arrive makes up one request, at times a further try of an earlier keyed one.
 func (h *host) arrive(id RequestID) {
 	q := Request{ID: id, Class: h.rng.Intn(len(h.set.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
-		SizeKB: 10 + 50*h.rng.Float64(), Budget: time.Duration(50+h.rng.Intn(6000)) * ms, Retry: h.rng.Intn(4) == 0,
-		Waited: time.Duration(h.rng.Intn(40)) * ms}
+		SizeKB: 10 + 50*h.rng.Float64(), RemainingTime: time.Duration(50+h.rng.Intn(6000)) * ms, IsRetry: h.rng.Intn(4) == 0,
+		QueueingDelay: time.Duration(h.rng.Intn(40)) * ms}
 	if h.rng.Intn(50) == 0 {
-		q.Tenant, q.Budget, q.SizeKB = -1, 0, 0
+		q.Tenant, q.RemainingTime, q.SizeKB = -1, 0, 0
 	}
-	r := &hosted{arrived: h.now - q.Waited, root: id}
-	if h.set.Classes[q.Class].Effect == Keyed && h.rng.Intn(2) == 0 {
+	r := &hosted{arrived: h.now - q.QueueingDelay, root: id}
+	if h.set.Classes[q.Class].Effect == IdempotentByKey && h.rng.Intn(2) == 0 {
 		for tries := 0; tries < 30 && len(h.order) > 0; tries++ {
 			old := h.order[h.rng.Intn(len(h.order))]
 			o := h.all[old]
@@ -239,14 +239,14 @@
 			}
 			until, kept := h.keys[old]
 			if kept && r.arrived < until && (o.ran || o.phase == inHold) {
-				q.Repeats, r.root = old, o.root
+				q.RetryOf, r.root = old, o.root
 				break
 			}
 		}
 	}
 	r.q = q
-	r.due = h.now + q.Budget
-	if q.Budget == 0 {
+	r.due = h.now + q.RemainingTime
+	if q.RemainingTime == 0 {
 		r.due = max(r.arrived+h.set.Classes[q.Class].Deadline, h.now)
 	}
 	h.all[id] = r
@@ -261,42 +261,42 @@
 	switch {
 	case r.phase == finished:
 		if h.rng.Intn(200) == 0 { // late news of what is over
-			h.in.Gone(h.now, id)
+			h.in.Cancel(h.now, id)
 		}
 	case !over && h.rng.Intn(400) == 0:
 		r.gone = true
 		if r.phase == inHold || r.phase == awaiting {
 			r.phase = finished
 		}
-		h.in.Gone(h.now, id)
+		h.in.Cancel(h.now, id)
 	case (r.phase == atCall || r.phase == outCall) && over:
 		r.phase = finished
-		h.in.Done(h.now, id, Cancelled)
+		h.in.RunFinished(h.now, id, Cancelled)
 	case r.phase == atWork && !hung && h.rng.Intn(40) == 0:
-		if !over && h.set.Below != DependencyNone && h.rng.Intn(2) == 0 {
+		if !over && h.set.Downstream != DependencyNone && h.rng.Intn(2) == 0 {
 			r.phase = atCall
-			h.in.Blocked(h.now, id)
+			h.in.CallRequested(h.now, id)
 			return
 		}
 		r.phase, r.answered = finished, true
-		h.in.Done(h.now, id, []Outcome{OK, OK, OK, Errored}[h.rng.Intn(4)])
+		h.in.RunFinished(h.now, id, []Outcome{OK, OK, OK, Failed}[h.rng.Intn(4)])
 	case r.phase == outCall && h.rng.Intn(30) == 0:
 		o := Outcome(h.rng.Intn(6))
 		if o == OK {
 			r.phase = atWork
 		} else {
 			r.phase = atCall
-			r.unproven = r.unproven || o == Errored || o == TimedOut || o == Reset
+			r.unproven = r.unproven || o == Failed || o == TimedOut || o == Reset
 		}
-		h.in.Called(h.now, id, o, 20*ms)
-	case r.phase == awaiting && h.all[r.q.Repeats].phase == finished:
+		h.in.CallFinished(h.now, id, o, 20*ms)
+	case r.phase == awaiting && h.all[r.q.RetryOf].phase == finished:
 		r.phase, r.answered = finished, true
-		h.in.Done(h.now, id, OK)
+		h.in.RunFinished(h.now, id, OK)
 	}
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
-	for _, mode := range []StopMode{StopNone, StopDrop, StopPause} {
+	for _, mode := range []StopMode{StopNone, StopDiscard, StopPause} {
 		for _, below := range []Dependency{DependencyNone, DependencyShared, DependencyTier} {
 			for seed := int64(1); seed <= 3; seed++ {
 				t.Run(fmt.Sprint(mode, below, seed), func(t *testing.T) { randomDay(t, mode, below, seed) })
@@ -308,7 +308,7 @@
 func randomDay(t *testing.T, mode StopMode, below Dependency, seed int64) {
 	const tick = 5 * ms
 	set := testSettings()
-	set.StopMode, set.Below, set.Cold, set.FairCalls, set.CallsOver = mode, below, seed%2 == 1, 0.6, 4*time.Second
+	set.StopMode, set.Downstream, set.WarmingUp, set.FairCallShare, set.CallAveragingTime = mode, below, seed%2 == 1, 0.6, 4*time.Second
 	set.MemoryKB, set.KeyKB = []float64{1600, 6000}[seed%2], 10
 	h := &host{t: t, set: set, rng: rand.New(rand.NewSource(seed)), all: map[RequestID]*hosted{},
 		keys: map[RequestID]time.Duration{}, ranAt: map[RequestID]time.Duration{}, counts: map[string]int{}}
@@ -329,7 +329,7 @@
 		for j := 0; j < len(h.wake); j++ {
 			if h.wake[j] <= h.now {
 				h.wake = append(h.wake[:j], h.wake[j+1:]...)
-				h.in.Timer(h.now, 0, Gauges{Busy: h.rng.Float64() + 0.3, Runnable: -1})
+				h.in.Timer(h.now, 0, Gauges{Utilization: h.rng.Float64() + 0.3, Runnable: -1})
 				j--
 			}
 		}
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -7,20 +7,20 @@
 // Reason is why a request was turned away, where the decision is made by itself.
 type Reason uint8
 
-// The reasons. On arrival: from AfterGrace to WaitTooLong; in the queue: Due, Stalled, and from NoTimeLeft on.
+// The reasons. On arrival: from AfterDrainGrace to PredictedWaitTooLong; in the queue: Due, Stalled, and from DeadlineUnreachable on.
 const (
-	Admitted      Reason = iota // it was not
-	AfterGrace                  // it arrived later than the grace of a drain
-	Stalled                     // the work stands still
-	NoMemory                    // no memory is left to hold it or to keep its key
-	Due                         // its answer is due
-	OverThreshold               // its tenant's rate is over the threshold while the cores are full and work is held
-	WaitTooLong                 // the predicted wait misses its aim while the cores are full and work is held
-	NoTimeLeft                  // a run begun now would end after it is due
-	WorthNothing                // a late answer of its class earns nothing
-	LateWhileFull               // a run begun now would be late, and others wait for full cores
-
-	reasonCount = int(LateWhileFull) + 1
+	Admitted             Reason = iota // it was not
+	AfterDrainGrace                    // it arrived later than the grace of a drain
+	Stalled                            // the work stands still
+	OutOfMemory                        // no memory is left to hold it or to keep its key
+	DeadlineReached                    // its answer is due
+	RateOverThreshold                  // its tenant's rate is over the threshold while the cores are full and work is held
+	PredictedWaitTooLong               // the predicted wait misses its aim while the cores are full and work is held
+	DeadlineUnreachable                // a run begun now would end after it is due
+	LateWithoutWeight                  // a late answer of its class earns nothing
+	LateWhileSaturated                 // a run begun now would be late, and others wait for full cores
+
+	reasonCount = int(LateWhileSaturated) + 1
 )
 
 // reasonTexts say the reasons in a sentence's end.
@@ -42,108 +42,108 @@
 // MarshalText writes the reason's sentence.
 func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// Insight is what an Instance knows at a moment. Times are of its clock; durations are in nanoseconds in JSON.
-type Insight struct {
-	Now      time.Duration  `json:"now"`
-	Held     int            `json:"held"`
-	Running  int            `json:"running"`
-	AtCall   int            `json:"at_call"`
-	Limit    float64        `json:"limit"`     // running requests wanted
-	Crowd    float64        `json:"crowd"`     // most running requests that are allowed, by what the server survives
-	MemoryKB float64        `json:"memory_kb"` // needed now
-	MostKB   float64        `json:"most_kb"`   // that may be needed
-	Keys     int            `json:"keys"`
-	Busy     float64        `json:"busy"`     // the core gauge
-	Runnable float64        `json:"runnable"` // what wants a core; negative = not told
-	Full     bool           `json:"full"`     // the cores read full
-	Pressed  bool           `json:"pressed"`  // full, and work is held
-	Stalled  bool           `json:"stalled"`
-	Draining bool           `json:"draining"`
-	Stormy   bool           `json:"stormy"`  // most arrivals are tries made again, or arrivals lie unread
-	Retries  float64        `json:"retries"` // part of the latest arrivals
-	Unread   time.Duration  `json:"unread"`  // that arrivals lately waited to be read
-	Half     time.Duration  `json:"half"`    // in which an arrival halves in the estimates
-	Weight   float64        `json:"weight"`  // part of the usual traffic that is wanted
-	Classes  []ClassInsight `json:"classes"`
+// Inspection is what an Instance knows at a moment. Times are of its clock; durations are in nanoseconds in JSON.
+type Inspection struct {
+	Now              time.Duration     `json:"now"`
+	Queued           int               `json:"held"`
+	Running          int               `json:"running"`
+	Calling          int               `json:"at_call"`
+	ConcurrencyLimit float64           `json:"limit"`     // running requests wanted
+	MaxConcurrency   float64           `json:"crowd"`     // most running requests that are allowed, by what the server survives
+	MemoryKB         float64           `json:"memory_kb"` // needed now
+	MaxMemoryKB      float64           `json:"most_kb"`   // that may be needed
+	Keys             int               `json:"keys"`
+	Utilization      float64           `json:"busy"`     // the core gauge
+	Runnable         float64           `json:"runnable"` // what wants a core; negative = not told
+	Saturated        bool              `json:"full"`     // the cores read full
+	Overloaded       bool              `json:"pressed"`  // full, and work is held
+	Stalled          bool              `json:"stalled"`
+	Draining         bool              `json:"draining"`
+	RetryStorm       bool              `json:"stormy"`  // most arrivals are tries made again, or arrivals lie unread
+	RetryShare       float64           `json:"retries"` // part of the latest arrivals
+	ReadDelay        time.Duration     `json:"unread"`  // that arrivals lately waited to be read
+	HalfLife         time.Duration     `json:"half"`    // in which an arrival halves in the estimates
+	TrafficWeight    float64           `json:"weight"`  // part of the usual traffic that is wanted
+	Classes          []ClassInspection `json:"classes"`
 }
 
-// ClassInsight is what was learned of a class.
-type ClassInsight struct {
-	CoreTime time.Duration `json:"core_time"` // of a run; 0 = not known
-	Wall     time.Duration `json:"wall"`      // from the start of a run to its end
-	Runs     int           `json:"runs"`      // learned from
-	Within   int           `json:"within"`    // held, of tenants within their slices
-	Over     int           `json:"over"`      // held, of tenants over them
+// ClassInspection is what was learned of a class.
+type ClassInspection struct {
+	CoreTime          time.Duration `json:"core_time"` // of a run; 0 = not known
+	WallTime          time.Duration `json:"wall"`      // from the start of a run to its end
+	Samples           int           `json:"runs"`      // learned from
+	QueuedWithinQuota int           `json:"within"`    // held, of tenants within their slices
+	QueuedOverQuota   int           `json:"over"`      // held, of tenants over them
 
 	Starved    bool                `json:"starved"`    // a smaller part of its requests is run than of the others
 	Rejections [reasonCount]uint64 `json:"rejections"` // requests turned away since the start, by Reason
 }
 
 // Inspect returns what the Instance knows.
-func (in *Instance) Inspect() Insight {
-	i := Insight{Now: in.now, Held: len(in.queue), Running: in.onCores, AtCall: in.atCall, Limit: in.concurrencyLimit, Crowd: in.maxConcurrency(),
-		MemoryKB: in.memory(), MostKB: in.set.MemoryKB * memoryMargin, Keys: in.keyCount, Busy: in.busy, Runnable: in.runnable,
-		Full: in.full(), Pressed: in.overloaded(), Stalled: in.stalled, Draining: in.draining, Stormy: in.retryStorm(),
-		Retries: in.retries, Unread: seconds(in.readDelay), Half: in.longestAim, Weight: in.weight}
+func (in *Instance) Inspect() Inspection {
+	i := Inspection{Now: in.now, Queued: len(in.queue), Running: in.onCores, Calling: in.atCall, ConcurrencyLimit: in.concurrencyLimit, MaxConcurrency: in.maxConcurrency(),
+		MemoryKB: in.memory(), MaxMemoryKB: in.set.MemoryKB * memoryMargin, Keys: in.keyCount, Utilization: in.busy, Runnable: in.runnable,
+		Saturated: in.full(), Overloaded: in.overloaded(), Stalled: in.stalled, Draining: in.draining, RetryStorm: in.retryStorm(),
+		RetryShare: in.retries, ReadDelay: seconds(in.readDelay), HalfLife: in.longestAim, TrafficWeight: in.weight}
 	for _, c := range in.classes {
-		i.Classes = append(i.Classes, ClassInsight{CoreTime: seconds(c.run), Wall: seconds(c.wall), Runs: c.runs, Within: c.held[0], Over: c.held[1],
+		i.Classes = append(i.Classes, ClassInspection{CoreTime: seconds(c.run), WallTime: seconds(c.wall), Samples: c.runs, QueuedWithinQuota: c.held[0], QueuedOverQuota: c.held[1],
 			Starved: c.starved, Rejections: c.rejections})
 	}
 	return i
 }
 
-// Weighing is how an arrival looks to an Instance.
-type Weighing struct {
-	Reason    Reason        `json:"reason"`
-	Repeats   bool          `json:"repeats"`    // it is answered by what becomes of the one it repeats
-	N         float64       `json:"n"`          // EARRRL's N of its tenant or caller, with it counted
-	T         time.Duration `json:"t"`          // and T, when that was counted last before it
-	Rate      float64       `json:"rate"`       // arrivals a second, with it counted
-	Threshold float64       `json:"threshold"`  // of the rate at a full aim of predicted wait; 0 = none
-	Excess    float64       `json:"excess"`     // rate over threshold
-	Wait      time.Duration `json:"wait"`       // predicted
-	Spare     time.Duration `json:"spare"`      // longest wait after which it would meet its aim
-	Useful    time.Duration `json:"useful"`     // when an answer stops earning its full worth
-	Due       time.Duration `json:"due"`        // when its answer must be out
-	StayAway  time.Duration `json:"stay_away"`  // the advice of a refusal
-	HeldAhead []RequestID   `json:"held_ahead"` // in the queue before it
-	OnCores   []RequestID   `json:"on_cores"`   // running
+// AdmissionCheck is how an arrival looks to an Instance.
+type AdmissionCheck struct {
+	Reason            Reason        `json:"reason"`
+	Coalesced         bool          `json:"repeats"`    // it is answered by what becomes of the one it repeats
+	ImpulseSize       float64       `json:"n"`          // EARRRL's N of its tenant or caller, with it counted
+	LastArrival       time.Duration `json:"t"`          // and T, when that was counted last before it
+	Rate              float64       `json:"rate"`       // arrivals a second, with it counted
+	Threshold         float64       `json:"threshold"`  // of the rate at a full aim of predicted wait; 0 = none
+	RateRatio         float64       `json:"excess"`     // rate over threshold
+	PredictedWait     time.Duration `json:"wait"`       // predicted
+	Slack             time.Duration `json:"spare"`      // longest wait after which it would meet its aim
+	ObjectiveDeadline time.Duration `json:"useful"`     // when an answer stops earning its full worth
+	Deadline          time.Duration `json:"due"`        // when its answer must be out
+	RetryAfter        time.Duration `json:"stay_away"`  // the advice of a refusal
+	QueuedAhead       []RequestID   `json:"held_ahead"` // in the queue before it
+	Running           []RequestID   `json:"on_cores"`   // running
 }
 
-// Weigh tells how an arrival would look now. It leaves the Instance as it is.
-func (in *Instance) Weigh(now time.Duration, q Request) Weighing {
+// CheckAdmission tells how an arrival would look now. It leaves the Instance as it is.
+func (in *Instance) CheckAdmission(now time.Duration, q Request) AdmissionCheck {
 	c, err := in.clone()
 	if err != nil || c.byID[q.ID] != nil {
-		return Weighing{}
+		return AdmissionCheck{}
 	}
 	c.tick(now)
 	user := c.user(q)
-	w := Weighing{T: c.senders[user].last, HeldAhead: c.order(), OnCores: c.inState(running)}
+	w := AdmissionCheck{LastArrival: c.senders[user].last, QueuedAhead: c.order(), Running: c.inState(running)}
 	r := c.read(q)
-	w.N, w.Rate = c.senders[user].n, c.senders[user].rate(c.now, c.lambda)
-	w.Excess = r.excess
+	w.ImpulseSize, w.Rate = c.senders[user].n, c.senders[user].rate(c.now, c.lambda)
+	w.RateRatio = r.excess
 	if r.excess > 0 {
 		w.Threshold = w.Rate / r.excess
 	}
-	w.Wait, w.Spare, w.Useful, w.Due = seconds(c.predictedWait(r)), seconds(c.slack(r)), r.useful, r.due
-	if w.Repeats = c.repeated(r, q); !w.Repeats {
+	w.PredictedWait, w.Slack, w.ObjectiveDeadline, w.Deadline = seconds(c.predictedWait(r)), seconds(c.slack(r)), r.useful, r.due
+	if w.Coalesced = c.repeated(r, q); !w.Coalesced {
 		w.Reason = c.rejection(r)
 	}
-	w.StayAway = c.backOff(r)
+	w.RetryAfter = c.backOff(r)
 	return w
 }
 
-// Judgement is how a request that was taken in looks to an Instance.
-type Judgement struct {
-	Reason    Reason        `json:"reason"` // why it would be given up now
-	Phase     string        `json:"phase"`
-	Arrived   time.Duration `json:"arrived"`
-	Useful    time.Duration `json:"useful"`
-	Due       time.Duration `json:"due"`
-	OwnTime   time.Duration `json:"own_time"` // that a run of it is expected to take
-	Excess    float64       `json:"excess"`   // of its tenant when it arrived
-	HeldAhead []RequestID   `json:"held_ahead"`
-	OnCores   []RequestID   `json:"on_cores"`
+// QueueDecision is how a request that was taken in looks to an Instance.
+type QueueDecision struct {
+	Reason            Reason        `json:"reason"` // why it would be given up now
+	Phase             string        `json:"phase"`
+	Arrived           time.Duration `json:"arrived"`
+	ObjectiveDeadline time.Duration `json:"useful"`
+	Deadline          time.Duration `json:"due"`
+	ExpectedRunTime   time.Duration `json:"own_time"` // that a run of it is expected to take
+	RateRatio         float64       `json:"excess"`   // of its tenant when it arrived
+	QueuedAhead       []RequestID   `json:"held_ahead"`
+	Running           []RequestID   `json:"on_cores"`
 }
 
 // phases are the words for where a request is.
@@ -151,21 +151,21 @@
 	echoing: "waits for the answer of the one that it repeats", running: "running", asking: "waits for a decision on its call",
 	calling: "its call is out", ended: "answered while its work goes on", over: "over"}
 
-// Judge tells how a known request looks now, and false for one that is not known. It leaves the Instance as it is.
-func (in *Instance) Judge(now time.Duration, id RequestID) (Judgement, bool) {
+// InspectRequest tells how a known request looks now, and false for one that is not known. It leaves the Instance as it is.
+func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
 	c, err := in.clone()
 	if err != nil || c.byID[id] == nil {
-		return Judgement{}, false
+		return QueueDecision{}, false
 	}
 	c.tick(now)
 	r := c.byID[id]
-	j := Judgement{Phase: phases[r.state], Arrived: r.arrived, Useful: r.useful, Due: r.due, OwnTime: c.ownTime(r),
-		Excess: r.excess, OnCores: c.inState(running)}
+	j := QueueDecision{Phase: phases[r.state], Arrived: r.arrived, ObjectiveDeadline: r.useful, Deadline: r.due, ExpectedRunTime: c.ownTime(r),
+		RateRatio: r.excess, Running: c.inState(running)}
 	switch {
 	case c.stalled:
 		j.Reason = Stalled
 	case r.due <= c.now+c.margin():
-		j.Reason = Due
+		j.Reason = DeadlineReached
 	case r.state == held:
 		j.Reason = c.uselessReason(r)
 	}
@@ -173,7 +173,7 @@
 		if ahead == id {
 			break
 		}
-		j.HeldAhead = append(j.HeldAhead, ahead)
+		j.QueuedAhead = append(j.QueuedAhead, ahead)
 	}
 	return j, true
 }
@@ -216,11 +216,11 @@
 // NoActions takes actions and does nothing, for hosts that leave out some or all of them.
 type NoActions struct{}
 
-// Run implements Actions.
+// CoreTime implements Actions.
 func (NoActions) Run(RequestID) {}
 
-// Refuse implements Actions.
-func (NoActions) Refuse(RequestID, time.Duration, bool) {}
+// Reject implements Actions.
+func (NoActions) Reject(RequestID, time.Duration, bool) {}
 
 // Fail implements Actions.
 func (NoActions) Fail(RequestID) {}
@@ -228,32 +228,32 @@
 // Call implements Actions.
 func (NoActions) Call(RequestID, time.Duration) {}
 
-// Skip implements Actions.
-func (NoActions) Skip(RequestID) {}
+// SkipCall implements Actions.
+func (NoActions) SkipCall(RequestID) {}
 
-// Halt implements Actions.
-func (NoActions) Halt(RequestID) {}
+// Stop implements Actions.
+func (NoActions) Stop(RequestID) {}
 
-// Keep implements Actions.
-func (NoActions) Keep(RequestID, time.Duration) {}
+// KeepKey implements Actions.
+func (NoActions) KeepKey(RequestID, time.Duration) {}
 
-// Forget implements Actions.
-func (NoActions) Forget(RequestID) {}
+// ReleaseKey implements Actions.
+func (NoActions) ReleaseKey(RequestID) {}
 
-// Reuse implements Actions.
-func (NoActions) Reuse(RequestID) {}
+// ReplayResult implements Actions.
+func (NoActions) ReplayResult(RequestID) {}
 
-// Say implements Actions.
-func (NoActions) Say(float64) {}
+// AdvertiseLoad implements Actions.
+func (NoActions) AdvertiseLoad(float64) {}
 
-// Health implements Actions.
-func (NoActions) Health(bool, bool) {}
+// SetHealth implements Actions.
+func (NoActions) SetHealth(bool, bool) {}
 
-// CloseIdle implements Actions.
-func (NoActions) CloseIdle(time.Duration) {}
+// CloseIdleConnections implements Actions.
+func (NoActions) CloseIdleConnections(time.Duration) {}
 
-// After implements Actions.
-func (NoActions) After(time.Duration, uint32) {}
+// SetTimer implements Actions.
+func (NoActions) SetTimer(time.Duration, uint32) {}
 
 // Log implements Actions.
 func (NoActions) Log(string) {}
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -6,16 +6,16 @@
 // others that ask for the same.
 func (in *Instance) keepKey(r *request) {
 	c := in.set.Classes[r.class]
-	until := r.arrived + c.Window + 2*in.set.Tick
+	until := r.arrived + c.KeyWindow + 2*in.set.Tick
 	if c.Effect == Safe {
-		until = r.due + in.set.Fresh
+		until = r.due + in.set.ResultFreshness
 	}
-	shared := c.Effect == Safe && in.set.Fresh > 0 && r.subject && in.memory() < in.set.MemoryKB/2
-	if c.Effect == Keyed || shared {
+	shared := c.Effect == Safe && in.set.ResultFreshness > 0 && r.subject && in.memory() < in.set.MemoryKB/2
+	if c.Effect == IdempotentByKey || shared {
 		r.keyed = &key{until: until}
 		in.keys[r.class] = append(in.keys[r.class], r.keyed)
 		in.keyCount++
-		in.do.Keep(r.id, until-in.now)
+		in.do.KeepKey(r.id, until-in.now)
 	}
 }
 
@@ -23,7 +23,7 @@
 // first that waited for it take its place.
 func (in *Instance) releaseKey(r *request) {
 	if r.keyed != nil {
-		in.do.Forget(r.id)
+		in.do.ReleaseKey(r.id)
 		r.keyed.gone = true
 		in.keyCount--
 		r.keyed = nil
@@ -43,7 +43,7 @@
 	switch {
 	case heir == nil:
 	case in.afterGrace(heir): // it came after the grace of a drain: the place is not its to take
-		in.answer(heir, AfterGrace)
+		in.answer(heir, AfterDrainGrace)
 	default:
 		in.enqueue(heir)
 	}
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -49,11 +49,11 @@
 // maxConcurrency is how many running requests this server may have, assuming the slowest allowed warm-up.
 func (in *Instance) maxConcurrency() float64 {
 	share := 1.0
-	if in.set.Cold && in.set.ColdFor > 0 {
-		age := float64(in.now-in.start) / float64(in.set.ColdFor)
-		share = min(1, in.set.ColdShare+(1-in.set.ColdShare)*age)
+	if in.set.WarmingUp && in.set.WarmUpTime > 0 {
+		age := float64(in.now-in.start) / float64(in.set.WarmUpTime)
+		share = min(1, in.set.InitialCapacity+(1-in.set.InitialCapacity)*age)
 	}
-	return float64(in.set.Cores) * (1 + (in.set.CrowdFactor-1)*share) * concurrencyMargin
+	return float64(in.set.Cores) * (1 + (in.set.MaxConcurrencyFactor-1)*share) * concurrencyMargin
 }
 
 // watchStall finds work that no longer ends, whatever the cause.
@@ -67,7 +67,7 @@
 		in.progress = in.coreClock
 	}
 	stalled := (in.coreClock-in.progress)*float64(in.onCores) > stallRuns*mean
-	if in.set.Apart {
+	if in.set.IndependentRuns {
 		in.longest *= math.Exp2(-pollInterval.Seconds() / stallLate.Seconds())
 		stalled = in.coreClock-in.progress > stallOver*in.longest
 	}
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func (r *recorder) Refuse(id RequestID, stayAway time.Duration, last bool) {
+func (r *recorder) Reject(id RequestID, stayAway time.Duration, last bool) {
 	r.add("refuse %d %v %v", id, stayAway, last)
 	if r.host != nil {
 		r.host.answer(id, true)
@@ -50,45 +50,45 @@
 	}
 }
 
-func (r *recorder) Skip(id RequestID) {
+func (r *recorder) SkipCall(id RequestID) {
 	r.add("skip %d", id)
 	if r.host != nil {
 		r.host.skip(id)
 	}
 }
 
-func (r *recorder) Halt(id RequestID) {
+func (r *recorder) Stop(id RequestID) {
 	r.add("halt %d", id)
 	if r.host != nil {
 		r.host.halt(id)
 	}
 }
 
-func (r *recorder) Keep(id RequestID, lifetime time.Duration) {
+func (r *recorder) KeepKey(id RequestID, lifetime time.Duration) {
 	r.add("keep %d %v", id, lifetime)
 	if r.host != nil {
 		r.host.keep(id, lifetime)
 	}
 }
 
-func (r *recorder) Forget(id RequestID) {
+func (r *recorder) ReleaseKey(id RequestID) {
 	r.add("forget %d", id)
 	if r.host != nil {
 		r.host.forget(id)
 	}
 }
 
-func (r *recorder) Reuse(id RequestID) {
+func (r *recorder) ReplayResult(id RequestID) {
 	r.add("reuse %d", id)
 	if r.host != nil {
 		r.host.reuse(id)
 	}
 }
 
-func (r *recorder) Say(value float64)            { r.add("say %.3f", value) }
-func (r *recorder) Health(good, stored bool)     { r.add("health %v %v", good, stored) }
-func (r *recorder) CloseIdle(idle time.Duration) { r.add("idle %v", idle) }
-func (r *recorder) After(wait time.Duration, _ uint32) {
+func (r *recorder) AdvertiseLoad(value float64)             { r.add("say %.3f", value) }
+func (r *recorder) SetHealth(good, stored bool)             { r.add("health %v %v", good, stored) }
+func (r *recorder) CloseIdleConnections(idle time.Duration) { r.add("idle %v", idle) }
+func (r *recorder) SetTimer(wait time.Duration, _ uint32) {
 	r.add("after %v", wait)
 	if r.host != nil {
 		r.host.wake = append(r.host.wake, r.host.now+wait)
@@ -113,15 +113,15 @@
 func testSettings() Settings {
 	return Settings{Servers: 2, Callers: 2, Cores: 2, Tick: 5 * time.Millisecond,
 		Classes: []Class{
-			{Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, LateWorth: 0.2, SkipWorth: 0.5},
-			{Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: Keyed, Window: 10 * time.Second},
-			{Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: Unsafe},
+			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, Weight: 1, LateWeight: 0.2, SkippedCallWeight: 0.5},
+			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, Weight: 1, Effect: IdempotentByKey, KeyWindow: 10 * time.Second},
+			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, Weight: 1, Effect: NonIdempotent},
 		},
 		Tenants:  []Tenant{{Quota: 4}, {Quota: 4}},
-		MemoryKB: 10000, KeyKB: 20, RunFactor: 4, CrowdFactor: 6, ColdShare: 0.25,
-		ColdFor: 10 * time.Second, DrainGrace: 2 * time.Second,
-		StopMode: StopDrop, Below: DependencyTier, Feedback: FeedbackWeight,
-		RetryAfter: time.Second, Deadlines: true}
+		MemoryKB: 10000, KeyKB: 20, RunningMemoryFactor: 4, MaxConcurrencyFactor: 6, InitialCapacity: 0.25,
+		WarmUpTime: 10 * time.Second, DrainGracePeriod: 2 * time.Second,
+		StopMode: StopDiscard, Downstream: DependencyTier, Feedback: FeedbackWeight,
+		MaxRetryAfter: time.Second, HasDeadlines: true}
 }
 
 func start(t *testing.T, s Settings) (*Instance, *recorder) {
@@ -139,7 +139,7 @@
 const ms = time.Millisecond
 
 func ask(id RequestID, class int) Request {
-	return Request{ID: id, Class: class, SizeKB: 30, Budget: 6 * time.Second}
+	return Request{ID: id, Class: class, SizeKB: 30, RemainingTime: 6 * time.Second}
 }
 
 func expect(t *testing.T, rec *recorder, words string, want ...string) {
@@ -156,7 +156,7 @@
 		in.Request(now, ask(RequestID(1000+i), class))
 		in.Settle(now)
 		if len(rec.take("run")) == 0 {
-			in.Gone(now, RequestID(1000+i))
+			in.Cancel(now, RequestID(1000+i))
 			in.Settle(now)
 			return i
 		}
@@ -204,7 +204,7 @@
 	for _, c := range []struct {
 		excess float64
 		want   time.Duration
-	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, s.RetryAfter}} {
+	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, s.MaxRetryAfter}} {
 		if got := in.backOff(&request{excess: c.excess}); got != c.want {
 			t.Errorf("%v times its slice: %v, want %v", c.excess, got, c.want)
 		}
@@ -214,7 +214,7 @@
 		t.Errorf("with no wait predicted: %v, want the time to the next look", got)
 	}
 	in.draining = true
-	if got := in.backOff(&request{}); got != s.RetryAfter {
+	if got := in.backOff(&request{}); got != s.MaxRetryAfter {
 		t.Errorf("while draining: %v, want the longest", got)
 	}
 	in.draining = false
@@ -225,7 +225,7 @@
 	}
 	const slice = 12
 	back := in.backOff(&request{excess: e.rate(now, in.lambda) / slice})
-	if r := e.rate(now+back, in.lambda); back >= s.RetryAfter || r > slice*1.001 || r < slice*0.999 {
+	if r := e.rate(now+back, in.lambda); back >= s.MaxRetryAfter || r > slice*1.001 || r < slice*0.999 {
 		t.Errorf("after %v the rate is %v, want %v", back, r, slice)
 	}
 }
@@ -249,7 +249,7 @@
 // it still is. It was turned away for good before, on cores that stood idle.
 func TestSlowClassIsTriedAgain(t *testing.T) {
 	in, rec := start(t, testSettings())
-	in.set.Classes[0].LateWorth = 0
+	in.set.Classes[0].LateWeight = 0
 	for range 20 {
 		in.learn(0, 0.1, 4) // seconds of the wall: over the aim, within the deadline
 	}
@@ -257,7 +257,7 @@
 	in.Request(0, ask(1, 0))
 	in.Settle(0)
 	expect(t, rec, "run refuse", "run 1")
-	in.Done(100*ms, 1, OK)
+	in.RunFinished(100*ms, 1, OK)
 	if wall := in.classes[0].wall; wall >= 4 {
 		t.Errorf("a fast run left the expected time at %v s", wall)
 	}
@@ -310,7 +310,7 @@
 
 func TestRunningLimitAndCrowd(t *testing.T) {
 	s := testSettings()
-	s.Cold = true
+	s.WarmingUp = true
 	in, rec := start(t, s)
 	if n := fill(in, rec, 0, 0); n != 2 {
 		t.Errorf("%d run at the start, want the core count", n)
@@ -319,7 +319,7 @@
 		in.queue = append(in.queue, &request{useful: time.Hour, due: time.Hour})
 		in.adjustLimit()
 	}
-	// Cold at a quarter of the speed: 2 cores x (1 + 5/4) x 0.75.
+	// WarmingUp at a quarter of the speed: 2 cores x (1 + 5/4) x 0.75.
 	if in.concurrencyLimit > 3.376 {
 		t.Errorf("cold limit %v is over the crowd", in.concurrencyLimit)
 	}
@@ -344,11 +344,11 @@
 	in.Request(0, ask(1, 0)) // will run
 	in.Request(0, ask(2, 1)) // will stand at a call
 	in.Settle(0)
-	in.Blocked(10*ms, 2)
+	in.CallRequested(10*ms, 2)
 	in.Settle(10 * ms)
 	expect(t, rec, "run call", "run 1", "run 2", "call 2")
 	again := ask(3, 1)
-	again.Repeats = 2
+	again.RetryOf = 2
 	in.Request(20*ms, again)
 	expect(t, rec, "reuse", "reuse 3")
 	fill(in, rec, 30*ms, 0)
@@ -366,7 +366,7 @@
 	if got := rec.take("fail", "refuse"); len(got) == 0 || got[0] != "fail 3" {
 		t.Errorf("after the due time of the repeat: %q", got)
 	}
-	in.Done(6*time.Second+30*ms, 2, Cancelled)
+	in.RunFinished(6*time.Second+30*ms, 2, Cancelled)
 	in.Settle(6*time.Second + 30*ms)
 	expect(t, rec, "fail refuse run")
 }
@@ -375,14 +375,14 @@
 	in, rec := start(t, testSettings())
 	in.Request(0, ask(1, 1))
 	second := ask(2, 1)
-	second.Repeats = 1
+	second.RetryOf = 1
 	in.Request(0, second) // two tries in one batch
 	in.Settle(0)
 	expect(t, rec, "keep run reuse refuse", "keep 1 10.01s", "run 1", "reuse 2")
-	in.Done(ms, 1, Errored)
-	in.Done(ms, 2, Errored)
+	in.RunFinished(ms, 1, Failed)
+	in.RunFinished(ms, 2, Failed)
 	third := ask(3, 1)
-	third.Repeats = 1
+	third.RetryOf = 1
 	in.Request(2*ms, third)
 	in.Settle(2 * ms)
 	expect(t, rec, "keep run reuse refuse", "reuse 3")
@@ -391,7 +391,7 @@
 func TestKeyedWindowCountsFromArrival(t *testing.T) {
 	in, rec := start(t, testSettings())
 	q := ask(1, 1)
-	q.Waited = 3 * time.Second
+	q.QueueingDelay = 3 * time.Second
 	in.Request(5*time.Second, q)
 	expect(t, rec, "keep", "keep 1 7.01s")
 }
@@ -400,16 +400,16 @@
 	in, rec := start(t, testSettings())
 	fill(in, rec, 0, 0)
 	first := ask(1, 1)
-	first.Budget = time.Second
+	first.RemainingTime = time.Second
 	in.Request(0, first)
 	second := ask(2, 1)
-	second.Repeats = 1
+	second.RetryOf = 1
 	in.Request(10*ms, second)
 	in.Settle(10 * ms)
 	expect(t, rec, "keep run reuse", "keep 1 10.01s")
 	in.Settle(time.Second)
 	expect(t, rec, "refuse forget keep fail run", "refuse 1 100ms false", "forget 1", "keep 2 9.02s")
-	in.Done(time.Second+ms, 1000, OK)
+	in.RunFinished(time.Second+ms, 1000, OK)
 	in.Settle(time.Second + ms)
 	expect(t, rec, "run", "run 2")
 }
@@ -418,12 +418,12 @@
 	in, rec := start(t, testSettings())
 	fill(in, rec, 0, 0)
 	first, second := ask(1, 1), ask(2, 1)
-	first.Budget, second.Repeats = 2500*ms, 1
+	first.RemainingTime, second.RetryOf = 2500*ms, 1
 	in.Request(0, first)
 	in.Drain(0, 4*time.Second)
 	in.Request(2100*ms, second)
 	in.Settle(2500 * ms)
-	in.Done(2600*ms, 1000, OK)
+	in.RunFinished(2600*ms, 1000, OK)
 	in.Settle(2600 * ms)
 	expect(t, rec, "run refuse", "refuse 1 1s false", "refuse 2 1s false")
 }
@@ -435,7 +435,7 @@
 	in.Request(0, ask(1, 1))
 	in.stalled = false
 	second := ask(2, 1)
-	second.Repeats = 1
+	second.RetryOf = 1
 	in.Request(0, second)
 	in.Settle(0)
 	expect(t, rec, "refuse reuse run", "refuse 1 1s false", "run 2")
@@ -454,15 +454,15 @@
 }
 
 func TestCallOfAnEffectIsRepeatedOnlyWhenProvenUnrun(t *testing.T) {
-	for o, repeats := range map[Outcome]bool{Rejected: true, Unreachable: true, Moot: true,
-		Errored: false, TimedOut: false, Reset: false} {
+	for o, repeats := range map[Outcome]bool{Rejected: true, Unreachable: true, NotStarted: true,
+		Failed: false, TimedOut: false, Reset: false} {
 		for class := 0; class < 3; class++ {
 			in, rec := start(t, testSettings())
 			in.Request(0, ask(1, class))
 			in.Settle(0)
-			in.Blocked(10*ms, 1)
+			in.CallRequested(10*ms, 1)
 			in.Settle(10 * ms)
-			in.Called(20*ms, 1, o, 10*ms)
+			in.CallFinished(20*ms, 1, o, 10*ms)
 			in.Settle(500 * ms)
 			want := "[run 1 call 1 call 1]"
 			if !repeats && class > 0 {
@@ -480,7 +480,7 @@
 	in.Drain(time.Second, 4*time.Second)
 	in.Settle(time.Second)
 	inside, past := ask(1, 0), ask(2, 0)
-	inside.Waited, past.Waited = 10*ms, 9*ms
+	inside.QueueingDelay, past.QueueingDelay = 10*ms, 9*ms
 	in.Request(3*time.Second+10*ms, inside)
 	in.Request(3*time.Second+10*ms, past)
 	in.Settle(3*time.Second + 10*ms)
@@ -495,7 +495,7 @@
 	in.Drain(0, 4*time.Second)
 	q := ask(1, 0)
 	in.Request(2*time.Second+ms, q)
-	in.Done(2*time.Second+2*ms, 1000, OK)
+	in.RunFinished(2*time.Second+2*ms, 1000, OK)
 	in.Settle(2*time.Second + 2*ms)
 	expect(t, rec, "run refuse", "refuse 1 1s false")
 }
@@ -507,7 +507,7 @@
 		in.Request(now, ask(id, 0))
 		in.Settle(now)
 		now += 100 * ms
-		in.Done(now, id, OK)
+		in.RunFinished(now, id, OK)
 	}
 	n := fill(in, rec, now, 0)
 	in.Request(now, ask(50, 1))
@@ -518,7 +518,7 @@
 	for i := 0; i < 40; i++ { // a long trouble
 		now += 100 * ms
 		rec.lines = nil
-		in.Timer(now, 0, Gauges{Busy: 1, Runnable: -1})
+		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 		in.Settle(now)
 		for _, l := range rec.lines {
 			if strings.HasPrefix(l, "log ") {
@@ -534,8 +534,8 @@
 	if got := strings.Join(rec.take("health", "refuse"), ","); !strings.Contains(got, "health false true") || !strings.Contains(got, "refuse 50 ") {
 		t.Errorf("actions %q", got)
 	}
-	in.Done(now, 1000, OK)
-	in.Timer(now+100*ms, 0, Gauges{Busy: 1, Runnable: -1})
+	in.RunFinished(now, 1000, OK)
+	in.Timer(now+100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
 	if in.stalled {
 		t.Error("an end of a run did not end the stall")
 	}
@@ -547,10 +547,10 @@
 		in.Request(0, ask(id, 0))
 		in.Settle(0)
 		in.learn(0, 0.1, 0.1)
-		in.Done(0, id, OK)
+		in.RunFinished(0, id, OK)
 	}
 	fill(in, rec, 0, 0)
-	in.Timer(5*time.Second, 0, Gauges{Busy: 1, Runnable: -1})
+	in.Timer(5*time.Second, 0, Gauges{Utilization: 1, Runnable: -1})
 	if in.stalled {
 		t.Error("a pause of the whole process was taken for a stall of its work")
 	}
@@ -559,9 +559,9 @@
 func TestFirstShortRunIsNoStall(t *testing.T) {
 	in, rec := start(t, testSettings())
 	fill(in, rec, 0, 0)
-	in.Done(10*ms, 1000, OK)
+	in.RunFinished(10*ms, 1000, OK)
 	for now := 100 * ms; now <= 700*ms; now += 100 * ms {
-		in.Timer(now, 0, Gauges{Busy: 1, Runnable: -1})
+		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 	}
 	if in.stalled {
 		t.Error("one short run and half a second without an end were taken for a stall")
@@ -572,12 +572,12 @@
 // honoured: in the model all gateways left for five seconds at once, the cores stood idle, and they came back at once.
 func TestAdviceIsNoLongerThanHalfAnAim(t *testing.T) {
 	s := testSettings()
-	s.RetryAfter = time.Minute
+	s.MaxRetryAfter = time.Minute
 	in, _ := start(t, s)
 	now := time.Duration(0)
 	for id := RequestID(1); id < 200; id++ {
 		now += time.Millisecond
-		in.Request(now, Request{ID: id, SizeKB: 30, Budget: 6 * time.Second, Retry: true, Waited: 600 * ms})
+		in.Request(now, Request{ID: id, SizeKB: 30, RemainingTime: 6 * time.Second, IsRetry: true, QueueingDelay: 600 * ms})
 		in.Settle(now)
 	}
 	r := in.all[len(in.all)-1]
@@ -585,7 +585,7 @@
 		t.Errorf("stormy %v, advice %v, want %v", in.retryStorm(), in.backOff(r), in.longestAim/2)
 	}
 	in.stalled = true
-	if in.backOff(r) != s.RetryAfter {
+	if in.backOff(r) != s.MaxRetryAfter {
 		t.Errorf("advice of a server that stands still %v", in.backOff(r))
 	}
 }
@@ -595,7 +595,7 @@
 func TestApartIsNoStallWhereLongRunsStandBehindShortOnes(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		s := testSettings()
-		s.Apart, s.Cores = apart, 8
+		s.IndependentRuns, s.Cores = apart, 8
 		in, rec := start(t, s)
 		now, id := time.Duration(0), RequestID(0)
 		run := func(took time.Duration) {
@@ -603,7 +603,7 @@
 			in.Request(now, ask(id, 0))
 			in.Settle(now)
 			now += took
-			in.Done(now, id, OK)
+			in.RunFinished(now, id, OK)
 			in.Settle(now)
 		}
 		run(800 * time.Millisecond)
@@ -618,7 +618,7 @@
 		glances := func(n int) {
 			for range n {
 				now += pollInterval
-				in.Timer(now, 0, Gauges{Busy: 1, Runnable: float64(s.Cores)})
+				in.Timer(now, 0, Gauges{Utilization: 1, Runnable: float64(s.Cores)})
 				in.Settle(now)
 			}
 		}
@@ -636,18 +636,18 @@
 
 func TestUnknownRepeatedAndLateEventsDoNothing(t *testing.T) {
 	in, rec := start(t, testSettings())
-	in.Done(0, 77, OK)
-	in.Gone(0, 77)
-	in.Blocked(0, 77)
-	in.Called(0, 77, OK, ms)
+	in.RunFinished(0, 77, OK)
+	in.Cancel(0, 77)
+	in.CallRequested(0, 77)
+	in.CallFinished(0, 77, OK, ms)
 	odd := Request{ID: 1, Class: 99, Tenant: -5, Caller: -1, SizeKB: -3}
 	in.Request(0, odd)
 	in.Request(0, odd)
 	in.Settle(0)
-	in.Called(0, 1, OK, ms)
-	in.Done(ms, 1, OK)
-	in.Done(ms, 1, OK)
-	in.Gone(ms, 1)
+	in.CallFinished(0, 1, OK, ms)
+	in.RunFinished(ms, 1, OK)
+	in.RunFinished(ms, 1, OK)
+	in.Cancel(ms, 1)
 	in.Settle(ms)
 	expect(t, rec, "run refuse fail call", "run 1")
 	if in.onCores != 0 || in.heldKB != 0 || in.runKB != 0 || in.atCall != 0 {
@@ -659,9 +659,9 @@
 	for field, spoil := range map[string]func(*Settings){
 		"Cores": func(s *Settings) { s.Cores = 0 }, "Servers": func(s *Settings) { s.Servers = 0 },
 		"Classes": func(s *Settings) { s.Classes = nil }, "Tick": func(s *Settings) { s.Tick = 0 },
-		"MemoryKB": func(s *Settings) { s.MemoryKB = math.NaN() }, "RunFactor": func(s *Settings) { s.RunFactor = -1 },
-		"CrowdFactor":      func(s *Settings) { s.CrowdFactor = math.Inf(1) },
-		"Classes[1]":       func(s *Settings) { s.Classes[1].Aim = 0 },
+		"MemoryKB": func(s *Settings) { s.MemoryKB = math.NaN() }, "RunFactor": func(s *Settings) { s.RunningMemoryFactor = -1 },
+		"CrowdFactor":      func(s *Settings) { s.MaxConcurrencyFactor = math.Inf(1) },
+		"Classes[1]":       func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
 		"Tenants[0].Quota": func(s *Settings) { s.Tenants[0].Quota = -1 },
 	} {
 		s := testSettings()
@@ -722,7 +722,7 @@
 	in.stalled = true
 	for id := RequestID(1); id <= 20; id++ {
 		q := ask(id, 0)
-		q.Retry = true
+		q.IsRetry = true
 		in.Request(0, q)
 	}
 	in.stalled = false
@@ -744,7 +744,7 @@
 	in.stalled = true
 	for id := RequestID(1); id <= 20; id++ {
 		q := ask(id, 0)
-		q.Waited = time.Second
+		q.QueueingDelay = time.Second
 		in.Request(time.Second, q)
 	}
 	in.stalled, in.draining, in.notice = false, true, -time.Hour
@@ -759,26 +759,26 @@
 	in, rec := start(t, s)
 	for i := 1; i <= 200; i++ {
 		q := ask(RequestID(i), 0)
-		q.Waited = 2 * time.Second
+		q.QueueingDelay = 2 * time.Second
 		in.Request(time.Duration(i)*50*ms, q)
 		in.Settle(time.Duration(i) * 50 * ms)
-		in.Done(time.Duration(i)*50*ms+ms, q.ID, OK)
+		in.RunFinished(time.Duration(i)*50*ms+ms, q.ID, OK)
 	}
 	in.classes[0].run = 1
 	rec.take()
-	in.Timer(10100*ms, 0, Gauges{Busy: 1, Runnable: -1})
+	in.Timer(10100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
 	expect(t, rec, "say", "say 0.000")
 }
 
 func TestHoldRunsByTimeLeftOverWorth(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].Worth = 4
+	s.Classes[0].Weight = 4
 	in, rec := start(t, s)
 	fill(in, rec, 0, 0)
 	cheap, dear := ask(1, 2), ask(2, 0)
 	in.Request(0, cheap)
 	in.Request(500*ms, dear) // 2 s / 4 is less than 1.5 s / 1
-	in.Done(500*ms, 1000, OK)
+	in.RunFinished(500*ms, 1000, OK)
 	in.Settle(500 * ms)
 	expect(t, rec, "run", "run 2")
 }
@@ -800,7 +800,7 @@
 	in, rec := start(t, testSettings())
 	in.learn(2, 1, 1)
 	hasty := ask(1, 2)
-	hasty.Budget = 500 * ms
+	hasty.RemainingTime = 500 * ms
 	in.Request(0, hasty)
 	in.Settle(0)
 	if got := rec.take("run", "refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 1 ") {
@@ -855,10 +855,10 @@
 
 func TestReadsOfOneSubjectShareAnAnswer(t *testing.T) {
 	s := testSettings()
-	s.Fresh = time.Second
+	s.ResultFreshness = time.Second
 	in, rec := start(t, s)
 	first, second := ask(1, 0), ask(2, 0)
-	first.Subject, second.Subject, second.Repeats = 7, 7, 1
+	first.ResourceID, second.ResourceID, second.RetryOf = 7, 7, 1
 	in.Request(0, first)
 	in.Settle(0)
 	in.Request(ms, second)
@@ -875,11 +875,11 @@
 		s.Feedback = feedback
 		in, rec := start(t, s)
 		in.learn(0, 1, 1)
-		in.Timer(0, 0, Gauges{Busy: 0.5, Runnable: -1})
+		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		in.Drain(0, 4*time.Second)
-		in.Timer(100*ms, 0, Gauges{Busy: 0.5, Runnable: -1})
+		in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		expect(t, rec, "say idle", want[0]...)
-		in.Timer(s.DrainGrace-100*ms, 0, Gauges{Busy: 0.5, Runnable: -1})
+		in.Timer(s.DrainGracePeriod-100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		expect(t, rec, "say idle", append([]string{"idle 10ms"}, want[1]...)...)
 	}
 }
@@ -909,11 +909,11 @@
 	in, _ := start(t, testSettings())
 	useful := func(id RequestID, retry bool, budget time.Duration) time.Duration {
 		q := ask(id, 0)
-		q.Retry, q.Budget = retry, budget
+		q.IsRetry, q.RemainingTime = retry, budget
 		in.Request(10*time.Second, q)
 		return in.byID[id].useful - 10*time.Second
 	}
-	// Aim 2 s, deadline 6 s. Nothing is known of a further try before a first one was seen.
+	// LatencyObjective 2 s, deadline 6 s. Nothing is known of a further try before a first one was seen.
 	for i, c := range []struct {
 		retry        bool
 		budget, want time.Duration
@@ -929,23 +929,23 @@
 func TestCallThatMayLingerIsPaidFor(t *testing.T) {
 	for _, end := range []string{"gone", "due"} {
 		s := testSettings()
-		s.Below, s.FairCalls, s.CallsOver, s.CallStays = DependencyShared, 1, 5*time.Second, 200*ms
+		s.Downstream, s.FairCallShare, s.CallAveragingTime, s.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
 		in, rec := start(t, s)
 		first := ask(1, 0)
-		first.Budget = 500 * ms
+		first.RemainingTime = 500 * ms
 		in.Request(0, first)
 		in.Request(0, ask(2, 0))
 		in.Settle(0)
-		in.Blocked(10*ms, 1)
+		in.CallRequested(10*ms, 1)
 		in.Settle(10 * ms)
-		in.Blocked(20*ms, 2)
+		in.CallRequested(20*ms, 2)
 		in.Settle(20 * ms)
 		expect(t, rec, "call", "call 1")
 		now := 100 * ms
 		if end == "due" {
 			now = 490 * ms
 		} else {
-			in.Gone(now, 1)
+			in.Cancel(now, 1)
 		}
 		in.Settle(now)
 		expect(t, rec, "call")
@@ -962,14 +962,14 @@
 		in.Request(0, ask(id, 0))
 		in.Settle(0)
 		in.learn(0, 0.1, 0.1)
-		in.Done(0, id, OK)
+		in.RunFinished(0, id, OK)
 	}
 	in.Request(0, ask(50, 0))
 	in.Request(0, ask(51, 1))
 	in.Settle(0)
 	rec.take()
 	for now := 100 * ms; !in.stalled && now < 5*time.Second; now += 100 * ms {
-		in.Timer(now, 0, Gauges{Busy: 1, Runnable: -1})
+		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 		in.Settle(now)
 	}
 	expect(t, rec, "fail refuse", "fail 50")
@@ -981,7 +981,7 @@
 		q := ask(id, int(id)-1)
 		in.Request(0, q)
 		in.Settle(0)
-		in.Blocked(0, id)
+		in.CallRequested(0, id)
 		var got time.Duration
 		in.do = callTimes{&recorder{}, &got}
 		in.Settle(0)
@@ -1051,18 +1051,18 @@
 		{2, false, 30 * time.Second, []string{"idle 30s"}}, {300, false, 0, nil},
 		{300, false, time.Second, []string{"idle 1s"}}} {
 		s := testSettings()
-		s.Callers, s.CallerIdle = c.callers, c.idle
+		s.Callers, s.CallerIdleTimeout = c.callers, c.idle
 		in, rec := start(t, s)
 		for id := RequestID(1); id <= 20; id++ {
 			q := ask(id, 0)
-			q.Retry = c.retry
+			q.IsRetry = c.retry
 			in.Request(0, q)
 		}
 		in.nextPoll = 0
 		rec.take()
-		in.Timer(0, 0, Gauges{Busy: 0.5, Runnable: -1})
+		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		in.nextPoll = 0
-		in.Timer(0, 0, Gauges{Busy: 0.5, Runnable: -1})
+		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		expect(t, rec, "idle", c.want...)
 	}
 }
@@ -1080,14 +1080,14 @@
 	}
 	in.Settle(0)
 	limit := in.concurrencyLimit
-	in.Timer(100*ms, 0, Gauges{Busy: 0.5, Runnable: float64(n)})
+	in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: float64(n)})
 	in.Settle(100 * ms)
 	rec.take()
 	in.Request(100*ms, ask(50, 0))
 	if got := strings.Join(rec.take("refuse"), ","); !strings.Contains(got, "refuse 50 ") || in.concurrencyLimit != limit {
 		t.Errorf("cores full at this moment: actions %q, limit %v, want a refusal and %v", got, in.concurrencyLimit, limit)
 	}
-	in.Timer(200*ms, 0, Gauges{Busy: 1, Runnable: 1})
+	in.Timer(200*ms, 0, Gauges{Utilization: 1, Runnable: 1})
 	in.Settle(200 * ms)
 	in.Request(200*ms, ask(51, 0))
 	if got := strings.Join(rec.take("refuse"), ","); got != "" || in.concurrencyLimit <= limit {
@@ -1097,14 +1097,14 @@
 
 func TestHeldRequestsLeaveRoomToRun(t *testing.T) {
 	s := testSettings()
-	s.MemoryKB, s.KeyKB, s.RunFactor = 4000, 50, 16
-	s.Classes[0].Effect, s.Classes[0].Window = Keyed, time.Minute
+	s.MemoryKB, s.KeyKB, s.RunningMemoryFactor = 4000, 50, 16
+	s.Classes[0].Effect, s.Classes[0].KeyWindow = IdempotentByKey, time.Minute
 	in, rec := start(t, s)
 	on, id := map[RequestID]bool{}, RequestID(0)
 	for round := range 60 { // each run leaves a key for a minute
 		now := time.Duration(round) * 10 * ms
 		for on := range on {
-			in.Done(now, on, OK)
+			in.RunFinished(now, on, OK)
 		}
 		clear(on)
 		for range 8 {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -41,7 +41,7 @@
 	for len(in.queue) > 0 && float64(in.onCores) < in.concurrencyLimit &&
 		float64(in.onCores+in.atCall) < in.maxConcurrency() {
 		r := in.nextToRun()
-		if r == nil || in.memory()+r.sizeKB*(in.set.RunFactor-1) > in.set.MemoryKB*memoryMargin {
+		if r == nil || in.memory()+r.sizeKB*(in.set.RunningMemoryFactor-1) > in.set.MemoryKB*memoryMargin {
 			return
 		}
 		in.run(r)
@@ -63,7 +63,7 @@
 		if f.state == follows && f.original == r {
 			f.ran = true
 			in.setState(f, echoing)
-			in.do.Reuse(f.id)
+			in.do.ReplayResult(f.id)
 		}
 	}
 }
@@ -88,11 +88,11 @@
 func (in *Instance) uselessReason(r *request) Reason {
 	switch {
 	case in.now+in.ownTime(r) > r.due:
-		return NoTimeLeft
-	case in.now > r.useful && in.set.Classes[r.class].LateWorth == 0:
-		return WorthNothing
+		return DeadlineUnreachable
+	case in.now > r.useful && in.set.Classes[r.class].LateWeight == 0:
+		return LateWithoutWeight
 	case in.wouldMissAim(r) && in.full():
-		return LateWhileFull
+		return LateWhileSaturated
 	}
 	return Admitted
 }
@@ -138,7 +138,7 @@
 
 // place is where the request stands now.
 func (in *Instance) place(r *request) place {
-	p := place{urgency: (r.useful - in.now).Seconds() / max(in.set.Classes[r.class].Worth, 1e-3)}
+	p := place{urgency: (r.useful - in.now).Seconds() / max(in.set.Classes[r.class].Weight, 1e-3)}
 	switch {
 	case in.wouldMissAim(r) || in.fruitless(r):
 		p.tier = tierLate
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -171,19 +171,19 @@
 	whole(c, &s.Callers)
 	whole(c, &s.Cores)
 	list(c, &s.Classes, func(k *Class) {
-		c.times(&k.Aim, &k.Deadline, &k.Window)
-		c.floats(&k.AimStretch, &k.Worth, &k.LateWorth, &k.SkipWorth)
+		c.times(&k.LatencyObjective, &k.Deadline, &k.KeyWindow)
+		c.floats(&k.ObjectiveStretch, &k.Weight, &k.LateWeight, &k.SkippedCallWeight)
 		whole(c, &k.Effect)
 	})
 	list(c, &s.Tenants, func(t *Tenant) { c.float(&t.Quota) })
-	c.times(&s.Tick, &s.ColdFor, &s.DrainGrace, &s.CallsOver, &s.CallStays, &s.RetryAfter, &s.Fresh, &s.CallerIdle)
-	c.floats(&s.ColdShare, &s.MemoryKB, &s.KeyKB, &s.RunFactor, &s.CrowdFactor, &s.FairCalls)
-	c.bools(&s.Cold, &s.Deadlines)
+	c.times(&s.Tick, &s.WarmUpTime, &s.DrainGracePeriod, &s.CallAveragingTime, &s.CallLinger, &s.MaxRetryAfter, &s.ResultFreshness, &s.CallerIdleTimeout)
+	c.floats(&s.InitialCapacity, &s.MemoryKB, &s.KeyKB, &s.RunningMemoryFactor, &s.MaxConcurrencyFactor, &s.FairCallShare)
+	c.bools(&s.WarmingUp, &s.HasDeadlines)
 	whole(c, &s.StopMode)
-	whole(c, &s.Below)
+	whole(c, &s.Downstream)
 	whole(c, &s.Feedback)
 	if c.version > 1 {
-		c.bools(&s.Apart)
+		c.bools(&s.IndependentRuns)
 	}
 }
 
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -96,7 +96,7 @@
 func TestSnapshotGoesOnAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
-		s.Fresh = time.Duration(rapid.IntRange(0, 2).Draw(t, "fresh")) * time.Second
+		s.ResultFreshness = time.Duration(rapid.IntRange(0, 2).Draw(t, "fresh")) * time.Second
 		recs := []*recorder{{}}
 		in, err := New(s, recs[0])
 		if err != nil {
@@ -121,8 +121,8 @@
 			now += time.Duration(rapid.IntRange(0, 80).Draw(t, "wait")) * time.Millisecond
 			kind := rapid.IntRange(0, 9).Draw(t, "kind")
 			id := RequestID(rapid.IntRange(0, int(last)).Draw(t, "id"))
-			q := Request{Class: rapid.IntRange(0, len(s.Classes)-1).Draw(t, "class"), Subject: uint64(id),
-				Retry: id%2 == 1, Repeats: id, SizeKB: 20, Waited: time.Duration(id) * time.Millisecond}
+			q := Request{Class: rapid.IntRange(0, len(s.Classes)-1).Draw(t, "class"), ResourceID: uint64(id),
+				IsRetry: id%2 == 1, RetryOf: id, SizeKB: 20, QueueingDelay: time.Duration(id) * time.Millisecond}
 			if kind < 5 {
 				last++
 				q.ID = last
@@ -133,13 +133,13 @@
 				case kind < 5:
 					e.Request(now, q)
 				case kind < 7:
-					e.Done(now, id, OK)
+					e.RunFinished(now, id, OK)
 				case kind == 7:
-					e.Gone(now, id)
+					e.Cancel(now, id)
 				case kind == 8 && id == last && step > 40:
 					e.Drain(now, 3*time.Second)
 				default:
-					e.Timer(now, 0, Gauges{Busy: busy, Runnable: -1})
+					e.Timer(now, 0, Gauges{Utilization: busy, Runnable: -1})
 				}
 				e.Settle(now)
 			}
--- a/admission/state.go
+++ b/admission/state.go
@@ -128,7 +128,7 @@
 	if !in.begun {
 		in.begun, in.start, in.now = true, now, now
 		in.nextPoll = now
-		in.do.Health(true, true)
+		in.do.SetHealth(true, true)
 	}
 	if now <= in.now {
 		return
@@ -136,7 +136,7 @@
 	part := float64(min(in.onCores, 1)*in.set.Cores) / float64(max(in.onCores, in.set.Cores))
 	// A timer comes at each poll of the gauges: a longer gap means that the process stood still, and its work with it.
 	in.coreClock += min(now-in.now, 2*pollInterval).Seconds() * part
-	in.callDebt = max(0, in.callDebt+(now-in.now).Seconds()*(float64(in.inHand)-in.set.FairCalls))
+	in.callDebt = max(0, in.callDebt+(now-in.now).Seconds()*(float64(in.inHand)-in.set.FairCallShare))
 	in.now = now
 }
 
@@ -220,10 +220,10 @@
 		in.heldKB += float64(sign) * r.sizeKB
 	case running, ended:
 		in.onCores += sign
-		in.runKB += float64(sign) * r.sizeKB * in.set.RunFactor
+		in.runKB += float64(sign) * r.sizeKB * in.set.RunningMemoryFactor
 	case asking, calling:
 		in.atCall += sign
-		in.runKB += float64(sign) * r.sizeKB * in.set.RunFactor
+		in.runKB += float64(sign) * r.sizeKB * in.set.RunningMemoryFactor
 		if r.state == calling {
 			in.inHand += sign
 		}
--- a/admission/validate.go
+++ b/admission/validate.go
@@ -31,10 +31,10 @@
 // positiveSettings are the figures without which nothing can run.
 func positiveSettings(s Settings) []setting {
 	list := []setting{{"Cores", float64(s.Cores)}, {"Servers", float64(s.Servers)}, {"Tick", float64(s.Tick)},
-		{"MemoryKB", s.MemoryKB}, {"RunFactor", s.RunFactor}, {"CrowdFactor", s.CrowdFactor},
+		{"MemoryKB", s.MemoryKB}, {"RunFactor", s.RunningMemoryFactor}, {"CrowdFactor", s.MaxConcurrencyFactor},
 		{"the number of Classes", float64(len(s.Classes))}}
 	for i, c := range s.Classes {
-		list = append(list, setting{fmt.Sprintf("Classes[%d].Aim", i), float64(c.Aim)},
+		list = append(list, setting{fmt.Sprintf("Classes[%d].Aim", i), float64(c.LatencyObjective)},
 			setting{fmt.Sprintf("Classes[%d].Deadline", i), float64(c.Deadline)})
 	}
 	return list
@@ -42,13 +42,13 @@
 
 // nonNegativeSettings are the figures that may be nothing.
 func nonNegativeSettings(s Settings) []setting {
-	list := []setting{{"Callers", float64(s.Callers)}, {"KeyKB", s.KeyKB}, {"ColdShare", s.ColdShare}, {"ColdFor", float64(s.ColdFor)},
-		{"DrainGrace", float64(s.DrainGrace)}, {"FairCalls", s.FairCalls}, {"CallsOver", float64(s.CallsOver)},
-		{"CallStays", float64(s.CallStays)}, {"RetryAfter", float64(s.RetryAfter)}, {"Fresh", float64(s.Fresh)},
-		{"CallerIdle", float64(s.CallerIdle)}}
+	list := []setting{{"Callers", float64(s.Callers)}, {"KeyKB", s.KeyKB}, {"ColdShare", s.InitialCapacity}, {"ColdFor", float64(s.WarmUpTime)},
+		{"DrainGrace", float64(s.DrainGracePeriod)}, {"FairCalls", s.FairCallShare}, {"CallsOver", float64(s.CallAveragingTime)},
+		{"CallStays", float64(s.CallLinger)}, {"RetryAfter", float64(s.MaxRetryAfter)}, {"Fresh", float64(s.ResultFreshness)},
+		{"CallerIdle", float64(s.CallerIdleTimeout)}}
 	for i, c := range s.Classes {
-		for _, f := range []setting{{"AimStretch", c.AimStretch}, {"Worth", c.Worth}, {"LateWorth", c.LateWorth},
-			{"Window", float64(c.Window)}, {"SkipWorth", c.SkipWorth}} {
+		for _, f := range []setting{{"AimStretch", c.ObjectiveStretch}, {"Worth", c.Weight}, {"LateWorth", c.LateWeight},
+			{"Window", float64(c.KeyWindow)}, {"SkipWorth", c.SkippedCallWeight}} {
 			list = append(list, setting{fmt.Sprintf("Classes[%d].%s", i, f.name), f.value})
 		}
 	}
--- a/admission/validate_test.go
+++ b/admission/validate_test.go
@@ -12,16 +12,16 @@
 	for field, change := range map[string]func(s *Settings){
 		"Callers":              func(s *Settings) { s.Callers = -1 },
 		"KeyKB":                func(s *Settings) { s.KeyKB = -1 },
-		"ColdShare":            func(s *Settings) { s.ColdShare = -0.1 },
-		"ColdFor":              func(s *Settings) { s.ColdFor = -time.Second },
-		"DrainGrace":           func(s *Settings) { s.DrainGrace = -time.Second },
-		"RetryAfter":           func(s *Settings) { s.RetryAfter = -time.Second },
-		"Fresh":                func(s *Settings) { s.Fresh = -time.Second },
-		"FairCalls":            func(s *Settings) { s.FairCalls = math.NaN() },
-		"Classes[1].Worth":     func(s *Settings) { s.Classes[1].Worth = -1 },
-		"Classes[0].LateWorth": func(s *Settings) { s.Classes[0].LateWorth = math.Inf(1) },
-		"Classes[1].Window":    func(s *Settings) { s.Classes[1].Window = -time.Second },
-		"Classes[0].SkipWorth": func(s *Settings) { s.Classes[0].SkipWorth = -0.5 },
+		"ColdShare":            func(s *Settings) { s.InitialCapacity = -0.1 },
+		"ColdFor":              func(s *Settings) { s.WarmUpTime = -time.Second },
+		"DrainGrace":           func(s *Settings) { s.DrainGracePeriod = -time.Second },
+		"RetryAfter":           func(s *Settings) { s.MaxRetryAfter = -time.Second },
+		"Fresh":                func(s *Settings) { s.ResultFreshness = -time.Second },
+		"FairCalls":            func(s *Settings) { s.FairCallShare = math.NaN() },
+		"Classes[1].Worth":     func(s *Settings) { s.Classes[1].Weight = -1 },
+		"Classes[0].LateWorth": func(s *Settings) { s.Classes[0].LateWeight = math.Inf(1) },
+		"Classes[1].Window":    func(s *Settings) { s.Classes[1].KeyWindow = -time.Second },
+		"Classes[0].SkipWorth": func(s *Settings) { s.Classes[0].SkippedCallWeight = -0.5 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -37,21 +37,21 @@
 func TestExtremeSettings(t *testing.T) {
 	manyTenants := make([]Tenant, 500)
 	for name, change := range map[string]func(s *Settings){
-		"nothing is worth anything": func(s *Settings) { s.Classes[0].Worth, s.Classes[1].Worth = 0, 0 },
-		"an aim of a millisecond":   func(s *Settings) { s.Classes[0].Aim = ms },
-		"an aim of a day":           func(s *Settings) { s.Classes[1].Aim, s.Classes[1].Deadline = 24*time.Hour, 48*time.Hour },
-		"an aim over the deadline":  func(s *Settings) { s.Classes[0].Aim = time.Minute },
-		"no window":                 func(s *Settings) { s.Classes[1].Effect, s.Classes[1].Window = Keyed, 0 },
-		"a window of a year":        func(s *Settings) { s.Classes[1].Effect, s.Classes[1].Window = Keyed, 365*24*time.Hour },
+		"nothing is worth anything": func(s *Settings) { s.Classes[0].Weight, s.Classes[1].Weight = 0, 0 },
+		"an aim of a millisecond":   func(s *Settings) { s.Classes[0].LatencyObjective = ms },
+		"an aim of a day":           func(s *Settings) { s.Classes[1].LatencyObjective, s.Classes[1].Deadline = 24*time.Hour, 48*time.Hour },
+		"an aim over the deadline":  func(s *Settings) { s.Classes[0].LatencyObjective = time.Minute },
+		"no window":                 func(s *Settings) { s.Classes[1].Effect, s.Classes[1].KeyWindow = IdempotentByKey, 0 },
+		"a window of a year":        func(s *Settings) { s.Classes[1].Effect, s.Classes[1].KeyWindow = IdempotentByKey, 365*24*time.Hour },
 		"no callers told":           func(s *Settings) { s.Callers = 0 },
 		"a million servers":         func(s *Settings) { s.Servers = 1e6 },
 		"quotas of nothing":         func(s *Settings) { s.Tenants = manyTenants },
 		"memory for nothing":        func(s *Settings) { s.MemoryKB = 1 },
 		"a thousand cores":          func(s *Settings) { s.Cores = 1000 },
-		"a crowd of a hundredth":    func(s *Settings) { s.CrowdFactor = 0.01 },
-		"no cold share":             func(s *Settings) { s.Cold, s.ColdShare, s.ColdFor = true, 0, time.Hour },
+		"a crowd of a hundredth":    func(s *Settings) { s.MaxConcurrencyFactor = 0.01 },
+		"no cold share":             func(s *Settings) { s.WarmingUp, s.InitialCapacity, s.WarmUpTime = true, 0, time.Hour },
 		"a tick of a nanosecond":    func(s *Settings) { s.Tick = 1 },
-		"worth a million times":     func(s *Settings) { s.Classes[1].Worth = 1e6 },
+		"worth a million times":     func(s *Settings) { s.Classes[1].Weight = 1e6 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := twoClasses()
@@ -75,7 +75,7 @@
 					}
 				}
 				if step%3 == 0 && len(running) > 0 {
-					s.in.Done(s.now, running[0], OK)
+					s.in.RunFinished(s.now, running[0], OK)
 					delete(asked, running[0])
 					running = running[1:]
 				}
@@ -84,8 +84,8 @@
 						t.Fatalf("request %d has no answer %v after it was due", id, s.now-due)
 					}
 				}
-				if i := s.in.Inspect(); math.IsNaN(i.Weight) || math.IsNaN(i.Limit) {
-					t.Fatalf("step %d: weight %v, limit %v", step, i.Weight, i.Limit)
+				if i := s.in.Inspect(); math.IsNaN(i.TrafficWeight) || math.IsNaN(i.ConcurrencyLimit) {
+					t.Fatalf("step %d: weight %v, limit %v", step, i.TrafficWeight, i.ConcurrencyLimit)
 				}
 			}
 		})
--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -8,4 +8,4 @@
 	"tillerusher/server"
 )
 
-func main() { os.Exit(server.RouteMain(os.Args[1:], os.Stderr, metrics.Serve)) }
+func main() { os.Exit(server.ServeRoutes(os.Args[1:], os.Stderr, metrics.Serve)) }
--- a/cmd/catalogue-server-durable/main.go
+++ b/cmd/catalogue-server-durable/main.go
@@ -27,7 +27,7 @@
 }
 
 func main() {
-	os.Exit(server.StateMain(os.Args[1:], os.Getenv, os.Stderr, func(ctx context.Context, f server.Folder) (server.Keeper, error) {
-		return store.OpenWait(ctx, store.Config{Dir: f.Directory, Server: f.Server, Site: f.Site, Machine: machine()}, f.Waiting)
+	os.Exit(server.ServeDurable(os.Args[1:], os.Getenv, os.Stderr, func(ctx context.Context, f server.StateDirectory) (server.DurableStore, error) {
+		return store.OpenWait(ctx, store.Config{Dir: f.Path, Server: f.Server, SiteHash: f.Site, Machine: machine()}, f.OnWait)
 	}))
 }
--- a/cmd/catalogue-server/capture_test.go
+++ b/cmd/catalogue-server/capture_test.go
@@ -23,8 +23,8 @@
 		if result, err = replay.Run(segments, fresh, replay.Visitor{}); err != nil {
 			t.Fatal(err)
 		}
-		if result.First != nil {
-			t.Fatalf("fresh %t: %v", fresh, result.First)
+		if result.FirstDifference != nil {
+			t.Fatalf("fresh %t: %v", fresh, result.FirstDifference)
 		}
 	}
 	return result
@@ -36,40 +36,40 @@
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
 	n := servertest.Start(t, program+" serve --capture "+dir, it, nil)
-	n.WaitUp()
+	n.WaitHealthy()
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("").Records(1), fake.Reserve(1, "x").Records(2))
-	runs := n.WaitApplied(2)
-	g.Write(fake.Reserve(1, "x").Records(3))
-	it.Cut()
+	g.Write(fake.NewLookup("").Encode(1), fake.NewReserve(1, "x").Encode(2))
+	runs := n.WaitRuns(2)
+	g.Write(fake.NewReserve(1, "x").Encode(3))
+	it.CutLink()
 	for _, run := range runs {
-		it.End(run.ID, "OK", []byte("y"))
+		it.EndRun(run.ID, "OK", []byte("y"))
 	}
 	for id := range uint16(3) {
-		if a := g.Answer(id + 1); a.Status != 200 {
+		if a := g.WaitResponse(id + 1); a.Status != 200 {
 			t.Errorf("answer %+v", a)
 		}
 	}
 	n.Signal(syscall.SIGHUP)
 	n.WaitCounter("reloads", 1)
-	g.Write(fake.Lookup("").Records(1))
-	n.WaitApplied(3)
+	g.Write(fake.NewLookup("").Encode(1))
+	n.WaitRuns(3)
 	n.Signal(syscall.SIGTERM)
-	if a := g.Answer(1); a.Status != 500 && a.Status != 503 {
+	if a := g.WaitResponse(1); a.Status != 500 && a.Status != 503 {
 		t.Errorf("answer in the drain %+v", a)
 	}
 	if code := n.WaitExit(); code != 0 {
 		t.Errorf("exit status %d", code)
 	}
 	r := replayed(t, dir)
-	if r.Requests != 4 || r.Runs != 3 || r.Refused+r.Failed != 1 {
+	if r.Requests != 4 || r.Runs != 3 || r.Rejected+r.Failed != 1 {
 		t.Errorf("replayed %+v", r)
 	}
 	segments, _, _ := capture.Open(dir)
 	var notes []string
 	for _, s := range segments {
-		s.Each(func(_ capture.Position, r *capture.Record) error {
-			if r.Kind == capture.Remark || r.Kind == capture.Names && r.Key != "" {
+		s.ForEach(func(_ capture.Position, r *capture.Record) error {
+			if r.Kind == capture.KindAnnotation || r.Kind == capture.KindRequestNames && r.Key != "" {
 				notes = append(notes, r.Text+r.Key)
 			}
 			return nil
--- a/cmd/catalogue-server/kill_test.go
+++ b/cmd/catalogue-server/kill_test.go
@@ -25,11 +25,11 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
-	it.Prompt()
+	it.FinishImmediately()
 	records, torn, unanswered := uint64(0), 0, 0
 	for kill := range *kills {
 		n := servertest.Start(t, program+" serve --capture "+dir, it, nil)
-		n.WaitUp()
+		n.WaitHealthy()
 		var answers atomic.Int64
 		most := rng.Int64N(3000) // answers before the kill
 		ended := make(chan bool)
@@ -37,7 +37,7 @@
 			defer close(ended)
 			flood(n.Addr, &answers)
 		}()
-		servertest.Wait(t, "answers", func() bool { return answers.Load() >= most })
+		servertest.WaitFor(t, "answers", func() bool { return answers.Load() >= most })
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // anywhere between two of them
 		n.Signal(syscall.SIGKILL)
 		n.WaitExit()
@@ -50,8 +50,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.First != nil || r.Skipped > 0 {
-			t.Fatalf("kill %d after %d answers: %v, %d events skipped", kill, answers.Load(), r.First, r.Skipped)
+		if r.FirstDifference != nil || r.Skipped > 0 {
+			t.Fatalf("kill %d after %d answers: %v, %d events skipped", kill, answers.Load(), r.FirstDifference, r.Skipped)
 		}
 		if r.Records < records {
 			t.Fatalf("kill %d: %d records are left of %d", kill, r.Records, records)
@@ -80,9 +80,9 @@
 	defer g.Close()
 	send := func(id uint16) error {
 		if id%3 == 0 {
-			return g.Write(fake.Reserve(rand.IntN(100), "x").Records(id))
+			return g.Write(fake.NewReserve(rand.IntN(100), "x").Encode(id))
 		}
-		return g.Write(fake.Lookup("x").Records(id))
+		return g.Write(fake.NewLookup("x").Encode(id))
 	}
 	for id := range uint16(16) {
 		if send(id+1) != nil {
@@ -90,7 +90,7 @@
 		}
 	}
 	for {
-		a, err := g.Read(0, time.Time{})
+		a, err := g.ReadResponse(0, time.Time{})
 		if err != nil || send(a.ID) != nil {
 			return
 		}
--- a/cmd/catalogue-server/main.go
+++ b/cmd/catalogue-server/main.go
@@ -7,4 +7,4 @@
 	"tillerusher/server"
 )
 
-func main() { os.Exit(server.Main(os.Args[1:], os.Getenv, os.Stderr)) }
+func main() { os.Exit(server.Serve(os.Args[1:], os.Getenv, os.Stderr)) }
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -55,51 +55,51 @@
 }
 
 // start starts a node whose interpreter is up, and waits until it serves.
-func start(t *testing.T, prepare func(it *servertest.Interpreter)) *servertest.Node {
+func start(t *testing.T, prepare func(it *servertest.Interpreter)) *servertest.Server {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
 	if prepare != nil {
 		prepare(it)
 	}
 	n := servertest.Start(t, program, it, nil)
-	n.WaitUp()
+	n.WaitHealthy()
 	return n
 }
 
-func prompt(it *servertest.Interpreter) { it.Prompt() }
+func prompt(it *servertest.Interpreter) { it.FinishImmediately() }
 
 // TestServe has requests of both classes served, with any bytes, and looks at what goes along.
 func TestServe(t *testing.T) {
 	n := start(t, prompt)
-	if got := n.Report(); got != "announce n3 true" {
+	if got := n.WaitReport(); got != "announce n3 true" {
 		t.Errorf("report %q", got)
 	}
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("a\x00\xff").Records(1), fake.Reserve(1, "").Records(2))
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "[a\x00\xff]" {
+	g.Write(fake.NewLookup("a\x00\xff").Encode(1), fake.NewReserve(1, "").Encode(2))
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "[a\x00\xff]" {
 		t.Errorf("answer %+v", a)
 	}
-	if a := g.Answer(2); a.Status != 200 || string(a.Body) != "[]" {
+	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "[]" {
 		t.Errorf("answer %+v", a)
 	}
-	for _, run := range n.Applied() {
+	for _, run := range n.StartedRuns() {
 		if run.Class == "part-lookup" && string(run.Body) != "a\x00\xff" {
 			t.Errorf("the body reached the interpreter as %q", run.Body)
 		}
 	}
 	// The module sets the value that callers read at its first look at the gauges.
-	servertest.Wait(t, "the hint on an answer", func() bool {
-		g.Write(fake.Lookup("").Records(1))
-		return g.Answer(1).Header.Get("Server-Hint") != ""
+	servertest.WaitFor(t, "the hint on an answer", func() bool {
+		g.Write(fake.NewLookup("").Encode(1))
+		return g.WaitResponse(1).Header.Get("Server-Hint") != ""
 	})
-	flawed := fake.Lookup(strings.Repeat("b", 2049))
-	for _, r := range []fake.Request{fake.Health(false), flawed, fake.Lookup("").With("Account", "")} {
-		g.Write(r.Records(1))
-		if a := g.Answer(1); a.Header.Get("Server-Hint") == "" {
+	flawed := fake.NewLookup(strings.Repeat("b", 2049))
+	for _, r := range []fake.Request{fake.NewHealthCheck(false), flawed, fake.NewLookup("").WithHeader("Account", "")} {
+		g.Write(r.Encode(1))
+		if a := g.WaitResponse(1); a.Header.Get("Server-Hint") == "" {
 			t.Errorf("answer without the hint %+v", a)
 		}
 	}
-	if got := n.Report(); got != "announce n3 true" {
+	if got := n.WaitReport(); got != "announce n3 true" {
 		t.Errorf("second report %q", got)
 	}
 }
@@ -109,20 +109,20 @@
 func TestRepeats(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	first, second := fake.Reserve(7, "x"), fake.Reserve(7, "x").With("Attempt-Again", "1")
-	g.Write(append(first.Records(1), second.Records(2)...))
-	n.End(n.WaitApplied(1)[0].ID, "OK", []byte("done"))
+	first, second := fake.NewReserve(7, "x"), fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1")
+	g.Write(append(first.Encode(1), second.Encode(2)...))
+	n.EndRun(n.WaitRuns(1)[0].ID, "OK", []byte("done"))
 	for id := range uint16(2) {
-		if a := g.Answer(id + 1); a.Status != 200 || string(a.Body) != "done" {
+		if a := g.WaitResponse(id + 1); a.Status != 200 || string(a.Body) != "done" {
 			t.Errorf("answer %+v", a)
 		}
 	}
 	other := servertest.Dial(t, n.Addr)
-	other.Write(fake.Reserve(7, "x").With("Attempt-Again", "1").Records(1))
-	if a := other.Answer(1); a.Status != 200 || string(a.Body) != "done" {
+	other.Write(fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1").Encode(1))
+	if a := other.WaitResponse(1); a.Status != 200 || string(a.Body) != "done" {
 		t.Errorf("answer to the later try %+v", a)
 	}
-	if runs := n.Applied(); len(runs) != 1 {
+	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 	n.WaitCounter("reused", 2)
@@ -130,23 +130,23 @@
 
 // TestClassesAreCounted has one request of a class served and one of another refused: the counters of each class tell so, and why.
 func TestClassesAreCounted(t *testing.T) {
-	n := start(t, func(it *servertest.Interpreter) { it.Busy(1) })
+	n := start(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("").Records(1), fake.Lookup("").Records(2)) // one a core
-	runs := n.WaitApplied(2)
-	n.WaitGauges()
-	old := fake.Reserve(7, "x").With("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
-	g.Write(old.Records(3))
-	if a := g.Answer(3); a.Status != 503 {
+	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
+	runs := n.WaitRuns(2)
+	n.WaitGaugeReading()
+	old := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
+	g.Write(old.Encode(3))
+	if a := g.WaitResponse(3); a.Status != 503 {
 		t.Fatalf("answer %+v", a)
 	}
-	n.End(runs[0].ID, "OK", []byte("a"))
-	if a := g.Answer(1); a.Status != 200 {
+	n.EndRun(runs[0].ID, "OK", []byte("a"))
+	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Fatalf("answer %+v", a)
 	}
 	type class struct{ Requests, Served, Refused, Failed int }
 	var line struct{ Classes map[string]class }
-	servertest.Wait(t, "counters by class", func() bool {
+	servertest.WaitFor(t, "counters by class", func() bool {
 		n.Signal(syscall.SIGUSR1)
 		for _, text := range strings.Split(n.Log(), "\n") {
 			if strings.Contains(text, `"msg":"classes"`) {
@@ -168,22 +168,22 @@
 // TestRefusedFreesKey has a keyed request turned away from the hold as its time runs out: it never ran, so a
 // further try of it counts as new and is run.
 func TestRefusedFreesKey(t *testing.T) {
-	n := start(t, func(it *servertest.Interpreter) { it.Busy(1) })
+	n := start(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("").Records(1), fake.Lookup("").Records(2)) // one a core
-	runs := n.WaitApplied(2)
-	n.WaitGauges() // by an older reading the cores have room
-	waiting := fake.Reserve(7, "x").With("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
-	g.Write(waiting.Records(3))
-	if a := g.Answer(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
+	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
+	runs := n.WaitRuns(2)
+	n.WaitGaugeReading() // by an older reading the cores have room
+	waiting := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
+	g.Write(waiting.Encode(3))
+	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Fatalf("answer %+v", a)
 	}
-	g.Write(fake.Reserve(7, "x").With("Attempt-Again", "1").Records(4))
+	g.Write(fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1").Encode(4))
 	for _, run := range runs {
-		n.End(run.ID, "OK", nil)
+		n.EndRun(run.ID, "OK", nil)
 	}
-	n.End(n.WaitApplied(3)[2].ID, "OK", []byte("new"))
-	if a := g.Answer(4); a.Status != 200 || string(a.Body) != "new" {
+	n.EndRun(n.WaitRuns(3)[2].ID, "OK", []byte("new"))
+	if a := g.WaitResponse(4); a.Status != 200 || string(a.Body) != "new" {
 		t.Errorf("answer to the further try %+v", a)
 	}
 }
@@ -192,16 +192,16 @@
 func TestFailedRun(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Reserve(7, "x").Records(1))
-	n.End(n.WaitApplied(1)[0].ID, "ERROR", nil)
-	if a := g.Answer(1); a.Status != 500 {
+	g.Write(fake.NewReserve(7, "x").Encode(1))
+	n.EndRun(n.WaitRuns(1)[0].ID, "ERROR", nil)
+	if a := g.WaitResponse(1); a.Status != 500 {
 		t.Errorf("answer %+v", a)
 	}
-	g.Write(fake.Reserve(7, "x").Records(2))
-	if a := g.Answer(2); a.Status != 500 || a.Protocol != 0 {
+	g.Write(fake.NewReserve(7, "x").Encode(2))
+	if a := g.WaitResponse(2); a.Status != 500 || a.ProtocolStatus != 0 {
 		t.Errorf("answer to the second try %+v", a)
 	}
-	if runs := n.Applied(); len(runs) != 1 {
+	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -211,25 +211,25 @@
 func TestLinkLost(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Reserve(1, "x").Records(1))
-	first := n.WaitApplied(1)[0].ID
-	n.Refuse(true)
-	n.Cut()
-	n.End(first, "OK", []byte("while away"))
-	g.Write(fake.Reserve(2, "y").Records(2)) // asked for while no link stands
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	first := n.WaitRuns(1)[0].ID
+	n.RejectLinks(true)
+	n.CutLink()
+	n.EndRun(first, "OK", []byte("while away"))
+	g.Write(fake.NewReserve(2, "y").Encode(2)) // asked for while no link stands
 	n.WaitCounter("open", 2)
-	n.Refuse(false)
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "while away" {
+	n.RejectLinks(false)
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "while away" {
 		t.Errorf("answer %+v", a)
 	}
-	runs := n.WaitApplied(2)
-	n.Cut() // the run goes on and is not begun again
+	runs := n.WaitRuns(2)
+	n.CutLink() // the run goes on and is not begun again
 	n.WaitCounter("links", 3)
-	n.End(runs[1].ID, "OK", []byte("second"))
-	if a := g.Answer(2); a.Status != 200 || string(a.Body) != "second" {
+	n.EndRun(runs[1].ID, "OK", []byte("second"))
+	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "second" {
 		t.Errorf("answer %+v", a)
 	}
-	if runs := n.Applied(); len(runs) != 2 {
+	if runs := n.StartedRuns(); len(runs) != 2 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -239,17 +239,17 @@
 func TestCallerLost(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Reserve(1, "x").Records(1))
-	run := n.WaitApplied(1)[0].ID
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	run := n.WaitRuns(1)[0].ID
 	g.Close()
 	n.WaitCounter("lost", 1)
-	n.End(run, "OK", []byte("kept"))
+	n.EndRun(run, "OK", []byte("kept"))
 	g = servertest.Dial(t, n.Addr)
-	g.Write(fake.Reserve(1, "x").Records(1))
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "kept" {
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "kept" {
 		t.Errorf("answer %+v", a)
 	}
-	if runs := n.Applied(); len(runs) != 1 {
+	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -261,8 +261,8 @@
 	const unread = 3300 * time.Millisecond // of 3.7 s
 	sent := time.Now()
 	arrived := sent.Add(-unread)
-	g.Write(fake.Lookup("").With("Received-At", strconv.FormatInt(arrived.UnixMilli(), 10)).Records(1))
-	a := g.Answer(1)
+	g.Write(fake.NewLookup("").WithHeader("Received-At", strconv.FormatInt(arrived.UnixMilli(), 10)).Encode(1))
+	a := g.WaitResponse(1)
 	if a.Status != 500 && a.Status != 503 {
 		t.Errorf("answer %+v", a)
 	}
@@ -271,8 +271,8 @@
 	}
 	// The run is stopped, and its end is no second answer.
 	n.WaitCounter("running", 0)
-	g.Write(fake.Health(false).Records(2))
-	if a := g.Answer(0); a.ID != 2 {
+	g.Write(fake.NewHealthCheck(false).Encode(2))
+	if a := g.WaitResponse(0); a.ID != 2 {
 		t.Errorf("second answer %+v", a)
 	}
 }
@@ -281,28 +281,28 @@
 // process ends by itself before it would be killed.
 func TestDrain(t *testing.T) {
 	n := start(t, nil)
-	n.Report()
+	n.WaitReport()
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("").Records(1))
-	run := n.WaitApplied(1)[0].ID
+	g.Write(fake.NewLookup("").Encode(1))
+	run := n.WaitRuns(1)[0].ID
 	n.Signal(syscall.SIGTERM)
-	servertest.Wait(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
+	servertest.WaitFor(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
 	begun := time.Now()
-	servertest.Wait(t, "the report of the leave", func() bool { return n.Report() == "announce n3 false" })
-	servertest.Wait(t, "the end of the grace", func() bool { return time.Since(begun) > 400*time.Millisecond })
-	g.Write(fake.Lookup("late").Records(2))
-	if a := g.Answer(2); a.Status != 503 || a.Header.Get("Back-Off-Ms") != "1000" {
+	servertest.WaitFor(t, "the report of the leave", func() bool { return n.WaitReport() == "announce n3 false" })
+	servertest.WaitFor(t, "the end of the grace", func() bool { return time.Since(begun) > 400*time.Millisecond })
+	g.Write(fake.NewLookup("late").Encode(2))
+	if a := g.WaitResponse(2); a.Status != 503 || a.Header.Get("Back-Off-Ms") != "1000" {
 		t.Errorf("answer after the grace %+v", a)
 	}
-	n.End(run, "OK", []byte("in time"))
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "in time" {
+	n.EndRun(run, "OK", []byte("in time"))
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "in time" {
 		t.Errorf("answer %+v", a)
 	}
-	g.Ended()
+	g.WaitClosed()
 	if status := n.WaitExit(); status != 0 {
 		t.Errorf("exit status %d", status)
 	}
-	if runs := n.Applied(); len(runs) != 1 {
+	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 	if n.Counter("served") != 1 || n.Counter("refused") != 1 {
@@ -314,13 +314,13 @@
 func TestDrainStuck(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Reserve(1, "x").Records(1))
-	n.WaitApplied(1)
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	n.WaitRuns(1)
 	n.Signal(syscall.SIGTERM)
-	if a := g.Answer(1); a.Status != 500 {
+	if a := g.WaitResponse(1); a.Status != 500 {
 		t.Errorf("answer %+v", a)
 	}
-	g.Ended()
+	g.WaitClosed()
 	if status := n.WaitExit(); status != 0 {
 		t.Errorf("exit status %d", status)
 	}
@@ -330,49 +330,49 @@
 func TestBadInput(t *testing.T) {
 	n := start(t, prompt)
 	g := servertest.Dial(t, n.Addr)
-	good := fake.Reserve(1, "x")
+	good := fake.NewReserve(1, "x")
 	for what, c := range map[string]struct {
 		r      fake.Request
 		status int
 	}{
-		"no id":           {good.With("Request-Id", ""), 400},
-		"short id":        {good.With("Request-Id", "9b1f"), 400},
-		"no time":         {good.With("Received-At", ""), 400},
-		"strange time":    {good.With("Received-At", "yesterday"), 400},
-		"strange account": {good.With("Account", "acme"), 400},
-		"no key":          {good.With("Once-Key", ""), 400},
-		"no footprint":    {good.With("Footprint-Kb", ""), 400},
-		"zero footprint":  {good.With("Footprint-Kb", "0"), 400},
-		"huge footprint":  {good.With("Footprint-Kb", "2000"), 400},
-		"not a number":    {good.With("Work-Estimate", "NaN"), 400},
-		"rank of 1":       {good.With("Priority-Rank", "1"), 400},
-		"negative work":   {good.With("Work-Estimate", "-12.5"), 400},
-		"endless work":    {good.With("Work-Estimate", "Inf"), 400},
-		"huge work":       {good.With("Work-Estimate", "100000"), 400},
-		"work in hex":     {good.With("Work-Estimate", "0x1p3"), 400},
-		"strange sender":  {good.With("Sent-By", "-1"), 400},
-		"strange mark":    {good.With("Attempt-Again", "yes"), 400},
-		"long ago":        {good.With("Received-At", "1"), 400},
-		"far ahead":       {good.With("Received-At", strconv.FormatInt(time.Now().Add(time.Hour).UnixMilli(), 10)), 400},
-		"unknown class":   {fake.Request{Method: "POST", Path: "/v1/brake-fluid", Fields: good.Fields}, 400},
-		"no class":        {fake.Request{Method: "POST", Path: "/stock-reserve", Fields: good.Fields}, 400},
-		"wrong method":    {fake.Request{Method: "GET", Path: good.Path, Fields: good.Fields}, 400},
-		"long body":       {fake.Reserve(1, strings.Repeat("b", 2049)), 413},
+		"no id":           {good.WithHeader("Request-Id", ""), 400},
+		"short id":        {good.WithHeader("Request-Id", "9b1f"), 400},
+		"no time":         {good.WithHeader("Received-At", ""), 400},
+		"strange time":    {good.WithHeader("Received-At", "yesterday"), 400},
+		"strange account": {good.WithHeader("Account", "acme"), 400},
+		"no key":          {good.WithHeader("Once-Key", ""), 400},
+		"no footprint":    {good.WithHeader("Footprint-Kb", ""), 400},
+		"zero footprint":  {good.WithHeader("Footprint-Kb", "0"), 400},
+		"huge footprint":  {good.WithHeader("Footprint-Kb", "2000"), 400},
+		"not a number":    {good.WithHeader("Work-Estimate", "NaN"), 400},
+		"rank of 1":       {good.WithHeader("Priority-Rank", "1"), 400},
+		"negative work":   {good.WithHeader("Work-Estimate", "-12.5"), 400},
+		"endless work":    {good.WithHeader("Work-Estimate", "Inf"), 400},
+		"huge work":       {good.WithHeader("Work-Estimate", "100000"), 400},
+		"work in hex":     {good.WithHeader("Work-Estimate", "0x1p3"), 400},
+		"strange sender":  {good.WithHeader("Sent-By", "-1"), 400},
+		"strange mark":    {good.WithHeader("Attempt-Again", "yes"), 400},
+		"long ago":        {good.WithHeader("Received-At", "1"), 400},
+		"far ahead":       {good.WithHeader("Received-At", strconv.FormatInt(time.Now().Add(time.Hour).UnixMilli(), 10)), 400},
+		"unknown class":   {fake.Request{Method: "POST", Path: "/v1/brake-fluid", Headers: good.Headers}, 400},
+		"no class":        {fake.Request{Method: "POST", Path: "/stock-reserve", Headers: good.Headers}, 400},
+		"wrong method":    {fake.Request{Method: "GET", Path: good.Path, Headers: good.Headers}, 400},
+		"long body":       {fake.NewReserve(1, strings.Repeat("b", 2049)), 413},
 	} {
-		g.Write(c.r.Records(1))
-		if a := g.Answer(1); a.Status != c.status {
+		g.Write(c.r.Encode(1))
+		if a := g.WaitResponse(1); a.Status != c.status {
 			t.Errorf("%s: answer %+v, want status %d", what, a, c.status)
 		}
 	}
-	g.Write(good.With("Account", strings.Repeat("a", 3000)).Records(1))
-	if a := g.Answer(1); a.Status != 400 || string(a.Body) != `field Account is "`+strings.Repeat("a", 40)+"\"\n" {
+	g.Write(good.WithHeader("Account", strings.Repeat("a", 3000)).Encode(1))
+	if a := g.WaitResponse(1); a.Status != 400 || string(a.Body) != `field Account is "`+strings.Repeat("a", 40)+"\"\n" {
 		t.Errorf("the answer does not name the field: %+v", a)
 	}
 	broken := servertest.Dial(t, n.Addr)
 	broken.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	broken.Ended()
-	g.Write(good.With("Sent-By", "4294967296").Records(2)) // the number of a gateway has no limit
-	if a := g.Answer(2); a.Status != 200 {
+	broken.WaitClosed()
+	g.Write(good.WithHeader("Sent-By", "4294967296").Encode(2)) // the number of a gateway has no limit
+	if a := g.WaitResponse(2); a.Status != 200 {
 		t.Errorf("answer after all that %+v", a)
 	}
 	n.WaitCounter("invalid", 23)
@@ -385,20 +385,20 @@
 func TestBorrowed(t *testing.T) {
 	n := start(t, prompt)
 	g := servertest.Dial(t, n.Addr)
-	r := fake.Reserve(1, "x")
-	g.Write(r.Records(1))
-	if a := g.Answer(1); a.Status != 200 {
+	r := fake.NewReserve(1, "x")
+	g.Write(r.Encode(1))
+	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Fatalf("answer %+v", a)
 	}
-	other := fake.Reserve(1, "y")
-	late := fake.Lookup("").With("Received-At", strconv.FormatInt(time.Now().Add(-5*time.Second).UnixMilli(), 10))
-	g.Write(late.Records(1))
-	if a := g.Answer(1); a.Status != 503 {
+	other := fake.NewReserve(1, "y")
+	late := fake.NewLookup("").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5*time.Second).UnixMilli(), 10))
+	g.Write(late.Encode(1))
+	if a := g.WaitResponse(1); a.Status != 503 {
 		t.Errorf("answer to a request whose time is over %+v", a)
 	}
 	for what, r := range map[string]fake.Request{"its id": r, "its key with another body": other, "an id that was refused": late} {
-		g.Write(r.Records(1))
-		if a := g.Answer(1); a.Status != 400 {
+		g.Write(r.Encode(1))
+		if a := g.WaitResponse(1); a.Status != 400 {
 			t.Errorf("%s: answer %+v", what, a)
 		}
 	}
@@ -411,14 +411,14 @@
 func TestUnknownFreesKey(t *testing.T) {
 	n := start(t, prompt)
 	g := servertest.Dial(t, n.Addr)
-	stray := fake.Reserve(1, "x")
-	n.Unknown(stray.ID())
-	g.Write(stray.Records(1))
-	if a := g.Answer(1); a.Status != 500 {
+	stray := fake.NewReserve(1, "x")
+	n.RejectRun(stray.ID())
+	g.Write(stray.Encode(1))
+	if a := g.WaitResponse(1); a.Status != 500 {
 		t.Errorf("answer to the stray %+v", a)
 	}
-	g.Write(fake.Reserve(1, "y").Records(2))
-	if a := g.Answer(2); a.Status != 200 || string(a.Body) != "[y]" {
+	g.Write(fake.NewReserve(1, "y").Encode(2))
+	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "[y]" {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -428,9 +428,9 @@
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	for id := range uint16(33) {
-		g.Write(fake.Lookup("").Records(id + 1))
+		g.Write(fake.NewLookup("").Encode(id + 1))
 	}
-	if a := g.Answer(33); a.Protocol != 2 || a.Status != 0 {
+	if a := g.WaitResponse(33); a.ProtocolStatus != 2 || a.Status != 0 {
 		t.Errorf("answer %+v", a)
 	}
 	n.WaitCounter("too_many", 1)
@@ -440,16 +440,16 @@
 func TestAbort(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("").Records(1))
-	run := n.WaitApplied(1)[0].ID
-	g.Write(fake.Record(fake.Abort, 1, nil, 0))
-	if a := g.Answer(1); a.Status != 500 {
+	g.Write(fake.NewLookup("").Encode(1))
+	run := n.WaitRuns(1)[0].ID
+	g.Write(fake.EncodeRecord(fake.AbortRequest, 1, nil, 0))
+	if a := g.WaitResponse(1); a.Status != 500 {
 		t.Errorf("answer %+v", a)
 	}
-	n.End(run, "OK", []byte("unwanted"))
+	n.EndRun(run, "OK", []byte("unwanted"))
 	n.WaitCounter("running", 0)
-	g.Write(fake.Health(false).Records(2))
-	if a := g.Answer(0); a.ID != 2 {
+	g.Write(fake.NewHealthCheck(false).Encode(2))
+	if a := g.WaitResponse(0); a.ID != 2 {
 		t.Errorf("second answer %+v", a)
 	}
 }
@@ -457,19 +457,19 @@
 // TestNotYetUp has an interpreter that comes up late: checks fail until then, and nothing is announced.
 func TestNotYetUp(t *testing.T) {
 	it := servertest.NewInterpreter(t)
-	it.Down()
+	it.MarkDown()
 	n := servertest.Start(t, program, it, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Health(false).Records(1), fake.Lookup("").Records(2))
-	if a := g.Answer(1); a.Status != 503 {
+	g.Write(fake.NewHealthCheck(false).Encode(1), fake.NewLookup("").Encode(2))
+	if a := g.WaitResponse(1); a.Status != 503 {
 		t.Errorf("health check %+v", a)
 	}
-	if a := g.Answer(2); a.Status != 503 {
+	if a := g.WaitResponse(2); a.Status != 503 {
 		t.Errorf("request %+v", a)
 	}
-	it.Start()
-	n.WaitUp()
-	if got := n.Report(); got != "announce n3 true" {
+	it.MarkUp()
+	n.WaitHealthy()
+	if got := n.WaitReport(); got != "announce n3 true" {
 		t.Errorf("report %q", got)
 	}
 }
@@ -495,7 +495,7 @@
 	if err := unix.Prlimit(n.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
 		t.Fatal(err)
 	}
-	servertest.Wait(t, "a caller to be turned away", func() bool {
+	servertest.WaitFor(t, "a caller to be turned away", func() bool {
 		servertest.Dial(t, n.Addr)
 		n.Signal(syscall.SIGUSR1)
 		return n.Counter("accept_errors") > 0
@@ -504,12 +504,12 @@
 		t.Fatal(err)
 	}
 	// One that came while none was free may still be turned away; the next ones are served.
-	servertest.Wait(t, "a caller to be served", func() bool {
+	servertest.WaitFor(t, "a caller to be served", func() bool {
 		g := servertest.Dial(t, n.Addr)
-		if g.Gateway.Write(fake.Lookup("").Records(1)) != nil {
+		if g.Gateway.Write(fake.NewLookup("").Encode(1)) != nil {
 			return false
 		}
-		a, err := g.TryAnswer(1)
+		a, err := g.TryResponse(1)
 		return err == nil && a.Status == 200
 	})
 }
@@ -536,7 +536,7 @@
 		if change == nil {
 			it := servertest.NewInterpreter(t)
 			first := servertest.Start(t, program, it, nil)
-			first.WaitUp()
+			first.WaitHealthy()
 			cmd := exec.Command("/bin/sh", "-c", program)
 			cmd.Env = append(os.Environ(), "RELAY_CONFIG="+first.ConfigPath, "RELAY_LISTEN="+first.Addr)
 			out, err := cmd.CombinedOutput()
--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -16,32 +16,32 @@
 func TestReload(t *testing.T) {
 	n := start(t, nil)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Reserve(1, "x").Records(1))
-	first := n.WaitApplied(1)[0].ID
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	first := n.WaitRuns(1)[0].ID
 	for range 2 {
-		addr, reports := n.Move(), servertest.NewAnnounce(t)
+		addr, reports := n.AddListener(), servertest.NewReportListener(t)
 		n.Configure(func(c map[string]any) { c["vm"], c["announce"] = addr, reports.LocalAddr().String() })
 		n.Signal(syscall.SIGHUP)
-		servertest.Wait(t, "the link at the new address", func() bool { return n.LinkAt() == addr })
+		servertest.WaitFor(t, "the link at the new address", func() bool { return n.LinkAddr() == addr })
 		if got := servertest.ReadReport(t, reports); got != "announce n3 true" {
 			t.Errorf("report at the new address %q", got)
 		}
 	}
-	g.Write(fake.Reserve(2, "y").Records(2))
-	second := n.WaitApplied(2)[1].ID
-	n.End(first, "OK", []byte("one"))
-	n.End(second, "OK", []byte("two"))
+	g.Write(fake.NewReserve(2, "y").Encode(2))
+	second := n.WaitRuns(2)[1].ID
+	n.EndRun(first, "OK", []byte("one"))
+	n.EndRun(second, "OK", []byte("two"))
 	for id, want := range map[uint16]string{1: "one", 2: "two"} {
-		if a := g.Answer(id); a.Status != 200 || string(a.Body) != want {
+		if a := g.WaitResponse(id); a.Status != 200 || string(a.Body) != want {
 			t.Errorf("answer to request %d: %+v", id, a)
 		}
 	}
-	g.Write(fake.Reserve(1, "x").Records(3))
-	if a := g.Answer(3); a.Status != 200 || string(a.Body) != "one" {
+	g.Write(fake.NewReserve(1, "x").Encode(3))
+	if a := g.WaitResponse(3); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("answer to the repeat %+v", a)
 	}
 	n.WaitCounter("reloads", 2)
-	if runs := n.Applied(); len(runs) != 2 {
+	if runs := n.StartedRuns(); len(runs) != 2 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -60,7 +60,7 @@
 			edit(c)
 		})
 		n.Signal(syscall.SIGHUP)
-		servertest.Wait(t, "the complaint about "+field, func() bool {
+		servertest.WaitFor(t, "the complaint about "+field, func() bool {
 			for _, line := range strings.Split(n.Log(), "\n") {
 				if strings.Contains(line, "configuration not reloaded") && strings.Contains(line, field) {
 					return true
@@ -74,8 +74,8 @@
 	}
 	n.Signal(syscall.SIGHUP)
 	g := servertest.Dial(t, addr)
-	g.Write(fake.Lookup("still here").Records(1))
-	if a := g.Answer(1); a.Status != 200 {
+	g.Write(fake.NewLookup("still here").Encode(1))
+	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
 	n.WaitCounter("links", 1)
@@ -86,32 +86,32 @@
 // while the link is being made anew, and during a drain.
 func TestReloadAnyTime(t *testing.T) {
 	it := servertest.NewInterpreter(t)
-	it.Down()
+	it.MarkDown()
 	n := servertest.Start(t, program, it, nil)
 	servertest.Dial(t, n.Addr) // it listens
 	hup := func() {
-		addr := n.Move()
+		addr := n.AddListener()
 		n.Configure(func(c map[string]any) { c["vm"] = addr })
 		n.Signal(syscall.SIGHUP)
 	}
 	hup()
 	n.WaitCounter("reloads", 1)
-	it.Start()
-	n.WaitUp()
-	n.Refuse(true)
-	n.Cut()
+	it.MarkUp()
+	n.WaitHealthy()
+	n.RejectLinks(true)
+	n.CutLink()
 	hup()
 	n.WaitCounter("reloads", 2)
-	n.Refuse(false)
+	n.RejectLinks(false)
 	g := servertest.Dial(t, n.Addr)
-	g.Write(fake.Lookup("").Records(1))
-	run := n.WaitApplied(1)[0].ID
+	g.Write(fake.NewLookup("").Encode(1))
+	run := n.WaitRuns(1)[0].ID
 	n.Signal(syscall.SIGTERM)
-	servertest.Wait(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
+	servertest.WaitFor(t, "the drain", func() bool { return strings.Contains(n.Log(), `"draining"`) })
 	hup()
-	servertest.Wait(t, "the link at the last address", func() bool { return n.LinkAt() == it.Addr() })
-	n.End(run, "OK", []byte("done"))
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "done" {
+	servertest.WaitFor(t, "the link at the last address", func() bool { return n.LinkAddr() == it.Addr() })
+	n.EndRun(run, "OK", []byte("done"))
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "done" {
 		t.Errorf("answer %+v", a)
 	}
 	if status := n.WaitExit(); status != 0 {
@@ -122,13 +122,13 @@
 // TestReloadEarly sends SIGHUP again and again from the first moment of the process on.
 func TestReloadEarly(t *testing.T) {
 	n := servertest.Start(t, program, servertest.NewInterpreter(t), nil)
-	servertest.Wait(t, "the shell to become the program", func() bool {
+	servertest.WaitFor(t, "the shell to become the program", func() bool {
 		name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", n.Process.Pid))
 		return err == nil && strings.TrimSpace(string(name)) == "catalogue-serve" // the kernel keeps 15 bytes of a name
 	})
-	servertest.Wait(t, "a configuration to be taken over", func() bool {
+	servertest.WaitFor(t, "a configuration to be taken over", func() bool {
 		n.Signal(syscall.SIGHUP)
 		return strings.Contains(n.Log(), "configuration reloaded")
 	})
-	n.WaitUp()
+	n.WaitHealthy()
 }
--- a/cmd/catalogue-server/rude_test.go
+++ b/cmd/catalogue-server/rude_test.go
@@ -15,30 +15,30 @@
 func TestUnfinished(t *testing.T) {
 	n := start(t, prompt)
 	sound := servertest.Dial(t, n.Addr)
-	whole := fake.Lookup("x").Records(1)
+	whole := fake.NewLookup("x").Encode(1)
 	sound.Write(whole[:40])
 	begun := time.Now()
 	silent, half, cut := servertest.Dial(t, n.Addr), servertest.Dial(t, n.Addr), servertest.Dial(t, n.Addr)
 	half.Write(whole[:len(whole)-8])
-	cut.Write(fake.Lookup("").Records(1))
-	if a := cut.Answer(1); a.Status != 200 {
+	cut.Write(fake.NewLookup("").Encode(1))
+	if a := cut.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
-	cut.Write(fake.Lookup("").Records(2)[:20])
-	servertest.Wait(t, "a pause", func() bool { return time.Since(begun) > 500*time.Millisecond })
+	cut.Write(fake.NewLookup("").Encode(2)[:20])
+	servertest.WaitFor(t, "a pause", func() bool { return time.Since(begun) > 500*time.Millisecond })
 	sound.Write(whole[40:])
-	if a := sound.Answer(1); a.Status != 200 {
+	if a := sound.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer to the gateway that paused %+v", a)
 	}
 	for what, g := range map[string]*servertest.Gateway{"silent": silent, "half a request": half, "half a second request": cut} {
-		g.Ended()
+		g.WaitClosed()
 		if took := time.Since(begun); took < 2*time.Second {
 			t.Errorf("%s: closed after %v, too soon for a gateway that pauses", what, took)
 		}
 	}
 	n.WaitCounter("unfinished", 3)
-	sound.Write(fake.Lookup("").Records(2))
-	if a := sound.Answer(2); a.Status != 200 {
+	sound.Write(fake.NewLookup("").Encode(2))
+	if a := sound.WaitResponse(2); a.Status != 200 {
 		t.Errorf("answer to the gateway %+v", a)
 	}
 }
@@ -48,13 +48,13 @@
 func TestEndless(t *testing.T) {
 	n := start(t, prompt)
 	g := servertest.Dial(t, n.Addr)
-	r := fake.Lookup("")
-	g.Write(fake.BeginRecord(1, 1, true), fake.Record(fake.Params, 1, r.ParamBytes(), 0), fake.Record(fake.Params, 1, nil, 0))
-	g.Write(bytes.Repeat(fake.Record(fake.Stdin, 1, make([]byte, 65000), 0), 100))
-	if a := g.Answer(1); a.Status != 413 {
+	r := fake.NewLookup("")
+	g.Write(fake.EncodeBeginRequest(1, 1, true), fake.EncodeRecord(fake.Params, 1, r.EncodeParams(), 0), fake.EncodeRecord(fake.Params, 1, nil, 0))
+	g.Write(bytes.Repeat(fake.EncodeRecord(fake.Stdin, 1, make([]byte, 65000), 0), 100))
+	if a := g.WaitResponse(1); a.Status != 413 {
 		t.Errorf("answer %+v", a)
 	}
-	g.Ended()
+	g.WaitClosed()
 	n.WaitCounter("broken", 1)
 }
 
@@ -62,18 +62,18 @@
 // get in and are served, and one that was there before is left alone.
 func TestCrowd(t *testing.T) {
 	it := servertest.NewInterpreter(t)
-	it.Prompt()
+	it.FinishImmediately()
 	n := servertest.Start(t, program, it, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 64}
 	})
-	n.WaitUp()
+	n.WaitHealthy()
 	resident := servertest.Dial(t, n.Addr)
 	// On a loaded machine a run may take long enough to look like a stall: then it is refused, and comes again.
 	serve := func(g *servertest.Gateway) {
 		t.Helper()
-		servertest.Wait(t, "the resident to be served", func() bool {
-			g.Write(fake.Lookup("").Records(1))
-			return g.Answer(1).Status == 200
+		servertest.WaitFor(t, "the resident to be served", func() bool {
+			g.Write(fake.NewLookup("").Encode(1))
+			return g.WaitResponse(1).Status == 200
 		})
 	}
 	for range 10 {
@@ -82,17 +82,17 @@
 		}
 		for range 10 { // ask once and stay, those that get in
 			g := servertest.Dial(t, n.Addr)
-			g.Write(fake.Lookup("").Records(1))
-			g.TryAnswer(1)
+			g.Write(fake.NewLookup("").Encode(1))
+			g.TryResponse(1)
 		}
-		servertest.Wait(t, "a newcomer to be served", func() bool {
+		servertest.WaitFor(t, "a newcomer to be served", func() bool {
 			g := servertest.Dial(t, n.Addr)
-			g.Write(fake.Lookup("").Records(1))
-			_, err := g.TryAnswer(1)
+			g.Write(fake.NewLookup("").Encode(1))
+			_, err := g.TryResponse(1)
 			return err == nil
 		})
 		serve(resident)
 	}
 	n.Signal(syscall.SIGUSR1)
-	servertest.Wait(t, "the counters", func() bool { return n.Counter("made_room") > 0 })
+	servertest.WaitFor(t, "the counters", func() bool { return n.Counter("made_room") > 0 })
 }
--- a/cmd/catalogue-server/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -22,17 +22,17 @@
 
 // slips sends keyed requests, most of them for few keys, and tells the observer.
 type slips struct {
-	observer *invariant.Observer
+	observer *invariant.Checker
 	rng      *rand.Rand
 	keys     int // that there are so far
 
 	mu     sync.Mutex
-	counts map[invariant.Answer]int
+	counts map[invariant.Outcome]int
 	killed int // tries that were open when the server died
 }
 
 // next makes one try.
-func (s *slips) next() (fake.Request, invariant.Try) {
+func (s *slips) next() (fake.Request, invariant.Attempt) {
 	n := s.rng.IntN(s.keys + 1)
 	switch {
 	case n == s.keys:
@@ -41,9 +41,9 @@
 		n = max(s.keys-1-s.rng.IntN(5), 0) // the newest are the most popular
 	}
 	body := fmt.Sprint("slip ", n)
-	r := fake.Reserve(n, body)
+	r := fake.NewReserve(n, body)
 	now := time.Now()
-	return r, invariant.Try{ID: r.ID(), Key: r.Fields["Once-Key"], Once: true, Result: "[" + body + "]", Received: now, Due: now.Add(fake.ReserveDeadline + 5*time.Second)}
+	return r, invariant.Attempt{ID: r.ID(), Key: r.Headers["Once-Key"], AtMostOnce: true, ExpectedBody: "[" + body + "]", Received: now, Deadline: now.Add(fake.ReserveDeadline + 5*time.Second)}
 }
 
 // load keeps so many tries open on one connection until it ends, and returns how many were answered.
@@ -58,15 +58,15 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		r, try := s.next()
-		s.observer.Sent(try)
+		s.observer.RecordSent(try)
 		open[stream] = try.ID
-		return g.Write(r.Records(stream)) == nil
+		return g.Write(r.Encode(stream)) == nil
 	}
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, id := range open {
-			s.observer.Lost(id)
+			s.observer.RecordLost(id)
 			s.killed++
 		}
 	}()
@@ -76,7 +76,7 @@
 		}
 	}
 	for {
-		a, err := g.Read(0, time.Time{})
+		a, err := g.ReadResponse(0, time.Time{})
 		if err != nil {
 			return
 		}
@@ -85,11 +85,11 @@
 		case a.Status == 200:
 			kind = invariant.Served
 		case a.Status == 503:
-			kind = invariant.Refused
+			kind = invariant.Rejected
 		}
 		s.mu.Lock()
 		s.counts[kind]++
-		s.observer.Answered(open[a.ID], kind, string(a.Body), time.Now())
+		s.observer.RecordAnswer(open[a.ID], kind, string(a.Body), time.Now())
 		delete(open, a.ID)
 		s.mu.Unlock()
 		answered()
@@ -106,20 +106,20 @@
 	t.Logf("seed %d", seed)
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
-	it.Prompt()
-	s := &slips{observer: invariant.New(fake.Window), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Answer]int{}}
-	it.OnApply(func(a fake.Apply) { s.observer.Ran(a.ID) })
+	it.FinishImmediately()
+	s := &slips{observer: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Outcome]int{}}
+	it.OnRun(func(a fake.RunCommand) { s.observer.RecordRun(a.ID) })
 	recovered := 0
 	for range *stateKills {
 		n := servertest.Start(t, program+" serve --state "+dir, it, nil)
-		n.WaitUp()
+		n.WaitHealthy()
 		most, answers := s.rng.IntN(400), make(chan bool, 1<<16)
 		ended := make(chan bool)
 		go func() {
 			defer close(ended)
 			s.load(t, n.Addr, func() { answers <- true })
 		}()
-		servertest.Wait(t, "answers", func() bool { return len(answers) >= most })
+		servertest.WaitFor(t, "answers", func() bool { return len(answers) >= most })
 		time.Sleep(time.Duration(rand.IntN(2000)) * time.Microsecond) // anywhere between two of them
 		n.Signal(syscall.SIGKILL)
 		n.WaitExit()
@@ -128,11 +128,11 @@
 			recovered++
 		}
 	}
-	if b := s.observer.Breaches(time.Now().Add(time.Minute)); len(b) > 0 {
+	if b := s.observer.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
 		t.Errorf("%d rules were broken, the first: %s", len(b), b[0])
 	}
 	t.Logf("%d kills: %d slips, %d served, %d refused, %d failed, %d open at a kill; %d starts found state", *stateKills, s.keys,
-		s.counts[invariant.Served], s.counts[invariant.Refused], s.counts[invariant.Failed], s.killed, recovered)
+		s.counts[invariant.Served], s.counts[invariant.Rejected], s.counts[invariant.Failed], s.killed, recovered)
 	if s.counts[invariant.Served] == 0 || recovered < *stateKills/2 {
 		t.Error("nothing was served, or no start found state")
 	}
@@ -143,31 +143,31 @@
 func TestStateRestart(t *testing.T) {
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
-	ask := func(n *servertest.Node, number int) fake.Answer {
+	ask := func(n *servertest.Server, number int) fake.Response {
 		g := servertest.Dial(t, n.Addr)
-		g.Write(fake.Reserve(number, "b").Records(1))
-		return g.Answer(1)
+		g.Write(fake.NewReserve(number, "b").Encode(1))
+		return g.WaitResponse(1)
 	}
 	n := servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitUp()
+	n.WaitHealthy()
 	g := servertest.Dial(t, n.Addr)
-	first, second := fake.Reserve(1, "b"), fake.Reserve(2, "b")
-	g.Write(first.Records(1), second.Records(2))
-	it.WaitApplied(2)
-	it.End(first.ID(), "OK", []byte("one"))
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "one" {
+	first, second := fake.NewReserve(1, "b"), fake.NewReserve(2, "b")
+	g.Write(first.Encode(1), second.Encode(2))
+	it.WaitRuns(2)
+	it.EndRun(first.ID(), "OK", []byte("one"))
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Fatalf("answer %+v", a)
 	}
-	servertest.Wait(t, "the result on the disk", func() bool {
+	servertest.WaitFor(t, "the result on the disk", func() bool {
 		n.Signal(syscall.SIGUSR1)
 		return strings.Contains(n.Log(), "\"results_kept\":1")
 	})
 	n.Signal(syscall.SIGKILL)
 	n.WaitExit()
-	it.End(second.ID(), "OK", []byte("two")) // nobody hears of it
-	it.Prompt()
+	it.EndRun(second.ID(), "OK", []byte("two")) // nobody hears of it
+	it.FinishImmediately()
 	n = servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitUp()
+	n.WaitHealthy()
 	if a := ask(n, 1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("a repeat of what finished: %+v", a)
 	}
@@ -182,9 +182,9 @@
 		t.Errorf("status %d after the drain", status)
 	}
 	n = servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitUp()
-	if a := ask(n, 3); a.Status != 200 || string(a.Body) != "[b]" || len(it.Applied()) != 3 {
-		t.Errorf("a repeat after a drain: %+v, %d runs", a, len(it.Applied()))
+	n.WaitHealthy()
+	if a := ask(n, 3); a.Status != 200 || string(a.Body) != "[b]" || len(it.StartedRuns()) != 3 {
+		t.Errorf("a repeat after a drain: %+v, %d runs", a, len(it.StartedRuns()))
 	}
 }
 
@@ -193,15 +193,15 @@
 func TestStateFullDisk(t *testing.T) {
 	full := filepath.Join(t.TempDir(), "full")
 	it := servertest.NewInterpreter(t)
-	it.Prompt()
+	it.FinishImmediately()
 	n := servertest.Start(t, "exec "+kit+" state serve --dir "+t.TempDir()+" --full-while "+full, it, nil)
-	n.WaitUp()
+	n.WaitHealthy()
 	g := servertest.Dial(t, n.Addr)
 	number := 0
-	ask := func() fake.Answer {
+	ask := func() fake.Response {
 		number++
-		g.Write(fake.Reserve(number, "b").Records(1))
-		return g.Answer(1)
+		g.Write(fake.NewReserve(number, "b").Encode(1))
+		return g.WaitResponse(1)
 	}
 	for round := range 3 {
 		if a := ask(); a.Status != 200 {
@@ -210,22 +210,22 @@
 		if err := os.WriteFile(full, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		servertest.Wait(t, "the disk to be found full", func() bool { return ask().Status == 503 })
-		applied := len(it.Applied())
+		servertest.WaitFor(t, "the disk to be found full", func() bool { return ask().Status == 503 })
+		applied := len(it.StartedRuns())
 		if a := ask(); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 			t.Errorf("round %d: a keyed request with a full disk: %+v", round, a)
 		}
-		if len(it.Applied()) != applied {
+		if len(it.StartedRuns()) != applied {
 			t.Error("a request that was refused ran")
 		}
-		g.Write(fake.Lookup("x").Records(2))
-		if a := g.Answer(2); a.Status != 200 {
+		g.Write(fake.NewLookup("x").Encode(2))
+		if a := g.WaitResponse(2); a.Status != 200 {
 			t.Errorf("round %d: a lookup with a full disk: %+v", round, a)
 		}
 		if err := os.Remove(full); err != nil {
 			t.Fatal(err)
 		}
-		servertest.Wait(t, "the disk to be asked again", func() bool { return ask().Status == 200 })
+		servertest.WaitFor(t, "the disk to be asked again", func() bool { return ask().Status == 200 })
 	}
 	for _, line := range []string{"state not written", "no space left on device", "state written again"} {
 		if !strings.Contains(n.Log(), line) {
@@ -244,32 +244,32 @@
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
 	old := servertest.Start(t, program+" serve --state "+dir, it, nil)
-	old.WaitUp()
+	old.WaitHealthy()
 	g := servertest.Dial(t, old.Addr)
-	r := fake.Reserve(1, "b")
-	g.Write(r.Records(1))
-	it.WaitApplied(1)
+	r := fake.NewReserve(1, "b")
+	g.Write(r.Encode(1))
+	it.WaitRuns(1)
 	old.Signal(syscall.SIGTERM)
 	successor := servertest.Start(t, program+" serve --state "+dir, it, nil)
-	servertest.Wait(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
+	servertest.WaitFor(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
 	third := servertest.Start(t, program+" serve --state "+dir, it, nil) // told to leave while it waits
-	servertest.Wait(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the folder") })
+	servertest.WaitFor(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the folder") })
 	third.Signal(syscall.SIGTERM)
 	if status := third.WaitExit(); status != 0 {
 		t.Errorf("told to leave while it waits: status %d", status)
 	}
-	it.End(r.ID(), "OK", []byte("one"))
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "one" {
+	it.EndRun(r.ID(), "OK", []byte("one"))
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("answer in the drain: %+v", a)
 	}
 	if status := old.WaitExit(); status != 0 {
 		t.Errorf("status %d after the drain", status)
 	}
-	successor.WaitUp()
+	successor.WaitHealthy()
 	h := servertest.Dial(t, successor.Addr)
-	h.Write(fake.Reserve(1, "b").Records(1))
-	if a := h.Answer(1); a.Status != 200 || string(a.Body) != "one" || len(it.Applied()) != 1 {
-		t.Errorf("a repeat at the successor: %+v, %d runs", a, len(it.Applied()))
+	h.Write(fake.NewReserve(1, "b").Encode(1))
+	if a := h.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" || len(it.StartedRuns()) != 1 {
+		t.Errorf("a repeat at the successor: %+v, %d runs", a, len(it.StartedRuns()))
 	}
 }
 
@@ -278,10 +278,10 @@
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
 	n := servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitUp()
+	n.WaitHealthy()
 	refused := func(name, text string) {
 		t.Helper()
-		m := servertest.StartNamed(t, program+" serve --state "+dir, it, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
+		m := servertest.StartWithConfigName(t, program+" serve --state "+dir, it, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
 		status := m.WaitExit()
 		lines := strings.Split(strings.TrimSpace(m.Log()), "\n")
 		if strings.Contains(lines[0], "waiting for the folder") {
--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -31,9 +31,9 @@
 }
 
 func describe(s *capture.Segment) (segmentInfo, error) {
-	i := segmentInfo{Path: s.Path, Bytes: s.Size, Raw: s.Raw, Meta: s.Meta, Until: s.Meta.Module, Complete: s.Complete,
+	i := segmentInfo{Path: s.Path, Bytes: s.Size, Raw: s.UncompressedBytes, Meta: s.Meta, Until: s.Meta.ModuleTime, Complete: s.Complete,
 		State: s.Snapshot != nil, Damage: s.Damage}
-	err := s.Each(func(_ capture.Position, r *capture.Record) error {
+	err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
 		i.Records++
 		i.Until = max(i.Until, r.At)
 		return nil
@@ -52,7 +52,7 @@
 					return inputError{err}
 				}
 				p.line("%s  %s  %s to %s  %d records  %d B, %.1f B/record  %s", i.Path, i.Meta.Server,
-					s.Unix(i.Meta.Module).UTC().Format("2006-01-02 15:04:05.000"), s.Unix(i.Until).UTC().Format("15:04:05.000"),
+					s.UnixTime(i.Meta.ModuleTime).UTC().Format("2006-01-02 15:04:05.000"), s.UnixTime(i.Until).UTC().Format("15:04:05.000"),
 					i.Records, i.Bytes, float64(i.Bytes)/float64(max(i.Records, 1)), condition(i))
 				if err := p.object(i); err != nil {
 					return err
@@ -120,15 +120,15 @@
 				wanted[k] = true
 			}
 			for _, s := range segments {
-				err := s.Each(func(at capture.Position, r *capture.Record) error {
+				err := s.ForEach(func(at capture.Position, r *capture.Record) error {
 					if r.At < from || to > 0 && r.At > to || len(wanted) > 0 && !wanted[r.Kind.String()] {
 						return nil
 					}
 					indent := ""
-					if !r.Kind.Event() {
+					if !r.Kind.IsEvent() {
 						indent = "  "
 					}
-					p.line("%8d %12v %s%s", at.Number, r.At, indent, replay.Text(r))
+					p.line("%8d %12v %s%s", at.Number, r.At, indent, replay.FormatRecord(r))
 					return p.object(r)
 				})
 				if err != nil {
--- a/cmd/cataloguectl/config.go
+++ b/cmd/cataloguectl/config.go
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			list, err := nginx.Parse(nginx.Disk{FS: os.DirFS("/")}, name)
+			list, err := nginx.Parse(nginx.FSReader{FS: os.DirFS("/")}, name)
 			if err != nil {
 				return inputError{err}
 			}
@@ -83,7 +83,7 @@
 				return err
 			}
 			if err := p.object(struct {
-				Remarks []nginx.Remark `json:"remarks"`
+				Remarks []nginx.Diagnostic `json:"remarks"`
 			}{remarks}); err != nil {
 				return err
 			}
@@ -99,7 +99,7 @@
 }
 
 // writeDescription writes a description to a new file or to standard output.
-func writeDescription(p printer, d *routeconfig.Description, out string) error {
+func writeDescription(p printer, d *routeconfig.Config, out string) error {
 	if out == "" {
 		p.text(d.Format())
 		return nil
@@ -113,8 +113,8 @@
 }
 
 // explainPath says how a path finds its location in each server that listens.
-func explainPath(p printer, d *routeconfig.Description, host, path string) error {
-	table, err := d.Table()
+func explainPath(p printer, d *routeconfig.Config, host, path string) error {
+	table, err := d.BuildTable()
 	if err != nil {
 		return inputError{err}
 	}
@@ -125,15 +125,15 @@
 				continue
 			}
 			seen[l.Addr.String()] = true
-			server, why := table.Server(l.Addr, host)
-			p.line("at %v: the server of %s, by %s", l.Addr, server.At, why)
+			server, why := table.FindServer(l.Addr, host)
+			p.line("at %v: the server of %s, by %s", l.Addr, server.Source, why)
 			asked, query, _ := strings.Cut(path, "?")
 			m, steps, err := server.Explain(asked, query)
 			if err != nil {
 				p.line("  %s is a bad request: %v", path, err)
 				continue
 			}
-			if first, err := route.Normalise(asked, server.Merge); err == nil {
+			if first, err := route.NormalizePath(asked, server.MergeSlashes); err == nil {
 				p.line("  %s is looked up as %s", path, first)
 			}
 			for _, step := range steps {
@@ -148,7 +148,7 @@
 }
 
 // told says what becomes of a request at its location.
-func told(p printer, m route.Outcome) error {
+func told(p printer, m route.Resolution) error {
 	result := struct {
 		Path     string `json:"path"`
 		Location string `json:"location,omitempty"`
@@ -159,20 +159,20 @@
 	}{Path: m.Path}
 	switch {
 	case m.Status != 0:
-		result.Status, result.To = m.Status, m.To
-		p.line("  answered with %d %s", m.Status, m.To)
+		result.Status, result.To = m.Status, m.RedirectURL
+		p.line("  answered with %d %s", m.Status, m.RedirectURL)
 	case m.Location == nil:
 		result.Status = 404
 		p.line("  no location: 404")
-	case m.Redirect:
+	case m.RedirectTrailingSlash:
 		result.Status = 301
 		p.line("  a redirect to %s/", m.Path)
 	default:
 		l := m.Location.Value.(*routeconfig.Location)
-		result.Location, result.At, result.Pool, result.Status = m.Location.String(), m.Location.At, l.Pool, l.Status
+		result.Location, result.At, result.Pool, result.Status = m.Location.String(), m.Location.Source, l.Pool, l.ReturnStatus
 		switch {
-		case l.Status != 0 && !m.Settled:
-			p.line("  answered with %d", l.Status)
+		case l.ReturnStatus != 0 && !m.StoppedByBreak:
+			p.line("  answered with %d", l.ReturnStatus)
 		case l.Pool != "":
 			p.line("  goes to the pool %s as %s", l.Pool, m.Path)
 		default:
--- a/cmd/cataloguectl/cut.go
+++ b/cmd/cataloguectl/cut.go
@@ -20,7 +20,7 @@
 				if i > 0 && s.Meta.Run == segments[i-1].Meta.Run {
 					continue
 				}
-				if err := stats(p, replay.Start(segments, s.Meta.Run)); err != nil {
+				if err := stats(p, replay.SegmentsOfRun(segments, s.Meta.Run)); err != nil {
 					return err
 				}
 			}
@@ -30,26 +30,26 @@
 
 // stats sums up one start of the server.
 func stats(p printer, segments []*capture.Segment) error {
-	set, err := replay.Settings(segments)
+	set, err := replay.RecordedSettings(segments)
 	if err != nil {
 		return inputError{err}
 	}
-	outcomes, err := replay.Outcomes(segments, set.Cores)
+	outcomes, err := replay.RecordedAttempts(segments, set.Cores)
 	if err != nil {
 		return inputError{err}
 	}
 	m := segments[0].Meta
-	tallies := replay.Tallies(outcomes, m, set.Classes)
-	p.line("%s, started %s UTC", m.Server, m.Unix.UTC().Format("2006-01-02 15:04:05"))
+	tallies := replay.Summarize(outcomes, m, set.Classes)
+	p.line("%s, started %s UTC", m.Server, m.UnixTime.UTC().Format("2006-01-02 15:04:05"))
 	p.line("%-16s %-12s %7s %7s %7s %7s %7s %7s %9s %9s %9s", "class", "tenant", "tries", "served", "reused", "on time",
 		"refused", "failed", "p50 ms", "p99 ms", "held p99")
 	for _, t := range tallies {
-		p.line("%-16s %-12s %7d %7d %7d %7d %7d %7d %9.1f %9.1f %9.1f", t.Class, t.Tenant, t.Tries, t.Served, t.Reused,
-			t.OnTime, t.Refused, t.Failed, t.P50, t.P99, t.HeldP99)
+		p.line("%-16s %-12s %7d %7d %7d %7d %7d %7d %9.1f %9.1f %9.1f", t.Class, t.Tenant, t.Attempts, t.Served, t.Replayed,
+			t.OnTime, t.Rejected, t.Failed, t.P50, t.P99, t.QueuedP99)
 	}
 	return p.object(struct {
-		Meta    capture.Meta   `json:"meta"`
-		Tallies []replay.Tally `json:"tallies"`
+		Meta    capture.Meta     `json:"meta"`
+		Tallies []replay.Summary `json:"tallies"`
 	}{m, tallies})
 }
 
@@ -65,13 +65,13 @@
 			"  cataloguectl capture cut DIR --from 2m --to 2m30s -o half-minute.capture",
 		Args: cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
-			segments = replay.Start(segments, "")
+			segments = replay.SegmentsOfRun(segments, "")
 			if around != "" {
 				stories, err := replay.Explain(segments, around)
 				if err != nil {
 					return inputError{err}
 				}
-				span = replay.Around(stories)
+				span = replay.SpanOf(stories)
 			} else if span.To == 0 {
 				span.To = 1<<63 - 1
 			}
@@ -96,7 +96,7 @@
 }
 
 // cut takes a piece of a capture.
-func cut(segments []*capture.Segment, span replay.Span, redecide bool) (*replay.Piece, error) {
+func cut(segments []*capture.Segment, span replay.Span, redecide bool) (*replay.Excerpt, error) {
 	if !redecide {
 		return replay.Cut(segments, span)
 	}
@@ -104,11 +104,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return piece.Redecide(nil)
+	return piece.Replay(nil)
 }
 
 // write writes a piece and says what is in it.
-func write(p printer, piece *replay.Piece, out, comment string) error {
+func write(p printer, piece *replay.Excerpt, out, comment string) error {
 	if err := piece.Write(out, comment); err != nil {
 		return inputError{err}
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	p.line("%s: %d records over %v, %d B", out, i.Records, (i.Until - i.Meta.Module).Round(time.Millisecond), i.Bytes)
+	p.line("%s: %d records over %v, %d B", out, i.Records, (i.Until - i.Meta.ModuleTime).Round(time.Millisecond), i.Bytes)
 	return p.object(i)
 }
 
@@ -149,7 +149,7 @@
 				return inputError{err}
 			}
 			small, runs, err := replay.Shrink(piece, predicate)
-			if errors.Is(err, replay.ErrNotSeen) {
+			if errors.Is(err, replay.ErrNotMatched) {
 				fmt.Fprintln(cmd.ErrOrStderr(), err)
 				return errFound
 			}
--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -40,7 +40,7 @@
 				if i > 0 {
 					p.line("")
 				}
-				for _, line := range s.Words() {
+				for _, line := range s.Lines() {
 					p.line("%s", line)
 				}
 				if err := p.object(s); err != nil {
@@ -59,17 +59,17 @@
 	if err != nil {
 		return err
 	}
-	m, err := replay.At(segments, at, around)
+	m, err := replay.InspectAt(segments, at, around)
 	if err != nil {
 		return inputError{err}
 	}
 	p.line("At %s UTC (%v of the module's clock):", m.Unix.UTC().Format("15:04:05.000"), m.At.Round(time.Millisecond))
-	for _, line := range replay.Knew(&m.Known) {
+	for _, line := range replay.DescribeState(&m.State) {
 		p.line("  %s", line)
 	}
 	p.line("Decided within %v:", around)
-	for _, d := range m.Near {
-		p.line("  %+v  %s (#%d) %s", (d.At - m.At).Round(100*time.Microsecond), d.Wire, d.ID, d.Text)
+	for _, d := range m.Decisions {
+		p.line("  %+v  %s (#%d) %s", (d.At - m.At).Round(100*time.Microsecond), d.WireID, d.ID, d.Text)
 	}
 	return p.object(m)
 }
@@ -77,7 +77,7 @@
 // parseTime reads a time and finds the start of the server that it belongs to.
 func parseTime(segments []*capture.Segment, text string) ([]*capture.Segment, time.Duration, error) {
 	if d, err := time.ParseDuration(text); err == nil {
-		return replay.Start(segments, ""), d, nil
+		return replay.SegmentsOfRun(segments, ""), d, nil
 	}
 	unix, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil && len(segments) > 0 {
@@ -85,7 +85,7 @@
 		if clock, err = time.Parse("15:04:05", text); err != nil {
 			clock, err = time.Parse("15:04", text)
 		}
-		day := segments[len(segments)-1].Meta.Unix.UTC().Truncate(24 * time.Hour)
+		day := segments[len(segments)-1].Meta.UnixTime.UTC().Truncate(24 * time.Hour)
 		unix = day.Add(clock.Sub(clock.Truncate(24 * time.Hour)))
 	}
 	if err != nil {
--- a/cmd/cataloguectl/model.go
+++ b/cmd/cataloguectl/model.go
@@ -55,7 +55,7 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
-			w := clustersim.Defaults()
+			w := clustersim.DefaultConfig()
 			switch {
 			case len(args) == 1 && day != "":
 				return errors.New("a file and --day are two worlds: want one of them")
@@ -64,24 +64,24 @@
 				if err != nil {
 					return inputError{err}
 				}
-				if w, err = e.First(); err != nil {
+				if w, err = e.FirstConfig(); err != nil {
 					return inputError{err}
 				}
 			case day != "":
-				if !slices.Contains(clustersim.DayKinds(), clustersim.DayKind(day)) {
-					return fmt.Errorf("no kind of day is called %q, want one of %v", day, clustersim.DayKinds())
+				if !slices.Contains(clustersim.WorkloadKinds(), clustersim.WorkloadKind(day)) {
+					return fmt.Errorf("no kind of day is called %q, want one of %v", day, clustersim.WorkloadKinds())
 				}
-				w = clustersim.Day(clustersim.DayKind(day), number)
+				w = clustersim.GenerateConfig(clustersim.WorkloadKind(day), number)
 			}
 			if load > 0 {
-				w.Load(load)
+				w.SetLoad(load)
 			}
-			w.Reasons = true
+			w.RecordRejectReasons = true
 			ctx, stop := interrupted(cmd)
 			defer stop()
 			var results []*clustersim.Result
 			for _, name := range policies {
-				policy, err := experiment.PolicyOf(name)
+				policy, err := experiment.LookupPolicy(name)
 				if err != nil {
 					return err
 				}
@@ -116,12 +116,12 @@
 			}
 			broken := false
 			for _, r := range results {
-				broken = broken || len(r.Breaches) > 0
+				broken = broken || len(r.ViolationMessages) > 0
 			}
 			return found(broken)
 		}}
 	f := cmd.Flags()
-	f.StringSliceVar(&policies, "policy", []string{"module"}, "policies, of "+strings.Join(experiment.Policies(), ", "))
+	f.StringSliceVar(&policies, "policy", []string{"module"}, "policies, of "+strings.Join(experiment.PolicyNames(), ", "))
 	f.Uint64Var(&seed, "seed", 1, "seed of all that is drawn")
 	f.Float64Var(&load, "load", 0, "part of what the fleet can do that is asked for; the world's own if 0")
 	f.StringVar(&day, "day", "", "a kind of day of the brief: quiet, rough, overload, big or storm")
@@ -134,23 +134,23 @@
 
 // printRun prints the summary of a run.
 func printRun(p printer, policy string, r *clustersim.Result) {
-	p.line("%s in %s (seed %d): %d servers, %d requests in %.0f s, load %.2f", policy, r.World, r.Seed, r.Servers, r.Requests, r.Seconds, r.Load)
-	p.line("  share %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f, waste %.3f, score %.4f", r.Share, r.Worst10, r.WorstOf,
-		r.WorstTen, r.Waste, r.G)
+	p.line("%s in %s (seed %d): %d servers, %d requests in %.0f s, load %.2f", policy, r.ConfigName, r.Seed, r.Servers, r.Requests, r.Seconds, r.Load)
+	p.line("  share %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f, waste %.3f, score %.4f", r.GoodputShare, r.WorstWindowShare, r.WorstClassShare,
+		r.WorstTenantShare, r.WastedWork, r.Score)
 	p.line("  latency of the served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms", r.P50, r.P99, r.P999)
-	p.line("  tries: %d, of them further ones %d; %s", r.Tries, r.Again, counts(r.Answers))
-	if len(r.Reasons) > 0 {
-		p.line("  refused because: %s", counts(r.Reasons))
+	p.line("  tries: %d, of them further ones %d; %s", r.Attempts, r.Retries, counts(r.AttemptOutcomes))
+	if len(r.RejectReasons) > 0 {
+		p.line("  refused because: %s", counts(r.RejectReasons))
 	}
 	if len(r.Unserved) > 0 {
 		p.line("  requests not served: %s", counts(r.Unserved))
 	}
-	if v := r.Recovery; v.Incidents && v.Recovered {
-		p.line("  recovered %.0f s after the last incident: share before %.3f, behind it %.3f", v.After, v.Before, v.Left)
-	} else if v.Incidents {
-		p.line("  did not recover: share before the incidents %.3f, behind them %.3f", v.Before, v.Left)
+	if v := r.Recovery; v.HadIncidents && v.Recovered {
+		p.line("  recovered %.0f s after the last incident: share before %.3f, behind it %.3f", v.RecoverySeconds, v.ShareBefore, v.ShareAfter)
+	} else if v.HadIncidents {
+		p.line("  did not recover: share before the incidents %.3f, behind them %.3f", v.ShareBefore, v.ShareAfter)
 	}
-	for _, b := range r.Breaches {
+	for _, b := range r.ViolationMessages {
 		p.line("  broken rule: %s", b)
 	}
 }
@@ -166,26 +166,26 @@
 }
 
 // runPage is a report of runs of one world.
-func runPage(w clustersim.World, policies []string, results []*clustersim.Result) report.Page {
+func runPage(w clustersim.Config, policies []string, results []*clustersim.Result) report.Page {
 	var shades [][2]float64
 	var incidents []string
 	for _, i := range w.Incidents {
-		shades = append(shades, [2]float64{i.From.Seconds(), min((i.From + i.For).Seconds(), w.For.Seconds())})
+		shades = append(shades, [2]float64{i.Start.Seconds(), min((i.Start + i.Duration).Seconds(), w.Duration.Seconds())})
 		incidents = append(incidents, i.String())
 	}
-	chart := func(title, y string, at func(clustersim.Second) float64) report.Chart {
-		c := report.Chart{Title: title, X: "seconds", Y: y, Shades: shades}
+	chart := func(title, y string, at func(clustersim.SecondStats) float64) report.Chart {
+		c := report.Chart{Title: title, XLabel: "seconds", YLabel: y, Shades: shades}
 		for k, r := range results {
-			l := report.Line{Name: policies[k]}
+			l := report.Series{Name: policies[k]}
 			for i, s := range r.Timeline {
 				l.Points = append(l.Points, [2]float64{float64(i), at(s)})
 			}
-			c.Lines = append(c.Lines, l)
+			c.Series = append(c.Series, l)
 		}
 		return c
 	}
 	capacity := w.Capacity() * meanWork(results)
-	page := report.Page{Title: "World " + w.Name, Lead: fmt.Sprintf("%d servers of %d cores, incidents (shaded): %s", w.Servers.N, w.Servers.Cores,
+	page := report.Page{Title: "World " + w.Name, Lead: fmt.Sprintf("%d servers of %d cores, incidents (shaded): %s", w.Servers.Count, w.Servers.Cores,
 		strings.Join(append(incidents, "none beyond these"), "; "))}
 	summary := report.Section{Title: "Result", Head: []string{"policy", "score", "share", "worst 10 s", "p50 ms", "p99 ms", "waste", "tries a request",
 		"recovered after", "broken rules"}}
@@ -193,40 +193,40 @@
 	answers := report.Section{Title: "How tries ended", Head: []string{"policy", "how", "tries"}}
 	for k, r := range results {
 		recovered := "-"
-		if v := r.Recovery; v.Incidents && v.Recovered {
-			recovered = fmt.Sprintf("%.0f s", v.After)
-		} else if v.Incidents {
+		if v := r.Recovery; v.HadIncidents && v.Recovered {
+			recovered = fmt.Sprintf("%.0f s", v.RecoverySeconds)
+		} else if v.HadIncidents {
 			recovered = "not"
 		}
 		broken := 0
-		for _, n := range r.Broken {
+		for _, n := range r.Violations {
 			broken += n
 		}
-		summary.Rows = append(summary.Rows, []string{policies[k], figure(r.G), figure(r.Share), figure(r.Worst10), whole0(r.P50), whole0(r.P99),
-			figure(r.Waste), fmt.Sprintf("%.2f", float64(r.Tries)/float64(max(r.Requests, 1))), recovered, strconv.Itoa(broken)})
+		summary.Rows = append(summary.Rows, []string{policies[k], figure(r.Score), figure(r.GoodputShare), figure(r.WorstWindowShare), whole0(r.P50), whole0(r.P99),
+			figure(r.WastedWork), fmt.Sprintf("%.2f", float64(r.Attempts)/float64(max(r.Requests, 1))), recovered, strconv.Itoa(broken)})
 		for _, part := range append(slices.Clone(r.Classes), r.Tenants...) {
-			parts.Rows = append(parts.Rows, []string{policies[k], part.Name, strconv.Itoa(part.Requests), figure(part.Share), whole0(part.P50), whole0(part.P99)})
+			parts.Rows = append(parts.Rows, []string{policies[k], part.Name, strconv.Itoa(part.Requests), figure(part.GoodputShare), whole0(part.P50), whole0(part.P99)})
 		}
-		for _, line := range strings.Split(counts(r.Answers), ", ") {
+		for _, line := range strings.Split(counts(r.AttemptOutcomes), ", ") {
 			i := strings.LastIndexByte(line, ' ')
 			answers.Rows = append(answers.Rows, []string{policies[k], line[:max(i, 0)], line[i+1:]})
 		}
 	}
 	summary.Charts = []report.Chart{
-		chart("Share of the worth asked for, served in its aim", "share", func(s clustersim.Second) float64 {
-			if s.Asked == 0 {
+		chart("Share of the worth asked for, served in its aim", "share", func(s clustersim.SecondStats) float64 {
+			if s.OfferedWeight == 0 {
 				return 1
 			}
-			return s.Earned / s.Asked
+			return s.GoodputWeight / s.OfferedWeight
 		}),
-		chart("Work asked for over what the fleet can do", "load", func(s clustersim.Second) float64 { return s.Work / max(capacity, 1e-9) }),
-		chart("Tries that ended", "tries a second", func(s clustersim.Second) float64 { return float64(s.Tries) }),
-		chart("Refusals", "refusals a second", func(s clustersim.Second) float64 { return float64(s.Refused) }),
+		chart("Work asked for over what the fleet can do", "load", func(s clustersim.SecondStats) float64 { return s.OfferedWork / max(capacity, 1e-9) }),
+		chart("Tries that ended", "tries a second", func(s clustersim.SecondStats) float64 { return float64(s.Attempts) }),
+		chart("Refusals", "refusals a second", func(s clustersim.SecondStats) float64 { return float64(s.Rejected) }),
 	}
 	reasons := report.Section{Title: "Refusals by reason", Head: []string{"policy", "because", "refusals"}}
 	for k, r := range results {
-		for _, why := range slices.Sorted(maps.Keys(r.Reasons)) {
-			reasons.Rows = append(reasons.Rows, []string{policies[k], why, strconv.Itoa(r.Reasons[why])})
+		for _, why := range slices.Sorted(maps.Keys(r.RejectReasons)) {
+			reasons.Rows = append(reasons.Rows, []string{policies[k], why, strconv.Itoa(r.RejectReasons[why])})
 		}
 	}
 	page.Sections = []report.Section{summary, parts, answers, reasons}
@@ -238,7 +238,7 @@
 	work, n := 0.0, 0
 	for _, r := range results {
 		for _, s := range r.Timeline {
-			work += s.Work
+			work += s.OfferedWork
 		}
 		n += r.Requests
 	}
@@ -254,8 +254,8 @@
 	rows := [][]string{{"policy", "second", "asked", "earned", "work", "tries", "served", "refused", "failed"}}
 	for k, r := range results {
 		for i, s := range r.Timeline {
-			rows = append(rows, []string{policies[k], strconv.Itoa(i), fmt.Sprint(s.Asked), fmt.Sprint(s.Earned), fmt.Sprint(s.Work), strconv.Itoa(s.Tries),
-				strconv.Itoa(s.Served), strconv.Itoa(s.Refused), strconv.Itoa(s.Failed)})
+			rows = append(rows, []string{policies[k], strconv.Itoa(i), fmt.Sprint(s.OfferedWeight), fmt.Sprint(s.GoodputWeight), fmt.Sprint(s.OfferedWork), strconv.Itoa(s.Attempts),
+				strconv.Itoa(s.Served), strconv.Itoa(s.Rejected), strconv.Itoa(s.Failed)})
 		}
 	}
 	return out.WriteAll(rows)
@@ -295,9 +295,9 @@
 			for _, row := range r.Rows {
 				if row.Error != "" {
 					failed++
-					fmt.Fprintf(cmd.ErrOrStderr(), "run %d, point %d: %s\n", row.Run, row.Point, row.Error)
+					fmt.Fprintf(cmd.ErrOrStderr(), "run %d, point %d: %s\n", row.Index, row.Point, row.Error)
 				}
-				if len(row.Broken) > 0 {
+				if len(row.Violations) > 0 {
 					broken++
 				}
 			}
@@ -338,8 +338,8 @@
 					return inputError{err}
 				}
 				for _, g := range groups {
-					p.line("%-12s %-10s %-10s %10.4f  %10.4f to %.4f  %d runs, %d broke rules, %d not feasible", g.Measure, g.Of, g.Policy, g.Mean, g.Low,
-						g.High, g.Runs, g.Broken, g.Failed)
+					p.line("%-12s %-10s %-10s %10.4f  %10.4f to %.4f  %d runs, %d broke rules, %d not feasible", g.Measure, g.Label, g.Policy, g.Mean, g.Lower,
+						g.Upper, g.Runs, g.RunsWithViolations, g.Infeasible)
 					if err := p.object(g); err != nil {
 						return err
 					}
@@ -377,16 +377,16 @@
 			if worst == 0 {
 				return nil
 			}
-			rows, common := r.Worst(a, measures[0], worst)
+			rows, common := r.WorstRuns(a, measures[0], worst)
 			for _, row := range rows {
-				p.line("worst for %s: %s %.4f in point %d %s, seed %d", a, measures[0], row.Measures[measures[0]], row.Point, row.Day, row.Seed)
+				p.line("worst for %s: %s %.4f in point %d %s, seed %d", a, measures[0], row.Measures[measures[0]], row.Point, row.Workload, row.Seed)
 			}
 			for _, c := range common {
-				p.line("there %s is %.4g, %.4g in all: %+.1f spreads", c.Name, c.Worst, c.All, c.Spreads)
+				p.line("there %s is %.4g, %.4g in all: %+.1f spreads", c.Name, c.WorstMean, c.OverallMean, c.StdDevs)
 			}
 			return p.object(struct {
-				Worst  []experiment.Row    `json:"worst"`
-				Common []experiment.Common `json:"common"`
+				Worst  []experiment.Row       `json:"worst"`
+				Common []experiment.Deviation `json:"common"`
 			}{rows, common})
 		})}
 	f := cmd.Flags()
@@ -418,22 +418,22 @@
 				}
 				return 0
 			})
-			chart := report.Chart{Title: r.Experiment, X: x, Y: measure}
+			chart := report.Chart{Title: r.Experiment, XLabel: x, YLabel: measure}
 			index := map[string]int{}
 			table := report.Section{Title: measure, Head: []string{"policy", x, "mean", "low", "high", "runs"}}
 			for _, g := range groups {
 				i, ok := index[g.Policy]
 				if !ok {
-					i = len(chart.Lines)
+					i = len(chart.Series)
 					index[g.Policy] = i
-					chart.Lines = append(chart.Lines, report.Line{Name: g.Policy})
+					chart.Series = append(chart.Series, report.Series{Name: g.Policy})
 				}
 				if g.Runs == 0 {
 					continue
 				}
-				l := &chart.Lines[i]
-				l.Points, l.Low, l.High = append(l.Points, [2]float64{g.X, g.Mean}), append(l.Low, g.Low), append(l.High, g.High)
-				table.Rows = append(table.Rows, []string{g.Policy, g.Of, figure(g.Mean), figure(g.Low), figure(g.High), strconv.Itoa(g.Runs)})
+				l := &chart.Series[i]
+				l.Points, l.Low, l.High = append(l.Points, [2]float64{g.X, g.Mean}), append(l.Low, g.Lower), append(l.High, g.Upper)
+				table.Rows = append(table.Rows, []string{g.Policy, g.Label, figure(g.Mean), figure(g.Lower), figure(g.Upper), strconv.Itoa(g.Runs)})
 			}
 			table.Charts = []report.Chart{chart}
 			err = create(out, func(f io.Writer) error {
@@ -448,7 +448,7 @@
 			if err != nil {
 				return err
 			}
-			p.line("%s: %d policies, %d groups", out, len(chart.Lines), len(groups))
+			p.line("%s: %d policies, %d groups", out, len(chart.Series), len(groups))
 			return p.object(groups)
 		})}
 	f := cmd.Flags()
@@ -459,7 +459,7 @@
 }
 
 func modelWorstCommand() *cobra.Command {
-	h := experiment.Hunt{Policy: "module", Measure: "g", Rounds: 8, Size: 40, Seed: 1}
+	h := experiment.Exploration{Policy: "module", Measure: "g", Rounds: 8, PointsPerRound: 40, Seed: 1}
 	var dir string
 	var cases int
 	cmd := &cobra.Command{Use: "worst FILE", Short: "Search for the points of a sweep's ranges at which a policy does worst",
@@ -468,8 +468,8 @@
 		Example: "  cataloguectl model worst examples/hunt.sexp --against codel --cases 3 --dir found", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p := newPrinter(cmd)
-			for _, name := range []string{h.Policy, h.Against} {
-				if _, err := experiment.PolicyOf(name); err != nil && name != "" {
+			for _, name := range []string{h.Policy, h.BaselinePolicy} {
+				if _, err := experiment.LookupPolicy(name); err != nil && name != "" {
 					return err
 				}
 			}
@@ -479,13 +479,13 @@
 			}
 			ctx, stop := interrupted(cmd)
 			defer stop()
-			finds, err := e.Search(ctx, h, progressOf("rounds", h.Rounds))
+			finds, err := e.Explore(ctx, h, progressOf("rounds", h.Rounds))
 			if err != nil {
 				return inputError{err}
 			}
 			policies := []string{h.Policy}
-			if h.Against != "" {
-				policies = append(policies, h.Against)
+			if h.BaselinePolicy != "" {
+				policies = append(policies, h.BaselinePolicy)
 			}
 			for i, f := range finds[:min(cases, len(finds))] {
 				p.line("score %.4f at %s", f.Score, values(f.Values))
@@ -496,7 +496,7 @@
 					continue
 				}
 				name := fmt.Sprintf("worst-%d", i+1)
-				text := e.Case(name, e.WorldForm(), f, policies)
+				text := e.FormatCandidate(name, e.ConfigForm(), f, policies)
 				if err := create(filepath.Join(dir, name+".sexp"), func(w io.Writer) error { _, err := io.WriteString(w, text); return err }); err != nil {
 					return err
 				}
@@ -505,10 +505,10 @@
 		}}
 	f := cmd.Flags()
 	f.StringVar(&h.Policy, "policy", h.Policy, "the policy")
-	f.StringVar(&h.Against, "against", "", "another policy, under which it is to stay")
+	f.StringVar(&h.BaselinePolicy, "against", "", "another policy, under which it is to stay")
 	f.StringVar(&h.Measure, "measure", h.Measure, "of which little is bad")
 	f.IntVar(&h.Rounds, "rounds", h.Rounds, "rounds of the search")
-	f.IntVar(&h.Size, "size", h.Size, "points a round")
+	f.IntVar(&h.PointsPerRound, "size", h.PointsPerRound, "points a round")
 	f.Uint64Var(&h.Seed, "seed", h.Seed, "seed of the search")
 	f.IntVar(&cases, "cases", 5, "how many of the worst points are told")
 	f.StringVar(&dir, "dir", "", "directory in which they are written as experiments")
@@ -542,15 +542,15 @@
 			}
 			ctx, stop := interrupted(cmd)
 			defer stop()
-			rows, err := calibration.Hold(ctx, daemon, span, seeds, atOnce, progressOf("worlds", len(calibration.Worlds())))
+			rows, err := calibration.Compare(ctx, daemon, span, seeds, atOnce, progressOf("worlds", len(calibration.Cases())))
 			if err != nil {
 				return inputError{err}
 			}
 			missed := false
 			for _, r := range rows {
-				p.line("%-18s share %.3f real, %.3f model; p50 %6.1f, %6.1f ms; p99 %7.1f, %7.1f ms; tries %.2f, %.2f%s", r.World, r.Real.Share,
-					r.Model.Share, r.Real.P50, r.Model.P50, r.Real.P99, r.Model.P99, r.Real.Tries, r.Model.Tries, r.Miss)
-				missed = missed || r.Miss != ""
+				p.line("%-18s share %.3f real, %.3f model; p50 %6.1f, %6.1f ms; p99 %7.1f, %7.1f ms; tries %.2f, %.2f%s", r.CaseName, r.Daemon.ServedShare,
+					r.Simulated.ServedShare, r.Daemon.P50, r.Simulated.P50, r.Daemon.P99, r.Simulated.P99, r.Daemon.AttemptsPerRequest, r.Simulated.AttemptsPerRequest, r.Deviation)
+				missed = missed || r.Deviation != ""
 				if err := p.object(r); err != nil {
 					return err
 				}
--- a/cmd/cataloguectl/recovery.go
+++ b/cmd/cataloguectl/recovery.go
@@ -10,7 +10,7 @@
 
 func stateRecoveryCommand() *cobra.Command {
 	c := loadtest.RecoveryConfig{Config: loadtest.Defaults(), Pairs: 20, Parallel: 2}
-	c.Requests, c.Tail = 12000, 0
+	c.Requests, c.DrainRequests = 12000, 0
 	var picture string
 	cmd := &cobra.Command{Use: "recovery", Short: "Measure how soon a daemon serves as before it was killed, with its state and without",
 		Long: "recovery plays storms in pairs of one seed. Half way the daemon is killed and started again: with the folder that it\n" +
@@ -20,7 +20,7 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
-			if err := c.Check(); err != nil {
+			if err := c.Validate(); err != nil {
 				return err
 			}
 			if err := beside(&c.Daemon); err != nil {
@@ -33,12 +33,12 @@
 			}
 			breaches := 0
 			for _, r := range list {
-				p.line("seed %-4d %-10s before %.3f after %.3f back after %5.2f s", r.Seed, recoveryName(r.Cold), r.Before, r.After, r.Seconds)
-				if !r.Cold {
-					breaches += len(r.Breaches)
+				p.line("seed %-4d %-10s before %.3f after %.3f back after %5.2f s", r.Seed, recoveryName(r.StateRemoved), r.ServedBefore, r.ServedAfter, r.RecoverySeconds)
+				if !r.StateRemoved {
+					breaches += len(r.Violations)
 				}
-				for _, b := range r.Breaches {
-					p.line("  %s: broken rule: %s", recoveryName(r.Cold), b)
+				for _, b := range r.Violations {
+					p.line("  %s: broken rule: %s", recoveryName(r.StateRemoved), b)
 				}
 			}
 			differences(p, list)
@@ -59,7 +59,7 @@
 	f.IntVar(&c.Requests, "requests", c.Requests, "first tries of each storm")
 	f.Float64Var(&c.Rate, "rate", c.Rate, "first tries a second")
 	f.Uint64Var(&c.Seed, "seed", c.Seed, "seed of the first pair")
-	f.IntVar(&c.Tries, "tries", c.Tries, "tries of one request at the most")
+	f.IntVar(&c.MaxAttempts, "tries", c.MaxAttempts, "tries of one request at the most")
 	f.StringVar(&picture, "picture", "", "file for a picture (SVG) of the share over time")
 	return cmd
 }
@@ -77,47 +77,47 @@
 	never := map[bool]int{}
 	for n := 0; n+1 < len(list); n += 2 {
 		cold, warm := list[n], list[n+1]
-		after = append(after, warm.After-cold.After)
-		if cold.Seconds >= 0 && warm.Seconds >= 0 {
-			seconds = append(seconds, warm.Seconds-cold.Seconds)
+		after = append(after, warm.ServedAfter-cold.ServedAfter)
+		if cold.RecoverySeconds >= 0 && warm.RecoverySeconds >= 0 {
+			seconds = append(seconds, warm.RecoverySeconds-cold.RecoverySeconds)
 		}
 		for _, r := range []loadtest.Recovery{cold, warm} {
-			if r.Seconds < 0 {
-				never[r.Cold]++
+			if r.RecoverySeconds < 0 {
+				never[r.StateRemoved]++
 			}
 		}
 	}
-	mean, low, high := experiment.Interval(seconds)
+	mean, low, high := experiment.ConfidenceInterval(seconds)
 	p.line("remembered less cold: back after %+.2f s (%+.2f to %+.2f) over %d pairs", mean, low, high, len(seconds))
-	mean, low, high = experiment.Interval(after)
+	mean, low, high = experiment.ConfidenceInterval(after)
 	p.line("remembered less cold: share from the restart on %+.4f (%+.4f to %+.4f)", mean, low, high)
 	p.line("not back by the end: %d cold, %d remembered", never[true], never[false])
 }
 
 // drawRecovery draws the mean shares of both kinds over time, counted from the restart.
 func drawRecovery(path string, list []loadtest.Recovery) error {
-	chart := report.Chart{Title: "Share of requests served round a restart", X: "seconds after the kill", Y: "share"}
+	chart := report.Chart{Title: "Share of requests served round a restart", XLabel: "seconds after the kill", YLabel: "share"}
 	for _, cold := range []bool{true, false} {
-		sums := map[int]loadtest.Share{}
+		sums := map[int]loadtest.SeriesPoint{}
 		least, most := 0, 0
 		for _, r := range list {
-			if r.Cold != cold {
+			if r.StateRemoved != cold {
 				continue
 			}
 			for n, s := range r.Series {
-				sum := sums[n-r.At]
+				sum := sums[n-r.RestartStep]
 				sum.Requests, sum.Served = sum.Requests+s.Requests, sum.Served+s.Served
-				sums[n-r.At] = sum
-				least, most = min(least, n-r.At), max(most, n-r.At)
+				sums[n-r.RestartStep] = sum
+				least, most = min(least, n-r.RestartStep), max(most, n-r.RestartStep)
 			}
 		}
-		l := report.Line{Name: recoveryName(cold)}
+		l := report.Series{Name: recoveryName(cold)}
 		for n := least; n <= most; n++ {
 			if s := sums[n]; s.Requests > 0 {
-				l.Points = append(l.Points, [2]float64{float64(n) * loadtest.Step.Seconds(), float64(s.Served) / float64(s.Requests)})
+				l.Points = append(l.Points, [2]float64{float64(n) * loadtest.SeriesStep.Seconds(), float64(s.Served) / float64(s.Requests)})
 			}
 		}
-		chart.Lines = append(chart.Lines, l)
+		chart.Series = append(chart.Series, l)
 	}
 	return writeFile(path, chart.SVG)
 }
--- a/cmd/cataloguectl/rehearse.go
+++ b/cmd/cataloguectl/rehearse.go
@@ -31,8 +31,8 @@
 				return err
 			}
 			for _, s := range list {
-				p.line("%-20s %s", s.Name, s.Teaches)
-				if err := p.object(map[string]string{"name": s.Name, "teaches": s.Teaches}); err != nil {
+				p.line("%-20s %s", s.Name, s.Purpose)
+				if err := p.object(map[string]string{"name": s.Name, "teaches": s.Purpose}); err != nil {
 					return err
 				}
 			}
@@ -42,8 +42,8 @@
 
 // printDay prints a day's report.
 func printDay(p printer, r *scenario.Report) {
-	p.line("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", r.Scenario, r.Seed, r.Requests, r.Tries, r.Share, r.P50, r.P99)
-	p.line("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", r.Served, r.Refused, r.Failed,
+	p.line("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", r.Scenario, r.Seed, r.Requests, r.Attempts, r.ServedShare, r.P50, r.P99)
+	p.line("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", r.Served, r.Rejected, r.Failed,
 		r.Lost, r.Unsent, r.Unanswered, r.Runs)
 	var b strings.Builder
 	for _, s := range r.Seconds {
@@ -51,13 +51,13 @@
 		b.WriteRune([]rune(" .:-=+*#%@")[min(int(part*10), 9)])
 	}
 	p.line("share by second, blank is under 0.1 and @ from 0.9: |%s|", b.String())
-	for _, breach := range r.Breaches {
+	for _, breach := range r.Violations {
 		p.line("broken rule: %s", breach)
 	}
-	if n := r.BreachesN - len(r.Breaches); n > 0 {
+	if n := r.ViolationCount - len(r.Violations); n > 0 {
 		p.line("and %d more", n)
 	}
-	for _, m := range r.Missed {
+	for _, m := range r.UnmetExpectations {
 		p.line("not as expected: %s", m)
 	}
 }
@@ -91,7 +91,7 @@
 		}
 	}
 	printDay(p, r)
-	bad := r.Broken() || len(r.Missed) > 0
+	bad := r.HasViolations() || len(r.UnmetExpectations) > 0
 	if bad {
 		p.line("again: %s", again)
 	}
@@ -103,8 +103,8 @@
 
 // dayPage is the page of a day.
 func dayPage(s *scenario.Scenario, r *scenario.Report) report.Page {
-	share := report.Line{Name: "share of requests served"}
-	load := report.Line{Name: "requests"}
+	share := report.Series{Name: "share of requests served"}
+	load := report.Series{Name: "requests"}
 	for n, second := range r.Seconds {
 		share.Points = append(share.Points, [2]float64{float64(n), float64(second.Served) / float64(max(second.Requests, 1))})
 		load.Points = append(load.Points, [2]float64{float64(n), float64(second.Requests)})
@@ -112,24 +112,24 @@
 	var shades [][2]float64
 	incidents := report.Section{Title: "Incidents", Head: []string{"what", "at", "for", "server"}}
 	for _, i := range s.Incidents {
-		shades = append(shades, [2]float64{i.At.Seconds(), (i.At + i.For).Seconds()})
+		shades = append(shades, [2]float64{i.At.Seconds(), (i.At + i.Duration).Seconds()})
 		where := "all"
 		if i.Server > 0 {
 			where = strconv.Itoa(i.Server)
 		}
-		incidents.Rows = append(incidents.Rows, []string{string(i.Kind), i.At.String(), i.For.String(), where})
+		incidents.Rows = append(incidents.Rows, []string{string(i.Kind), i.At.String(), i.Duration.String(), where})
 	}
 	row := func(name string, n int) []string { return []string{name, strconv.Itoa(n)} }
-	sums := report.Section{Title: "Result", Head: []string{"what", "figure"}, Rows: [][]string{row("requests", r.Requests), {"share served", fmt.Sprintf("%.3f", r.Share)},
-		{"p50", fmt.Sprintf("%.1f ms", r.P50)}, {"p99", fmt.Sprintf("%.1f ms", r.P99)}, {"recovered after", fmt.Sprintf("%.0f s", r.Recovered)}, row("tries", r.Tries),
-		row("refused", r.Refused), row("failed", r.Failed), row("lost with their connection", r.Lost), row("not sent", r.Unsent),
-		row("unanswered", r.Unanswered), row("broken rules", r.BreachesN), row("expectations that do not hold", len(r.Missed))},
-		Charts: []report.Chart{{Title: "Share served", X: "seconds", Y: "share", Lines: []report.Line{share}, Shades: shades},
-			{Title: "Load", X: "seconds", Y: "requests a second", Lines: []report.Line{load}, Shades: shades}}}
-	for _, text := range append(append([]string(nil), r.Breaches...), r.Missed...) {
+	sums := report.Section{Title: "Result", Head: []string{"what", "figure"}, Rows: [][]string{row("requests", r.Requests), {"share served", fmt.Sprintf("%.3f", r.ServedShare)},
+		{"p50", fmt.Sprintf("%.1f ms", r.P50)}, {"p99", fmt.Sprintf("%.1f ms", r.P99)}, {"recovered after", fmt.Sprintf("%.0f s", r.RecoverySeconds)}, row("tries", r.Attempts),
+		row("refused", r.Rejected), row("failed", r.Failed), row("lost with their connection", r.Lost), row("not sent", r.Unsent),
+		row("unanswered", r.Unanswered), row("broken rules", r.ViolationCount), row("expectations that do not hold", len(r.UnmetExpectations))},
+		Charts: []report.Chart{{Title: "Share served", XLabel: "seconds", YLabel: "share", Series: []report.Series{share}, Shades: shades},
+			{Title: "Load", XLabel: "seconds", YLabel: "requests a second", Series: []report.Series{load}, Shades: shades}}}
+	for _, text := range append(append([]string(nil), r.Violations...), r.UnmetExpectations...) {
 		sums.Text += text + ". "
 	}
-	return report.Page{Title: s.Name + ", seed " + strconv.FormatUint(r.Seed, 10), Lead: s.Teaches, Sections: []report.Section{sums, incidents}}
+	return report.Page{Title: s.Name + ", seed " + strconv.FormatUint(r.Seed, 10), Lead: s.Purpose, Sections: []report.Section{sums, incidents}}
 }
 
 func rehearseHuntCommand() *cobra.Command {
@@ -141,24 +141,24 @@
 			p := newPrinter(cmd)
 			ctx, cancel := context.WithTimeout(cmd.Context(), length)
 			defer cancel()
-			h, err := scenario.Hunt(ctx, first, seeds, most, parallel, progressOf("seeds", seeds))
+			h, err := scenario.Explore(ctx, first, seeds, most, parallel, progressOf("seeds", seeds))
 			if err != nil {
 				return err
 			}
-			p.line("%d days: %d requests, %d tries, %d runs; served %d, refused %d, failed %d, lost with their connection %d", h.Seeds, h.Requests, h.Tries,
-				h.Runs, h.Served, h.Refused, h.Failed, h.Lost)
-			p.line("faults: %+v", h.World)
-			for _, f := range h.Found {
+			p.line("%d days: %d requests, %d tries, %d runs; served %d, refused %d, failed %d, lost with their connection %d", h.Seeds, h.Requests, h.Attempts,
+				h.Runs, h.Served, h.Rejected, h.Failed, h.Lost)
+			p.line("faults: %+v", h.Simulation)
+			for _, f := range h.Findings {
 				what := fmt.Sprintf("%d tries unanswered", f.Report.Unanswered)
-				if len(f.Report.Breaches) > 0 {
-					what = f.Report.Breaches[0]
+				if len(f.Report.Violations) > 0 {
+					what = f.Report.Violations[0]
 				}
 				p.line("seed %d: %s\n  again: cataloguectl rehearse replay %d", f.Seed, what, f.Seed)
 			}
 			if err := p.object(h); err != nil {
 				return err
 			}
-			return found(len(h.Found) > 0)
+			return found(len(h.Findings) > 0)
 		}}
 	f := cmd.Flags()
 	f.Uint64Var(&first, "first", first, "the first seed")
@@ -186,7 +186,7 @@
 			if err != nil {
 				return err
 			}
-			return playDay(newPrinter(cmd), scenario.Draw(seed), seed, "cataloguectl rehearse replay "+args[0], "")
+			return playDay(newPrinter(cmd), scenario.Generate(seed), seed, "cataloguectl rehearse replay "+args[0], "")
 		}}
 }
 
@@ -199,7 +199,7 @@
 				return err
 			}
 			p := newPrinter(cmd)
-			s, err := scenario.Shrink(scenario.Draw(seed), seed)
+			s, err := scenario.Shrink(scenario.Generate(seed), seed)
 			if err != nil {
 				return err
 			}
--- a/cmd/cataloguectl/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -36,7 +36,7 @@
 		Args: cobra.MinimumNArgs(1),
 		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
 			if len(f.set) > 0 || f.write != "" || f.against != "" {
-				return f.whatIf(p, replay.Start(segments, ""))
+				return f.whatIf(p, replay.SegmentsOfRun(segments, ""))
 			}
 			return f.same(p, segments)
 		})}
@@ -56,9 +56,9 @@
 	}
 	took := time.Since(begun)
 	p.line("%d segments, %d records, %d events, %d actions: %d requests, %d runs, %d refused, %d failed", r.Segments,
-		r.Records, r.Events, r.Actions, r.Requests, r.Runs, r.Refused, r.Failed)
-	p.line("%v of the server's time in %v: %.0f events/s, %.0f times as fast", r.Spanned.Round(time.Millisecond),
-		took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), r.Spanned.Seconds()/took.Seconds())
+		r.Records, r.Events, r.Actions, r.Requests, r.Runs, r.Rejected, r.Failed)
+	p.line("%v of the server's time in %v: %.0f events/s, %.0f times as fast", r.Duration.Round(time.Millisecond),
+		took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), r.Duration.Seconds()/took.Seconds())
 	damaged := 0
 	for _, s := range segments {
 		for _, d := range s.Damage {
@@ -69,10 +69,10 @@
 	if r.Skipped > 0 {
 		p.line("%d events behind damaged parts were skipped", r.Skipped)
 	}
-	if r.First != nil {
-		p.line("the decisions differ: %v", r.First)
+	if r.FirstDifference != nil {
+		p.line("the decisions differ: %v", r.FirstDifference)
 		p.line("before it:")
-		for _, line := range replay.Knew(&r.First.Before) {
+		for _, line := range replay.DescribeState(&r.FirstDifference.StateBefore) {
 			p.line("  %s", line)
 		}
 	} else {
@@ -81,17 +81,17 @@
 	if err := p.object(r); err != nil {
 		return err
 	}
-	return found(r.First != nil || damaged > 0)
+	return found(r.FirstDifference != nil || damaged > 0)
 }
 
 // whatIf models what would have been.
 func (f *replayFlags) whatIf(p printer, segments []*capture.Segment) error {
 	m := segments[0].Meta
-	set, err := replay.ParseSettings(f.set)
+	set, err := replay.ParseSettingChanges(f.set)
 	if err != nil {
 		return err
 	}
-	after, now, err := replay.Model(segments, replay.Apply(set, m))
+	after, now, err := replay.Simulate(segments, replay.ApplySettingChanges(set, m))
 	if errors.Is(err, replay.ErrNoState) {
 		return inputError{err}
 	} else if err != nil {
@@ -112,25 +112,25 @@
 	}
 	c := replay.Compare(before, after, m, now.Classes)
 	for _, d := range c.Changes {
-		p.line("%12v  %s (#%d)  %s, now %s", d.At.Round(time.Millisecond), d.Wire, d.ID, d.From, d.To)
+		p.line("%12v  %s (#%d)  %s, now %s", d.At.Round(time.Millisecond), d.WireID, d.ID, d.From, d.To)
 	}
 	p.line("%d of %d tries end otherwise", len(c.Changes), len(before))
 	p.line("%-16s %-12s %7s  %15s  %15s  %15s  %15s", "class", "tenant", "tries", "served", "on time", "refused", "failed")
 	for i := range min(len(c.Before), len(c.After)) {
 		b, a := c.Before[i], c.After[i]
-		p.line("%-16s %-12s %7d  %15s  %15s  %15s  %15s", a.Class, a.Tenant, a.Tries, fromTo(b.Served, a.Served),
-			fromTo(b.OnTime, a.OnTime), fromTo(b.Refused, a.Refused), fromTo(b.Failed, a.Failed))
+		p.line("%-16s %-12s %7d  %15s  %15s  %15s  %15s", a.Class, a.Tenant, a.Attempts, fromTo(b.Served, a.Served),
+			fromTo(b.OnTime, a.OnTime), fromTo(b.Rejected, a.Rejected), fromTo(b.Failed, a.Failed))
 	}
 	return p.object(c)
 }
 
 // before is what the replay is compared with: the other build's, or this one's without changes, or nothing.
-func (f *replayFlags) before(segments []*capture.Segment, m capture.Meta) ([]*replay.Outcome, error) {
+func (f *replayFlags) before(segments []*capture.Segment, m capture.Meta) ([]*replay.Attempt, error) {
 	if f.against == "" {
 		if len(f.set) == 0 {
 			return nil, nil
 		}
-		outcomes, _, err := replay.Model(segments, func(*admission.Settings) error { return nil })
+		outcomes, _, err := replay.Simulate(segments, func(*admission.Settings) error { return nil })
 		return outcomes, err
 	}
 	file, err := os.Open(f.against)
@@ -138,15 +138,15 @@
 		return nil, inputError{err}
 	}
 	defer file.Close()
-	outcomes, err := replay.ReadOutcomes(file, m)
+	outcomes, err := replay.ReadAttempts(file, m)
 	if err != nil {
 		return nil, inputError{fmt.Errorf("%s: %w", f.against, err)}
 	}
 	return outcomes, nil
 }
 
-func writeOutcomes(path string, m capture.Meta, outcomes []*replay.Outcome) error {
-	return writeFile(path, func(w io.Writer) error { return replay.WriteOutcomes(w, m, outcomes) })
+func writeOutcomes(path string, m capture.Meta, outcomes []*replay.Attempt) error {
+	return writeFile(path, func(w io.Writer) error { return replay.WriteAttempts(w, m, outcomes) })
 }
 
 func fromTo(from, to int) string {
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -32,8 +32,8 @@
 
 // eachRecord reads all records of a folder; those that can't be read are handed on with their error.
 func eachRecord(s *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
-	return s.Each(idempotency.Prefix, func(name, value []byte) error {
-		e, err := idempotency.Decode(string(name), value)
+	return s.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
+		e, err := idempotency.DecodeEntry(string(name), value)
 		return visit(string(name), e, len(value), err)
 	})
 }
@@ -66,7 +66,7 @@
 				switch {
 				case err != nil:
 					unread++
-				case now.After(e.Until):
+				case now.After(e.ExpiresAt):
 					over++
 				default:
 					states[e.State.String()]++
@@ -76,8 +76,8 @@
 			if err != nil {
 				return inputError{err}
 			}
-			p.line("the folder of %s, format version %d, made %s", id.Server, id.Version, id.Made.Format(time.RFC3339))
-			p.line("site: %s", id.Site)
+			p.line("the folder of %s, format version %d, made %s", id.Server, id.Version, id.CreatedAt.Format(time.RFC3339))
+			p.line("site: %s", id.SiteHash)
 			p.line("in their window: %d done, %d intents, %d whose answers were given up; %d ran out, %d can't be read; %d bytes of records, %d on the disk",
 				states["done"], states["intent"], states["answer given up"], over, unread, bytes, s.Size())
 			return p.object(struct {
@@ -90,7 +90,7 @@
 				Unread  int            `json:"unread"`
 				Bytes   int            `json:"bytes"`
 				Disk    int64          `json:"disk"`
-			}{id.Server, id.Version, id.Site, id.Made, states, over, unread, bytes, s.Size()})
+			}{id.Server, id.Version, id.SiteHash, id.CreatedAt, states, over, unread, bytes, s.Size()})
 		})}
 }
 
@@ -108,7 +108,7 @@
 				}
 				return nil
 			})
-			if errors.Is(err, store.ErrDamaged) {
+			if errors.Is(err, store.ErrCorrupt) {
 				bad = append(bad, err.Error())
 			} else if err != nil {
 				return inputError{err}
@@ -134,8 +134,8 @@
 		Args: cobra.ExactArgs(1), Example: "  cataloguectl state dump /var/lib/tillerusher/state --json",
 		RunE: onState(true, func(p printer, s *store.Store) error {
 			err := eachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
-				k := kept{Class: e.Key.Class, Key: e.Key.Key, State: e.State.String(), Stamp: e.Stamp.UTC(), Until: e.Until.UTC(), Status: e.Answer.Status,
-					Bytes: len(e.Answer.Body)}
+				k := kept{Class: e.Key.Class, Key: e.Key.Key, State: e.State.String(), Stamp: e.ReceivedAt.UTC(), Until: e.ExpiresAt.UTC(), Status: e.Response.Status,
+					Bytes: len(e.Response.Body)}
 				if err != nil {
 					k = kept{Key: name, Error: err.Error()}
 				}
@@ -209,5 +209,5 @@
 func stateExpireCommand() *cobra.Command {
 	return stateRemove("expire DIR", "Remove records whose window has passed", "expire removes what no repeat can ask for any more; a server does so by "+
 		"itself, a second after it ran out.", "whose window has passed are removed",
-		func(e idempotency.Entry, err error, now time.Time) bool { return err == nil && now.After(e.Until) })
+		func(e idempotency.Entry, err error, now time.Time) bool { return err == nil && now.After(e.ExpiresAt) })
 }
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -13,7 +13,7 @@
 // TestState has the commands on folders say what is there, find what is damaged and remove only what they say.
 func TestState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, err := store.Open(store.Config{Dir: dir, Server: "n3", Site: "stock-reserve 18s"})
+	s, err := store.Open(store.Config{Dir: dir, Server: "n3", SiteHash: "stock-reserve 18s"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,14 +23,14 @@
 	now := time.Now()
 	var changes []store.Change
 	add := func(key string, state idempotency.State, until time.Time, body string) {
-		e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: key}, State: state, Stamp: now, Until: until,
-			Answer: idempotency.Answer{Status: 200, Body: []byte(body)}}
-		changes = append(changes, store.Change{Name: e.Key.Name(), Value: e.Encode()})
+		e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: key}, State: state, ReceivedAt: now, ExpiresAt: until,
+			Response: idempotency.Response{Status: 200, Body: []byte(body)}}
+		changes = append(changes, store.Change{Name: e.Key.RecordName(), Value: e.Encode()})
 	}
-	add("aa", idempotency.Done, now.Add(time.Hour), "result")
+	add("aa", idempotency.Completed, now.Add(time.Hour), "result")
 	add("bb", idempotency.Intent, now.Add(time.Hour), "")
-	add("cc", idempotency.Done, now.Add(-time.Hour), "old")
-	add("dd", idempotency.Done, now.Add(time.Hour), "flipped")
+	add("cc", idempotency.Completed, now.Add(-time.Hour), "old")
+	add("dd", idempotency.Completed, now.Add(time.Hour), "flipped")
 	changes[3].Value[12] ^= 1
 	done := make(chan error, 1)
 	if err := s.Write(changes, func(err error) { done <- err }); err != nil {
--- a/cmd/cataloguectl/statecost.go
+++ b/cmd/cataloguectl/statecost.go
@@ -22,14 +22,14 @@
 func (e errServed) Error() string { return fmt.Sprintf("the server ended with status %d", e.status) }
 
 // sickFlags are the flags of a disk's habits.
-func sickFlags(cmd *cobra.Command, h *faultfs.Habits) {
+func sickFlags(cmd *cobra.Command, h *faultfs.Profile) {
 	f := cmd.Flags()
-	f.DurationVar(&h.Stall, "stall", h.Stall, "how long the disk stands still at a time")
-	f.DurationVar(&h.Every, "every", max(h.Every, time.Second), "from the begin of one such time to the next")
+	f.DurationVar(&h.StallTime, "stall", h.StallTime, "how long the disk stands still at a time")
+	f.DurationVar(&h.StallInterval, "every", max(h.StallInterval, time.Second), "from the begin of one such time to the next")
 }
 
 func stateServeCommand() *cobra.Command {
-	var h faultfs.Habits
+	var h faultfs.Profile
 	var dir string
 	cmd := &cobra.Command{Use: "serve", Short: "Be a catalogue server that keeps its state on a sick disk",
 		Long: "serve is `catalogue-server serve --state DIR` over a disk that stands still now and then or is full at times, to rehearse\n" +
@@ -39,15 +39,15 @@
 			"  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --full-while /tmp/full  # touch /tmp/full",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := h.Check(); err != nil {
+			if err := h.Validate(); err != nil {
 				return err
 			}
 			args := []string{"serve"}
 			if dir != "" {
 				args = append(args, "--state", dir)
 			}
-			status := server.StateMain(args, os.Getenv, os.Stderr, func(ctx context.Context, f server.Folder) (server.Keeper, error) {
-				return store.OpenWait(ctx, store.Config{Dir: f.Directory, Server: f.Server, Site: f.Site, FS: faultfs.Wrap(vfs.Default, h)}, f.Waiting)
+			status := server.ServeDurable(args, os.Getenv, os.Stderr, func(ctx context.Context, f server.StateDirectory) (server.DurableStore, error) {
+				return store.OpenWait(ctx, store.Config{Dir: f.Path, Server: f.Server, SiteHash: f.Site, FS: faultfs.Wrap(vfs.Default, h)}, f.OnWait)
 			})
 			if status != 0 {
 				return errServed{status}
@@ -57,13 +57,13 @@
 	sickFlags(cmd, &h)
 	f := cmd.Flags()
 	f.StringVar(&dir, "dir", "", "directory in which results of keyed requests are kept")
-	f.StringVar(&h.FullWhile, "full-while", "", "file while whose presence the disk is full")
+	f.StringVar(&h.FullMarkerFile, "full-while", "", "file while whose presence the disk is full")
 	return cmd
 }
 
 func stateCostCommand() *cobra.Command {
-	c := loadtest.StateCostConfig{HoldConfig: loadtest.HoldConfig{Gateways: 8, Open: 8, For: 5 * time.Second, Rounds: 5, Pin: 0}, KeyedRate: 100,
-		Sick: faultfs.Habits{Stall: 100 * time.Millisecond, Every: time.Second}}
+	c := loadtest.StateCostConfig{SaturationConfig: loadtest.SaturationConfig{Gateways: 8, OpenRequests: 8, RoundDuration: 5 * time.Second, Rounds: 5, PinnedCore: 0}, IdempotentRate: 100,
+		FaultProfile: faultfs.Profile{StallTime: 100 * time.Millisecond, StallInterval: time.Second}}
 	cmd := &cobra.Command{Use: "cost", Short: "Measure what keeping state costs a daemon on one core",
 		Long: "cost has a daemon on one core answer as many lookups as it can, beside keyed requests at a rate on a connection of their\n" +
 			"own: with nothing kept, on the disk of the temporary directory, and on that disk standing still now and then, in\n" +
@@ -72,10 +72,10 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(cmd)
-			if c.Rounds < 1 || c.Gateways < 1 || c.Open < 1 || c.Open > 32 || c.For <= 0 || !(c.KeyedRate > 0) {
+			if c.Rounds < 1 || c.Gateways < 1 || c.OpenRequests < 1 || c.OpenRequests > 32 || c.RoundDuration <= 0 || !(c.IdempotentRate > 0) {
 				return errors.New("rounds, gateways, time and the rate must be more than 0, open requests 1 to 32")
 			}
-			if err := c.Sick.Check(); err != nil {
+			if err := c.FaultProfile.Validate(); err != nil {
 				return err
 			}
 			self, err := os.Executable()
@@ -89,9 +89,9 @@
 			}
 			for _, l := range r.Rounds {
 				p.line("disk %-8s  lookups %8.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms  keyed %5.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms, %d not served, %.2f syncs each",
-					l.Disk, l.Lookups.Rate, l.Lookups.P50, l.Lookups.P99, l.Lookups.P999, l.Keyed.Rate, l.Keyed.P50, l.Keyed.P99, l.Keyed.P999, l.Refused, l.Syncs)
+					l.Disk, l.Lookups.Rate, l.Lookups.P50, l.Lookups.P99, l.Lookups.P999, l.Idempotent.Rate, l.Idempotent.P50, l.Idempotent.P99, l.Idempotent.P999, l.Rejected, l.Syncs)
 			}
-			for _, disk := range []loadtest.Disk{loadtest.SoundDisk, loadtest.SickDisk} {
+			for _, disk := range []loadtest.Disk{loadtest.HealthyDisk, loadtest.FaultyDisk} {
 				for _, class := range []string{"lookups", "keyed"} {
 					m := r.Ratio[disk][class]
 					p.line("%s over none, %s, median of %d: rate %.3f, p50 %.3f, p99 %.3f, p99.9 %.3f", disk, class, c.Rounds, m["rate"], m["p50"], m["p99"], m["p999"])
@@ -100,9 +100,9 @@
 			}
 			return p.object(r)
 		}}
-	sickFlags(cmd, &c.Sick)
+	sickFlags(cmd, &c.FaultProfile)
 	f := cmd.Flags()
-	f.Float64Var(&c.KeyedRate, "keyed-rate", c.KeyedRate, "keyed requests a second")
-	holdFlags(cmd, &c.HoldConfig, "connections of lookups", "rounds of each disk")
+	f.Float64Var(&c.IdempotentRate, "keyed-rate", c.IdempotentRate, "keyed requests a second")
+	holdFlags(cmd, &c.SaturationConfig, "connections of lookups", "rounds of each disk")
 	return cmd
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -18,7 +18,7 @@
 type hosted struct {
 	instance *admission.Instance
 	actions  *simulatorwire.Actions
-	told     *settings.Told
+	told     *settings.Site
 	touched  bool
 }
 
@@ -62,29 +62,29 @@
 	h.touched = h.touched[:0]
 	for i := range b.Events {
 		e := &b.Events[i]
-		if e.Code == simulatorwire.Attach {
-			h.guard(e.Instance, func() { h.attach(e) })
+		if e.Code == simulatorwire.EventAttach {
+			h.guard(e.InstanceID, func() { h.attach(e) })
 		}
-		if e.Code == simulatorwire.Stop {
-			h.drop(e.Instance)
+		if e.Code == simulatorwire.EventDetach {
+			h.drop(e.InstanceID)
 			continue
 		}
-		target := h.instances[e.Instance]
+		target := h.instances[e.InstanceID]
 		if target == nil {
-			if e.Code == simulatorwire.Attach {
+			if e.Code == simulatorwire.EventAttach {
 				continue // New refused it, which the reply reports
 			}
-			return fmt.Errorf("event for instance %d, which was not attached", e.Instance)
+			return fmt.Errorf("event for instance %d, which was not attached", e.InstanceID)
 		}
 		if !target.touched {
 			target.touched = true
 			h.touched = append(h.touched, target)
 		}
-		h.guard(e.Instance, func() { target.dispatch(b.Now, e) })
+		h.guard(e.InstanceID, func() { target.dispatch(b.Now, e) })
 	}
 	for _, target := range h.touched {
 		if target.instance != nil {
-			h.guard(target.actions.Instance, func() { target.instance.Settle(b.Now) })
+			h.guard(target.actions.InstanceID, func() { target.instance.Settle(b.Now) })
 		}
 		target.touched = false
 	}
@@ -95,7 +95,7 @@
 func (h *host) guard(instance uint32, step func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			h.reply.Exception(instance, fmt.Sprintf("panic: %v", cause))
+			h.reply.AddException(instance, fmt.Sprintf("panic: %v", cause))
 			fmt.Fprintf(os.Stderr, "adapter: panic: %v\n%s", cause, debug.Stack())
 		}
 	}()
@@ -104,18 +104,18 @@
 
 // attach starts an instance in place of any earlier one of its number.
 func (h *host) attach(e *simulatorwire.Event) {
-	h.drop(e.Instance)
+	h.drop(e.InstanceID)
 	told, err := settings.Parse(e.Settings)
-	actions := &simulatorwire.Actions{Reply: &h.reply, Instance: e.Instance}
+	actions := &simulatorwire.Actions{Reply: &h.reply, InstanceID: e.InstanceID}
 	var instance *admission.Instance
 	if err == nil {
-		instance, err = admission.New(told.Module, actions)
+		instance, err = admission.New(told.Admission, actions)
 	}
 	if err != nil {
-		h.reply.Exception(e.Instance, err.Error())
+		h.reply.AddException(e.InstanceID, err.Error())
 		return
 	}
-	h.instances[e.Instance] = &hosted{instance: instance, actions: actions, told: told}
+	h.instances[e.InstanceID] = &hosted{instance: instance, actions: actions, told: told}
 }
 
 // drop forgets a dead process.
@@ -129,19 +129,19 @@
 // dispatch hands one event to the instance.
 func (t *hosted) dispatch(now time.Duration, e *simulatorwire.Event) {
 	switch e.Code {
-	case simulatorwire.Call:
+	case simulatorwire.EventRequest:
 		t.instance.Request(now, e.Request)
-	case simulatorwire.Left:
-		t.instance.Gone(now, e.ID)
-	case simulatorwire.Finished:
-		t.instance.Done(now, e.ID, e.Outcome)
-	case simulatorwire.Blocked:
-		t.instance.Blocked(now, e.ID)
-	case simulatorwire.CameBack:
-		t.instance.Called(now, e.ID, e.Outcome, e.Duration)
-	case simulatorwire.SigTerm:
+	case simulatorwire.EventCancel:
+		t.instance.Cancel(now, e.RequestID)
+	case simulatorwire.EventRunFinished:
+		t.instance.RunFinished(now, e.RequestID, e.Outcome)
+	case simulatorwire.EventCallRequested:
+		t.instance.CallRequested(now, e.RequestID)
+	case simulatorwire.EventCallFinished:
+		t.instance.CallFinished(now, e.RequestID, e.Outcome, e.Duration)
+	case simulatorwire.EventDrain:
 		t.instance.Drain(now, e.Duration)
-	case simulatorwire.Ring:
-		t.instance.Timer(now, e.Token, t.told.Read(e.Gauges))
+	case simulatorwire.EventTimer:
+		t.instance.Timer(now, e.TimerToken, t.told.ReadGauges(e.Gauges))
 	}
 }
