--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -29,71 +29,71 @@
 
 // Config is a process by its figures.
 type Config struct {
-	Kind  Kind
-	Rate  float64       // arrivals a second, in the mean
-	Burst float64       `json:"Burst"` // Bursty: the rate of its bursts over the mean
-	Part  float64       `json:"Part"`  // Bursty: part of the time that is bursts
-	Stay  time.Duration `json:"Stay"`  // Bursty: mean length of a burst
-	Swing float64       `json:"Swing"` // Diurnal: how far the rate swings, as a part of the mean
-	Day   time.Duration `json:"Day"`   // Diurnal: length of a swing
-	Jumps []Jump        `json:"Jumps"` // of any kind but Replay
-
-	Recorded []time.Duration `json:"Recorded"` // Replay
-	Factor   float64         `json:"Factor"`   // Replay: how many times as fast they come; 0 is 1
+	Kind          Kind
+	Rate          float64       // arrivals a second, in the mean
+	BurstFactor   float64       `json:"Burst"` // Bursty: the rate of its bursts over the mean
+	BurstFraction float64       `json:"Part"`  // Bursty: part of the time that is bursts
+	MeanBurst     time.Duration `json:"Stay"`  // Bursty: mean length of a burst
+	Amplitude     float64       `json:"Swing"` // Diurnal: how far the rate swings, as a part of the mean
+	Period        time.Duration `json:"Day"`   // Diurnal: length of a swing
+	Surges        []Surge       `json:"Jumps"` // of any kind but Replay
+
+	Times []time.Duration `json:"Recorded"` // Replay
+	Speed float64         `json:"Factor"`   // Replay: how many times as fast they come; 0 is 1
 }
 
-// Jump is a stretch in which the rate is a multiple of what it would be. It rises and falls evenly.
-type Jump struct {
-	From   time.Duration `json:"From"`
-	For    time.Duration `json:"For"`
-	Factor float64
-	Rise   time.Duration `json:"Rise"` // within For
-	Fall   time.Duration `json:"Fall"` // within For
+// Surge is a stretch in which the rate is a multiple of what it would be. It rises and falls evenly.
+type Surge struct {
+	Start    time.Duration `json:"From"`
+	Duration time.Duration `json:"For"`
+	Factor   float64
+	RampUp   time.Duration `json:"Rise"` // within For
+	RampDown time.Duration `json:"Fall"` // within For
 }
 
 // at is the factor of a jump at a time.
-func (j Jump) at(t time.Duration) float64 {
-	since, left := t-j.From, j.From+j.For-t
+func (j Surge) at(t time.Duration) float64 {
+	since, left := t-j.Start, j.Start+j.Duration-t
 	if since < 0 || left <= 0 {
 		return 1
 	}
 	part := 1.0
-	if j.Rise > 0 {
-		part = min(part, float64(since)/float64(j.Rise))
+	if j.RampUp > 0 {
+		part = min(part, float64(since)/float64(j.RampUp))
 	}
-	if j.Fall > 0 {
-		part = min(part, float64(left)/float64(j.Fall))
+	if j.RampDown > 0 {
+		part = min(part, float64(left)/float64(j.RampDown))
 	}
 	return 1 + (j.Factor-1)*part
 }
 
-// Check names the first figure that makes no sense.
-func (c *Config) Check() error {
+// Validate names the first figure that makes no sense.
+func (c *Config) Validate() error {
 	switch c.Kind {
 	case Poisson, Diurnal, Bursty:
 		if !(c.Rate > 0) || math.IsInf(c.Rate, 0) {
 			return fmt.Errorf("arrival: a rate of %v, want more than 0", c.Rate)
 		}
 	case Replay:
-		if len(c.Recorded) == 0 {
+		if len(c.Times) == 0 {
 			return fmt.Errorf("arrival: nothing is recorded")
 		}
-		if c.Factor < 0 {
-			return fmt.Errorf("arrival: a factor of %v, want more than 0", c.Factor)
+		if c.Speed < 0 {
+			return fmt.Errorf("arrival: a factor of %v, want more than 0", c.Speed)
 		}
 	default:
 		return fmt.Errorf("arrival: no process is called %q, want poisson, bursty, diurnal or replay", c.Kind)
 	}
 	switch {
-	case c.Kind == Bursty && (!(c.Part > 0) || c.Part >= 1 || c.Burst < 1 || c.Burst*c.Part > 1 || c.Stay <= 0):
+	case c.Kind == Bursty && (!(c.BurstFraction > 0) || c.BurstFraction >= 1 || c.BurstFactor < 1 || c.BurstFactor*c.BurstFraction > 1 || c.MeanBurst <= 0):
 		return fmt.Errorf("arrival: bursts of %v times the rate in %v of the time for %v, want at least 1, a part between 0 and 1, "+
-			"their product at most 1, and a time", c.Burst, c.Part, c.Stay)
-	case c.Kind == Diurnal && (c.Swing < 0 || c.Swing > 1 || c.Day <= 0):
-		return fmt.Errorf("arrival: a swing of %v over %v, want 0 to 1 and a time", c.Swing, c.Day)
+			"their product at most 1, and a time", c.BurstFactor, c.BurstFraction, c.MeanBurst)
+	case c.Kind == Diurnal && (c.Amplitude < 0 || c.Amplitude > 1 || c.Period <= 0):
+		return fmt.Errorf("arrival: a swing of %v over %v, want 0 to 1 and a time", c.Amplitude, c.Period)
 	}
-	for _, j := range c.Jumps {
-		if j.Factor < 0 || j.For < 0 || j.Rise < 0 || j.Fall < 0 {
-			return fmt.Errorf("arrival: a jump to %v for %v, want none below 0", j.Factor, j.For)
+	for _, j := range c.Surges {
+		if j.Factor < 0 || j.Duration < 0 || j.RampUp < 0 || j.RampDown < 0 {
+			return fmt.Errorf("arrival: a jump to %v for %v, want none below 0", j.Factor, j.Duration)
 		}
 	}
 	return nil
@@ -101,17 +101,17 @@
 
 // New returns the process; what is drawn comes from rng.
 func New(c Config, rng *rand.Rand) (Process, error) {
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	switch c.Kind {
 	case Replay:
-		return &replay{c.Recorded, max(c.Factor, 0), 0}, nil
+		return &replay{c.Times, max(c.Speed, 0), 0}, nil
 	case Bursty:
-		return thin(c, rng, c.Rate*c.Burst, (&bursty{c: c, rng: rng}).rate), nil
+		return thin(c, rng, c.Rate*c.BurstFactor, (&bursty{c: c, rng: rng}).rate), nil
 	case Diurnal:
-		return thin(c, rng, c.Rate*(1+c.Swing), func(t time.Duration) float64 {
-			return c.Rate * (1 + c.Swing*math.Sin(2*math.Pi*float64(t)/float64(c.Day)))
+		return thin(c, rng, c.Rate*(1+c.Amplitude), func(t time.Duration) float64 {
+			return c.Rate * (1 + c.Amplitude*math.Sin(2*math.Pi*float64(t)/float64(c.Period)))
 		}), nil
 	}
 	return thin(c, rng, c.Rate, func(time.Duration) float64 { return c.Rate }), nil
@@ -122,16 +122,16 @@
 	rng   *rand.Rand
 	most  float64
 	rate  func(t time.Duration) float64
-	jumps []Jump
+	jumps []Surge
 	now   float64 // seconds
 }
 
 // thin returns the process; most is the highest that rate can be.
 func thin(c Config, rng *rand.Rand, most float64, rate func(time.Duration) float64) *thinned {
-	for _, j := range c.Jumps {
+	for _, j := range c.Surges {
 		most *= max(j.Factor, 1)
 	}
-	return &thinned{rng: rng, most: most, rate: rate, jumps: c.Jumps}
+	return &thinned{rng: rng, most: most, rate: rate, jumps: c.Surges}
 }
 
 // Next implements Process.
@@ -160,20 +160,20 @@
 
 func (b *bursty) rate(t time.Duration) float64 {
 	if !b.begun {
-		b.begun, b.burst = true, b.rng.Float64() >= b.c.Part // turned below
+		b.begun, b.burst = true, b.rng.Float64() >= b.c.BurstFraction // turned below
 	}
 	for t >= b.until {
 		b.burst = !b.burst
-		stay := float64(b.c.Stay)
+		stay := float64(b.c.MeanBurst)
 		if !b.burst {
-			stay *= (1 - b.c.Part) / b.c.Part
+			stay *= (1 - b.c.BurstFraction) / b.c.BurstFraction
 		}
 		b.until += max(time.Duration(b.rng.ExpFloat64()*stay), 1)
 	}
 	if b.burst {
-		return b.c.Rate * b.c.Burst
+		return b.c.Rate * b.c.BurstFactor
 	}
-	return b.c.Rate * (1 - b.c.Burst*b.c.Part) / (1 - b.c.Part)
+	return b.c.Rate * (1 - b.c.BurstFactor*b.c.BurstFraction) / (1 - b.c.BurstFraction)
 }
 
 // replay is recorded arrivals.
--- a/internal/arrival/arrival_test.go
+++ b/internal/arrival/arrival_test.go
@@ -18,8 +18,8 @@
 		least, most float64 // of the coefficient of variation of the gaps
 	}{
 		{"poisson", Config{Kind: Poisson, Rate: 100}, 0.99, 1.01},
-		{"bursty", Config{Kind: Bursty, Rate: 100, Burst: 4, Part: 0.1, Stay: time.Second}, 1.2, 2},
-		{"diurnal", Config{Kind: Diurnal, Rate: 100, Swing: 0.8, Day: time.Minute}, 1.05, 2},
+		{"bursty", Config{Kind: Bursty, Rate: 100, BurstFactor: 4, BurstFraction: 0.1, MeanBurst: time.Second}, 1.2, 2},
+		{"diurnal", Config{Kind: Diurnal, Rate: 100, Amplitude: 0.8, Period: time.Minute}, 1.05, 2},
 	} {
 		p, err := New(c.cfg, rand.New(rand.NewPCG(1, 2)))
 		if err != nil {
@@ -42,7 +42,7 @@
 
 // TestJump has a jump multiply the rate where it is, and nowhere else.
 func TestJump(t *testing.T) {
-	p, err := New(Config{Kind: Poisson, Rate: 1000, Jumps: []Jump{{From: 10 * time.Second, For: 10 * time.Second, Factor: 2}}},
+	p, err := New(Config{Kind: Poisson, Rate: 1000, Surges: []Surge{{Start: 10 * time.Second, Duration: 10 * time.Second, Factor: 2}}},
 		rand.New(rand.NewPCG(3, 4)))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 
 // TestReplay plays recorded arrivals at their pace and faster.
 func TestReplay(t *testing.T) {
-	p, err := New(Config{Kind: Replay, Recorded: []time.Duration{time.Second, 3 * time.Second}, Factor: 2}, nil)
+	p, err := New(Config{Kind: Replay, Times: []time.Duration{time.Second, 3 * time.Second}, Speed: 2}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 
 // TestCheck names what makes no sense.
 func TestCheck(t *testing.T) {
-	for _, c := range []Config{{}, {Kind: Poisson}, {Kind: Bursty, Rate: 1, Burst: 4, Part: 0.5, Stay: 1},
-		{Kind: Diurnal, Rate: 1, Swing: 2, Day: 1}, {Kind: Replay}, {Kind: Poisson, Rate: 1, Jumps: []Jump{{Factor: -1}}}} {
+	for _, c := range []Config{{}, {Kind: Poisson}, {Kind: Bursty, Rate: 1, BurstFactor: 4, BurstFraction: 0.5, MeanBurst: 1},
+		{Kind: Diurnal, Rate: 1, Amplitude: 2, Period: 1}, {Kind: Replay}, {Kind: Poisson, Rate: 1, Surges: []Surge{{Factor: -1}}}} {
 		if _, err := New(c, nil); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
--- a/internal/baseline/base.go
+++ b/internal/baseline/base.go
@@ -83,8 +83,8 @@
 func (b *base) tick(now time.Duration) {
 	if !b.begun {
 		b.begun, b.start = true, now
-		b.do.Health(true, true)
-		b.do.After(pollInterval, 0)
+		b.do.SetHealth(true, true)
+		b.do.SetTimer(pollInterval, 0)
 	}
 	b.now = max(b.now, now)
 	i := 0
@@ -102,17 +102,17 @@
 // crowd is how many requests may run, assuming the slowest warm-up that is allowed.
 func (b *base) crowd() int {
 	share := 1.0
-	if b.set.Cold && b.set.ColdFor > 0 {
-		share = min(1, b.set.ColdShare+(1-b.set.ColdShare)*float64(b.now-b.start)/float64(b.set.ColdFor))
+	if b.set.WarmingUp && b.set.WarmUpTime > 0 {
+		share = min(1, b.set.InitialCapacity+(1-b.set.InitialCapacity)*float64(b.now-b.start)/float64(b.set.WarmUpTime))
 	}
-	return max(int(crowdPart*float64(b.set.Cores)*(1+(b.set.CrowdFactor-1)*share)), 1)
+	return max(int(crowdPart*float64(b.set.Cores)*(1+(b.set.MaxConcurrencyFactor-1)*share)), 1)
 }
 
 // Request implements admission.Events.
 func (b *base) Request(now time.Duration, q admission.Request) {
 	b.tick(now)
 	class := b.set.Classes[q.Class]
-	r := &request{Request: q, came: now - q.Waited}
+	r := &request{Request: q, came: now - q.QueueingDelay}
 	r.due = r.came + class.Deadline
 	if b.draining {
 		r.due = min(r.due, b.stopAt-margin)
@@ -125,24 +125,24 @@
 		return
 	}
 	if left := r.due - margin - now; left < 2*pollInterval { // sooner than the next look
-		b.do.After(max(left, time.Millisecond), dueToken)
+		b.do.SetTimer(max(left, time.Millisecond), dueToken)
 	}
-	if q.Repeats != 0 {
-		b.do.Reuse(q.ID)
+	if q.RetryOf != 0 {
+		b.do.ReplayResult(q.ID)
 		return
 	}
 	keyKB := 0.0
-	if class.Effect == admission.Keyed {
+	if class.Effect == admission.IdempotentByKey {
 		keyKB = b.set.KeyKB
 	}
-	late := b.draining && r.came > b.notice+b.set.DrainGrace
+	late := b.draining && r.came > b.notice+b.set.DrainGracePeriod
 	if late || !b.room(keyKB) || b.policy.admit(r) == refuse {
 		b.turnAway(r)
 		return
 	}
-	if class.Effect == admission.Keyed {
-		until := r.came + class.Window
-		b.do.Keep(q.ID, until-now)
+	if class.Effect == admission.IdempotentByKey {
+		until := r.came + class.KeyWindow
+		b.do.KeepKey(q.ID, until-now)
 		b.keys = append(b.keys, kept{q.ID, until})
 	}
 	b.hold = append(b.hold, r)
@@ -150,14 +150,14 @@
 
 // turnAway refuses a request that never ran.
 func (b *base) turnAway(r *request) {
-	if b.set.Classes[r.Class].Effect == admission.Keyed {
+	if b.set.Classes[r.Class].Effect == admission.IdempotentByKey {
 		if i := slices.IndexFunc(b.keys, func(k kept) bool { return k.id == r.ID }); i >= 0 {
 			b.keys = slices.Delete(b.keys, i, i+1)
-			b.do.Forget(r.ID)
+			b.do.ReleaseKey(r.ID)
 		}
 	}
 	b.forget(r)
-	b.do.Refuse(r.ID, min(stayAway, b.set.RetryAfter), false)
+	b.do.Reject(r.ID, min(stayAway, b.set.MaxRetryAfter), false)
 }
 
 // forget takes a request that is over out of all lists.
@@ -168,7 +168,7 @@
 	r.over = true
 	if r.running {
 		b.running--
-		b.kb -= r.SizeKB * b.set.RunFactor
+		b.kb -= r.SizeKB * b.set.RunningMemoryFactor
 	} else {
 		b.kb -= r.SizeKB
 		if i := slices.Index(b.hold, r); i >= 0 {
@@ -186,15 +186,15 @@
 	b.tick(now)
 	for len(b.hold) > 0 && b.running < b.crowd() {
 		r := b.policy.next()
-		if r == nil || !b.room(r.SizeKB*(b.set.RunFactor-1)) {
+		if r == nil || !b.room(r.SizeKB*(b.set.RunningMemoryFactor-1)) {
 			return
 		}
 		b.hold = slices.Delete(b.hold, slices.Index(b.hold, r), slices.Index(b.hold, r)+1)
-		if b.draining && r.came > b.notice+b.set.DrainGrace {
+		if b.draining && r.came > b.notice+b.set.DrainGracePeriod {
 			b.turnAway(r)
 			continue
 		}
-		b.kb += r.SizeKB * (b.set.RunFactor - 1)
+		b.kb += r.SizeKB * (b.set.RunningMemoryFactor - 1)
 		b.running++
 		r.running, r.began = true, b.now
 		b.do.Run(r.ID)
@@ -202,7 +202,7 @@
 }
 
 // Done implements admission.Events.
-func (b *base) Done(now time.Duration, id admission.RequestID, o admission.Outcome) {
+func (b *base) RunFinished(now time.Duration, id admission.RequestID, o admission.Outcome) {
 	b.tick(now)
 	r := b.all[id]
 	if r == nil {
@@ -216,7 +216,7 @@
 }
 
 // Gone implements admission.Events.
-func (b *base) Gone(now time.Duration, id admission.RequestID) {
+func (b *base) Cancel(now time.Duration, id admission.RequestID) {
 	b.tick(now)
 	if r := b.all[id]; r != nil && !r.running {
 		b.forget(r)
@@ -230,7 +230,7 @@
 	for _, r := range b.all { // in any order: each stands by itself
 		r.due = min(r.due, b.stopAt-margin)
 	}
-	b.do.Health(false, true)
+	b.do.SetHealth(false, true)
 }
 
 // Timer implements admission.Events.
@@ -238,7 +238,7 @@
 	b.tick(now)
 	if token != dueToken {
 		b.policy.look(g)
-		b.do.After(pollInterval, 0)
+		b.do.SetTimer(pollInterval, 0)
 	}
 	var due []*request
 	for _, r := range b.all {
@@ -251,7 +251,7 @@
 		if r.running { // its answer is owed, though its work goes on
 			b.do.Fail(r.ID)
 			if b.set.StopMode != admission.StopNone && b.set.Classes[r.Class].Effect == admission.Safe {
-				b.do.Halt(r.ID)
+				b.do.Stop(r.ID)
 			}
 			r.due = 1 << 62
 			continue
@@ -262,10 +262,10 @@
 }
 
 // Blocked implements admission.Events: nothing is called.
-func (b *base) Blocked(time.Duration, admission.RequestID) {}
+func (b *base) CallRequested(time.Duration, admission.RequestID) {}
 
 // Called implements admission.Events.
-func (b *base) Called(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
+func (b *base) CallFinished(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
 
 // first is the held request that came first.
 func (b *base) first() *request {
--- a/internal/baseline/codel.go
+++ b/internal/baseline/codel.go
@@ -52,7 +52,7 @@
 		limit = codelTarget
 	}
 	for i := 0; i < len(c.hold); {
-		if r := c.hold[i]; c.now-r.came > limit+r.Waited {
+		if r := c.hold[i]; c.now-r.came > limit+r.QueueingDelay {
 			c.turnAway(r)
 		} else {
 			i++
--- a/internal/baseline/line.go
+++ b/internal/baseline/line.go
@@ -8,8 +8,8 @@
 	run, wait int
 }
 
-// Line is a plain pool with a line of a length: each core runs and keeps waiting so many. A negative wait is any number.
-func Line(run, wait int) func(admission.Settings, admission.Actions) (admission.Events, error) {
+// BoundedQueue is a plain pool with a line of a length: each core runs and keeps waiting so many. A negative wait is any number.
+func BoundedQueue(run, wait int) func(admission.Settings, admission.Actions) (admission.Events, error) {
 	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
 		b := newBase(s, a)
 		l := &line{b, run * s.Cores, wait * s.Cores}
--- a/internal/baseline/peer_test.go
+++ b/internal/baseline/peer_test.go
@@ -11,8 +11,8 @@
 // TestGradient has the library's limiter go by the virtual clock: where four cores are shared by all that runs, its limit
 // settles near what keeps them busy, whatever the wall clock says, and no permit is lost.
 func TestGradient(t *testing.T) {
-	s := admission.Settings{Cores: 4, CrowdFactor: 1000, MemoryKB: 1e9, RunFactor: 1,
-		Classes: []admission.Class{{Aim: time.Second, Deadline: time.Hour}}}
+	s := admission.Settings{Cores: 4, MaxConcurrencyFactor: 1000, MemoryKB: 1e9, RunningMemoryFactor: 1,
+		Classes: []admission.Class{{LatencyObjective: time.Second, Deadline: time.Hour}}}
 	e, err := Gradient(s, admission.NoActions{})
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 		}
 		slices.Sort(runs)
 		now += 10 * time.Millisecond / time.Duration(min(len(runs), 4))
-		b.Done(now, runs[0], admission.OK)
+		b.RunFinished(now, runs[0], admission.OK)
 		limits[g.limiter.Limit()]++
 	}
 	limit := g.limiter.Limit()
@@ -44,10 +44,10 @@
 		t.Errorf("the limit is %d, and took %d values", limit, len(limits))
 	}
 	for _, id := range runs[1:] {
-		b.Done(now, id, admission.OK)
+		b.RunFinished(now, id, admission.OK)
 	}
 	for _, r := range b.all {
-		b.Gone(now, r.ID)
+		b.Cancel(now, r.ID)
 	}
 	if n := g.limiter.Inflight(); n != 0 {
 		t.Errorf("%d permits are not handed back", n)
--- a/internal/baseline/worth.go
+++ b/internal/baseline/worth.go
@@ -12,9 +12,9 @@
 	times []float64 // learned seconds of a run, by class
 }
 
-// Worth goes by the worth of classes: the line is in the order of worth for the time of a run, and what would wait beyond
+// WeightPriority goes by the worth of classes: the line is in the order of worth for the time of a run, and what would wait beyond
 // its aim behind those before it is turned away.
-func Worth(s admission.Settings, a admission.Actions) (admission.Events, error) {
+func WeightPriority(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	b := newBase(s, a)
 	b.policy = &worth{base: b, times: make([]float64, len(s.Classes))}
 	return b, nil
@@ -22,7 +22,7 @@
 
 // value is what a class brings for the time that it takes.
 func (w *worth) value(class int) float64 {
-	return w.set.Classes[class].Worth / max(w.times[class], 1e-3)
+	return w.set.Classes[class].Weight / max(w.times[class], 1e-3)
 }
 
 func (w *worth) admit(r *request) verdict {
@@ -32,7 +32,7 @@
 			wait += w.times[h.Class]
 		}
 	}
-	if wait/float64(w.set.Cores) > (w.set.Classes[r.Class].Aim - r.Waited).Seconds() {
+	if wait/float64(w.set.Cores) > (w.set.Classes[r.Class].LatencyObjective - r.QueueingDelay).Seconds() {
 		return refuse
 	}
 	return hold
@@ -63,7 +63,7 @@
 // look turns away what is past its aim.
 func (w *worth) look(admission.Gauges) {
 	for i := 0; i < len(w.hold); {
-		if r := w.hold[i]; w.now-r.came > w.set.Classes[r.Class].Aim+time.Duration(float64(time.Second)*w.times[r.Class]) {
+		if r := w.hold[i]; w.now-r.came > w.set.Classes[r.Class].LatencyObjective+time.Duration(float64(time.Second)*w.times[r.Class]) {
 			w.turnAway(r)
 		} else {
 			i++
--- a/internal/calibration/fidelity.go
+++ b/internal/calibration/fidelity.go
@@ -14,22 +14,22 @@
 	"tillerusher/internal/loadtest"
 )
 
-// World is one world that both can play.
-type World struct {
-	Name   string
-	Load   float64 // of what the interpreter can do
-	Work   time.Duration
-	Cores  int
-	Keyed  float64
-	Repeat float64
-	Tries  int
-	Kind   arrival.Kind
+// Case is one world that both can play.
+type Case struct {
+	Name        string
+	Load        float64 // of what the interpreter can do
+	MeanWork    time.Duration
+	Cores       int
+	KeyedShare  float64
+	ResendShare float64
+	MaxAttempts int
+	ArrivalKind arrival.Kind
 }
 
-// Worlds are twelve of them, from calm to overload.
-func Worlds() []World {
+// Cases are twelve of them, from calm to overload.
+func Cases() []Case {
 	const ms = time.Millisecond
-	return []World{
+	return []Case{
 		{"calm", 0.3, 20 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
 		{"calm, long runs", 0.3, 60 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
 		{"half", 0.5, 20 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
@@ -46,27 +46,27 @@
 }
 
 // rate is the world's first tries a second.
-func (w World) rate() float64 { return w.Load * float64(w.Cores) / w.Work.Seconds() }
+func (w Case) rate() float64 { return w.Load * float64(w.Cores) / w.MeanWork.Seconds() }
 
 // arrivals are the world's.
-func (w World) arrivals() arrival.Config {
-	return arrival.Config{Kind: w.Kind, Rate: w.rate(), Burst: 1.8, Part: 0.2, Stay: 2 * time.Second}
+func (w Case) arrivals() arrival.Config {
+	return arrival.Config{Kind: w.ArrivalKind, Rate: w.rate(), BurstFactor: 1.8, BurstFraction: 0.2, MeanBurst: 2 * time.Second}
 }
 
-// Figures are what is compared.
-type Figures struct {
-	Share float64 `json:"share"`
-	P50   float64 `json:"p50_ms"`
-	P99   float64 `json:"p99_ms"`
-	Tries float64 `json:"tries"` // of a request
+// Metrics are what is compared.
+type Metrics struct {
+	ServedShare        float64 `json:"share"`
+	P50                float64 `json:"p50_ms"`
+	P99                float64 `json:"p99_ms"`
+	AttemptsPerRequest float64 `json:"tries"` // of a request
 }
 
-// Row is one world by both.
-type Row struct {
-	World string  `json:"world"`
-	Real  Figures `json:"real"`
-	Model Figures `json:"model"`
-	Miss  string  `json:"miss,omitempty"` // what lies further apart than the bounds
+// Comparison is one world by both.
+type Comparison struct {
+	CaseName  string  `json:"world"`
+	Daemon    Metrics `json:"real"`
+	Simulated Metrics `json:"model"`
+	Deviation string  `json:"miss,omitempty"` // what lies further apart than the bounds
 }
 
 // The bounds within which the two should agree.
@@ -83,29 +83,29 @@
 const turn = 220 * time.Microsecond
 
 // world is the world as the model has it.
-func (w World) world(span time.Duration) clustersim.World {
-	m := clustersim.Defaults()
-	m.Name, m.For = w.Name, span
+func (w Case) world(span time.Duration) clustersim.Config {
+	m := clustersim.DefaultConfig()
+	m.Name, m.Duration = w.Name, span
 	s := &m.Servers
-	s.N, s.Listed, s.Cores, s.SpeedCV, s.Thrash, s.Read = 1, 2, w.Cores, 0, 0, 0
-	s.MemoryKB, s.KeyKB, s.RunFactor, s.HoldKB = 40000, 50, 16, [2]float64{24.5, 24.5}
-	s.DrainGrace, s.RetryAfter, s.Unread = 300*time.Millisecond, time.Second, 1<<16
+	s.Count, s.InitialEndpoints, s.Cores, s.SpeedCV, s.ThrashFactor, s.ReadCost = 1, 2, w.Cores, 0, 0, 0
+	s.MemoryKB, s.KeyKB, s.RunningMemoryFactor, s.RequestKB = 40000, 50, 16, [2]float64{24.5, 24.5}
+	s.DrainGracePeriod, s.MaxRetryAfter, s.BacklogPerCore = 300*time.Millisecond, time.Second, 1<<16
 	for i := range m.Classes {
-		m.Classes[i].Work, m.Classes[i].Dist = w.Work+turn, clustersim.Exponential
+		m.Classes[i].MeanWork, m.Classes[i].Distribution = w.MeanWork+turn, clustersim.Exponential
 	}
-	m.Classes[0].Share, m.Classes[1].Share = 1-w.Keyed, w.Keyed
+	m.Classes[0].Share, m.Classes[1].Share = 1-w.KeyedShare, w.KeyedShare
 	m.Tenants = []clustersim.Tenant{{Name: "central", Share: 0.7, Quota: 55}, {Name: "northern", Share: 0.3, Quota: 26}}
-	m.Callers = []clustersim.Gateway{{N: 3, Share: 1, Choice: clustersim.Round, Again: clustersim.Patient, Tries: w.Tries, Repeats: w.Repeat, Endless: true}}
-	m.Delay, m.ListDelay, m.Arrival, m.Skew = hop/2, 0, w.arrivals(), 0
+	m.Gateways = []clustersim.GatewayConfig{{Count: 3, Share: 1, Balancing: clustersim.RoundRobin, Retry: clustersim.RetryBackoff, MaxAttempts: w.MaxAttempts, ResendShare: w.ResendShare, NoClientTimeout: true}}
+	m.NetworkDelay, m.EndpointListDelay, m.Arrival, m.Skew = hop/2, 0, w.arrivals(), 0
 	return m
 }
 
-// Hold plays all worlds by both, several storms at once, and returns a row for each: means over as many seeds by both, with
+// Compare plays all worlds by both, several storms at once, and returns a row for each: means over as many seeds by both, with
 // the same arrivals.
-func Hold(ctx context.Context, daemon string, span time.Duration, seeds, atOnce int, progress func(done, of int)) ([]Row, error) {
-	worlds := Worlds()
+func Compare(ctx context.Context, daemon string, span time.Duration, seeds, atOnce int, progress func(done, of int)) ([]Comparison, error) {
+	worlds := Cases()
 	type played struct {
-		real, model Figures
+		real, model Metrics
 		err         error
 	}
 	all := make([][]played, len(worlds))
@@ -134,70 +134,70 @@
 		}
 	}
 	group.Wait()
-	rows := make([]Row, len(worlds))
+	rows := make([]Comparison, len(worlds))
 	for i, w := range worlds {
-		rows[i].World = w.Name
+		rows[i].CaseName = w.Name
 		for _, p := range all[i] {
 			if p.err != nil {
 				return nil, p.err
 			}
-			rows[i].Real.add(p.real, seeds)
-			rows[i].Model.add(p.model, seeds)
+			rows[i].Daemon.add(p.real, seeds)
+			rows[i].Simulated.add(p.model, seeds)
 		}
-		rows[i].Miss = rows[i].miss()
+		rows[i].Deviation = rows[i].miss()
 	}
 	return rows, nil
 }
 
 // add adds a part of a mean.
-func (f *Figures) add(g Figures, of int) {
+func (f *Metrics) add(g Metrics, of int) {
 	n := float64(of)
-	f.Share, f.P50, f.P99, f.Tries = f.Share+g.Share/n, f.P50+g.P50/n, f.P99+g.P99/n, f.Tries+g.Tries/n
+	f.ServedShare, f.P50, f.P99, f.AttemptsPerRequest = f.ServedShare+g.ServedShare/n, f.P50+g.P50/n, f.P99+g.P99/n, f.AttemptsPerRequest+g.AttemptsPerRequest/n
 }
 
 // real plays a world over loopback.
-func (w World) real(ctx context.Context, daemon string, span time.Duration, seed uint64) (Figures, error) {
+func (w Case) real(ctx context.Context, daemon string, span time.Duration, seed uint64) (Metrics, error) {
 	c := loadtest.Defaults()
 	c.Daemon, c.Args, c.Requests, c.Rate, c.Seed = daemon, []string{"serve"}, int(span.Seconds()*w.rate()), w.rate(), seed
-	c.Keyed, c.Repeat, c.Tries, c.Cores, c.Work = w.Keyed, w.Repeat, w.Tries, w.Cores, w.Work
-	c.CutLink, c.Reload, c.Tail, c.Arrival = false, false, 0, w.arrivals()
+	c.IdempotentShare, c.RepeatShare, c.MaxAttempts, c.InterpreterCores, c.MeanWork = w.KeyedShare, w.ResendShare, w.MaxAttempts, w.Cores, w.MeanWork
+	c.CutLink, c.Reload, c.DrainRequests, c.Arrival = false, false, 0, w.arrivals()
 	r, err := loadtest.Run(ctx, c)
 	if err != nil {
-		return Figures{}, err
+		return Metrics{}, err
 	}
-	if len(r.Breaches) > 0 {
-		return Figures{}, fmt.Errorf("fidelity: %s: %s", w.Name, r.Breaches[0])
+	if len(r.Violations) > 0 {
+		return Metrics{}, fmt.Errorf("fidelity: %s: %s", w.Name, r.Violations[0])
 	}
-	return Figures{r.Share, r.P50, r.P99, float64(r.Tries) / float64(max(r.Requests, 1))}, nil
+	return Metrics{r.ServedShare, r.P50, r.P99, float64(r.Attempts) / float64(max(r.Requests, 1))}, nil
 }
 
 // model plays a world in virtual time, with the arrivals of the storm of that seed.
-func (w World) model(ctx context.Context, span time.Duration, seed uint64) (Figures, error) {
+func (w Case) model(ctx context.Context, span time.Duration, seed uint64) (Metrics, error) {
 	m := w.world(span)
-	times, err := loadtest.Arrivals(w.arrivals(), seed, int(span.Seconds()*w.rate()))
+	times, err := loadtest.ArrivalTimes(w.arrivals(), seed, int(span.Seconds()*w.rate()))
 	if err != nil {
-		return Figures{}, err
+		return Metrics{}, err
 	}
-	m.Arrival = arrival.Config{Kind: arrival.Replay, Recorded: times}
-	m.For = times[len(times)-1] + time.Second
-	r, err := clustersim.Run(ctx, m, clustersim.Module, seed)
+	m.Arrival = arrival.Config{Kind: arrival.Replay, Times: times}
+	m.Duration = times[len(times)-1] + time.Second
+	r, err := clustersim.Run(ctx, m, clustersim.AdmissionModule, seed)
 	if err != nil {
-		return Figures{}, err
+		return Metrics{}, err
 	}
 	n := float64(max(r.Requests, 1))
-	return Figures{float64(r.Served) / n, r.P50, r.P99, float64(r.Tries-r.Repeats) / n}, nil
+	return Metrics{float64(r.Served) / n, r.P50, r.P99, float64(r.Attempts-r.Resends) / n}, nil
 }
 
 // miss names what lies too far apart.
-func (r *Row) miss() string {
+func (r *Comparison) miss() string {
 	text := ""
-	if d := r.Model.Share - r.Real.Share; math.Abs(d) > shareApart {
+	if d := r.Simulated.ServedShare - r.Daemon.ServedShare; math.Abs(d) > shareApart {
 		text += fmt.Sprintf(" share %+.3f", d)
 	}
 	for _, q := range []struct {
 		name        string
 		real, model float64
-	}{{"p50", r.Real.P50, r.Model.P50}, {"p99", r.Real.P99, r.Model.P99}} {
+	}{{"p50", r.Daemon.P50, r.Simulated.P50}, {"p99", r.Daemon.P99, r.Simulated.P99}} {
 		if d := q.model/q.real - 1; math.Abs(d) > latencyApart {
 			text += fmt.Sprintf(" %s %+.0f %%", q.name, 100*d)
 		}
--- a/internal/capture/arrivals.go
+++ b/internal/capture/arrivals.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Arrivals are the times at which first tries reached the machine in a capture, counted from the first of them: what a
+// ReadArrivals are the times at which first tries reached the machine in a capture, counted from the first of them: what a
 // storm or the model can play again.
-func Arrivals(path string) ([]time.Duration, error) {
+func ReadArrivals(path string) ([]time.Duration, error) {
 	segments, _, err := Open(path)
 	if err != nil {
 		return nil, err
@@ -16,8 +16,8 @@
 	for _, s := range segments {
 		for i := range s.Blocks {
 			err := s.Blocks[i].each(func(r *Record) error {
-				if r.Kind == Request && !r.Asked.Retry {
-					list = append(list, r.At-r.Asked.Waited)
+				if r.Kind == KindRequest && !r.Request.IsRetry {
+					list = append(list, r.At-r.Request.QueueingDelay)
 				}
 				return nil
 			})
--- a/internal/capture/codec_test.go
+++ b/internal/capture/codec_test.go
@@ -28,7 +28,7 @@
 // BenchmarkCompression weighs compressions of the blocks of a storm: bytes a second, and what is left of them.
 func BenchmarkCompression(b *testing.B) {
 	s, records := stormRecords(b)
-	last := s.Meta.Module
+	last := s.Meta.ModuleTime
 	var raw []byte
 	for i := range records {
 		raw = appendRecord(raw, &last, &records[i])
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Files is the folder that segments are written to. Tests put one in its place that fills, stalls or fails.
-type Files interface {
+// Directory is the folder that segments are written to. Tests put one in its place that fills, stalls or fails.
+type Directory interface {
 	// Create makes a file that must not exist yet.
 	Create(name string) (io.WriteCloser, error)
 	// List returns the names and sizes of all files.
@@ -25,8 +25,8 @@
 // folder is a directory of the file system.
 type folder string
 
-// Folder returns a directory, which is made where it does not exist.
-func Folder(path string) (Files, error) {
+// OpenDirectory returns a directory, which is made where it does not exist.
+func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
@@ -83,7 +83,7 @@
 }
 
 // listed are the segments of a folder by their numbers, and those in order.
-func listed(f Files) (sizes map[int]int64, order []int, err error) {
+func listed(f Directory) (sizes map[int]int64, order []int, err error) {
 	all, err := f.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -20,11 +20,11 @@
 
 const preambleSize = len(magic) + 2
 
-// ErrNewer says that a segment is of a version that this program does not know.
-var ErrNewer = errors.New("capture: written by a newer version")
+// ErrNewerVersion says that a segment is of a version that this program does not know.
+var ErrNewerVersion = errors.New("capture: written by a newer version")
 
-// ErrNoCapture says that a file is no segment.
-var ErrNoCapture = errors.New("capture: not a capture")
+// ErrNotCapture says that a file is no segment.
+var ErrNotCapture = errors.New("capture: not a capture")
 
 // blockKind says what a block holds.
 type blockKind uint8
@@ -67,10 +67,10 @@
 // readPreamble tells whether the bytes begin a segment that can be read.
 func readPreamble(b []byte) error {
 	if len(b) < preambleSize || string(b[:len(magic)]) != magic {
-		return ErrNoCapture
+		return ErrNotCapture
 	}
 	if v := binary.LittleEndian.Uint16(b[len(magic):]); v > Version {
-		return fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewer, v, Version)
+		return fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, v, Version)
 	}
 	return nil
 }
--- a/internal/capture/meta.go
+++ b/internal/capture/meta.go
@@ -4,17 +4,17 @@
 
 // Meta is what a segment says of itself, in JSON.
 type Meta struct {
-	Server  string        `json:"server"`            // the server's name
-	Run     string        `json:"run"`               // the same in all segments of one start of the process
-	Arch    string        `json:"arch"`              // floating point may differ in the last bit elsewhere
-	Segment int           `json:"segment"`           // number within the run, from 1
-	First   uint64        `json:"first"`             // number of its first record within the run
-	Module  time.Duration `json:"module"`            // the module's clock at its start, in nanoseconds
-	Unix    time.Time     `json:"unix"`              // the Unix clock then
-	Classes []string      `json:"classes"`           // names, by index
-	Tenants []string      `json:"tenants"`           // names, by index
-	Gap     *Gap          `json:"gap,omitempty"`     // what is missing before it
-	Comment string        `json:"comment,omitempty"` // of a cut
+	Server      string        `json:"server"`            // the server's name
+	Run         string        `json:"run"`               // the same in all segments of one start of the process
+	Arch        string        `json:"arch"`              // floating point may differ in the last bit elsewhere
+	Segment     int           `json:"segment"`           // number within the run, from 1
+	FirstRecord uint64        `json:"first"`             // number of its first record within the run
+	ModuleTime  time.Duration `json:"module"`            // the module's clock at its start, in nanoseconds
+	UnixTime    time.Time     `json:"unix"`              // the Unix clock then
+	Classes     []string      `json:"classes"`           // names, by index
+	Tenants     []string      `json:"tenants"`           // names, by index
+	Gap         *Gap          `json:"gap,omitempty"`     // what is missing before it
+	Comment     string        `json:"comment,omitempty"` // of a cut
 }
 
 // Gap says what could not be recorded before a segment.
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -16,45 +16,45 @@
 
 // The events of the module's interface, its actions, and the host's notes.
 const (
-	Request Kind = 1 + iota
-	Gone
-	Done
-	Blocked
-	Called
-	Drain
-	Timer
-	Settle
+	KindRequest Kind = 1 + iota
+	KindCancel
+	KindRunFinished
+	KindCallRequested
+	KindCallFinished
+	KindDrain
+	KindTimer
+	KindSettle
 )
 
 // The actions.
 const (
-	Run Kind = 16 + iota
-	Refuse
-	Fail
-	Call
-	Skip
-	Halt
-	Keep
-	Forget
-	Reuse
-	Say
-	Health
-	CloseIdle
-	After
-	Log
+	KindRun Kind = 16 + iota
+	KindReject
+	KindFail
+	KindCall
+	KindSkipCall
+	KindStop
+	KindKeepKey
+	KindReleaseKey
+	KindReplayResult
+	KindAdvertiseLoad
+	KindSetHealth
+	KindCloseIdleConnections
+	KindSetTimer
+	KindLog
 )
 
 // The host's notes: the names of the request that comes next, and anything else worth knowing of the host.
 const (
-	Names Kind = 40 + iota
-	Remark
+	KindRequestNames Kind = 40 + iota
+	KindAnnotation
 )
 
 // kindNames are the words for kinds in texts and JSON.
-var kindNames = [...]string{Request: "request", Gone: "gone", Done: "done", Blocked: "blocked", Called: "called",
-	Drain: "drain", Timer: "timer", Settle: "settle", Run: "run", Refuse: "refuse", Fail: "fail", Call: "call",
-	Skip: "skip", Halt: "halt", Keep: "keep", Forget: "forget", Reuse: "reuse", Say: "say", Health: "health",
-	CloseIdle: "close-idle", After: "after", Log: "log", Names: "names", Remark: "remark"}
+var kindNames = [...]string{KindRequest: "request", KindCancel: "gone", KindRunFinished: "done", KindCallRequested: "blocked", KindCallFinished: "called",
+	KindDrain: "drain", KindTimer: "timer", KindSettle: "settle", KindRun: "run", KindReject: "refuse", KindFail: "fail", KindCall: "call",
+	KindSkipCall: "skip", KindStop: "halt", KindKeepKey: "keep", KindReleaseKey: "forget", KindReplayResult: "reuse", KindAdvertiseLoad: "say", KindSetHealth: "health",
+	KindCloseIdleConnections: "close-idle", KindSetTimer: "after", KindLog: "log", KindRequestNames: "names", KindAnnotation: "remark"}
 
 // String is the kind's word.
 func (k Kind) String() string {
@@ -77,27 +77,27 @@
 // MarshalText writes the kind's word.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// Event tells whether the record is of an event that the module was told.
-func (k Kind) Event() bool { return k >= Request && k <= Settle }
+// IsEvent tells whether the record is of an event that the module was told.
+func (k Kind) IsEvent() bool { return k >= KindRequest && k <= KindSettle }
 
-// Action tells whether the record is of an action that the module called for.
-func (k Kind) Action() bool { return k >= Run && k <= Log }
+// IsAction tells whether the record is of an action that the module called for.
+func (k Kind) IsAction() bool { return k >= KindRun && k <= KindLog }
 
 // Record is one event, action or note. Which fields mean something goes by the kind.
 type Record struct {
-	Kind    Kind                `json:"kind"`
-	At      time.Duration       `json:"at"` // the module's clock; an action has that of its event
-	ID      admission.RequestID `json:"id,omitempty"`
-	Asked   admission.Request   `json:"asked,omitzero"`  // Request
-	Outcome admission.Outcome   `json:"outcome"`         // Done, Called
-	Span    time.Duration       `json:"span,omitempty"`  // Called took, Drain left, Refuse stayAway, Call timeout, Keep lifetime, CloseIdle idle, After wait
-	Token   uint32              `json:"token,omitempty"` // Timer, After
-	Gauges  admission.Gauges    `json:"gauges,omitzero"` // Timer
-	Value   float64             `json:"value,omitempty"` // Say
-	Yes     bool                `json:"yes,omitempty"`   // Refuse last, Health good
-	Stored  bool                `json:"stored,omitempty"`
-	Text    string              `json:"text,omitempty"` // Log, Remark; Names: the Request-Id
-	Key     string              `json:"key,omitempty"`  // Names: the key, where there is one
+	Kind      Kind                `json:"kind"`
+	At        time.Duration       `json:"at"` // the module's clock; an action has that of its event
+	ID        admission.RequestID `json:"id,omitempty"`
+	Request   admission.Request   `json:"asked,omitzero"`  // Request
+	Outcome   admission.Outcome   `json:"outcome"`         // Done, Called
+	Duration  time.Duration       `json:"span,omitempty"`  // KindCallFinished took, Drain left, Refuse stayAway, Call timeout, Keep lifetime, KindCloseIdleConnections idle, After wait
+	Token     uint32              `json:"token,omitempty"` // Timer, After
+	Gauges    admission.Gauges    `json:"gauges,omitzero"` // Timer
+	Value     float64             `json:"value,omitempty"` // Say
+	Flag      bool                `json:"yes,omitempty"`   // KindReject last, Health good
+	FromStore bool                `json:"stored,omitempty"`
+	Text      string              `json:"text,omitempty"` // Log, Remark; Names: the Request-Id
+	Key       string              `json:"key,omitempty"`  // Names: the key, where there is one
 }
 
 // errRecord says that bytes are no record.
@@ -112,51 +112,51 @@
 // appendRecord adds a record's bytes; last is the time of the event before it and becomes that of this one.
 func appendRecord(b []byte, last *time.Duration, r *Record) []byte {
 	b = append(b, byte(r.Kind))
-	if r.Kind.Event() {
+	if r.Kind.IsEvent() {
 		b = appendInt(b, int64(r.At-*last))
 		*last = r.At
 	}
 	switch r.Kind {
-	case Request:
-		q := &r.Asked
+	case KindRequest:
+		q := &r.Request
 		b = appendID(b, q.ID)
 		b = appendInt(b, int64(q.Class))
 		b = appendInt(b, int64(q.Tenant))
 		b = appendInt(b, int64(q.Caller))
-		b = appendUint(b, q.Subject)
-		b = appendInt(b, int64(q.Waited))
-		b = appendInt(b, int64(q.Budget))
-		b = appendBool(b, q.Retry)
-		b = appendID(b, q.Repeats)
+		b = appendUint(b, q.ResourceID)
+		b = appendInt(b, int64(q.QueueingDelay))
+		b = appendInt(b, int64(q.RemainingTime))
+		b = appendBool(b, q.IsRetry)
+		b = appendID(b, q.RetryOf)
 		b = appendFloat(b, q.SizeKB)
 		b = appendInt(b, int64(q.Work))
-	case Done:
+	case KindRunFinished:
 		b = append(appendID(b, r.ID), byte(r.Outcome))
-	case Called:
+	case KindCallFinished:
 		b = append(appendID(b, r.ID), byte(r.Outcome))
-		b = appendInt(b, int64(r.Span))
-	case Drain, CloseIdle:
-		b = appendInt(b, int64(r.Span))
-	case Timer:
+		b = appendInt(b, int64(r.Duration))
+	case KindDrain, KindCloseIdleConnections:
+		b = appendInt(b, int64(r.Duration))
+	case KindTimer:
 		b = appendUint(b, uint64(r.Token))
-		b = appendFloat(appendFloat(b, r.Gauges.Busy), r.Gauges.Runnable)
-	case Refuse:
-		b = appendInt(appendID(b, r.ID), int64(r.Span))
-		b = appendBool(b, r.Yes)
-	case Call, Keep:
-		b = appendInt(appendID(b, r.ID), int64(r.Span))
-	case Gone, Blocked, Run, Fail, Skip, Halt, Forget, Reuse:
+		b = appendFloat(appendFloat(b, r.Gauges.Utilization), r.Gauges.Runnable)
+	case KindReject:
+		b = appendInt(appendID(b, r.ID), int64(r.Duration))
+		b = appendBool(b, r.Flag)
+	case KindCall, KindKeepKey:
+		b = appendInt(appendID(b, r.ID), int64(r.Duration))
+	case KindCancel, KindCallRequested, KindRun, KindFail, KindSkipCall, KindStop, KindReleaseKey, KindReplayResult:
 		b = appendID(b, r.ID)
-	case Say:
+	case KindAdvertiseLoad:
 		b = appendFloat(b, r.Value)
-	case Health:
-		b = appendBool(appendBool(b, r.Yes), r.Stored)
-	case After:
-		b = appendInt(b, int64(r.Span))
+	case KindSetHealth:
+		b = appendBool(appendBool(b, r.Flag), r.FromStore)
+	case KindSetTimer:
+		b = appendInt(b, int64(r.Duration))
 		b = appendUint(b, uint64(r.Token))
-	case Log, Remark:
+	case KindLog, KindAnnotation:
 		b = appendText(b, r.Text)
-	case Names:
+	case KindRequestNames:
 		b = appendHex(appendHex(appendID(b, r.ID), r.Text), r.Key)
 	}
 	return b
@@ -228,42 +228,42 @@
 // next reads one record.
 func (d *decoder) next(r *Record) error {
 	*r = Record{Kind: Kind(d.byte())}
-	if r.Kind.Event() {
+	if r.Kind.IsEvent() {
 		d.last += time.Duration(d.varint())
 	}
 	r.At = d.last
 	switch r.Kind {
-	case Request:
-		q := &r.Asked
+	case KindRequest:
+		q := &r.Request
 		q.ID, q.Class, q.Tenant, q.Caller = d.id(), int(d.varint()), int(d.varint()), int(d.varint())
-		q.Subject, q.Waited, q.Budget = d.uvarint(), d.span(), d.span()
-		q.Retry, q.Repeats, q.SizeKB, q.Work = d.bool(), d.id(), d.float(), d.span()
+		q.ResourceID, q.QueueingDelay, q.RemainingTime = d.uvarint(), d.span(), d.span()
+		q.IsRetry, q.RetryOf, q.SizeKB, q.Work = d.bool(), d.id(), d.float(), d.span()
 		r.ID = q.ID
-	case Done:
+	case KindRunFinished:
 		r.ID, r.Outcome = d.id(), admission.Outcome(d.byte())
-	case Called:
-		r.ID, r.Outcome, r.Span = d.id(), admission.Outcome(d.byte()), d.span()
-	case Drain, CloseIdle:
-		r.Span = d.span()
-	case Timer:
-		r.Token, r.Gauges = uint32(d.uvarint()), admission.Gauges{Busy: d.float(), Runnable: d.float()}
-	case Refuse:
-		r.ID, r.Span, r.Yes = d.id(), d.span(), d.bool()
-	case Call, Keep:
-		r.ID, r.Span = d.id(), d.span()
-	case Gone, Blocked, Run, Fail, Skip, Halt, Forget, Reuse:
+	case KindCallFinished:
+		r.ID, r.Outcome, r.Duration = d.id(), admission.Outcome(d.byte()), d.span()
+	case KindDrain, KindCloseIdleConnections:
+		r.Duration = d.span()
+	case KindTimer:
+		r.Token, r.Gauges = uint32(d.uvarint()), admission.Gauges{Utilization: d.float(), Runnable: d.float()}
+	case KindReject:
+		r.ID, r.Duration, r.Flag = d.id(), d.span(), d.bool()
+	case KindCall, KindKeepKey:
+		r.ID, r.Duration = d.id(), d.span()
+	case KindCancel, KindCallRequested, KindRun, KindFail, KindSkipCall, KindStop, KindReleaseKey, KindReplayResult:
 		r.ID = d.id()
-	case Say:
+	case KindAdvertiseLoad:
 		r.Value = d.float()
-	case Health:
-		r.Yes, r.Stored = d.bool(), d.bool()
-	case After:
-		r.Span, r.Token = d.span(), uint32(d.uvarint())
-	case Log, Remark:
+	case KindSetHealth:
+		r.Flag, r.FromStore = d.bool(), d.bool()
+	case KindSetTimer:
+		r.Duration, r.Token = d.span(), uint32(d.uvarint())
+	case KindLog, KindAnnotation:
 		r.Text = d.text()
-	case Names:
+	case KindRequestNames:
 		r.ID, r.Text, r.Key = d.id(), d.hex(), d.hex()
-	case Settle:
+	case KindSettle:
 	default:
 		d.bad = true
 	}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -9,16 +9,16 @@
 
 // Config is how a recorder writes. All sizes are in bytes.
 type Config struct {
-	Segment int64         // size at which a new segment is begun
-	Age     time.Duration // age at which a new segment is begun
-	Keep    int64         // what all segments of the folder may take together
-	Memory  int           // of blocks that wait for the disk
-	Flush   time.Duration // how long a record waits to be written at the most, while events come
+	SegmentBytes  int64         // size at which a new segment is begun
+	SegmentAge    time.Duration // age at which a new segment is begun
+	MaxBytes      int64         // what all segments of the folder may take together
+	BufferBytes   int           // of blocks that wait for the disk
+	FlushInterval time.Duration // how long a record waits to be written at the most, while events come
 }
 
-// Defaults are what is used where nothing else is told.
-func Defaults() Config {
-	return Config{Segment: 8 << 20, Age: time.Minute, Keep: 256 << 20, Memory: 1 << 20, Flush: 200 * time.Millisecond}
+// DefaultConfig are what is used where nothing else is told.
+func DefaultConfig() Config {
+	return Config{SegmentBytes: 8 << 20, SegmentAge: time.Minute, MaxBytes: 256 << 20, BufferBytes: 1 << 20, FlushInterval: 200 * time.Millisecond}
 }
 
 // The least values of a configuration that make sense.
@@ -31,18 +31,18 @@
 	retryPace = time.Second
 )
 
-// Check names the first value that makes no sense.
-func (c Config) Check() error {
+// Validate names the first value that makes no sense.
+func (c Config) Validate() error {
 	switch {
-	case c.Segment < leastSegment:
-		return fmt.Errorf("capture: a segment of %d bytes, want at least %d", c.Segment, leastSegment)
-	case c.Keep < 2*(c.Segment+int64(c.Memory)):
-		return fmt.Errorf("capture: %d bytes are kept, want at least twice a segment and the memory, %d", c.Keep,
-			2*(c.Segment+int64(c.Memory)))
-	case c.Memory < leastMemory:
-		return fmt.Errorf("capture: %d bytes of memory, want at least %d", c.Memory, leastMemory)
-	case c.Age <= 0 || c.Flush <= 0:
-		return fmt.Errorf("capture: age %v and flush %v, want more than 0", c.Age, c.Flush)
+	case c.SegmentBytes < leastSegment:
+		return fmt.Errorf("capture: a segment of %d bytes, want at least %d", c.SegmentBytes, leastSegment)
+	case c.MaxBytes < 2*(c.SegmentBytes+int64(c.BufferBytes)):
+		return fmt.Errorf("capture: %d bytes are kept, want at least twice a segment and the memory, %d", c.MaxBytes,
+			2*(c.SegmentBytes+int64(c.BufferBytes)))
+	case c.BufferBytes < leastMemory:
+		return fmt.Errorf("capture: %d bytes of memory, want at least %d", c.BufferBytes, leastMemory)
+	case c.SegmentAge <= 0 || c.FlushInterval <= 0:
+		return fmt.Errorf("capture: age %v and flush %v, want more than 0", c.SegmentAge, c.FlushInterval)
 	}
 	return nil
 }
@@ -64,13 +64,13 @@
 
 // Counters tell what became of a recording; all count from the start.
 type Counters struct {
-	Records  uint64 // recorded
-	Lost     uint64 // not recorded, as the disk was slow, full or broken
-	Gaps     uint64 // times that records were lost in a row
-	Segments uint64 // begun
-	Bytes    uint64 // written
-	Raw      uint64 // the same before compression
-	Errors   uint64 // of the disk
+	Records           uint64 // recorded
+	Dropped           uint64 // not recorded, as the disk was slow, full or broken
+	Gaps              uint64 // times that records were lost in a row
+	Segments          uint64 // begun
+	WrittenBytes      uint64 // written
+	UncompressedBytes uint64 // the same before compression
+	DiskErrors        uint64 // of the disk
 }
 
 // Recorder writes records. Its methods belong to the goroutine that owns the module, and none of them waits: a
@@ -93,19 +93,19 @@
 	closed  bool
 }
 
-// New returns a recorder that writes to the folder; about names the server, its classes and its tenants. What goes
+// NewRecorder returns a recorder that writes to the folder; about names the server, its classes and its tenants. What goes
 // wrong with the disk is told to trouble, from another goroutine.
-func New(files Files, cfg Config, about Meta, unix func() time.Time, trouble func(error)) (*Recorder, error) {
-	if err := cfg.Check(); err != nil {
+func NewRecorder(files Directory, cfg Config, about Meta, unix func() time.Time, trouble func(error)) (*Recorder, error) {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	if _, _, err := listed(files); err != nil {
 		return nil, err
 	}
-	size := min(blockSize, cfg.Memory/8)
-	n := cfg.Memory / size
+	size := min(blockSize, cfg.BufferBytes/8)
+	n := cfg.BufferBytes / size
 	r := &Recorder{cfg: cfg, meta: about, block: size, unix: unix, free: make(chan *buffer, n), states: make(chan *buffer, 1),
-		writer: &writer{files: files, keep: cfg.Keep, reserve: cfg.Segment + int64(cfg.Memory), trouble: trouble,
+		writer: &writer{files: files, keep: cfg.MaxBytes, reserve: cfg.SegmentBytes + int64(cfg.BufferBytes), trouble: trouble,
 			full: make(chan *buffer, n+1), done: make(chan struct{})}}
 	for range n {
 		r.free <- &buffer{data: make([]byte, 0, size), home: r.free}
@@ -122,7 +122,7 @@
 		r.lose("the disk is too slow", rec.At)
 	}
 	if r.cur == nil {
-		r.count.Lost++
+		r.count.Dropped++
 		if r.gap != nil {
 			r.gap.Records++
 		}
@@ -137,7 +137,7 @@
 func (r *Recorder) lose(cause string, now time.Duration) {
 	if r.cur != nil {
 		r.count.Records -= r.cur.records
-		r.count.Lost += r.cur.records
+		r.count.Dropped += r.cur.records
 		r.cur.release()
 		r.cur = nil
 	}
@@ -179,9 +179,9 @@
 		if now >= r.retryAt {
 			r.start(now, snapshot)
 		}
-	case now-r.begun >= r.cfg.Age, w.segment.Load() == current && w.written.Load() >= r.cfg.Segment:
+	case now-r.begun >= r.cfg.SegmentAge, w.segment.Load() == current && w.written.Load() >= r.cfg.SegmentBytes:
 		r.start(now, snapshot)
-	case len(r.cur.data) > 0 && r.unix().Sub(r.cur.head.unix) >= r.cfg.Flush && !r.next():
+	case len(r.cur.data) > 0 && r.unix().Sub(r.cur.head.unix) >= r.cfg.FlushInterval && !r.next():
 		r.lose("the disk is too slow", now)
 	}
 }
@@ -205,7 +205,7 @@
 	}
 	r.last, r.begun = now, now
 	r.meta.Segment++
-	r.meta.First, r.meta.Module, r.meta.Unix, r.meta.Gap = r.count.Records, now, r.unix(), r.gap
+	r.meta.FirstRecord, r.meta.ModuleTime, r.meta.UnixTime, r.meta.Gap = r.count.Records, now, r.unix(), r.gap
 	r.gap = nil
 	meta := r.meta
 	r.begin(state, blockSnapshot)
@@ -220,8 +220,8 @@
 	c, w := r.count, r.writer
 	dropped := w.dropped.Load()
 	c.Records -= min(dropped, c.Records)
-	c.Lost += dropped
-	c.Segments, c.Bytes, c.Raw, c.Errors = w.begun.Load(), w.bytes.Load(), w.raw.Load(), w.errors.Load()
+	c.Dropped += dropped
+	c.Segments, c.WrittenBytes, c.UncompressedBytes, c.DiskErrors = w.begun.Load(), w.bytes.Load(), w.raw.Load(), w.errors.Load()
 	return c
 }
 
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -15,9 +15,9 @@
 // testSettings are those of a server of two cores.
 func testSettings() admission.Settings {
 	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 40000, KeyKB: 50,
-		RunFactor: 16, CrowdFactor: 8, RetryAfter: time.Second, CallerIdle: 15 * time.Second,
-		Classes: []admission.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: admission.Keyed, Window: 5 * time.Second}},
+		RunningMemoryFactor: 16, MaxConcurrencyFactor: 8, MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second,
+		Classes: []admission.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Weight: 1},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2, Effect: admission.IdempotentByKey, KeyWindow: 5 * time.Second}},
 		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
@@ -30,9 +30,9 @@
 }
 
 // record starts a module that is recorded.
-func record(t testing.TB, files Files, cfg Config, trouble func(error)) *bench {
+func record(t testing.TB, files Directory, cfg Config, trouble func(error)) *bench {
 	t.Helper()
-	rec, err := New(files, cfg, Meta{Server: "n3", Classes: []string{"look", "take"}}, time.Now, trouble)
+	rec, err := NewRecorder(files, cfg, Meta{Server: "n3", Classes: []string{"look", "take"}}, time.Now, trouble)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,20 +49,20 @@
 func (b *bench) round() {
 	b.now += 3 * time.Millisecond
 	b.id++
-	b.tap.Names(b.id, "00000000000000aa", "")
+	b.tap.NameRequest(b.id, "00000000000000aa", "")
 	b.tap.Request(b.now, admission.Request{ID: b.id, Class: int(b.id % 2), Tenant: int(b.id % 2), Caller: 1, SizeKB: 24.5})
 	if b.id > 4 {
-		b.tap.Done(b.now, b.id-4, admission.OK)
+		b.tap.RunFinished(b.now, b.id-4, admission.OK)
 	}
 	if b.id%30 == 0 {
-		b.tap.Timer(b.now, 0, admission.Gauges{Busy: 0.5, Runnable: 2})
+		b.tap.Timer(b.now, 0, admission.Gauges{Utilization: 0.5, Runnable: 2})
 	}
 	b.tap.Settle(b.now)
 }
 
 // small is a configuration with many small blocks and segments.
 func small() Config {
-	return Config{Segment: leastSegment, Age: time.Hour, Keep: 1 << 30, Memory: leastMemory, Flush: time.Hour}
+	return Config{SegmentBytes: leastSegment, SegmentAge: time.Hour, MaxBytes: 1 << 30, BufferBytes: leastMemory, FlushInterval: time.Hour}
 }
 
 func quiet(error) {}
@@ -71,12 +71,12 @@
 // earlier start.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
-	files, err := Folder(filepath.Join(dir, "new"))
+	files, err := OpenDirectory(filepath.Join(dir, "new"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg := small()
-	cfg.Keep = 4 * (cfg.Segment + int64(cfg.Memory))
+	cfg.MaxBytes = 4 * (cfg.SegmentBytes + int64(cfg.BufferBytes))
 	seen := map[string]bool{}
 	for range 2 { // starts
 		b := record(t, files, cfg, func(err error) { t.Error(err) })
@@ -91,7 +91,7 @@
 		if !b.Close(time.Minute) {
 			t.Fatal("not closed")
 		}
-		if c := b.Counters(); c.Segments < 3 || c.Records == 0 || c.Lost > 0 {
+		if c := b.Counters(); c.Segments < 3 || c.Records == 0 || c.Dropped > 0 {
 			t.Errorf("counters %+v", c)
 		}
 		segments, bad, err := Open(filepath.Join(dir, "new"))
@@ -107,13 +107,13 @@
 			if _, err := admission.Restore(s.Snapshot, admission.NoActions{}); err != nil {
 				t.Error(err)
 			}
-			if i > 0 && s.Meta.Run == segments[i-1].Meta.Run && !s.Continues(segments[i-1]) {
+			if i > 0 && s.Meta.Run == segments[i-1].Meta.Run && !s.IsContinuationOf(segments[i-1]) {
 				t.Errorf("%s does not go on where the one before ended", s.Path)
 			}
 			seen[s.Meta.Run] = true
 		}
-		if total > cfg.Keep {
-			t.Errorf("%d bytes are kept, %d are allowed", total, cfg.Keep)
+		if total > cfg.MaxBytes {
+			t.Errorf("%d bytes are kept, %d are allowed", total, cfg.MaxBytes)
 		}
 	}
 	if len(seen) != 2 {
@@ -123,7 +123,7 @@
 
 // valve is a folder whose disk can stand still or be full.
 type valve struct {
-	Files
+	Directory
 	mu   sync.Mutex
 	full bool
 }
@@ -137,7 +137,7 @@
 }
 
 func (v *valve) Create(name string) (f io.WriteCloser, err error) {
-	if f, err = v.Files.Create(name); err != nil {
+	if f, err = v.Directory.Create(name); err != nil {
 		return nil, err
 	}
 	return valved{v, f}, nil
@@ -169,7 +169,7 @@
 	}
 	read, gaps := uint64(0), 0
 	for _, s := range segments {
-		if err := s.Each(func(Position, *Record) error { read++; return nil }); err != nil {
+		if err := s.ForEach(func(Position, *Record) error { read++; return nil }); err != nil {
 			t.Error(err)
 		}
 		if s.Meta.Gap != nil {
@@ -179,7 +179,7 @@
 			}
 		}
 	}
-	if read != c.Records || gaps == 0 || uint64(gaps) > c.Gaps || c.Lost == 0 {
+	if read != c.Records || gaps == 0 || uint64(gaps) > c.Gaps || c.Dropped == 0 {
 		t.Errorf("%d records and %d gaps were read, counters %+v", read, gaps, c)
 	}
 }
@@ -188,11 +188,11 @@
 // segment that follows.
 func TestStalledDisk(t *testing.T) {
 	dir := t.TempDir()
-	files, err := Folder(dir)
+	files, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &valve{Files: files}
+	v := &valve{Directory: files}
 	b := record(t, v, small(), quiet)
 	for range 50 {
 		b.round()
@@ -222,11 +222,11 @@
 // follows once there is room.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	files, err := Folder(dir)
+	files, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &valve{Files: files}
+	v := &valve{Directory: files}
 	told := make(chan error, 100)
 	b := record(t, v, small(), func(err error) { told <- err })
 	for range 50 {
@@ -255,7 +255,7 @@
 	if !b.Close(time.Minute) {
 		t.Fatal("not closed")
 	}
-	if c := b.Counters(); c.Errors == 0 {
+	if c := b.Counters(); c.DiskErrors == 0 {
 		t.Errorf("counters %+v", c)
 	}
 	gapped(t, dir, b.Counters())
@@ -276,11 +276,11 @@
 
 // TestCloseDoesNotWait has a disk that never comes back not hold up the end of the process.
 func TestCloseDoesNotWait(t *testing.T) {
-	files, err := Folder(t.TempDir())
+	files, err := OpenDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &valve{Files: files}
+	v := &valve{Directory: files}
 	v.mu.Lock()
 	b := record(t, v, small(), quiet)
 	b.round()
@@ -293,18 +293,18 @@
 
 // TestConfig names what makes no sense.
 func TestConfig(t *testing.T) {
-	if err := Defaults().Check(); err != nil {
+	if err := DefaultConfig().Validate(); err != nil {
 		t.Error(err)
 	}
-	for i, change := range []func(*Config){func(c *Config) { c.Segment = 1 }, func(c *Config) { c.Keep = c.Segment },
-		func(c *Config) { c.Memory = 1 }, func(c *Config) { c.Age = 0 }, func(c *Config) { c.Flush = 0 }} {
-		c := Defaults()
+	for i, change := range []func(*Config){func(c *Config) { c.SegmentBytes = 1 }, func(c *Config) { c.MaxBytes = c.SegmentBytes },
+		func(c *Config) { c.BufferBytes = 1 }, func(c *Config) { c.SegmentAge = 0 }, func(c *Config) { c.FlushInterval = 0 }} {
+		c := DefaultConfig()
 		change(&c)
-		if c.Check() == nil {
+		if c.Validate() == nil {
 			t.Errorf("change %d is taken", i)
 		}
 	}
-	if _, err := Folder(filepath.Join(os.DevNull, "x")); err == nil {
+	if _, err := OpenDirectory(filepath.Join(os.DevNull, "x")); err == nil {
 		t.Error("a folder in a file")
 	}
 }
@@ -312,11 +312,11 @@
 // BenchmarkRecord is what a round with one request costs the loop, recorded and not.
 func BenchmarkRecord(b *testing.B) {
 	b.Run("on", func(b *testing.B) {
-		files, err := Folder(b.TempDir())
+		files, err := OpenDirectory(b.TempDir())
 		if err != nil {
 			b.Fatal(err)
 		}
-		r := record(b, files, Defaults(), quiet)
+		r := record(b, files, DefaultConfig(), quiet)
 		b.ReportAllocs()
 		for b.Loop() {
 			r.round()
@@ -324,9 +324,9 @@
 		b.StopTimer()
 		r.Close(time.Minute)
 		c := r.Counters()
-		b.ReportMetric(float64(c.Bytes)/float64(r.id), "B/request")
-		b.ReportMetric(float64(c.Raw)/float64(r.id), "rawB/request")
-		b.ReportMetric(float64(c.Lost)/float64(c.Records+c.Lost), "lost")
+		b.ReportMetric(float64(c.WrittenBytes)/float64(r.id), "B/request")
+		b.ReportMetric(float64(c.UncompressedBytes)/float64(r.id), "rawB/request")
+		b.ReportMetric(float64(c.Dropped)/float64(c.Records+c.Dropped), "lost")
 	})
 	b.Run("off", func(b *testing.B) {
 		m, err := admission.New(testSettings(), admission.NoActions{})
@@ -340,10 +340,10 @@
 			id++
 			m.Request(now, admission.Request{ID: id, Class: int(id % 2), Tenant: int(id % 2), Caller: 1, SizeKB: 24.5})
 			if id > 4 {
-				m.Done(now, id-4, admission.OK)
+				m.RunFinished(now, id-4, admission.OK)
 			}
 			if id%30 == 0 {
-				m.Timer(now, 0, admission.Gauges{Busy: 0.5, Runnable: 2})
+				m.Timer(now, 0, admission.Gauges{Utilization: 0.5, Runnable: 2})
 			}
 			m.Settle(now)
 		}
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -12,38 +12,40 @@
 	"time"
 )
 
-// Segment is one file of a capture, as far as it can be read.
+// SegmentBytes is one file of a capture, as far as it can be read.
 type Segment struct {
-	Path     string
-	Size     int64
-	Meta     Meta
-	Snapshot []byte   // nil where it is damaged: a replay cannot begin here
-	Blocks   []Block  // of records, in order
-	Damage   []Damage // what could not be read
-	Complete bool     // it was ended in order
-	Compress int64    // bytes of all blocks, stored
-	Raw      int64    // the same before compression
+	Path              string
+	Size              int64
+	Meta              Meta
+	Snapshot          []byte   // nil where it is damaged: a replay cannot begin here
+	Blocks            []Block  // of records, in order
+	Damage            []Damage // what could not be read
+	Complete          bool     // it was ended in order
+	CompressedBytes   int64    // bytes of all blocks, stored
+	UncompressedBytes int64    // the same before compression
 }
 
 // Block is one block of records.
 type Block struct {
-	Offset int64         // in the file
-	First  uint64        // number of its first record within the run
-	Base   time.Duration // the module's clock before it
-	Unix   time.Time     // when it was begun
-	Broken bool          // what comes before it is missing
-	raw    []byte
+	Offset      int64         // in the file
+	FirstRecord uint64        // number of its first record within the run
+	BaseTime    time.Duration // the module's clock before it
+	UnixTime    time.Time     // when it was begun
+	AfterDamage bool          // what comes before it is missing
+	raw         []byte
 }
 
 // Damage is a part of a file that could not be read.
 type Damage struct {
 	Offset int64  `json:"offset"`
 	Bytes  int64  `json:"bytes"`
-	What   string `json:"what"`
+	Reason string `json:"what"`
 }
 
 // String names the place and what is wrong there.
-func (d Damage) String() string { return fmt.Sprintf("%d bytes at %d: %s", d.Bytes, d.Offset, d.What) }
+func (d Damage) String() string {
+	return fmt.Sprintf("%d bytes at %d: %s", d.Bytes, d.Offset, d.Reason)
+}
 
 // ReadSegment reads one file. What is damaged is left out and named; the error is for a file that is none, is of
 // a newer version, or does not even tell what it is of.
@@ -96,18 +98,18 @@
 			at += headSize + h.stored
 			continue
 		}
-		s.Compress += int64(headSize + h.stored)
-		s.Raw += int64(h.raw)
+		s.CompressedBytes += int64(headSize + h.stored)
+		s.UncompressedBytes += int64(h.raw)
 		switch h.kind {
 		case blockMeta:
 			if err := json.Unmarshal(raw, &s.Meta); err != nil {
-				return nil, fmt.Errorf("%w: its description: %w", ErrNoCapture, err)
+				return nil, fmt.Errorf("%w: its description: %w", ErrNotCapture, err)
 			}
-			next, told = s.Meta.First, true
+			next, told = s.Meta.FirstRecord, true
 		case blockSnapshot:
 			s.Snapshot = raw
 		case blockRecords:
-			blk := Block{Offset: int64(at), First: h.first, Base: h.base, Unix: h.unix, Broken: h.first != next, raw: raw}
+			blk := Block{Offset: int64(at), FirstRecord: h.first, BaseTime: h.base, UnixTime: h.unix, AfterDamage: h.first != next, raw: raw}
 			n, err := blk.count()
 			if err != nil {
 				s.damage(at, headSize+h.stored, err.Error())
@@ -123,13 +125,13 @@
 		at += headSize + h.stored
 	}
 	if !told {
-		return nil, fmt.Errorf("%w: its description is damaged", ErrNoCapture)
+		return nil, fmt.Errorf("%w: its description is damaged", ErrNotCapture)
 	}
 	return s, nil
 }
 
 func (s *Segment) damage(at, n int, what string) {
-	s.Damage = append(s.Damage, Damage{Offset: int64(at), Bytes: int64(n), What: what})
+	s.Damage = append(s.Damage, Damage{Offset: int64(at), Bytes: int64(n), Reason: what})
 }
 
 // nextHead is how far the next sound head is away, or the length where there is none.
@@ -155,7 +157,7 @@
 
 // each hands on the block's records; the record is valid until the function returns.
 func (b *Block) each(visit func(r *Record) error) error {
-	d := decoder{b: b.raw, last: b.Base}
+	d := decoder{b: b.raw, last: b.BaseTime}
 	var r Record
 	for len(d.b) > 0 {
 		if err := d.next(&r); err != nil {
@@ -170,24 +172,24 @@
 
 // Position is where a record stands.
 type Position struct {
-	Segment *Segment
-	Block   *Block
-	Number  uint64 // within the run
-	First   bool   // it is the first behind a damaged part
+	Segment     *Segment
+	Block       *Block
+	Number      uint64 // within the run
+	AfterDamage bool   // it is the first behind a damaged part
 }
 
 // ErrStop ends Each without an error.
 var ErrStop = errors.New("capture: stop")
 
-// Each hands on the records that can be read, in order; the record is valid until the function returns.
-func (s *Segment) Each(visit func(p Position, r *Record) error) error {
+// ForEach hands on the records that can be read, in order; the record is valid until the function returns.
+func (s *Segment) ForEach(visit func(p Position, r *Record) error) error {
 	for i := range s.Blocks {
 		b := &s.Blocks[i]
-		p := Position{Segment: s, Block: b, Number: b.First, First: b.Broken}
+		p := Position{Segment: s, Block: b, Number: b.FirstRecord, AfterDamage: b.AfterDamage}
 		err := b.each(func(r *Record) error {
 			err := visit(p, r)
 			p.Number++
-			p.First = false
+			p.AfterDamage = false
 			return err
 		})
 		if err == ErrStop {
@@ -200,54 +202,54 @@
 	return nil
 }
 
-// Unix is the Unix time at a time of the module's clock, by the blocks of the segment.
-func (s *Segment) Unix(at time.Duration) time.Time {
-	unix := s.Meta.Unix.Add(at - s.Meta.Module)
+// UnixTime is the Unix time at a time of the module's clock, by the blocks of the segment.
+func (s *Segment) UnixTime(at time.Duration) time.Time {
+	unix := s.Meta.UnixTime.Add(at - s.Meta.ModuleTime)
 	for i := range s.Blocks {
-		if b := &s.Blocks[i]; b.Base <= at {
-			unix = b.Unix.Add(at - b.Base)
+		if b := &s.Blocks[i]; b.BaseTime <= at {
+			unix = b.UnixTime.Add(at - b.BaseTime)
 		}
 	}
 	return unix
 }
 
-// Clock is the time of the module's clock at a Unix time, by the blocks of the segment.
-func (s *Segment) Clock(unix time.Time) time.Duration {
-	at := s.Meta.Module + unix.Sub(s.Meta.Unix)
+// ModuleTime is the time of the module's clock at a Unix time, by the blocks of the segment.
+func (s *Segment) ModuleTime(unix time.Time) time.Duration {
+	at := s.Meta.ModuleTime + unix.Sub(s.Meta.UnixTime)
 	for i := range s.Blocks {
-		if b := &s.Blocks[i]; !b.Unix.After(unix) {
-			at = b.Base + unix.Sub(b.Unix)
+		if b := &s.Blocks[i]; !b.UnixTime.After(unix) {
+			at = b.BaseTime + unix.Sub(b.UnixTime)
 		}
 	}
 	return at
 }
 
-// Continues tells whether the segment goes on where the one before ended.
-func (s *Segment) Continues(before *Segment) bool {
+// IsContinuationOf tells whether the segment goes on where the one before ended.
+func (s *Segment) IsContinuationOf(before *Segment) bool {
 	if before == nil || s.Meta.Run != before.Meta.Run || s.Meta.Segment != before.Meta.Segment+1 || s.Meta.Gap != nil ||
 		!before.Complete || len(before.Damage) > 0 {
 		return false
 	}
-	end := before.Meta.First
+	end := before.Meta.FirstRecord
 	if n := len(before.Blocks); n > 0 {
 		count, err := before.Blocks[n-1].count()
 		if err != nil {
 			return false
 		}
-		end = before.Blocks[n-1].First + count
+		end = before.Blocks[n-1].FirstRecord + count
 	}
-	return end == s.Meta.First
+	return end == s.Meta.FirstRecord
 }
 
-// Unreadable is a file that looks like a segment and can't be read as one.
-type Unreadable struct {
+// UnreadableFile is a file that looks like a segment and can't be read as one.
+type UnreadableFile struct {
 	Path string
 	Err  error
 }
 
 // Open reads a capture: a directory's segments in their order, or one file. Files of the directory that can't be
 // read are returned apart; the error says that there is nothing to read.
-func Open(path string) ([]*Segment, []Unreadable, error) {
+func Open(path string) ([]*Segment, []UnreadableFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
@@ -271,20 +273,20 @@
 	}
 	slices.Sort(names)
 	var segments []*Segment
-	var bad []Unreadable
+	var bad []UnreadableFile
 	for _, name := range names {
 		s, err := ReadSegment(filepath.Join(path, name))
 		switch {
-		case errors.Is(err, ErrNewer):
+		case errors.Is(err, ErrNewerVersion):
 			return nil, nil, err
 		case err != nil:
-			bad = append(bad, Unreadable{filepath.Join(path, name), err})
+			bad = append(bad, UnreadableFile{filepath.Join(path, name), err})
 		default:
 			segments = append(segments, s)
 		}
 	}
 	if len(segments) == 0 && len(bad) == 0 {
-		return nil, nil, fmt.Errorf("%w: no *%s in %s", ErrNoCapture, suffix, path)
+		return nil, nil, fmt.Errorf("%w: no *%s in %s", ErrNotCapture, suffix, path)
 	}
 	return segments, bad, nil
 }
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -15,12 +15,12 @@
 func sample(t testing.TB) ([]byte, []Record) {
 	t.Helper()
 	dir := t.TempDir()
-	files, err := Folder(dir)
+	files, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg := small()
-	cfg.Segment, cfg.Keep = 1<<20, 1<<30
+	cfg.SegmentBytes, cfg.MaxBytes = 1<<20, 1<<30
 	b := record(t, files, cfg, func(err error) { t.Error(err) })
 	for range 300 {
 		b.round()
@@ -28,7 +28,7 @@
 			time.Sleep(time.Millisecond) // the disk is waited for: nothing may be lost here
 		}
 	}
-	b.tap.Remark("the end")
+	b.tap.Annotate("the end")
 	b.Close(time.Minute)
 	raw, err := os.ReadFile(filepath.Join(dir, segmentName(1)))
 	if err != nil {
@@ -45,7 +45,7 @@
 func read(t testing.TB, s *Segment, whole []Record) []Record {
 	t.Helper()
 	var list []Record
-	err := s.Each(func(p Position, r *Record) error {
+	err := s.ForEach(func(p Position, r *Record) error {
 		if whole != nil && (p.Number >= uint64(len(whole)) || !reflect.DeepEqual(whole[p.Number], *r)) {
 			t.Errorf("record %d was never written: %+v", p.Number, *r)
 		}
@@ -65,17 +65,17 @@
 	for _, r := range records {
 		kinds[r.Kind] = true
 	}
-	for _, k := range []Kind{Request, Done, Timer, Settle, Run, Refuse, Keep, After, Health, Names, Remark} {
+	for _, k := range []Kind{KindRequest, KindRunFinished, KindTimer, KindSettle, KindRun, KindReject, KindKeepKey, KindSetTimer, KindSetHealth, KindRequestNames, KindAnnotation} {
 		if !kinds[k] {
 			t.Errorf("the sample has no record of %v", k)
 		}
 	}
-	for k := Request; k <= Remark; k++ {
-		if k > Settle && k < Run || k > Log && k < Names {
+	for k := KindRequest; k <= KindAnnotation; k++ {
+		if k > KindSettle && k < KindRun || k > KindLog && k < KindRequestNames {
 			continue
 		}
-		in := Record{Kind: k, At: time.Minute, ID: 7, Span: 3 * time.Second, Text: "a text", Key: "00ff", Yes: true, Value: 0.5}
-		in.Asked.ID, in.Asked.Work, in.Asked.SizeKB, in.Asked.Retry = 7, time.Second, 2.5, true
+		in := Record{Kind: k, At: time.Minute, ID: 7, Duration: 3 * time.Second, Text: "a text", Key: "00ff", Flag: true, Value: 0.5}
+		in.Request.ID, in.Request.Work, in.Request.SizeKB, in.Request.IsRetry = 7, time.Second, 2.5, true
 		var last time.Duration
 		d := decoder{b: appendRecord(nil, &last, &in)}
 		var out Record
@@ -95,7 +95,7 @@
 	for n := 0; n < len(raw); n += 1 + n%7 {
 		s, err := Parse(raw[:n])
 		if err != nil {
-			if !errors.Is(err, ErrNoCapture) {
+			if !errors.Is(err, ErrNotCapture) {
 				t.Fatalf("cut at %d: %v", n, err)
 			}
 			continue
@@ -104,7 +104,7 @@
 		if s.Complete || len(got) > len(records) {
 			t.Fatalf("cut at %d: complete %t, %d records", n, s.Complete, len(got))
 		}
-		if len(s.Damage) == 0 && s.Size != s.Compress+int64(preambleSize) {
+		if len(s.Damage) == 0 && s.Size != s.CompressedBytes+int64(preambleSize) {
 			t.Fatalf("cut at %d: nothing is said of the torn end", n)
 		}
 	}
@@ -155,10 +155,10 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path); !errors.Is(err, ErrNewer) {
+	if _, _, err := Open(path); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("error %v", err)
 	}
-	if _, _, err := Open(filepath.Dir(path)); !errors.Is(err, ErrNewer) {
+	if _, _, err := Open(filepath.Dir(path)); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("error for the directory %v", err)
 	}
 }
@@ -189,7 +189,7 @@
 		if err != nil {
 			return
 		}
-		if err := s.Each(func(Position, *Record) error { return nil }); err != nil {
+		if err := s.ForEach(func(Position, *Record) error { return nil }); err != nil {
 			t.Errorf("a record was counted and can't be read: %v", err)
 		}
 	})
--- a/internal/capture/tap.go
+++ b/internal/capture/tap.go
@@ -6,7 +6,7 @@
 	"tillerusher/admission"
 )
 
-// Module is what a tap records: the decision module, whose state can be taken.
+// ModuleTime is what a tap records: the decision module, whose state can be taken.
 type Module interface {
 	admission.Events
 	Snapshot(to []byte) []byte
@@ -31,148 +31,148 @@
 	t.rec.round(now, m.Snapshot)
 }
 
-// Names notes the Request-Id of the request that comes next, and its key where it has one.
-func (t *Tap) Names(id admission.RequestID, wire, key string) {
-	t.rec.add(&Record{Kind: Names, At: t.now, ID: id, Text: wire, Key: key})
+// KindRequestNames notes the Request-Id of the request that comes next, and its key where it has one.
+func (t *Tap) NameRequest(id admission.RequestID, wire, key string) {
+	t.rec.add(&Record{Kind: KindRequestNames, At: t.now, ID: id, Text: wire, Key: key})
 }
 
-// Remark notes something of the host.
-func (t *Tap) Remark(text string) { t.rec.add(&Record{Kind: Remark, At: t.now, Text: text}) }
+// KindAnnotation notes something of the host.
+func (t *Tap) Annotate(text string) { t.rec.add(&Record{Kind: KindAnnotation, At: t.now, Text: text}) }
 
 func (t *Tap) event(r Record) {
 	t.now = r.At
 	t.rec.add(&r)
 }
 
-// Request implements admission.Events.
+// KindRequest implements admission.Events.
 func (t *Tap) Request(now time.Duration, q admission.Request) {
-	t.event(Record{Kind: Request, At: now, ID: q.ID, Asked: q})
+	t.event(Record{Kind: KindRequest, At: now, ID: q.ID, Request: q})
 	t.module.Request(now, q)
 }
 
-// Gone implements admission.Events.
-func (t *Tap) Gone(now time.Duration, id admission.RequestID) {
-	t.event(Record{Kind: Gone, At: now, ID: id})
-	t.module.Gone(now, id)
+// KindCancel implements admission.Events.
+func (t *Tap) Cancel(now time.Duration, id admission.RequestID) {
+	t.event(Record{Kind: KindCancel, At: now, ID: id})
+	t.module.Cancel(now, id)
 }
 
-// Done implements admission.Events.
-func (t *Tap) Done(now time.Duration, id admission.RequestID, o admission.Outcome) {
-	t.event(Record{Kind: Done, At: now, ID: id, Outcome: o})
-	t.module.Done(now, id, o)
+// KindRunFinished implements admission.Events.
+func (t *Tap) RunFinished(now time.Duration, id admission.RequestID, o admission.Outcome) {
+	t.event(Record{Kind: KindRunFinished, At: now, ID: id, Outcome: o})
+	t.module.RunFinished(now, id, o)
 }
 
-// Blocked implements admission.Events.
-func (t *Tap) Blocked(now time.Duration, id admission.RequestID) {
-	t.event(Record{Kind: Blocked, At: now, ID: id})
-	t.module.Blocked(now, id)
+// KindCallRequested implements admission.Events.
+func (t *Tap) CallRequested(now time.Duration, id admission.RequestID) {
+	t.event(Record{Kind: KindCallRequested, At: now, ID: id})
+	t.module.CallRequested(now, id)
 }
 
-// Called implements admission.Events.
-func (t *Tap) Called(now time.Duration, id admission.RequestID, o admission.Outcome, took time.Duration) {
-	t.event(Record{Kind: Called, At: now, ID: id, Outcome: o, Span: took})
-	t.module.Called(now, id, o, took)
+// KindCallFinished implements admission.Events.
+func (t *Tap) CallFinished(now time.Duration, id admission.RequestID, o admission.Outcome, took time.Duration) {
+	t.event(Record{Kind: KindCallFinished, At: now, ID: id, Outcome: o, Duration: took})
+	t.module.CallFinished(now, id, o, took)
 }
 
-// Drain implements admission.Events.
+// KindDrain implements admission.Events.
 func (t *Tap) Drain(now, left time.Duration) {
-	t.event(Record{Kind: Drain, At: now, Span: left})
+	t.event(Record{Kind: KindDrain, At: now, Duration: left})
 	t.module.Drain(now, left)
 }
 
-// Timer implements admission.Events.
+// KindTimer implements admission.Events.
 func (t *Tap) Timer(now time.Duration, token uint32, g admission.Gauges) {
-	t.event(Record{Kind: Timer, At: now, Token: token, Gauges: g})
+	t.event(Record{Kind: KindTimer, At: now, Token: token, Gauges: g})
 	t.module.Timer(now, token, g)
 }
 
-// Settle implements admission.Events.
+// KindSettle implements admission.Events.
 func (t *Tap) Settle(now time.Duration) {
-	t.event(Record{Kind: Settle, At: now})
+	t.event(Record{Kind: KindSettle, At: now})
 	t.module.Settle(now)
 	t.rec.round(now, t.module.Snapshot)
 }
 
-// Run implements admission.Actions.
+// KindRun implements admission.Actions.
 func (t *Tap) Run(id admission.RequestID) {
-	t.event(Record{Kind: Run, At: t.now, ID: id})
+	t.event(Record{Kind: KindRun, At: t.now, ID: id})
 	t.do.Run(id)
 }
 
-// Refuse implements admission.Actions.
-func (t *Tap) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
-	t.event(Record{Kind: Refuse, At: t.now, ID: id, Span: stayAway, Yes: last})
-	t.do.Refuse(id, stayAway, last)
+// KindReject implements admission.Actions.
+func (t *Tap) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
+	t.event(Record{Kind: KindReject, At: t.now, ID: id, Duration: stayAway, Flag: last})
+	t.do.Reject(id, stayAway, last)
 }
 
-// Fail implements admission.Actions.
+// KindFail implements admission.Actions.
 func (t *Tap) Fail(id admission.RequestID) {
-	t.event(Record{Kind: Fail, At: t.now, ID: id})
+	t.event(Record{Kind: KindFail, At: t.now, ID: id})
 	t.do.Fail(id)
 }
 
-// Call implements admission.Actions.
+// KindCall implements admission.Actions.
 func (t *Tap) Call(id admission.RequestID, timeout time.Duration) {
-	t.event(Record{Kind: Call, At: t.now, ID: id, Span: timeout})
+	t.event(Record{Kind: KindCall, At: t.now, ID: id, Duration: timeout})
 	t.do.Call(id, timeout)
 }
 
-// Skip implements admission.Actions.
-func (t *Tap) Skip(id admission.RequestID) {
-	t.event(Record{Kind: Skip, At: t.now, ID: id})
-	t.do.Skip(id)
+// KindSkipCall implements admission.Actions.
+func (t *Tap) SkipCall(id admission.RequestID) {
+	t.event(Record{Kind: KindSkipCall, At: t.now, ID: id})
+	t.do.SkipCall(id)
 }
 
-// Halt implements admission.Actions.
-func (t *Tap) Halt(id admission.RequestID) {
-	t.event(Record{Kind: Halt, At: t.now, ID: id})
-	t.do.Halt(id)
+// KindStop implements admission.Actions.
+func (t *Tap) Stop(id admission.RequestID) {
+	t.event(Record{Kind: KindStop, At: t.now, ID: id})
+	t.do.Stop(id)
 }
 
-// Keep implements admission.Actions.
-func (t *Tap) Keep(id admission.RequestID, lifetime time.Duration) {
-	t.event(Record{Kind: Keep, At: t.now, ID: id, Span: lifetime})
-	t.do.Keep(id, lifetime)
+// KindKeepKey implements admission.Actions.
+func (t *Tap) KeepKey(id admission.RequestID, lifetime time.Duration) {
+	t.event(Record{Kind: KindKeepKey, At: t.now, ID: id, Duration: lifetime})
+	t.do.KeepKey(id, lifetime)
 }
 
-// Forget implements admission.Actions.
-func (t *Tap) Forget(id admission.RequestID) {
-	t.event(Record{Kind: Forget, At: t.now, ID: id})
-	t.do.Forget(id)
+// KindReleaseKey implements admission.Actions.
+func (t *Tap) ReleaseKey(id admission.RequestID) {
+	t.event(Record{Kind: KindReleaseKey, At: t.now, ID: id})
+	t.do.ReleaseKey(id)
 }
 
-// Reuse implements admission.Actions.
-func (t *Tap) Reuse(id admission.RequestID) {
-	t.event(Record{Kind: Reuse, At: t.now, ID: id})
-	t.do.Reuse(id)
+// KindReplayResult implements admission.Actions.
+func (t *Tap) ReplayResult(id admission.RequestID) {
+	t.event(Record{Kind: KindReplayResult, At: t.now, ID: id})
+	t.do.ReplayResult(id)
 }
 
-// Say implements admission.Actions.
-func (t *Tap) Say(value float64) {
-	t.event(Record{Kind: Say, At: t.now, Value: value})
-	t.do.Say(value)
+// KindAdvertiseLoad implements admission.Actions.
+func (t *Tap) AdvertiseLoad(value float64) {
+	t.event(Record{Kind: KindAdvertiseLoad, At: t.now, Value: value})
+	t.do.AdvertiseLoad(value)
 }
 
-// Health implements admission.Actions.
-func (t *Tap) Health(good, fromStore bool) {
-	t.event(Record{Kind: Health, At: t.now, Yes: good, Stored: fromStore})
-	t.do.Health(good, fromStore)
+// KindSetHealth implements admission.Actions.
+func (t *Tap) SetHealth(good, fromStore bool) {
+	t.event(Record{Kind: KindSetHealth, At: t.now, Flag: good, FromStore: fromStore})
+	t.do.SetHealth(good, fromStore)
 }
 
-// CloseIdle implements admission.Actions.
-func (t *Tap) CloseIdle(idle time.Duration) {
-	t.event(Record{Kind: CloseIdle, At: t.now, Span: idle})
-	t.do.CloseIdle(idle)
+// KindCloseIdleConnections implements admission.Actions.
+func (t *Tap) CloseIdleConnections(idle time.Duration) {
+	t.event(Record{Kind: KindCloseIdleConnections, At: t.now, Duration: idle})
+	t.do.CloseIdleConnections(idle)
 }
 
-// After implements admission.Actions.
-func (t *Tap) After(wait time.Duration, token uint32) {
-	t.event(Record{Kind: After, At: t.now, Span: wait, Token: token})
-	t.do.After(wait, token)
+// KindSetTimer implements admission.Actions.
+func (t *Tap) SetTimer(wait time.Duration, token uint32) {
+	t.event(Record{Kind: KindSetTimer, At: t.now, Duration: wait, Token: token})
+	t.do.SetTimer(wait, token)
 }
 
-// Log implements admission.Actions.
+// KindLog implements admission.Actions.
 func (t *Tap) Log(line string) {
-	t.event(Record{Kind: Log, At: t.now, Text: line})
+	t.event(Record{Kind: KindLog, At: t.now, Text: line})
 	t.do.Log(line)
 }
--- a/internal/capture/write.go
+++ b/internal/capture/write.go
@@ -17,18 +17,18 @@
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	b := appendBlock(appendPreamble(nil), head{kind: blockMeta, first: m.First, base: m.Module, unix: m.Unix}, text)
-	b = appendBlock(b, head{kind: blockSnapshot, first: m.First, base: m.Module, unix: m.Unix}, snapshot)
-	last, number := m.Module, m.First
+	b := appendBlock(appendPreamble(nil), head{kind: blockMeta, first: m.FirstRecord, base: m.ModuleTime, unix: m.UnixTime}, text)
+	b = appendBlock(b, head{kind: blockSnapshot, first: m.FirstRecord, base: m.ModuleTime, unix: m.UnixTime}, snapshot)
+	last, number := m.ModuleTime, m.FirstRecord
 	var content []byte
-	h := head{kind: blockRecords, first: number, base: last, unix: m.Unix}
+	h := head{kind: blockRecords, first: number, base: last, unix: m.UnixTime}
 	err = each(func(r *Record) {
 		content = appendRecord(content, &last, r)
 		number++
 		if len(content) >= pieceBlock {
 			b = appendBlock(b, h, content)
 			content = content[:0]
-			h = head{kind: blockRecords, first: number, base: last, unix: m.Unix.Add(last - m.Module)}
+			h = head{kind: blockRecords, first: number, base: last, unix: m.UnixTime.Add(last - m.ModuleTime)}
 		}
 	})
 	if err != nil {
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -11,7 +11,7 @@
 
 // writer owns the folder: it runs in a goroutine of its own and may stand still as long as the disk does.
 type writer struct {
-	files   Files
+	files   Directory
 	keep    int64 // bytes that all segments together may take
 	reserve int64 // of them for the segment that is written, beside the state that it begins with
 	trouble func(error)
@@ -117,7 +117,7 @@
 	if err := w.emit(appendPreamble(nil)); err != nil {
 		return err
 	}
-	return w.put(head{kind: blockMeta, first: m.First, base: m.Module, unix: m.Unix}, text)
+	return w.put(head{kind: blockMeta, first: m.FirstRecord, base: m.ModuleTime, unix: m.UnixTime}, text)
 }
 
 // makeRoom removes the oldest segments until all take no more than so many bytes.
--- a/internal/cgi/cgi.go
+++ b/internal/cgi/cgi.go
@@ -14,9 +14,9 @@
 // ErrResponse says that a response makes no sense.
 var ErrResponse = errors.New("cgi: response makes no sense")
 
-// Parse reads a whole response. Without a Status field its status is 200, as section 6.3.3 has it.
-func Parse(response []byte) (gateway.Answer, error) {
-	a := gateway.Answer{Status: 200}
+// ParseResponse reads a whole response. Without a Status field its status is 200, as section 6.3.3 has it.
+func ParseResponse(response []byte) (gateway.Response, error) {
+	a := gateway.Response{Status: 200}
 	rest := response
 	for {
 		line, after, ok := bytes.Cut(rest, []byte{'\n'})
@@ -34,7 +34,7 @@
 		}
 		value = strings.TrimSpace(value)
 		if !strings.EqualFold(name, "Status") {
-			a.Fields = append(a.Fields, gateway.Field{Name: name, Value: value})
+			a.Headers = append(a.Headers, gateway.Field{Name: name, Value: value})
 			continue
 		}
 		code, _, _ := strings.Cut(value, " ")
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -21,21 +21,21 @@
 
 // kindOf is a class whose requests meet their aim on an idle server: their work varies little, and the aim is long beside it.
 func kindOf(name string, share float64, work, aim time.Duration, worth float64) Class {
-	return Class{Name: name, Share: share, Work: work, Dist: LogNormal, CV: 0.4, Aim: aim, Deadline: 5 * aim / 2, Worth: worth}
+	return Class{Name: name, Share: share, MeanWork: work, Distribution: LogNormal, CV: 0.4, LatencyObjective: aim, Deadline: 5 * aim / 2, Weight: worth}
 }
 
 func keyedFor(c Class, window time.Duration) Class {
-	c.Keyed, c.Window = true, window
+	c.IdempotentByKey, c.KeyWindow = true, window
 	return c
 }
 
 func unsafeOf(c Class) Class {
-	c.Unsafe = true
+	c.NonIdempotent = true
 	return c
 }
 
 func lateWorth(c Class, worth float64) Class {
-	c.LateWorth = worth
+	c.LateWeight = worth
 	return c
 }
 
@@ -83,7 +83,7 @@
 	classes []Class
 	tenants []Tenant
 	load    float64 // of what the fleet can do; 0 is 1.25
-	change  func(w *World)
+	change  func(w *Config)
 }
 
 func deployments() []deployment {
@@ -100,55 +100,55 @@
 		{name: "five classes, no tenants", classes: fiveClasses()},
 		{name: "five classes, very unequal tenants", classes: fiveClasses(), tenants: unequalTenants()},
 		{name: "five classes at nine tenths", classes: fiveClasses(), load: 0.9},
-		{name: "no value is told", classes: aimsTenfold(), change: func(w *World) { w.Servers.Feedback = Silent }},
-		{name: "credit is told", classes: aimsTenfold(), change: func(w *World) { w.Servers.Feedback = Credit }},
-		{name: "a weight is told", classes: aimsTenfold(), change: func(w *World) { w.Servers.Feedback = Probability }},
-		{name: "no gauge of what wants a core", classes: aimsTenfold(), change: func(w *World) { w.Servers.NoRunnable = true }},
-		{name: "work can't be stopped", classes: aimsTenfold(), change: func(w *World) { w.Servers.NoStop = true }},
-		{name: "ten servers and five gateways", classes: aimsTenfold(), change: func(w *World) {
-			w.Servers.N, w.Servers.Listed, w.Callers[0].N, w.Callers[1].N = 10, 10, 3, 2
+		{name: "no value is told", classes: aimsTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackNone }},
+		{name: "credit is told", classes: aimsTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackCredit }},
+		{name: "a weight is told", classes: aimsTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackWeight }},
+		{name: "no gauge of what wants a core", classes: aimsTenfold(), change: func(w *Config) { w.Servers.OmitRunnableGauge = true }},
+		{name: "work can't be stopped", classes: aimsTenfold(), change: func(w *Config) { w.Servers.CannotStopRuns = true }},
+		{name: "ten servers and five gateways", classes: aimsTenfold(), change: func(w *Config) {
+			w.Servers.Count, w.Servers.InitialEndpoints, w.Gateways[0].Count, w.Gateways[1].Count = 10, 10, 3, 2
 		}},
-		{name: "sixty servers and thirty gateways", classes: aimsTenfold(), change: func(w *World) {
-			w.Servers.Listed, w.Callers[0].N, w.Callers[1].N = 60, 15, 15
+		{name: "sixty servers and thirty gateways", classes: aimsTenfold(), change: func(w *Config) {
+			w.Servers.InitialEndpoints, w.Gateways[0].Count, w.Gateways[1].Count = 60, 15, 15
 		}},
-		{name: "three gateways", classes: aimsTenfold(), change: func(w *World) { w.Callers[0].N, w.Callers[1].N = 2, 1 }},
-		{name: "six hundred gateways", classes: aimsTenfold(), change: func(w *World) { w.Callers[0].N, w.Callers[1].N = 300, 300 }},
-		{name: "gateways try no server again", classes: aimsTenfold(), change: func(w *World) {
-			w.Callers[0].Again, w.Callers[1].Again = Never, Never
+		{name: "three gateways", classes: aimsTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 2, 1 }},
+		{name: "six hundred gateways", classes: aimsTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 300, 300 }},
+		{name: "gateways try no server again", classes: aimsTenfold(), change: func(w *Config) {
+			w.Gateways[0].Retry, w.Gateways[1].Retry = RetryNever, RetryNever
 		}},
-		{name: "gateways that heed nothing", classes: aimsTenfold(), load: 1.1, change: func(w *World) {
-			w.Servers.RetryAfter, w.Callers[0].Heeds, w.Callers[1].Heeds = 0, false, false
+		{name: "gateways that heed nothing", classes: aimsTenfold(), load: 1.1, change: func(w *Config) {
+			w.Servers.MaxRetryAfter, w.Gateways[0].HonorsFeedback, w.Gateways[1].HonorsFeedback = 0, false, false
 		}},
-		{name: "thirty-two cores", classes: aimsTenfold(), change: func(w *World) {
+		{name: "thirty-two cores", classes: aimsTenfold(), change: func(w *Config) {
 			w.Servers.MemoryKB *= 32 / float64(w.Servers.Cores)
-			w.Servers.Cores, w.Servers.N = 32, 2
+			w.Servers.Cores, w.Servers.Count = 32, 2
 		}},
-		{name: "little memory, much of it for keys", classes: worthTwentyfold(), change: func(w *World) {
-			keyed := w.Capacity() / float64(w.Servers.N) * w.Classes[2].Share * w.Classes[2].Window.Seconds()
-			w.Servers.MemoryKB = 10 * float64(w.Servers.Cores) * w.Servers.RunFactor * w.Servers.HoldKB[1]
+		{name: "little memory, much of it for keys", classes: worthTwentyfold(), change: func(w *Config) {
+			keyed := w.Capacity() / float64(w.Servers.Count) * w.Classes[2].Share * w.Classes[2].KeyWindow.Seconds()
+			w.Servers.MemoryKB = 10 * float64(w.Servers.Cores) * w.Servers.RunningMemoryFactor * w.Servers.RequestKB[1]
 			w.Servers.KeyKB = 0.4 * w.Servers.MemoryKB / keyed
 		}},
-		{name: "half of the servers die and come back cold", classes: aimsTenfold(), load: 0.9, change: func(w *World) {
-			w.Servers.ColdShare, w.Servers.ColdFor = 0.2, 10*time.Second
-			w.Incidents = []Incident{{What: Death, From: 3 * time.Second, For: 4 * time.Second, Part: 0.5}}
+		{name: "half of the servers die and come back cold", classes: aimsTenfold(), load: 0.9, change: func(w *Config) {
+			w.Servers.InitialCapacity, w.Servers.WarmUpTime = 0.2, 10*time.Second
+			w.Incidents = []Incident{{Kind: ServerCrash, Start: 3 * time.Second, Duration: 4 * time.Second, ServerShare: 0.5}}
 		}},
-		{name: "slow for a while", classes: aimsTenfold(), load: 0.9, change: func(w *World) {
-			w.Incidents = []Incident{{What: Slow, From: 3 * time.Second, For: 5 * time.Second, Part: 0.5, Size: 8}}
+		{name: "slow for a while", classes: aimsTenfold(), load: 0.9, change: func(w *Config) {
+			w.Incidents = []Incident{{Kind: SlowServers, Start: 3 * time.Second, Duration: 5 * time.Second, ServerShare: 0.5, Magnitude: 8}}
 		}},
-		{name: "a release", classes: worthTwentyfold(), load: 0.9, change: func(w *World) {
-			w.Incidents = []Incident{{What: Deploy, From: 3 * time.Second, For: 10 * time.Second, Part: 0.98, Size: 0.2}}
+		{name: "a release", classes: worthTwentyfold(), load: 0.9, change: func(w *Config) {
+			w.Incidents = []Incident{{Kind: RollingDeploy, Start: 3 * time.Second, Duration: 10 * time.Second, ServerShare: 0.98, Magnitude: 0.2}}
 		}},
 	}
 }
 
 // world is the deployment in a part of its fleet.
-func (d *deployment) world() World {
-	w := Defaults()
-	w.Name, w.For = d.name, 30*time.Second
+func (d *deployment) world() Config {
+	w := DefaultConfig()
+	w.Name, w.Duration = d.name, 30*time.Second
 	w.Classes, w.Tenants = d.classes, d.tenants
-	w.Servers.N, w.Servers.Listed = playedServers, fleetServers
-	w.Callers = []Gateway{{N: fleetGateways / 2, Share: 0.5, Choice: Round, Again: Unbounded, Tries: 4, Heeds: true},
-		{N: fleetGateways / 2, Share: 0.5, Choice: Two, Again: Unbounded, Tries: 4, Heeds: true}}
+	w.Servers.Count, w.Servers.InitialEndpoints = playedServers, fleetServers
+	w.Gateways = []GatewayConfig{{Count: fleetGateways / 2, Share: 0.5, Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true},
+		{Count: fleetGateways / 2, Share: 0.5, Balancing: PowerOfTwo, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true}}
 	if d.change != nil {
 		d.change(&w)
 	}
@@ -156,9 +156,9 @@
 	if load == 0 {
 		load = 1.25
 	}
-	w.Load(load)
+	w.SetLoad(load)
 	for i := range w.Tenants {
-		w.Tenants[i].Quota *= float64(w.Servers.Listed) / float64(w.Servers.N)
+		w.Tenants[i].Quota *= float64(w.Servers.InitialEndpoints) / float64(w.Servers.Count)
 	}
 	return w
 }
@@ -168,15 +168,15 @@
 func TestNoClassStarves(t *testing.T) {
 	for _, d := range deployments() {
 		t.Run(d.name, func(t *testing.T) {
-			r := play(t, d.world(), Module, 1)
-			if len(r.Breaches) > 0 {
-				t.Errorf("rules broken: %v", r.Breaches)
+			r := play(t, d.world(), AdmissionModule, 1)
+			if len(r.ViolationMessages) > 0 {
+				t.Errorf("rules broken: %v", r.ViolationMessages)
 			}
 			possible := min(1, 1/r.Load)
 			for _, c := range r.Classes {
-				t.Logf("%s: served %.3f, the fleet can serve %.3f of all", c.Name, c.Share, possible)
-				if c.Share < fairShare*possible {
-					t.Errorf("class %s is hardly served: %.3f of it, where the fleet can serve %.3f of all", c.Name, c.Share, possible)
+				t.Logf("%s: served %.3f, the fleet can serve %.3f of all", c.Name, c.GoodputShare, possible)
+				if c.GoodputShare < fairShare*possible {
+					t.Errorf("class %s is hardly served: %.3f of it, where the fleet can serve %.3f of all", c.Name, c.GoodputShare, possible)
 				}
 			}
 		})
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -41,7 +41,7 @@
 type gateway struct {
 	sim    *sim
 	n      int
-	habit  *Gateway
+	habit  *GatewayConfig
 	mine   []int // servers that it keeps to
 	known  []view
 	turn   int
@@ -61,22 +61,22 @@
 	adviceLeast = time.Millisecond //
 )
 
-func newGateway(s *sim, n int, habit *Gateway) *gateway {
+func newGateway(s *sim, n int, habit *GatewayConfig) *gateway {
 	g := &gateway{sim: s, n: n, habit: habit, known: make([]view, len(s.servers)), tokens: budgetBurst, rng: stream(s.seed, "choice", n),
 		again: stream(s.seed, "again", n), heed: stream(s.seed, "heed", n)}
 	for i := range s.servers {
 		g.mine = append(g.mine, i)
 	}
-	if habit.Subset > 0 && habit.Subset < len(g.mine) {
+	if habit.SubsetSize > 0 && habit.SubsetSize < len(g.mine) {
 		g.rng.Shuffle(len(g.mine), func(i, j int) { g.mine[i], g.mine[j] = g.mine[j], g.mine[i] })
-		g.mine = g.mine[:habit.Subset]
+		g.mine = g.mine[:habit.SubsetSize]
 		slices.Sort(g.mine)
 	}
 	if len(g.mine) > 0 {
 		g.turn = g.rng.IntN(len(g.mine))
 	}
-	if habit.Checked {
-		s.queue.set(time.Duration(g.rng.Int64N(int64(s.world.Servers.CheckEvery))), g, checks, nil)
+	if habit.UsesHealthChecks {
+		s.queue.set(time.Duration(g.rng.Int64N(int64(s.world.Servers.HealthCheckInterval))), g, checks, nil)
 	}
 	return g
 }
@@ -102,8 +102,8 @@
 			s := g.sim.servers[i]
 			g.known[i].ill = !s.up || s.closed || !s.healthy || s.still > 0
 		}
-		if g.sim.now < g.sim.world.For {
-			g.sim.queue.set(g.sim.now+g.sim.world.Servers.CheckEvery, g, checks, nil)
+		if g.sim.now < g.sim.world.Duration {
+			g.sim.queue.set(g.sim.now+g.sim.world.Servers.HealthCheckInterval, g, checks, nil)
 		}
 	case comesAgain:
 		g.repeat(e.ref.(*request))
@@ -112,7 +112,7 @@
 
 // first takes a request of a client.
 func (g *gateway) first(r *request) {
-	g.tokens = min(g.tokens+g.habit.Budget, budgetBurst)
+	g.tokens = min(g.tokens+g.habit.RetryBudget, budgetBurst)
 	g.patience(r)
 	g.try(r, unreachable)
 }
@@ -120,7 +120,7 @@
 // patience has a client give up in the end.
 func (g *gateway) patience(r *request) {
 	r.givesUp = nil
-	if !g.habit.Endless {
+	if !g.habit.NoClientTimeout {
 		r.givesUp = g.sim.queue.set(g.sim.now+g.sim.world.Classes[r.class].Deadline, g, givesUp, r)
 	}
 }
@@ -129,7 +129,7 @@
 func (g *gateway) repeat(of *request) {
 	r := *of
 	r.at, r.repeat, r.over, r.open, r.tries, r.tried, r.later = g.sim.now, true, false, 0, 1, nil, nil
-	g.sim.result.Repeats++
+	g.sim.result.Resends++
 	g.sim.result.open++
 	g.patience(&r)
 	g.try(&r, refused)
@@ -156,12 +156,12 @@
 	r.tried = append(r.tried, i)
 	v := &visit{n: g.sim.tries, req: r, server: s, life: s.life, again: r.tries > 1, sent: g.sim.now}
 	g.known[i].open++
-	g.sim.result.Tries++
+	g.sim.result.Attempts++
 	class := &g.sim.world.Classes[r.class]
 	g.sim.observer.sent(v.n, r.key, class, r.sizeKB)
 	g.sim.queue.set(g.sim.now+g.sim.way(), s, arrives, v)
-	if g.habit.Wait > 0 && r.tries < g.habit.Tries && (g.habit.Again == Hasty || g.habit.Again == Copies && !class.Keyed) {
-		v.patient = g.sim.queue.set(g.sim.now+time.Duration(g.habit.Wait*float64(class.Aim)), g, losesTime, v)
+	if g.habit.AttemptTimeoutFactor > 0 && r.tries < g.habit.MaxAttempts && (g.habit.Retry == RetryOnTimeout || g.habit.Retry == RetryHedged && !class.IdempotentByKey) {
+		v.patient = g.sim.queue.set(g.sim.now+time.Duration(g.habit.AttemptTimeoutFactor*float64(class.LatencyObjective)), g, losesTime, v)
 	}
 }
 
@@ -169,13 +169,13 @@
 func (g *gateway) loseTime(v *visit) {
 	v.patient = nil
 	r := v.req
-	if v.heard || r.over || r.tries >= g.habit.Tries {
+	if v.heard || r.over || r.tries >= g.habit.MaxAttempts {
 		return
 	}
 	if r.key != 0 {
 		r.pinned = v.server.n
 	}
-	g.sim.result.Again++
+	g.sim.result.Retries++
 	g.try(r, lateAnswer)
 }
 
@@ -183,9 +183,9 @@
 func (g *gateway) willing(i int, r *request) bool {
 	p := &g.known[i]
 	switch {
-	case !g.sim.listed[i], g.habit.Checked && p.ill, p.misses >= missesMost && p.away > g.sim.now:
+	case !g.sim.listed[i], g.habit.UsesHealthChecks && p.ill, p.misses >= missesMost && p.away > g.sim.now:
 		return false
-	case g.habit.Heeds && (p.away > g.sim.now || p.until > g.sim.now && !g.wanted(p, r)):
+	case g.habit.HonorsFeedback && (p.away > g.sim.now || p.until > g.sim.now && !g.wanted(p, r)):
 		return false
 	}
 	return true
@@ -194,11 +194,11 @@
 // wanted tells whether a request is one that the server wants by the value that it told.
 func (g *gateway) wanted(p *view, r *request) bool {
 	switch g.sim.world.Servers.Feedback {
-	case Credit:
+	case FeedbackCredit:
 		return float64(p.open) < p.value
-	case Probability:
+	case FeedbackWeight:
 		return p.value >= 1 || g.heed.Float64() < p.value
-	case Silent:
+	case FeedbackNone:
 		return true
 	}
 	return r.rank >= p.value
@@ -215,15 +215,15 @@
 	if n == 0 {
 		return -1
 	}
-	switch g.habit.Choice {
-	case Round:
+	switch g.habit.Balancing {
+	case RoundRobin:
 		for range n {
 			g.turn = (g.turn + 1) % n
 			if i := g.mine[g.turn]; g.fresh(i, r) {
 				return i
 			}
 		}
-	case Hash:
+	case ResourceHash:
 		start := int((r.subject * 0x9e3779b97f4a7c15 >> 33) % uint64(n))
 		for k := range n {
 			if i := g.mine[(start+k)%n]; g.fresh(i, r) {
@@ -232,7 +232,7 @@
 		}
 	case Random:
 		return g.draw(r, -1)
-	case Two:
+	case PowerOfTwo:
 		a := g.draw(r, -1)
 		if a < 0 {
 			return a
@@ -241,7 +241,7 @@
 			return b
 		}
 		return a
-	case Weight:
+	case WeightedRandom:
 		weights, any := make([]float64, n), false
 		for k, i := range g.mine {
 			if g.fresh(i, r) {
@@ -299,7 +299,7 @@
 // score is what the gateway wants little of.
 func (g *gateway) score(i int) float64 {
 	p := &g.known[i]
-	if g.habit.Choice == Fastest {
+	if g.habit.Balancing == LowestLatency {
 		return p.latency * float64(1+p.open)
 	}
 	return float64(p.open)
@@ -323,7 +323,7 @@
 	default:
 		p.misses = 0
 		if a.told {
-			p.value, p.until = a.value, g.sim.now+g.sim.world.Servers.Heeded
+			p.value, p.until = a.value, g.sim.now+g.sim.world.Servers.FeedbackTTL
 		}
 		p.latency += ((g.sim.now - v.sent).Seconds() - p.latency) * latencyPart
 		if a.kind == refused {
@@ -343,7 +343,7 @@
 func (g *gateway) served(r *request) {
 	g.end(r)
 	g.sim.result.served(r, g.sim.now)
-	if r.key != 0 && !r.repeat && g.habit.Repeats > 0 && g.again.Float64() < g.habit.Repeats && g.sim.now < g.sim.world.For {
+	if r.key != 0 && !r.repeat && g.habit.ResendShare > 0 && g.again.Float64() < g.habit.ResendShare && g.sim.now < g.sim.world.Duration {
 		r.pinned = r.tried[len(r.tried)-1]
 		g.sim.queue.set(g.sim.now+time.Duration(g.again.Float64()*float64(repeatOver)), g, comesAgain, r)
 	}
@@ -377,8 +377,8 @@
 			return
 		}
 	}
-	more := r.tries < g.habit.Tries && g.habit.Again != Never && !(a.last && (g.habit.Heeds || g.habit.Again == Patient))
-	if more && g.habit.Again == Budgeted {
+	more := r.tries < g.habit.MaxAttempts && g.habit.Retry != RetryNever && !(a.last && (g.habit.HonorsFeedback || g.habit.Retry == RetryBackoff))
+	if more && g.habit.Retry == RetryBudgeted {
 		if more = g.tokens >= 1; more {
 			g.tokens--
 		}
@@ -389,8 +389,8 @@
 		}
 		return
 	}
-	g.sim.result.Again++
-	if g.habit.Again != Patient {
+	g.sim.result.Retries++
+	if g.habit.Retry != RetryBackoff {
 		g.try(r, a.kind)
 		return
 	}
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -6,61 +6,63 @@
 	"time"
 )
 
-// What is a kind of incident.
-type What string
+// IncidentKind is a kind of incident.
+type IncidentKind string
 
 // The kinds of incident.
 const (
-	Jump    What = "jump"    // the rate is Size times the usual, rising and falling over Rise
-	Death   What = "death"   // a part of the servers die at once and come back cold at the end
-	Half    What = "half"    // every second server does: one half of the data centre
-	Slow    What = "slow"    // a part of the servers are Size times slower
-	Hang    What = "hang"    // the work of a part of the servers stands still, not their reading of the network
-	Pause   What = "pause"   // a part of the machines stand still altogether
-	Deploy  What = "deploy"  // a part of the servers are replaced one batch after the other, of Size of the fleet each
-	Freeze  What = "freeze"  // the list of servers stands still
-	Failing What = "failing" // of a part of the servers, a part Size of the runs end with an error
+	RateJump           IncidentKind = "jump"    // the rate is Size times the usual, rising and falling over Rise
+	ServerCrash        IncidentKind = "death"   // a part of the servers die at once and come back cold at the end
+	HalfOutage         IncidentKind = "half"    // every second server does: one half of the data centre
+	SlowServers        IncidentKind = "slow"    // a part of the servers are Size times slower
+	HungWork           IncidentKind = "hang"    // the work of a part of the servers stands still, not their reading of the network
+	MachinePause       IncidentKind = "pause"   // a part of the machines stand still altogether
+	RollingDeploy      IncidentKind = "deploy"  // a part of the servers are replaced one batch after the other, of Size of the fleet each
+	EndpointListFreeze IncidentKind = "freeze"  // the list of servers stands still
+	FailingRuns        IncidentKind = "failing" // of a part of the servers, a part Size of the runs end with an error
 )
 
-// Whats are all kinds of incident.
-func Whats() []What { return []What{Jump, Death, Half, Slow, Hang, Pause, Deploy, Freeze, Failing} }
+// IncidentKinds are all kinds of incident.
+func IncidentKinds() []IncidentKind {
+	return []IncidentKind{RateJump, ServerCrash, HalfOutage, SlowServers, HungWork, MachinePause, RollingDeploy, EndpointListFreeze, FailingRuns}
+}
 
-// Known tells whether the incident is of a kind that there is.
-func (i Incident) Known() bool { return slices.Contains(Whats(), i.What) }
+// IsKnown tells whether the incident is of a kind that there is.
+func (i Incident) IsKnown() bool { return slices.Contains(IncidentKinds(), i.Kind) }
 
 // Incident is something that goes wrong for a while.
 type Incident struct {
-	What What          `json:"What"`
-	From time.Duration `json:"From"`
-	For  time.Duration `json:"For"`
-	Part float64       `json:"Part"` // of the servers
-	Size float64       `json:"Size"`
-	Rise time.Duration `json:"Rise"`
+	Kind        IncidentKind  `json:"What"`
+	Start       time.Duration `json:"From"`
+	Duration    time.Duration `json:"For"`
+	ServerShare float64       `json:"Part"` // of the servers
+	Magnitude   float64       `json:"Size"`
+	RampTime    time.Duration `json:"Rise"`
 }
 
 // String tells an incident in a few words.
 func (i Incident) String() string {
-	text := fmt.Sprintf("%s at %v for %v", i.What, i.From.Round(10*time.Millisecond), i.For.Round(10*time.Millisecond))
-	if i.Part > 0 {
-		text += fmt.Sprintf(", %.0f %% of the servers", 100*i.Part)
+	text := fmt.Sprintf("%s at %v for %v", i.Kind, i.Start.Round(10*time.Millisecond), i.Duration.Round(10*time.Millisecond))
+	if i.ServerShare > 0 {
+		text += fmt.Sprintf(", %.0f %% of the servers", 100*i.ServerShare)
 	}
-	if i.Size > 0 {
-		text += fmt.Sprintf(", size %.2f", i.Size)
+	if i.Magnitude > 0 {
+		text += fmt.Sprintf(", size %.2f", i.Magnitude)
 	}
 	return text
 }
 
 func (i *Incident) check() error {
 	switch {
-	case !i.Known():
-		return fmt.Errorf("no incident is called %q, want one of %v", i.What, Whats())
-	case i.From < 0 || i.For < 0 || i.Rise < 0:
+	case !i.IsKnown():
+		return fmt.Errorf("no incident is called %q, want one of %v", i.Kind, IncidentKinds())
+	case i.Start < 0 || i.Duration < 0 || i.RampTime < 0:
 		return fmt.Errorf("incident %v: a time below 0", i)
-	case i.Part < 0 || i.Part > 1:
-		return fmt.Errorf("incident %v: a part of %v, want 0 to 1", i, i.Part)
-	case i.What == Slow && i.Size < 1, i.What == Deploy && !(i.Size > 0), i.What == Jump && i.Size < 0,
-		i.What == Failing && (i.Size < 0 || i.Size > 1):
-		return fmt.Errorf("incident %v: a size of %v makes no sense", i, i.Size)
+	case i.ServerShare < 0 || i.ServerShare > 1:
+		return fmt.Errorf("incident %v: a part of %v, want 0 to 1", i, i.ServerShare)
+	case i.Kind == SlowServers && i.Magnitude < 1, i.Kind == RollingDeploy && !(i.Magnitude > 0), i.Kind == RateJump && i.Magnitude < 0,
+		i.Kind == FailingRuns && (i.Magnitude < 0 || i.Magnitude > 1):
+		return fmt.Errorf("incident %v: a size of %v makes no sense", i, i.Magnitude)
 	}
 	return nil
 }
@@ -78,22 +80,22 @@
 // begin has it strike.
 func (t *trouble) begin() {
 	rng := stream(t.sim.seed, "incident", t.n)
-	switch t.What {
-	case Jump:
+	switch t.Kind {
+	case RateJump:
 		return // the arrivals jump by themselves
-	case Half:
+	case HalfOutage:
 		for _, s := range t.sim.servers {
 			if s.n%2 == 1 {
 				t.servers = append(t.servers, s)
 			}
 		}
-	case Death:
-		t.servers = t.sim.drawServers(rng, t.Part, func(s *server) bool { return s.up })
+	case ServerCrash:
+		t.servers = t.sim.drawServers(rng, t.ServerShare, func(s *server) bool { return s.up })
 	default:
-		t.servers = t.sim.drawServers(rng, t.Part, nil)
+		t.servers = t.sim.drawServers(rng, t.ServerShare, nil)
 	}
-	t.sim.queue.set(t.sim.now+t.For, t.sim, incidentEnds, t)
-	if t.What == Deploy {
+	t.sim.queue.set(t.sim.now+t.Duration, t.sim, incidentEnds, t)
+	if t.Kind == RollingDeploy {
 		rng.Shuffle(len(t.servers), func(i, j int) { t.servers[i], t.servers[j] = t.servers[j], t.servers[i] })
 		t.step()
 		return
@@ -101,7 +103,7 @@
 	for _, s := range t.servers {
 		t.strike(s)
 	}
-	if t.What == Freeze {
+	if t.Kind == EndpointListFreeze {
 		t.sim.frozen++
 	}
 }
@@ -109,16 +111,16 @@
 // strike has it strike one server.
 func (t *trouble) strike(s *server) {
 	s.advance()
-	switch t.What {
-	case Death, Half:
+	switch t.Kind {
+	case ServerCrash, HalfOutage:
 		s.die(true)
-	case Slow:
-		s.slow = max(s.slow, 1) * t.Size
-	case Hang:
+	case SlowServers:
+		s.slow = max(s.slow, 1) * t.Magnitude
+	case HungWork:
 		s.stuck++
-	case Failing:
-		s.failing = t.Size
-	case Pause:
+	case FailingRuns:
+		s.failing = t.Magnitude
+	case MachinePause:
 		s.pause()
 		return
 	}
@@ -128,8 +130,8 @@
 
 // step replaces one batch of a deploy and has the next follow.
 func (t *trouble) step() {
-	batch := max(int(t.Size*float64(len(t.sim.servers))+0.5), 1)
-	steps := (int(t.Part*float64(len(t.sim.servers))+0.5) + batch - 1) / batch
+	batch := max(int(t.Magnitude*float64(len(t.sim.servers))+0.5), 1)
+	steps := (int(t.ServerShare*float64(len(t.sim.servers))+0.5) + batch - 1) / batch
 	for range batch {
 		if len(t.servers) == 0 {
 			return
@@ -138,7 +140,7 @@
 		t.servers = t.servers[1:]
 	}
 	if len(t.servers) > 0 {
-		t.sim.queue.set(t.sim.now+t.For/time.Duration(max(steps, 1)), t.sim, incidentStep, t)
+		t.sim.queue.set(t.sim.now+t.Duration/time.Duration(max(steps, 1)), t.sim, incidentStep, t)
 	}
 }
 
@@ -146,21 +148,21 @@
 func (t *trouble) end() {
 	for _, s := range t.servers {
 		s.advance()
-		switch t.What {
-		case Death, Half:
+		switch t.Kind {
+		case ServerCrash, HalfOutage:
 			if !s.up {
 				t.sim.queue.set(t.sim.now, s, comesUp, nil)
 			}
-		case Slow:
-			s.slow /= t.Size
-		case Hang:
+		case SlowServers:
+			s.slow /= t.Magnitude
+		case HungWork:
 			s.stuck--
-		case Failing:
+		case FailingRuns:
 			s.failing = 0
-		case Pause:
+		case MachinePause:
 			s.goOn()
 			continue
-		case Deploy:
+		case RollingDeploy:
 			continue
 		}
 		if s.up {
@@ -168,7 +170,7 @@
 			s.look()
 		}
 	}
-	if t.What == Freeze {
+	if t.Kind == EndpointListFreeze {
 		t.sim.thaw()
 	}
 }
--- a/internal/clustersim/model_test.go
+++ b/internal/clustersim/model_test.go
@@ -20,12 +20,12 @@
 )
 
 // policies are all that a server may decide by.
-func policies() map[string]Policy {
-	return map[string]Policy{"module": Module, "line": baseline.Line(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel, "worth": baseline.Worth,
+func policies() map[string]PolicyFactory {
+	return map[string]PolicyFactory{"module": AdmissionModule, "line": baseline.BoundedQueue(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel, "worth": baseline.WeightPriority,
 		"gradient": baseline.Gradient}
 }
 
-func play(t testing.TB, w World, p Policy, seed uint64) *Result {
+func play(t testing.TB, w Config, p PolicyFactory, seed uint64) *Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, p, seed)
 	if err != nil {
@@ -39,7 +39,7 @@
 
 // TestDeterminism plays days of all kinds twice, with one processor and with four: the results are the same to the byte.
 func TestDeterminism(t *testing.T) {
-	text := func(w World, p Policy, seed uint64, procs int) []byte {
+	text := func(w Config, p PolicyFactory, seed uint64, procs int) []byte {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
 		b, err := json.Marshal(play(t, w, p, seed))
 		if err != nil {
@@ -47,11 +47,11 @@
 		}
 		return b
 	}
-	for _, kind := range DayKinds() {
+	for _, kind := range WorkloadKinds() {
 		for n := range uint64(*seeds) {
 			for name, p := range policies() {
-				w := Day(kind, n)
-				w.For = 8 * time.Second
+				w := GenerateConfig(kind, n)
+				w.Duration = 8 * time.Second
 				if !bytes.Equal(text(w, p, n, 1), text(w, p, n, 4)) {
 					t.Errorf("%s on %s plays otherwise on four processors", name, w.Name)
 				}
@@ -62,10 +62,10 @@
 
 // TestRules has the module keep all rules on days of all kinds, checked from outside.
 func TestRules(t *testing.T) {
-	for _, kind := range DayKinds() {
+	for _, kind := range WorkloadKinds() {
 		for n := range uint64(*seeds) {
-			if r := play(t, Day(kind, 1000+n), Module, n); len(r.Breaches) > 0 || r.Prevented > 0 {
-				t.Errorf("%s: %d second runs prevented, %v", r.World, r.Prevented, r.Breaches)
+			if r := play(t, GenerateConfig(kind, 1000+n), AdmissionModule, n); len(r.ViolationMessages) > 0 || r.PreventedReruns > 0 {
+				t.Errorf("%s: %d second runs prevented, %v", r.ConfigName, r.PreventedReruns, r.ViolationMessages)
 			}
 		}
 	}
@@ -73,16 +73,16 @@
 
 // TestStreams has one cause of chance not shift the others: another habit of gateways leaves first tries as they were.
 func TestStreams(t *testing.T) {
-	w := Defaults()
-	w.For = 10 * time.Second
-	a := play(t, w, Module, 3)
-	w.Callers = []Gateway{{N: 7, Share: 1, Choice: Two, Again: Hasty, Tries: 3, Wait: 0.3}}
-	b := play(t, w, Module, 3)
+	w := DefaultConfig()
+	w.Duration = 10 * time.Second
+	a := play(t, w, AdmissionModule, 3)
+	w.Gateways = []GatewayConfig{{Count: 7, Share: 1, Balancing: PowerOfTwo, Retry: RetryOnTimeout, MaxAttempts: 3, AttemptTimeoutFactor: 0.3}}
+	b := play(t, w, AdmissionModule, 3)
 	if a.Requests != b.Requests {
 		t.Errorf("%d requests and %d", a.Requests, b.Requests)
 	}
 	for i := range a.Timeline {
-		if a.Timeline[i].Asked != b.Timeline[i].Asked || a.Timeline[i].Work != b.Timeline[i].Work {
+		if a.Timeline[i].OfferedWeight != b.Timeline[i].OfferedWeight || a.Timeline[i].OfferedWork != b.Timeline[i].OfferedWork {
 			t.Fatalf("second %d asks for another: %+v, %+v", i, a.Timeline[i], b.Timeline[i])
 		}
 	}
@@ -90,54 +90,54 @@
 
 // TestReasons tells each refusal's reason, and asking for it changes nothing.
 func TestReasons(t *testing.T) {
-	w := Day(Storm, 3)
-	w.For = 20 * time.Second
-	a := play(t, w, Module, 1)
-	w.Reasons = true
-	b := play(t, w, Module, 1)
+	w := GenerateConfig(WorkloadStorm, 3)
+	w.Duration = 20 * time.Second
+	a := play(t, w, AdmissionModule, 1)
+	w.RecordRejectReasons = true
+	b := play(t, w, AdmissionModule, 1)
 	told := 0
-	for _, n := range b.Reasons {
+	for _, n := range b.RejectReasons {
 		told += n
 	}
-	if told == 0 || told != b.Answers[kindWords[refused]] || len(b.Reasons) < 3 {
-		t.Errorf("%d refusals, %v", b.Answers[kindWords[refused]], b.Reasons)
+	if told == 0 || told != b.AttemptOutcomes[kindWords[refused]] || len(b.RejectReasons) < 3 {
+		t.Errorf("%d refusals, %v", b.AttemptOutcomes[kindWords[refused]], b.RejectReasons)
 	}
-	if a.G != b.G || a.Events != b.Events {
-		t.Errorf("asking changes the run: %v and %v, %d and %d events", a.G, b.G, a.Events, b.Events)
+	if a.Score != b.Score || a.Events != b.Events {
+		t.Errorf("asking changes the run: %v and %v, %d and %d events", a.Score, b.Score, a.Events, b.Events)
 	}
 }
 
 // TestIncidents has each kind of incident strike and be over: the share sinks or stays, all that is owed is answered, and
 // the fleet is as before in the end.
 func TestIncidents(t *testing.T) {
-	for _, what := range Whats() {
-		w := Defaults()
-		w.For = 40 * time.Second
-		w.Load(0.6)
-		i := Incident{What: what, From: 10 * time.Second, For: 8 * time.Second, Part: 0.5, Size: 3}
+	for _, what := range IncidentKinds() {
+		w := DefaultConfig()
+		w.Duration = 40 * time.Second
+		w.SetLoad(0.6)
+		i := Incident{Kind: what, Start: 10 * time.Second, Duration: 8 * time.Second, ServerShare: 0.5, Magnitude: 3}
 		switch what {
-		case Deploy:
-			i.Size = 0.1
-		case Failing:
-			i.Size = 0.5
-		case Freeze:
-			w.Incidents = append(w.Incidents, Incident{What: Death, From: 11 * time.Second, For: 5 * time.Second, Part: 0.2})
+		case RollingDeploy:
+			i.Magnitude = 0.1
+		case FailingRuns:
+			i.Magnitude = 0.5
+		case EndpointListFreeze:
+			w.Incidents = append(w.Incidents, Incident{Kind: ServerCrash, Start: 11 * time.Second, Duration: 5 * time.Second, ServerShare: 0.2})
 		}
 		w.Incidents = append(w.Incidents, i)
-		r := play(t, w, Module, 1)
-		if len(r.Breaches) > 0 {
-			t.Errorf("%v: %v", i, r.Breaches)
+		r := play(t, w, AdmissionModule, 1)
+		if len(r.ViolationMessages) > 0 {
+			t.Errorf("%v: %v", i, r.ViolationMessages)
 		}
 		before, during := 0.0, 1.0
 		for n, s := range r.Timeline {
-			switch share := over(s.Earned, s.Asked); {
+			switch share := over(s.GoodputWeight, s.OfferedWeight); {
 			case n < 10:
 				before += share / 10
 			case n < 18:
 				during = min(during, share)
 			}
 		}
-		if what != Deploy && during > before-0.02 {
+		if what != RollingDeploy && during > before-0.02 {
 			t.Errorf("%v: the share is %.3f before and %.3f at the least in it: it did not strike", i, before, during)
 		}
 		if !r.Recovery.Recovered {
@@ -149,16 +149,16 @@
 // TestMetastable has gateways that try again without end keep a fleet without limits down though the jump that tipped it is
 // long over, and the module bring it back.
 func TestMetastable(t *testing.T) {
-	w := Defaults()
-	w.For = 60 * time.Second
-	w.Load(0.7)
-	w.Callers = []Gateway{{N: 4, Share: 1, Choice: Round, Again: Hasty, Tries: 4, Wait: 0.7, Heeds: true}}
-	w.Incidents = []Incident{{What: Jump, From: 15 * time.Second, For: 6 * time.Second, Size: 2.5}}
+	w := DefaultConfig()
+	w.Duration = 60 * time.Second
+	w.SetLoad(0.7)
+	w.Gateways = []GatewayConfig{{Count: 4, Share: 1, Balancing: RoundRobin, Retry: RetryOnTimeout, MaxAttempts: 4, AttemptTimeoutFactor: 0.7, HonorsFeedback: true}}
+	w.Incidents = []Incident{{Kind: RateJump, Start: 15 * time.Second, Duration: 6 * time.Second, Magnitude: 2.5}}
 	if r := play(t, w, baseline.NoLimit, 1); r.Recovery.Recovered {
 		t.Errorf("without limits it recovers: %+v", r.Recovery)
 	}
-	if r := play(t, w, Module, 1); !r.Recovery.Recovered || len(r.Breaches) > 0 {
-		t.Errorf("the module does not bring it back: %+v, %v", r.Recovery, r.Breaches)
+	if r := play(t, w, AdmissionModule, 1); !r.Recovery.Recovered || len(r.ViolationMessages) > 0 {
+		t.Errorf("the module does not bring it back: %+v, %v", r.Recovery, r.ViolationMessages)
 	}
 }
 
@@ -171,51 +171,51 @@
 		rank     float64
 		want     bool
 	}{
-		{"", 0.5, 0, 0.4, false}, {Level, 0.5, 0, 0.4, false}, {Level, 0.5, 9, 0.5, true},
-		{Credit, 2, 1, 0, true}, {Credit, 2, 2, 0.9, false}, {Credit, 0, 0, 0.9, false},
-		{Probability, 1, 9, 0, true}, {Probability, 0, 0, 0.9, false},
-		{Silent, 0, 9, 0, true},
+		{"", 0.5, 0, 0.4, false}, {FeedbackLevel, 0.5, 0, 0.4, false}, {FeedbackLevel, 0.5, 9, 0.5, true},
+		{FeedbackCredit, 2, 1, 0, true}, {FeedbackCredit, 2, 2, 0.9, false}, {FeedbackCredit, 0, 0, 0.9, false},
+		{FeedbackWeight, 1, 9, 0, true}, {FeedbackWeight, 0, 0, 0.9, false},
+		{FeedbackNone, 0, 9, 0, true},
 	} {
-		w := Defaults()
+		w := DefaultConfig()
 		w.Servers.Feedback = c.feedback
 		g := &gateway{sim: &sim{world: w}, heed: stream(1, "heed", 0)}
 		if got := g.wanted(&view{open: c.open, value: c.value}, &request{rank: c.rank}); got != c.want {
 			t.Errorf("%q: with the value %v and %d open, a request of rank %v is wanted: %v", c.feedback, c.value, c.open, c.rank, got)
 		}
 	}
-	for _, f := range []Feedback{Silent, Level, Credit, Probability} {
-		w := Defaults()
-		w.For = 10 * time.Second
-		w.Load(1.5)
+	for _, f := range []Feedback{FeedbackNone, FeedbackLevel, FeedbackCredit, FeedbackWeight} {
+		w := DefaultConfig()
+		w.Duration = 10 * time.Second
+		w.SetLoad(1.5)
 		w.Servers.Feedback = f
-		if r := play(t, w, Module, 1); len(r.Breaches) > 0 {
-			t.Errorf("%s: %v", f, r.Breaches)
+		if r := play(t, w, AdmissionModule, 1); len(r.ViolationMessages) > 0 {
+			t.Errorf("%s: %v", f, r.ViolationMessages)
 		}
 	}
 }
 
 // TestUnsafe has requests of a class without keys that must run once only: a gateway tries none of them again that may have run.
 func TestUnsafe(t *testing.T) {
-	w := Defaults()
-	w.For = 10 * time.Second
-	w.Classes = []Class{{Name: "gate-open", Share: 1, Work: 200 * time.Millisecond, Aim: time.Second, Deadline: 3 * time.Second,
-		Worth: 1, Dist: Constant, Unsafe: true}}
-	w.Load(0.2) // nothing is refused, which would be tried again
-	w.Incidents = []Incident{{What: Failing, From: time.Second, For: 8 * time.Second, Part: 1, Size: 0.5}}
-	r := play(t, w, Module, 1)
-	if r.Answers[kindWords[failed]] == 0 {
+	w := DefaultConfig()
+	w.Duration = 10 * time.Second
+	w.Classes = []Class{{Name: "gate-open", Share: 1, MeanWork: 200 * time.Millisecond, LatencyObjective: time.Second, Deadline: 3 * time.Second,
+		Weight: 1, Distribution: Constant, NonIdempotent: true}}
+	w.SetLoad(0.2) // nothing is refused, which would be tried again
+	w.Incidents = []Incident{{Kind: FailingRuns, Start: time.Second, Duration: 8 * time.Second, ServerShare: 1, Magnitude: 0.5}}
+	r := play(t, w, AdmissionModule, 1)
+	if r.AttemptOutcomes[kindWords[failed]] == 0 {
 		t.Fatal("no run failed: the test shows nothing")
 	}
-	if r.Again != 0 || len(r.Breaches) > 0 {
-		t.Errorf("%d tries were made again after runs that failed, breaches %v", r.Again, r.Breaches)
+	if r.Retries != 0 || len(r.ViolationMessages) > 0 {
+		t.Errorf("%d tries were made again after runs that failed, breaches %v", r.Retries, r.ViolationMessages)
 	}
 }
 
 // TestNoServers has clients of a fleet without servers be told so, at once.
 func TestNoServers(t *testing.T) {
-	w := Defaults()
-	w.For, w.Servers.N, w.Arrival.Rate = 3*time.Second, 0, 100
-	r := play(t, w, Module, 1)
+	w := DefaultConfig()
+	w.Duration, w.Servers.Count, w.Arrival.Rate = 3*time.Second, 0, 100
+	r := play(t, w, AdmissionModule, 1)
 	if r.Served != 0 || r.Requests < 200 || r.Unserved[kindWords[unreachable]] != r.Requests {
 		t.Errorf("%d of %d served, %v", r.Served, r.Requests, r.Unserved)
 	}
@@ -223,38 +223,38 @@
 
 // TestTails plays work of a Pareto distribution whose variance has no bound.
 func TestTails(t *testing.T) {
-	w := Defaults()
-	w.For = 20 * time.Second
+	w := DefaultConfig()
+	w.Duration = 20 * time.Second
 	for i := range w.Classes {
-		w.Classes[i].Dist, w.Classes[i].CV = Pareto, 1.3
+		w.Classes[i].Distribution, w.Classes[i].CV = Pareto, 1.3
 	}
-	w.Load(0.7)
-	if r := play(t, w, Module, 1); len(r.Breaches) > 0 || r.Share < 0.3 {
-		t.Errorf("share %.3f, %v", r.Share, r.Breaches)
+	w.SetLoad(0.7)
+	if r := play(t, w, AdmissionModule, 1); len(r.ViolationMessages) > 0 || r.GoodputShare < 0.3 {
+		t.Errorf("share %.3f, %v", r.GoodputShare, r.ViolationMessages)
 	}
 }
 
 // TestCheck names what makes no sense in a world.
 func TestCheck(t *testing.T) {
-	for name, change := range map[string]func(w *World){
-		"length": func(w *World) { w.For = 0 }, "cores": func(w *World) { w.Servers.Cores = 0 }, "speed": func(w *World) { w.Servers.Speed = math.NaN() },
-		"memory": func(w *World) { w.Servers.MemoryKB = 100 }, "classes": func(w *World) { w.Classes = nil },
-		"a tail without a mean": func(w *World) { w.Classes[0].Dist, w.Classes[0].CV = Pareto, 1 },
-		"a scan of all":         func(w *World) { w.Servers.N, w.Callers[0].Choice = 1000, Least },
-		"feedback":              func(w *World) { w.Servers.Feedback = "semaphore" },
-		"both effects":          func(w *World) { w.Classes[1].Unsafe = true },
-		"an incident":           func(w *World) { w.Incidents = []Incident{{What: "flood"}} }, "arrivals": func(w *World) { w.Arrival.Kind = "odd" },
+	for name, change := range map[string]func(w *Config){
+		"length": func(w *Config) { w.Duration = 0 }, "cores": func(w *Config) { w.Servers.Cores = 0 }, "speed": func(w *Config) { w.Servers.Speed = math.NaN() },
+		"memory": func(w *Config) { w.Servers.MemoryKB = 100 }, "classes": func(w *Config) { w.Classes = nil },
+		"a tail without a mean": func(w *Config) { w.Classes[0].Distribution, w.Classes[0].CV = Pareto, 1 },
+		"a scan of all":         func(w *Config) { w.Servers.Count, w.Gateways[0].Balancing = 1000, LeastRequest },
+		"feedback":              func(w *Config) { w.Servers.Feedback = "semaphore" },
+		"both effects":          func(w *Config) { w.Classes[1].NonIdempotent = true },
+		"an incident":           func(w *Config) { w.Incidents = []Incident{{Kind: "flood"}} }, "arrivals": func(w *Config) { w.Arrival.Kind = "odd" },
 	} {
-		w := Defaults()
-		w.Classes, w.Callers = slices.Clone(w.Classes), slices.Clone(w.Callers)
+		w := DefaultConfig()
+		w.Classes, w.Gateways = slices.Clone(w.Classes), slices.Clone(w.Gateways)
 		change(&w)
-		if _, err := Run(context.Background(), w, Module, 1); err == nil {
+		if _, err := Run(context.Background(), w, AdmissionModule, 1); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Run(ctx, Defaults(), Module, 1); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, DefaultConfig(), AdmissionModule, 1); !errors.Is(err, context.Canceled) {
 		t.Errorf("stopped: %v", err)
 	}
 }
@@ -297,8 +297,8 @@
 
 // TestObserver has the observer see each kind of breach: one that can't fail checks nothing.
 func TestObserver(t *testing.T) {
-	w := Defaults()
-	w.Servers.N = 1
+	w := DefaultConfig()
+	w.Servers.Count = 1
 	c := &w.Classes[1]
 	for rule, breach := range map[Rule]func(o *observer){
 		RuleLost: func(o *observer) { o.answered(1, served, c.Deadline+time.Second) },
@@ -311,7 +311,7 @@
 			o.drained(0, 0)
 			o.died(0, 1, false)
 		},
-		RuleFallOver: func(o *observer) {
+		RuleCrash: func(o *observer) {
 			w.Servers.MemoryKB = 1
 			o.memory(0, 1)
 			w.Servers.MemoryKB = 1e6
@@ -347,19 +347,19 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := Defaults()
-			w.Servers.N = n
-			for i := range w.Callers {
-				w.Callers[i].N = max(2, min(n/20, 50))
+			w := DefaultConfig()
+			w.Servers.Count = n
+			for i := range w.Gateways {
+				w.Gateways[i].Count = max(2, min(n/20, 50))
 			}
-			w.Load(0.8)
-			w.For = time.Duration(max(200_000/w.Arrival.Rate, 1) * float64(time.Second))
+			w.SetLoad(0.8)
+			w.Duration = time.Duration(max(200_000/w.Arrival.Rate, 1) * float64(time.Second))
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			requests, events := 0, uint64(0)
 			for b.Loop() {
-				r := play(b, w, Module, rand.Uint64())
+				r := play(b, w, AdmissionModule, rand.Uint64())
 				requests, events = requests+r.Requests, events+r.Events
 			}
 			runtime.ReadMemStats(&after)
--- a/internal/clustersim/observer.go
+++ b/internal/clustersim/observer.go
@@ -13,7 +13,7 @@
 	RuleLost      Rule = "lost"      // no request goes without one final answer in its time
 	RuleDuplicate Rule = "duplicate" // a keyed request runs once in its window, and is not turned away after it ran
 	RuleDrain     Rule = "drain"     // nothing runs that came after the grace, and all is answered before the end
-	RuleFallOver  Rule = "fall-over" // memory and cores bear what they are given
+	RuleCrash     Rule = "fall-over" // memory and cores bear what they are given
 )
 
 // breachesKept is how many breaches are told in words.
@@ -21,7 +21,7 @@
 
 // observer checks the rules from outside: it is told what happens and keeps its own account of it, in its own structures.
 type observer struct {
-	world    *World
+	world    *Config
 	tries    map[uint64]*sighting
 	servers  []watched
 	open     int // tries that arrived and are owed an answer
@@ -59,8 +59,8 @@
 	excused  time.Duration // for which the machine stood still
 }
 
-func newObserver(w *World) *observer {
-	return &observer{world: w, tries: map[uint64]*sighting{}, servers: make([]watched, w.Servers.N), broken: map[Rule]int{}}
+func newObserver(w *Config) *observer {
+	return &observer{world: w, tries: map[uint64]*sighting{}, servers: make([]watched, w.Servers.Count), broken: map[Rule]int{}}
 }
 
 func (o *observer) breach(r Rule, format string, args ...any) {
@@ -76,7 +76,7 @@
 }
 
 func (o *observer) sent(try, key uint64, c *Class, sizeKB float64) {
-	o.tries[try] = &sighting{key: key, keyed: c.Keyed, window: c.Window, deadline: c.Deadline, sizeKB: sizeKB}
+	o.tries[try] = &sighting{key: key, keyed: c.IdempotentByKey, window: c.KeyWindow, deadline: c.Deadline, sizeKB: sizeKB}
 }
 
 func (o *observer) arrived(try uint64, server int, now time.Duration) {
@@ -110,7 +110,7 @@
 	}
 	o.open--
 	s := &o.servers[t.server]
-	if due := max(t.came+t.deadline, t.readAt) + o.world.Servers.Slack + s.excused - t.excused; k != broken && now > due {
+	if due := max(t.came+t.deadline, t.readAt) + o.world.Servers.ResponseTolerance + s.excused - t.excused; k != broken && now > due {
 		o.breach(RuleLost, "try %d is answered at %v, %v late", try, now, now-due)
 	}
 	if k == refused && t.keyed && t.ran {
@@ -147,7 +147,7 @@
 		o.breach(RuleDrain, "try %d came %v after the grace and runs", try, t.came-s.graceEnd)
 	}
 	t.running, t.ran = true, true
-	s.kb += t.sizeKB * (o.world.Servers.RunFactor - 1)
+	s.kb += t.sizeKB * (o.world.Servers.RunningMemoryFactor - 1)
 }
 
 func (o *observer) ended(try uint64, server int) {
@@ -156,7 +156,7 @@
 		return
 	}
 	t.running = false
-	o.servers[server].kb -= t.sizeKB * (o.world.Servers.RunFactor - 1)
+	o.servers[server].kb -= t.sizeKB * (o.world.Servers.RunningMemoryFactor - 1)
 	if t.answered {
 		o.over(try, t)
 	}
@@ -207,7 +207,7 @@
 }
 
 func (o *observer) fell(server int, now time.Duration, cause string) {
-	o.breach(RuleFallOver, "server %d fell over at %v by %s", server, now, cause)
+	o.breach(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
 }
 
 func (o *observer) drained(server int, graceEnd time.Duration) {
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -46,7 +46,7 @@
 	heard   bool   // the gateway has its answer, or knows that none comes
 	patient *event // when the gateway looks elsewhere meanwhile
 
-	// What the server knows of it.
+	// IncidentKind the server knows of it.
 	id       admission.RequestID
 	state    phase
 	job      *job
@@ -91,8 +91,8 @@
 
 // works draws the work of a class's requests.
 func (c *Class) works(rng *rand.Rand) func() float64 {
-	mean := c.Work.Seconds()
-	switch c.Dist {
+	mean := c.MeanWork.Seconds()
+	switch c.Distribution {
 	case Exponential:
 		return distuv.Exponential{Rate: 1 / mean, Src: rng}.Rand
 	case LogNormal:
@@ -169,13 +169,13 @@
 		c.tenants = append(c.tenants, t.Share)
 		c.quotas = append(c.quotas, quota{rate: t.Quota, tokens: t.Quota})
 	}
-	for _, g := range s.world.Callers {
-		for range g.N {
-			c.gateways = append(c.gateways, g.Share/float64(g.N))
+	for _, g := range s.world.Gateways {
+		for range g.Count {
+			c.gateways = append(c.gateways, g.Share/float64(g.Count))
 		}
 	}
 	if s.world.Skew > 1 {
-		c.zipf = rand.NewZipf(c.subjects, s.world.Skew, 1, uint64(s.world.Subjects-1))
+		c.zipf = rand.NewZipf(c.subjects, s.world.Skew, 1, uint64(s.world.ResourceCount-1))
 	}
 	return c
 }
@@ -185,7 +185,7 @@
 	places := make([]int, len(classes))
 	for i := range classes {
 		for j := range classes {
-			if classes[j].Worth < classes[i].Worth || classes[j].Worth == classes[i].Worth && j < i {
+			if classes[j].Weight < classes[i].Weight || classes[j].Weight == classes[i].Weight && j < i {
 				places[i]++
 			}
 		}
@@ -201,21 +201,21 @@
 	r.rank = (float64(c.bands[r.class]) + c.kinds.Float64()) / float64(len(c.bands))
 	class := &w.Classes[r.class]
 	r.work = c.works[r.class]()
-	hold := w.Servers.HoldKB
+	hold := w.Servers.RequestKB
 	r.sizeKB = hold[0] + (hold[1]-hold[0])*c.sizes.Float64()
-	r.worth = class.Worth * r.work
+	r.worth = class.Weight * r.work
 	if len(c.tenants) > 0 {
 		r.tenant = pick(c.kinds, c.tenants)
 		if !c.quotas[r.tenant].within(r.at) {
-			r.worth *= w.Servers.OverWorth
+			r.worth *= w.Servers.OverQuotaWeight
 		}
 	}
 	if c.zipf != nil {
 		r.subject = c.zipf.Uint64() + 1
 	} else {
-		r.subject = uint64(c.subjects.IntN(w.Subjects)) + 1
+		r.subject = uint64(c.subjects.IntN(w.ResourceCount)) + 1
 	}
-	if class.Keyed {
+	if class.IdempotentByKey {
 		r.key = r.n
 	}
 	r.gateway = c.sim.gateways[pick(c.ways, c.gateways)]
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -10,70 +10,70 @@
 // longest is the longest latency that is told apart.
 const longest = 5 * time.Minute
 
-// Second is what came in one second of a run. Asked and what was earned count by the arrival of first tries, all else by
+// SecondStats is what came in one second of a run. Asked and what was earned count by the arrival of first tries, all else by
 // when it happened.
-type Second struct {
-	Asked   float64 `json:"asked"`   // worth
-	Earned  float64 `json:"earned"`  // worth of what was served within its aim
-	Work    float64 `json:"work"`    // core seconds asked for
-	Tries   int     `json:"tries"`   // at servers
-	Served  int     `json:"served"`  // answers of each kind
-	Refused int     `json:"refused"` //
-	Failed  int     `json:"failed"`  // failed, lost, not reached or too late
+type SecondStats struct {
+	OfferedWeight float64 `json:"asked"`   // worth
+	GoodputWeight float64 `json:"earned"`  // worth of what was served within its aim
+	OfferedWork   float64 `json:"work"`    // core seconds asked for
+	Attempts      int     `json:"tries"`   // at servers
+	Served        int     `json:"served"`  // answers of each kind
+	Rejected      int     `json:"refused"` //
+	Failed        int     `json:"failed"`  // failed, lost, not reached or too late
 }
 
-// Part is what a class or a tenant got.
-type Part struct {
-	Name     string  `json:"name"`
-	Requests int     `json:"requests"`
-	Asked    float64 `json:"asked"`
-	Earned   float64 `json:"earned"`
-	Share    float64 `json:"share"`
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	latency  *hdrhistogram.Histogram
+// ServerShare is what a class or a tenant got.
+type GroupResult struct {
+	Name          string  `json:"name"`
+	Requests      int     `json:"requests"`
+	OfferedWeight float64 `json:"asked"`
+	GoodputWeight float64 `json:"earned"`
+	GoodputShare  float64 `json:"share"`
+	P50           float64 `json:"p50_ms"`
+	P99           float64 `json:"p99_ms"`
+	latency       *hdrhistogram.Histogram
 }
 
 // Result is what came of a run.
 type Result struct {
-	World    string         `json:"world"`
-	Seed     uint64         `json:"seed"`
-	Servers  int            `json:"servers"`
-	Seconds  float64        `json:"seconds"` // virtual, to the last answer
-	Events   uint64         `json:"events"`
-	Requests int            `json:"requests"`
-	Served   int            `json:"served"` // requests, in their aim or not
-	InTime   int            `json:"in_time"`
-	Tries    int            `json:"tries"`
-	Again    int            `json:"again"`   // further tries that gateways made
-	Repeats  int            `json:"repeats"` // of what was served
-	Answers  map[string]int `json:"answers"` // tries by how they ended
-	Unserved map[string]int `json:"unserved"`
-	Reasons  map[string]int `json:"reasons,omitempty"` // refusals of servers, where they are told
-	Share    float64        `json:"share"`             // of the worth asked for, served within its aim
-	Worst10  float64        `json:"worst_10s"`
-	WorstOf  float64        `json:"worst_class"`
-	WorstTen float64        `json:"worst_tenant"`
-	Waste    float64        `json:"waste"` // work for what no client got an answer of, over the work asked for
-	Late     float64        `json:"late"`  // worth that was not served though its aim had passed
-	G        float64        `json:"g"`     // the operators' score
-	P50      float64        `json:"p50_ms"`
-	P99      float64        `json:"p99_ms"`
-	P999     float64        `json:"p999_ms"`
-	Load     float64        `json:"load"` // work asked for over what the fleet can do
-	Worked   float64        `json:"worked"`
-	Fell     int            `json:"fell"`
-	Remarks  int            `json:"remarks"` // lines that modules logged
+	ConfigName       string         `json:"world"`
+	Seed             uint64         `json:"seed"`
+	Servers          int            `json:"servers"`
+	Seconds          float64        `json:"seconds"` // virtual, to the last answer
+	Events           uint64         `json:"events"`
+	Requests         int            `json:"requests"`
+	Served           int            `json:"served"` // requests, in their aim or not
+	WithinObjective  int            `json:"in_time"`
+	Attempts         int            `json:"tries"`
+	Retries          int            `json:"again"`   // further tries that gateways made
+	Resends          int            `json:"repeats"` // of what was served
+	AttemptOutcomes  map[string]int `json:"answers"` // tries by how they ended
+	Unserved         map[string]int `json:"unserved"`
+	RejectReasons    map[string]int `json:"reasons,omitempty"` // refusals of servers, where they are told
+	GoodputShare     float64        `json:"share"`             // of the worth asked for, served within its aim
+	WorstWindowShare float64        `json:"worst_10s"`
+	WorstClassShare  float64        `json:"worst_class"`
+	WorstTenantShare float64        `json:"worst_tenant"`
+	WastedWork       float64        `json:"waste"` // work for what no client got an answer of, over the work asked for
+	LateShare        float64        `json:"late"`  // worth that was not served though its aim had passed
+	Score            float64        `json:"g"`     // the operators' score
+	P50              float64        `json:"p50_ms"`
+	P99              float64        `json:"p99_ms"`
+	P999             float64        `json:"p999_ms"`
+	Load             float64        `json:"load"` // work asked for over what the fleet can do
+	WorkDone         float64        `json:"worked"`
+	Crashes          int            `json:"fell"`
+	LogLines         int            `json:"remarks"` // lines that modules logged
 
-	Prevented int          `json:"prevented"` // second runs that the servers prevented
-	Broken    map[Rule]int `json:"broken"`
-	Breaches  []string     `json:"breaches"`
-	Classes   []Part       `json:"classes"`
-	Tenants   []Part       `json:"tenants"`
-	Timeline  []Second     `json:"timeline"`
-	Recovery  Recovery     `json:"recovery"`
+	PreventedReruns   int           `json:"prevented"` // second runs that the servers prevented
+	Violations        map[Rule]int  `json:"broken"`
+	ViolationMessages []string      `json:"breaches"`
+	Classes           []GroupResult `json:"classes"`
+	Tenants           []GroupResult `json:"tenants"`
+	Timeline          []SecondStats `json:"timeline"`
+	Recovery          Recovery      `json:"recovery"`
 
-	world   *World
+	world   *Config
 	open    int // requests
 	latency *hdrhistogram.Histogram
 	useful  float64 // core seconds of what clients got an answer of, reading included
@@ -85,26 +85,26 @@
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 3) }
 
-func newResult(w *World, seed uint64) *Result {
-	r := &Result{World: w.Name, Seed: seed, Servers: w.Servers.N, Answers: map[string]int{}, Unserved: map[string]int{}, Reasons: map[string]int{}, world: w,
-		latency: histogram(), readWork: w.Servers.Read * w.meanWork(), Timeline: make([]Second, int(math.Ceil(w.For.Seconds())))}
+func newResult(w *Config, seed uint64) *Result {
+	r := &Result{ConfigName: w.Name, Seed: seed, Servers: w.Servers.Count, AttemptOutcomes: map[string]int{}, Unserved: map[string]int{}, RejectReasons: map[string]int{}, world: w,
+		latency: histogram(), readWork: w.Servers.ReadCost * w.meanWork(), Timeline: make([]SecondStats, int(math.Ceil(w.Duration.Seconds())))}
 	for _, c := range w.Classes {
-		r.Classes = append(r.Classes, Part{Name: c.Name, latency: histogram()})
+		r.Classes = append(r.Classes, GroupResult{Name: c.Name, latency: histogram()})
 	}
 	for _, t := range w.Tenants {
-		r.Tenants = append(r.Tenants, Part{Name: t.Name, latency: histogram()})
+		r.Tenants = append(r.Tenants, GroupResult{Name: t.Name, latency: histogram()})
 	}
 	return r
 }
 
 // second is that of a time, the last one for what comes behind it.
-func (r *Result) second(at time.Duration) *Second {
+func (r *Result) second(at time.Duration) *SecondStats {
 	return &r.Timeline[min(int(at/time.Second), len(r.Timeline)-1)]
 }
 
 // parts are those that a request belongs to.
-func (r *Result) parts(q *request) []*Part {
-	list := []*Part{&r.Classes[q.class]}
+func (r *Result) parts(q *request) []*GroupResult {
+	list := []*GroupResult{&r.Classes[q.class]}
 	if len(r.Tenants) > 0 {
 		list = append(list, &r.Tenants[q.tenant])
 	}
@@ -116,24 +116,24 @@
 	r.Requests++
 	r.open++
 	s := r.second(q.at)
-	s.Asked += q.worth
-	s.Work += q.work
+	s.OfferedWeight += q.worth
+	s.OfferedWork += q.work
 	for _, p := range r.parts(q) {
 		p.Requests++
-		p.Asked += q.worth
+		p.OfferedWeight += q.worth
 	}
 }
 
 // heard counts how a try ended.
 func (r *Result) heard(a *answer, now time.Duration) {
-	r.Answers[kindWords[a.kind]]++
+	r.AttemptOutcomes[kindWords[a.kind]]++
 	s := r.second(now)
-	s.Tries++
+	s.Attempts++
 	switch a.kind {
 	case served:
 		s.Served++
 	case refused:
-		s.Refused++
+		s.Rejected++
 	default:
 		s.Failed++
 	}
@@ -147,18 +147,18 @@
 	c, took := &r.world.Classes[q.class], now-q.at
 	r.Served++
 	earned := q.worth
-	if took > c.Aim {
-		earned *= c.LateWorth
+	if took > c.LatencyObjective {
+		earned *= c.LateWeight
 	} else {
-		r.InTime++
+		r.WithinObjective++
 	}
 	r.useful += q.work + r.readWork
-	r.second(q.at).Earned += earned
+	r.second(q.at).GoodputWeight += earned
 	us := min(max(took.Microseconds(), 1), longest.Microseconds())
 	r.latency.RecordValue(us)
 	r.took += took.Seconds()
 	for _, p := range r.parts(q) {
-		p.Earned += earned
+		p.GoodputWeight += earned
 		p.latency.RecordValue(us)
 	}
 }
@@ -169,7 +169,7 @@
 		return
 	}
 	r.Unserved[kindWords[why]]++
-	if now-q.at > r.world.Classes[q.class].Aim {
+	if now-q.at > r.world.Classes[q.class].LatencyObjective {
 		r.late += q.worth
 	}
 }
@@ -189,24 +189,24 @@
 func (r *Result) finish(s *sim) {
 	r.Seconds = s.now.Seconds()
 	s.observer.finish(s.now)
-	r.Broken, r.Breaches = s.observer.broken, s.observer.breaches
+	r.Violations, r.ViolationMessages = s.observer.broken, s.observer.breaches
 	asked, earned, work := 0.0, 0.0, 0.0
 	for _, sec := range r.Timeline {
-		asked, earned, work = asked+sec.Asked, earned+sec.Earned, work+sec.Work
+		asked, earned, work = asked+sec.OfferedWeight, earned+sec.GoodputWeight, work+sec.OfferedWork
 	}
-	r.Share = over(earned, asked)
-	r.Worst10 = r.worstWindow()
-	r.WorstOf, r.WorstTen = parts(r.Classes), parts(r.Tenants)
+	r.GoodputShare = over(earned, asked)
+	r.WorstWindowShare = r.worstWindow()
+	r.WorstClassShare, r.WorstTenantShare = parts(r.Classes), parts(r.Tenants)
 	if len(r.Tenants) == 0 {
-		r.WorstTen = r.Share
+		r.WorstTenantShare = r.GoodputShare
 	}
-	r.Waste = max(over(r.Worked-r.useful, work), 0)
-	r.Late = over(r.late, asked)
-	r.G = weightWhole*r.Share + weightWindow*r.Worst10 + weightClass*r.WorstOf + weightTenant*r.WorstTen - priceWaste*min(r.Waste, 1) -
-		priceLate*r.Late
+	r.WastedWork = max(over(r.WorkDone-r.useful, work), 0)
+	r.LateShare = over(r.late, asked)
+	r.Score = weightWhole*r.GoodputShare + weightWindow*r.WorstWindowShare + weightClass*r.WorstClassShare + weightTenant*r.WorstTenantShare - priceWaste*min(r.WastedWork, 1) -
+		priceLate*r.LateShare
 	r.P50, r.P99, r.P999 = quantiles(r.latency)
 	if capacity := s.world.Capacity(); capacity > 0 {
-		r.Load = work / s.world.meanWork() / s.world.For.Seconds() / capacity
+		r.Load = work / s.world.meanWork() / s.world.Duration.Seconds() / capacity
 	}
 	r.Recovery = r.recovery()
 }
@@ -226,7 +226,7 @@
 		end := min(i+window, len(r.Timeline))
 		asked, earned := 0.0, 0.0
 		for _, s := range r.Timeline[i:end] {
-			asked, earned = asked+s.Asked, earned+s.Earned
+			asked, earned = asked+s.OfferedWeight, earned+s.GoodputWeight
 		}
 		if worst = min(worst, over(earned, asked)); end == len(r.Timeline) {
 			break
@@ -236,13 +236,13 @@
 }
 
 // parts fills in the figures of classes or tenants, and returns the least share.
-func parts(list []Part) float64 {
+func parts(list []GroupResult) float64 {
 	least := 1.0
 	for i := range list {
 		p := &list[i]
-		p.Share = over(p.Earned, p.Asked)
+		p.GoodputShare = over(p.GoodputWeight, p.OfferedWeight)
 		p.P50, p.P99, _ = quantiles(p.latency)
-		least = min(least, p.Share)
+		least = min(least, p.GoodputShare)
 	}
 	return least
 }
@@ -258,11 +258,11 @@
 
 // Recovery says whether a fleet came back after its incidents were over.
 type Recovery struct {
-	Incidents bool    `json:"incidents"` // there were any
-	Before    float64 `json:"before"`    // share before the first
-	Recovered bool    `json:"recovered"`
-	After     float64 `json:"after_s"` // seconds from the end of the last to the recovery
-	Left      float64 `json:"left"`    // share from the end of the last on
+	HadIncidents    bool    `json:"incidents"` // there were any
+	ShareBefore     float64 `json:"before"`    // share before the first
+	Recovered       bool    `json:"recovered"`
+	RecoverySeconds float64 `json:"after_s"` // seconds from the end of the last to the recovery
+	ShareAfter      float64 `json:"left"`    // share from the end of the last on
 }
 
 // The figures of the detector.
@@ -276,7 +276,7 @@
 func (r *Result) recovery() Recovery {
 	first, last := math.Inf(1), 0.0
 	for _, i := range r.world.Incidents {
-		first, last = min(first, i.From.Seconds()), max(last, (i.From+i.For).Seconds())
+		first, last = min(first, i.Start.Seconds()), max(last, (i.Start+i.Duration).Seconds())
 	}
 	if math.IsInf(first, 1) {
 		return Recovery{}
@@ -284,26 +284,26 @@
 	share := func(from, to int) float64 {
 		asked, earned := 0.0, 0.0
 		for _, s := range r.Timeline[from:to] {
-			asked, earned = asked+s.Asked, earned+s.Earned
+			asked, earned = asked+s.OfferedWeight, earned+s.GoodputWeight
 		}
 		return over(earned, asked)
 	}
-	v, n := Recovery{Incidents: true, Before: 1}, len(r.Timeline)
+	v, n := Recovery{HadIncidents: true, ShareBefore: 1}, len(r.Timeline)
 	if i := min(int(first), n); i > 0 {
-		v.Before = share(0, i)
+		v.ShareBefore = share(0, i)
 	}
 	end := min(int(math.Ceil(last)), n)
-	v.Left = share(end, n)
+	v.ShareAfter = share(end, n)
 	at := -1
 	for i := n - stretch; i >= end; i-- {
-		if share(i, i+stretch) < recovered*v.Before {
+		if share(i, i+stretch) < recovered*v.ShareBefore {
 			break
 		}
 		at = i
 	}
 	if at >= 0 {
-		v.Recovered, v.After = true, float64(at)-last
-		v.After = max(v.After, 0)
+		v.Recovered, v.RecoverySeconds = true, float64(at)-last
+		v.RecoverySeconds = max(v.RecoverySeconds, 0)
 	}
 	return v
 }
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -71,19 +71,19 @@
 	w := &s.sim.world
 	s.life++
 	s.up, s.cold, s.draining, s.closed, s.started = true, cold, false, false, s.sim.now
-	s.cores = cores{n: float64(w.Servers.Cores), thrash: w.Servers.Thrash, thrashAt: w.Servers.ThrashAt, last: s.sim.now}
+	s.cores = cores{n: float64(w.Servers.Cores), thrash: w.Servers.ThrashFactor, thrashAt: w.Servers.ThrashThreshold, last: s.sim.now}
 	s.visits, s.keys, s.holders = map[admission.RequestID]*visit{}, map[uint64]*entry{}, map[admission.RequestID]uint64{}
 	s.unread, s.reading, s.runTime, s.runTimes = nil, 0, 0, nil
 	s.value, s.told, s.healthy = 0, false, true
 	s.setSpeed()
-	if cold && w.Servers.ColdFor > 0 {
-		s.later(w.Servers.ColdFor/40, warms, nil)
+	if cold && w.Servers.WarmUpTime > 0 {
+		s.later(w.Servers.WarmUpTime/40, warms, nil)
 	}
-	if w.Servers.CrowdFactor > 0 {
-		s.later(w.Servers.CrowdOver/watchParts, watches, nil)
+	if w.Servers.MaxConcurrencyFactor > 0 {
+		s.later(w.Servers.ConcurrencyWindow/watchParts, watches, nil)
 	}
 	set := w.settings()
-	set.Cold = cold
+	set.WarmingUp = cold
 	module, err := s.sim.policy(set, s)
 	if err != nil {
 		s.sim.fail(err)
@@ -96,33 +96,33 @@
 }
 
 // settings is what a module is told of the world.
-func (w *World) settings() admission.Settings {
+func (w *Config) settings() admission.Settings {
 	s := &w.Servers
-	set := admission.Settings{Servers: s.N, Cores: s.Cores, Tick: s.Tick, ColdShare: s.ColdShare, ColdFor: s.ColdFor,
-		MemoryKB: s.MemoryKB, KeyKB: s.KeyKB, RunFactor: s.RunFactor, CrowdFactor: s.CrowdFactor, DrainGrace: s.DrainGrace,
-		StopMode: admission.StopDrop, RetryAfter: s.RetryAfter, CallerIdle: s.CallerIdle}
+	set := admission.Settings{Servers: s.Count, Cores: s.Cores, Tick: s.Tick, InitialCapacity: s.InitialCapacity, WarmUpTime: s.WarmUpTime,
+		MemoryKB: s.MemoryKB, KeyKB: s.KeyKB, RunningMemoryFactor: s.RunningMemoryFactor, MaxConcurrencyFactor: s.MaxConcurrencyFactor, DrainGracePeriod: s.DrainGracePeriod,
+		StopMode: admission.StopDiscard, MaxRetryAfter: s.MaxRetryAfter, CallerIdleTimeout: s.CallerIdleTimeout}
 	set.Feedback, _ = s.Feedback.module()
-	if s.NoStop {
+	if s.CannotStopRuns {
 		set.StopMode = admission.StopNone
 	}
-	if s.Listed > 0 {
-		set.Servers = s.Listed
+	if s.InitialEndpoints > 0 {
+		set.Servers = s.InitialEndpoints
 	}
 	for _, c := range w.Classes {
-		k := admission.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		k := admission.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, Weight: c.Weight, LateWeight: c.LateWeight}
 		switch {
-		case c.Keyed:
-			k.Effect, k.Window = admission.Keyed, c.Window
-		case c.Unsafe:
-			k.Effect = admission.Unsafe
+		case c.IdempotentByKey:
+			k.Effect, k.KeyWindow = admission.IdempotentByKey, c.KeyWindow
+		case c.NonIdempotent:
+			k.Effect = admission.NonIdempotent
 		}
 		set.Classes = append(set.Classes, k)
 	}
 	for _, t := range w.Tenants {
 		set.Tenants = append(set.Tenants, admission.Tenant{Quota: t.Quota})
 	}
-	for _, g := range w.Callers {
-		set.Callers += g.N
+	for _, g := range w.Gateways {
+		set.Callers += g.Count
 	}
 	return set
 }
@@ -200,8 +200,8 @@
 	case warms:
 		if mine {
 			s.advance()
-			if s.setSpeed(); s.sim.now-s.started < s.sim.world.Servers.ColdFor {
-				s.later(s.sim.world.Servers.ColdFor/40, warms, nil)
+			if s.setSpeed(); s.sim.now-s.started < s.sim.world.Servers.WarmUpTime {
+				s.later(s.sim.world.Servers.WarmUpTime/40, warms, nil)
 			}
 			s.look()
 		}
@@ -224,8 +224,8 @@
 
 // gauges are the readings of the server, as far as its site tells them.
 func (s *server) gauges() admission.Gauges {
-	g := admission.Gauges{Busy: s.cores.busy, Runnable: float64(len(s.cores.jobs))}
-	if s.sim.world.Servers.NoRunnable {
+	g := admission.Gauges{Utilization: s.cores.busy, Runnable: float64(len(s.cores.jobs))}
+	if s.sim.world.Servers.OmitRunnableGauge {
 		g.Runnable = -1
 	}
 	return g
@@ -237,10 +237,10 @@
 // warmth is the part of its full speed that a process has by the time since its start.
 func (s *server) warmth() float64 {
 	w := &s.sim.world.Servers
-	if !s.cold || w.ColdFor == 0 {
+	if !s.cold || w.WarmUpTime == 0 {
 		return 1
 	}
-	return min(1, w.ColdShare+(1-w.ColdShare)*float64(s.sim.now-s.started)/float64(w.ColdFor))
+	return min(1, w.InitialCapacity+(1-w.InitialCapacity)*float64(s.sim.now-s.started)/float64(w.WarmUpTime))
 }
 
 // setSpeed sets the speed of the cores by how warm and how slow the server is.
@@ -254,7 +254,7 @@
 // arrive takes in a try that reached the machine.
 func (s *server) arrive(v *visit) {
 	w := &s.sim.world.Servers
-	if !s.up || s.closed || v.life != s.life || len(s.unread) >= w.Unread*w.Cores {
+	if !s.up || s.closed || v.life != s.life || len(s.unread) >= w.BacklogPerCore*w.Cores {
 		s.sim.answer(v, unreachable, 0, false)
 		return
 	}
@@ -304,18 +304,18 @@
 	s.visits[v.id] = v
 	s.sim.observer.wasRead(v.n, s.sim.now)
 	class := &s.sim.world.Classes[v.req.class]
-	q := admission.Request{ID: v.id, Class: v.req.class, Tenant: v.req.tenant, Caller: v.req.gateway.n, Waited: s.sim.now - v.arrived,
-		Retry: v.again, SizeKB: v.req.sizeKB}
-	if class.Keyed {
+	q := admission.Request{ID: v.id, Class: v.req.class, Tenant: v.req.tenant, Caller: v.req.gateway.n, QueueingDelay: s.sim.now - v.arrived,
+		IsRetry: v.again, SizeKB: v.req.sizeKB}
+	if class.IdempotentByKey {
 		if v.repeats = s.find(v); v.repeats != nil {
-			q.Repeats = v.repeats.id
+			q.RetryOf = v.repeats.id
 		}
 	} else {
-		q.Subject = v.req.subject
+		q.ResourceID = v.req.subject
 	}
 	v.readAt = s.sim.now
-	if m, ok := s.module.(weigher); ok && s.sim.world.Reasons {
-		v.reason = m.Weigh(s.sim.now, q).Reason
+	if m, ok := s.module.(weigher); ok && s.sim.world.RecordRejectReasons {
+		v.reason = m.CheckAdmission(s.sim.now, q).Reason
 	}
 	s.module.Request(s.sim.now, q)
 	s.touch()
@@ -324,7 +324,7 @@
 
 // weigher is a module that can say why it would turn an arrival away.
 type weigher interface {
-	Weigh(now time.Duration, q admission.Request) admission.Weighing
+	CheckAdmission(now time.Duration, q admission.Request) admission.AdmissionCheck
 }
 
 // find is the try that a new arrival repeats, or nil.
@@ -363,7 +363,7 @@
 	s.sim.observer.ended(v.n, s.n)
 	outcome := admission.OK
 	if s.failing > 0 && s.sim.faults.Float64() < s.failing {
-		outcome = admission.Errored
+		outcome = admission.Failed
 	}
 	s.end(v, outcome)
 }
@@ -376,7 +376,7 @@
 	} else {
 		s.answer(v, failed, 0, false)
 	}
-	s.module.Done(s.sim.now, v.id, o)
+	s.module.RunFinished(s.sim.now, v.id, o)
 	for _, w := range v.waiters {
 		s.echo(w, v.ok)
 	}
@@ -391,13 +391,13 @@
 	if v.answered {
 		return
 	}
-	outcome, kind := admission.Errored, failed
+	outcome, kind := admission.Failed, failed
 	if ok {
 		outcome, kind = admission.OK, served
 	}
 	v.state = ended
 	s.answer(v, kind, 0, false)
-	s.module.Done(s.sim.now, v.id, outcome)
+	s.module.RunFinished(s.sim.now, v.id, outcome)
 	s.drop(v)
 	s.touch()
 }
@@ -424,16 +424,16 @@
 	if v == nil || v.answered || v.state != held {
 		return
 	}
-	if class := &s.sim.world.Classes[v.req.class]; class.Keyed {
+	if class := &s.sim.world.Classes[v.req.class]; class.IdempotentByKey {
 		e := s.key(v.req.key)
 		if e.ran != nil && e.ran != v && v.arrived <= e.ranUntil {
-			s.sim.result.Prevented++ // as the server prevents it, whatever the module says
+			s.sim.result.PreventedReruns++ // as the server prevents it, whatever the module says
 			v.state = ended
 			s.answer(v, failed, 0, false)
-			s.later(0, deferred, func() { s.module.Done(s.sim.now, id, admission.Errored); s.touch() })
+			s.later(0, deferred, func() { s.module.RunFinished(s.sim.now, id, admission.Failed); s.touch() })
 			return
 		}
-		e.ran, e.ranUntil = v, v.arrived+class.Window
+		e.ran, e.ranUntil = v, v.arrived+class.KeyWindow
 	}
 	s.advance()
 	v.state = running
@@ -461,10 +461,10 @@
 }
 
 // Refuse implements admission.Actions.
-func (s *server) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
+func (s *server) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
 	if v := s.visits[id]; v != nil && !v.answered {
-		if s.sim.world.Reasons {
-			s.sim.result.Reasons[v.why(s.sim.now)]++
+		if s.sim.world.RecordRejectReasons {
+			s.sim.result.RejectReasons[v.why(s.sim.now)]++
 		}
 		s.answer(v, refused, stayAway, last)
 		s.leave(v)
@@ -484,7 +484,7 @@
 }
 
 // Halt implements admission.Actions: what runs is stopped, and its work is lost.
-func (s *server) Halt(id admission.RequestID) {
+func (s *server) Stop(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.state != running || v.job == nil {
 		return
@@ -497,7 +497,7 @@
 }
 
 // Keep implements admission.Actions.
-func (s *server) Keep(id admission.RequestID, lifetime time.Duration) {
+func (s *server) KeepKey(id admission.RequestID, lifetime time.Duration) {
 	v := s.visits[id]
 	if v == nil || v.req.key == 0 {
 		return
@@ -513,7 +513,7 @@
 }
 
 // Forget implements admission.Actions.
-func (s *server) Forget(id admission.RequestID) {
+func (s *server) ReleaseKey(id admission.RequestID) {
 	k, ok := s.holders[id]
 	if !ok {
 		return
@@ -527,7 +527,7 @@
 }
 
 // Reuse implements admission.Actions.
-func (s *server) Reuse(id admission.RequestID) {
+func (s *server) ReplayResult(id admission.RequestID) {
 	v := s.visits[id]
 	if v == nil || v.answered || v.repeats == nil {
 		return
@@ -546,27 +546,27 @@
 }
 
 // Say implements admission.Actions.
-func (s *server) Say(value float64) { s.value, s.told = value, true }
+func (s *server) AdvertiseLoad(value float64) { s.value, s.told = value, true }
 
 // Health implements admission.Actions.
-func (s *server) Health(good, _ bool) { s.healthy = good }
+func (s *server) SetHealth(good, _ bool) { s.healthy = good }
 
-// After implements admission.Actions.
-func (s *server) After(wait time.Duration, t uint32) {
+// RecoverySeconds implements admission.Actions.
+func (s *server) SetTimer(wait time.Duration, t uint32) {
 	s.later(max(wait, time.Microsecond), timerDue, token(t))
 }
 
 // CloseIdle implements admission.Actions: connections are not modelled.
-func (s *server) CloseIdle(time.Duration) {}
+func (s *server) CloseIdleConnections(time.Duration) {}
 
 // Call implements admission.Actions: nothing is called.
 func (s *server) Call(admission.RequestID, time.Duration) {}
 
 // Skip implements admission.Actions.
-func (s *server) Skip(admission.RequestID) {}
+func (s *server) SkipCall(admission.RequestID) {}
 
 // Log implements admission.Actions.
-func (s *server) Log(string) { s.sim.result.Remarks++ }
+func (s *server) Log(string) { s.sim.result.LogLines++ }
 
 // checkMemory has a server that needs more memory than it has fall over.
 func (s *server) checkMemory() {
@@ -588,22 +588,22 @@
 	w := &s.sim.world.Servers
 	s.advance()
 	if s.runTimes = append(s.runTimes, s.runTime); len(s.runTimes) > watchParts {
-		mean := (s.runTime - s.runTimes[len(s.runTimes)-1-watchParts]) / w.CrowdOver.Seconds()
+		mean := (s.runTime - s.runTimes[len(s.runTimes)-1-watchParts]) / w.ConcurrencyWindow.Seconds()
 		s.runTimes = s.runTimes[1:]
-		if mean > (1+(w.CrowdFactor-1)*s.warmth())*float64(w.Cores) {
+		if mean > (1+(w.MaxConcurrencyFactor-1)*s.warmth())*float64(w.Cores) {
 			s.sim.observer.fell(s.n, s.sim.now, "a crowd on its cores")
 			s.fallOver()
 			return
 		}
 	}
-	s.later(w.CrowdOver/watchParts, watches, nil)
+	s.later(w.ConcurrencyWindow/watchParts, watches, nil)
 }
 
 // fallOver ends the process, which starts again after a while.
 func (s *server) fallOver() {
-	s.sim.result.Fell++
+	s.sim.result.Crashes++
 	s.die(true)
-	s.sim.queue.set(s.sim.now+s.sim.world.Servers.Restart, s, comesUp, nil)
+	s.sim.queue.set(s.sim.now+s.sim.world.Servers.RestartDelay, s, comesUp, nil)
 }
 
 // die ends the process with all that it has.
@@ -613,7 +613,7 @@
 	}
 	s.up = false
 	s.advance()
-	s.sim.result.Worked += s.cores.worked
+	s.sim.result.WorkDone += s.cores.worked
 	s.sim.queue.drop(s.coresAt)
 	lost := append([]*visit(nil), s.unread...)
 	for _, j := range s.cores.jobs {
@@ -643,11 +643,11 @@
 	w := &s.sim.world.Servers
 	s.draining = true
 	s.sim.list(s, false)
-	s.sim.observer.drained(s.n, s.sim.now+w.DrainGrace)
-	s.module.Drain(s.sim.now, w.Stop)
+	s.sim.observer.drained(s.n, s.sim.now+w.DrainGracePeriod)
+	s.module.Drain(s.sim.now, w.DrainTimeout)
 	s.touch()
-	s.later(w.DrainGrace, leaves, nil)
-	s.later(w.Stop, stops, nil)
+	s.later(w.DrainGracePeriod, leaves, nil)
+	s.later(w.DrainTimeout, stops, nil)
 }
 
 // goIfDone ends a process that leaves and has nothing left to do.
--- a/internal/clustersim/sim.go
+++ b/internal/clustersim/sim.go
@@ -11,11 +11,11 @@
 	"tillerusher/internal/arrival"
 )
 
-// Policy makes what a server decides by: admission.New, or one to compare it with.
-type Policy func(s admission.Settings, a admission.Actions) (admission.Events, error)
+// PolicyFactory makes what a server decides by: admission.New, or one to compare it with.
+type PolicyFactory func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
-// Module is the real decision module.
-func Module(s admission.Settings, a admission.Actions) (admission.Events, error) {
+// AdmissionModule is the real decision module.
+func AdmissionModule(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	return admission.New(s, a)
 }
 
@@ -37,9 +37,9 @@
 
 // sim is a run under way.
 type sim struct {
-	world    World
+	world    Config
 	seed     uint64
-	policy   Policy
+	policy   PolicyFactory
 	now      time.Duration
 	queue    queue
 	servers  []*server
@@ -77,17 +77,17 @@
 
 // Run plays a world to its end. The same world, policy and seed give the same result. The error is for a world that
 // makes no sense, a policy that can't serve it, or the context's end.
-func Run(ctx context.Context, w World, p Policy, seed uint64) (*Result, error) {
-	if err := w.Check(); err != nil {
+func Run(ctx context.Context, w Config, p PolicyFactory, seed uint64) (*Result, error) {
+	if err := w.Validate(); err != nil {
 		return nil, err
 	}
 	s := &sim{world: w, seed: seed, policy: p, observer: newObserver(&w), network: stream(seed, "network", 0), faults: stream(seed, "faults", 0),
-		readWork: w.Servers.Read * w.meanWork()}
+		readWork: w.Servers.ReadCost * w.meanWork()}
 	s.result = newResult(&s.world, seed)
 	arrivals := w.Arrival
 	for _, i := range w.Incidents {
-		if i.What == Jump {
-			arrivals.Jumps = append(slices.Clone(arrivals.Jumps), arrival.Jump{From: i.From, For: i.For, Factor: i.Size, Rise: i.Rise, Fall: i.Rise})
+		if i.Kind == RateJump {
+			arrivals.Surges = append(slices.Clone(arrivals.Surges), arrival.Surge{Start: i.Start, Duration: i.Duration, Factor: i.Magnitude, RampUp: i.RampTime, RampDown: i.RampTime})
 		}
 	}
 	var err error
@@ -120,7 +120,7 @@
 // populate makes servers and gateways, and what is known to come.
 func (s *sim) populate() {
 	speeds := stream(s.seed, "speeds", 0)
-	n := s.world.Servers.N
+	n := s.world.Servers.Count
 	s.listed = make([]bool, n)
 	for i := range n {
 		speed := s.world.Servers.Speed * (1 + s.world.Servers.SpeedCV*min(max(speeds.NormFloat64(), -2.5), 2.5))
@@ -131,15 +131,15 @@
 		s.listed[srv.n] = true // they stood there before
 	}
 	s.pending = nil
-	for k := range s.world.Callers {
-		for range s.world.Callers[k].N {
-			s.gateways = append(s.gateways, newGateway(s, len(s.gateways), &s.world.Callers[k]))
+	for k := range s.world.Gateways {
+		for range s.world.Gateways[k].Count {
+			s.gateways = append(s.gateways, newGateway(s, len(s.gateways), &s.world.Gateways[k]))
 		}
 	}
 	s.clients = newClients(s)
 	for i := range s.world.Incidents {
 		incident := &s.world.Incidents[i]
-		s.queue.set(incident.From, s, incidentBegins, newTrouble(s, i, incident))
+		s.queue.set(incident.Start, s, incidentBegins, newTrouble(s, i, incident))
 	}
 	s.settleAll()
 	s.nextFirst()
@@ -147,7 +147,7 @@
 
 // nextFirst has the next first try come.
 func (s *sim) nextFirst() {
-	if at, ok := s.arrivals.Next(); ok && at < s.world.For {
+	if at, ok := s.arrivals.Next(); ok && at < s.world.Duration {
 		s.queue.set(at, s, firstTry, nil)
 	}
 }
@@ -158,7 +158,7 @@
 	if e == nil {
 		return false
 	}
-	if e.at > s.world.For && s.observer.open == 0 && s.result.open == 0 {
+	if e.at > s.world.Duration && s.observer.open == 0 && s.result.open == 0 {
 		return false // all that came has its end: only the modules' own timers are left
 	}
 	s.now = e.at
@@ -215,7 +215,7 @@
 
 // list has gateways learn of a server that came or went, when the list reaches them.
 func (s *sim) list(srv *server, listed bool) {
-	s.queue.set(s.now+s.world.ListDelay, s, listChanges, listing{srv.n, listed})
+	s.queue.set(s.now+s.world.EndpointListDelay, s, listChanges, listing{srv.n, listed})
 }
 
 // thaw lets gateways learn what happened while the list stood still.
@@ -231,7 +231,7 @@
 
 // way is how long a message takes through the network: half of the mean at least, and the rest by chance.
 func (s *sim) way() time.Duration {
-	d := float64(s.world.Delay)
+	d := float64(s.world.NetworkDelay)
 	return time.Duration(d/2 + s.network.ExpFloat64()*d/2)
 }
 
@@ -260,7 +260,7 @@
 	for _, srv := range s.servers {
 		if srv.up {
 			srv.advance()
-			s.result.Worked += srv.cores.worked
+			s.result.WorkDone += srv.cores.worked
 		}
 	}
 	s.result.finish(s)
--- a/internal/clustersim/theory_test.go
+++ b/internal/clustersim/theory_test.go
@@ -14,21 +14,21 @@
 )
 
 // bare is a world in which nothing but arrivals and cores counts: what theory knows of it holds exactly.
-func bare(servers, cores int, work time.Duration, dist Dist, cv, load float64, span time.Duration) World {
-	w := World{Name: "bare", For: span,
-		Servers: Servers{N: servers, Cores: cores, Speed: 1, MemoryKB: 1e12, HoldKB: [2]float64{1, 1}, RunFactor: 1, ColdShare: 1,
-			CrowdFactor: 1e9, CrowdOver: time.Hour, Unread: 1 << 20, Tick: time.Millisecond, CheckEvery: time.Second},
-		Classes:  []Class{{Name: "c", Share: 1, Work: work, Dist: dist, CV: cv, Aim: 10 * time.Hour, Deadline: 20 * time.Hour, Worth: 1}},
-		Callers:  []Gateway{{N: 1, Share: 1, Choice: Round, Again: Never, Tries: 1}},
-		Arrival:  arrival.Config{Kind: arrival.Poisson},
-		Subjects: 1}
+func bare(servers, cores int, work time.Duration, dist Distribution, cv, load float64, span time.Duration) Config {
+	w := Config{Name: "bare", Duration: span,
+		Servers: ServerConfig{Count: servers, Cores: cores, Speed: 1, MemoryKB: 1e12, RequestKB: [2]float64{1, 1}, RunningMemoryFactor: 1, InitialCapacity: 1,
+			MaxConcurrencyFactor: 1e9, ConcurrencyWindow: time.Hour, BacklogPerCore: 1 << 20, Tick: time.Millisecond, HealthCheckInterval: time.Second},
+		Classes:       []Class{{Name: "c", Share: 1, MeanWork: work, Distribution: dist, CV: cv, LatencyObjective: 10 * time.Hour, Deadline: 20 * time.Hour, Weight: 1}},
+		Gateways:      []GatewayConfig{{Count: 1, Share: 1, Balancing: RoundRobin, Retry: RetryNever, MaxAttempts: 1}},
+		Arrival:       arrival.Config{Kind: arrival.Poisson},
+		ResourceCount: 1}
 	w.Arrival.Rate = load * float64(servers*cores) / work.Seconds()
 	return w
 }
 
 // means plays worlds of several seeds and returns the mean time in them with the half width of its interval at 99 %
 // (Student's t over the seeds).
-func means(t *testing.T, w World, p Policy, seeds int) (mean, half float64) {
+func means(t *testing.T, w Config, p PolicyFactory, seeds int) (mean, half float64) {
 	t.Helper()
 	var all []float64
 	for seed := range seeds {
@@ -36,8 +36,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Served != r.Requests || len(r.Breaches) > 0 {
-			t.Fatalf("%d of %d served, %v", r.Served, r.Requests, r.Breaches)
+		if r.Served != r.Requests || len(r.ViolationMessages) > 0 {
+			t.Fatalf("%d of %d served, %v", r.Served, r.Requests, r.ViolationMessages)
 		}
 		all = append(all, r.meanSeconds())
 	}
@@ -75,21 +75,21 @@
 	s := work.Seconds()
 	for _, c := range []struct {
 		name   string
-		world  World
-		policy Policy
+		world  Config
+		policy PolicyFactory
 		want   float64
 	}{
-		{"M/M/1 by Erlang", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.Line(1, -1), s / (1 - 0.7)},
-		{"M/M/6 by Erlang C", bare(1, 6, work, Exponential, 1, 0.85, 4*time.Hour), baseline.Line(1, -1),
+		{"M/M/1 by Erlang", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.BoundedQueue(1, -1), s / (1 - 0.7)},
+		{"M/M/6 by Erlang C", bare(1, 6, work, Exponential, 1, 0.85, 4*time.Hour), baseline.BoundedQueue(1, -1),
 			s + erlangC(6, 6*0.85)*s/(6*(1-0.85))},
-		{"M/D/1 by Pollaczek and Khinchine", bare(1, 1, work, Constant, 0, 0.8, 8*time.Hour), baseline.Line(1, -1),
+		{"M/D/1 by Pollaczek and Khinchine", bare(1, 1, work, Constant, 0, 0.8, 8*time.Hour), baseline.BoundedQueue(1, -1),
 			s + 0.8*s/(2*(1-0.8))},
-		{"M/G/1 by Pollaczek and Khinchine", bare(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), baseline.Line(1, -1),
+		{"M/G/1 by Pollaczek and Khinchine", bare(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), baseline.BoundedQueue(1, -1),
 			s + 0.6*s*(1+1.2*1.2)/(2*(1-0.6))},
 		{"M/M/1-PS", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.NoLimit, s / (1 - 0.7)},
 		{"M/G/1-PS, which work's spread does not change", bare(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
 	} {
-		c.world.For = time.Duration(float64(c.world.For) / 20 * *scale)
+		c.world.Duration = time.Duration(float64(c.world.Duration) / 20 * *scale)
 		mean, half := means(t, c.world, c.policy, 12)
 		off := math.Abs(mean-c.want) / c.want
 		t.Logf("%-48s %.5f s +- %.5f, the formula %.5f, %.2f %% off", c.name, mean, half, c.want, 100*off)
@@ -105,13 +105,13 @@
 	const work = 100 * time.Millisecond
 	for _, rho := range []float64{0.5, 0.7} {
 		w := bare(500, 1, work, Exponential, 1, rho, time.Duration(float64(12*time.Second)**scale))
-		w.Callers[0].Choice = Two
+		w.Gateways[0].Balancing = PowerOfTwo
 		want, term := 0.0, 1.0
 		for i := 1; term > 1e-12; i++ {
 			term = math.Pow(rho, math.Pow(2, float64(i))-2)
 			want += term * work.Seconds()
 		}
-		mean, half := means(t, w, baseline.Line(1, -1), 4)
+		mean, half := means(t, w, baseline.BoundedQueue(1, -1), 4)
 		off := math.Abs(mean-want) / want
 		t.Logf("load %.1f: %.5f s +- %.5f, the limit %.5f, %.2f %% off", rho, mean, half, want, 100*off)
 		if off > max(0.02, half/want) { // it starts empty
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,11 +24,11 @@
 	Name        string
 	Listen      netip.AddrPort
 	Interpreter netip.AddrPort
-	Announce    netip.AddrPort
-	Stop        time.Duration // from SIGTERM to SIGKILL
+	LoadReports netip.AddrPort
+	StopTimeout time.Duration // from SIGTERM to SIGKILL
 	Limits      Limits
-	Settings    *settings.Told
-	Capture     *Capture // nil where nothing is recorded
+	Settings    *settings.Site
+	Capture     *CaptureConfig // nil where nothing is recorded
 }
 
 // Limits are those of this process.
@@ -80,14 +80,14 @@
 	if listen != "" {
 		f.Listen, listenField = listen, envListen
 	}
-	c := &Config{Name: f.Name, Stop: time.Duration(f.StopMS * float64(time.Millisecond))}
+	c := &Config{Name: f.Name, StopTimeout: time.Duration(f.StopMS * float64(time.Millisecond))}
 	if f.Name == "" || strings.ContainsFunc(f.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
 		return nil, fmt.Errorf("config: %s is %q, want one word", nameField, f.Name)
 	}
 	for _, a := range []struct {
 		field, text string
 		to          *netip.AddrPort
-	}{{listenField, f.Listen, &c.Listen}, {"vm", f.VM, &c.Interpreter}, {"announce", f.Announce, &c.Announce}} {
+	}{{listenField, f.Listen, &c.Listen}, {"vm", f.VM, &c.Interpreter}, {"announce", f.Announce, &c.LoadReports}} {
 		var err error
 		if *a.to, err = netip.ParseAddrPort(a.text); err != nil {
 			return nil, fmt.Errorf("config: %s is %q, want an IP address and a port", a.field, a.text)
@@ -117,8 +117,8 @@
 }
 
 // distinct makes sure that requests can name their class and tenant.
-func distinct(t *settings.Told) error {
-	for field, names := range map[string][]string{"settings.lanes": t.Classes, "settings.realms": t.Tenants} {
+func distinct(t *settings.Site) error {
+	for field, names := range map[string][]string{"settings.lanes": t.ClassNames, "settings.realms": t.TenantNames} {
 		seen := map[string]bool{}
 		for _, name := range names {
 			if name == "" || seen[name] {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 // text returns a configuration with one field replaced; nil leaves it out.
 func text(t *testing.T, field string, value any) []byte {
 	c := map[string]any{"name": "n3", "listen": "10.0.0.4:4100", "vm": "10.1.0.1:9300", "announce": "10.2.0.1:8761",
-		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.Settings),
+		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.SiteSettings),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
 	if c[field] = value; value == nil {
 		delete(c, field)
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen.String() != "10.0.0.4:4100" || c.Interpreter.String() != "10.1.0.1:9300" ||
-		c.Announce.String() != "10.2.0.1:8761" || c.Stop != 3200*time.Millisecond ||
-		c.Limits != (Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}) || len(c.Settings.Classes) != 2 {
+		c.LoadReports.String() != "10.2.0.1:8761" || c.StopTimeout != 3200*time.Millisecond ||
+		c.Limits != (Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}) || len(c.Settings.ClassNames) != 2 {
 		t.Errorf("%+v", c)
 	}
 	env["RELAY_NAME"], env["RELAY_LISTEN"] = "n4", "10.0.0.5:4100"
@@ -69,8 +69,8 @@
 		{"limits", nil, "limits.cores"}, {"limits", limits(0, 192, 1024), "limits.cores"},
 		{"limits", limits(1, 0, 1024), "limits.memory_mb"}, {"limits", limits(1, 192, 3), "limits.sockets"},
 		{"settings", nil, "settings"}, {"settings", []int{1}, "settings"},
-		{"settings", json.RawMessage(strings.Replace(fake.Settings, "part-lookup", "stock-reserve", 1)), "lanes"},
-		{"settings", json.RawMessage(strings.Replace(fake.Settings, `"central"`, `""`, 1)), "realms"},
+		{"settings", json.RawMessage(strings.Replace(fake.SiteSettings, "part-lookup", "stock-reserve", 1)), "lanes"},
+		{"settings", json.RawMessage(strings.Replace(fake.SiteSettings, `"central"`, `""`, 1)), "realms"},
 	} {
 		if _, err := parse(text(t, c.field, c.value), "", ""); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s %v: error %v, want one with %q", c.field, c.value, err, c.want)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,31 +11,31 @@
 	"tillerusher/internal/sexp"
 )
 
-// Capture is where and how a server records what its decision module is told and decides.
-type Capture struct {
+// CaptureConfig is where and how a server records what its decision module is told and decides.
+type CaptureConfig struct {
 	Directory string
 	capture.Config
 }
 
-// State is where and how much a server keeps over restarts.
-type State struct {
+// StateConfig is where and how much a server keeps over restarts.
+type StateConfig struct {
 	Directory string
 	idempotency.Limits
 }
 
-// DefaultState is what is kept where the file says no figures.
-func DefaultState() *State {
-	return &State{Limits: idempotency.Limits{Entries: 20000, Bytes: 16 << 20}}
+// DefaultStateConfig is what is kept where the file says no figures.
+func DefaultStateConfig() *StateConfig {
+	return &StateConfig{Limits: idempotency.Limits{MaxKeys: 20000, MaxBytes: 16 << 20}}
 }
 
-// Operator is what the operators' own file says; what is absent is nil.
-type Operator struct {
-	Capture *Capture
-	State   *State
+// OperatorConfig is what the operators' own file says; what is absent is nil.
+type OperatorConfig struct {
+	Capture *CaptureConfig
+	State   *StateConfig
 }
 
-// LoadOperator reads the operators' file.
-func LoadOperator(path string) (*Operator, error) {
+// LoadOperatorConfig reads the operators' file.
+func LoadOperatorConfig(path string) (*OperatorConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -44,13 +44,13 @@
 }
 
 // parseOperator reads the text of the operators' file.
-func parseOperator(file string, text []byte) (*Operator, error) {
+func parseOperator(file string, text []byte) (*OperatorConfig, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
-	o := &Operator{}
-	err = sexp.Fields(forms, map[string]func(sexp.Node) error{
+	o := &OperatorConfig{}
+	err = sexp.ReadFields(forms, map[string]func(sexp.Node) error{
 		"capture": func(form sexp.Node) (err error) {
 			o.Capture, err = readCapture(form)
 			return err
@@ -67,40 +67,40 @@
 }
 
 // readState reads (state ...).
-func readState(form sexp.Node) (*State, error) {
-	s := DefaultState()
-	err := sexp.Fields(form.Args(), map[string]func(sexp.Node) error{
+func readState(form sexp.Node) (*StateConfig, error) {
+	s := DefaultStateConfig()
+	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
 		"directory": sexp.Text(&s.Directory),
-		"keys":      sexp.Int(&s.Entries, 1, 10_000_000),
-		"size":      sexp.Bytes(&s.Bytes, 64<<10, 1<<40),
+		"keys":      sexp.Int(&s.MaxKeys, 1, 10_000_000),
+		"size":      sexp.Bytes(&s.MaxBytes, 64<<10, 1<<40),
 	})
 	if err == nil && s.Directory == "" {
-		err = sexp.Errorf(form.At, "(state ...) has no (directory ...)")
+		err = sexp.Errorf(form.Pos, "(state ...) has no (directory ...)")
 	}
 	return s, err
 }
 
 // readCapture reads (capture ...).
-func readCapture(form sexp.Node) (*Capture, error) {
-	c := &Capture{Config: capture.Defaults()}
-	memory := int64(c.Memory)
-	err := sexp.Fields(form.Args(), map[string]func(sexp.Node) error{
+func readCapture(form sexp.Node) (*CaptureConfig, error) {
+	c := &CaptureConfig{Config: capture.DefaultConfig()}
+	memory := int64(c.BufferBytes)
+	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
 		"directory": sexp.Text(&c.Directory),
-		"segment":   sexp.Bytes(&c.Segment, 1, math.MaxInt32),
-		"age":       sexp.Duration(&c.Age, time.Second, 24*time.Hour),
-		"keep":      sexp.Bytes(&c.Keep, 1, 1<<50),
+		"segment":   sexp.Bytes(&c.SegmentBytes, 1, math.MaxInt32),
+		"age":       sexp.Duration(&c.SegmentAge, time.Second, 24*time.Hour),
+		"keep":      sexp.Bytes(&c.MaxBytes, 1, 1<<50),
 		"memory":    sexp.Bytes(&memory, 1, 1<<30),
-		"flush":     sexp.Duration(&c.Flush, time.Millisecond, time.Minute),
+		"flush":     sexp.Duration(&c.FlushInterval, time.Millisecond, time.Minute),
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.Memory = int(memory)
+	c.BufferBytes = int(memory)
 	if c.Directory == "" {
-		return nil, sexp.Errorf(form.At, "(capture ...) has no (directory ...)")
+		return nil, sexp.Errorf(form.Pos, "(capture ...) has no (directory ...)")
 	}
-	if err := c.Check(); err != nil {
-		return nil, sexp.Errorf(form.At, "%v", err)
+	if err := c.Validate(); err != nil {
+		return nil, sexp.Errorf(form.Pos, "%v", err)
 	}
 	return c, nil
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -15,18 +15,18 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o, err := LoadOperator(path)
+	o, err := LoadOperatorConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := o.Capture; c.Directory != "/x" || c.Segment != 16<<20 || c.Age != 30*time.Second || c.Keep != 1e9 ||
-		c.Memory != 2<<20 || c.Flush != time.Second {
+	if c := o.Capture; c.Directory != "/x" || c.SegmentBytes != 16<<20 || c.SegmentAge != 30*time.Second || c.MaxBytes != 1e9 ||
+		c.BufferBytes != 2<<20 || c.FlushInterval != time.Second {
 		t.Errorf("read %+v", c)
 	}
-	if _, err := LoadOperator(path + "x"); err == nil {
+	if _, err := LoadOperatorConfig(path + "x"); err == nil {
 		t.Error("a file that is not there is read")
 	}
-	if o, err := LoadOperator("../../deploy/settings.sexp"); err != nil || o.Capture != nil {
+	if o, err := LoadOperatorConfig("../../deploy/settings.sexp"); err != nil || o.Capture != nil {
 		t.Errorf("the shipped file: %+v, %v", o, err)
 	}
 }
@@ -51,7 +51,7 @@
 	f.Add("(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))")
 	f.Add("(capture (directory")
 	f.Fuzz(func(t *testing.T, text string) {
-		if o, err := parseOperator("f", []byte(text)); err == nil && o.Capture != nil && o.Capture.Check() != nil {
+		if o, err := parseOperator("f", []byte(text)); err == nil && o.Capture != nil && o.Capture.Validate() != nil {
 			t.Errorf("taken: %+v", o.Capture)
 		}
 	})
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -12,7 +12,7 @@
 
 // ConnHandler takes what happens on a connection.
 type ConnHandler interface {
-	// Connected says that a dialled connection stands.
+	// ConnectResult says that a dialled connection stands.
 	Connected(c *Conn)
 	// Data hands over bytes, which are valid during the call only.
 	Data(c *Conn, p []byte)
@@ -25,7 +25,7 @@
 	errUntaken  = errors.New("loop: too much waits for peers that do not read")
 )
 
-// Conn is one non-blocking stream connection.
+// OnConn is one non-blocking stream connection.
 type Conn struct {
 	loop       *Loop
 	fd         int
@@ -47,7 +47,7 @@
 
 // Dial starts a connection; its handler hears of the outcome in a later round.
 func (l *Loop) Dial(to netip.AddrPort, h ConnHandler) (*Conn, error) {
-	fd, err := l.system.Stream(to)
+	fd, err := l.system.NewStreamSocket(to)
 	if err != nil {
 		return nil, fmt.Errorf("loop: dial %v: %w", to, err)
 	}
@@ -78,7 +78,7 @@
 		if events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) == 0 {
 			return
 		}
-		c.err, c.answered = c.loop.system.Connected(c.fd), true
+		c.err, c.answered = c.loop.system.ConnectResult(c.fd), true
 		return
 	}
 	switch {
@@ -234,7 +234,7 @@
 	}
 	c.lingering = true
 	c.rewatch()
-	c.linger = c.loop.After(lingerMost, func() {
+	c.linger = c.loop.AfterFunc(lingerMost, func() {
 		if !c.closed {
 			c.Close()
 			c.handler.Closed(c, errLingered)
@@ -257,43 +257,43 @@
 	}
 }
 
-// Quiet tells whether nothing came or went for the time and nothing waits in the socket.
-func (c *Conn) Quiet(idle time.Duration) bool {
-	return !c.closed && len(c.out) == 0 && c.loop.now.Sub(c.active) >= idle && !c.Waiting()
+// IsIdle tells whether nothing came or went for the time and nothing waits in the socket.
+func (c *Conn) IsIdle(idle time.Duration) bool {
+	return !c.closed && len(c.out) == 0 && c.loop.now.Sub(c.active) >= idle && !c.HasPendingInput()
 }
 
-// Waiting tells whether something waits in the socket: bytes, or word of the connection's end.
-func (c *Conn) Waiting() bool {
+// HasPendingInput tells whether something waits in the socket: bytes, or word of the connection's end.
+func (c *Conn) HasPendingInput() bool {
 	_, err := c.loop.system.Peek(c.fd, c.loop.one[:1])
 	return err != unix.EAGAIN
 }
 
-// Stuck tells whether there is something to be sent and the peer took none of it for the time.
-func (c *Conn) Stuck(since time.Duration) bool {
+// IsWriteStalled tells whether there is something to be sent and the peer took none of it for the time.
+func (c *Conn) IsWriteStalled(since time.Duration) bool {
 	return len(c.out) > 0 && c.loop.now.Sub(c.active) >= since
 }
 
-// Unsent is how many bytes wait to be sent.
-func (c *Conn) Unsent() int { return len(c.out) }
+// UnsentBytes is how many bytes wait to be sent.
+func (c *Conn) UnsentBytes() int { return len(c.out) }
 
-// CloseSent ends the connection once all that is queued is sent. What still comes is thrown away until the peer
+// CloseAfterFlush ends the connection once all that is queued is sent. What still comes is thrown away until the peer
 // ends it too, or for a short time; then its handler is told.
-func (c *Conn) CloseSent() {
+func (c *Conn) CloseAfterFlush() {
 	c.closing = true
 	c.touch()
 }
 
-// Closing tells whether CloseSent was called.
-func (c *Conn) Closing() bool { return c.closing }
+// IsClosing tells whether CloseAfterFlush was called.
+func (c *Conn) IsClosing() bool { return c.closing }
 
-// Active is when something last came or went.
-func (c *Conn) Active() time.Time { return c.active }
+// LastActivity is when something last came or went.
+func (c *Conn) LastActivity() time.Time { return c.active }
 
 // Close closes the connection now, without a word to its handler.
 func (c *Conn) Close() {
 	if !c.closed {
 		c.closed = true
-		c.loop.Cancel(c.linger)
+		c.loop.CancelTimer(c.linger)
 		c.keep(0)
 		c.out = nil
 		c.loop.drop(c.fd)
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -15,12 +15,12 @@
 	acceptRest = 50 * time.Millisecond
 )
 
-// Accepted tells of new connections.
-type Accepted struct {
-	// Conn names the handler of a new connection, or nil to turn it away.
-	Conn func(c *Conn) ConnHandler
-	// Failed hears of connections that could not be accepted.
-	Failed func(err error)
+// AcceptCallbacks tells of new connections.
+type AcceptCallbacks struct {
+	// OnConn names the handler of a new connection, or nil to turn it away.
+	OnConn func(c *Conn) ConnHandler
+	// OnError hears of connections that could not be accepted.
+	OnError func(err error)
 }
 
 // Listener accepts connections.
@@ -28,7 +28,7 @@
 	loop    *Loop
 	fd      int
 	spare   int // given up to accept and close when descriptors run out, or -1
-	on      Accepted
+	on      AcceptCallbacks
 	fds     []int // accepted in this round
 	errs    []error
 	closed  bool
@@ -36,8 +36,8 @@
 }
 
 // Listen accepts connections at the address.
-func (l *Loop) Listen(at netip.AddrPort, on Accepted) (*Listener, error) {
-	fd, err := l.system.Stream(at)
+func (l *Loop) Listen(at netip.AddrPort, on AcceptCallbacks) (*Listener, error) {
+	fd, err := l.system.NewStreamSocket(at)
 	if err != nil {
 		return nil, fmt.Errorf("listen at %v: %w", at, err)
 	}
@@ -58,7 +58,7 @@
 
 // Addr is the address that is listened at.
 func (ln *Listener) Addr() (netip.AddrPort, error) {
-	at, err := ln.loop.system.Address(ln.fd)
+	at, err := ln.loop.system.LocalAddr(ln.fd)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("listener: %w", err)
 	}
@@ -125,7 +125,7 @@
 	}
 	ln.resting = true
 	ln.loop.watch(ln.fd, 0)
-	ln.loop.After(acceptRest, func() {
+	ln.loop.AfterFunc(acceptRest, func() {
 		ln.resting = false
 		if !ln.closed {
 			if ln.spare < 0 {
@@ -141,15 +141,15 @@
 	fds, errs := ln.fds, ln.errs
 	ln.fds, ln.errs = nil, nil
 	for _, err := range errs {
-		ln.on.Failed(err)
+		ln.on.OnError(err)
 	}
 	for _, fd := range fds {
 		c, err := ln.loop.newConn(fd, unix.EPOLLIN, nil)
 		if err != nil {
-			ln.on.Failed(err)
+			ln.on.OnError(err)
 			continue
 		}
-		if c.handler = ln.on.Conn(c); c.handler == nil {
+		if c.handler = ln.on.OnConn(c); c.handler == nil {
 			c.Close()
 		}
 	}
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -36,9 +36,9 @@
 			t.Fatal(err)
 		}
 		told := 0
-		ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), Accepted{
-			Conn:   func(*Conn) ConnHandler { l.Stop(); return newEcho() },
-			Failed: func(err error) { told++ }})
+		ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), AcceptCallbacks{
+			OnConn:  func(*Conn) ConnHandler { l.Stop(); return newEcho() },
+			OnError: func(err error) { told++ }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		dial(t, addr.String())
-		l.After(6*acceptRest, func() { s.well = true })
+		l.AfterFunc(6*acceptRest, func() { s.well = true })
 		if err := l.Run(func() bool { return false }); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -52,7 +52,7 @@
 	dirty       []*Conn
 	failed      []source // connections that could not be written to, to be reported next
 	now         time.Time
-	wheel       *Wheel
+	wheel       *timerWheel
 	stopped     bool
 
 	mu     sync.Mutex
@@ -99,13 +99,13 @@
 // Now is the clock reading of this round.
 func (l *Loop) Now() time.Time { return l.now }
 
-// After fires once the wait is over.
-func (l *Loop) After(wait time.Duration, fire func()) *Timer {
+// AfterFunc fires once the wait is over.
+func (l *Loop) AfterFunc(wait time.Duration, fire func()) *Timer {
 	return l.wheel.set(l.now, wait, fire)
 }
 
-// Cancel disarms a timer; nil and one that fired are left alone.
-func (l *Loop) Cancel(t *Timer) { l.wheel.cancel(t) }
+// CancelTimer disarms a timer; nil and one that fired are left alone.
+func (l *Loop) CancelTimer(t *Timer) { l.wheel.cancel(t) }
 
 // Stop ends Run after this round.
 func (l *Loop) Stop() { l.stopped = true }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), Accepted{
-		Conn: func(*Conn) ConnHandler { return h }, Failed: func(err error) { t.Error(err) }})
+	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), AcceptCallbacks{
+		OnConn: func(*Conn) ConnHandler { return h }, OnError: func(err error) { t.Error(err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	e := newEcho()
 	e.onData = func(c *Conn, p []byte) {
 		c.Write(p)
-		unsent = max(unsent, c.Unsent())
+		unsent = max(unsent, c.UnsentBytes())
 	}
 	_, addr := serve(t, e, func() {})
 	c, err := net.Dial("tcp", addr)
@@ -80,7 +80,7 @@
 	}()
 	got := make([]byte, 0, len(sent))
 	buf := make([]byte, 1<<16)
-	c.SetReadDeadline(time.Now().Add(servertest.Patience))
+	c.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 	for len(got) < len(sent) {
 		n, err := c.Read(buf)
 		got = append(got, buf[:n]...)
@@ -144,7 +144,7 @@
 		total += <-settled
 	}
 	for _, c := range conns {
-		c.SetReadDeadline(time.Now().Add(servertest.Patience))
+		c.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 		if _, err := io.ReadFull(c, make([]byte, 3)); err != nil {
 			t.Error(err)
 		}
@@ -196,27 +196,27 @@
 	l.Post(func() {
 		// Written while the loop stands in this round: it waits in the socket.
 		io.WriteString(c, "b")
-		for end := time.Now().Add(servertest.Patience); conn.Quiet(0) && time.Now().Before(end); {
+		for end := time.Now().Add(servertest.WaitTimeout); conn.IsIdle(0) && time.Now().Before(end); {
 		}
-		quiet <- conn.Quiet(0)
+		quiet <- conn.IsIdle(0)
 	})
 	if <-quiet {
 		t.Error("quiet with a byte in the socket")
 	}
 	<-got
-	l.Post(func() { quiet <- conn.Quiet(0) })
+	l.Post(func() { quiet <- conn.IsIdle(0) })
 	if !<-quiet {
 		t.Error("not quiet with nothing in the socket")
 	}
-	l.Post(func() { quiet <- conn.Quiet(time.Hour) })
+	l.Post(func() { quiet <- conn.IsIdle(time.Hour) })
 	if <-quiet {
 		t.Error("quiet before the time")
 	}
 	l.Post(func() {
 		conn.Write([]byte("bye"))
-		conn.CloseSent()
+		conn.CloseAfterFlush()
 	})
-	c.SetReadDeadline(time.Now().Add(servertest.Patience))
+	c.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 	if rest, err := io.ReadAll(c); string(rest) != "bye" || err != nil {
 		t.Errorf("read %q, %v", rest, err)
 	}
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(servertest.Patience))
+	c.SetDeadline(time.Now().Add(servertest.WaitTimeout))
 	return c
 }
 
@@ -241,7 +241,7 @@
 	e := newEcho()
 	e.onData = func(c *Conn, p []byte) {
 		c.Write([]byte("too much"))
-		c.CloseSent()
+		c.CloseAfterFlush()
 	}
 	_, addr := serve(t, e, func() {})
 	c := dial(t, addr)
@@ -301,7 +301,7 @@
 	io.WriteString(late, "a")
 	select {
 	case <-answered:
-	case <-time.After(servertest.Patience):
+	case <-time.After(servertest.WaitTimeout):
 		t.Error("a connection was not read beside many that never pause")
 	}
 	size := make(chan int)
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -17,17 +17,17 @@
 	// EpollWait waits for so many milliseconds; -1 is for ever.
 	EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error)
 	Eventfd() (fd int, err error)
-	// Stream and Datagram are new sockets of the family of an address.
-	Stream(family netip.AddrPort) (fd int, err error)
-	Datagram(family netip.AddrPort) (fd int, err error)
+	// NewStreamSocket and Datagram are new sockets of the family of an address.
+	NewStreamSocket(family netip.AddrPort) (fd int, err error)
+	NewDatagramSocket(family netip.AddrPort) (fd int, err error)
 	Bind(fd int, at netip.AddrPort) error
 	Listen(fd, backlog int) error
 	Accept(fd int) (int, error)
 	Connect(fd int, to netip.AddrPort) error
-	// Connected is the outcome of a Connect that was under way.
-	Connected(fd int) error
-	// Address is what a socket is bound to.
-	Address(fd int) (netip.AddrPort, error)
+	// ConnectResult is the outcome of a Connect that was under way.
+	ConnectResult(fd int) error
+	// LocalAddr is what a socket is bound to.
+	LocalAddr(fd int) (netip.AddrPort, error)
 	Read(fd int, p []byte) (int, error)
 	// Peek is Read that leaves what is there.
 	Peek(fd int, p []byte) (int, error)
@@ -76,8 +76,8 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
 }
 
-// Stream implements System. Answers are small and written once a round: waiting to fill a segment would only delay them.
-func (Kernel) Stream(family netip.AddrPort) (int, error) {
+// NewStreamSocket implements System. Answers are small and written once a round: waiting to fill a segment would only delay them.
+func (Kernel) NewStreamSocket(family netip.AddrPort) (int, error) {
 	fd, err := socket(family, unix.SOCK_STREAM)
 	if err != nil {
 		return -1, err
@@ -94,8 +94,10 @@
 	return fd, nil
 }
 
-// Datagram implements System.
-func (Kernel) Datagram(family netip.AddrPort) (int, error) { return socket(family, unix.SOCK_DGRAM) }
+// NewDatagramSocket implements System.
+func (Kernel) NewDatagramSocket(family netip.AddrPort) (int, error) {
+	return socket(family, unix.SOCK_DGRAM)
+}
 
 // Bind implements System. A restart must not wait for the connections of the life before.
 func (Kernel) Bind(fd int, at netip.AddrPort) error {
@@ -123,8 +125,8 @@
 // Connect implements System.
 func (Kernel) Connect(fd int, to netip.AddrPort) error { return unix.Connect(fd, sockaddr(to)) }
 
-// Connected implements System.
-func (Kernel) Connected(fd int) error {
+// ConnectResult implements System.
+func (Kernel) ConnectResult(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
@@ -132,8 +134,8 @@
 	return err
 }
 
-// Address implements System.
-func (Kernel) Address(fd int) (netip.AddrPort, error) {
+// LocalAddr implements System.
+func (Kernel) LocalAddr(fd int) (netip.AddrPort, error) {
 	sa, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}, err
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -12,9 +12,9 @@
 	next, prev *Timer // nil while it is not set
 }
 
-// Wheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and at most one tick
+// timerWheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and at most one tick
 // late.
-type Wheel struct {
+type timerWheel struct {
 	tick   time.Duration
 	origin time.Time
 	done   int64 // the last tick whose timers were fired
@@ -23,8 +23,8 @@
 }
 
 // newWheel returns an empty wheel that starts now.
-func newWheel(tick time.Duration, now time.Time) *Wheel {
-	w := &Wheel{tick: tick, origin: now}
+func newWheel(tick time.Duration, now time.Time) *timerWheel {
+	w := &timerWheel{tick: tick, origin: now}
 	for i := range w.slots {
 		head := &w.slots[i]
 		head.next, head.prev = head, head
@@ -33,7 +33,7 @@
 }
 
 // set arms a timer that fires once the wait is over.
-func (w *Wheel) set(now time.Time, wait time.Duration, fire func()) *Timer {
+func (w *timerWheel) set(now time.Time, wait time.Duration, fire func()) *Timer {
 	at := now.Sub(w.origin) + max(wait, 0)
 	t := &Timer{due: max(int64((at+w.tick-1)/w.tick), w.done+1), fire: fire}
 	head := &w.slots[t.due%wheelSlots]
@@ -44,7 +44,7 @@
 }
 
 // cancel disarms a timer; one that fired or was never set is left alone.
-func (w *Wheel) cancel(t *Timer) {
+func (w *timerWheel) cancel(t *Timer) {
 	if t == nil || t.next == nil {
 		return
 	}
@@ -54,12 +54,12 @@
 }
 
 // advance fires all that is due at now. Timers set meanwhile wait for a later call.
-func (w *Wheel) advance(now time.Time) {
+func (w *timerWheel) advance(now time.Time) {
 	last := int64(now.Sub(w.origin) / w.tick)
 	if last <= w.done {
 		return
 	}
-	// After a long stop one turn passes every slot.
+	// AfterFunc a long stop one turn passes every slot.
 	first := max(w.done+1, last-wheelSlots+1)
 	w.done = last
 	for tick := first; tick <= last; tick++ {
@@ -77,7 +77,7 @@
 }
 
 // wait is how long nothing is due, at most one turn of the wheel.
-func (w *Wheel) wait(now time.Time) time.Duration {
+func (w *timerWheel) wait(now time.Time) time.Duration {
 	if w.armed == 0 {
 		return wheelSlots * w.tick
 	}
