--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -13,17 +13,17 @@
 
 // Group is a mean over runs with its confidence interval.
 type Group struct {
-	Policy  string   `json:"policy"`
-	Of      string   `json:"of"` // a value of the variable, a kind of day, or all
-	X       float64  `json:"x"`
-	Runs    int      `json:"runs"`
-	Failed  int      `json:"failed"` // worlds that were not feasible
-	Mean    float64  `json:"mean"`
-	Low     float64  `json:"low"` // of the interval at 95 %
-	High    float64  `json:"high"`
-	Broken  int      `json:"broken"` // runs that broke a rule
-	Measure string   `json:"measure"`
-	Values  []values `json:"-"`
+	Policy             string   `json:"policy"`
+	Label              string   `json:"of"` // a value of the variable, a kind of day, or all
+	X                  float64  `json:"x"`
+	Runs               int      `json:"runs"`
+	Infeasible         int      `json:"failed"` // worlds that were not feasible
+	Mean               float64  `json:"mean"`
+	Lower              float64  `json:"low"` // of the interval at 95 %
+	Upper              float64  `json:"high"`
+	RunsWithViolations int      `json:"broken"` // runs that broke a rule
+	Measure            string   `json:"measure"`
+	Values             []values `json:"-"`
 }
 
 type values struct {
@@ -34,9 +34,9 @@
 // resamples is how often a bootstrap draws anew.
 const resamples = 5000
 
-// Interval is the mean of figures with its interval at 95 %, by the percentile bootstrap (Efron and Tibshirani, 1993). The
+// ConfidenceInterval is the mean of figures with its interval at 95 %, by the percentile bootstrap (Efron and Tibshirani, 1993). The
 // same figures give the same interval.
-func Interval(figures []float64) (mean, low, high float64) {
+func ConfidenceInterval(figures []float64) (mean, low, high float64) {
 	n := len(figures)
 	if n == 0 {
 		return math.NaN(), math.NaN(), math.NaN()
@@ -77,7 +77,7 @@
 		of, x := "all", 0.0
 		switch {
 		case by == "day":
-			of = dayKind(row.Day)
+			of = dayKind(row.Workload)
 		case by != "":
 			v, ok := row.Values[by]
 			if !ok {
@@ -90,11 +90,11 @@
 		if !ok {
 			i = len(list)
 			index[key] = i
-			list = append(list, Group{Policy: row.Policy, Of: of, X: x, Measure: measure})
+			list = append(list, Group{Policy: row.Policy, Label: of, X: x, Measure: measure})
 		}
 		g := &list[i]
 		if row.Error != "" {
-			g.Failed++
+			g.Infeasible++
 			continue
 		}
 		v, ok := row.Measures[measure]
@@ -103,8 +103,8 @@
 		}
 		found = true
 		g.Runs++
-		if len(row.Broken) > 0 {
-			g.Broken++
+		if len(row.Violations) > 0 {
+			g.RunsWithViolations++
 		}
 		g.Values = append(g.Values, values{fmt.Sprint(row.Point, "/", row.Seed), v})
 	}
@@ -116,34 +116,34 @@
 		for k, v := range list[i].Values {
 			figures[k] = v.value
 		}
-		list[i].Mean, list[i].Low, list[i].High = Interval(figures)
+		list[i].Mean, list[i].Lower, list[i].Upper = ConfidenceInterval(figures)
 	}
 	return list, nil
 }
 
 // Difference is what one policy has over another in runs of the same point and seed.
 type Difference struct {
-	Measure string  `json:"measure"`
-	Of      string  `json:"of"`
-	A       string  `json:"a"`
-	B       string  `json:"b"`
-	Pairs   int     `json:"pairs"`
-	MeanA   float64 `json:"mean_a"`
-	MeanB   float64 `json:"mean_b"`
-	Mean    float64 `json:"mean"` // of A less B
-	Low     float64 `json:"low"`
-	High    float64 `json:"high"`
-	Wins    float64 `json:"wins"` // part of the pairs in which A has more
+	Measure        string  `json:"measure"`
+	Label          string  `json:"of"`
+	PolicyA        string  `json:"a"`
+	PolicyB        string  `json:"b"`
+	Pairs          int     `json:"pairs"`
+	MeanA          float64 `json:"mean_a"`
+	MeanB          float64 `json:"mean_b"`
+	MeanDifference float64 `json:"mean"` // of A less B
+	Lower          float64 `json:"low"`
+	Upper          float64 `json:"high"`
+	WinShare       float64 `json:"wins"` // part of the pairs in which A has more
 }
 
-// Seen tells whether the interval leaves out that there is no difference.
-func (d Difference) Seen() bool { return d.Low > 0 || d.High < 0 }
+// IsSignificant tells whether the interval leaves out that there is no difference.
+func (d Difference) IsSignificant() bool { return d.Lower > 0 || d.Upper < 0 }
 
 // String says the difference in words.
 func (d Difference) String() string {
-	text := fmt.Sprintf("%s, %s: %s %.4f, %s %.4f; difference %+.4f, 95 %% in %+.4f to %+.4f over %d pairs", d.Measure, d.Of, d.A, d.MeanA,
-		d.B, d.MeanB, d.Mean, d.Low, d.High, d.Pairs)
-	if !d.Seen() {
+	text := fmt.Sprintf("%s, %s: %s %.4f, %s %.4f; difference %+.4f, 95 %% in %+.4f to %+.4f over %d pairs", d.Measure, d.Label, d.PolicyA, d.MeanA,
+		d.PolicyB, d.MeanB, d.MeanDifference, d.Lower, d.Upper, d.Pairs)
+	if !d.IsSignificant() {
 		return text + ": no difference seen"
 	}
 	return text
@@ -159,8 +159,8 @@
 	var order []string
 	for _, g := range groups {
 		if list, ok := of[g.Policy]; ok {
-			if list[g.Of] = g; g.Policy == a {
-				order = append(order, g.Of)
+			if list[g.Label] = g; g.Policy == a {
+				order = append(order, g.Label)
 			}
 		}
 	}
@@ -170,14 +170,14 @@
 		for _, v := range of[b][name].Values {
 			right[v.key] = v.value
 		}
-		d := Difference{Measure: measure, Of: name, A: a, B: b}
+		d := Difference{Measure: measure, Label: name, PolicyA: a, PolicyB: b}
 		var diffs []float64
 		for _, v := range of[a][name].Values {
 			if other, ok := right[v.key]; ok {
 				diffs = append(diffs, v.value-other)
 				d.MeanA, d.MeanB = d.MeanA+v.value, d.MeanB+other
 				if v.value > other {
-					d.Wins++
+					d.WinShare++
 				}
 			}
 		}
@@ -185,8 +185,8 @@
 			continue
 		}
 		n := float64(d.Pairs)
-		d.MeanA, d.MeanB, d.Wins = d.MeanA/n, d.MeanB/n, d.Wins/n
-		d.Mean, d.Low, d.High = Interval(diffs)
+		d.MeanA, d.MeanB, d.WinShare = d.MeanA/n, d.MeanB/n, d.WinShare/n
+		d.MeanDifference, d.Lower, d.Upper = ConfidenceInterval(diffs)
 		list = append(list, d)
 	}
 	if len(list) == 0 {
@@ -195,9 +195,9 @@
 	return list, nil
 }
 
-// Worst are the rows of a policy in which a measure is least, and what their points have in common against all: for each
+// WorstRuns are the rows of a policy in which a measure is least, and what their points have in common against all: for each
 // variable the mean there and elsewhere, in spreads of all.
-func (r *Results) Worst(policy, measure string, n int) ([]Row, []Common) {
+func (r *Results) WorstRuns(policy, measure string, n int) ([]Row, []Deviation) {
 	var rows []Row
 	for _, row := range r.Rows {
 		if _, ok := row.Measures[measure]; ok && row.Policy == policy {
@@ -217,7 +217,7 @@
 			}
 		}
 	}
-	var common []Common
+	var common []Deviation
 	for name := range names {
 		get := func(list []Row) (figures []float64) {
 			for _, row := range list {
@@ -231,21 +231,21 @@
 		}
 		all, some := get(rows), get(worst)
 		if spread := stat.StdDev(all, nil); len(some) > 0 && spread > 0 {
-			c := Common{Name: name, All: floats.Sum(all) / float64(len(all)), Worst: floats.Sum(some) / float64(len(some))}
-			c.Spreads = (c.Worst - c.All) / spread
+			c := Deviation{Name: name, OverallMean: floats.Sum(all) / float64(len(all)), WorstMean: floats.Sum(some) / float64(len(some))}
+			c.StdDevs = (c.WorstMean - c.OverallMean) / spread
 			common = append(common, c)
 		}
 	}
-	slices.SortFunc(common, func(a, b Common) int {
-		return cmp.Or(-cmp.Compare(math.Abs(a.Spreads), math.Abs(b.Spreads)), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(common, func(a, b Deviation) int {
+		return cmp.Or(-cmp.Compare(math.Abs(a.StdDevs), math.Abs(b.StdDevs)), cmp.Compare(a.Name, b.Name))
 	})
 	return worst, common
 }
 
-// Common is how the worst runs differ from all in one figure.
-type Common struct {
-	Name    string  `json:"name"`
-	All     float64 `json:"all"`
-	Worst   float64 `json:"worst"`
-	Spreads float64 `json:"spreads"` // standard deviations between the two
+// Deviation is how the worst runs differ from all in one figure.
+type Deviation struct {
+	Name        string  `json:"name"`
+	OverallMean float64 `json:"all"`
+	WorstMean   float64 `json:"worst"`
+	StdDevs     float64 `json:"spreads"` // standard deviations between the two
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -61,7 +61,7 @@
 		}
 	}
 	other := parse(t, strings.Replace(small, "1.1", "1.2", 1))
-	if err := Run(context.Background(), other, filepath.Join(dir, "whole"), 1, nil); !errors.Is(err, ErrOtherPlan) {
+	if err := Run(context.Background(), other, filepath.Join(dir, "whole"), 1, nil); !errors.Is(err, ErrPlanMismatch) {
 		t.Errorf("the results of another plan: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -108,7 +108,7 @@
 		seen bool
 	}{{"a", "b", true}, {"b", "a", true}, {"a", "a", false}, {"b", "c", false}} {
 		d, err := r.Compare("g", "", c.a, c.b)
-		if err != nil || d[0].Pairs != 40 || d[0].Seen() != c.seen || strings.Contains(d[0].String(), "no difference seen") == c.seen {
+		if err != nil || d[0].Pairs != 40 || d[0].IsSignificant() != c.seen || strings.Contains(d[0].String(), "no difference seen") == c.seen {
 			t.Errorf("%s and %s: %v, %v", c.a, c.b, d, err)
 		}
 	}
@@ -146,19 +146,19 @@
 // TestHunt finds where a policy does badly, and the same place again.
 func TestHunt(t *testing.T) {
 	e := parse(t, `(world (for 3s) (servers (n 2) (cores 2))) (seeds 2) (sweep (vary load 0.3 1.5) (vary tries 1 4))`)
-	h := Hunt{Policy: "nolimit", Measure: "share", Rounds: 4, Size: 10, Seed: 3}
-	finds, err := e.Search(context.Background(), h, nil)
+	h := Exploration{Policy: "nolimit", Measure: "share", Rounds: 4, PointsPerRound: 10, Seed: 3}
+	finds, err := e.Explore(context.Background(), h, nil)
 	if err != nil || len(finds) != 40 {
 		t.Fatalf("%d finds, %v", len(finds), err)
 	}
 	if finds[0].Values["load"] < 1 || finds[0].Score >= finds[39].Score {
 		t.Errorf("the worst is %+v, the best %+v", finds[0], finds[39])
 	}
-	again, _ := e.Search(context.Background(), h, nil)
+	again, _ := e.Explore(context.Background(), h, nil)
 	if !reflect.DeepEqual(again, finds) {
 		t.Error("the same hunt finds other points")
 	}
-	text := e.Case("found", "(world (for 3s) (servers (n 2) (cores 2)))", finds[0], []string{"module", "nolimit"})
+	text := e.FormatCandidate("found", "(world (for 3s) (servers (n 2) (cores 2)))", finds[0], []string{"module", "nolimit"})
 	back := parse(t, text)
 	jobs, err := back.Plan()
 	if err != nil || len(jobs) != 4 || jobs[0].Values["load"] != finds[0].Values["load"] {
@@ -202,7 +202,7 @@
 	f.Add(small)
 	f.Add("(days (count 3) (kinds storm)) (world (day rough) (number 3) (incident pause (part 0.1)))")
 	f.Fuzz(func(t *testing.T, text string) {
-		if e, err := Parse("f", []byte(text)); err == nil && len(e.Sweep.Vary) < 3 && e.Sweep.Count < 100 && e.Days.Count < 10 && e.Seeds < 10 {
+		if e, err := Parse("f", []byte(text)); err == nil && len(e.Sweep.Variables) < 3 && e.Sweep.Count < 100 && e.Workloads.Count < 10 && e.Seeds < 10 {
 			e.Plan()
 		}
 	})
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,23 +15,23 @@
 
 // Job is one run of an experiment.
 type Job struct {
-	Point  int                // of the plan
-	Values map[string]float64 // what is varied there
-	Day    string             `json:"Day"` // or the day
-	Policy string
-	Seed   uint64
-	world  clustersim.World
+	Point    int                // of the plan
+	Values   map[string]float64 // what is varied there
+	Workload string             `json:"Day"` // or the day
+	Policy   string
+	Seed     uint64
+	world    clustersim.Config
 }
 
 // Plan is all runs in their order: by point, then by policy, then by seed.
 func (e *Experiment) Plan() ([]Job, error) {
 	var jobs []Job
-	worlds := []clustersim.World{e.World}
-	if e.Days.Count > 0 {
+	worlds := []clustersim.Config{e.Config}
+	if e.Workloads.Count > 0 {
 		worlds = nil
-		for _, kind := range e.Days.Kinds {
-			for n := range e.Days.Count {
-				worlds = append(worlds, clustersim.Day(kind, e.Days.From+uint64(n)))
+		for _, kind := range e.Workloads.Kinds {
+			for n := range e.Workloads.Count {
+				worlds = append(worlds, clustersim.GenerateConfig(kind, e.Workloads.From+uint64(n)))
 			}
 		}
 	}
@@ -44,17 +44,17 @@
 		for _, values := range points {
 			at := w
 			named := map[string]float64{}
-			for i, v := range e.Sweep.Vary {
+			for i, v := range e.Sweep.Variables {
 				v.set(&at, values[i])
 				named[v.Name] = values[i]
 			}
 			day := ""
-			if e.Days.Count > 0 {
+			if e.Workloads.Count > 0 {
 				day = w.Name
 			}
 			for _, p := range e.Policies {
 				for seed := range e.Seeds {
-					jobs = append(jobs, Job{Point: point, Values: named, Day: day, Policy: p, Seed: seed + 1, world: at})
+					jobs = append(jobs, Job{Point: point, Values: named, Workload: day, Policy: p, Seed: seed + 1, world: at})
 				}
 			}
 			point++
@@ -68,23 +68,23 @@
 
 // points are the values of all variables at each point, in the order of the variables.
 func (s *Sweep) points() ([][]float64, error) {
-	if len(s.Vary) == 0 {
+	if len(s.Variables) == 0 {
 		return [][]float64{nil}, nil
 	}
-	if s.How == "grid" {
+	if s.Method == "grid" {
 		return s.grid()
 	}
-	bounds := make([]r1.Interval, len(s.Vary))
-	for i, v := range s.Vary {
-		bounds[i] = r1.Interval{Min: v.From, Max: v.To}
-		if v.From == v.To {
-			bounds[i].Max = v.To + 1e-12 // a distribution of one value has no width
+	bounds := make([]r1.Interval, len(s.Variables))
+	for i, v := range s.Variables {
+		bounds[i] = r1.Interval{Min: v.Min, Max: v.Max}
+		if v.Min == v.Max {
+			bounds[i].Max = v.Max + 1e-12 // a distribution of one value has no width
 		}
 	}
 	src := rand.NewPCG(s.Seed, 1)
 	cube := distmv.NewUniform(bounds, src)
-	batch := mat.NewDense(s.Count, len(s.Vary), nil)
-	if s.How == "latin" {
+	batch := mat.NewDense(s.Count, len(s.Variables), nil)
+	if s.Method == "latin" {
 		samplemv.LatinHypercube{Q: cube, Src: src}.Sample(batch)
 	} else {
 		samplemv.IID{Dist: cube}.Sample(batch)
@@ -99,16 +99,16 @@
 // grid is all combinations, the last variable going round first.
 func (s *Sweep) grid() ([][]float64, error) {
 	list := [][]float64{nil}
-	for _, v := range s.Vary {
+	for _, v := range s.Variables {
 		if len(list)*v.Steps > mostPoints {
 			return nil, fmt.Errorf("experiment: the grid has over %d points", mostPoints)
 		}
 		var next [][]float64
 		for _, before := range list {
 			for i := range v.Steps {
-				x := v.From
+				x := v.Min
 				if v.Steps > 1 {
-					x += (v.To - v.From) * float64(i) / float64(v.Steps-1)
+					x += (v.Max - v.Min) * float64(i) / float64(v.Steps-1)
 				}
 				next = append(next, append(append([]float64(nil), before...), x))
 			}
@@ -118,11 +118,11 @@
 	return list, nil
 }
 
-// First is the world of the plan's first point.
-func (e *Experiment) First() (clustersim.World, error) {
+// FirstConfig is the world of the plan's first point.
+func (e *Experiment) FirstConfig() (clustersim.Config, error) {
 	jobs, err := e.Plan()
 	if err != nil {
-		return clustersim.World{}, err
+		return clustersim.Config{}, err
 	}
 	return jobs[0].world, nil
 }
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -12,21 +12,21 @@
 	"tillerusher/internal/idempotency"
 )
 
-// Policies are the names of all policies, the module's first.
-func Policies() []string {
-	names := slices.Sorted(maps.Keys(policies()))
+// PolicyNames are the names of all policies, the module's first.
+func PolicyNames() []string {
+	names := slices.Sorted(maps.Keys(policyFactories()))
 	i := slices.Index(names, "module")
 	return append([]string{"module"}, slices.Delete(names, i, i+1)...)
 }
 
-func policies() map[string]clustersim.Policy {
-	return map[string]clustersim.Policy{"module": clustersim.Module, "line": baseline.Line(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel,
-		"gradient": baseline.Gradient, "worth": baseline.Worth, "remembering": remembering()}
+func policyFactories() map[string]clustersim.PolicyFactory {
+	return map[string]clustersim.PolicyFactory{"module": clustersim.AdmissionModule, "line": baseline.BoundedQueue(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel,
+		"gradient": baseline.Gradient, "worth": baseline.WeightPriority, "remembering": remembering()}
 }
 
 // remembering is the module on servers whose folders survive: a process that starts is told what one before it learned. It
 // is made anew for each run, which one goroutine plays.
-func remembering() clustersim.Policy {
+func remembering() clustersim.PolicyFactory {
 	var before []*admission.Instance
 	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
 		in, err := admission.New(s, a)
@@ -34,16 +34,16 @@
 			return nil, err
 		}
 		for _, old := range before {
-			l := idempotency.Learned{}
-			for i, c := range old.Learned().Classes {
-				l.Classes = append(l.Classes, idempotency.LearnedClass{Name: fmt.Sprint(i), Run: c.Run, Wall: c.Wall, Runs: c.Runs})
+			l := idempotency.RunTimes{}
+			for i, c := range old.ExportRunTimes().Classes {
+				l.Classes = append(l.Classes, idempotency.ClassRunTime{Name: fmt.Sprint(i), CoreTime: c.CoreTime, WallTime: c.WallTime, Samples: c.Samples})
 			}
-			if kept := l.Weigh(l.Saved, ""); len(kept) == len(s.Classes) {
-				var told admission.Learned
+			if kept := l.WeightByAge(l.SavedAt, ""); len(kept) == len(s.Classes) {
+				var told admission.RunTimeEstimates
 				for _, c := range kept {
-					told.Classes = append(told.Classes, admission.LearnedClass{Run: c.Run, Wall: c.Wall, Runs: c.Runs})
+					told.Classes = append(told.Classes, admission.ClassRunTime{CoreTime: c.CoreTime, WallTime: c.WallTime, Samples: c.Samples})
 				}
-				in.Recall(told)
+				in.ImportRunTimes(told)
 				break
 			}
 		}
@@ -52,10 +52,10 @@
 	}
 }
 
-// PolicyOf is the policy of a name.
-func PolicyOf(name string) (clustersim.Policy, error) {
-	if p, ok := policies()[name]; ok {
+// LookupPolicy is the policy of a name.
+func LookupPolicy(name string) (clustersim.PolicyFactory, error) {
+	if p, ok := policyFactories()[name]; ok {
 		return p, nil
 	}
-	return nil, fmt.Errorf("no policy is called %q, want one of %s", name, strings.Join(Policies(), ", "))
+	return nil, fmt.Errorf("no policy is called %q, want one of %s", name, strings.Join(PolicyNames(), ", "))
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -18,15 +18,15 @@
 
 // Row is one line of a results file: a run with its measures, or why it could not be made.
 type Row struct {
-	Run      int                `json:"run"`
-	Point    int                `json:"point"`
-	Values   map[string]float64 `json:"values,omitempty"`
-	Day      string             `json:"day,omitempty"`
-	Policy   string             `json:"policy"`
-	Seed     uint64             `json:"seed"`
-	Error    string             `json:"error,omitempty"`
-	Measures map[string]float64 `json:"measures,omitempty"`
-	Broken   map[string]int     `json:"broken,omitempty"` // breaches by rule
+	Index      int                `json:"run"`
+	Point      int                `json:"point"`
+	Values     map[string]float64 `json:"values,omitempty"`
+	Workload   string             `json:"day,omitempty"`
+	Policy     string             `json:"policy"`
+	Seed       uint64             `json:"seed"`
+	Error      string             `json:"error,omitempty"`
+	Measures   map[string]float64 `json:"measures,omitempty"`
+	Violations map[string]int     `json:"broken,omitempty"` // breaches by rule
 }
 
 // header is the first line of a results file.
@@ -36,8 +36,8 @@
 	Runs       int    `json:"runs"`
 }
 
-// ErrOtherPlan says that a results file is of another experiment.
-var ErrOtherPlan = errors.New("experiment: the results are of another plan")
+// ErrPlanMismatch says that a results file is of another experiment.
+var ErrPlanMismatch = errors.New("experiment: the results are of another plan")
 
 // planSum tells plans apart.
 func planSum(jobs []Job) (string, error) {
@@ -46,7 +46,7 @@
 	for i := range jobs {
 		if err := e.Encode(struct {
 			Job
-			World clustersim.World
+			World clustersim.Config
 		}{jobs[i], jobs[i].world}); err != nil {
 			return "", fmt.Errorf("experiment: %w", err)
 		}
@@ -56,28 +56,28 @@
 
 // measures are the figures of a result by the names that plots and comparisons go by.
 func measures(r *clustersim.Result) map[string]float64 {
-	m := map[string]float64{"g": r.G, "share": r.Share, "worst10": r.Worst10, "worst-class": r.WorstOf, "worst-tenant": r.WorstTen,
-		"waste": r.Waste, "late": r.Late, "p50": r.P50, "p99": r.P99, "p999": r.P999, "load": r.Load, "requests": float64(r.Requests),
-		"tries": float64(r.Tries) / float64(max(r.Requests, 1)), "fell": float64(r.Fell), "events": float64(r.Events)}
-	if r.Recovery.Incidents {
-		m["recovered"], m["recovered-after"], m["left"] = 0, r.Recovery.After, r.Recovery.Left
+	m := map[string]float64{"g": r.Score, "share": r.GoodputShare, "worst10": r.WorstWindowShare, "worst-class": r.WorstClassShare, "worst-tenant": r.WorstTenantShare,
+		"waste": r.WastedWork, "late": r.LateShare, "p50": r.P50, "p99": r.P99, "p999": r.P999, "load": r.Load, "requests": float64(r.Requests),
+		"tries": float64(r.Attempts) / float64(max(r.Requests, 1)), "fell": float64(r.Crashes), "events": float64(r.Events)}
+	if r.Recovery.HadIncidents {
+		m["recovered"], m["recovered-after"], m["left"] = 0, r.Recovery.RecoverySeconds, r.Recovery.ShareAfter
 		if r.Recovery.Recovered {
 			m["recovered"] = 1
 		}
 	}
 	for _, c := range r.Classes {
-		m["class "+c.Name] = c.Share
+		m["class "+c.Name] = c.GoodputShare
 	}
 	for _, t := range r.Tenants {
-		m["tenant "+t.Name] = t.Share
+		m["tenant "+t.Name] = t.GoodputShare
 	}
 	return m
 }
 
 // play makes one run. A world that is not feasible is named in its row, and the others go on.
 func (j *Job) play(ctx context.Context, run int) (Row, error) {
-	row := Row{Run: run, Point: j.Point, Values: j.Values, Day: j.Day, Policy: j.Policy, Seed: j.Seed}
-	p, err := PolicyOf(j.Policy)
+	row := Row{Index: run, Point: j.Point, Values: j.Values, Workload: j.Workload, Policy: j.Policy, Seed: j.Seed}
+	p, err := LookupPolicy(j.Policy)
 	if err != nil {
 		return row, err
 	}
@@ -90,16 +90,16 @@
 		return row, nil
 	}
 	row.Measures = measures(r)
-	for rule, n := range r.Broken {
-		if row.Broken == nil {
-			row.Broken = map[string]int{}
+	for rule, n := range r.Violations {
+		if row.Violations == nil {
+			row.Violations = map[string]int{}
 		}
-		row.Broken[string(rule)] = n
+		row.Violations[string(rule)] = n
 	}
 	return row, nil
 }
 
-// Run plays an experiment into a results file, on so many cores (0 is all). Where the file holds a part of the same plan
+// Index plays an experiment into a results file, on so many cores (0 is all). Where the file holds a part of the same plan
 // it goes on behind that. Rows are written in the order of the plan, so that a run that was cut off leaves the same file in
 // the end. Progress hears how many runs are done.
 func Run(ctx context.Context, e *Experiment, path string, workers int, progress func(done, of int)) error {
@@ -127,7 +127,7 @@
 			return fmt.Errorf("experiment: %w", err)
 		}
 		if progress != nil {
-			progress(row.Run+1, len(jobs))
+			progress(row.Index+1, len(jobs))
 		}
 		return nil
 	})
@@ -164,7 +164,7 @@
 		}
 	case !bytes.HasPrefix(whole, first):
 		f.Close()
-		return nil, 0, fmt.Errorf("%s: %w", path, ErrOtherPlan)
+		return nil, 0, fmt.Errorf("%s: %w", path, ErrPlanMismatch)
 	default:
 		rows = bytes.Count(whole, []byte{'\n'}) - 1
 	}
@@ -240,9 +240,9 @@
 
 // Results are the rows of a file.
 type Results struct {
-	Experiment string
-	Runs       int // of the plan
-	Rows       []Row
+	Experiment  string
+	PlannedRuns int // of the plan
+	Rows        []Row
 }
 
 // ReadResults reads a results file; a last line that is cut off is passed over.
@@ -274,7 +274,7 @@
 			if json.Unmarshal(line, &h) != nil || h.Plan == "" {
 				return nil, fmt.Errorf("%s:1: found %.40q, want the first line of an experiment's results", path, bytes.TrimSpace(line))
 			}
-			r.Experiment, r.Runs = h.Experiment, h.Runs
+			r.Experiment, r.PlannedRuns = h.Experiment, h.Runs
 			continue
 		}
 		var row Row
--- a/internal/experiment/worst.go
+++ b/internal/experiment/worst.go
@@ -14,19 +14,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Hunt is a search for the points of a sweep's ranges at which a policy does worst.
-type Hunt struct {
-	Policy  string
-	Against string // where given, what counts is how far the policy stays under this one
-	Measure string // of which little is bad
-	Rounds  int
-	Size    int // points a round
-	Seed    uint64
-	Workers int
+// Exploration is a search for the points of a sweep's ranges at which a policy does worst.
+type Exploration struct {
+	Policy         string
+	BaselinePolicy string // where given, what counts is how far the policy stays under this one
+	Measure        string // of which little is bad
+	Rounds         int
+	PointsPerRound int // points a round
+	Seed           uint64
+	Workers        int
 }
 
-// Find is a point of a hunt.
-type Find struct {
+// Candidate is a point of a hunt.
+type Candidate struct {
 	Values map[string]float64 `json:"values"`
 	Score  float64            `json:"score"` // the measure's mean over the seeds, less that of the other policy
 	Error  string             `json:"error,omitempty"`
@@ -35,29 +35,29 @@
 // elite is the part of a round that the next one is drawn round.
 const elite = 0.2
 
-// Search looks for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a normal
+// Explore looks for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a normal
 // distribution within the ranges and fits it to those that did worst. The same hunt finds the same points. It returns all
 // points, the worst first; progress hears of the rounds.
-func (e *Experiment) Search(ctx context.Context, h Hunt, progress func(done, of int)) ([]Find, error) {
-	if len(e.Sweep.Vary) == 0 {
+func (e *Experiment) Explore(ctx context.Context, h Exploration, progress func(done, of int)) ([]Candidate, error) {
+	if len(e.Sweep.Variables) == 0 {
 		return nil, fmt.Errorf("experiment: a hunt needs (sweep (vary ...)): the ranges in which to look")
 	}
 	if h.Workers <= 0 {
 		h.Workers = runtime.GOMAXPROCS(0)
 	}
 	rng := rand.New(rand.NewPCG(h.Seed, 7))
-	n := len(e.Sweep.Vary)
+	n := len(e.Sweep.Variables)
 	mean, spread := make([]float64, n), make([]float64, n)
-	for i, v := range e.Sweep.Vary {
-		mean[i], spread[i] = (v.From+v.To)/2, (v.To-v.From)/2
+	for i, v := range e.Sweep.Variables {
+		mean[i], spread[i] = (v.Min+v.Max)/2, (v.Max-v.Min)/2
 	}
-	var all []Find
+	var all []Candidate
 	for round := range h.Rounds {
-		points := make([][]float64, h.Size)
+		points := make([][]float64, h.PointsPerRound)
 		for k := range points {
-			for i, v := range e.Sweep.Vary {
+			for i, v := range e.Sweep.Variables {
 				x := distuv.Normal{Mu: mean[i], Sigma: math.Max(spread[i], 1e-12), Src: rng}.Rand()
-				points[k] = append(points[k], min(max(x, v.From), v.To))
+				points[k] = append(points[k], min(max(x, v.Min), v.Max))
 			}
 		}
 		finds, err := e.score(ctx, h, points)
@@ -86,22 +86,22 @@
 			progress(round+1, h.Rounds)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Find) int { return cmp.Compare(a.Score, b.Score) })
+	slices.SortStableFunc(all, func(a, b Candidate) int { return cmp.Compare(a.Score, b.Score) })
 	return all, nil
 }
 
 // score plays points with all seeds and both policies.
-func (e *Experiment) score(ctx context.Context, h Hunt, points [][]float64) ([]Find, error) {
+func (e *Experiment) score(ctx context.Context, h Exploration, points [][]float64) ([]Candidate, error) {
 	policies := []string{h.Policy}
-	if h.Against != "" {
-		policies = append(policies, h.Against)
+	if h.BaselinePolicy != "" {
+		policies = append(policies, h.BaselinePolicy)
 	}
 	var jobs []Job
-	finds := make([]Find, len(points))
+	finds := make([]Candidate, len(points))
 	for k, p := range points {
-		w := e.World
+		w := e.Config
 		finds[k].Values = map[string]float64{}
-		for i, v := range e.Sweep.Vary {
+		for i, v := range e.Sweep.Variables {
 			v.set(&w, p[i])
 			finds[k].Values[v.Name] = p[i]
 		}
@@ -128,15 +128,15 @@
 	return finds, err
 }
 
-// Case writes a find as an experiment of its own, over the world that it was found in.
-func (e *Experiment) Case(name, base string, f Find, policies []string) string {
+// FormatCandidate writes a find as an experiment of its own, over the world that it was found in.
+func (e *Experiment) FormatCandidate(name, base string, f Candidate, policies []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; Found by a hunt: score %.4f.\n(name %s)\n", f.Score, name)
 	if base != "" {
 		fmt.Fprintf(&b, "%s\n", base)
 	}
 	fmt.Fprintf(&b, "(policies %s)\n(seeds %d)\n(sweep (how grid)", strings.Join(policies, " "), e.Seeds)
-	for _, v := range e.Sweep.Vary {
+	for _, v := range e.Sweep.Variables {
 		fmt.Fprintf(&b, "\n  (vary %s %v %v 1)", v.Name, f.Values[v.Name], f.Values[v.Name])
 	}
 	b.WriteString(")\n")
--- a/internal/fake/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -15,19 +15,19 @@
 
 // The record types.
 const (
-	Begin     = 1
-	Abort     = 2
-	End       = 3
-	Params    = 4
-	Stdin     = 5
-	Stdout    = 6
-	GetValues = 9
-	Values    = 10
-	Unknown   = 11
+	BeginRequest    = 1
+	AbortRequest    = 2
+	EndRequest      = 3
+	Params          = 4
+	Stdin           = 5
+	Stdout          = 6
+	GetValues       = 9
+	GetValuesResult = 10
+	UnknownType     = 11
 )
 
-// Record returns one record with so much padding.
-func Record(kind byte, id uint16, content []byte, padding byte) []byte {
+// EncodeRecord returns one record with so much padding.
+func EncodeRecord(kind byte, id uint16, content []byte, padding byte) []byte {
 	b := []byte{1, kind}
 	b = binary.BigEndian.AppendUint16(b, id)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(content)))
@@ -35,18 +35,18 @@
 	return append(append(b, content...), make([]byte, padding)...)
 }
 
-// BeginRecord returns a BEGIN_REQUEST record.
-func BeginRecord(id uint16, role uint16, keep bool) []byte {
+// EncodeBeginRequest returns a BEGIN_REQUEST record.
+func EncodeBeginRequest(id uint16, role uint16, keep bool) []byte {
 	content := make([]byte, 8)
 	binary.BigEndian.PutUint16(content, role)
 	if keep {
 		content[2] = 1
 	}
-	return Record(Begin, id, content, 0)
+	return EncodeRecord(BeginRequest, id, content, 0)
 }
 
-// Pair returns one name and value, with four-byte lengths where long is set or needed.
-func Pair(name, value string, long bool) []byte {
+// EncodePair returns one name and value, with four-byte lengths where long is set or needed.
+func EncodePair(name, value string, long bool) []byte {
 	var b []byte
 	for _, n := range []int{len(name), len(value)} {
 		if long || n > 127 {
@@ -61,56 +61,56 @@
 // Request is one request of a gateway.
 type Request struct {
 	Method, Path, Query string
-	Fields              map[string]string // by header name
+	Headers             map[string]string // by header name
 	Body                []byte
 }
 
-// ParamBytes returns the request's parameters as a list of pairs.
-func (r Request) ParamBytes() []byte {
-	b := Pair("REQUEST_METHOD", r.Method, false)
-	b = append(b, Pair("SCRIPT_NAME", r.Path, true)...)
-	b = append(b, Pair("QUERY_STRING", r.Query, false)...)
-	for _, name := range slices.Sorted(maps.Keys(r.Fields)) { // the same request is the same bytes
-		b = append(b, Pair("HTTP_"+strings.ReplaceAll(strings.ToUpper(name), "-", "_"), r.Fields[name], false)...)
+// EncodeParams returns the request's parameters as a list of pairs.
+func (r Request) EncodeParams() []byte {
+	b := EncodePair("REQUEST_METHOD", r.Method, false)
+	b = append(b, EncodePair("SCRIPT_NAME", r.Path, true)...)
+	b = append(b, EncodePair("QUERY_STRING", r.Query, false)...)
+	for _, name := range slices.Sorted(maps.Keys(r.Headers)) { // the same request is the same bytes
+		b = append(b, EncodePair("HTTP_"+strings.ReplaceAll(strings.ToUpper(name), "-", "_"), r.Headers[name], false)...)
 	}
 	return b
 }
 
-// Records returns the whole request, its connection to be kept.
-func (r Request) Records(id uint16) []byte {
-	b := BeginRecord(id, 1, true)
-	b = append(b, Record(Params, id, r.ParamBytes(), 3)...)
-	b = append(b, Record(Params, id, nil, 0)...)
+// Encode returns the whole request, its connection to be kept.
+func (r Request) Encode(id uint16) []byte {
+	b := EncodeBeginRequest(id, 1, true)
+	b = append(b, EncodeRecord(Params, id, r.EncodeParams(), 3)...)
+	b = append(b, EncodeRecord(Params, id, nil, 0)...)
 	for part := range slices.Chunk(r.Body, 60000) {
-		b = append(b, Record(Stdin, id, part, 1)...)
+		b = append(b, EncodeRecord(Stdin, id, part, 1)...)
 	}
-	return append(b, Record(Stdin, id, nil, 0)...)
+	return append(b, EncodeRecord(Stdin, id, nil, 0)...)
 }
 
-// Answer is one answer, or a management record.
-type Answer struct {
-	ID       uint16
-	Protocol byte // the protocol status
-	Status   int
-	Header   textproto.MIMEHeader
-	Body     []byte
-	Kind     byte   // the type of a management record
-	Content  []byte // of a management record
+// Response is one answer, or a management record.
+type Response struct {
+	ID             uint16
+	ProtocolStatus byte // the protocol status
+	Status         int
+	Header         textproto.MIMEHeader
+	Body           []byte
+	RecordType     byte   // the type of a management record
+	Content        []byte // of a management record
 }
 
-// Reader puts answers together from what a server wrote.
-type Reader struct {
+// ResponseReader puts answers together from what a server wrote.
+type ResponseReader struct {
 	rest   []byte
 	stdout map[uint16][]byte
 }
 
 // Feed takes in bytes and returns the answers that they complete.
-func (rd *Reader) Feed(p []byte) ([]Answer, error) {
+func (rd *ResponseReader) Feed(p []byte) ([]Response, error) {
 	if rd.stdout == nil {
 		rd.stdout = map[uint16][]byte{}
 	}
 	rd.rest = append(rd.rest, p...)
-	var answers []Answer
+	var answers []Response
 	for len(rd.rest) >= 8 {
 		n := int(binary.BigEndian.Uint16(rd.rest[4:]))
 		whole := 8 + n + int(rd.rest[6])
@@ -122,10 +122,10 @@
 		rd.rest = rd.rest[whole:]
 		switch {
 		case id == 0:
-			answers = append(answers, Answer{Kind: kind, Content: content})
+			answers = append(answers, Response{RecordType: kind, Content: content})
 		case kind == Stdout:
 			rd.stdout[id] = append(rd.stdout[id], content...)
-		case kind == End:
+		case kind == EndRequest:
 			a, err := parse(rd.stdout[id])
 			if err == nil && n < 5 {
 				err = fmt.Errorf("an end record of %d bytes", n)
@@ -134,7 +134,7 @@
 				return answers, err
 			}
 			delete(rd.stdout, id)
-			a.ID, a.Protocol = id, content[4]
+			a.ID, a.ProtocolStatus = id, content[4]
 			answers = append(answers, a)
 		default:
 			return answers, fmt.Errorf("record of type %d", kind)
@@ -144,8 +144,8 @@
 }
 
 // parse reads a CGI response; none at all stands for an answer by protocol status alone.
-func parse(text []byte) (Answer, error) {
-	var a Answer
+func parse(text []byte) (Response, error) {
+	var a Response
 	if len(text) == 0 {
 		return a, nil
 	}
--- a/internal/fake/gateway.go
+++ b/internal/fake/gateway.go
@@ -8,8 +8,8 @@
 // Gateway is one connection to a server.
 type Gateway struct {
 	conn    net.Conn
-	reader  Reader
-	answers []Answer // read and not asked for yet
+	reader  ResponseReader
+	answers []Response // read and not asked for yet
 	buf     []byte
 }
 
@@ -31,11 +31,11 @@
 	return err
 }
 
-// Read waits until the deadline for an answer to the request, or to any where id is 0, or for the end of the
+// ReadResponse waits until the deadline for an answer to the request, or to any where id is 0, or for the end of the
 // connection. The zero deadline is none.
-func (g *Gateway) Read(id uint16, deadline time.Time) (Answer, error) {
+func (g *Gateway) ReadResponse(id uint16, deadline time.Time) (Response, error) {
 	if err := g.conn.SetReadDeadline(deadline); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	for {
 		for i, a := range g.answers {
@@ -46,12 +46,12 @@
 		}
 		n, err := g.conn.Read(g.buf)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		answers, err := g.reader.Feed(g.buf[:n])
 		g.answers = append(g.answers, answers...)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 	}
 }
--- a/internal/fake/interpreter.go
+++ b/internal/fake/interpreter.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Apply is one command to run a request.
-type Apply struct {
+// RunCommand is one command to run a request.
+type RunCommand struct {
 	ID, Class string
 	Body      []byte
 }
@@ -35,17 +35,17 @@
 	listeners []net.Listener // all there were
 
 	mu      sync.Mutex
-	up      bool      // BANNER may be sent
-	cold    bool      // it was cold at its start
-	mute    bool      // SMOKE and TOP are not answered
-	prompt  bool      // runs end at once
-	busy    float64   // the first gauge
-	link    *Link     // the newest
-	rank    rank      // of link
-	seen    uint64    // of the newest CONNECT
-	waiting bool      // a CONNECT waits for BANNER
-	notices []message // all, in order
-	applied []Apply   // all that started a run
+	up      bool         // BANNER may be sent
+	cold    bool         // it was cold at its start
+	mute    bool         // SMOKE and TOP are not answered
+	prompt  bool         // runs end at once
+	busy    float64      // the first gauge
+	link    *Link        // the newest
+	rank    rank         // of link
+	seen    uint64       // of the newest CONNECT
+	waiting bool         // a CONNECT waits for BANNER
+	notices []message    // all, in order
+	applied []RunCommand // all that started a run
 	running []string
 	refuse  bool              // links are closed at once
 	unknown string            // the id of which no request came to this process
@@ -54,7 +54,7 @@
 	over    map[string]bool   // ids of runs that have ended
 	links   int
 	read    int // answers to TOP
-	heard   func(Apply)
+	heard   func(RunCommand)
 
 	attached int
 }
@@ -69,12 +69,12 @@
 
 // NewInterpreter starts an interpreter that is up and ends runs only when told.
 func NewInterpreter() (*Interpreter, error) {
-	it := NewQuietInterpreter(wallClock{})
+	it := NewInterpreterWithClock(wallClock{})
 	return it, it.listen()
 }
 
-// NewQuietInterpreter is an interpreter on a clock that links come to by Attach, not by sockets of its own.
-func NewQuietInterpreter(c Clock) *Interpreter {
+// NewInterpreterWithClock is an interpreter on a clock that links come to by Attach, not by sockets of its own.
+func NewInterpreterWithClock(c Clock) *Interpreter {
 	return &Interpreter{clock: c, up: true, bodies: map[string][]byte{}, over: map[string]bool{}}
 }
 
@@ -149,17 +149,17 @@
 			it.labour = nil
 		}
 	})
-	it.Cut()
+	it.CutLink()
 }
 
-// Move has the same interpreter accept links at a new address too, and returns that.
-func (it *Interpreter) Move() (string, error) {
+// AddListener has the same interpreter accept links at a new address too, and returns that.
+func (it *Interpreter) AddListener() (string, error) {
 	err := it.listen()
 	return it.Addr(), err
 }
 
-// LinkAt is the address at which the newest link was made, or "" while there is none.
-func (it *Interpreter) LinkAt() string {
+// LinkAddr is the address at which the newest link was made, or "" while there is none.
+func (it *Interpreter) LinkAddr() string {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	if it.link == nil {
@@ -182,58 +182,58 @@
 	change()
 }
 
-// Prompt has every run end at once with the body of its request in brackets.
-func (it *Interpreter) Prompt() { it.set(func() { it.prompt = true }) }
+// FinishImmediately has every run end at once with the body of its request in brackets.
+func (it *Interpreter) FinishImmediately() { it.set(func() { it.prompt = true }) }
 
-// Mute leaves questions without an answer from now on.
-func (it *Interpreter) Mute() { it.set(func() { it.mute = true }) }
+// IgnoreQueries leaves questions without an answer from now on.
+func (it *Interpreter) IgnoreQueries() { it.set(func() { it.mute = true }) }
 
-// OnApply has each run told to heard as it starts.
-func (it *Interpreter) OnApply(heard func(Apply)) { it.set(func() { it.heard = heard }) }
+// OnRun has each run told to heard as it starts.
+func (it *Interpreter) OnRun(heard func(RunCommand)) { it.set(func() { it.heard = heard }) }
 
-// Links is how many links were made.
-func (it *Interpreter) Links() int {
+// LinkCount is how many links were made.
+func (it *Interpreter) LinkCount() int {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return it.links
 }
 
-// Readings is how often the gauges have been told.
-func (it *Interpreter) Readings() int {
+// GaugeReadings is how often the gauges have been told.
+func (it *Interpreter) GaugeReadings() int {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return it.read
 }
 
-// Busy sets the gauge of the cores.
-func (it *Interpreter) Busy(part float64) { it.set(func() { it.busy = part }) }
+// SetUtilization sets the gauge of the cores.
+func (it *Interpreter) SetUtilization(part float64) { it.set(func() { it.busy = part }) }
 
-// Down has the interpreter not come up yet.
-func (it *Interpreter) Down() { it.set(func() { it.up = false }) }
+// MarkDown has the interpreter not come up yet.
+func (it *Interpreter) MarkDown() { it.set(func() { it.up = false }) }
 
-// Cold has the interpreter say that it was cold at its start.
-func (it *Interpreter) Cold() { it.set(func() { it.cold = true }) }
+// MarkCold has the interpreter say that it was cold at its start.
+func (it *Interpreter) MarkCold() { it.set(func() { it.cold = true }) }
 
-// Running is how many runs have begun and not ended.
-func (it *Interpreter) Running() int {
+// RunningCount is how many runs have begun and not ended.
+func (it *Interpreter) RunningCount() int {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return len(it.running)
 }
 
-// Start lets the interpreter come up.
-func (it *Interpreter) Start() {
+// MarkUp lets the interpreter come up.
+func (it *Interpreter) MarkUp() {
 	it.set(func() {
 		it.up = true
 		it.greet()
 	})
 }
 
-// Unknown has commands for the id turned away.
-func (it *Interpreter) Unknown(id string) { it.set(func() { it.unknown = id }) }
+// UnknownType has commands for the id turned away.
+func (it *Interpreter) RejectRun(id string) { it.set(func() { it.unknown = id }) }
 
-// Cut ends the link, and Refuse closes new ones too until Cut is called with Refuse(false).
-func (it *Interpreter) Cut() {
+// CutLink ends the link, and Refuse closes new ones too until Cut is called with Refuse(false).
+func (it *Interpreter) CutLink() {
 	it.set(func() {
 		if it.link != nil {
 			it.link.to.Close()
@@ -242,21 +242,21 @@
 	})
 }
 
-// Refuse closes new links at once.
-func (it *Interpreter) Refuse(refuse bool) { it.set(func() { it.refuse = refuse }) }
+// RejectLinks closes new links at once.
+func (it *Interpreter) RejectLinks(refuse bool) { it.set(func() { it.refuse = refuse }) }
 
-// End ends a run.
-func (it *Interpreter) End(id, end string, result []byte) {
+// EndRequest ends a run.
+func (it *Interpreter) EndRun(id, end string, result []byte) {
 	it.set(func() { it.end(id, end, result) })
 }
 
-// Await has a run wait for a call to what lies below.
-func (it *Interpreter) Await(id string, body []byte) {
+// AwaitCall has a run wait for a call to what lies below.
+func (it *Interpreter) AwaitCall(id string, body []byte) {
 	it.set(func() { it.tell(message{Op: "AWAIT", ID: id, Body: body}) })
 }
 
-// Applied returns the commands that started a run so far.
-func (it *Interpreter) Applied() []Apply {
+// StartedRuns returns the commands that started a run so far.
+func (it *Interpreter) StartedRuns() []RunCommand {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return slices.Clone(it.applied)
@@ -305,7 +305,7 @@
 			it.notify(m.ID, "MOOT", nil)
 			return true
 		}
-		it.apply(Apply{m.ID, m.Class, m.Body})
+		it.apply(RunCommand{m.ID, m.Class, m.Body})
 	case "BREAK":
 		it.end(m.ID, "STOPPED", nil)
 	case "TOP":
@@ -327,7 +327,7 @@
 }
 
 // apply starts a run.
-func (it *Interpreter) apply(a Apply) {
+func (it *Interpreter) apply(a RunCommand) {
 	if it.labour != nil {
 		it.labourOn(it.labour) // what ran before had the cores until now
 	}
--- a/internal/fake/member.go
+++ b/internal/fake/member.go
@@ -15,20 +15,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Mood is how a member treats requests.
-type Mood uint8
+// Behavior is how a member treats requests.
+type Behavior uint8
 
 // The moods.
 const (
-	Sound    Mood = iota // it answers with its name and the request's path
-	Silent               // it takes requests and never answers
-	Half                 // it sends half of an answer and ends the connection
-	Twice                // it answers twice
-	Failing              // it answers with status 500
-	Overload             // it says by the protocol that it turned the request away
-	Closing              // it ends connections as soon as a request is there
-	Garbled              // it sends what is no answer
-	Deaf                 // it takes connections and reads nothing
+	Healthy    Behavior = iota // it answers with its name and the request's path
+	Silent                     // it takes requests and never answers
+	Truncated                  // it sends half of an answer and ends the connection
+	Duplicated                 // it answers twice
+	Failing                    // it answers with status 500
+	Overloaded                 // it says by the protocol that it turned the request away
+	Closing                    // it ends connections as soon as a request is there
+	Malformed                  // it sends what is no answer
+	NotReading                 // it takes connections and reads nothing
 )
 
 // Member is a responder on loopback, of the kind that pools have. It speaks FastCGI or SCGI.
@@ -37,7 +37,7 @@
 	scgi bool
 
 	mu       sync.Mutex
-	mood     Mood
+	mood     Behavior
 	delay    time.Duration
 	seen     []map[string]string // parameters of the requests, in order
 	heard    func(params map[string]string)
@@ -73,7 +73,7 @@
 	return m, m.Start()
 }
 
-// Start has it listen, at the address that it had before.
+// MarkUp has it listen, at the address that it had before.
 func (m *Member) Start() error {
 	addr := m.Addr()
 	if addr == "" {
@@ -81,7 +81,7 @@
 	}
 	lc := net.ListenConfig{}
 	m.mu.Lock()
-	if m.mood == Deaf {
+	if m.mood == NotReading {
 		lc.Control = narrow
 	}
 	m.mu.Unlock()
@@ -129,8 +129,8 @@
 	return m.addr
 }
 
-// Set changes its mood and how long it takes for an answer.
-func (m *Member) Set(mood Mood, delay time.Duration) {
+// SetBehavior changes its mood and how long it takes for an answer.
+func (m *Member) SetBehavior(mood Behavior, delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mood, m.delay = mood, delay
@@ -143,15 +143,15 @@
 	m.heard = heard
 }
 
-// OnStatus has status say with which status a sound member answers a request.
-func (m *Member) OnStatus(status func(params map[string]string) int) {
+// SetStatusFunc has status say with which status a sound member answers a request.
+func (m *Member) SetStatusFunc(status func(params map[string]string) int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.status = status
 }
 
-// Seen is the parameters of all requests that came whole.
-func (m *Member) Seen() []map[string]string {
+// ReceivedParams is the parameters of all requests that came whole.
+func (m *Member) ReceivedParams() []map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]map[string]string(nil), m.seen...)
@@ -167,7 +167,7 @@
 	}()
 	for {
 		m.mu.Lock()
-		deaf, stopped := m.mood == Deaf, m.stopped
+		deaf, stopped := m.mood == NotReading, m.stopped
 		m.mu.Unlock()
 		if deaf {
 			<-stopped
@@ -184,7 +184,7 @@
 			code = m.status(params)
 		}
 		m.mu.Unlock()
-		if heard != nil && (mood != Overload || m.scgi) {
+		if heard != nil && (mood != Overloaded || m.scgi) {
 			heard(params)
 		}
 		time.Sleep(delay)
@@ -208,22 +208,22 @@
 }
 
 // answerSCGI treats one request of a connection; what the protocol has no word for is a status.
-func (m *Member) answerSCGI(c net.Conn, mood Mood, code int, params map[string]string, body []byte) {
+func (m *Member) answerSCGI(c net.Conn, mood Behavior, code int, params map[string]string, body []byte) {
 	text := fmt.Sprintf("%s %s %s", m.Name, params["SCRIPT_NAME"], body)
 	whole := fmt.Appendf(nil, "Status: %d\r\nContent-Length: %d\r\nX-Member: %s\r\n\r\n%s", code, len(text), m.Name, text)
 	switch mood {
 	case Silent:
 		io.Copy(io.Discard, c)
-	case Half:
+	case Truncated:
 		c.Write(whole[:len(whole)-len(text)/2-1])
-	case Twice:
+	case Duplicated:
 		c.Write(append(whole, whole...))
 	case Failing:
 		c.Write([]byte("Status: 500\r\n\r\n"))
-	case Overload:
+	case Overloaded:
 		c.Write([]byte("Status: 503\r\n\r\n"))
 	case Closing:
-	case Garbled:
+	case Malformed:
 		c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 	default:
 		c.Write(whole)
@@ -231,32 +231,32 @@
 }
 
 // answer treats one request; it returns false where the connection is to end.
-func (m *Member) answer(c net.Conn, id uint16, mood Mood, code int, params map[string]string, body []byte) bool {
+func (m *Member) answer(c net.Conn, id uint16, mood Behavior, code int, params map[string]string, body []byte) bool {
 	text := fmt.Sprintf("Status: %d\r\nX-Member: %s\r\n\r\n%s %s %s", code, m.Name, m.Name, params["SCRIPT_NAME"], body)
 	var whole []byte
 	for part := range slices.Chunk([]byte(text), 60000) {
-		whole = append(whole, Record(Stdout, id, part, 5)...)
+		whole = append(whole, EncodeRecord(Stdout, id, part, 5)...)
 	}
-	whole = append(whole, Record(End, id, make([]byte, 8), 0)...)
+	whole = append(whole, EncodeRecord(EndRequest, id, make([]byte, 8), 0)...)
 	switch mood {
 	case Silent:
 		io.Copy(io.Discard, c) // until the other side gives up
 		return false
-	case Half:
+	case Truncated:
 		c.Write(whole[:len(whole)/2])
 		return false
-	case Twice:
+	case Duplicated:
 		c.Write(append(whole, whole...))
 		return true
 	case Failing:
-		c.Write(append(Record(Stdout, id, []byte("Status: 500\r\n\r\n"), 0), Record(End, id, make([]byte, 8), 0)...))
+		c.Write(append(EncodeRecord(Stdout, id, []byte("Status: 500\r\n\r\n"), 0), EncodeRecord(EndRequest, id, make([]byte, 8), 0)...))
 		return true
-	case Overload:
-		c.Write(Record(End, id, []byte{0, 0, 0, 0, 2, 0, 0, 0}, 0))
+	case Overloaded:
+		c.Write(EncodeRecord(EndRequest, id, []byte{0, 0, 0, 0, 2, 0, 0, 0}, 0))
 		return true
 	case Closing:
 		return false
-	case Garbled:
+	case Malformed:
 		c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 		return false
 	}
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Settings is what a server is told of its site: a safe and a keyed class, two tenants.
-const Settings = `{"servers": 2, "tick-ns": 5000000,
+// SiteSettings is what a server is told of its site: a safe and a keyed class, two tenants.
+const SiteSettings = `{"servers": 2, "tick-ns": 5000000,
  "lanes": [{"name": "part-lookup", "on-time-ns": 1400000000, "hard-limit-ns": 3700000000, "repeat": "retryable", "worth": 1},
   {"name": "stock-reserve", "on-time-ns": 2400000000, "hard-limit-ns": 6100000000, "late-worth": 0.2, "repeat": "dedup",
    "repeat-window-ns": 18354000000, "worth": 2}],
@@ -19,9 +19,9 @@
 
 // What the settings say, for callers that keep to it.
 const (
-	LookupDeadline  = 3700 * time.Millisecond
-	ReserveDeadline = 6100 * time.Millisecond
-	Window          = 18354 * time.Millisecond // in which a reserve must not run twice
+	LookupDeadline    = 3700 * time.Millisecond
+	ReserveDeadline   = 6100 * time.Millisecond
+	IdempotencyWindow = 18354 * time.Millisecond // in which a reserve must not run twice
 )
 
 // FreeAddr returns a loopback address that nothing listens at.
--- a/internal/fake/work.go
+++ b/internal/fake/work.go
@@ -18,7 +18,7 @@
 // labour is how the interpreter spends time on runs: its cores are shared evenly by all that run.
 type labour struct {
 	cores int
-	took  func(Apply) time.Duration
+	took  func(RunCommand) time.Duration
 	left  map[string]time.Duration // of a core's time, by run
 	last  time.Time                // up to which time was spent
 	stop  func()                   // ends the looks
@@ -43,9 +43,9 @@
 	return func() { t.Stop() }
 }
 
-// Work has runs take as much time of a core as took says, shared with all others that run, and end with the body
+// SimulateWork has runs take as much time of a core as took says, shared with all others that run, and end with the body
 // of their request behind "done ". It looks when the next of them is due, so that no core's time is lost between two looks.
-func (it *Interpreter) Work(cores int, took func(Apply) time.Duration) {
+func (it *Interpreter) SimulateWork(cores int, took func(RunCommand) time.Duration) {
 	l := &labour{cores: cores, took: took, left: map[string]time.Duration{}, last: it.clock.Now()}
 	l.stop = func() {}
 	l.look = func() {
@@ -82,8 +82,8 @@
 	return max(wait, shortest)
 }
 
-// Instant has runs end at once again.
-func (it *Interpreter) Instant() {
+// StopSimulatingWork has runs end at once again.
+func (it *Interpreter) StopSimulatingWork() {
 	it.set(func() {
 		if it.labour != nil {
 			it.labour.stop()
@@ -112,20 +112,20 @@
 		}
 	}
 	for _, id := range over {
-		it.end(id, "OK", Result(it.bodies[id]))
+		it.end(id, "OK", WorkResult(it.bodies[id]))
 	}
 }
 
-// Result is what a run makes of a request's body where the interpreter works.
-func Result(body []byte) []byte { return append([]byte("done "), body...) }
+// WorkResult is what a run makes of a request's body where the interpreter works.
+func WorkResult(body []byte) []byte { return append([]byte("done "), body...) }
 
 // WorkBody is a body that names its request and says how long a run of it takes.
 func WorkBody(name string, work time.Duration) []byte {
 	return fmt.Appendf(nil, "%s work=%d", name, work.Microseconds())
 }
 
-// BodyWork reads how long a run takes from its body.
-func BodyWork(a Apply) time.Duration {
+// ParseWork reads how long a run takes from its body.
+func ParseWork(a RunCommand) time.Duration {
 	_, text, _ := bytes.Cut(a.Body, []byte("work="))
 	us := 0
 	if _, err := fmt.Sscan(string(text), &us); err != nil {
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -26,20 +26,20 @@
 // typeStderr is the record of what a responder has to say for the log.
 const typeStderr = 7
 
-// Response puts together the answer to one request, fed with what the connection brings.
-type Response struct {
-	ID     uint16
-	Most   int // bytes of it at the most
-	parse  parser
-	out    []byte
-	status byte
-	ended  bool
-	err    error
+// ResponseParser puts together the answer to one request, fed with what the connection brings.
+type ResponseParser struct {
+	RequestID uint16
+	MaxBytes  int // bytes of it at the most
+	parse     parser
+	out       []byte
+	status    byte
+	ended     bool
+	err       error
 }
 
 // Feed takes in the next bytes and tells whether the answer is whole. Bytes behind its end are an error: nothing was
 // asked for.
-func (r *Response) Feed(p []byte) (whole bool, err error) {
+func (r *ResponseParser) Feed(p []byte) (whole bool, err error) {
 	if r.ended {
 		return true, fmt.Errorf("%w: it goes on behind its end", ErrResponse)
 	}
@@ -50,25 +50,25 @@
 }
 
 // part implements sink.
-func (r *Response) part(rec record, p []byte) {
+func (r *ResponseParser) part(rec record, p []byte) {
 	switch {
-	case rec.kind == typeStdout && rec.id == r.ID && !r.ended:
-		if len(r.out)+len(p) > r.Most {
-			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.Most)
+	case rec.kind == typeStdout && rec.id == r.RequestID && !r.ended:
+		if len(r.out)+len(p) > r.MaxBytes {
+			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 			return
 		}
 		r.out = append(r.out, p...)
-	case rec.kind == typeEnd && rec.id == r.ID && rec.content == 8:
+	case rec.kind == typeEnd && rec.id == r.RequestID && rec.content == 8:
 		r.out = append(r.out, p...) // taken off again when the record ends
 	}
 }
 
 // end implements sink.
-func (r *Response) end(rec record) error {
+func (r *ResponseParser) end(rec record) error {
 	switch {
 	case r.ended:
 		return errors.New("a record behind the end")
-	case rec.id != r.ID && rec.id != 0:
+	case rec.id != r.RequestID && rec.id != 0:
 		return fmt.Errorf("a record of request %d", rec.id)
 	case rec.kind == typeStdout, rec.kind == typeStderr, rec.id == 0:
 		return nil
@@ -81,17 +81,17 @@
 }
 
 // Overloaded tells whether the responder turned the request away unseen.
-func (r *Response) Overloaded() bool { return r.ended && r.status == statusOverloaded }
+func (r *ResponseParser) Overloaded() bool { return r.ended && r.status == statusOverloaded }
 
-// Closed tells whether the answer is whole now that the connection has ended, which ends none that was not.
-func (r *Response) Closed() bool { return r.ended }
+// CompleteAtEOF tells whether the answer is whole now that the connection has ended, which ends none that was not.
+func (r *ResponseParser) CompleteAtEOF() bool { return r.ended }
 
-// Answer reads the whole answer.
-func (r *Response) Answer() (gateway.Answer, error) {
+// Response reads the whole answer.
+func (r *ResponseParser) Response() (gateway.Response, error) {
 	if r.status != statusComplete {
-		return gateway.Answer{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.status)
+		return gateway.Response{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.status)
 	}
-	a, err := cgi.Parse(r.out)
+	a, err := cgi.ParseResponse(r.out)
 	if err != nil {
 		return a, fmt.Errorf("%w: %w", ErrResponse, err)
 	}
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -11,19 +11,19 @@
 
 // answerBytes are a member's answer with padding, a word for the log and a management record between.
 func answerBytes(id uint16, text string) []byte {
-	b := fake.Record(fake.Stdout, id, []byte(text[:len(text)/2]), 3)
-	b = append(b, fake.Record(7, id, []byte("a warning"), 0)...)
-	b = append(b, fake.Record(fake.Unknown, 0, make([]byte, 8), 0)...)
-	b = append(b, fake.Record(fake.Stdout, id, []byte(text[len(text)/2:]), 0)...)
-	b = append(b, fake.Record(fake.Stdout, id, nil, 0)...)
-	return append(b, fake.Record(fake.End, id, make([]byte, 8), 0)...)
+	b := fake.EncodeRecord(fake.Stdout, id, []byte(text[:len(text)/2]), 3)
+	b = append(b, fake.EncodeRecord(7, id, []byte("a warning"), 0)...)
+	b = append(b, fake.EncodeRecord(fake.UnknownType, 0, make([]byte, 8), 0)...)
+	b = append(b, fake.EncodeRecord(fake.Stdout, id, []byte(text[len(text)/2:]), 0)...)
+	b = append(b, fake.EncodeRecord(fake.Stdout, id, nil, 0)...)
+	return append(b, fake.EncodeRecord(fake.EndRequest, id, make([]byte, 8), 0)...)
 }
 
 // TestResponse puts an answer together wherever its bytes are split.
 func TestResponse(t *testing.T) {
 	whole := answerBytes(7, "Status: 404 Not Found\r\nX-A: b: c\nY:\r\n\r\nthe body\n\n")
 	for split := range whole {
-		r := Response{ID: 7, Most: 1000}
+		r := ResponseParser{RequestID: 7, MaxBytes: 1000}
 		first, err := r.Feed(whole[:split])
 		if err != nil || first {
 			t.Fatalf("split at %d: %t, %v", split, first, err)
@@ -31,9 +31,9 @@
 		if second, err := r.Feed(whole[split:]); err != nil || !second {
 			t.Fatalf("split at %d: %t, %v", split, second, err)
 		}
-		a, err := r.Answer()
-		if err != nil || a.Status != 404 || string(a.Body) != "the body\n\n" || len(a.Fields) != 2 ||
-			a.Fields[0] != (gateway.Field{Name: "X-A", Value: "b: c"}) {
+		a, err := r.Response()
+		if err != nil || a.Status != 404 || string(a.Body) != "the body\n\n" || len(a.Headers) != 2 ||
+			a.Headers[0] != (gateway.Field{Name: "X-A", Value: "b: c"}) {
 			t.Fatalf("split at %d: %+v, %v", split, a, err)
 		}
 	}
@@ -41,27 +41,27 @@
 
 // TestResponseOdd turns away what makes no sense, in the stream and in the header.
 func TestResponseOdd(t *testing.T) {
-	end := fake.Record(fake.End, 1, make([]byte, 8), 0)
+	end := fake.EncodeRecord(fake.EndRequest, 1, make([]byte, 8), 0)
 	for what, b := range map[string][]byte{
 		"another request's": answerBytes(2, "Status: 200\r\n\r\n"),
 		"behind the end":    append(answerBytes(1, "\r\nx"), end...),
-		"too long":          fake.Record(fake.Stdout, 1, make([]byte, 1001), 0),
-		"an odd record":     fake.Record(fake.Params, 1, []byte("x"), 0),
+		"too long":          fake.EncodeRecord(fake.Stdout, 1, make([]byte, 1001), 0),
+		"an odd record":     fake.EncodeRecord(fake.Params, 1, []byte("x"), 0),
 		"no FastCGI":        []byte("HTTP/1.1 200 OK\r\n\r\n"),
-		"a short end":       fake.Record(fake.End, 1, make([]byte, 4), 0),
+		"a short end":       fake.EncodeRecord(fake.EndRequest, 1, make([]byte, 4), 0),
 	} {
-		r := Response{ID: 1, Most: 1000}
+		r := ResponseParser{RequestID: 1, MaxBytes: 1000}
 		if _, err := r.Feed(b); !errors.Is(err, ErrResponse) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	for text, want := range map[string]string{"Status: 200\r\n": "no empty line", "nonsense\r\n\r\n": "header line",
 		"Status: many\r\n\r\n": "status", "Status: 7\r\n\r\n": "status", "a b: c\r\n\r\n": "header line"} {
-		r := Response{ID: 1, Most: 1000}
+		r := ResponseParser{RequestID: 1, MaxBytes: 1000}
 		if whole, err := r.Feed(answerBytes(1, text)); !whole || err != nil {
 			t.Fatal(err)
 		}
-		if _, err := r.Answer(); !errors.Is(err, ErrResponse) || !strings.Contains(err.Error(), want) {
+		if _, err := r.Response(); !errors.Is(err, ErrResponse) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -73,14 +73,14 @@
 	b := AppendRequest(nil, 9, []gateway.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "SCRIPT_NAME", Value: "/a"},
 		{Name: "REQUEST_URI", Value: "/a?b"}, {Name: "HTTP_X_LONG", Value: strings.Repeat("y", 200)}}, []byte(long))
 	rec := &reading{}
-	s := New(Limits{Requests: 4, Params: 1 << 10, Body: 1 << 20, Memory: 1 << 20, Raw: true})(rec, rec)
+	s := NewProtocol(Limits{OpenRequests: 4, ParamBytes: 1 << 10, BodyBytes: 1 << 20, TotalBytes: 1 << 20, KeepParams: true})(rec, rec)
 	if err := s.Feed(b); err != nil {
 		t.Fatal(err)
 	}
 	q := rec.request
-	if q.Method != "POST" || q.Path != "/a" || q.URI != "/a?b" || len(q.Fields["x-long"]) != 200 || string(q.Body) != long ||
+	if q.Method != "POST" || q.Path != "/a" || q.URI != "/a?b" || len(q.Headers["x-long"]) != 200 || string(q.Body) != long ||
 		q.Params["HTTP_X_LONG"] == "" {
-		t.Errorf("read %s %s %s, %d fields, %d bytes", q.Method, q.Path, q.URI, len(q.Fields), len(q.Body))
+		t.Errorf("read %s %s %s, %d fields, %d bytes", q.Method, q.Path, q.URI, len(q.Headers), len(q.Body))
 	}
 }
 
@@ -92,20 +92,22 @@
 
 func (r *reading) Write([]byte) {}
 
-func (r *reading) Request(_ gateway.Session, _ gateway.Stream, q gateway.Request) { r.request = q }
+func (r *reading) RequestReceived(_ gateway.Session, _ gateway.StreamID, q gateway.Request) {
+	r.request = q
+}
 
 // FuzzResponse feeds any bytes without a panic.
 func FuzzResponse(f *testing.F) {
 	f.Add(answerBytes(1, "Status: 200\r\n\r\nx"), 5)
 	f.Add([]byte{1, 3, 0, 1, 0, 8, 0, 0}, 0)
 	f.Fuzz(func(t *testing.T, b []byte, split int) {
-		r := Response{ID: 1, Most: 1000}
+		r := ResponseParser{RequestID: 1, MaxBytes: 1000}
 		split = min(max(split, 0), len(b))
 		if _, err := r.Feed(b[:split]); err != nil {
 			return
 		}
 		if whole, err := r.Feed(b[split:]); err == nil && whole {
-			r.Answer() // whatever it says
+			r.Response() // whatever it says
 		}
 	})
 }
--- a/internal/fastcgi/model_test.go
+++ b/internal/fastcgi/model_test.go
@@ -45,7 +45,7 @@
 
 // TestModel checks random steps of a gateway and a handler against the model.
 func TestModel(t *testing.T) {
-	list := lookup("").ParamBytes()
+	list := lookup("").EncodeParams()
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{peer: newPeer(t), open: map[uint16]*modelRequest{}}
 		t.Repeat(map[string]func(*rapid.T){
@@ -55,8 +55,8 @@
 					t.Skip("a second begin breaks the stream")
 				}
 				role := rapid.SampledFrom([]uint16{1, 1, 1, 3}).Draw(t, "role")
-				m.send(t, fake.BeginRecord(id, role, true))
-				if role != 1 || len(m.open) == testLimits.Requests {
+				m.send(t, fake.EncodeBeginRequest(id, role, true))
+				if role != 1 || len(m.open) == testLimits.OpenRequests {
 					m.answers++
 				} else {
 					m.open[id] = &modelRequest{}
@@ -65,18 +65,18 @@
 			"params": func(t *rapid.T) {
 				id := id(t)
 				cut := rapid.IntRange(1, len(list)-1).Draw(t, "cut")
-				m.send(t, fake.Record(fake.Params, id, list[:cut], padding(t)))
-				m.send(t, fake.Record(fake.Params, id, list[cut:], padding(t)))
-				m.send(t, fake.Record(fake.Params, id, nil, padding(t)))
+				m.send(t, fake.EncodeRecord(fake.Params, id, list[:cut], padding(t)))
+				m.send(t, fake.EncodeRecord(fake.Params, id, list[cut:], padding(t)))
+				m.send(t, fake.EncodeRecord(fake.Params, id, nil, padding(t)))
 				if q := m.open[id]; q != nil {
 					q.paramsDone = true
 				}
 			},
 			"body": func(t *rapid.T) {
 				id, part := id(t), rapid.SliceOfN(rapid.Byte(), 1, 60).Draw(t, "part")
-				m.send(t, fake.Record(fake.Stdin, id, part, padding(t)))
+				m.send(t, fake.EncodeRecord(fake.Stdin, id, part, padding(t)))
 				if q := m.open[id]; q != nil && !q.handed {
-					if q.body = append(q.body, part...); len(q.body) > testLimits.Body {
+					if q.body = append(q.body, part...); len(q.body) > testLimits.BodyBytes {
 						delete(m.open, id) // answered at once
 						m.answers++
 					}
@@ -84,7 +84,7 @@
 			},
 			"last": func(t *rapid.T) {
 				id := id(t)
-				m.send(t, fake.Record(fake.Stdin, id, nil, padding(t)))
+				m.send(t, fake.EncodeRecord(fake.Stdin, id, nil, padding(t)))
 				q := m.open[id]
 				switch {
 				case q == nil || q.handed:
@@ -93,14 +93,14 @@
 					m.answers++
 				default:
 					q.handed = true
-					if got := m.got[gateway.Stream(id)]; !bytes.Equal(got.Body, q.body) || got.Fields["sent-by"] != "4" {
+					if got := m.got[gateway.StreamID(id)]; !bytes.Equal(got.Body, q.body) || got.Headers["sent-by"] != "4" {
 						t.Fatalf("handed over %+v, want the body %q", got, q.body)
 					}
 				}
 			},
 			"abort": func(t *rapid.T) {
 				id := id(t)
-				m.send(t, fake.Record(fake.Abort, id, nil, padding(t)))
+				m.send(t, fake.EncodeRecord(fake.AbortRequest, id, nil, padding(t)))
 				switch q := m.open[id]; {
 				case q == nil:
 				case q.handed:
@@ -112,17 +112,17 @@
 			},
 			"answer": func(t *rapid.T) {
 				id := id(t)
-				m.session.Answer(gateway.Stream(id), gateway.Answer{Status: 200, Body: []byte{byte(id)},
+				m.session.Respond(gateway.StreamID(id), gateway.Response{Status: 200, Body: []byte{byte(id)},
 					Overloaded: rapid.Bool().Draw(t, "overloaded")})
 				if q := m.open[id]; q != nil && q.handed {
 					delete(m.open, id)
-					delete(m.got, gateway.Stream(id))
+					delete(m.got, gateway.StreamID(id))
 					m.answers++
 				}
 			},
 			"manage": func(t *rapid.T) {
 				kind := rapid.SampledFrom([]byte{fake.GetValues, 50}).Draw(t, "kind")
-				m.send(t, fake.Record(kind, 0, fake.Pair("FCGI_MAX_REQS", "", false), padding(t)))
+				m.send(t, fake.EncodeRecord(kind, 0, fake.EncodePair("FCGI_MAX_REQS", "", false), padding(t)))
 				m.answers++
 			},
 			"": func(t *rapid.T) {
@@ -132,12 +132,12 @@
 						handed++
 					}
 				}
-				if m.session.Unfinished() != (handed < len(m.open)) {
-					t.Fatalf("unfinished %t, %d of %d handed over", m.session.Unfinished(), handed, len(m.open))
+				if m.session.HasPartialInput() != (handed < len(m.open)) {
+					t.Fatalf("unfinished %t, %d of %d handed over", m.session.HasPartialInput(), handed, len(m.open))
 				}
-				if len(m.peer.answers) != m.answers || m.session.Open() != len(m.open) || len(m.got) != handed || len(m.aborted) != m.aborts {
+				if len(m.peer.answers) != m.answers || m.session.OpenRequests() != len(m.open) || len(m.got) != handed || len(m.aborted) != m.aborts {
 					t.Fatalf("%d answers, %d open, %d handed over, %d aborts; want %d, %d, %d, %d", len(m.peer.answers),
-						m.session.Open(), len(m.got), len(m.aborted), m.answers, len(m.open), handed, m.aborts)
+						m.session.OpenRequests(), len(m.got), len(m.aborted), m.answers, len(m.open), handed, m.aborts)
 				}
 			},
 		})
@@ -146,9 +146,9 @@
 
 // FuzzFeed makes sure that no bytes of a gateway panic, and that the split of a stream changes nothing.
 func FuzzFeed(f *testing.F) {
-	f.Add(lookup("body").Records(1), 9)
-	f.Add(append(fake.BeginRecord(2, 1, false), fake.Record(fake.Abort, 2, nil, 9)...), 17)
-	f.Add(fake.Record(fake.GetValues, 0, fake.Pair("FCGI_MAX_REQS", "", true), 1), 3)
+	f.Add(lookup("body").Encode(1), 9)
+	f.Add(append(fake.EncodeBeginRequest(2, 1, false), fake.EncodeRecord(fake.AbortRequest, 2, nil, 9)...), 17)
+	f.Add(fake.EncodeRecord(fake.GetValues, 0, fake.EncodePair("FCGI_MAX_REQS", "", true), 1), 3)
 	f.Fuzz(func(t *testing.T, stream []byte, cut int) {
 		whole, split := newPeer(t), newPeer(t)
 		whole.feed(stream)
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -25,11 +25,11 @@
 
 // Limits bound what one session takes in.
 type Limits struct {
-	Requests int  // requests open at a time
-	Params   int  // bytes of the parameters of one request
-	Body     int  // bytes of the body of one request
-	Memory   int  // bytes of all requests of all sessions that are not answered
-	Raw      bool // requests are handed over with all their parameters, too
+	OpenRequests int  // requests open at a time
+	ParamBytes   int  // bytes of the parameters of one request
+	BodyBytes    int  // bytes of the body of one request
+	TotalBytes   int  // bytes of all requests of all sessions that are not answered
+	KeepParams   bool // requests are handed over with all their parameters, too
 }
 
 // shared is what all sessions of a protocol have in common: idle ones are many and must hold no buffers.
@@ -46,7 +46,7 @@
 	paramsDone bool
 	handed     bool // the handler has it
 	flawed     bool
-	flaw       gateway.Flaw
+	flaw       gateway.RejectReason
 	booked     int // bytes taken from the budget
 }
 
@@ -64,9 +64,9 @@
 	shared   *shared
 }
 
-// New returns a protocol whose sessions keep to the limits.
-func New(l Limits) gateway.Protocol {
-	common := &shared{left: l.Memory}
+// NewProtocol returns a protocol whose sessions keep to the limits.
+func NewProtocol(l Limits) gateway.Protocol {
+	common := &shared{left: l.TotalBytes}
 	return func(out gateway.Output, h gateway.Handler) gateway.Session {
 		return &Session{limits: l, shared: common, out: out, handler: h, open: map[uint16]*request{}}
 	}
@@ -84,13 +84,13 @@
 }
 
 // Open implements front.Session.
-func (s *Session) Open() int { return len(s.open) }
+func (s *Session) OpenRequests() int { return len(s.open) }
 
 // Unfinished implements front.Session.
-func (s *Session) Unfinished() bool { return s.coming > 0 || s.parse.inside || s.parse.have > 0 }
+func (s *Session) HasPartialInput() bool { return s.coming > 0 || s.parse.inside || s.parse.have > 0 }
 
 // Finished implements front.Session. Requests that were still coming are given up with the connection.
-func (s *Session) Finished() bool {
+func (s *Session) ShouldClose() bool {
 	if !s.finished {
 		return false
 	}
@@ -107,10 +107,10 @@
 	q := s.open[r.id]
 	switch {
 	case r.kind == typeParams && q != nil && !q.paramsDone && !q.handed:
-		q.params = s.grow(q, q.params, p, s.limits.Params)
+		q.params = s.grow(q, q.params, p, s.limits.ParamBytes)
 	case r.kind == typeStdin && q != nil && !q.handed:
-		q.body = s.grow(q, q.body, p, s.limits.Body)
-	case (r.kind == typeBegin || r.id == 0) && len(s.control)+len(p) <= s.limits.Params:
+		q.body = s.grow(q, q.body, p, s.limits.BodyBytes)
+	case (r.kind == typeBegin || r.id == 0) && len(s.control)+len(p) <= s.limits.ParamBytes:
 		s.control = append(s.control, p...)
 	default:
 		s.excess += len(p)
@@ -127,9 +127,9 @@
 		q.spoil(gateway.TooLarge)
 		return to
 	}
-	// Requests that come in slowly on many connections must not fill the memory.
+	// OpenRequests that come in slowly on many connections must not fill the memory.
 	if len(p) > s.shared.left {
-		q.spoil(gateway.TooMany)
+		q.spoil(gateway.TooManyRequests)
 		return to
 	}
 	s.shared.left -= len(p)
@@ -138,7 +138,7 @@
 }
 
 // spoil notes the first flaw of a request.
-func (q *request) spoil(f gateway.Flaw) {
+func (q *request) spoil(f gateway.RejectReason) {
 	if !q.flawed {
 		q.flawed, q.flaw = true, f
 	}
@@ -189,7 +189,7 @@
 		}
 	case typeAbort:
 		if q.handed {
-			s.handler.Aborted(s, gateway.Stream(r.id))
+			s.handler.RequestAborted(s, gateway.StreamID(r.id))
 		} else {
 			s.coming--
 			s.finish(r.id, q, appendEnd(s.shared.records[:0], r.id, 1, statusComplete))
@@ -210,9 +210,9 @@
 	keep := content[2]&flagKeepConn != 0
 	switch {
 	case role != roleResponder:
-		s.reject(r.id, keep, gateway.BadRole, statusUnknownRole)
-	case len(s.open) >= s.limits.Requests:
-		s.reject(r.id, keep, gateway.TooMany, statusOverloaded)
+		s.reject(r.id, keep, gateway.UnsupportedRole, statusUnknownRole)
+	case len(s.open) >= s.limits.OpenRequests:
+		s.reject(r.id, keep, gateway.TooManyRequests, statusOverloaded)
 	default:
 		s.open[r.id] = &request{keep: keep}
 		s.coming++
@@ -221,18 +221,18 @@
 }
 
 // reject ends a request that was not opened.
-func (s *Session) reject(id uint16, keep bool, f gateway.Flaw, status byte) {
+func (s *Session) reject(id uint16, keep bool, f gateway.RejectReason, status byte) {
 	s.write(appendEnd(s.shared.records[:0], id, 1, status))
 	s.finished = s.finished || !keep
-	s.handler.Rejected(f)
+	s.handler.RequestRejected(f)
 }
 
 // complete hands over a request whose last byte came, or what is wrong with it.
 func (s *Session) complete(id uint16, q *request) {
 	q.handed = true
 	s.coming--
-	r := gateway.Request{Body: q.body, Fields: make(map[string]string, 16)}
-	if s.limits.Raw {
+	r := gateway.Request{Body: q.body, Headers: make(map[string]string, 16)}
+	if s.limits.KeepParams {
 		r.Params = make(map[string]string, 16)
 	}
 	if !q.paramsDone {
@@ -244,11 +244,11 @@
 	q.params = nil
 	if q.flawed {
 		q.body = nil
-		s.handler.Flawed(s, gateway.Stream(id), q.flaw)
+		s.handler.RequestInvalid(s, gateway.StreamID(id), q.flaw)
 		return
 	}
 	s.excess = 0
-	s.handler.Request(s, gateway.Stream(id), r)
+	s.handler.RequestReceived(s, gateway.StreamID(id), r)
 }
 
 // set stores one parameter.
@@ -267,13 +267,13 @@
 		r.Query = value
 	default:
 		if field, ok := strings.CutPrefix(name, "HTTP_"); ok {
-			r.Fields[strings.ReplaceAll(strings.ToLower(field), "_", "-")] = value
+			r.Headers[strings.ReplaceAll(strings.ToLower(field), "_", "-")] = value
 		}
 	}
 }
 
-// Answer implements front.Session.
-func (s *Session) Answer(stream gateway.Stream, a gateway.Answer) {
+// Response implements front.Session.
+func (s *Session) Respond(stream gateway.StreamID, a gateway.Response) {
 	id := uint16(stream)
 	q := s.open[id]
 	if q == nil || !q.handed {
@@ -285,7 +285,7 @@
 	}
 	text := append(s.shared.text[:0], "Status: "...)
 	text = append(strconv.AppendInt(text, int64(a.Status), 10), "\r\n"...)
-	for _, f := range a.Fields {
+	for _, f := range a.Headers {
 		text = append(append(append(append(text, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
 	s.shared.text = append(append(text, "\r\n"...), a.Body...)
@@ -327,7 +327,7 @@
 	err := pairs(content, func(name, _ []byte) {
 		switch string(name) {
 		case "FCGI_MAX_REQS":
-			reply = appendPair(reply, string(name), strconv.Itoa(s.limits.Requests))
+			reply = appendPair(reply, string(name), strconv.Itoa(s.limits.OpenRequests))
 		case "FCGI_MPXS_CONNS":
 			reply = appendPair(reply, string(name), "1")
 		}
--- a/internal/faultfs/sickdisk.go
+++ b/internal/faultfs/sickdisk.go
@@ -12,36 +12,36 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// Habits are what a disk does; the zero value is a sound one.
-type Habits struct {
-	Stall     time.Duration // how long it stands still at a time
-	Every     time.Duration // from the begin of one such time to the next
-	FullWhile string        // it is full while a file of this name is there; "" is never
+// Profile are what a disk does; the zero value is a sound one.
+type Profile struct {
+	StallTime      time.Duration // how long it stands still at a time
+	StallInterval  time.Duration // from the begin of one such time to the next
+	FullMarkerFile string        // it is full while a file of this name is there; "" is never
 }
 
-// Check names the first value that makes no sense.
-func (h Habits) Check() error {
+// Validate names the first value that makes no sense.
+func (h Profile) Validate() error {
 	switch {
-	case h.Stall < 0 || h.Stall > 0 && h.Every <= h.Stall:
-		return fmt.Errorf("sickdisk: a disk that stands still for %v every %v, want it to go on in between", h.Stall, h.Every)
+	case h.StallTime < 0 || h.StallTime > 0 && h.StallInterval <= h.StallTime:
+		return fmt.Errorf("sickdisk: a disk that stands still for %v every %v, want it to go on in between", h.StallTime, h.StallInterval)
 	}
 	return nil
 }
 
 // stands is for how long a call waits that comes at a time.
-func (h Habits) stands(at time.Duration) time.Duration {
-	if h.Stall <= 0 {
+func (h Profile) stands(at time.Duration) time.Duration {
+	if h.StallTime <= 0 {
 		return 0
 	}
-	return max(h.Stall-at%h.Every, 0)
+	return max(h.StallTime-at%h.StallInterval, 0)
 }
 
 // full tells whether there is no room.
-func (h Habits) full() bool {
-	if h.FullWhile == "" {
+func (h Profile) full() bool {
+	if h.FullMarkerFile == "" {
 		return false
 	}
-	_, err := os.Stat(h.FullWhile)
+	_, err := os.Stat(h.FullMarkerFile)
 	return err == nil
 }
 
@@ -55,7 +55,7 @@
 }
 
 // Wrap gives a file layer habits. Calls that write wait while the disk stands still.
-func Wrap(fsys vfs.FS, h Habits) vfs.FS {
+func Wrap(fsys vfs.FS, h Profile) vfs.FS {
 	begun := time.Now()
 	return errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
 		if op.OpKind() != errorfs.OpKindWrite {
--- a/internal/faultfs/sickdisk_test.go
+++ b/internal/faultfs/sickdisk_test.go
@@ -13,14 +13,14 @@
 
 // TestStalls has a disk stand still at the begin of each period.
 func TestStalls(t *testing.T) {
-	h := Habits{Stall: 100 * time.Millisecond, Every: time.Second}
+	h := Profile{StallTime: 100 * time.Millisecond, StallInterval: time.Second}
 	for at, want := range map[time.Duration]time.Duration{0: 100 * time.Millisecond, 40 * time.Millisecond: 60 * time.Millisecond,
 		100 * time.Millisecond: 0, 999 * time.Millisecond: 0, 5*time.Second + 90*time.Millisecond: 10 * time.Millisecond} {
 		if got := h.stands(at); got != want {
 			t.Errorf("at %v it stands for %v, want %v", at, got, want)
 		}
 	}
-	if (Habits{Stall: time.Second, Every: time.Second}).Check() == nil || h.Check() != nil {
+	if (Profile{StallTime: time.Second, StallInterval: time.Second}).Validate() == nil || h.Validate() != nil {
 		t.Error("habits that make no sense are taken, or others are not")
 	}
 }
@@ -28,7 +28,7 @@
 // TestFull has what takes room fail while the file is there, and what gives it back go on.
 func TestFull(t *testing.T) {
 	fsys, full := vfs.NewMem(), filepath.Join(t.TempDir(), "full")
-	disk := Wrap(fsys, Habits{FullWhile: full})
+	disk := Wrap(fsys, Profile{FullMarkerFile: full})
 	create := func() error {
 		f, err := disk.Create("new")
 		if err != nil {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -18,14 +18,14 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// End says how a job ended.
-type End uint8
+// Outcome says how a job ended.
+type Outcome uint8
 
 // The ends.
 const (
-	Answered End = iota // a member answered
-	Lost                // no answer came, and a member may have run it
-	Unrun               // no member has run it
+	Responded    Outcome = iota // a member answered
+	ResponseLost                // no answer came, and a member may have run it
+	NotStarted                  // no member has run it
 )
 
 // The statuses of ends without an answer.
@@ -34,38 +34,38 @@
 	statusLate = 504
 )
 
-// Job is one request to be passed on.
-type Job struct {
-	ID     string
-	Pool   string
-	Key    []byte // for the hash methods
-	Once   bool   // it must not run twice
-	Params []gateway.Field
-	Body   []byte
+// Request is one request to be passed on.
+type Request struct {
+	ID            string
+	Pool          string
+	HashKey       []byte // for the hash methods
+	NonIdempotent bool   // it must not run twice
+	Params        []gateway.Field
+	Body          []byte
 }
 
 // Handler hears of ends, once for each job. Where no member answered, the answer has only the status that nginx has for
 // that: 504 where a member took too long, 502 otherwise.
 type Handler interface {
-	Ended(id string, end End, a gateway.Answer)
-	// Changed tells of a member that is out, in, ejected or gone.
-	Changed(pool string, c pool.Change)
+	RequestFinished(id string, end Outcome, a gateway.Response)
+	// MemberChanged tells of a member that is out, in, ejected or gone.
+	MemberChanged(pool string, c pool.StateChange)
 }
 
-// Counters count what went to members.
-type Counters struct {
-	Tries, Retries, Refused, Timeouts, Errors, Invalid, Dials, Reused uint64
-	Verdicts                                                          [8]uint64 // by pool.Verdict, of failed tries
+// Stats count what went to members.
+type Stats struct {
+	Attempts, Retries, Rejected, Timeouts, Errors, InvalidResponses, Dials, ReusedConns uint64
+	RetryDecisions                                                                      [8]uint64 // by pool.RetryDecision, of failed tries
 }
 
-// Link passes jobs on. It belongs to the loop's goroutine.
-type Link struct {
+// Forwarder passes jobs on. It belongs to the loop's goroutine.
+type Forwarder struct {
 	loop    *eventloop.Loop
 	handler Handler
 	start   time.Time
 	pools   map[string]*target
-	jobs    map[string]*job
-	Count   Counters
+	jobs    map[string]*pendingRequest
+	Stats   Stats
 }
 
 // target is a pool with its connections.
@@ -77,26 +77,26 @@
 	kept     int
 }
 
-// job is a Job under way.
-type job struct {
-	Job
+// pendingRequest is a Job under way.
+type pendingRequest struct {
+	Request
 	target *target
 	choice pool.Request
 	conn   *conn
-	began  time.Time       // of the try under way
-	last   *gateway.Answer // of a member whose answer called for another try
+	began  time.Time         // of the try under way
+	last   *gateway.Response // of a member whose answer called for another try
 }
 
 // New returns a link that has no pools yet.
-func New(l *eventloop.Loop, h Handler) *Link {
-	return &Link{loop: l, handler: h, start: l.Now(), pools: map[string]*target{}, jobs: map[string]*job{}}
+func New(l *eventloop.Loop, h Handler) *Forwarder {
+	return &Forwarder{loop: l, handler: h, start: l.Now(), pools: map[string]*target{}, jobs: map[string]*pendingRequest{}}
 }
 
 // now is the time that the pools go by.
-func (l *Link) now() time.Duration { return l.loop.Now().Sub(l.start) }
+func (l *Forwarder) now() time.Duration { return l.loop.Now().Sub(l.start) }
 
 // Update takes over pools: those that stay keep what is known of their members, those that left end what they have.
-func (l *Link) Update(pools []routeconfig.Pool, random func() *rand.Rand) error {
+func (l *Forwarder) Update(pools []routeconfig.Pool, random func() *rand.Rand) error {
 	next := make(map[string]*target, len(pools))
 	for _, cfg := range pools {
 		t := l.pools[cfg.Name]
@@ -152,25 +152,25 @@
 }
 
 // tell hands on the changes of a pool's members.
-func (l *Link) tell(t *target) {
-	for _, c := range t.pool.Changes() {
-		l.handler.Changed(t.cfg.Name, c)
+func (l *Forwarder) tell(t *target) {
+	for _, c := range t.pool.TakeChanges() {
+		l.handler.MemberChanged(t.cfg.Name, c)
 	}
 }
 
 // PoolState is how a pool is.
 type PoolState struct {
-	Name    string
-	Idle    int     // connections
-	Budget  float64 // further tries that could be made at once
-	Members []pool.State
+	Name        string
+	IdleConns   int     // connections
+	RetryBudget float64 // further tries that could be made at once
+	Members     []pool.MemberStatus
 }
 
-// States are those of all pools, by their names.
-func (l *Link) States() []PoolState {
+// PoolStates are those of all pools, by their names.
+func (l *Forwarder) PoolStates() []PoolState {
 	list := make([]PoolState, 0, len(l.pools))
 	for name, t := range l.pools {
-		s := PoolState{Name: name, Idle: t.kept, Members: t.pool.States(), Budget: t.pool.Budget(l.now())}
+		s := PoolState{Name: name, IdleConns: t.kept, Members: t.pool.MemberStatuses(), RetryBudget: t.pool.AvailableRetries(l.now())}
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b PoolState) int { return strings.Compare(a.Name, b.Name) })
@@ -178,63 +178,63 @@
 }
 
 // Runs is how many jobs have not ended.
-func (l *Link) Runs() int { return len(l.jobs) }
+func (l *Forwarder) OpenRuns() int { return len(l.jobs) }
 
-// Apply passes a job on.
-func (l *Link) Apply(j Job) {
+// Submit passes a job on.
+func (l *Forwarder) Submit(j Request) {
 	t := l.pools[j.Pool]
 	if t == nil { // it left with a reload since the request was routed
-		l.handler.Ended(j.ID, Unrun, gateway.Answer{Status: statusBad})
+		l.handler.RequestFinished(j.ID, NotStarted, gateway.Response{Status: statusBad})
 		return
 	}
-	w := &job{Job: j, target: t, choice: pool.Request{Key: j.Key}}
+	w := &pendingRequest{Request: j, target: t, choice: pool.Request{HashKey: j.HashKey}}
 	l.jobs[j.ID] = w
 	l.try(w)
 }
 
 // try sends a job to the next member.
-func (l *Link) try(w *job) {
+func (l *Forwarder) try(w *pendingRequest) {
 	addr, ok := w.target.pool.Pick(&w.choice, l.now())
 	l.tell(w.target)
 	switch {
 	case !ok && w.last != nil:
-		l.end(w, Answered, *w.last) // no better one is to be had
+		l.end(w, Responded, *w.last) // no better one is to be had
 		return
 	case !ok:
-		l.end(w, Unrun, gateway.Answer{Status: statusBad})
+		l.end(w, NotStarted, gateway.Response{Status: statusBad})
 		return
 	}
-	l.Count.Tries++
-	if w.choice.Tries > 1 {
-		l.Count.Retries++
+	l.Stats.Attempts++
+	if w.choice.Attempts > 1 {
+		l.Stats.Retries++
 	}
 	w.began = l.loop.Now()
 	if l.attach(w, addr) != nil { // no connection could even be begun, for want of descriptors say
-		l.Count.Errors++
-		l.failed(w, addr, pool.Failure{Condition: pool.Error, Once: w.Once}, nil)
+		l.Stats.Errors++
+		l.failed(w, addr, pool.Failure{Condition: pool.ConnectionError, NonIdempotent: w.NonIdempotent}, nil)
 	}
 }
 
 // done tells the pool how a try at a member ended.
-func (l *Link) done(w *job, addr string, o pool.Outcome) {
+func (l *Forwarder) done(w *pendingRequest, addr string, o pool.Outcome) {
 	w.conn = nil
-	w.target.pool.Done(addr, o, l.loop.Now().Sub(w.began), l.now())
+	w.target.pool.Finish(addr, o, l.loop.Now().Sub(w.began), l.now())
 	l.tell(w.target)
 }
 
 // attach gives a job a connection to the member.
-func (l *Link) attach(w *job, addr string) error {
+func (l *Forwarder) attach(w *pendingRequest, addr string) error {
 	t := w.target
 	for len(t.idle[addr]) > 0 {
 		list := t.idle[addr]
 		c := list[len(list)-1]
 		t.idle[addr] = list[:len(list)-1]
 		t.kept--
-		if c.conn.Waiting() { // its end, most likely: a request that must not run twice would be lost on it
+		if c.conn.HasPendingInput() { // its end, most likely: a request that must not run twice would be lost on it
 			c.close()
 			continue
 		}
-		l.Count.Reused++
+		l.Stats.ReusedConns++
 		c.take(w)
 		c.send()
 		return nil
@@ -244,49 +244,49 @@
 		return fmt.Errorf("forward: %w", err)
 	}
 	c := &conn{link: l, target: t, protocol: t.protocol, addr: addr}
-	l.Count.Dials++
+	l.Stats.Dials++
 	if c.conn, err = l.loop.Dial(to, c); err != nil {
 		return err
 	}
 	c.take(w)
-	c.limit(t.cfg.Connect)
+	c.limit(t.cfg.ConnectTimeout)
 	return nil
 }
 
 // failed ends a try that brought no answer to be passed on, and goes on with another member or not at all. Answer is
 // what the member said, where it said anything.
-func (l *Link) failed(w *job, addr string, f pool.Failure, a *gateway.Answer) {
+func (l *Forwarder) failed(w *pendingRequest, addr string, f pool.Failure, a *gateway.Response) {
 	l.done(w, addr, pool.Failed)
-	v := w.target.pool.Next(&w.choice, f, w.target.cfg.Next, l.now())
-	l.Count.Verdicts[v]++
-	none := gateway.Answer{Status: statusBad}
+	v := w.target.pool.DecideRetry(&w.choice, f, w.target.cfg.RetryOn, l.now())
+	l.Stats.RetryDecisions[v]++
+	none := gateway.Response{Status: statusBad}
 	if f.Condition == pool.Timeout {
 		none.Status = statusLate
 	}
 	switch {
-	case v == pool.Again:
+	case v == pool.Retry:
 		w.last = a
 		l.try(w)
 	case a != nil:
-		l.end(w, Answered, *a)
-	case f.Sent && f.Condition != pool.Refusal:
-		l.end(w, Lost, none)
+		l.end(w, Responded, *a)
+	case f.Sent && f.Condition != pool.Rejection:
+		l.end(w, ResponseLost, none)
 	default:
-		l.end(w, Unrun, none)
+		l.end(w, NotStarted, none)
 	}
 }
 
 // end ends a job.
-func (l *Link) end(w *job, e End, a gateway.Answer) {
+func (l *Forwarder) end(w *pendingRequest, e Outcome, a gateway.Response) {
 	if l.jobs[w.ID] != w {
 		return
 	}
 	delete(l.jobs, w.ID)
-	l.handler.Ended(w.ID, e, a)
+	l.handler.RequestFinished(w.ID, e, a)
 }
 
 // Withdraw takes a job back that no member has seen, and tells whether it could.
-func (l *Link) Withdraw(id string) bool {
+func (l *Forwarder) Withdraw(id string) bool {
 	w := l.jobs[id]
 	if w == nil || w.conn == nil || w.conn.sent {
 		return false
@@ -296,20 +296,20 @@
 }
 
 // Break gives up a job; its end is told.
-func (l *Link) Break(id string) {
+func (l *Forwarder) Stop(id string) {
 	if w := l.jobs[id]; w != nil {
 		sent := w.conn != nil && w.conn.sent
 		l.abandon(w)
-		e := Unrun
+		e := NotStarted
 		if sent {
-			e = Lost
+			e = ResponseLost
 		}
-		l.handler.Ended(id, e, gateway.Answer{Status: statusBad})
+		l.handler.RequestFinished(id, e, gateway.Response{Status: statusBad})
 	}
 }
 
 // abandon forgets a job and ends its connection: an answer that still came would be nobody's.
-func (l *Link) abandon(w *job) {
+func (l *Forwarder) abandon(w *pendingRequest) {
 	delete(l.jobs, w.ID)
 	if c := w.conn; c != nil {
 		c.job = nil
@@ -319,7 +319,7 @@
 }
 
 // Close ends all connections.
-func (l *Link) Close() {
+func (l *Forwarder) Close() {
 	for _, w := range l.jobs {
 		if w.conn != nil {
 			w.conn.job = nil
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -2,14 +2,14 @@
 // a connection may go away. A second protocol would implement Session beside the one for FastCGI.
 package gateway
 
-// Stream names one open request of a connection.
-type Stream uint32
+// StreamID names one open request of a connection.
+type StreamID uint32
 
-// Request is one whole request as a gateway sent it.
+// RequestReceived is one whole request as a gateway sent it.
 type Request struct {
 	Method, Path, Query string
 	URI                 string            // as the gateway's caller sent it, where the protocol keeps that
-	Fields              map[string]string // header fields, by their names in lower case
+	Headers             map[string]string // header fields, by their names in lower case
 	Params              map[string]string // all parameters as they came, where the protocol is asked for them
 	Body                []byte            // not shared with the session
 }
@@ -17,36 +17,36 @@
 // Field is one header of an answer.
 type Field struct{ Name, Value string }
 
-// Answer is the final answer to one request.
-type Answer struct {
+// Response is the final answer to one request.
+type Response struct {
 	Status     int
 	Overloaded bool // the protocol's own way to say that too much is open, in place of Status
-	Fields     []Field
+	Headers    []Field
 	Body       []byte
 }
 
-// Flaw says why a request was not understood.
-type Flaw uint8
+// RejectReason says why a request was not understood.
+type RejectReason uint8
 
 // The flaws that a session finds.
 const (
-	Malformed Flaw = iota // its parts contradict each other
-	TooLarge              // its fields or body are over the limits
-	TooMany               // more requests than may be open on one connection
-	BadRole               // a role that is not served
+	Malformed       RejectReason = iota // its parts contradict each other
+	TooLarge                            // its fields or body are over the limits
+	TooManyRequests                     // more requests than may be open on one connection
+	UnsupportedRole                     // a role that is not served
 )
 
 // Handler takes in what sessions read.
 type Handler interface {
-	// Request hands over a whole request, which is owed one Answer.
-	Request(s Session, id Stream, r Request)
-	// Aborted says that the gateway gave up an open request, which is still owed its Answer.
-	Aborted(s Session, id Stream)
-	// Flawed says that a request can't be handed over; it is owed its Answer all the same, and what may still
+	// RequestReceived hands over a whole request, which is owed one Answer.
+	RequestReceived(s Session, id StreamID, r Request)
+	// RequestAborted says that the gateway gave up an open request, which is still owed its Answer.
+	RequestAborted(s Session, id StreamID)
+	// RequestInvalid says that a request can't be handed over; it is owed its Answer all the same, and what may still
 	// come of it is passed over.
-	Flawed(s Session, id Stream, f Flaw)
-	// Rejected says that the session itself turned a request away at its first record.
-	Rejected(f Flaw)
+	RequestInvalid(s Session, id StreamID, f RejectReason)
+	// RequestRejected says that the session itself turned a request away at its first record.
+	RequestRejected(f RejectReason)
 }
 
 // Output takes bytes for the peer; what one round writes is sent together.
@@ -56,16 +56,16 @@
 type Session interface {
 	// Feed takes in the next bytes; after an error the connection can only be closed.
 	Feed(p []byte) error
-	// Answer ends an open request; one that is not open any more is left alone.
-	Answer(id Stream, a Answer)
-	// Open is how many requests were begun and are not answered.
-	Open() int
-	// Unfinished tells whether something was begun that has not come whole.
-	Unfinished() bool
+	// Response ends an open request; one that is not open any more is left alone.
+	Respond(id StreamID, a Response)
+	// OpenRequests is how many requests were begun and are not answered.
+	OpenRequests() int
+	// HasPartialInput tells whether something was begun that has not come whole.
+	HasPartialInput() bool
 	// Close gives up what is still coming: the connection has ended.
 	Close()
-	// Finished tells whether the connection is to be closed once its output is sent.
-	Finished() bool
+	// ShouldClose tells whether the connection is to be closed once its output is sent.
+	ShouldClose() bool
 }
 
 // Protocol starts a session on a new connection.
--- a/internal/idempotency/durable_test.go
+++ b/internal/idempotency/durable_test.go
@@ -17,8 +17,8 @@
 // know each run within its window, and the bounds hold.
 func TestJournal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Entries: rapid.IntRange(1, 8).Draw(t, "entries"), Bytes: int64(rapid.IntRange(300, 4000).Draw(t, "bytes"))}
-		j, disk, now := New(limits), map[string][]byte{}, start
+		limits := Limits{MaxKeys: rapid.IntRange(1, 8).Draw(t, "entries"), MaxBytes: int64(rapid.IntRange(300, 4000).Draw(t, "bytes"))}
+		j, disk, now := NewTable(limits), map[string][]byte{}, start
 		ran := map[Key]time.Time{} // until when it must be known
 		write := func(changes []Change) {
 			for _, c := range changes {
@@ -35,23 +35,23 @@
 			known := j.entries[k] != nil
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what <= 1 && !known:
-				if j.Admit(now) == Protected {
-					write(j.Intend(Entry{Key: k, Stamp: now, Until: now.Add(18 * time.Second), Sum: 7}))
+				if j.Admit(now) == Admitted {
+					write(j.Begin(Entry{Key: k, ReceivedAt: now, ExpiresAt: now.Add(18 * time.Second), BodyHash: 7}))
 					ran[k] = now.Add(18 * time.Second)
 				}
 			case what <= 3 && known:
-				write(j.Finish(k, Answer{Status: 200, Body: make([]byte, rapid.IntRange(0, 900).Draw(t, "body"))}))
+				write(j.Complete(k, Response{Status: 200, Body: make([]byte, rapid.IntRange(0, 900).Draw(t, "body"))}))
 			case what == 4 && known && j.entries[k].State == Intent:
-				write(j.Drop(k))
+				write(j.Abort(k))
 				delete(ran, k)
 			default:
 				write(j.Expire(now, rapid.IntRange(1, 5).Draw(t, "most")))
 			}
 			keys, bytes := j.Size()
-			if keys > limits.Entries || bytes > limits.Bytes+overhead+20 {
+			if keys > limits.MaxKeys || bytes > limits.MaxBytes+overhead+20 {
 				t.Fatalf("%d keys and %d bytes of %+v", keys, bytes, limits)
 			}
-			back := New(limits)
+			back := NewTable(limits)
 			for name, value := range disk {
 				if err := back.Load(name, value); err != nil {
 					t.Fatal(err)
@@ -79,16 +79,16 @@
 
 // TestModes has a failing disk turn keyed requests away, asks it now and then, and takes them again once it is back.
 func TestModes(t *testing.T) {
-	j, now := New(Limits{Entries: 10, Bytes: 1e6}), start
-	if !j.Wrote(errors.New("EIO"), now) || j.Mode() != Failing || j.Admit(now) != NoDisk {
-		t.Fatalf("mode %v", j.Mode())
+	j, now := NewTable(Limits{MaxKeys: 10, MaxBytes: 1e6}), start
+	if !j.ObserveWrite(errors.New("EIO"), now) || j.DiskState() != DiskFailing || j.Admit(now) != DiskUnavailable {
+		t.Fatalf("mode %v", j.DiskState())
 	}
 	asked := 0
 	for range 600 {
 		now = now.Add(100 * time.Millisecond)
-		if j.Admit(now) == Protected {
+		if j.Admit(now) == Admitted {
 			asked++
-			if j.Wrote(errors.New("EIO"), now) {
+			if j.ObserveWrite(errors.New("EIO"), now) {
 				t.Error("the mode changed though it is the same")
 			}
 		}
@@ -97,32 +97,32 @@
 		t.Errorf("a disk that fails for a minute is asked %d times", asked)
 	}
 	now = now.Add(probeMost)
-	if j.Admit(now) != Protected || j.Admit(now) != NoDisk {
+	if j.Admit(now) != Admitted || j.Admit(now) != DiskUnavailable {
 		t.Error("one write asks, and the others wait for what it finds")
 	}
-	if !j.Wrote(nil, now) || j.Mode() != Sound || j.Admit(now) != Protected || j.Count.Recoveries != 1 {
-		t.Errorf("mode %v after a write that went well", j.Mode())
+	if !j.ObserveWrite(nil, now) || j.DiskState() != DiskHealthy || j.Admit(now) != Admitted || j.Counters.Recoveries != 1 {
+		t.Errorf("mode %v after a write that went well", j.DiskState())
 	}
 }
 
 // TestRoom gives up answers before it turns requests away, and never an intent.
 func TestRoom(t *testing.T) {
-	j, now := New(Limits{Entries: 100, Bytes: 3000}), start
+	j, now := NewTable(Limits{MaxKeys: 100, MaxBytes: 3000}), start
 	n := 0
-	for ; j.Admit(now) == Protected; n++ {
+	for ; j.Admit(now) == Admitted; n++ {
 		k := Key{"c", fmt.Sprintf("%032d", n)}
-		j.Intend(Entry{Key: k, Until: now.Add(time.Second)})
-		j.Finish(k, Answer{Status: 200, Body: make([]byte, 500)})
+		j.Begin(Entry{Key: k, ExpiresAt: now.Add(time.Second)})
+		j.Complete(k, Response{Status: 200, Body: make([]byte, 500)})
 	}
 	states := map[State]int{}
 	for _, e := range j.Entries() {
 		states[e.State]++
 	}
-	if n < 10 || states[Lost] == 0 || states[Done]+states[Lost] != n || j.Count.NoRoom != 1 {
-		t.Errorf("%d taken, %v, %+v", n, states, j.Count)
+	if n < 10 || states[Evicted] == 0 || states[Completed]+states[Evicted] != n || j.Counters.RejectedFull != 1 {
+		t.Errorf("%d taken, %v, %+v", n, states, j.Counters)
 	}
 	j.Expire(now.Add(2*time.Second), 1000)
-	if keys, bytes := j.Size(); keys != 0 || bytes != 0 || j.givable != 0 || j.Admit(now) != Protected {
+	if keys, bytes := j.Size(); keys != 0 || bytes != 0 || j.givable != 0 || j.Admit(now) != Admitted {
 		t.Errorf("%d keys and %d bytes are left", keys, bytes)
 	}
 }
@@ -130,26 +130,26 @@
 // TestDropAfterWindow has a key used anew after its window, for a run that comes to nothing: the run before it is known
 // again, in memory and on the disk, for its late tries.
 func TestDropAfterWindow(t *testing.T) {
-	for name, end := range map[string]func(j *Journal, k Key) []Change{
-		"dropped": (*Journal).Drop,
-		"undone":  func(j *Journal, k Key) []Change { j.Undo(k); return nil }, // nothing was written over the record
+	for name, end := range map[string]func(j *Table, k Key) []Change{
+		"dropped": (*Table).Abort,
+		"undone":  func(j *Table, k Key) []Change { j.RevertIntent(k); return nil }, // nothing was written over the record
 	} {
-		j, k := New(Limits{Entries: 10, Bytes: 1e6}), Key{"c", "k"}
-		j.Intend(Entry{Key: k, Stamp: start, Until: start.Add(21 * time.Second)})
-		j.Finish(k, Answer{Status: 200, Body: []byte("first")})
-		j.Intend(Entry{Key: k, Stamp: start.Add(19 * time.Second), Until: start.Add(40 * time.Second)})
+		j, k := NewTable(Limits{MaxKeys: 10, MaxBytes: 1e6}), Key{"c", "k"}
+		j.Begin(Entry{Key: k, ReceivedAt: start, ExpiresAt: start.Add(21 * time.Second)})
+		j.Complete(k, Response{Status: 200, Body: []byte("first")})
+		j.Begin(Entry{Key: k, ReceivedAt: start.Add(19 * time.Second), ExpiresAt: start.Add(40 * time.Second)})
 		changes := end(j, k)
-		if list := j.Entries(); len(list) != 1 || list[0].State != Lost || !list[0].Stamp.Equal(start) {
+		if list := j.Entries(); len(list) != 1 || list[0].State != Evicted || !list[0].ReceivedAt.Equal(start) {
 			t.Errorf("%s: %+v", name, list)
 		}
 		if name == "dropped" {
-			if e, err := Decode(changes[0].Name, changes[0].Value); err != nil || !e.Stamp.Equal(start) {
+			if e, err := DecodeEntry(changes[0].Name, changes[0].Value); err != nil || !e.ReceivedAt.Equal(start) {
 				t.Errorf("written: %+v, %v", e, err)
 			}
 		}
-		j.Intend(Entry{Key: k, Stamp: start.Add(20 * time.Second), Until: start.Add(41 * time.Second)})
-		j.Finish(k, Answer{Status: 200})
-		if c := j.Drop(k); len(c) != 1 || c[0].Value != nil {
+		j.Begin(Entry{Key: k, ReceivedAt: start.Add(20 * time.Second), ExpiresAt: start.Add(41 * time.Second)})
+		j.Complete(k, Response{Status: 200})
+		if c := j.Abort(k); len(c) != 1 || c[0].Value != nil {
 			t.Errorf("%s: a run of its own does not end the one before: %+v", name, c)
 		}
 	}
@@ -159,19 +159,19 @@
 func TestRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Entry{Key: Key{rapid.StringMatching(`[a-z-]{1,9}`).Draw(t, "class"), rapid.StringMatching(`[0-9a-f]{32}`).Draw(t, "key")},
-			State: State(rapid.IntRange(1, 3).Draw(t, "state")), Stamp: start, Until: start.Add(time.Hour), Sum: rapid.Uint64().Draw(t, "sum"),
-			Answer: Answer{Status: 200, Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"), Fields: []Field{{"A", "b"}}}}
-		if e.Answer.Body == nil {
-			e.Answer.Body = []byte{}
+			State: State(rapid.IntRange(1, 3).Draw(t, "state")), ReceivedAt: start, ExpiresAt: start.Add(time.Hour), BodyHash: rapid.Uint64().Draw(t, "sum"),
+			Response: Response{Status: 200, Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"), Header: []HeaderField{{"A", "b"}}}}
+		if e.Response.Body == nil {
+			e.Response.Body = []byte{}
 		}
 		b := e.Encode()
-		back, err := Decode(e.Key.Name(), b)
+		back, err := DecodeEntry(e.Key.RecordName(), b)
 		if err != nil || !reflect.DeepEqual(back, e) {
 			t.Fatalf("%v: %+v, want %+v", err, back, e)
 		}
 		bit := rapid.IntRange(0, len(b)*8-1).Draw(t, "bit")
 		b[bit/8] ^= 1 << (bit % 8)
-		if _, err := Decode(e.Key.Name(), b); !errors.Is(err, ErrRecord) {
+		if _, err := DecodeEntry(e.Key.RecordName(), b); !errors.Is(err, ErrBadRecord) {
 			t.Fatalf("a flipped bit: %v", err)
 		}
 	})
@@ -179,12 +179,12 @@
 
 // FuzzDecode reads any bytes without a panic.
 func FuzzDecode(f *testing.F) {
-	e := Entry{Key: Key{"c", "k"}, State: Done, Stamp: start, Until: start, Answer: Answer{Status: 200, Body: []byte("x")}}
-	f.Add(e.Key.Name(), e.Encode())
+	e := Entry{Key: Key{"c", "k"}, State: Completed, ReceivedAt: start, ExpiresAt: start, Response: Response{Status: 200, Body: []byte("x")}}
+	f.Add(e.Key.RecordName(), e.Encode())
 	f.Add("k/", []byte{})
 	f.Fuzz(func(t *testing.T, name string, b []byte) {
-		if e, err := Decode(name, b); err == nil {
-			if back, err := Decode(e.Key.Name(), e.Encode()); err != nil || !reflect.DeepEqual(back, e) {
+		if e, err := DecodeEntry(name, b); err == nil {
+			if back, err := DecodeEntry(e.Key.RecordName(), e.Encode()); err != nil || !reflect.DeepEqual(back, e) {
 				t.Errorf("%v: %+v, want %+v", err, back, e)
 			}
 		}
@@ -193,16 +193,16 @@
 
 // TestLearned reads what it writes, names any flipped bit, and counts what is old for less.
 func TestLearned(t *testing.T) {
-	l := &Learned{Saved: start, Machine: "m", Classes: []LearnedClass{{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500}, {Name: "never"},
+	l := &RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500}, {Name: "never"},
 		{"b", time.Second, 2 * time.Second, 3}}}
 	b := l.Encode()
-	back, err := DecodeLearned(b)
+	back, err := DecodeRunTimes(b)
 	if err != nil || !reflect.DeepEqual(back, l) {
 		t.Fatalf("%v: %+v", err, back)
 	}
 	for bit := range len(b) * 8 {
 		b[bit/8] ^= 1 << (bit % 8)
-		if _, err := DecodeLearned(b); !errors.Is(err, ErrRecord) {
+		if _, err := DecodeRunTimes(b); !errors.Is(err, ErrBadRecord) {
 			t.Fatalf("bit %d flipped: %v", bit, err)
 		}
 		b[bit/8] ^= 1 << (bit % 8)
@@ -214,8 +214,8 @@
 	}{{0, "m", []int{3, 3}}, {time.Hour, "m", []int{2, 2}}, {10 * time.Hour, "m", []int{1, 1}}, {25 * time.Hour, "m", nil}, {-time.Hour, "m", []int{3, 3}},
 		{-3 * time.Hour, "m", nil}, {0, "other", nil}} {
 		var runs []int
-		for _, k := range l.Weigh(start.Add(c.age), c.machine) {
-			runs = append(runs, k.Runs)
+		for _, k := range l.WeightByAge(start.Add(c.age), c.machine) {
+			runs = append(runs, k.Samples)
 		}
 		if !reflect.DeepEqual(runs, c.runs) {
 			t.Errorf("aged %v on %s: counts as %v runs, want %v", c.age, c.machine, runs, c.runs)
@@ -225,11 +225,11 @@
 
 // FuzzDecodeLearned reads any bytes without a panic.
 func FuzzDecodeLearned(f *testing.F) {
-	f.Add((&Learned{Saved: start, Machine: "m", Classes: []LearnedClass{{"a", time.Second, time.Second, 1}}}).Encode())
+	f.Add((&RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{{"a", time.Second, time.Second, 1}}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if l, err := DecodeLearned(b); err == nil {
-			l.Weigh(start, "m")
-			if back, err := DecodeLearned(l.Encode()); err != nil || !reflect.DeepEqual(back, l) {
+		if l, err := DecodeRunTimes(b); err == nil {
+			l.WeightByAge(start, "m")
+			if back, err := DecodeRunTimes(l.Encode()); err != nil || !reflect.DeepEqual(back, l) {
 				t.Errorf("%v: %+v, want %+v", err, back, l)
 			}
 		}
--- a/internal/idempotency/learned.go
+++ b/internal/idempotency/learned.go
@@ -7,60 +7,60 @@
 	"time"
 )
 
-// Learned is what a server learned of its classes, as it is kept.
-type Learned struct {
-	Saved   time.Time
+// RunTimes is what a server learned of its classes, as it is kept.
+type RunTimes struct {
+	SavedAt time.Time
 	Machine string // on which it was learned
-	Classes []LearnedClass
+	Classes []ClassRunTime
 }
 
-// LearnedClass is what was learned of one class.
-type LearnedClass struct {
-	Name      string
-	Run, Wall time.Duration
-	Runs      int
+// ClassRunTime is what was learned of one class.
+type ClassRunTime struct {
+	Name               string
+	CoreTime, WallTime time.Duration
+	Samples            int
 }
 
-// LearnedName is the name of the record.
-const LearnedName = "l/classes"
+// RunTimesRecordName is the name of the record.
+const RunTimesRecordName = "l/classes"
 
 const learnedVersion = 1
 
 // Encode is the record: its version, the time of saving in Unix nanoseconds (8 bytes, big endian), the machine and the
 // number of classes, then for each its name, both times in nanoseconds and the runs, texts and numbers as varints with
 // lengths before texts, and a CRC-32 (Castagnoli) of all.
-func (l *Learned) Encode() []byte {
-	b := binary.BigEndian.AppendUint64([]byte{learnedVersion}, uint64(l.Saved.UnixNano()))
+func (l *RunTimes) Encode() []byte {
+	b := binary.BigEndian.AppendUint64([]byte{learnedVersion}, uint64(l.SavedAt.UnixNano()))
 	text := func(s string) { b = append(binary.AppendUvarint(b, uint64(len(s))), s...) }
 	number := func(n int64) { b = binary.AppendUvarint(b, uint64(max(n, 0))) }
 	text(l.Machine)
 	number(int64(len(l.Classes)))
 	for _, c := range l.Classes {
 		text(c.Name)
-		number(int64(c.Run / time.Microsecond))
-		number(int64(c.Wall / time.Microsecond))
-		number(int64(c.Runs))
+		number(int64(c.CoreTime / time.Microsecond))
+		number(int64(c.WallTime / time.Microsecond))
+		number(int64(c.Samples))
 	}
 	return seal(b)
 }
 
-// DecodeLearned reads the record.
-func DecodeLearned(b []byte) (*Learned, error) {
+// DecodeRunTimes reads the record.
+func DecodeRunTimes(b []byte) (*RunTimes, error) {
 	body, err := sealed(b, 15, learnedVersion, "what was learned")
 	if err != nil {
 		return nil, err
 	}
-	l := &Learned{Saved: time.Unix(0, int64(binary.BigEndian.Uint64(body[1:])))}
+	l := &RunTimes{SavedAt: time.Unix(0, int64(binary.BigEndian.Uint64(body[1:])))}
 	r := reader{b: body[9:]}
 	l.Machine = string(r.text())
 	for n := r.number(); n > 0 && !r.bad; n-- {
-		c := LearnedClass{Name: string(r.text())}
-		c.Run, c.Wall = time.Duration(r.wide())*time.Microsecond, time.Duration(r.wide())*time.Microsecond
-		c.Runs = int(r.wide())
+		c := ClassRunTime{Name: string(r.text())}
+		c.CoreTime, c.WallTime = time.Duration(r.wide())*time.Microsecond, time.Duration(r.wide())*time.Microsecond
+		c.Samples = int(r.wide())
 		l.Classes = append(l.Classes, c)
 	}
 	if r.bad || len(r.b) > 0 {
-		return nil, fmt.Errorf("%w: what was learned: it is cut short or goes on behind its end", ErrRecord)
+		return nil, fmt.Errorf("%w: what was learned: it is cut short or goes on behind its end", ErrBadRecord)
 	}
 	return l, nil
 }
@@ -82,20 +82,20 @@
 	learnedAhead = 2 * time.Hour
 )
 
-// Weigh is what of a record counts at a start: for each class how long its runs take, as so many runs. What was learned
+// WeightByAge is what of a record counts at a start: for each class how long its runs take, as so many runs. What was learned
 // counts less the older it is. Of another machine nothing is taken: how long runs take is its cores' affair.
-func (l *Learned) Weigh(now time.Time, machine string) []LearnedClass {
-	age := now.Sub(l.Saved)
+func (l *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
+	age := now.Sub(l.SavedAt)
 	if age < -learnedAhead || age > learnedOldest || machine != l.Machine {
 		return nil
 	}
 	weight := math.Exp2(-max(age, 0).Hours() / learnedHalf.Hours())
-	var list []LearnedClass
+	var list []ClassRunTime
 	for _, c := range l.Classes {
-		if c.Run <= 0 || c.Runs <= 0 {
+		if c.CoreTime <= 0 || c.Samples <= 0 {
 			continue
 		}
-		c.Runs = int(math.Ceil(weight * float64(min(c.Runs, learnedMost))))
+		c.Samples = int(math.Ceil(weight * float64(min(c.Samples, learnedMost))))
 		list = append(list, c)
 	}
 	return list
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -12,20 +12,20 @@
 // Key names a request: all its tries agree in it. Classes go by name, since their numbers may change with the settings.
 type Key struct{ Class, Key string }
 
-// Field is a header field of an answer.
-type Field struct{ Name, Value string }
+// HeaderField is a header field of an answer.
+type HeaderField struct{ Name, Value string }
 
-// Answer is the answer that a run made.
-type Answer struct {
+// Response is the answer that a run made.
+type Response struct {
 	Status int
-	Fields []Field
+	Header []HeaderField
 	Body   []byte
 }
 
 // size is about how many bytes it takes.
-func (a *Answer) size() int {
+func (a *Response) size() int {
 	n := len(a.Body) + 8
-	for _, f := range a.Fields {
+	for _, f := range a.Header {
 		n += len(f.Name) + len(f.Value) + 4
 	}
 	return n
@@ -36,9 +36,9 @@
 
 // The states.
 const (
-	Intent State = 1 + iota // it was to be run; whether it was is not known
-	Done                    // it ran, and its answer is known
-	Lost                    // it ran, and its answer was given up for want of room
+	Intent    State = 1 + iota // it was to be run; whether it was is not known
+	Completed                  // it ran, and its answer is known
+	Evicted                    // it ran, and its answer was given up for want of room
 )
 
 // String says the state.
@@ -46,9 +46,9 @@
 	switch s {
 	case Intent:
 		return "intent"
-	case Done:
+	case Completed:
 		return "done"
-	case Lost:
+	case Evicted:
 		return "answer given up"
 	}
 	return "unknown"
@@ -56,31 +56,31 @@
 
 // Entry is what is kept of a request.
 type Entry struct {
-	Key    Key
-	State  State
-	Stamp  time.Time // Received-At of the try that ran
-	Until  time.Time // no try that must not run again comes later: the end of the window, and the longest that one is on its way
-	Sum    uint64    // of the body, by the folder's secret
-	Answer Answer    // Done
+	Key        Key
+	State      State
+	ReceivedAt time.Time // Received-At of the try that ran
+	ExpiresAt  time.Time // no try that must not run again comes later: the end of the window, and the longest that one is on its way
+	BodyHash   uint64    // of the body, by the folder's secret
+	Response   Response  // Done
 }
 
-// Prefix begins the names of all records of this package.
-const Prefix = "k/"
+// RecordPrefix begins the names of all records of this package.
+const RecordPrefix = "k/"
 
-// Name is the name of a key's record.
-func (k Key) Name() string { return Prefix + k.Class + "\x00" + k.Key }
+// RecordName is the name of a key's record.
+func (k Key) RecordName() string { return RecordPrefix + k.Class + "\x00" + k.Key }
 
 // keyOf reads the name of a record.
 func keyOf(name string) (Key, error) {
-	class, key, ok := strings.Cut(strings.TrimPrefix(name, Prefix), "\x00")
-	if !ok || !strings.HasPrefix(name, Prefix) || class == "" || key == "" {
-		return Key{}, fmt.Errorf("%w: the name %.60q", ErrRecord, name)
+	class, key, ok := strings.Cut(strings.TrimPrefix(name, RecordPrefix), "\x00")
+	if !ok || !strings.HasPrefix(name, RecordPrefix) || class == "" || key == "" {
+		return Key{}, fmt.Errorf("%w: the name %.60q", ErrBadRecord, name)
 	}
 	return Key{class, key}, nil
 }
 
-// ErrRecord says that bytes are no record of this package.
-var ErrRecord = errors.New("durable: not a record")
+// ErrBadRecord says that bytes are no record of this package.
+var ErrBadRecord = errors.New("durable: not a record")
 
 // recordVersion is the first byte of a record.
 const recordVersion = 1
@@ -92,17 +92,17 @@
 // endian), the answer's status, its fields and its body, each with its length as a varint, and a CRC-32 (Castagnoli) of all.
 func (e *Entry) Encode() []byte {
 	b := []byte{recordVersion, byte(e.State)}
-	b = binary.BigEndian.AppendUint64(b, uint64(e.Stamp.UnixNano()))
-	b = binary.BigEndian.AppendUint64(b, uint64(e.Until.UnixNano()))
-	b = binary.BigEndian.AppendUint64(b, e.Sum)
-	b = binary.AppendUvarint(b, uint64(e.Answer.Status))
-	b = binary.AppendUvarint(b, uint64(len(e.Answer.Fields)))
+	b = binary.BigEndian.AppendUint64(b, uint64(e.ReceivedAt.UnixNano()))
+	b = binary.BigEndian.AppendUint64(b, uint64(e.ExpiresAt.UnixNano()))
+	b = binary.BigEndian.AppendUint64(b, e.BodyHash)
+	b = binary.AppendUvarint(b, uint64(e.Response.Status))
+	b = binary.AppendUvarint(b, uint64(len(e.Response.Header)))
 	text := func(s string) { b = append(binary.AppendUvarint(b, uint64(len(s))), s...) }
-	for _, f := range e.Answer.Fields {
+	for _, f := range e.Response.Header {
 		text(f.Name)
 		text(f.Value)
 	}
-	text(string(e.Answer.Body))
+	text(string(e.Response.Body))
 	return seal(b)
 }
 
@@ -114,40 +114,42 @@
 // sealed is a record without its checksum, if it is whole, as long as the shortest and of the version that is known.
 func sealed(b []byte, shortest int, version byte, what string) ([]byte, error) {
 	if len(b) < shortest || len(b) > maxRecord {
-		return nil, fmt.Errorf("%w: %s: %d bytes", ErrRecord, what, len(b))
+		return nil, fmt.Errorf("%w: %s: %d bytes", ErrBadRecord, what, len(b))
 	}
 	body, sum := b[:len(b)-4], binary.BigEndian.Uint32(b[len(b)-4:])
 	switch {
 	case crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)) != sum:
-		return nil, fmt.Errorf("%w: %s: its checksum differs", ErrRecord, what)
+		return nil, fmt.Errorf("%w: %s: its checksum differs", ErrBadRecord, what)
 	case body[0] != version:
-		return nil, fmt.Errorf("%w: %s: version %d, this program reads %d", ErrRecord, what, body[0], version)
+		return nil, fmt.Errorf("%w: %s: version %d, this program reads %d", ErrBadRecord, what, body[0], version)
 	}
 	return body, nil
 }
 
-// Decode reads a record.
-func Decode(name string, b []byte) (e Entry, err error) {
+// DecodeEntry reads a record.
+func DecodeEntry(name string, b []byte) (e Entry, err error) {
 	if e.Key, err = keyOf(name); err != nil {
 		return e, err
 	}
-	bad := func(what string) (Entry, error) { return Entry{}, fmt.Errorf("%w: %.60q: %s", ErrRecord, name, what) }
+	bad := func(what string) (Entry, error) {
+		return Entry{}, fmt.Errorf("%w: %.60q: %s", ErrBadRecord, name, what)
+	}
 	body, err := sealed(b, 30, recordVersion, fmt.Sprintf("%.60q", name))
 	if err != nil {
 		return Entry{}, err
 	}
-	if e.State = State(body[1]); e.State < Intent || e.State > Lost {
+	if e.State = State(body[1]); e.State < Intent || e.State > Evicted {
 		return bad(fmt.Sprintf("state %d", body[1]))
 	}
-	e.Stamp = time.Unix(0, int64(binary.BigEndian.Uint64(body[2:])))
-	e.Until = time.Unix(0, int64(binary.BigEndian.Uint64(body[10:])))
-	e.Sum = binary.BigEndian.Uint64(body[18:])
+	e.ReceivedAt = time.Unix(0, int64(binary.BigEndian.Uint64(body[2:])))
+	e.ExpiresAt = time.Unix(0, int64(binary.BigEndian.Uint64(body[10:])))
+	e.BodyHash = binary.BigEndian.Uint64(body[18:])
 	r := reader{b: body[26:]}
-	e.Answer.Status = int(r.number())
+	e.Response.Status = int(r.number())
 	for n := r.number(); n > 0 && !r.bad; n-- {
-		e.Answer.Fields = append(e.Answer.Fields, Field{string(r.text()), string(r.text())})
+		e.Response.Header = append(e.Response.Header, HeaderField{string(r.text()), string(r.text())})
 	}
-	e.Answer.Body = append([]byte{}, r.text()...)
+	e.Response.Body = append([]byte{}, r.text()...)
 	if r.bad || len(r.b) > 0 {
 		return bad("its answer is cut short or goes on behind its end")
 	}
--- a/internal/interpreter/dial.go
+++ b/internal/interpreter/dial.go
@@ -12,8 +12,8 @@
 // starts without it, and one that fails again and again is left alone for a while.
 const redial = 50 * time.Millisecond
 
-// Dialer keeps a Link connected.
-type Dialer struct {
+// Client keeps a Link connected.
+type Client struct {
 	*Link
 	loop    *eventloop.Loop
 	to      netip.AddrPort
@@ -27,15 +27,15 @@
 }
 
 // Dial starts connecting and goes on until Close.
-func Dial(l *eventloop.Loop, to netip.AddrPort, h Handler) *Dialer {
-	d := &Dialer{Link: NewLink(h), loop: l, to: to}
+func Dial(l *eventloop.Loop, to netip.AddrPort, h Handler) *Client {
+	d := &Client{Link: NewLink(h), loop: l, to: to}
 	d.dial()
 	d.tick()
 	return d
 }
 
 // dial tries one connection.
-func (d *Dialer) dial() {
+func (d *Client) dial() {
 	if d.stopped {
 		return
 	}
@@ -48,9 +48,9 @@
 	d.conn = conn
 }
 
-// Move goes on at another address. The connection to the old one ends now, so that it gets nothing new; runs,
+// Redirect goes on at another address. The connection to the old one ends now, so that it gets nothing new; runs,
 // their commands and the numbers of notices go on, as after any lost link.
-func (d *Dialer) Move(to netip.AddrPort) {
+func (d *Client) Redirect(to netip.AddrPort) {
 	if d.stopped || to == d.to {
 		return
 	}
@@ -60,36 +60,36 @@
 }
 
 // hangUp gives up the connection there is, or the wait for the next.
-func (d *Dialer) hangUp() {
-	d.loop.Cancel(d.redial)
+func (d *Client) hangUp() {
+	d.loop.CancelTimer(d.redial)
 	if d.conn != nil {
 		d.conn.Close()
 		d.conn = nil
 	}
-	d.Lost()
+	d.Disconnected()
 }
 
 // tick gives up old questions now and then.
-func (d *Dialer) tick() {
+func (d *Client) tick() {
 	if d.stopped {
 		return
 	}
 	d.Tick(d.loop.Now())
-	if d.conn != nil && !d.stands && d.loop.Now().Sub(d.dialled) >= Timeout {
+	if d.conn != nil && !d.stands && d.loop.Now().Sub(d.dialled) >= QueryTimeout {
 		d.conn.Close()
 		d.Closed(d.conn, errors.New("no answer to the call"))
 	}
-	d.ticker = d.loop.After(Timeout/10, d.tick)
+	d.ticker = d.loop.AfterFunc(QueryTimeout/10, d.tick)
 }
 
 // Connected implements loop.ConnHandler.
-func (d *Dialer) Connected(c *eventloop.Conn) {
+func (d *Client) Connected(c *eventloop.Conn) {
 	d.told, d.stands = false, true
 	d.Link.Connected(c.Write, d.loop.Now())
 }
 
 // Data implements loop.ConnHandler.
-func (d *Dialer) Data(c *eventloop.Conn, p []byte) {
+func (d *Client) Data(c *eventloop.Conn, p []byte) {
 	if err := d.Feed(p); err != nil {
 		c.Close()
 		d.Closed(c, err)
@@ -97,19 +97,19 @@
 }
 
 // Closed implements loop.ConnHandler.
-func (d *Dialer) Closed(_ *eventloop.Conn, err error) {
+func (d *Client) Closed(_ *eventloop.Conn, err error) {
 	d.conn = nil
-	d.Lost()
+	d.Disconnected()
 	if !d.told {
 		d.told = true
-		d.handler.Trouble("interpreter link lost", err)
+		d.handler.ReportError("interpreter link lost", err)
 	}
-	d.redial = d.loop.After(redial-d.loop.Now().Sub(d.dialled), d.dial)
+	d.redial = d.loop.AfterFunc(redial-d.loop.Now().Sub(d.dialled), d.dial)
 }
 
 // Close ends the link for good.
-func (d *Dialer) Close() {
+func (d *Client) Close() {
 	d.stopped = true
-	d.loop.Cancel(d.ticker)
+	d.loop.CancelTimer(d.ticker)
 	d.hangUp()
 }
--- a/internal/interpreter/dial_test.go
+++ b/internal/interpreter/dial_test.go
@@ -24,10 +24,10 @@
 	d := Dial(l, listener.Addr().(*net.TCPAddr).AddrPort(), newEar(t))
 	defer d.Close()
 	dialled := false
-	l.After(2*redial, func() {
+	l.AfterFunc(2*redial, func() {
 		d.conn.Close()
 		d.Closed(d.conn, io.EOF)
-		l.After(redial/2, func() { // timers fire in order, however late
+		l.AfterFunc(redial/2, func() { // timers fire in order, however late
 			dialled = d.conn != nil
 			l.Stop()
 		})
--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -12,21 +12,21 @@
 const (
 	// maxLine bounds a line from the interpreter: a result of 4 KiB in base64 with its fields is far under it.
 	maxLine = 64 << 10
-	// Timeout is how long an answer to TOP or SMOKE is waited for.
-	Timeout = 2 * time.Second
+	// QueryTimeout is how long an answer to TOP or SMOKE is waited for.
+	QueryTimeout = 2 * time.Second
 )
 
 // Handler hears what the interpreter tells.
 type Handler interface {
-	// Up says that the interpreter runs: whether it was cold at its start, and how long ago that was. It is
+	// InterpreterStarted says that the interpreter runs: whether it was cold at its start, and how long ago that was. It is
 	// called once for each start of the interpreter.
-	Up(cold bool, age time.Duration)
-	// Awaits says that a run waits for a call to what lies below, and goes on only after that.
-	Awaits(id string)
-	// Ended says that a run is over. It is called once for each run.
-	Ended(id string, end End, result []byte)
-	// Trouble reports what should not happen, for the log.
-	Trouble(text string, err error)
+	InterpreterStarted(cold bool, age time.Duration)
+	// CallRequested says that a run waits for a call to what lies below, and goes on only after that.
+	CallRequested(id string)
+	// RunFinished says that a run is over. It is called once for each run.
+	RunFinished(id string, end Outcome, result []byte)
+	// ReportError reports what should not happen, for the log.
+	ReportError(text string, err error)
 }
 
 // run is one run that was asked for and has not ended.
@@ -52,9 +52,9 @@
 	sync   bool // any answer tells that the notices before it were read
 }
 
-// Counters count what went over the link.
-type Counters struct {
-	Links, Applied, Reapplied, Broken, Notices, Replayed, Unknown, Unanswered uint64
+// Stats count what went over the link.
+type Stats struct {
+	Connects, Submitted, Resubmitted, StopsSent, Notices, DuplicateNotices, UnknownNotices, UnansweredQueries uint64
 }
 
 // Link is the state of the dialogue, over any number of connections. It owns no socket.
@@ -80,7 +80,7 @@
 	asks    []asked
 	tags    uint64
 	now     time.Time // when the owner last told the time
-	Count   Counters
+	Stats   Stats
 }
 
 // NewLink returns a link without a connection.
@@ -90,9 +90,9 @@
 
 // Connected starts the dialogue on a new connection.
 func (l *Link) Connected(send func(p []byte), now time.Time) {
-	l.Lost()
+	l.Disconnected()
 	l.send, l.now = send, now
-	l.Count.Links++
+	l.Stats.Connects++
 	last := l.last
 	l.write(command{Op: opConnect, Seq: &last})
 	l.sync()
@@ -109,8 +109,8 @@
 	}})
 }
 
-// Lost says that the connection ended. What was asked on it stays unanswered.
-func (l *Link) Lost() {
+// Disconnected says that the connection ended. What was asked on it stays unanswered.
+func (l *Link) Disconnected() {
 	l.send, l.partial, l.synced, l.banner = nil, nil, false, false
 	for _, r := range l.runs {
 		r.current, r.broken = r.taken, false
@@ -121,11 +121,11 @@
 // Ready tells whether commands go out at once.
 func (l *Link) Ready() bool { return l.synced }
 
-// Runs is how many runs have not ended.
-func (l *Link) Runs() int { return len(l.runs) }
+// OpenRuns is how many runs have not ended.
+func (l *Link) OpenRuns() int { return len(l.runs) }
 
-// Apply asks for a run, now or once the link stands.
-func (l *Link) Apply(id, class string, body []byte) {
+// Submit asks for a run, now or once the link stands.
+func (l *Link) Submit(id, class string, body []byte) {
 	if body == nil {
 		body = []byte{} // an empty body is told as one
 	}
@@ -144,8 +144,8 @@
 	return true
 }
 
-// Break stops a run, whose end is told in time.
-func (l *Link) Break(id string) {
+// Stop stops a run, whose end is told in time.
+func (l *Link) Stop(id string) {
 	if r := l.runs[id]; r != nil {
 		r.breaking = true
 		l.push(r)
@@ -160,16 +160,16 @@
 	if !r.current {
 		if r.sent {
 			r.again = true
-			l.Count.Reapplied++
+			l.Stats.Resubmitted++
 		} else {
-			l.Count.Applied++
+			l.Stats.Submitted++
 		}
 		r.sent, r.current, r.tag = true, true, l.tags
 		l.write(command{Op: opApply, ID: r.id, Class: r.class, Body: &r.body})
 	}
 	if r.breaking && !r.broken {
 		r.broken = true
-		l.Count.Broken++
+		l.Stats.StopsSent++
 		l.write(command{Op: opBreak, ID: r.id})
 	}
 }
@@ -188,13 +188,13 @@
 	l.order = slices.DeleteFunc(l.order, func(r *run) bool { return l.runs[r.id] != r })
 }
 
-// Top asks for the gauges.
-func (l *Link) Top(now time.Time, then func(values []float64, ok bool)) {
+// QueryGauges asks for the gauges.
+func (l *Link) QueryGauges(now time.Time, then func(values []float64, ok bool)) {
 	l.ask(opTop, now, asked{gauges: then})
 }
 
-// Smoke does the work of a deep health check.
-func (l *Link) Smoke(now time.Time, then func(ok bool)) {
+// CheckHealth does the work of a deep health check.
+func (l *Link) CheckHealth(now time.Time, then func(ok bool)) {
 	l.ask(opSmoke, now, asked{smoke: then})
 }
 
@@ -206,7 +206,7 @@
 	}
 	l.tags++
 	a.number = l.tags
-	a.tag, a.due = strconv.FormatUint(l.tags, 10), now.Add(Timeout)
+	a.tag, a.due = strconv.FormatUint(l.tags, 10), now.Add(QueryTimeout)
 	l.asks = append(l.asks, a)
 	l.write(command{Op: op, Tag: a.tag})
 }
@@ -231,7 +231,7 @@
 	}
 	for i := range asks {
 		if over(asks[i]) {
-			l.Count.Unanswered++
+			l.Stats.UnansweredQueries++
 			asks[i].answer(nil, false)
 		}
 	}
@@ -286,18 +286,18 @@
 func (l *Link) notice(n *notice) {
 	if n.Seq > 0 {
 		if n.Seq <= l.last {
-			l.Count.Replayed++
+			l.Stats.DuplicateNotices++
 			return
 		}
 		l.last = n.Seq
-		l.Count.Notices++
+		l.Stats.Notices++
 	}
 	switch n.Op {
 	case opBanner:
 		l.banner = true
 		if !l.up {
 			l.up = true
-			l.handler.Up(n.End == "COLD", n.age())
+			l.handler.InterpreterStarted(n.End == "COLD", n.age())
 		}
 		// An interpreter that was not up yet turned the question behind CONNECT away. What comes now must not wait for the
 		// next look at that.
@@ -305,13 +305,13 @@
 			l.sync()
 		}
 	case opValue:
-		l.ended(n.ID, End(n.End), n.Body)
+		l.ended(n.ID, Outcome(n.End), n.Body)
 	case opAwait:
 		if l.runs[n.ID] == nil {
-			l.Count.Unknown++
+			l.Stats.UnknownNotices++
 			return
 		}
-		l.handler.Awaits(n.ID)
+		l.handler.CallRequested(n.ID)
 	case opTops, opSmoked:
 		l.answered(n)
 	case opError:
@@ -319,13 +319,13 @@
 			l.unasked(n)
 			return
 		}
-		l.handler.Trouble("interpreter turned a command away", fmt.Errorf("%s %s", n.End, n.ID))
+		l.handler.ReportError("interpreter turned a command away", fmt.Errorf("%s %s", n.End, n.ID))
 		if n.End == opApply {
 			l.rejected(n.ID)
 		}
 	case opTrace:
 	default:
-		l.Count.Unknown++
+		l.Stats.UnknownNotices++
 	}
 }
 
@@ -336,9 +336,9 @@
 	if !found {
 		return
 	}
-	l.Count.Unanswered++
+	l.Stats.UnansweredQueries++
 	if l.banner {
-		l.handler.Trouble("interpreter turned a command away", fmt.Errorf("%s %s", n.End, a.tag))
+		l.handler.ReportError("interpreter turned a command away", fmt.Errorf("%s %s", n.End, a.tag))
 	}
 	a.answer(nil, a.sync && l.banner)
 }
@@ -346,31 +346,31 @@
 // rejected reports that a command to run a request was turned away. Where it was given more than once, an
 // earlier one may have been carried out.
 func (l *Link) rejected(id string) {
-	end := EndRejected
+	end := OutcomeRejected
 	if r := l.runs[id]; r != nil && r.again {
-		end = EndError
+		end = OutcomeError
 	}
 	l.ended(id, end, nil)
 }
 
 // ended reports the end of a run that is known.
-func (l *Link) ended(id string, end End, result []byte) {
+func (l *Link) ended(id string, end Outcome, result []byte) {
 	if l.runs[id] == nil {
-		l.Count.Unknown++
+		l.Stats.UnknownNotices++
 		return
 	}
 	delete(l.runs, id)
 	if len(l.order) > 2*len(l.runs)+16 {
 		l.compact()
 	}
-	l.handler.Ended(id, end, result)
+	l.handler.RunFinished(id, end, result)
 }
 
 // asked takes out the question with a tag, for gauges or for a deep check; what fits none is counted.
 func (l *Link) asked(tag string, gauges bool) (asked, bool) {
 	i := slices.IndexFunc(l.asks, func(a asked) bool { return a.tag == tag })
 	if i < 0 || (l.asks[i].gauges != nil) != gauges {
-		l.Count.Unknown++
+		l.Stats.UnknownNotices++
 		return asked{}, false
 	}
 	a := l.asks[i]
@@ -387,5 +387,5 @@
 	for _, r := range l.runs {
 		r.taken = r.taken || r.current && r.tag < a.number
 	}
-	a.answer(n.Values, n.Op == opTops || n.End == string(EndOK))
+	a.answer(n.Values, n.Op == opTops || n.End == string(OutcomeOK))
 }
--- a/internal/interpreter/link_test.go
+++ b/internal/interpreter/link_test.go
@@ -25,15 +25,15 @@
 	return e
 }
 
-func (e *ear) Up(cold bool, age time.Duration) {
+func (e *ear) InterpreterStarted(cold bool, age time.Duration) {
 	e.heard = append(e.heard, fmt.Sprintf("up %t %v", cold, age))
 }
-func (e *ear) Awaits(id string) { e.heard = append(e.heard, "awaits "+id) }
+func (e *ear) CallRequested(id string) { e.heard = append(e.heard, "awaits "+id) }
 
-func (e *ear) Ended(id string, end End, result []byte) {
+func (e *ear) RunFinished(id string, end Outcome, result []byte) {
 	e.heard = append(e.heard, fmt.Sprintf("%s %s %q", id, end, result))
 }
-func (e *ear) Trouble(_ string, err error) { e.heard = append(e.heard, "trouble "+err.Error()) }
+func (e *ear) ReportError(_ string, err error) { e.heard = append(e.heard, "trouble "+err.Error()) }
 
 // write takes what the link sends.
 func (e *ear) write(p []byte) {
@@ -105,12 +105,12 @@
 func TestRun(t *testing.T) {
 	e := newEar(t)
 	e.connect()
-	e.link.Apply("a1", "look", []byte("\x00\xff"))
-	e.link.Apply("a2", "look", nil)
+	e.link.Submit("a1", "look", []byte("\x00\xff"))
+	e.link.Submit("a2", "look", nil)
 	e.say(`{"op":"TRACE","seq":1,"end":"hello"}`, `{"op":"VALUE","seq":2,"id":"a1","end":"OK","ms":5,"body":"AP8="}`)
 	e.expect([]string{"CONNECT 0", `APPLY a1 look "\x00\xff"`, `APPLY a2 look ""`}, []string{upWarm, `a1 OK "\x00\xff"`})
-	if e.link.Runs() != 1 {
-		t.Errorf("%d runs", e.link.Runs())
+	if e.link.OpenRuns() != 1 {
+		t.Errorf("%d runs", e.link.OpenRuns())
 	}
 }
 
@@ -119,7 +119,7 @@
 func TestNotUpYet(t *testing.T) {
 	e := newEar(t)
 	e.link.Connected(e.write, start)
-	e.link.Apply("a1", "look", nil)
+	e.link.Submit("a1", "look", nil)
 	e.say(`{"op":"ERROR","end":"TOP","id":"1"}`)
 	e.expect([]string{"CONNECT 0"}, nil)
 	e.say(`{"op":"BANNER","end":"COLD","ms":0}`)
@@ -133,17 +133,17 @@
 	e := newEar(t)
 	e.link.Connected(e.write, start)
 	e.say(`{"op":"BANNER","end":"WARM","ms":20}`, `{"op":"ERROR","end":"TOP","id":"1"}`)
-	e.link.Apply("a1", "look", nil)
+	e.link.Submit("a1", "look", nil)
 	e.expect([]string{"CONNECT 0", `APPLY a1 look ""`}, []string{upWarm, "trouble TOP 1"})
 	asked, got := false, true
-	e.link.Top(start, func(_ []float64, ok bool) { asked, got = true, ok })
+	e.link.QueryGauges(start, func(_ []float64, ok bool) { asked, got = true, ok })
 	e.say(fmt.Sprintf(`{"op":"ERROR","end":"TOP","id":%q}`, e.tags["TOP"]))
 	if !asked || got {
 		t.Errorf("gauges that can't be had: asked %t, ok %t", asked, got)
 	}
 	e.say(`{"op":"ERROR","end":"SMOKE","id":"77"}`) // of no question there is
-	if e.link.Count.Unknown != 1 {
-		t.Errorf("%d unknown notices, want 1", e.link.Count.Unknown)
+	if e.link.Stats.UnknownNotices != 1 {
+		t.Errorf("%d unknown notices, want 1", e.link.Stats.UnknownNotices)
 	}
 }
 
@@ -151,7 +151,7 @@
 func TestLateBanner(t *testing.T) {
 	e := newEar(t)
 	e.link.Connected(e.write, start)
-	e.link.Apply("a1", "look", nil)
+	e.link.Submit("a1", "look", nil)
 	e.expect([]string{"CONNECT 0"}, nil)
 	e.link.Tick(start.Add(time.Minute))
 	e.say(`{"op":"BANNER","end":"COLD","ms":7}`)
@@ -169,12 +169,12 @@
 	e := newEar(t)
 	e.connect()
 	for _, id := range []string{"ended", "going", "stopping"} {
-		e.link.Apply(id, "look", nil)
+		e.link.Submit(id, "look", nil)
 	}
 	e.say(`{"op":"TRACE","seq":1,"end":""}`)
-	e.link.Lost()
-	e.link.Break("stopping")
-	e.link.Apply("new", "look", nil)
+	e.link.Disconnected()
+	e.link.Stop("stopping")
+	e.link.Submit("new", "look", nil)
 	e.sent, e.heard = nil, nil
 	e.link.Connected(e.write, start)
 	e.expect([]string{"CONNECT 1"}, nil)
@@ -184,7 +184,7 @@
 	e.expect(nil, []string{`ended OK "x"`})
 	e.say(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, e.tags["TOP"]))
 	e.expect([]string{`APPLY going look ""`, `APPLY stopping look ""`, "BREAK stopping", `APPLY new look ""`}, nil)
-	if c := e.link.Count; c.Reapplied != 2 || c.Applied != 4 || c.Replayed != 1 || c.Links != 2 {
+	if c := e.link.Stats; c.Resubmitted != 2 || c.Submitted != 4 || c.DuplicateNotices != 1 || c.Connects != 2 {
 		t.Errorf("counters %+v", c)
 	}
 	e.say(`{"op":"VALUE","seq":3,"id":"going","end":"OK","ms":1,"body":""}`, `{"op":"VALUE","seq":4,"id":"going","end":"OK","ms":1,"body":""}`)
@@ -196,11 +196,11 @@
 func TestTakenIsNotAskedAgain(t *testing.T) {
 	e := newEar(t)
 	e.connect()
-	e.link.Apply("taken", "look", nil)
-	e.link.Top(start, func([]float64, bool) {})
-	e.link.Apply("unsure", "look", nil)
+	e.link.Submit("taken", "look", nil)
+	e.link.QueryGauges(start, func([]float64, bool) {})
+	e.link.Submit("unsure", "look", nil)
 	e.say(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, e.tags["TOP"]))
-	e.link.Break("taken")
+	e.link.Stop("taken")
 	e.sent = nil
 	e.connect()
 	e.expect([]string{"CONNECT 0", "BREAK taken", `APPLY unsure look ""`}, []string{upWarm})
@@ -209,17 +209,17 @@
 // TestWithdraw takes back a run that the interpreter never heard of, and no other.
 func TestWithdraw(t *testing.T) {
 	e := newEar(t)
-	e.link.Apply("early", "look", nil)
+	e.link.Submit("early", "look", nil)
 	if !e.link.Withdraw("early") || e.link.Withdraw("early") {
 		t.Error("a run that was not sent could not be taken back once")
 	}
 	e.connect()
-	e.link.Apply("sent", "look", nil)
+	e.link.Submit("sent", "look", nil)
 	if e.link.Withdraw("sent") {
 		t.Error("a run that was sent was taken back")
 	}
-	e.link.Break("sent")
-	e.link.Break("sent")
+	e.link.Stop("sent")
+	e.link.Stop("sent")
 	e.expect([]string{"CONNECT 0", `APPLY sent look ""`, "BREAK sent"}, []string{upWarm})
 	e.say(`{"op":"VALUE","seq":1,"id":"sent","end":"STOPPED","ms":1}`)
 	e.expect(nil, []string{`sent STOPPED ""`})
@@ -230,10 +230,10 @@
 	e := newEar(t)
 	var got []string
 	top := func(name string) {
-		e.link.Top(start, func(values []float64, ok bool) { got = append(got, fmt.Sprint(name, values, ok)) })
+		e.link.QueryGauges(start, func(values []float64, ok bool) { got = append(got, fmt.Sprint(name, values, ok)) })
 	}
 	smoke := func(name string) {
-		e.link.Smoke(start, func(ok bool) { got = append(got, fmt.Sprint(name, ok)) })
+		e.link.CheckHealth(start, func(ok bool) { got = append(got, fmt.Sprint(name, ok)) })
 	}
 	smoke("unconnected ")
 	e.connect()
@@ -246,11 +246,11 @@
 	smoke("c ")
 	e.say(fmt.Sprintf(`{"op":"SMOKED","tag":%q,"end":"ERROR"}`, e.tags["SMOKE"]))
 	smoke("d ")
-	e.link.Tick(start.Add(Timeout - 1))
-	e.link.Tick(start.Add(Timeout))
+	e.link.Tick(start.Add(QueryTimeout - 1))
+	e.link.Tick(start.Add(QueryTimeout))
 	e.say(fmt.Sprintf(`{"op":"SMOKED","tag":%q,"end":"OK"}`, e.tags["SMOKE"]))
 	top("e")
-	e.link.Lost()
+	e.link.Disconnected()
 	want := []string{"unconnected false", "b true", "a[0.5 3] true", "c false", "d false", "e[] false"}
 	if !slices.Equal(got, want) {
 		t.Errorf("%q, want %q", got, want)
@@ -261,7 +261,7 @@
 func TestTurnedAway(t *testing.T) {
 	e := newEar(t)
 	e.connect()
-	e.link.Apply("a1", "look", nil)
+	e.link.Submit("a1", "look", nil)
 	e.say(`{"op":"ERROR","end":"APPLY","id":"a1"}`, `{"op":"ERROR","end":"BREAK","id":"a1"}`)
 	e.expect([]string{"CONNECT 0", `APPLY a1 look ""`},
 		[]string{upWarm, "trouble APPLY a1", `a1 rejected ""`, "trouble BREAK a1"})
@@ -273,14 +273,14 @@
 	for cut := range text {
 		e := newEar(t)
 		e.connect()
-		e.link.Apply("a1", "look", nil)
+		e.link.Submit("a1", "look", nil)
 		e.heard = nil
 		for _, p := range []string{text[:cut], text[cut:]} {
 			if err := e.link.Feed([]byte(p)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if !slices.Equal(e.heard, []string{`a1 OK "x"`}) || e.link.Count.Unknown != 1 {
+		if !slices.Equal(e.heard, []string{`a1 OK "x"`}) || e.link.Stats.UnknownNotices != 1 {
 			t.Fatalf("cut at %d: heard %q", cut, e.heard)
 		}
 	}
@@ -307,7 +307,7 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		e := newEar(t)
 		e.link.Connected(e.write, start)
-		e.link.Apply("a1", "look", nil)
+		e.link.Submit("a1", "look", nil)
 		if e.link.Feed(p) != nil {
 			return
 		}
--- a/internal/interpreter/message.go
+++ b/internal/interpreter/message.go
@@ -3,17 +3,17 @@
 
 import "time"
 
-// End is how a run ended.
-type End string
+// Outcome is how a run ended.
+type Outcome string
 
 // The ends of a run.
 const (
-	EndOK      End = "OK"
-	EndError   End = "ERROR"
-	EndStopped End = "STOPPED"
-	EndMoot    End = "MOOT"
-	// EndRejected is no word of the interpreter's: it turned the command away, so nothing was run.
-	EndRejected End = "rejected"
+	OutcomeOK         Outcome = "OK"
+	OutcomeError      Outcome = "ERROR"
+	OutcomeStopped    Outcome = "STOPPED"
+	OutcomeNotStarted Outcome = "MOOT"
+	// OutcomeRejected is no word of the interpreter's: it turned the command away, so nothing was run.
+	OutcomeRejected Outcome = "rejected"
 )
 
 // The names of messages.
--- a/internal/interpreter/model_test.go
+++ b/internal/interpreter/model_test.go
@@ -25,13 +25,13 @@
 	heard    map[string]int
 }
 
-func (f *far) Up(bool, time.Duration)         {}
-func (f *far) Trouble(text string, err error) { f.t.Fatalf("%s: %v", text, err) }
+func (f *far) InterpreterStarted(bool, time.Duration) {}
+func (f *far) ReportError(text string, err error)     { f.t.Fatalf("%s: %v", text, err) }
 
-func (f *far) Awaits(id string) { f.t.Fatalf("a call of %s", id) }
+func (f *far) CallRequested(id string) { f.t.Fatalf("a call of %s", id) }
 
-func (f *far) Ended(id string, end End, _ []byte) {
-	if f.heard[id]++; end != EndOK {
+func (f *far) RunFinished(id string, end Outcome, _ []byte) {
+	if f.heard[id]++; end != OutcomeOK {
 		f.t.Fatalf("run %s ended %s", id, end)
 	}
 }
@@ -56,7 +56,7 @@
 // cut loses all that is on its way.
 func (f *far) cut() {
 	f.commands, f.lines, f.greeted = nil, nil, false
-	f.link.Lost()
+	f.link.Disconnected()
 }
 
 // take carries out the next command.
@@ -130,13 +130,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"apply": func(*rapid.T) {
 				asked++
-				f.link.Apply(fmt.Sprint(asked), "look", nil)
+				f.link.Submit(fmt.Sprint(asked), "look", nil)
 			},
 			"withdraw": func(t *rapid.T) {
 				id := pick(t)
 				withdrawn[id] = f.link.Withdraw(id) || withdrawn[id]
 			},
-			"break":   func(t *rapid.T) { f.link.Break(pick(t)) },
+			"break":   func(t *rapid.T) { f.link.Stop(pick(t)) },
 			"cut":     func(*rapid.T) { f.cut() },
 			"connect": func(*rapid.T) { f.connect() },
 			"take":    func(*rapid.T) { f.take() },
@@ -164,8 +164,8 @@
 				t.Fatalf("run %s: withdrawn %t, begun %d times, its end told %d times", id, withdrawn[id], f.started[id], f.heard[id])
 			}
 		}
-		if f.link.Runs() != 0 {
-			t.Fatalf("%d runs are left", f.link.Runs())
+		if f.link.OpenRuns() != 0 {
+			t.Fatalf("%d runs are left", f.link.OpenRuns())
 		}
 	})
 }
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// Answer says how a try was answered.
-type Answer uint8
+// Outcome says how a try was answered.
+type Outcome uint8
 
 // The answers.
 const (
-	Served Answer = iota
-	Refused
+	Served Outcome = iota
+	Rejected
 	Failed
 )
 
-// Try is one try of a request.
-type Try struct {
-	ID       string // new with every try
-	Key      string // the same for all tries of a keyed request; "" elsewhere
-	Once     bool   // it has an effect that must come once
-	Result   string // the only right body of an answer
-	Received time.Time
-	Due      time.Time // when its answer must be there
+// Attempt is one try of a request.
+type Attempt struct {
+	ID           string // new with every try
+	Key          string // the same for all tries of a keyed request; "" elsewhere
+	AtMostOnce   bool   // it has an effect that must come once
+	ExpectedBody string // the only right body of an answer
+	Received     time.Time
+	Deadline     time.Time // when its answer must be there
 }
 
 // tried is what is known of a try.
 type tried struct {
-	Try
+	Attempt
 	excused  time.Duration // of the observer, when it was sent
 	answers  int
-	answer   Answer
+	answer   Outcome
 	runs     int
 	reported bool
 }
 
-// Observer is told what happens. Any goroutine may tell it.
-type Observer struct {
+// Checker is told what happens. Any goroutine may tell it.
+type Checker struct {
 	mu       sync.Mutex
 	window   time.Duration // in which a keyed request must not run twice
 	excused  time.Duration // for which the machine stood still, in all
@@ -51,37 +51,37 @@
 }
 
 // New returns an observer; keyed requests may come again within the window.
-func New(window time.Duration) *Observer {
-	return &Observer{window: window, tries: map[string]*tried{}, ran: map[string]*tried{}}
+func New(window time.Duration) *Checker {
+	return &Checker{window: window, tries: map[string]*tried{}, ran: map[string]*tried{}}
 }
 
 // breach notes one, with the lock held.
-func (o *Observer) breach(format string, args ...any) {
+func (o *Checker) breach(format string, args ...any) {
 	o.breaches = append(o.breaches, fmt.Sprintf(format, args...))
 }
 
-// Excuse says that the machine stood still for a while, which is not counted against answers that are open.
-func (o *Observer) Excuse(pause time.Duration) {
+// ExcusePause says that the machine stood still for a while, which is not counted against answers that are open.
+func (o *Checker) ExcusePause(pause time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.excused += pause
 }
 
-// Sent says that the whole try was written to the server.
-func (o *Observer) Sent(t Try) {
+// RecordSent says that the whole try was written to the server.
+func (o *Checker) RecordSent(t Attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.tries[t.ID] != nil {
 		o.breach("try %s was sent twice: the caller is at fault", t.ID)
 		return
 	}
-	r := &tried{Try: t, excused: o.excused}
+	r := &tried{Attempt: t, excused: o.excused}
 	o.tries[t.ID] = r
 	o.order = append(o.order, r)
 }
 
-// Answered says that an answer came.
-func (o *Observer) Answered(id string, a Answer, body string, at time.Time) {
+// RecordAnswer says that an answer came.
+func (o *Checker) RecordAnswer(id string, a Outcome, body string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.tries[id]
@@ -94,16 +94,16 @@
 	if t.answers > 1 {
 		o.breach("try %s was answered %d times", id, t.answers)
 	}
-	if a == Served && body != t.Result {
+	if a == Served && body != t.ExpectedBody {
 		o.breach("try %s was served with %q, which no run of it made", id, body)
 	}
-	if due := t.Due.Add(o.excused - t.excused); at.After(due) {
+	if due := t.Deadline.Add(o.excused - t.excused); at.After(due) {
 		o.breach("try %s was answered %v late", id, at.Sub(due))
 	}
 }
 
-// Lost says that no answer can come any more, since the server was killed.
-func (o *Observer) Lost(id string) {
+// RecordLost says that no answer can come any more, since the server was killed.
+func (o *Checker) RecordLost(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if t := o.tries[id]; t != nil {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Ran says that the interpreter began a run.
-func (o *Observer) Ran(id string) {
+// RecordRun says that the interpreter began a run.
+func (o *Checker) RecordRun(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.tries[id]
@@ -121,7 +121,7 @@
 		return
 	}
 	t.runs++
-	if t.Once && t.runs > 1 {
+	if t.AtMostOnce && t.runs > 1 {
 		o.breach("try %s ran %d times", id, t.runs)
 	}
 	if t.Key == "" {
@@ -133,17 +133,17 @@
 	o.ran[t.Key] = t
 }
 
-// Breaches looks for what was never answered, and for refusals of what ran, and returns all breaches so far.
-func (o *Observer) Breaches(now time.Time) []string {
+// Violations looks for what was never answered, and for refusals of what ran, and returns all breaches so far.
+func (o *Checker) Violations(now time.Time) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, t := range o.order {
 		switch {
 		case t.reported:
-		case t.answers == 0 && now.After(t.Due):
+		case t.answers == 0 && now.After(t.Deadline):
 			t.reported = true
 			o.breach("try %s was not answered", t.ID)
-		case t.answers > 0 && t.answer == Refused && t.runs > 0 && t.Once:
+		case t.answers > 0 && t.answer == Rejected && t.runs > 0 && t.AtMostOnce:
 			t.reported = true
 			o.breach("try %s ran and was refused", t.ID)
 		}
--- a/internal/loadreport/announce.go
+++ b/internal/loadreport/announce.go
@@ -18,7 +18,7 @@
 
 // New returns a reporter to the service at the address.
 func New(system eventloop.System, to netip.AddrPort, name string) (*Reporter, error) {
-	fd, err := system.Datagram(to)
+	fd, err := system.NewDatagramSocket(to)
 	if err != nil {
 		return nil, fmt.Errorf("announce: %w", err)
 	}
--- a/internal/loadreport/announce_test.go
+++ b/internal/loadreport/announce_test.go
@@ -34,7 +34,7 @@
 		if err := r.Report(accepting); err != nil {
 			t.Fatal(err)
 		}
-		service.SetReadDeadline(time.Now().Add(servertest.Patience))
+		service.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 		if n, err := service.Read(buf); err != nil || string(buf[:n]) != want {
 			t.Errorf("read %q, %v, want %q", buf[:n], err, want)
 		}
@@ -65,7 +65,7 @@
 	if err := r.Report(true); err == nil {
 		t.Error("that nobody heard the first was not told")
 	}
-	service.SetReadDeadline(time.Now().Add(servertest.Patience))
+	service.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 	buf := make([]byte, 100)
 	if n, err := service.Read(buf); err != nil || string(buf[:n]) != "announce n3 true" {
 		t.Errorf("read %q, %v", buf[:n], err)
--- a/internal/loadtest/daemon.go
+++ b/internal/loadtest/daemon.go
@@ -65,7 +65,7 @@
 	if d.interpreter, err = fake.NewInterpreter(); err != nil {
 		return d, fmt.Errorf("storm: interpreter: %w", err)
 	}
-	d.interpreter.Work(c.Cores, fake.BodyWork)
+	d.interpreter.SimulateWork(c.InterpreterCores, fake.ParseWork)
 	if d.announce, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		return d, fmt.Errorf("storm: announce service: %w", err)
 	}
@@ -76,7 +76,7 @@
 		return d, fmt.Errorf("storm: %w", err)
 	}
 	d.config = map[string]any{"name": "storm", "listen": d.addr, "vm": d.interpreter.Addr(),
-		"announce": d.announce.LocalAddr().String(), "stop_ms": stopMS, "settings": json.RawMessage(fake.Settings),
+		"announce": d.announce.LocalAddr().String(), "stop_ms": stopMS, "settings": json.RawMessage(fake.SiteSettings),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": c.MemoryMB, "sockets": sockets}}
 	if err = d.configure(); err != nil {
 		return d, err
@@ -92,7 +92,7 @@
 	cmd, exited := exec.Command(c.Daemon, c.Args...), make(chan struct{})
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+d.configPath(), "RELAY_NAME=", "RELAY_LISTEN=")
 	cmd.Stderr = d
-	if err := startOn(cmd, c.Pin); err != nil {
+	if err := startOn(cmd, c.PinnedCore); err != nil {
 		return fmt.Errorf("storm: %w", err)
 	}
 	d.cmd, d.exited = cmd, exited
@@ -107,8 +107,8 @@
 func (d *daemon) restart(c Config) error {
 	d.cmd.Process.Kill() // what else could end it ended it
 	<-d.exited
-	if c.Forget != "" {
-		if err := os.RemoveAll(c.Forget); err != nil {
+	if c.RemoveStateDir != "" {
+		if err := os.RemoveAll(c.RemoveStateDir); err != nil {
 			return fmt.Errorf("storm: %w", err)
 		}
 	}
@@ -176,10 +176,10 @@
 		return false
 	}
 	defer g.Close()
-	if g.Write(fake.Health(false).Records(1)) != nil {
+	if g.Write(fake.NewHealthCheck(false).Encode(1)) != nil {
 		return false
 	}
-	a, err := g.Read(1, time.Now().Add(time.Second))
+	a, err := g.ReadResponse(1, time.Now().Add(time.Second))
 	return err == nil && a.Status == 200
 }
 
@@ -197,7 +197,7 @@
 
 // reload moves the interpreter to a new address and has the daemon read its configuration anew.
 func (d *daemon) reload() error {
-	addr, err := d.interpreter.Move()
+	addr, err := d.interpreter.AddListener()
 	if err != nil {
 		return fmt.Errorf("storm: %w", err)
 	}
--- a/internal/loadtest/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -58,7 +58,7 @@
 	g.open[id] = t
 	t.received = time.Now()
 	bytes := g.storm.records(t, id)
-	g.storm.observer.Sent(g.storm.told(t))
+	g.storm.observer.RecordSent(g.storm.told(t))
 	if g.conn.Write(bytes) != nil {
 		g.end(g.conn) // the reader finds the end too, and finds it done
 	}
@@ -69,7 +69,7 @@
 func (g *gateway) read(conn *fake.Gateway) {
 	defer g.storm.readers.Done()
 	for {
-		a, err := conn.Read(0, time.Time{})
+		a, err := conn.ReadResponse(0, time.Time{})
 		now := time.Now()
 		g.mu.Lock()
 		if err != nil {
--- a/internal/loadtest/hold.go
+++ b/internal/loadtest/hold.go
@@ -15,43 +15,43 @@
 	"tillerusher/internal/fake"
 )
 
-// Load is what a daemon held while its callers always had as much open as they may. Latencies are in milliseconds.
-type Load struct {
-	Capture bool    `json:"capture"`
-	Rate    float64 `json:"rate"` // answers a second
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	P999    float64 `json:"p999_ms"`
-	CPU     float64 `json:"cpu_us"` // of the daemon, for each answer
-	Lost    float64 `json:"lost"`   // records that were not captured
+// Throughput is what a daemon held while its callers always had as much open as they may. Latencies are in milliseconds.
+type Throughput struct {
+	Capturing   bool    `json:"capture"`
+	Rate        float64 `json:"rate"` // answers a second
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
+	P999        float64 `json:"p999_ms"`
+	CPUMicros   float64 `json:"cpu_us"` // of the daemon, for each answer
+	LostRecords float64 `json:"lost"`   // records that were not captured
 }
 
 // fill computes what is told of latencies.
-func (l *Load) fill(h *hdrhistogram.Histogram, over time.Duration) {
+func (l *Throughput) fill(h *hdrhistogram.Histogram, over time.Duration) {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	l.Rate, l.P50, l.P99, l.P999 = float64(h.TotalCount())/over.Seconds(), ms(50), ms(99), ms(99.9)
 }
 
-// Cost compares loads with the capture on and off that were taken in turn.
-type Cost struct {
-	Rounds []Load             `json:"rounds"`
+// CaptureCost compares loads with the capture on and off that were taken in turn.
+type CaptureCost struct {
+	Rounds []Throughput       `json:"rounds"`
 	Ratio  map[string]float64 `json:"ratio"` // median over the pairs of on over off
 }
 
-// HoldConfig is what the cost of capturing is measured with.
-type HoldConfig struct {
-	Daemon   string
-	Gateways int           // connections
-	Open     int           // requests that each keeps open
-	For      time.Duration // of each round
-	Rounds   int           // pairs of on and off
-	Pin      int           // core of the daemon
-	Progress func(done, of int)
+// SaturationConfig is what the cost of capturing is measured with.
+type SaturationConfig struct {
+	Daemon        string
+	Gateways      int           // connections
+	OpenRequests  int           // requests that each keeps open
+	RoundDuration time.Duration // of each round
+	Rounds        int           // pairs of on and off
+	PinnedCore    int           // core of the daemon
+	Progress      func(done, of int)
 }
 
 // ratios are those of two loads.
-func ratios(a, b *Load) map[string]float64 {
-	return map[string]float64{"rate": a.Rate / b.Rate, "p50": a.P50 / b.P50, "p99": a.P99 / b.P99, "p999": a.P999 / b.P999, "cpu": a.CPU / b.CPU}
+func ratios(a, b *Throughput) map[string]float64 {
+	return map[string]float64{"rate": a.Rate / b.Rate, "p50": a.P50 / b.P50, "p99": a.P99 / b.P99, "p999": a.P999 / b.P999, "cpu": a.CPUMicros / b.CPUMicros}
 }
 
 // median is the middle of a list, which it sorts.
@@ -60,15 +60,15 @@
 	return (list[(len(list)-1)/2] + list[len(list)/2]) / 2
 }
 
-// MeasureCost has a daemon on one core answer as much as it can, in rounds with the capture on and off in turn. Runs
+// MeasureCaptureCost has a daemon on one core answer as much as it can, in rounds with the capture on and off in turn. Runs
 // take no time, so that the daemon's own work is all there is.
-func MeasureCost(ctx context.Context, c HoldConfig) (*Cost, error) {
+func MeasureCaptureCost(ctx context.Context, c SaturationConfig) (*CaptureCost, error) {
 	dir, err := os.MkdirTemp("", "tillerusher-cost")
 	if err != nil {
 		return nil, fmt.Errorf("storm: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	cost := &Cost{Ratio: map[string]float64{}}
+	cost := &CaptureCost{Ratio: map[string]float64{}}
 	of := map[string][]float64{}
 	for round := range 2 * c.Rounds {
 		if err := ctx.Err(); err != nil {
@@ -84,11 +84,11 @@
 		if err != nil {
 			return nil, err
 		}
-		l.Capture = on
+		l.Capturing = on
 		cost.Rounds = append(cost.Rounds, *l)
 		if round%2 == 1 {
 			a, b := &cost.Rounds[round], &cost.Rounds[round-1]
-			if !a.Capture {
+			if !a.Capturing {
 				a, b = b, a
 			}
 			for name, v := range ratios(a, b) {
@@ -106,16 +106,16 @@
 }
 
 // hold runs one round, with a further caller where there is one, and returns the daemon, which has ended, as well.
-func hold(c HoldConfig, args []string, further func(d *daemon, end time.Time) error) (*Load, *daemon, error) {
+func hold(c SaturationConfig, args []string, further func(d *daemon, end time.Time) error) (*Throughput, *daemon, error) {
 	cfg := Defaults()
-	cfg.Daemon, cfg.Args, cfg.Pin = c.Daemon, args, c.Pin
+	cfg.Daemon, cfg.Args, cfg.PinnedCore = c.Daemon, args, c.PinnedCore
 	d, err := start(cfg)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer d.kill()
-	d.interpreter.Instant()
-	end := time.Now().Add(c.For)
+	d.interpreter.StopSimulatingWork()
+	end := time.Now().Add(c.RoundDuration)
 	var mu sync.Mutex
 	all, errs := newLatencies(), []error(nil)
 	var callers sync.WaitGroup
@@ -132,7 +132,7 @@
 	}
 	for range c.Gateways {
 		call(func() error {
-			h, err := caller(d.addr, c.Open, end)
+			h, err := caller(d.addr, c.OpenRequests, end)
 			if err == nil {
 				mu.Lock()
 				defer mu.Unlock()
@@ -153,10 +153,10 @@
 		return nil, nil, fmt.Errorf("storm: the daemon ended with status %d: %w", code, err)
 	}
 	state := d.cmd.ProcessState
-	l := &Load{CPU: float64((state.UserTime() + state.SystemTime()).Microseconds()) / float64(max(all.TotalCount(), 1))}
-	l.fill(all, c.For)
+	l := &Throughput{CPUMicros: float64((state.UserTime() + state.SystemTime()).Microseconds()) / float64(max(all.TotalCount(), 1))}
+	l.fill(all, c.RoundDuration)
 	if m := d.logged("capture"); m != nil {
-		l.Lost, _ = m["lost"].(float64)
+		l.LostRecords, _ = m["lost"].(float64)
 	}
 	return l, d, nil
 }
@@ -172,7 +172,7 @@
 	sent := make([]time.Time, open+1)
 	send := func(id uint16) error {
 		sent[id] = time.Now()
-		return g.Write(fake.Lookup("a body of a usual length, say").Records(id))
+		return g.Write(fake.NewLookup("a body of a usual length, say").Encode(id))
 	}
 	for id := range open {
 		if err := send(uint16(id + 1)); err != nil {
@@ -180,7 +180,7 @@
 		}
 	}
 	for waiting := open; waiting > 0; {
-		a, err := g.Read(0, end.Add(patience))
+		a, err := g.ReadResponse(0, end.Add(patience))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/loadtest/recovery.go
+++ b/internal/loadtest/recovery.go
@@ -18,14 +18,14 @@
 
 // Recovery is one storm with a restart half way.
 type Recovery struct {
-	Seed     uint64   `json:"seed"`
-	Cold     bool     `json:"cold"`     // the state was removed while the daemon was down
-	Before   float64  `json:"before"`   // share of requests served before the restart
-	After    float64  `json:"after"`    // and from it on
-	Seconds  float64  `json:"seconds"`  // until the share was back; -1 is never
-	Series   []Share  `json:"series"`   // by steps, from the storm's start
-	At       int      `json:"at"`       // the step of the restart
-	Breaches []string `json:"breaches"` // of the rules; a cold one forgets keys and may run twice
+	Seed            uint64        `json:"seed"`
+	StateRemoved    bool          `json:"cold"`     // the state was removed while the daemon was down
+	ServedBefore    float64       `json:"before"`   // share of requests served before the restart
+	ServedAfter     float64       `json:"after"`    // and from it on
+	RecoverySeconds float64       `json:"seconds"`  // until the share was back; -1 is never
+	Series          []SeriesPoint `json:"series"`   // by steps, from the storm's start
+	RestartStep     int           `json:"at"`       // the step of the restart
+	Violations      []string      `json:"breaches"` // of the rules; a cold one forgets keys and may run twice
 }
 
 // The share is back when it is this part of what it was, over a stretch of so many steps. The first steps fill queues, those
@@ -91,13 +91,13 @@
 	c.Seed, c.Restart, c.CutLink, c.Reload, c.Progress = seed, true, false, false, nil
 	c.Args = append(append([]string(nil), c.Args...), "--state", dir)
 	if cold {
-		c.Forget = dir
+		c.RemoveStateDir = dir
 	}
 	result, err := Run(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	r := &Recovery{Seed: seed, Cold: cold, Series: result.Shares, At: int(result.RestartAt / Step.Seconds()), Breaches: result.Breaches}
+	r := &Recovery{Seed: seed, StateRemoved: cold, Series: result.Series, RestartStep: int(result.RestartSeconds / SeriesStep.Seconds()), Violations: result.Violations}
 	r.judge()
 	return r, nil
 }
@@ -105,19 +105,19 @@
 // judge finds when the share was back.
 func (r *Recovery) judge() {
 	over := func(from, to int) (share float64, any bool) {
-		var sum Share
+		var sum SeriesPoint
 		for _, s := range r.Series[max(from, 0):min(max(to, 0), len(r.Series))] {
 			sum.Requests += s.Requests
 			sum.Served += s.Served
 		}
 		return float64(sum.Served) / float64(max(sum.Requests, 1)), sum.Requests > 0
 	}
-	r.Before, _ = over(firstSteps, r.At-lastSteps)
-	r.After, _ = over(r.At, len(r.Series)-lastSteps)
-	r.Seconds = -1
-	for n := r.At; n+backOver <= len(r.Series)-lastSteps; n++ {
-		if share, any := over(n, n+backOver); any && share >= backAt*r.Before {
-			r.Seconds = (time.Duration(n-r.At) * Step).Seconds()
+	r.ServedBefore, _ = over(firstSteps, r.RestartStep-lastSteps)
+	r.ServedAfter, _ = over(r.RestartStep, len(r.Series)-lastSteps)
+	r.RecoverySeconds = -1
+	for n := r.RestartStep; n+backOver <= len(r.Series)-lastSteps; n++ {
+		if share, any := over(n, n+backOver); any && share >= backAt*r.ServedBefore {
+			r.RecoverySeconds = (time.Duration(n-r.RestartStep) * SeriesStep).Seconds()
 			return
 		}
 	}
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -19,32 +19,32 @@
 
 // The disks: none at all, a sound one, and one that stands still now and then.
 const (
-	NoDisk    Disk = "none"
-	SoundDisk Disk = "sound"
-	SickDisk  Disk = "stalling"
+	NoDisk      Disk = "none"
+	HealthyDisk Disk = "sound"
+	FaultyDisk  Disk = "stalling"
 )
 
 // StateCostConfig is what the cost of keeping state is measured with. The daemon is a program with the command line of
 // `cataloguectl state serve`, so that one program plays all disks.
 type StateCostConfig struct {
-	HoldConfig
-	KeyedRate float64 // keyed requests a second, on a connection of their own
-	Sick      faultfs.Habits
+	SaturationConfig
+	IdempotentRate float64 // keyed requests a second, on a connection of their own
+	FaultProfile   faultfs.Profile
 }
 
-// StateLoad is a round: what lookups and keyed requests got on a disk. Lookups come as fast as they are answered, keyed ones at
+// StateThroughput is a round: what lookups and keyed requests got on a disk. Lookups come as fast as they are answered, keyed ones at
 // their rate, and a keyed one's latency counts from when it was meant to be sent.
-type StateLoad struct {
-	Disk    Disk    `json:"disk"`
-	Lookups Load    `json:"lookups"`
-	Keyed   Load    `json:"keyed"`
-	Refused int     `json:"refused"` // keyed requests that were not served
-	Syncs   float64 `json:"syncs"`   // for each keyed request that was
+type StateThroughput struct {
+	Disk       Disk       `json:"disk"`
+	Lookups    Throughput `json:"lookups"`
+	Idempotent Throughput `json:"keyed"`
+	Rejected   int        `json:"refused"` // keyed requests that were not served
+	Syncs      float64    `json:"syncs"`   // for each keyed request that was
 }
 
 // StateCost compares disks that were taken in turn.
 type StateCost struct {
-	Rounds []StateLoad `json:"rounds"`
+	Rounds []StateThroughput `json:"rounds"`
 	// Ratio has the medians over the rounds of a disk's figures over those with none, by disk, class and figure.
 	Ratio map[Disk]map[string]map[string]float64 `json:"ratio"`
 }
@@ -57,11 +57,11 @@
 		return nil, fmt.Errorf("storm: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	disks := []Disk{NoDisk, SoundDisk, SickDisk}
+	disks := []Disk{NoDisk, HealthyDisk, FaultyDisk}
 	cost := &StateCost{Ratio: map[Disk]map[string]map[string]float64{}}
 	of := map[Disk]map[string]map[string][]float64{}
 	for round := range c.Rounds {
-		loads := map[Disk]*StateLoad{}
+		loads := map[Disk]*StateThroughput{}
 		for n := range disks {
 			if err := ctx.Err(); err != nil {
 				return nil, err
@@ -81,8 +81,8 @@
 			if of[disk] == nil {
 				of[disk] = map[string]map[string][]float64{"lookups": {}, "keyed": {}}
 			}
-			for class, pair := range map[string][2]*Load{"lookups": {&loads[disk].Lookups, &loads[NoDisk].Lookups},
-				"keyed": {&loads[disk].Keyed, &loads[NoDisk].Keyed}} {
+			for class, pair := range map[string][2]*Throughput{"lookups": {&loads[disk].Lookups, &loads[NoDisk].Lookups},
+				"keyed": {&loads[disk].Idempotent, &loads[NoDisk].Idempotent}} {
 				for name, v := range ratios(pair[0], pair[1]) {
 					of[disk][class][name] = append(of[disk][class][name], v)
 				}
@@ -105,21 +105,21 @@
 }
 
 // holdState runs one round.
-func holdState(c StateCostConfig, disk Disk, dir string) (*StateLoad, error) {
+func holdState(c StateCostConfig, disk Disk, dir string) (*StateThroughput, error) {
 	args := []string{"state", "serve"}
 	if disk != NoDisk {
 		args = append(args, "--dir", dir)
 	}
-	if disk == SickDisk {
-		args = append(args, "--stall", c.Sick.Stall.String(), "--every", c.Sick.Every.String())
+	if disk == FaultyDisk {
+		args = append(args, "--stall", c.FaultProfile.StallTime.String(), "--every", c.FaultProfile.StallInterval.String())
 	}
-	out := &StateLoad{Disk: disk}
+	out := &StateThroughput{Disk: disk}
 	served := 0
-	lookups, d, err := hold(c.HoldConfig, args, func(d *daemon, end time.Time) error {
-		k := paced{rate: c.KeyedRate, h: newLatencies()}
+	lookups, d, err := hold(c.SaturationConfig, args, func(d *daemon, end time.Time) error {
+		k := paced{rate: c.IdempotentRate, h: newLatencies()}
 		err := k.run(d.addr, end)
-		out.Keyed.fill(k.h, c.For)
-		served, out.Refused = k.served, int(k.h.TotalCount())-k.served
+		out.Idempotent.fill(k.h, c.RoundDuration)
+		served, out.Rejected = k.served, int(k.h.TotalCount())-k.served
 		return err
 	})
 	if err != nil {
@@ -157,7 +157,7 @@
 	read := make(chan error, 1)
 	go func() {
 		for {
-			a, err := g.Read(0, end.Add(patience))
+			a, err := g.ReadResponse(0, end.Add(patience))
 			now := time.Now()
 			if err != nil {
 				read <- err
@@ -182,7 +182,7 @@
 			mu.Lock()
 			intended[id] = next
 			mu.Unlock()
-			if err := g.Write(fake.Reserve(n, "a body of a usual length, say").Records(id)); err != nil {
+			if err := g.Write(fake.NewReserve(n, "a body of a usual length, say").Encode(id)); err != nil {
 				return err
 			}
 		}
--- a/internal/loadtest/storm.go
+++ b/internal/loadtest/storm.go
@@ -30,30 +30,30 @@
 // Result is what came of a storm. Latencies are in milliseconds, of served requests from the moment at which their
 // first try was meant to be sent.
 type Result struct {
-	Seed       uint64         `json:"seed"`
-	Requests   int            `json:"requests"` // first tries sent
-	Tries      int            `json:"tries"`    // all tries sent
-	Unsent     int            `json:"unsent"`   // no connection had room
-	Served     int            `json:"served"`   // tries
-	Refused    int            `json:"refused"`
-	Failed     int            `json:"failed"`
-	Lost       int            `json:"lost"`    // tries whose connection ended
-	Share      float64        `json:"share"`   // of the first tries' requests, served by any of their tries
-	Repeats    int            `json:"repeats"` // of keyed requests that were served before
-	Links      int            `json:"links"`   // connections that the interpreter saw
-	Seconds    float64        `json:"seconds"`
-	Rate       float64        `json:"rate"` // tries answered a second
-	P50        float64        `json:"p50_ms"`
-	P99        float64        `json:"p99_ms"`
-	P999       float64        `json:"p999_ms"`
-	Exit       int            `json:"exit"` // the daemon's status
-	Breaches   []string       `json:"breaches"`
-	Counters   map[string]any `json:"counters"` // the daemon's own, at its end
-	RestartAt  float64        `json:"restart_at_s,omitempty"`
-	Shares     []Share        `json:"shares,omitempty"` // over steps of time, where the daemon was restarted
-	Capture    map[string]any `json:"capture,omitempty"`
-	DaemonCPU  float64        `json:"daemon_cpu_s"`
-	DaemonPeak int64          `json:"daemon_peak_kb"`
+	Seed             uint64         `json:"seed"`
+	Requests         int            `json:"requests"` // first tries sent
+	Attempts         int            `json:"tries"`    // all tries sent
+	Unsent           int            `json:"unsent"`   // no connection had room
+	Served           int            `json:"served"`   // tries
+	Rejected         int            `json:"refused"`
+	Failed           int            `json:"failed"`
+	Lost             int            `json:"lost"`    // tries whose connection ended
+	ServedShare      float64        `json:"share"`   // of the first tries' requests, served by any of their tries
+	Repeats          int            `json:"repeats"` // of keyed requests that were served before
+	LinkCount        int            `json:"links"`   // connections that the interpreter saw
+	Seconds          float64        `json:"seconds"`
+	Rate             float64        `json:"rate"` // tries answered a second
+	P50              float64        `json:"p50_ms"`
+	P99              float64        `json:"p99_ms"`
+	P999             float64        `json:"p999_ms"`
+	ExitStatus       int            `json:"exit"` // the daemon's status
+	Violations       []string       `json:"breaches"`
+	Counters         map[string]any `json:"counters"` // the daemon's own, at its end
+	RestartSeconds   float64        `json:"restart_at_s,omitempty"`
+	Series           []SeriesPoint  `json:"shares,omitempty"` // over steps of time, where the daemon was restarted
+	Capture          map[string]any `json:"capture,omitempty"`
+	DaemonCPUSeconds float64        `json:"daemon_cpu_s"`
+	DaemonPeakKB     int64          `json:"daemon_peak_kb"`
 }
 
 // request is what a caller wants.
@@ -71,7 +71,7 @@
 type storm struct {
 	cfg      Config
 	daemon   *daemon
-	observer *invariant.Observer
+	observer *invariant.Checker
 	gateways []*gateway
 	readers  sync.WaitGroup
 	turn     int
@@ -88,22 +88,22 @@
 	restarted chan error // nil until a restart
 }
 
-// Step is the time that each figure of Result.Shares is over.
-const Step = 250 * time.Millisecond
+// SeriesStep is the time that each figure of Result.Shares is over.
+const SeriesStep = 250 * time.Millisecond
 
-// Share is how many requests were first meant to be sent in a step, and how many of them were served by any of their tries.
-type Share struct {
+// ServedShare is how many requests were first meant to be sent in a step, and how many of them were served by any of their tries.
+type SeriesPoint struct {
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
 }
 
 // step is that of a time, with the lock held.
-func (s *storm) step(at time.Time) *Share {
-	n := max(int(at.Sub(s.begun)/Step), 0)
-	for len(s.result.Shares) <= n {
-		s.result.Shares = append(s.result.Shares, Share{})
+func (s *storm) step(at time.Time) *SeriesPoint {
+	n := max(int(at.Sub(s.begun)/SeriesStep), 0)
+	for len(s.result.Series) <= n {
+		s.result.Series = append(s.result.Series, SeriesPoint{})
 	}
-	return &s.result.Shares[n]
+	return &s.result.Series[n]
 }
 
 // tries is a heap by the time at which they are meant to be sent.
@@ -129,7 +129,7 @@
 
 // Run plays a storm to its end, or until the context ends it sooner; the daemon is drained either way.
 func Run(ctx context.Context, c Config) (*Result, error) {
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	d, err := start(c)
@@ -137,17 +137,17 @@
 		return nil, err
 	}
 	defer d.kill()
-	s := &storm{cfg: c, daemon: d, observer: invariant.New(fake.Window), rng: rand.New(rand.NewPCG(c.Seed, 0)),
+	s := &storm{cfg: c, daemon: d, observer: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(c.Seed, 0)),
 		latency: newLatencies()}
 	s.result.Seed = c.Seed
-	d.interpreter.OnApply(func(a fake.Apply) { s.observer.Ran(a.ID) })
+	d.interpreter.OnRun(func(a fake.RunCommand) { s.observer.RecordRun(a.ID) })
 	for range c.Gateways {
 		s.gateways = append(s.gateways, newGateway(s))
 	}
 	s.begun = time.Now()
 	over := make(chan struct{})
 	defer close(over)
-	go watchPauses(s.observer.Excuse, over)
+	go watchPauses(s.observer.ExcusePause, over)
 	err = s.play(ctx)
 	if s.restarted != nil {
 		err = errors.Join(err, <-s.restarted)
@@ -194,14 +194,14 @@
 // incident has happen what belongs behind the first try of the number.
 func (s *storm) incident(n int) error {
 	if s.cfg.CutLink && (n+1)%max(s.cfg.Requests/4, 1) == 0 && n+1 < s.cfg.Requests {
-		s.daemon.interpreter.Cut()
+		s.daemon.interpreter.CutLink()
 	}
 	if s.cfg.Reload && n == s.cfg.Requests/2 {
 		return s.daemon.reload()
 	}
 	if s.cfg.Restart && n == s.cfg.Requests/2 {
 		s.mu.Lock()
-		s.result.RestartAt = time.Since(s.begun).Seconds()
+		s.result.RestartSeconds = time.Since(s.begun).Seconds()
 		s.mu.Unlock()
 		s.restarted = make(chan error, 1)
 		go func() { s.restarted <- s.daemon.restart(s.cfg) }() // requests come meanwhile
@@ -236,10 +236,10 @@
 	if s.rng.Float64() < 0.3 {
 		r.tenant = "northern"
 	}
-	if s.rng.Float64() < s.cfg.Keyed {
+	if s.rng.Float64() < s.cfg.IdempotentShare {
 		r.key = fmt.Sprintf("%016x%016x", s.rng.Uint64(), n)
 	}
-	r.body = fake.WorkBody(strconv.Itoa(n), time.Duration(s.rng.ExpFloat64()*float64(s.cfg.Work)))
+	r.body = fake.WorkBody(strconv.Itoa(n), time.Duration(s.rng.ExpFloat64()*float64(s.cfg.MeanWork)))
 	return s.again(r, at)
 }
 
@@ -255,7 +255,7 @@
 		s.turn = (s.turn + 1) % len(s.gateways)
 		if s.gateways[s.turn].send(t) {
 			s.mu.Lock()
-			s.result.Tries++
+			s.result.Attempts++
 			if t.number == 1 {
 				s.result.Requests++
 			}
@@ -270,25 +270,25 @@
 
 // records is a try as it is written.
 func (s *storm) records(t *try, id uint16) []byte {
-	r := fake.Try(t.id, t.request.key, t.received, t.request.body)
-	r.Fields["Account"] = t.request.tenant
+	r := fake.NewAttempt(t.id, t.request.key, t.received, t.request.body)
+	r.Headers["Account"] = t.request.tenant
 	if t.number > 1 {
-		r.Fields["Attempt-Again"] = "1"
+		r.Headers["Attempt-Again"] = "1"
 	}
-	return r.Records(id)
+	return r.Encode(id)
 }
 
 // told is a try as the observer is told of it.
-func (s *storm) told(t *try) invariant.Try {
+func (s *storm) told(t *try) invariant.Attempt {
 	keyed := t.request.key != ""
-	return invariant.Try{ID: t.id, Key: t.request.key, Once: keyed, Received: t.received, Result: string(fake.Result(t.request.body)),
-		Due: t.received.Add(fake.Deadline(keyed) + answerSlack)}
+	return invariant.Attempt{ID: t.id, Key: t.request.key, AtMostOnce: keyed, Received: t.received, ExpectedBody: string(fake.WorkResult(t.request.body)),
+		Deadline: t.received.Add(fake.Deadline(keyed) + answerSlack)}
 }
 
 // answered takes in an answer and decides whether a further try follows.
-func (s *storm) answered(t *try, a fake.Answer, now time.Time) {
+func (s *storm) answered(t *try, a fake.Response, now time.Time) {
 	kind := a.Outcome()
-	s.observer.Answered(t.id, kind, string(a.Body), now)
+	s.observer.RecordAnswer(t.id, kind, string(a.Body), now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := t.request
@@ -303,14 +303,14 @@
 			}
 			record(s.latency, now.Sub(r.first))
 		}
-		if r.key != "" && s.rng.Float64() < s.cfg.Repeat && !s.ended {
+		if r.key != "" && s.rng.Float64() < s.cfg.RepeatShare && !s.ended {
 			s.result.Repeats++
 			wait := time.Duration(s.rng.Float64() * float64(2*time.Second))
 			heap.Push(&s.later, s.again(r, now.Add(wait)))
 		}
-	case invariant.Refused:
-		s.result.Refused++
-		if r.tries < s.cfg.Tries && a.Header.Get("Final-Refusal") == "" && !s.ended {
+	case invariant.Rejected:
+		s.result.Rejected++
+		if r.tries < s.cfg.MaxAttempts && a.Header.Get("Final-Refusal") == "" && !s.ended {
 			ms, err := strconv.Atoi(a.Header.Get("Back-Off-Ms"))
 			if err != nil {
 				ms = 50
@@ -326,7 +326,7 @@
 // lost takes in that the connection of a try ended.
 func (s *storm) lost(t *try) {
 	if s.cfg.Restart {
-		s.observer.Lost(t.id) // no answer can be owed by a daemon that was killed
+		s.observer.RecordLost(t.id) // no answer can be owed by a daemon that was killed
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -340,14 +340,14 @@
 	}
 	s.mu.Lock()
 	s.ended = true // no tries are made beyond those that were meant before
-	for i := range s.cfg.Tail {
-		at := time.Now().Add(drainTail * time.Duration(i) / time.Duration(s.cfg.Tail))
+	for i := range s.cfg.DrainRequests {
+		at := time.Now().Add(drainTail * time.Duration(i) / time.Duration(s.cfg.DrainRequests))
 		heap.Push(&s.later, s.first(s.cfg.Requests+i, at))
 	}
 	s.mu.Unlock()
 	s.until(time.Now().Add(drainTail))
 	code, err := s.daemon.wait()
-	s.result.Exit = code
+	s.result.ExitStatus = code
 	if err != nil {
 		return err
 	}
@@ -362,19 +362,19 @@
 func (s *storm) finish(begun time.Time) (*Result, error) {
 	r := &s.result
 	r.Seconds = time.Since(begun).Seconds()
-	r.Rate = float64(r.Served+r.Refused+r.Failed) / r.Seconds
-	r.Share = float64(s.served) / float64(max(r.Requests, 1))
+	r.Rate = float64(r.Served+r.Rejected+r.Failed) / r.Seconds
+	r.ServedShare = float64(s.served) / float64(max(r.Requests, 1))
 	ms := func(q float64) float64 { return float64(s.latency.ValueAtQuantile(q)) / 1000 }
 	r.P50, r.P99, r.P999 = ms(50), ms(99), ms(99.9)
-	r.Links = s.daemon.interpreter.Links()
-	r.Breaches = s.observer.Breaches(time.Now().Add(fake.ReserveDeadline + time.Second))
-	if r.Exit != 0 {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("the daemon ended with status %d", r.Exit))
+	r.LinkCount = s.daemon.interpreter.LinkCount()
+	r.Violations = s.observer.Violations(time.Now().Add(fake.ReserveDeadline + time.Second))
+	if r.ExitStatus != 0 {
+		r.Violations = append(r.Violations, fmt.Sprintf("the daemon ended with status %d", r.ExitStatus))
 	}
 	state := s.daemon.cmd.ProcessState
-	r.DaemonCPU = (state.UserTime() + state.SystemTime()).Seconds()
+	r.DaemonCPUSeconds = (state.UserTime() + state.SystemTime()).Seconds()
 	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
-		r.DaemonPeak = usage.Maxrss
+		r.DaemonPeakKB = usage.Maxrss
 	}
 	r.Counters, r.Capture = s.daemon.logged("counters"), s.daemon.logged("capture")
 	return r, nil
--- a/internal/maintenance/chores.go
+++ b/internal/maintenance/chores.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// Chore is one kind of background work.
-type Chore struct {
-	Name     string
-	Priority int           // the higher goes first
-	Every    time.Duration // least time between two runs
-	Deadline time.Duration // longest time between two runs, though the server is pressed or the budgets are used up; 0 is none
+// Task is one kind of background work.
+type Task struct {
+	Name        string
+	Priority    int           // the higher goes first
+	MinInterval time.Duration // least time between two runs
+	MaxInterval time.Duration // longest time between two runs, though the server is pressed or the budgets are used up; 0 is none
 }
 
 // Cost is what a run took.
 type Cost struct {
-	Time  time.Duration
-	Bytes int64
+	Duration time.Duration
+	Bytes    int64
 }
 
 // Budget is what all chores may take.
 type Budget struct {
-	Time  time.Duration // of each second
-	Bytes int64         // a second
+	TimePerSecond  time.Duration // of each second
+	BytesPerSecond int64         // a second
 }
 
 // burst is how many seconds of a budget may be used at once.
@@ -36,7 +36,7 @@
 
 // state is a chore's.
 type state struct {
-	Chore
+	Task
 	last    time.Duration // when it last ended
 	running bool
 	runs    uint64
@@ -55,18 +55,18 @@
 }
 
 // New returns a scheduler of chores, all of which may run at once.
-func New(b Budget, now time.Duration, chores ...Chore) (*Scheduler, error) {
-	s := &Scheduler{budget: b, at: now, time: burst * b.Time.Seconds(), bytes: burst * float64(b.Bytes)}
+func New(b Budget, now time.Duration, chores ...Task) (*Scheduler, error) {
+	s := &Scheduler{budget: b, at: now, time: burst * b.TimePerSecond.Seconds(), bytes: burst * float64(b.BytesPerSecond)}
 	seen := map[string]bool{}
 	for _, c := range chores {
 		switch {
 		case c.Name == "" || seen[c.Name]:
 			return nil, fmt.Errorf("chores: a chore called %q, want a name of its own", c.Name)
-		case c.Every < 0 || c.Deadline != 0 && c.Deadline < c.Every:
-			return nil, fmt.Errorf("chores: %s runs every %v and has to after %v", c.Name, c.Every, c.Deadline)
+		case c.MinInterval < 0 || c.MaxInterval != 0 && c.MaxInterval < c.MinInterval:
+			return nil, fmt.Errorf("chores: %s runs every %v and has to after %v", c.Name, c.MinInterval, c.MaxInterval)
 		}
 		seen[c.Name] = true
-		s.chores = append(s.chores, &state{Chore: c, last: now})
+		s.chores = append(s.chores, &state{Task: c, last: now})
 	}
 	slices.SortStableFunc(s.chores, func(a, b *state) int { return -cmp.Compare(a.Priority, b.Priority) })
 	return s, nil
@@ -76,15 +76,15 @@
 func (s *Scheduler) refill(now time.Duration) {
 	since := max(now-s.at, 0).Seconds()
 	s.at = max(s.at, now)
-	s.time = min(s.time+since*s.budget.Time.Seconds(), burst*s.budget.Time.Seconds())
-	s.bytes = min(s.bytes+since*float64(s.budget.Bytes), burst*float64(s.budget.Bytes))
+	s.time = min(s.time+since*s.budget.TimePerSecond.Seconds(), burst*s.budget.TimePerSecond.Seconds())
+	s.bytes = min(s.bytes+since*float64(s.budget.BytesPerSecond), burst*float64(s.budget.BytesPerSecond))
 }
 
 // Next is the chore that is to run now, or "". It counts as running until Done.
 func (s *Scheduler) Next(now time.Duration, pressed bool) string {
 	s.refill(now)
 	for _, c := range s.chores { // those whose deadline is over, whatever else
-		if !c.running && c.Deadline > 0 && now-c.last >= c.Deadline {
+		if !c.running && c.MaxInterval > 0 && now-c.last >= c.MaxInterval {
 			c.running = true
 			c.forced++
 			return c.Name
@@ -94,10 +94,10 @@
 		return ""
 	}
 	for _, c := range s.chores {
-		if c.running || now-c.last < c.Every {
+		if c.running || now-c.last < c.MinInterval {
 			continue
 		}
-		if s.time < c.mean.Time.Seconds() || s.bytes < float64(c.mean.Bytes) || s.time <= 0 || s.bytes <= 0 {
+		if s.time < c.mean.Duration.Seconds() || s.bytes < float64(c.mean.Bytes) || s.time <= 0 || s.bytes <= 0 {
 			return "" // one of lower priority must not use up what this one waits for
 		}
 		c.running = true
@@ -109,8 +109,8 @@
 // meanPart is the weight of one run in the mean cost.
 const meanPart = 0.3
 
-// Done hears of the end of a run and of what it took.
-func (s *Scheduler) Done(name string, now time.Duration, cost Cost) {
+// Finish hears of the end of a run and of what it took.
+func (s *Scheduler) Finish(name string, now time.Duration, cost Cost) {
 	s.refill(now)
 	for _, c := range s.chores {
 		if c.Name != name || !c.running {
@@ -120,27 +120,27 @@
 		if c.runs++; c.runs == 1 {
 			c.mean = cost
 		}
-		c.mean.Time += time.Duration(float64(cost.Time-c.mean.Time) * meanPart)
+		c.mean.Duration += time.Duration(float64(cost.Duration-c.mean.Duration) * meanPart)
 		c.mean.Bytes += int64(float64(cost.Bytes-c.mean.Bytes) * meanPart)
-		c.cost.Time, c.cost.Bytes = c.cost.Time+cost.Time, c.cost.Bytes+cost.Bytes
-		s.time -= cost.Time.Seconds() // below 0 where it took more than was thought: the next ones wait for it
+		c.cost.Duration, c.cost.Bytes = c.cost.Duration+cost.Duration, c.cost.Bytes+cost.Bytes
+		s.time -= cost.Duration.Seconds() // below 0 where it took more than was thought: the next ones wait for it
 		s.bytes -= float64(cost.Bytes)
 		return
 	}
 }
 
-// Report is what a chore did.
-type Report struct {
+// TaskStats is what a chore did.
+type TaskStats struct {
 	Name         string
 	Runs, Forced uint64
 	Cost         Cost
 }
 
-// Reports are those of all chores, by priority.
-func (s *Scheduler) Reports() []Report {
-	var list []Report
+// Stats are those of all chores, by priority.
+func (s *Scheduler) Stats() []TaskStats {
+	var list []TaskStats
 	for _, c := range s.chores {
-		list = append(list, Report{c.Name, c.runs, c.forced, c.cost})
+		list = append(list, TaskStats{c.Name, c.runs, c.forced, c.cost})
 	}
 	return list
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -45,7 +45,7 @@
 
 // Collect implements prometheus.Collector. A server that is ending has no metrics.
 func (c *collector) Collect(out chan<- prometheus.Metric) {
-	r, ok := c.server.Routing()
+	r, ok := c.server.RoutingStats()
 	if !ok {
 		return
 	}
@@ -56,16 +56,16 @@
 		send(describe("all_"+counter.Name+"_total", "Counter "+counter.Name+" of the log's counters line."), prometheus.CounterValue, float64(counter.Value))
 	}
 	for _, p := range r.Pools {
-		send(describe("budget", "Further tries that the pool's budget would allow at once.", "pool"), prometheus.GaugeValue, p.Budget, p.Name)
-		send(describe("idle_connections", "Connections to members that are kept.", "pool"), prometheus.GaugeValue, float64(p.Idle), p.Name)
+		send(describe("budget", "Further tries that the pool's budget would allow at once.", "pool"), prometheus.GaugeValue, p.RetryBudget, p.Name)
+		send(describe("idle_connections", "Connections to members that are kept.", "pool"), prometheus.GaugeValue, float64(p.IdleConns), p.Name)
 		for _, m := range p.Members {
 			labels := []string{p.Name, m.Addr}
-			send(describe("member_tries_total", "Tries sent to the member.", "pool", "member"), prometheus.CounterValue, float64(m.Tries), labels...)
+			send(describe("member_tries_total", "Tries sent to the member.", "pool", "member"), prometheus.CounterValue, float64(m.Attempts), labels...)
 			send(describe("member_failures_total", "Tries at the member that failed.", "pool", "member"), prometheus.CounterValue, float64(m.Failures), labels...)
 			send(describe("member_ejections_total", "Times that the member was ejected.", "pool", "member"), prometheus.CounterValue, float64(m.Ejections), labels...)
-			send(describe("member_open", "Tries open at the member.", "pool", "member"), prometheus.GaugeValue, float64(m.Open), labels...)
+			send(describe("member_open", "Tries open at the member.", "pool", "member"), prometheus.GaugeValue, float64(m.InFlight), labels...)
 			in := 1.0
-			if m.Out {
+			if m.Unavailable {
 				in = 0
 			}
 			send(describe("member_in", "Whether the member may get tries: 1, or 0 while it is out or ejected.", "pool", "member"), prometheus.GaugeValue, in, labels...)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -30,7 +30,7 @@
 	}
 	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	s, err := server.NewRouter(&server.RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256,
-		Description: d, Seed: 1}, zap.NewNop())
+		Routes: d, Seed: 1}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 	go func() { ended <- s.Run() }()
 	g := servertest.Dial(t, at.String())
 	for range 3 {
-		g.Write(fake.Request{Method: "GET", Path: "/x"}.Records(1))
-		if a := g.Answer(1); a.Status != 200 {
+		g.Write(fake.Request{Method: "GET", Path: "/x"}.Encode(1))
+		if a := g.WaitResponse(1); a.Status != 200 {
 			t.Errorf("answer %+v", a)
 		}
 	}
