--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -21,9 +21,9 @@
 
 // Import turns a configuration into a description, and names all that is not carried over. The error is for what
 // can't be read at all.
-func Import(list []*Directive) (*routeconfig.Description, []Remark, error) {
-	m := &importer{d: &routeconfig.Description{Capacity: routeconfig.DefaultCapacity, Classes: []routeconfig.Class{{Name: className, Aim: time.Second,
-		Deadline: time.Minute, Effect: routeconfig.ByMethod, Worth: 1}}}, upstreams: map[string]*upstream{}, used: map[string]bool{},
+func Import(list []*Directive) (*routeconfig.Config, []Diagnostic, error) {
+	m := &importer{d: &routeconfig.Config{Capacity: routeconfig.DefaultCapacity, Classes: []routeconfig.Class{{Name: className, LatencyObjective: time.Second,
+		Deadline: time.Minute, Effect: routeconfig.EffectByMethod, Weight: 1}}}, upstreams: map[string]*upstream{}, used: map[string]bool{},
 		pools: map[string]string{}, goes: map[*routeconfig.Location]goes{}}
 	http := list
 	for _, d := range list {
@@ -45,8 +45,8 @@
 
 // importer is an import under way.
 type importer struct {
-	d         *routeconfig.Description
-	remarks   []Remark
+	d         *routeconfig.Config
+	remarks   []Diagnostic
 	upstreams map[string]*upstream
 	used      map[string]bool   // names of pools
 	pools     map[string]string // names by what makes a pool of its own
@@ -63,7 +63,7 @@
 
 // note names something.
 func (m *importer) note(d *Directive, s Severity, format string, args ...any) {
-	m.remarks = append(m.remarks, Remark{d.At, d.String(), s, fmt.Sprintf(format, args...)})
+	m.remarks = append(m.remarks, Diagnostic{d.Pos, d.String(), s, fmt.Sprintf(format, args...)})
 }
 
 // leave names a directive that is not carried over.
@@ -72,7 +72,7 @@
 		m.note(d, l.severity, "%s", l.reason)
 		return
 	}
-	m.note(d, Changes, "the importer does not know it")
+	m.note(d, ChangesBehavior, "the importer does not know it")
 }
 
 // scope is what a level inherits to those within it.
@@ -85,7 +85,7 @@
 // passing is what a level inherits of how requests are passed on by one protocol.
 type passing struct {
 	params    []routeconfig.Param
-	next      pool.Condition
+	next      pool.RetryCondition
 	tries     int
 	tryFor    time.Duration
 	connect   time.Duration
@@ -101,7 +101,7 @@
 func outermost() scope {
 	s := scope{merge: true, passing: map[string]passing{}}
 	for _, protocol := range protocols {
-		s.passing[protocol] = passing{next: pool.Last, connect: time.Minute, read: time.Minute, send: time.Minute}
+		s.passing[protocol] = passing{next: pool.DefaultRetryOn, connect: time.Minute, read: time.Minute, send: time.Minute}
 	}
 	return s
 }
@@ -212,28 +212,28 @@
 	case "off":
 		return false, nil
 	}
-	return false, sexp.Errorf(d.At, "found %q in %s, want on or off", d.Arg(0), d.Name)
+	return false, sexp.Errorf(d.Pos, "found %q in %s, want on or off", d.Arg(0), d.Name)
 }
 
 func count(d *Directive) (int, error) {
 	n, err := strconv.Atoi(d.Arg(0))
 	if err != nil || n < 0 {
-		return 0, sexp.Errorf(d.At, "found %q in %s, want a number", d.Arg(0), d.Name)
+		return 0, sexp.Errorf(d.Pos, "found %q in %s, want a number", d.Arg(0), d.Name)
 	}
 	return n, nil
 }
 
 func span(d *Directive) (time.Duration, error) {
-	t, err := Duration(d.Arg(0))
+	t, err := ParseDuration(d.Arg(0))
 	if err != nil {
-		return 0, sexp.Errorf(d.At, "found %q in %s, want a time", d.Arg(0), d.Name)
+		return 0, sexp.Errorf(d.Pos, "found %q in %s, want a time", d.Arg(0), d.Name)
 	}
 	return t, nil
 }
 
-// Duration reads a time as nginx writes it: figures with ms, s, m, h, d, w, M and y, one after the other; without a unit
+// ParseDuration reads a time as nginx writes it: figures with ms, s, m, h, d, w, M and y, one after the other; without a unit
 // seconds.
-func Duration(text string) (time.Duration, error) {
+func ParseDuration(text string) (time.Duration, error) {
 	units := []struct {
 		name string
 		of   time.Duration
@@ -273,14 +273,14 @@
 // param takes a parameter for members. Those whose values need variables are named.
 func (m *importer) param(list []routeconfig.Param, d *Directive) ([]routeconfig.Param, error) {
 	if len(d.Args) < 2 || len(d.Args) > 3 {
-		return nil, sexp.Errorf(d.At, "%s has %d arguments, want a name and a value", d.Name, len(d.Args))
+		return nil, sexp.Errorf(d.Pos, "%s has %d arguments, want a name and a value", d.Name, len(d.Args))
 	}
 	if list == nil {
 		list = []routeconfig.Param{}
 	}
 	if strings.Contains(d.Arg(1), "$") {
 		if !gatewayParams[d.Arg(0)] {
-			m.note(d, Changes, "its value is made of variables, which are not computed")
+			m.note(d, ChangesBehavior, "its value is made of variables, which are not computed")
 		}
 		return list, nil
 	}
@@ -293,11 +293,11 @@
 	"REMOTE_PORT": true, "SERVER_ADDR": true, "SERVER_PORT": true, "SERVER_NAME": true, "REQUEST_SCHEME": true, "HTTPS": true}
 
 // conditions reads next_upstream.
-func (m *importer) conditions(d *Directive) (all pool.Condition, err error) {
+func (m *importer) conditions(d *Directive) (all pool.RetryCondition, err error) {
 	for _, w := range d.Args {
-		c, err := routeconfig.Condition(w.Text)
+		c, err := routeconfig.ParseRetryCondition(w.Text)
 		if err != nil {
-			return 0, sexp.Errorf(w.At, "found %q in %s, want a condition such as error or http_503", w.Text, d.Name)
+			return 0, sexp.Errorf(w.Pos, "found %q in %s, want a condition such as error or http_503", w.Text, d.Name)
 		}
 		all |= c
 	}
@@ -306,36 +306,36 @@
 
 // errorPage takes a fallback to a named location; other targets are named.
 func (m *importer) errorPage(s *scope, d *Directive) error {
-	texts := d.Texts()
+	texts := d.ArgTexts()
 	if len(texts) < 2 {
-		return sexp.Errorf(d.At, "error_page has %d arguments, want statuses and a target", len(texts))
+		return sexp.Errorf(d.Pos, "error_page has %d arguments, want statuses and a target", len(texts))
 	}
 	target, texts := texts[len(texts)-1], texts[:len(texts)-1]
 	name, ok := strings.CutPrefix(target, "@")
 	if !ok || strings.Contains(name, "$") {
-		m.note(d, Changes, "only named locations take over for statuses")
+		m.note(d, ChangesBehavior, "only named locations take over for statuses")
 		return nil
 	}
-	f := routeconfig.Fallback{Name: name, As: routeconfig.Same}
+	f := routeconfig.Fallback{Location: name, ResponseStatus: routeconfig.KeepStatus}
 	if as, ok := strings.CutPrefix(texts[len(texts)-1], "="); ok {
 		texts = texts[:len(texts)-1]
-		f.As = 0
+		f.ResponseStatus = 0
 		var err error
 		if as != "" {
-			if f.As, err = strconv.Atoi(as); err != nil || f.As < 100 || f.As > 599 {
-				return sexp.Errorf(d.At, "found \"=%s\" in error_page, want = and a status", as)
+			if f.ResponseStatus, err = strconv.Atoi(as); err != nil || f.ResponseStatus < 100 || f.ResponseStatus > 599 {
+				return sexp.Errorf(d.Pos, "found \"=%s\" in error_page, want = and a status", as)
 			}
 		}
 	}
 	for _, t := range texts {
 		status, err := strconv.Atoi(t)
 		if err != nil || status < 300 || status > 599 {
-			return sexp.Errorf(d.At, "found %q in error_page, want a status of 300 to 599", t)
+			return sexp.Errorf(d.Pos, "found %q in error_page, want a status of 300 to 599", t)
 		}
-		f.On = append(f.On, status)
+		f.Statuses = append(f.Statuses, status)
 	}
-	if len(f.On) == 0 {
-		return sexp.Errorf(d.At, "error_page has no status")
+	if len(f.Statuses) == 0 {
+		return sexp.Errorf(d.Pos, "error_page has no status")
 	}
 	s.fallbacks = append(s.fallbacks, f)
 	return nil
@@ -344,13 +344,13 @@
 // upstream reads an upstream block.
 func (m *importer) upstream(d *Directive) error {
 	name := d.Arg(0)
-	if len(d.Args) != 1 || !d.Has {
-		return sexp.Errorf(d.At, "want upstream NAME {...}")
+	if len(d.Args) != 1 || !d.HasBlock {
+		return sexp.Errorf(d.Pos, "want upstream NAME {...}")
 	}
 	if before := m.upstreams[name]; before != nil {
-		return sexp.Errorf(d.At, "upstream %s is defined twice, first at %v", name, before.at)
+		return sexp.Errorf(d.Pos, "upstream %s is defined twice, first at %v", name, before.at)
 	}
-	u := &upstream{at: d.At, cfg: pool.Defaults()}
+	u := &upstream{at: d.Pos, cfg: pool.DefaultConfig()}
 	u.cfg.Name = name
 	for _, s := range d.Block {
 		if err := m.upstreamLine(u, s); err != nil {
@@ -358,7 +358,7 @@
 		}
 	}
 	if len(u.cfg.Members) == 0 {
-		return sexp.Errorf(d.At, "upstream %s has no servers that can be carried over", name)
+		return sexp.Errorf(d.Pos, "upstream %s has no servers that can be carried over", name)
 	}
 	m.upstreams[name] = u
 	return nil
@@ -370,20 +370,20 @@
 	case "server":
 		return m.member(u, d)
 	case "least_conn":
-		u.cfg.Method = pool.LeastConn
+		u.cfg.BalancingPolicy = pool.LeastConn
 	case "ip_hash":
-		u.cfg.Method = pool.IPHash
+		u.cfg.BalancingPolicy = pool.IPHash
 	case "random":
-		u.cfg.Method = pool.RandomTwo
+		u.cfg.BalancingPolicy = pool.RandomTwo
 		if d.Arg(0) != "two" {
-			m.note(d, Changes, "two members are drawn, and the one with fewer connections is taken")
+			m.note(d, ChangesBehavior, "two members are drawn, and the one with fewer connections is taken")
 		} else if t := d.Arg(1); t != "" && t != "least_conn" {
-			m.note(d, Changes, "the one with fewer connections is taken")
+			m.note(d, ChangesBehavior, "the one with fewer connections is taken")
 		}
 	case "hash":
-		u.cfg.Method = pool.Hash
+		u.cfg.BalancingPolicy = pool.Hash
 		if d.Arg(1) == "consistent" {
-			u.cfg.Method = pool.HashConsistent
+			u.cfg.BalancingPolicy = pool.HashConsistent
 		}
 		keys := map[string]string{"$request_uri": "uri", "$uri": "path", "$args": "query", "$host": "host",
 			"$remote_addr": "client", "$binary_remote_addr": "client"}
@@ -392,7 +392,7 @@
 			key, ok = "header:"+strings.ReplaceAll(name, "_", "-"), true
 		}
 		if !ok {
-			m.note(d, Changes, "the key %s is not known: the path is taken", d.Arg(0))
+			m.note(d, ChangesBehavior, "the key %s is not known: the path is taken", d.Arg(0))
 			key = "path"
 		}
 		u.hashKey = key
@@ -418,12 +418,12 @@
 		name, value, _ := strings.Cut(w.Text, "=")
 		number := func(to *int) {
 			if *to, err = strconv.Atoi(value); err != nil || *to < 0 {
-				err = sexp.Errorf(w.At, "found %q, want %s=NUMBER", w.Text, name)
+				err = sexp.Errorf(w.Pos, "found %q, want %s=NUMBER", w.Text, name)
 			}
 		}
 		duration := func(to *time.Duration) {
-			if *to, err = Duration(value); err != nil {
-				err = sexp.Errorf(w.At, "found %q, want %s=TIME", w.Text, name)
+			if *to, err = ParseDuration(value); err != nil {
+				err = sexp.Errorf(w.Pos, "found %q, want %s=TIME", w.Text, name)
 			}
 		}
 		switch name {
@@ -442,9 +442,9 @@
 		case "down":
 			mem.Down = true
 		case "resolve", "service", "route", "drain":
-			m.note(d, Changes, "%s is not carried over", name)
+			m.note(d, ChangesBehavior, "%s is not carried over", name)
 		default:
-			return sexp.Errorf(w.At, "found %q, want weight, max_conns, max_fails, fail_timeout, slow_start, backup or down", w.Text)
+			return sexp.Errorf(w.Pos, "found %q, want weight, max_conns, max_fails, fail_timeout, slow_start, backup or down", w.Text)
 		}
 		if err != nil {
 			return err
@@ -471,12 +471,12 @@
 
 // server imports a server.
 func (m *importer) server(d *Directive, outer scope) error {
-	s := routeconfig.Server{At: d.At}
+	s := routeconfig.Server{Pos: d.Pos}
 	inner, err := m.inherit(outer, d.Block)
 	if err != nil {
 		return err
 	}
-	s.Merge = inner.merge
+	s.MergeSlashes = inner.merge
 	flow := rewriting{list: &s.Rewrites}
 	for _, l := range d.Block {
 		var err error
@@ -484,7 +484,7 @@
 		case l.Name == "listen":
 			err = m.listen(&s, l)
 		case l.Name == "server_name":
-			s.Names = append(s.Names, l.Texts()...)
+			s.Names = append(s.Names, l.ArgTexts()...)
 		case l.Name == "location":
 			var loc *routeconfig.Location
 			if loc, err = m.location(l, inner); loc != nil {
@@ -503,9 +503,9 @@
 	}
 	m.passNames(&s)
 	if len(inner.fallbacks) > 0 && !slices.ContainsFunc(s.Locations, func(l *routeconfig.Location) bool {
-		return l.Pattern == "/" && (l.Kind == route.Prefix || l.Kind == route.NoRegex)
+		return l.Pattern == "/" && (l.Kind == route.Prefix || l.Kind == route.PrefixNoRegex)
 	}) { // what no location takes is a 404, for which the server may have a fallback
-		s.Locations = append(s.Locations, &routeconfig.Location{Kind: route.Prefix, Pattern: "/", Fallbacks: inner.fallbacks, At: d.At})
+		s.Locations = append(s.Locations, &routeconfig.Location{Kind: route.Prefix, Pattern: "/", Fallbacks: inner.fallbacks, Pos: d.Pos})
 	}
 	if len(s.Listen) == 0 {
 		s.Listen = []routeconfig.Listen{{Addr: netip.MustParseAddrPort("0.0.0.0:80")}}
@@ -527,7 +527,7 @@
 	}
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		m.note(d, Changes, "only addresses and ports are listened at")
+		m.note(d, ChangesBehavior, "only addresses and ports are listened at")
 		return nil
 	}
 	l := routeconfig.Listen{Addr: addr}
@@ -536,7 +536,7 @@
 		case "default_server", "default":
 			l.Default = true
 		case "ssl", "http2", "quic":
-			m.note(d, Changes, "the gateway ends TLS and HTTP: %s is left out", w.Text)
+			m.note(d, ChangesBehavior, "the gateway ends TLS and HTTP: %s is left out", w.Text)
 		default:
 			m.note(d, Harmless, "%s is about nginx's own socket", w.Text)
 		}
@@ -547,7 +547,7 @@
 
 // location imports a location and what is nested in it.
 func (m *importer) location(d *Directive, outer scope) (*routeconfig.Location, error) {
-	l := &routeconfig.Location{At: d.At, Intercept: true}
+	l := &routeconfig.Location{Pos: d.Pos, InterceptErrors: true}
 	if err := pattern(l, d); err != nil {
 		return nil, err
 	}
@@ -590,8 +590,8 @@
 
 // pattern reads a location's modifier and pattern, which may stand in one word.
 func pattern(l *routeconfig.Location, d *Directive) error {
-	kinds := map[string]route.Kind{"=": route.Exact, "~": route.Regex, "~*": route.RegexFold, "^~": route.NoRegex}
-	args := d.Texts()
+	kinds := map[string]route.Kind{"=": route.Exact, "~": route.Regex, "~*": route.RegexIgnoreCase, "^~": route.PrefixNoRegex}
+	args := d.ArgTexts()
 	switch len(args) {
 	case 1:
 		l.Pattern = args[0]
@@ -608,12 +608,12 @@
 	case 2:
 		kind, ok := kinds[args[0]]
 		if !ok {
-			return sexp.Errorf(d.At, "found %q in location, want =, ~, ~* or ^~", args[0])
+			return sexp.Errorf(d.Pos, "found %q in location, want =, ~, ~* or ^~", args[0])
 		}
 		l.Kind, l.Pattern = kind, args[1]
 		return nil
 	}
-	return sexp.Errorf(d.At, "location has %d arguments, want a pattern with or without a modifier", len(args))
+	return sexp.Errorf(d.Pos, "location has %d arguments, want a pattern with or without a modifier", len(args))
 }
 
 // answer reads a return.
@@ -624,14 +624,14 @@
 		status, value, err = 302, text, nil // return URL
 	}
 	if err != nil || status < 100 || status > 599 {
-		return sexp.Errorf(d.At, "found %q in return, want a status", text)
+		return sexp.Errorf(d.Pos, "found %q in return, want a status", text)
 	}
 	if strings.Contains(value, "$") {
 		m.note(d, Unsafe, "its text is made of variables, which are not computed")
 		return nil
 	}
-	if l.Status == 0 { // the first one counts
-		l.Status, l.Text = status, value
+	if l.ReturnStatus == 0 { // the first one counts
+		l.ReturnStatus, l.ReturnText = status, value
 	}
 	return nil
 }
@@ -647,17 +647,17 @@
 	if u == nil {
 		addr, ok := address(target)
 		if !ok {
-			return sexp.Errorf(d.At, "upstream %s is not defined, and names are not looked up", target)
+			return sexp.Errorf(d.Pos, "upstream %s is not defined, and names are not looked up", target)
 		}
-		u = &upstream{at: d.At, cfg: pool.Defaults()}
+		u = &upstream{at: d.Pos, cfg: pool.DefaultConfig()}
 		u.cfg.Name, u.cfg.Members = target, []pool.Member{pool.DefaultMember(addr)}
 	}
 	protocol, _ := protocolOf(d.Name)
 	by := s.passing[protocol]
-	p := routeconfig.Pool{Config: u.cfg, HashKey: u.hashKey, Protocol: protocol, Next: by.next, Keepalive: u.keepalive,
-		Connect: by.connect, Read: by.read, Send: by.send, At: d.At}
-	p.Tries, p.TryFor = by.tries, by.tryFor
-	key := fmt.Sprint(target, p.Protocol, p.Next, p.Tries, p.TryFor, p.Connect, p.Read, p.Send)
+	p := routeconfig.Pool{Config: u.cfg, HashKey: u.hashKey, Protocol: protocol, RetryOn: by.next, MaxIdleConns: u.keepalive,
+		ConnectTimeout: by.connect, ReadTimeout: by.read, SendTimeout: by.send, Pos: d.Pos}
+	p.MaxAttempts, p.RetryTimeout = by.tries, by.tryFor
+	key := fmt.Sprint(target, p.Protocol, p.RetryOn, p.MaxAttempts, p.RetryTimeout, p.ConnectTimeout, p.ReadTimeout, p.SendTimeout)
 	name, known := m.pools[key]
 	if !known {
 		name = target
@@ -665,16 +665,16 @@
 			name = fmt.Sprintf("%s-%d", target, n)
 		}
 		if name != target {
-			m.note(d, Changes, "the pool %s has settings of its own and its state is kept apart from %s's", name, target)
+			m.note(d, ChangesBehavior, "the pool %s has settings of its own and its state is kept apart from %s's", name, target)
 		}
 		m.pools[key], m.used[name] = name, true
 		p.Name = name
-		if err := p.Check(); err != nil {
+		if err := p.Validate(); err != nil {
 			return sexp.Errorf(u.at, "%v", err)
 		}
 		m.d.Pools = append(m.d.Pools, p)
 	}
 	l.Pool, l.Class, l.Params = name, className, by.params
-	l.Intercept = by.intercept || len(l.Fallbacks) == 0 // which has no meaning without any
+	l.InterceptErrors = by.intercept || len(l.Fallbacks) == 0 // which has no meaning without any
 	return nil
 }
--- a/internal/nginx/lex.go
+++ b/internal/nginx/lex.go
@@ -9,7 +9,7 @@
 
 // Word is one argument of a directive.
 type Word struct {
-	At     sexp.Pos
+	Pos    sexp.Pos
 	Text   string // with quotes taken off and escapes resolved
 	Quoted bool   // it stood in quotes
 }
@@ -46,7 +46,7 @@
 func (l *lexer) step() rune {
 	r, n := utf8.DecodeRuneInString(l.text)
 	l.text = l.text[n:]
-	l.at.Pass(r)
+	l.at.Advance(r)
 	return r
 }
 
@@ -69,7 +69,7 @@
 // next is the next token.
 func (l *lexer) next() (token, error) {
 	l.blank()
-	t := token{Word: Word{At: l.at}}
+	t := token{Word: Word{Pos: l.at}}
 	if l.text == "" {
 		t.kind = end
 		return t, nil
@@ -97,7 +97,7 @@
 	var b strings.Builder
 	for {
 		if l.text == "" {
-			return sexp.Errorf(t.At, "found the end of the file, want the %c that ends this word", quote)
+			return sexp.Errorf(t.Pos, "found the end of the file, want the %c that ends this word", quote)
 		}
 		switch r := l.step(); r {
 		case quote:
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -15,16 +15,16 @@
 )
 
 // files is a folder in memory.
-func files(texts ...string) Disk {
+func files(texts ...string) FSReader {
 	m := fstest.MapFS{}
 	for i := 0; i < len(texts); i += 2 {
 		m[texts[i]] = &fstest.MapFile{Data: []byte(texts[i+1])}
 	}
-	return Disk{m}
+	return FSReader{m}
 }
 
 // load imports one text.
-func load(t testing.TB, text string) (*routeconfig.Description, []Remark, error) {
+func load(t testing.TB, text string) (*routeconfig.Config, []Diagnostic, error) {
 	t.Helper()
 	list, err := Parse(files("nginx.conf", text), "nginx.conf")
 	if err != nil {
@@ -80,12 +80,12 @@
 		t.Errorf("read %q", names)
 	}
 	if d, _, err := Import(list); err != nil || len(d.Pools) != 2 || len(d.Servers[0].Locations) != 2 ||
-		d.Servers[0].Locations[1].At.File != "etc/deep/x" {
+		d.Servers[0].Locations[1].Pos.File != "etc/deep/x" {
 		t.Errorf("%v, %+v", err, d)
 	}
 	_, err = Parse(files("a", "include b;", "b", "\n  include c;", "c", "include a;"), "a")
 	var place *sexp.Error
-	if !errors.As(err, &place) || place.At.File != "c" || place.What != "the includes go round: a -> b -> c -> a" {
+	if !errors.As(err, &place) || place.Pos.File != "c" || place.Message != "the includes go round: a -> b -> c -> a" {
 		t.Errorf("a cycle: %v", err)
 	}
 }
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	want := []string{"b c", "d'e", "f\\;g", "${h}i", "$j", "", "l;", "m\n"}
-	if got := list[0].Texts(); !slices.Equal(got, want) || list[0].Args[6].At.Line != 2 {
+	if got := list[0].ArgTexts(); !slices.Equal(got, want) || list[0].Args[6].Pos.Line != 2 {
 		t.Errorf("read %q, want %q", got, want)
 	}
 }
@@ -106,7 +106,7 @@
 func TestDurations(t *testing.T) {
 	for text, want := range map[string]time.Duration{"30": 30 * time.Second, "250ms": 250 * time.Millisecond,
 		"1m30s": 90 * time.Second, "1h": time.Hour, "2d": 48 * time.Hour} {
-		if got, err := Duration(text); err != nil || got != want {
+		if got, err := ParseDuration(text); err != nil || got != want {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
@@ -148,10 +148,10 @@
 	}
 	got := map[string]Severity{}
 	for _, r := range remarks {
-		got[strings.Fields(r.What)[0]+fmt.Sprint(r.At.Line)] = r.Severity
+		got[strings.Fields(r.Directive)[0]+fmt.Sprint(r.Pos.Line)] = r.Severity
 	}
 	for what, severity := range map[string]Severity{"worker_processes1": Harmless, "zone5": Harmless, "fastcgi_param12": Harmless,
-		"if16": Unsafe, "fastcgi_pass16": Unsafe, "access_log17": Harmless, "frobnicate18": Changes} {
+		"if16": Unsafe, "fastcgi_pass16": Unsafe, "access_log17": Harmless, "frobnicate18": ChangesBehavior} {
 		if s, ok := got[what]; what != "fastcgi_param12" && (!ok || s != severity) {
 			t.Errorf("%s: %v, %t", what, s, ok)
 		}
@@ -173,7 +173,7 @@
 	for name := range left {
 		text := fmt.Sprintf("upstream u { server 10.0.0.1; } server { location / { %s x; fastcgi_pass u; } }", name)
 		_, remarks, err := load(t, text)
-		if err != nil || len(remarks) != 1 || remarks[0].At.Column != 55 {
+		if err != nil || len(remarks) != 1 || remarks[0].Pos.Column != 55 {
 			t.Errorf("%s: %v, %v", name, remarks, err)
 		}
 	}
@@ -239,7 +239,7 @@
 			return
 		}
 		if _, err := routeconfig.Parse("again", []byte(d.Format())); err != nil {
-			// What the table turns away, such as regexes that RE2 can't carry, is told when the description is read.
+			// Directive the table turns away, such as regexes that RE2 can't carry, is told when the description is read.
 			if !strings.Contains(err.Error(), ":") {
 				t.Errorf("error without its place: %v", err)
 			}
--- a/internal/nginx/parse.go
+++ b/internal/nginx/parse.go
@@ -14,11 +14,11 @@
 
 // Directive is one directive with its block.
 type Directive struct {
-	At    sexp.Pos
-	Name  string
-	Args  []Word
-	Block []*Directive // nil where it has none
-	Has   bool         // it has a block, though that may be empty
+	Pos      sexp.Pos
+	Name     string
+	Args     []Word
+	Block    []*Directive // nil where it has none
+	HasBlock bool         // it has a block, though that may be empty
 }
 
 // Arg is the text of an argument, or "".
@@ -29,8 +29,8 @@
 	return ""
 }
 
-// Texts are the arguments' texts.
-func (d *Directive) Texts() []string {
+// ArgTexts are the arguments' texts.
+func (d *Directive) ArgTexts() []string {
 	list := make([]string, len(d.Args))
 	for i, a := range d.Args {
 		list[i] = a.Text
@@ -40,8 +40,8 @@
 
 // String is the directive in one line.
 func (d *Directive) String() string {
-	text := strings.Join(append([]string{d.Name}, d.Texts()...), " ")
-	if d.Has {
+	text := strings.Join(append([]string{d.Name}, d.ArgTexts()...), " ")
+	if d.HasBlock {
 		text += " {...}"
 	}
 	return text
@@ -50,22 +50,22 @@
 // maxDepth bounds blocks and includes in each other.
 const maxDepth = 64
 
-// Reader reads the text of files and lists those that a pattern stands for; tests have one in memory.
-type Reader interface {
+// FileReader reads the text of files and lists those that a pattern stands for; tests have one in memory.
+type FileReader interface {
 	Read(name string) ([]byte, error)
 	Glob(pattern string) ([]string, error)
 }
 
 // Parse reads a file and all that it includes. Names of included files are relative to the directory of the first
 // file, as nginx's are to that of its configuration.
-func Parse(files Reader, name string) ([]*Directive, error) {
+func Parse(files FileReader, name string) ([]*Directive, error) {
 	p := &parser{files: files, root: path.Dir(filepath.ToSlash(name))}
 	return p.file(name, sexp.Pos{}, nil)
 }
 
 // parser reads files.
 type parser struct {
-	files Reader
+	files FileReader
 	root  string
 }
 
@@ -109,7 +109,7 @@
 		case t.kind == shut && opened.File != "":
 			return list, nil
 		case t.kind != word:
-			return nil, sexp.Errorf(t.At, "found %v, want a directive", t.kind)
+			return nil, sexp.Errorf(t.Pos, "found %v, want a directive", t.kind)
 		}
 		d, err := p.directive(l, t, chain, depth)
 		if err != nil {
@@ -129,7 +129,7 @@
 
 // directive reads the rest of one.
 func (p *parser) directive(l *lexer, name token, chain []string, depth int) (*Directive, error) {
-	d := &Directive{At: name.At, Name: name.Text}
+	d := &Directive{Pos: name.Pos, Name: name.Text}
 	for {
 		t, err := l.next()
 		if err != nil {
@@ -141,19 +141,19 @@
 		case semicolon:
 			return d, nil
 		case open:
-			d.Has = true
-			d.Block, err = p.block(l, t.At, chain, depth+1)
+			d.HasBlock = true
+			d.Block, err = p.block(l, t.Pos, chain, depth+1)
 			return d, err
 		default:
-			return nil, sexp.Errorf(t.At, "found %v, want the \";\" or \"{\" of %s", t.kind, d.Name)
+			return nil, sexp.Errorf(t.Pos, "found %v, want the \";\" or \"{\" of %s", t.kind, d.Name)
 		}
 	}
 }
 
 // include reads the files that an include stands for. A pattern may stand for none, a name must be there.
 func (p *parser) include(d *Directive, chain []string) ([]*Directive, error) {
-	if len(d.Args) != 1 || d.Has {
-		return nil, sexp.Errorf(d.At, "include has %d arguments, want one", len(d.Args))
+	if len(d.Args) != 1 || d.HasBlock {
+		return nil, sexp.Errorf(d.Pos, "include has %d arguments, want one", len(d.Args))
 	}
 	name := d.Arg(0)
 	if !path.IsAbs(name) {
@@ -163,13 +163,13 @@
 	if strings.ContainsAny(name, "*?[") {
 		var err error
 		if names, err = p.files.Glob(name); err != nil {
-			return nil, sexp.Errorf(d.At, "include %s: %v", d.Arg(0), err)
+			return nil, sexp.Errorf(d.Pos, "include %s: %v", d.Arg(0), err)
 		}
 		slices.Sort(names)
 	}
 	var list []*Directive
 	for _, name := range names {
-		included, err := p.file(name, d.At, chain)
+		included, err := p.file(name, d.Pos, chain)
 		if err != nil {
 			return nil, err
 		}
@@ -178,14 +178,14 @@
 	return list, nil
 }
 
-// Disk reads the files of a file system, such as os.DirFS("/"), by names from its root.
-type Disk struct{ fs.FS }
+// FSReader reads the files of a file system, such as os.DirFS("/"), by names from its root.
+type FSReader struct{ fs.FS }
 
 // inside is a name as the file system wants it.
 func inside(name string) string { return strings.TrimPrefix(path.Clean(name), "/") }
 
 // Read implements Reader.
-func (d Disk) Read(name string) ([]byte, error) {
+func (d FSReader) Read(name string) ([]byte, error) {
 	b, err := fs.ReadFile(d.FS, inside(name))
 	var pe *fs.PathError
 	if errors.As(err, &pe) {
@@ -195,7 +195,7 @@
 }
 
 // Glob implements Reader.
-func (d Disk) Glob(pattern string) ([]string, error) {
+func (d FSReader) Glob(pattern string) ([]string, error) {
 	names, err := fs.Glob(d.FS, inside(pattern))
 	for i := range names {
 		if path.IsAbs(pattern) {
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -22,12 +22,12 @@
 
 // rewrite takes a rewrite whose target needs no variables but the groups of its regex.
 func (m *importer) rewrite(r *rewriting, d *Directive) error {
-	flag, err := route.Onward, error(nil)
+	flag, err := route.FlagNone, error(nil)
 	if len(d.Args) == 3 {
-		flag, err = routeconfig.Flag(d.Arg(2))
+		flag, err = routeconfig.ParseRewriteFlag(d.Arg(2))
 	}
 	if len(d.Args) < 2 || len(d.Args) > 3 || err != nil {
-		return sexp.Errorf(d.At, "want rewrite REGEX TARGET with last, break, redirect, permanent or no flag")
+		return sexp.Errorf(d.Pos, "want rewrite REGEX TARGET with last, break, redirect, permanent or no flag")
 	}
 	regex, to := d.Arg(0), d.Arg(1)
 	switch {
@@ -51,10 +51,10 @@
 	}
 	for _, group := range regexp.MustCompile(`\$[1-9]`).FindAllString(to, -1) {
 		if n, _ := strconv.Atoi(group[1:]); n > re.NumSubexp() {
-			return sexp.Errorf(d.At, "found %s in rewrite %s, whose regex has %d groups", group, regex, re.NumSubexp())
+			return sexp.Errorf(d.Pos, "found %s in rewrite %s, whose regex has %d groups", group, regex, re.NumSubexp())
 		}
 	}
-	*r.list = append(*r.list, routeconfig.Rewrite{Pattern: regex, To: to, Flag: flag, At: d.At})
+	*r.list = append(*r.list, routeconfig.Rewrite{Pattern: regex, Replacement: to, Flag: flag, Pos: d.Pos})
 	return nil
 }
 
@@ -72,15 +72,15 @@
 	code, err := strconv.Atoi(status)
 	switch {
 	case l.Pool != "" && (named || isStatus):
-		m.note(d, Changes, "no files are looked for: all requests go to the pool")
+		m.note(d, ChangesBehavior, "no files are looked for: all requests go to the pool")
 	case l.Pool != "":
 		m.note(d, Unsafe, "no files are looked for, and its last address is not gone to")
-	case named && l.Status == 0:
+	case named && l.ReturnStatus == 0:
 		m.goes[l] = goes{name, d}
-		m.note(d, Changes, "no files are looked for: all requests go to @%s", name)
-	case isStatus && err == nil && code >= 100 && code <= 599 && l.Status == 0:
-		l.Status = code
-		m.note(d, Changes, "no files are looked for: all requests are answered with %d", code)
+		m.note(d, ChangesBehavior, "no files are looked for: all requests go to @%s", name)
+	case isStatus && err == nil && code >= 100 && code <= 599 && l.ReturnStatus == 0:
+		l.ReturnStatus = code
+		m.note(d, ChangesBehavior, "no files are looked for: all requests are answered with %d", code)
 	default:
 		m.note(d, Unsafe, "no files are looked for")
 	}
@@ -107,8 +107,8 @@
 				m.note(g.by, Unsafe, "its server has no location @%s", g.name)
 				continue
 			}
-			l.Pool, l.Class, l.Status, l.Text = to.Pool, to.Class, to.Status, to.Text
-			l.Params, l.Fallbacks, l.Intercept = to.Params, to.Fallbacks, to.Intercept
+			l.Pool, l.Class, l.ReturnStatus, l.ReturnText = to.Pool, to.Class, to.ReturnStatus, to.ReturnText
+			l.Params, l.Fallbacks, l.InterceptErrors = to.Params, to.Fallbacks, to.InterceptErrors
 		}
 	}
 	each(s.Locations)
@@ -130,15 +130,15 @@
 			var kept []routeconfig.Fallback
 			for _, f := range l.Fallbacks {
 				switch {
-				case has[f.Name]:
+				case has[f.Location]:
 					kept = append(kept, f)
-				case !told[f.Name]:
-					told[f.Name] = true
-					m.note(d, Changes, "error_page leads to @%s, which this server does not have: the status is answered", f.Name)
+				case !told[f.Location]:
+					told[f.Location] = true
+					m.note(d, ChangesBehavior, "error_page leads to @%s, which this server does not have: the status is answered", f.Location)
 				}
 			}
 			if l.Fallbacks = kept; len(kept) == 0 {
-				l.Intercept = true
+				l.InterceptErrors = true
 			}
 		}
 	}
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Method is how a member is chosen.
-type Method uint8
+// BalancingPolicy is how a member is chosen.
+type BalancingPolicy uint8
 
 // The methods.
 const (
-	RoundRobin Method = iota
+	RoundRobin BalancingPolicy = iota
 	LeastConn
 	IPHash
 	Hash
@@ -22,13 +22,13 @@
 var methodNames = [...]string{"round-robin", "least-conn", "ip-hash", "hash", "hash-consistent", "random-two"}
 
 // String is the method's word.
-func (m Method) String() string { return methodNames[m] }
+func (m BalancingPolicy) String() string { return methodNames[m] }
 
-// ParseMethod reads a method's word.
-func ParseMethod(word string) (Method, error) {
+// ParseBalancingPolicy reads a method's word.
+func ParseBalancingPolicy(word string) (BalancingPolicy, error) {
 	for m, name := range methodNames {
 		if name == word {
-			return Method(m), nil
+			return BalancingPolicy(m), nil
 		}
 	}
 	return 0, fmt.Errorf("no method is called %q, want one of %v", word, methodNames)
@@ -48,28 +48,28 @@
 
 // Config is what a pool is told.
 type Config struct {
-	Name    string
-	Method  Method `json:"Method"`
-	Members []Member
+	Name            string
+	BalancingPolicy BalancingPolicy `json:"Method"`
+	Members         []Member
 
-	Tries       int           `json:"Tries"`       // of one request, the first included; 0 is any number
-	TryFor      time.Duration `json:"TryFor"`      // no further try is begun later than this after the first; 0 is no bound
-	BudgetShare float64       `json:"BudgetShare"` // further tries for each first one; 0 is no budget
-	BudgetLeast float64       `json:"BudgetLeast"` // further tries a second that are allowed in any case
-	BudgetBurst float64       `json:"BudgetBurst"` // further tries that may come at once
+	MaxAttempts         int           `json:"Tries"`       // of one request, the first included; 0 is any number
+	RetryTimeout        time.Duration `json:"TryFor"`      // no further try is begun later than this after the first; 0 is no bound
+	RetryRatio          float64       `json:"BudgetShare"` // further tries for each first one; 0 is no budget
+	MinRetriesPerSecond float64       `json:"BudgetLeast"` // further tries a second that are allowed in any case
+	RetryBurst          float64       `json:"BudgetBurst"` // further tries that may come at once
 
-	EjectFactor float64       `json:"EjectFactor"` // a member is ejected at so many times the others' median latency; 0 is never
-	EjectErrors float64       `json:"EjectErrors"` // or when so large a part of its last tries failed; 0 is never
-	EjectAfter  int           `json:"EjectAfter"`  // tries that have to be seen before
-	EjectFor    time.Duration `json:"EjectFor"`    // the first time; twice as long each further time in a row
-	EjectMost   float64       `json:"EjectMost"`   // part of the members that may be out at once
-	PanicUnder  float64       `json:"PanicUnder"`  // part of the members in below which all are used, ejected or not
+	EjectionLatencyFactor float64       `json:"EjectFactor"` // a member is ejected at so many times the others' median latency; 0 is never
+	EjectionErrorRate     float64       `json:"EjectErrors"` // or when so large a part of its last tries failed; 0 is never
+	EjectionMinAttempts   int           `json:"EjectAfter"`  // tries that have to be seen before
+	BaseEjectionTime      time.Duration `json:"EjectFor"`    // the first time; twice as long each further time in a row
+	MaxEjectedRatio       float64       `json:"EjectMost"`   // part of the members that may be out at once
+	PanicThreshold        float64       `json:"PanicUnder"`  // part of the members in below which all are used, ejected or not
 }
 
-// Defaults are nginx's, and a budget and ejection that only a broken pool meets.
-func Defaults() Config {
-	return Config{BudgetShare: 0.15, BudgetLeast: 1, BudgetBurst: 10, EjectFactor: 5, EjectErrors: 0.5,
-		EjectAfter: 20, EjectFor: 5 * time.Second, EjectMost: 0.3, PanicUnder: 0.5}
+// DefaultConfig are nginx's, and a budget and ejection that only a broken pool meets.
+func DefaultConfig() Config {
+	return Config{RetryRatio: 0.15, MinRetriesPerSecond: 1, RetryBurst: 10, EjectionLatencyFactor: 5, EjectionErrorRate: 0.5,
+		EjectionMinAttempts: 20, BaseEjectionTime: 5 * time.Second, MaxEjectedRatio: 0.3, PanicThreshold: 0.5}
 }
 
 // DefaultMember is a member with nginx's defaults.
@@ -80,8 +80,8 @@
 // maxWeight bounds weights, so that their sum over the most members fits.
 const maxWeight = 1 << 31
 
-// Check names the first thing that makes no sense.
-func (c *Config) Check() error {
+// Validate names the first thing that makes no sense.
+func (c *Config) Validate() error {
 	if len(c.Members) == 0 {
 		return fmt.Errorf("pool %s has no members", c.Name)
 	}
@@ -97,8 +97,8 @@
 			return fmt.Errorf("pool %s: member %s has the weight %d, want 1 to %d", c.Name, m.Addr, m.Weight, maxWeight)
 		case m.MaxConns < 0 || m.MaxFails < 0 || m.FailTimeout < 0 || m.SlowStart < 0:
 			return fmt.Errorf("pool %s: member %s has a figure below 0", c.Name, m.Addr)
-		case m.Backup && (c.Method == IPHash || c.Method == Hash || c.Method == HashConsistent || c.Method == RandomTwo):
-			return fmt.Errorf("pool %s: member %s is a backup, which the method %v does not know", c.Name, m.Addr, c.Method)
+		case m.Backup && (c.BalancingPolicy == IPHash || c.BalancingPolicy == Hash || c.BalancingPolicy == HashConsistent || c.BalancingPolicy == RandomTwo):
+			return fmt.Errorf("pool %s: member %s is a backup, which the method %v does not know", c.Name, m.Addr, c.BalancingPolicy)
 		}
 		seen[m.Addr] = true
 		primary = primary || !m.Backup
@@ -106,9 +106,9 @@
 	switch {
 	case !primary:
 		return fmt.Errorf("pool %s has only backups", c.Name)
-	case c.Tries < 0 || c.TryFor < 0 || c.BudgetShare < 0 || c.BudgetLeast < 0 || c.BudgetShare > 0 && c.BudgetBurst < 1:
+	case c.MaxAttempts < 0 || c.RetryTimeout < 0 || c.RetryRatio < 0 || c.MinRetriesPerSecond < 0 || c.RetryRatio > 0 && c.RetryBurst < 1:
 		return fmt.Errorf("pool %s: tries and budgets can't be below 0, nor a burst below 1", c.Name)
-	case c.EjectMost < 0 || c.EjectMost > 1 || c.PanicUnder < 0 || c.PanicUnder > 1:
+	case c.MaxEjectedRatio < 0 || c.MaxEjectedRatio > 1 || c.PanicThreshold < 0 || c.PanicThreshold > 1:
 		return fmt.Errorf("pool %s: parts of members are 0 to 1", c.Name)
 	}
 	return nil
--- a/internal/pool/eject.go
+++ b/internal/pool/eject.go
@@ -61,19 +61,19 @@
 		p.note(now, m.Addr, "in", "its probing try went well")
 		return true
 	}
-	if m.out || m.seen.n < p.cfg.EjectAfter || p.alone() {
+	if m.out || m.seen.n < p.cfg.EjectionMinAttempts || p.alone() {
 		return true
 	}
-	if e := m.seen.errors(); p.cfg.EjectErrors > 0 && e >= p.cfg.EjectErrors && e > 2*p.others(m, (*window).errors) {
+	if e := m.seen.errors(); p.cfg.EjectionErrorRate > 0 && e >= p.cfg.EjectionErrorRate && e > 2*p.others(m, (*window).errors) {
 		p.eject(m, now, fmt.Sprintf("%.0f %% of its tries failed", 100*e))
 		return false
 	}
-	if m.seen.n%(windowSize/4) != 0 || p.cfg.EjectFactor == 0 {
+	if m.seen.n%(windowSize/4) != 0 || p.cfg.EjectionLatencyFactor == 0 {
 		return true // medians are looked at now and then only
 	}
 	mine := m.seen.median()
 	theirs := time.Duration(p.others(m, func(w *window) float64 { return float64(w.median()) }))
-	if theirs > 0 && float64(mine) > p.cfg.EjectFactor*float64(theirs) {
+	if theirs > 0 && float64(mine) > p.cfg.EjectionLatencyFactor*float64(theirs) {
 		p.eject(m, now, fmt.Sprintf("it takes %v where others take %v", mine, theirs))
 		return false
 	}
@@ -105,14 +105,14 @@
 // eject takes a member out for a while, unless too many are out.
 func (p *Pool) eject(m *member, now time.Duration, cause string) {
 	if !m.out {
-		if float64(p.ejected+1) > p.cfg.EjectMost*float64(len(p.members)) {
+		if float64(p.ejected+1) > p.cfg.MaxEjectedRatio*float64(len(p.members)) {
 			return
 		}
 		p.ejected++
 	}
 	p.settle()
 	m.out, m.seen = true, window{}
-	m.ejected = now + p.cfg.EjectFor<<min(m.times, longestOut)
+	m.ejected = now + p.cfg.BaseEjectionTime<<min(m.times, longestOut)
 	p.startSlowly(m, m.ejected)
 	m.times++
 	m.ejections++
@@ -123,5 +123,5 @@
 // bring down the few.
 func (p *Pool) panicking() bool {
 	in := len(p.members) - p.ejected - p.failing
-	return p.cfg.PanicUnder > 0 && float64(in) < p.cfg.PanicUnder*float64(len(p.members))
+	return p.cfg.PanicThreshold > 0 && float64(in) < p.cfg.PanicThreshold*float64(len(p.members))
 }
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -43,7 +43,7 @@
 const fleetSlowStart = 10 * time.Second
 
 // newFleet is so many processes and members of a method.
-func newFleet(t *testing.T, method Method, processes, members int, rate float64, seed uint64) *fleet {
+func newFleet(t *testing.T, method BalancingPolicy, processes, members int, rate float64, seed uint64) *fleet {
 	t.Helper()
 	f := &fleet{members: members, rate: rate, took: 30 * time.Millisecond, to: map[string][]time.Duration{}, refuse: map[string]bool{}}
 	for n := range processes {
@@ -56,9 +56,9 @@
 	return f
 }
 
-func (f *fleet) config(method Method, members int) Config {
-	c := Defaults()
-	c.Name, c.Method = "p", method
+func (f *fleet) config(method BalancingPolicy, members int) Config {
+	c := DefaultConfig()
+	c.Name, c.BalancingPolicy = "p", method
 	for i := range members {
 		m := DefaultMember(fmt.Sprintf("10.0.0.%d:80", i+1))
 		m.SlowStart = fleetSlowStart
@@ -74,7 +74,7 @@
 		next := f.now + time.Duration(chance.ExpFloat64()/f.rate*1e9)
 		for len(f.open) > 0 && f.open[0].at <= min(next, until) {
 			e := heap.Pop(&f.open).(ending)
-			e.pool.Done(e.addr, OK, f.took, e.at)
+			e.pool.Finish(e.addr, Succeeded, f.took, e.at)
 		}
 		if next > until {
 			f.now = until
@@ -82,12 +82,12 @@
 		}
 		f.now = next
 		p := f.pools[chance.IntN(len(f.pools))]
-		addr, ok := p.Pick(&Request{Key: fmt.Appendf(nil, "%d", chance.Uint64())}, f.now)
+		addr, ok := p.Pick(&Request{HashKey: fmt.Appendf(nil, "%d", chance.Uint64())}, f.now)
 		if !ok {
 			continue
 		}
 		if f.refuse[addr] {
-			p.Done(addr, Failed, time.Millisecond, f.now)
+			p.Finish(addr, Failed, time.Millisecond, f.now)
 			continue
 		}
 		f.to[addr] = append(f.to[addr], f.now)
--- a/internal/pool/least.go
+++ b/internal/pool/least.go
@@ -90,7 +90,7 @@
 // rankAll ranks the primary members anew.
 func (p *Pool) rankAll() {
 	p.ranks = nil
-	if p.cfg.Method != LeastConn || p.primary < leastMany {
+	if p.cfg.BalancingPolicy != LeastConn || p.primary < leastMany {
 		return
 	}
 	p.ranks = &ranking{panic: p.panicking()}
--- a/internal/pool/least_test.go
+++ b/internal/pool/least_test.go
@@ -13,8 +13,8 @@
 // what a look at all members allows: one that can be had, with no member of full weight that has less to do.
 func TestLeastRanked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Defaults()
-		c.Name, c.Method, c.EjectAfter, c.EjectMost = "p", LeastConn, 4, 0.6
+		c := DefaultConfig()
+		c.Name, c.BalancingPolicy, c.EjectionMinAttempts, c.MaxEjectedRatio = "p", LeastConn, 4, 0.6
 		size := rapid.IntRange(leastMany, 2*leastMany).Draw(t, "size")
 		draw := func() {
 			c.Members = nil
@@ -49,7 +49,7 @@
 			case what < 45 && len(open) > 0:
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				o := Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
-				p.Done(open[i], o, time.Duration(rapid.IntRange(1, 50).Draw(t, "took"))*time.Millisecond, now)
+				p.Finish(open[i], o, time.Duration(rapid.IntRange(1, 50).Draw(t, "took"))*time.Millisecond, now)
 				open = append(open[:i], open[i+1:]...)
 			default:
 				r := &Request{}
@@ -94,7 +94,7 @@
 		weights[i] = 1 + i%4
 		total += weights[i]
 	}
-	p := of(t, LeastConn, func(c *Config) { c.EjectErrors, c.EjectFactor = 0, 0 }, weights...)
+	p := of(t, LeastConn, func(c *Config) { c.EjectionErrorRate, c.EjectionLatencyFactor = 0, 0 }, weights...)
 	counts := map[string]int{}
 	for range picks {
 		counts[pick(p, "", 0)]++ // none ends, so all that is open is what was chosen
@@ -114,7 +114,7 @@
 		weights[i] = 10
 	}
 	p := of(t, LeastConn, func(c *Config) {
-		c.EjectErrors, c.EjectFactor = 0, 0
+		c.EjectionErrorRate, c.EjectionLatencyFactor = 0, 0
 		c.Members[0].SlowStart = 10 * time.Second
 	}, weights...)
 	slow := p.members[0]
@@ -125,7 +125,7 @@
 			if addr == slow.Addr {
 				n++
 			}
-			p.Done(addr, OK, time.Millisecond, now)
+			p.Finish(addr, Succeeded, time.Millisecond, now)
 		}
 		return n
 	}
--- a/internal/pool/method.go
+++ b/internal/pool/method.go
@@ -140,7 +140,7 @@
 
 // ipHash is nginx's ip_hash: the first three bytes of an IPv4 address, or all of an IPv6 one.
 func (p *Pool) ipHash(r *Request, usable func(*member) bool) *member {
-	key := r.Key
+	key := r.HashKey
 	if len(key) == net.IPv4len {
 		key = key[:3]
 	}
@@ -159,9 +159,9 @@
 // plainHash is nginx's hash without consistent.
 func (p *Pool) plainHash(r *Request, usable func(*member) bool) *member {
 	for range draws {
-		text := r.Key
+		text := r.HashKey
 		if r.again > 0 {
-			text = append([]byte(strconv.Itoa(r.again)), r.Key...)
+			text = append([]byte(strconv.Itoa(r.again)), r.HashKey...)
 		}
 		r.hash += (crc32.ChecksumIEEE(text) >> 16) & 0x7fff
 		r.again++
@@ -188,14 +188,14 @@
 func (p *Pool) prepare() {
 	p.sum = p.sum[:0]
 	total := 0
-	p.even = p.cfg.Method == RoundRobin
+	p.even = p.cfg.BalancingPolicy == RoundRobin
 	for _, m := range p.members[:p.primary] {
 		p.even = p.even && m.Weight == p.members[0].Weight && !m.Down && m.MaxConns == 0
 		total += m.Weight
 		p.sum = append(p.sum, total)
 	}
 	p.ring = nil
-	if p.cfg.Method != HashConsistent {
+	if p.cfg.BalancingPolicy != HashConsistent {
 		return
 	}
 	scale := min(1, float64(maxPoints)/(float64(total)*pointsOf))
@@ -233,7 +233,7 @@
 
 // consistent is the member of the first point at or behind the key's hash that can be had.
 func (p *Pool) consistent(r *Request, usable func(*member) bool) *member {
-	hash := crc32.ChecksumIEEE(r.Key)
+	hash := crc32.ChecksumIEEE(r.HashKey)
 	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= hash })
 	seen := map[*member]bool(nil)
 	for i := range p.ring {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -7,9 +7,9 @@
 
 // Request is what a choice may depend on, and which members a request has been to.
 type Request struct {
-	Key   []byte // of the hash methods; the client's address for IPHash, 4 or 16 bytes
-	First time.Duration
-	Tries int
+	HashKey      []byte // of the hash methods; the client's address for IPHash, 4 or 16 bytes
+	FirstAttempt time.Duration
+	Attempts     int
 
 	tried map[*member]bool
 	hash  uint32
@@ -66,14 +66,14 @@
 	ranks    *ranking // of a large pool by least_conn, or nil
 	picks    uint64   // choices so far
 	budget   budget
-	changes  []Change
+	changes  []StateChange
 }
 
-// Change is a change of a member's state, for the log.
-type Change struct {
+// StateChange is a change of a member's state, for the log.
+type StateChange struct {
 	At    time.Duration
 	Addr  string
-	What  string // "out", "in", "ejected", "probing", "joined", "left", "gone"
+	State string // "out", "in", "ejected", "probing", "joined", "left", "gone"
 	Cause string
 }
 
@@ -90,7 +90,7 @@
 // Update goes on with another configuration. Members that stay keep what is known of them; those that left get nothing
 // new, and are forgotten once their last try has ended.
 func (p *Pool) Update(cfg Config, now time.Duration) error {
-	if err := cfg.Check(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	p.settle()
@@ -149,11 +149,11 @@
 
 // note keeps a change for the log.
 func (p *Pool) note(now time.Duration, addr, what, cause string) {
-	p.changes = append(p.changes, Change{At: now, Addr: addr, What: what, Cause: cause})
+	p.changes = append(p.changes, StateChange{At: now, Addr: addr, State: what, Cause: cause})
 }
 
-// Changes returns the changes since the last call.
-func (p *Pool) Changes() []Change {
+// TakeChanges returns the changes since the last call.
+func (p *Pool) TakeChanges() []StateChange {
 	c := p.changes
 	p.changes = nil
 	return c
@@ -185,7 +185,7 @@
 	}
 	if r.tried == nil {
 		r.tried = map[*member]bool{}
-		r.First = now
+		r.FirstAttempt = now
 		p.budget.first(now)
 	}
 	p.picks++
@@ -193,7 +193,7 @@
 		m.credit--
 	}
 	r.tried[m] = true
-	r.Tries++
+	r.Attempts++
 	m.conns++
 	m.tries++
 	if now-m.checked > m.FailTimeout {
@@ -237,7 +237,7 @@
 
 // choose asks the method.
 func (p *Pool) choose(from []*member, r *Request, now time.Duration, usable func(*member) bool) *member {
-	switch p.cfg.Method {
+	switch p.cfg.BalancingPolicy {
 	case LeastConn:
 		return p.leastConn(from, now, usable)
 	case IPHash:
@@ -257,13 +257,13 @@
 
 // The outcomes.
 const (
-	OK      Outcome = iota
-	Failed          // in a way that counts against the member
-	Neutral         // in a way that tells nothing of it, such as a caller that left
+	Succeeded Outcome = iota
+	Failed            // in a way that counts against the member
+	Neutral           // in a way that tells nothing of it, such as a caller that left
 )
 
-// Done ends a try at a member; took is how long it lasted.
-func (p *Pool) Done(addr string, o Outcome, took, now time.Duration) {
+// Finish ends a try at a member; took is how long it lasted.
+func (p *Pool) Finish(addr string, o Outcome, took, now time.Duration) {
 	m := p.member(addr)
 	if m == nil {
 		return
@@ -281,7 +281,7 @@
 	switch o {
 	case Failed:
 		p.fail(m, now)
-	case OK:
+	case Succeeded:
 		p.succeed(m, now, probed)
 	default:
 		p.rank(m)
@@ -354,26 +354,26 @@
 	return m.credit < 1
 }
 
-// State is how a member is.
-type State struct {
-	Addr                       string
-	Open                       int
-	Out                        bool // it gets no tries but a probing one
-	Tries, Failures, Ejections uint64
+// MemberStatus is how a member is.
+type MemberStatus struct {
+	Addr                          string
+	InFlight                      int
+	Unavailable                   bool // it gets no tries but a probing one
+	Attempts, Failures, Ejections uint64
 }
 
-// States are those of the members, in the order of the configuration but for backups, which come last.
-func (p *Pool) States() []State {
-	list := make([]State, 0, len(p.members))
+// MemberStatuses are those of the members, in the order of the configuration but for backups, which come last.
+func (p *Pool) MemberStatuses() []MemberStatus {
+	list := make([]MemberStatus, 0, len(p.members))
 	for _, m := range p.members {
 		failed := m.MaxFails > 0 && m.fails >= m.MaxFails && !p.alone()
-		list = append(list, State{m.Addr, m.conns, m.out || failed || m.Down, m.tries, m.failures, m.ejections})
+		list = append(list, MemberStatus{m.Addr, m.conns, m.out || failed || m.Down, m.tries, m.failures, m.ejections})
 	}
 	return list
 }
 
-// Open is how many tries a member has.
-func (p *Pool) Open(addr string) int {
+// InFlight is how many tries a member has.
+func (p *Pool) InFlight(addr string) int {
 	if m := p.member(addr); m != nil {
 		return m.conns
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -14,10 +14,10 @@
 func rng(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
 // of is a pool of members a, b, c and so on with these weights.
-func of(t testing.TB, method Method, change func(c *Config), weights ...int) *Pool {
+func of(t testing.TB, method BalancingPolicy, change func(c *Config), weights ...int) *Pool {
 	t.Helper()
-	c := Defaults()
-	c.Name, c.Method = "p", method
+	c := DefaultConfig()
+	c.Name, c.BalancingPolicy = "p", method
 	for i, w := range weights {
 		m := DefaultMember(fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1))
 		m.Weight = w
@@ -35,7 +35,7 @@
 
 // pick chooses for a new request.
 func pick(p *Pool, key string, now time.Duration) string {
-	addr, _ := p.Pick(&Request{Key: []byte(key)}, now)
+	addr, _ := p.Pick(&Request{HashKey: []byte(key)}, now)
 	return addr
 }
 
@@ -55,26 +55,26 @@
 func TestBalance(t *testing.T) {
 	const picks = 1_000_000
 	weights := []int{1, 2, 3, 10}
-	for _, method := range []Method{RoundRobin, LeastConn, IPHash, Hash, HashConsistent, RandomTwo} {
+	for _, method := range []BalancingPolicy{RoundRobin, LeastConn, IPHash, Hash, HashConsistent, RandomTwo} {
 		p := of(t, method, nil, weights...)
 		counts := map[string]int{}
 		r := rng(7)
 		for range picks {
 			key := [4]byte{byte(r.Uint32()), byte(r.Uint32()), byte(r.Uint32()), 1}
-			addr, ok := p.Pick(&Request{Key: key[:]}, 0)
+			addr, ok := p.Pick(&Request{HashKey: key[:]}, 0)
 			if !ok {
 				t.Fatal("no member")
 			}
 			counts[addr]++
 			if method != LeastConn && method != RandomTwo {
-				p.Done(addr, OK, time.Millisecond, 0)
+				p.Finish(addr, Succeeded, time.Millisecond, 0)
 			}
 		}
 		for i, w := range weights {
 			want := float64(picks) * float64(w) / 16
 			off := math.Abs(float64(counts[p.members[i].Addr])-want) / want
 			// Exact for round robin and least_conn; by chance or by the hashes' grain elsewhere.
-			most := map[Method]float64{RoundRobin: 0, LeastConn: 0.0001, RandomTwo: 0.001, IPHash: 0.02, Hash: 0.02,
+			most := map[BalancingPolicy]float64{RoundRobin: 0, LeastConn: 0.0001, RandomTwo: 0.001, IPHash: 0.02, Hash: 0.02,
 				HashConsistent: 0.15}[method]
 			if off > most {
 				t.Errorf("%v: member of weight %d got %d of %d, %.4f off", method, w, counts[p.members[i].Addr], picks, off)
@@ -119,14 +119,14 @@
 
 // TestFailures leaves a member out after its failures, tries it once after its time, and takes it back.
 func TestFailures(t *testing.T) {
-	p := of(t, RoundRobin, func(c *Config) { c.EjectErrors, c.EjectFactor = 0, 0 }, 1, 1)
+	p := of(t, RoundRobin, func(c *Config) { c.EjectionErrorRate, c.EjectionLatencyFactor = 0, 0 }, 1, 1)
 	bad := p.members[0].Addr
 	fail := func(now time.Duration) {
 		for range 2 {
 			if addr := pick(p, "", now); addr == bad {
-				p.Done(addr, Failed, 0, now)
+				p.Finish(addr, Failed, 0, now)
 			} else {
-				p.Done(addr, OK, 0, now)
+				p.Finish(addr, Succeeded, 0, now)
 			}
 		}
 	}
@@ -146,10 +146,10 @@
 	if seen != 1 {
 		t.Errorf("%d tries probe a member that may be back, want one", seen)
 	}
-	p.Done(bad, OK, 0, now)
+	p.Finish(bad, Succeeded, 0, now)
 	what := ""
-	for _, c := range p.Changes() {
-		what += c.What + " "
+	for _, c := range p.TakeChanges() {
+		what += c.State + " "
 	}
 	if what != "out probing in " {
 		t.Errorf("changes: %s", what)
@@ -158,17 +158,17 @@
 
 // TestRotation has a pool of equals go in turn, as smooth round robin does, also over failures and back.
 func TestRotation(t *testing.T) {
-	p := of(t, RoundRobin, func(c *Config) { c.EjectErrors, c.EjectFactor = 0, 0 }, 1, 1, 1, 1, 1)
+	p := of(t, RoundRobin, func(c *Config) { c.EjectionErrorRate, c.EjectionLatencyFactor = 0, 0 }, 1, 1, 1, 1, 1)
 	counts, r := map[string]int{}, rng(5)
 	for i := range 5000 {
 		now := time.Duration(i) * 100 * time.Millisecond
 		addr := pick(p, "", now)
 		counts[addr]++
-		o := OK
+		o := Succeeded
 		if i%1000 < 5 && r.IntN(2) == 0 {
 			o = Failed
 		}
-		p.Done(addr, o, time.Millisecond, now)
+		p.Finish(addr, o, time.Millisecond, now)
 	}
 	if !p.rotating {
 		t.Error("a calm pool does not go in turn")
@@ -200,17 +200,17 @@
 		if addr == "" {
 			t.Fatal("the only member is left out")
 		}
-		p.Done(addr, Failed, 0, 0)
+		p.Finish(addr, Failed, 0, 0)
 	}
-	p = of(t, RoundRobin, func(c *Config) { c.Members[0].MaxFails, c.EjectErrors = 0, 0 }, 1, 1)
+	p = of(t, RoundRobin, func(c *Config) { c.Members[0].MaxFails, c.EjectionErrorRate = 0, 0 }, 1, 1)
 	seen := 0
 	for range 100 {
 		addr := pick(p, "", 0)
 		if addr == p.members[0].Addr {
 			seen++
-			p.Done(addr, Failed, 0, 0)
+			p.Finish(addr, Failed, 0, 0)
 		} else {
-			p.Done(addr, OK, 0, 0)
+			p.Finish(addr, Succeeded, 0, 0)
 		}
 	}
 	if seen != 50 {
@@ -232,7 +232,7 @@
 
 // TestWeightsOverTheSum has weights whose sum is over 2^31.
 func TestWeightsOverTheSum(t *testing.T) {
-	for _, method := range []Method{RoundRobin, LeastConn, IPHash, Hash, RandomTwo} {
+	for _, method := range []BalancingPolicy{RoundRobin, LeastConn, IPHash, Hash, RandomTwo} {
 		p := of(t, method, nil, maxWeight, maxWeight, maxWeight-1)
 		seen := map[string]bool{}
 		for i := range 300 {
@@ -247,22 +247,22 @@
 
 // TestNext decides on further tries: never of what may have run and must not run twice, and within the bounds.
 func TestNext(t *testing.T) {
-	p := of(t, RoundRobin, func(c *Config) { c.Tries, c.TryFor = 2, time.Second }, 1, 1, 1)
+	p := of(t, RoundRobin, func(c *Config) { c.MaxAttempts, c.RetryTimeout = 2, time.Second }, 1, 1, 1)
 	r := &Request{}
 	p.Pick(r, 0)
-	for f, want := range map[Failure]Verdict{
-		{Error, true, true}: Ran, {Error, false, true}: Again, {HTTP500, true, false}: Ended, {Timeout, true, false}: Again,
-		{Refusal, true, true}: Again,
+	for f, want := range map[Failure]RetryDecision{
+		{ConnectionError, true, true}: MayHaveRun, {ConnectionError, false, true}: Retry, {HTTP500, true, false}: NotRetryable, {Timeout, true, false}: Retry,
+		{Rejection, true, true}: Retry,
 	} {
-		if got := p.Next(r, f, Last|NonIdempotent, 0); got != want {
+		if got := p.DecideRetry(r, f, DefaultRetryOn|NonIdempotent, 0); got != want {
 			t.Errorf("%+v: %v, want %v", f, got, want)
 		}
 	}
-	if got := p.Next(r, Failure{Condition: Error}, Last, time.Second); got != TooLate {
+	if got := p.DecideRetry(r, Failure{Condition: ConnectionError}, DefaultRetryOn, time.Second); got != RetryTimeExceeded {
 		t.Errorf("after its time: %v", got)
 	}
 	p.Pick(r, 0)
-	if got := p.Next(r, Failure{Condition: Error}, Last, 0); got != TooMany {
+	if got := p.DecideRetry(r, Failure{Condition: ConnectionError}, DefaultRetryOn, 0); got != AttemptsExhausted {
 		t.Errorf("after its tries: %v", got)
 	}
 }
@@ -271,7 +271,7 @@
 // offered with the budget.
 func TestRetryStorm(t *testing.T) {
 	load := func(share float64) float64 {
-		p := of(t, RoundRobin, func(c *Config) { c.BudgetShare, c.BudgetLeast, c.EjectErrors = share, 0, 0 }, 1, 1, 1, 1, 1)
+		p := of(t, RoundRobin, func(c *Config) { c.RetryRatio, c.MinRetriesPerSecond, c.EjectionErrorRate = share, 0, 0 }, 1, 1, 1, 1, 1)
 		r, tries, firsts := rng(3), 0, 0
 		for i := range 10_000 {
 			now := time.Duration(i) * time.Millisecond
@@ -284,11 +284,11 @@
 				}
 				tries++
 				if r.Float64() >= 0.8 { // a retried one fails as often: the outage is everywhere
-					p.Done(addr, OK, time.Millisecond, now)
+					p.Finish(addr, Succeeded, time.Millisecond, now)
 					break
 				}
-				p.Done(addr, Neutral, time.Millisecond, now)
-				if p.Next(req, Failure{Condition: Error}, Last, now) != Again {
+				p.Finish(addr, Neutral, time.Millisecond, now)
+				if p.DecideRetry(req, Failure{Condition: ConnectionError}, DefaultRetryOn, now) != Retry {
 					break
 				}
 			}
@@ -318,14 +318,14 @@
 	step := func(bad bool) (chosen string) {
 		now += time.Millisecond
 		addr := pick(p, "", now)
-		took, o := 10*time.Millisecond, OK
+		took, o := 10*time.Millisecond, Succeeded
 		if bad && addr == slow {
 			took = 90 * time.Millisecond
 		}
 		if bad && failing[addr] && int(now/time.Millisecond)%10 < 8 {
 			o = Failed
 		}
-		p.Done(addr, o, took, now)
+		p.Finish(addr, o, took, now)
 		return addr
 	}
 	for range 2000 {
@@ -345,8 +345,8 @@
 // TestUpdate keeps what is known of members that stay, has those that left end their tries, and counts them to zero.
 func TestUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Defaults()
-		c.Name, c.Method = "p", Method(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
+		c := DefaultConfig()
+		c.Name, c.BalancingPolicy = "p", BalancingPolicy(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
 		members := func() (list []Member) {
 			for i := range 6 {
 				if rapid.Bool().Draw(t, "in") || i == 0 {
@@ -373,10 +373,10 @@
 				addr := fmt.Sprintf("10.0.0.%d:80", rapid.IntRange(0, 5).Draw(t, "addr"))
 				if open[addr] > 0 {
 					open[addr]--
-					p.Done(addr, Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), time.Millisecond, now)
+					p.Finish(addr, Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), time.Millisecond, now)
 				}
 			default:
-				addr, ok := p.Pick(&Request{Key: []byte{1, 2, 3, byte(rapid.IntRange(0, 255).Draw(t, "key"))}}, now)
+				addr, ok := p.Pick(&Request{HashKey: []byte{1, 2, 3, byte(rapid.IntRange(0, 255).Draw(t, "key"))}}, now)
 				if !ok {
 					break
 				}
@@ -386,8 +386,8 @@
 				}
 			}
 			for addr, n := range open {
-				if p.Open(addr) != n {
-					t.Fatalf("%s has %d open, want %d", addr, p.Open(addr), n)
+				if p.InFlight(addr) != n {
+					t.Fatalf("%s has %d open, want %d", addr, p.InFlight(addr), n)
 				}
 			}
 		}
@@ -399,7 +399,7 @@
 
 // BenchmarkPick is a choice and its end in pools of all sizes.
 func BenchmarkPick(b *testing.B) {
-	for _, method := range []Method{RoundRobin, LeastConn, Hash, HashConsistent, RandomTwo} {
+	for _, method := range []BalancingPolicy{RoundRobin, LeastConn, Hash, HashConsistent, RandomTwo} {
 		for _, n := range []int{10, 1000, 20000} {
 			b.Run(fmt.Sprintf("%v/%d", method, n), func(b *testing.B) {
 				weights := make([]int, n)
@@ -412,8 +412,8 @@
 				for b.Loop() {
 					i++
 					key[0], key[1] = byte(i), byte(i>>8)
-					addr, _ := p.Pick(&Request{Key: key}, 0)
-					p.Done(addr, OK, time.Millisecond, 0)
+					addr, _ := p.Pick(&Request{HashKey: key}, 0)
+					p.Finish(addr, Succeeded, time.Millisecond, 0)
 				}
 			})
 		}
--- a/internal/pool/tries.go
+++ b/internal/pool/tries.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Condition is how a try failed, in nginx's terms (the directive fastcgi_next_upstream).
-type Condition uint16
+// RetryCondition is how a try failed, in nginx's terms (the directive fastcgi_next_upstream).
+type RetryCondition uint16
 
 // The conditions.
 const (
-	Error         Condition = 1 << iota // no connection, or it broke
-	Timeout                             // no connection or no answer in time
-	InvalidHeader                       // an answer that makes no sense
+	ConnectionError RetryCondition = 1 << iota // no connection, or it broke
+	Timeout                                    // no connection or no answer in time
+	InvalidHeader                              // an answer that makes no sense
 	HTTP500
 	HTTP503
 	HTTP403
 	HTTP404
 	HTTP429
 	NonIdempotent // also requests that must not run twice may go on
-	Refusal       // the member said that it did not run it
+	Rejection     // the member said that it did not run it
 )
 
-// Last are the conditions under which a request goes on to another member, by nginx's default.
-const Last = Error | Timeout
+// DefaultRetryOn are the conditions under which a request goes on to another member, by nginx's default.
+const DefaultRetryOn = ConnectionError | Timeout
 
-// Verdict is what becomes of a request whose try failed.
-type Verdict uint8
+// RetryDecision is what becomes of a request whose try failed.
+type RetryDecision uint8
 
 // The verdicts.
 const (
-	Again   Verdict = iota // it goes to another member
-	Ended                  // the failure is its end: the condition does not call for another try
-	Ran                    // it may have run, and must not run twice
-	TooMany                // its tries are used up
-	TooLate                // its time for further tries is over
-	Budget                 // the pool's budget for further tries is used up
+	Retry             RetryDecision = iota // it goes to another member
+	NotRetryable                           // the failure is its end: the condition does not call for another try
+	MayHaveRun                             // it may have run, and must not run twice
+	AttemptsExhausted                      // its tries are used up
+	RetryTimeExceeded                      // its time for further tries is over
+	BudgetExhausted                        // the pool's budget for further tries is used up
 )
 
 // verdictTexts say the verdicts.
@@ -41,31 +41,31 @@
 	"the budget for further tries is used up"}
 
 // String says the verdict.
-func (v Verdict) String() string { return verdictTexts[v] }
+func (v RetryDecision) String() string { return verdictTexts[v] }
 
 // Failure is how a try failed.
 type Failure struct {
-	Condition Condition
-	Sent      bool // any of the request may have reached the member
-	Once      bool // the request must not run twice
+	Condition     RetryCondition
+	Sent          bool // any of the request may have reached the member
+	NonIdempotent bool // the request must not run twice
 }
 
-// Next decides whether a request whose try failed goes to another member, and takes it from the budget where it does.
+// DecideRetry decides whether a request whose try failed goes to another member, and takes it from the budget where it does.
 // On is the set of conditions under which requests of its route go on.
-func (p *Pool) Next(r *Request, f Failure, on Condition, now time.Duration) Verdict {
+func (p *Pool) DecideRetry(r *Request, f Failure, on RetryCondition, now time.Duration) RetryDecision {
 	switch {
-	case f.Once && f.Sent && f.Condition != Refusal:
-		return Ran // whatever the route says: a second run would break the rule
-	case f.Condition&on == 0 && f.Condition != Refusal:
-		return Ended
-	case p.cfg.Tries > 0 && r.Tries >= p.cfg.Tries:
-		return TooMany
-	case p.cfg.TryFor > 0 && now-r.First >= p.cfg.TryFor:
-		return TooLate
+	case f.NonIdempotent && f.Sent && f.Condition != Rejection:
+		return MayHaveRun // whatever the route says: a second run would break the rule
+	case f.Condition&on == 0 && f.Condition != Rejection:
+		return NotRetryable
+	case p.cfg.MaxAttempts > 0 && r.Attempts >= p.cfg.MaxAttempts:
+		return AttemptsExhausted
+	case p.cfg.RetryTimeout > 0 && now-r.FirstAttempt >= p.cfg.RetryTimeout:
+		return RetryTimeExceeded
 	case !p.budget.take(now):
-		return Budget
+		return BudgetExhausted
 	}
-	return Again
+	return Retry
 }
 
 // budget is a bucket of tokens: each first try adds a part of one, each further try takes one, and no more than a few
@@ -81,9 +81,9 @@
 // configure takes over the figures of a configuration.
 func (b *budget) configure(c Config) {
 	if b.burst == 0 {
-		b.tokens = c.BudgetBurst // a new pool's bucket is full
+		b.tokens = c.RetryBurst // a new pool's bucket is full
 	}
-	b.share, b.least, b.burst = c.BudgetShare, c.BudgetLeast, c.BudgetBurst
+	b.share, b.least, b.burst = c.RetryRatio, c.MinRetriesPerSecond, c.RetryBurst
 }
 
 // add puts tokens into the bucket, with those that came by time.
@@ -109,8 +109,8 @@
 	return true
 }
 
-// Budget is how many further tries could be made at once now.
-func (p *Pool) Budget(now time.Duration) float64 {
+// AvailableRetries is how many further tries could be made at once now.
+func (p *Pool) AvailableRetries(now time.Duration) float64 {
 	p.budget.add(0, now)
 	return p.budget.tokens
 }
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -12,32 +12,32 @@
 	"tillerusher/internal/capture"
 )
 
-// Change is a try that ends otherwise.
-type Change struct {
-	ID   admission.RequestID `json:"id"`
-	Wire string              `json:"request_id,omitempty"`
-	At   time.Duration       `json:"at"`
-	From Ending              `json:"from"`
-	To   Ending              `json:"to"`
+// StatusChange is a try that ends otherwise.
+type StatusChange struct {
+	ID     admission.RequestID `json:"id"`
+	WireID string              `json:"request_id,omitempty"`
+	At     time.Duration       `json:"at"`
+	From   EndStatus           `json:"from"`
+	To     EndStatus           `json:"to"`
 }
 
 // Comparison is what two modelled replays of one capture differ in.
 type Comparison struct {
-	Changes []Change `json:"changes"`
-	Before  []Tally  `json:"before"`
-	After   []Tally  `json:"after"`
+	Changes []StatusChange `json:"changes"`
+	Before  []Summary      `json:"before"`
+	After   []Summary      `json:"after"`
 }
 
 // Compare sets two replays of the same tries side by side.
-func Compare(before, after []*Outcome, m capture.Meta, classes []admission.Class) Comparison {
-	c := Comparison{Changes: []Change{}, Before: Tallies(before, m, classes), After: Tallies(after, m, classes)}
-	byID := make(map[admission.RequestID]*Outcome, len(after))
+func Compare(before, after []*Attempt, m capture.Meta, classes []admission.Class) Comparison {
+	c := Comparison{Changes: []StatusChange{}, Before: Summarize(before, m, classes), After: Summarize(after, m, classes)}
+	byID := make(map[admission.RequestID]*Attempt, len(after))
 	for _, o := range after {
 		byID[o.ID] = o
 	}
 	for _, o := range before {
-		if n := byID[o.ID]; n != nil && n.Ending != o.Ending {
-			c.Changes = append(c.Changes, Change{o.ID, o.Wire, o.Read, o.Ending, n.Ending})
+		if n := byID[o.ID]; n != nil && n.Status != o.Status {
+			c.Changes = append(c.Changes, StatusChange{o.ID, o.WireID, o.ReadAt, o.Status, n.Status})
 		}
 	}
 	return c
@@ -52,12 +52,12 @@
 
 const outcomesVersion = 1
 
-// WriteOutcomes writes a modelled replay, so that another build can be compared with this one: JSON, one object a
+// WriteAttempts writes a modelled replay, so that another build can be compared with this one: JSON, one object a
 // line.
-func WriteOutcomes(w io.Writer, m capture.Meta, outcomes []*Outcome) error {
+func WriteAttempts(w io.Writer, m capture.Meta, outcomes []*Attempt) error {
 	buf := bufio.NewWriter(w)
 	e := json.NewEncoder(buf)
-	if err := e.Encode(header{m.Run, m.Module, outcomesVersion}); err != nil {
+	if err := e.Encode(header{m.Run, m.ModuleTime, outcomesVersion}); err != nil {
 		return err
 	}
 	for _, o := range outcomes {
@@ -68,8 +68,8 @@
 	return buf.Flush()
 }
 
-// ReadOutcomes reads what WriteOutcomes wrote of the same capture.
-func ReadOutcomes(r io.Reader, m capture.Meta) ([]*Outcome, error) {
+// ReadAttempts reads what WriteAttempts wrote of the same capture.
+func ReadAttempts(r io.Reader, m capture.Meta) ([]*Attempt, error) {
 	d := json.NewDecoder(bufio.NewReader(r))
 	var h header
 	if err := d.Decode(&h); err != nil {
@@ -78,12 +78,12 @@
 	if h.Version != outcomesVersion {
 		return nil, fmt.Errorf("replay: a modelled replay of version %d, want %d", h.Version, outcomesVersion)
 	}
-	if h.Run != m.Run || h.Module != m.Module {
+	if h.Run != m.Run || h.Module != m.ModuleTime {
 		return nil, errors.New("replay: the modelled replay is of another capture")
 	}
-	var outcomes []*Outcome
+	var outcomes []*Attempt
 	for {
-		o := &Outcome{}
+		o := &Attempt{}
 		switch err := d.Decode(o); {
 		case err == io.EOF:
 			return outcomes, nil
--- a/internal/replay/predicate.go
+++ b/internal/replay/predicate.go
@@ -12,9 +12,9 @@
 
 // Predicate is something that a run of the module shows or does not.
 type Predicate interface {
-	Watch
-	// Seen tells whether it was shown.
-	Seen() bool
+	EventObserver
+	// Matched tells whether it was shown.
+	Matched() bool
 }
 
 // ParsePredicate returns a function that makes a fresh predicate for each run, from its text:
@@ -24,7 +24,7 @@
 //	jam:DURATION                      for so long requests are held and none runs, though nothing is stalled
 func ParsePredicate(text string) (func() Predicate, error) {
 	kind, rest, _ := strings.Cut(text, ":")
-	actions := map[string]capture.Kind{"refused": capture.Refuse, "failed": capture.Fail, "run": capture.Run}
+	actions := map[string]capture.Kind{"refused": capture.KindReject, "failed": capture.KindFail, "run": capture.KindRun}
 	switch {
 	case actions[kind] != 0:
 		id, err := strconv.ParseUint(strings.TrimPrefix(rest, "#"), 10, 32)
@@ -32,14 +32,14 @@
 			return nil, fmt.Errorf("predicate %q: %q is no number of a request", text, rest)
 		}
 		return func() Predicate {
-			return &seenAction{match: func(a *capture.Record) bool {
+			return &actionPredicate{match: func(a *capture.Record) bool {
 				return a.Kind == actions[kind] && a.ID == admission.RequestID(id)
 			}}
 		}, nil
 	case kind == "log" && rest != "":
 		return func() Predicate {
-			return &seenAction{match: func(a *capture.Record) bool {
-				return a.Kind == capture.Log && strings.Contains(a.Text, rest)
+			return &actionPredicate{match: func(a *capture.Record) bool {
+				return a.Kind == capture.KindLog && strings.Contains(a.Text, rest)
 			}}
 		}, nil
 	case kind == "jam":
@@ -47,43 +47,43 @@
 		if err != nil || d <= 0 {
 			return nil, fmt.Errorf("predicate %q: %q is no time such as 500ms", text, rest)
 		}
-		return func() Predicate { return &Jam{Over: d} }, nil
+		return func() Predicate { return &StuckBacklog{MinDuration: d} }, nil
 	}
 	return nil, fmt.Errorf("predicate %q: want refused:ID, failed:ID, run:ID, log:TEXT or jam:DURATION", text)
 }
 
-// seenAction looks for an action.
-type seenAction struct {
-	match func(*capture.Record) bool
-	seen  bool
+// actionPredicate looks for an action.
+type actionPredicate struct {
+	match   func(*capture.Record) bool
+	matched bool
 }
 
-// Event implements Watch.
-func (s *seenAction) Event(_ *capture.Record, actions []capture.Record, _ *admission.Instance) {
+// ObserveEvent implements Watch.
+func (s *actionPredicate) ObserveEvent(_ *capture.Record, actions []capture.Record, _ *admission.Instance) {
 	for i := range actions {
-		s.seen = s.seen || s.match(&actions[i])
+		s.matched = s.matched || s.match(&actions[i])
 	}
 }
 
-// Seen implements Predicate.
-func (s *seenAction) Seen() bool { return s.seen }
+// Matched implements Predicate.
+func (s *actionPredicate) Matched() bool { return s.matched }
 
-// Jam is a hold from which nothing runs while nothing keeps it from that.
-type Jam struct {
-	Over time.Duration // how long it has to last
+// StuckBacklog is a hold from which nothing runs while nothing keeps it from that.
+type StuckBacklog struct {
+	MinDuration time.Duration // how long it has to last
 
 	Longest time.Duration // that was seen
 	since   time.Duration
 	on      bool
 }
 
-// Event implements Watch.
-func (j *Jam) Event(event *capture.Record, _ []capture.Record, in *admission.Instance) {
-	if event.Kind != capture.Settle {
+// ObserveEvent implements Watch.
+func (j *StuckBacklog) ObserveEvent(event *capture.Record, _ []capture.Record, in *admission.Instance) {
+	if event.Kind != capture.KindSettle {
 		return
 	}
 	i := in.Inspect()
-	if i.Held == 0 || i.Running > 0 || i.AtCall > 0 || i.Stalled {
+	if i.Queued == 0 || i.Running > 0 || i.Calling > 0 || i.Stalled {
 		j.on = false
 		return
 	}
@@ -93,5 +93,5 @@
 	j.Longest = max(j.Longest, event.At-j.since)
 }
 
-// Seen implements Predicate.
-func (j *Jam) Seen() bool { return j.Longest >= j.Over }
+// Matched implements Predicate.
+func (j *StuckBacklog) Matched() bool { return j.Longest >= j.MinDuration }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -14,47 +14,47 @@
 
 // Result is what became of a replay.
 type Result struct {
-	Segments int           `json:"segments"`
-	Records  uint64        `json:"records"`
-	Events   uint64        `json:"events"`
-	Actions  uint64        `json:"actions"`
-	Requests uint64        `json:"requests"`
-	Refused  uint64        `json:"refused"`
-	Failed   uint64        `json:"failed"`
-	Runs     uint64        `json:"runs"`
-	Restarts int           `json:"restarts"` // times that it began from a snapshot instead of going on
-	Spanned  time.Duration `json:"spanned"`  // of the module's clock, in nanoseconds
-	Skipped  uint64        `json:"skipped"`  // events behind damage, which no state precedes
-	States   int           `json:"states"`   // snapshots that were the very state that the replay had come to
-	First    *Difference   `json:"first,omitempty"`
+	Segments         int           `json:"segments"`
+	Records          uint64        `json:"records"`
+	Events           uint64        `json:"events"`
+	Actions          uint64        `json:"actions"`
+	Requests         uint64        `json:"requests"`
+	Rejected         uint64        `json:"refused"`
+	Failed           uint64        `json:"failed"`
+	Runs             uint64        `json:"runs"`
+	Restarts         int           `json:"restarts"` // times that it began from a snapshot instead of going on
+	Duration         time.Duration `json:"spanned"`  // of the module's clock, in nanoseconds
+	Skipped          uint64        `json:"skipped"`  // events behind damage, which no state precedes
+	MatchedSnapshots int           `json:"states"`   // snapshots that were the very state that the replay had come to
+	FirstDifference  *Difference   `json:"first,omitempty"`
 }
 
 // Difference is where a replay did not decide what was recorded.
 type Difference struct {
-	Segment  string            `json:"segment"`
-	Number   uint64            `json:"number"` // of the event's record within the run
-	Event    *capture.Record   `json:"event,omitempty"`
-	Recorded *capture.Record   `json:"recorded,omitempty"` // nil: nothing more was recorded
-	Replayed *capture.Record   `json:"replayed,omitempty"` // nil: nothing more was decided
-	State    bool              `json:"state,omitempty"`    // the state at the segment's start is another one
-	Before   admission.Insight `json:"before"`             // what the module knew before the event
+	Segment      string               `json:"segment"`
+	RecordNumber uint64               `json:"number"` // of the event's record within the run
+	Event        *capture.Record      `json:"event,omitempty"`
+	Recorded     *capture.Record      `json:"recorded,omitempty"` // nil: nothing more was recorded
+	Replayed     *capture.Record      `json:"replayed,omitempty"` // nil: nothing more was decided
+	StateDiffers bool                 `json:"state,omitempty"`    // the state at the segment's start is another one
+	StateBefore  admission.Inspection `json:"before"`             // what the module knew before the event
 }
 
 // String names the place and both actions.
 func (d *Difference) String() string {
-	if d.State {
+	if d.StateDiffers {
 		return fmt.Sprintf("%s: the state at its start is not the one that the replay had come to", d.Segment)
 	}
-	return fmt.Sprintf("%s: record %d: at %s the record has %s, the replay has %s", d.Segment, d.Number, Text(d.Event),
-		Text(d.Recorded), Text(d.Replayed))
+	return fmt.Sprintf("%s: record %d: at %s the record has %s, the replay has %s", d.Segment, d.RecordNumber, FormatRecord(d.Event),
+		FormatRecord(d.Recorded), FormatRecord(d.Replayed))
 }
 
 // Visitor follows a replay. Before is called with the module as it is before each event, After with the actions
 // that the event led to. Nil functions are not called. An error ends the replay.
 type Visitor struct {
-	Before func(p capture.Position, event *capture.Record, in *admission.Instance) error
-	After  func(p capture.Position, event *capture.Record, actions []capture.Record, in *admission.Instance) error
-	Note   func(p capture.Position, note *capture.Record) error
+	BeforeEvent  func(p capture.Position, event *capture.Record, in *admission.Instance) error
+	AfterEvent   func(p capture.Position, event *capture.Record, actions []capture.Record, in *admission.Instance) error
+	OnAnnotation func(p capture.Position, note *capture.Record) error
 }
 
 // errDiffers ends a replay at its first difference.
@@ -83,7 +83,7 @@
 	visitor Visitor
 	result  Result
 	in      *admission.Instance // nil where no state is known
-	sink    Sink
+	sink    ActionRecorder
 	event   capture.Record // the last event, whose actions are compared
 	at      capture.Position
 	open    bool // an event was fed
@@ -94,31 +94,31 @@
 // segment replays one segment.
 func (m *machine) segment(s, before *capture.Segment, fresh bool) error {
 	m.result.Segments++
-	goesOn := m.in != nil && s.Continues(before)
+	goesOn := m.in != nil && s.IsContinuationOf(before)
 	if goesOn && s.Snapshot != nil {
 		m.scratch = m.in.Snapshot(m.scratch[:0])
 		if !bytes.Equal(m.scratch, s.Snapshot) {
-			m.result.First = &Difference{Segment: s.Path, Number: s.Meta.First, State: true, Before: m.in.Inspect()}
+			m.result.FirstDifference = &Difference{Segment: s.Path, RecordNumber: s.Meta.FirstRecord, StateDiffers: true, StateBefore: m.in.Inspect()}
 			return errDiffers
 		}
-		m.result.States++
+		m.result.MatchedSnapshots++
 	}
 	if !goesOn || fresh {
 		if err := m.restore(s); err != nil {
 			return err
 		}
 	}
-	last := s.Meta.Module
+	last := s.Meta.ModuleTime
 	var stopped error // Each ends the segment without an error, and the replay is to end too
-	err := s.Each(func(p capture.Position, r *capture.Record) error {
-		if p.First {
+	err := s.ForEach(func(p capture.Position, r *capture.Record) error {
+		if p.AfterDamage {
 			m.in, m.open = nil, false // what is missing may have changed anything
 		}
 		last = max(last, r.At)
 		stopped = m.record(p, r)
 		return stopped
 	})
-	m.result.Spanned += last - s.Meta.Module
+	m.result.Duration += last - s.Meta.ModuleTime
 	if err == nil {
 		err = stopped
 	}
@@ -151,12 +151,12 @@
 func (m *machine) record(p capture.Position, r *capture.Record) error {
 	m.result.Records++
 	switch {
-	case r.Kind.Event():
+	case r.Kind.IsEvent():
 		if err := m.close(); err != nil {
 			return err
 		}
 		return m.feed(p, r)
-	case r.Kind.Action():
+	case r.Kind.IsAction():
 		m.result.count(r)
 		if !m.open {
 			return nil
@@ -166,8 +166,8 @@
 		}
 		m.next++
 		return nil
-	case m.visitor.Note != nil:
-		return m.visitor.Note(p, r)
+	case m.visitor.OnAnnotation != nil:
+		return m.visitor.OnAnnotation(p, r)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 // feed tells the module of an event.
 func (m *machine) feed(p capture.Position, r *capture.Record) error {
 	m.result.Events++
-	if r.Kind == capture.Request {
+	if r.Kind == capture.KindRequest {
 		m.result.Requests++
 	}
 	if m.in == nil {
@@ -183,13 +183,13 @@
 		return nil
 	}
 	m.event, m.at, m.open, m.next = *r, p, true, 0
-	if m.visitor.Before != nil {
-		if err := m.visitor.Before(p, r, m.in); err != nil {
+	if m.visitor.BeforeEvent != nil {
+		if err := m.visitor.BeforeEvent(p, r, m.in); err != nil {
 			return err
 		}
 	}
 	m.sink.begin(r.At)
-	Feed(m.in, r)
+	Deliver(m.in, r)
 	return nil
 }
 
@@ -202,8 +202,8 @@
 	if m.next < len(m.sink.Actions) {
 		return m.differs(nil)
 	}
-	if m.visitor.After != nil {
-		return m.visitor.After(m.at, &m.event, m.sink.Actions, m.in)
+	if m.visitor.AfterEvent != nil {
+		return m.visitor.AfterEvent(m.at, &m.event, m.sink.Actions, m.in)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 // differs notes the first difference.
 func (m *machine) differs(recorded *capture.Record) error {
 	event := m.event
-	d := &Difference{Segment: m.at.Segment.Path, Number: m.at.Number, Event: &event}
+	d := &Difference{Segment: m.at.Segment.Path, RecordNumber: m.at.Number, Event: &event}
 	if recorded != nil {
 		r := *recorded
 		d.Recorded = &r
@@ -220,25 +220,25 @@
 		a := m.sink.Actions[m.next]
 		d.Replayed = &a
 	}
-	d.Before = m.stateBefore()
-	m.result.First = d
+	d.StateBefore = m.stateBefore()
+	m.result.FirstDifference = d
 	return errDiffers
 }
 
 // stateBefore replays the segment once more up to the event that differs.
-func (m *machine) stateBefore() (known admission.Insight) {
+func (m *machine) stateBefore() (known admission.Inspection) {
 	again := machine{}
 	if again.restore(m.at.Segment) != nil || again.in == nil {
 		return known
 	}
 	stop := m.at.Number
-	m.at.Segment.Each(func(p capture.Position, r *capture.Record) error {
+	m.at.Segment.ForEach(func(p capture.Position, r *capture.Record) error {
 		if p.Number == stop {
 			known = again.in.Inspect()
 			return capture.ErrStop
 		}
-		if r.Kind.Event() {
-			Feed(again.in, r)
+		if r.Kind.IsEvent() {
+			Deliver(again.in, r)
 		}
 		return nil
 	})
@@ -249,33 +249,33 @@
 func (r *Result) count(a *capture.Record) {
 	r.Actions++
 	switch a.Kind {
-	case capture.Run:
+	case capture.KindRun:
 		r.Runs++
-	case capture.Refuse:
-		r.Refused++
-	case capture.Fail:
+	case capture.KindReject:
+		r.Rejected++
+	case capture.KindFail:
 		r.Failed++
 	}
 }
 
-// Feed tells a module of a recorded event.
-func Feed(m admission.Events, r *capture.Record) {
+// Deliver tells a module of a recorded event.
+func Deliver(m admission.Events, r *capture.Record) {
 	switch r.Kind {
-	case capture.Request:
-		m.Request(r.At, r.Asked)
-	case capture.Gone:
-		m.Gone(r.At, r.ID)
-	case capture.Done:
-		m.Done(r.At, r.ID, r.Outcome)
-	case capture.Blocked:
-		m.Blocked(r.At, r.ID)
-	case capture.Called:
-		m.Called(r.At, r.ID, r.Outcome, r.Span)
-	case capture.Drain:
-		m.Drain(r.At, r.Span)
-	case capture.Timer:
+	case capture.KindRequest:
+		m.Request(r.At, r.Request)
+	case capture.KindCancel:
+		m.Cancel(r.At, r.ID)
+	case capture.KindRunFinished:
+		m.RunFinished(r.At, r.ID, r.Outcome)
+	case capture.KindCallRequested:
+		m.CallRequested(r.At, r.ID)
+	case capture.KindCallFinished:
+		m.CallFinished(r.At, r.ID, r.Outcome, r.Duration)
+	case capture.KindDrain:
+		m.Drain(r.At, r.Duration)
+	case capture.KindTimer:
 		m.Timer(r.At, r.Token, r.Gauges)
-	case capture.Settle:
+	case capture.KindSettle:
 		m.Settle(r.At)
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -62,12 +62,12 @@
 
 func testSettings() admission.Settings {
 	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 10000, KeyKB: 50,
-		RunFactor: 16, CrowdFactor: 8, RetryAfter: time.Second, CallerIdle: 15 * time.Second, Deadlines: true,
-		DrainGrace: 300 * time.Millisecond, StopMode: admission.StopDrop, Below: admission.DependencyTier,
-		Fresh: time.Second, Feedback: admission.FeedbackCredit,
-		Classes: []admission.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, SkipWorth: 0.5},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: admission.Keyed, Window: 5 * time.Second},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: admission.Unsafe}},
+		RunningMemoryFactor: 16, MaxConcurrencyFactor: 8, MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second, HasDeadlines: true,
+		DrainGracePeriod: 300 * time.Millisecond, StopMode: admission.StopDiscard, Downstream: admission.DependencyTier,
+		ResultFreshness: time.Second, Feedback: admission.FeedbackCredit,
+		Classes: []admission.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Weight: 1, SkippedCallWeight: 0.5},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2, Effect: admission.IdempotentByKey, KeyWindow: 5 * time.Second},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2, Effect: admission.NonIdempotent}},
 		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
@@ -80,18 +80,18 @@
 			3 * time.Minute}).Draw(t, "wait")
 		for range rapid.IntRange(1, 6).Draw(t, "events") {
 			id := admission.RequestID(rapid.Uint32Range(0, uint32(last)).Draw(t, "id"))
-			outcome := admission.Outcome(rapid.IntRange(0, int(admission.Moot)).Draw(t, "outcome"))
+			outcome := admission.Outcome(rapid.IntRange(0, int(admission.NotStarted)).Draw(t, "outcome"))
 			switch rapid.IntRange(0, 12).Draw(t, "kind") {
 			case 0:
-				e.Gone(now, id)
+				e.Cancel(now, id)
 			case 1, 2, 3:
-				e.Done(now, id, outcome)
+				e.RunFinished(now, id, outcome)
 			case 4:
-				e.Blocked(now, id)
+				e.CallRequested(now, id)
 			case 5:
-				e.Called(now, id, outcome, time.Duration(id)*time.Millisecond)
+				e.CallFinished(now, id, outcome, time.Duration(id)*time.Millisecond)
 			case 6:
-				e.Timer(now, 0, admission.Gauges{Busy: rapid.Float64Range(-1, 1).Draw(t, "busy"),
+				e.Timer(now, 0, admission.Gauges{Utilization: rapid.Float64Range(-1, 1).Draw(t, "busy"),
 					Runnable: float64(rapid.IntRange(-1, 5).Draw(t, "runnable"))})
 			case 7:
 				if last > 40 {
@@ -100,8 +100,8 @@
 			default:
 				last++
 				e.Request(now, admission.Request{ID: last, Class: rapid.IntRange(0, 2).Draw(t, "class"),
-					Tenant: int(last % 2), Caller: int(last % 3), Subject: uint64(id), Retry: id%3 == 0, Repeats: id,
-					Waited: time.Duration(id) * time.Millisecond, Budget: time.Second, SizeKB: 24.5})
+					Tenant: int(last % 2), Caller: int(last % 3), ResourceID: uint64(id), IsRetry: id%3 == 0, RetryOf: id,
+					QueueingDelay: time.Duration(id) * time.Millisecond, RemainingTime: time.Second, SizeKB: 24.5})
 			}
 		}
 		e.Settle(now)
@@ -113,13 +113,13 @@
 func TestRandomStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir := &shelf{files: map[string]*bytes.Buffer{}}
-		cfg := capture.Defaults()
-		cfg.Age = time.Duration(rapid.IntRange(1, 200).Draw(t, "age")) * time.Millisecond
-		rec, err := capture.New(dir, cfg, capture.Meta{Server: "n3"}, time.Now, func(err error) { t.Error(err) })
+		cfg := capture.DefaultConfig()
+		cfg.SegmentAge = time.Duration(rapid.IntRange(1, 200).Draw(t, "age")) * time.Millisecond
+		rec, err := capture.NewRecorder(dir, cfg, capture.Meta{Server: "n3"}, time.Now, func(err error) { t.Error(err) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		tap := capture.NewTap(rec, &Sink{})
+		tap := capture.NewTap(rec, &ActionRecorder{})
 		m, err := admission.New(testSettings(), tap)
 		if err != nil {
 			t.Fatal(err)
@@ -133,19 +133,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.First != nil || r.Skipped > 0 {
-				t.Fatalf("fresh %t: %v, %d skipped", fresh, r.First, r.Skipped)
+			if r.FirstDifference != nil || r.Skipped > 0 {
+				t.Fatalf("fresh %t: %v, %d skipped", fresh, r.FirstDifference, r.Skipped)
 			}
 		}
 		from := time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond
 		piece, err := Cut(segments, Span{from, from + time.Duration(rapid.IntRange(0, 500).Draw(t, "for"))*time.Millisecond})
-		if errors.Is(err, ErrEmpty) {
+		if errors.Is(err, ErrEmptySpan) {
 			return
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := piece.Redecide(nil)
+		again, err := piece.Replay(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,13 +175,13 @@
 // TestDifference has a record that was tampered with found at its event, with what the module knew before it.
 func TestDifference(t *testing.T) {
 	segments := []*capture.Segment{storm(t)}
-	piece, err := Load(segments[0])
+	piece, err := LoadExcerpt(segments[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range piece.Records {
-		if r := &piece.Records[i]; r.Kind == capture.Refuse {
-			r.Kind = capture.Fail
+		if r := &piece.Records[i]; r.Kind == capture.KindReject {
+			r.Kind = capture.KindFail
 			break
 		}
 	}
@@ -194,9 +194,9 @@
 		t.Fatal(err)
 	}
 	r, err := Run([]*capture.Segment{bad}, false, Visitor{})
-	if err != nil || r.First == nil || r.First.Recorded.Kind != capture.Fail || r.First.Replayed.Kind != capture.Refuse ||
-		r.First.Before.Held == 0 || r.First.Event == nil {
-		t.Errorf("%v, %v", err, r.First)
+	if err != nil || r.FirstDifference == nil || r.FirstDifference.Recorded.Kind != capture.KindFail || r.FirstDifference.Replayed.Kind != capture.KindReject ||
+		r.FirstDifference.StateBefore.Queued == 0 || r.FirstDifference.Event == nil {
+		t.Errorf("%v, %v", err, r.FirstDifference)
 	}
 	if err := piece.Write(path, "again"); err == nil {
 		t.Error("a file was overwritten")
@@ -216,36 +216,36 @@
 // TestExplain tells why requests of a real storm were refused, and of what was served.
 func TestExplain(t *testing.T) {
 	segments := []*capture.Segment{storm(t)}
-	outcomes, err := Outcomes(segments, 2)
+	outcomes, err := RecordedAttempts(segments, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := map[Ending]int{}
+	seen := map[EndStatus]int{}
 	for _, o := range outcomes {
-		if seen[o.Ending]++; seen[o.Ending] > 2 {
+		if seen[o.Status]++; seen[o.Status] > 2 {
 			continue
 		}
-		stories, err := Explain(segments, o.Wire)
-		if err != nil || len(stories) != 1 || stories[0].Ending != o.Ending || stories[0].Weighing == nil {
+		stories, err := Explain(segments, o.WireID)
+		if err != nil || len(stories) != 1 || stories[0].Status != o.Status || stories[0].AdmissionCheck == nil {
 			t.Fatalf("%+v: %v, %+v", o, err, stories)
 		}
 		s := stories[0]
-		words := strings.Join(s.Words(), "\n")
-		if !strings.Contains(words, o.Wire) || !strings.Contains(words, "before it in the hold") {
+		words := strings.Join(s.Lines(), "\n")
+		if !strings.Contains(words, o.WireID) || !strings.Contains(words, "before it in the hold") {
 			t.Errorf("told: %s", words)
 		}
-		if o.Ending == Refused && s.OnRead && s.Weighing.Reason == admission.Admitted {
-			t.Errorf("%s was refused as it was read, and no reason is told", o.Wire)
+		if o.Status == StatusRejected && s.EndedOnRead && s.AdmissionCheck.Reason == admission.Admitted {
+			t.Errorf("%s was refused as it was read, and no reason is told", o.WireID)
 		}
 	}
-	if seen[Refused] == 0 || seen[Served] == 0 {
+	if seen[StatusRejected] == 0 || seen[StatusServed] == 0 {
 		t.Errorf("the storm has %v", seen)
 	}
-	if _, err := Explain(segments, "0123456789abcdef"); !errors.Is(err, ErrUnknown) {
+	if _, err := Explain(segments, "0123456789abcdef"); !errors.Is(err, ErrNotInCapture) {
 		t.Errorf("of an unknown request: %v", err)
 	}
-	m, err := At(segments, segments[0].Meta.Module+time.Second, 50*time.Millisecond)
-	if err != nil || m.Known.Now == 0 || len(m.Near) == 0 {
+	m, err := InspectAt(segments, segments[0].Meta.ModuleTime+time.Second, 50*time.Millisecond)
+	if err != nil || m.State.Now == 0 || len(m.Decisions) == 0 {
 		t.Errorf("of a moment: %v, %+v", err, m)
 	}
 }
@@ -253,25 +253,25 @@
 // TestModel has a replay that changes nothing come near what was recorded, and more cores serve more.
 func TestModel(t *testing.T) {
 	segments := []*capture.Segment{storm(t)}
-	recorded, err := Outcomes(segments, 2)
+	recorded, err := RecordedAttempts(segments, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	base, set, err := Model(segments, nil)
+	base, set, err := Simulate(segments, nil)
 	if err != nil || len(base) != len(recorded) {
 		t.Fatalf("%v, %d of %d outcomes", err, len(base), len(recorded))
 	}
-	again, _, _ := Model(segments, nil)
+	again, _, _ := Simulate(segments, nil)
 	if !reflect.DeepEqual(base, again) {
 		t.Error("two modelled replays differ")
 	}
-	served := func(list []*Outcome) float64 {
-		return float64(Tallies(list, segments[0].Meta, set.Classes)[0].Served) / float64(len(list))
+	served := func(list []*Attempt) float64 {
+		return float64(Summarize(list, segments[0].Meta, set.Classes)[0].Served) / float64(len(list))
 	}
 	if d := served(base) - served(recorded); d > 0.1 || d < -0.1 {
 		t.Errorf("modelled %.3f, recorded %.3f", served(base), served(recorded))
 	}
-	four, _, err := Model(segments, Apply([]Setting{{"cores", "8"}}, segments[0].Meta))
+	four, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"cores", "8"}}, segments[0].Meta))
 	if err != nil || served(four) <= served(base) {
 		t.Errorf("8 cores serve %.3f, 2 serve %.3f: %v", served(four), served(base), err)
 	}
@@ -280,14 +280,14 @@
 		t.Error("no request ends otherwise")
 	}
 	var file bytes.Buffer
-	if err := WriteOutcomes(&file, segments[0].Meta, base); err != nil {
+	if err := WriteAttempts(&file, segments[0].Meta, base); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadOutcomes(&file, segments[0].Meta)
+	back, err := ReadAttempts(&file, segments[0].Meta)
 	if err != nil || !reflect.DeepEqual(back, base) {
 		t.Errorf("outcomes do not come back: %v", err)
 	}
-	if _, _, err := Model(segments, Apply([]Setting{{"quota.nowhere", "8"}}, segments[0].Meta)); err == nil {
+	if _, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"quota.nowhere", "8"}}, segments[0].Meta)); err == nil {
 		t.Error("a tenant that is not there is changed")
 	}
 }
@@ -295,21 +295,21 @@
 // TestCutAndShrink cuts around one refusal, shrinks it, and replays both.
 func TestCutAndShrink(t *testing.T) {
 	segments := []*capture.Segment{storm(t)}
-	outcomes, err := Outcomes(segments, 2)
+	outcomes, err := RecordedAttempts(segments, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var last *Outcome
+	var last *Attempt
 	for _, o := range outcomes {
-		if o.Ending == Refused {
+		if o.Status == StatusRejected {
 			last = o
 		}
 	}
-	stories, err := Explain(segments, last.Wire)
+	stories, err := Explain(segments, last.WireID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	piece, err := Cut(segments, Around(stories))
+	piece, err := Cut(segments, SpanOf(stories))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,7 +317,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := Load(segments[0])
+	whole, err := LoadExcerpt(segments[0])
 	if err != nil || len(piece.Records) >= len(whole.Records) {
 		t.Fatalf("%v: the cut has %d of %d records", err, len(piece.Records), len(whole.Records))
 	}
@@ -325,7 +325,7 @@
 	if err != nil || len(small.Records) >= len(whole.Records)/2 {
 		t.Fatalf("%v: %d of %d records are left", err, len(small.Records), len(whole.Records))
 	}
-	for name, p := range map[string]*Piece{"cut": piece, "small": small} {
+	for name, p := range map[string]*Excerpt{"cut": piece, "small": small} {
 		path := t.TempDir() + "/" + name + ".capture"
 		if err := p.Write(path, name); err != nil {
 			t.Fatal(err)
@@ -335,11 +335,11 @@
 			t.Fatal(err)
 		}
 		r, err := Run([]*capture.Segment{s}, false, Visitor{})
-		if err != nil || r.First != nil || r.Refused == 0 {
+		if err != nil || r.FirstDifference != nil || r.Rejected == 0 {
 			t.Errorf("%s: %v, %+v", name, err, r)
 		}
 	}
-	if _, _, err := Shrink(whole, func() Predicate { return &Jam{Over: time.Hour} }); !errors.Is(err, ErrNotSeen) {
+	if _, _, err := Shrink(whole, func() Predicate { return &StuckBacklog{MinDuration: time.Hour} }); !errors.Is(err, ErrNotMatched) {
 		t.Errorf("a predicate that never holds: %v", err)
 	}
 }
--- a/internal/replay/replaytest/replaytest.go
+++ b/internal/replay/replaytest/replaytest.go
@@ -8,9 +8,9 @@
 	"tillerusher/internal/replay"
 )
 
-// Same fails where the module decides otherwise than the capture says, from one end to the other or from any
+// AssertSameDecisions fails where the module decides otherwise than the capture says, from one end to the other or from any
 // segment's snapshot.
-func Same(t *testing.T, path string) *replay.Result {
+func AssertSameDecisions(t *testing.T, path string) *replay.Result {
 	t.Helper()
 	segments := open(t, path)
 	var last *replay.Result
@@ -19,17 +19,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.First != nil {
-			t.Fatalf("%v", r.First)
+		if r.FirstDifference != nil {
+			t.Fatalf("%v", r.FirstDifference)
 		}
 		last = r
 	}
 	return last
 }
 
-// Never fails where the predicate (see replay.ParsePredicate) holds when the capture's events are fed to the module,
+// AssertNeverMatches fails where the predicate (see replay.ParsePredicate) holds when the capture's events are fed to the module,
 // whatever the recorded decisions were: what once went wrong must not come back.
-func Never(t *testing.T, path, predicate string) {
+func AssertNeverMatches(t *testing.T, path, predicate string) {
 	t.Helper()
 	make, err := replay.ParsePredicate(predicate)
 	if err != nil {
@@ -40,10 +40,10 @@
 		t.Fatal(err)
 	}
 	seen := make()
-	if _, err := piece.Redecide(seen); err != nil {
+	if _, err := piece.Replay(seen); err != nil {
 		t.Fatal(err)
 	}
-	if seen.Seen() {
+	if seen.Matched() {
 		t.Errorf("%s: %s holds again", path, predicate)
 	}
 }
--- a/internal/replay/set.go
+++ b/internal/replay/set.go
@@ -11,25 +11,25 @@
 	"tillerusher/internal/capture"
 )
 
-// Setting is one changed value of the module's settings.
-type Setting struct{ Name, Value string }
+// SettingChange is one changed value of the module's settings.
+type SettingChange struct{ Name, Value string }
 
-// ParseSettings reads NAME=VALUE pairs: cores, servers, memory-kb, key-kb, crowd-factor, retry-after and fresh; of a
+// ParseSettingChanges reads NAME=VALUE pairs: cores, servers, memory-kb, key-kb, crowd-factor, retry-after and fresh; of a
 // class aim.CLASS, deadline.CLASS and worth.CLASS; of a tenant quota.TENANT.
-func ParseSettings(pairs []string) ([]Setting, error) {
-	var list []Setting
+func ParseSettingChanges(pairs []string) ([]SettingChange, error) {
+	var list []SettingChange
 	for _, p := range pairs {
 		name, value, ok := strings.Cut(p, "=")
 		if !ok || name == "" || value == "" {
 			return nil, fmt.Errorf("setting %q: want NAME=VALUE", p)
 		}
-		list = append(list, Setting{name, value})
+		list = append(list, SettingChange{name, value})
 	}
 	return list, nil
 }
 
-// Apply returns a function for Model that makes the changes; m names the classes and tenants.
-func Apply(list []Setting, m capture.Meta) func(*admission.Settings) error {
+// ApplySettingChanges returns a function for Model that makes the changes; m names the classes and tenants.
+func ApplySettingChanges(list []SettingChange, m capture.Meta) func(*admission.Settings) error {
 	return func(s *admission.Settings) error {
 		for _, c := range list {
 			if err := c.apply(s, m); err != nil {
@@ -41,7 +41,7 @@
 }
 
 // apply makes one change.
-func (c Setting) apply(s *admission.Settings, m capture.Meta) error {
+func (c SettingChange) apply(s *admission.Settings, m capture.Meta) error {
 	name, of, _ := strings.Cut(c.Name, ".")
 	switch name {
 	case "aim", "deadline", "worth":
@@ -52,11 +52,11 @@
 		class := &s.Classes[i]
 		switch name {
 		case "aim":
-			return setTime(&class.Aim, c.Value)
+			return setTime(&class.LatencyObjective, c.Value)
 		case "deadline":
 			return setTime(&class.Deadline, c.Value)
 		}
-		return setFloat(&class.Worth, c.Value)
+		return setFloat(&class.Weight, c.Value)
 	case "quota":
 		i := slices.Index(m.Tenants, of)
 		if i < 0 || i >= len(s.Tenants) {
@@ -72,11 +72,11 @@
 	case "key-kb":
 		return setFloat(&s.KeyKB, c.Value)
 	case "crowd-factor":
-		return setFloat(&s.CrowdFactor, c.Value)
+		return setFloat(&s.MaxConcurrencyFactor, c.Value)
 	case "retry-after":
-		return setTime(&s.RetryAfter, c.Value)
+		return setTime(&s.MaxRetryAfter, c.Value)
 	case "fresh":
-		return setTime(&s.Fresh, c.Value)
+		return setTime(&s.ResultFreshness, c.Value)
 	}
 	return fmt.Errorf("want cores, servers, memory-kb, key-kb, crowd-factor, retry-after, fresh, aim.CLASS, " +
 		"deadline.CLASS, worth.CLASS or quota.TENANT")
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -7,23 +7,23 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNotSeen says that what a piece should be shrunk to is not seen in it.
-var ErrNotSeen = errors.New("replay: the predicate does not hold for the whole")
+// ErrNotMatched says that what a piece should be shrunk to is not seen in it.
+var ErrNotMatched = errors.New("replay: the predicate does not hold for the whole")
 
 // Shrink drops events as long as the predicate holds: all events of a request at once, and timers, by the
 // delta-debugging algorithm ddmin (Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002).
 // What is left has this program's own actions. Runs is how often the module was run.
-func Shrink(p *Piece, predicate func() Predicate) (small *Piece, runs int, err error) {
-	holds := func(of *Piece) (bool, error) {
+func Shrink(p *Excerpt, predicate func() Predicate) (small *Excerpt, runs int, err error) {
+	holds := func(of *Excerpt) (bool, error) {
 		runs++
 		seen := predicate()
-		_, err := of.Redecide(seen)
-		return err == nil && seen.Seen(), err
+		_, err := of.Replay(seen)
+		return err == nil && seen.Matched(), err
 	}
 	if ok, err := holds(p); err != nil {
 		return nil, runs, err
 	} else if !ok {
-		return nil, runs, ErrNotSeen
+		return nil, runs, ErrNotMatched
 	}
 	units := unitsOf(p)
 	for parts := 2; len(units) > 1; {
@@ -47,7 +47,7 @@
 			parts = min(parts*2, len(units))
 		}
 	}
-	small, err = p.only(units).Redecide(nil)
+	small, err = p.only(units).Replay(nil)
 	return small, runs, err
 }
 
@@ -60,7 +60,7 @@
 // unitOf is the unit that a record belongs to; settling belongs to none.
 func unitOf(place int, r *capture.Record) (unit, bool) {
 	switch {
-	case r.Kind == capture.Settle || r.Kind.Action():
+	case r.Kind == capture.KindSettle || r.Kind.IsAction():
 		return unit{}, false
 	case r.ID != 0:
 		return unit{id: r.ID}, true
@@ -69,7 +69,7 @@
 }
 
 // unitsOf lists a piece's units in order.
-func unitsOf(p *Piece) []unit {
+func unitsOf(p *Excerpt) []unit {
 	var units []unit
 	seen := map[unit]bool{}
 	for i := range p.Records {
@@ -82,22 +82,22 @@
 }
 
 // only is the piece with these units; rounds in which nothing is left are dropped too.
-func (p *Piece) only(units []unit) *Piece {
+func (p *Excerpt) only(units []unit) *Excerpt {
 	keep := make(map[unit]bool, len(units))
 	for _, u := range units {
 		keep[u] = true
 	}
-	small := &Piece{Meta: p.Meta, Snapshot: p.Snapshot}
+	small := &Excerpt{Meta: p.Meta, Snapshot: p.Snapshot}
 	open := false // something stands in this round
 	for i := range p.Records {
 		r := &p.Records[i]
-		if r.Kind.Action() {
+		if r.Kind.IsAction() {
 			continue
 		}
-		if u, ok := unitOf(i, r); ok && !keep[u] || r.Kind == capture.Settle && !open {
+		if u, ok := unitOf(i, r); ok && !keep[u] || r.Kind == capture.KindSettle && !open {
 			continue
 		}
-		open = r.Kind != capture.Settle
+		open = r.Kind != capture.KindSettle
 		small.Records = append(small.Records, *r)
 	}
 	return small
--- a/internal/replay/sink.go
+++ b/internal/replay/sink.go
@@ -7,70 +7,84 @@
 	"tillerusher/internal/capture"
 )
 
-// Sink is the host's side of a replay: it keeps the actions that the last event led to and carries out none.
-type Sink struct {
+// ActionRecorder is the host's side of a replay: it keeps the actions that the last event led to and carries out none.
+type ActionRecorder struct {
 	Actions []capture.Record
 	now     time.Duration
 }
 
 // begin forgets the actions of the event before.
-func (s *Sink) begin(now time.Duration) { s.Actions, s.now = s.Actions[:0], now }
+func (s *ActionRecorder) begin(now time.Duration) { s.Actions, s.now = s.Actions[:0], now }
 
-func (s *Sink) add(r capture.Record) {
+func (s *ActionRecorder) add(r capture.Record) {
 	r.At = s.now
 	s.Actions = append(s.Actions, r)
 }
 
 // Run implements admission.Actions.
-func (s *Sink) Run(id admission.RequestID) { s.add(capture.Record{Kind: capture.Run, ID: id}) }
+func (s *ActionRecorder) Run(id admission.RequestID) {
+	s.add(capture.Record{Kind: capture.KindRun, ID: id})
+}
 
 // Refuse implements admission.Actions.
-func (s *Sink) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
-	s.add(capture.Record{Kind: capture.Refuse, ID: id, Span: stayAway, Yes: last})
+func (s *ActionRecorder) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
+	s.add(capture.Record{Kind: capture.KindReject, ID: id, Duration: stayAway, Flag: last})
 }
 
 // Fail implements admission.Actions.
-func (s *Sink) Fail(id admission.RequestID) { s.add(capture.Record{Kind: capture.Fail, ID: id}) }
+func (s *ActionRecorder) Fail(id admission.RequestID) {
+	s.add(capture.Record{Kind: capture.KindFail, ID: id})
+}
 
 // Call implements admission.Actions.
-func (s *Sink) Call(id admission.RequestID, timeout time.Duration) {
-	s.add(capture.Record{Kind: capture.Call, ID: id, Span: timeout})
+func (s *ActionRecorder) Call(id admission.RequestID, timeout time.Duration) {
+	s.add(capture.Record{Kind: capture.KindCall, ID: id, Duration: timeout})
 }
 
 // Skip implements admission.Actions.
-func (s *Sink) Skip(id admission.RequestID) { s.add(capture.Record{Kind: capture.Skip, ID: id}) }
+func (s *ActionRecorder) SkipCall(id admission.RequestID) {
+	s.add(capture.Record{Kind: capture.KindSkipCall, ID: id})
+}
 
 // Halt implements admission.Actions.
-func (s *Sink) Halt(id admission.RequestID) { s.add(capture.Record{Kind: capture.Halt, ID: id}) }
+func (s *ActionRecorder) Stop(id admission.RequestID) {
+	s.add(capture.Record{Kind: capture.KindStop, ID: id})
+}
 
 // Keep implements admission.Actions.
-func (s *Sink) Keep(id admission.RequestID, lifetime time.Duration) {
-	s.add(capture.Record{Kind: capture.Keep, ID: id, Span: lifetime})
+func (s *ActionRecorder) KeepKey(id admission.RequestID, lifetime time.Duration) {
+	s.add(capture.Record{Kind: capture.KindKeepKey, ID: id, Duration: lifetime})
 }
 
 // Forget implements admission.Actions.
-func (s *Sink) Forget(id admission.RequestID) { s.add(capture.Record{Kind: capture.Forget, ID: id}) }
+func (s *ActionRecorder) ReleaseKey(id admission.RequestID) {
+	s.add(capture.Record{Kind: capture.KindReleaseKey, ID: id})
+}
 
 // Reuse implements admission.Actions.
-func (s *Sink) Reuse(id admission.RequestID) { s.add(capture.Record{Kind: capture.Reuse, ID: id}) }
+func (s *ActionRecorder) ReplayResult(id admission.RequestID) {
+	s.add(capture.Record{Kind: capture.KindReplayResult, ID: id})
+}
 
 // Say implements admission.Actions.
-func (s *Sink) Say(value float64) { s.add(capture.Record{Kind: capture.Say, Value: value}) }
+func (s *ActionRecorder) AdvertiseLoad(value float64) {
+	s.add(capture.Record{Kind: capture.KindAdvertiseLoad, Value: value})
+}
 
 // Health implements admission.Actions.
-func (s *Sink) Health(good, fromStore bool) {
-	s.add(capture.Record{Kind: capture.Health, Yes: good, Stored: fromStore})
+func (s *ActionRecorder) SetHealth(good, fromStore bool) {
+	s.add(capture.Record{Kind: capture.KindSetHealth, Flag: good, FromStore: fromStore})
 }
 
 // CloseIdle implements admission.Actions.
-func (s *Sink) CloseIdle(idle time.Duration) {
-	s.add(capture.Record{Kind: capture.CloseIdle, Span: idle})
+func (s *ActionRecorder) CloseIdleConnections(idle time.Duration) {
+	s.add(capture.Record{Kind: capture.KindCloseIdleConnections, Duration: idle})
 }
 
-// After implements admission.Actions.
-func (s *Sink) After(wait time.Duration, token uint32) {
-	s.add(capture.Record{Kind: capture.After, Span: wait, Token: token})
+// AfterEvent implements admission.Actions.
+func (s *ActionRecorder) SetTimer(wait time.Duration, token uint32) {
+	s.add(capture.Record{Kind: capture.KindSetTimer, Duration: wait, Token: token})
 }
 
 // Log implements admission.Actions.
-func (s *Sink) Log(line string) { s.add(capture.Record{Kind: capture.Log, Text: line}) }
+func (s *ActionRecorder) Log(line string) { s.add(capture.Record{Kind: capture.KindLog, Text: line}) }
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -13,16 +13,16 @@
 // ErrNoState says that a capture has no state to begin from.
 var ErrNoState = errors.New("replay: the first segment has no readable state")
 
-// Model plays what was recorded of one start of the server to a module that may decide otherwise: arrivals, callers
+// Simulate plays what was recorded of one start of the server to a module that may decide otherwise: arrivals, callers
 // that leave, and drains come as they were recorded; runs take the time of a core that they were recorded to take, or
 // the mean of their class where they were not run, and the cores are shared evenly; the gauges follow from that.
 // Callers do not react to other answers: further tries come as they were recorded, no more and no fewer. Change alters
 // the settings; nil leaves them as they are.
-func Model(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Outcome, admission.Settings, error) {
+func Simulate(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Attempt, admission.Settings, error) {
 	if len(segments) == 0 || segments[0].Snapshot == nil {
 		return nil, admission.Settings{}, ErrNoState
 	}
-	w := &world{now: segments[0].Meta.Module}
+	w := &world{now: segments[0].Meta.ModuleTime}
 	was, err := admission.Restore(segments[0].Snapshot, w)
 	if err != nil {
 		return nil, admission.Settings{}, err
@@ -31,7 +31,7 @@
 		return nil, admission.Settings{}, err
 	}
 	w.set = w.in.Settings()
-	recorded, err := Outcomes(segments, was.Settings().Cores)
+	recorded, err := RecordedAttempts(segments, was.Settings().Cores)
 	if err != nil {
 		return nil, w.set, err
 	}
@@ -97,19 +97,19 @@
 }
 
 // learn takes the work of runs from what was recorded.
-func (w *world) learn(recorded []*Outcome) {
+func (w *world) learn(recorded []*Attempt) {
 	w.work = map[admission.RequestID]time.Duration{}
 	w.mean = make([]time.Duration, len(w.set.Classes))
 	counts := make([]int, len(w.set.Classes))
 	total, count := time.Duration(0), 0
 	for _, o := range recorded {
-		if o.RunEnd == 0 || o.Class >= len(w.mean) || o.Ending == Errored {
+		if o.RunEnd == 0 || o.Class >= len(w.mean) || o.Status == StatusErrored {
 			continue
 		}
-		w.work[o.ID] = o.Work
-		w.mean[o.Class] += o.Work
+		w.work[o.ID] = o.CoreTime
+		w.mean[o.Class] += o.CoreTime
 		counts[o.Class]++
-		total += o.Work
+		total += o.CoreTime
 		count++
 	}
 	for c := range w.mean {
@@ -129,7 +129,7 @@
 	for _, id := range running {
 		w.runs = append(w.runs, &modelRun{id, w.typical})
 	}
-	w.push(w.now, capture.Record{Kind: capture.Timer}, "")
+	w.push(w.now, capture.Record{Kind: capture.KindTimer}, "")
 }
 
 // load queues what does not depend on decisions.
@@ -138,12 +138,12 @@
 	w.asked, w.result = map[admission.RequestID]*capture.Record{}, map[admission.RequestID]bool{}
 	names := map[admission.RequestID]string{}
 	for _, s := range segments {
-		err := s.Each(func(_ capture.Position, r *capture.Record) error {
+		err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
 			w.ends = max(w.ends, r.At)
 			switch r.Kind {
-			case capture.Names:
+			case capture.KindRequestNames:
 				names[r.ID] = r.Text
-			case capture.Request, capture.Gone, capture.Drain:
+			case capture.KindRequest, capture.KindCancel, capture.KindDrain:
 				w.push(r.At, *r, names[r.ID])
 				delete(names, r.ID)
 			}
@@ -180,8 +180,8 @@
 			h := heap.Pop(&w.queue).(happening)
 			w.pass(h.at)
 			h.event.At = max(h.at, w.now)
-			if h.event.Kind == capture.Timer {
-				h.event.Gauges = admission.Gauges{Busy: w.busy, Runnable: float64(len(w.runs))}
+			if h.event.Kind == capture.KindTimer {
+				h.event.Gauges = admission.Gauges{Utilization: w.busy, Runnable: float64(len(w.runs))}
 			}
 			w.tell(h.event, h.wire)
 		}
@@ -197,12 +197,12 @@
 
 // tell reports an event to the module.
 func (w *world) tell(event capture.Record, wire string) {
-	if event.Kind == capture.Request {
+	if event.Kind == capture.KindRequest {
 		r := event
 		w.asked[event.ID] = &r
 	}
 	w.ledger.record(&event, wire)
-	Feed(w.in, &event)
+	Deliver(w.in, &event)
 }
 
 // share is the part of a core that each run gets.
@@ -245,14 +245,14 @@
 func (w *world) end(run *modelRun) {
 	w.remove(run.id)
 	w.result[run.id] = true
-	w.tell(capture.Record{Kind: capture.Done, At: w.now, ID: run.id, Outcome: admission.OK}, "")
+	w.tell(capture.Record{Kind: capture.KindRunFinished, At: w.now, ID: run.id, Outcome: admission.OK}, "")
 	w.release(run.id, admission.OK)
 }
 
 // release answers the repeats that waited for a run.
 func (w *world) release(id admission.RequestID, o admission.Outcome) {
 	for _, f := range w.waiting[id] {
-		w.later = append(w.later, capture.Record{Kind: capture.Done, ID: f, Outcome: o})
+		w.later = append(w.later, capture.Record{Kind: capture.KindRunFinished, ID: f, Outcome: o})
 	}
 	delete(w.waiting, id)
 }
@@ -275,44 +275,46 @@
 
 // Run implements admission.Actions.
 func (w *world) Run(id admission.RequestID) {
-	w.note(capture.Run, id)
+	w.note(capture.KindRun, id)
 	work, known := w.work[id]
-	if r := w.asked[id]; !known && r != nil && r.Asked.Class < len(w.mean) {
-		work = w.mean[r.Asked.Class]
+	if r := w.asked[id]; !known && r != nil && r.Request.Class < len(w.mean) {
+		work = w.mean[r.Request.Class]
 	}
 	w.runs = append(w.runs, &modelRun{id, work})
 }
 
 // Refuse implements admission.Actions.
-func (w *world) Refuse(id admission.RequestID, _ time.Duration, _ bool) { w.note(capture.Refuse, id) }
+func (w *world) Reject(id admission.RequestID, _ time.Duration, _ bool) {
+	w.note(capture.KindReject, id)
+}
 
 // Fail implements admission.Actions.
-func (w *world) Fail(id admission.RequestID) { w.note(capture.Fail, id) }
+func (w *world) Fail(id admission.RequestID) { w.note(capture.KindFail, id) }
 
 // Halt implements admission.Actions.
-func (w *world) Halt(id admission.RequestID) {
+func (w *world) Stop(id admission.RequestID) {
 	if w.remove(id) {
-		w.later = append(w.later, capture.Record{Kind: capture.Done, ID: id, Outcome: admission.Cancelled})
-		w.release(id, admission.Errored)
+		w.later = append(w.later, capture.Record{Kind: capture.KindRunFinished, ID: id, Outcome: admission.Cancelled})
+		w.release(id, admission.Failed)
 	}
 }
 
 // Reuse implements admission.Actions.
-func (w *world) Reuse(id admission.RequestID) {
-	w.note(capture.Reuse, id)
+func (w *world) ReplayResult(id admission.RequestID) {
+	w.note(capture.KindReplayResult, id)
 	source := id
-	for r := w.asked[source]; r != nil && r.Asked.Repeats != 0 && !w.result[source] && !w.onCores(source); r = w.asked[source] {
-		source = r.Asked.Repeats
+	for r := w.asked[source]; r != nil && r.Request.RetryOf != 0 && !w.result[source] && !w.onCores(source); r = w.asked[source] {
+		source = r.Request.RetryOf
 	}
 	if w.onCores(source) {
 		w.waiting[source] = append(w.waiting[source], id)
 		return
 	}
-	o := admission.Errored
+	o := admission.Failed
 	if w.result[source] || w.asked[source] == nil { // a run before the recording is taken to have gone well
 		o = admission.OK
 	}
-	w.later = append(w.later, capture.Record{Kind: capture.Done, ID: id, Outcome: o})
+	w.later = append(w.later, capture.Record{Kind: capture.KindRunFinished, ID: id, Outcome: o})
 }
 
 func (w *world) onCores(id admission.RequestID) bool {
@@ -324,12 +326,12 @@
 	return false
 }
 
-// After implements admission.Actions.
-func (w *world) After(wait time.Duration, token uint32) {
-	w.push(w.now+wait, capture.Record{Kind: capture.Timer, Token: token}, "")
+// AfterEvent implements admission.Actions.
+func (w *world) SetTimer(wait time.Duration, token uint32) {
+	w.push(w.now+wait, capture.Record{Kind: capture.KindTimer, Token: token}, "")
 }
 
 // Call implements admission.Actions: calls go well at once.
 func (w *world) Call(id admission.RequestID, _ time.Duration) {
-	w.later = append(w.later, capture.Record{Kind: capture.Called, ID: id, Outcome: admission.OK})
+	w.later = append(w.later, capture.Record{Kind: capture.KindCallFinished, ID: id, Outcome: admission.OK})
 }
--- a/internal/replay/words.go
+++ b/internal/replay/words.go
@@ -14,67 +14,67 @@
 // ms writes a duration in whole milliseconds.
 func ms(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// Words tells a story in sentences, a line each.
-func (s *Story) Words() []string {
+// Lines tells a story in sentences, a line each.
+func (s *RequestTrace) Lines() []string {
 	who := fmt.Sprintf("#%d", s.ID)
-	if s.Wire != "" {
-		who = s.Wire + " (#" + fmt.Sprint(s.ID) + ")"
+	if s.WireID != "" {
+		who = s.WireID + " (#" + fmt.Sprint(s.ID) + ")"
 	}
 	what := s.Class
 	if s.Tenant != "" {
 		what += " of " + s.Tenant
 	}
-	if s.Asked.Retry {
+	if s.Request.IsRetry {
 		what += ", a further try"
 	}
 	lines := []string{fmt.Sprintf("%s, %s, was read at %s UTC (%v of the module's clock), %s after it reached the machine.", who,
-		what, s.Unix.UTC().Format(clockTime), s.At.Round(time.Millisecond), ms(s.Asked.Waited))}
+		what, s.Unix.UTC().Format(clockTime), s.ReadAt.Round(time.Millisecond), ms(s.Request.QueueingDelay))}
 	lines = append(lines, s.ended()...)
-	if s.Weighing != nil {
+	if s.AdmissionCheck != nil {
 		lines = append(lines, "When it was read:")
-		lines = append(lines, indent(weighed(s.Weighing, s.At, s.Known))...)
+		lines = append(lines, indent(weighed(s.AdmissionCheck, s.ReadAt, s.StateOnRead))...)
 	}
-	if s.EndKnown != nil {
-		lines = append(lines, fmt.Sprintf("When it ended, %s later:", ms(s.EndAt-s.At)))
-		lines = append(lines, indent(judged(s.Judged, s.EndAt, s.EndKnown))...)
+	if s.StateAtEnd != nil {
+		lines = append(lines, fmt.Sprintf("When it ended, %s later:", ms(s.EndAt-s.ReadAt)))
+		lines = append(lines, indent(judged(s.DecisionAtEnd, s.EndAt, s.StateAtEnd))...)
 	}
 	if len(s.Steps) > 0 {
 		lines = append(lines, "Step by step:")
 		for _, step := range s.Steps {
-			lines = append(lines, fmt.Sprintf("  %s  +%s  %s", step.Unix.UTC().Format(clockTime), ms(step.At-s.At), step.Text))
+			lines = append(lines, fmt.Sprintf("  %s  +%s  %s", step.Unix.UTC().Format(clockTime), ms(step.At-s.ReadAt), step.Text))
 		}
 	}
 	return lines
 }
 
 // ended says how and why the request ended.
-func (s *Story) ended() []string {
-	after := ms(s.EndAt - s.At)
-	switch s.Ending {
-	case Refused, Failed:
+func (s *RequestTrace) ended() []string {
+	after := ms(s.EndAt - s.ReadAt)
+	switch s.Status {
+	case StatusRejected, StatusFailed:
 		word := "refused"
-		if s.Ending == Failed {
+		if s.Status == StatusFailed {
 			word = "answered as failed"
 		}
-		if s.OnRead && s.Weighing != nil {
-			return []string{fmt.Sprintf("It was %s at once: %s.", word, s.Weighing.Reason)}
+		if s.EndedOnRead && s.AdmissionCheck != nil {
+			return []string{fmt.Sprintf("It was %s at once: %s.", word, s.AdmissionCheck.Reason)}
 		}
-		if s.Judged != nil && s.Judged.Reason != admission.Admitted {
-			return []string{fmt.Sprintf("It was %s after %s while it was %s: %s.", word, after, s.Judged.Phase, s.Judged.Reason)}
+		if s.DecisionAtEnd != nil && s.DecisionAtEnd.Reason != admission.Admitted {
+			return []string{fmt.Sprintf("It was %s after %s while it was %s: %s.", word, after, s.DecisionAtEnd.Phase, s.DecisionAtEnd.Reason)}
 		}
 		return []string{fmt.Sprintf("It was %s after %s.", word, after)}
-	case Served, Reused:
+	case StatusServed, StatusReplayed:
 		text := "It was served by its own run after " + after
-		if s.Ending == Reused {
+		if s.Status == StatusReplayed {
 			text = "It was served by the run of another try after " + after
 		}
-		if s.Late > 0 {
-			return []string{text + ", " + ms(s.Late) + " later than its aim."}
+		if s.Lateness > 0 {
+			return []string{text + ", " + ms(s.Lateness) + " later than its aim."}
 		}
 		return []string{text + ", in time."}
-	case Left:
+	case StatusCancelled:
 		return []string{"Its caller went away after " + after + "."}
-	case Errored:
+	case StatusErrored:
 		return []string{"Its run ended without a result after " + after + "."}
 	}
 	return []string{"No answer to it is in the capture."}
@@ -88,31 +88,31 @@
 }
 
 // weighed says how an arrival looked.
-func weighed(w *admission.Weighing, now time.Duration, known *admission.Insight) []string {
-	lines := []string{fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", w.N, ms(now-w.T), w.Rate)}
+func weighed(w *admission.AdmissionCheck, now time.Duration, known *admission.Inspection) []string {
+	lines := []string{fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", w.ImpulseSize, ms(now-w.LastArrival), w.Rate)}
 	if w.Threshold > 0 {
-		lines[0] += fmt.Sprintf(" over a threshold of %.1f/s: %.2f times it", w.Threshold, w.Excess)
+		lines[0] += fmt.Sprintf(" over a threshold of %.1f/s: %.2f times it", w.Threshold, w.RateRatio)
 	}
-	if w.Repeats {
+	if w.Coalesced {
 		lines = append(lines, "it repeats a known try and is answered by what becomes of that")
 	}
 	lines = append(lines,
-		fmt.Sprintf("predicted wait %s; it could wait %s and still meet its aim; its answer was due in %s", ms(w.Wait),
-			ms(w.Spare), ms(w.Due-now)))
-	lines = append(lines, Knew(known)...)
-	return append(lines, stood(w.HeldAhead, w.OnCores)...)
+		fmt.Sprintf("predicted wait %s; it could wait %s and still meet its aim; its answer was due in %s", ms(w.PredictedWait),
+			ms(w.Slack), ms(w.Deadline-now)))
+	lines = append(lines, DescribeState(known)...)
+	return append(lines, stood(w.QueuedAhead, w.Running)...)
 }
 
 // judged says how a request looked that was held or ran.
-func judged(j *admission.Judgement, now time.Duration, known *admission.Insight) []string {
+func judged(j *admission.QueueDecision, now time.Duration, known *admission.Inspection) []string {
 	var lines []string
 	if j != nil {
 		lines = append(lines, fmt.Sprintf("%s; a run of it was expected to take %s; its aim was %s, its due time %s", j.Phase,
-			ms(j.OwnTime), relative(j.Useful-now), relative(j.Due-now)))
+			ms(j.ExpectedRunTime), relative(j.ObjectiveDeadline-now), relative(j.Deadline-now)))
 	}
-	lines = append(lines, Knew(known)...)
+	lines = append(lines, DescribeState(known)...)
 	if j != nil {
-		lines = append(lines, stood(j.HeldAhead, j.OnCores)...)
+		lines = append(lines, stood(j.QueuedAhead, j.Running)...)
 	}
 	return lines
 }
@@ -125,26 +125,26 @@
 	return "in " + ms(d)
 }
 
-// Knew says what the module knew.
-func Knew(i *admission.Insight) []string {
+// DescribeState says what the module knew.
+func DescribeState(i *admission.Inspection) []string {
 	flags := ""
 	for _, f := range []struct {
 		is   bool
 		text string
-	}{{i.Full, "cores full"}, {i.Pressed, "pressed"}, {i.Stalled, "stalled"}, {i.Draining, "draining"}, {i.Stormy, "a storm of tries"}} {
+	}{{i.Saturated, "cores full"}, {i.Overloaded, "pressed"}, {i.Stalled, "stalled"}, {i.Draining, "draining"}, {i.RetryStorm, "a storm of tries"}} {
 		if f.is {
 			flags += ", " + f.text
 		}
 	}
 	lines := []string{
-		fmt.Sprintf("held %d, running %d of a limit of %.1f (at most %.1f), at calls %d%s", i.Held, i.Running, i.Limit, i.Crowd,
-			i.AtCall, flags),
+		fmt.Sprintf("held %d, running %d of a limit of %.1f (at most %.1f), at calls %d%s", i.Queued, i.Running, i.ConcurrencyLimit, i.MaxConcurrency,
+			i.Calling, flags),
 		fmt.Sprintf("gauges: busy %.2f, runnable %g; memory %.0f of %.0f kB, %d keys; further tries %.0f %% of arrivals, unread for %s",
-			i.Busy, i.Runnable, i.MemoryKB, i.MostKB, i.Keys, 100*i.Retries, ms(i.Unread))}
+			i.Utilization, i.Runnable, i.MemoryKB, i.MaxMemoryKB, i.Keys, 100*i.RetryShare, ms(i.ReadDelay))}
 	for n, c := range i.Classes {
-		if c.Runs > 0 {
+		if c.Samples > 0 {
 			lines = append(lines, fmt.Sprintf("class %d: a run takes %s of a core, %s in all (%d runs); held %d within their slices, %d over",
-				n, ms(c.CoreTime), ms(c.Wall), c.Runs, c.Within, c.Over))
+				n, ms(c.CoreTime), ms(c.WallTime), c.Samples, c.QueuedWithinQuota, c.QueuedOverQuota))
 		}
 	}
 	return lines
--- a/internal/report/lines.go
+++ b/internal/report/lines.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Line is one curve.
-type Line struct {
+// Series is one curve.
+type Series struct {
 	Name   string
 	Points [][2]float64
 	Low    []float64 // of an interval round each point, with High; nil is none
@@ -23,21 +23,21 @@
 
 // Chart is curves over a common axis, with a stretch of it shaded.
 type Chart struct {
-	Title, X, Y string
-	Lines       []Line
-	From, To    float64 // shaded, where From is under To
-	Shades      [][2]float64
-	Limit       float64 // drawn across, where it is not 0
+	Title, XLabel, YLabel string
+	Series                []Series
+	From, To              float64 // shaded, where From is under To
+	Shades                [][2]float64
+	Threshold             float64 // renderedSection across, where it is not 0
 }
 
-// interval is a line with how far each point may be off.
-type interval struct {
+// errorBarSeries is a line with how far each point may be off.
+type errorBarSeries struct {
 	plotter.XYs
-	line Line
+	line Series
 }
 
 // YError implements plotter.YErrorer.
-func (i interval) YError(n int) (low, high float64) {
+func (i errorBarSeries) YError(n int) (low, high float64) {
 	y := i.line.Points[n][1]
 	return y - i.line.Low[n], i.line.High[n] - y
 }
@@ -48,10 +48,10 @@
 // SVG draws the chart.
 func (c Chart) SVG(w io.Writer) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	p.Legend.Top, p.Legend.Padding, p.Legend.ThumbnailWidth = true, vg.Points(4), vg.Points(14)
 	most := 0.0
-	for _, l := range c.Lines {
+	for _, l := range c.Series {
 		for _, at := range l.Points {
 			most = max(most, at[1])
 		}
@@ -68,7 +68,7 @@
 		shade.Color, shade.LineStyle.Width = color.RGBA{235, 235, 235, 255}, 0
 		p.Add(shade)
 	}
-	for i, l := range c.Lines {
+	for i, l := range c.Series {
 		xys := make(plotter.XYs, len(l.Points))
 		for n, at := range l.Points {
 			xys[n].X, xys[n].Y = at[0], at[1]
@@ -79,7 +79,7 @@
 		}
 		line.Color, line.Width = palette[i%len(palette)], vg.Points(1.5)
 		if l.Low != nil {
-			bars, err := plotter.NewYErrorBars(interval{xys, l})
+			bars, err := plotter.NewYErrorBars(errorBarSeries{xys, l})
 			if err != nil {
 				return fmt.Errorf("report: %s: %w", l.Name, err)
 			}
@@ -89,8 +89,8 @@
 		p.Add(line)
 		p.Legend.Add(l.Name, line)
 	}
-	if c.Limit != 0 {
-		limit := plotter.NewFunction(func(float64) float64 { return c.Limit })
+	if c.Threshold != 0 {
+		limit := plotter.NewFunction(func(float64) float64 { return c.Threshold })
 		limit.Dashes, limit.Color = []vg.Length{vg.Points(3), vg.Points(3)}, color.Gray{Y: 90}
 		p.Add(limit)
 	}
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -37,8 +37,8 @@
 {{end}}{{end}}</body></html>
 `
 
-// drawn is a section with its pictures made.
-type drawn struct {
+// renderedSection is a section with its pictures made.
+type renderedSection struct {
 	Section
 	Pictures []template.HTML
 }
@@ -51,10 +51,10 @@
 	}
 	data := struct {
 		Title, Lead string
-		Sections    []drawn
+		Sections    []renderedSection
 	}{Title: p.Title, Lead: p.Lead}
 	for _, s := range p.Sections {
-		d := drawn{Section: s}
+		d := renderedSection{Section: s}
 		for _, c := range s.Charts {
 			var b bytes.Buffer
 			if err := c.SVG(&b); err != nil {
--- a/internal/report/page_test.go
+++ b/internal/report/page_test.go
@@ -10,7 +10,7 @@
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
 	p := Page{Title: "a <b>", Sections: []Section{{Title: "s", Head: []string{"x"}, Rows: [][]string{{"1 < 2"}},
-		Charts: []Chart{{Title: "c", Shades: [][2]float64{{1, 2}}, Lines: []Line{{Name: "l", Points: [][2]float64{{0, 1}, {3, 2}},
+		Charts: []Chart{{Title: "c", Shades: [][2]float64{{1, 2}}, Series: []Series{{Name: "l", Points: [][2]float64{{0, 1}, {3, 2}},
 			Low: []float64{0.5, 1}, High: []float64{1.5, 3}}}}}}}}
 	if err := p.HTML(&b); err != nil {
 		t.Fatal(err)
--- a/internal/retrysim/poolstorm.go
+++ b/internal/retrysim/poolstorm.go
@@ -12,36 +12,36 @@
 
 // Config is a storm: members fail a part of their tries for a while.
 type Config struct {
-	Members  int
-	Rate     float64       // requests a second
-	For      time.Duration // of it all
-	From, To time.Duration // of the outage
-	Fails    float64       // part of the tries that fail in it
-	Share    float64       // of the budget; 0 is none
-	Seed     uint64
+	Members                int
+	RequestRate            float64       // requests a second
+	Duration               time.Duration // of it all
+	OutageStart, OutageEnd time.Duration // of the outage
+	FailureShare           float64       // part of the tries that fail in it
+	BudgetShare            float64       // of the budget; 0 is none
+	Seed                   uint64
 }
 
 // Defaults are a storm of ten seconds in which every member fails 30 % of its tries.
 func Defaults() Config {
-	return Config{Members: 5, Rate: 1000, For: 30 * time.Second, From: 10 * time.Second, To: 20 * time.Second, Fails: 0.3,
-		Share: 0.15, Seed: 1}
+	return Config{Members: 5, RequestRate: 1000, Duration: 30 * time.Second, OutageStart: 10 * time.Second, OutageEnd: 20 * time.Second, FailureShare: 0.3,
+		BudgetShare: 0.15, Seed: 1}
 }
 
-// Point is a stretch of the storm.
-type Point struct {
-	At     float64 `json:"at"`     // its end, in seconds
-	Load   float64 `json:"load"`   // tries over requests
-	Served float64 `json:"served"` // part of the requests
+// Sample is a stretch of the storm.
+type Sample struct {
+	EndSeconds  float64 `json:"at"`     // its end, in seconds
+	LoadFactor  float64 `json:"load"`   // tries over requests
+	ServedShare float64 `json:"served"` // part of the requests
 }
 
 // step is the length of a stretch.
 const step = 500 * time.Millisecond
 
 // Run plays a storm.
-func Run(c Config) ([]Point, error) {
-	cfg := pool.Defaults()
-	cfg.Name, cfg.BudgetShare, cfg.BudgetLeast = "storm", c.Share, 0
-	cfg.EjectErrors, cfg.EjectFactor = 0, 0 // all fail alike: nobody stands out
+func Run(c Config) ([]Sample, error) {
+	cfg := pool.DefaultConfig()
+	cfg.Name, cfg.RetryRatio, cfg.MinRetriesPerSecond = "storm", c.BudgetShare, 0
+	cfg.EjectionErrorRate, cfg.EjectionLatencyFactor = 0, 0 // all fail alike: nobody stands out
 	for i := range c.Members {
 		m := pool.DefaultMember(fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1))
 		m.MaxFails = 0
@@ -52,13 +52,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var points []Point
+	var points []Sample
 	requests, tries, served := 0, 0, 0
 	end := step
-	for now := time.Duration(0); now < c.For; now += time.Duration(rng.ExpFloat64() / c.Rate * float64(time.Second)) {
+	for now := time.Duration(0); now < c.Duration; now += time.Duration(rng.ExpFloat64() / c.RequestRate * float64(time.Second)) {
 		for now >= end {
 			n := float64(max(requests, 1))
-			points = append(points, Point{end.Seconds(), float64(tries) / n, float64(served) / n})
+			points = append(points, Sample{end.Seconds(), float64(tries) / n, float64(served) / n})
 			requests, tries, served = 0, 0, 0
 			end += step
 		}
@@ -70,13 +70,13 @@
 				break
 			}
 			tries++
-			if out := now >= c.From && now < c.To; !out || rng.Float64() >= c.Fails {
-				p.Done(addr, pool.OK, time.Millisecond, now)
+			if out := now >= c.OutageStart && now < c.OutageEnd; !out || rng.Float64() >= c.FailureShare {
+				p.Finish(addr, pool.Succeeded, time.Millisecond, now)
 				served++
 				break
 			}
-			p.Done(addr, pool.Failed, time.Millisecond, now)
-			if p.Next(r, pool.Failure{Condition: pool.Error}, pool.Last, now) != pool.Again {
+			p.Finish(addr, pool.Failed, time.Millisecond, now)
+			if p.DecideRetry(r, pool.Failure{Condition: pool.ConnectionError}, pool.DefaultRetryOn, now) != pool.Retry {
 				break
 			}
 		}
--- a/internal/retrysim/poolstorm_test.go
+++ b/internal/retrysim/poolstorm_test.go
@@ -6,12 +6,12 @@
 )
 
 // highest is the highest load of a storm's stretches, and the part of the requests served in the outage.
-func highest(points []Point, c Config) (load, served float64) {
+func highest(points []Sample, c Config) (load, served float64) {
 	n := 0.0
 	for _, p := range points {
-		load = max(load, p.Load)
-		if p.At > c.From.Seconds()+0.5 && p.At <= c.To.Seconds() {
-			served += p.Served
+		load = max(load, p.LoadFactor)
+		if p.EndSeconds > c.OutageStart.Seconds()+0.5 && p.EndSeconds <= c.OutageEnd.Seconds() {
+			served += p.ServedShare
 			n++
 		}
 	}
@@ -29,9 +29,9 @@
 	if !reflect.DeepEqual(with, again) {
 		t.Error("one seed gives two storms")
 	}
-	c.Fails = 0.9
+	c.FailureShare = 0.9
 	worse, _ := Run(c)
-	c.Share = 0
+	c.BudgetShare = 0
 	without, _ := Run(c)
 	a, _ := highest(with, c)
 	b, _ := highest(worse, c)
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -11,23 +11,23 @@
 
 // The kinds of location.
 const (
-	Prefix    Kind = iota // the longest of those that begin the path
-	NoRegex               // ^~: as Prefix, and no regex is looked at where it is the longest
-	Exact                 // =: the path is the pattern
-	Regex                 // ~: the first that matches, in the order of the file
-	RegexFold             // ~*: as Regex, with case ignored
-	Named                 // @: only by its name
+	Prefix          Kind = iota // the longest of those that begin the path
+	PrefixNoRegex               // ^~: as Prefix, and no regex is looked at where it is the longest
+	Exact                       // =: the path is the pattern
+	Regex                       // ~: the first that matches, in the order of the file
+	RegexIgnoreCase             // ~*: as Regex, with case ignored
+	Named                       // @: only by its name
 )
 
 // Location is one place in the tree of a server.
 type Location struct {
-	Kind      Kind
-	Pattern   string // without the modifier; of a named one without @
-	Redirect  bool   `json:"Redirect"` // a Prefix that ends in a slash: the same path without it is redirected to it
-	Rewrites  []*Rewrite
-	Locations []*Location
-	Value     any    // what it stands for; the table only hands it on
-	At        string `json:"At"` // where it was defined, for messages
+	Kind                  Kind
+	Pattern               string // without the modifier; of a named one without @
+	RedirectTrailingSlash bool   `json:"Redirect"` // a Prefix that ends in a slash: the same path without it is redirected to it
+	Rewrites              []*Rewrite
+	Locations             []*Location
+	Value                 any    // what it stands for; the table only hands it on
+	Source                string `json:"At"` // where it was defined, for messages
 
 	re     *regexp.Regexp
 	parent *Location
@@ -153,7 +153,7 @@
 // slash is the location to which the path without the last slash is redirected, or nil.
 func (n *node) slash() *Location {
 	for _, l := range []*Location{n.exact, n.inclusive} {
-		if l != nil && l.Redirect {
+		if l != nil && l.RedirectTrailingSlash {
 			return l
 		}
 	}
@@ -172,23 +172,23 @@
 			return nil, nil, err
 		}
 		switch l.Kind {
-		case Regex, RegexFold:
+		case Regex, RegexIgnoreCase:
 			text := l.Pattern
-			if l.Kind == RegexFold {
+			if l.Kind == RegexIgnoreCase {
 				text = "(?i)" + text
 			}
 			if l.re, err = regexp.Compile(text); err != nil {
-				return nil, nil, fmt.Errorf("%s: location %v: not a regex of RE2: %w", l.At, l, err)
+				return nil, nil, fmt.Errorf("%s: location %v: not a regex of RE2: %w", l.Source, l, err)
 			}
 			order = append(order, l)
-		case Prefix, NoRegex, Exact:
+		case Prefix, PrefixNoRegex, Exact:
 			n := tree.insert(l.Pattern)
 			place := &n.inclusive
 			if l.Kind == Exact {
 				place = &n.exact
 			}
 			if *place != nil {
-				return nil, nil, fmt.Errorf("%s: location %v is defined twice, first at %s", l.At, l, (*place).At)
+				return nil, nil, fmt.Errorf("%s: location %v is defined twice, first at %s", l.Source, l, (*place).Source)
 			}
 			*place = l
 		}
@@ -204,18 +204,18 @@
 	p := l.parent
 	switch {
 	case l.Pattern == "":
-		return fmt.Errorf("%s: a location without a pattern", l.At)
+		return fmt.Errorf("%s: a location without a pattern", l.Source)
 	case l.Kind == Named && len(l.Rewrites) > 0:
-		return fmt.Errorf("%s: location %v can't rewrite: its path stays", l.At, l)
+		return fmt.Errorf("%s: location %v can't rewrite: its path stays", l.Source, l)
 	case p == nil:
 		return nil
 	case l.Kind == Named:
-		return fmt.Errorf("%s: location %v can only stand in a server", l.At, l)
+		return fmt.Errorf("%s: location %v can only stand in a server", l.Source, l)
 	case p.Kind == Exact || p.Kind == Named:
-		return fmt.Errorf("%s: location %v can't stand in location %v", l.At, l, p)
-	case l.Kind != Regex && l.Kind != RegexFold && !strings.HasPrefix(l.Pattern, p.Pattern):
+		return fmt.Errorf("%s: location %v can't stand in location %v", l.Source, l, p)
+	case l.Kind != Regex && l.Kind != RegexIgnoreCase && !strings.HasPrefix(l.Pattern, p.Pattern):
 		// nginx compares with the text of the pattern where the outer one is a regex, too.
-		return fmt.Errorf("%s: location %v is outside location %v", l.At, l, p)
+		return fmt.Errorf("%s: location %v is outside location %v", l.Source, l, p)
 	}
 	return nil
 }
@@ -224,15 +224,15 @@
 type Step struct {
 	Location *Location // or that of the rewrite; nil for a server's
 	Rewrite  *Rewrite  // nil where the step is no rewrite's
-	What     string    `json:"What"`
+	Detail   string    `json:"What"`
 }
 
 // String is the step as it is told to operators.
 func (s Step) String() string {
 	if s.Rewrite != nil {
-		return fmt.Sprintf("%s: rewrite %s %s", s.Rewrite.At, s.Rewrite.Pattern, s.What)
+		return fmt.Sprintf("%s: rewrite %s %s", s.Rewrite.Source, s.Rewrite.Pattern, s.Detail)
 	}
-	return fmt.Sprintf("%s: location %v %s", s.Location.At, s.Location, s.What)
+	return fmt.Sprintf("%s: location %v %s", s.Location.Source, s.Location, s.Detail)
 }
 
 // tracer hears of the steps of a search; nil hears of none.
@@ -240,13 +240,13 @@
 
 func (t tracer) step(l *Location, what string) {
 	if t != nil {
-		t(Step{Location: l, What: what})
+		t(Step{Location: l, Detail: what})
 	}
 }
 
 func (t tracer) rewrite(w *Rewrite, l *Location, what string) {
 	if t != nil {
-		t(Step{Location: l, Rewrite: w, What: what})
+		t(Step{Location: l, Rewrite: w, Detail: what})
 	}
 }
 
@@ -263,7 +263,7 @@
 		return l, redirect
 	case longest:
 		t.step(l, "is the longest prefix")
-		noRegex = l.Kind == NoRegex
+		noRegex = l.Kind == PrefixNoRegex
 		inner, innerHow := search(l.tree, l.order, path, t)
 		if inner != nil {
 			if innerHow != longest {
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -28,19 +28,19 @@
 	for range rapid.IntRange(0, 5).Draw(t, "locations") {
 		l := routemodel.Location{Modifier: rapid.SampledFrom([]string{"", "", "^~", "=", "~", "~*"}).Draw(t, "modifier")}
 		if l.Modifier == "~" || l.Modifier == "~*" {
-			l.Text = rapid.SampledFrom(regexPieces).Draw(t, "regex")
+			l.Pattern = rapid.SampledFrom(regexPieces).Draw(t, "regex")
 		} else {
 			if regex {
 				continue // nginx compares with the regex's text: hardly any prefix can stand there
 			}
-			l.Text = parent
-			if l.Text == "" {
-				l.Text = "/"
+			l.Pattern = parent
+			if l.Pattern == "" {
+				l.Pattern = "/"
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "pieces") {
-				l.Text += rapid.SampledFrom(textPieces).Draw(t, "piece")
+				l.Pattern += rapid.SampledFrom(textPieces).Draw(t, "piece")
 			}
-			key := strings.TrimPrefix(l.Modifier, "^~") + l.Text
+			key := strings.TrimPrefix(l.Modifier, "^~") + l.Pattern
 			if seen[key] {
 				continue
 			}
@@ -48,10 +48,10 @@
 		}
 		*names++
 		l.Name = fmt.Sprint("l", *names)
-		l.Pass = rapid.Bool().Draw(t, "pass")
+		l.PassesToPool = rapid.Bool().Draw(t, "pass")
 		if depth > 0 && l.Modifier != "=" {
 			isRegex := l.Modifier == "~" || l.Modifier == "~*"
-			l.Inner = drawLocations(t, l.Text, isRegex, depth-1, names)
+			l.Locations = drawLocations(t, l.Pattern, isRegex, depth-1, names)
 		}
 		list = append(list, l)
 	}
@@ -60,12 +60,12 @@
 
 // build turns a model's locations into the table's.
 func build(list []routemodel.Location) []*Location {
-	kinds := map[string]Kind{"": Prefix, "^~": NoRegex, "=": Exact, "~": Regex, "~*": RegexFold}
+	kinds := map[string]Kind{"": Prefix, "^~": PrefixNoRegex, "=": Exact, "~": Regex, "~*": RegexIgnoreCase}
 	var out []*Location
 	for _, l := range list {
 		kind := kinds[l.Modifier]
-		out = append(out, &Location{Kind: kind, Pattern: l.Text, Value: l.Name, Locations: build(l.Inner), At: l.Name,
-			Redirect: l.Pass && strings.HasSuffix(l.Text, "/") && (kind == Prefix || kind == NoRegex)})
+		out = append(out, &Location{Kind: kind, Pattern: l.Pattern, Value: l.Name, Locations: build(l.Locations), Source: l.Name,
+			RedirectTrailingSlash: l.PassesToPool && strings.HasSuffix(l.Pattern, "/") && (kind == Prefix || kind == PrefixNoRegex)})
 	}
 	return out
 }
@@ -88,8 +88,8 @@
 			for range rapid.IntRange(0, 3).Draw(t, "names") {
 				names[i] = append(names[i], rapid.SampledFrom(serverNames).Draw(t, "name"))
 			}
-			servers = append(servers, &Server{Listen: []Listen{{Addr: at}}, Names: names[i], Merge: merge,
-				Locations: build(list), At: fmt.Sprint("s", i)})
+			servers = append(servers, &Server{Listen: []Listen{{Addr: at}}, Names: names[i], MergeSlashes: merge,
+				Locations: build(list), Source: fmt.Sprint("s", i)})
 		}
 		table, err := New(servers)
 		if err != nil {
@@ -98,16 +98,16 @@
 		for range *paths {
 			pairs++
 			host := rapid.SampledFrom(hostNames).Draw(t, "host")
-			s, why := table.Server(at, host)
-			if want := routemodel.Server(names, host); s.At != fmt.Sprint("s", want) {
-				t.Fatalf("host %s: %s by %s, the manual says s%d of %q", host, s.At, why, want, names)
+			s, why := table.FindServer(at, host)
+			if want := routemodel.FindServer(names, host); s.Source != fmt.Sprint("s", want) {
+				t.Fatalf("host %s: %s by %s, the manual says s%d of %q", host, s.Source, why, want, names)
 			}
 			raw := "/"
 			for range rapid.IntRange(0, 6).Draw(t, "length") {
 				raw += rapid.SampledFrom(pathPieces).Draw(t, "piece")
 			}
 			m, err := s.Resolve(raw, "")
-			path, ok := routemodel.Path(raw, merge)
+			path, ok := routemodel.NormalizePath(raw, merge)
 			if ok != (err == nil) || ok && path != m.Path {
 				t.Fatalf("path %s: %q, %v; the manual says %q, %t", raw, m.Path, err, path, ok)
 			}
@@ -118,10 +118,10 @@
 			if m.Location != nil {
 				got = m.Location.Value.(string)
 			}
-			if m.Redirect {
+			if m.RedirectTrailingSlash {
 				got = "301 " + got
 			}
-			if want, _ := routemodel.Find(list, path); got != want {
+			if want, _ := routemodel.FindLocation(list, path); got != want {
 				t.Fatalf("path %s: %q, the manual says %q of %+v", path, got, want, list)
 			}
 		}
--- a/internal/route/rewrite.go
+++ b/internal/route/rewrite.go
@@ -6,54 +6,56 @@
 	"strings"
 )
 
-// Flag says what follows a rewrite whose regex matched (the manual's ngx_http_rewrite_module).
-type Flag uint8
+// RewriteFlag says what follows a rewrite whose regex matched (the manual's ngx_http_rewrite_module).
+type RewriteFlag uint8
 
 // The flags.
 const (
-	Onward    Flag = iota // the next rewrite; behind the last one the location is looked for again
-	Last                  // the location is looked for again
-	Break                 // the location stays, and nothing else of it but its pool counts
-	Redirect              // the caller is sent there with 302
-	Permanent             // likewise with 301
+	FlagNone      RewriteFlag = iota // the next rewrite; behind the last one the location is looked for again
+	FlagLast                         // the location is looked for again
+	FlagBreak                        // the location stays, and nothing else of it but its pool counts
+	FlagRedirect                     // the caller is sent there with 302
+	FlagPermanent                    // likewise with 301
 )
 
 // Rewrite changes the path of a request, or sends its caller elsewhere.
 type Rewrite struct {
-	Pattern string // a regex of RE2, matched against the normalised path
-	To      string `json:"To"` // $1 to $9 stand for what groups matched; behind a ? stands a query, to which that of the request is added unless To ends with a ?
-	Flag    Flag
-	At      string `json:"At"` // where it was defined, for messages
+	Pattern     string // a regex of RE2, matched against the normalised path
+	Replacement string `json:"To"` // $1 to $9 stand for what groups matched; behind a ? stands a query, to which that of the request is added unless To ends with a ?
+	Flag        RewriteFlag
+	Source      string `json:"At"` // where it was defined, for messages
 
 	re *regexp.Regexp
 }
 
 // away tells whether callers are sent elsewhere, by the flag or by the target.
-func (w *Rewrite) away() bool { return w.external() || w.Flag == Redirect || w.Flag == Permanent }
+func (w *Rewrite) away() bool {
+	return w.external() || w.Flag == FlagRedirect || w.Flag == FlagPermanent
+}
 
 // external tells whether callers are sent to another place whatever the flag says.
 func (w *Rewrite) external() bool {
-	return strings.HasPrefix(w.To, "http://") || strings.HasPrefix(w.To, "https://")
+	return strings.HasPrefix(w.Replacement, "http://") || strings.HasPrefix(w.Replacement, "https://")
 }
 
 // compile checks a rewrite.
 func (w *Rewrite) compile() (err error) {
 	if w.re, err = regexp.Compile(w.Pattern); err != nil {
-		return fmt.Errorf("%s: rewrite %s: not a regex of RE2: %w", w.At, w.Pattern, err)
+		return fmt.Errorf("%s: rewrite %s: not a regex of RE2: %w", w.Source, w.Pattern, err)
 	}
-	for i := 0; i < len(w.To); i++ {
-		if w.To[i] != '$' {
+	for i := 0; i < len(w.Replacement); i++ {
+		if w.Replacement[i] != '$' {
 			continue
 		}
-		if i+1 == len(w.To) || w.To[i+1] < '1' || w.To[i+1] > '9' {
-			return fmt.Errorf("%s: rewrite to %s: only $1 to $9 can stand in it", w.At, w.To)
+		if i+1 == len(w.Replacement) || w.Replacement[i+1] < '1' || w.Replacement[i+1] > '9' {
+			return fmt.Errorf("%s: rewrite to %s: only $1 to $9 can stand in it", w.Source, w.Replacement)
 		}
-		if group := int(w.To[i+1] - '0'); group > w.re.NumSubexp() {
-			return fmt.Errorf("%s: rewrite to %s: %s has no group %d", w.At, w.To, w.Pattern, group)
+		if group := int(w.Replacement[i+1] - '0'); group > w.re.NumSubexp() {
+			return fmt.Errorf("%s: rewrite to %s: %s has no group %d", w.Source, w.Replacement, w.Pattern, group)
 		}
 	}
-	if w.To == "" {
-		return fmt.Errorf("%s: rewrite %s: it leads nowhere", w.At, w.Pattern)
+	if w.Replacement == "" {
+		return fmt.Errorf("%s: rewrite %s: it leads nowhere", w.Source, w.Pattern)
 	}
 	return nil
 }
@@ -78,7 +80,7 @@
 		return from, false
 	}
 	away := w.away()
-	text, addQuery := strings.CutSuffix(w.To, "?")
+	text, addQuery := strings.CutSuffix(w.Replacement, "?")
 	addQuery = !addQuery
 	path, query, hasQuery := strings.Cut(text, "?")
 	to = target{expand(path, from.path, groups, away), from.query}
@@ -129,34 +131,34 @@
 	return b.String()
 }
 
-// Outcome is where a request belongs once it was rewritten.
-type Outcome struct {
+// Resolution is where a request belongs once it was rewritten.
+type Resolution struct {
 	Match
-	Query     string
-	Rewritten bool   // the path or the query is not what was asked for, normalised
-	Status    int    // 301 or 302 where a rewrite sends the caller away, 500 where rewrites go round
-	To        string // the address of a redirect
-	Settled   bool   // a rewrite broke off: of the location only its pool counts
+	Query          string
+	Rewritten      bool   // the path or the query is not what was asked for, normalised
+	Status         int    // 301 or 302 where a rewrite sends the caller away, 500 where rewrites go round
+	RedirectURL    string // the address of a redirect
+	StoppedByBreak bool   // a rewrite broke off: of the location only its pool counts
 }
 
 // maxChanges is how often a path may be changed before rewrites are taken to go round, as in nginx.
 const maxChanges = 10
 
 // Resolve finds the location of a path as it was sent, with the rewrites of the server and of the locations on the way.
-// The error is ErrURI.
-func (s *Server) Resolve(raw, query string) (Outcome, error) { return s.resolve(raw, query, nil) }
+// The error is ErrInvalidPath.
+func (s *Server) Resolve(raw, query string) (Resolution, error) { return s.resolve(raw, query, nil) }
 
 // Explain is Resolve with the steps that led to it.
-func (s *Server) Explain(raw, query string) (Outcome, []Step, error) {
+func (s *Server) Explain(raw, query string) (Resolution, []Step, error) {
 	var steps []Step
 	o, err := s.resolve(raw, query, func(step Step) { steps = append(steps, step) })
 	return o, steps, err
 }
 
-func (s *Server) resolve(raw, query string, t tracer) (Outcome, error) {
-	path, err := Normalise(raw, s.Merge)
+func (s *Server) resolve(raw, query string, t tracer) (Resolution, error) {
+	path, err := NormalizePath(raw, s.MergeSlashes)
 	if err != nil {
-		return Outcome{Match: Match{Server: s}}, err
+		return Resolution{Match: Match{Server: s}}, err
 	}
 	asked := target{path, query}
 	at := asked
@@ -165,8 +167,8 @@
 	}
 	for range maxChanges + 1 {
 		l, how := search(s.tree, s.order, at.path, t)
-		o := Outcome{Match: Match{Server: s, Location: l, Path: at.path, Redirect: how == redirect}, Query: at.query, Rewritten: at != asked}
-		if l == nil || o.Redirect || len(l.Rewrites) == 0 {
+		o := Resolution{Match: Match{Server: s, Location: l, Path: at.path, RedirectTrailingSlash: how == redirect}, Query: at.query, Rewritten: at != asked}
+		if l == nil || o.RedirectTrailingSlash || len(l.Rewrites) == 0 {
 			return o, nil
 		}
 		sent, next := s.rewrite(l.Rewrites, &at, l, t)
@@ -174,11 +176,11 @@
 		case sent.Status != 0:
 			return sent, nil
 		case next != searchAgain:
-			o.Path, o.Query, o.Rewritten, o.Settled = at.path, at.query, at != asked, next == settled
+			o.Path, o.Query, o.Rewritten, o.StoppedByBreak = at.path, at.query, at != asked, next == settled
 			return o, nil
 		}
 	}
-	return Outcome{Match: Match{Server: s, Path: at.path}, Query: at.query, Status: 500}, nil
+	return Resolution{Match: Match{Server: s, Path: at.path}, Query: at.query, Status: 500}, nil
 }
 
 // next is what follows a list of rewrites.
@@ -191,7 +193,7 @@
 )
 
 // rewrite applies a list in order.
-func (s *Server) rewrite(list []*Rewrite, at *target, l *Location, t tracer) (Outcome, next) {
+func (s *Server) rewrite(list []*Rewrite, at *target, l *Location, t tracer) (Resolution, next) {
 	then := unchanged
 	for _, w := range list {
 		to, matched := w.apply(*at)
@@ -201,27 +203,27 @@
 		}
 		if w.away() {
 			t.rewrite(w, l, "sends the caller away")
-			o := Outcome{Match: Match{Server: s, Path: at.path}, Query: at.query, Status: 302, To: to.path}
-			if w.Flag == Permanent {
+			o := Resolution{Match: Match{Server: s, Path: at.path}, Query: at.query, Status: 302, RedirectURL: to.path}
+			if w.Flag == FlagPermanent {
 				o.Status = 301
 			}
-			if !w.external() && strings.HasPrefix(o.To, "//") {
-				o.To = "/" + strings.TrimLeft(o.To, "/") // a second slash would name another host
+			if !w.external() && strings.HasPrefix(o.RedirectURL, "//") {
+				o.RedirectURL = "/" + strings.TrimLeft(o.RedirectURL, "/") // a second slash would name another host
 			}
 			if to.query != "" {
-				o.To += "?" + to.query
+				o.RedirectURL += "?" + to.query
 			}
 			return o, unchanged
 		}
 		*at = to
 		t.rewrite(w, l, "makes it "+to.path)
 		switch w.Flag {
-		case Break:
-			return Outcome{}, settled
-		case Last:
-			return Outcome{}, searchAgain
+		case FlagBreak:
+			return Resolution{}, settled
+		case FlagLast:
+			return Resolution{}, searchAgain
 		}
 		then = searchAgain
 	}
-	return Outcome{}, then
+	return Resolution{}, then
 }
--- a/internal/route/rewrite_test.go
+++ b/internal/route/rewrite_test.go
@@ -14,16 +14,16 @@
 var (
 	rewriteRegexes = []string{"^/a(.*)$", "^(.*)/b/(.*)$", `\.php$`, "^/old/(.*)", "b", "^/(a|b)?(/.*)?$"}
 	rewriteTargets = []string{"/b", "/a/$1", "/x?q=$1", "/x?", "$1/$1", "http://h/$1", "/b$1?a=1?", "/$1/a", "https://h/"}
-	rewriteFlags   = map[string]Flag{"": Onward, "last": Last, "break": Break, "redirect": Redirect, "permanent": Permanent}
+	rewriteFlags   = map[string]RewriteFlag{"": FlagNone, "last": FlagLast, "break": FlagBreak, "redirect": FlagRedirect, "permanent": FlagPermanent}
 )
 
 // drawRewrites makes up a few rewrites, for the table and for the model.
 func drawRewrites(t *rapid.T) (ours []*Rewrite, theirs []routemodel.Rewrite) {
 	for range rapid.IntRange(0, 2).Draw(t, "rewrites") {
 		w := routemodel.Rewrite{Regex: rapid.SampledFrom(rewriteRegexes).Draw(t, "from"),
-			To: rapid.SampledFrom(rewriteTargets).Draw(t, "to"), Flag: rapid.SampledFrom([]string{"", "last", "break",
+			Replacement: rapid.SampledFrom(rewriteTargets).Draw(t, "to"), Flag: rapid.SampledFrom([]string{"", "last", "break",
 				"redirect", "permanent"}).Draw(t, "flag")}
-		r := &Rewrite{Pattern: w.Regex, To: w.To, Flag: rewriteFlags[w.Flag], At: "r"}
+		r := &Rewrite{Pattern: w.Regex, Replacement: w.Replacement, Flag: rewriteFlags[w.Flag], Source: "r"}
 		if r.compile() != nil {
 			continue // its target has groups that the regex has not
 		}
@@ -38,7 +38,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		count := 0
 		list := drawLocations(t, "", false, 1, &count)
-		s := &Server{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, Merge: true, Locations: build(list), At: "s"}
+		s := &Server{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, MergeSlashes: true, Locations: build(list), Source: "s"}
 		var server []routemodel.Rewrite
 		s.Rewrites, server = drawRewrites(t)
 		of := map[string][]routemodel.Rewrite{}
@@ -61,25 +61,25 @@
 			}
 			query := rapid.SampledFrom([]string{"", "k=v"}).Draw(t, "query")
 			o, err := s.Resolve(raw, query)
-			path, ok := routemodel.Path(raw, true)
+			path, ok := routemodel.NormalizePath(raw, true)
 			if ok != (err == nil) {
 				t.Fatalf("%s: %v", raw, err)
 			}
 			if !ok {
 				continue
 			}
-			got := routemodel.Result{Path: o.Path, Query: o.Query, Settled: o.Settled}
+			got := routemodel.Result{Path: o.Path, Query: o.Query, StoppedByBreak: o.StoppedByBreak}
 			switch {
-			case o.To != "":
-				got = routemodel.Result{Name: fmt.Sprint(o.Status, " ", o.To)}
+			case o.RedirectURL != "":
+				got = routemodel.Result{Target: fmt.Sprint(o.Status, " ", o.RedirectURL)}
 				sent++
 			case o.Status != 0:
-				got.Name = fmt.Sprint(o.Status)
+				got.Target = fmt.Sprint(o.Status)
 				round++
 			case o.Location != nil:
-				got.Name = o.Location.Value.(string)
-				if o.Redirect {
-					got.Name = "301 " + got.Name
+				got.Target = o.Location.Value.(string)
+				if o.RedirectTrailingSlash {
+					got.Target = "301 " + got.Target
 				}
 			}
 			if want := routemodel.Resolve(server, of, list, path, query); got != want {
@@ -92,11 +92,11 @@
 
 // TestRewriteNamesNoOtherHost has no group turn a path into the name of another host.
 func TestRewriteNamesNoOtherHost(t *testing.T) {
-	s := &Server{Listen: []Listen{{}}, Rewrites: []*Rewrite{{Pattern: "^(.*)/$", To: "$1", Flag: Permanent}}}
+	s := &Server{Listen: []Listen{{}}, Rewrites: []*Rewrite{{Pattern: "^(.*)/$", Replacement: "$1", Flag: FlagPermanent}}}
 	if _, err := New([]*Server{s}); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := s.Resolve("//evil.example/", ""); err != nil || o.To != "/evil.example" {
-		t.Errorf("sent to %q, %v", o.To, err)
+	if o, err := s.Resolve("//evil.example/", ""); err != nil || o.RedirectURL != "/evil.example" {
+		t.Errorf("sent to %q, %v", o.RedirectURL, err)
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,20 +13,20 @@
 func TestOrder(t *testing.T) {
 	list := []*Location{
 		{Kind: Regex, Pattern: `\.gif$`, Value: "gif above"},
-		{Kind: NoRegex, Pattern: "/images/", Value: "images"},
+		{Kind: PrefixNoRegex, Pattern: "/images/", Value: "images"},
 		{Kind: Regex, Pattern: `\.(gif|jpg)$`, Value: "gif below"},
-		{Kind: Prefix, Pattern: "/docs/", Value: "docs", Redirect: true, Locations: []*Location{
+		{Kind: Prefix, Pattern: "/docs/", Value: "docs", RedirectTrailingSlash: true, Locations: []*Location{
 			{Kind: Regex, Pattern: `\.php$`, Value: "docs php"}, {Kind: Prefix, Pattern: "/docs/old/", Value: "docs old"}}},
 		{Kind: Exact, Pattern: "/", Value: "root"},
 		{Kind: Prefix, Pattern: "/", Value: "all"},
-		{Kind: RegexFold, Pattern: `^/ADMIN`, Value: "admin"},
+		{Kind: RegexIgnoreCase, Pattern: `^/ADMIN`, Value: "admin"},
 		{Kind: Named, Pattern: "fallback", Value: "fallback"},
 	}
-	table, err := New([]*Server{{Listen: []Listen{{Addr: netip.MustParseAddrPort("0.0.0.0:80")}}, Merge: true, Locations: list}})
+	table, err := New([]*Server{{Listen: []Listen{{Addr: netip.MustParseAddrPort("0.0.0.0:80")}}, MergeSlashes: true, Locations: list}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _ := table.Server(netip.MustParseAddrPort("127.0.0.1:80"), "any")
+	s, _ := table.FindServer(netip.MustParseAddrPort("127.0.0.1:80"), "any")
 	for path, want := range map[string]string{"/": "root", "/x": "all", "/x.gif": "gif above", "/images/x.gif": "images",
 		"/x.jpg": "gif below", "/docs/x.php": "docs php", "/docs/x.gif": "gif above", "/docs/old/x": "docs old",
 		"/docs": "301 docs", "/docs/old/x.jpg": "gif below", "/admin/x": "admin", "//images//../images/x.gif?q#f": "images",
@@ -37,7 +37,7 @@
 			continue
 		}
 		got := m.Location.Value.(string)
-		if m.Redirect {
+		if m.RedirectTrailingSlash {
 			got = "301 " + got
 		}
 		if got != want || len(steps) == 0 {
@@ -45,11 +45,11 @@
 		}
 	}
 	for _, path := range []string{"", "x", "/..", "/a/../../b", "/%", "/%4", "/%zz", "/%00"} {
-		if _, err := s.Resolve(path, ""); err != ErrURI {
+		if _, err := s.Resolve(path, ""); err != ErrInvalidPath {
 			t.Errorf("%q: %v", path, err)
 		}
 	}
-	if s.Named("fallback").Value != "fallback" || s.Named("x") != nil {
+	if s.NamedLocation("fallback").Value != "fallback" || s.NamedLocation("x") != nil {
 		t.Error("the named location is not found")
 	}
 }
@@ -57,11 +57,11 @@
 // TestBroken names what makes no sense, with its place.
 func TestBroken(t *testing.T) {
 	loc := func(kind Kind, pattern string, inner ...*Location) *Location {
-		return &Location{Kind: kind, Pattern: pattern, Locations: inner, At: "f:" + pattern}
+		return &Location{Kind: kind, Pattern: pattern, Locations: inner, Source: "f:" + pattern}
 	}
 	at := []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80"), Default: true}}
 	for want, servers := range map[string][]*Server{
-		"is defined twice, first at f:/a":          {{Locations: []*Location{loc(Prefix, "/a"), loc(NoRegex, "/a")}}},
+		"is defined twice, first at f:/a":          {{Locations: []*Location{loc(Prefix, "/a"), loc(PrefixNoRegex, "/a")}}},
 		"f:(?=a): location ~ (?=a): not a regex":   {{Locations: []*Location{loc(Regex, "(?=a)")}}},
 		"is outside location /b":                   {{Locations: []*Location{loc(Prefix, "/b", loc(Prefix, "/a"))}}},
 		"can't stand in location = /a":             {{Locations: []*Location{loc(Exact, "/a", loc(Prefix, "/a/b"))}}},
@@ -84,11 +84,11 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw string) {
-		path, err := Normalise(raw, true)
+		path, err := NormalizePath(raw, true)
 		if err != nil {
 			return
 		}
-		if want, ok := routemodel.Path(raw, true); !ok || want != path {
+		if want, ok := routemodel.NormalizePath(raw, true); !ok || want != path {
 			t.Errorf("%q: %q, the manual says %q, %t", raw, path, want, ok)
 		}
 	})
@@ -102,11 +102,11 @@
 			for i := range n {
 				list = append(list, &Location{Kind: Prefix, Pattern: fmt.Sprintf("/shop/%d/items/", i), Value: i})
 			}
-			table, err := New([]*Server{{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, Merge: true, Locations: list}})
+			table, err := New([]*Server{{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, MergeSlashes: true, Locations: list}})
 			if err != nil {
 				b.Fatal(err)
 			}
-			s, _ := table.Server(netip.MustParseAddrPort("127.0.0.1:80"), "")
+			s, _ := table.FindServer(netip.MustParseAddrPort("127.0.0.1:80"), "")
 			path := fmt.Sprintf("/shop/%d/items/4711", n/2)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/route/routemodel/model.go
+++ b/internal/route/routemodel/model.go
@@ -10,15 +10,15 @@
 
 // Location is one location block as it is written.
 type Location struct {
-	Modifier string // "", "^~", "=", "~", "~*"
-	Text     string
-	Pass     bool // it passes to a pool, so a missing slash is redirected
-	Inner    []Location
-	Name     string
+	Modifier     string // "", "^~", "=", "~", "~*"
+	Pattern      string
+	PassesToPool bool // it passes to a pool, so a missing slash is redirected
+	Locations    []Location
+	Name         string
 }
 
-// Path normalises as the manual says: decode, resolve, merge.
-func Path(raw string, merge bool) (string, bool) {
+// NormalizePath normalises as the manual says: decode, resolve, merge.
+func NormalizePath(raw string, merge bool) (string, bool) {
 	raw, _, _ = strings.Cut(raw, "?")
 	raw, _, _ = strings.Cut(raw, "#")
 	if !strings.HasPrefix(raw, "/") {
@@ -66,25 +66,25 @@
 	return "/" + strings.Join(kept, "/"), true
 }
 
-// Find is the name of the location for a path, with "301 " before it for a redirect, or "".
-func Find(list []Location, path string) (name string, exact bool) {
+// FindLocation is the name of the location for a path, with "301 " before it for a redirect, or "".
+func FindLocation(list []Location, path string) (name string, exact bool) {
 	for _, l := range list {
-		if l.Modifier == "=" && l.Text == path {
+		if l.Modifier == "=" && l.Pattern == path {
 			return l.Name, true
 		}
 	}
 	longest := -1
 	for i, l := range list {
-		if (l.Modifier == "" || l.Modifier == "^~") && strings.HasPrefix(path, l.Text) &&
-			(longest < 0 || len(l.Text) > len(list[longest].Text)) {
+		if (l.Modifier == "" || l.Modifier == "^~") && strings.HasPrefix(path, l.Pattern) &&
+			(longest < 0 || len(l.Pattern) > len(list[longest].Pattern)) {
 			longest = i
 		}
 	}
 	// Without an own location for the path, the one that only has a slash more redirects to itself.
-	if longest < 0 || list[longest].Text != path {
+	if longest < 0 || list[longest].Pattern != path {
 		for _, l := range list {
-			if l.Modifier != "~" && l.Modifier != "~*" && l.Text == path+"/" {
-				if l.Pass && l.Modifier != "=" {
+			if l.Modifier != "~" && l.Modifier != "~*" && l.Pattern == path+"/" {
+				if l.PassesToPool && l.Modifier != "=" {
 					return "301 " + l.Name, true
 				}
 			}
@@ -92,7 +92,7 @@
 	}
 	if longest >= 0 {
 		name = list[longest].Name
-		if inner, stop := Find(list[longest].Inner, path); inner != "" {
+		if inner, stop := FindLocation(list[longest].Locations, path); inner != "" {
 			if name = inner; stop {
 				return name, true
 			}
@@ -105,12 +105,12 @@
 		if l.Modifier != "~" && l.Modifier != "~*" {
 			continue
 		}
-		text := l.Text
+		text := l.Pattern
 		if l.Modifier == "~*" {
 			text = "(?i)" + text
 		}
 		if regexp.MustCompile(text).MatchString(path) {
-			if inner, _ := Find(l.Inner, path); inner != "" {
+			if inner, _ := FindLocation(l.Locations, path); inner != "" {
 				return strings.TrimPrefix(inner, "301 "), true
 			}
 			return l.Name, true
@@ -119,8 +119,8 @@
 	return name, false
 }
 
-// Server is the name of the server for a host, among lists of names; the first is the default.
-func Server(names [][]string, host string) int {
+// FindServer is the name of the server for a host, among lists of names; the first is the default.
+func FindServer(names [][]string, host string) int {
 	host = strings.ToLower(strings.TrimSuffix(host, "."))
 	for i, list := range names {
 		for _, n := range list {
--- a/internal/route/routemodel/rewrite.go
+++ b/internal/route/routemodel/rewrite.go
@@ -7,41 +7,41 @@
 )
 
 // Rewrite is one rewrite directive as it is written, with groups as its only variables.
-type Rewrite struct{ Regex, To, Flag string }
+type Rewrite struct{ Regex, Replacement, Flag string }
 
 // Result is where a request ends: at a location, or with an address to which its caller is sent.
 type Result struct {
-	Name    string // of the location, as Find has it; or "302 ADDRESS", "301 ADDRESS", "500"
-	Path    string
-	Query   string
-	Settled bool // nothing else of the location's rewrites and returns counts
+	Target         string // of the location, as Find has it; or "302 ADDRESS", "301 ADDRESS", "500"
+	Path           string
+	Query          string
+	StoppedByBreak bool // nothing else of the location's rewrites and returns counts
 }
 
 // Resolve follows the manual: the server's rewrites once, then the location is looked for and its own rewrites are
 // applied, until none of them changes the path; ten changes are the most.
 func Resolve(server []Rewrite, of map[string][]Rewrite, list []Location, path, query string) Result {
 	r, _ := rewrite(server, Result{Path: path, Query: query})
-	if r.Name != "" {
+	if r.Target != "" {
 		return r
 	}
-	r.Settled = false
+	r.StoppedByBreak = false
 	for changes := 0; changes <= 10; changes++ {
-		name, _ := Find(list, r.Path)
+		name, _ := FindLocation(list, r.Path)
 		own := of[name]
 		if strings.HasPrefix(name, "301 ") {
 			own = nil
 		}
 		next, changed := rewrite(own, r)
 		switch {
-		case next.Name != "":
+		case next.Target != "":
 			return next
-		case next.Settled || !changed:
-			next.Name = name
+		case next.StoppedByBreak || !changed:
+			next.Target = name
 			return next
 		}
 		r = next
 	}
-	return Result{Name: "500", Path: r.Path, Query: r.Query}
+	return Result{Target: "500", Path: r.Path, Query: r.Query}
 }
 
 // rewrite applies directives in order.
@@ -52,9 +52,9 @@
 		if groups == nil {
 			continue
 		}
-		away := w.Flag == "redirect" || w.Flag == "permanent" || strings.HasPrefix(w.To, "http")
+		away := w.Flag == "redirect" || w.Flag == "permanent" || strings.HasPrefix(w.Replacement, "http")
 		old := r.Query
-		to := w.To
+		to := w.Replacement
 		if strings.HasSuffix(to, "?") { // the old query is left out
 			to, old = to[:len(to)-1], ""
 		}
@@ -82,18 +82,18 @@
 				code = "301 "
 			}
 			address := r.Path
-			if !strings.HasPrefix(w.To, "http") && strings.HasPrefix(address, "//") {
+			if !strings.HasPrefix(w.Replacement, "http") && strings.HasPrefix(address, "//") {
 				address = "/" + strings.TrimLeft(address, "/")
 			}
 			if r.Query != "" {
 				address += "?" + r.Query
 			}
-			return Result{Name: code + address}, false
+			return Result{Target: code + address}, false
 		}
 		changed = true
 		switch w.Flag {
 		case "break":
-			r.Settled = true
+			r.StoppedByBreak = true
 			return r, true
 		case "last":
 			return r, true
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Server is one server: where it listens, its names and its locations.
+// FindServer is one server: where it listens, its names and its locations.
 type Server struct {
-	Listen    []Listen
-	Names     []string // exact, *.suffix, .suffix, prefix.*, ~regex, or ""
-	Merge     bool     // adjacent slashes in paths are one
-	Rewrites  []*Rewrite
-	Locations []*Location
-	At        string
+	Listen       []Listen
+	Names        []string // exact, *.suffix, .suffix, prefix.*, ~regex, or ""
+	MergeSlashes bool     // adjacent slashes in paths are one
+	Rewrites     []*Rewrite
+	Locations    []*Location
+	Source       string
 
 	tree  *node
 	order []*Location
@@ -78,15 +78,15 @@
 			continue
 		}
 		if before := s.named[l.Pattern]; before != nil {
-			return fmt.Errorf("%s: location %v is defined twice, first at %s", l.At, l, before.At)
+			return fmt.Errorf("%s: location %v is defined twice, first at %s", l.Source, l, before.Source)
 		}
 		s.named[l.Pattern] = l
 	}
 	return nil
 }
 
-// Named is the location with the name, or nil.
-func (s *Server) Named(name string) *Location { return s.named[name] }
+// NamedLocation is the location with the name, or nil.
+func (s *Server) NamedLocation(name string) *Location { return s.named[name] }
 
 // add has a server answer at an address.
 func (t *Table) add(s *Server, l Listen) error {
@@ -96,14 +96,14 @@
 		t.places[l.Addr] = p
 	}
 	if l.Default && p.declared {
-		return fmt.Errorf("%s: a second default server for %v, first at %s", s.At, l.Addr, p.byDefault.At)
+		return fmt.Errorf("%s: a second default server for %v, first at %s", s.Source, l.Addr, p.byDefault.Source)
 	}
 	if p.byDefault == nil || l.Default {
 		p.byDefault, p.declared = s, l.Default
 	}
 	for _, name := range s.Names {
 		if err := p.name(s, name); err != nil {
-			return fmt.Errorf("%s: %w", s.At, err)
+			return fmt.Errorf("%s: %w", s.Source, err)
 		}
 	}
 	return nil
@@ -182,8 +182,8 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// Server is the server for a request that came in at the address with the Host, and why; nil where none listens there.
-func (t *Table) Server(at netip.AddrPort, host string) (*Server, string) {
+// FindServer is the server for a request that came in at the address with the Host, and why; nil where none listens there.
+func (t *Table) FindServer(at netip.AddrPort, host string) (*Server, string) {
 	anyAddr := netip.AddrPortFrom(netip.IPv4Unspecified(), at.Port())
 	for _, a := range []netip.AddrPort{at, anyAddr, netip.AddrPortFrom(netip.IPv4Unspecified(), 0)} {
 		if p := t.places[a]; p != nil {
@@ -195,8 +195,8 @@
 
 // Match is where a request belongs.
 type Match struct {
-	Server   *Server
-	Location *Location // nil where the server has none for it
-	Path     string    // normalised
-	Redirect bool      // to the path with a slash behind it
+	Server                *Server
+	Location              *Location // nil where the server has none for it
+	Path                  string    // normalised
+	RedirectTrailingSlash bool      // to the path with a slash behind it
 }
--- a/internal/route/uri.go
+++ b/internal/route/uri.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// ErrURI says that a request's path can't be normalised: it is answered as a bad request.
-var ErrURI = errors.New("route: the path makes no sense")
+// ErrInvalidPath says that a request's path can't be normalised: it is answered as a bad request.
+var ErrInvalidPath = errors.New("route: the path makes no sense")
 
-// Normalise turns a path as it was sent into the one that locations are matched against: %XX is decoded, "." and ".."
+// NormalizePath turns a path as it was sent into the one that locations are matched against: %XX is decoded, "." and ".."
 // are resolved, and adjacent slashes are merged where merge is set. What follows a "?" or "#" is left out. A path that
 // does not begin with a slash, leads above the root, or has an incomplete or a zero escape is an error.
-func Normalise(raw string, merge bool) (string, error) {
+func NormalizePath(raw string, merge bool) (string, error) {
 	if i := strings.IndexAny(raw, "?#"); i >= 0 {
 		raw = raw[:i]
 	}
 	if raw == "" || raw[0] != '/' {
-		return "", ErrURI
+		return "", ErrInvalidPath
 	}
 	if plain(raw) {
 		return raw, nil
@@ -27,12 +27,12 @@
 		i++
 		if c == '%' {
 			if i+2 > len(raw) || !isHex(raw[i]) || !isHex(raw[i+1]) {
-				return "", ErrURI
+				return "", ErrInvalidPath
 			}
 			c = unhex(raw[i])<<4 | unhex(raw[i+1])
 			i += 2
 			if c == 0 {
-				return "", ErrURI
+				return "", ErrInvalidPath
 			}
 		}
 		if c != '/' {
@@ -41,7 +41,7 @@
 		}
 		var ok bool
 		if out, ok = closeSegment(out, merge); !ok {
-			return "", ErrURI
+			return "", ErrInvalidPath
 		}
 	}
 	return endSegment(out)
@@ -83,7 +83,7 @@
 	case "..":
 		up, ok := parent(out, start)
 		if !ok {
-			return "", ErrURI
+			return "", ErrInvalidPath
 		}
 		out = up
 	}
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -8,23 +8,23 @@
 )
 
 // check looks for names that are given twice or stand for nothing.
-func (d *Description) check() error {
+func (d *Config) check() error {
 	pools, classes := map[string]sexp.Pos{}, map[string]sexp.Pos{}
 	for _, p := range d.Pools {
 		if at, twice := pools[p.Name]; twice {
-			return sexp.Errorf(p.At, "pool %s is defined twice, first at %v", p.Name, at)
+			return sexp.Errorf(p.Pos, "pool %s is defined twice, first at %v", p.Name, at)
 		}
-		pools[p.Name] = p.At
+		pools[p.Name] = p.Pos
 	}
 	for _, c := range d.Classes {
 		if at, twice := classes[c.Name]; twice {
-			return sexp.Errorf(c.At, "class %s is defined twice, first at %v", c.Name, at)
+			return sexp.Errorf(c.Pos, "class %s is defined twice, first at %v", c.Name, at)
 		}
-		classes[c.Name] = c.At
+		classes[c.Name] = c.Pos
 	}
 	for _, s := range d.Servers {
 		if len(s.Listen) == 0 {
-			return sexp.Errorf(s.At, "a server without (listen ...)")
+			return sexp.Errorf(s.Pos, "a server without (listen ...)")
 		}
 		named := []string{}
 		for _, l := range s.Locations {
@@ -45,15 +45,15 @@
 func (l *Location) refers(pools, classes map[string]sexp.Pos, named []string) error {
 	if l.Pool != "" {
 		if _, ok := pools[l.Pool]; !ok {
-			return sexp.Errorf(l.At, "location %s goes to the pool %s, which is not defined", l.Pattern, l.Pool)
+			return sexp.Errorf(l.Pos, "location %s goes to the pool %s, which is not defined", l.Pattern, l.Pool)
 		}
 		if _, ok := classes[l.Class]; !ok {
-			return sexp.Errorf(l.At, "location %s has the class %q, which is not defined", l.Pattern, l.Class)
+			return sexp.Errorf(l.Pos, "location %s has the class %q, which is not defined", l.Pattern, l.Class)
 		}
 	}
 	for _, f := range l.Fallbacks {
-		if !slices.Contains(named, f.Name) {
-			return sexp.Errorf(l.At, "location %s falls back to @%s, which its server does not have", l.Pattern, f.Name)
+		if !slices.Contains(named, f.Location) {
+			return sexp.Errorf(l.Pos, "location %s falls back to @%s, which its server does not have", l.Pattern, f.Location)
 		}
 	}
 	for _, inner := range l.Locations {
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// Table builds the table of routes. The values of its locations are this description's.
-func (d *Description) Table() (*route.Table, error) {
+// BuildTable builds the table of routes. The values of its locations are this description's.
+func (d *Config) BuildTable() (*route.Table, error) {
 	var servers []*route.Server
 	for _, s := range d.Servers {
-		rs := &route.Server{Names: s.Names, Merge: s.Merge, Rewrites: rewrites(s.Rewrites), Locations: located(s.Locations), At: s.At.String()}
+		rs := &route.Server{Names: s.Names, MergeSlashes: s.MergeSlashes, Rewrites: rewrites(s.Rewrites), Locations: located(s.Locations), Source: s.Pos.String()}
 		for _, l := range s.Listen {
 			rs.Listen = append(rs.Listen, route.Listen{Addr: l.Addr, Default: l.Default})
 		}
@@ -81,7 +81,7 @@
 func rewrites(list []Rewrite) []*route.Rewrite {
 	var out []*route.Rewrite
 	for _, w := range list {
-		out = append(out, &route.Rewrite{Pattern: w.Pattern, To: w.To, Flag: w.Flag, At: w.At.String()})
+		out = append(out, &route.Rewrite{Pattern: w.Pattern, Replacement: w.Replacement, Flag: w.Flag, Source: w.Pos.String()})
 	}
 	return out
 }
@@ -90,9 +90,9 @@
 func located(list []*Location) []*route.Location {
 	var out []*route.Location
 	for _, l := range list {
-		passes := l.Pool != "" && (l.Kind == route.Prefix || l.Kind == route.NoRegex)
-		out = append(out, &route.Location{Kind: l.Kind, Pattern: l.Pattern, Value: l, At: l.At.String(),
-			Rewrites: rewrites(l.Rewrites), Redirect: passes && l.Pattern[len(l.Pattern)-1] == '/', Locations: located(l.Locations)})
+		passes := l.Pool != "" && (l.Kind == route.Prefix || l.Kind == route.PrefixNoRegex)
+		out = append(out, &route.Location{Kind: l.Kind, Pattern: l.Pattern, Value: l, Source: l.Pos.String(),
+			Rewrites: rewrites(l.Rewrites), RedirectTrailingSlash: passes && l.Pattern[len(l.Pattern)-1] == '/', Locations: located(l.Locations)})
 	}
 	return out
 }
--- a/internal/routeconfig/read.go
+++ b/internal/routeconfig/read.go
@@ -17,7 +17,7 @@
 )
 
 // Load reads a description and all that it includes.
-func Load(path string) (*Description, error) {
+func Load(path string) (*Config, error) {
 	forms, err := sexp.ParseFiles(path, os.ReadFile, filepath.Glob)
 	if err != nil {
 		return nil, err
@@ -26,7 +26,7 @@
 }
 
 // Parse reads a description from one text without includes.
-func Parse(file string, text []byte) (*Description, error) {
+func Parse(file string, text []byte) (*Config, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
 		return nil, err
@@ -35,9 +35,9 @@
 }
 
 // read reads the forms of a description.
-func read(forms []sexp.Node) (*Description, error) {
-	d := &Description{Capacity: DefaultCapacity}
-	err := sexp.EachOnce(forms, map[string]func(sexp.Node) error{"capacity": sexp.Int(&d.Capacity, 1, 1e6)}, map[string]func(sexp.Node) error{
+func read(forms []sexp.Node) (*Config, error) {
+	d := &Config{Capacity: DefaultCapacity}
+	err := sexp.ReadForms(forms, map[string]func(sexp.Node) error{"capacity": sexp.Int(&d.Capacity, 1, 1e6)}, map[string]func(sexp.Node) error{
 		"class": func(n sexp.Node) error {
 			c, err := readClass(n)
 			d.Classes = append(d.Classes, c)
@@ -60,70 +60,70 @@
 	if err := d.check(); err != nil {
 		return nil, err
 	}
-	_, err = d.Table()
+	_, err = d.BuildTable()
 	return d, err
 }
 
 func readClass(n sexp.Node) (c Class, err error) {
-	c = Class{Aim: time.Second, Deadline: 5 * time.Second, Effect: Safe, Worth: 1, At: n.At}
-	if c.Name, err = n.Word(1, "the name of a class"); err != nil {
+	c = Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Effect: EffectSafe, Weight: 1, Pos: n.Pos}
+	if c.Name, err = n.WordAt(1, "the name of a class"); err != nil {
 		return c, err
 	}
-	err = sexp.Fields(n.Rest(2), map[string]func(sexp.Node) error{
-		"aim":      sexp.Duration(&c.Aim, time.Millisecond, time.Hour),
+	err = sexp.ReadFields(n.ItemsFrom(2), map[string]func(sexp.Node) error{
+		"aim":      sexp.Duration(&c.LatencyObjective, time.Millisecond, time.Hour),
 		"deadline": sexp.Duration(&c.Deadline, time.Millisecond, time.Hour),
-		"effect":   sexp.OneOf(&c.Effect, Safe, Keyed, Unsafe, ByMethod),
-		"window":   sexp.Duration(&c.Window, time.Millisecond, 24*time.Hour),
-		"worth":    sexp.Number(&c.Worth, 0, 1e6),
+		"effect":   sexp.OneOf(&c.Effect, EffectSafe, EffectIdempotentByKey, EffectNonIdempotent, EffectByMethod),
+		"window":   sexp.Duration(&c.KeyWindow, time.Millisecond, 24*time.Hour),
+		"worth":    sexp.Number(&c.Weight, 0, 1e6),
 	})
 	switch {
 	case err != nil:
-	case c.Deadline < c.Aim:
-		err = sexp.Errorf(n.At, "class %s: the deadline %v is shorter than the aim %v", c.Name, c.Deadline, c.Aim)
-	case c.Effect == Keyed && c.Window == 0:
-		err = sexp.Errorf(n.At, "class %s is keyed and has no (window ...)", c.Name)
+	case c.Deadline < c.LatencyObjective:
+		err = sexp.Errorf(n.Pos, "class %s: the deadline %v is shorter than the aim %v", c.Name, c.Deadline, c.LatencyObjective)
+	case c.Effect == EffectIdempotentByKey && c.KeyWindow == 0:
+		err = sexp.Errorf(n.Pos, "class %s is keyed and has no (window ...)", c.Name)
 	}
 	return c, err
 }
 
 // defaultPool is a pool with nginx's defaults.
 func defaultPool() Pool {
-	return Pool{Config: pool.Defaults(), Protocol: "fastcgi", Next: pool.Last, Connect: time.Minute, Read: time.Minute, Send: time.Minute}
+	return Pool{Config: pool.DefaultConfig(), Protocol: "fastcgi", RetryOn: pool.DefaultRetryOn, ConnectTimeout: time.Minute, ReadTimeout: time.Minute, SendTimeout: time.Minute}
 }
 
 func readPool(n sexp.Node) (p Pool, err error) {
 	p = defaultPool()
-	p.At = n.At
-	if p.Name, err = n.Word(1, "the name of a pool"); err != nil {
+	p.Pos = n.Pos
+	if p.Name, err = n.WordAt(1, "the name of a pool"); err != nil {
 		return p, err
 	}
-	method := p.Method.String()
+	method := p.BalancingPolicy.String()
 	methods := []string{}
 	for m := pool.RoundRobin; m <= pool.RandomTwo; m++ {
 		methods = append(methods, m.String())
 	}
 	budget := func(form sexp.Node) error {
-		return sexp.Fields(form.Args(), map[string]func(sexp.Node) error{
-			"share": sexp.Number(&p.BudgetShare, 0, 100), "least": sexp.Number(&p.BudgetLeast, 0, 1e6),
-			"burst": sexp.Number(&p.BudgetBurst, 1, 1e6)})
+		return sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
+			"share": sexp.Number(&p.RetryRatio, 0, 100), "least": sexp.Number(&p.MinRetriesPerSecond, 0, 1e6),
+			"burst": sexp.Number(&p.RetryBurst, 1, 1e6)})
 	}
 	eject := func(form sexp.Node) error {
-		return sexp.Fields(form.Args(), map[string]func(sexp.Node) error{
-			"factor": sexp.Number(&p.EjectFactor, 0, 1e6), "errors": sexp.Number(&p.EjectErrors, 0, 1),
-			"after": sexp.Int(&p.EjectAfter, 1, 1e6), "for": sexp.Duration(&p.EjectFor, time.Millisecond, time.Hour),
-			"most": sexp.Number(&p.EjectMost, 0, 1), "panic-under": sexp.Number(&p.PanicUnder, 0, 1)})
+		return sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
+			"factor": sexp.Number(&p.EjectionLatencyFactor, 0, 1e6), "errors": sexp.Number(&p.EjectionErrorRate, 0, 1),
+			"after": sexp.Int(&p.EjectionMinAttempts, 1, 1e6), "for": sexp.Duration(&p.BaseEjectionTime, time.Millisecond, time.Hour),
+			"most": sexp.Number(&p.MaxEjectedRatio, 0, 1), "panic-under": sexp.Number(&p.PanicThreshold, 0, 1)})
 	}
-	err = sexp.EachOnce(n.Rest(2), map[string]func(sexp.Node) error{
+	err = sexp.ReadForms(n.ItemsFrom(2), map[string]func(sexp.Node) error{
 		"method":    sexp.OneOf(&method, methods...),
 		"key":       sexp.Text(&p.HashKey),
 		"protocol":  sexp.OneOf(&p.Protocol, "fastcgi", "scgi"),
-		"tries":     sexp.Int(&p.Tries, 0, 1000),
-		"try-for":   sexp.Duration(&p.TryFor, 0, time.Hour),
-		"next":      func(form sexp.Node) (err error) { p.Next, err = readConditions(form); return err },
-		"keepalive": sexp.Int(&p.Keepalive, 0, 1e5),
-		"connect":   sexp.Duration(&p.Connect, time.Millisecond, time.Hour),
-		"read":      sexp.Duration(&p.Read, time.Millisecond, time.Hour),
-		"send":      sexp.Duration(&p.Send, time.Millisecond, time.Hour),
+		"tries":     sexp.Int(&p.MaxAttempts, 0, 1000),
+		"try-for":   sexp.Duration(&p.RetryTimeout, 0, time.Hour),
+		"next":      func(form sexp.Node) (err error) { p.RetryOn, err = readConditions(form); return err },
+		"keepalive": sexp.Int(&p.MaxIdleConns, 0, 1e5),
+		"connect":   sexp.Duration(&p.ConnectTimeout, time.Millisecond, time.Hour),
+		"read":      sexp.Duration(&p.ReadTimeout, time.Millisecond, time.Hour),
+		"send":      sexp.Duration(&p.SendTimeout, time.Millisecond, time.Hour),
 		"budget":    budget,
 		"eject":     eject,
 	}, map[string]func(sexp.Node) error{
@@ -137,17 +137,17 @@
 	if err != nil {
 		return p, err
 	}
-	if p.Method, err = pool.ParseMethod(method); err != nil {
-		return p, sexp.Errorf(n.At, "%v", err)
+	if p.BalancingPolicy, err = pool.ParseBalancingPolicy(method); err != nil {
+		return p, sexp.Errorf(n.Pos, "%v", err)
 	}
-	if hashed := p.Method == pool.Hash || p.Method == pool.HashConsistent; hashed != (p.HashKey != "") {
-		return p, sexp.Errorf(n.At, "pool %s: (key ...) goes with the methods hash and hash-consistent, and only with them", p.Name)
+	if hashed := p.BalancingPolicy == pool.Hash || p.BalancingPolicy == pool.HashConsistent; hashed != (p.HashKey != "") {
+		return p, sexp.Errorf(n.Pos, "pool %s: (key ...) goes with the methods hash and hash-consistent, and only with them", p.Name)
 	}
 	if p.HashKey != "" && !slices.Contains(hashKeys, p.HashKey) && !strings.HasPrefix(p.HashKey, "header:") {
-		return p, sexp.Errorf(n.At, "pool %s: key %q, want %s or header:NAME", p.Name, p.HashKey, strings.Join(hashKeys, ", "))
+		return p, sexp.Errorf(n.Pos, "pool %s: key %q, want %s or header:NAME", p.Name, p.HashKey, strings.Join(hashKeys, ", "))
 	}
-	if err := p.Check(); err != nil {
-		return p, sexp.Errorf(n.At, "%v", err)
+	if err := p.Validate(); err != nil {
+		return p, sexp.Errorf(n.Pos, "%v", err)
 	}
 	return p, nil
 }
@@ -156,21 +156,21 @@
 var hashKeys = []string{"uri", "path", "query", "host", "client"}
 
 func readMember(n sexp.Node) (m pool.Member, err error) {
-	addr, err := n.Word(1, "a member's address")
+	addr, err := n.WordAt(1, "a member's address")
 	if err != nil {
 		return m, err
 	}
 	m = pool.DefaultMember(addr)
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return m, sexp.Errorf(n.At, "member %q: want an IP address and a port", addr)
+		return m, sexp.Errorf(n.Pos, "member %q: want an IP address and a port", addr)
 	}
 	flag := func(to *bool) func(sexp.Node) error {
 		return func(form sexp.Node) error {
 			*to = true
-			return form.Empty()
+			return form.RequireNoArgs()
 		}
 	}
-	return m, sexp.Fields(n.Rest(2), map[string]func(sexp.Node) error{
+	return m, sexp.ReadFields(n.ItemsFrom(2), map[string]func(sexp.Node) error{
 		"weight": sexp.Int(&m.Weight, 1, math.MaxInt32), "max-conns": sexp.Int(&m.MaxConns, 0, math.MaxInt32),
 		"max-fails": sexp.Int(&m.MaxFails, 0, math.MaxInt32), "fail-timeout": sexp.Duration(&m.FailTimeout, 0, 24*time.Hour),
 		"slow-start": sexp.Duration(&m.SlowStart, 0, 24*time.Hour), "backup": flag(&m.Backup), "down": flag(&m.Down)})
@@ -179,7 +179,7 @@
 func readParam(n sexp.Node, to *[]Param) error {
 	args := n.Args()
 	if len(args) != 2 || args[0].Kind == sexp.List || args[1].Kind == sexp.List {
-		return sexp.Errorf(n.At, "want (param NAME VALUE)")
+		return sexp.Errorf(n.Pos, "want (param NAME VALUE)")
 	}
 	*to = append(*to, Param{args[0].Text, args[1].Text})
 	return nil
@@ -188,13 +188,13 @@
 // conditionWords are the conditions in the words of the settings, which are nginx's.
 var conditionWords = []struct {
 	word string
-	is   pool.Condition
-}{{"error", pool.Error}, {"timeout", pool.Timeout}, {"invalid_header", pool.InvalidHeader}, {"http_500", pool.HTTP500},
+	is   pool.RetryCondition
+}{{"error", pool.ConnectionError}, {"timeout", pool.Timeout}, {"invalid_header", pool.InvalidHeader}, {"http_500", pool.HTTP500},
 	{"http_503", pool.HTTP503}, {"http_403", pool.HTTP403}, {"http_404", pool.HTTP404}, {"http_429", pool.HTTP429},
 	{"non_idempotent", pool.NonIdempotent}}
 
-// Condition reads a condition's word; "off" is none.
-func Condition(word string) (pool.Condition, error) {
+// ParseRetryCondition reads a condition's word; "off" is none.
+func ParseRetryCondition(word string) (pool.RetryCondition, error) {
 	for _, c := range conditionWords {
 		if c.word == word {
 			return c.is, nil
@@ -206,11 +206,11 @@
 	return 0, fmt.Errorf("no condition is called %q", word)
 }
 
-func readConditions(n sexp.Node) (all pool.Condition, err error) {
+func readConditions(n sexp.Node) (all pool.RetryCondition, err error) {
 	for _, a := range n.Args() {
-		c, err := Condition(a.Text)
+		c, err := ParseRetryCondition(a.Text)
 		if err != nil || a.Kind == sexp.List {
-			return 0, sexp.Errorf(a.At, "found %v, want error, timeout, invalid_header, http_500 ... or off", a)
+			return 0, sexp.Errorf(a.Pos, "found %v, want error, timeout, invalid_header, http_500 ... or off", a)
 		}
 		all |= c
 	}
@@ -218,14 +218,14 @@
 }
 
 func readServer(n sexp.Node) (s Server, err error) {
-	s = Server{Merge: true, At: n.At}
+	s = Server{MergeSlashes: true, Pos: n.Pos}
 	merge := "yes"
-	err = sexp.EachOnce(n.Args(), map[string]func(sexp.Node) error{
+	err = sexp.ReadForms(n.Args(), map[string]func(sexp.Node) error{
 		"merge-slashes": sexp.OneOf(&merge, "yes", "no"),
 		"name": func(form sexp.Node) error {
 			for _, a := range form.Args() {
 				if a.Kind == sexp.List {
-					return sexp.Errorf(a.At, "found %v, want a server's name", a)
+					return sexp.Errorf(a.Pos, "found %v, want a server's name", a)
 				}
 				s.Names = append(s.Names, a.Text)
 			}
@@ -244,21 +244,21 @@
 			return err
 		},
 	})
-	s.Merge = merge == "yes"
+	s.MergeSlashes = merge == "yes"
 	return s, err
 }
 
 func readListen(n sexp.Node) (l Listen, err error) {
-	text, err := n.Word(1, "an address and a port")
+	text, err := n.WordAt(1, "an address and a port")
 	if err != nil {
 		return l, err
 	}
 	if l.Addr, err = netip.ParseAddrPort(text); err != nil {
-		return l, sexp.Errorf(n.At, "found %s in (listen ...), want an IP address and a port", text)
+		return l, sexp.Errorf(n.Pos, "found %s in (listen ...), want an IP address and a port", text)
 	}
-	if rest := n.Rest(2); len(rest) > 0 {
+	if rest := n.ItemsFrom(2); len(rest) > 0 {
 		if len(rest) > 1 || rest[0].Text != "default" {
-			return l, sexp.Errorf(rest[0].At, "found %v, want default or nothing", rest[0])
+			return l, sexp.Errorf(rest[0].Pos, "found %v, want default or nothing", rest[0])
 		}
 		l.Default = true
 	}
@@ -266,24 +266,24 @@
 }
 
 // kindWords are the kinds of location in the words of the settings.
-var kindWords = []string{route.Prefix: "prefix", route.NoRegex: "prefix-only", route.Exact: "exact", route.Regex: "regex",
-	route.RegexFold: "regex-fold", route.Named: "named"}
+var kindWords = []string{route.Prefix: "prefix", route.PrefixNoRegex: "prefix-only", route.Exact: "exact", route.Regex: "regex",
+	route.RegexIgnoreCase: "regex-fold", route.Named: "named"}
 
 func readLocation(n sexp.Node) (*Location, error) {
-	l, intercept := &Location{At: n.At}, "yes"
-	kind, err := n.Word(1, "a kind of location")
+	l, intercept := &Location{Pos: n.Pos}, "yes"
+	kind, err := n.WordAt(1, "a kind of location")
 	if err != nil {
 		return l, err
 	}
 	i := slices.Index(kindWords, kind)
 	if i < 0 {
-		return l, sexp.Errorf(n.At, "found %s in (location ...), want %s", kind, strings.Join(kindWords, ", "))
+		return l, sexp.Errorf(n.Pos, "found %s in (location ...), want %s", kind, strings.Join(kindWords, ", "))
 	}
 	l.Kind = route.Kind(i)
-	if l.Pattern, err = n.Word(2, "the location's pattern"); err != nil {
+	if l.Pattern, err = n.WordAt(2, "the location's pattern"); err != nil {
 		return l, err
 	}
-	err = sexp.EachOnce(n.Rest(3), map[string]func(sexp.Node) error{
+	err = sexp.ReadForms(n.ItemsFrom(3), map[string]func(sexp.Node) error{
 		"pool":  sexp.Text(&l.Pool),
 		"class": sexp.Text(&l.Class),
 		"return": func(form sexp.Node) error {
@@ -300,26 +300,26 @@
 			return err
 		},
 	})
-	l.Intercept = intercept == "yes"
-	if err == nil && l.Pool != "" && l.Status != 0 {
-		err = sexp.Errorf(n.At, "location %s has both (pool ...) and (return ...)", l.Pattern)
+	l.InterceptErrors = intercept == "yes"
+	if err == nil && l.Pool != "" && l.ReturnStatus != 0 {
+		err = sexp.Errorf(n.Pos, "location %s has both (pool ...) and (return ...)", l.Pattern)
 	}
 	return l, err
 }
 
 func readReturn(n sexp.Node, l *Location) error {
-	word, err := n.Word(1, "a status")
+	word, err := n.WordAt(1, "a status")
 	if err != nil {
 		return err
 	}
-	if l.Status, err = strconv.Atoi(word); err != nil || l.Status < 100 || l.Status > 599 {
-		return sexp.Errorf(n.At, "found %s in (return ...), want a status of 100 to 599", word)
+	if l.ReturnStatus, err = strconv.Atoi(word); err != nil || l.ReturnStatus < 100 || l.ReturnStatus > 599 {
+		return sexp.Errorf(n.Pos, "found %s in (return ...), want a status of 100 to 599", word)
 	}
-	switch rest := n.Rest(2); {
+	switch rest := n.ItemsFrom(2); {
 	case len(rest) == 1 && rest[0].Kind != sexp.List:
-		l.Text = rest[0].Text
+		l.ReturnText = rest[0].Text
 	case len(rest) > 0:
-		return sexp.Errorf(n.At, "want (return STATUS) or (return STATUS TEXT)")
+		return sexp.Errorf(n.Pos, "want (return STATUS) or (return STATUS TEXT)")
 	}
 	return nil
 }
@@ -327,66 +327,66 @@
 // readFallback reads (fallback NAME STATUS ... [(status own|same|N)]).
 func readFallback(n sexp.Node, l *Location) (err error) {
 	f := Fallback{}
-	if f.Name, err = n.Word(1, "the name of a location"); err != nil {
+	if f.Location, err = n.WordAt(1, "the name of a location"); err != nil {
 		return err
 	}
-	for _, a := range n.Rest(2) {
+	for _, a := range n.ItemsFrom(2) {
 		if a.Kind == sexp.List && a.Name() == "status" {
-			word, err := a.Word(1, "own, same or a status")
+			word, err := a.WordAt(1, "own, same or a status")
 			if err != nil {
 				return err
 			}
-			switch f.As, err = strconv.Atoi(word); {
+			switch f.ResponseStatus, err = strconv.Atoi(word); {
 			case word == "own":
-				f.As = 0
+				f.ResponseStatus = 0
 			case word == "same":
-				f.As = Same
-			case err != nil || f.As < 100 || f.As > 599:
-				return sexp.Errorf(a.At, "found %s in (status ...), want own, same or a status of 100 to 599", word)
+				f.ResponseStatus = KeepStatus
+			case err != nil || f.ResponseStatus < 100 || f.ResponseStatus > 599:
+				return sexp.Errorf(a.Pos, "found %s in (status ...), want own, same or a status of 100 to 599", word)
 			}
 			continue
 		}
 		status, err := strconv.Atoi(a.Text)
 		if err != nil || a.Kind != sexp.Atom || status < 300 || status > 599 {
-			return sexp.Errorf(a.At, "found %v, want a status of 300 to 599", a)
+			return sexp.Errorf(a.Pos, "found %v, want a status of 300 to 599", a)
 		}
-		f.On = append(f.On, status)
+		f.Statuses = append(f.Statuses, status)
 	}
-	if len(f.On) == 0 {
-		return sexp.Errorf(n.At, "(fallback %s) has no statuses, want some of 300 to 599", f.Name)
+	if len(f.Statuses) == 0 {
+		return sexp.Errorf(n.Pos, "(fallback %s) has no statuses, want some of 300 to 599", f.Location)
 	}
 	l.Fallbacks = append(l.Fallbacks, f)
 	return nil
 }
 
 // flagWords are the flags of rewrites in the words of the settings, which are nginx's.
-var flagWords = []string{route.Onward: "onward", route.Last: "last", route.Break: "break", route.Redirect: "redirect",
-	route.Permanent: "permanent"}
+var flagWords = []string{route.FlagNone: "onward", route.FlagLast: "last", route.FlagBreak: "break", route.FlagRedirect: "redirect",
+	route.FlagPermanent: "permanent"}
 
-// Flag reads the flag of a rewrite.
-func Flag(word string) (route.Flag, error) {
+// ParseRewriteFlag reads the flag of a rewrite.
+func ParseRewriteFlag(word string) (route.RewriteFlag, error) {
 	if i := slices.Index(flagWords, word); i >= 0 {
-		return route.Flag(i), nil
+		return route.RewriteFlag(i), nil
 	}
 	return 0, fmt.Errorf("no flag is called %q, want %s", word, strings.Join(flagWords, ", "))
 }
 
 // readRewrite reads (rewrite REGEX TO [FLAG]).
 func readRewrite(n sexp.Node, to *[]Rewrite) (err error) {
-	w := Rewrite{At: n.At}
-	if w.Pattern, err = n.Word(1, "a regex"); err != nil {
+	w := Rewrite{Pos: n.Pos}
+	if w.Pattern, err = n.WordAt(1, "a regex"); err != nil {
 		return err
 	}
-	if w.To, err = n.Word(2, "what the path becomes"); err != nil {
+	if w.Replacement, err = n.WordAt(2, "what the path becomes"); err != nil {
 		return err
 	}
-	switch rest := n.Rest(3); {
+	switch rest := n.ItemsFrom(3); {
 	case len(rest) == 1 && rest[0].Kind == sexp.Atom:
-		if w.Flag, err = Flag(rest[0].Text); err != nil {
-			return sexp.Errorf(rest[0].At, "%v", err)
+		if w.Flag, err = ParseRewriteFlag(rest[0].Text); err != nil {
+			return sexp.Errorf(rest[0].Pos, "%v", err)
 		}
 	case len(rest) > 0:
-		return sexp.Errorf(n.At, "want (rewrite REGEX TO) or (rewrite REGEX TO FLAG)")
+		return sexp.Errorf(n.Pos, "want (rewrite REGEX TO) or (rewrite REGEX TO FLAG)")
 	}
 	*to = append(*to, w)
 	return nil
