--- a/internal/routeconfig/routing_test.go
+++ b/internal/routeconfig/routing_test.go
@@ -98,51 +98,51 @@
 }
 
 // draw makes up a description.
-func draw(t *rapid.T) *Description {
+func draw(t *rapid.T) *Config {
 	word := func(what string) string {
 		return rapid.SampledFrom([]string{"a", "stock", "with space", "quo\"te", "semi;colon", "back\\slash", "(paren)", "ä"}).Draw(t, what)
 	}
 	spans := func(what string) time.Duration {
 		return time.Duration(rapid.IntRange(1, 100_000).Draw(t, what)) * time.Millisecond
 	}
-	d := &Description{Capacity: rapid.SampledFrom([]int{1, DefaultCapacity, 500}).Draw(t, "capacity")}
-	c := Class{Name: word("class"), Aim: spans("aim"), Effect: rapid.SampledFrom([]string{Safe, Unsafe, ByMethod, Keyed}).Draw(t, "effect"),
-		Worth: float64(rapid.IntRange(0, 7).Draw(t, "worth")) / 4}
-	c.Deadline = c.Aim + spans("deadline")
-	if c.Effect == Keyed {
-		c.Window = spans("window")
+	d := &Config{Capacity: rapid.SampledFrom([]int{1, DefaultCapacity, 500}).Draw(t, "capacity")}
+	c := Class{Name: word("class"), LatencyObjective: spans("aim"), Effect: rapid.SampledFrom([]string{EffectSafe, EffectNonIdempotent, EffectByMethod, EffectIdempotentByKey}).Draw(t, "effect"),
+		Weight: float64(rapid.IntRange(0, 7).Draw(t, "worth")) / 4}
+	c.Deadline = c.LatencyObjective + spans("deadline")
+	if c.Effect == EffectIdempotentByKey {
+		c.KeyWindow = spans("window")
 	}
 	d.Classes = []Class{c}
 	p := defaultPool()
 	p.Name = word("pool")
-	p.Method = pool.Method(rapid.IntRange(0, int(pool.RandomTwo)).Draw(t, "method"))
-	if p.Method == pool.Hash || p.Method == pool.HashConsistent {
+	p.BalancingPolicy = pool.BalancingPolicy(rapid.IntRange(0, int(pool.RandomTwo)).Draw(t, "method"))
+	if p.BalancingPolicy == pool.Hash || p.BalancingPolicy == pool.HashConsistent {
 		p.HashKey = rapid.SampledFrom(append([]string{"header:X-Shop"}, hashKeys...)).Draw(t, "key")
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "members") {
 		m := pool.DefaultMember(fmt.Sprintf("10.0.0.%d:90", i))
 		m.Weight, m.MaxConns, m.MaxFails = 1+rapid.IntRange(0, 9).Draw(t, "weight"), rapid.IntRange(0, 9).Draw(t, "conns"), rapid.IntRange(0, 3).Draw(t, "fails")
 		m.FailTimeout, m.SlowStart, m.Down = spans("timeout"), spans("slow"), rapid.Bool().Draw(t, "down")
-		m.Backup = i > 0 && (p.Method == pool.RoundRobin || p.Method == pool.LeastConn) && rapid.Bool().Draw(t, "backup")
+		m.Backup = i > 0 && (p.BalancingPolicy == pool.RoundRobin || p.BalancingPolicy == pool.LeastConn) && rapid.Bool().Draw(t, "backup")
 		p.Members = append(p.Members, m)
 	}
-	p.Next = pool.Condition(rapid.IntRange(0, int(pool.NonIdempotent)*2-1).Draw(t, "next"))
-	p.Tries, p.Keepalive, p.Read = rapid.IntRange(0, 5).Draw(t, "tries"), rapid.IntRange(0, 5).Draw(t, "keepalive"), spans("read")
-	p.BudgetShare, p.EjectFactor = float64(rapid.IntRange(0, 8).Draw(t, "share"))/8, float64(rapid.IntRange(0, 9).Draw(t, "factor"))
+	p.RetryOn = pool.RetryCondition(rapid.IntRange(0, int(pool.NonIdempotent)*2-1).Draw(t, "next"))
+	p.MaxAttempts, p.MaxIdleConns, p.ReadTimeout = rapid.IntRange(0, 5).Draw(t, "tries"), rapid.IntRange(0, 5).Draw(t, "keepalive"), spans("read")
+	p.RetryRatio, p.EjectionLatencyFactor = float64(rapid.IntRange(0, 8).Draw(t, "share"))/8, float64(rapid.IntRange(0, 9).Draw(t, "factor"))
 	d.Pools = []Pool{p}
-	l := &Location{Kind: route.Kind(rapid.IntRange(0, int(route.RegexFold)).Draw(t, "kind")), Pattern: "/" + rapid.SampledFrom([]string{"", "a", "a/", "b c"}).Draw(t, "pattern"),
-		Pool: p.Name, Class: c.Name, Params: []Param{{word("name"), word("value")}}, Intercept: true}
-	s := Server{Listen: []Listen{{Default: rapid.Bool().Draw(t, "default")}}, Names: []string{"a.example", "*.b"}, Merge: rapid.Bool().Draw(t, "merge"),
-		Locations: []*Location{l, {Kind: route.Named, Pattern: "fall", Status: 503, Text: word("text"), Intercept: true}}}
+	l := &Location{Kind: route.Kind(rapid.IntRange(0, int(route.RegexIgnoreCase)).Draw(t, "kind")), Pattern: "/" + rapid.SampledFrom([]string{"", "a", "a/", "b c"}).Draw(t, "pattern"),
+		Pool: p.Name, Class: c.Name, Params: []Param{{word("name"), word("value")}}, InterceptErrors: true}
+	s := Server{Listen: []Listen{{Default: rapid.Bool().Draw(t, "default")}}, Names: []string{"a.example", "*.b"}, MergeSlashes: rapid.Bool().Draw(t, "merge"),
+		Locations: []*Location{l, {Kind: route.Named, Pattern: "fall", ReturnStatus: 503, ReturnText: word("text"), InterceptErrors: true}}}
 	if rapid.Bool().Draw(t, "falls") {
 		for range rapid.IntRange(1, 3).Draw(t, "fallbacks") {
-			l.Fallbacks = append(l.Fallbacks, Fallback{"fall", []int{500, 502}, rapid.SampledFrom([]int{0, Same, 200}).Draw(t, "as")})
+			l.Fallbacks = append(l.Fallbacks, Fallback{"fall", []int{500, 502}, rapid.SampledFrom([]int{0, KeepStatus, 200}).Draw(t, "as")})
 		}
-		l.Intercept = rapid.Bool().Draw(t, "intercept")
+		l.InterceptErrors = rapid.Bool().Draw(t, "intercept")
 	}
 	if rapid.Bool().Draw(t, "rewrites") {
-		l.Rewrites = []Rewrite{{Pattern: "^/(.*)$", To: "/x/$1", Flag: route.Flag(rapid.IntRange(0, 4).Draw(t, "flag"))}}
-		s.Rewrites = []Rewrite{{Pattern: "a b", To: word("to"), Flag: route.Last}}
+		l.Rewrites = []Rewrite{{Pattern: "^/(.*)$", Replacement: "/x/$1", Flag: route.RewriteFlag(rapid.IntRange(0, 4).Draw(t, "flag"))}}
+		s.Rewrites = []Rewrite{{Pattern: "a b", Replacement: word("to"), Flag: route.FlagLast}}
 	}
 	s.Listen[0].Addr = netip.MustParseAddrPort("10.1.1.1:80")
 	d.Servers = []Server{s}
@@ -150,22 +150,22 @@
 }
 
 // places takes the places off a description, which another text has elsewhere.
-func places(d *Description) {
+func places(d *Config) {
 	for i := range d.Classes {
-		d.Classes[i].At = sexp.Pos{}
+		d.Classes[i].Pos = sexp.Pos{}
 	}
 	for i := range d.Pools {
-		d.Pools[i].At = sexp.Pos{}
+		d.Pools[i].Pos = sexp.Pos{}
 	}
 	for i := range d.Servers {
-		d.Servers[i].At = sexp.Pos{}
+		d.Servers[i].Pos = sexp.Pos{}
 		for w := range d.Servers[i].Rewrites {
-			d.Servers[i].Rewrites[w].At = sexp.Pos{}
+			d.Servers[i].Rewrites[w].Pos = sexp.Pos{}
 		}
 		for _, l := range d.Servers[i].Locations {
-			l.At = sexp.Pos{}
+			l.Pos = sexp.Pos{}
 			for w := range l.Rewrites {
-				l.Rewrites[w].At = sexp.Pos{}
+				l.Rewrites[w].Pos = sexp.Pos{}
 			}
 		}
 	}
--- a/internal/routeconfig/write.go
+++ b/internal/routeconfig/write.go
@@ -37,7 +37,7 @@
 
 // Format writes the description in its one canonical form: classes, pools and servers in their order, each with what
 // differs from the defaults.
-func (d *Description) Format() string {
+func (d *Config) Format() string {
 	var parts []string
 	if d.Capacity != DefaultCapacity {
 		parts = append(parts, fmt.Sprintf("(capacity %d)\n", d.Capacity))
@@ -61,13 +61,13 @@
 }
 
 func (c *Class) write(w *writer) {
-	words := []string{"class", sexp.Quote(c.Name), form("aim", duration(c.Aim)), form("deadline", duration(c.Deadline)),
+	words := []string{"class", sexp.Quote(c.Name), form("aim", duration(c.LatencyObjective)), form("deadline", duration(c.Deadline)),
 		form("effect", c.Effect)}
-	if c.Window > 0 {
-		words = append(words, form("window", duration(c.Window)))
+	if c.KeyWindow > 0 {
+		words = append(words, form("window", duration(c.KeyWindow)))
 	}
-	if c.Worth != 1 {
-		words = append(words, form("worth", number(c.Worth)))
+	if c.Weight != 1 {
+		words = append(words, form("worth", number(c.Weight)))
 	}
 	w.form(words...)
 }
@@ -93,8 +93,8 @@
 func (p *Pool) write(w *writer) {
 	def := defaultPool()
 	w.open("pool", sexp.Quote(p.Name))
-	if p.Method != def.Method {
-		w.form("method", p.Method.String())
+	if p.BalancingPolicy != def.BalancingPolicy {
+		w.form("method", p.BalancingPolicy.String())
 	}
 	if p.HashKey != "" {
 		w.form("key", sexp.Quote(p.HashKey))
@@ -105,35 +105,35 @@
 	for _, m := range p.Members {
 		w.form(memberWords(m)...)
 	}
-	if p.Tries != 0 {
-		w.form("tries", strconv.Itoa(p.Tries))
+	if p.MaxAttempts != 0 {
+		w.form("tries", strconv.Itoa(p.MaxAttempts))
 	}
-	if p.TryFor != 0 {
-		w.form("try-for", duration(p.TryFor))
+	if p.RetryTimeout != 0 {
+		w.form("try-for", duration(p.RetryTimeout))
 	}
-	if p.Next != def.Next {
-		w.form(append([]string{"next"}, conditions(p.Next)...)...)
+	if p.RetryOn != def.RetryOn {
+		w.form(append([]string{"next"}, conditions(p.RetryOn)...)...)
 	}
-	if p.Keepalive != 0 {
-		w.form("keepalive", strconv.Itoa(p.Keepalive))
+	if p.MaxIdleConns != 0 {
+		w.form("keepalive", strconv.Itoa(p.MaxIdleConns))
 	}
 	for _, t := range []struct {
 		name    string
 		is, def time.Duration
-	}{{"connect", p.Connect, def.Connect}, {"read", p.Read, def.Read}, {"send", p.Send, def.Send}} {
+	}{{"connect", p.ConnectTimeout, def.ConnectTimeout}, {"read", p.ReadTimeout, def.ReadTimeout}, {"send", p.SendTimeout, def.SendTimeout}} {
 		if t.is != t.def {
 			w.form(t.name, duration(t.is))
 		}
 	}
-	if p.BudgetShare != def.BudgetShare || p.BudgetLeast != def.BudgetLeast || p.BudgetBurst != def.BudgetBurst {
-		w.form("budget", form("share", number(p.BudgetShare)), form("least", number(p.BudgetLeast)),
-			form("burst", number(p.BudgetBurst)))
+	if p.RetryRatio != def.RetryRatio || p.MinRetriesPerSecond != def.MinRetriesPerSecond || p.RetryBurst != def.RetryBurst {
+		w.form("budget", form("share", number(p.RetryRatio)), form("least", number(p.MinRetriesPerSecond)),
+			form("burst", number(p.RetryBurst)))
 	}
-	if p.EjectFactor != def.EjectFactor || p.EjectErrors != def.EjectErrors || p.EjectAfter != def.EjectAfter ||
-		p.EjectFor != def.EjectFor || p.EjectMost != def.EjectMost || p.PanicUnder != def.PanicUnder {
-		w.form("eject", form("factor", number(p.EjectFactor)), form("errors", number(p.EjectErrors)),
-			form("after", strconv.Itoa(p.EjectAfter)), form("for", duration(p.EjectFor)), form("most", number(p.EjectMost)),
-			form("panic-under", number(p.PanicUnder)))
+	if p.EjectionLatencyFactor != def.EjectionLatencyFactor || p.EjectionErrorRate != def.EjectionErrorRate || p.EjectionMinAttempts != def.EjectionMinAttempts ||
+		p.BaseEjectionTime != def.BaseEjectionTime || p.MaxEjectedRatio != def.MaxEjectedRatio || p.PanicThreshold != def.PanicThreshold {
+		w.form("eject", form("factor", number(p.EjectionLatencyFactor)), form("errors", number(p.EjectionErrorRate)),
+			form("after", strconv.Itoa(p.EjectionMinAttempts)), form("for", duration(p.BaseEjectionTime)), form("most", number(p.MaxEjectedRatio)),
+			form("panic-under", number(p.PanicThreshold)))
 	}
 	writeParams(w, p.Params)
 	w.shut()
@@ -162,7 +162,7 @@
 }
 
 // conditions are the words of a set of conditions.
-func conditions(all pool.Condition) []string {
+func conditions(all pool.RetryCondition) []string {
 	var words []string
 	for _, c := range conditionWords {
 		if all&c.is != 0 {
@@ -183,8 +183,8 @@
 
 func writeRewrites(w *writer, list []Rewrite) {
 	for _, r := range list {
-		words := []string{"rewrite", sexp.Quote(r.Pattern), sexp.Quote(r.To)}
-		if r.Flag != route.Onward {
+		words := []string{"rewrite", sexp.Quote(r.Pattern), sexp.Quote(r.Replacement)}
+		if r.Flag != route.FlagNone {
 			words = append(words, flagWords[r.Flag])
 		}
 		w.form(words...)
@@ -207,7 +207,7 @@
 		}
 		w.form(words...)
 	}
-	if !s.Merge {
+	if !s.MergeSlashes {
 		w.form("merge-slashes", "no")
 	}
 	writeRewrites(w, s.Rewrites)
@@ -225,28 +225,28 @@
 	if l.Class != "" {
 		w.form("class", sexp.Quote(l.Class))
 	}
-	if l.Status != 0 {
-		words := []string{"return", strconv.Itoa(l.Status)}
-		if l.Text != "" {
-			words = append(words, sexp.Quote(l.Text))
+	if l.ReturnStatus != 0 {
+		words := []string{"return", strconv.Itoa(l.ReturnStatus)}
+		if l.ReturnText != "" {
+			words = append(words, sexp.Quote(l.ReturnText))
 		}
 		w.form(words...)
 	}
 	for _, f := range l.Fallbacks {
-		words := []string{"fallback", sexp.Quote(f.Name)}
-		for _, status := range f.On {
+		words := []string{"fallback", sexp.Quote(f.Location)}
+		for _, status := range f.Statuses {
 			words = append(words, strconv.Itoa(status))
 		}
-		switch f.As {
+		switch f.ResponseStatus {
 		case 0:
-		case Same:
+		case KeepStatus:
 			words = append(words, "(status same)")
 		default:
-			words = append(words, form("status", strconv.Itoa(f.As)))
+			words = append(words, form("status", strconv.Itoa(f.ResponseStatus)))
 		}
 		w.form(words...)
 	}
-	if !l.Intercept {
+	if !l.InterceptErrors {
 		w.form("intercept", "no")
 	}
 	writeRewrites(w, l.Rewrites)
--- a/internal/scenario/hunt.go
+++ b/internal/scenario/hunt.go
@@ -11,32 +11,32 @@
 	"tillerusher/internal/simnet"
 )
 
-// Draw is a short day with faults and incidents that a seed draws.
-func Draw(seed uint64) *Scenario {
+// Generate is a short day with faults and incidents that a seed draws.
+func Generate(seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0xda7))
 	s := Defaults()
 	s.Name = "drawn"
-	s.Length = time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
-	s.Servers, s.Gateways, s.Tries = 1+rng.IntN(2), 1+rng.IntN(3), 1+rng.IntN(4)
+	s.Duration = time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
+	s.Servers, s.Gateways, s.MaxAttempts = 1+rng.IntN(2), 1+rng.IntN(3), 1+rng.IntN(4)
 	s.Rate = 50 + 500*rng.Float64()
-	s.Keyed, s.Heeds = rng.Float64(), float64(rng.IntN(2))
-	s.Work = time.Duration(1+rng.IntN(20)) * time.Millisecond
-	s.Net = simnet.Net{Delay: time.Duration(rng.IntN(500)) * time.Microsecond, Jitter: time.Duration(rng.IntN(2000)) * time.Microsecond,
-		Partial: rng.Float64() * 0.5, Lost: rng.Float64() * 0.1, Doubled: rng.Float64() * 0.1}
-	s.Repeats, s.Hedges, s.Aborts = rng.Float64()*0.5, rng.Float64()*0.2, rng.Float64()*0.05
+	s.IdempotentShare, s.RetryAfterShare = rng.Float64(), float64(rng.IntN(2))
+	s.MeanRunTime = time.Duration(1+rng.IntN(20)) * time.Millisecond
+	s.Network = simnet.NetworkConfig{Delay: time.Duration(rng.IntN(500)) * time.Microsecond, Jitter: time.Duration(rng.IntN(2000)) * time.Microsecond,
+		PartialIO: rng.Float64() * 0.5, DatagramLoss: rng.Float64() * 0.1, DatagramDuplication: rng.Float64() * 0.1}
+	s.DuplicateShare, s.HedgeShare, s.AbortShare = rng.Float64()*0.5, rng.Float64()*0.2, rng.Float64()*0.05
 	if rng.IntN(3) == 0 {
-		s.Files = 340 + rng.IntN(30)
+		s.MaxOpenFiles = 340 + rng.IntN(30)
 	}
-	kinds := []Kind{Death, Deploy, Slow, Jump, Partition, Reload, Standing, Trickle, Resets, Garbage, Cut, Cut, Flood}
+	kinds := []IncidentKind{Crash, Restart, SlowInterpreter, LoadSpike, Partition, ConfigReload, MachinePause, SlowReaders, ConnectionResets, MalformedInput, LinkLoss, LinkLoss, ConnectionFlood}
 	for range 1 + rng.IntN(6) {
-		s.Incidents = append(s.Incidents, Incident{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(rng.Int64N(int64(s.Length))),
-			For: time.Duration(rng.Int64N(int64(1500 * time.Millisecond))), Server: rng.IntN(s.Servers + 1), Times: 0.5 + 4*rng.Float64()})
+		s.Incidents = append(s.Incidents, Incident{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(rng.Int64N(int64(s.Duration))),
+			Duration: time.Duration(rng.Int64N(int64(1500 * time.Millisecond))), Server: rng.IntN(s.Servers + 1), Factor: 0.5 + 4*rng.Float64()})
 	}
 	return &s
 }
 
-// Broken tells whether a day broke a rule.
-func (r *Report) Broken() bool { return r.BreachesN > 0 || r.Unanswered > 0 }
+// HasViolations tells whether a day broke a rule.
+func (r *Report) HasViolations() bool { return r.ViolationCount > 0 || r.Unanswered > 0 }
 
 // Finding is a seed whose day broke a rule.
 type Finding struct {
@@ -44,30 +44,30 @@
 	Report *Report `json:"report"`
 }
 
-// Hunted is what a hunt saw.
-type Hunted struct {
-	Seeds    int           `json:"seeds"`
-	Requests int           `json:"requests"`
-	Tries    int           `json:"tries"`
-	Runs     int           `json:"runs"`
-	Served   int           `json:"served"`
-	Refused  int           `json:"refused"`
-	Failed   int           `json:"failed"`
-	Lost     int           `json:"lost"`
-	World    simnet.Counts `json:"world"`
-	Found    []Finding     `json:"found"`
+// Exploration is what a hunt saw.
+type Exploration struct {
+	Seeds      int          `json:"seeds"`
+	Requests   int          `json:"requests"`
+	Attempts   int          `json:"tries"`
+	Runs       int          `json:"runs"`
+	Served     int          `json:"served"`
+	Rejected   int          `json:"refused"`
+	Failed     int          `json:"failed"`
+	Lost       int          `json:"lost"`
+	Simulation simnet.Stats `json:"world"`
+	Findings   []Finding    `json:"found"`
 }
 
-// Hunt plays days that seeds draw, from one seed on, until so many were played, the context ends, or so many broke a rule.
-func Hunt(ctx context.Context, first uint64, seeds, most, parallel int, progress func(done, of int)) (*Hunted, error) {
-	h := &Hunted{}
+// Explore plays days that seeds draw, from one seed on, until so many were played, the context ends, or so many broke a rule.
+func Explore(ctx context.Context, first uint64, seeds, maxFindings, parallel int, progress func(done, of int)) (*Exploration, error) {
+	result := &Exploration{}
 	var mu sync.Mutex
-	var failed error
+	var firstErr error
 	next := 0
 	take := func() (uint64, bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if next >= seeds || len(h.Found) >= most || failed != nil || ctx.Err() != nil {
+		if next >= seeds || len(result.Findings) >= maxFindings || firstErr != nil || ctx.Err() != nil {
 			return 0, false
 		}
 		next++
@@ -79,53 +79,53 @@
 		go func() {
 			defer all.Done()
 			for seed, more := take(); more; seed, more = take() {
-				r, err := Run(Draw(seed), seed)
+				r, err := Run(Generate(seed), seed)
 				mu.Lock()
 				if err != nil {
-					failed = err
+					firstErr = err
 				} else {
-					h.add(seed, r)
+					result.add(seed, r)
 				}
 				if progress != nil {
-					progress(h.Seeds, seeds)
+					progress(result.Seeds, seeds)
 				}
 				mu.Unlock()
 			}
 		}()
 	}
 	all.Wait()
-	slices.SortFunc(h.Found, func(a, b Finding) int { return cmp.Compare(a.Seed, b.Seed) })
-	return h, failed
+	slices.SortFunc(result.Findings, func(a, b Finding) int { return cmp.Compare(a.Seed, b.Seed) })
+	return result, firstErr
 }
 
 // add takes in a day.
-func (h *Hunted) add(seed uint64, r *Report) {
+func (h *Exploration) add(seed uint64, r *Report) {
 	h.Seeds++
-	h.Requests, h.Tries, h.Runs = h.Requests+r.Requests, h.Tries+r.Tries, h.Runs+r.Runs
-	h.Served, h.Refused, h.Failed, h.Lost = h.Served+r.Served, h.Refused+r.Refused, h.Failed+r.Failed, h.Lost+r.Lost
-	h.World.Add(r.World)
-	if r.Broken() {
-		h.Found = append(h.Found, Finding{seed, r})
+	h.Requests, h.Attempts, h.Runs = h.Requests+r.Requests, h.Attempts+r.Attempts, h.Runs+r.Runs
+	h.Served, h.Rejected, h.Failed, h.Lost = h.Served+r.Served, h.Rejected+r.Rejected, h.Failed+r.Failed, h.Lost+r.Lost
+	h.Simulation.Add(r.Simulation)
+	if r.HasViolations() {
+		h.Findings = append(h.Findings, Finding{seed, r})
 	}
 }
 
 // Shrink is the smallest scenario that it finds which still breaks a rule with the seed: without incidents that it takes
 // nothing from, with fewer servers and gateways, less load, and a network without faults, as far as that goes.
 func Shrink(s *Scenario, seed uint64) (*Scenario, error) {
-	breaks := func(c *Scenario) (bool, error) {
+	violates := func(c *Scenario) (bool, error) {
 		r, err := Run(c, seed)
-		return err == nil && r.Broken(), err
+		return err == nil && r.HasViolations(), err
 	}
 	small := *s
-	for again := true; again; {
-		again = false
-		for _, step := range steps(&small) {
-			ok, err := breaks(step)
+	for isSmaller := true; isSmaller; {
+		isSmaller = false
+		for _, step := range smallerVariants(&small) {
+			ok, err := violates(step)
 			if err != nil {
 				return nil, err
 			}
 			if ok {
-				small, again = *step, true
+				small, isSmaller = *step, true
 				break
 			}
 		}
@@ -133,8 +133,8 @@
 	return &small, nil
 }
 
-// steps are the scenarios that are a little smaller than one.
-func steps(s *Scenario) (list []*Scenario) {
+// smallerVariants are the scenarios that are a little smaller than one.
+func smallerVariants(s *Scenario) (list []*Scenario) {
 	with := func(change func(c *Scenario)) {
 		c := *s
 		c.Incidents = slices.Clone(s.Incidents)
@@ -155,17 +155,19 @@
 	if s.Gateways > 1 {
 		with(func(c *Scenario) { c.Gateways = 1 })
 	}
-	if s.Tries > 1 {
-		with(func(c *Scenario) { c.Tries-- })
+	if s.MaxAttempts > 1 {
+		with(func(c *Scenario) { c.MaxAttempts-- })
 	}
-	if s.Net.Partial+s.Net.Lost+s.Net.Doubled > 0 {
-		with(func(c *Scenario) { c.Net.Partial, c.Net.Lost, c.Net.Doubled = 0, 0, 0 })
+	if s.Network.PartialIO+s.Network.DatagramLoss+s.Network.DatagramDuplication > 0 {
+		with(func(c *Scenario) {
+			c.Network.PartialIO, c.Network.DatagramLoss, c.Network.DatagramDuplication = 0, 0, 0
+		})
 	}
 	if s.Rate > 2 {
 		with(func(c *Scenario) { c.Rate /= 2 })
 	}
-	if s.Length > 2*time.Second {
-		with(func(c *Scenario) { c.Length -= time.Second })
+	if s.Duration > 2*time.Second {
+		with(func(c *Scenario) { c.Duration -= time.Second })
 	}
 	return list
 }
--- a/internal/scenario/library.go
+++ b/internal/scenario/library.go
@@ -9,17 +9,17 @@
 )
 
 //go:embed scenarios/*.sexp
-var library embed.FS
+var libraryFiles embed.FS
 
 // Library are the scenarios that ship with the kit, by name.
 func Library() ([]*Scenario, error) {
-	files, err := fs.Glob(library, "scenarios/*.sexp")
+	files, err := fs.Glob(libraryFiles, "scenarios/*.sexp")
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
 	var list []*Scenario
 	for _, file := range files {
-		text, err := library.ReadFile(file)
+		text, err := libraryFiles.ReadFile(file)
 		if err != nil {
 			return nil, fmt.Errorf("rehearsal: %w", err)
 		}
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -15,72 +15,74 @@
 
 // What each server has, and the grace between SIGTERM and SIGKILL.
 const (
-	serverMB    = 64
-	serverFiles = 384
-	stopAfter   = 3200 * time.Millisecond
+	serverMemoryMB    = 64
+	serverDescriptors = 384
+	stopTimeout       = 3200 * time.Millisecond
 )
 
 // node is a server with its interpreter, over any number of lives of both.
 type node struct {
-	run         *run
-	number      int
-	host, vm    netip.Addr
-	process     *simnet.Process
-	server      *server.Server
-	interpreter *fake.Interpreter
-	slow        float64
-	life        int
-	dead        bool           // it was killed in this life
-	newest      *simnet.Stream // of the links
-	counters    *counters
-	moved       uint16 // how often the interpreter moved between its two addresses
-	leaving     bool
-	stopped     time.Duration // when it was told to leave
-	stood       time.Duration // until when its machine stood still
-	started     time.Duration // in this life
-	runs        int           // in all lives
+	run                   *runner
+	number                int
+	host, interpreterHost netip.Addr
+	process               *simnet.Process
+	server                *server.Server
+	interpreter           *fake.Interpreter
+	slowdown              float64
+	incarnation           int
+	isKilled              bool           // it was killed in this life
+	latestLink            *simnet.Stream // of the links
+	counters              *counterLog
+	addressChanges        uint16 // how often the interpreter moved between its two addresses
+	isDraining            bool
+	drainStartedAt        time.Duration // when it was told to leave
+	pausedUntil           time.Duration // until when its machine stood still
+	startedAt             time.Duration // in this life
+	runs                  int           // in all lives
 }
 
-func newNode(r *run, number int) *node {
-	n := &node{run: r, number: number, slow: 1, host: netip.AddrFrom4([4]byte{10, 1, byte(number >> 8), byte(number)}),
-		vm: netip.AddrFrom4([4]byte{10, 2, byte(number >> 8), byte(number)})}
-	n.newInterpreter()
+func newNode(r *runner, number int) *node {
+	n := &node{run: r, number: number, slowdown: 1, host: netip.AddrFrom4([4]byte{10, 1, byte(number >> 8), byte(number)}),
+		interpreterHost: netip.AddrFrom4([4]byte{10, 2, byte(number >> 8), byte(number)})}
+	n.startInterpreter()
 	for range 2 {
-		r.world.Listen(n.vmAddr(), n.link)
-		n.moved++
+		r.sim.Listen(n.interpreterAddr(), n.acceptLink)
+		n.addressChanges++
 	}
 	n.start()
 	return n
 }
 
-func (n *node) addr() netip.AddrPort   { return netip.AddrPortFrom(n.host, 9000) }
-func (n *node) vmAddr() netip.AddrPort { return netip.AddrPortFrom(n.vm, 9100+n.moved%2) }
-func (n *node) name() string           { return fmt.Sprint("n", n.number) }
+func (n *node) addr() netip.AddrPort { return netip.AddrPortFrom(n.host, 9000) }
+func (n *node) interpreterAddr() netip.AddrPort {
+	return netip.AddrPortFrom(n.interpreterHost, 9100+n.addressChanges%2)
+}
+func (n *node) name() string { return fmt.Sprint("n", n.number) }
 
-// newInterpreter has a new interpreter take the links that come from now on.
-func (n *node) newInterpreter() {
-	it := fake.NewQuietInterpreter(n.run.world)
-	it.Work(n.run.scenario.Cores, func(a fake.Apply) time.Duration {
-		return time.Duration(float64(fake.BodyWork(a)) * n.slow)
+// startInterpreter has a new interpreter take the links that come from now on.
+func (n *node) startInterpreter() {
+	it := fake.NewInterpreterWithClock(n.run.sim)
+	it.SimulateWork(n.run.scenario.Cores, func(a fake.RunCommand) time.Duration {
+		return time.Duration(float64(fake.ParseWork(a)) * n.slowdown)
 	})
-	it.OnApply(func(a fake.Apply) {
+	it.OnRun(func(a fake.RunCommand) {
 		n.runs++
-		n.run.ran(a.ID)
+		n.run.recordRun(a.ID)
 	})
-	if n.run.cold && n.life > 0 {
-		it.Cold()
+	if n.run.coldRestarts && n.incarnation > 0 {
+		it.MarkCold()
 	}
 	n.interpreter = it
 }
 
-// link is a server's connection to the interpreter.
+// acceptLink is a server's connection to the interpreter.
 type link struct {
-	to   *fake.Link
-	from *simnet.Stream
+	peer   *fake.Link
+	stream *simnet.Stream
 }
 
-func (n *node) link(s *simnet.Stream) simnet.Actor {
-	n.newest = s
+func (n *node) acceptLink(s *simnet.Stream) simnet.StreamHandler {
+	n.latestLink = s
 	return &link{n.interpreter.Attach(s), s}
 }
 
@@ -89,8 +91,8 @@
 
 // Data implements simos.Actor.
 func (l *link) Data(p []byte) {
-	if !l.to.Feed(p) {
-		l.from.Close()
+	if !l.peer.Feed(p) {
+		l.stream.Close()
 	}
 }
 
@@ -100,15 +102,15 @@
 // start starts the server's program, unless it runs already.
 func (n *node) start() {
 	if n.process != nil {
-		if ended, _ := n.process.Ended(); !ended {
+		if ended, _ := n.process.Exited(); !ended {
 			return
 		}
 	}
-	n.life++
-	n.started = n.run.world.Elapsed()
-	n.leaving, n.dead, n.counters = false, false, &counters{}
-	n.process = n.run.world.Start(n.name(), n.host, n.run.scenario.Files, func(p *simnet.Process) error {
-		s, err := server.NewOn(p, n.config(), zap.New(n.counters))
+	n.incarnation++
+	n.startedAt = n.run.sim.Elapsed()
+	n.isDraining, n.isKilled, n.counters = false, false, &counterLog{}
+	n.process = n.run.sim.Start(n.name(), n.host, n.run.scenario.MaxOpenFiles, func(p *simnet.Process) error {
+		s, err := server.NewOnSystem(p, n.config(), zap.New(n.counters))
 		if err != nil {
 			return err
 		}
@@ -118,59 +120,59 @@
 }
 
 func (n *node) config() *config.Config {
-	return &config.Config{Name: n.name(), Listen: n.addr(), Interpreter: n.vmAddr(), Announce: announceAt, Stop: stopAfter, Settings: n.run.told,
-		Limits: config.Limits{Cores: 1, MemoryMB: serverMB, Sockets: serverFiles}}
+	return &config.Config{Name: n.name(), Listen: n.addr(), Interpreter: n.interpreterAddr(), LoadReports: loadReportAddr, StopTimeout: stopTimeout, Settings: n.run.site,
+		Limits: config.Limits{Cores: 1, MemoryMB: serverMemoryMB, Sockets: serverDescriptors}}
 }
 
 // kill ends server and interpreter at once; another interpreter is there for the next server.
 func (n *node) kill() {
-	n.dead = true
+	n.isKilled = true
 	n.process.Kill()
 	n.server = nil
 	n.interpreter.Close()
-	n.newInterpreter()
-	n.run.died(n)
+	n.startInterpreter()
+	n.run.markDown(n)
 }
 
-// leave tells the server to drain, and kills it where it does not end in time.
-func (n *node) leave(then func()) {
-	if n.server == nil || n.leaving {
+// drain tells the server to drain, and kills it where it does not end in time.
+func (n *node) drain(onExit func()) {
+	if n.server == nil || n.isDraining {
 		return
 	}
-	n.leaving, n.stopped = true, n.run.world.Elapsed()
+	n.isDraining, n.drainStartedAt = true, n.run.sim.Elapsed()
 	n.server.Drain()
-	life := n.life
-	n.run.world.After(stopAfter, func() {
-		if ended, _ := n.process.Ended(); ended || n.life != life {
+	life := n.incarnation
+	n.run.sim.After(stopTimeout, func() {
+		if ended, _ := n.process.Exited(); ended || n.incarnation != life {
 			return
 		}
-		if n.stood < n.stopped { // a machine that stands still can't help it
-			n.run.breach("%s was told to leave at %v and did not end before it was killed", n.name(), n.stopped)
+		if n.pausedUntil < n.drainStartedAt { // a machine that stands still can't help it
+			n.run.recordViolation("%s was told to leave at %v and did not end before it was killed", n.name(), n.drainStartedAt)
 		}
-		n.dead = true
+		n.isKilled = true
 		n.process.Kill()
 	})
 	var look func()
 	look = func() {
-		ended, err := n.process.Ended()
+		ended, err := n.process.Exited()
 		switch {
-		case n.life != life:
+		case n.incarnation != life:
 		case !ended:
-			n.run.world.After(10*time.Millisecond, look)
+			n.run.sim.After(10*time.Millisecond, look)
 		default:
 			if err != nil {
-				n.run.breach("%s ended with %v", n.name(), err)
+				n.run.recordViolation("%s ended with %v", n.name(), err)
 			}
-			if left := n.process.Files(); left > 0 {
-				n.run.breach("%s ended with %d descriptors open", n.name(), left)
+			if left := n.process.OpenDescriptors(); left > 0 {
+				n.run.recordViolation("%s ended with %d descriptors open", n.name(), left)
 			}
-			if in, out, told := n.counters.sums(); err == nil && !n.dead && (!told || in != out) {
-				n.run.breach("%s took %d requests in, and %d were served, refused, failed, invalid or lost with their connection", n.name(), in, out)
+			if in, out, told := n.counters.totals(); err == nil && !n.isKilled && (!told || in != out) {
+				n.run.recordViolation("%s took %d requests in, and %d were served, refused, failed, invalid or lost with their connection", n.name(), in, out)
 			}
 			n.server = nil
-			n.run.died(n)
-			if then != nil {
-				then()
+			n.run.markDown(n)
+			if onExit != nil {
+				onExit()
 			}
 		}
 	}
--- a/internal/scenario/rehearsal_test.go
+++ b/internal/scenario/rehearsal_test.go
@@ -11,9 +11,9 @@
 // TestSameSeed plays a day with every kind of incident twice, on one processor and on four: the reports are the same, byte for byte, and no rule is broken.
 func TestSameSeed(t *testing.T) {
 	s := Defaults()
-	s.Name, s.Length, s.Rate = "all", 12*time.Second, 900
-	for n, kind := range []Kind{Slow, Partition, Reload, Jump, Standing, Trickle, Resets, Garbage, Flood, Death, Deploy} {
-		s.Incidents = append(s.Incidents, Incident{Kind: kind, At: time.Duration(n) * time.Second, For: time.Second, Server: n%3 + 1, Times: 2})
+	s.Name, s.Duration, s.Rate = "all", 12*time.Second, 900
+	for n, kind := range []IncidentKind{SlowInterpreter, Partition, ConfigReload, LoadSpike, MachinePause, SlowReaders, ConnectionResets, MalformedInput, ConnectionFlood, Crash, Restart} {
+		s.Incidents = append(s.Incidents, Incident{Kind: kind, At: time.Duration(n) * time.Second, Duration: time.Second, Server: n%3 + 1, Factor: 2})
 	}
 	var texts [2]string
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
@@ -30,8 +30,8 @@
 		if texts[n] = string(text); n == 0 {
 			t.Logf("%.3000s", text)
 		}
-		if len(r.Breaches) > 0 {
-			t.Errorf("%d rules were broken, the first: %s", r.BreachesN, r.Breaches[0])
+		if len(r.Violations) > 0 {
+			t.Errorf("%d rules were broken, the first: %s", r.ViolationCount, r.Violations[0])
 		}
 	}
 	if texts[0] != texts[1] {
@@ -49,7 +49,7 @@
 		t.Errorf("%d scenarios", len(list))
 	}
 	for _, s := range list {
-		if s.Teaches == "" {
+		if s.Purpose == "" {
 			t.Errorf("%s teaches nothing", s.Name)
 		}
 		if s.Servers > 10 {
@@ -59,8 +59,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Broken() || len(r.Missed) > 0 {
-			t.Errorf("%s: %v %v, %d unanswered", s.Name, r.Breaches, r.Missed, r.Unanswered)
+		if r.HasViolations() || len(r.UnmetExpectations) > 0 {
+			t.Errorf("%s: %v %v, %d unanswered", s.Name, r.Violations, r.UnmetExpectations, r.Unanswered)
 		}
 	}
 }
@@ -69,14 +69,14 @@
 func TestHunt(t *testing.T) {
 	first := rand.Uint64() >> 1
 	t.Logf("from seed %d", first)
-	h, err := Hunt(t.Context(), first, 40, 1, 2, nil)
+	h, err := Explore(t.Context(), first, 40, 1, 2, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range h.Found {
-		t.Errorf("seed %d: %v, %d unanswered; again: cataloguectl rehearse replay %d", f.Seed, f.Report.Breaches, f.Report.Unanswered, f.Seed)
+	for _, f := range h.Findings {
+		t.Errorf("seed %d: %v, %d unanswered; again: cataloguectl rehearse replay %d", f.Seed, f.Report.Violations, f.Report.Unanswered, f.Seed)
 	}
-	if h.Seeds == 0 || h.Served == 0 || h.World.Kills == 0 || h.World.Resets == 0 {
+	if h.Seeds == 0 || h.Served == 0 || h.Simulation.Kills == 0 || h.Simulation.Resets == 0 {
 		t.Errorf("nothing happened: %+v", h)
 	}
 }
@@ -84,10 +84,10 @@
 // TestFirstAfterIdling has a lookup come to a server that had nothing to do for a while, shortly before its next look at the
 // gauges: the time that nothing ran for counted as time without progress, and the run was stopped for a stall.
 func TestFirstAfterIdling(t *testing.T) {
-	s := Draw(262)
-	s.Calm = time.Second
+	s := Generate(262)
+	s.Cooldown = time.Second
 	r, err := Run(s, 262)
-	if err != nil || r.Broken() {
+	if err != nil || r.HasViolations() {
 		t.Errorf("%v, %v", r, err)
 	}
 }
@@ -95,8 +95,8 @@
 // TestLostAfterAnswer has a connection break whose requests wait for each other: the end of one answered another, which was then
 // counted as lost as well, and told to the module as gone.
 func TestLostAfterAnswer(t *testing.T) {
-	r, err := Run(Draw(346), 346)
-	if err != nil || r.Broken() {
+	r, err := Run(Generate(346), 346)
+	if err != nil || r.HasViolations() {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -108,7 +108,7 @@
 	f.Add("(name x) (rate 0)")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("x.sexp", []byte(text))
-		if err == nil && (s.Servers < 1 || !(s.Rate > 0) || s.Length <= 0 || s.Name == "") {
+		if err == nil && (s.Servers < 1 || !(s.Rate > 0) || s.Duration <= 0 || s.Name == "") {
 			t.Errorf("%+v", s)
 		}
 	})
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -15,267 +15,267 @@
 	"tillerusher/internal/simnet"
 )
 
-// announceAt is where servers say whether they accept.
-var announceAt = netip.MustParseAddrPort("10.9.0.1:7000")
+// loadReportAddr is where servers say whether they accept.
+var loadReportAddr = netip.MustParseAddrPort("10.9.0.1:7000")
 
-// begin is what true clocks show when a rehearsal begins.
-var begin = time.Date(2026, 3, 16, 1, 0, 0, 0, time.UTC)
+// startTime is what true clocks show when a rehearsal begins.
+var startTime = time.Date(2026, 3, 16, 1, 0, 0, 0, time.UTC)
 
-// warm is how long callers wait for servers to come up, and settleFor how long a day goes on after the last request, for
+// startupTime is how long callers wait for servers to come up, and settleTime how long a day goes on after the last request, for
 // answers and drains.
 const (
-	warm      = time.Second
-	settleFor = 5 * time.Second
+	startupTime = time.Second
+	settleTime  = 5 * time.Second
 	// After the day and its calm each server is asked for a lookup and a reservation.
-	probeFor  = 3 * time.Second
-	mostNamed = 20 // breaches that a report names
+	probeTimeout       = 3 * time.Second
+	maxNamedViolations = 20 // breaches that a report names
 )
 
-// Second is what happened in one second.
-type Second struct {
+// SecondStats is what happened in one second.
+type SecondStats struct {
 	Requests int `json:"requests"`
 	Served   int `json:"served"` // of those, by any of their tries
 }
 
 // Report is what came of a day. Latencies are in milliseconds, of served requests from when they came.
 type Report struct {
-	Scenario   string        `json:"scenario"`
-	Seed       uint64        `json:"seed"`
-	Requests   int           `json:"requests"`
-	Tries      int           `json:"tries"`
-	Served     int           `json:"served"` // tries
-	Refused    int           `json:"refused"`
-	Failed     int           `json:"failed"`
-	Lost       int           `json:"lost"`
-	Unsent     int           `json:"unsent"`
-	Unanswered int           `json:"unanswered"`
-	Runs       int           `json:"runs"`
-	Share      float64       `json:"share"`
-	P50        float64       `json:"p50_ms"`
-	P99        float64       `json:"p99_ms"`
-	Recovered  float64       `json:"recovered_s"` // after the last incident; -1 is never, and 0 where there is none
-	Breaches   []string      `json:"breaches"`
-	BreachesN  int           `json:"breaches_in_all"`
-	Missed     []string      `json:"missed"` // expectations
-	Seconds    []Second      `json:"seconds"`
-	World      simnet.Counts `json:"world"`
+	Scenario          string        `json:"scenario"`
+	Seed              uint64        `json:"seed"`
+	Requests          int           `json:"requests"`
+	Attempts          int           `json:"tries"`
+	Served            int           `json:"served"` // tries
+	Rejected          int           `json:"refused"`
+	Failed            int           `json:"failed"`
+	Lost              int           `json:"lost"`
+	Unsent            int           `json:"unsent"`
+	Unanswered        int           `json:"unanswered"`
+	Runs              int           `json:"runs"`
+	ServedShare       float64       `json:"share"`
+	P50               float64       `json:"p50_ms"`
+	P99               float64       `json:"p99_ms"`
+	RecoverySeconds   float64       `json:"recovered_s"` // after the last incident; -1 is never, and 0 where there is none
+	Violations        []string      `json:"breaches"`
+	ViolationCount    int           `json:"breaches_in_all"`
+	UnmetExpectations []string      `json:"missed"` // expectations
+	Seconds           []SecondStats `json:"seconds"`
+	Simulation        simnet.Stats  `json:"world"`
 }
 
-// run is one under way.
-type run struct {
-	scenario  *Scenario
-	told      *settings.Told
-	world     *simnet.World
-	rng       *rand.Rand
-	nodes     []*node
-	gateways  []*gateway
-	observer  *invariant.Observer
-	accepting map[string]bool
-	open      map[string]*try
-	probes    map[string]bool // ids of tries that are no caller's
-	requests  []*request
-	tries     int
-	jump      float64
-	over      bool // no further tries are made
-	cold      bool // interpreters that come back after a death are cold, as the platform's are
-	latency   *hdrhistogram.Histogram
-	report    *Report
+// runner is one under way.
+type runner struct {
+	scenario     *Scenario
+	site         *settings.Site
+	sim          *simnet.Simulation
+	rng          *rand.Rand
+	nodes        []*node
+	gateways     []*gateway
+	checker      *invariant.Checker
+	accepting    map[string]bool
+	inFlight     map[string]*attempt
+	probeIDs     map[string]bool // ids of tries that are no caller's
+	requests     []*request
+	attempts     int
+	loadFactor   float64
+	isFinished   bool // no further tries are made
+	coldRestarts bool // interpreters that come back after a death are cold, as the platform's are
+	latency      *hdrhistogram.Histogram
+	report       *Report
 }
 
 // Run plays a scenario. The same seed gives the same report.
 func Run(s *Scenario, seed uint64) (*Report, error) {
-	r, err := newRun(s, seed)
+	r, err := newRunner(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	return r.play(), nil
+	return r.execute(), nil
 }
 
-// newRun has everything stand ready.
-func newRun(s *Scenario, seed uint64) (*run, error) {
-	told, err := settings.Parse([]byte(fake.Settings))
+// newRunner has everything stand ready.
+func newRunner(s *Scenario, seed uint64) (*runner, error) {
+	site, err := settings.Parse([]byte(fake.SiteSettings))
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
-	r := &run{scenario: s, told: told, world: simnet.New(seed, begin), rng: rand.New(rand.NewPCG(seed, 1)), observer: invariant.New(fake.Window),
-		accepting: map[string]bool{}, open: map[string]*try{}, probes: map[string]bool{}, jump: 1, latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3),
+	r := &runner{scenario: s, site: site, sim: simnet.New(seed, startTime), rng: rand.New(rand.NewPCG(seed, 1)), checker: invariant.New(fake.IdempotencyWindow),
+		accepting: map[string]bool{}, inFlight: map[string]*attempt{}, probeIDs: map[string]bool{}, loadFactor: 1, latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3),
 		report: &Report{Scenario: s.Name, Seed: seed}}
-	r.world.Net = s.Net
-	r.world.Hear(announceAt, r.heard)
+	r.sim.Network = s.Network
+	r.sim.HandleDatagrams(loadReportAddr, r.handleLoadReport)
 	for n := range s.Servers {
 		r.nodes = append(r.nodes, newNode(r, n+1))
 	}
 	for n := range s.Gateways {
-		heeds := float64(n) < s.Heeds*float64(s.Gateways)
+		heeds := float64(n) < s.RetryAfterShare*float64(s.Gateways)
 		r.gateways = append(r.gateways, newGateway(r, n+1, heeds, rand.New(rand.NewPCG(seed, uint64(n)+2))))
 	}
 	for _, i := range s.Incidents {
-		r.plan(i)
+		r.scheduleIncident(i)
 	}
-	r.world.After(warm, r.arrive)
+	r.sim.After(startupTime, r.generateRequest)
 	return r, nil
 }
 
-// play goes through the day.
-func (r *run) play() *Report {
+// execute goes through the day.
+func (r *runner) execute() *Report {
 	s := r.scenario
-	end := warm + s.Length + fake.ReserveDeadline
-	r.world.Run(end)
-	r.over = true
-	end += s.Calm
-	r.world.Run(end)
-	probes := r.probe()
-	end += probeFor
-	r.world.Run(end)
+	end := startupTime + s.Duration + fake.ReserveDeadline
+	r.sim.Run(end)
+	r.isFinished = true
+	end += s.Cooldown
+	r.sim.Run(end)
+	probes := r.startProbes()
+	end += probeTimeout
+	r.sim.Run(end)
 	for _, p := range probes {
-		p.judge()
+		p.verify()
 	}
 	for _, n := range r.nodes {
-		n.leave(nil)
+		n.drain(nil)
 	}
-	r.world.Run(end + settleFor)
-	return r.finish()
+	r.sim.Run(end + settleTime)
+	return r.buildReport()
 }
 
-// heard takes in an announcement.
-func (r *run) heard(p []byte) {
+// log takes in an announcement.
+func (r *runner) handleLoadReport(p []byte) {
 	words := strings.Fields(string(p))
 	if len(words) == 3 && words[0] == "announce" {
 		r.accepting[words[1]] = words[2] == "true"
 	}
 }
 
-// breach notes a broken rule.
-func (r *run) breach(format string, args ...any) {
-	r.report.BreachesN++
-	if len(r.report.Breaches) < mostNamed {
-		r.report.Breaches = append(r.report.Breaches, fmt.Sprintf("at %v: ", r.world.Elapsed())+fmt.Sprintf(format, args...))
+// recordViolation notes a broken rule.
+func (r *runner) recordViolation(format string, args ...any) {
+	r.report.ViolationCount++
+	if len(r.report.Violations) < maxNamedViolations {
+		r.report.Violations = append(r.report.Violations, fmt.Sprintf("at %v: ", r.sim.Elapsed())+fmt.Sprintf(format, args...))
 	}
 }
 
-// ran hears of a run.
-func (r *run) ran(id string) {
+// recordRun hears of a run.
+func (r *runner) recordRun(id string) {
 	r.report.Runs++
-	if !r.probes[id] {
-		r.observer.Ran(id)
+	if !r.probeIDs[id] {
+		r.checker.RecordRun(id)
 	}
 }
 
-// died has nobody wait for a server that is gone. What its callers see of it comes by the network.
-func (r *run) died(n *node) { r.accepting[n.name()] = false }
+// markDown has nobody wait for a server that is gone. What its callers see of it comes by the network.
+func (r *runner) markDown(n *node) { r.accepting[n.name()] = false }
 
-// arrive has a request come, and plans the next.
-func (r *run) arrive() {
-	if r.world.Elapsed() >= warm+r.scenario.Length {
+// generateRequest has a request come, and plans the next.
+func (r *runner) generateRequest() {
+	if r.sim.Elapsed() >= startupTime+r.scenario.Duration {
 		return
 	}
 	number := len(r.requests)
-	q := &request{tenant: "central", came: r.world.Elapsed()}
+	q := &request{tenant: "central", arrivedAt: r.sim.Elapsed()}
 	if r.rng.Float64() < 0.3 {
 		q.tenant = "northern"
 	}
-	if r.rng.Float64() < r.scenario.Keyed {
+	if r.rng.Float64() < r.scenario.IdempotentShare {
 		q.key = fmt.Sprintf("%016x%016x", r.rng.Uint64(), number)
 	}
-	q.body = fake.WorkBody(fmt.Sprint(number), time.Duration(r.rng.ExpFloat64()*float64(r.scenario.Work)))
+	q.body = fake.WorkBody(fmt.Sprint(number), time.Duration(r.rng.ExpFloat64()*float64(r.scenario.MeanRunTime)))
 	r.requests = append(r.requests, q)
-	r.second(q).Requests++
+	r.secondOf(q).Requests++
 	r.gateways[r.rng.IntN(len(r.gateways))].send(q)
-	r.world.After(time.Duration(r.rng.ExpFloat64()/(r.scenario.Rate*r.jump)*float64(time.Second)), r.arrive)
+	r.sim.After(time.Duration(r.rng.ExpFloat64()/(r.scenario.Rate*r.loadFactor)*float64(time.Second)), r.generateRequest)
 }
 
-// second is that in which a request came.
-func (r *run) second(q *request) *Second {
-	n := int((q.came - warm) / time.Second)
+// secondOf is that in which a request came.
+func (r *runner) secondOf(q *request) *SecondStats {
+	n := int((q.arrivedAt - startupTime) / time.Second)
 	for len(r.report.Seconds) <= n {
-		r.report.Seconds = append(r.report.Seconds, Second{})
+		r.report.Seconds = append(r.report.Seconds, SecondStats{})
 	}
 	return &r.report.Seconds[n]
 }
 
-// served notes that a request was served.
-func (r *run) served(q *request) {
-	if q.key != "" && !r.over && r.rng.Float64() < r.scenario.Repeats {
-		r.world.After(time.Duration(r.rng.Int64N(int64(2*time.Second))), func() {
-			if !r.over {
-				q.tries--
+// isServed notes that a request was served.
+func (r *runner) recordServed(q *request) {
+	if q.key != "" && !r.isFinished && r.rng.Float64() < r.scenario.DuplicateShare {
+		r.sim.After(time.Duration(r.rng.Int64N(int64(2*time.Second))), func() {
+			if !r.isFinished {
+				q.attempts--
 				r.gateways[r.rng.IntN(len(r.gateways))].send(q)
 			}
 		})
 	}
-	if q.served {
+	if q.isServed {
 		return
 	}
-	q.served = true
-	r.second(q).Served++
-	r.latency.RecordValue(min(max((r.world.Elapsed()-q.came).Microseconds(), 1), time.Minute.Microseconds()))
+	q.isServed = true
+	r.secondOf(q).Served++
+	r.latency.RecordValue(min(max((r.sim.Elapsed()-q.arrivedAt).Microseconds(), 1), time.Minute.Microseconds()))
 }
 
-// plan has an incident happen.
-func (r *run) plan(i Incident) {
+// scheduleIncident has an incident happen.
+func (r *runner) scheduleIncident(i Incident) {
 	nodes := r.nodes
 	if i.Server > 0 {
 		nodes = nodes[i.Server-1 : i.Server]
 	}
-	if i.Kind == Jump {
-		r.world.After(warm+i.At, func() { r.jump *= i.Times })
-		r.world.After(warm+i.At+i.For, func() { r.jump /= i.Times })
+	if i.Kind == LoadSpike {
+		r.sim.After(startupTime+i.At, func() { r.loadFactor *= i.Factor })
+		r.sim.After(startupTime+i.At+i.Duration, func() { r.loadFactor /= i.Factor })
 		return
 	}
 	for k, n := range nodes {
-		at := warm + i.At + time.Duration(k)*i.Apart
-		r.world.After(at, func() { r.happen(i, n) })
+		at := startupTime + i.At + time.Duration(k)*i.Stagger
+		r.sim.After(at, func() { r.applyIncident(i, n) })
 	}
 }
 
-// happen has an incident happen to a server.
-func (r *run) happen(i Incident, n *node) {
-	w := r.world
+// applyIncident has an incident happen to a server.
+func (r *runner) applyIncident(i Incident, n *node) {
+	w := r.sim
 	switch i.Kind {
-	case Death:
+	case Crash:
 		n.kill()
-		w.After(i.For, n.start)
-	case Deploy:
-		n.leave(func() { w.After(i.For, n.start) })
-	case Slow:
-		n.slow *= i.Times
-		w.After(i.For, func() { n.slow /= i.Times })
+		w.After(i.Duration, n.start)
+	case Restart:
+		n.drain(func() { w.After(i.Duration, n.start) })
+	case SlowInterpreter:
+		n.slowdown *= i.Factor
+		w.After(i.Duration, func() { n.slowdown /= i.Factor })
 	case Partition:
-		w.Cut(n.host, n.vm, true)
-		w.After(i.For, func() { w.Cut(n.host, n.vm, false) })
-	case Reload:
+		w.SetPartitioned(n.host, n.interpreterHost, true)
+		w.After(i.Duration, func() { w.SetPartitioned(n.host, n.interpreterHost, false) })
+	case ConfigReload:
 		for k := range 10 {
-			w.After(time.Duration(k)*i.For/10, func() {
+			w.After(time.Duration(k)*i.Duration/10, func() {
 				if n.server != nil {
-					n.moved++
+					n.addressChanges++
 					n.server.Reload(n.config())
 				}
 			})
 		}
-	case Standing:
-		n.process.Pause(i.For)
-		n.stood = w.Elapsed() + i.For
-		r.observer.Excuse(i.For)
-	case Cut:
-		if r.rng.IntN(2) == 0 && n.newest != nil {
-			n.newest.Reset() // and what is on its way is lost
+	case MachinePause:
+		n.process.Pause(i.Duration)
+		n.pausedUntil = w.Elapsed() + i.Duration
+		r.checker.ExcusePause(i.Duration)
+	case LinkLoss:
+		if r.rng.IntN(2) == 0 && n.latestLink != nil {
+			n.latestLink.Reset() // and what is on its way is lost
 		}
-		n.interpreter.Cut()
-	case Garbage:
+		n.interpreter.CutLink()
+	case MalformedInput:
 		for range 5 {
-			newStranger(r, n, r.garbage(), i.For)
+			newRogueClient(r, n, r.malformedRequest(), i.Duration)
 		}
-	case Flood:
-		for range r.scenario.Files + 50 {
-			newStranger(r, n, nil, i.For)
+	case ConnectionFlood:
+		for range r.scenario.MaxOpenFiles + 50 {
+			newRogueClient(r, n, nil, i.Duration)
 		}
-	case Trickle, Resets:
+	case SlowReaders, ConnectionResets:
 		for _, g := range r.gateways {
 			c := g.conns[n.number-1]
 			switch {
-			case !c.up:
-			case i.Kind == Trickle:
-				c.trickle()
+			case !c.isConnected:
+			case i.Kind == SlowReaders:
+				c.startSlowReads()
 			default:
 				c.stream.Reset()
 				c.Closed(fmt.Errorf("reset"))
@@ -284,9 +284,9 @@
 	}
 }
 
-// garbage is what is no request: chance, the begin of a request, or a request with a byte changed.
-func (r *run) garbage() []byte {
-	whole := fake.Request{Method: "POST", Path: "/v1/part-lookup", Body: []byte("x"), Fields: map[string]string{"Request-Id": "00000000000000ff"}}.Records(1)
+// malformedRequest is what is no request: chance, the begin of a request, or a request with a byte changed.
+func (r *runner) malformedRequest() []byte {
+	whole := fake.Request{Method: "POST", Path: "/v1/part-lookup", Body: []byte("x"), Headers: map[string]string{"Request-Id": "00000000000000ff"}}.Encode(1)
 	switch r.rng.IntN(3) {
 	case 0:
 		b := make([]byte, 1+r.rng.IntN(200))
@@ -301,62 +301,62 @@
 	return whole
 }
 
-// finish puts the report together.
-func (r *run) finish() *Report {
+// buildReport puts the report together.
+func (r *runner) buildReport() *Report {
 	p := r.report
 	p.Requests = len(r.requests)
 	served := 0
 	for _, q := range r.requests {
-		if q.served {
+		if q.isServed {
 			served++
 		}
 	}
-	p.Share = float64(served) / float64(max(p.Requests, 1))
+	p.ServedShare = float64(served) / float64(max(p.Requests, 1))
 	ms := func(q float64) float64 { return float64(r.latency.ValueAtQuantile(q)) / 1000 }
-	p.P50, p.P99, p.Unanswered = ms(50), ms(99), len(r.open)
+	p.P50, p.P99, p.Unanswered = ms(50), ms(99), len(r.inFlight)
 	for _, g := range r.gateways {
 		for _, c := range g.conns {
-			if c.slow {
-				p.Unanswered -= len(c.open) // the answers are there, and nobody reads them
+			if c.readsSlowly {
+				p.Unanswered -= len(c.inFlight) // the answers are there, and nobody reads them
 			}
 		}
 	}
 	for _, n := range r.nodes {
-		if ended, _ := n.process.Ended(); !ended {
-			r.breach("%s has not ended", n.name())
+		if ended, _ := n.process.Exited(); !ended {
+			r.recordViolation("%s has not ended", n.name())
 		}
 	}
-	for _, b := range r.observer.Breaches(r.world.Now()) {
-		r.breach("%s", b)
+	for _, b := range r.checker.Violations(r.sim.Now()) {
+		r.recordViolation("%s", b)
 	}
-	p.World = r.world.Count
-	p.Recovered = r.recovered()
+	p.Simulation = r.sim.Stats
+	p.RecoverySeconds = r.recoverySeconds()
 	e := r.scenario.Expect
-	if p.Share < e.Share {
-		p.Missed = append(p.Missed, fmt.Sprintf("a share of %.3f, expected at least %.3f", p.Share, e.Share))
+	if p.ServedShare < e.MinServedShare {
+		p.UnmetExpectations = append(p.UnmetExpectations, fmt.Sprintf("a share of %.3f, expected at least %.3f", p.ServedShare, e.MinServedShare))
 	}
-	if e.Recovered > 0 && (p.Recovered < 0 || p.Recovered > e.Recovered.Seconds()) {
-		p.Missed = append(p.Missed, fmt.Sprintf("recovered after %.0f s, expected within %v", p.Recovered, e.Recovered))
+	if e.MaxRecoveryTime > 0 && (p.RecoverySeconds < 0 || p.RecoverySeconds > e.MaxRecoveryTime.Seconds()) {
+		p.UnmetExpectations = append(p.UnmetExpectations, fmt.Sprintf("recovered after %.0f s, expected within %v", p.RecoverySeconds, e.MaxRecoveryTime))
 	}
 	return p
 }
 
-// recovered is how many seconds after the last incident the share was back to 95 % of before the first.
-func (r *run) recovered() float64 {
+// recoverySeconds is how many seconds after the last incident the share was back to 95 % of before the first.
+func (r *runner) recoverySeconds() float64 {
 	if len(r.scenario.Incidents) == 0 {
 		return 0
 	}
-	first, last := r.scenario.Length, time.Duration(0)
+	first, last := r.scenario.Duration, time.Duration(0)
 	for _, i := range r.scenario.Incidents {
-		first, last = min(first, i.At), max(last, i.At+i.For)
+		first, last = min(first, i.At), max(last, i.At+i.Duration)
 	}
-	var before Second
+	var before SecondStats
 	for n, s := range r.report.Seconds {
 		if time.Duration(n+1)*time.Second <= first {
 			before.Requests, before.Served = before.Requests+s.Requests, before.Served+s.Served
 		}
 	}
-	share := func(s Second) float64 { return float64(s.Served) / float64(max(s.Requests, 1)) }
+	share := func(s SecondStats) float64 { return float64(s.Served) / float64(max(s.Requests, 1)) }
 	from := int((last + time.Second - 1) / time.Second)
 	for n := from; n < len(r.report.Seconds); n++ {
 		if s := r.report.Seconds[n]; s.Requests > 0 && share(s) >= 0.95*share(before) {
--- a/internal/scgi/client.go
+++ b/internal/scgi/client.go
@@ -44,35 +44,35 @@
 // ErrResponse says that a member's answer makes no sense.
 var ErrResponse = errors.New("scgi: response makes no sense")
 
-// Response puts together the answer to one request, fed with what the connection brings.
-type Response struct {
-	Most int // bytes of it at the most
-	out  []byte
+// ResponseParser puts together the answer to one request, fed with what the connection brings.
+type ResponseParser struct {
+	MaxBytes int // bytes of it at the most
+	out      []byte
 }
 
 // Feed takes in the next bytes. No answer is whole before the end of the connection.
-func (r *Response) Feed(p []byte) (whole bool, err error) {
-	if len(r.out)+len(p) > r.Most {
-		return false, fmt.Errorf("%w: over %d bytes", ErrResponse, r.Most)
+func (r *ResponseParser) Feed(p []byte) (whole bool, err error) {
+	if len(r.out)+len(p) > r.MaxBytes {
+		return false, fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 	}
 	r.out = append(r.out, p...)
 	return false, nil
 }
 
 // Closed tells whether there is an answer now that the connection has ended.
-func (r *Response) Closed() bool { return len(r.out) > 0 }
+func (r *ResponseParser) CompleteAtEOF() bool { return len(r.out) > 0 }
 
 // Overloaded is false: the protocol has no word for a request that was turned away unseen.
-func (r *Response) Overloaded() bool { return false }
+func (r *ResponseParser) Overloaded() bool { return false }
 
 // Answer reads the whole answer. One that says how long it is must be as long: a member that died half way ends its
 // connection as one that is done does.
-func (r *Response) Answer() (gateway.Answer, error) {
-	a, err := cgi.Parse(r.out)
+func (r *ResponseParser) Response() (gateway.Response, error) {
+	a, err := cgi.ParseResponse(r.out)
 	if err != nil {
 		return a, fmt.Errorf("%w: %w", ErrResponse, err)
 	}
-	for _, f := range a.Fields {
+	for _, f := range a.Headers {
 		if !strings.EqualFold(f.Name, "Content-Length") {
 			continue
 		}
--- a/internal/scgi/client_test.go
+++ b/internal/scgi/client_test.go
@@ -33,7 +33,7 @@
 		b.Write(body)
 		whole := b.Bytes()
 		end := rapid.IntRange(0, len(whole)).Draw(t, "end")
-		r := &Response{Most: 1000}
+		r := &ResponseParser{MaxBytes: 1000}
 		for at := 0; at < end; {
 			n := rapid.IntRange(1, end-at).Draw(t, "n")
 			if done, err := r.Feed(whole[at : at+n]); done || err != nil {
@@ -41,11 +41,11 @@
 			}
 			at += n
 		}
-		a, err := r.Answer()
-		if r.Closed() != (end > 0) || (err == nil) != (end == len(whole)) {
+		a, err := r.Response()
+		if r.CompleteAtEOF() != (end > 0) || (err == nil) != (end == len(whole)) {
 			t.Fatalf("%d of %d bytes: %+v, %v", end, len(whole), a, err)
 		}
-		if err == nil && (a.Status != status || !bytes.Equal(a.Body, body) || len(a.Fields) != 2) {
+		if err == nil && (a.Status != status || !bytes.Equal(a.Body, body) || len(a.Headers) != 2) {
 			t.Fatalf("answer %+v", a)
 		}
 	})
@@ -65,15 +65,15 @@
 		"\r\nonly a body":                    nil,
 		"Content-Type: text/plain\r\n\r\nab": nil,
 	} {
-		r := &Response{Most: 100}
+		r := &ResponseParser{MaxBytes: 100}
 		if _, err := r.Feed([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := r.Answer(); !errors.Is(err, want) || want == nil && err != nil {
+		if _, err := r.Response(); !errors.Is(err, want) || want == nil && err != nil {
 			t.Errorf("%q: %v, want %v", text, err, want)
 		}
 	}
-	r := &Response{Most: 100}
+	r := &ResponseParser{MaxBytes: 100}
 	if _, err := r.Feed(make([]byte, 101)); !errors.Is(err, ErrResponse) {
 		t.Errorf("an endless answer: %v", err)
 	}
--- a/internal/servertest/gateway.go
+++ b/internal/servertest/gateway.go
@@ -18,7 +18,7 @@
 func Dial(t testing.TB, addr string) *Gateway {
 	t.Helper()
 	var g *fake.Gateway
-	Wait(t, "a connection to "+addr, func() (ok bool) {
+	WaitFor(t, "a connection to "+addr, func() (ok bool) {
 		var err error
 		g, err = fake.Dial(addr)
 		return err == nil
@@ -37,25 +37,25 @@
 	}
 }
 
-// Answer returns the next answer to the request, or to any where id is 0.
-func (g *Gateway) Answer(id uint16) fake.Answer {
+// WaitResponse returns the next answer to the request, or to any where id is 0.
+func (g *Gateway) WaitResponse(id uint16) fake.Response {
 	g.t.Helper()
-	a, err := g.TryAnswer(id)
+	a, err := g.TryResponse(id)
 	if err != nil {
 		g.t.Fatalf("no answer to request %d: %v", id, err)
 	}
 	return a
 }
 
-// TryAnswer returns the next answer to the request, or why there is none.
-func (g *Gateway) TryAnswer(id uint16) (fake.Answer, error) {
-	return g.Read(id, time.Now().Add(Patience))
+// TryResponse returns the next answer to the request, or why there is none.
+func (g *Gateway) TryResponse(id uint16) (fake.Response, error) {
+	return g.ReadResponse(id, time.Now().Add(WaitTimeout))
 }
 
-// Ended waits for the end of the connection and fails on any further answer.
-func (g *Gateway) Ended() {
+// WaitClosed waits for the end of the connection and fails on any further answer.
+func (g *Gateway) WaitClosed() {
 	g.t.Helper()
-	a, err := g.TryAnswer(0)
+	a, err := g.TryResponse(0)
 	if err == nil {
 		g.t.Fatalf("answer %+v instead of the end of the connection", a)
 	}
--- a/internal/servertest/interleave/crossing.go
+++ b/internal/servertest/interleave/crossing.go
@@ -12,38 +12,38 @@
 	"tillerusher/internal/eventloop"
 )
 
-// Call is a system call that a test may come before.
-type Call string
+// Syscall is a system call that a test may come before.
+type Syscall string
 
 // The calls.
 const (
-	Accept   Call = "accept"
-	Read     Call = "read"
-	Peek     Call = "peek"
-	Write    Call = "write"
-	Shutdown Call = "shutdown"
-	Close    Call = "close"
+	Accept   Syscall = "accept"
+	Read     Syscall = "read"
+	Peek     Syscall = "peek"
+	Write    Syscall = "write"
+	Shutdown Syscall = "shutdown"
+	Close    Syscall = "close"
 )
 
 // System is a loop's system that tells a test of calls before they are made.
 type System struct {
 	eventloop.System
 	mu     sync.Mutex
-	before func(call Call, fd int) (done bool)
+	before func(call Syscall, fd int) (done bool)
 }
 
 // New is the machine's own system, with nothing in between yet.
 func New() *System { return &System{System: eventloop.Kernel{}} }
 
-// Before has a function called before each call until it returns true, on the goroutine that makes the call.
-func (s *System) Before(do func(call Call, fd int) (done bool)) {
+// BeforeCall has a function called before each call until it returns true, on the goroutine that makes the call.
+func (s *System) BeforeCall(do func(call Syscall, fd int) (done bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.before = do
 }
 
 // tell tells the test of a call.
-func (s *System) tell(call Call, fd int) {
+func (s *System) tell(call Syscall, fd int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.before != nil && s.before(call, fd) {
@@ -87,8 +87,8 @@
 	return s.System.Close(fd)
 }
 
-// Peer tells whether a descriptor of this process is the other end of a connection.
-func Peer(fd int, of net.Conn) bool {
+// IsPeer tells whether a descriptor of this process is the other end of a connection.
+func IsPeer(fd int, of net.Conn) bool {
 	sa, err := unix.Getpeername(fd)
 	if err != nil {
 		return false
--- a/internal/servertest/interpreter.go
+++ b/internal/servertest/interpreter.go
@@ -10,13 +10,13 @@
 	"tillerusher/internal/fake"
 )
 
-// Patience is how long a test waits for what has to come; a loaded machine may need much of it.
-const Patience = 20 * time.Second
+// WaitTimeout is how long a test waits for what has to come; a loaded machine may need much of it.
+const WaitTimeout = 20 * time.Second
 
-// Wait polls until the condition holds.
-func Wait(t testing.TB, what string, holds func() bool) {
+// WaitFor polls until the condition holds.
+func WaitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
@@ -40,26 +40,26 @@
 	return &Interpreter{t, it}
 }
 
-// Move has the same interpreter accept links at a new address too, and returns that.
-func (it *Interpreter) Move() string {
+// AddListener has the same interpreter accept links at a new address too, and returns that.
+func (it *Interpreter) AddListener() string {
 	it.t.Helper()
-	addr, err := it.Interpreter.Move()
+	addr, err := it.Interpreter.AddListener()
 	if err != nil {
 		it.t.Fatal(err)
 	}
 	return addr
 }
 
-// WaitGauges waits until what the gauges read now has come to the server: it asks for them again only once it has read them.
-func (it *Interpreter) WaitGauges() {
+// WaitGaugeReading waits until what the gauges read now has come to the server: it asks for them again only once it has read them.
+func (it *Interpreter) WaitGaugeReading() {
 	it.t.Helper()
-	from := it.Readings()
-	Wait(it.t, "readings of the gauges", func() bool { return it.Readings() >= from+2 })
+	from := it.GaugeReadings()
+	WaitFor(it.t, "readings of the gauges", func() bool { return it.GaugeReadings() >= from+2 })
 }
 
-// WaitApplied waits until so many runs were started, and returns them.
-func (it *Interpreter) WaitApplied(n int) []fake.Apply {
+// WaitRuns waits until so many runs were started, and returns them.
+func (it *Interpreter) WaitRuns(n int) []fake.RunCommand {
 	it.t.Helper()
-	Wait(it.t, fmt.Sprintf("%d runs", n), func() bool { return len(it.Applied()) >= n })
-	return it.Applied()
+	WaitFor(it.t, fmt.Sprintf("%d runs", n), func() bool { return len(it.StartedRuns()) >= n })
+	return it.StartedRuns()
 }
--- a/internal/servertest/node.go
+++ b/internal/servertest/node.go
@@ -18,8 +18,8 @@
 	"tillerusher/internal/fake"
 )
 
-// Node is one running server with all that it talks to.
-type Node struct {
+// Server is one running server with all that it talks to.
+type Server struct {
 	*Interpreter
 	Addr       string
 	ConfigPath string
@@ -35,14 +35,14 @@
 }
 
 // Write implements io.Writer for the node's log.
-func (n *Node) Write(p []byte) (int, error) {
+func (n *Server) Write(p []byte) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.log.Write(p)
 }
 
 // Log returns what the node has logged so far.
-func (n *Node) Log() string {
+func (n *Server) Log() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.log.String()
@@ -58,8 +58,8 @@
 	return addr
 }
 
-// NewAnnounce opens an announce service.
-func NewAnnounce(t testing.TB) *net.UDPConn {
+// NewReportListener opens an announce service.
+func NewReportListener(t testing.TB) *net.UDPConn {
 	t.Helper()
 	reports, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -73,7 +73,7 @@
 func ReadReport(t testing.TB, reports *net.UDPConn) string {
 	t.Helper()
 	buf := make([]byte, 256)
-	reports.SetReadDeadline(time.Now().Add(Patience))
+	reports.SetReadDeadline(time.Now().Add(WaitTimeout))
 	size, err := reports.Read(buf)
 	if err != nil {
 		t.Fatal(err)
@@ -83,23 +83,23 @@
 
 // Start starts the program, by a line for the shell as the platform does, with an interpreter; change may edit the
 // configuration.
-func Start(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Node {
+func Start(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
 	return startNode(t, program, it, change, "RELAY_NAME=n3")
 }
 
-// StartNamed is Start with the name that the configuration has, instead of one from the environment.
-func StartNamed(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Node {
+// StartWithConfigName is Start with the name that the configuration has, instead of one from the environment.
+func StartWithConfigName(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
 	return startNode(t, program, it, change, "RELAY_NAME=")
 }
 
-func startNode(t testing.TB, program string, it *Interpreter, change func(config map[string]any), name string) *Node {
+func startNode(t testing.TB, program string, it *Interpreter, change func(config map[string]any), name string) *Server {
 	t.Helper()
-	reports := NewAnnounce(t)
-	n := &Node{Interpreter: it, Addr: FreeAddr(t), t: t, reports: reports, exited: make(chan struct{})}
+	reports := NewReportListener(t)
+	n := &Server{Interpreter: it, Addr: FreeAddr(t), t: t, reports: reports, exited: make(chan struct{})}
 	config := map[string]any{"name": "n3", "listen": n.Addr, "vm": it.Addr(), "announce": reports.LocalAddr().String(),
-		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.Settings),
+		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.SiteSettings),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
 	if change != nil {
 		change(config)
@@ -129,7 +129,7 @@
 }
 
 // Configure replaces the file by an edited copy of the configuration that the node was started with.
-func (n *Node) Configure(edit func(config map[string]any)) {
+func (n *Server) Configure(edit func(config map[string]any)) {
 	n.t.Helper()
 	config := maps.Clone(n.config)
 	edit(config)
@@ -146,7 +146,7 @@
 }
 
 // Signal sends the process a signal.
-func (n *Node) Signal(sig syscall.Signal) {
+func (n *Server) Signal(sig syscall.Signal) {
 	n.t.Helper()
 	if err := n.Process.Signal(sig); err != nil {
 		n.t.Fatal(err)
@@ -154,32 +154,32 @@
 }
 
 // WaitExit waits for the end of the process and returns its exit status.
-func (n *Node) WaitExit() int {
+func (n *Server) WaitExit() int {
 	n.t.Helper()
 	select {
 	case <-n.exited:
 		return n.state.ExitCode()
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		n.t.Fatal("the process did not end")
 		return -1
 	}
 }
 
-// Report waits for the next report to the announce service.
-func (n *Node) Report() string {
+// WaitReport waits for the next report to the announce service.
+func (n *Server) WaitReport() string {
 	n.t.Helper()
 	return ReadReport(n.t, n.reports)
 }
 
-// StopAnnounce takes the announce service down, and returns where it was.
-func (n *Node) StopAnnounce() *net.UDPAddr {
+// CloseReportListener takes the announce service down, and returns where it was.
+func (n *Server) CloseReportListener() *net.UDPAddr {
 	at := n.reports.LocalAddr().(*net.UDPAddr)
 	n.reports.Close()
 	return at
 }
 
 // Counter returns a counter of the newest line of counters, or -1 before the first.
-func (n *Node) Counter(name string) int {
+func (n *Server) Counter(name string) int {
 	lines := strings.Split(n.Log(), "\n")
 	for i := len(lines) - 1; i >= 0; i-- {
 		var line map[string]any
@@ -193,21 +193,21 @@
 }
 
 // WaitCounter asks for the counters until one has the value.
-func (n *Node) WaitCounter(name string, want int) {
+func (n *Server) WaitCounter(name string, want int) {
 	n.t.Helper()
-	Wait(n.t, fmt.Sprintf("counter %s to be %d", name, want), func() bool {
+	WaitFor(n.t, fmt.Sprintf("counter %s to be %d", name, want), func() bool {
 		n.Signal(syscall.SIGUSR1)
 		return n.Counter(name) == want
 	})
 }
 
-// WaitUp waits until the node serves.
-func (n *Node) WaitUp() {
+// WaitHealthy waits until the node serves.
+func (n *Server) WaitHealthy() {
 	n.t.Helper()
-	Wait(n.t, "a healthy node", func() bool {
+	WaitFor(n.t, "a healthy node", func() bool {
 		g := Dial(n.t, n.Addr)
 		defer g.Close()
-		g.Write(fake.Health(false).Records(1))
-		return g.Answer(1).Status == 200
+		g.Write(fake.NewHealthCheck(false).Encode(1))
+		return g.WaitResponse(1).Status == 200
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -73,22 +73,22 @@
 	return value, nil
 }
 
-// Told is what the settings say to the host of an instance.
-type Told struct {
-	Module  admission.Settings
-	Classes []string // names, by index
-	Tenants []string // names, by index
-	Gauges  []string // names, in the order of the readings
+// Site is what the settings say to the host of an instance.
+type Site struct {
+	Admission   admission.Settings
+	ClassNames  []string // names, by index
+	TenantNames []string // names, by index
+	GaugeNames  []string // names, in the order of the readings
 }
 
-// Read names the gauges of a reading.
-func (t *Told) Read(values []float64) admission.Gauges {
-	g := admission.Gauges{Busy: -1, Runnable: -1}
-	for i, name := range t.Gauges {
+// ReadGauges names the gauges of a reading.
+func (t *Site) ReadGauges(values []float64) admission.Gauges {
+	g := admission.Gauges{Utilization: -1, Runnable: -1}
+	for i, name := range t.GaugeNames {
 		switch {
 		case i >= len(values):
 		case name == "cpu_busy":
-			g.Busy = values[i]
+			g.Utilization = values[i]
 		case name == "runnable":
 			g.Runnable = values[i]
 		}
@@ -97,7 +97,7 @@
 }
 
 // Parse reads the settings object.
-func Parse(text []byte) (*Told, error) {
+func Parse(text []byte) (*Site, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -108,44 +108,44 @@
 	if *t.Servers == 0 {
 		*t.Servers = 1 // the list doesn't name this one yet
 	}
-	told := &Told{Gauges: t.Info.Gauges}
-	s := &told.Module
+	told := &Site{GaugeNames: t.Info.Gauges}
+	s := &told.Admission
 	*s = admission.Settings{
 		Servers: *t.Servers, Callers: t.Info.Callers, Cores: t.Info.Cores, Tick: t.Tick,
-		Cold: t.Info.Cold, ColdShare: t.Rules.ColdShare, ColdFor: t.Rules.ColdFor,
-		MemoryKB: t.Info.MemoryKB, KeyKB: t.Info.KeyKB, RunFactor: t.Info.RunFactor,
-		CrowdFactor: t.Rules.CrowdFactor,
-		DrainGrace:  t.Rules.DrainGrace, FairCalls: t.Info.FairCalls, CallsOver: t.Info.CallsOver,
-		CallStays: t.Info.StaysFor,
-		Fresh:     t.Info.Fresh,
-		Deadlines: t.Info.PassesDeadline, CallerIdle: t.Info.CallerIdle,
+		WarmingUp: t.Info.Cold, InitialCapacity: t.Rules.ColdShare, WarmUpTime: t.Rules.ColdFor,
+		MemoryKB: t.Info.MemoryKB, KeyKB: t.Info.KeyKB, RunningMemoryFactor: t.Info.RunFactor,
+		MaxConcurrencyFactor: t.Rules.CrowdFactor,
+		DrainGracePeriod:     t.Rules.DrainGrace, FairCallShare: t.Info.FairCalls, CallAveragingTime: t.Info.CallsOver,
+		CallLinger:      t.Info.StaysFor,
+		ResultFreshness: t.Info.Fresh,
+		HasDeadlines:    t.Info.PassesDeadline, CallerIdleTimeout: t.Info.CallerIdle,
 	}
 	if t.Limits.RetryAfter {
-		s.RetryAfter = t.Limits.MaxRetryAfter
+		s.MaxRetryAfter = t.Limits.MaxRetryAfter
 	}
 	for _, r := range t.Realms {
 		s.Tenants = append(s.Tenants, admission.Tenant{Quota: r.Quota})
-		told.Tenants = append(told.Tenants, r.Name)
+		told.TenantNames = append(told.TenantNames, r.Name)
 	}
 	var err error
 	for i, l := range t.Lanes {
-		c := admission.Class{Aim: l.Aim, AimStretch: l.AimStretch, Deadline: l.Deadline, Worth: l.Worth,
-			LateWorth: l.LateWorth, Window: l.Window}
+		c := admission.Class{LatencyObjective: l.Aim, ObjectiveStretch: l.AimStretch, Deadline: l.Deadline, Weight: l.Worth,
+			LateWeight: l.LateWorth, KeyWindow: l.Window}
 		if c.Effect, err = lookup("lanes[].repeat", l.Repeat, map[string]admission.Effect{
-			"retryable": admission.Safe, "dedup": admission.Keyed, "fragile": admission.Unsafe}); err != nil {
+			"retryable": admission.Safe, "dedup": admission.IdempotentByKey, "fragile": admission.NonIdempotent}); err != nil {
 			return nil, err
 		}
 		if i < len(t.Info.SkipWorth) {
-			c.SkipWorth = t.Info.SkipWorth[i]
+			c.SkippedCallWeight = t.Info.SkipWorth[i]
 		}
 		s.Classes = append(s.Classes, c)
-		told.Classes = append(told.Classes, l.Name)
+		told.ClassNames = append(told.ClassNames, l.Name)
 	}
 	if s.StopMode, err = lookup("family-info.stop-mode", t.Info.StopMode, map[string]admission.StopMode{
-		"none": admission.StopNone, "drop": admission.StopDrop, "pause": admission.StopPause}); err != nil {
+		"none": admission.StopNone, "drop": admission.StopDiscard, "pause": admission.StopPause}); err != nil {
 		return nil, err
 	}
-	if s.Below, err = lookup("family-info.below", t.Info.Below, map[string]admission.Dependency{
+	if s.Downstream, err = lookup("family-info.below", t.Info.Below, map[string]admission.Dependency{
 		"none": admission.DependencyNone, "shared": admission.DependencyShared, "tier": admission.DependencyTier}); err != nil {
 		return nil, err
 	}
@@ -158,13 +158,13 @@
 	return told, nil
 }
 
-// KeyedSite is a text by which sites can be told apart as far as kept results of keyed requests go: the classes that have
+// IdempotencyFingerprint is a text by which sites can be told apart as far as kept results of keyed requests go: the classes that have
 // keys, and their windows.
-func (t *Told) KeyedSite() string {
+func (t *Site) IdempotencyFingerprint() string {
 	var parts []string
-	for i, c := range t.Module.Classes {
-		if c.Effect == admission.Keyed {
-			parts = append(parts, fmt.Sprintf("%s %v", t.Classes[i], c.Window))
+	for i, c := range t.Admission.Classes {
+		if c.Effect == admission.IdempotentByKey {
+			parts = append(parts, fmt.Sprintf("%s %v", t.ClassNames[i], c.KeyWindow))
 		}
 	}
 	slices.Sort(parts)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,29 +23,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := told.Module
-	if s.Cores != 6 || s.Servers != 11 || s.Tick != 4*time.Millisecond || !s.Cold ||
-		s.StopMode != admission.StopDrop || s.Feedback != admission.FeedbackWeight ||
-		s.Below != admission.DependencyTier || s.RetryAfter != time.Second || s.Tenants[0].Quota != 33 {
+	s := told.Admission
+	if s.Cores != 6 || s.Servers != 11 || s.Tick != 4*time.Millisecond || !s.WarmingUp ||
+		s.StopMode != admission.StopDiscard || s.Feedback != admission.FeedbackWeight ||
+		s.Downstream != admission.DependencyTier || s.MaxRetryAfter != time.Second || s.Tenants[0].Quota != 33 {
 		t.Errorf("settings %+v", s)
 	}
-	if c := s.Classes[1]; c.Effect != admission.Keyed || c.Window != 17058*time.Millisecond || c.SkipWorth != 0 || c.Worth != 2 {
+	if c := s.Classes[1]; c.Effect != admission.IdempotentByKey || c.KeyWindow != 17058*time.Millisecond || c.SkippedCallWeight != 0 || c.Weight != 2 {
 		t.Errorf("class %+v", c)
 	}
-	if s.Classes[0].SkipWorth != 0.3 || !reflect.DeepEqual(told.Gauges, []string{"cpu_busy", "sockets"}) {
-		t.Errorf("class %+v, gauges %v", s.Classes[0], told.Gauges)
+	if s.Classes[0].SkippedCallWeight != 0.3 || !reflect.DeepEqual(told.GaugeNames, []string{"cpu_busy", "sockets"}) {
+		t.Errorf("class %+v, gauges %v", s.Classes[0], told.GaugeNames)
 	}
-	if !reflect.DeepEqual(told.Classes, []string{"look", ""}) || !reflect.DeepEqual(told.Tenants, []string{"east"}) {
-		t.Errorf("classes %q, tenants %q", told.Classes, told.Tenants)
+	if !reflect.DeepEqual(told.ClassNames, []string{"look", ""}) || !reflect.DeepEqual(told.TenantNames, []string{"east"}) {
+		t.Errorf("classes %q, tenants %q", told.ClassNames, told.TenantNames)
 	}
-	if g := told.Read([]float64{0.25, 3}); g.Busy != 0.25 {
+	if g := told.ReadGauges([]float64{0.25, 3}); g.Utilization != 0.25 {
 		t.Errorf("reading %+v", g)
 	}
-	told.Gauges = []string{"runnable", "cpu_busy"}
-	if g := told.Read([]float64{7, 0.25}); g.Busy != 0.25 || g.Runnable != 7 {
+	told.GaugeNames = []string{"runnable", "cpu_busy"}
+	if g := told.ReadGauges([]float64{7, 0.25}); g.Utilization != 0.25 || g.Runnable != 7 {
 		t.Errorf("reading in another order %+v", g)
 	}
-	if g := told.Read(nil); g.Busy >= 0 || g.Runnable >= 0 {
+	if g := told.ReadGauges(nil); g.Utilization >= 0 || g.Runnable >= 0 {
 		t.Errorf("a reading that was not told is %+v", g)
 	}
 	bad := strings.Replace(settingsExample, `"drop"`, `"melt"`, 1)
@@ -60,7 +60,7 @@
 // TestFirstListed starts where the list names no server yet, and not where the number is missing.
 func TestFirstListed(t *testing.T) {
 	told, err := Parse([]byte(`{"servers": 0}`))
-	if err != nil || told.Module.Servers != 1 {
+	if err != nil || told.Admission.Servers != 1 {
 		t.Errorf("%+v, %v", told, err)
 	}
 	if _, err := Parse([]byte(`{}`)); err == nil || !strings.Contains(err.Error(), "servers") {
--- a/internal/sexp/files.go
+++ b/internal/sexp/files.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// EachOnce reads the forms in a list: those of once at the most once, those of often as often as they come.
-func EachOnce(forms []Node, once, often map[string]func(form Node) error) error {
+// ReadForms reads the forms in a list: those of once at the most once, those of often as often as they come.
+func ReadForms(forms []Node, once, often map[string]func(form Node) error) error {
 	all := map[string]func(Node) error{}
 	for name, read := range once {
 		all[name] = read
@@ -21,16 +21,16 @@
 	for _, n := range forms {
 		name := n.Name()
 		if n.Kind != List || name == "" {
-			return Errorf(n.At, "found %v, want a form such as (%s ...)", n, strings.Join(names(all), " ...) or ("))
+			return Errorf(n.Pos, "found %v, want a form such as (%s ...)", n, strings.Join(names(all), " ...) or ("))
 		}
 		read, known := all[name]
 		if !known {
-			return Errorf(n.At, "found (%s ...), want %s", name, strings.Join(names(all), ", "))
+			return Errorf(n.Pos, "found (%s ...), want %s", name, strings.Join(names(all), ", "))
 		}
 		if at, twice := first[name]; twice && once[name] != nil {
-			return Errorf(n.At, "(%s ...) is given twice, first at %v", name, at)
+			return Errorf(n.Pos, "(%s ...) is given twice, first at %v", name, at)
 		}
-		first[name] = n.At
+		first[name] = n.Pos
 		if err := read(n); err != nil {
 			return err
 		}
@@ -38,24 +38,24 @@
 	return nil
 }
 
-// Word is the text at a place of a form, where one must stand.
-func (n Node) Word(i int, what string) (string, error) {
+// WordAt is the text at a place of a form, where one must stand.
+func (n Node) WordAt(i int, what string) (string, error) {
 	if i >= len(n.Items) {
-		return "", Errorf(n.At, "(%s ...) ends early, want %s", n.Name(), what)
+		return "", Errorf(n.Pos, "(%s ...) ends early, want %s", n.Name(), what)
 	}
 	if w := n.Items[i]; w.Kind == List || w.Text == "" {
-		return "", Errorf(w.At, "found %v in (%s ...), want %s", w, n.Name(), what)
+		return "", Errorf(w.Pos, "found %v in (%s ...), want %s", w, n.Name(), what)
 	}
 	return n.Items[i].Text, nil
 }
 
-// Rest is what stands in a form from a place on.
-func (n Node) Rest(i int) []Node { return n.Items[min(i, len(n.Items)):] }
+// ItemsFrom is what stands in a form from a place on.
+func (n Node) ItemsFrom(i int) []Node { return n.Items[min(i, len(n.Items)):] }
 
-// Empty complains of values in a form that has none.
-func (n Node) Empty() error {
+// RequireNoArgs complains of values in a form that has none.
+func (n Node) RequireNoArgs() error {
 	if args := n.Args(); len(args) > 0 {
-		return Errorf(args[0].At, "found %v, want nothing in (%s)", args[0], n.Name())
+		return Errorf(args[0].Pos, "found %v, want nothing in (%s)", args[0], n.Name())
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 	return func(form Node) error {
 		n, err := one(form, strings.Join(words, ", "))
 		if err == nil && !slices.Contains(words, n.Text) {
-			err = Errorf(n.At, "found %v in (%s ...), want %s", n, form.Name(), strings.Join(words, ", "))
+			err = Errorf(n.Pos, "found %v in (%s ...), want %s", n, form.Name(), strings.Join(words, ", "))
 		}
 		*to = n.Text
 		return err
@@ -81,7 +81,7 @@
 		}
 		v, err := strconv.ParseFloat(n.Text, 64)
 		if err != nil || n.Kind != Atom || !(v >= least && v <= most) {
-			return Errorf(n.At, "found %v in (%s ...), want a number of %v to %v", n, form.Name(), least, most)
+			return Errorf(n.Pos, "found %v in (%s ...), want a number of %v to %v", n, form.Name(), least, most)
 		}
 		*to = v
 		return nil
@@ -97,7 +97,7 @@
 		}
 		v, err := strconv.Atoi(n.Text)
 		if err != nil || n.Kind != Atom || v < least || v > most {
-			return Errorf(n.At, "found %v in (%s ...), want a whole number of %d to %d", n, form.Name(), least, most)
+			return Errorf(n.Pos, "found %v in (%s ...), want a whole number of %d to %d", n, form.Name(), least, most)
 		}
 		*to = v
 		return nil
@@ -147,12 +147,12 @@
 			all = append(all, form)
 			continue
 		}
-		pattern, err := form.Word(1, "a file or a pattern")
+		pattern, err := form.WordAt(1, "a file or a pattern")
 		if err != nil {
 			return nil, err
 		}
 		if len(form.Items) > 2 {
-			return nil, Errorf(form.At, "(include ...) has %d values, want one", len(form.Items)-1)
+			return nil, Errorf(form.Pos, "(include ...) has %d values, want one", len(form.Items)-1)
 		}
 		if !filepath.IsAbs(pattern) {
 			pattern = filepath.Join(filepath.Dir(path), pattern)
@@ -160,12 +160,12 @@
 		files := []string{pattern}
 		if strings.ContainsAny(pattern, "*?[") {
 			if files, err = glob(pattern); err != nil {
-				return nil, Errorf(form.At, "(include %s): %v", pattern, err)
+				return nil, Errorf(form.Pos, "(include %s): %v", pattern, err)
 			}
 			slices.Sort(files)
 		}
 		for _, f := range files {
-			forms, err := include(f, chain, form.At, read, glob)
+			forms, err := include(f, chain, form.Pos, read, glob)
 			if err != nil {
 				return nil, err
 			}
@@ -175,11 +175,11 @@
 	return all, nil
 }
 
-// Figure is the number that a node is.
-func (n Node) Figure() (float64, error) {
+// Float is the number that a node is.
+func (n Node) Float() (float64, error) {
 	v, err := strconv.ParseFloat(n.Text, 64)
 	if err != nil || n.Kind != Atom || math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0, Errorf(n.At, "found %v, want a number", n)
+		return 0, Errorf(n.Pos, "found %v, want a number", n)
 	}
 	return v, nil
 }
--- a/internal/sexp/form.go
+++ b/internal/sexp/form.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Fields reads the forms in a list, each at most once: what a name means is said by the function under it. Names
+// ReadFields reads the forms in a list, each at most once: what a name means is said by the function under it. Names
 // that are not known are errors that say which ones are.
-func Fields(forms []Node, fields map[string]func(form Node) error) error {
-	return EachOnce(forms, fields, nil)
+func ReadFields(forms []Node, fields map[string]func(form Node) error) error {
+	return ReadForms(forms, fields, nil)
 }
 
 func names(fields map[string]func(Node) error) []string {
@@ -27,10 +27,10 @@
 func one(form Node, want string) (Node, error) {
 	args := form.Args()
 	if len(args) != 1 {
-		return Node{}, Errorf(form.At, "(%s ...) has %d values, want one: %s", form.Name(), len(args), want)
+		return Node{}, Errorf(form.Pos, "(%s ...) has %d values, want one: %s", form.Name(), len(args), want)
 	}
 	if args[0].Kind == List {
-		return Node{}, Errorf(args[0].At, "found %v, want %s", args[0], want)
+		return Node{}, Errorf(args[0].Pos, "found %v, want %s", args[0], want)
 	}
 	return args[0], nil
 }
@@ -40,7 +40,7 @@
 	return func(form Node) error {
 		n, err := one(form, "a text")
 		if err == nil && n.Text == "" {
-			err = Errorf(n.At, "found an empty text in (%s ...), want some", form.Name())
+			err = Errorf(n.Pos, "found an empty text in (%s ...), want some", form.Name())
 		}
 		*to = n.Text
 		return err
@@ -86,11 +86,11 @@
 	i := slices.IndexFunc(units, func(u unit) bool { return u.name == name })
 	value, err := strconv.ParseFloat(digits, 64)
 	if err != nil || i < 0 || n.Kind != Atom || strings.Trim(digits, "0123456789.") != "" {
-		return Errorf(n.At, "found %v in (%s ...), want %s", n, form.Name(), want)
+		return Errorf(n.Pos, "found %v in (%s ...), want %s", n, form.Name(), want)
 	}
 	value = math.Round(value * units[i].of)
 	if value < least || value > most {
-		return Errorf(n.At, "found %v in (%s ...), want %s to %s", n, form.Name(), quantityText(least, units),
+		return Errorf(n.Pos, "found %v in (%s ...), want %s to %s", n, form.Name(), quantityText(least, units),
 			quantityText(most, units))
 	}
 	set(value)
--- a/internal/sexp/parse.go
+++ b/internal/sexp/parse.go
@@ -16,8 +16,8 @@
 // String is the place as editors read it.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Pass goes behind a character.
-func (p *Pos) Pass(r rune) {
+// Advance goes behind a character.
+func (p *Pos) Advance(r rune) {
 	if r == '\n' {
 		p.Line, p.Column = p.Line+1, 1
 	} else {
@@ -27,12 +27,12 @@
 
 // Error is what is wrong at a place.
 type Error struct {
-	At   Pos
-	What string
+	Pos     Pos
+	Message string
 }
 
 // Error implements error.
-func (e *Error) Error() string { return e.At.String() + ": " + e.What }
+func (e *Error) Error() string { return e.Pos.String() + ": " + e.Message }
 
 // Errorf returns an Error for a place.
 func Errorf(at Pos, format string, args ...any) error {
@@ -51,7 +51,7 @@
 
 // Node is an atom, a string or a list.
 type Node struct {
-	At    Pos
+	Pos   Pos
 	Kind  Kind
 	Text  string // of an atom or a string
 	Items []Node // of a list
@@ -138,7 +138,7 @@
 func (p *parser) step() rune {
 	r, n := utf8.DecodeRune(p.text)
 	p.text = p.text[n:]
-	p.at.Pass(r)
+	p.at.Advance(r)
 	return r
 }
 
@@ -176,20 +176,20 @@
 		}
 		b.WriteRune(p.step())
 	}
-	return Node{At: at, Text: b.String()}, nil
+	return Node{Pos: at, Text: b.String()}, nil
 }
 
 // list reads a list.
 func (p *parser) list(depth int) (Node, error) {
-	n := Node{At: p.at, Kind: List}
+	n := Node{Pos: p.at, Kind: List}
 	if depth >= maxDepth {
-		return n, Errorf(n.At, "lists stand over %d deep in each other", maxDepth)
+		return n, Errorf(n.Pos, "lists stand over %d deep in each other", maxDepth)
 	}
 	p.step()
 	for {
 		p.blank()
 		if len(p.text) == 0 {
-			return n, Errorf(n.At, "found the end of the file, want the ) of this (")
+			return n, Errorf(n.Pos, "found the end of the file, want the ) of this (")
 		}
 		if p.peek() == ')' {
 			p.step()
@@ -208,7 +208,7 @@
 
 // str reads a string.
 func (p *parser) str() (Node, error) {
-	n := Node{At: p.at, Kind: String}
+	n := Node{Pos: p.at, Kind: String}
 	p.step()
 	var b strings.Builder
 	for len(p.text) > 0 {
@@ -222,7 +222,7 @@
 			return n, nil
 		case '\\':
 			if len(p.text) == 0 {
-				return n, Errorf(n.At, "found the end of the file, want the \" that ends this string")
+				return n, Errorf(n.Pos, "found the end of the file, want the \" that ends this string")
 			}
 			r := p.step()
 			meant, ok := escapes[r]
@@ -234,5 +234,5 @@
 			b.WriteRune(r)
 		}
 	}
-	return n, Errorf(n.At, "found the end of the file, want the \" that ends this string")
+	return n, Errorf(n.Pos, "found the end of the file, want the \" that ends this string")
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return v, err
 	}
-	return v, Fields(forms, map[string]func(Node) error{"name": Text(&v.name),
+	return v, ReadFields(forms, map[string]func(Node) error{"name": Text(&v.name),
 		"time": Duration(&v.wait, time.Millisecond, time.Minute), "size": Bytes(&v.size, 1, 1e9)})
 }
 
@@ -78,7 +78,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		_, err := load(text)
 		var place *Error
-		if err != nil && (!errors.As(err, &place) || place.At.Line < 1 || place.At.Line > strings.Count(text, "\n")+1) {
+		if err != nil && (!errors.As(err, &place) || place.Pos.Line < 1 || place.Pos.Line > strings.Count(text, "\n")+1) {
 			t.Errorf("error without its place: %v", err)
 		}
 	})
--- a/internal/simnet/process.go
+++ b/internal/simnet/process.go
@@ -10,100 +10,100 @@
 	"golang.org/x/sys/unix"
 )
 
-// roundCost is how long a process works on what one wait told it, so that what comes meanwhile waits for the next.
-const roundCost = 20 * time.Microsecond
-
-// file is what stands behind a descriptor: exactly one of these.
-type file struct {
-	socket *socket
-	epoll  *epoll
-	event  *uint64
-	gram   *netip.AddrPort
+// iterationCost is how long a process works on what one wait told it, so that what comes meanwhile waits for the next.
+const iterationCost = 20 * time.Microsecond
+
+// descriptor is what stands behind a descriptor: exactly one of these.
+type descriptor struct {
+	socket       *socket
+	epoll        *epoll
+	eventCounter *uint64
+	datagramPeer *netip.AddrPort
 }
 
 // epoll is what a process waits for.
 type epoll struct {
-	want  map[int]uint32
-	order []int // in the order of registering
+	interest map[int]uint32
+	order    []int // received the order of registering
 }
 
 // Process is one program: a coroutine that runs until it waits. It implements loop.System.
 type Process struct {
-	world  *World
-	name   string
-	at     netip.Addr
-	limit  int
-	files  map[int]*file
-	resume func() (struct{}, bool)
-	stop   func()
-	yield  func(struct{}) bool
-
-	waiting, planned, dead, ended bool
-	free                          time.Duration
-	paused                        time.Duration
-	err                           error
+	sim            *Simulation
+	name           string
+	addr           netip.Addr
+	maxDescriptors int
+	descriptors    map[int]*descriptor
+	resume         func() (struct{}, bool)
+	stop           func()
+	yield          func(struct{}) bool
+
+	isWaiting, isScheduled, isKilled, hasExited bool
+	busyUntil                                   time.Duration
+	pausedUntil                                 time.Duration
+	exitErr                                     error
 }
 
-// killed ends the coroutine of a process that was killed.
-type killed struct{}
+// killSignal ends the coroutine of a process that was killed.
+type killSignal struct{}
 
 // Start starts a program on a machine that may have so many descriptors open.
-func (w *World) Start(name string, at netip.Addr, limit int, main func(p *Process) error) *Process {
-	p := &Process{world: w, name: name, at: at, limit: limit, files: map[int]*file{}}
+func (w *Simulation) Start(name string, at netip.Addr, limit int, main func(p *Process) error) *Process {
+	p := &Process{sim: w, name: name, addr: at, maxDescriptors: limit, descriptors: map[int]*descriptor{}}
 	p.resume, p.stop = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
-			p.ended, p.waiting = true, false
-			p.release()
+			p.hasExited, p.isWaiting = true, false
+			p.closeAll()
 			if r := recover(); r != nil {
-				if _, ok := r.(killed); !ok {
+				if _, ok := r.(killSignal); !ok {
 					panic(fmt.Sprintf("simos: %s at %v: %v", name, w.now, r))
 				}
 			}
 		}()
 		p.yield = yield
-		p.err = main(p)
+		p.exitErr = main(p)
 	})
-	w.After(0, func() { p.run() })
+	w.After(0, func() { p.step() })
 	return p
 }
 
-// run has the program go on until it waits.
-func (p *Process) run() {
-	if p.ended || p.dead {
+// step has the program go on until it waits.
+func (p *Process) step() {
+	if p.hasExited || p.isKilled {
 		return
 	}
-	if wait := p.paused - p.world.now; wait > 0 {
-		p.planned = true
-		p.world.After(wait, p.run)
+	if wait := p.pausedUntil - p.sim.now; wait > 0 {
+		p.isScheduled = true
+		p.sim.After(wait, p.step)
 		return
 	}
-	p.planned = false
+	p.isScheduled = false
 	p.resume()
 }
 
 // wake has a waiting program go on, as soon as it is free to.
 func (p *Process) wake() {
-	if !p.waiting || p.planned || p.dead {
+	if !p.isWaiting || p.isScheduled || p.isKilled {
 		return
 	}
-	p.planned = true
-	p.world.After(max(p.free, p.paused)-p.world.now, p.run)
+	p.isScheduled = true
+	p.sim.After(max(p.busyUntil, p.pausedUntil)-p.sim.now, p.step)
 }
 
-// release gives up all that the program had open.
-func (p *Process) release() {
-	for _, fd := range p.open() {
-		if s := p.files[fd].socket; s != nil {
+// closeAll gives up all that the program had open.
+func (p *Process) closeAll() {
+	for _, fd := range p.sortedDescriptors() {
+		if s := p.descriptors[fd].socket; s != nil {
 			s.close()
 		}
 	}
-	p.files = map[int]*file{}
+	p.descriptors = map[int]*descriptor{}
 }
 
-// open are the descriptors that are open, in order.
-func (p *Process) open() []int {
-	list := make([]int, 0, len(p.files))
-	for fd := range p.files {
+// sortedDescriptors are the descriptors that are open, in order.
+func (p *Process) sortedDescriptors() []int {
+	list := make([]int, 0, len(p.descriptors))
+	for fd := range p.descriptors {
 		list = append(list, fd)
 	}
 	slices.Sort(list)
@@ -112,67 +112,67 @@
 
 // Kill ends the program at once.
 func (p *Process) Kill() {
-	if p.ended || p.dead {
+	if p.hasExited || p.isKilled {
 		return
 	}
-	p.world.Count.Kills++
-	p.dead = true
-	p.release()
+	p.sim.Stats.Kills++
+	p.isKilled = true
+	p.closeAll()
 	p.stop()
 }
 
 // Pause has the program stand still for a while, as on a machine that gives it no processor.
 func (p *Process) Pause(length time.Duration) {
-	p.world.Count.Pauses++
-	p.paused = max(p.paused, p.world.now+length)
+	p.sim.Stats.Pauses++
+	p.pausedUntil = max(p.pausedUntil, p.sim.now+length)
 }
 
-// Ended tells whether the program has ended, and how.
-func (p *Process) Ended() (ended bool, err error) { return p.ended || p.dead, p.err }
+// Exited tells whether the program has ended, and how.
+func (p *Process) Exited() (ended bool, err error) { return p.hasExited || p.isKilled, p.exitErr }
 
-// Files is how many descriptors are open.
-func (p *Process) Files() int { return len(p.files) }
+// OpenDescriptors is how many descriptors are open.
+func (p *Process) OpenDescriptors() int { return len(p.descriptors) }
 
-// add opens the lowest descriptor there is.
-func (p *Process) add(f *file) (int, error) {
+// allocate opens the lowest descriptor there is.
+func (p *Process) allocate(f *descriptor) (int, error) {
 	switch {
-	case p.dead:
+	case p.isKilled:
 		return -1, unix.EBADF
-	case len(p.files) >= p.limit:
-		p.world.Count.OutOfFiles++
+	case len(p.descriptors) >= p.maxDescriptors:
+		p.sim.Stats.OutOfFiles++
 		return -1, unix.EMFILE
 	}
 	fd := 3
-	for p.files[fd] != nil {
+	for p.descriptors[fd] != nil {
 		fd++
 	}
-	p.files[fd] = f
+	p.descriptors[fd] = f
 	return fd, nil
 }
 
-// socketOf is the socket behind a descriptor.
-func (p *Process) socketOf(fd int) (*socket, error) {
-	if f := p.files[fd]; f != nil && f.socket != nil {
+// socketFor is the socket behind a descriptor.
+func (p *Process) socketFor(fd int) (*socket, error) {
+	if f := p.descriptors[fd]; f != nil && f.socket != nil {
 		return f.socket, nil
 	}
 	return nil, unix.EBADF
 }
 
 // Now implements loop.System.
-func (p *Process) Now() time.Time { return p.world.Now() }
+func (p *Process) Now() time.Time { return p.sim.Now() }
 
 // EpollCreate implements loop.System.
 func (p *Process) EpollCreate() (int, error) {
-	return p.add(&file{epoll: &epoll{want: map[int]uint32{}}})
+	return p.allocate(&descriptor{epoll: &epoll{interest: map[int]uint32{}}})
 }
 
 // EpollCtl implements loop.System.
 func (p *Process) EpollCtl(fd, op, of int, events uint32) error {
-	f := p.files[fd]
-	if f == nil || f.epoll == nil || p.files[of] == nil {
+	f := p.descriptors[fd]
+	if f == nil || f.epoll == nil || p.descriptors[of] == nil {
 		return unix.EBADF
 	}
-	_, there := f.epoll.want[of]
+	_, there := f.epoll.interest[of]
 	switch {
 	case op == unix.EPOLL_CTL_ADD && there:
 		return unix.EEXIST
@@ -181,22 +181,22 @@
 	case op == unix.EPOLL_CTL_ADD:
 		f.epoll.order = append(f.epoll.order, of)
 	}
-	f.epoll.want[of] = events
+	f.epoll.interest[of] = events
 	return nil
 }
 
-// look is what is ready.
-func (p *Process) look(e *epoll, events []unix.EpollEvent) (n int) {
+// pollReady is what is ready.
+func (p *Process) pollReady(e *epoll, events []unix.EpollEvent) (n int) {
 	for _, fd := range e.order {
-		f := p.files[fd]
+		f := p.descriptors[fd]
 		var is uint32
 		switch {
-		case f.event != nil && *f.event > 0:
+		case f.eventCounter != nil && *f.eventCounter > 0:
 			is = unix.EPOLLIN
 		case f.socket != nil:
-			is = f.socket.events()
+			is = f.socket.readiness()
 		}
-		if is &= e.want[fd] | unix.EPOLLERR | unix.EPOLLHUP; is != 0 && n < len(events) {
+		if is &= e.interest[fd] | unix.EPOLLERR | unix.EPOLLHUP; is != 0 && n < len(events) {
 			events[n] = unix.EpollEvent{Events: is, Fd: int32(fd)}
 			n++
 		}
@@ -206,57 +206,59 @@
 
 // EpollWait implements loop.System.
 func (p *Process) EpollWait(fd int, events []unix.EpollEvent, ms int) (int, error) {
-	f := p.files[fd]
+	f := p.descriptors[fd]
 	if f == nil || f.epoll == nil {
 		return -1, unix.EBADF
 	}
-	p.world.Count.Rounds++
-	p.free = p.world.now + roundCost
+	p.sim.Stats.Rounds++
+	p.busyUntil = p.sim.now + iterationCost
 	wait := time.Duration(ms) * time.Millisecond
-	if ms == 0 || p.world.now >= p.paused && p.look(f.epoll, events) > 0 {
-		wait = roundCost // even a round that waits for nothing takes its time
+	if ms == 0 || p.sim.now >= p.pausedUntil && p.pollReady(f.epoll, events) > 0 {
+		wait = iterationCost // even a round that waits for nothing takes its time
 	}
-	p.rest(wait)
-	return p.look(f.epoll, events), nil
+	p.wait(wait)
+	return p.pollReady(f.epoll, events), nil
 }
 
-// rest waits until something is ready, for so long at the most; a negative time is for ever.
-func (p *Process) rest(most time.Duration) {
-	p.waiting = true
+// wait waits until something is ready, for so long at the most; a negative time is for ever.
+func (p *Process) wait(timeout time.Duration) {
+	p.isWaiting = true
 	cancel := func() {}
-	if most >= 0 {
-		cancel = p.world.After(max(most, p.paused-p.world.now), func() {
-			if !p.planned {
-				p.run()
+	if timeout >= 0 {
+		cancel = p.sim.After(max(timeout, p.pausedUntil-p.sim.now), func() {
+			if !p.isScheduled {
+				p.step()
 			}
 		})
 	}
 	if !p.yield(struct{}{}) {
-		panic(killed{})
+		panic(killSignal{})
 	}
 	cancel()
-	p.waiting = false
+	p.isWaiting = false
 }
 
 // Eventfd implements loop.System.
-func (p *Process) Eventfd() (int, error) { return p.add(&file{event: new(uint64)}) }
+func (p *Process) Eventfd() (int, error) { return p.allocate(&descriptor{eventCounter: new(uint64)}) }
 
 // Stream implements loop.System.
-func (p *Process) Stream(netip.AddrPort) (int, error) {
-	p.world.ports++
-	return p.add(&file{socket: &socket{world: p.world, process: p, local: netip.AddrPortFrom(p.at, p.world.ports)}})
+func (p *Process) NewStreamSocket(netip.AddrPort) (int, error) {
+	p.sim.lastPort++
+	return p.allocate(&descriptor{socket: &socket{sim: p.sim, process: p, local: netip.AddrPortFrom(p.addr, p.sim.lastPort)}})
 }
 
 // Datagram implements loop.System.
-func (p *Process) Datagram(netip.AddrPort) (int, error) { return p.add(&file{gram: &netip.AddrPort{}}) }
+func (p *Process) NewDatagramSocket(netip.AddrPort) (int, error) {
+	return p.allocate(&descriptor{datagramPeer: &netip.AddrPort{}})
+}
 
 // Bind implements loop.System.
 func (p *Process) Bind(fd int, at netip.AddrPort) error {
-	s, err := p.socketOf(fd)
+	s, err := p.socketFor(fd)
 	if err != nil {
 		return err
 	}
-	if p.world.bound[at] != nil {
+	if p.sim.listeners[at] != nil {
 		return unix.EADDRINUSE
 	}
 	s.local = at
@@ -265,25 +267,25 @@
 
 // Listen implements loop.System.
 func (p *Process) Listen(fd, backlog int) error {
-	s, err := p.socketOf(fd)
+	s, err := p.socketFor(fd)
 	if err != nil {
 		return err
 	}
-	s.listening, s.most = true, backlog
-	p.world.bound[s.local] = s
+	s.isListening, s.maxBacklog = true, backlog
+	p.sim.listeners[s.local] = s
 	return nil
 }
 
 // Accept implements loop.System.
 func (p *Process) Accept(fd int) (int, error) {
-	s, err := p.socketOf(fd)
+	s, err := p.socketFor(fd)
 	if err != nil {
 		return -1, err
 	}
 	if len(s.backlog) == 0 {
 		return -1, unix.EAGAIN
 	}
-	c, err := p.add(&file{socket: s.backlog[0]})
+	c, err := p.allocate(&descriptor{socket: s.backlog[0]})
 	if err != nil {
 		return -1, err
 	}
@@ -293,12 +295,12 @@
 
 // Connect implements loop.System.
 func (p *Process) Connect(fd int, to netip.AddrPort) error {
-	f := p.files[fd]
+	f := p.descriptors[fd]
 	switch {
 	case f == nil:
 		return unix.EBADF
-	case f.gram != nil:
-		*f.gram = to
+	case f.datagramPeer != nil:
+		*f.datagramPeer = to
 		return nil
 	}
 	f.socket.connect(to)
@@ -306,8 +308,8 @@
 }
 
 // Connected implements loop.System.
-func (p *Process) Connected(fd int) error {
-	s, err := p.socketOf(fd)
+func (p *Process) ConnectResult(fd int) error {
+	s, err := p.socketFor(fd)
 	if err != nil {
 		return err
 	}
@@ -316,8 +318,8 @@
 }
 
 // Address implements loop.System.
-func (p *Process) Address(fd int) (netip.AddrPort, error) {
-	s, err := p.socketOf(fd)
+func (p *Process) LocalAddr(fd int) (netip.AddrPort, error) {
+	s, err := p.socketFor(fd)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -326,15 +328,15 @@
 
 // Read implements loop.System.
 func (p *Process) Read(fd int, b []byte) (int, error) {
-	f := p.files[fd]
+	f := p.descriptors[fd]
 	switch {
 	case f == nil:
 		return -1, unix.EBADF
-	case f.event != nil:
-		if *f.event == 0 {
+	case f.eventCounter != nil:
+		if *f.eventCounter == 0 {
 			return -1, unix.EAGAIN
 		}
-		*f.event = 0
+		*f.eventCounter = 0
 		return 8, nil
 	}
 	return f.socket.read(b)
@@ -342,15 +344,15 @@
 
 // Peek implements loop.System.
 func (p *Process) Peek(fd int, b []byte) (int, error) {
-	s, err := p.socketOf(fd)
+	s, err := p.socketFor(fd)
 	switch {
 	case err != nil:
 		return -1, err
-	case len(s.in) > 0:
-		return copy(b, s.in), nil
+	case len(s.received) > 0:
+		return copy(b, s.received), nil
 	case s.err != nil:
 		return -1, s.err
-	case s.eof:
+	case s.hasReceivedEOF:
 		return 0, nil
 	}
 	return -1, unix.EAGAIN
@@ -358,36 +360,36 @@
 
 // Write implements loop.System.
 func (p *Process) Write(fd int, b []byte) (int, error) {
-	f := p.files[fd]
+	f := p.descriptors[fd]
 	switch {
 	case f == nil:
 		return -1, unix.EBADF
-	case f.event != nil:
-		*f.event++
+	case f.eventCounter != nil:
+		*f.eventCounter++
 		p.wake()
 		return 8, nil
-	case f.gram != nil:
-		p.world.datagram(p.at, *f.gram, b)
+	case f.datagramPeer != nil:
+		p.sim.sendDatagram(p.addr, *f.datagramPeer, b)
 		return len(b), nil
 	}
 	return f.socket.write(b)
 }
 
-// datagram has a datagram come, be lost, or come twice.
-func (w *World) datagram(from netip.Addr, to netip.AddrPort, b []byte) {
+// sendDatagram has a datagram come, be lost, or come twice.
+func (w *Simulation) sendDatagram(from netip.Addr, to netip.AddrPort, b []byte) {
 	b = append([]byte(nil), b...)
 	times := 1
 	switch {
-	case !w.passes(from, to.Addr()), w.rng.Float64() < w.Net.Lost:
-		w.Count.DatagramsLost++
+	case !w.isReachable(from, to.Addr()), w.rng.Float64() < w.Network.DatagramLoss:
+		w.Stats.DatagramsLost++
 		return
-	case w.rng.Float64() < w.Net.Doubled:
-		w.Count.DatagramsDoubled++
+	case w.rng.Float64() < w.Network.DatagramDuplication:
+		w.Stats.DatagramsDoubled++
 		times = 2
 	}
 	for range times {
-		w.After(w.delay(), func() {
-			if heard := w.heard[to]; heard != nil {
+		w.After(w.segmentDelay(), func() {
+			if heard := w.datagramHandlers[to]; heard != nil {
 				heard(b)
 			}
 		})
@@ -396,11 +398,11 @@
 
 // ShutdownWrite implements loop.System.
 func (p *Process) ShutdownWrite(fd int) error {
-	s, err := p.socketOf(fd)
+	s, err := p.socketFor(fd)
 	switch {
 	case err != nil:
 		return err
-	case s.err != nil || !s.connected:
+	case s.err != nil || !s.isConnected:
 		return unix.ENOTCONN
 	}
 	s.shutdown()
@@ -409,15 +411,15 @@
 
 // Close implements loop.System.
 func (p *Process) Close(fd int) error {
-	f := p.files[fd]
+	f := p.descriptors[fd]
 	if f == nil {
 		return unix.EBADF
 	}
-	delete(p.files, fd)
-	for _, other := range p.files {
+	delete(p.descriptors, fd)
+	for _, other := range p.descriptors {
 		if e := other.epoll; e != nil {
-			if _, there := e.want[fd]; there {
-				delete(e.want, fd)
+			if _, there := e.interest[fd]; there {
+				delete(e.interest, fd)
 				e.order = slices.DeleteFunc(e.order, func(n int) bool { return n == fd })
 			}
 		}
--- a/internal/simnet/socket.go
+++ b/internal/simnet/socket.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// window is how many bytes may be on their way to a reader that takes none.
-	window = 64 << 10
-	// resend is how often a segment is tried that can't pass.
-	resend = 200 * time.Millisecond
-	// callPatience is how long a call waits for a machine that does not answer.
-	callPatience = 3 * time.Second
+	// receiveWindow is how many bytes may be on their way to a reader that takes none.
+	receiveWindow = 64 << 10
+	// retransmitInterval is how often a segment is tried that can't pass.
+	retransmitInterval = 200 * time.Millisecond
+	// connectTimeout is how long a call waits for a machine that does not answer.
+	connectTimeout = 3 * time.Second
 )
 
 // segment is what one write sent: bytes, or the end of the stream.
@@ -25,116 +25,116 @@
 
 // socket is one end of a stream, or a listener.
 type socket struct {
-	world   *World
+	sim     *Simulation
 	process *Process // nil is an actor's
-	actor   Actor
+	handler StreamHandler
 	local   netip.AddrPort
 	remote  netip.AddrPort
 	peer    *socket
 
-	listening bool
-	accepting func(*Stream) Actor // of an actor that listens
-	backlog   []*socket
-	most      int
+	isListening bool
+	accept      func(*Stream) StreamHandler // of an actor that listens
+	backlog     []*socket
+	maxBacklog  int
 
-	connecting, connected, closed bool
-	in                            []byte
-	eof                           bool  // the peer sent its end
-	shut                          bool  // this side sent its end
-	err                           error // the connection broke
-	sent                          int   // bytes that the peer has not read
-	flight                        []segment
-	flying                        bool
-	greeted                       bool // the actor heard that it is connected
-	held                          bool // the actor does not read
-	slow                          int  // bytes that an actor reads at a time, 0 is all
+	isConnecting, isConnected, isClosed bool
+	received                            []byte
+	hasReceivedEOF                      bool  // the peer sent its end
+	hasSentFIN                          bool  // this side sent its end
+	err                                 error // the connection broke
+	unreadByPeer                        int   // bytes that the peer has not read
+	inFlight                            []segment
+	isDelivering                        bool
+	isNotified                          bool // the actor heard that it is connected
+	readsPaused                         bool // the actor does not read
+	readSize                            int  // bytes that an actor reads at a time, 0 is all
 }
 
 // send puts a segment on its way, behind those before it.
 func (s *socket) send(g segment) {
-	s.flight = append(s.flight, g)
-	if !s.flying {
-		s.flying = true
-		s.world.After(s.world.delay(), s.arrive)
+	s.inFlight = append(s.inFlight, g)
+	if !s.isDelivering {
+		s.isDelivering = true
+		s.sim.After(s.sim.segmentDelay(), s.deliverNext)
 	}
 }
 
-// arrive has the first segment on its way come to the peer.
-func (s *socket) arrive() {
-	w := s.world
-	if !w.passes(s.local.Addr(), s.remote.Addr()) {
-		w.Count.PartitionsHeld++
-		w.After(resend, s.arrive)
+// deliverNext has the first segment on its way come to the peer.
+func (s *socket) deliverNext() {
+	w := s.sim
+	if !w.isReachable(s.local.Addr(), s.remote.Addr()) {
+		w.Stats.PartitionsHeld++
+		w.After(retransmitInterval, s.deliverNext)
 		return
 	}
-	g := s.flight[0]
-	s.flight = s.flight[1:]
-	if s.flying = len(s.flight) > 0; s.flying {
-		w.After(w.delay(), s.arrive)
+	g := s.inFlight[0]
+	s.inFlight = s.inFlight[1:]
+	if s.isDelivering = len(s.inFlight) > 0; s.isDelivering {
+		w.After(w.segmentDelay(), s.deliverNext)
 	}
-	w.Count.Segments++
+	w.Stats.Segments++
 	p := s.peer
-	if p.closed {
+	if p.isClosed {
 		if !g.fin {
-			s.breaks(unix.ECONNRESET) // there is nobody to take it
+			s.fail(unix.ECONNRESET) // there is nobody to take it
 		}
 		return
 	}
 	if g.fin {
-		p.eof = true
+		p.hasReceivedEOF = true
 	} else {
-		p.in = append(p.in, g.bytes...)
+		p.received = append(p.received, g.bytes...)
 	}
-	p.ready()
+	p.notify()
 }
 
-// breaks has the connection break at this end.
-func (s *socket) breaks(err error) {
-	if s.closed || s.err != nil {
+// fail has the connection break at this end.
+func (s *socket) fail(err error) {
+	if s.isClosed || s.err != nil {
 		return
 	}
 	s.err = err
-	s.world.Count.Resets++
-	s.ready()
+	s.sim.Stats.Resets++
+	s.notify()
 }
 
-// ready has the owner look, now that there is something to see.
-func (s *socket) ready() {
+// notify has the owner look, now that there is something to see.
+func (s *socket) notify() {
 	if s.process != nil {
 		s.process.wake()
 		return
 	}
-	if s.actor != nil {
-		s.serve()
+	if s.handler != nil {
+		s.dispatch()
 	}
 }
 
 // read takes what came.
 func (s *socket) read(p []byte) (int, error) {
 	switch {
-	case len(s.in) > 0:
-		n := s.world.part(min(len(p), len(s.in)), &s.world.Count.PartialReads)
-		copy(p, s.in[:n])
-		s.took(n)
+	case len(s.received) > 0:
+		n := s.sim.partialLength(min(len(p), len(s.received)), &s.sim.Stats.PartialReads)
+		copy(p, s.received[:n])
+		s.consume(n)
 		return n, nil
 	case s.err != nil:
 		err := s.err
-		s.err, s.eof = nil, true // an error is told once
+		s.err, s.hasReceivedEOF = nil, true // an error is told once
 		return -1, err
-	case s.eof:
+	case s.hasReceivedEOF:
 		return 0, nil
 	}
 	return -1, unix.EAGAIN
 }
 
-// took forgets what was read, which makes room at the peer.
-func (s *socket) took(n int) {
-	if s.in = s.in[n:]; len(s.in) == 0 {
-		s.in = nil
+// consume forgets what was read, which makes room at the peer.
+func (s *socket) consume(n int) {
+	if s.received = s.received[n:]; len(s.received) == 0 {
+		s.received = nil
 	}
-	s.peer.sent -= n
-	if !s.peer.closed && s.peer.sent+n >= window {
-		s.peer.ready()
+	s.peer.unreadByPeer -= n
+	if !s.peer.isClosed && s.peer.unreadByPeer+n >= receiveWindow {
+		s.peer.notify()
 	}
 }
 
@@ -143,59 +143,59 @@
 	switch {
 	case s.err != nil:
 		err := s.err
-		s.err, s.eof = nil, true
+		s.err, s.hasReceivedEOF = nil, true
 		return -1, err
-	case s.shut, s.peer == nil:
+	case s.hasSentFIN, s.peer == nil:
 		return -1, unix.EPIPE
-	case s.sent >= window:
+	case s.unreadByPeer >= receiveWindow:
 		return -1, unix.EAGAIN
 	}
-	n := s.world.part(min(len(p), window-s.sent), &s.world.Count.PartialWrites)
-	s.sent += n
+	n := s.sim.partialLength(min(len(p), receiveWindow-s.unreadByPeer), &s.sim.Stats.PartialWrites)
+	s.unreadByPeer += n
 	s.send(segment{bytes: append([]byte(nil), p[:n]...)})
 	return n, nil
 }
 
 // shutdown ends what this side sends.
 func (s *socket) shutdown() {
-	if !s.shut && s.connected && !s.closed {
-		s.shut = true
+	if !s.hasSentFIN && s.isConnected && !s.isClosed {
+		s.hasSentFIN = true
 		s.send(segment{fin: true})
 	}
 }
 
 // close gives up this end. What came and was not read is lost with it, and the peer hears of that by a reset.
 func (s *socket) close() {
-	if s.closed {
+	if s.isClosed {
 		return
 	}
 	switch {
-	case s.listening:
-		if s.world.bound[s.local] == s {
-			delete(s.world.bound, s.local)
+	case s.isListening:
+		if s.sim.listeners[s.local] == s {
+			delete(s.sim.listeners, s.local)
 		}
 		for _, c := range s.backlog {
 			c.reset()
 		}
-	case s.connected && len(s.in) > 0:
+	case s.isConnected && len(s.received) > 0:
 		s.reset()
 	default:
 		s.shutdown()
 	}
-	s.closed = true
+	s.isClosed = true
 }
 
 // reset breaks the connection at once, on both ends.
 func (s *socket) reset() {
-	s.closed = true
+	s.isClosed = true
 	if p := s.peer; p != nil {
-		s.world.After(s.world.delay(), func() { p.breaks(unix.ECONNRESET) })
+		s.sim.After(s.sim.segmentDelay(), func() { p.fail(unix.ECONNRESET) })
 	}
 }
 
-// events is what epoll tells of the socket.
-func (s *socket) events() (e uint32) {
-	if s.listening {
+// eventQueue is what epoll tells of the socket.
+func (s *socket) readiness() (e uint32) {
+	if s.isListening {
 		if len(s.backlog) > 0 {
 			e |= unix.EPOLLIN
 		}
@@ -204,16 +204,16 @@
 	if s.err != nil {
 		e |= unix.EPOLLERR | unix.EPOLLHUP | unix.EPOLLIN | unix.EPOLLOUT
 	}
-	if s.connecting || !s.connected {
+	if s.isConnecting || !s.isConnected {
 		return e
 	}
-	if len(s.in) > 0 || s.eof {
+	if len(s.received) > 0 || s.hasReceivedEOF {
 		e |= unix.EPOLLIN
 	}
-	if s.sent < window && !s.shut {
+	if s.unreadByPeer < receiveWindow && !s.hasSentFIN {
 		e |= unix.EPOLLOUT
 	}
-	if s.eof && s.shut {
+	if s.hasReceivedEOF && s.hasSentFIN {
 		e |= unix.EPOLLHUP
 	}
 	return e
@@ -221,50 +221,50 @@
 
 // connect calls an address; the outcome is told later.
 func (s *socket) connect(to netip.AddrPort) {
-	w := s.world
-	s.connecting, s.remote = true, to
+	w := s.sim
+	s.isConnecting, s.remote = true, to
 	var call func()
 	tried := time.Duration(0)
 	call = func() {
-		if s.closed {
+		if s.isClosed {
 			return
 		}
-		l := w.bound[to]
+		l := w.listeners[to]
 		switch {
-		case !w.passes(s.local.Addr(), to.Addr()) || l != nil && len(l.backlog) >= l.most:
-			if tried += time.Second; tried > callPatience {
-				s.breaks(unix.ETIMEDOUT)
+		case !w.isReachable(s.local.Addr(), to.Addr()) || l != nil && len(l.backlog) >= l.maxBacklog:
+			if tried += time.Second; tried > connectTimeout {
+				s.fail(unix.ETIMEDOUT)
 				return
 			}
 			w.After(time.Second, call)
 		case l == nil:
-			w.Count.Refused++
-			w.After(w.delay(), func() { s.breaks(unix.ECONNREFUSED) })
+			w.Stats.Refused++
+			w.After(w.segmentDelay(), func() { s.fail(unix.ECONNREFUSED) })
 		default:
-			w.Count.Connections++
-			far := &socket{world: w, process: l.process, local: to, remote: s.local, peer: s, connected: true}
+			w.Stats.Connections++
+			far := &socket{sim: w, process: l.process, local: to, remote: s.local, peer: s, isConnected: true}
 			s.peer = far
-			w.After(w.delay(), func() {
-				if s.connecting = false; s.closed {
-					far.breaks(unix.ECONNRESET) // nobody waits for it any more
+			w.After(w.segmentDelay(), func() {
+				if s.isConnecting = false; s.isClosed {
+					far.fail(unix.ECONNRESET) // nobody waits for it any more
 					return
 				}
-				s.connected = true
-				s.ready()
+				s.isConnected = true
+				s.notify()
 			})
-			if l.accepting != nil {
-				far.actor = l.accepting(&Stream{far})
+			if l.accept != nil {
+				far.handler = l.accept(&Stream{far})
 				return
 			}
 			l.backlog = append(l.backlog, far)
-			l.ready()
+			l.notify()
 		}
 	}
-	w.After(w.delay(), call)
+	w.After(w.segmentDelay(), call)
 }
 
-// Actor is called with what happens on its end of a stream.
-type Actor interface {
+// StreamHandler is called with what happens on its end of a stream.
+type StreamHandler interface {
 	Connected()
 	// Data hands over bytes, which are valid during the call only.
 	Data(p []byte)
@@ -273,65 +273,67 @@
 }
 
 // Stream is an actor's end of a stream.
-type Stream struct{ s *socket }
+type Stream struct{ socket *socket }
 
 // Dial calls an address from a machine.
-func (w *World) Dial(from netip.Addr, to netip.AddrPort, a Actor) *Stream {
-	w.ports++
-	s := &socket{world: w, actor: a, local: netip.AddrPortFrom(from, w.ports)}
+func (w *Simulation) Dial(from netip.Addr, to netip.AddrPort, a StreamHandler) *Stream {
+	w.lastPort++
+	s := &socket{sim: w, handler: a, local: netip.AddrPortFrom(from, w.lastPort)}
 	s.connect(to)
 	return &Stream{s}
 }
 
 // Listen has an actor made for each stream that comes.
-func (w *World) Listen(at netip.AddrPort, accept func(*Stream) Actor) {
-	w.bound[at] = &socket{world: w, local: at, listening: true, most: 1 << 20, accepting: accept}
+func (w *Simulation) Listen(at netip.AddrPort, accept func(*Stream) StreamHandler) {
+	w.listeners[at] = &socket{sim: w, local: at, isListening: true, maxBacklog: 1 << 20, accept: accept}
 }
 
-// Hear has datagrams to an address handed over.
-func (w *World) Hear(at netip.AddrPort, heard func(p []byte)) { w.heard[at] = heard }
+// HandleDatagrams has datagrams to an address handed over.
+func (w *Simulation) HandleDatagrams(at netip.AddrPort, heard func(p []byte)) {
+	w.datagramHandlers[at] = heard
+}
 
-// serve hands over to the actor what there is.
-func (s *socket) serve() {
-	if s.closed || s.held {
+// dispatch hands over to the actor what there is.
+func (s *socket) dispatch() {
+	if s.isClosed || s.readsPaused {
 		return
 	}
-	if s.connected && !s.greeted {
-		s.greeted = true
-		s.actor.Connected()
+	if s.isConnected && !s.isNotified {
+		s.isNotified = true
+		s.handler.Connected()
 	}
-	for len(s.in) > 0 && !s.closed && !s.held {
-		n := len(s.in)
-		if s.slow > 0 {
-			n = min(n, s.slow)
+	for len(s.received) > 0 && !s.isClosed && !s.readsPaused {
+		n := len(s.received)
+		if s.readSize > 0 {
+			n = min(n, s.readSize)
 		}
-		p := append([]byte(nil), s.in[:n]...)
-		s.took(n)
-		s.actor.Data(p)
-		if s.slow > 0 {
+		p := append([]byte(nil), s.received[:n]...)
+		s.consume(n)
+		s.handler.Data(p)
+		if s.readSize > 0 {
 			break
 		}
 	}
-	if len(s.in) > 0 || s.closed {
+	if len(s.received) > 0 || s.isClosed {
 		return
 	}
-	if err := s.err; err != nil || s.eof {
+	if err := s.err; err != nil || s.hasReceivedEOF {
 		if err == nil {
 			err = io.EOF
 		}
 		s.close()
-		s.actor.Closed(err)
+		s.handler.Closed(err)
 	}
 }
 
 // Write sends bytes. What the window has no room for is sent as the peer reads: actors have room for all.
 func (t *Stream) Write(p []byte) (int, error) {
-	s := t.s
-	if s.closed || s.shut {
+	s := t.socket
+	if s.isClosed || s.hasSentFIN {
 		return 0, unix.EPIPE
 	}
 	if s.peer != nil {
-		s.sent += len(p)
+		s.unreadByPeer += len(p)
 		s.send(segment{bytes: append([]byte(nil), p...)})
 	}
 	return len(p), nil
@@ -339,25 +341,25 @@
 
 // Close ends the stream.
 func (t *Stream) Close() error {
-	t.s.close()
+	t.socket.close()
 	return nil
 }
 
 // Reset breaks the stream.
-func (t *Stream) Reset() { t.s.reset() }
+func (t *Stream) Reset() { t.socket.reset() }
 
-// Trickle has the actor read so many bytes at a time, once every while.
-func (t *Stream) Trickle(bytes int, every time.Duration) {
-	t.s.slow, t.s.held = bytes, true
+// ThrottleReads has the actor read so many bytes at a time, once every while.
+func (t *Stream) ThrottleReads(bytes int, every time.Duration) {
+	t.socket.readSize, t.socket.readsPaused = bytes, true
 	var next func()
 	next = func() {
-		if t.s.closed {
+		if t.socket.isClosed {
 			return
 		}
-		t.s.held = false
-		t.s.serve()
-		t.s.held = true
-		t.s.world.After(every, next)
+		t.socket.readsPaused = false
+		t.socket.dispatch()
+		t.socket.readsPaused = true
+		t.socket.sim.After(every, next)
 	}
-	t.s.world.After(every, next)
+	t.socket.sim.After(every, next)
 }
--- a/internal/simnet/world.go
+++ b/internal/simnet/world.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Net is how the network does. Parts are of 1.
-type Net struct {
-	Delay   time.Duration // least time that a segment takes
-	Jitter  time.Duration // and up to so much more
-	Partial float64       `json:"Partial"` // of reads and writes that take a part of what they could
-	Lost    float64       `json:"Lost"`    // of datagrams
-	Doubled float64       `json:"Doubled"` // of datagrams
+// Network is how the network does. Parts are of 1.
+type NetworkConfig struct {
+	Delay               time.Duration // least time that a segment takes
+	Jitter              time.Duration // and up to so much more
+	PartialIO           float64       `json:"Partial"` // of reads and writes that take a part of what they could
+	DatagramLoss        float64       `json:"Lost"`    // of datagrams
+	DatagramDuplication float64       `json:"Doubled"` // of datagrams
 }
 
-// Counts count what happened, faults by their kind.
-type Counts struct {
+// Stats count what happened, faults by their kind.
+type Stats struct {
 	Events, Rounds, Segments, Connections   uint64
 	PartialReads, PartialWrites             uint64
 	Refused, Resets, OutOfFiles             uint64
@@ -30,22 +30,22 @@
 	Kills, PartitionsHeld                   uint64
 }
 
-// event is something that happens at a time; of two at one time the one that was planned first goes first.
+// eventCounter is something that happens at a time; of two at one time the one that was planned first goes first.
 type event struct {
 	at   time.Duration
 	seq  uint64
 	fire func() // nil once it is cancelled
 }
 
-type events []*event
+type eventQueue []*event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(*event)) }
-func (h *events) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(*event)) }
+func (h *eventQueue) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -53,36 +53,36 @@
 	return e
 }
 
-// World is all there is. Nothing of it may be used by two goroutines at once.
-type World struct {
-	Net   Net
-	Count Counts
-
-	origin time.Time
-	now    time.Duration
-	seq    uint64
-	queue  events
-	rng    *rand.Rand
-	bound  map[netip.AddrPort]*socket // listening
-	heard  map[netip.AddrPort]func(p []byte)
-	cut    map[[2]netip.Addr]bool // pairs of machines between which nothing passes
-	ports  uint16
+// Simulation is all there is. Nothing of it may be used by two goroutines at once.
+type Simulation struct {
+	Network NetworkConfig
+	Stats   Stats
+
+	startTime        time.Time
+	now              time.Duration
+	seq              uint64
+	queue            eventQueue
+	rng              *rand.Rand
+	listeners        map[netip.AddrPort]*socket // listening
+	datagramHandlers map[netip.AddrPort]func(p []byte)
+	partitions       map[[2]netip.Addr]bool // pairs of machines between which nothing passes
+	lastPort         uint16
 }
 
 // New returns an empty world whose clock shows a time.
-func New(seed uint64, origin time.Time) *World {
-	return &World{origin: origin.Round(0), rng: rand.New(rand.NewPCG(seed, 0x5eed)), bound: map[netip.AddrPort]*socket{},
-		heard: map[netip.AddrPort]func([]byte){}, cut: map[[2]netip.Addr]bool{}, Net: Net{Delay: 50 * time.Microsecond, Jitter: 150 * time.Microsecond}}
+func New(seed uint64, origin time.Time) *Simulation {
+	return &Simulation{startTime: origin.Round(0), rng: rand.New(rand.NewPCG(seed, 0x5eed)), listeners: map[netip.AddrPort]*socket{},
+		datagramHandlers: map[netip.AddrPort]func([]byte){}, partitions: map[[2]netip.Addr]bool{}, Network: NetworkConfig{Delay: 50 * time.Microsecond, Jitter: 150 * time.Microsecond}}
 }
 
 // Now is the time that true clocks show.
-func (w *World) Now() time.Time { return w.origin.Add(w.now) }
+func (w *Simulation) Now() time.Time { return w.startTime.Add(w.now) }
 
 // Elapsed is the time since the world began.
-func (w *World) Elapsed() time.Duration { return w.now }
+func (w *Simulation) Elapsed() time.Duration { return w.now }
 
 // After has something happen after a while, unless it is cancelled before.
-func (w *World) After(wait time.Duration, fire func()) (cancel func()) {
+func (w *Simulation) After(wait time.Duration, fire func()) (cancel func()) {
 	w.seq++
 	e := &event{at: w.now + max(wait, 0), seq: w.seq, fire: fire}
 	heap.Push(&w.queue, e)
@@ -90,43 +90,43 @@
 }
 
 // Run has all happen that does until a time since the beginning.
-func (w *World) Run(until time.Duration) {
+func (w *Simulation) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(*event)
 		if e.fire == nil {
 			continue
 		}
 		w.now = e.at
-		w.Count.Events++
+		w.Stats.Events++
 		e.fire()
 	}
 	w.now = max(w.now, until)
 }
 
-// delay is what one segment takes.
-func (w *World) delay() time.Duration {
-	return w.Net.Delay + time.Duration(w.rng.Int64N(int64(w.Net.Jitter)+1))
+// segmentDelay is what one segment takes.
+func (w *Simulation) segmentDelay() time.Duration {
+	return w.Network.Delay + time.Duration(w.rng.Int64N(int64(w.Network.Jitter)+1))
 }
 
-// part is n, or a part of it where the network does so now.
-func (w *World) part(n int, count *uint64) int {
-	if n > 1 && w.Net.Partial > 0 && w.rng.Float64() < w.Net.Partial {
+// partialLength is n, or a part of it where the network does so now.
+func (w *Simulation) partialLength(n int, count *uint64) int {
+	if n > 1 && w.Network.PartialIO > 0 && w.rng.Float64() < w.Network.PartialIO {
 		*count++
 		return 1 + w.rng.IntN(n-1)
 	}
 	return n
 }
 
-// Cut has nothing pass between two machines, or pass again. Streams hold on to what was sent; datagrams are lost.
-func (w *World) Cut(a, b netip.Addr, cut bool) {
-	w.cut[[2]netip.Addr{a, b}], w.cut[[2]netip.Addr{b, a}] = cut, cut
+// SetPartitioned has nothing pass between two machines, or pass again. Streams hold on to what was sent; datagrams are lost.
+func (w *Simulation) SetPartitioned(a, b netip.Addr, cut bool) {
+	w.partitions[[2]netip.Addr{a, b}], w.partitions[[2]netip.Addr{b, a}] = cut, cut
 }
 
-// passes tells whether anything passes between two machines.
-func (w *World) passes(a, b netip.Addr) bool { return !w.cut[[2]netip.Addr{a, b}] }
+// isReachable tells whether anything passes between two machines.
+func (w *Simulation) isReachable(a, b netip.Addr) bool { return !w.partitions[[2]netip.Addr{a, b}] }
 
 // Add adds the counts of another world.
-func (c *Counts) Add(o Counts) {
+func (c *Stats) Add(o Stats) {
 	c.Events, c.Rounds, c.Segments, c.Connections = c.Events+o.Events, c.Rounds+o.Rounds, c.Segments+o.Segments, c.Connections+o.Connections
 	c.PartialReads, c.PartialWrites = c.PartialReads+o.PartialReads, c.PartialWrites+o.PartialWrites
 	c.Refused, c.Resets, c.OutOfFiles = c.Refused+o.Refused, c.Resets+o.Resets, c.OutOfFiles+o.OutOfFiles
--- a/internal/simulatorwire/frame.go
+++ b/internal/simulatorwire/frame.go
@@ -22,20 +22,20 @@
 	maxBatch    = 1 << 30 // a length above this is taken for a broken frame
 )
 
-// Code is the kind of an event.
-type Code uint8
+// EventCode is the kind of an event.
+type EventCode uint8
 
 // The events.
 const (
-	Attach   Code = 1
-	CameBack Code = 2
-	Stop     Code = 3
-	SigTerm  Code = 4
-	Finished Code = 5
-	Blocked  Code = 6
-	Ring     Code = 7
-	Call     Code = 8
-	Left     Code = 9
+	EventAttach        EventCode = 1
+	EventCallFinished  EventCode = 2
+	EventDetach        EventCode = 3
+	EventDrain         EventCode = 4
+	EventRunFinished   EventCode = 5
+	EventCallRequested EventCode = 6
+	EventTimer         EventCode = 7
+	EventRequest       EventCode = 8
+	EventCancel        EventCode = 9
 )
 
 // Flag bits of a call event.
@@ -46,15 +46,15 @@
 
 // Event is one decoded record; which fields mean something depends on the code.
 type Event struct {
-	Code     Code
-	Instance uint32
-	ID       admission.RequestID
-	Token    uint32
-	Duration time.Duration // time since the start, or until the process stops
-	Outcome  admission.Outcome
-	Request  admission.Request
-	Gauges   []float64
-	Settings []byte
+	Code       EventCode
+	InstanceID uint32
+	RequestID  admission.RequestID
+	TimerToken uint32
+	Duration   time.Duration // time since the start, or until the process stops
+	Outcome    admission.Outcome
+	Request    admission.Request
+	Gauges     []float64
+	Settings   []byte
 }
 
 // Batch is one decoded frame.
@@ -65,8 +65,8 @@
 
 // outcomes translates the codes of the wire.
 var outcomes = map[byte]admission.Outcome{
-	0: admission.OK, 255: admission.Errored, 254: admission.Rejected, 253: admission.TimedOut,
-	252: admission.Unreachable, 251: admission.Reset, 250: admission.Cancelled, 249: admission.Moot,
+	0: admission.OK, 255: admission.Failed, 254: admission.Rejected, 253: admission.TimedOut,
+	252: admission.Unreachable, 251: admission.Reset, 250: admission.Cancelled, 249: admission.NotStarted,
 }
 
 // Reader decodes batches from a stream.
@@ -121,24 +121,24 @@
 	u32 := func(at int) uint32 { return binary.LittleEndian.Uint32(p[at:]) }
 	u64 := func(at int) uint64 { return binary.LittleEndian.Uint64(p[at:]) }
 	f32 := func(at int) float64 { return float64(math.Float32frombits(u32(at))) }
-	e := Event{Code: Code(p[0]), Instance: u32(1), ID: admission.RequestID(u32(5))}
+	e := Event{Code: EventCode(p[0]), InstanceID: u32(1), RequestID: admission.RequestID(u32(5))}
 	var known bool
 	switch e.Code {
-	case Attach:
+	case EventAttach:
 		from, length := uint64(u32(13)), uint64(u32(17))
 		if from+length > uint64(len(tail)) {
 			return e, errors.New("settings lie outside the tail")
 		}
 		e.Settings = tail[from : from+length]
-	case CameBack, Finished:
+	case EventCallFinished, EventRunFinished:
 		if e.Outcome, known = outcomes[p[9]]; !known {
 			return e, fmt.Errorf("unknown outcome %d", p[9])
 		}
 		e.Duration = time.Duration(u64(10))
-	case SigTerm:
+	case EventDrain:
 		e.Duration = time.Duration(u64(5))
-	case Ring:
-		e.Token = u32(5)
+	case EventTimer:
+		e.TimerToken = u32(5)
 		n := int(p[9])
 		if 10+4*n > len(p) {
 			return e, fmt.Errorf("%d gauges do not fit", n)
@@ -146,18 +146,18 @@
 		for i := 0; i < n; i++ {
 			e.Gauges = append(e.Gauges, f32(10+4*i))
 		}
-	case Call:
+	case EventRequest:
 		opts := binary.LittleEndian.Uint16(p[34:])
 		e.Request = admission.Request{
-			ID: e.ID, Subject: u64(9), Waited: time.Duration(u64(17)), Class: int(p[25]),
-			Budget: time.Duration(u64(26)), Retry: opts&optRetry != 0, Tenant: int(u32(36)),
-			Caller: int(binary.LittleEndian.Uint16(p[40:])), Repeats: admission.RequestID(u32(42)),
+			ID: e.RequestID, ResourceID: u64(9), QueueingDelay: time.Duration(u64(17)), Class: int(p[25]),
+			RemainingTime: time.Duration(u64(26)), IsRetry: opts&optRetry != 0, Tenant: int(u32(36)),
+			Caller: int(binary.LittleEndian.Uint16(p[40:])), RetryOf: admission.RequestID(u32(42)),
 			SizeKB: f32(46),
 		}
 		if opts&optHint != 0 {
 			e.Request.Work = time.Duration(u64(50))
 		}
-	case Stop, Blocked, Left:
+	case EventDetach, EventCallRequested, EventCancel:
 	default:
 		return e, fmt.Errorf("unknown event code %d", p[0])
 	}
@@ -195,8 +195,8 @@
 	return err
 }
 
-// Exception reports that the decision code failed.
-func (r *Reply) Exception(instance uint32, text string) { r.text(75, instance, text) }
+// AddException reports that the decision code failed.
+func (r *Reply) AddException(instance uint32, text string) { r.text(75, instance, text) }
 
 // text appends a record whose text is in the tail.
 func (r *Reply) text(code byte, instance uint32, text string) {
@@ -208,12 +208,12 @@
 
 // Actions writes one instance's actions into a reply; it implements admission.Actions.
 type Actions struct {
-	Reply    *Reply
-	Instance uint32
+	Reply      *Reply
+	InstanceID uint32
 }
 
 func (a *Actions) request(code byte, id admission.RequestID) []byte {
-	p := a.Reply.add(code, a.Instance)
+	p := a.Reply.add(code, a.InstanceID)
 	binary.LittleEndian.PutUint32(p[5:], uint32(id))
 	return p
 }
@@ -230,7 +230,7 @@
 func (a *Actions) Run(id admission.RequestID) { a.request(77, id) }
 
 // Refuse implements admission.Actions.
-func (a *Actions) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
+func (a *Actions) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
 	p := a.request(72, id)
 	putTime(p[9:], stayAway)
 	putBool(p[17:], last)
@@ -239,50 +239,52 @@
 // Fail implements admission.Actions.
 func (a *Actions) Fail(id admission.RequestID) { a.request(79, id) }
 
-// Call implements admission.Actions.
+// EventRequest implements admission.Actions.
 func (a *Actions) Call(id admission.RequestID, timeout time.Duration) {
 	putTime(a.request(71, id)[9:], timeout)
 }
 
 // Skip implements admission.Actions.
-func (a *Actions) Skip(id admission.RequestID) { a.request(66, id) }
+func (a *Actions) SkipCall(id admission.RequestID) { a.request(66, id) }
 
 // Halt implements admission.Actions.
-func (a *Actions) Halt(id admission.RequestID) { a.request(76, id) }
+func (a *Actions) Stop(id admission.RequestID) { a.request(76, id) }
 
 // Keep implements admission.Actions.
-func (a *Actions) Keep(id admission.RequestID, lifetime time.Duration) {
+func (a *Actions) KeepKey(id admission.RequestID, lifetime time.Duration) {
 	putTime(a.request(73, id)[9:], lifetime)
 }
 
 // Forget implements admission.Actions.
-func (a *Actions) Forget(id admission.RequestID) { a.request(78, id) }
+func (a *Actions) ReleaseKey(id admission.RequestID) { a.request(78, id) }
 
 // Reuse implements admission.Actions.
-func (a *Actions) Reuse(id admission.RequestID) { a.request(70, id) }
+func (a *Actions) ReplayResult(id admission.RequestID) { a.request(70, id) }
 
 // Say implements admission.Actions.
-func (a *Actions) Say(value float64) {
-	p := a.Reply.add(68, a.Instance)
+func (a *Actions) AdvertiseLoad(value float64) {
+	p := a.Reply.add(68, a.InstanceID)
 	binary.LittleEndian.PutUint32(p[5:], math.Float32bits(float32(value)))
 }
 
 // Health implements admission.Actions.
-func (a *Actions) Health(good, fromStore bool) {
-	p := a.Reply.add(74, a.Instance)
+func (a *Actions) SetHealth(good, fromStore bool) {
+	p := a.Reply.add(74, a.InstanceID)
 	putBool(p[5:], good)
 	putBool(p[6:], fromStore)
 }
 
 // CloseIdle implements admission.Actions.
-func (a *Actions) CloseIdle(idle time.Duration) { putTime(a.Reply.add(67, a.Instance)[5:], idle) }
+func (a *Actions) CloseIdleConnections(idle time.Duration) {
+	putTime(a.Reply.add(67, a.InstanceID)[5:], idle)
+}
 
 // After implements admission.Actions.
-func (a *Actions) After(wait time.Duration, token uint32) {
-	p := a.Reply.add(69, a.Instance)
+func (a *Actions) SetTimer(wait time.Duration, token uint32) {
+	p := a.Reply.add(69, a.InstanceID)
 	putTime(p[5:], wait)
 	binary.LittleEndian.PutUint32(p[13:], token)
 }
 
 // Log implements admission.Actions.
-func (a *Actions) Log(line string) { a.Reply.text(65, a.Instance, line) }
+func (a *Actions) Log(line string) { a.Reply.text(65, a.InstanceID, line) }
--- a/internal/simulatorwire/frame_test.go
+++ b/internal/simulatorwire/frame_test.go
@@ -49,17 +49,17 @@
 	if b.Now != 0x1f568bf90 || len(b.Events) != 3 {
 		t.Fatalf("clock %d, %d events", b.Now, len(b.Events))
 	}
-	want := admission.Request{ID: 0x5d3a91c4, Subject: 0x91f03b7c55d20a64, Waited: 1850 * time.Microsecond,
-		Budget: 240 * time.Millisecond, Caller: 17, Repeats: 0x0e6f2b19, SizeKB: 24.5,
+	want := admission.Request{ID: 0x5d3a91c4, ResourceID: 0x91f03b7c55d20a64, QueueingDelay: 1850 * time.Microsecond,
+		RemainingTime: 240 * time.Millisecond, Caller: 17, RetryOf: 0x0e6f2b19, SizeKB: 24.5,
 		Work: 12 * time.Millisecond}
 	if got := b.Events[0].Request; !reflect.DeepEqual(got, want) {
 		t.Errorf("call\n got %+v\nwant %+v", got, want)
 	}
 	ring := b.Events[1]
-	if ring.Token != 77 || len(ring.Gauges) != 4 || ring.Gauges[1] != 3 || ring.Gauges[3] != 120 {
+	if ring.TimerToken != 77 || len(ring.Gauges) != 4 || ring.Gauges[1] != 3 || ring.Gauges[3] != 120 {
 		t.Errorf("ring: %+v", ring)
 	}
-	if left := b.Events[2]; left.Instance != 5 || left.ID != 0x0e6f2b19 || left.Code != Left {
+	if left := b.Events[2]; left.InstanceID != 5 || left.RequestID != 0x0e6f2b19 || left.Code != EventCancel {
 		t.Errorf("left: %+v", left)
 	}
 	if err := r.Next(&b); err != io.EOF {
@@ -69,10 +69,10 @@
 
 func TestPrintedReply(t *testing.T) {
 	var r Reply
-	a := Actions{Reply: &r, Instance: 3}
+	a := Actions{Reply: &r, InstanceID: 3}
 	a.Run(0x5d3a91c4)
-	a.After(500*time.Millisecond, 77)
-	(&Actions{Reply: &r, Instance: 5}).Log("two servers known")
+	a.SetTimer(500*time.Millisecond, 77)
+	(&Actions{Reply: &r, InstanceID: 5}).Log("two servers known")
 	var out bytes.Buffer
 	if err := r.Flush(&out); err != nil {
 		t.Fatal(err)
@@ -92,21 +92,21 @@
 		do   func(a *Actions)
 		want string
 	}{
-		{func(a *Actions) { a.Refuse(0x0e6f2b19, 250*time.Millisecond, true) }, "48 03000000 192b6f0e 80b2e60e00000000 01 +6"},
-		{func(a *Actions) { a.Say(0.25) }, "44 03000000 0000803e +15"},
+		{func(a *Actions) { a.Reject(0x0e6f2b19, 250*time.Millisecond, true) }, "48 03000000 192b6f0e 80b2e60e00000000 01 +6"},
+		{func(a *Actions) { a.AdvertiseLoad(0.25) }, "44 03000000 0000803e +15"},
 		{func(a *Actions) { a.Fail(1) }, "4f 03000000 01000000 +15"},
 		{func(a *Actions) { a.Call(1, time.Millisecond) }, "47 03000000 01000000 40420f0000000000 +7"},
-		{func(a *Actions) { a.Skip(1) }, "42 03000000 01000000 +15"},
-		{func(a *Actions) { a.Halt(1) }, "4c 03000000 01000000 +15"},
-		{func(a *Actions) { a.Keep(1, time.Millisecond) }, "49 03000000 01000000 40420f0000000000 +7"},
-		{func(a *Actions) { a.Forget(1) }, "4e 03000000 01000000 +15"},
-		{func(a *Actions) { a.Reuse(1) }, "46 03000000 01000000 +15"},
-		{func(a *Actions) { a.Health(true, false) }, "4a 03000000 01 00 +17"},
-		{func(a *Actions) { a.CloseIdle(time.Millisecond) }, "43 03000000 40420f0000000000 +11"},
+		{func(a *Actions) { a.SkipCall(1) }, "42 03000000 01000000 +15"},
+		{func(a *Actions) { a.Stop(1) }, "4c 03000000 01000000 +15"},
+		{func(a *Actions) { a.KeepKey(1, time.Millisecond) }, "49 03000000 01000000 40420f0000000000 +7"},
+		{func(a *Actions) { a.ReleaseKey(1) }, "4e 03000000 01000000 +15"},
+		{func(a *Actions) { a.ReplayResult(1) }, "46 03000000 01000000 +15"},
+		{func(a *Actions) { a.SetHealth(true, false) }, "4a 03000000 01 00 +17"},
+		{func(a *Actions) { a.CloseIdleConnections(time.Millisecond) }, "43 03000000 40420f0000000000 +11"},
 		{func(a *Actions) { a.Call(1, -time.Second) }, "47 03000000 01000000 +15"},
 	} {
 		var r Reply
-		c.do(&Actions{Reply: &r, Instance: 3})
+		c.do(&Actions{Reply: &r, InstanceID: 3})
 		if want := frame(t, c.want); !bytes.Equal(r.records, want) {
 			t.Errorf("got %x, want %x", r.records, want)
 		}
@@ -115,7 +115,7 @@
 
 func TestExceptionText(t *testing.T) {
 	var r Reply
-	r.Exception(2, "no cores")
+	r.AddException(2, "no cores")
 	var out bytes.Buffer
 	if err := r.Flush(&out); err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 func TestEachOutcome(t *testing.T) {
 	for code, want := range outcomes {
 		rec := make([]byte, eventSize)
-		rec[0], rec[9], rec[10] = byte(Finished), code, 7
+		rec[0], rec[9], rec[10] = byte(EventRunFinished), code, 7
 		e, err := decode(rec, nil)
 		if err != nil || e.Outcome != want || e.Duration != 7 {
 			t.Errorf("code %d: %+v, %v", code, e, err)
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -17,7 +17,7 @@
 	f.Add([]byte(`{"version":1,"secret":"AA=="}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		id, err := parseIdentity(text)
-		if err == nil && (id.Version != Version || len(id.Secret) != secretBytes) || err != nil && !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
+		if err == nil && (id.Version != Version || len(id.Secret) != secretBytes) || err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) {
 			t.Errorf("%+v, %v", id, err)
 		}
 	})
@@ -103,7 +103,7 @@
 			return
 		}
 		defer s.Close()
-		s.Each("", func(name, value []byte) error { // an error names the damage
+		s.ForEach("", func(name, value []byte) error { // an error names the damage
 			if want := "value " + string(name[1:]); string(value) != want {
 				t.Errorf("%s is %q, want %q", name, value, want)
 			}
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -125,7 +125,7 @@
 				if !ok {
 					err = fmt.Errorf("%v", r)
 				}
-				e.fail(fmt.Errorf("%w: %w", ErrDamaged, err))
+				e.fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
 			}
 		}()
 		done <- work()
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -105,7 +105,7 @@
 	for _, n := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			s, err := Open(Config{Dir: dir, Server: "n3", Site: "s"})
+			s, err := Open(Config{Dir: dir, Server: "n3", SiteHash: "s"})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -118,9 +118,9 @@
 						body[i] = byte(chance.Uint32())
 					}
 					e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())},
-						State: idempotency.Done, Stamp: time.Now(), Until: time.Now(), Sum: chance.Uint64(), Answer: idempotency.Answer{Status: 200, Body: body,
-							Fields: []idempotency.Field{{Name: "Content-Type", Value: "application/json"}}}}
-					changes = append(changes, Change{Name: e.Key.Name(), Value: e.Encode()})
+						State: idempotency.Completed, ReceivedAt: time.Now(), ExpiresAt: time.Now(), BodyHash: chance.Uint64(), Response: idempotency.Response{Status: 200, Body: body,
+							Header: []idempotency.HeaderField{{Name: "Content-Type", Value: "application/json"}}}}
+					changes = append(changes, Change{Name: e.Key.RecordName(), Value: e.Encode()})
 				}
 				if err := write(s, changes...); err != nil {
 					b.Fatal(err)
@@ -134,13 +134,13 @@
 			}
 			size := int64(0)
 			for b.Loop() {
-				s, err := Open(Config{Dir: dir, Server: "n3", Site: "s"})
+				s, err := Open(Config{Dir: dir, Server: "n3", SiteHash: "s"})
 				if err != nil {
 					b.Fatal(err)
 				}
 				size = s.Size()
 				read := 0
-				if err := s.Each("", func(_, _ []byte) error { read++; return nil }); err != nil || read != n {
+				if err := s.ForEach("", func(_, _ []byte) error { read++; return nil }); err != nil || read != n {
 					b.Fatalf("%d records, %v", read, err)
 				}
 				if err := s.Close(); err != nil {
@@ -156,13 +156,13 @@
 func BenchmarkSyncs(b *testing.B) {
 	for _, rate := range []int{1, 50, 500, 5000} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
-			s, err := Open(Config{Dir: b.TempDir(), Server: "n3", Site: "s"})
+			s, err := Open(Config{Dir: b.TempDir(), Server: "n3", SiteHash: "s"})
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer s.Close()
 			value := make([]byte, 100)
-			before := s.Counts().Syncs
+			before := s.Stats().Syncs
 			var all sync.WaitGroup
 			next, n := time.Now(), 0
 			for b.Loop() {
@@ -175,7 +175,7 @@
 				}
 			}
 			all.Wait()
-			b.ReportMetric(float64(s.Counts().Syncs-before)/float64(n), "syncs/write")
+			b.ReportMetric(float64(s.Stats().Syncs-before)/float64(n), "syncs/write")
 		})
 	}
 }
--- a/internal/store/sick_test.go
+++ b/internal/store/sick_test.go
@@ -62,7 +62,7 @@
 			}
 		}
 		check("open", contents(t, s))
-		opened += int(s.Counts().Reopened)
+		opened += int(s.Stats().Reopens)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/slips_test.go
+++ b/internal/store/slips_test.go
@@ -39,7 +39,7 @@
 type slipWorld struct {
 	rng      *rand.Rand
 	fsys     *vfs.MemFS
-	observer *invariant.Observer
+	observer *invariant.Checker
 	now      time.Time // of the callers
 	skew     time.Duration
 	tries    int
@@ -50,7 +50,7 @@
 type slipLife struct {
 	*slipWorld
 	store   *Store
-	rules   *idempotency.Journal
+	rules   *idempotency.Table
 	known   map[idempotency.Key]*slip
 	running []idempotency.Key
 	posted  chan func()
@@ -91,7 +91,7 @@
 	w.counts["torn logs"] += tear(t, w.fsys, before, w.rng)
 	for _, s := range l.known {
 		for _, id := range s.waiting {
-			w.observer.Lost(id)
+			w.observer.RecordLost(id)
 			w.counts["open at a cut"]++
 		}
 	}
@@ -108,14 +108,14 @@
 	if l.store, err = Open(config(disk)); err != nil {
 		return err
 	}
-	l.rules = idempotency.New(idempotency.Limits{Entries: 10, Bytes: 3000})
-	err = l.store.Each(idempotency.Prefix, func(name, value []byte) error { return l.rules.Load(string(name), value) })
+	l.rules = idempotency.NewTable(idempotency.Limits{MaxKeys: 10, MaxBytes: 3000})
+	err = l.store.ForEach(idempotency.RecordPrefix, func(name, value []byte) error { return l.rules.Load(string(name), value) })
 	if err != nil {
 		return err
 	}
 	for _, e := range l.rules.Entries() {
-		if !l.clock().After(e.Until) {
-			l.known[e.Key] = &slip{until: e.Stamp.Add(slipWindow), over: true, failed: e.State != idempotency.Done}
+		if !l.clock().After(e.ExpiresAt) {
+			l.known[e.Key] = &slip{until: e.ReceivedAt.Add(slipWindow), over: true, failed: e.State != idempotency.Completed}
 			l.counts["recovered "+e.State.String()]++
 		}
 	}
@@ -166,9 +166,9 @@
 	n := min(l.rng.IntN(slipKeys), l.rng.IntN(slipKeys))
 	k := idempotency.Key{Class: "stock-reserve", Key: fmt.Sprint("slip ", n)}
 	l.tries++
-	try := invariant.Try{ID: fmt.Sprint(l.tries), Key: k.Key, Once: true, Result: k.Key, Due: l.now.Add(24 * time.Hour),
+	try := invariant.Attempt{ID: fmt.Sprint(l.tries), Key: k.Key, AtMostOnce: true, ExpectedBody: k.Key, Deadline: l.now.Add(24 * time.Hour),
 		Received: l.now.Add(-time.Duration(l.rng.Int64N(int64(slipDelay))))}
-	l.observer.Sent(try)
+	l.observer.RecordSent(try)
 	if s := l.known[k]; s != nil && !try.Received.After(s.until) {
 		switch {
 		case !s.over:
@@ -180,23 +180,23 @@
 		}
 		return
 	}
-	if l.rules.Admit(l.clock()) != idempotency.Protected {
-		l.answer(try.ID, invariant.Refused, k)
+	if l.rules.Admit(l.clock()) != idempotency.Admitted {
+		l.answer(try.ID, invariant.Rejected, k)
 		return
 	}
 	s := &slip{until: try.Received.Add(slipWindow), waiting: []string{try.ID}, before: l.known[k]}
 	l.known[k] = s
-	l.write(l.rules.Intend(idempotency.Entry{Key: k, Stamp: try.Received, Until: s.until.Add(slipDelay)}), func(err error) {
+	l.write(l.rules.Begin(idempotency.Entry{Key: k, ReceivedAt: try.Received, ExpiresAt: s.until.Add(slipDelay)}), func(err error) {
 		switch {
 		case err != nil:
-			l.rules.Wrote(err, l.clock())
-			l.rules.Undo(k)
+			l.rules.ObserveWrite(err, l.clock())
+			l.rules.RevertIntent(k)
 			l.takeBack(k)
 		case l.rng.IntN(8) == 0: // it was given up meanwhile, and nothing ran
-			l.write(l.rules.Drop(k), nil)
+			l.write(l.rules.Abort(k), nil)
 			l.takeBack(k)
 		default:
-			l.observer.Ran(try.ID)
+			l.observer.RecordRun(try.ID)
 			l.counts["runs"]++
 			l.running = append(l.running, k)
 		}
@@ -205,7 +205,7 @@
 
 // takeBack refuses what waits for a request that nothing ran for.
 func (l *slipLife) takeBack(k idempotency.Key) {
-	l.over(k, invariant.Refused)
+	l.over(k, invariant.Rejected)
 	if l.known[k] = l.known[k].before; l.known[k] == nil {
 		delete(l.known, k)
 	}
@@ -218,11 +218,11 @@
 	l.running = append(l.running[:i], l.running[i+1:]...)
 	l.over(k, invariant.Served)
 	body := append([]byte(k.Key), make([]byte, l.rng.IntN(600))...)
-	l.write(l.rules.Finish(k, idempotency.Answer{Status: 200, Body: body}), nil)
+	l.write(l.rules.Complete(k, idempotency.Response{Status: 200, Body: body}), nil)
 }
 
 // over answers all that wait for a request.
-func (l *slipLife) over(k idempotency.Key, kind invariant.Answer) {
+func (l *slipLife) over(k idempotency.Key, kind invariant.Outcome) {
 	s := l.known[k]
 	s.over = true
 	if kind == invariant.Served {
@@ -234,9 +234,9 @@
 	s.waiting = nil
 }
 
-func (l *slipLife) answer(id string, kind invariant.Answer, k idempotency.Key) {
+func (l *slipLife) answer(id string, kind invariant.Outcome, k idempotency.Key) {
 	l.counts[[]string{"served", "refused", "failed"}[kind]]++
-	l.observer.Answered(id, kind, k.Key, l.now)
+	l.observer.RecordAnswer(id, kind, k.Key, l.now)
 }
 
 // TestSlipCuts has slips repeat while the power goes at random calls to the file layer, clocks are stepped back and the
@@ -288,7 +288,7 @@
 			return w.counts, fmt.Errorf("life %d: %w", life, err)
 		}
 	}
-	if b := w.observer.Breaches(w.now.Add(48 * time.Hour)); len(b) > 0 {
+	if b := w.observer.Violations(w.now.Add(48 * time.Hour)); len(b) > 0 {
 		return w.counts, fmt.Errorf("%d rules were broken, the first: %s", len(b), b[0])
 	}
 	return w.counts, nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,27 +24,27 @@
 
 // The errors of opening a folder. They are wrapped with the folder's name and what was found.
 var (
-	ErrInUse   = errors.New("store: another process uses the folder")
-	ErrOther   = errors.New("store: the folder is another server's")
-	ErrNewer   = errors.New("store: the folder is of a newer version")
-	ErrDamaged = errors.New("store: the folder is damaged")
-	ErrNone    = errors.New("store: the folder has no store")
+	ErrInUse        = errors.New("store: another process uses the folder")
+	ErrForeign      = errors.New("store: the folder is another server's")
+	ErrNewerVersion = errors.New("store: the folder is of a newer version")
+	ErrCorrupt      = errors.New("store: the folder is damaged")
+	ErrNoStore      = errors.New("store: the folder has no store")
 )
 
 // Identity says whose a folder is.
 type Identity struct {
-	Version int       `json:"version"`
-	Server  string    `json:"server"`
-	Site    string    `json:"site"` // a sum over what the site's settings say of keys
-	Secret  []byte    `json:"secret"`
-	Made    time.Time `json:"made"`
+	Version   int       `json:"version"`
+	Server    string    `json:"server"`
+	SiteHash  string    `json:"site"` // a sum over what the site's settings say of keys
+	Secret    []byte    `json:"secret"`
+	CreatedAt time.Time `json:"made"`
 }
 
 // Config is how a folder is opened.
 type Config struct {
 	Dir      string
 	Server   string
-	Site     string
+	SiteHash string
 	Machine  string // on which it is open
 	ReadOnly bool
 	FS       vfs.FS // nil is the disk
@@ -84,7 +84,7 @@
 		c.FS = vfs.Default
 	}
 	if c.ReadOnly && !exists(c) {
-		return nil, fmt.Errorf("%s: %w", c.Dir, ErrNone)
+		return nil, fmt.Errorf("%s: %w", c.Dir, ErrNoStore)
 	}
 	if !c.ReadOnly {
 		if err := c.FS.MkdirAll(c.Dir, 0o755); err != nil {
@@ -149,10 +149,10 @@
 	case errors.Is(err, fs.ErrPermission), errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EIO), errors.Is(err, fs.ErrNotExist):
 		return fmt.Errorf("%s: store: %w", dir, err)
 	}
-	if errors.Is(err, ErrDamaged) {
+	if errors.Is(err, ErrCorrupt) {
 		return fmt.Errorf("%s: %w", dir, err)
 	}
-	return fmt.Errorf("%s: %w: %w", dir, ErrDamaged, err)
+	return fmt.Errorf("%s: %w: %w", dir, ErrCorrupt, err)
 }
 
 // locked tells whether the folder's lock is held by another.
@@ -170,11 +170,11 @@
 	text, closer, err := s.engine.db.Get([]byte(identityKey))
 	switch {
 	case errors.Is(err, pebble.ErrNotFound) && c.ReadOnly:
-		return fmt.Errorf("%s: %w", c.Dir, ErrNone)
+		return fmt.Errorf("%s: %w", c.Dir, ErrNoStore)
 	case errors.Is(err, pebble.ErrNotFound):
 		return s.name(c)
 	case err != nil:
-		return fmt.Errorf("%s: %w: %w", c.Dir, ErrDamaged, err)
+		return fmt.Errorf("%s: %w: %w", c.Dir, ErrCorrupt, err)
 	}
 	defer closer.Close()
 	if s.identity, err = parseIdentity(text); err != nil {
@@ -182,9 +182,9 @@
 	}
 	switch id := s.identity; {
 	case c.Server != "" && id.Server != c.Server:
-		return fmt.Errorf("%s: %w: it is %s's, not %s's", c.Dir, ErrOther, id.Server, c.Server)
-	case c.Site != "" && id.Site != c.Site:
-		return fmt.Errorf("%s: %w: its classes and windows are those of another site", c.Dir, ErrOther)
+		return fmt.Errorf("%s: %w: it is %s's, not %s's", c.Dir, ErrForeign, id.Server, c.Server)
+	case c.SiteHash != "" && id.SiteHash != c.SiteHash:
+		return fmt.Errorf("%s: %w: its classes and windows are those of another site", c.Dir, ErrForeign)
 	}
 	return nil
 }
@@ -195,11 +195,11 @@
 	err := json.Unmarshal(text, &id)
 	switch {
 	case id.Version > Version:
-		return id, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewer, id.Version, Version)
+		return id, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, id.Version, Version)
 	case err != nil:
-		return id, fmt.Errorf("%w: its identity: %w", ErrDamaged, err)
+		return id, fmt.Errorf("%w: its identity: %w", ErrCorrupt, err)
 	case id.Version < 1 || len(id.Secret) != secretBytes:
-		return id, fmt.Errorf("%w: its identity: version %d, a secret of %d bytes, want 1 and %d", ErrDamaged, id.Version, len(id.Secret), secretBytes)
+		return id, fmt.Errorf("%w: its identity: version %d, a secret of %d bytes, want 1 and %d", ErrCorrupt, id.Version, len(id.Secret), secretBytes)
 	}
 	return id, nil
 }
@@ -215,13 +215,13 @@
 		return fmt.Errorf("%s: store: %w", c.Dir, err)
 	}
 	if any {
-		return fmt.Errorf("%s: %w: it has records and no identity", c.Dir, ErrDamaged)
+		return fmt.Errorf("%s: %w: it has records and no identity", c.Dir, ErrCorrupt)
 	}
 	secret, err := newSecret()
 	if err != nil {
 		return err
 	}
-	s.identity = Identity{Version: Version, Server: c.Server, Site: c.Site, Secret: secret, Made: time.Now().UTC()}
+	s.identity = Identity{Version: Version, Server: c.Server, SiteHash: c.SiteHash, Secret: secret, CreatedAt: time.Now().UTC()}
 	text, err := json.Marshal(s.identity)
 	if err == nil {
 		err = s.engine.do(func(db *pebble.DB) error { return db.Set([]byte(identityKey), text, pebble.Sync) })
@@ -253,9 +253,9 @@
 // Secret is the folder's, by which bodies are summed.
 func (s *Store) Secret() []byte { return s.identity.Secret }
 
-// Each hands on all records whose names begin with the prefix, in the order of names, until visit returns an error. The
+// ForEach hands on all records whose names begin with the prefix, in the order of names, until visit returns an error. The
 // bytes are valid during the call only.
-func (s *Store) Each(prefix string, visit func(name, value []byte) error) error {
+func (s *Store) ForEach(prefix string, visit func(name, value []byte) error) error {
 	low := append([]byte{userPrefix}, prefix...)
 	return s.use(func(db *pebble.DB) error {
 		it, err := db.NewIter(&pebble.IterOptions{LowerBound: low, UpperBound: after(low)})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,7 +22,7 @@
 // cuts is how many power cuts TestPowerCuts plays; docs/design/state.md has what more showed.
 var cuts = flag.Int("cuts", 150, "how many power cuts are played")
 
-func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", Site: "s", FS: fsys} }
+func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteHash: "s", FS: fsys} }
 
 func open(t testing.TB, fsys vfs.FS) *Store {
 	t.Helper()
@@ -37,7 +37,7 @@
 func contents(t testing.TB, s *Store) map[string]string {
 	t.Helper()
 	m := map[string]string{}
-	if err := s.Each("", func(name, value []byte) error { m[string(name)] = string(value); return nil }); err != nil {
+	if err := s.ForEach("", func(name, value []byte) error { m[string(name)] = string(value); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -299,8 +299,8 @@
 	for _, c := range []struct {
 		change func(c *Config)
 		want   error
-	}{{func(c *Config) { c.Server = "n4" }, ErrOther}, {func(c *Config) { c.Site = "t" }, ErrOther},
-		{func(c *Config) { c.Dir, c.ReadOnly = "nowhere", true }, ErrNone}} {
+	}{{func(c *Config) { c.Server = "n4" }, ErrForeign}, {func(c *Config) { c.SiteHash = "t" }, ErrForeign},
+		{func(c *Config) { c.Dir, c.ReadOnly = "nowhere", true }, ErrNoStore}} {
 		with := config(fsys)
 		c.change(&with)
 		if _, err := Open(with); !errors.Is(err, c.want) {
@@ -321,7 +321,7 @@
 		}
 	}
 	all.Wait()
-	if c := s.Counts(); c.Changes != 5000 || c.Syncs > 4000 {
+	if c := s.Stats(); c.Changes != 5000 || c.Syncs > 4000 {
 		t.Errorf("%+v", c)
 	}
 	if err := s.Write([]Change{{Name: "x", Value: make([]byte, mostWaiting+1)}}, nil); !errors.Is(err, ErrBusy) {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -43,7 +43,7 @@
 	bytes   int
 	closed  bool
 	ended   chan struct{}
-	counts  idempotency.StoreCounts
+	counts  idempotency.StoreStats
 }
 
 func startWriter(s *Store) *writer {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Counts are what the store did since it was opened.
-func (s *Store) Counts() idempotency.StoreCounts {
+// Stats are what the store did since it was opened.
+func (s *Store) Stats() idempotency.StoreStats {
 	s.writer.mu.Lock()
 	defer s.writer.mu.Unlock()
 	return s.writer.counts
@@ -160,7 +160,7 @@
 	s.engine = e
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counts.Reopened++
+	w.counts.Reopens++
 	return e, nil
 }
 
--- a/server/actions.go
+++ b/server/actions.go
@@ -12,11 +12,11 @@
 
 // The statuses of answers.
 const (
-	statusServed   = 200
-	statusInvalid  = 400
-	statusTooLarge = 413
-	statusFailed   = 500
-	statusRefused  = 503
+	statusOK            = 200
+	statusBadRequest    = 400
+	statusTooLarge      = 413
+	statusInternalError = 500
+	statusUnavailable   = 503
 )
 
 // actions carries out what the module decides.
@@ -24,136 +24,138 @@
 
 // Run implements admission.Actions.
 func (a actions) Run(id admission.RequestID) {
-	t := a.tries[id]
-	if t == nil || t.answered || t.state == running {
+	t := a.attempts[id]
+	if t == nil || t.isAnswered || t.state == runInFlight {
 		return
 	}
-	if t.keyed && t.once && !a.keys.claim(t, a.told.Module.Classes[t.class].Window+windowSlack) {
+	if t.hasKey && t.atMostOnce && !a.keys.claim(t, a.told.Admission.Classes[t.class].KeyWindow+keyWindowSlack) {
 		// A second run would break the rule on single effect, whatever led to it.
-		a.count.ranTwice++
-		a.log.Error("second run prevented", zap.String("request", t.wire))
-		a.remark("second run of %d prevented", id)
-		a.answer(t, gateway.Answer{Status: statusFailed})
-		a.after(func() { a.module.Done(a.event(), id, admission.Errored) })
+		a.counters.secondRunsPrevented++
+		a.log.Error("second run prevented", zap.String("request", t.requestID))
+		a.annotateCapture("second run of %d prevented", id)
+		a.answer(t, gateway.Response{Status: statusInternalError})
+		a.deferEvent(func() { a.module.RunFinished(a.moduleTime(), id, admission.Failed) })
 		return
 	}
-	a.count.runs++
-	t.state = running
-	if t.keyed && t.once && a.journal != nil {
-		a.journal.run(t)
+	a.counters.runs++
+	t.state = runInFlight
+	if t.hasKey && t.atMostOnce && a.durable != nil {
+		a.durable.runAfterIntent(t)
 		return
 	}
-	a.link.Apply(t)
+	a.backend.Submit(t)
 }
 
 // Refuse implements admission.Actions.
-func (a actions) Refuse(id admission.RequestID, stayAway time.Duration, last bool) {
-	t := a.tries[id]
-	if t == nil || t.answered {
+func (a actions) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
+	t := a.attempts[id]
+	if t == nil || t.isAnswered {
 		return
 	}
-	if t.once && (t.state != unrun || t.keyed && a.keys.hasRun(t)) {
+	if t.atMostOnce && (t.state != runPending || t.hasKey && a.keys.hasRun(t)) {
 		// A refusal says that nothing ran.
-		a.count.refusedRan++
-		a.log.Error("refusal after a run prevented", zap.String("request", t.wire))
-		a.remark("refusal of %d after its run prevented", id)
+		a.counters.rejectionsPrevented++
+		a.log.Error("refusal after a run prevented", zap.String("request", t.requestID))
+		a.annotateCapture("refusal of %d after its run prevented", id)
 		a.Fail(id)
 		return
 	}
-	a.answer(t, refusal(stayAway, last))
-	t.halted = t.awaits
+	a.answer(t, rejection(stayAway, last))
+	t.isStopRequested = t.isIntentPending
 	a.withdraw(t)
-	a.drop(t)
+	a.forget(t)
 }
 
-// refusal is an answer that says when to come back, where that is honoured, and whether to try no other server.
-func refusal(stayAway time.Duration, last bool) gateway.Answer {
-	r := gateway.Answer{Status: statusRefused}
+// rejection is an answer that says when to come back, where that is honoured, and whether to try no other server.
+func rejection(stayAway time.Duration, last bool) gateway.Response {
+	r := gateway.Response{Status: statusUnavailable}
 	if stayAway > 0 {
 		ms := (stayAway + time.Millisecond - 1) / time.Millisecond
-		r.Fields = append(r.Fields, gateway.Field{Name: "Back-Off-Ms", Value: strconv.FormatInt(int64(ms), 10)})
+		r.Headers = append(r.Headers, gateway.Field{Name: "Back-Off-Ms", Value: strconv.FormatInt(int64(ms), 10)})
 	}
 	if last {
-		r.Fields = append(r.Fields, gateway.Field{Name: "Final-Refusal", Value: "1"})
+		r.Headers = append(r.Headers, gateway.Field{Name: "Final-Refusal", Value: "1"})
 	}
 	return r
 }
 
 // Fail implements admission.Actions.
 func (a actions) Fail(id admission.RequestID) {
-	if t := a.tries[id]; t != nil && !t.answered {
-		a.answer(t, gateway.Answer{Status: statusFailed})
-		t.halted = t.awaits
+	if t := a.attempts[id]; t != nil && !t.isAnswered {
+		a.answer(t, gateway.Response{Status: statusInternalError})
+		t.isStopRequested = t.isIntentPending
 		a.withdraw(t)
-		a.drop(t)
+		a.forget(t)
 	}
 }
 
 // withdraw takes back the run of a try that the interpreter never heard of, and tells whether it did.
-func (a actions) withdraw(t *try) bool {
-	if t.state != running || t.awaits || !a.link.Withdraw(t.wire) {
+func (a actions) withdraw(t *attempt) bool {
+	if t.state != runInFlight || t.isIntentPending || !a.backend.Withdraw(t.requestID) {
 		return false
 	}
-	t.state = broken
-	a.unclaim(t)
-	a.after(func() { a.over(t, admission.Cancelled) })
+	t.state = runFailed
+	a.releaseKey(t)
+	a.deferEvent(func() { a.failRun(t, admission.Cancelled) })
 	return true
 }
 
 // Halt implements admission.Actions.
-func (a actions) Halt(id admission.RequestID) {
-	t := a.tries[id]
+func (a actions) Stop(id admission.RequestID) {
+	t := a.attempts[id]
 	switch {
-	case t == nil || t.state != running || a.withdraw(t):
-	case t.awaits:
-		t.halted = true
+	case t == nil || t.state != runInFlight || a.withdraw(t):
+	case t.isIntentPending:
+		t.isStopRequested = true
 	default:
-		a.link.Break(t.wire)
+		a.backend.Stop(t.requestID)
 	}
 }
 
 // Keep implements admission.Actions.
-func (a actions) Keep(id admission.RequestID, lifetime time.Duration) {
-	if t := a.tries[id]; t != nil && t.keyed {
-		a.keys.keep(t, a.clock.now+lifetime)
+func (a actions) KeepKey(id admission.RequestID, lifetime time.Duration) {
+	if t := a.attempts[id]; t != nil && t.hasKey {
+		a.keys.hold(t, a.clock.now+lifetime)
 	}
 }
 
 // Forget implements admission.Actions.
-func (a actions) Forget(id admission.RequestID) {
-	a.keys.forget(id)
+func (a actions) ReleaseKey(id admission.RequestID) {
+	a.keys.release(id)
 }
 
 // Reuse implements admission.Actions.
-func (a actions) Reuse(id admission.RequestID) {
-	t := a.tries[id]
-	if t == nil || t.answered {
+func (a actions) ReplayResult(id admission.RequestID) {
+	t := a.attempts[id]
+	if t == nil || t.isAnswered {
 		return
 	}
-	source := a.keys.source(t)
-	if source != nil && (source.state == running || source.state == unrun && !source.answered) {
+	source := a.keys.originalOf(t)
+	if source != nil && (source.state == runInFlight || source.state == runPending && !source.isAnswered) {
 		source.waiters = append(source.waiters, t)
 		return
 	}
-	a.after(func() { a.echo(t, source) })
+	a.deferEvent(func() { a.replayResult(t, source) })
 }
 
 // Say implements admission.Actions.
-func (a actions) Say(value float64) { a.hint = strconv.FormatFloat(value, 'f', 4, 64) }
+func (a actions) AdvertiseLoad(value float64) {
+	a.advertisedLoad = strconv.FormatFloat(value, 'f', 4, 64)
+}
 
 // Health implements admission.Actions.
-func (a actions) Health(good, fromStore bool) { a.healthy, a.fromStore = good, fromStore }
+func (a actions) SetHealth(good, fromStore bool) { a.isHealthy, a.healthFromStore = good, fromStore }
 
 // CloseIdle implements admission.Actions.
-func (a actions) CloseIdle(idle time.Duration) {
-	a.idle = idle
-	a.loop.Cancel(a.idleScan)
-	a.scanIdle()
+func (a actions) CloseIdleConnections(idle time.Duration) {
+	a.idleTimeout = idle
+	a.loop.CancelTimer(a.idleScanTimer)
+	a.scheduleIdleScan()
 }
 
 // After implements admission.Actions.
-func (a actions) After(wait time.Duration, token uint32) {
-	a.loop.After(wait, func() { a.ring(token) })
+func (a actions) SetTimer(wait time.Duration, token uint32) {
+	a.loop.AfterFunc(wait, func() { a.timerFired(token) })
 }
 
 // Log implements admission.Actions.
@@ -163,7 +165,7 @@
 func (a actions) Call(id admission.RequestID, _ time.Duration) { a.noCalls(id) }
 
 // Skip implements admission.Actions, as Call.
-func (a actions) Skip(id admission.RequestID) { a.noCalls(id) }
+func (a actions) SkipCall(id admission.RequestID) { a.noCalls(id) }
 
 // noCalls reports a decision that nothing can have led to.
 func (a actions) noCalls(id admission.RequestID) {
--- a/server/args.go
+++ b/server/args.go
@@ -39,8 +39,8 @@
 	stateProgram = "catalogue-server-durable"
 )
 
-// become goes on as another program, which lies beside this one. It returns only where it can't.
-func become(program string, args []string, stderr io.Writer) int {
+// execProgram goes on as another program, which lies beside this one. It returns only where it can't.
+func execProgram(program string, args []string, stderr io.Writer) int {
 	self, err := os.Executable()
 	if err == nil {
 		path := filepath.Join(filepath.Dir(self), program)
@@ -52,7 +52,7 @@
 }
 
 // parseArgs reads the command line into what the operators want beside the platform's configuration.
-func parseArgs(args []string, stderr io.Writer) (*config.Operator, error) {
+func parseArgs(args []string, stderr io.Writer) (*config.OperatorConfig, error) {
 	if len(args) > 0 && args[0] == "serve" {
 		args = args[1:]
 	}
@@ -70,28 +70,28 @@
 	if flags.NArg() > 0 {
 		return nil, fmt.Errorf("arguments: %q is not known, want serve, route or flags; see catalogue-server --help", flags.Arg(0))
 	}
-	o, err := operator(*settings, *directory)
+	o, err := loadOperator(*settings, *directory)
 	if err == nil && *state != "" {
 		if o.State == nil {
-			o.State = config.DefaultState()
+			o.State = config.DefaultStateConfig()
 		}
 		o.State.Directory = *state
 	}
 	return o, err
 }
 
-// operator reads the operators' own settings; a directory takes the place of the one in the file.
-func operator(settings, directory string) (*config.Operator, error) {
-	o := &config.Operator{}
+// loadOperator reads the operators' own settings; a directory takes the place of the one in the file.
+func loadOperator(settings, directory string) (*config.OperatorConfig, error) {
+	o := &config.OperatorConfig{}
 	if settings != "" {
 		var err error
-		if o, err = config.LoadOperator(settings); err != nil {
+		if o, err = config.LoadOperatorConfig(settings); err != nil {
 			return nil, err
 		}
 	}
 	if directory != "" {
 		if o.Capture == nil {
-			o.Capture = &config.Capture{Config: capture.Defaults()}
+			o.Capture = &config.CaptureConfig{Config: capture.DefaultConfig()}
 		}
 		o.Capture.Directory = directory
 	}
--- a/server/calls_test.go
+++ b/server/calls_test.go
@@ -16,34 +16,34 @@
 	for _, below := range []admission.Dependency{admission.DependencyTier, admission.DependencyShared} {
 		t.Run(fmt.Sprint(below), func(t *testing.T) {
 			told := testTold(t)
-			told.Module.Below = below
+			told.Admission.Downstream = below
 			s, it := runAt(t, told)
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			g.Write(fake.Lookup("calls").Records(1), fake.Reserve(1, "calls").Records(2))
-			for _, r := range it.WaitApplied(2) {
-				it.Await(r.ID, []byte("the call"))
+			g.Write(fake.NewLookup("calls").Encode(1), fake.NewReserve(1, "calls").Encode(2))
+			for _, r := range it.WaitRuns(2) {
+				it.AwaitCall(r.ID, []byte("the call"))
 			}
-			if a := g.Answer(1); a.Status != statusRefused || a.Header.Get("Final-Refusal") != "1" || a.Header.Get("Back-Off-Ms") == "" {
+			if a := g.WaitResponse(1); a.Status != statusUnavailable || a.Header.Get("Final-Refusal") != "1" || a.Header.Get("Back-Off-Ms") == "" {
 				t.Errorf("a lookup at its call: %+v", a)
 			}
-			if a := g.Answer(2); a.Status != statusFailed {
+			if a := g.WaitResponse(2); a.Status != statusInternalError {
 				t.Errorf("a reserve at its call: %+v", a)
 			}
-			for _, r := range it.Applied() {
-				it.End(r.ID, "STOPPED", nil)
+			for _, r := range it.StartedRuns() {
+				it.EndRun(r.ID, "STOPPED", nil)
 			}
-			g.Write(fake.Reserve(1, "calls").Records(3))
-			if a := g.Answer(3); a.Status != statusFailed || len(it.Applied()) != 2 {
-				t.Errorf("a reserve that may have run, again: %+v, runs %v", a, it.Applied())
+			g.Write(fake.NewReserve(1, "calls").Encode(3))
+			if a := g.WaitResponse(3); a.Status != statusInternalError || len(it.StartedRuns()) != 2 {
+				t.Errorf("a reserve that may have run, again: %+v, runs %v", a, it.StartedRuns())
 			}
-			g.Write(fake.Lookup("calls nothing").Records(4))
-			it.End(it.WaitApplied(3)[2].ID, "OK", []byte("x"))
-			if a := g.Answer(4); a.Status != 200 {
+			g.Write(fake.NewLookup("calls nothing").Encode(4))
+			it.EndRun(it.WaitRuns(3)[2].ID, "OK", []byte("x"))
+			if a := g.WaitResponse(4); a.Status != 200 {
 				t.Errorf("a lookup without a call: %+v", a)
 			}
 			do(s, func() {
-				if s.count.calls != 2 || len(s.tries) != 0 || s.link.Runs() != 0 {
-					t.Errorf("%d calls, %d tries, %d runs; want 2, 0, 0", s.count.calls, len(s.tries), s.link.Runs())
+				if s.counters.calls != 2 || len(s.attempts) != 0 || s.backend.OpenRuns() != 0 {
+					t.Errorf("%d calls, %d tries, %d runs; want 2, 0, 0", s.counters.calls, len(s.attempts), s.backend.OpenRuns())
 				}
 			})
 		})
--- a/server/corpus_test.go
+++ b/server/corpus_test.go
@@ -18,16 +18,16 @@
 type original struct {
 	names   [][]string
 	servers [][]routemodel.Location
-	before  [][]routemodel.Rewrite // of the servers
+	before  [][]routemodel.Rewrite // values the servers
 	merge   []bool
-	none    []*originalDoes          // of the servers, for what none of their locations takes
+	none    []*originalDoes          // values the servers, for what none of their locations takes
 	does    map[string]*originalDoes // by location
 }
 
 // originalDoes is what a location does, read from its directives and those around it.
 type originalDoes struct {
 	pool      string // or ""
-	status    string // of its return, or ""
+	status    string // values its return, or ""
 	text      bool   // the return has a text of its own
 	rewrites  []routemodel.Rewrite
 	pages     [][]string // error_page
@@ -52,7 +52,7 @@
 	for _, c := range block {
 		switch c.Name {
 		case "error_page":
-			own.pages = append(own.pages, c.Texts())
+			own.pages = append(own.pages, c.ArgTexts())
 		case "fastcgi_intercept_errors", "scgi_intercept_errors":
 			own.intercept[strings.Split(c.Name, "_")[0]] = c.Arg(0) == "on"
 		}
@@ -78,11 +78,11 @@
 		for _, c := range d.Block {
 			switch c.Name {
 			case "server_name":
-				names = append(names, c.Texts()...)
+				names = append(names, c.ArgTexts()...)
 			case "merge_slashes":
 				merge = c.Arg(0) != "off"
 			case "rewrite":
-				before = append(before, routemodel.Rewrite{Regex: c.Arg(0), To: c.Arg(1), Flag: c.Arg(2)})
+				before = append(before, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
 			}
 		}
 		o.names, o.merge, o.before = append(o.names, names), append(o.merge, merge), append(o.before, before)
@@ -102,13 +102,13 @@
 			continue
 		}
 		here := outer.in(d.Block)
-		l := routemodel.Location{Text: d.Arg(0), Name: fmt.Sprint(d.At), Inner: o.locations(d.Block, here)}
+		l := routemodel.Location{Pattern: d.Arg(0), Name: fmt.Sprint(d.Pos), Locations: o.locations(d.Block, here)}
 		if len(d.Args) == 2 {
-			l.Modifier, l.Text = d.Arg(0), d.Arg(1)
+			l.Modifier, l.Pattern = d.Arg(0), d.Arg(1)
 		} else {
 			for _, m := range []string{"~*", "~", "^~", "="} { // which may stand without a space
-				if l.Modifier == "" && strings.HasPrefix(l.Text, m) {
-					l.Modifier, l.Text = m, l.Text[len(m):]
+				if l.Modifier == "" && strings.HasPrefix(l.Pattern, m) {
+					l.Modifier, l.Pattern = m, l.Pattern[len(m):]
 				}
 			}
 		}
@@ -117,13 +117,13 @@
 		for _, c := range d.Block {
 			switch c.Name {
 			case "fastcgi_pass", "scgi_pass":
-				l.Pass = true
+				l.PassesToPool = true
 				does.pool, does.intercept = c.Arg(0), here.intercept[strings.Split(c.Name, "_")[0]]
 			case "return":
 				does.status, does.text, returned = c.Arg(0), len(c.Args) > 1, true
 			case "rewrite":
 				if !returned {
-					does.rewrites = append(does.rewrites, routemodel.Rewrite{Regex: c.Arg(0), To: c.Arg(1), Flag: c.Arg(2)})
+					does.rewrites = append(does.rewrites, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
 				}
 			case "try_files":
 				does.files = c.Arg(len(c.Args) - 1)
@@ -134,7 +134,7 @@
 			continue
 		}
 		o.does[l.Name] = does
-		l.Pass = l.Pass && strings.HasSuffix(l.Text, "/")
+		l.PassesToPool = l.PassesToPool && strings.HasSuffix(l.Pattern, "/")
 		list = append(list, l)
 	}
 	return list
@@ -152,8 +152,8 @@
 
 // expect is where a request belongs, with the status of its answer.
 func (o *original) expect(host, raw string) string {
-	i := routemodel.Server(o.names, host)
-	path, ok := routemodel.Path(raw, o.merge[i])
+	i := routemodel.FindServer(o.names, host)
+	path, ok := routemodel.NormalizePath(raw, o.merge[i])
 	if !ok {
 		return "400"
 	}
@@ -163,21 +163,21 @@
 	}
 	_, query, _ := strings.Cut(raw, "?")
 	r := routemodel.Resolve(o.before[i], rewrites, o.servers[i], path, query)
-	name, _, _ := strings.Cut(r.Name, " ")
+	name, _, _ := strings.Cut(r.Target, " ")
 	switch {
 	case name == "":
 		return o.none[i].expect(r.Path, false, true)
 	case name == "301" || name == "302" || name == "500":
 		return name
 	}
-	does := o.does[r.Name]
+	does := o.does[r.Target]
 	if does.files != "" && does.pool == "" && does.status == "" { // there are no files
 		if status, ok := strings.CutPrefix(does.files, "="); ok {
 			return status
 		}
 		does = does.named[does.files]
 	}
-	return does.expect(r.Path, r.Settled, true)
+	return does.expect(r.Path, r.StoppedByBreak, true)
 }
 
 // expect is the member that answers a location's request, and the status.
@@ -240,7 +240,7 @@
 				if strings.Contains(addresses, "scgi_pass "+pool) {
 					m = scgiMember(t, pool)
 				}
-				m.OnStatus(func(params map[string]string) int { return memberStatus(params["SCRIPT_NAME"]) })
+				m.SetStatusFunc(func(params map[string]string) int { return memberStatus(params["SCRIPT_NAME"]) })
 				addresses = strings.ReplaceAll(addresses, fmt.Sprintf("127.0.0.1:900%d", i+1), m.Addr())
 			}
 			dir := t.TempDir()
@@ -248,7 +248,7 @@
 			if err := os.WriteFile(path, []byte(addresses), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			list, err := nginx.Parse(nginx.Disk{FS: os.DirFS("/")}, path)
+			list, err := nginx.Parse(nginx.FSReader{FS: os.DirFS("/")}, path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -265,9 +265,9 @@
 			_, g := serveRoutes(t, d)
 			for _, host := range corpusHosts {
 				for _, path := range corpusPaths {
-					r := fake.Request{Method: "GET", Path: path, Fields: map[string]string{"Host": host}}
-					g.Write(r.Records(1))
-					a := g.Answer(1)
+					r := fake.Request{Method: "GET", Path: path, Headers: map[string]string{"Host": host}}
+					g.Write(r.Encode(1))
+					a := g.WaitResponse(1)
 					got := strings.TrimSpace(a.Header.Get("X-Member") + " " + fmt.Sprint(a.Status))
 					if want := o.expect(host, path); got != want {
 						t.Errorf("%s%s: %s, the original reading says %s", host, path, got, want)
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -24,7 +24,7 @@
 // ends waits for the end of a connection, and fails where it was reset instead, or brought anything more.
 func ends(t *testing.T, g *servertest.Gateway) {
 	t.Helper()
-	if a, err := g.TryAnswer(0); !errors.Is(err, io.EOF) {
+	if a, err := g.TryResponse(0); !errors.Is(err, io.EOF) {
 		t.Errorf("%+v, %v instead of a clean end", a, err)
 	}
 }
@@ -32,8 +32,8 @@
 // atEnd has something done just before the server ends its side of a connection, by whatever call.
 func atEnd(system *interleave.System, of net.Conn, do func()) <-chan bool {
 	done := make(chan bool)
-	system.Before(func(call interleave.Call, fd int) bool {
-		if call != interleave.Shutdown && call != interleave.Close || !interleave.Peer(fd, of) {
+	system.BeforeCall(func(call interleave.Syscall, fd int) bool {
+		if call != interleave.Shutdown && call != interleave.Close || !interleave.IsPeer(fd, of) {
 			return false
 		}
 		do()
@@ -53,27 +53,27 @@
 // TestCrossIdleClose has a request, or half of one, come in the very moment in which a resting connection is closed:
 // the gateway reads the answer that it had not read yet, then a clean end and no reset, and the request is not run.
 func TestCrossIdleClose(t *testing.T) {
-	whole := fake.Lookup("crosses").Records(2)
+	whole := fake.NewLookup("crosses").Encode(2)
 	for what, late := range map[string][]byte{"a request": whole, "half a request": whole[:30], "a byte": whole[:1]} {
 		t.Run(what, func(t *testing.T) {
 			system := interleave.New()
 			s, it := runOn(t, system, testTold(t))
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			done := atEnd(system, g.Conn(), func() { g.Write(late) })
-			g.Write(fake.Lookup("answered").Records(1))
-			it.End(it.WaitApplied(1)[0].ID, "OK", []byte("x"))
-			servertest.Wait(t, "the module's own setting", func() (set bool) {
-				do(s, func() { set = s.idle > 0 })
+			g.Write(fake.NewLookup("answered").Encode(1))
+			it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("x"))
+			servertest.WaitFor(t, "the module's own setting", func() (set bool) {
+				do(s, func() { set = s.idleTimeout > 0 })
 				return set
 			})
-			do(s, func() { actions{s}.CloseIdle(20 * time.Millisecond) })
+			do(s, func() { actions{s}.CloseIdleConnections(20 * time.Millisecond) })
 			<-done
 			nextRound(s)
-			if a := g.Answer(1); a.Status != 200 {
+			if a := g.WaitResponse(1); a.Status != 200 {
 				t.Errorf("answer before the end: %+v", a)
 			}
 			ends(t, g)
-			if runs := it.Applied(); len(runs) != 1 {
+			if runs := it.StartedRuns(); len(runs) != 1 {
 				t.Errorf("what came after the end was run: %v", runs)
 			}
 		})
@@ -84,21 +84,21 @@
 // and is answered.
 func TestCrossSlowWriter(t *testing.T) {
 	s, it := run(t)
-	it.Prompt()
+	it.FinishImmediately()
 	for cut := 1; cut < 24; cut++ {
 		g := servertest.Dial(t, s.cfg.Listen.String())
 		check(g, false)
-		whole := fake.Lookup("slowly").Records(2)
+		whole := fake.NewLookup("slowly").Encode(2)
 		g.Write(whole[:cut])
 		nextRound(s)
 		do(s, func() {
-			idle := s.idle
-			s.idle = time.Nanosecond
-			s.closeIdle()
-			s.idle = idle
+			idle := s.idleTimeout
+			s.idleTimeout = time.Nanosecond
+			s.closeIdleConns()
+			s.idleTimeout = idle
 		})
 		g.Write(whole[cut:])
-		if a, err := g.TryAnswer(2); err != nil || a.Status != 200 && a.Status != 503 {
+		if a, err := g.TryResponse(2); err != nil || a.Status != 200 && a.Status != 503 {
 			t.Fatalf("%d bytes before, the rest after: %+v, %v", cut, a, err)
 		}
 	}
@@ -109,21 +109,21 @@
 	system := interleave.New()
 	s, it := runOn(t, system, testTold(t))
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	whole := fake.Lookup("late").Records(1)
+	whole := fake.NewLookup("late").Encode(1)
 	done := atEnd(system, g.Conn(), func() { g.Write(whole[30:]) })
 	g.Write(whole[:30])
 	nextRound(s)
 	do(s, func() {
 		for c := range s.connections() {
-			if !c.since.IsZero() {
-				c.since = c.since.Add(-unfinishedMost)
+			if !c.incompleteSince.IsZero() {
+				c.incompleteSince = c.incompleteSince.Add(-requestTimeout)
 			}
 		}
-		s.closeIdle()
+		s.closeIdleConns()
 	})
 	<-done
 	ends(t, g)
-	if runs := it.Applied(); len(runs) != 0 {
+	if runs := it.StartedRuns(); len(runs) != 0 {
 		t.Errorf("what came after the end was run: %v", runs)
 	}
 }
@@ -131,23 +131,23 @@
 // TestCrossExit has a request come as a drained server ends its connections, by either way out: after the last one has
 // rested, and when its time is up.
 func TestCrossExit(t *testing.T) {
-	for what, end := range map[string]func(s *Server){"resting": (*Server).drain, "time up": (*Server).stop,
+	for what, end := range map[string]func(s *Server){"resting": (*Server).drain, "time up": (*Server).stopNow,
 		"not yet up": (*Server).drain} {
 		t.Run(what, func(t *testing.T) {
 			system := interleave.New()
 			it := servertest.NewInterpreter(t)
 			if what == "not yet up" {
-				it.Down()
+				it.MarkDown()
 			}
 			s := runWith(t, system, testTold(t), it)
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			servertest.Wait(t, "the interpreter", func() bool { return what == "not yet up" || check(g, false) == 200 })
+			servertest.WaitFor(t, "the interpreter", func() bool { return what == "not yet up" || check(g, false) == 200 })
 			check(g, false)
-			done := atEnd(system, g.Conn(), func() { g.Write(fake.Lookup("crosses").Records(2)) })
+			done := atEnd(system, g.Conn(), func() { g.Write(fake.NewLookup("crosses").Encode(2)) })
 			s.loop.Post(func() { end(s) })
 			<-done
 			ends(t, g)
-			if runs := it.Applied(); len(runs) != 0 {
+			if runs := it.StartedRuns(); len(runs) != 0 {
 				t.Errorf("what came after the end was run: %v", runs)
 			}
 		})
@@ -158,23 +158,23 @@
 func TestCrossRoom(t *testing.T) {
 	system := interleave.New()
 	s, it := runOn(t, system, testTold(t))
-	most := s.cfg.Limits.Sockets - spareSockets
+	most := s.cfg.Limits.Sockets - reservedSockets
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	for range most - 1 {
 		servertest.Dial(t, s.cfg.Listen.String())
 	}
-	servertest.Wait(t, "all to be let in", func() (in bool) {
-		do(s, func() { in = s.gateways.Len() == most })
+	servertest.WaitFor(t, "all to be let in", func() (in bool) {
+		do(s, func() { in = s.conns.Len() == most })
 		return in
 	})
 	do(s, func() {
-		g.Write(fake.Lookup("just came").Records(1))
-		if !s.makeRoom() {
+		g.Write(fake.NewLookup("just came").Encode(1))
+		if !s.evictConn() {
 			t.Error("no room was made")
 		}
 	})
-	it.End(it.WaitApplied(1)[0].ID, "OK", []byte("x"))
-	if a := g.Answer(1); a.Status != 200 {
+	it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("x"))
+	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -184,34 +184,34 @@
 func TestCrossListener(t *testing.T) {
 	system := interleave.New()
 	s, it := runOn(t, system, testTold(t))
-	it.Prompt()
+	it.FinishImmediately()
 	var g, after *servertest.Gateway
 	done := make(chan bool)
 	do(s, func() {
 		s.drain()
-		system.Before(func(call interleave.Call, fd int) bool {
+		system.BeforeCall(func(call interleave.Syscall, fd int) bool {
 			switch {
 			case call == interleave.Accept && g == nil:
 				g = servertest.Dial(t, s.cfg.Listen.String())
-				g.Write(fake.Lookup("in time").Records(1))
+				g.Write(fake.NewLookup("in time").Encode(1))
 			case call == interleave.Close && after == nil && isListener(fd):
 				after = servertest.Dial(t, s.cfg.Listen.String())
-				after.Write(fake.Lookup("too late").Records(1))
+				after.Write(fake.NewLookup("too late").Encode(1))
 				close(done)
 				return true
 			}
 			return false
 		})
-		s.leave()
+		s.stopListening()
 	})
 	<-done
-	if a := g.Answer(1); a.Status != 200 {
+	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Errorf("a caller in time: %+v", a)
 	}
-	if a, err := after.TryAnswer(1); err == nil {
+	if a, err := after.TryResponse(1); err == nil {
 		t.Errorf("a caller that was not let in was answered: %+v", a)
 	}
-	for _, r := range it.Applied() {
+	for _, r := range it.StartedRuns() {
 		if string(r.Body) == "too late" {
 			t.Error("a request of a caller that was not let in was run")
 		}
@@ -228,32 +228,32 @@
 // request in one round are, whichever is first; later ones are refused at once.
 func TestCrossDrain(t *testing.T) {
 	told := testTold(t)
-	told.Module.DrainGrace = 500 * time.Millisecond
+	told.Admission.DrainGracePeriod = 500 * time.Millisecond
 	s, it := runAt(t, told)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	do(s, func() {
-		g.Write(fake.Lookup("with the notice").Records(1))
+		g.Write(fake.NewLookup("with the notice").Encode(1))
 		s.drain()
 	})
 	received := func(r fake.Request, late time.Duration) fake.Request {
-		return r.With("Received-At", strconv.FormatInt(time.Now().Add(late).UnixMilli(), 10))
+		return r.WithHeader("Received-At", strconv.FormatInt(time.Now().Add(late).UnixMilli(), 10))
 	}
-	it.WaitApplied(1)
-	g.Write(fake.Lookup("within the grace").Records(2))
-	for _, r := range it.WaitApplied(2) {
-		it.End(r.ID, "OK", []byte("x"))
+	it.WaitRuns(1)
+	g.Write(fake.NewLookup("within the grace").Encode(2))
+	for _, r := range it.WaitRuns(2) {
+		it.EndRun(r.ID, "OK", []byte("x"))
 	}
 	for id := range uint16(2) {
-		if a := g.Answer(id + 1); a.Status != 200 {
+		if a := g.WaitResponse(id + 1); a.Status != 200 {
 			t.Errorf("request %d: %+v", id+1, a)
 		}
 	}
 	do(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // a second goes by
-	g.Write(received(fake.Lookup("after the grace"), 0).Records(3))
-	if a := g.Answer(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
+	g.Write(received(fake.NewLookup("after the grace"), 0).Encode(3))
+	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Errorf("after the grace: %+v", a)
 	}
-	if runs := it.Applied(); len(runs) != 2 {
+	if runs := it.StartedRuns(); len(runs) != 2 {
 		t.Errorf("runs %v", runs)
 	}
 	ends(t, g)
@@ -266,14 +266,14 @@
 		t.Run(first, func(t *testing.T) {
 			s, it := run(t)
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			g.Write(fake.Reserve(1, "x").Records(1))
-			id := it.WaitApplied(1)[0].ID
-			moved := it.Move()
+			g.Write(fake.NewReserve(1, "x").Encode(1))
+			id := it.WaitRuns(1)[0].ID
+			moved := it.AddListener()
 			cfg := *s.cfg
 			cfg.Interpreter = netip.MustParseAddrPort(moved)
-			cfg.Stop *= 2
+			cfg.StopTimeout *= 2
 			do(s, func() {
-				it.End(id, "OK", []byte("result"))
+				it.EndRun(id, "OK", []byte("result"))
 				if first == "reload" {
 					s.reload(&cfg)
 					s.drain()
@@ -282,12 +282,12 @@
 					s.reload(&cfg)
 				}
 			})
-			if a := g.Answer(1); a.Status != 200 || string(a.Body) != "result" {
+			if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "result" {
 				t.Errorf("answer %+v", a)
 			}
 			ends(t, g)
-			if runs := it.Applied(); len(runs) != 1 || it.LinkAt() != moved {
-				t.Errorf("runs %v on the link at %s", runs, it.LinkAt())
+			if runs := it.StartedRuns(); len(runs) != 1 || it.LinkAddr() != moved {
+				t.Errorf("runs %v on the link at %s", runs, it.LinkAddr())
 			}
 		})
 	}
@@ -300,7 +300,7 @@
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	move := func(with func()) {
 		t.Helper()
-		moved := it.Move()
+		moved := it.AddListener()
 		cfg := *s.cfg
 		cfg.Interpreter = netip.MustParseAddrPort(moved)
 		do(s, func() {
@@ -308,30 +308,30 @@
 			s.reload(&cfg)
 		})
 	}
-	g.Write(fake.Reserve(1, "x").Records(1))
-	id := it.WaitApplied(1)[0].ID
-	move(func() { it.End(id, "OK", []byte("one")) })
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "one" {
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	id := it.WaitRuns(1)[0].ID
+	move(func() { it.EndRun(id, "OK", []byte("one")) })
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("end unread on the old link: %+v", a)
 	}
 	// The command goes out at the end of the round in which the request is read, so the link goes in the next.
-	g.Write(fake.Reserve(2, "y").Records(2))
+	g.Write(fake.NewReserve(2, "y").Encode(2))
 	nextRound(s)
 	move(func() {})
-	it.End(it.WaitApplied(2)[1].ID, "OK", []byte("two"))
-	if a := g.Answer(2); a.Status != 200 || string(a.Body) != "two" {
+	it.EndRun(it.WaitRuns(2)[1].ID, "OK", []byte("two"))
+	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "two" {
 		t.Errorf("command on the old link: %+v", a)
 	}
 	asked := make(chan bool, 1)
-	move(func() { s.link.Top(s.loop.Now(), func(_ []float64, ok bool) { asked <- ok }) })
+	move(func() { s.backend.QueryGauges(s.loop.Now(), func(_ []float64, ok bool) { asked <- ok }) })
 	if <-asked {
 		t.Error("a question on a link that went was answered as if it had come through")
 	}
-	g.Write(fake.Reserve(2, "y").Records(3))
-	if a := g.Answer(3); a.Status != 200 || string(a.Body) != "two" {
+	g.Write(fake.NewReserve(2, "y").Encode(3))
+	if a := g.WaitResponse(3); a.Status != 200 || string(a.Body) != "two" {
 		t.Errorf("repeat on the new link: %+v", a)
 	}
-	if runs := it.Applied(); len(runs) != 2 {
+	if runs := it.StartedRuns(); len(runs) != 2 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -340,28 +340,28 @@
 // further try is run once the link stands, as the first never was.
 func TestCrossLinkDown(t *testing.T) {
 	told := testTold(t)
-	told.Module.Classes[1].Deadline = 300 * time.Millisecond
+	told.Admission.Classes[1].Deadline = 300 * time.Millisecond
 	s, it := runAt(t, told)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	it.Refuse(true)
-	it.Cut()
-	servertest.Wait(t, "the link to be lost", func() (lost bool) {
-		do(s, func() { lost = !s.link.Ready() })
+	it.RejectLinks(true)
+	it.CutLink()
+	servertest.WaitFor(t, "the link to be lost", func() (lost bool) {
+		do(s, func() { lost = !s.backend.Ready() })
 		return lost
 	})
-	g.Write(fake.Reserve(1, "x").Records(1))
-	if a := g.Answer(1); a.Status != 500 {
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	if a := g.WaitResponse(1); a.Status != 500 {
 		t.Errorf("due with the link down: %+v", a)
 	}
-	it.Refuse(false)
-	servertest.Wait(t, "a new link", func() (stands bool) {
-		do(s, func() { stands = s.link.Ready() })
+	it.RejectLinks(false)
+	servertest.WaitFor(t, "a new link", func() (stands bool) {
+		do(s, func() { stands = s.backend.Ready() })
 		return stands
 	})
-	g.Write(fake.Reserve(1, "x").With("Attempt-Again", "1").Records(2))
-	runs := it.WaitApplied(1)
-	it.End(runs[0].ID, "OK", []byte("result"))
-	if a := g.Answer(2); len(runs) != 1 || a.Status != 200 && a.Status != 500 { // 500 where the machine is slow
+	g.Write(fake.NewReserve(1, "x").WithHeader("Attempt-Again", "1").Encode(2))
+	runs := it.WaitRuns(1)
+	it.EndRun(runs[0].ID, "OK", []byte("result"))
+	if a := g.WaitResponse(2); len(runs) != 1 || a.Status != 200 && a.Status != 500 { // 500 where the machine is slow
 		t.Errorf("a further try: %+v, runs %v", a, runs)
 	}
 }
@@ -369,7 +369,7 @@
 // TestCrossReset has callers reset their connection right after it was accepted, before and after it is first read,
 // with nothing, half a request or a whole one sent: the server goes on, and holds nothing of them.
 func TestCrossReset(t *testing.T) {
-	whole := fake.Lookup("gone").Records(1)
+	whole := fake.NewLookup("gone").Encode(1)
 	for what, sent := range map[string][]byte{"nothing": nil, "half a request": whole[:30], "a request": whole} {
 		t.Run(what, func(t *testing.T) {
 			system := interleave.New()
@@ -386,8 +386,8 @@
 				reset(early.Conn())
 				g = servertest.Dial(t, s.cfg.Listen.String())
 				g.Write(sent)
-				system.Before(func(call interleave.Call, fd int) bool { // and one between the accept and the read
-					if call != interleave.Read || !interleave.Peer(fd, g.Conn()) {
+				system.BeforeCall(func(call interleave.Syscall, fd int) bool { // and one between the accept and the read
+					if call != interleave.Read || !interleave.IsPeer(fd, g.Conn()) {
 						return false
 					}
 					reset(g.Conn())
@@ -399,10 +399,10 @@
 				do(s, func() { g.Write([]byte{1}) })
 			}
 			<-done
-			servertest.Wait(t, "the connections to be forgotten", func() (gone bool) {
-				do(s, func() { gone = s.gateways.Len() <= 1 && len(s.tries) == 0 })
-				for _, r := range it.Applied() {
-					it.End(r.ID, "STOPPED", nil)
+			servertest.WaitFor(t, "the connections to be forgotten", func() (gone bool) {
+				do(s, func() { gone = s.conns.Len() <= 1 && len(s.attempts) == 0 })
+				for _, r := range it.StartedRuns() {
+					it.EndRun(r.ID, "STOPPED", nil)
 				}
 				return gone
 			})
@@ -423,25 +423,25 @@
 			first, second := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
 			check(second, false)
 			for n := range 20 { // the order in which epoll tells of them differs from round to round
-				first.Write(fake.Reserve(n, "x").Records(1))
-				id := it.WaitApplied(n + 1)[n].ID
+				first.Write(fake.NewReserve(n, "x").Encode(1))
+				id := it.WaitRuns(n + 1)[n].ID
 				do(s, func() {
 					if n%2 == 0 {
-						second.Write(fake.Reserve(n, "x").With("Attempt-Again", "1").Records(2))
-						it.End(id, end, []byte("result"))
+						second.Write(fake.NewReserve(n, "x").WithHeader("Attempt-Again", "1").Encode(2))
+						it.EndRun(id, end, []byte("result"))
 					} else {
-						it.End(id, end, []byte("result"))
-						second.Write(fake.Reserve(n, "x").With("Attempt-Again", "1").Records(2))
+						it.EndRun(id, end, []byte("result"))
+						second.Write(fake.NewReserve(n, "x").WithHeader("Attempt-Again", "1").Encode(2))
 					}
 				})
 				want := map[string]int{"OK": 200, "ERROR": 500}[end]
 				for g, id := range map[*servertest.Gateway]uint16{first: 1, second: 2} {
-					if a := g.Answer(id); a.Status != want || end == "OK" && string(a.Body) != "result" {
+					if a := g.WaitResponse(id); a.Status != want || end == "OK" && string(a.Body) != "result" {
 						t.Errorf("request %d, try %d: %+v", n, id, a)
 					}
 				}
 			}
-			if runs := it.Applied(); len(runs) != 20 {
+			if runs := it.StartedRuns(); len(runs) != 20 {
 				t.Errorf("%d runs of 20 requests", len(runs))
 			}
 		})
@@ -453,22 +453,22 @@
 func TestCrossWindow(t *testing.T) {
 	told := testTold(t)
 	window := 700 * time.Millisecond
-	told.Module.Classes[1].Window = window
+	told.Admission.Classes[1].KeyWindow = window
 	s, it := runAt(t, told)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	received := time.Now().Truncate(time.Millisecond)
 	try := func(n int, after time.Duration) []byte {
-		return fake.Reserve(1, "x").With("Received-At", strconv.FormatInt(received.Add(after).UnixMilli(), 10)).Records(uint16(n))
+		return fake.NewReserve(1, "x").WithHeader("Received-At", strconv.FormatInt(received.Add(after).UnixMilli(), 10)).Encode(uint16(n))
 	}
 	g.Write(try(1, 0))
-	it.End(it.WaitApplied(1)[0].ID, "OK", []byte("result"))
+	it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("result"))
 	for n, after := range []time.Duration{0, window - time.Millisecond, window, window + time.Millisecond, window + 50*time.Millisecond} {
 		g.Write(try(n+2, after))
-		if a := g.Answer(uint16(n + 2)); a.Status != 200 || string(a.Body) != "result" {
+		if a := g.WaitResponse(uint16(n + 2)); a.Status != 200 || string(a.Body) != "result" {
 			t.Errorf("%v after the first: %+v", after, a)
 		}
 	}
-	if runs := it.Applied(); len(runs) != 1 {
+	if runs := it.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -477,27 +477,27 @@
 // have its result, and nothing is run again.
 func TestCrossDrainRepeat(t *testing.T) {
 	told := testTold(t)
-	told.Module.DrainGrace = 500 * time.Millisecond
+	told.Admission.DrainGracePeriod = 500 * time.Millisecond
 	s, it := runAt(t, told)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	g.Write(fake.Reserve(1, "x").Records(1))
-	id := it.WaitApplied(1)[0].ID
+	g.Write(fake.NewReserve(1, "x").Encode(1))
+	id := it.WaitRuns(1)[0].ID
 	do(s, func() {
 		s.drain()
-		g.Write(fake.Reserve(1, "x").Records(2))
+		g.Write(fake.NewReserve(1, "x").Encode(2))
 	})
 	nextRound(s)
-	it.End(id, "OK", []byte("result"))
+	it.EndRun(id, "OK", []byte("result"))
 	for try := range uint16(2) {
-		if a := g.Answer(try + 1); a.Status != 200 || string(a.Body) != "result" {
+		if a := g.WaitResponse(try + 1); a.Status != 200 || string(a.Body) != "result" {
 			t.Errorf("try %d: %+v", try+1, a)
 		}
 	}
-	g.Write(fake.Reserve(1, "x").Records(3))
-	if a := g.Answer(3); a.Status != 200 || string(a.Body) != "result" {
+	g.Write(fake.NewReserve(1, "x").Encode(3))
+	if a := g.WaitResponse(3); a.Status != 200 || string(a.Body) != "result" {
 		t.Errorf("a try after the end: %+v", a)
 	}
-	if runs := it.Applied(); len(runs) != 1 {
+	if runs := it.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
@@ -509,34 +509,34 @@
 	for _, reads := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reads %t", reads), func(t *testing.T) {
 			s, it := run(t)
-			it.Prompt()
+			it.FinishImmediately()
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			g.Conn().(*net.TCPConn).SetReadBuffer(4 << 10)
 			body := bytes.Repeat([]byte("x"), 2000)
 			sent := 0
-			servertest.Wait(t, "a full buffer", func() (full bool) {
-				for range maxOpen / 2 {
+			servertest.WaitFor(t, "a full buffer", func() (full bool) {
+				for range maxOpenRequests / 2 {
 					sent++
-					g.Write(fake.Lookup(string(body)).Records(uint16(sent)))
+					g.Write(fake.NewLookup(string(body)).Encode(uint16(sent)))
 				}
 				nextRound(s)
 				do(s, func() {
 					for c := range s.connections() {
-						full = full || c.conn.Unsent() > 0
+						full = full || c.conn.UnsentBytes() > 0
 					}
 				})
 				return full
 			})
 			do(s, func() {
 				s.drain()
-				s.leave()
+				s.stopListening()
 			})
 			if !reads {
 				return
 			}
 			answers := 0
-			a, err := g.TryAnswer(0)
-			for ; err == nil; a, err = g.TryAnswer(0) {
+			a, err := g.TryResponse(0)
+			for ; err == nil; a, err = g.TryResponse(0) {
 				if a.Status != 200 && a.Status != 503 {
 					t.Errorf("answer %+v", a)
 				}
