--- a/server/drain.go
+++ b/server/drain.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// drainPace is the time between two looks at whether a drained server can go.
-	drainPace = 10 * time.Millisecond
+	// drainPollInterval is the time between two looks at whether a drained server can go.
+	drainPollInterval = 10 * time.Millisecond
 	// stopMargin is how long before it would be killed a server goes at the latest.
 	stopMargin = 100 * time.Millisecond
 )
@@ -18,55 +18,55 @@
 // drain starts the leave. Arrivals are still taken in for the grace in which they may run; then the listener
 // closes, idle connections go, and the server stops when none is left.
 func (s *Server) drain() {
-	if s.draining {
+	if s.isDraining {
 		return
 	}
-	s.draining = true
-	s.log.Info("draining", zap.Duration("stop", s.cfg.Stop), zap.Int("open", len(s.tries)))
-	s.remark("SIGTERM: %d open, %v until the end", len(s.tries), s.cfg.Stop)
-	s.tell(false)
-	margin := max(stopMargin, s.cfg.Stop/32)
+	s.isDraining = true
+	s.log.Info("draining", zap.Duration("stop", s.cfg.StopTimeout), zap.Int("open", len(s.attempts)))
+	s.annotateCapture("SIGTERM: %d open, %v until the end", len(s.attempts), s.cfg.StopTimeout)
+	s.sendLoadReport(false)
+	margin := max(stopMargin, s.cfg.StopTimeout/32)
 	if s.module == nil { // nothing was taken in
-		s.leave()
-		s.part()
+		s.stopListening()
+		s.closeConnsAfterSend()
 	} else {
-		s.module.Drain(s.event(), s.cfg.Stop)
-		s.loop.After(min(s.told.Module.DrainGrace, s.cfg.Stop-2*margin), s.leave)
+		s.module.Drain(s.moduleTime(), s.cfg.StopTimeout)
+		s.loop.AfterFunc(min(s.told.Admission.DrainGracePeriod, s.cfg.StopTimeout-2*margin), s.stopListening)
 	}
-	s.loop.After(s.cfg.Stop-margin, s.stop)
+	s.loop.AfterFunc(s.cfg.StopTimeout-margin, s.stopNow)
 }
 
-// leave stops listening: what comes now would not be run, and a caller that is not let in knows that nothing
+// stopListening stops listening: what comes now would not be run, and a caller that is not let in knows that nothing
 // ran. It then waits for the connections to go.
-func (s *Server) leave() {
+func (s *Server) stopListening() {
 	s.listener.Close()
-	s.waitIdle()
+	s.stopWhenDrained()
 }
 
-// waitIdle stops the loop when no connection is left.
-func (s *Server) waitIdle() {
-	if s.gateways.Len() == 0 {
+// stopWhenDrained stops the loop when no connection is left.
+func (s *Server) stopWhenDrained() {
+	if s.conns.Len() == 0 {
 		s.loop.Stop()
 		return
 	}
-	s.loop.After(drainPace, s.waitIdle)
+	s.loop.AfterFunc(drainPollInterval, s.stopWhenDrained)
 }
 
-// part ends this side of all connections, once what they are owed is sent.
-func (s *Server) part() {
+// closeConnsAfterSend ends this side of all connections, once what they are owed is sent.
+func (s *Server) closeConnsAfterSend() {
 	for g := range s.connections() {
-		if !g.conn.Closing() {
-			g.finish()
+		if !g.conn.IsClosing() {
+			g.closeAfterSend()
 		}
 	}
 }
 
-// stop answers whatever is left, which the module should not have let come to this, and ends the loop once all
+// stopNow answers whatever is left, which the module should not have let come to this, and ends the loop once all
 // is sent and the connections have ended on the other side, too: a process that exits over unread bytes resets them.
-func (s *Server) stop() {
-	for _, t := range sorted(s.tries) {
-		s.answer(t, gateway.Answer{Status: statusFailed})
+func (s *Server) stopNow() {
+	for _, t := range inArrivalOrder(s.attempts) {
+		s.answer(t, gateway.Response{Status: statusInternalError})
 	}
-	s.part()
-	s.loop.After(stopMargin/2, s.loop.Stop)
+	s.closeConnsAfterSend()
+	s.loop.AfterFunc(stopMargin/2, s.loop.Stop)
 }
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -13,26 +13,26 @@
 
 // gatewayConn is one connection of a gateway.
 type gatewayConn struct {
-	server  *Server
-	place   *list.Element // among the server's connections
-	conn    *eventloop.Conn
-	session gateway.Session
-	tries   map[gateway.Stream]*try
-	smokes  map[gateway.Stream]bool // deep health checks under way
-	since   time.Time               // when what has not come whole was begun; zero = nothing
-	sound   uint64                  // requests that came whole and made sense
+	server          *Server
+	element         *list.Element // among the server's connections
+	conn            *eventloop.Conn
+	session         gateway.Session
+	attempts        map[gateway.StreamID]*attempt
+	healthChecks    map[gateway.StreamID]bool // deep health checks under way
+	incompleteSince time.Time                 // when what has not come whole was begun; zero = nothing
+	validRequests   uint64                    // requests that came whole and made sense
 }
 
 // accept takes in a new connection, while descriptors are left for everything else.
 func (s *Server) accept(c *eventloop.Conn) eventloop.ConnHandler {
-	if s.gateways.Len() >= s.cfg.Limits.Sockets-spareSockets && !s.makeRoom() {
-		s.count.turnedAway++
+	if s.conns.Len() >= s.cfg.Limits.Sockets-reservedSockets && !s.evictConn() {
+		s.counters.connsRejected++
 		return nil
 	}
-	s.count.accepted++
-	g := &gatewayConn{server: s, conn: c, tries: map[gateway.Stream]*try{}, smokes: map[gateway.Stream]bool{}, since: s.loop.Now()}
+	s.counters.accepted++
+	g := &gatewayConn{server: s, conn: c, attempts: map[gateway.StreamID]*attempt{}, healthChecks: map[gateway.StreamID]bool{}, incompleteSince: s.loop.Now()}
 	g.session = s.protocol(c, g)
-	g.place = s.gateways.PushBack(g)
+	g.element = s.conns.PushBack(g)
 	return g
 }
 
@@ -40,7 +40,7 @@
 // rehearsal could not be played again. The one that is handed on may end meanwhile.
 func (s *Server) connections() iter.Seq[*gatewayConn] {
 	return func(yield func(*gatewayConn) bool) {
-		for e := s.gateways.Front(); e != nil; {
+		for e := s.conns.Front(); e != nil; {
 			g := e.Value.(*gatewayConn)
 			if e = e.Next(); !yield(g) {
 				return
@@ -49,9 +49,9 @@
 	}
 }
 
-// acceptFailed hears of a connection that could not be accepted.
-func (s *Server) acceptFailed(err error) {
-	s.count.acceptErrors++
+// acceptError hears of a connection that could not be accepted.
+func (s *Server) acceptError(err error) {
+	s.counters.acceptErrors++
 	s.log.Warn("accept failed", zap.Error(err))
 }
 
@@ -60,120 +60,120 @@
 
 // Data implements loop.ConnHandler.
 func (g *gatewayConn) Data(_ *eventloop.Conn, p []byte) {
-	sound := g.sound
+	sound := g.validRequests
 	if g.session.Feed(p) != nil {
-		g.server.count.broken++
-		g.finish()
+		g.server.counters.protocolErrors++
+		g.closeAfterSend()
 		return
 	}
 	switch {
-	case g.sound > 0 && !g.session.Unfinished():
-		g.since = time.Time{}
-	case g.since.IsZero() || g.sound != sound:
-		g.since = g.server.loop.Now()
+	case g.validRequests > 0 && !g.session.HasPartialInput():
+		g.incompleteSince = time.Time{}
+	case g.incompleteSince.IsZero() || g.validRequests != sound:
+		g.incompleteSince = g.server.loop.Now()
 	}
-	g.closeFinished()
+	g.closeIfFinished()
 }
 
-// finish ends a connection from which nothing can be expected; answers that are on their way still go out.
-func (g *gatewayConn) finish() {
-	g.giveUp()
-	g.conn.CloseSent()
+// closeAfterSend ends a connection from which nothing can be expected; answers that are on their way still go out.
+func (g *gatewayConn) closeAfterSend() {
+	g.abandonRequests()
+	g.conn.CloseAfterFlush()
 }
 
 // close ends a connection now.
 func (g *gatewayConn) close() {
 	g.conn.Close()
-	g.end()
+	g.remove()
 }
 
-// closeFinished closes a connection that the gateway did not want kept, once its answer is sent.
-func (g *gatewayConn) closeFinished() {
-	if g.session.Finished() {
-		g.conn.CloseSent()
+// closeIfFinished closes a connection that the gateway did not want kept, once its answer is sent.
+func (g *gatewayConn) closeIfFinished() {
+	if g.session.ShouldClose() {
+		g.conn.CloseAfterFlush()
 	}
 }
 
 // Closed implements loop.ConnHandler.
-func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.end() }
+func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.remove() }
 
-// end forgets a connection that is gone.
-func (g *gatewayConn) end() {
-	g.server.gateways.Remove(g.place)
-	g.giveUp()
+// remove forgets a connection that is gone.
+func (g *gatewayConn) remove() {
+	g.server.conns.Remove(g.element)
+	g.abandonRequests()
 }
 
-// giveUp forgets the requests of a connection: nobody waits for them any more.
-func (g *gatewayConn) giveUp() {
+// abandonRequests forgets the requests of a connection: nobody waits for them any more.
+func (g *gatewayConn) abandonRequests() {
 	s := g.server
 	g.session.Close()
-	for _, t := range sorted(g.tries) {
-		if t.answered {
+	for _, t := range inArrivalOrder(g.attempts) {
+		if t.isAnswered {
 			continue // the end of one before it had the module answer it
 		}
-		s.count.lost++
-		t.answered = true
-		now := s.event()
-		s.module.Gone(now, t.id)
-		s.drop(t)
+		s.counters.requestsLost++
+		t.isAnswered = true
+		now := s.moduleTime()
+		s.module.Cancel(now, t.id)
+		s.forget(t)
 	}
-	clear(g.tries)
-	clear(g.smokes)
+	clear(g.attempts)
+	clear(g.healthChecks)
 }
 
 // Request implements front.Handler.
-func (g *gatewayConn) Request(_ gateway.Session, id gateway.Stream, r gateway.Request) {
-	g.server.request(g, id, r)
+func (g *gatewayConn) RequestReceived(_ gateway.Session, id gateway.StreamID, r gateway.Request) {
+	g.server.handleRequest(g, id, r)
 }
 
 // Aborted implements front.Handler: the gateway wants no answer, but the protocol owes it an end.
-func (g *gatewayConn) Aborted(_ gateway.Session, id gateway.Stream) {
+func (g *gatewayConn) RequestAborted(_ gateway.Session, id gateway.StreamID) {
 	s := g.server
-	s.count.aborted++
-	if g.smokes[id] {
-		delete(g.smokes, id)
-		g.answer(id, gateway.Answer{Status: statusFailed})
+	s.counters.aborted++
+	if g.healthChecks[id] {
+		delete(g.healthChecks, id)
+		g.sendAnswer(id, gateway.Response{Status: statusInternalError})
 		return
 	}
-	t := g.tries[id]
+	t := g.attempts[id]
 	if t == nil {
 		return
 	}
-	s.answer(t, gateway.Answer{Status: statusFailed})
-	s.module.Gone(s.event(), t.id)
-	s.drop(t)
+	s.answer(t, gateway.Response{Status: statusInternalError})
+	s.module.Cancel(s.moduleTime(), t.id)
+	s.forget(t)
 }
 
 // Flawed implements front.Handler.
-func (g *gatewayConn) Flawed(_ gateway.Session, id gateway.Stream, f gateway.Flaw) {
-	g.Rejected(f)
-	a := gateway.Answer{Status: statusInvalid, Overloaded: f == gateway.TooMany}
+func (g *gatewayConn) RequestInvalid(_ gateway.Session, id gateway.StreamID, f gateway.RejectReason) {
+	g.RequestRejected(f)
+	a := gateway.Response{Status: statusBadRequest, Overloaded: f == gateway.TooManyRequests}
 	if f == gateway.TooLarge {
 		a.Status = statusTooLarge
 	}
-	g.answer(id, a)
+	g.sendAnswer(id, a)
 }
 
 // Rejected implements front.Handler.
-func (g *gatewayConn) Rejected(f gateway.Flaw) {
-	c := &g.server.count
+func (g *gatewayConn) RequestRejected(f gateway.RejectReason) {
+	c := &g.server.counters
 	switch f {
 	case gateway.TooLarge:
 		c.tooLarge++
-	case gateway.TooMany:
+	case gateway.TooManyRequests:
 		c.tooMany++
-	case gateway.BadRole:
+	case gateway.UnsupportedRole:
 		c.badRole++
 	default:
 		c.malformed++
 	}
 }
 
-// answer sends an answer with the value that callers read.
-func (g *gatewayConn) answer(id gateway.Stream, a gateway.Answer) {
-	if hint := g.server.hint; hint != "" && !a.Overloaded {
-		a.Fields = append(a.Fields, gateway.Field{Name: "Server-Hint", Value: hint})
+// sendAnswer sends an answer with the value that callers read.
+func (g *gatewayConn) sendAnswer(id gateway.StreamID, a gateway.Response) {
+	if hint := g.server.advertisedLoad; hint != "" && !a.Overloaded {
+		a.Headers = append(a.Headers, gateway.Field{Name: "Server-Hint", Value: hint})
 	}
-	g.session.Answer(id, a)
-	g.closeFinished()
+	g.session.Respond(id, a)
+	g.closeIfFinished()
 }
--- a/server/guard_test.go
+++ b/server/guard_test.go
@@ -13,14 +13,14 @@
 )
 
 // quiet is a session that notes what it is told to answer.
-type quiet struct{ answers []gateway.Answer }
+type quiet struct{ answers []gateway.Response }
 
-func (q *quiet) Feed([]byte) error                         { return nil }
-func (q *quiet) Answer(_ gateway.Stream, a gateway.Answer) { q.answers = append(q.answers, a) }
-func (q *quiet) Open() int                                 { return 0 }
-func (q *quiet) Close()                                    {}
-func (q *quiet) Finished() bool                            { return false }
-func (q *quiet) Unfinished() bool                          { return false }
+func (q *quiet) Feed([]byte) error                              { return nil }
+func (q *quiet) Respond(_ gateway.StreamID, a gateway.Response) { q.answers = append(q.answers, a) }
+func (q *quiet) OpenRequests() int                              { return 0 }
+func (q *quiet) Close()                                         {}
+func (q *quiet) ShouldClose() bool                              { return false }
+func (q *quiet) HasPartialInput() bool                          { return false }
 
 // guarded is a server without sockets that has taken in keyed tries of one request.
 func guarded(t *testing.T, tries int) (actions, *quiet) {
@@ -32,15 +32,15 @@
 	t.Cleanup(l.Close)
 	session := &quiet{}
 	told := testTold(t)
-	s := &Server{log: zap.NewNop(), loop: l, clock: newClock(l.Now()), told: told, keys: newKeyTable(1<<20, 0),
-		classCounts: make([]classCounters, len(told.Classes)),
-		tries:       map[admission.RequestID]*try{}, byWire: map[string]*try{}}
-	s.link = interpreterBackend{&interpreter.Dialer{Link: interpreter.NewLink(s)}, s.told}
-	g := &gatewayConn{server: s, session: session, tries: map[gateway.Stream]*try{}}
+	s := &Server{log: zap.NewNop(), loop: l, clock: newClock(l.Now()), told: told, keys: newIdempotencyTable(1<<20, 0),
+		classCounts: make([]classCounters, len(told.ClassNames)),
+		attempts:    map[admission.RequestID]*attempt{}, byRequestID: map[string]*attempt{}}
+	s.backend = interpreterBackend{&interpreter.Client{Link: interpreter.NewLink(s)}, s.told}
+	g := &gatewayConn{server: s, session: session, attempts: map[gateway.StreamID]*attempt{}}
 	for i := range tries {
 		r := keyedTry(i+1, "k", time.Duration(i)*time.Second)
-		r.from, r.stream, r.wire = g, gateway.Stream(i+1), string(rune('a'+i))
-		s.tries[r.id], s.byWire[r.wire], g.tries[r.stream] = r, r, r
+		r.conn, r.stream, r.requestID = g, gateway.StreamID(i+1), string(rune('a'+i))
+		s.attempts[r.id], s.byRequestID[r.requestID], g.attempts[r.stream] = r, r, r
 	}
 	return actions{s}, session
 }
@@ -50,11 +50,11 @@
 	a, session := guarded(t, 2)
 	a.Run(1)
 	a.Run(2)
-	if a.link.Runs() != 1 || a.count.ranTwice != 1 || len(session.answers) != 1 || session.answers[0].Status != statusFailed {
-		t.Errorf("%d runs, answers %+v", a.link.Runs(), session.answers)
+	if a.backend.OpenRuns() != 1 || a.counters.secondRunsPrevented != 1 || len(session.answers) != 1 || session.answers[0].Status != statusInternalError {
+		t.Errorf("%d runs, answers %+v", a.backend.OpenRuns(), session.answers)
 	}
 	a.Run(1) // it runs already
-	if a.link.Runs() != 1 || a.count.ranTwice != 1 {
+	if a.backend.OpenRuns() != 1 || a.counters.secondRunsPrevented != 1 {
 		t.Error("a second command to run the same try had an effect")
 	}
 }
@@ -62,19 +62,19 @@
 // TestRefusalAfterRunPrevented has decisions to refuse a try that runs, and a further try of its request.
 func TestRefusalAfterRunPrevented(t *testing.T) {
 	a, session := guarded(t, 3)
-	a.Refuse(3, time.Second, false)
+	a.Reject(3, time.Second, false)
 	a.Run(1)
-	a.Refuse(2, time.Second, false)
-	a.Refuse(1, time.Second, false)
+	a.Reject(2, time.Second, false)
+	a.Reject(1, time.Second, false)
 	var got []int
 	for _, answer := range session.answers {
 		got = append(got, answer.Status)
 	}
-	if len(got) != 3 || got[0] != statusRefused || got[1] != statusFailed || got[2] != statusFailed || a.count.refusedRan != 2 {
+	if len(got) != 3 || got[0] != statusUnavailable || got[1] != statusInternalError || got[2] != statusInternalError || a.counters.rejectionsPrevented != 2 {
 		t.Errorf("answers %v", got)
 	}
 	a.Fail(1)
-	a.Refuse(3, 0, false)
+	a.Reject(3, 0, false)
 	if len(session.answers) != 3 {
 		t.Error("a request was answered twice")
 	}
--- a/server/health.go
+++ b/server/health.go
@@ -10,59 +10,59 @@
 // healthPath is where health checks arrive.
 const healthPath = "/healthz"
 
-// check answers a health check: from the module's setting, or, where the gateway asks whether work gets done
+// checkHealth answers a health check: from the module's setting, or, where the gateway asks whether work gets done
 // and the setting alone may not answer, by the outcome of a deep check.
-func (s *Server) check(g *gatewayConn, id gateway.Stream, r gateway.Request) {
-	s.count.checks++
-	g.sound++
+func (s *Server) checkHealth(g *gatewayConn, id gateway.StreamID, r gateway.Request) {
+	s.counters.healthChecks++
+	g.validRequests++
 	query, _ := url.ParseQuery(r.Query) // what is not understood asks for nothing
-	if query.Get("full") != "1" || s.fromStore || !s.healthy {
-		s.checked(g, id, s.healthy)
+	if query.Get("full") != "1" || s.healthFromStore || !s.isHealthy {
+		s.answerHealthCheck(g, id, s.isHealthy)
 		return
 	}
-	g.smokes[id] = true
-	s.link.Smoke(s.loop.Now(), func(ok bool) {
-		if g.smokes[id] {
-			delete(g.smokes, id)
-			s.checked(g, id, ok && s.healthy)
+	g.healthChecks[id] = true
+	s.backend.CheckHealth(s.loop.Now(), func(ok bool) {
+		if g.healthChecks[id] {
+			delete(g.healthChecks, id)
+			s.answerHealthCheck(g, id, ok && s.isHealthy)
 		}
 	})
 }
 
-// checked sends the outcome of a health check.
-func (s *Server) checked(g *gatewayConn, id gateway.Stream, good bool) {
-	status := statusServed
+// answerHealthCheck sends the outcome of a health check.
+func (s *Server) answerHealthCheck(g *gatewayConn, id gateway.StreamID, good bool) {
+	status := statusOK
 	if !good {
-		s.count.checksBad++
-		status = statusRefused
+		s.counters.healthChecksFailed++
+		status = statusUnavailable
 	}
-	g.answer(id, gateway.Answer{Status: status})
+	g.sendAnswer(id, gateway.Response{Status: status})
 }
 
 const (
-	// listedFor is how long after its last report a server leaves the list.
-	listedFor = 3 * time.Second
-	// announcePace sends many reports in that time: they are datagrams, and where a quarter is lost, three in a
+	// endpointExpiry is how long after its last report a server leaves the list.
+	endpointExpiry = 3 * time.Second
+	// loadReportInterval sends many reports in that time: they are datagrams, and where a quarter is lost, three in a
 	// row often are.
-	announcePace = 250 * time.Millisecond
+	loadReportInterval = 250 * time.Millisecond
 )
 
-// announce reports that this server takes requests, until it drains.
-func (s *Server) announce() {
-	if s.draining {
+// reportLoad reports that this server takes requests, until it drains.
+func (s *Server) reportLoad() {
+	if s.isDraining {
 		return
 	}
-	s.tell(true)
-	s.loop.After(announcePace, s.announce)
+	s.sendLoadReport(true)
+	s.loop.AfterFunc(loadReportInterval, s.reportLoad)
 }
 
-// tell sends one report.
-func (s *Server) tell(accepting bool) {
+// sendLoadReport sends one report.
+func (s *Server) sendLoadReport(accepting bool) {
 	if s.reporter == nil {
 		return
 	}
-	s.count.reports++
+	s.counters.reports++
 	if err := s.reporter.Report(accepting); err != nil {
-		s.count.reportErrors++ // the next report is due soon
+		s.counters.reportErrors++ // the next report is due soon
 	}
 }
--- a/server/hop_test.go
+++ b/server/hop_test.go
@@ -20,15 +20,15 @@
 
 // plainRequest is what a gateway of the usual kind sends for a read.
 func plainRequest(id uint16) []byte {
-	b := fake.BeginRecord(id, 1, true)
+	b := fake.EncodeBeginRequest(id, 1, true)
 	var params []byte
 	for _, p := range [][2]string{{"REQUEST_METHOD", "GET"}, {"SCRIPT_NAME", "/p"}, {"REQUEST_URI", "/p"},
 		{"SERVER_PROTOCOL", "HTTP/1.1"}, {"HTTP_HOST", "x"}, {"REMOTE_ADDR", "127.0.0.1"}} {
-		params = append(params, fake.Pair(p[0], p[1], false)...)
+		params = append(params, fake.EncodePair(p[0], p[1], false)...)
 	}
-	b = append(b, fake.Record(fake.Params, id, params, 0)...)
-	b = append(b, fake.Record(fake.Params, id, nil, 0)...)
-	return append(b, fake.Record(fake.Stdin, id, nil, 0)...)
+	b = append(b, fake.EncodeRecord(fake.Params, id, params, 0)...)
+	b = append(b, fake.EncodeRecord(fake.Params, id, nil, 0)...)
+	return append(b, fake.EncodeRecord(fake.Stdin, id, nil, 0)...)
 }
 
 // BenchmarkHop sets requests straight to a responder of net/http/fcgi that does nothing beside those that come there
@@ -76,7 +76,7 @@
 					b.Error("not sent")
 					return
 				}
-				if a, err := g.Read(1, begun.Add(time.Minute)); err != nil || a.Status != 200 {
+				if a, err := g.ReadResponse(1, begun.Add(time.Minute)); err != nil || a.Status != 200 {
 					b.Errorf("%v, %+v", err, a)
 					return
 				}
@@ -118,8 +118,8 @@
 				c.Write(plainRequest(uint16(id + 1)))
 			}
 		}
-		servertest.Wait(b, "all requests at members", func() (all bool) {
-			do(s, func() { all = s.link.Runs() == gateways*streams })
+		servertest.WaitFor(b, "all requests at members", func() (all bool) {
+			do(s, func() { all = s.backend.OpenRuns() == gateways*streams })
 			return all
 		})
 		b.ReportMetric(float64(heap()-before)/(gateways*streams), "B/open")
--- a/server/journal_test.go
+++ b/server/journal_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func (k *keeper) Each(prefix string, visit func(name, value []byte) error) error {
+func (k *keeper) ForEach(prefix string, visit func(name, value []byte) error) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name, value := range k.records {
@@ -88,10 +88,10 @@
 	return k.records[name], nil
 }
 
-func (k *keeper) Secret() []byte                  { return []byte("secret") }
-func (k *keeper) Machine() string                 { return "m" }
-func (k *keeper) Counts() idempotency.StoreCounts { return idempotency.StoreCounts{} }
-func (k *keeper) Compact() (int64, error)         { return 0, nil }
+func (k *keeper) Secret() []byte                { return []byte("secret") }
+func (k *keeper) Machine() string               { return "m" }
+func (k *keeper) Stats() idempotency.StoreStats { return idempotency.StoreStats{} }
+func (k *keeper) Compact() (int64, error)       { return 0, nil }
 func (k *keeper) Close() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -104,7 +104,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name, value := range k.records {
-		if e, err := idempotency.Decode(name, value); err == nil && e.State == state {
+		if e, err := idempotency.DecodeEntry(name, value); err == nil && e.State == state {
 			return true
 		}
 	}
@@ -116,13 +116,13 @@
 	t.Helper()
 	it := servertest.NewInterpreter(t)
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)), Interpreter: netip.MustParseAddrPort(it.Addr()),
-		Announce: netip.MustParseAddrPort("127.0.0.1:9"), Stop: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64},
+		LoadReports: netip.MustParseAddrPort("127.0.0.1:9"), StopTimeout: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64},
 		Settings: testTold(t)}
 	s, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Persist(k, limits); err != nil {
+	if err := s.EnableDurableResults(k, limits); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { // behind the drain
@@ -132,65 +132,65 @@
 	})
 	serveFor(t, s)
 	g := servertest.Dial(t, cfg.Listen.String())
-	servertest.Wait(t, "a healthy server", func() bool { return check(g, false) == 200 })
+	servertest.WaitFor(t, "a healthy server", func() bool { return check(g, false) == 200 })
 	return s, it, g
 }
 
-var roomy = idempotency.Limits{Entries: 100, Bytes: 1 << 20}
+var roomy = idempotency.Limits{MaxKeys: 100, MaxBytes: 1 << 20}
 
 // TestSlowDisk has a disk that stands still hold up keyed runs and nothing else: no run is asked for before its intent is
 // down, and lookups are served meanwhile.
 func TestSlowDisk(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}, held: true}
 	_, it, g := keepServer(t, k, roomy)
-	it.Prompt()
-	g.Write(fake.Reserve(1, "b").Records(1))
+	it.FinishImmediately()
+	g.Write(fake.NewReserve(1, "b").Encode(1))
 	for i := range 20 {
-		g.Write(fake.Lookup("x").Records(2))
-		if a := g.Answer(2); a.Status != 200 {
+		g.Write(fake.NewLookup("x").Encode(2))
+		if a := g.WaitResponse(2); a.Status != 200 {
 			t.Fatalf("lookup %d: %+v", i, a)
 		}
 	}
-	for _, a := range it.Applied() {
+	for _, a := range it.StartedRuns() {
 		if a.Class == "stock-reserve" {
 			t.Fatal("a keyed run was asked for before its intent was down")
 		}
 	}
 	k.set(false, nil)
-	if a := g.Answer(1); a.Status != 200 || string(a.Body) != "[b]" {
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("answer %+v", a)
 	}
-	servertest.Wait(t, "the result", func() bool { return k.has(idempotency.Done) })
+	servertest.WaitFor(t, "the result", func() bool { return k.has(idempotency.Completed) })
 }
 
 // TestSickDisk has keyed requests refused while writes fail, lookups served, and keyed ones taken again once it is well.
 func TestSickDisk(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}, fails: errors.New("no space left on device")}
 	s, it, g := keepServer(t, k, roomy)
-	it.Prompt()
-	ask := func(number int) fake.Answer {
-		g.Write(fake.Reserve(number, "b").Records(1))
-		return g.Answer(1)
+	it.FinishImmediately()
+	ask := func(number int) fake.Response {
+		g.Write(fake.NewReserve(number, "b").Encode(1))
+		return g.WaitResponse(1)
 	}
 	for n := range 5 {
 		if a := ask(n); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 			t.Errorf("keyed request %d with a failing disk: %+v", n, a)
 		}
-		g.Write(fake.Lookup("x").Records(2))
-		if a := g.Answer(2); a.Status != 200 {
+		g.Write(fake.NewLookup("x").Encode(2))
+		if a := g.WaitResponse(2); a.Status != 200 {
 			t.Errorf("lookup with a failing disk: %+v", a)
 		}
 	}
-	if n := len(it.Applied()); n != 5 {
+	if n := len(it.StartedRuns()); n != 5 {
 		t.Errorf("%d runs, want the five lookups", n)
 	}
 	k.set(false, nil)
-	servertest.Wait(t, "the disk to be asked again", func() bool { return ask(0).Status == 200 })
+	servertest.WaitFor(t, "the disk to be asked again", func() bool { return ask(0).Status == 200 })
 	if a := ask(0); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("a repeat: %+v", a)
 	}
 	var unprotected uint64
-	do(s, func() { unprotected = s.journal.(*journal).unprotected })
+	do(s, func() { unprotected = s.durable.(*durableResults).unprotected })
 	if unprotected < 5 {
 		t.Errorf("%d turned away are counted", unprotected)
 	}
@@ -199,19 +199,19 @@
 // TestNoRoomForKeys has keyed requests beyond the bound refused, not run without protection, and repeats answered.
 func TestNoRoomForKeys(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}}
-	_, it, g := keepServer(t, k, idempotency.Limits{Entries: 3, Bytes: 1 << 20})
-	it.Prompt()
+	_, it, g := keepServer(t, k, idempotency.Limits{MaxKeys: 3, MaxBytes: 1 << 20})
+	it.FinishImmediately()
 	statuses := map[int]int{}
 	for n := range 6 {
-		g.Write(fake.Reserve(n, "b").Records(1))
-		statuses[g.Answer(1).Status]++
+		g.Write(fake.NewReserve(n, "b").Encode(1))
+		statuses[g.WaitResponse(1).Status]++
 	}
 	if statuses[200] != 3 || statuses[503] != 3 {
 		t.Errorf("statuses %v", statuses)
 	}
-	g.Write(fake.Reserve(0, "b").Records(1))
-	if a := g.Answer(1); a.Status != 200 || len(it.Applied()) != 3 {
-		t.Errorf("a repeat at the bound: %+v, %d runs", a, len(it.Applied()))
+	g.Write(fake.NewReserve(0, "b").Encode(1))
+	if a := g.WaitResponse(1); a.Status != 200 || len(it.StartedRuns()) != 3 {
+		t.Errorf("a repeat at the bound: %+v, %d runs", a, len(it.StartedRuns()))
 	}
 }
 
@@ -219,13 +219,13 @@
 func TestDrainWithIntents(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}, held: true}
 	s, it, g := keepServer(t, k, roomy)
-	g.Write(fake.Reserve(1, "b").Records(1))
-	servertest.Wait(t, "the intent", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return len(k.waiting) == 1 })
+	g.Write(fake.NewReserve(1, "b").Encode(1))
+	servertest.WaitFor(t, "the intent", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return len(k.waiting) == 1 })
 	s.Drain()
-	if a := g.Answer(1); a.Status == 200 {
+	if a := g.WaitResponse(1); a.Status == 200 {
 		t.Errorf("answer %+v without a run", a)
 	}
-	if n := len(it.Applied()); n != 0 {
+	if n := len(it.StartedRuns()); n != 0 {
 		t.Errorf("%d runs", n)
 	}
 }
@@ -235,20 +235,20 @@
 	k := &keeper{records: map[string][]byte{}}
 	t.Run("before", func(t *testing.T) {
 		_, it, g := keepServer(t, k, roomy)
-		it.Prompt()
-		g.Write(fake.Reserve(1, "b").Records(1))
-		g.Answer(1)
-		servertest.Wait(t, "the result", func() bool { return k.has(idempotency.Done) })
+		it.FinishImmediately()
+		g.Write(fake.NewReserve(1, "b").Encode(1))
+		g.WaitResponse(1)
+		servertest.WaitFor(t, "the result", func() bool { return k.has(idempotency.Completed) })
 	})
 	k.closed = false
 	_, it, g := keepServer(t, k, roomy)
 	for body, want := range map[string]int{"b": 200, "other": 400} {
-		g.Write(fake.Reserve(1, body).Records(1))
-		if a := g.Answer(1); a.Status != want {
+		g.Write(fake.NewReserve(1, body).Encode(1))
+		if a := g.WaitResponse(1); a.Status != want {
 			t.Errorf("body %s: %+v, want %d", body, a, want)
 		}
 	}
-	if n := len(it.Applied()); n != 0 {
+	if n := len(it.StartedRuns()); n != 0 {
 		t.Errorf("%d runs", n)
 	}
 }
--- a/server/keys.go
+++ b/server/keys.go
@@ -7,206 +7,206 @@
 	"tillerusher/internal/gateway"
 )
 
-// keyID names an entry: tries of one request agree in both.
-type keyID struct {
+// idempotencyKey names an entry: tries of one request agree in both.
+type idempotencyKey struct {
 	class int
 	key   string
 }
 
-// entry is what is remembered under a key.
-type entry struct {
-	holder   *try          // the try that the module keeps, or nil
-	until    time.Duration // the module keeps it for arrivals until then
-	ran      *try          // the try that was run, or nil
-	ranUntil time.Time     // arrivals until then, by the Unix clock, must not be run again
-	// before is the run that the one above came after, and beforeUntil its ranUntil: where the later one comes to nothing,
+// keyEntry is what is remembered under a key.
+type keyEntry struct {
+	holder       *attempt      // the try that the module keeps, or nil
+	holdUntil    time.Duration // the module keeps it for arrivals until then
+	lastRun      *attempt      // the try that was run, or nil
+	lastRunUntil time.Time     // arrivals until then, by the Unix clock, must not be run again
+	// previousRun is the run that the one above came after, and previousRunUntil its lastRunUntil: where the later one comes to nothing,
 	// tries of the earlier one may still come.
-	before      *try
-	beforeUntil time.Time
+	previousRun      *attempt
+	previousRunUntil time.Time
 }
 
-// stored is a result that is kept for repeats, in the order of keeping.
-type stored struct {
-	t    *try
-	size int
+// hasResult is a result that is kept for repeats, in the order of keeping.
+type storedResult struct {
+	attempt *attempt
+	size    int
 }
 
-// keyTable remembers tries by key and class, and the results of those that were run. Entries are as many as
+// idempotencyTable remembers tries by key and class, and the results of those that were run. Entries are as many as
 // the module keeps; the memory of results has a limit of its own, past which the oldest are given up: their
 // repeats then fail, which is no second run.
-type keyTable struct {
-	entries map[keyID]*entry
-	holders map[admission.RequestID]*try // the tries that hold an entry, answered or not
-	results []stored
-	bytes   int // of the results kept
-	limit   int
-	dropped uint64
-	fresh   time.Duration // how long after its end the answer to a read may serve others
+type idempotencyTable struct {
+	entries        map[idempotencyKey]*keyEntry
+	holders        map[admission.RequestID]*attempt // the tries that hold an entry, answered or not
+	results        []storedResult
+	resultBytes    int // values the results kept
+	maxResultBytes int
+	evicted        uint64
+	freshness      time.Duration // how long after its end the answer to a read may serve others
 }
 
-// newKeyTable returns an empty table that keeps results of so many bytes, and those of reads for so long.
-func newKeyTable(limit int, fresh time.Duration) keyTable {
-	return keyTable{entries: map[keyID]*entry{}, holders: map[admission.RequestID]*try{}, limit: limit, fresh: fresh}
+// newIdempotencyTable returns an empty table that keeps results of so many bytes, and those of reads for so long.
+func newIdempotencyTable(limit int, fresh time.Duration) idempotencyTable {
+	return idempotencyTable{entries: map[idempotencyKey]*keyEntry{}, holders: map[admission.RequestID]*attempt{}, maxResultBytes: limit, freshness: fresh}
 }
 
-// find returns the try that a new arrival repeats, or nil: the one kept, or, where the module's entry ran out
+// findOriginal returns the try that a new arrival repeats, or nil: the one kept, or, where the module's entry ran out
 // since the arrival, the one that was run. A read takes its answer from another that is under way, or that ended
 // well no longer ago than answers stay fresh.
-func (k *keyTable) find(t *try, now time.Duration) *try {
+func (k *idempotencyTable) findOriginal(t *attempt, now time.Duration) *attempt {
 	e := k.entries[t.key]
 	switch {
 	case e == nil:
 		return nil
-	case e.holder != nil && !t.once && (e.holder.state == broken || e.holder.state == done && now-e.holder.ended > k.fresh):
+	case e.holder != nil && !t.atMostOnce && (e.holder.state == runFailed || e.holder.state == runFinished && now-e.holder.finishedAt > k.freshness):
 		return nil
-	case e.holder != nil && t.arrived <= e.until:
+	case e.holder != nil && t.arrivedAt <= e.holdUntil:
 		return e.holder
 	case k.hasRun(t):
-		return e.ran
+		return e.lastRun
 	}
 	return nil
 }
 
-// entry returns the entry of a key, made anew where there is none.
-func (k *keyTable) entry(id keyID) *entry {
+// keyEntry returns the entry of a key, made anew where there is none.
+func (k *idempotencyTable) entryFor(id idempotencyKey) *keyEntry {
 	e := k.entries[id]
 	if e == nil {
-		e = &entry{}
+		e = &keyEntry{}
 		k.entries[id] = e
 	}
 	return e
 }
 
-// keep makes the try the holder of its key.
-func (k *keyTable) keep(t *try, until time.Duration) {
-	e := k.entry(t.key)
-	k.unhold(e)
-	e.holder, e.until = t, until
+// hold makes the try the holder of its key.
+func (k *idempotencyTable) hold(t *attempt, until time.Duration) {
+	e := k.entryFor(t.key)
+	k.clearHolder(e)
+	e.holder, e.holdUntil = t, until
 	k.holders[t.id] = t
 }
 
-// unhold takes an entry from its holder.
-func (k *keyTable) unhold(e *entry) {
+// clearHolder takes an entry from its holder.
+func (k *idempotencyTable) clearHolder(e *keyEntry) {
 	if e.holder != nil {
 		delete(k.holders, e.holder.id)
 		e.holder = nil
 	}
 }
 
-// forget takes the key from its holder; what was run stays known. The holder is known here by itself: a try
+// dropResult takes the key from its holder; what was run stays known. The holder is known here by itself: a try
 // that was turned away is forgotten elsewhere before the module gives up its key, and a key left behind would
 // fail every further try of a request that never ran.
-func (k *keyTable) forget(id admission.RequestID) {
+func (k *idempotencyTable) release(id admission.RequestID) {
 	t := k.holders[id]
 	if t == nil {
 		return
 	}
 	e := k.entries[t.key]
-	k.unhold(e)
-	if e.ran == nil {
+	k.clearHolder(e)
+	if e.lastRun == nil {
 		delete(k.entries, t.key)
 	}
 }
 
 // hasRun tells whether a run stands for the request of a try: it, or another within the window.
-func (k *keyTable) hasRun(t *try) bool {
+func (k *idempotencyTable) hasRun(t *attempt) bool {
 	e := k.entries[t.key]
-	return e != nil && e.ran != nil && !t.stamp.After(e.ranUntil)
+	return e != nil && e.lastRun != nil && !t.receivedAt.After(e.lastRunUntil)
 }
 
 // claim notes that the try is run now. It returns false where another try of the request ran within its
 // window: the rule on single effect stands above any decision.
-func (k *keyTable) claim(t *try, window time.Duration) bool {
-	e := k.entry(t.key)
-	if e.ran != t && k.hasRun(t) {
+func (k *idempotencyTable) claim(t *attempt, window time.Duration) bool {
+	e := k.entryFor(t.key)
+	if e.lastRun != t && k.hasRun(t) {
 		return false
 	}
-	if e.ran != nil && e.ran != t {
-		e.letGo()
-		e.before, e.beforeUntil = e.ran, e.ranUntil
+	if e.lastRun != nil && e.lastRun != t {
+		e.forgetPreviousRun()
+		e.previousRun, e.previousRunUntil = e.lastRun, e.lastRunUntil
 	}
-	e.ran, e.ranUntil = t, t.stamp.Add(window)
+	e.lastRun, e.lastRunUntil = t, t.receivedAt.Add(window)
 	return true
 }
 
-// letGo forgets the run before the last.
-func (e *entry) letGo() {
-	if e.before != nil {
-		e.before.expired, e.before = true, nil
+// forgetPreviousRun forgets the run before the last.
+func (e *keyEntry) forgetPreviousRun() {
+	if e.previousRun != nil {
+		e.previousRun.isExpired, e.previousRun = true, nil
 	}
 }
 
-// recall makes a try of an earlier process known as one that was run.
-func (k *keyTable) recall(t *try, until time.Time) {
-	e := k.entry(t.key)
-	e.ran, e.ranUntil = t, until
+// restoreRun makes a try of an earlier process known as one that was run.
+func (k *idempotencyTable) restoreRun(t *attempt, until time.Time) {
+	e := k.entryFor(t.key)
+	e.lastRun, e.lastRunUntil = t, until
 }
 
-// disclaim takes back that the try was run, which it turned out not to be: its key is as it was before.
-func (k *keyTable) disclaim(t *try) {
-	if e := k.entries[t.key]; e != nil && e.ran == t {
-		e.ran, e.ranUntil, e.before = e.before, e.beforeUntil, nil
-		if e.holder == nil && e.ran == nil {
+// unclaim takes back that the try was run, which it turned out not to be: its key is as it was before.
+func (k *idempotencyTable) unclaim(t *attempt) {
+	if e := k.entries[t.key]; e != nil && e.lastRun == t {
+		e.lastRun, e.lastRunUntil, e.previousRun = e.previousRun, e.previousRunUntil, nil
+		if e.holder == nil && e.lastRun == nil {
 			delete(k.entries, t.key)
 		}
 	}
-	k.forget(t.id)
+	k.release(t.id)
 }
 
-// source is the try whose run answers a repeat.
-func (k *keyTable) source(t *try) *try {
-	if e := k.entries[t.key]; e != nil && e.ran != nil {
-		return e.ran
+// originalOf is the try whose run answers a repeat.
+func (k *idempotencyTable) originalOf(t *attempt) *attempt {
+	if e := k.entries[t.key]; e != nil && e.lastRun != nil {
+		return e.lastRun
 	}
-	return t.repeats
+	return t.retryOf
 }
 
-// store keeps the result of a try that was run and gives up the oldest results over the limit.
-func (k *keyTable) store(t *try, result gateway.Answer) {
-	if e := k.entries[t.key]; e == nil || e.ran != t && e.holder != t {
+// storeResult keeps the result of a try that was run and gives up the oldest results over the limit.
+func (k *idempotencyTable) storeResult(t *attempt, result gateway.Response) {
+	if e := k.entries[t.key]; e == nil || e.lastRun != t && e.holder != t {
 		return
 	}
-	t.result, t.stored = result, true
+	t.result, t.hasResult = result, true
 	size := len(result.Body)
-	for _, f := range result.Fields {
+	for _, f := range result.Headers {
 		size += len(f.Name) + len(f.Value)
 	}
-	k.results = append(k.results, stored{t, size})
-	k.bytes += size
-	for k.bytes > k.limit && len(k.results) > 0 {
-		k.release(k.results[0])
+	k.results = append(k.results, storedResult{t, size})
+	k.resultBytes += size
+	for k.resultBytes > k.maxResultBytes && len(k.results) > 0 {
+		k.dropResult(k.results[0])
 		k.results = k.results[1:]
-		k.dropped++
+		k.evicted++
 	}
 }
 
-// release frees a stored result.
-func (k *keyTable) release(r stored) {
-	r.t.result, r.t.stored = gateway.Answer{}, false
-	k.bytes -= r.size
+// dropResult frees a stored result.
+func (k *idempotencyTable) dropResult(r storedResult) {
+	r.attempt.result, r.attempt.hasResult = gateway.Response{}, false
+	k.resultBytes -= r.size
 }
 
-// sweep forgets entries that no arrival can find any more. A request may lie unread for a while, so entries
+// expire forgets entries that no arrival can find any more. A request may lie unread for a while, so entries
 // outlast their time by the slack.
-func (k *keyTable) sweep(now time.Duration, unix time.Time, slack time.Duration) {
+func (k *idempotencyTable) expire(now time.Duration, unix time.Time, slack time.Duration) {
 	for id, e := range k.entries {
-		if e.holder != nil && now > e.until+slack {
-			k.unhold(e)
+		if e.holder != nil && now > e.holdUntil+slack {
+			k.clearHolder(e)
 		}
-		if e.before != nil && unix.After(e.beforeUntil.Add(slack)) {
-			e.letGo()
+		if e.previousRun != nil && unix.After(e.previousRunUntil.Add(slack)) {
+			e.forgetPreviousRun()
 		}
-		if e.ran != nil && unix.After(e.ranUntil.Add(slack)) {
-			e.ran.expired, e.ran = true, nil
+		if e.lastRun != nil && unix.After(e.lastRunUntil.Add(slack)) {
+			e.lastRun.isExpired, e.lastRun = true, nil
 		}
-		if e.holder == nil && e.ran == nil {
+		if e.holder == nil && e.lastRun == nil {
 			delete(k.entries, id)
 		}
 	}
 	kept := k.results[:0]
 	for _, r := range k.results {
-		if r.t.expired {
-			k.release(r)
+		if r.attempt.isExpired {
+			k.dropResult(r)
 		} else {
 			kept = append(kept, r)
 		}
--- a/server/log.go
+++ b/server/log.go
@@ -9,11 +9,11 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// logQueue is how many lines may wait to be written.
-const logQueue = 1024
+// logQueueLines is how many lines may wait to be written.
+const logQueueLines = 1024
 
-// sameLines is how often a second the same message is logged.
-const sameLines = 10
+// sameMessagePerSecond is how often a second the same message is logged.
+const sameMessagePerSecond = 10
 
 // asyncWriter hands lines to a goroutine of its own, so that a reader of the log that stands still never
 // blocks the loop. Lines that find no room are dropped and counted.
@@ -33,7 +33,7 @@
 	return len(p), nil
 }
 
-// run writes lines until it is stopped, and then those that wait.
+// runAfterIntent writes lines until it is stopped, and then those that wait.
 func (w *asyncWriter) run(to io.Writer) {
 	defer close(w.done)
 	for {
@@ -52,14 +52,14 @@
 // NewLogger returns a logger that never blocks, and a function that writes out what waits and ends it; lines
 // that come later are lost.
 func NewLogger(to io.Writer) (*zap.Logger, func()) {
-	w := &asyncWriter{lines: make(chan []byte, logQueue), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &asyncWriter{lines: make(chan []byte, logQueueLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run(to)
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder.EncodeDuration = zapcore.MillisDurationEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), zapcore.AddSync(w), zap.InfoLevel)
 	// A trouble that repeats is told a few times a second; the counters have it in full.
-	log := zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sameLines, 0))
+	log := zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sameMessagePerSecond, 0))
 	return log, func() {
 		if n := w.dropped.Load(); n > 0 {
 			log.Warn("log lines dropped", zap.Uint64("lines", n))
--- a/server/log_test.go
+++ b/server/log_test.go
@@ -24,7 +24,7 @@
 	log, flush := NewLogger(to)
 	returned := make(chan bool)
 	go func() {
-		for i := range 10 * logQueue {
+		for i := range 10 * logQueueLines {
 			log.Info(strings.Repeat("x", i%100))
 		}
 		flush()
@@ -32,7 +32,7 @@
 	}()
 	select {
 	case <-returned:
-	case <-time.After(servertest.Patience):
+	case <-time.After(servertest.WaitTimeout):
 		t.Fatal("the log blocked")
 	}
 }
--- a/server/main.go
+++ b/server/main.go
@@ -19,37 +19,37 @@
 	"tillerusher/internal/config"
 )
 
-// Main runs one server as a program does: configured by the environment and the arguments, drained by SIGTERM or
+// Serve runs one server as a program does: configured by the environment and the arguments, drained by SIGTERM or
 // SIGINT, its configuration read anew on SIGHUP and its counters logged on SIGUSR1. It returns the exit status: 0
 // after a drain or for help, 1 when serving failed, 2 when it was told what it can't work with.
-func Main(args []string, getenv func(string) string, stderr io.Writer) int {
+func Serve(args []string, getenv func(string) string, stderr io.Writer) int {
 	return serveMain(args, getenv, stderr, nil)
 }
 
-// Folder is where a server keeps what outlasts it.
-type Folder struct {
-	Directory string
-	Server    string
-	Site      string // by which sites can be told apart as far as keyed requests go
-	Waiting   func() // called once where another process uses the folder, which the opening waits for
+// StateDirectory is where a server keeps what outlasts it.
+type StateDirectory struct {
+	Path   string
+	Server string
+	Site   string // by which sites can be told apart as far as keyed requests go
+	OnWait func() // called once where another process uses the folder, which the opening waits for
 }
 
 // releaseSlack is how long the process before this one may take over its stop_ms to let go of the folder.
 const releaseSlack = 2 * time.Second
 
-// opener opens what has a server keep its state. It returns context.Canceled where a signal ended the waiting.
-type opener func(o *config.State, cfg *Config, log *zap.Logger) (func(*Server) error, error)
+// stateOpener opens what has a server keep its state. It returns context.Canceled where a signal ended the waiting.
+type stateOpener func(o *config.StateConfig, cfg *Config, log *zap.Logger) (func(*Server) error, error)
 
-// StateMain is Main in the program that keeps state over restarts; open opens a server's folder. At a release the process
+// ServeDurable is Main in the program that keeps state over restarts; open opens a server's folder. At a release the process
 // before this one still drains and uses the folder: its end is waited for, as long as it may take, until the context ends.
-func StateMain(args []string, getenv func(string) string, stderr io.Writer, open func(ctx context.Context, f Folder) (Keeper, error)) int {
-	return serveMain(args, getenv, stderr, func(o *config.State, cfg *Config, log *zap.Logger) (func(*Server) error, error) {
+func ServeDurable(args []string, getenv func(string) string, stderr io.Writer, open func(ctx context.Context, f StateDirectory) (DurableStore, error)) int {
+	return serveMain(args, getenv, stderr, func(o *config.StateConfig, cfg *Config, log *zap.Logger) (func(*Server) error, error) {
 		signalled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
-		ctx, cancel := context.WithTimeout(signalled, cfg.Stop+releaseSlack)
+		ctx, cancel := context.WithTimeout(signalled, cfg.StopTimeout+releaseSlack)
 		defer cancel()
-		keeper, err := open(ctx, Folder{Directory: o.Directory, Server: cfg.Name, Site: cfg.Settings.KeyedSite(), Waiting: func() {
-			log.Info("waiting for the folder", zap.String("directory", o.Directory), zap.Duration("at_most", cfg.Stop+releaseSlack))
+		keeper, err := open(ctx, StateDirectory{Path: o.Directory, Server: cfg.Name, Site: cfg.Settings.IdempotencyFingerprint(), OnWait: func() {
+			log.Info("waiting for the folder", zap.String("directory", o.Directory), zap.Duration("at_most", cfg.StopTimeout+releaseSlack))
 		}})
 		switch {
 		case err != nil && signalled.Err() != nil:
@@ -57,24 +57,24 @@
 		case err != nil:
 			return nil, err
 		}
-		return func(s *Server) error { return s.Persist(keeper, o.Limits) }, nil
+		return func(s *Server) error { return s.EnableDurableResults(keeper, o.Limits) }, nil
 	})
 }
 
 // serveMain serves as a program does; open opens what has a server keep its state, nil in the program that keeps none.
-func serveMain(args []string, getenv func(string) string, stderr io.Writer, open opener) int {
+func serveMain(args []string, getenv func(string) string, stderr io.Writer, open stateOpener) int {
 	// Signals are caught before anything else and to the very end: the default action of SIGHUP and SIGUSR1 is
 	// the end of the process. Each has a channel of its own, or many of one kind would push out another.
-	drain, reload, report := catch(syscall.SIGTERM, syscall.SIGINT), catch(syscall.SIGHUP), catch(syscall.SIGUSR1)
+	drain, reload, report := notifySignals(syscall.SIGTERM, syscall.SIGINT), notifySignals(syscall.SIGHUP), notifySignals(syscall.SIGUSR1)
 	if len(args) > 0 && args[0] == "route" {
-		return become(routeProgram, args[1:], stderr)
+		return execProgram(routeProgram, args[1:], stderr)
 	}
 	o, err := parseArgs(args, stderr)
 	if errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
 	if err == nil && o.State != nil && open == nil {
-		return become(stateProgram, args, stderr)
+		return execProgram(stateProgram, args, stderr)
 	}
 	var cfg *Config
 	if err == nil {
@@ -98,7 +98,7 @@
 			return 2
 		}
 	}
-	tune(cfg)
+	tuneRuntime(cfg)
 	s, err := New(cfg, log)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
@@ -130,7 +130,7 @@
 			case <-drain:
 				s.Drain()
 			case <-report:
-				s.Report()
+				s.LogCounters()
 			}
 		}
 	}()
@@ -141,16 +141,16 @@
 	return 0
 }
 
-// catch has signals sent to a channel from now on. One that waits stands for those of its kind that follow.
-func catch(signals ...os.Signal) <-chan os.Signal {
+// notifySignals has signals sent to a channel from now on. One that waits stands for those of its kind that follow.
+func notifySignals(signals ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, signals...)
 	return c
 }
 
-// tune fits the runtime to the limits: collections are rare while memory is far off and frequent near it, and
+// tuneRuntime fits the runtime to the limits: collections are rare while memory is far off and frequent near it, and
 // no more threads run Go code than there are cores.
-func tune(cfg *Config) {
+func tuneRuntime(cfg *Config) {
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * 3 / 4)
 	debug.SetGCPercent(200)
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
--- a/server/pieces_test.go
+++ b/server/pieces_test.go
@@ -14,10 +14,10 @@
 
 // forms are legal ways of writing one request under a number, each in records of its own.
 func forms(r fake.Request, id uint16) map[string][]byte {
-	params := r.ParamBytes()
-	begin := fake.BeginRecord(id, 1, true)
+	params := r.EncodeParams()
+	begin := fake.EncodeBeginRequest(id, 1, true)
 	record := func(kind byte, content []byte, padding byte) []byte {
-		return fake.Record(kind, id, content, padding)
+		return fake.EncodeRecord(kind, id, content, padding)
 	}
 	chop := func(kind byte, content []byte, size int, padding byte) (b []byte) {
 		for len(content) > 0 {
@@ -43,21 +43,21 @@
 				n[i], p = int(binary.BigEndian.Uint32(p)&^(1<<31)), p[4:]
 			}
 		}
-		long = append(long, fake.Pair(string(p[:n[0]]), string(p[n[0]:n[0]+n[1]]), true)...)
+		long = append(long, fake.EncodePair(string(p[:n[0]]), string(p[n[0]:n[0]+n[1]]), true)...)
 		p = p[n[0]+n[1]:]
 	}
-	more := join(params, fake.Pair("SERVER_PROTOCOL", "HTTP/1.1", false), fake.Pair("HTTP_X_MORE", "", true),
-		fake.Pair("CONTENT_LENGTH", fmt.Sprint(len(r.Body)), false))
+	more := join(params, fake.EncodePair("SERVER_PROTOCOL", "HTTP/1.1", false), fake.EncodePair("HTTP_X_MORE", "", true),
+		fake.EncodePair("CONTENT_LENGTH", fmt.Sprint(len(r.Body)), false))
 	return map[string][]byte{
-		"plain":                r.Records(id),
+		"plain":                r.Encode(id),
 		"a byte a record":      join(begin, chop(fake.Params, params, 1, 0), chop(fake.Stdin, r.Body, 1, 0)),
 		"padding of 255":       join(begin, chop(fake.Params, params, 100, 255), chop(fake.Stdin, r.Body, 3, 255)),
-		"padding on the begin": join(fake.Record(fake.Begin, id, begin[8:], 9), chop(fake.Params, params, 7, 1), chop(fake.Stdin, r.Body, 2, 2)),
+		"padding on the begin": join(fake.EncodeRecord(fake.BeginRequest, id, begin[8:], 9), chop(fake.Params, params, 7, 1), chop(fake.Stdin, r.Body, 2, 2)),
 		"long lengths":         join(begin, chop(fake.Params, long, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
 		"more parameters":      join(begin, chop(fake.Params, more, 33, 0), chop(fake.Stdin, r.Body, 500, 0)),
 		"the body first":       join(begin, record(fake.Stdin, r.Body[:3], 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body[3:], 500, 0)),
-		"a question between":   join(begin, fake.Record(fake.GetValues, 0, fake.Pair("FCGI_MAX_REQS", "", false), 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
-		"an abort of another":  join(begin, fake.Record(fake.Abort, id+1000, nil, 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
+		"a question between":   join(begin, fake.EncodeRecord(fake.GetValues, 0, fake.EncodePair("FCGI_MAX_REQS", "", false), 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
+		"an abort of another":  join(begin, fake.EncodeRecord(fake.AbortRequest, id+1000, nil, 0), chop(fake.Params, params, 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
 		"data on the side":     join(begin, chop(fake.Params, params, 500, 0), chop(8, []byte("file"), 500, 0), chop(fake.Stdin, r.Body, 500, 0)),
 	}
 }
@@ -66,21 +66,21 @@
 // one in pieces of a byte: all of them are run with the body as it was sent, and answered.
 func TestPieces(t *testing.T) {
 	s, it := run(t)
-	it.Prompt()
+	it.FinishImmediately()
 	n := uint16(0)
 	ask := func(g *servertest.Gateway, what string, pieces func(text []byte) [][]byte) {
 		t.Helper()
 		n++
 		body := fmt.Sprintf("body %d", n)
-		for i, p := range pieces(forms(fake.Lookup(body), n)[what]) {
+		for i, p := range pieces(forms(fake.NewLookup(body), n)[what]) {
 			if i > 0 {
 				nextRound(s)
 			}
 			g.Write(p)
 		}
 		for {
-			a := g.Answer(0)
-			if a.Kind == fake.Values {
+			a := g.WaitResponse(0)
+			if a.RecordType == fake.GetValuesResult {
 				continue
 			}
 			if a.ID != n || a.Status != 200 || string(a.Body) != "["+body+"]" {
@@ -89,10 +89,10 @@
 			return
 		}
 	}
-	for what := range forms(fake.Lookup("body"), 1) {
+	for what := range forms(fake.NewLookup("body"), 1) {
 		t.Run(strings.ReplaceAll(what, " ", "-"), func(t *testing.T) {
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			whole := forms(fake.Lookup("body 10000"), 10000)[what]
+			whole := forms(fake.NewLookup("body 10000"), 10000)[what]
 			stride := max(len(whole)/400, 1) // forms of many records are long, and repeat themselves
 			for cut := 1; cut < len(whole)-40; cut += stride {
 				ask(g, what, func(b []byte) [][]byte {
@@ -132,7 +132,7 @@
 					}
 				}
 				say(`{"op":"BANNER","end":"WARM","ms":1}` + "\n" + `{"op":"TOPS","tag":"1","values":[0,0,0,0]}` + "\n")
-				link.Apply("a1", "part-lookup", []byte("x"))
+				link.Submit("a1", "part-lookup", []byte("x"))
 				text := fmt.Sprintf(notice, 1)
 				at := min(cut, len(text))
 				say(text[:at])
@@ -152,11 +152,11 @@
 	result string
 }
 
-func (e *endings) Up(bool, time.Duration) {}
-func (e *endings) Awaits(string)          {}
-func (e *endings) Trouble(string, error)  {}
-func (e *endings) Ended(_ string, end interpreter.End, result []byte) {
-	if e.ended++; end == interpreter.EndOK {
+func (e *endings) InterpreterStarted(bool, time.Duration) {}
+func (e *endings) CallRequested(string)                   {}
+func (e *endings) ReportError(string, error)              {}
+func (e *endings) RunFinished(_ string, end interpreter.Outcome, result []byte) {
+	if e.ended++; end == interpreter.OutcomeOK {
 		e.result = string(result)
 	}
 }
--- a/server/reads_test.go
+++ b/server/reads_test.go
@@ -10,7 +10,7 @@
 
 // reader asks for what lies under a subject.
 func reader(subject, body string) fake.Request {
-	return fake.Lookup(body).With("Resource-Key", subject)
+	return fake.NewLookup(body).WithHeader("Resource-Key", subject)
 }
 
 // TestSharedReads asks for one subject at a site where the answer to a read may serve others: for the same thing it
@@ -18,31 +18,31 @@
 // answered with what no run made for it (seen on the short days at a site of ours, 63 times in one day).
 func TestSharedReads(t *testing.T) {
 	told := testTold(t)
-	told.Module.Fresh = time.Hour
+	told.Admission.ResultFreshness = time.Hour
 	s, it := runAt(t, told)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	g.Write(reader("00aa", "fits what").Records(1))
-	it.WaitApplied(1)
-	g.Write(reader("00aa", "costs what").Records(2), reader("00AA", "fits what").Records(3))
-	runs := it.WaitApplied(2)
+	g.Write(reader("00aa", "fits what").Encode(1))
+	it.WaitRuns(1)
+	g.Write(reader("00aa", "costs what").Encode(2), reader("00AA", "fits what").Encode(3))
+	runs := it.WaitRuns(2)
 	for i, body := range []string{"fits what", "costs what"} {
 		if string(runs[i].Body) != body {
 			t.Fatalf("run %d has the body %q, want %q", i, runs[i].Body, body)
 		}
-		it.End(runs[i].ID, "OK", []byte(body+"!"))
+		it.EndRun(runs[i].ID, "OK", []byte(body+"!"))
 	}
-	g.Write(reader("00aa", "costs what").Records(4))
+	g.Write(reader("00aa", "costs what").Encode(4))
 	for id, want := range []string{1: "fits what!", 2: "costs what!", 3: "fits what!", 4: "costs what!"} {
 		if want == "" {
 			continue
 		}
-		if a := g.Answer(uint16(id)); a.Status != 200 || string(a.Body) != want {
+		if a := g.WaitResponse(uint16(id)); a.Status != 200 || string(a.Body) != want {
 			t.Errorf("request %d: %d %q, want %q", id, a.Status, a.Body, want)
 		}
 	}
 	do(s, func() {
-		if s.count.reused != 2 {
-			t.Errorf("%d answers served others, want 2", s.count.reused)
+		if s.counters.replayed != 2 {
+			t.Errorf("%d answers served others, want 2", s.counters.replayed)
 		}
 	})
 }
@@ -50,17 +50,17 @@
 // TestStaleReads asks again after an answer went stale, and after a run without a result: both are run anew.
 func TestStaleReads(t *testing.T) {
 	told := testTold(t)
-	told.Module.Fresh = time.Nanosecond
+	told.Admission.ResultFreshness = time.Nanosecond
 	s, it := runAt(t, told)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	for i, end := range []string{"OK", "ERROR", "OK"} {
-		g.Write(reader("00aa", "fits what").Records(uint16(i + 1)))
-		it.End(it.WaitApplied(i + 1)[i].ID, end, []byte("x"))
-		if a := g.Answer(uint16(i + 1)); (a.Status == 200) != (end == "OK") {
+		g.Write(reader("00aa", "fits what").Encode(uint16(i + 1)))
+		it.EndRun(it.WaitRuns(i + 1)[i].ID, end, []byte("x"))
+		if a := g.WaitResponse(uint16(i + 1)); (a.Status == 200) != (end == "OK") {
 			t.Errorf("request %d: %+v after a run that ended with %s", i+1, a, end)
 		}
 	}
-	if n := len(it.Applied()); n != 3 {
+	if n := len(it.StartedRuns()); n != 3 {
 		t.Errorf("%d runs, want 3", n)
 	}
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -15,36 +15,36 @@
 // reload moves to the new addresses at once: the old ones take nothing new. A configuration that can't be
 // carried out changes nothing at all, or half of a server would be in one place and half in another.
 func (s *Server) reload(cfg *Config) {
-	if err := servable(cfg); err != nil {
+	if err := validateSettings(cfg); err != nil {
 		s.log.Error("configuration not reloaded", zap.Error(err))
 		return
 	}
-	if cfg.Announce != s.cfg.Announce {
-		reporter, err := loadreport.New(s.loop.System(), cfg.Announce, s.cfg.Name)
+	if cfg.LoadReports != s.cfg.LoadReports {
+		reporter, err := loadreport.New(s.loop.System(), cfg.LoadReports, s.cfg.Name)
 		if err != nil {
 			s.log.Error("configuration not reloaded", zap.NamedError("announce", err))
 			return
 		}
 		s.closeReporter()
 		s.reporter = reporter
-		if s.module != nil && !s.draining {
-			s.tell(true) // the list must not wait for the next report
+		if s.module != nil && !s.isDraining {
+			s.sendLoadReport(true) // the list must not wait for the next report
 		}
 	}
-	if i, ok := s.link.(interpreterBackend); ok {
-		i.Move(cfg.Interpreter)
+	if i, ok := s.backend.(interpreterBackend); ok {
+		i.Redirect(cfg.Interpreter)
 	}
 	next := *s.cfg // the caller keeps what it gave to New
-	next.Interpreter, next.Announce, next.Stop = cfg.Interpreter, cfg.Announce, cfg.Stop
-	s.count.reloads++
+	next.Interpreter, next.LoadReports, next.StopTimeout = cfg.Interpreter, cfg.LoadReports, cfg.StopTimeout
+	s.counters.reloads++
 	s.log.Info("configuration reloaded", zap.Stringer("vm", next.Interpreter),
-		zap.Stringer("announce", next.Announce), zap.Duration("stop", next.Stop), zap.Strings("restart", kept(&next, cfg)))
+		zap.Stringer("announce", next.LoadReports), zap.Duration("stop", next.StopTimeout), zap.Strings("restart", restartFields(&next, cfg)))
 	s.cfg = &next
-	s.remark("configuration reloaded: vm %v, announce %v", next.Interpreter, next.Announce)
+	s.annotateCapture("configuration reloaded: vm %v, announce %v", next.Interpreter, next.LoadReports)
 }
 
-// kept names the fields that differ and are not taken over without a restart.
-func kept(running, read *Config) []string {
+// restartFields names the fields that differ and are not taken over without a restart.
+func restartFields(running, read *Config) []string {
 	fields := []string{}
 	for field, same := range map[string]bool{"name": running.Name == read.Name, "listen": running.Listen == read.Listen,
 		"limits":  running.Limits == read.Limits,
--- a/server/requests.go
+++ b/server/requests.go
@@ -13,201 +13,201 @@
 	"tillerusher/internal/interpreter"
 )
 
-// request takes in a whole request.
-func (s *Server) request(g *gatewayConn, id gateway.Stream, r gateway.Request) {
+// handleRequest takes in a whole request.
+func (s *Server) handleRequest(g *gatewayConn, id gateway.StreamID, r gateway.Request) {
 	if r.Path == healthPath {
-		s.check(g, id, r)
+		s.checkHealth(g, id, r)
 		return
 	}
-	s.count.requests++
-	now := s.event()
-	t, q, direct, err := s.intake(r, now)
+	s.counters.requests++
+	now := s.moduleTime()
+	t, q, direct, err := s.parser(r, now)
 	if direct != nil {
-		g.sound++
-		s.count.direct++
-		g.answer(id, *direct)
+		g.validRequests++
+		s.counters.directAnswers++
+		g.sendAnswer(id, *direct)
 		return
 	}
 	if err == nil && s.module == nil {
-		g.sound++
-		s.count.refused++
-		g.answer(id, refusal(s.told.Module.RetryAfter, false)) // nothing can run yet
+		g.validRequests++
+		s.counters.rejected++
+		g.sendAnswer(id, rejection(s.told.Admission.MaxRetryAfter, false)) // nothing can run yet
 		return
 	}
 	if err == nil {
-		err = s.recognise(t, now)
+		err = s.identify(t, now)
 	}
 	if err != nil {
-		s.count.invalid++
-		g.answer(id, gateway.Answer{Status: statusInvalid, Body: []byte(err.Error() + "\n")})
+		s.counters.invalid++
+		g.sendAnswer(id, gateway.Response{Status: statusBadRequest, Body: []byte(err.Error() + "\n")})
 		return
 	}
-	g.sound++
-	if s.journal != nil && s.journal.turnsAway(t) {
-		s.count.refused++
-		g.answer(id, refusal(s.told.Module.RetryAfter, false))
+	g.validRequests++
+	if s.durable != nil && s.durable.rejects(t) {
+		s.counters.rejected++
+		g.sendAnswer(id, rejection(s.told.Admission.MaxRetryAfter, false))
 		return
 	}
 	s.lastID++
-	t.id, q.ID, t.from, t.stream = s.lastID, s.lastID, g, id
-	if q.Retry {
-		s.count.retries++
+	t.id, q.ID, t.conn, t.stream = s.lastID, s.lastID, g, id
+	if q.IsRetry {
+		s.counters.retries++
 	}
-	if t.repeats != nil {
-		s.count.repeats++
-		q.Repeats = t.repeats.id
+	if t.retryOf != nil {
+		s.counters.coalesced++
+		q.RetryOf = t.retryOf.id
 	}
 	s.classCounts[t.class].requests++
-	s.tries[t.id], s.byWire[t.wire], g.tries[id] = t, t, t
+	s.attempts[t.id], s.byRequestID[t.requestID], g.attempts[id] = t, t, t
 	if s.tap != nil {
-		s.tap.Names(t.id, t.wire, t.key.key)
+		s.tap.NameRequest(t.id, t.requestID, t.key.key)
 	}
 	s.module.Request(now, q)
 }
 
-// recognise finds the try that this one repeats. It complains of an id that was used before, and of a key whose
+// identify finds the try that this one repeats. It complains of an id that was used before, and of a key whose
 // request had another body: its sender must not get the result of that.
-func (s *Server) recognise(t *try, now time.Duration) error {
-	number, err := strconv.ParseUint(t.wire, 16, 64)
+func (s *Server) identify(t *attempt, now time.Duration) error {
+	number, err := strconv.ParseUint(t.requestID, 16, 64)
 	if err != nil {
 		return fmt.Errorf("field Request-Id: %w", err)
 	}
-	if t.routed == nil && (s.byWire[t.wire] != nil || !s.seen.add(number, now)) {
+	if t.routed == nil && (s.byRequestID[t.requestID] != nil || !s.recentIDs.add(number, now)) {
 		return errors.New("field Request-Id is that of another try")
 	}
-	if !t.keyed {
+	if !t.hasKey {
 		return nil
 	}
-	if t.repeats = s.keys.find(t, now); t.repeats != nil && t.repeats.sum != t.sum {
+	if t.retryOf = s.keys.findOriginal(t, now); t.retryOf != nil && t.retryOf.bodyHash != t.bodyHash {
 		return errors.New("field Once-Key is that of a request with another body")
 	}
 	return nil
 }
 
-// answer gives a try its final answer.
-func (s *Server) answer(t *try, a gateway.Answer) {
-	if t.answered {
+// sendAnswer gives a try its final answer.
+func (s *Server) answer(t *attempt, a gateway.Response) {
+	if t.isAnswered {
 		return
 	}
-	t.answered = true
-	delete(t.from.tries, t.stream)
+	t.isAnswered = true
+	delete(t.conn.attempts, t.stream)
 	class := &s.classCounts[t.class]
 	switch {
-	case a.Status == statusRefused:
-		s.count.refused++
-		class.refused++
-	case a.Status < statusFailed: // members may answer with any status
-		s.count.served++
+	case a.Status == statusUnavailable:
+		s.counters.rejected++
+		class.rejected++
+	case a.Status < statusInternalError: // members may answer with any status
+		s.counters.served++
 		class.served++
 	default:
-		s.count.failed++
+		s.counters.failed++
 		class.failed++
 	}
-	t.from.answer(t.stream, a)
+	t.conn.sendAnswer(t.stream, a)
 }
 
-// drop forgets a try that is answered and does not run.
-func (s *Server) drop(t *try) {
-	if t.answered && t.state != running {
-		delete(s.tries, t.id)
-		delete(s.byWire, t.wire)
-		t.body, t.from, t.routed = nil, nil, nil // a remembered key must not hold on to its connection
+// dropResult forgets a try that is answered and does not run.
+func (s *Server) forget(t *attempt) {
+	if t.isAnswered && t.state != runInFlight {
+		delete(s.attempts, t.id)
+		delete(s.byRequestID, t.requestID)
+		t.body, t.conn, t.routed = nil, nil, nil // a remembered key must not hold on to its connection
 	}
 }
 
-// ran ends the run of a try.
-func (s *Server) ran(wire string, end interpreter.End, result gateway.Answer) {
-	t := s.byWire[wire]
-	if t == nil || t.state != running {
+// finishRun ends the run of a try.
+func (s *Server) finishRun(wire string, end interpreter.Outcome, result gateway.Response) {
+	t := s.byRequestID[wire]
+	if t == nil || t.state != runInFlight {
 		return
 	}
-	s.count.ended++
+	s.counters.runsFinished++
 	switch end {
-	case interpreter.EndOK:
-		t.state, t.ended = done, s.clock.now
-		if t.keyed {
-			s.keys.store(t, result)
+	case interpreter.OutcomeOK:
+		t.state, t.finishedAt = runFinished, s.clock.now
+		if t.hasKey {
+			s.keys.storeResult(t, result)
 		}
-		if t.keyed && t.once && s.journal != nil {
-			s.journal.finish(t, result)
+		if t.hasKey && t.atMostOnce && s.durable != nil {
+			s.durable.storeResult(t, result)
 		}
 		s.answer(t, result)
-		s.finish(t, admission.OK, result)
-	case interpreter.EndStopped:
-		s.count.stopped++
-		s.over(t, admission.Cancelled)
-	case interpreter.EndRejected:
-		s.count.errored++
-		s.unclaim(t)
-		s.over(t, admission.Moot)
-	case interpreter.EndMoot:
-		s.count.moot++
-		s.over(t, admission.Moot)
+		s.reportRunFinished(t, admission.OK, result)
+	case interpreter.OutcomeStopped:
+		s.counters.runsStopped++
+		s.failRun(t, admission.Cancelled)
+	case interpreter.OutcomeRejected:
+		s.counters.runsFailed++
+		s.releaseKey(t)
+		s.failRun(t, admission.NotStarted)
+	case interpreter.OutcomeNotStarted:
+		s.counters.runsNotStarted++
+		s.failRun(t, admission.NotStarted)
 	default:
-		s.count.errored++
-		s.over(t, admission.Errored)
+		s.counters.runsFailed++
+		s.failRun(t, admission.Failed)
 	}
 }
 
-// unclaim has the key of a try be free for the request that it belongs to: nothing ran.
-func (s *Server) unclaim(t *try) {
-	s.keys.disclaim(t)
-	if t.keyed && t.once && s.journal != nil {
-		s.journal.free(t)
+// releaseKey has the key of a try be free for the request that it belongs to: nothing ran.
+func (s *Server) releaseKey(t *attempt) {
+	s.keys.unclaim(t)
+	if t.hasKey && t.atMostOnce && s.durable != nil {
+		s.durable.releaseKey(t)
 	}
 }
 
-// over ends a run that made no result. The answer that may still be owed is a failure: whether anything was
+// failRun ends a run that made no result. The answer that may still be owed is a failure: whether anything was
 // done is not known.
-func (s *Server) over(t *try, o admission.Outcome) {
-	t.state = broken
-	s.answer(t, gateway.Answer{Status: statusFailed})
-	s.finish(t, o, gateway.Answer{})
+func (s *Server) failRun(t *attempt, o admission.Outcome) {
+	t.state = runFailed
+	s.answer(t, gateway.Response{Status: statusInternalError})
+	s.reportRunFinished(t, o, gateway.Response{})
 }
 
-// finish tells the module how a run ended, and then those that waited for it.
-func (s *Server) finish(t *try, o admission.Outcome, result gateway.Answer) {
-	s.module.Done(s.event(), t.id, o)
+// closeAfterSend tells the module how a run ended, and then those that waited for it.
+func (s *Server) reportRunFinished(t *attempt, o admission.Outcome, result gateway.Response) {
+	s.module.RunFinished(s.moduleTime(), t.id, o)
 	waiters := t.waiters
 	t.waiters = nil
 	for _, w := range waiters {
-		s.echoed(w, t.state == done, result)
+		s.answerReplay(w, t.state == runFinished, result)
 	}
-	s.drop(t)
+	s.forget(t)
 }
 
-// echo answers a repeat from the kept result of the try that was run.
-func (s *Server) echo(t, source *try) {
-	if source == nil || !source.stored {
-		s.echoed(t, false, gateway.Answer{})
+// replayResult answers a repeat from the kept result of the try that was run.
+func (s *Server) replayResult(t, source *attempt) {
+	if source == nil || !source.hasResult {
+		s.answerReplay(t, false, gateway.Response{})
 		return
 	}
-	s.echoed(t, true, source.result)
+	s.answerReplay(t, true, source.result)
 }
 
-// echoed gives a repeat its outcome.
-func (s *Server) echoed(t *try, ok bool, result gateway.Answer) {
-	if t.answered {
+// answerReplay gives a repeat its outcome.
+func (s *Server) answerReplay(t *attempt, ok bool, result gateway.Response) {
+	if t.isAnswered {
 		return
 	}
-	outcome := admission.Errored
+	outcome := admission.Failed
 	if ok {
 		outcome = admission.OK
-		s.count.reused++
+		s.counters.replayed++
 		s.answer(t, result)
 	} else {
-		s.answer(t, gateway.Answer{Status: statusFailed})
+		s.answer(t, gateway.Response{Status: statusInternalError})
 	}
-	s.module.Done(s.event(), t.id, outcome)
-	s.drop(t)
+	s.module.RunFinished(s.moduleTime(), t.id, outcome)
+	s.forget(t)
 }
 
-// sorted returns tries in the order of reading.
-func sorted[K comparable](tries map[K]*try) []*try {
-	list := make([]*try, 0, len(tries))
+// inArrivalOrder returns tries in the order of reading.
+func inArrivalOrder[K comparable](tries map[K]*attempt) []*attempt {
+	list := make([]*attempt, 0, len(tries))
 	for _, t := range tries {
 		list = append(list, t)
 	}
-	slices.SortFunc(list, func(a, b *try) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(list, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
--- a/server/routed_storm_test.go
+++ b/server/routed_storm_test.go
@@ -37,7 +37,7 @@
 func TestRouteStorm(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
-	totals := map[invariant.Answer]int{}
+	totals := map[invariant.Outcome]int{}
 	for run := range *storms {
 		begin, protocol := member, "" // by turns
 		if run%2 == 1 {
@@ -47,24 +47,24 @@
 			playRouteStorm(t, rand.New(rand.NewPCG(seed, uint64(run))), totals, begin, protocol)
 		})
 	}
-	t.Logf("%d storms: %d served, %d refused, %d failed", *storms, totals[invariant.Served], totals[invariant.Refused], totals[invariant.Failed])
+	t.Logf("%d storms: %d served, %d refused, %d failed", *storms, totals[invariant.Served], totals[invariant.Rejected], totals[invariant.Failed])
 	if totals[invariant.Served] < 100**storms {
 		t.Error("the storms were none")
 	}
 }
 
-func playRouteStorm(t *testing.T, rng *rand.Rand, totals map[invariant.Answer]int,
+func playRouteStorm(t *testing.T, rng *rand.Rand, totals map[invariant.Outcome]int,
 	begin func(testing.TB, string) *fake.Member, protocol string) {
 	observer := invariant.New(30 * time.Second)
 	var members []*fake.Member
 	for _, name := range []string{"a", "b", "c", "d"} {
 		m := begin(t, name)
-		m.OnRequest(func(params map[string]string) { observer.Ran(params["HTTP_X_TRY"]) })
+		m.OnRequest(func(params map[string]string) { observer.RecordRun(params["HTTP_X_TRY"]) })
 		members = append(members, m)
 	}
 	spare := begin(t, "spare")
-	spare.OnRequest(func(params map[string]string) { observer.Ran(params["HTTP_X_TRY"]) })
-	with := func(some []*fake.Member) *routeconfig.Description {
+	spare.OnRequest(func(params map[string]string) { observer.RecordRun(params["HTTP_X_TRY"]) })
+	with := func(some []*fake.Member) *routeconfig.Config {
 		text := ""
 		for _, m := range some {
 			text += "(member " + m.Addr() + " (max-fails 3) (fail-timeout 200ms)) "
@@ -95,7 +95,7 @@
 	trouble(rng, s, append(members, spare), members, with)
 	close(over)
 	callers.Wait()
-	if b := observer.Breaches(time.Now().Add(time.Minute)); len(b) > 0 {
+	if b := observer.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
 		t.Errorf("%d rules were broken, the first: %s", len(b), b[0])
 	}
 }
@@ -104,16 +104,16 @@
 const incidents = 60
 
 // trouble changes members and routes under the callers' load.
-func trouble(rng *rand.Rand, s *Server, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Description) {
+func trouble(rng *rand.Rand, s *Server, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Config) {
 	down := map[*fake.Member]bool{}
 	for range incidents {
 		time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
 		m := all[rng.IntN(len(all))]
 		switch rng.IntN(6) {
 		case 0:
-			m.Set(fake.Mood(rng.IntN(int(fake.Deaf)+1)), 0)
+			m.SetBehavior(fake.Behavior(rng.IntN(int(fake.NotReading)+1)), 0)
 		case 1:
-			m.Set(fake.Sound, time.Duration(rng.IntN(60))*time.Millisecond)
+			m.SetBehavior(fake.Healthy, time.Duration(rng.IntN(60))*time.Millisecond)
 		case 2:
 			if !down[m] {
 				m.Stop()
@@ -124,35 +124,35 @@
 				delete(down, m)
 			}
 		case 4:
-			s.Reroute(with(members[:1+rng.IntN(len(members))]))
+			s.ReloadRoutes(with(members[:1+rng.IntN(len(members))]))
 		default:
-			m.Set(fake.Sound, 0)
+			m.SetBehavior(fake.Healthy, 0)
 		}
 	}
 }
 
 // callRoutes sends requests of all kinds on one connection, four at a time, until the storm is over, and counts the
 // answers.
-func callRoutes(t *testing.T, g *servertest.Gateway, observer *invariant.Observer, rng *rand.Rand, caller int, over <-chan bool) map[invariant.Answer]int {
-	counts := map[invariant.Answer]int{}
+func callRoutes(t *testing.T, g *servertest.Gateway, observer *invariant.Checker, rng *rand.Rand, caller int, over <-chan bool) map[invariant.Outcome]int {
+	counts := map[invariant.Outcome]int{}
 	open := map[uint16]string{}
 	send := func(stream uint16, n int) {
 		id := fmt.Sprintf("%d-%d", caller, n)
-		try := invariant.Try{ID: id, Received: time.Now(), Due: time.Now().Add(4*time.Second + 500*time.Millisecond)}
+		try := invariant.Attempt{ID: id, Received: time.Now(), Deadline: time.Now().Add(4*time.Second + 500*time.Millisecond)}
 		r := get("/r", "")
 		switch rng.IntN(4) {
 		case 0:
-			r, try.Once = get("/w", "w"+id), true
+			r, try.AtMostOnce = get("/w", "w"+id), true
 		case 2:
-			r, try.Once = get("/kept", "k"+id), true
+			r, try.AtMostOnce = get("/kept", "k"+id), true
 		case 1:
-			try.Key, try.Once = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
-			r = get("/book", "of "+try.Key).With("Once-Key", try.Key)
+			try.Key, try.AtMostOnce = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
+			r = get("/book", "of "+try.Key).WithHeader("Once-Key", try.Key)
 		}
-		try.Result = r.Path + " " + string(r.Body)
-		observer.Sent(try)
+		try.ExpectedBody = r.Path + " " + string(r.Body)
+		observer.RecordSent(try)
 		open[stream] = id
-		g.Write(r.With("X-Try", id).Records(stream))
+		g.Write(r.WithHeader("X-Try", id).Encode(stream))
 	}
 	const atOnce, least = 4, 60
 	n := 0
@@ -160,7 +160,7 @@
 		send(uint16(n+1), n)
 	}
 	for len(open) > 0 {
-		a, err := g.TryAnswer(0)
+		a, err := g.TryResponse(0)
 		if err != nil {
 			t.Errorf("caller %d: %v", caller, err)
 			return counts
@@ -171,10 +171,10 @@
 			kind = invariant.Served
 			_, body, _ = strings.Cut(string(a.Body), " ") // without the member's name
 		case a.Status == 503:
-			kind = invariant.Refused
+			kind = invariant.Rejected
 		}
 		counts[kind]++
-		observer.Answered(open[a.ID], kind, body, time.Now())
+		observer.RecordAnswer(open[a.ID], kind, body, time.Now())
 		delete(open, a.ID)
 		select {
 		case <-over:
--- a/server/routed_test.go
+++ b/server/routed_test.go
@@ -37,7 +37,7 @@
 }
 
 // describe reads a description in which A, B and C stand for the members' addresses.
-func describe(t testing.TB, text string, members ...*fake.Member) *routeconfig.Description {
+func describe(t testing.TB, text string, members ...*fake.Member) *routeconfig.Config {
 	t.Helper()
 	for i, m := range members {
 		text = strings.ReplaceAll(text, "@"+string(rune('A'+i)), m.Addr())
@@ -61,10 +61,10 @@
   (location prefix /docs/ (pool app) (class web)))`
 
 // serveRoutes starts a server that routes, and returns it with a gateway.
-func serveRoutes(t testing.TB, d *routeconfig.Description) (*Server, *servertest.Gateway) {
+func serveRoutes(t testing.TB, d *routeconfig.Config) (*Server, *servertest.Gateway) {
 	t.Helper()
 	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
-	s, err := NewRouter(&RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256, Description: d,
+	s, err := NewRouter(&RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256, Routes: d,
 		Seed: 1}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 
 // get is a request without any of the platform's fields.
 func get(path, body string) fake.Request {
-	r := fake.Request{Method: "GET", Path: path, Body: []byte(body), Fields: map[string]string{"Host": "x"}}
+	r := fake.Request{Method: "GET", Path: path, Body: []byte(body), Headers: map[string]string{"Host": "x"}}
 	if body != "" {
 		r.Method = "POST"
 	}
@@ -88,8 +88,8 @@
 	_, g := serveRoutes(t, describe(t, routes, a, b))
 	got := ""
 	for i := range 4 {
-		g.Write(get(fmt.Sprint("/p", i), "").Records(1))
-		ans := g.Answer(1)
+		g.Write(get(fmt.Sprint("/p", i), "").Encode(1))
+		ans := g.WaitResponse(1)
 		if ans.Status != 200 || !strings.Contains(string(ans.Body), fmt.Sprint(" /p", i)) {
 			t.Errorf("answer %+v", ans)
 		}
@@ -98,12 +98,12 @@
 	if got != "abab" {
 		t.Errorf("members %s", got)
 	}
-	if seen := a.Seen(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
+	if seen := a.ReceivedParams(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
 		t.Errorf("the member saw %v", seen)
 	}
 	for path, want := range map[string]int{"/hello": 200, "/docs": 301, "/../x": 400} {
-		g.Write(get(path, "").Records(1))
-		if ans := g.Answer(1); ans.Status != want {
+		g.Write(get(path, "").Encode(1))
+		if ans := g.WaitResponse(1); ans.Status != want {
 			t.Errorf("%s: %+v", path, ans)
 		}
 	}
@@ -117,31 +117,31 @@
 
 func routeFailures(t *testing.T, member func(testing.TB, string) *fake.Member, protocol string) {
 	routes := strings.Replace(routes, "(keepalive", protocol+" (keepalive", 1)
-	for _, mood := range []fake.Mood{fake.Silent, fake.Half, fake.Failing, fake.Closing, fake.Overload,
-		fake.Twice, fake.Garbled} {
-		if mood == fake.Twice && protocol == "" {
+	for _, mood := range []fake.Behavior{fake.Silent, fake.Truncated, fake.Failing, fake.Closing, fake.Overloaded,
+		fake.Duplicated, fake.Malformed} {
+		if mood == fake.Duplicated && protocol == "" {
 			continue // the first answer is whole, and its connection goes no further
 		}
 		a, b := member(t, "a"), member(t, "b")
 		with := strings.NewReplacer("(keepalive", "(eject (errors 0)) (keepalive", "http_500", "http_500 http_503 invalid_header")
 		_, g := serveRoutes(t, describe(t, with.Replace(routes), a, b))
-		a.Set(mood, 0)
+		a.SetBehavior(mood, 0)
 		for i := range 3 {
-			g.Write(get(fmt.Sprint("/r", i), "").Records(1))
-			if ans := g.Answer(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
+			g.Write(get(fmt.Sprint("/r", i), "").Encode(1))
+			if ans := g.WaitResponse(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
 				t.Errorf("mood %d, read %d: %+v", mood, i, ans)
 			}
 		}
 	}
 	a, b := member(t, "a"), member(t, "b")
 	_, g := serveRoutes(t, describe(t, routes, a, b))
-	a.Set(fake.Half, 0)
-	b.Set(fake.Half, 0)
-	g.Write(get("/w", "body").Records(1))
-	if ans := g.Answer(1); ans.Status != 500 {
+	a.SetBehavior(fake.Truncated, 0)
+	b.SetBehavior(fake.Truncated, 0)
+	g.Write(get("/w", "body").Encode(1))
+	if ans := g.WaitResponse(1); ans.Status != 500 {
 		t.Errorf("a write that may have run: %+v", ans)
 	}
-	if n := len(a.Seen()) + len(b.Seen()); n != 1 {
+	if n := len(a.ReceivedParams()) + len(b.ReceivedParams()); n != 1 {
 		t.Errorf("a write reached members %d times", n)
 	}
 }
@@ -152,16 +152,16 @@
 	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
 	for i := range 4 {
 		body := strings.Repeat("x", i*i*3000)
-		g.Write(get(fmt.Sprint("/p", i), body).Records(1))
-		ans := g.Answer(1)
+		g.Write(get(fmt.Sprint("/p", i), body).Encode(1))
+		ans := g.WaitResponse(1)
 		if want := fmt.Sprintf("%s /p%d %s", ans.Header.Get("X-Member"), i, body); ans.Status != 200 || string(ans.Body) != want {
 			t.Errorf("answer %d of %d bytes", ans.Status, len(ans.Body))
 		}
 	}
-	if seen := a.Seen(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
+	if seen := a.ReceivedParams(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
 		t.Errorf("the member saw %v", seen)
 	}
-	told, _ := s.Routing()
+	told, _ := s.RoutingStats()
 	for _, c := range told.Counters {
 		if want := map[string]uint64{"dials": 4, "reused_connections": 0}; c.Name != "" && want[c.Name] != c.Value && (c.Name == "dials" || c.Name == "reused_connections") {
 			t.Errorf("%s is %d", c.Name, c.Value)
@@ -174,12 +174,12 @@
 	a, b := member(t, "a"), scgiMember(t, "b")
 	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a))
 	ask := func() string {
-		g.Write(get("/x", "").Records(1))
-		return g.Answer(1).Header.Get("X-Member")
+		g.Write(get("/x", "").Encode(1))
+		return g.WaitResponse(1).Header.Get("X-Member")
 	}
 	before := ask()
-	s.Reroute(describe(t, strings.NewReplacer("(member @A)", "", "(keepalive", "(protocol scgi) (keepalive").Replace(routes), a, b))
-	servertest.Wait(t, "the new routes", func() bool { return ask() == "b" })
+	s.ReloadRoutes(describe(t, strings.NewReplacer("(member @A)", "", "(keepalive", "(protocol scgi) (keepalive").Replace(routes), a, b))
+	servertest.WaitFor(t, "the new routes", func() bool { return ask() == "b" })
 	if before != "a" {
 		t.Errorf("before the reload: %s", before)
 	}
@@ -189,7 +189,7 @@
 // answer.
 func TestRouteSend(t *testing.T) {
 	a, b := member(t, "a"), member(t, "b")
-	a.Set(fake.Deaf, 0)
+	a.SetBehavior(fake.NotReading, 0)
 	a.Stop() // what it listens with was made before it was deaf
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
@@ -197,14 +197,14 @@
 	text := strings.Replace(routes, "(read 300ms)", "(read 1h) (send 100ms)", 1)
 	s, g := serveRoutes(t, describe(t, strings.ReplaceAll(text, "3s", "1h"), a, b))
 	for range 2 { // one of them goes to a first
-		r := fake.Request{Method: "GET", Path: "/r", Body: make([]byte, 800<<10), Fields: map[string]string{"Host": "x"}}
-		g.Write(r.Records(1))
-		if ans := g.Answer(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
+		r := fake.Request{Method: "GET", Path: "/r", Body: make([]byte, 800<<10), Headers: map[string]string{"Host": "x"}}
+		g.Write(r.Encode(1))
+		if ans := g.WaitResponse(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
 			t.Errorf("answer %d of %s", ans.Status, ans.Header.Get("X-Member"))
 		}
 	}
 	var timeouts uint64
-	do(s, func() { timeouts = s.link.(*router).Count.Timeouts })
+	do(s, func() { timeouts = s.backend.(*router).Stats.Timeouts })
 	if timeouts != 1 {
 		t.Errorf("%d tries timed out, want one", timeouts)
 	}
@@ -214,12 +214,12 @@
 // take a 503 as the word that nothing ran.
 func TestRouteUnavailable(t *testing.T) {
 	a, b := scgiMember(t, "a"), scgiMember(t, "b")
-	a.Set(fake.Overload, 0)
-	b.Set(fake.Overload, 0)
+	a.SetBehavior(fake.Overloaded, 0)
+	b.SetBehavior(fake.Overloaded, 0)
 	_, g := serveRoutes(t, describe(t, strings.Replace(routes, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
 	for body, want := range map[string]int{"": 503, "a write": 502} {
-		g.Write(get("/x", body).Records(1))
-		if ans := g.Answer(1); ans.Status != want {
+		g.Write(get("/x", body).Encode(1))
+		if ans := g.WaitResponse(1); ans.Status != want {
 			t.Errorf("body %q: %+v, want %d", body, ans, want)
 		}
 	}
@@ -244,8 +244,8 @@
   (location named other (pool second) (class web) (fallback other 500 502))
   (location named sorry (return 503)))`, a, b))
 	ask := func(r fake.Request) string {
-		g.Write(r.Records(1))
-		ans := g.Answer(1)
+		g.Write(r.Encode(1))
+		ans := g.WaitResponse(1)
 		return strings.TrimSpace(fmt.Sprint(ans.Status, " ", ans.Header.Get("X-Member")))
 	}
 	expect := func(what string, r fake.Request, want string) {
@@ -254,28 +254,28 @@
 			t.Errorf("%s: %s, want %s", what, got, want)
 		}
 	}
-	a.Set(fake.Failing, 0)
+	a.SetBehavior(fake.Failing, 0)
 	expect("a read whose member fails", get("/x", ""), "200 b")
 	expect("a write whose member failed", get("/x", "w"), "500")
 	expect("an error that is not intercepted", get("/kept", ""), "500")
 	expect("the status that led to it", get("/same", ""), "500 b")
 	expect("a return", get("/gone", ""), "299 b")
 	expect("a return with a text", get("/told", ""), "410")
-	b.Set(fake.Failing, 0)
+	b.SetBehavior(fake.Failing, 0)
 	expect("a fallback that fails too", get("/x", ""), "500")
-	b.Set(fake.Sound, 0)
-	a.Set(fake.Half, 0)
+	b.SetBehavior(fake.Healthy, 0)
+	a.SetBehavior(fake.Truncated, 0)
 	expect("a write that may have run", get("/x", "w"), "500")
-	expect("a booking that may have run", get("/book", "w").With("Once-Key", "k1"), "502")
+	expect("a booking that may have run", get("/book", "w").WithHeader("Once-Key", "k1"), "502")
 	a.Stop()
 	expect("a write that no member has seen", get("/x", "w"), "200 b")
-	expect("a booking that no member has seen", get("/book", "w").With("Once-Key", "k2"), "502")
+	expect("a booking that no member has seen", get("/book", "w").WithHeader("Once-Key", "k2"), "502")
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
-	a.Set(fake.Sound, 0)
-	expect("the same again, which has not run", get("/book", "w").With("Once-Key", "k2"), "200 a")
-	expect("the one that may have run", get("/book", "w").With("Once-Key", "k1"), "502")
+	a.SetBehavior(fake.Healthy, 0)
+	expect("the same again, which has not run", get("/book", "w").WithHeader("Once-Key", "k2"), "200 a")
+	expect("the one that may have run", get("/book", "w").WithHeader("Once-Key", "k1"), "502")
 }
 
 // TestRouteRewrite has members see the path that a rewrite made, and what was asked for beside it.
@@ -286,15 +286,15 @@
 (server (listen 0.0.0.0:0) (rewrite "^/old/(.*)" /new/$1?from=old)
   (location prefix /new/ (pool app) (class web))
   (location prefix /away/ (rewrite "^/away/(.*)" /there/$1 permanent)))`, a))
-	g.Write(get("/old/x", "").Records(1))
-	if ans := g.Answer(1); ans.Status != 200 {
+	g.Write(get("/old/x", "").Encode(1))
+	if ans := g.WaitResponse(1); ans.Status != 200 {
 		t.Errorf("answer %+v", ans)
 	}
-	if seen := a.Seen(); len(seen) != 1 || seen[0]["SCRIPT_NAME"] != "/new/x" {
+	if seen := a.ReceivedParams(); len(seen) != 1 || seen[0]["SCRIPT_NAME"] != "/new/x" {
 		t.Errorf("the member saw %v", seen)
 	}
-	g.Write(get("/away/a%20b", "").Records(1))
-	if ans := g.Answer(1); ans.Status != 301 || ans.Header.Get("Location") != "/there/a%20b" {
+	g.Write(get("/away/a%20b", "").Encode(1))
+	if ans := g.WaitResponse(1); ans.Status != 301 || ans.Header.Get("Location") != "/there/a%20b" {
 		t.Errorf("answer %+v", ans)
 	}
 }
@@ -305,14 +305,14 @@
 	_, g := serveRoutes(t, describe(t, routes, a, b))
 	a.Stop()
 	for i := range 3 {
-		g.Write(get("/w", fmt.Sprint("body", i)).Records(1))
-		if ans := g.Answer(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
+		g.Write(get("/w", fmt.Sprint("body", i)).Encode(1))
+		if ans := g.WaitResponse(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
 			t.Errorf("answer %+v", ans)
 		}
 	}
 	b.Stop()
-	g.Write(get("/x", "").Records(1))
-	if ans := g.Answer(1); ans.Status != 500 && ans.Status != 503 {
+	g.Write(get("/x", "").Encode(1))
+	if ans := g.WaitResponse(1); ans.Status != 500 && ans.Status != 503 {
 		t.Errorf("without any member: %+v", ans)
 	}
 }
@@ -321,18 +321,18 @@
 func TestRouteKeyed(t *testing.T) {
 	a, b := member(t, "a"), member(t, "b")
 	_, g := serveRoutes(t, describe(t, routes, a, b))
-	a.Set(fake.Sound, 50*time.Millisecond)
-	r := get("/book", "x").With("Once-Key", "k1")
-	g.Write(r.Records(1), r.Records(2))
-	first, second := g.Answer(1), g.Answer(2)
+	a.SetBehavior(fake.Healthy, 50*time.Millisecond)
+	r := get("/book", "x").WithHeader("Once-Key", "k1")
+	g.Write(r.Encode(1), r.Encode(2))
+	first, second := g.WaitResponse(1), g.WaitResponse(2)
 	if first.Status != 200 || second.Status != 200 || string(first.Body) != string(second.Body) {
 		t.Errorf("answers %+v, %+v", first, second)
 	}
-	if n := len(a.Seen()) + len(b.Seen()); n != 1 {
+	if n := len(a.ReceivedParams()) + len(b.ReceivedParams()); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
-	g.Write(get("/book", "x").Records(1))
-	if ans := g.Answer(1); ans.Status != 400 {
+	g.Write(get("/book", "x").Encode(1))
+	if ans := g.WaitResponse(1); ans.Status != 400 {
 		t.Errorf("without its key: %+v", ans)
 	}
 }
@@ -342,20 +342,20 @@
 func TestCrossMemberEnd(t *testing.T) {
 	a := member(t, "a")
 	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a))
-	g.Write(get("/book", "x").With("Once-Key", "k1").Records(1))
-	if ans := g.Answer(1); ans.Status != 200 {
+	g.Write(get("/book", "x").WithHeader("Once-Key", "k1").Encode(1))
+	if ans := g.WaitResponse(1); ans.Status != 200 {
 		t.Fatalf("answer %+v", ans)
 	}
 	do(s, func() {
 		for c := range s.connections() {
-			c.Data(c.conn, get("/book", "y").With("Once-Key", "k2").Records(2))
+			c.Data(c.conn, get("/book", "y").WithHeader("Once-Key", "k2").Encode(2))
 		}
 		a.Stop()
 		if err := a.Start(); err != nil {
 			t.Error(err)
 		}
 	})
-	if ans := g.Answer(2); ans.Status != 200 {
+	if ans := g.WaitResponse(2); ans.Status != 200 {
 		t.Errorf("answer %+v", ans)
 	}
 }
@@ -364,19 +364,19 @@
 func TestReroute(t *testing.T) {
 	a, b := member(t, "a"), member(t, "b")
 	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a, b))
-	a.Set(fake.Sound, 200*time.Millisecond)
-	g.Write(get("/open", "").Records(1))
-	servertest.Wait(t, "the request at the member", func() bool { return len(a.Seen()) == 1 })
-	s.Reroute(describe(t, strings.Replace(routes, "(member @A)", "", 1), a, b))
-	servertest.Wait(t, "the new routes", func() (n bool) {
-		do(s, func() { n = s.count.reloads == 1 })
+	a.SetBehavior(fake.Healthy, 200*time.Millisecond)
+	g.Write(get("/open", "").Encode(1))
+	servertest.WaitFor(t, "the request at the member", func() bool { return len(a.ReceivedParams()) == 1 })
+	s.ReloadRoutes(describe(t, strings.Replace(routes, "(member @A)", "", 1), a, b))
+	servertest.WaitFor(t, "the new routes", func() (n bool) {
+		do(s, func() { n = s.counters.reloads == 1 })
 		return n
 	})
-	g.Write(get("/new", "").Records(2))
-	if ans := g.Answer(2); ans.Header.Get("X-Member") != "b" {
+	g.Write(get("/new", "").Encode(2))
+	if ans := g.WaitResponse(2); ans.Header.Get("X-Member") != "b" {
 		t.Errorf("after the reload: %+v", ans)
 	}
-	if ans := g.Answer(1); ans.Status != 200 || ans.Header.Get("X-Member") != "a" {
+	if ans := g.WaitResponse(1); ans.Status != 200 || ans.Header.Get("X-Member") != "a" {
 		t.Errorf("open at the reload: %+v", ans)
 	}
 }
--- a/server/routemain.go
+++ b/server/routemain.go
@@ -38,10 +38,10 @@
 Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or routes.
 `
 
-// RouteMain runs one server that routes as a program does, with the signals of Main; metrics shows its metrics at an
+// ServeRoutes runs one server that routes as a program does, with the signals of Main; metrics shows its metrics at an
 // address, where that is asked for. It returns the exit status.
-func RouteMain(args []string, stderr io.Writer, metrics func(s *Server, addr string) error) int {
-	drain, reload, report := catch(syscall.SIGTERM, syscall.SIGINT), catch(syscall.SIGHUP), catch(syscall.SIGUSR1)
+func ServeRoutes(args []string, stderr io.Writer, metrics func(s *Server, addr string) error) int {
+	drain, reload, report := notifySignals(syscall.SIGTERM, syscall.SIGINT), notifySignals(syscall.SIGHUP), notifySignals(syscall.SIGUSR1)
 	c := &RouterConfig{}
 	flags := flag.NewFlagSet("catalogue-server route", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
@@ -62,7 +62,7 @@
 		err = c.complete(flags, *file, *listen)
 	}
 	if err == nil {
-		c.Operator, err = operator(*settings, *directory)
+		c.Operator, err = loadOperator(*settings, *directory)
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, err)
@@ -82,13 +82,13 @@
 			return 2
 		}
 	}
-	tune(s.cfg)
+	tuneRuntime(s.cfg)
 	go func() {
 		for range reload {
 			if d, err := routeconfig.Load(*file); err != nil {
 				log.Error("configuration not reloaded", zap.Error(err))
 			} else {
-				s.Reroute(d)
+				s.ReloadRoutes(d)
 			}
 		}
 	}()
@@ -108,7 +108,7 @@
 	if c.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("arguments: --listen %s: want an IP address and a port", listen)
 	}
-	if c.Description, err = routeconfig.Load(file); err != nil {
+	if c.Routes, err = routeconfig.Load(file); err != nil {
 		return err
 	}
 	c.Seed = uint64(time.Now().UnixNano()) ^ uint64(syscall.Getpid())
--- a/server/routemetrics.go
+++ b/server/routemetrics.go
@@ -12,36 +12,36 @@
 	Value uint64
 }
 
-// Routing is what a server that routes did and how its pools are.
-type Routing struct {
+// RoutingStats is what a server that routes did and how its pools are.
+type RoutingStats struct {
 	Counters []Counter
 	Pools    []forward.PoolState
 }
 
-// routingPatience is how long the loop may take to tell.
-const routingPatience = time.Second
+// statsTimeout is how long the loop may take to tell.
+const statsTimeout = time.Second
 
-// Routing asks the loop for its readings; any goroutine may call it. It returns false where the server does not route,
+// RoutingStats asks the loop for its readings; any goroutine may call it. It returns false where the server does not route,
 // has ended, or does not answer in a second.
-func (s *Server) Routing() (Routing, bool) {
-	answer := make(chan Routing, 1)
+func (s *Server) RoutingStats() (RoutingStats, bool) {
+	answer := make(chan RoutingStats, 1)
 	s.loop.Post(func() {
-		r, ok := s.link.(*router)
+		r, ok := s.backend.(*router)
 		if !ok {
 			close(answer)
 			return
 		}
-		var told Routing
+		var told RoutingStats
 		for _, c := range r.Counters() {
 			told.Counters = append(told.Counters, Counter{c.name, c.value})
 		}
-		told.Pools = r.States()
+		told.Pools = r.PoolStates()
 		answer <- told
 	})
 	select {
 	case told, ok := <-answer:
 		return told, ok
-	case <-time.After(routingPatience):
-		return Routing{}, false
+	case <-time.After(statsTimeout):
+		return RoutingStats{}, false
 	}
 }
--- a/server/seen.go
+++ b/server/seen.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// seenLeast is the least time for which ids are remembered.
-	seenLeast = 10 * time.Second
-	// seenPart is the part of the memory that remembered ids may take, seenSize what one of them takes.
-	seenPart, seenSize = 32, 64
+	// minIDRetention is the least time for which ids are remembered.
+	minIDRetention = 10 * time.Second
+	// recentIDsMemoryDivisor is the part of the memory that remembered ids may take, recentIDBytes what one of them takes.
+	recentIDsMemoryDivisor, recentIDBytes = 32, 64
 )
 
-// seenIDs remembers the ids of requests that were read lately. An id is new with every try, so one that comes
+// recentIDs remembers the ids of requests that were read lately. An id is new with every try, so one that comes
 // again is no gateway's: a sender that repeats itself as soon as it is turned away would raise its tenant's rate
 // and the share of further tries with each copy, and one that takes another's id could get its answer.
 //
 // There are two generations, so that nothing is ever searched for what is too old.
-type seenIDs struct {
-	recent, older map[uint64]struct{}
-	turn          time.Duration // when the generations change next
-	span          time.Duration // least time that an id is remembered
-	most          int           // ids of one generation
+type recentIDs struct {
+	recent, older    map[uint64]struct{}
+	nextRotation     time.Duration // when the generations change next
+	retention        time.Duration // least time that an id is remembered
+	maxPerGeneration int           // ids of one generation
 }
 
-// newSeenIDs returns an empty memory.
-func newSeenIDs(span time.Duration, most int) seenIDs {
-	return seenIDs{recent: map[uint64]struct{}{}, span: span, most: max(most/2, 1)}
+// newRecentIDs returns an empty memory.
+func newRecentIDs(span time.Duration, most int) recentIDs {
+	return recentIDs{recent: map[uint64]struct{}{}, retention: span, maxPerGeneration: max(most/2, 1)}
 }
 
 // add remembers an id and tells whether it is new.
-func (m *seenIDs) add(id uint64, now time.Duration) bool {
-	if now >= m.turn || len(m.recent) >= m.most {
-		m.recent, m.older, m.turn = make(map[uint64]struct{}, len(m.recent)), m.recent, now+m.span
+func (m *recentIDs) add(id uint64, now time.Duration) bool {
+	if now >= m.nextRotation || len(m.recent) >= m.maxPerGeneration {
+		m.recent, m.older, m.nextRotation = make(map[uint64]struct{}, len(m.recent)), m.recent, now+m.retention
 	}
 	if _, found := m.older[id]; found {
 		return false
--- a/server/seen_test.go
+++ b/server/seen_test.go
@@ -7,7 +7,7 @@
 
 // TestSeenIDs tells ids that come again within the time from new ones, and holds a bounded number.
 func TestSeenIDs(t *testing.T) {
-	m := newSeenIDs(10*time.Second, 100)
+	m := newRecentIDs(10*time.Second, 100)
 	if !m.add(1, 0) || m.add(1, time.Second) || m.add(1, 10*time.Second) {
 		t.Error("an id is new once within its time")
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -26,21 +26,21 @@
 
 const (
 	classPath = "/v1/" // the class follows
-	// spareSockets are kept from gateways: the loop's own, the interpreter's, logs and what the runtime holds.
-	spareSockets = 24
-	// windowSlack is added to the window in which a request must not run again: time limits on sockets are
+	// reservedSockets are kept from gateways: the loop's own, the interpreter's, logs and what the runtime holds.
+	reservedSockets = 24
+	// keyWindowSlack is added to the window in which a request must not run again: time limits on sockets are
 	// 50 ms longer, and as much again covers the clock's millisecond steps.
-	windowSlack = 100 * time.Millisecond
-	// resultPart is the part of the memory that kept results may take.
-	resultPart = 8
-	// requestPart is the part of the memory that requests may take which are not answered.
-	requestPart = 8
-	// outputPart is the part of the memory that answers may take which callers do not read.
-	outputPart = 8
-	// keySweep is the time between two looks for entries that ran out.
-	keySweep = time.Second
+	keyWindowSlack = 100 * time.Millisecond
+	// resultMemoryDivisor is the part of the memory that kept results may take.
+	resultMemoryDivisor = 8
+	// requestMemoryDivisor is the part of the memory that requests may take which are not answered.
+	requestMemoryDivisor = 8
+	// outputMemoryDivisor is the part of the memory that answers may take which callers do not read.
+	outputMemoryDivisor = 8
+	// keyExpiryInterval is the time between two looks for entries that ran out.
+	keyExpiryInterval = time.Second
 	// The limits of the gateways' protocol; the parameters of a request are far smaller than theirs.
-	maxOpen, maxParams, maxBody = 32, 16 << 10, 2 << 10
+	maxOpenRequests, maxParamsBytes, maxBodyBytes = 32, 16 << 10, 2 << 10
 )
 
 // Config is what a server is told at its start.
@@ -51,88 +51,90 @@
 
 // Server is one catalogue server. Its fields belong to the goroutine in Run.
 type Server struct {
-	cfg      *config.Config
-	told     *settings.Told
-	log      *zap.Logger
-	protocol gateway.Protocol
-	loop     *eventloop.Loop
-	listener *eventloop.Listener
-	link     worker
-	begin    func() worker // makes link
-	intake   intake
-	reporter *loadreport.Reporter
+	cfg            *config.Config
+	told           *settings.Site
+	log            *zap.Logger
+	protocol       gateway.Protocol
+	loop           *eventloop.Loop
+	listener       *eventloop.Listener
+	backend        backend
+	connectBackend func() backend // makes link
+	parser         requestParser
+	reporter       *loadreport.Reporter
 
 	clock  clock
 	module admission.Events // nil until the interpreter is up
 	// decisions is the module behind the tap, to be looked into; nil until the interpreter is up.
-	decisions *admission.Instance
-	touched   bool     // the module heard of something in this round
-	later     []func() // events that actions led to
-	lastID    admission.RequestID
+	decisions      *admission.Instance
+	needsSettle    bool     // the module heard of something in this round
+	deferredEvents []func() // events that actions led to
+	lastID         admission.RequestID
 
-	journal  keeping           // nil where keyed results do not outlast the process
+	durable  durability        // nil where keyed results do not outlast the process
 	recorder *capture.Recorder // nil where nothing is recorded
 	tap      *capture.Tap      // likewise, and until the module starts
 
-	classes, tenants map[string]int
-	gateways         list.List                    // of *gateway, in the order of accepting
-	tries            map[admission.RequestID]*try // owed an answer, or running
-	byWire           map[string]*try              // the same, by Request-Id
-	keys             keyTable
-	seen             seenIDs
-	sums             maphash.Seed  // of the sums of bodies, which no sender can foresee
-	patience         time.Duration // longest deadline of a class
+	classIndex, tenantIndex map[string]int
+	conns                   list.List                        // values *gateway, in the order of accepting
+	attempts                map[admission.RequestID]*attempt // hasOpenRequests an answer, or running
+	byRequestID             map[string]*attempt              // the same, by Request-Id
+	keys                    idempotencyTable
+	recentIDs               recentIDs
+	hashSeed                maphash.Seed  // values the sums of bodies, which no sender can foresee
+	maxDeadline             time.Duration // longest deadline of a class
 
-	hint               string
-	healthy, fromStore bool
-	idle               time.Duration // what the module set, 0 = nothing yet
-	idleScan           *eventloop.Timer
-	draining           bool
-	count              counters
-	classCounts        []classCounters // by the index of the class
+	advertisedLoad             string
+	isHealthy, healthFromStore bool
+	idleTimeout                time.Duration // what the module set, 0 = nothing yet
+	idleScanTimer              *eventloop.Timer
+	isDraining                 bool
+	counters                   counters
+	classCounts                []classCounters // by the index of the class
 }
 
 // New returns a server that listens at its address. Run has to be called next, or Close.
-func New(cfg *Config, log *zap.Logger) (*Server, error) { return NewOn(eventloop.Kernel{}, cfg, log) }
+func New(cfg *Config, log *zap.Logger) (*Server, error) {
+	return NewOnSystem(eventloop.Kernel{}, cfg, log)
+}
 
-// NewOn is New on a system that need not be the machine's.
-func NewOn(system eventloop.System, cfg *Config, log *zap.Logger) (*Server, error) {
-	s, err := open(system, cfg, log, fastcgi.Limits{Requests: maxOpen, Params: maxParams, Body: maxBody,
-		Memory: cfg.Limits.MemoryMB << 20 / requestPart})
+// NewOnSystem is New on a system that need not be the machine's.
+func NewOnSystem(system eventloop.System, cfg *Config, log *zap.Logger) (*Server, error) {
+	s, err := open(system, cfg, log, fastcgi.Limits{OpenRequests: maxOpenRequests, ParamBytes: maxParamsBytes, BodyBytes: maxBodyBytes,
+		TotalBytes: cfg.Limits.MemoryMB << 20 / requestMemoryDivisor})
 	if err != nil {
 		return nil, err
 	}
-	s.intake = s.read
-	s.begin = func() worker { return interpreterBackend{interpreter.Dial(s.loop, s.cfg.Interpreter, s), s.told} }
+	s.parser = s.parseRequest
+	s.connectBackend = func() backend { return interpreterBackend{interpreter.Dial(s.loop, s.cfg.Interpreter, s), s.told} }
 	return s, nil
 }
 
 // open returns a server that listens, without the worker and the intake that it needs.
 func open(system eventloop.System, cfg *Config, log *zap.Logger, limits fastcgi.Limits) (*Server, error) {
-	if err := servable(cfg); err != nil {
+	if err := validateSettings(cfg); err != nil {
 		return nil, err
 	}
 	told := cfg.Settings
-	l, err := eventloop.New(system, min(max(told.Module.Tick, time.Millisecond), 10*time.Millisecond), cfg.Limits.MemoryMB<<20/outputPart)
+	l, err := eventloop.New(system, min(max(told.Admission.Tick, time.Millisecond), 10*time.Millisecond), cfg.Limits.MemoryMB<<20/outputMemoryDivisor)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{cfg: cfg, told: told, log: log, loop: l, clock: newClock(l.Now()), protocol: fastcgi.New(limits),
-		classes: index(told.Classes), tenants: index(told.Tenants),
-		tries: map[admission.RequestID]*try{}, byWire: map[string]*try{},
-		classCounts: make([]classCounters, len(told.Classes)),
-		keys:        newKeyTable(cfg.Limits.MemoryMB<<20/resultPart, told.Module.Fresh), sums: maphash.MakeSeed()}
-	for _, c := range told.Module.Classes {
-		s.patience = max(s.patience, c.Deadline)
+	s := &Server{cfg: cfg, told: told, log: log, loop: l, clock: newClock(l.Now()), protocol: fastcgi.NewProtocol(limits),
+		classIndex: indexByName(told.ClassNames), tenantIndex: indexByName(told.TenantNames),
+		attempts: map[admission.RequestID]*attempt{}, byRequestID: map[string]*attempt{},
+		classCounts: make([]classCounters, len(told.ClassNames)),
+		keys:        newIdempotencyTable(cfg.Limits.MemoryMB<<20/resultMemoryDivisor, told.Admission.ResultFreshness), hashSeed: maphash.MakeSeed()}
+	for _, c := range told.Admission.Classes {
+		s.maxDeadline = max(s.maxDeadline, c.Deadline)
 	}
-	s.seen = newSeenIDs(max(2*s.patience, seenLeast), cfg.Limits.MemoryMB<<20/seenPart/seenSize)
-	if cfg.Announce.IsValid() {
-		if s.reporter, err = loadreport.New(system, cfg.Announce, cfg.Name); err != nil {
+	s.recentIDs = newRecentIDs(max(2*s.maxDeadline, minIDRetention), cfg.Limits.MemoryMB<<20/recentIDsMemoryDivisor/recentIDBytes)
+	if cfg.LoadReports.IsValid() {
+		if s.reporter, err = loadreport.New(system, cfg.LoadReports, cfg.Name); err != nil {
 			l.Close()
 			return nil, err
 		}
 	}
-	if s.listener, err = l.Listen(cfg.Listen, eventloop.Accepted{Conn: s.accept, Failed: s.acceptFailed}); err != nil {
+	if s.listener, err = l.Listen(cfg.Listen, eventloop.AcceptCallbacks{OnConn: s.accept, OnError: s.acceptError}); err != nil {
 		s.closeReporter()
 		l.Close()
 		return nil, err
@@ -144,17 +146,17 @@
 	return s, nil
 }
 
-// servable tells what is wrong with settings that can be read: what the module can't work with is found now,
+// validateSettings tells what is wrong with settings that can be read: what the module can't work with is found now,
 // not when the interpreter comes up. Any dependency is served, though no call to it can be made: see Awaits.
-func servable(cfg *Config) error {
-	if _, err := admission.New(cfg.Settings.Module, nil); err != nil {
+func validateSettings(cfg *Config) error {
+	if _, err := admission.New(cfg.Settings.Admission, nil); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	return nil
 }
 
-// index numbers names.
-func index(names []string) map[string]int {
+// indexByName numbers names.
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
 		m[name] = i
@@ -165,15 +167,15 @@
 // Run serves until it was drained after Drain.
 func (s *Server) Run() error {
 	defer s.Close()
-	s.link = s.begin()
-	s.loop.After(keySweep, s.sweepKeys)
-	s.scanIdle()
+	s.backend = s.connectBackend()
+	s.loop.AfterFunc(keyExpiryInterval, s.expireKeys)
+	s.scheduleIdleScan()
 	s.log.Info("listening", zap.String("name", s.cfg.Name), zap.Stringer("address", s.cfg.Listen))
 	err := s.loop.Run(s.settle)
 	s.closeCapture()
-	s.report("exit")
-	if s.journal != nil {
-		s.journal.close()
+	s.logCounters("exit")
+	if s.durable != nil {
+		s.durable.close()
 	}
 	return err
 }
@@ -184,8 +186,8 @@
 	for g := range s.connections() {
 		g.conn.Close()
 	}
-	if s.link != nil {
-		s.link.Close()
+	if s.backend != nil {
+		s.backend.Close()
 	}
 	s.closeReporter()
 	s.loop.Close()
@@ -201,33 +203,33 @@
 // Drain has the server leave; any goroutine may call it.
 func (s *Server) Drain() { s.loop.Post(s.drain) }
 
-// Report logs the counters; any goroutine may call it.
-func (s *Server) Report() { s.loop.Post(func() { s.report("asked") }) }
+// LogCounters logs the counters; any goroutine may call it.
+func (s *Server) LogCounters() { s.loop.Post(func() { s.logCounters("asked") }) }
 
-// event notes that the module hears of something in this round, and returns the time of it.
-func (s *Server) event() time.Duration {
-	s.touched = true
+// moduleTime notes that the module hears of something in this round, and returns the time of it.
+func (s *Server) moduleTime() time.Duration {
+	s.needsSettle = true
 	return s.clock.read(s.loop.Now())
 }
 
-// after reports an event that an action led to once the module has returned.
-func (s *Server) after(event func()) { s.later = append(s.later, event) }
+// deferEvent reports an event that an action led to once the module has returned.
+func (s *Server) deferEvent(event func()) { s.deferredEvents = append(s.deferredEvents, event) }
 
 // settle ends a round.
 func (s *Server) settle() (again bool) {
-	s.deferred()
-	if s.touched && s.module != nil {
-		s.touched = false
+	s.runDeferredEvents()
+	if s.needsSettle && s.module != nil {
+		s.needsSettle = false
 		s.module.Settle(s.clock.read(s.loop.Now()))
 	}
-	return len(s.later) > 0
+	return len(s.deferredEvents) > 0
 }
 
-// deferred reports the events that actions led to.
-func (s *Server) deferred() {
-	for len(s.later) > 0 {
-		events := s.later
-		s.later = nil
+// runDeferredEvents reports the events that actions led to.
+func (s *Server) runDeferredEvents() {
+	for len(s.deferredEvents) > 0 {
+		events := s.deferredEvents
+		s.deferredEvents = nil
 		for _, event := range events {
 			event()
 		}
@@ -236,9 +238,9 @@
 
 // Up implements interp.Handler: the module starts with the work it decides on, since the interpreter may come
 // up long after this process and is cold from then on.
-func (s *Server) Up(cold bool, age time.Duration) {
-	set := s.told.Module
-	set.Cold = cold
+func (s *Server) InterpreterStarted(cold bool, age time.Duration) {
+	set := s.told.Admission
+	set.WarmingUp = cold
 	s.log.Info("interpreter up", zap.Bool("cold", cold), zap.Duration("age", age))
 	module, err := s.newModule(set)
 	if err != nil {
@@ -246,22 +248,22 @@
 		return
 	}
 	s.module = module
-	s.event()
-	s.announce()
+	s.moduleTime()
+	s.reportLoad()
 }
 
 // Trouble implements interp.Handler.
-func (s *Server) Trouble(text string, err error) {
+func (s *Server) ReportError(text string, err error) {
 	s.log.Warn(text, zap.Error(err))
-	s.remark("%s: %v", text, err)
+	s.annotateCapture("%s: %v", text, err)
 }
 
-// sweepKeys forgets entries that ran out.
-func (s *Server) sweepKeys() {
-	s.keys.sweep(s.clock.read(s.loop.Now()), s.loop.Now().Round(0), s.patience)
-	s.count.resultsDropped = s.keys.dropped
-	if s.journal != nil {
-		s.journal.work()
+// expireKeys forgets entries that ran out.
+func (s *Server) expireKeys() {
+	s.keys.expire(s.clock.read(s.loop.Now()), s.loop.Now().Round(0), s.maxDeadline)
+	s.counters.resultsEvicted = s.keys.evicted
+	if s.durable != nil {
+		s.durable.runMaintenance()
 	}
-	s.loop.After(keySweep, s.sweepKeys)
+	s.loop.AfterFunc(keyExpiryInterval, s.expireKeys)
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -17,46 +17,46 @@
 
 // testTold is what the test's settings say, but for the cores: so many have to have ended their first runs before a time
 // without an end is taken for a stall that a test on a slow machine never gets there. Stalls are the module's tests' affair.
-func testTold(t *testing.T) *settings.Told {
+func testTold(t *testing.T) *settings.Site {
 	t.Helper()
-	told, err := settings.Parse([]byte(fake.Settings))
+	told, err := settings.Parse([]byte(fake.SiteSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told.Module.Cores = 10_000
+	told.Admission.Cores = 10_000
 	return told
 }
 
-// run starts a server with an interpreter, which serves when it returns, and drains it with the test.
+// runAfterIntent starts a server with an interpreter, which serves when it returns, and drains it with the test.
 func run(t *testing.T) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	return runAt(t, testTold(t))
 }
 
 // runAt is run at a site.
-func runAt(t *testing.T, told *settings.Told) (*Server, *servertest.Interpreter) {
+func runAt(t *testing.T, told *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	return runOn(t, eventloop.Kernel{}, told)
 }
 
 // runOn is runAt on a system that need not be the machine's.
-func runOn(t *testing.T, system eventloop.System, told *settings.Told) (*Server, *servertest.Interpreter) {
+func runOn(t *testing.T, system eventloop.System, told *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
 	s := runWith(t, system, told, it)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	defer g.Close()
-	servertest.Wait(t, "a healthy server", func() bool { return check(g, false) == 200 })
+	servertest.WaitFor(t, "a healthy server", func() bool { return check(g, false) == 200 })
 	return s, it
 }
 
 // runWith starts a server with an interpreter that need not be up.
-func runWith(t *testing.T, system eventloop.System, told *settings.Told, it *servertest.Interpreter) *Server {
+func runWith(t *testing.T, system eventloop.System, told *settings.Site, it *servertest.Interpreter) *Server {
 	t.Helper()
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)),
-		Interpreter: netip.MustParseAddrPort(it.Addr()), Announce: netip.MustParseAddrPort("127.0.0.1:9"),
-		Stop: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64}, Settings: told}
-	s, err := NewOn(system, cfg, zap.NewNop())
+		Interpreter: netip.MustParseAddrPort(it.Addr()), LoadReports: netip.MustParseAddrPort("127.0.0.1:9"),
+		StopTimeout: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64}, Settings: told}
+	s, err := NewOnSystem(system, cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,10 +77,10 @@
 	})
 }
 
-// check asks for the server's health.
+// checkHealth asks for the server's health.
 func check(g *servertest.Gateway, full bool) int {
-	g.Write(fake.Health(full).Records(1))
-	return g.Answer(1).Status
+	g.Write(fake.NewHealthCheck(full).Encode(1))
+	return g.WaitResponse(1).Status
 }
 
 // do has the server's goroutine do something, and waits for it.
@@ -98,18 +98,18 @@
 func TestDeepCheck(t *testing.T) {
 	s, it := run(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	do(s, func() { s.fromStore = false })
+	do(s, func() { s.healthFromStore = false })
 	if got := check(g, true); got != 200 {
 		t.Errorf("deep check of a server that works: %d", got)
 	}
-	it.Mute()
+	it.IgnoreQueries()
 	if got := check(g, true); got != 503 {
 		t.Errorf("deep check of a server that does not work: %d", got)
 	}
 	if got := check(g, false); got != 200 {
 		t.Errorf("shallow check: %d", got)
 	}
-	do(s, func() { actions{s}.Health(false, true) })
+	do(s, func() { actions{s}.SetHealth(false, true) })
 	if got := check(g, false); got != 503 {
 		t.Errorf("check of a server that the module calls bad: %d", got)
 	}
@@ -121,22 +121,22 @@
 	s, it := run(t)
 	idle, busy := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
 	check(idle, false)
-	busy.Write(fake.Lookup("").Records(1))
-	run := it.WaitApplied(1)[0].ID
-	servertest.Wait(t, "the module's own setting", func() (set bool) {
-		do(s, func() { set = s.idle > 0 })
+	busy.Write(fake.NewLookup("").Encode(1))
+	run := it.WaitRuns(1)[0].ID
+	servertest.WaitFor(t, "the module's own setting", func() (set bool) {
+		do(s, func() { set = s.idleTimeout > 0 })
 		return set
 	})
-	do(s, func() { actions{s}.CloseIdle(20 * time.Millisecond) })
-	idle.Ended()
-	it.End(run, "OK", []byte("x"))
-	if a := busy.Answer(1); a.Status != 200 {
+	do(s, func() { actions{s}.CloseIdleConnections(20 * time.Millisecond) })
+	idle.WaitClosed()
+	it.EndRun(run, "OK", []byte("x"))
+	if a := busy.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer on the connection with an open request: %+v", a)
 	}
-	busy.Ended()
+	busy.WaitClosed()
 	do(s, func() {
-		if s.count.idleClosed < 2 {
-			t.Errorf("%d connections were closed as idle", s.count.idleClosed)
+		if s.counters.idleClosed < 2 {
+			t.Errorf("%d connections were closed as idle", s.counters.idleClosed)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 // TestAnnouncePace has a quarter of the reports be lost: that all are which come while a server stays listed must
 // happen less than once in a million times.
 func TestAnnouncePace(t *testing.T) {
-	if chance := math.Pow(0.25, math.Floor(float64(listedFor)/float64(announcePace))); chance > 1e-6 {
+	if chance := math.Pow(0.25, math.Floor(float64(endpointExpiry)/float64(loadReportInterval))); chance > 1e-6 {
 		t.Errorf("all reports are lost with a chance of %v", chance)
 	}
 }
