--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -24,7 +24,7 @@
 	Poisson Kind = "poisson" // independent arrivals at one rate
 	Bursty  Kind = "bursty"  // a Markov-modulated Poisson process of two states
 	Diurnal Kind = "diurnal" // a rate that swings as a sine does
-	Replay  Kind = "replay"  // recorded arrivals
+	Replay  Kind = "replay"  // times arrivals
 )
 
 // Config is a process by its figures.
@@ -51,8 +51,8 @@
 	RampDown time.Duration `json:"Fall"` // within For
 }
 
-// at is the factor of a jump at a time.
-func (j Surge) at(t time.Duration) float64 {
+// factorAt is the factor of a jump at a time.
+func (j Surge) factorAt(t time.Duration) float64 {
 	since, left := t-j.Start, j.Start+j.Duration-t
 	if since < 0 || left <= 0 {
 		return 1
@@ -106,92 +106,92 @@
 	}
 	switch c.Kind {
 	case Replay:
-		return &replay{c.Times, max(c.Speed, 0), 0}, nil
+		return &recordedArrivals{c.Times, max(c.Speed, 0), 0}, nil
 	case Bursty:
-		return thin(c, rng, c.Rate*c.BurstFactor, (&bursty{c: c, rng: rng}).rate), nil
+		return newThinned(c, rng, c.Rate*c.BurstFactor, (&modulatedRate{config: c, rng: rng}).rate), nil
 	case Diurnal:
-		return thin(c, rng, c.Rate*(1+c.Amplitude), func(t time.Duration) float64 {
+		return newThinned(c, rng, c.Rate*(1+c.Amplitude), func(t time.Duration) float64 {
 			return c.Rate * (1 + c.Amplitude*math.Sin(2*math.Pi*float64(t)/float64(c.Period)))
 		}), nil
 	}
-	return thin(c, rng, c.Rate, func(time.Duration) float64 { return c.Rate }), nil
+	return newThinned(c, rng, c.Rate, func(time.Duration) float64 { return c.Rate }), nil
 }
 
 // thinned is a Poisson process of a rate that changes, by thinning one of the highest rate (Lewis and Shedler, 1979).
 type thinned struct {
-	rng   *rand.Rand
-	most  float64
-	rate  func(t time.Duration) float64
-	jumps []Surge
-	now   float64 // seconds
+	rng     *rand.Rand
+	maxRate float64
+	rate    func(t time.Duration) float64
+	surges  []Surge
+	seconds float64 // seconds
 }
 
-// thin returns the process; most is the highest that rate can be.
-func thin(c Config, rng *rand.Rand, most float64, rate func(time.Duration) float64) *thinned {
+// newThinned returns the process; most is the highest that rate can be.
+func newThinned(c Config, rng *rand.Rand, most float64, rate func(time.Duration) float64) *thinned {
 	for _, j := range c.Surges {
 		most *= max(j.Factor, 1)
 	}
-	return &thinned{rng: rng, most: most, rate: rate, jumps: c.Surges}
+	return &thinned{rng: rng, maxRate: most, rate: rate, surges: c.Surges}
 }
 
 // Next implements Process.
 func (p *thinned) Next() (time.Duration, bool) {
 	for {
-		p.now += p.rng.ExpFloat64() / p.most
-		t := time.Duration(p.now * float64(time.Second))
+		p.seconds += p.rng.ExpFloat64() / p.maxRate
+		t := time.Duration(p.seconds * float64(time.Second))
 		rate := p.rate(t)
-		for _, j := range p.jumps {
-			rate *= j.at(t)
+		for _, j := range p.surges {
+			rate *= j.factorAt(t)
 		}
-		if rate >= p.most || p.rng.Float64()*p.most < rate {
+		if rate >= p.maxRate || p.rng.Float64()*p.maxRate < rate {
 			return t, true
 		}
 	}
 }
 
-// bursty is the rate of a Markov-modulated Poisson process, asked for in the order of time.
-type bursty struct {
-	c     Config
-	rng   *rand.Rand
-	until time.Duration
-	burst bool
-	begun bool
+// modulatedRate is the rate of a Markov-modulated Poisson process, asked for in the order of time.
+type modulatedRate struct {
+	config   Config
+	rng      *rand.Rand
+	stateEnd time.Duration
+	inBurst  bool
+	started  bool
 }
 
-func (b *bursty) rate(t time.Duration) float64 {
-	if !b.begun {
-		b.begun, b.burst = true, b.rng.Float64() >= b.c.BurstFraction // turned below
+func (b *modulatedRate) rate(t time.Duration) float64 {
+	if !b.started {
+		b.started, b.inBurst = true, b.rng.Float64() >= b.config.BurstFraction // turned below
 	}
-	for t >= b.until {
-		b.burst = !b.burst
-		stay := float64(b.c.MeanBurst)
-		if !b.burst {
-			stay *= (1 - b.c.BurstFraction) / b.c.BurstFraction
+	for t >= b.stateEnd {
+		b.inBurst = !b.inBurst
+		stay := float64(b.config.MeanBurst)
+		if !b.inBurst {
+			stay *= (1 - b.config.BurstFraction) / b.config.BurstFraction
 		}
-		b.until += max(time.Duration(b.rng.ExpFloat64()*stay), 1)
+		b.stateEnd += max(time.Duration(b.rng.ExpFloat64()*stay), 1)
 	}
-	if b.burst {
-		return b.c.Rate * b.c.BurstFactor
+	if b.inBurst {
+		return b.config.Rate * b.config.BurstFactor
 	}
-	return b.c.Rate * (1 - b.c.BurstFactor*b.c.BurstFraction) / (1 - b.c.BurstFraction)
+	return b.config.Rate * (1 - b.config.BurstFactor*b.config.BurstFraction) / (1 - b.config.BurstFraction)
 }
 
-// replay is recorded arrivals.
-type replay struct {
-	recorded []time.Duration
-	factor   float64
-	next     int
+// recordedArrivals is recorded arrivals.
+type recordedArrivals struct {
+	times []time.Duration
+	speed float64
+	next  int
 }
 
 // Next implements Process.
-func (p *replay) Next() (time.Duration, bool) {
-	if p.next == len(p.recorded) {
+func (p *recordedArrivals) Next() (time.Duration, bool) {
+	if p.next == len(p.times) {
 		return 0, false
 	}
-	t := p.recorded[p.next]
+	t := p.times[p.next]
 	p.next++
-	if p.factor > 0 {
-		t = time.Duration(float64(t) / p.factor)
+	if p.speed > 0 {
+		t = time.Duration(float64(t) / p.speed)
 	}
 	return t, true
 }
--- a/internal/arrival/arrival_test.go
+++ b/internal/arrival/arrival_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestJump has a jump multiply the rate where it is, and nowhere else.
-func TestJump(t *testing.T) {
+// TestSurge has a jump multiply the rate where it is, and nowhere else.
+func TestSurge(t *testing.T) {
 	p, err := New(Config{Kind: Poisson, Rate: 1000, Surges: []Surge{{Start: 10 * time.Second, Duration: 10 * time.Second, Factor: 2}}},
 		rand.New(rand.NewPCG(3, 4)))
 	if err != nil {
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestCheck names what makes no sense.
-func TestCheck(t *testing.T) {
+// TestValidate names what makes no sense.
+func TestValidate(t *testing.T) {
 	for _, c := range []Config{{}, {Kind: Poisson}, {Kind: Bursty, Rate: 1, BurstFactor: 4, BurstFraction: 0.5, MeanBurst: 1},
 		{Kind: Diurnal, Rate: 1, Amplitude: 2, Period: 1}, {Kind: Replay}, {Kind: Poisson, Rate: 1, Surges: []Surge{{Factor: -1}}}} {
 		if _, err := New(c, nil); err == nil {
--- a/internal/capture/arrivals.go
+++ b/internal/capture/arrivals.go
@@ -15,7 +15,7 @@
 	var list []time.Duration
 	for _, s := range segments {
 		for i := range s.Blocks {
-			err := s.Blocks[i].each(func(r *Record) error {
+			err := s.Blocks[i].forEach(func(r *Record) error {
 				if r.Kind == KindRequest && !r.Request.IsRetry {
 					list = append(list, r.At-r.Request.QueueingDelay)
 				}
--- a/internal/capture/codec_test.go
+++ b/internal/capture/codec_test.go
@@ -15,25 +15,25 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// stormRecords are those of a real storm of the kit.
-func stormRecords(b *testing.B) (*Segment, []Record) {
+// loadTestRecords are those of a real storm of the kit.
+func loadTestRecords(b *testing.B) (*Segment, []Record) {
 	b.Helper()
 	s, err := ReadSegment("../replay/testdata/overload.capture")
 	if err != nil {
 		b.Fatal(err)
 	}
-	return s, read(b, s, nil)
+	return s, readRecords(b, s, nil)
 }
 
 // BenchmarkCompression weighs compressions of the blocks of a storm: bytes a second, and what is left of them.
 func BenchmarkCompression(b *testing.B) {
-	s, records := stormRecords(b)
+	s, records := loadTestRecords(b)
 	last := s.Meta.ModuleTime
 	var raw []byte
 	for i := range records {
 		raw = appendRecord(raw, &last, &records[i])
 	}
-	raw = raw[:min(len(raw), blockSize)]
+	raw = raw[:min(len(raw), maxBlockSize)]
 	dst := make([]byte, 2*len(raw))
 	zstdOf := func(level zstd.EncoderLevel) func() int {
 		e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(level), zstd.WithEncoderConcurrency(1))
@@ -72,7 +72,7 @@
 
 // BenchmarkEncoding weighs serializations of the records of a storm: time and bytes a record.
 func BenchmarkEncoding(b *testing.B) {
-	_, records := stormRecords(b)
+	_, records := loadTestRecords(b)
 	var out bytes.Buffer
 	own := make([]byte, 0, 1<<20)
 	for name, encode := range map[string]func() (int, error){
@@ -113,18 +113,18 @@
 	return out.Len(), nil
 }
 
-// TestBlockOfAStorm has a block of a real storm survive its compression.
-func TestBlockOfAStorm(t *testing.T) {
+// TestBlockOfLoadTest has a block of a real storm survive its compression.
+func TestBlockOfLoadTest(t *testing.T) {
 	raw, err := os.ReadFile("../replay/testdata/overload.capture")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := appendBlock(nil, head{kind: blockRecords, first: 7}, raw)
-	h, ok := readHead(b)
-	if !ok || h.first != 7 || h.raw != len(raw) {
+	b := appendBlock(nil, blockHeader{kind: blockRecords, firstRecord: 7}, raw)
+	h, ok := readBlockHeader(b)
+	if !ok || h.firstRecord != 7 || h.rawSize != len(raw) {
 		t.Fatalf("head %+v", h)
 	}
-	if back, err := content(h, b); err != nil || !bytes.Equal(back, raw) {
+	if back, err := readBlockContent(h, b); err != nil || !bytes.Equal(back, raw) {
 		t.Errorf("the content does not come back: %v", err)
 	}
 }
--- a/internal/capture/directory.go
+++ b/internal/capture/directory.go
@@ -22,24 +22,24 @@
 	Remove(name string) error
 }
 
-// folder is a directory of the file system.
-type folder string
+// directoryPath is a directory of the file system.
+type directoryPath string
 
 // OpenDirectory returns a directory, which is made where it does not exist.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	return folder(path), nil
+	return directoryPath(path), nil
 }
 
 // Create implements Files.
-func (f folder) Create(name string) (io.WriteCloser, error) {
+func (f directoryPath) Create(name string) (io.WriteCloser, error) {
 	return os.OpenFile(filepath.Join(string(f), name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
 }
 
 // List implements Files.
-func (f folder) List() (map[string]int64, error) {
+func (f directoryPath) List() (map[string]int64, error) {
 	dir, err := os.Open(string(f))
 	if err != nil {
 		return nil, err
@@ -64,17 +64,17 @@
 }
 
 // Remove implements Files.
-func (f folder) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
+func (f directoryPath) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
 
-// suffix ends the names of segments.
-const suffix = ".capture"
+// segmentSuffix ends the names of segments.
+const segmentSuffix = ".capture"
 
 // segmentName is the name of the file with the number.
-func segmentName(number int) string { return fmt.Sprintf("%010d%s", number, suffix) }
+func segmentName(number int) string { return fmt.Sprintf("%010d%s", number, segmentSuffix) }
 
 // segmentNumber reads the number of a file's name.
 func segmentNumber(name string) (int, bool) {
-	digits, ok := strings.CutSuffix(name, suffix)
+	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) < 10 {
 		return 0, false
 	}
@@ -82,8 +82,8 @@
 	return n, err == nil && n > 0
 }
 
-// listed are the segments of a folder by their numbers, and those in order.
-func listed(f Directory) (sizes map[int]int64, order []int, err error) {
+// listSegments are the segments of a folder by their numbers, and those in order.
+func listSegments(f Directory) (sizes map[int]int64, order []int, err error) {
 	all, err := f.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -36,27 +36,27 @@
 	blockEnd                           // the last block of a segment that was ended in order, without content
 )
 
-// marker begins every block, so that the next can be found behind a damaged one.
-var marker = [4]byte{0xf5, 'B', 'L', 'K'}
+// blockMarker begins every block, so that the next can be found behind a damaged one.
+var blockMarker = [4]byte{0xf5, 'B', 'L', 'K'}
 
 // A block's head is the marker, the kind, three bytes kept zero, the stored and the raw length (4 bytes
 // each), the number of the first record (8), the time of the event before it and the Unix time, both in
 // nanoseconds (8 each), the checksum of the stored bytes and that of the head up to here (4 each), all
 // little-endian.
-const headSize = 4 + 4 + 4 + 4 + 8 + 8 + 8 + 4 + 4
+const blockHeaderSize = 4 + 4 + 4 + 4 + 8 + 8 + 8 + 4 + 4
 
-// maxRaw bounds a block, so that a damaged length cannot ask for all memory.
-const maxRaw = 64 << 20
+// maxRawSize bounds a block, so that a damaged length cannot ask for all memory.
+const maxRawSize = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// head is the head of a block.
-type head struct {
-	kind        blockKind
-	stored, raw int
-	first       uint64        // number of the first record, counted over all segments of a run
-	base        time.Duration // the module's clock at the event before it
-	unix        time.Time     // when the block was begun
+// blockHeader is the head of a block.
+type blockHeader struct {
+	kind                blockKind
+	storedSize, rawSize int
+	firstRecord         uint64        // fileNumber of the first record, counted over all segments of a run
+	baseTime            time.Duration // the module's clock at the event before it
+	unixTime            time.Time     // when the block was begun
 }
 
 // appendPreamble begins a segment.
@@ -76,9 +76,9 @@
 }
 
 // appendBlock compresses the content and adds it as a block.
-func appendBlock(b []byte, h head, content []byte) []byte {
+func appendBlock(b []byte, h blockHeader, content []byte) []byte {
 	start := len(b)
-	b = append(b, make([]byte, headSize)...)
+	b = append(b, make([]byte, blockHeaderSize)...)
 	room := snappy.MaxEncodedLen(len(content))
 	if cap(b)-len(b) < room {
 		b = append(make([]byte, 0, len(b)+room), b...)
@@ -86,36 +86,36 @@
 	stored := snappy.Encode(b[len(b):len(b)+room], content)
 	b = b[:len(b)+len(stored)]
 	p := b[start:]
-	copy(p, marker[:])
+	copy(p, blockMarker[:])
 	p[4] = byte(h.kind)
 	e := binary.LittleEndian
 	e.PutUint32(p[8:], uint32(len(stored)))
 	e.PutUint32(p[12:], uint32(len(content)))
-	e.PutUint64(p[16:], h.first)
-	e.PutUint64(p[24:], uint64(h.base))
-	e.PutUint64(p[32:], uint64(h.unix.UnixNano()))
+	e.PutUint64(p[16:], h.firstRecord)
+	e.PutUint64(p[24:], uint64(h.baseTime))
+	e.PutUint64(p[32:], uint64(h.unixTime.UnixNano()))
 	e.PutUint32(p[40:], crc32.Checksum(stored, castagnoli))
 	e.PutUint32(p[44:], crc32.Checksum(p[:44], castagnoli))
 	return b
 }
 
-// readHead reads the head at the beginning of the bytes.
-func readHead(p []byte) (head, bool) {
-	if len(p) < headSize || !bytes.Equal(p[:4], marker[:]) {
-		return head{}, false
+// readBlockHeader reads the head at the beginning of the bytes.
+func readBlockHeader(p []byte) (blockHeader, bool) {
+	if len(p) < blockHeaderSize || !bytes.Equal(p[:4], blockMarker[:]) {
+		return blockHeader{}, false
 	}
 	e := binary.LittleEndian
 	if crc32.Checksum(p[:44], castagnoli) != e.Uint32(p[44:]) {
-		return head{}, false
+		return blockHeader{}, false
 	}
-	h := head{kind: blockKind(p[4]), stored: int(e.Uint32(p[8:])), raw: int(e.Uint32(p[12:])), first: e.Uint64(p[16:]),
-		base: time.Duration(e.Uint64(p[24:])), unix: time.Unix(0, int64(e.Uint64(p[32:])))}
-	return h, h.raw <= maxRaw && h.stored <= s2.MaxEncodedLen(h.raw)
+	h := blockHeader{kind: blockKind(p[4]), storedSize: int(e.Uint32(p[8:])), rawSize: int(e.Uint32(p[12:])), firstRecord: e.Uint64(p[16:]),
+		baseTime: time.Duration(e.Uint64(p[24:])), unixTime: time.Unix(0, int64(e.Uint64(p[32:])))}
+	return h, h.rawSize <= maxRawSize && h.storedSize <= s2.MaxEncodedLen(h.rawSize)
 }
 
-// content checks and expands what stands behind a head.
-func content(h head, p []byte) ([]byte, error) {
-	stored := p[headSize : headSize+h.stored]
+// readBlockContent checks and expands what stands behind a head.
+func readBlockContent(h blockHeader, p []byte) ([]byte, error) {
+	stored := p[blockHeaderSize : blockHeaderSize+h.storedSize]
 	if crc32.Checksum(stored, castagnoli) != binary.LittleEndian.Uint32(p[40:]) {
 		return nil, errors.New("checksum differs")
 	}
@@ -123,8 +123,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) != h.raw {
-		return nil, fmt.Errorf("%d bytes instead of %d", len(raw), h.raw)
+	if len(raw) != h.rawSize {
+		return nil, fmt.Errorf("%d bytes instead of %d", len(raw), h.rawSize)
 	}
 	return raw, nil
 }
--- a/internal/capture/meta.go
+++ b/internal/capture/meta.go
@@ -7,8 +7,8 @@
 	Server      string        `json:"server"`            // the server's name
 	Run         string        `json:"run"`               // the same in all segments of one start of the process
 	Arch        string        `json:"arch"`              // floating point may differ in the last bit elsewhere
-	Segment     int           `json:"segment"`           // number within the run, from 1
-	FirstRecord uint64        `json:"first"`             // number of its first record within the run
+	Segment     int           `json:"segment"`           // fileNumber within the run, from 1
+	FirstRecord uint64        `json:"first"`             // fileNumber of its first record within the run
 	ModuleTime  time.Duration `json:"module"`            // the module's clock at its start, in nanoseconds
 	UnixTime    time.Time     `json:"unix"`              // the Unix clock then
 	Classes     []string      `json:"classes"`           // names, by index
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -100,14 +100,14 @@
 	Key       string              `json:"key,omitempty"`  // Names: the key, where there is one
 }
 
-// errRecord says that bytes are no record.
-var errRecord = errors.New("capture: not a record")
+// errBadRecord says that bytes are no record.
+var errBadRecord = errors.New("capture: not a record")
 
 // maxText bounds the text of a record; longer ones are cut.
 const maxText = 1 << 10
 
-// recordRoom is more than the bytes of any record.
-const recordRoom = 2*maxText + 256
+// maxRecordSize is more than the bytes of any record.
+const maxRecordSize = 2*maxText + 256
 
 // appendRecord adds a record's bytes; last is the time of the event before it and becomes that of this one.
 func appendRecord(b []byte, last *time.Duration, r *Record) []byte {
@@ -192,17 +192,17 @@
 // stand for, or as twice its length and itself.
 func appendHex(b []byte, s string) []byte {
 	s = s[:min(len(s), maxText)]
-	if len(s)%2 != 0 || !lowerHex(s) {
+	if len(s)%2 != 0 || !isLowerHex(s) {
 		return append(binary.AppendUvarint(b, uint64(len(s))<<1), s...)
 	}
 	b = binary.AppendUvarint(b, uint64(len(s)/2)<<1|1)
 	for i := 0; i < len(s); i += 2 {
-		b = append(b, digit(s[i])<<4|digit(s[i+1]))
+		b = append(b, hexDigit(s[i])<<4|hexDigit(s[i+1]))
 	}
 	return b
 }
 
-func lowerHex(s string) bool {
+func isLowerHex(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
@@ -211,7 +211,7 @@
 	return true
 }
 
-func digit(c byte) byte {
+func hexDigit(c byte) byte {
 	if c <= '9' {
 		return c - '0'
 	}
@@ -220,37 +220,37 @@
 
 // decoder takes records from the bytes of a block.
 type decoder struct {
-	b    []byte
-	last time.Duration // of the last event
-	bad  bool
+	rest        []byte
+	lastEvent   time.Duration // of the last event
+	isMalformed bool
 }
 
-// next reads one record.
+// nextBlock reads one record.
 func (d *decoder) next(r *Record) error {
 	*r = Record{Kind: Kind(d.byte())}
 	if r.Kind.IsEvent() {
-		d.last += time.Duration(d.varint())
+		d.lastEvent += time.Duration(d.varint())
 	}
-	r.At = d.last
+	r.At = d.lastEvent
 	switch r.Kind {
 	case KindRequest:
 		q := &r.Request
 		q.ID, q.Class, q.Tenant, q.Caller = d.id(), int(d.varint()), int(d.varint()), int(d.varint())
-		q.ResourceID, q.QueueingDelay, q.RemainingTime = d.uvarint(), d.span(), d.span()
-		q.IsRetry, q.RetryOf, q.SizeKB, q.Work = d.bool(), d.id(), d.float(), d.span()
+		q.ResourceID, q.QueueingDelay, q.RemainingTime = d.uvarint(), d.duration(), d.duration()
+		q.IsRetry, q.RetryOf, q.SizeKB, q.Work = d.bool(), d.id(), d.float(), d.duration()
 		r.ID = q.ID
 	case KindRunFinished:
 		r.ID, r.Outcome = d.id(), admission.Outcome(d.byte())
 	case KindCallFinished:
-		r.ID, r.Outcome, r.Duration = d.id(), admission.Outcome(d.byte()), d.span()
+		r.ID, r.Outcome, r.Duration = d.id(), admission.Outcome(d.byte()), d.duration()
 	case KindDrain, KindCloseIdleConnections:
-		r.Duration = d.span()
+		r.Duration = d.duration()
 	case KindTimer:
 		r.Token, r.Gauges = uint32(d.uvarint()), admission.Gauges{Utilization: d.float(), Runnable: d.float()}
 	case KindReject:
-		r.ID, r.Duration, r.Flag = d.id(), d.span(), d.bool()
+		r.ID, r.Duration, r.Flag = d.id(), d.duration(), d.bool()
 	case KindCall, KindKeepKey:
-		r.ID, r.Duration = d.id(), d.span()
+		r.ID, r.Duration = d.id(), d.duration()
 	case KindCancel, KindCallRequested, KindRun, KindFail, KindSkipCall, KindStop, KindReleaseKey, KindReplayResult:
 		r.ID = d.id()
 	case KindAdvertiseLoad:
@@ -258,28 +258,28 @@
 	case KindSetHealth:
 		r.Flag, r.FromStore = d.bool(), d.bool()
 	case KindSetTimer:
-		r.Duration, r.Token = d.span(), uint32(d.uvarint())
+		r.Duration, r.Token = d.duration(), uint32(d.uvarint())
 	case KindLog, KindAnnotation:
 		r.Text = d.text()
 	case KindRequestNames:
 		r.ID, r.Text, r.Key = d.id(), d.hex(), d.hex()
 	case KindSettle:
 	default:
-		d.bad = true
+		d.isMalformed = true
 	}
-	if d.bad {
-		return fmt.Errorf("%w: %v", errRecord, r.Kind)
+	if d.isMalformed {
+		return fmt.Errorf("%w: %v", errBadRecord, r.Kind)
 	}
 	return nil
 }
 
 func (d *decoder) take(n int) []byte {
-	if d.bad || n > len(d.b) {
-		d.bad = true
+	if d.isMalformed || n > len(d.rest) {
+		d.isMalformed = true
 		return make([]byte, min(n, 8))
 	}
-	b := d.b[:n]
-	d.b = d.b[n:]
+	b := d.rest[:n]
+	d.rest = d.rest[n:]
 	return b
 }
 
@@ -288,20 +288,20 @@
 func (d *decoder) bool() bool { return d.byte() != 0 }
 
 func (d *decoder) varint() int64 {
-	v, n := binary.Varint(d.b)
+	v, n := binary.Varint(d.rest)
 	d.take(max(n, 0))
-	d.bad = d.bad || n <= 0
+	d.isMalformed = d.isMalformed || n <= 0
 	return v
 }
 
 func (d *decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(d.b)
+	v, n := binary.Uvarint(d.rest)
 	d.take(max(n, 0))
-	d.bad = d.bad || n <= 0
+	d.isMalformed = d.isMalformed || n <= 0
 	return v
 }
 
-func (d *decoder) span() time.Duration { return time.Duration(d.varint()) }
+func (d *decoder) duration() time.Duration { return time.Duration(d.varint()) }
 
 func (d *decoder) id() admission.RequestID { return admission.RequestID(d.uvarint()) }
 
@@ -310,7 +310,7 @@
 func (d *decoder) text() string {
 	n := d.uvarint()
 	if n > maxText {
-		d.bad = true
+		d.isMalformed = true
 		return ""
 	}
 	return string(d.take(int(n)))
@@ -319,7 +319,7 @@
 func (d *decoder) hex() string {
 	n := d.uvarint()
 	if n>>1 > maxText {
-		d.bad = true
+		d.isMalformed = true
 		return ""
 	}
 	if b := d.take(int(n >> 1)); n&1 == 1 {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -23,24 +23,24 @@
 
 // The least values of a configuration that make sense.
 const (
-	leastSegment = 4 << 10
-	leastMemory  = 8 * leastBlock
-	leastBlock   = 2 * recordRoom
-	blockSize    = 64 << 10
-	// retryPace is how long a recorder waits after a failure before it tries a new segment.
-	retryPace = time.Second
+	minSegmentBytes = 4 << 10
+	minBufferBytes  = 8 * minBlockSize
+	minBlockSize    = 2 * maxRecordSize
+	maxBlockSize    = 64 << 10
+	// retryInterval is how long a recorder waits after a failure before it tries a new segment.
+	retryInterval = time.Second
 )
 
 // Validate names the first value that makes no sense.
 func (c Config) Validate() error {
 	switch {
-	case c.SegmentBytes < leastSegment:
-		return fmt.Errorf("capture: a segment of %d bytes, want at least %d", c.SegmentBytes, leastSegment)
+	case c.SegmentBytes < minSegmentBytes:
+		return fmt.Errorf("capture: a segment of %d bytes, want at least %d", c.SegmentBytes, minSegmentBytes)
 	case c.MaxBytes < 2*(c.SegmentBytes+int64(c.BufferBytes)):
 		return fmt.Errorf("capture: %d bytes are kept, want at least twice a segment and the memory, %d", c.MaxBytes,
 			2*(c.SegmentBytes+int64(c.BufferBytes)))
-	case c.BufferBytes < leastMemory:
-		return fmt.Errorf("capture: %d bytes of memory, want at least %d", c.BufferBytes, leastMemory)
+	case c.BufferBytes < minBufferBytes:
+		return fmt.Errorf("capture: %d bytes of memory, want at least %d", c.BufferBytes, minBufferBytes)
 	case c.SegmentAge <= 0 || c.FlushInterval <= 0:
 		return fmt.Errorf("capture: age %v and flush %v, want more than 0", c.SegmentAge, c.FlushInterval)
 	}
@@ -49,17 +49,17 @@
 
 // buffer is a block that is filled or waits for the disk.
 type buffer struct {
-	head    head
-	meta    *Meta // of the segment that it begins
-	records uint64
-	data    []byte
-	home    chan *buffer // where it goes when it is free
+	header   blockHeader
+	meta     *Meta // of the segment that it begins
+	records  uint64
+	data     []byte
+	freeList chan *buffer // where it goes when it is free
 }
 
 // release makes a buffer free.
 func (b *buffer) release() {
 	b.meta, b.records, b.data = nil, 0, b.data[:0]
-	b.home <- b // there is room for all there are
+	b.freeList <- b // there is room for all there are
 }
 
 // Counters tell what became of a recording; all count from the start.
@@ -77,20 +77,20 @@
 // record is put into a block in memory, full blocks go to a goroutine that writes them, and where no block is
 // left in memory records are lost, counted, and followed by a new segment with a state of its own.
 type Recorder struct {
-	cfg     Config
-	meta    Meta // of the segment that is recorded
-	writer  *writer
-	free    chan *buffer
-	states  chan *buffer // the one buffer for states; it grows with them
-	cur     *buffer      // nil in a gap
-	block   int          // size of a block
-	last    time.Duration
-	count   Counters
-	gap     *Gap // nil while nothing is lost
-	begun   time.Duration
-	retryAt time.Duration
-	unix    func() time.Time
-	closed  bool
+	config        Config
+	meta          Meta // of the segment that is recorded
+	writer        *writer
+	freeBlocks    chan *buffer
+	freeSnapshots chan *buffer // the one buffer for states; it grows with them
+	current       *buffer      // nil in a gap
+	blockSize     int          // size of a block
+	lastEvent     time.Duration
+	counters      Counters
+	gap           *Gap // nil while nothing is lost
+	segmentStart  time.Duration
+	retryAt       time.Duration
+	unixTime      func() time.Time
+	isClosed      bool
 }
 
 // NewRecorder returns a recorder that writes to the folder; about names the server, its classes and its tenants. What goes
@@ -99,18 +99,18 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	if _, _, err := listed(files); err != nil {
+	if _, _, err := listSegments(files); err != nil {
 		return nil, err
 	}
-	size := min(blockSize, cfg.BufferBytes/8)
+	size := min(maxBlockSize, cfg.BufferBytes/8)
 	n := cfg.BufferBytes / size
-	r := &Recorder{cfg: cfg, meta: about, block: size, unix: unix, free: make(chan *buffer, n), states: make(chan *buffer, 1),
-		writer: &writer{files: files, keep: cfg.MaxBytes, reserve: cfg.SegmentBytes + int64(cfg.BufferBytes), trouble: trouble,
-			full: make(chan *buffer, n+1), done: make(chan struct{})}}
+	r := &Recorder{config: cfg, meta: about, blockSize: size, unixTime: unix, freeBlocks: make(chan *buffer, n), freeSnapshots: make(chan *buffer, 1),
+		writer: &writer{directory: files, maxBytes: cfg.MaxBytes, reservedBytes: cfg.SegmentBytes + int64(cfg.BufferBytes), reportError: trouble,
+			blocks: make(chan *buffer, n+1), done: make(chan struct{})}}
 	for range n {
-		r.free <- &buffer{data: make([]byte, 0, size), home: r.free}
+		r.freeBlocks <- &buffer{data: make([]byte, 0, size), freeList: r.freeBlocks}
 	}
-	r.states <- &buffer{home: r.states}
+	r.freeSnapshots <- &buffer{freeList: r.freeSnapshots}
 	r.meta.Run, r.meta.Arch = strconv.FormatInt(unix().UnixNano(), 36), runtime.GOARCH
 	go r.writer.run()
 	return r, nil
@@ -118,125 +118,125 @@
 
 // add records one event, action or note.
 func (r *Recorder) add(rec *Record) {
-	if r.cur != nil && len(r.cur.data)+recordRoom > r.block && !r.next() {
-		r.lose("the disk is too slow", rec.At)
+	if r.current != nil && len(r.current.data)+maxRecordSize > r.blockSize && !r.nextBlock() {
+		r.beginGap("the disk is too slow", rec.At)
 	}
-	if r.cur == nil {
-		r.count.Dropped++
+	if r.current == nil {
+		r.counters.Dropped++
 		if r.gap != nil {
 			r.gap.Records++
 		}
 		return
 	}
-	r.cur.data = appendRecord(r.cur.data, &r.last, rec)
-	r.cur.records++
-	r.count.Records++
+	r.current.data = appendRecord(r.current.data, &r.lastEvent, rec)
+	r.current.records++
+	r.counters.Records++
 }
 
-// lose begins a gap.
-func (r *Recorder) lose(cause string, now time.Duration) {
-	if r.cur != nil {
-		r.count.Records -= r.cur.records
-		r.count.Dropped += r.cur.records
-		r.cur.release()
-		r.cur = nil
+// beginGap begins a gap.
+func (r *Recorder) beginGap(cause string, now time.Duration) {
+	if r.current != nil {
+		r.counters.Records -= r.current.records
+		r.counters.Dropped += r.current.records
+		r.current.release()
+		r.current = nil
 	}
 	if r.gap == nil {
-		r.count.Gaps++
+		r.counters.Gaps++
 		r.gap = &Gap{From: now, Cause: cause}
 	}
 }
 
-// next hands the block to the writer and goes on in a free one; it returns false where there is none.
-func (r *Recorder) next() bool {
-	r.writer.full <- r.cur // there is room for all there are
-	r.cur = nil
+// nextBlock hands the block to the writer and goes on in a free one; it returns false where there is none.
+func (r *Recorder) nextBlock() bool {
+	r.writer.blocks <- r.current // there is room for all there are
+	r.current = nil
 	select {
-	case r.cur = <-r.free:
-		r.begin(r.cur, blockRecords)
+	case r.current = <-r.freeBlocks:
+		r.beginBlock(r.current, blockRecords)
 		return true
 	default:
 		return false
 	}
 }
 
-// begin sets the head of a block.
-func (r *Recorder) begin(b *buffer, kind blockKind) {
-	b.head = head{kind: kind, first: r.count.Records, base: r.last, unix: r.unix()}
+// beginBlock sets the head of a block.
+func (r *Recorder) beginBlock(b *buffer, kind blockKind) {
+	b.header = blockHeader{kind: kind, firstRecord: r.counters.Records, baseTime: r.lastEvent, unixTime: r.unixTime()}
 }
 
-// round ends a group of events: the module is between events, so its state may be taken.
-func (r *Recorder) round(now time.Duration, snapshot func([]byte) []byte) {
+// endRound ends a group of events: the module is between events, so its state may be taken.
+func (r *Recorder) endRound(now time.Duration, snapshot func([]byte) []byte) {
 	w := r.writer
 	current := int64(r.meta.Segment)
-	if r.cur != nil && w.failed.Load() == current {
-		r.lose("the disk failed", now)
-		r.retryAt = now + retryPace
+	if r.current != nil && w.failedSegment.Load() == current {
+		r.beginGap("the disk failed", now)
+		r.retryAt = now + retryInterval
 	}
 	switch {
-	case r.closed:
-	case r.cur == nil:
+	case r.isClosed:
+	case r.current == nil:
 		if now >= r.retryAt {
-			r.start(now, snapshot)
+			r.startSegment(now, snapshot)
 		}
-	case now-r.begun >= r.cfg.SegmentAge, w.segment.Load() == current && w.written.Load() >= r.cfg.SegmentBytes:
-		r.start(now, snapshot)
-	case len(r.cur.data) > 0 && r.unix().Sub(r.cur.head.unix) >= r.cfg.FlushInterval && !r.next():
-		r.lose("the disk is too slow", now)
+	case now-r.segmentStart >= r.config.SegmentAge, w.segmentNumber.Load() == current && w.segmentBytes.Load() >= r.config.SegmentBytes:
+		r.startSegment(now, snapshot)
+	case len(r.current.data) > 0 && r.unixTime().Sub(r.current.header.unixTime) >= r.config.FlushInterval && !r.nextBlock():
+		r.beginGap("the disk is too slow", now)
 	}
 }
 
-// start begins a segment where memory is left for that; else the present one, or the gap, goes on.
-func (r *Recorder) start(now time.Duration, snapshot func([]byte) []byte) {
+// startSegment begins a segment where memory is left for that; else the present one, or the gap, goes on.
+func (r *Recorder) startSegment(now time.Duration, snapshot func([]byte) []byte) {
 	var state, block *buffer
 	select {
-	case state = <-r.states:
+	case state = <-r.freeSnapshots:
 	default:
 		return // the one before is not written yet
 	}
 	select {
-	case block = <-r.free:
+	case block = <-r.freeBlocks:
 	default:
 		state.release()
 		return
 	}
-	if r.cur != nil {
-		r.writer.full <- r.cur
+	if r.current != nil {
+		r.writer.blocks <- r.current
 	}
-	r.last, r.begun = now, now
+	r.lastEvent, r.segmentStart = now, now
 	r.meta.Segment++
-	r.meta.FirstRecord, r.meta.ModuleTime, r.meta.UnixTime, r.meta.Gap = r.count.Records, now, r.unix(), r.gap
+	r.meta.FirstRecord, r.meta.ModuleTime, r.meta.UnixTime, r.meta.Gap = r.counters.Records, now, r.unixTime(), r.gap
 	r.gap = nil
 	meta := r.meta
-	r.begin(state, blockSnapshot)
+	r.beginBlock(state, blockSnapshot)
 	state.meta, state.data = &meta, snapshot(state.data)
-	r.writer.full <- state
-	r.begin(block, blockRecords)
-	r.cur = block
+	r.writer.blocks <- state
+	r.beginBlock(block, blockRecords)
+	r.current = block
 }
 
 // Counters returns what became of the recording so far.
 func (r *Recorder) Counters() Counters {
-	c, w := r.count, r.writer
-	dropped := w.dropped.Load()
+	c, w := r.counters, r.writer
+	dropped := w.droppedRecords.Load()
 	c.Records -= min(dropped, c.Records)
 	c.Dropped += dropped
-	c.Segments, c.WrittenBytes, c.UncompressedBytes, c.DiskErrors = w.begun.Load(), w.bytes.Load(), w.raw.Load(), w.errors.Load()
+	c.Segments, c.WrittenBytes, c.UncompressedBytes, c.DiskErrors = w.segments.Load(), w.totalBytes.Load(), w.rawBytes.Load(), w.errorCount.Load()
 	return c
 }
 
 // Close has the rest written and ends the segment. It waits for the disk no longer than the time, and returns
 // whether all was written.
 func (r *Recorder) Close(patience time.Duration) bool {
-	if r.closed {
+	if r.isClosed {
 		return true
 	}
-	r.closed = true
-	if r.cur != nil {
-		r.writer.full <- r.cur
-		r.cur = nil
+	r.isClosed = true
+	if r.current != nil {
+		r.writer.blocks <- r.current
+		r.current = nil
 	}
-	close(r.writer.full)
+	close(r.writer.blocks)
 	select {
 	case <-r.writer.done:
 		return true
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -21,16 +21,16 @@
 		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
-// bench is a recorder with a module behind it.
-type bench struct {
+// recordedModule is a recorder with a module behind it.
+type recordedModule struct {
 	*Recorder
 	tap *Tap
 	now time.Duration
 	id  admission.RequestID
 }
 
-// record starts a module that is recorded.
-func record(t testing.TB, files Directory, cfg Config, trouble func(error)) *bench {
+// startRecording starts a module that is recorded.
+func startRecording(t testing.TB, files Directory, cfg Config, trouble func(error)) *recordedModule {
 	t.Helper()
 	rec, err := NewRecorder(files, cfg, Meta{Server: "n3", Classes: []string{"look", "take"}}, time.Now, trouble)
 	if err != nil {
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	tap.Attach(m, 0)
-	return &bench{Recorder: rec, tap: tap}
+	return &recordedModule{Recorder: rec, tap: tap}
 }
 
-// round is a usual round: a request comes, one of those before ends, and a timer rings now and then.
-func (b *bench) round() {
+// endRound is a usual round: a request comes, one of those before ends, and a timer rings now and then.
+func (b *recordedModule) round() {
 	b.now += 3 * time.Millisecond
 	b.id++
 	b.tap.NameRequest(b.id, "00000000000000aa", "")
@@ -60,12 +60,12 @@
 	b.tap.Settle(b.now)
 }
 
-// small is a configuration with many small blocks and segments.
-func small() Config {
-	return Config{SegmentBytes: leastSegment, SegmentAge: time.Hour, MaxBytes: 1 << 30, BufferBytes: leastMemory, FlushInterval: time.Hour}
+// smallConfig is a configuration with many small blocks and segments.
+func smallConfig() Config {
+	return Config{SegmentBytes: minSegmentBytes, SegmentAge: time.Hour, MaxBytes: 1 << 30, BufferBytes: minBufferBytes, FlushInterval: time.Hour}
 }
 
-func quiet(error) {}
+func ignoreError(error) {}
 
 // TestRotation keeps the folder within its bound, begins each segment with a state, and overwrites nothing of an
 // earlier start.
@@ -75,16 +75,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := small()
+	cfg := smallConfig()
 	cfg.MaxBytes = 4 * (cfg.SegmentBytes + int64(cfg.BufferBytes))
 	seen := map[string]bool{}
 	for range 2 { // starts
-		b := record(t, files, cfg, func(err error) { t.Error(err) })
+		b := startRecording(t, files, cfg, func(err error) { t.Error(err) })
 		for range 40 {
 			for range 100 {
 				b.round()
 			}
-			for b.writer.written.Load() == 0 || len(b.writer.full) > 0 {
+			for b.writer.segmentBytes.Load() == 0 || len(b.writer.blocks) > 0 {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -121,47 +121,47 @@
 	}
 }
 
-// valve is a folder whose disk can stand still or be full.
-type valve struct {
+// faultyDirectory is a folder whose disk can stand still or be full.
+type faultyDirectory struct {
 	Directory
-	mu   sync.Mutex
-	full bool
+	mu     sync.Mutex
+	isFull bool
 }
 
 var errFull = errors.New("no space left on device")
 
-func (v *valve) set(full bool) {
+func (v *faultyDirectory) setFull(full bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.full = full
+	v.isFull = full
 }
 
-func (v *valve) Create(name string) (f io.WriteCloser, err error) {
+func (v *faultyDirectory) Create(name string) (f io.WriteCloser, err error) {
 	if f, err = v.Directory.Create(name); err != nil {
 		return nil, err
 	}
-	return valved{v, f}, nil
+	return faultyFile{v, f}, nil
 }
 
-type valved struct {
-	v *valve
+type faultyFile struct {
+	v *faultyDirectory
 	f io.WriteCloser
 }
 
-func (f valved) Write(p []byte) (int, error) {
+func (f faultyFile) Write(p []byte) (int, error) {
 	f.v.mu.Lock() // a test that holds it stalls the disk
 	defer f.v.mu.Unlock()
-	if f.v.full {
+	if f.v.isFull {
 		n, _ := f.f.Write(p[:len(p)/2])
 		return n, errFull
 	}
 	return f.f.Write(p)
 }
 
-func (f valved) Close() error { return f.f.Close() }
+func (f faultyFile) Close() error { return f.f.Close() }
 
-// gapped reads a capture with one gap of so many records.
-func gapped(t *testing.T, dir string, c Counters) {
+// checkGaps reads a capture with one gap of so many records.
+func checkGaps(t *testing.T, dir string, c Counters) {
 	t.Helper()
 	segments, _, err := Open(dir)
 	if err != nil {
@@ -192,8 +192,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &valve{Directory: files}
-	b := record(t, v, small(), quiet)
+	v := &faultyDirectory{Directory: files}
+	b := startRecording(t, v, smallConfig(), ignoreError)
 	for range 50 {
 		b.round()
 	}
@@ -201,11 +201,11 @@
 	for range 20000 {
 		b.round() // would not return if it waited for the disk
 	}
-	if waiting := len(b.writer.full) + len(b.free); waiting > 10 {
+	if waiting := len(b.writer.blocks) + len(b.freeBlocks); waiting > 10 {
 		t.Errorf("%d buffers are in use", waiting)
 	}
 	v.mu.Unlock()
-	for b.cur == nil {
+	for b.current == nil {
 		b.round()
 		time.Sleep(time.Millisecond)
 	}
@@ -215,7 +215,7 @@
 	if !b.Close(time.Minute) {
 		t.Fatal("not closed")
 	}
-	gapped(t, dir, b.Counters())
+	checkGaps(t, dir, b.Counters())
 }
 
 // TestFullDisk has the disk be full for a while: the segment breaks off, the trouble is told, and a new segment
@@ -226,13 +226,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &valve{Directory: files}
+	v := &faultyDirectory{Directory: files}
 	told := make(chan error, 100)
-	b := record(t, v, small(), func(err error) { told <- err })
+	b := startRecording(t, v, smallConfig(), func(err error) { told <- err })
 	for range 50 {
 		b.round()
 	}
-	v.set(true)
+	v.setFull(true)
 	for len(told) == 0 {
 		b.round()
 		time.Sleep(time.Millisecond) // the writer needs the processor, too
@@ -240,12 +240,12 @@
 	if err := <-told; !errors.Is(err, errFull) {
 		t.Errorf("told %v", err)
 	}
-	for b.cur != nil {
+	for b.current != nil {
 		b.round()
 		time.Sleep(time.Millisecond)
 	}
-	v.set(false)
-	for b.cur == nil || b.writer.segment.Load() != int64(b.meta.Segment) {
+	v.setFull(false)
+	for b.current == nil || b.writer.segmentNumber.Load() != int64(b.meta.Segment) {
 		b.round()
 		time.Sleep(time.Millisecond)
 	}
@@ -258,7 +258,7 @@
 	if c := b.Counters(); c.DiskErrors == 0 {
 		t.Errorf("counters %+v", c)
 	}
-	gapped(t, dir, b.Counters())
+	checkGaps(t, dir, b.Counters())
 	segments, unreadable, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -280,9 +280,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &valve{Directory: files}
+	v := &faultyDirectory{Directory: files}
 	v.mu.Lock()
-	b := record(t, v, small(), quiet)
+	b := startRecording(t, v, smallConfig(), ignoreError)
 	b.round()
 	if b.Close(time.Millisecond) {
 		t.Error("it was closed")
@@ -316,7 +316,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r := record(b, files, DefaultConfig(), quiet)
+		r := startRecording(b, files, DefaultConfig(), ignoreError)
 		b.ReportAllocs()
 		for b.Loop() {
 			r.round()
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -21,14 +21,14 @@
 	Blocks            []Block  // of records, in order
 	Damage            []Damage // what could not be read
 	Complete          bool     // it was ended in order
-	CompressedBytes   int64    // bytes of all blocks, stored
+	CompressedBytes   int64    // totalBytes of all blocks, stored
 	UncompressedBytes int64    // the same before compression
 }
 
 // Block is one block of records.
 type Block struct {
 	Offset      int64         // in the file
-	FirstRecord uint64        // number of its first record within the run
+	FirstRecord uint64        // fileNumber of its first record within the run
 	BaseTime    time.Duration // the module's clock before it
 	UnixTime    time.Time     // when it was begun
 	AfterDamage bool          // what comes before it is missing
@@ -70,36 +70,36 @@
 	s := &Segment{Size: int64(len(b))}
 	next, told := uint64(0), false
 	for at := preambleSize; at < len(b); {
-		h, ok := readHead(b[at:])
+		h, ok := readBlockHeader(b[at:])
 		if !ok {
-			skip := nextHead(b[at:])
+			skip := findNextHeader(b[at:])
 			what := "no block begins here"
 			if at+skip == len(b) {
 				what = "the last block is torn"
 			}
-			s.damage(at, skip, what)
+			s.addDamage(at, skip, what)
 			at += skip
 			continue
 		}
-		if headSize+h.stored > len(b)-at {
+		if blockHeaderSize+h.storedSize > len(b)-at {
 			// Torn, or followed by a block that began before this one was whole: a copy that lost bytes.
-			skip := 1 + nextHead(b[at+1:])
-			what := fmt.Sprintf("a block of %d bytes ends early", headSize+h.stored)
+			skip := 1 + findNextHeader(b[at+1:])
+			what := fmt.Sprintf("a block of %d bytes ends early", blockHeaderSize+h.storedSize)
 			if at+skip == len(b) {
 				what = "the last block is torn"
 			}
-			s.damage(at, skip, what)
+			s.addDamage(at, skip, what)
 			at += skip
 			continue
 		}
-		raw, err := content(h, b[at:])
+		raw, err := readBlockContent(h, b[at:])
 		if err != nil {
-			s.damage(at, headSize+h.stored, err.Error())
-			at += headSize + h.stored
+			s.addDamage(at, blockHeaderSize+h.storedSize, err.Error())
+			at += blockHeaderSize + h.storedSize
 			continue
 		}
-		s.CompressedBytes += int64(headSize + h.stored)
-		s.UncompressedBytes += int64(h.raw)
+		s.CompressedBytes += int64(blockHeaderSize + h.storedSize)
+		s.UncompressedBytes += int64(h.rawSize)
 		switch h.kind {
 		case blockMeta:
 			if err := json.Unmarshal(raw, &s.Meta); err != nil {
@@ -109,20 +109,20 @@
 		case blockSnapshot:
 			s.Snapshot = raw
 		case blockRecords:
-			blk := Block{Offset: int64(at), FirstRecord: h.first, BaseTime: h.base, UnixTime: h.unix, AfterDamage: h.first != next, raw: raw}
-			n, err := blk.count()
+			blk := Block{Offset: int64(at), FirstRecord: h.firstRecord, BaseTime: h.baseTime, UnixTime: h.unixTime, AfterDamage: h.firstRecord != next, raw: raw}
+			n, err := blk.countRecords()
 			if err != nil {
-				s.damage(at, headSize+h.stored, err.Error())
+				s.addDamage(at, blockHeaderSize+h.storedSize, err.Error())
 				break
 			}
-			next = h.first + n
+			next = h.firstRecord + n
 			s.Blocks = append(s.Blocks, blk)
 		case blockEnd:
 			s.Complete = true
 		default:
-			s.damage(at, headSize+h.stored, fmt.Sprintf("a block of the unknown kind %d", h.kind))
+			s.addDamage(at, blockHeaderSize+h.storedSize, fmt.Sprintf("a block of the unknown kind %d", h.kind))
 		}
-		at += headSize + h.stored
+		at += blockHeaderSize + h.storedSize
 	}
 	if !told {
 		return nil, fmt.Errorf("%w: its description is damaged", ErrNotCapture)
@@ -130,36 +130,36 @@
 	return s, nil
 }
 
-func (s *Segment) damage(at, n int, what string) {
+func (s *Segment) addDamage(at, n int, what string) {
 	s.Damage = append(s.Damage, Damage{Offset: int64(at), Bytes: int64(n), Reason: what})
 }
 
-// nextHead is how far the next sound head is away, or the length where there is none.
-func nextHead(b []byte) int {
+// findNextHeader is how far the next sound head is away, or the length where there is none.
+func findNextHeader(b []byte) int {
 	for at := 1; at < len(b); at++ {
-		i := bytes.Index(b[at:], marker[:])
+		i := bytes.Index(b[at:], blockMarker[:])
 		if i < 0 {
 			break
 		}
 		at += i
-		if _, ok := readHead(b[at:]); ok {
+		if _, ok := readBlockHeader(b[at:]); ok {
 			return at
 		}
 	}
 	return len(b)
 }
 
-// count reads all records, so that none of a block is handed on where one of it makes no sense.
-func (b *Block) count() (uint64, error) {
+// counters reads all records, so that none of a block is handed on where one of it makes no sense.
+func (b *Block) countRecords() (uint64, error) {
 	n := uint64(0)
-	return n, b.each(func(*Record) error { n++; return nil })
+	return n, b.forEach(func(*Record) error { n++; return nil })
 }
 
-// each hands on the block's records; the record is valid until the function returns.
-func (b *Block) each(visit func(r *Record) error) error {
-	d := decoder{b: b.raw, last: b.BaseTime}
+// forEach hands on the block's records; the record is valid until the function returns.
+func (b *Block) forEach(visit func(r *Record) error) error {
+	d := decoder{rest: b.raw, lastEvent: b.BaseTime}
 	var r Record
-	for len(d.b) > 0 {
+	for len(d.rest) > 0 {
 		if err := d.next(&r); err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 	for i := range s.Blocks {
 		b := &s.Blocks[i]
 		p := Position{Segment: s, Block: b, Number: b.FirstRecord, AfterDamage: b.AfterDamage}
-		err := b.each(func(r *Record) error {
+		err := b.forEach(func(r *Record) error {
 			err := visit(p, r)
 			p.Number++
 			p.AfterDamage = false
@@ -232,7 +232,7 @@
 	}
 	end := before.Meta.FirstRecord
 	if n := len(before.Blocks); n > 0 {
-		count, err := before.Blocks[n-1].count()
+		count, err := before.Blocks[n-1].countRecords()
 		if err != nil {
 			return false
 		}
@@ -267,7 +267,7 @@
 	}
 	names := []string{}
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), suffix) && !e.IsDir() {
+		if strings.HasSuffix(e.Name(), segmentSuffix) && !e.IsDir() {
 			names = append(names, e.Name())
 		}
 	}
@@ -286,7 +286,7 @@
 		}
 	}
 	if len(segments) == 0 && len(bad) == 0 {
-		return nil, nil, fmt.Errorf("%w: no *%s in %s", ErrNotCapture, suffix, path)
+		return nil, nil, fmt.Errorf("%w: no *%s in %s", ErrNotCapture, segmentSuffix, path)
 	}
 	return segments, bad, nil
 }
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// sample is the bytes of one segment with a few blocks, and its records.
-func sample(t testing.TB) ([]byte, []Record) {
+// sampleSegment is the bytes of one segment with a few blocks, and its records.
+func sampleSegment(t testing.TB) ([]byte, []Record) {
 	t.Helper()
 	dir := t.TempDir()
 	files, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := small()
+	cfg := smallConfig()
 	cfg.SegmentBytes, cfg.MaxBytes = 1<<20, 1<<30
-	b := record(t, files, cfg, func(err error) { t.Error(err) })
+	b := startRecording(t, files, cfg, func(err error) { t.Error(err) })
 	for range 300 {
 		b.round()
-		for len(b.free) < 2 {
+		for len(b.freeBlocks) < 2 {
 			time.Sleep(time.Millisecond) // the disk is waited for: nothing may be lost here
 		}
 	}
@@ -38,11 +38,11 @@
 	if err != nil || len(s.Damage) > 0 || !s.Complete || len(s.Blocks) < 5 {
 		t.Fatalf("%v, %+v", err, s)
 	}
-	return raw, read(t, s, nil)
+	return raw, readRecords(t, s, nil)
 }
 
-// read returns a segment's records; where whole is given, each must be the one that it has under the number.
-func read(t testing.TB, s *Segment, whole []Record) []Record {
+// readRecords returns a segment's records; where whole is given, each must be the one that it has under the number.
+func readRecords(t testing.TB, s *Segment, whole []Record) []Record {
 	t.Helper()
 	var list []Record
 	err := s.ForEach(func(p Position, r *Record) error {
@@ -58,9 +58,9 @@
 	return list
 }
 
-// TestRecords has every kind of record come back as it was.
-func TestRecords(t *testing.T) {
-	_, records := sample(t)
+// TestRecordRoundTrip has every kind of record come back as it was.
+func TestRecordRoundTrip(t *testing.T) {
+	_, records := sampleSegment(t)
 	kinds := map[Kind]bool{}
 	for _, r := range records {
 		kinds[r.Kind] = true
@@ -77,10 +77,10 @@
 		in := Record{Kind: k, At: time.Minute, ID: 7, Duration: 3 * time.Second, Text: "a text", Key: "00ff", Flag: true, Value: 0.5}
 		in.Request.ID, in.Request.Work, in.Request.SizeKB, in.Request.IsRetry = 7, time.Second, 2.5, true
 		var last time.Duration
-		d := decoder{b: appendRecord(nil, &last, &in)}
+		d := decoder{rest: appendRecord(nil, &last, &in)}
 		var out Record
-		if err := d.next(&out); err != nil || len(d.b) > 0 || out.Kind != k {
-			t.Errorf("%v: %v, %d bytes left", k, err, len(d.b))
+		if err := d.next(&out); err != nil || len(d.rest) > 0 || out.Kind != k {
+			t.Errorf("%v: %v, %d bytes left", k, err, len(d.rest))
 		}
 		var again time.Duration
 		if b := appendRecord(nil, &again, &out); !slices.Equal(b, appendRecord(nil, new(time.Duration), &in)) {
@@ -91,7 +91,7 @@
 
 // TestTorn cuts a segment at places all over it: what is whole is read, and nothing is invented.
 func TestTorn(t *testing.T) {
-	raw, records := sample(t)
+	raw, records := sampleSegment(t)
 	for n := 0; n < len(raw); n += 1 + n%7 {
 		s, err := Parse(raw[:n])
 		if err != nil {
@@ -100,7 +100,7 @@
 			}
 			continue
 		}
-		got := read(t, s, records)
+		got := readRecords(t, s, records)
 		if s.Complete || len(got) > len(records) {
 			t.Fatalf("cut at %d: complete %t, %d records", n, s.Complete, len(got))
 		}
@@ -112,14 +112,14 @@
 
 // TestFlippedBits flips a bit anywhere: it is found by its block, and the rest is read.
 func TestFlippedBits(t *testing.T) {
-	raw, records := sample(t)
+	raw, records := sampleSegment(t)
 	whole, err := Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	most := uint64(0) // records of a block
 	for i := range whole.Blocks {
-		n, err := whole.Blocks[i].count()
+		n, err := whole.Blocks[i].countRecords()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 		if err != nil {
 			continue // the preamble or the description, without which nothing can be told
 		}
-		got := read(t, s, records)
+		got := readRecords(t, s, records)
 		if len(s.Damage) == 0 {
 			t.Fatalf("a bit flipped at %d of %d is not found", at, len(raw))
 		}
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestNewer names a segment of a version that is not known.
-func TestNewer(t *testing.T) {
-	raw, _ := sample(t)
+// TestNewerVersion names a segment of a version that is not known.
+func TestNewerVersion(t *testing.T) {
+	raw, _ := sampleSegment(t)
 	b := slices.Clone(raw)
 	b[len(magic)] = Version + 1
 	path := filepath.Join(t.TempDir(), segmentName(1))
@@ -165,7 +165,7 @@
 
 // TestSkippedBytes has a segment with foreign bytes in the middle read before and behind them.
 func TestSkippedBytes(t *testing.T) {
-	raw, records := sample(t)
+	raw, records := sampleSegment(t)
 	s, _ := Parse(raw)
 	at := s.Blocks[2].Offset
 	b := slices.Concat(raw[:at], []byte("foreign bytes"), raw[at:])
@@ -173,14 +173,14 @@
 	if err != nil || len(s.Damage) != 1 || s.Damage[0].Offset != at || s.Damage[0].Bytes != 13 {
 		t.Fatalf("%v, damage %v", err, s.Damage)
 	}
-	if got := read(t, s, records); len(got) != len(records) {
+	if got := readRecords(t, s, records); len(got) != len(records) {
 		t.Errorf("%d of %d records are read", len(got), len(records))
 	}
 }
 
 // FuzzSegment reads any bytes without a panic, and what it reads can be read through.
 func FuzzSegment(f *testing.F) {
-	raw, _ := sample(f)
+	raw, _ := sampleSegment(f)
 	f.Add(raw)
 	f.Add(raw[:len(raw)/2])
 	f.Add(appendPreamble(nil))
--- a/internal/capture/write_segment.go
+++ b/internal/capture/write_segment.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// pieceBlock is the size of the blocks of written pieces: small, so that little is lost where one is damaged.
-const pieceBlock = 8 << 10
+// writtenBlockSize is the size of the blocks of written pieces: small, so that little is lost where one is damaged.
+const writtenBlockSize = 8 << 10
 
 // WriteSegment writes a segment that is made from another: its description, its state and the records that each hands
 // to its function. The file must not exist yet; where anything fails, none is left.
@@ -17,18 +17,18 @@
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	b := appendBlock(appendPreamble(nil), head{kind: blockMeta, first: m.FirstRecord, base: m.ModuleTime, unix: m.UnixTime}, text)
-	b = appendBlock(b, head{kind: blockSnapshot, first: m.FirstRecord, base: m.ModuleTime, unix: m.UnixTime}, snapshot)
+	b := appendBlock(appendPreamble(nil), blockHeader{kind: blockMeta, firstRecord: m.FirstRecord, baseTime: m.ModuleTime, unixTime: m.UnixTime}, text)
+	b = appendBlock(b, blockHeader{kind: blockSnapshot, firstRecord: m.FirstRecord, baseTime: m.ModuleTime, unixTime: m.UnixTime}, snapshot)
 	last, number := m.ModuleTime, m.FirstRecord
 	var content []byte
-	h := head{kind: blockRecords, first: number, base: last, unix: m.UnixTime}
+	h := blockHeader{kind: blockRecords, firstRecord: number, baseTime: last, unixTime: m.UnixTime}
 	err = each(func(r *Record) {
 		content = appendRecord(content, &last, r)
 		number++
-		if len(content) >= pieceBlock {
+		if len(content) >= writtenBlockSize {
 			b = appendBlock(b, h, content)
 			content = content[:0]
-			h = head{kind: blockRecords, first: number, base: last, unix: m.UnixTime.Add(last - m.ModuleTime)}
+			h = blockHeader{kind: blockRecords, firstRecord: number, baseTime: last, unixTime: m.UnixTime.Add(last - m.ModuleTime)}
 		}
 	})
 	if err != nil {
@@ -37,7 +37,7 @@
 	if len(content) > 0 {
 		b = appendBlock(b, h, content)
 	}
-	b = appendBlock(b, head{kind: blockEnd}, nil)
+	b = appendBlock(b, blockHeader{kind: blockEnd}, nil)
 	f, err := os.CreateTemp(filepath.Dir(path), ".capture-*")
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -11,117 +11,117 @@
 
 // writer owns the folder: it runs in a goroutine of its own and may stand still as long as the disk does.
 type writer struct {
-	files   Directory
-	keep    int64 // bytes that all segments together may take
-	reserve int64 // of them for the segment that is written, beside the state that it begins with
-	trouble func(error)
+	directory     Directory
+	maxBytes      int64 // totalBytes that all segments together may take
+	reservedBytes int64 // of them for the segment that is written, beside the state that it begins with
+	reportError   func(error)
 
-	full chan *buffer // blocks to be written, in order
+	blocks chan *buffer // blocks to be written, in order
 
-	out     io.WriteCloser // the segment that is written, nil before the first and after a failure
-	number  int            // of its file
-	current int            // number of the segment within the run, also of one that could not be begun
-	block   []byte
+	file           io.WriteCloser // the segment that is written, nil before the first and after a failure
+	fileNumber     int            // of its file
+	currentSegment int            // fileNumber of the segment within the run, also of one that could not be begun
+	scratch        []byte
 
-	segment atomic.Int64  // number within the run of the segment that is written
-	written atomic.Int64  // bytes of it
-	failed  atomic.Int64  // the last segment that could not be written on; only a new one helps
-	dropped atomic.Uint64 // records of such segments
-	begun   atomic.Uint64 // segments
-	bytes   atomic.Uint64 // of all segments so far
-	raw     atomic.Uint64 // the same before compression
-	errors  atomic.Uint64
-	done    chan struct{}
+	segmentNumber  atomic.Int64  // fileNumber within the run of the segment that is written
+	segmentBytes   atomic.Int64  // totalBytes of it
+	failedSegment  atomic.Int64  // the last segment that could not be written on; only a new one helps
+	droppedRecords atomic.Uint64 // records of such segments
+	segments       atomic.Uint64 // segments
+	totalBytes     atomic.Uint64 // of all segments so far
+	rawBytes       atomic.Uint64 // the same before compression
+	errorCount     atomic.Uint64
+	done           chan struct{}
 }
 
 // run writes blocks until the recorder has no more.
 func (w *writer) run() {
 	defer close(w.done)
-	for b := range w.full {
+	for b := range w.blocks {
 		if err := w.write(b); err != nil {
-			w.fail(err)
+			w.abandonSegment(err)
 		}
 		b.release()
 	}
-	w.end()
+	w.closeSegment()
 }
 
 // write adds one block, as the first of a new segment where it says so.
 func (w *writer) write(b *buffer) error {
 	if b.meta != nil {
-		w.end()
-		if err := w.open(b.meta, int64(len(b.data))); err != nil {
+		w.closeSegment()
+		if err := w.openSegment(b.meta, int64(len(b.data))); err != nil {
 			return err
 		}
 	}
-	if w.out == nil {
-		w.dropped.Add(b.records) // the segment broke off: the next one begins with a state
+	if w.file == nil {
+		w.droppedRecords.Add(b.records) // the segment broke off: the next one begins with a state
 		return nil
 	}
-	w.raw.Add(uint64(len(b.data)))
-	if err := w.put(b.head, b.data); err != nil {
-		w.dropped.Add(b.records)
+	w.rawBytes.Add(uint64(len(b.data)))
+	if err := w.writeBlock(b.header, b.data); err != nil {
+		w.droppedRecords.Add(b.records)
 		return err
 	}
 	return nil
 }
 
-// put compresses a block and hands it to the disk.
-func (w *writer) put(h head, content []byte) error {
-	w.block = appendBlock(w.block[:0], h, content)
-	return w.emit(w.block)
+// writeBlock compresses a block and hands it to the disk.
+func (w *writer) writeBlock(h blockHeader, content []byte) error {
+	w.scratch = appendBlock(w.scratch[:0], h, content)
+	return w.writeBytes(w.scratch)
 }
 
-// emit writes bytes to the segment.
-func (w *writer) emit(p []byte) error {
-	n, err := w.out.Write(p)
-	w.written.Add(int64(n))
-	w.bytes.Add(uint64(n))
+// writeBytes writes bytes to the segment.
+func (w *writer) writeBytes(p []byte) error {
+	n, err := w.file.Write(p)
+	w.segmentBytes.Add(int64(n))
+	w.totalBytes.Add(uint64(n))
 	if err == nil && n < len(p) {
 		err = io.ErrShortWrite
 	}
 	return err
 }
 
-// open begins a segment under a number that no file has, after making room for it.
-func (w *writer) open(m *Meta, state int64) error {
-	w.current = m.Segment
-	sizes, order, err := listed(w.files)
+// openSegment begins a segment under a number that no file has, after making room for it.
+func (w *writer) openSegment(m *Meta, state int64) error {
+	w.currentSegment = m.Segment
+	sizes, order, err := listSegments(w.directory)
 	if err != nil {
 		return err
 	}
 	if len(order) > 0 {
-		w.number = max(w.number, order[len(order)-1])
+		w.fileNumber = max(w.fileNumber, order[len(order)-1])
 	}
-	if err := w.makeRoom(sizes, order, w.keep-w.reserve-state); err != nil {
+	if err := w.removeOldest(sizes, order, w.maxBytes-w.reservedBytes-state); err != nil {
 		return err
 	}
 	for {
-		w.number++
-		w.out, err = w.files.Create(segmentName(w.number))
+		w.fileNumber++
+		w.file, err = w.directory.Create(segmentName(w.fileNumber))
 		if err == nil {
 			break
 		}
-		w.out = nil
+		w.file = nil
 		if !errors.Is(err, fs.ErrExist) {
 			return err
 		}
 	}
-	w.written.Store(0)
-	w.segment.Store(int64(m.Segment))
-	w.begun.Add(1)
+	w.segmentBytes.Store(0)
+	w.segmentNumber.Store(int64(m.Segment))
+	w.segments.Add(1)
 	text, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	if err := w.emit(appendPreamble(nil)); err != nil {
+	if err := w.writeBytes(appendPreamble(nil)); err != nil {
 		return err
 	}
-	return w.put(head{kind: blockMeta, first: m.FirstRecord, base: m.ModuleTime, unix: m.UnixTime}, text)
+	return w.writeBlock(blockHeader{kind: blockMeta, firstRecord: m.FirstRecord, baseTime: m.ModuleTime, unixTime: m.UnixTime}, text)
 }
 
-// makeRoom removes the oldest segments until all take no more than so many bytes.
-func (w *writer) makeRoom(sizes map[int]int64, order []int, most int64) error {
+// removeOldest removes the oldest segments until all take no more than so many bytes.
+func (w *writer) removeOldest(sizes map[int]int64, order []int, most int64) error {
 	total := int64(0)
 	for _, size := range sizes {
 		total += size
@@ -130,7 +130,7 @@
 		if total <= most {
 			break
 		}
-		if err := w.files.Remove(segmentName(n)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := w.directory.Remove(segmentName(n)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 		total -= sizes[n]
@@ -138,29 +138,29 @@
 	return nil
 }
 
-// end closes a segment in order.
-func (w *writer) end() {
-	if w.out == nil {
+// closeSegment closes a segment in order.
+func (w *writer) closeSegment() {
+	if w.file == nil {
 		return
 	}
-	if err := w.put(head{kind: blockEnd}, nil); err != nil {
-		w.fail(err)
+	if err := w.writeBlock(blockHeader{kind: blockEnd}, nil); err != nil {
+		w.abandonSegment(err)
 		return
 	}
-	if err := w.out.Close(); err != nil {
-		w.errors.Add(1)
-		w.trouble(err)
+	if err := w.file.Close(); err != nil {
+		w.errorCount.Add(1)
+		w.reportError(err)
 	}
-	w.out = nil
+	w.file = nil
 }
 
-// fail gives up the segment: what follows would be torn, and has to begin with a state of its own.
-func (w *writer) fail(err error) {
-	w.errors.Add(1)
-	if w.out != nil {
-		w.out.Close() // the first error is the one to tell
-		w.out = nil
-	}
-	w.failed.Store(int64(w.current))
-	w.trouble(err)
+// abandonSegment gives up the segment: what follows would be torn, and has to begin with a state of its own.
+func (w *writer) abandonSegment(err error) {
+	w.errorCount.Add(1)
+	if w.file != nil {
+		w.file.Close() // the first error is the one to tell
+		w.file = nil
+	}
+	w.failedSegment.Store(int64(w.currentSegment))
+	w.reportError(err)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,14 +38,14 @@
 	Sockets  int
 }
 
-// file mirrors the configuration file; unknown keys are skipped.
-type file struct {
-	Name     string  `json:"name"`
-	Listen   string  `json:"listen"`
-	VM       string  `json:"vm"`
-	Announce string  `json:"announce"`
-	StopMS   float64 `json:"stop_ms"`
-	Limits   struct {
+// platformFile mirrors the configuration file; unknown keys are skipped.
+type platformFile struct {
+	Name        string  `json:"name"`
+	Listen      string  `json:"listen"`
+	Interpreter string  `json:"vm"`
+	LoadReports string  `json:"announce"`
+	StopMS      float64 `json:"stop_ms"`
+	Limits      struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB float64 `json:"memory_mb"` // a number like the others: 38.4 is none too few
 		Sockets  float64 `json:"sockets"`
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %s: %w", envConfig, err)
 	}
-	return parse(text, getenv(envName), getenv(envListen))
+	return parsePlatform(text, getenv(envName), getenv(envListen))
 }
 
-// parse reads the file's text; name and listen take the place of its own where they are not empty.
-func parse(text []byte, name, listen string) (*Config, error) {
-	var f file
+// parsePlatform reads the file's text; name and listen take the place of its own where they are not empty.
+func parsePlatform(text []byte, name, listen string) (*Config, error) {
+	var f platformFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -87,7 +87,7 @@
 	for _, a := range []struct {
 		field, text string
 		to          *netip.AddrPort
-	}{{listenField, f.Listen, &c.Listen}, {"vm", f.VM, &c.Interpreter}, {"announce", f.Announce, &c.LoadReports}} {
+	}{{listenField, f.Listen, &c.Listen}, {"vm", f.Interpreter, &c.Interpreter}, {"announce", f.LoadReports, &c.LoadReports}} {
 		var err error
 		if *a.to, err = netip.ParseAddrPort(a.text); err != nil {
 			return nil, fmt.Errorf("config: %s is %q, want an IP address and a port", a.field, a.text)
@@ -110,14 +110,14 @@
 	if c.Settings, err = settings.Parse(f.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := distinct(c.Settings); err != nil {
+	if err := checkDistinctNames(c.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	return c, nil
 }
 
-// distinct makes sure that requests can name their class and tenant.
-func distinct(t *settings.Site) error {
+// checkDistinctNames makes sure that requests can name their class and tenant.
+func checkDistinctNames(t *settings.Site) error {
 	for field, names := range map[string][]string{"settings.lanes": t.ClassNames, "settings.realms": t.TenantNames} {
 		seen := map[string]bool{}
 		for _, name := range names {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/fake"
 )
 
-// text returns a configuration with one field replaced; nil leaves it out.
-func text(t *testing.T, field string, value any) []byte {
+// configText returns a configuration with one field replaced; nil leaves it out.
+func configText(t *testing.T, field string, value any) []byte {
 	c := map[string]any{"name": "n3", "listen": "10.0.0.4:4100", "vm": "10.1.0.1:9300", "announce": "10.2.0.1:8761",
 		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.SiteSettings),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
@@ -28,7 +28,7 @@
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, text(t, "more", "unknown keys are skipped"), 0o600); err != nil {
+	if err := os.WriteFile(path, configText(t, "more", "unknown keys are skipped"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env := map[string]string{"RELAY_CONFIG": path}
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestErrors has each error name the field at fault.
-func TestErrors(t *testing.T) {
+// TestFieldErrors has each error name the field at fault.
+func TestFieldErrors(t *testing.T) {
 	limits := func(cores, memory, sockets any) any {
 		return map[string]any{"cores": cores, "memory_mb": memory, "sockets": sockets}
 	}
@@ -72,21 +72,21 @@
 		{"settings", json.RawMessage(strings.Replace(fake.SiteSettings, "part-lookup", "stock-reserve", 1)), "lanes"},
 		{"settings", json.RawMessage(strings.Replace(fake.SiteSettings, `"central"`, `""`, 1)), "realms"},
 	} {
-		if _, err := parse(text(t, c.field, c.value), "", ""); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := parsePlatform(configText(t, c.field, c.value), "", ""); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s %v: error %v, want one with %q", c.field, c.value, err, c.want)
 		}
 	}
-	if _, err := parse(text(t, "name", "n3"), "", "nowhere"); err == nil || !strings.Contains(err.Error(), "RELAY_LISTEN") {
+	if _, err := parsePlatform(configText(t, "name", "n3"), "", "nowhere"); err == nil || !strings.Contains(err.Error(), "RELAY_LISTEN") {
 		t.Errorf("address of the environment: %v", err)
 	}
-	if _, err := parse([]byte("{"), "", ""); err == nil {
+	if _, err := parsePlatform([]byte("{"), "", ""); err == nil {
 		t.Error("broken JSON was taken")
 	}
 }
 
 // TestNumbers takes limits as any JSON writes numbers: a legal deployment must not be refused for a fraction.
 func TestNumbers(t *testing.T) {
-	c, err := parse(text(t, "limits", map[string]any{"cores": 0.0625, "memory_mb": 38.4, "sockets": json.RawMessage("5.12e2")}), "", "")
+	c, err := parsePlatform(configText(t, "limits", map[string]any{"cores": 0.0625, "memory_mb": 38.4, "sockets": json.RawMessage("5.12e2")}), "", "")
 	if err != nil || c.Limits != (Limits{Cores: 0.0625, MemoryMB: 38, Sockets: 512}) {
 		t.Errorf("%+v, %v", c, err)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return parseOperator(path, text)
+	return parseOperatorConfig(path, text)
 }
 
-// parseOperator reads the text of the operators' file.
-func parseOperator(file string, text []byte) (*OperatorConfig, error) {
+// parseOperatorConfig reads the text of the operators' file.
+func parseOperatorConfig(file string, text []byte) (*OperatorConfig, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
 		return nil, err
@@ -52,11 +52,11 @@
 	o := &OperatorConfig{}
 	err = sexp.ReadFields(forms, map[string]func(sexp.Node) error{
 		"capture": func(form sexp.Node) (err error) {
-			o.Capture, err = readCapture(form)
+			o.Capture, err = readCaptureConfig(form)
 			return err
 		},
 		"state": func(form sexp.Node) (err error) {
-			o.State, err = readState(form)
+			o.State, err = readStateConfig(form)
 			return err
 		},
 	})
@@ -66,8 +66,8 @@
 	return o, nil
 }
 
-// readState reads (state ...).
-func readState(form sexp.Node) (*StateConfig, error) {
+// readStateConfig reads (state ...).
+func readStateConfig(form sexp.Node) (*StateConfig, error) {
 	s := DefaultStateConfig()
 	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
 		"directory": sexp.Text(&s.Directory),
@@ -80,8 +80,8 @@
 	return s, err
 }
 
-// readCapture reads (capture ...).
-func readCapture(form sexp.Node) (*CaptureConfig, error) {
+// readCaptureConfig reads (capture ...).
+func readCaptureConfig(form sexp.Node) (*CaptureConfig, error) {
 	c := &CaptureConfig{Config: capture.DefaultConfig()}
 	memory := int64(c.BufferBytes)
 	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestOperator reads what the operators' file says.
-func TestOperator(t *testing.T) {
+// TestOperatorConfig reads what the operators' file says.
+func TestOperatorConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.sexp")
 	text := "(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -40,18 +40,18 @@
 		"(capture (directory x))(capture (memory 1))": "f:1:24: (capture ...) is given twice",
 		"(capure)": "f:1:1: found (capure ...), want capture",
 	} {
-		if _, err := parseOperator("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := parseOperatorConfig("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// FuzzOperator reads any text without a panic.
-func FuzzOperator(f *testing.F) {
+// FuzzOperatorConfig reads any text without a panic.
+func FuzzOperatorConfig(f *testing.F) {
 	f.Add("(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))")
 	f.Add("(capture (directory")
 	f.Fuzz(func(t *testing.T, text string) {
-		if o, err := parseOperator("f", []byte(text)); err == nil && o.Capture != nil && o.Capture.Validate() != nil {
+		if o, err := parseOperatorConfig("f", []byte(text)); err == nil && o.Capture != nil && o.Capture.Validate() != nil {
 			t.Errorf("taken: %+v", o.Capture)
 		}
 	})
--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -28,16 +28,16 @@
 	return nil
 }
 
-// stands is for how long a call waits that comes at a time.
-func (h Profile) stands(at time.Duration) time.Duration {
+// remainingStall is for how long a call waits that comes at a time.
+func (h Profile) remainingStall(at time.Duration) time.Duration {
 	if h.StallTime <= 0 {
 		return 0
 	}
 	return max(h.StallTime-at%h.StallInterval, 0)
 }
 
-// full tells whether there is no room.
-func (h Profile) full() bool {
+// isFull tells whether there is no room.
+func (h Profile) isFull() bool {
 	if h.FullMarkerFile == "" {
 		return false
 	}
@@ -45,8 +45,8 @@
 	return err == nil
 }
 
-// takesRoom are the calls that a full disk fails.
-func takesRoom(op errorfs.Op) bool {
+// allocatesSpace are the calls that a full disk fails.
+func allocatesSpace(op errorfs.Op) bool {
 	switch op {
 	case errorfs.OpCreate, errorfs.OpFileWrite, errorfs.OpFileWriteAt, errorfs.OpFilePreallocate, errorfs.OpMkdirAll, errorfs.OpReuseForRewrite:
 		return true
@@ -61,10 +61,10 @@
 		if op.OpKind() != errorfs.OpKindWrite {
 			return nil
 		}
-		if wait := h.stands(time.Since(begun)); wait > 0 {
+		if wait := h.remainingStall(time.Since(begun)); wait > 0 {
 			time.Sleep(wait)
 		}
-		if takesRoom(op) && h.full() {
+		if allocatesSpace(op) && h.isFull() {
 			return syscall.ENOSPC
 		}
 		return nil
--- a/internal/faultfs/faultfs_test.go
+++ b/internal/faultfs/faultfs_test.go
@@ -16,7 +16,7 @@
 	h := Profile{StallTime: 100 * time.Millisecond, StallInterval: time.Second}
 	for at, want := range map[time.Duration]time.Duration{0: 100 * time.Millisecond, 40 * time.Millisecond: 60 * time.Millisecond,
 		100 * time.Millisecond: 0, 999 * time.Millisecond: 0, 5*time.Second + 90*time.Millisecond: 10 * time.Millisecond} {
-		if got := h.stands(at); got != want {
+		if got := h.remainingStall(at); got != want {
 			t.Errorf("at %v it stands for %v, want %v", at, got, want)
 		}
 	}
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -22,8 +22,8 @@
 	Body   []byte
 }
 
-// size is about how many bytes it takes.
-func (a *Response) size() int {
+// approximateSize is about how many bytes it takes.
+func (a *Response) approximateSize() int {
 	n := len(a.Body) + 8
 	for _, f := range a.Header {
 		n += len(f.Name) + len(f.Value) + 4
@@ -70,8 +70,8 @@
 // RecordName is the name of a key's record.
 func (k Key) RecordName() string { return RecordPrefix + k.Class + "\x00" + k.Key }
 
-// keyOf reads the name of a record.
-func keyOf(name string) (Key, error) {
+// parseRecordName reads the name of a record.
+func parseRecordName(name string) (Key, error) {
 	class, key, ok := strings.Cut(strings.TrimPrefix(name, RecordPrefix), "\x00")
 	if !ok || !strings.HasPrefix(name, RecordPrefix) || class == "" || key == "" {
 		return Key{}, fmt.Errorf("%w: the name %.60q", ErrBadRecord, name)
@@ -82,16 +82,16 @@
 // ErrBadRecord says that bytes are no record of this package.
 var ErrBadRecord = errors.New("durable: not a record")
 
-// recordVersion is the first byte of a record.
-const recordVersion = 1
+// entryVersion is the first byte of a record.
+const entryVersion = 1
 
-// maxRecord bounds what a record may hold, so that damage can't ask for all memory.
-const maxRecord = 1 << 21
+// maxRecordBytes bounds what a record may hold, so that damage can't ask for all memory.
+const maxRecordBytes = 1 << 21
 
 // Encode is the record of an entry: its version, the state, both times in Unix nanoseconds and the sum (8 bytes each, big
 // endian), the answer's status, its fields and its body, each with its length as a varint, and a CRC-32 (Castagnoli) of all.
 func (e *Entry) Encode() []byte {
-	b := []byte{recordVersion, byte(e.State)}
+	b := []byte{entryVersion, byte(e.State)}
 	b = binary.BigEndian.AppendUint64(b, uint64(e.ReceivedAt.UnixNano()))
 	b = binary.BigEndian.AppendUint64(b, uint64(e.ExpiresAt.UnixNano()))
 	b = binary.BigEndian.AppendUint64(b, e.BodyHash)
@@ -111,9 +111,9 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// sealed is a record without its checksum, if it is whole, as long as the shortest and of the version that is known.
-func sealed(b []byte, shortest int, version byte, what string) ([]byte, error) {
-	if len(b) < shortest || len(b) > maxRecord {
+// openSealed is a record without its checksum, if it is whole, as long as the shortest and of the version that is known.
+func openSealed(b []byte, shortest int, version byte, what string) ([]byte, error) {
+	if len(b) < shortest || len(b) > maxRecordBytes {
 		return nil, fmt.Errorf("%w: %s: %d bytes", ErrBadRecord, what, len(b))
 	}
 	body, sum := b[:len(b)-4], binary.BigEndian.Uint32(b[len(b)-4:])
@@ -128,13 +128,13 @@
 
 // DecodeEntry reads a record.
 func DecodeEntry(name string, b []byte) (e Entry, err error) {
-	if e.Key, err = keyOf(name); err != nil {
+	if e.Key, err = parseRecordName(name); err != nil {
 		return e, err
 	}
 	bad := func(what string) (Entry, error) {
 		return Entry{}, fmt.Errorf("%w: %.60q: %s", ErrBadRecord, name, what)
 	}
-	body, err := sealed(b, 30, recordVersion, fmt.Sprintf("%.60q", name))
+	body, err := openSealed(b, 30, entryVersion, fmt.Sprintf("%.60q", name))
 	if err != nil {
 		return Entry{}, err
 	}
@@ -144,13 +144,13 @@
 	e.ReceivedAt = time.Unix(0, int64(binary.BigEndian.Uint64(body[2:])))
 	e.ExpiresAt = time.Unix(0, int64(binary.BigEndian.Uint64(body[10:])))
 	e.BodyHash = binary.BigEndian.Uint64(body[18:])
-	r := reader{b: body[26:]}
-	e.Response.Status = int(r.number())
-	for n := r.number(); n > 0 && !r.bad; n-- {
-		e.Response.Header = append(e.Response.Header, HeaderField{string(r.text()), string(r.text())})
+	r := reader{rest: body[26:]}
+	e.Response.Status = int(r.length())
+	for n := r.length(); n > 0 && !r.isMalformed; n-- {
+		e.Response.Header = append(e.Response.Header, HeaderField{string(r.bytes()), string(r.bytes())})
 	}
-	e.Response.Body = append([]byte{}, r.text()...)
-	if r.bad || len(r.b) > 0 {
+	e.Response.Body = append([]byte{}, r.bytes()...)
+	if r.isMalformed || len(r.rest) > 0 {
 		return bad("its answer is cut short or goes on behind its end")
 	}
 	return e, nil
@@ -158,31 +158,31 @@
 
 // reader takes numbers and texts off bytes.
 type reader struct {
-	b   []byte
-	bad bool
+	rest        []byte
+	isMalformed bool
 }
 
-// number reads a number or a length.
-func (r *reader) number() uint64 { return r.upTo(maxRecord) }
+// length reads a number or a length.
+func (r *reader) length() uint64 { return r.upTo(maxRecordBytes) }
 
 // upTo reads a number of so much at the most.
 func (r *reader) upTo(most uint64) uint64 {
-	n, size := binary.Uvarint(r.b)
+	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > most {
-		r.bad = true
+		r.isMalformed = true
 		return 0
 	}
-	r.b = r.b[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
-func (r *reader) text() []byte {
-	n := r.number()
-	if r.bad || n > uint64(len(r.b)) {
-		r.bad = true
+func (r *reader) bytes() []byte {
+	n := r.length()
+	if r.isMalformed || n > uint64(len(r.rest)) {
+		r.isMalformed = true
 		return nil
 	}
-	t := r.b[:n]
-	r.b = r.b[n:]
+	t := r.rest[:n]
+	r.rest = r.rest[n:]
 	return t
 }
--- a/internal/idempotency/runtimes.go
+++ b/internal/idempotency/runtimes.go
@@ -24,13 +24,13 @@
 // RunTimesRecordName is the name of the record.
 const RunTimesRecordName = "l/classes"
 
-const learnedVersion = 1
+const runTimesVersion = 1
 
 // Encode is the record: its version, the time of saving in Unix nanoseconds (8 bytes, big endian), the machine and the
 // number of classes, then for each its name, both times in nanoseconds and the runs, texts and numbers as varints with
 // lengths before texts, and a CRC-32 (Castagnoli) of all.
 func (l *RunTimes) Encode() []byte {
-	b := binary.BigEndian.AppendUint64([]byte{learnedVersion}, uint64(l.SavedAt.UnixNano()))
+	b := binary.BigEndian.AppendUint64([]byte{runTimesVersion}, uint64(l.SavedAt.UnixNano()))
 	text := func(s string) { b = append(binary.AppendUvarint(b, uint64(len(s))), s...) }
 	number := func(n int64) { b = binary.AppendUvarint(b, uint64(max(n, 0))) }
 	text(l.Machine)
@@ -46,56 +46,56 @@
 
 // DecodeRunTimes reads the record.
 func DecodeRunTimes(b []byte) (*RunTimes, error) {
-	body, err := sealed(b, 15, learnedVersion, "what was learned")
+	body, err := openSealed(b, 15, runTimesVersion, "what was learned")
 	if err != nil {
 		return nil, err
 	}
 	l := &RunTimes{SavedAt: time.Unix(0, int64(binary.BigEndian.Uint64(body[1:])))}
-	r := reader{b: body[9:]}
-	l.Machine = string(r.text())
-	for n := r.number(); n > 0 && !r.bad; n-- {
-		c := ClassRunTime{Name: string(r.text())}
-		c.CoreTime, c.WallTime = time.Duration(r.wide())*time.Microsecond, time.Duration(r.wide())*time.Microsecond
-		c.Samples = int(r.wide())
+	r := reader{rest: body[9:]}
+	l.Machine = string(r.bytes())
+	for n := r.length(); n > 0 && !r.isMalformed; n-- {
+		c := ClassRunTime{Name: string(r.bytes())}
+		c.CoreTime, c.WallTime = time.Duration(r.microseconds())*time.Microsecond, time.Duration(r.microseconds())*time.Microsecond
+		c.Samples = int(r.microseconds())
 		l.Classes = append(l.Classes, c)
 	}
-	if r.bad || len(r.b) > 0 {
+	if r.isMalformed || len(r.rest) > 0 {
 		return nil, fmt.Errorf("%w: what was learned: it is cut short or goes on behind its end", ErrBadRecord)
 	}
 	return l, nil
 }
 
-// wide reads a number that is no length.
-func (r *reader) wide() uint64 { return r.upTo(mostMicroseconds) }
+// microseconds reads a number that is no length.
+func (r *reader) microseconds() uint64 { return r.upTo(maxMicroseconds) }
 
-// mostMicroseconds are the most that a time.Duration holds.
-const mostMicroseconds = math.MaxInt64 / 1000
+// maxMicroseconds are the most that a time.Duration holds.
+const maxMicroseconds = math.MaxInt64 / 1000
 
 const (
-	// learnedHalf is the age at which what was learned counts half: outlets' mixes of requests change by the hour.
-	learnedHalf = time.Hour
-	// learnedMost is as how many runs what was learned counts when it is fresh: three measured ones weigh as much.
-	learnedMost = 3
-	// learnedOldest is the age from which it is not used at all.
-	learnedOldest = 24 * time.Hour
-	// learnedAhead is how far in the future it may have been saved: a clock was stepped back.
-	learnedAhead = 2 * time.Hour
+	// runTimesHalfLife is the age at which what was learned counts half: outlets' mixes of requests change by the hour.
+	runTimesHalfLife = time.Hour
+	// maxSamples is as how many runs what was learned counts when it is fresh: three measured ones weigh as much.
+	maxSamples = 3
+	// maxRunTimesAge is the age from which it is not used at all.
+	maxRunTimesAge = 24 * time.Hour
+	// maxClockStepBack is how far in the future it may have been saved: a clock was stepped back.
+	maxClockStepBack = 2 * time.Hour
 )
 
 // WeightByAge is what of a record counts at a start: for each class how long its runs take, as so many runs. What was learned
 // counts less the older it is. Of another machine nothing is taken: how long runs take is its cores' affair.
 func (l *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
 	age := now.Sub(l.SavedAt)
-	if age < -learnedAhead || age > learnedOldest || machine != l.Machine {
+	if age < -maxClockStepBack || age > maxRunTimesAge || machine != l.Machine {
 		return nil
 	}
-	weight := math.Exp2(-max(age, 0).Hours() / learnedHalf.Hours())
+	weight := math.Exp2(-max(age, 0).Hours() / runTimesHalfLife.Hours())
 	var list []ClassRunTime
 	for _, c := range l.Classes {
 		if c.CoreTime <= 0 || c.Samples <= 0 {
 			continue
 		}
-		c.Samples = int(math.Ceil(weight * float64(min(c.Samples, learnedMost))))
+		c.Samples = int(math.Ceil(weight * float64(min(c.Samples, maxSamples))))
 		list = append(list, c)
 	}
 	return list
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -54,20 +54,20 @@
 
 // The pace of asking a failing disk.
 const (
-	probeFirst = 500 * time.Millisecond
-	probeMost  = 10 * time.Second
+	minProbeBackoff = 500 * time.Millisecond
+	maxProbeBackoff = 10 * time.Second
 )
 
-// overhead is about what a record takes beside its answer.
-const overhead = 160
+// recordOverhead is about what a record takes beside its answer.
+const recordOverhead = 160
 
-// entry is an Entry with its place among those that run out.
-type entry struct {
+// trackedEntry is an Entry with its place among those that run out.
+type trackedEntry struct {
 	Entry
-	pos    int
-	seq    uint64 // of its answer, in the order of keeping
-	size   int64
-	before *Entry // what an intent took the place of: where it comes to nothing, tries of the run before it may still come
+	heapIndex   int
+	evictionSeq uint64 // of its answer, in the order of keeping
+	size        int64
+	replaced    *Entry // what an intent took the place of: where it comes to nothing, tries of the run before it may still come
 }
 
 // Counters count what was decided.
@@ -77,33 +77,33 @@
 
 // Table is the state of all keyed requests that are kept.
 type Table struct {
-	limits   Limits
-	entries  map[Key]*entry
-	due      byUntil  // all, by when they run out
-	answers  []answer // kept, oldest first
-	seq      uint64
-	bytes    int64
-	givable  int64 // of that, answers, which may be given up
-	mode     DiskState
-	probeAt  time.Time
-	pace     time.Duration
-	Counters Counters
+	limits          Limits
+	entries         map[Key]*trackedEntry
+	byExpiry        expiryHeap     // all, by when they run out
+	evictionQueue   []evictionSlot // kept, oldest first
+	lastEvictionSeq uint64
+	usedBytes       int64
+	evictableBytes  int64 // of that, answers, which may be given up
+	diskState       DiskState
+	nextProbe       time.Time
+	probeBackoff    time.Duration
+	Counters        Counters
 }
 
-// answer is a kept answer's place in the order of keeping.
-type answer struct {
-	e   *entry
-	seq uint64
+// evictionSlot is a kept answer's place in the order of keeping.
+type evictionSlot struct {
+	entry *trackedEntry
+	seq   uint64
 }
 
-// byUntil is a heap by when entries run out.
-type byUntil []*entry
+// expiryHeap is a heap by when entries run out.
+type expiryHeap []*trackedEntry
 
-func (h byUntil) Len() int           { return len(h) }
-func (h byUntil) Less(i, j int) bool { return h[i].ExpiresAt.Before(h[j].ExpiresAt) }
-func (h byUntil) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].pos, h[j].pos = i, j }
-func (h *byUntil) Push(x any)        { e := x.(*entry); e.pos = len(*h); *h = append(*h, e) }
-func (h *byUntil) Pop() any {
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].ExpiresAt.Before(h[j].ExpiresAt) }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+func (h *expiryHeap) Push(x any)        { e := x.(*trackedEntry); e.heapIndex = len(*h); *h = append(*h, e) }
+func (h *expiryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -112,7 +112,7 @@
 }
 
 // NewTable returns an empty journal.
-func NewTable(l Limits) *Table { return &Table{limits: l, entries: map[Key]*entry{}} }
+func NewTable(l Limits) *Table { return &Table{limits: l, entries: map[Key]*trackedEntry{}} }
 
 // Load takes in a record at the start. One that ran out is named for removal by Expire.
 func (j *Table) Load(name string, value []byte) error {
@@ -120,82 +120,82 @@
 	if err != nil {
 		return err
 	}
-	j.put(&entry{Entry: e})
+	j.insert(&trackedEntry{Entry: e})
 	return nil
 }
 
 // MaxKeys are all that are kept, in no order.
 func (j *Table) Entries() []Entry {
-	list := make([]Entry, 0, len(j.due))
-	for _, e := range j.due {
+	list := make([]Entry, 0, len(j.byExpiry))
+	for _, e := range j.byExpiry {
 		list = append(list, e.Entry)
 	}
 	return list
 }
 
 // Size is how many keys are kept, and about how many bytes of records.
-func (j *Table) Size() (keys int, bytes int64) { return len(j.entries), j.bytes }
+func (j *Table) Size() (keys int, bytes int64) { return len(j.entries), j.usedBytes }
 
 // DiskState is how the disk does.
-func (j *Table) DiskState() DiskState { return j.mode }
+func (j *Table) DiskState() DiskState { return j.diskState }
 
-// put takes an entry in, in place of one of its key.
-func (j *Table) put(e *entry) {
+// insert takes an entry in, in place of one of its key.
+func (j *Table) insert(e *trackedEntry) {
 	if old := j.entries[e.Key]; old != nil {
-		j.take(old)
+		j.remove(old)
 	}
 	j.entries[e.Key] = e
-	heap.Push(&j.due, e)
-	j.weigh(e)
+	heap.Push(&j.byExpiry, e)
+	j.updateSize(e)
 	if e.State == Completed {
-		j.keep(e)
+		j.enqueueForEviction(e)
 	}
 }
 
-// weigh counts what an entry takes now.
-func (j *Table) weigh(e *entry) {
-	j.bytes -= e.size
-	e.size = int64(overhead + len(e.Key.Class) + len(e.Key.Key) + e.Response.size())
-	j.bytes += e.size
+// updateSize counts what an entry takes now.
+func (j *Table) updateSize(e *trackedEntry) {
+	j.usedBytes -= e.size
+	e.size = int64(recordOverhead + len(e.Key.Class) + len(e.Key.Key) + e.Response.approximateSize())
+	j.usedBytes += e.size
 }
 
-// keep puts an entry's answer at the end of the order of keeping.
-func (j *Table) keep(e *entry) {
-	j.seq++
-	e.seq = j.seq
-	j.givable += int64(e.Response.size())
-	j.answers = append(j.answers, answer{e, e.seq})
+// enqueueForEviction puts an entry's answer at the end of the order of keeping.
+func (j *Table) enqueueForEviction(e *trackedEntry) {
+	j.lastEvictionSeq++
+	e.evictionSeq = j.lastEvictionSeq
+	j.evictableBytes += int64(e.Response.approximateSize())
+	j.evictionQueue = append(j.evictionQueue, evictionSlot{e, e.evictionSeq})
 }
 
-// take takes an entry out.
-func (j *Table) take(e *entry) {
+// remove takes an entry out.
+func (j *Table) remove(e *trackedEntry) {
 	delete(j.entries, e.Key)
-	heap.Remove(&j.due, e.pos)
-	j.bytes -= e.size
-	j.forgetAnswer(e)
+	heap.Remove(&j.byExpiry, e.heapIndex)
+	j.usedBytes -= e.size
+	j.dequeueFromEviction(e)
 	e.size = 0
 }
 
-// forgetAnswer takes an entry out of the order of keeping.
-func (j *Table) forgetAnswer(e *entry) {
-	if e.seq != 0 {
-		j.givable -= int64(e.Response.size())
-		e.seq = 0
+// dequeueFromEviction takes an entry out of the order of keeping.
+func (j *Table) dequeueFromEviction(e *trackedEntry) {
+	if e.evictionSeq != 0 {
+		j.evictableBytes -= int64(e.Response.approximateSize())
+		e.evictionSeq = 0
 	}
 }
 
 // Admit decides whether a keyed request that repeats none may be taken in.
 func (j *Table) Admit(now time.Time) Decision {
 	switch {
-	case j.mode == DiskFailing && now.Before(j.probeAt):
+	case j.diskState == DiskFailing && now.Before(j.nextProbe):
 		j.Counters.RejectedDisk++
 		return DiskUnavailable
-	case len(j.entries) >= j.limits.MaxKeys || j.bytes-j.givable+overhead > j.limits.MaxBytes:
+	case len(j.entries) >= j.limits.MaxKeys || j.usedBytes-j.evictableBytes+recordOverhead > j.limits.MaxBytes:
 		j.Counters.RejectedFull++
 		return TableFull
 	}
-	if j.mode == DiskFailing { // this one asks whether the disk is back; others wait for what it finds
-		j.probeAt = now.Add(j.pace)
+	if j.diskState == DiskFailing { // this one asks whether the disk is back; others wait for what it finds
+		j.nextProbe = now.Add(j.probeBackoff)
 	}
 	return Admitted
 }
@@ -203,13 +203,13 @@
 // Begin is what has to be down before a request is run.
 func (j *Table) Begin(e Entry) []Change {
 	e.State, e.Response = Intent, Response{}
-	n := &entry{Entry: e}
+	n := &trackedEntry{Entry: e}
 	if old := j.entries[e.Key]; old != nil {
-		n.before = old.withoutAnswer()
+		n.replaced = old.withoutResponse()
 	}
-	j.put(n)
+	j.insert(n)
 	j.Counters.Intents++
-	return append(j.fit(), Change{e.Key.RecordName(), n.Encode()})
+	return append(j.evictToFit(), Change{e.Key.RecordName(), n.Encode()})
 }
 
 // Complete is what is written after a run whose answer is to be kept for repeats.
@@ -218,20 +218,20 @@
 	if e == nil {
 		return nil
 	}
-	j.forgetAnswer(e)
-	e.before, e.State, e.Response = nil, Completed, a
-	j.weigh(e)
-	j.keep(e)
+	j.dequeueFromEviction(e)
+	e.replaced, e.State, e.Response = nil, Completed, a
+	j.updateSize(e)
+	j.enqueueForEviction(e)
 	j.Counters.Completed++
-	changes := j.fit()
+	changes := j.evictToFit()
 	if e.State == Completed { // else it was given up at once
 		changes = append(changes, Change{k.RecordName(), e.Encode()})
 	}
 	return changes
 }
 
-// withoutAnswer is an entry whose answer was given up.
-func (e *Entry) withoutAnswer() *Entry {
+// withoutResponse is an entry whose answer was given up.
+func (e *Entry) withoutResponse() *Entry {
 	o := *e
 	if o.State == Completed {
 		o.State, o.Response = Evicted, Response{}
@@ -239,11 +239,11 @@
 	return &o
 }
 
-// takeBack takes an intent back, and puts what it took the place of back in.
-func (j *Table) takeBack(e *entry) {
-	j.take(e)
-	if e.before != nil {
-		j.put(&entry{Entry: *e.before})
+// revert takes an intent back, and puts what it took the place of back in.
+func (j *Table) revert(e *trackedEntry) {
+	j.remove(e)
+	if e.replaced != nil {
+		j.insert(&trackedEntry{Entry: *e.replaced})
 	}
 }
 
@@ -253,47 +253,47 @@
 	if e == nil {
 		return nil
 	}
-	j.takeBack(e)
+	j.revert(e)
 	j.Counters.Aborted++
-	if e.before != nil {
-		return []Change{{k.RecordName(), e.before.Encode()}}
+	if e.replaced != nil {
+		return []Change{{k.RecordName(), e.replaced.Encode()}}
 	}
 	return []Change{{Name: k.RecordName()}}
 }
 
-// fit gives up answers, oldest first, until all fits.
-func (j *Table) fit() (changes []Change) {
-	for j.bytes > j.limits.MaxBytes && len(j.answers) > 0 {
-		a := j.answers[0]
-		j.answers = j.answers[1:]
-		if a.e.seq != a.seq {
+// evictToFit gives up answers, oldest first, until all fits.
+func (j *Table) evictToFit() (changes []Change) {
+	for j.usedBytes > j.limits.MaxBytes && len(j.evictionQueue) > 0 {
+		a := j.evictionQueue[0]
+		j.evictionQueue = j.evictionQueue[1:]
+		if a.entry.evictionSeq != a.seq {
 			continue // it ran out, or another took its place
 		}
-		j.forgetAnswer(a.e)
-		a.e.State, a.e.Response = Evicted, Response{}
-		j.weigh(a.e)
+		j.dequeueFromEviction(a.entry)
+		a.entry.State, a.entry.Response = Evicted, Response{}
+		j.updateSize(a.entry)
 		j.Counters.Evicted++
-		changes = append(changes, Change{a.e.Key.RecordName(), a.e.Encode()})
+		changes = append(changes, Change{a.entry.Key.RecordName(), a.entry.Encode()})
 	}
 	return changes
 }
 
 // Expire is the removal of what ran out, of so many records at the most.
 func (j *Table) Expire(now time.Time, most int) (changes []Change) {
-	for len(j.due) > 0 && len(changes) < most && now.After(j.due[0].ExpiresAt) {
-		e := j.due[0]
-		j.take(e)
+	for len(j.byExpiry) > 0 && len(changes) < most && now.After(j.byExpiry[0].ExpiresAt) {
+		e := j.byExpiry[0]
+		j.remove(e)
 		j.Counters.Expired++
 		changes = append(changes, Change{Name: e.Key.RecordName()})
 	}
-	if len(j.answers) > 64 && len(j.answers) > 2*len(j.entries) {
-		kept := j.answers[:0]
-		for _, a := range j.answers {
-			if a.e.seq == a.seq {
+	if len(j.evictionQueue) > 64 && len(j.evictionQueue) > 2*len(j.entries) {
+		kept := j.evictionQueue[:0]
+		for _, a := range j.evictionQueue {
+			if a.entry.evictionSeq == a.seq {
 				kept = append(kept, a)
 			}
 		}
-		j.answers = kept
+		j.evictionQueue = kept
 	}
 	return changes
 }
@@ -301,24 +301,24 @@
 // ObserveWrite hears of a write that is down, or of why it is not, and tells whether the mode changed.
 func (j *Table) ObserveWrite(err error, now time.Time) (changed bool) {
 	switch {
-	case err == nil && j.mode == DiskFailing:
-		j.mode, j.pace = DiskHealthy, 0
+	case err == nil && j.diskState == DiskFailing:
+		j.diskState, j.probeBackoff = DiskHealthy, 0
 		j.Counters.Recoveries++
 		return true
 	case err == nil:
 		return false
 	}
 	j.Counters.WriteFailures++
-	changed = j.mode == DiskHealthy
-	j.mode = DiskFailing
-	j.pace = min(max(2*j.pace, probeFirst), probeMost)
-	j.probeAt = now.Add(j.pace)
+	changed = j.diskState == DiskHealthy
+	j.diskState = DiskFailing
+	j.probeBackoff = min(max(2*j.probeBackoff, minProbeBackoff), maxProbeBackoff)
+	j.nextProbe = now.Add(j.probeBackoff)
 	return changed
 }
 
 // RevertIntent takes an intent back that could not be written: its request is not run, so its key is as it was before.
 func (j *Table) RevertIntent(k Key) {
 	if e := j.entries[k]; e != nil && e.State == Intent {
-		j.takeBack(e)
+		j.revert(e)
 	}
 }
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -13,9 +13,9 @@
 
 var start = time.Unix(1764576000, 0)
 
-// TestJournal checks random steps against plain maps: what is on the disk, as the changes say, always allows a restart to
+// TestTableSurvivesRestart checks random steps against plain maps: what is on the disk, as the changes say, always allows a restart to
 // know each run within its window, and the bounds hold.
-func TestJournal(t *testing.T) {
+func TestTableSurvivesRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxKeys: rapid.IntRange(1, 8).Draw(t, "entries"), MaxBytes: int64(rapid.IntRange(300, 4000).Draw(t, "bytes"))}
 		j, disk, now := NewTable(limits), map[string][]byte{}, start
@@ -48,7 +48,7 @@
 				write(j.Expire(now, rapid.IntRange(1, 5).Draw(t, "most")))
 			}
 			keys, bytes := j.Size()
-			if keys > limits.MaxKeys || bytes > limits.MaxBytes+overhead+20 {
+			if keys > limits.MaxKeys || bytes > limits.MaxBytes+recordOverhead+20 {
 				t.Fatalf("%d keys and %d bytes of %+v", keys, bytes, limits)
 			}
 			back := NewTable(limits)
@@ -70,15 +70,15 @@
 			for k, e := range back.entries {
 				theirs[k] = e.State
 			}
-			if !maps.Equal(mine, theirs) || back.bytes != j.bytes || back.givable != j.givable {
-				t.Fatalf("in memory %v, on the disk %v; %d and %d bytes", mine, theirs, j.bytes, back.bytes)
+			if !maps.Equal(mine, theirs) || back.usedBytes != j.usedBytes || back.evictableBytes != j.evictableBytes {
+				t.Fatalf("in memory %v, on the disk %v; %d and %d bytes", mine, theirs, j.usedBytes, back.usedBytes)
 			}
 		}
 	})
 }
 
-// TestModes has a failing disk turn keyed requests away, asks it now and then, and takes them again once it is back.
-func TestModes(t *testing.T) {
+// TestDiskStates has a failing disk turn keyed requests away, asks it now and then, and takes them again once it is back.
+func TestDiskStates(t *testing.T) {
 	j, now := NewTable(Limits{MaxKeys: 10, MaxBytes: 1e6}), start
 	if !j.ObserveWrite(errors.New("EIO"), now) || j.DiskState() != DiskFailing || j.Admit(now) != DiskUnavailable {
 		t.Fatalf("mode %v", j.DiskState())
@@ -96,7 +96,7 @@
 	if asked < 5 || asked > 15 {
 		t.Errorf("a disk that fails for a minute is asked %d times", asked)
 	}
-	now = now.Add(probeMost)
+	now = now.Add(maxProbeBackoff)
 	if j.Admit(now) != Admitted || j.Admit(now) != DiskUnavailable {
 		t.Error("one write asks, and the others wait for what it finds")
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestRoom gives up answers before it turns requests away, and never an intent.
-func TestRoom(t *testing.T) {
+// TestEvictionBeforeRejection gives up answers before it turns requests away, and never an intent.
+func TestEvictionBeforeRejection(t *testing.T) {
 	j, now := NewTable(Limits{MaxKeys: 100, MaxBytes: 3000}), start
 	n := 0
 	for ; j.Admit(now) == Admitted; n++ {
@@ -122,14 +122,14 @@
 		t.Errorf("%d taken, %v, %+v", n, states, j.Counters)
 	}
 	j.Expire(now.Add(2*time.Second), 1000)
-	if keys, bytes := j.Size(); keys != 0 || bytes != 0 || j.givable != 0 || j.Admit(now) != Admitted {
+	if keys, bytes := j.Size(); keys != 0 || bytes != 0 || j.evictableBytes != 0 || j.Admit(now) != Admitted {
 		t.Errorf("%d keys and %d bytes are left", keys, bytes)
 	}
 }
 
-// TestDropAfterWindow has a key used anew after its window, for a run that comes to nothing: the run before it is known
+// TestAbortAfterWindow has a key used anew after its window, for a run that comes to nothing: the run before it is known
 // again, in memory and on the disk, for its late tries.
-func TestDropAfterWindow(t *testing.T) {
+func TestAbortAfterWindow(t *testing.T) {
 	for name, end := range map[string]func(j *Table, k Key) []Change{
 		"dropped": (*Table).Abort,
 		"undone":  func(j *Table, k Key) []Change { j.RevertIntent(k); return nil }, // nothing was written over the record
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestRecord reads what it writes, and names any flipped bit.
-func TestRecord(t *testing.T) {
+// TestEntryRoundTrip reads what it writes, and names any flipped bit.
+func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Entry{Key: Key{rapid.StringMatching(`[a-z-]{1,9}`).Draw(t, "class"), rapid.StringMatching(`[0-9a-f]{32}`).Draw(t, "key")},
 			State: State(rapid.IntRange(1, 3).Draw(t, "state")), ReceivedAt: start, ExpiresAt: start.Add(time.Hour), BodyHash: rapid.Uint64().Draw(t, "sum"),
@@ -177,8 +177,8 @@
 	})
 }
 
-// FuzzDecode reads any bytes without a panic.
-func FuzzDecode(f *testing.F) {
+// FuzzDecodeEntry reads any bytes without a panic.
+func FuzzDecodeEntry(f *testing.F) {
 	e := Entry{Key: Key{"c", "k"}, State: Completed, ReceivedAt: start, ExpiresAt: start, Response: Response{Status: 200, Body: []byte("x")}}
 	f.Add(e.Key.RecordName(), e.Encode())
 	f.Add("k/", []byte{})
@@ -191,8 +191,8 @@
 	})
 }
 
-// TestLearned reads what it writes, names any flipped bit, and counts what is old for less.
-func TestLearned(t *testing.T) {
+// TestRunTimes reads what it writes, names any flipped bit, and counts what is old for less.
+func TestRunTimes(t *testing.T) {
 	l := &RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500}, {Name: "never"},
 		{"b", time.Second, 2 * time.Second, 3}}}
 	b := l.Encode()
@@ -223,8 +223,8 @@
 	}
 }
 
-// FuzzDecodeLearned reads any bytes without a panic.
-func FuzzDecodeLearned(f *testing.F) {
+// FuzzDecodeRunTimes reads any bytes without a panic.
+func FuzzDecodeRunTimes(f *testing.F) {
 	f.Add((&RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{{"a", time.Second, time.Second, 1}}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if l, err := DecodeRunTimes(b); err == nil {
--- a/internal/maintenance/scheduler.go
+++ b/internal/maintenance/scheduler.go
@@ -31,100 +31,100 @@
 	BytesPerSecond int64         // a second
 }
 
-// burst is how many seconds of a budget may be used at once.
-const burst = 2
+// burstSeconds is how many seconds of a budget may be used at once.
+const burstSeconds = 2
 
-// state is a chore's.
-type state struct {
+// taskState is a chore's.
+type taskState struct {
 	Task
-	last    time.Duration // when it last ended
-	running bool
-	runs    uint64
-	forced  uint64 // runs by their deadline
-	cost    Cost   // in all
-	mean    Cost   // of a run, of late
+	lastEnd    time.Duration // when it last ended
+	isRunning  bool
+	runs       uint64
+	forcedRuns uint64 // runs by their deadline
+	totalCost  Cost   // in all
+	meanCost   Cost   // of a run, of late
 }
 
 // Scheduler decides. Time is that of the caller, and never goes back.
 type Scheduler struct {
-	budget Budget
-	chores []*state
-	at     time.Duration
-	time   float64 // seconds that may be used
-	bytes  float64
+	budget     Budget
+	tasks      []*taskState
+	refilledAt time.Duration
+	timeLeft   float64 // seconds that may be used
+	bytesLeft  float64
 }
 
 // New returns a scheduler of chores, all of which may run at once.
-func New(b Budget, now time.Duration, chores ...Task) (*Scheduler, error) {
-	s := &Scheduler{budget: b, at: now, time: burst * b.TimePerSecond.Seconds(), bytes: burst * float64(b.BytesPerSecond)}
-	seen := map[string]bool{}
-	for _, c := range chores {
+func New(b Budget, now time.Duration, tasks ...Task) (*Scheduler, error) {
+	s := &Scheduler{budget: b, refilledAt: now, timeLeft: burstSeconds * b.TimePerSecond.Seconds(), bytesLeft: burstSeconds * float64(b.BytesPerSecond)}
+	names := map[string]bool{}
+	for _, c := range tasks {
 		switch {
-		case c.Name == "" || seen[c.Name]:
+		case c.Name == "" || names[c.Name]:
 			return nil, fmt.Errorf("chores: a chore called %q, want a name of its own", c.Name)
 		case c.MinInterval < 0 || c.MaxInterval != 0 && c.MaxInterval < c.MinInterval:
 			return nil, fmt.Errorf("chores: %s runs every %v and has to after %v", c.Name, c.MinInterval, c.MaxInterval)
 		}
-		seen[c.Name] = true
-		s.chores = append(s.chores, &state{Task: c, last: now})
+		names[c.Name] = true
+		s.tasks = append(s.tasks, &taskState{Task: c, lastEnd: now})
 	}
-	slices.SortStableFunc(s.chores, func(a, b *state) int { return -cmp.Compare(a.Priority, b.Priority) })
+	slices.SortStableFunc(s.tasks, func(a, b *taskState) int { return -cmp.Compare(a.Priority, b.Priority) })
 	return s, nil
 }
 
 // refill adds what time brings to the budgets.
 func (s *Scheduler) refill(now time.Duration) {
-	since := max(now-s.at, 0).Seconds()
-	s.at = max(s.at, now)
-	s.time = min(s.time+since*s.budget.TimePerSecond.Seconds(), burst*s.budget.TimePerSecond.Seconds())
-	s.bytes = min(s.bytes+since*float64(s.budget.BytesPerSecond), burst*float64(s.budget.BytesPerSecond))
+	since := max(now-s.refilledAt, 0).Seconds()
+	s.refilledAt = max(s.refilledAt, now)
+	s.timeLeft = min(s.timeLeft+since*s.budget.TimePerSecond.Seconds(), burstSeconds*s.budget.TimePerSecond.Seconds())
+	s.bytesLeft = min(s.bytesLeft+since*float64(s.budget.BytesPerSecond), burstSeconds*float64(s.budget.BytesPerSecond))
 }
 
 // Next is the chore that is to run now, or "". It counts as running until Done.
-func (s *Scheduler) Next(now time.Duration, pressed bool) string {
+func (s *Scheduler) Next(now time.Duration, overloaded bool) string {
 	s.refill(now)
-	for _, c := range s.chores { // those whose deadline is over, whatever else
-		if !c.running && c.MaxInterval > 0 && now-c.last >= c.MaxInterval {
-			c.running = true
-			c.forced++
+	for _, c := range s.tasks { // those whose deadline is over, whatever else
+		if !c.isRunning && c.MaxInterval > 0 && now-c.lastEnd >= c.MaxInterval {
+			c.isRunning = true
+			c.forcedRuns++
 			return c.Name
 		}
 	}
-	if pressed {
+	if overloaded {
 		return ""
 	}
-	for _, c := range s.chores {
-		if c.running || now-c.last < c.MinInterval {
+	for _, c := range s.tasks {
+		if c.isRunning || now-c.lastEnd < c.MinInterval {
 			continue
 		}
-		if s.time < c.mean.Duration.Seconds() || s.bytes < float64(c.mean.Bytes) || s.time <= 0 || s.bytes <= 0 {
+		if s.timeLeft < c.meanCost.Duration.Seconds() || s.bytesLeft < float64(c.meanCost.Bytes) || s.timeLeft <= 0 || s.bytesLeft <= 0 {
 			return "" // one of lower priority must not use up what this one waits for
 		}
-		c.running = true
+		c.isRunning = true
 		return c.Name
 	}
 	return ""
 }
 
-// meanPart is the weight of one run in the mean cost.
-const meanPart = 0.3
+// meanCostWeight is the weight of one run in the mean cost.
+const meanCostWeight = 0.3
 
 // Finish hears of the end of a run and of what it took.
 func (s *Scheduler) Finish(name string, now time.Duration, cost Cost) {
 	s.refill(now)
-	for _, c := range s.chores {
-		if c.Name != name || !c.running {
+	for _, c := range s.tasks {
+		if c.Name != name || !c.isRunning {
 			continue
 		}
-		c.running, c.last = false, now
+		c.isRunning, c.lastEnd = false, now
 		if c.runs++; c.runs == 1 {
-			c.mean = cost
+			c.meanCost = cost
 		}
-		c.mean.Duration += time.Duration(float64(cost.Duration-c.mean.Duration) * meanPart)
-		c.mean.Bytes += int64(float64(cost.Bytes-c.mean.Bytes) * meanPart)
-		c.cost.Duration, c.cost.Bytes = c.cost.Duration+cost.Duration, c.cost.Bytes+cost.Bytes
-		s.time -= cost.Duration.Seconds() // below 0 where it took more than was thought: the next ones wait for it
-		s.bytes -= float64(cost.Bytes)
+		c.meanCost.Duration += time.Duration(float64(cost.Duration-c.meanCost.Duration) * meanCostWeight)
+		c.meanCost.Bytes += int64(float64(cost.Bytes-c.meanCost.Bytes) * meanCostWeight)
+		c.totalCost.Duration, c.totalCost.Bytes = c.totalCost.Duration+cost.Duration, c.totalCost.Bytes+cost.Bytes
+		s.timeLeft -= cost.Duration.Seconds() // below 0 where it took more than was thought: the next ones wait for it
+		s.bytesLeft -= float64(cost.Bytes)
 		return
 	}
 }
@@ -139,8 +139,8 @@
 // Stats are those of all chores, by priority.
 func (s *Scheduler) Stats() []TaskStats {
 	var list []TaskStats
-	for _, c := range s.chores {
-		list = append(list, TaskStats{c.Name, c.runs, c.forced, c.cost})
+	for _, c := range s.tasks {
+		list = append(list, TaskStats{c.Name, c.runs, c.forcedRuns, c.totalCost})
 	}
 	return list
 }
--- a/internal/maintenance/scheduler_test.go
+++ b/internal/maintenance/scheduler_test.go
@@ -17,15 +17,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, pressed := time.Duration(0), false
+		now, overloaded := time.Duration(0), false
 		used, forced, biggest := Cost{}, Cost{}, Cost{}
 		last := map[string]time.Duration{}
 		for range rapid.IntRange(50, 500).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * time.Millisecond
 			if rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
-				pressed = !pressed
+				overloaded = !overloaded
 			}
-			name := s.Next(now, pressed)
+			name := s.Next(now, overloaded)
 			for _, c := range list {
 				if c.MaxInterval > 0 && name == "" && now-last[c.Name] >= c.MaxInterval {
 					t.Fatalf("%s is %v late", c.Name, now-last[c.Name]-c.MaxInterval)
@@ -42,7 +42,7 @@
 				}
 			}
 			byDeadline := c.MaxInterval > 0 && now-last[name] >= c.MaxInterval
-			if pressed && !byDeadline {
+			if overloaded && !byDeadline {
 				t.Fatalf("%s runs while the server is pressed", name)
 			}
 			if now-last[name] < c.MinInterval {
@@ -55,19 +55,19 @@
 			if byDeadline {
 				forced.Duration, forced.Bytes = forced.Duration+cost.Duration, forced.Bytes+cost.Bytes
 			}
-			most := (now.Seconds() + burst) * b.TimePerSecond.Seconds()
+			most := (now.Seconds() + burstSeconds) * b.TimePerSecond.Seconds()
 			if (used.Duration - forced.Duration - biggest.Duration).Seconds() > most {
 				t.Fatalf("%v used after %v, %v of it forced, of %v a second", used.Duration, now, forced.Duration, b.TimePerSecond)
 			}
-			if float64(used.Bytes-forced.Bytes-biggest.Bytes) > (now.Seconds()+burst)*float64(b.BytesPerSecond) {
+			if float64(used.Bytes-forced.Bytes-biggest.Bytes) > (now.Seconds()+burstSeconds)*float64(b.BytesPerSecond) {
 				t.Fatalf("%d bytes used after %v, %d of them forced, of %d a second", used.Bytes, now, forced.Bytes, b.BytesPerSecond)
 			}
 		}
 	})
 }
 
-// TestOrder has the higher priority go first, and one that waits for its budget not be starved by a lower one.
-func TestOrder(t *testing.T) {
+// TestPriorityOrder has the higher priority go first, and one that waits for its budget not be starved by a lower one.
+func TestPriorityOrder(t *testing.T) {
 	s, err := New(Budget{time.Second, 1000}, 0, Task{"low", 1, 0, 0}, Task{"high", 2, 0, 0})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sexp/fields.go
+++ b/internal/sexp/fields.go
@@ -14,7 +14,7 @@
 	return ReadForms(forms, fields, nil)
 }
 
-func names(fields map[string]func(Node) error) []string {
+func sortedNames(fields map[string]func(Node) error) []string {
 	list := make([]string, 0, len(fields))
 	for name := range fields {
 		list = append(list, name)
@@ -23,8 +23,8 @@
 	return list
 }
 
-// one is the only value of a form.
-func one(form Node, want string) (Node, error) {
+// singleValue is the only value of a form.
+func singleValue(form Node, want string) (Node, error) {
 	args := form.Args()
 	if len(args) != 1 {
 		return Node{}, Errorf(form.Pos, "(%s ...) has %d values, want one: %s", form.Name(), len(args), want)
@@ -38,7 +38,7 @@
 // Text returns a function for Fields that reads one text into a variable.
 func Text(to *string) func(Node) error {
 	return func(form Node) error {
-		n, err := one(form, "a text")
+		n, err := singleValue(form, "a text")
 		if err == nil && n.Text == "" {
 			err = Errorf(n.Pos, "found an empty text in (%s ...), want some", form.Name())
 		}
@@ -50,7 +50,7 @@
 // Duration returns a function for Fields that reads one time with its unit, such as 250ms, within bounds.
 func Duration(to *time.Duration, least, most time.Duration) func(Node) error {
 	return func(form Node) error {
-		return quantity(form, durations, "a time with its unit, such as 250ms or 2s", float64(least), float64(most),
+		return readQuantity(form, durationUnits, "a time with its unit, such as 250ms or 2s", float64(least), float64(most),
 			func(v float64) { *to = time.Duration(v) })
 	}
 }
@@ -58,26 +58,26 @@
 // Bytes returns a function for Fields that reads one size with its unit, such as 16MB, within bounds.
 func Bytes(to *int64, least, most int64) func(Node) error {
 	return func(form Node) error {
-		return quantity(form, sizes, "a size with its unit, such as 64kB or 16MB", float64(least), float64(most),
+		return readQuantity(form, sizeUnits, "a size with its unit, such as 64kB or 16MB", float64(least), float64(most),
 			func(v float64) { *to = int64(v) })
 	}
 }
 
 // unit is a unit and how many of the base it is.
 type unit struct {
-	name string
-	of   float64
+	name   string
+	factor float64
 }
 
 // The units, largest first. Sizes are decimal where they are called kB, MB and GB, and binary as KiB, MiB, GiB.
 var (
-	durations = []unit{{"h", 3600e9}, {"m", 60e9}, {"s", 1e9}, {"ms", 1e6}, {"us", 1e3}}
-	sizes     = []unit{{"GiB", 1 << 30}, {"GB", 1e9}, {"MiB", 1 << 20}, {"MB", 1e6}, {"KiB", 1 << 10}, {"kB", 1e3}, {"B", 1}}
+	durationUnits = []unit{{"h", 3600e9}, {"m", 60e9}, {"s", 1e9}, {"ms", 1e6}, {"us", 1e3}}
+	sizeUnits     = []unit{{"GiB", 1 << 30}, {"GB", 1e9}, {"MiB", 1 << 20}, {"MB", 1e6}, {"KiB", 1 << 10}, {"kB", 1e3}, {"B", 1}}
 )
 
-// quantity reads one figure with its unit. Its digits are whole numbers or decimals; it must come to whole bases.
-func quantity(form Node, units []unit, want string, least, most float64, set func(float64)) error {
-	n, err := one(form, want)
+// readQuantity reads one figure with its unit. Its digits are whole numbers or decimals; it must come to whole bases.
+func readQuantity(form Node, units []unit, want string, least, most float64, set func(float64)) error {
+	n, err := singleValue(form, want)
 	if err != nil {
 		return err
 	}
@@ -88,19 +88,19 @@
 	if err != nil || i < 0 || n.Kind != Atom || strings.Trim(digits, "0123456789.") != "" {
 		return Errorf(n.Pos, "found %v in (%s ...), want %s", n, form.Name(), want)
 	}
-	value = math.Round(value * units[i].of)
+	value = math.Round(value * units[i].factor)
 	if value < least || value > most {
-		return Errorf(n.Pos, "found %v in (%s ...), want %s to %s", n, form.Name(), quantityText(least, units),
-			quantityText(most, units))
+		return Errorf(n.Pos, "found %v in (%s ...), want %s to %s", n, form.Name(), formatQuantity(least, units),
+			formatQuantity(most, units))
 	}
 	set(value)
 	return nil
 }
 
-// quantityText writes a figure in the largest unit of which it is a whole number.
-func quantityText(v float64, units []unit) string {
+// formatQuantity writes a figure in the largest unit of which it is a whole number.
+func formatQuantity(v float64, units []unit) string {
 	for _, u := range units {
-		if n := v / u.of; n >= 1 && n == math.Trunc(n) {
+		if n := v / u.factor; n >= 1 && n == math.Trunc(n) {
 			return strconv.FormatFloat(n, 'f', -1, 64) + u.name
 		}
 	}
--- a/internal/sexp/include.go
+++ b/internal/sexp/include.go
@@ -21,11 +21,11 @@
 	for _, n := range forms {
 		name := n.Name()
 		if n.Kind != List || name == "" {
-			return Errorf(n.Pos, "found %v, want a form such as (%s ...)", n, strings.Join(names(all), " ...) or ("))
+			return Errorf(n.Pos, "found %v, want a form such as (%s ...)", n, strings.Join(sortedNames(all), " ...) or ("))
 		}
 		read, known := all[name]
 		if !known {
-			return Errorf(n.Pos, "found (%s ...), want %s", name, strings.Join(names(all), ", "))
+			return Errorf(n.Pos, "found (%s ...), want %s", name, strings.Join(sortedNames(all), ", "))
 		}
 		if at, twice := first[name]; twice && once[name] != nil {
 			return Errorf(n.Pos, "(%s ...) is given twice, first at %v", name, at)
@@ -63,7 +63,7 @@
 // OneOf returns a function for Fields that reads one of some words into a variable.
 func OneOf(to *string, words ...string) func(Node) error {
 	return func(form Node) error {
-		n, err := one(form, strings.Join(words, ", "))
+		n, err := singleValue(form, strings.Join(words, ", "))
 		if err == nil && !slices.Contains(words, n.Text) {
 			err = Errorf(n.Pos, "found %v in (%s ...), want %s", n, form.Name(), strings.Join(words, ", "))
 		}
@@ -75,7 +75,7 @@
 // Number returns a function for Fields that reads one figure without a unit, within bounds.
 func Number(to *float64, least, most float64) func(Node) error {
 	return func(form Node) error {
-		n, err := one(form, "a number")
+		n, err := singleValue(form, "a number")
 		if err != nil {
 			return err
 		}
@@ -91,7 +91,7 @@
 // Int returns a function for Fields that reads one whole number, within bounds.
 func Int(to *int, least, most int) func(Node) error {
 	return func(form Node) error {
-		n, err := one(form, "a whole number")
+		n, err := singleValue(form, "a whole number")
 		if err != nil {
 			return err
 		}
@@ -118,10 +118,10 @@
 // pattern matches, in the order of their names; a pattern without stars must match one. Patterns are relative to the
 // directory of the file that they stand in.
 func ParseFiles(path string, read func(string) ([]byte, error), glob func(string) ([]string, error)) ([]Node, error) {
-	return include(path, nil, Pos{}, read, glob)
+	return parseIncluded(path, nil, Pos{}, read, glob)
 }
 
-func include(path string, chain []string, from Pos, read func(string) ([]byte, error), glob func(string) ([]string, error)) ([]Node, error) {
+func parseIncluded(path string, chain []string, from Pos, read func(string) ([]byte, error), glob func(string) ([]string, error)) ([]Node, error) {
 	path = filepath.Clean(path)
 	if slices.Contains(chain, path) {
 		return nil, Errorf(from, "the includes go round: %s", strings.Join(append(chain, path), " -> "))
@@ -165,7 +165,7 @@
 			slices.Sort(files)
 		}
 		for _, f := range files {
-			forms, err := include(f, chain, form.Pos, read, glob)
+			forms, err := parseIncluded(f, chain, form.Pos, read, glob)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/sexp/parser.go
+++ b/internal/sexp/parser.go
@@ -53,8 +53,8 @@
 type Node struct {
 	Pos   Pos
 	Kind  Kind
-	Text  string // of an atom or a string
-	Items []Node // of a list
+	Text  string // factor an atom or a string
+	Items []Node // factor a list
 }
 
 // Name is the first atom of a list, or "".
@@ -103,15 +103,15 @@
 
 // Parse reads the forms of a file.
 func Parse(file string, text []byte) ([]Node, error) {
-	p := &parser{text: text, at: Pos{file, 1, 1}}
+	p := &parser{rest: text, pos: Pos{file, 1, 1}}
 	var forms []Node
 	for {
-		p.blank()
-		if len(p.text) == 0 {
+		p.skipBlank()
+		if len(p.rest) == 0 {
 			return forms, nil
 		}
-		at := p.at
-		n, err := p.node(0)
+		at := p.pos
+		n, err := p.parseNode(0)
 		if err != nil {
 			return nil, err
 		}
@@ -124,78 +124,78 @@
 
 // parser stands somewhere in a file.
 type parser struct {
-	text []byte
-	at   Pos
+	rest []byte
+	pos  Pos
 }
 
 // peek is the next character.
 func (p *parser) peek() rune {
-	r, _ := utf8.DecodeRune(p.text)
+	r, _ := utf8.DecodeRune(p.rest)
 	return r
 }
 
-// step goes behind the next character.
-func (p *parser) step() rune {
-	r, n := utf8.DecodeRune(p.text)
-	p.text = p.text[n:]
-	p.at.Advance(r)
+// next goes behind the next character.
+func (p *parser) next() rune {
+	r, n := utf8.DecodeRune(p.rest)
+	p.rest = p.rest[n:]
+	p.pos.Advance(r)
 	return r
 }
 
-// blank goes behind spaces and comments.
-func (p *parser) blank() {
-	for len(p.text) > 0 {
+// skipBlank goes behind spaces and comments.
+func (p *parser) skipBlank() {
+	for len(p.rest) > 0 {
 		switch p.peek() {
 		case ';':
-			for len(p.text) > 0 && p.peek() != '\n' {
-				p.step()
+			for len(p.rest) > 0 && p.peek() != '\n' {
+				p.next()
 			}
 		case ' ', '\t', '\r', '\n':
-			p.step()
+			p.next()
 		default:
 			return
 		}
 	}
 }
 
-// node reads one node; something stands here.
-func (p *parser) node(depth int) (Node, error) {
-	at := p.at
+// parseNode reads one node; something stands here.
+func (p *parser) parseNode(depth int) (Node, error) {
+	at := p.pos
 	switch p.peek() {
 	case '(':
-		return p.list(depth)
+		return p.parseList(depth)
 	case ')':
 		return Node{}, Errorf(at, "found ) without its (")
 	case '"':
-		return p.str()
+		return p.parseString()
 	}
 	var b strings.Builder
-	for len(p.text) > 0 && !strings.ContainsRune(" \t\r\n();\"", p.peek()) {
-		if r, n := utf8.DecodeRune(p.text); r == utf8.RuneError && n == 1 || r < ' ' || r == 0x7f {
-			return Node{}, Errorf(p.at, "found the byte 0x%02x, want text in UTF-8", p.text[0])
+	for len(p.rest) > 0 && !strings.ContainsRune(" \t\r\n();\"", p.peek()) {
+		if r, n := utf8.DecodeRune(p.rest); r == utf8.RuneError && n == 1 || r < ' ' || r == 0x7f {
+			return Node{}, Errorf(p.pos, "found the byte 0x%02x, want text in UTF-8", p.rest[0])
 		}
-		b.WriteRune(p.step())
+		b.WriteRune(p.next())
 	}
 	return Node{Pos: at, Text: b.String()}, nil
 }
 
-// list reads a list.
-func (p *parser) list(depth int) (Node, error) {
-	n := Node{Pos: p.at, Kind: List}
+// parseList reads a list.
+func (p *parser) parseList(depth int) (Node, error) {
+	n := Node{Pos: p.pos, Kind: List}
 	if depth >= maxDepth {
 		return n, Errorf(n.Pos, "lists stand over %d deep in each other", maxDepth)
 	}
-	p.step()
+	p.next()
 	for {
-		p.blank()
-		if len(p.text) == 0 {
+		p.skipBlank()
+		if len(p.rest) == 0 {
 			return n, Errorf(n.Pos, "found the end of the file, want the ) of this (")
 		}
 		if p.peek() == ')' {
-			p.step()
+			p.next()
 			return n, nil
 		}
-		item, err := p.node(depth + 1)
+		item, err := p.parseNode(depth + 1)
 		if err != nil {
 			return n, err
 		}
@@ -206,25 +206,25 @@
 // escapes are what stands behind a backslash, and what it means.
 var escapes = map[rune]rune{'"': '"', '\\': '\\', 'n': '\n', 't': '\t'}
 
-// str reads a string.
-func (p *parser) str() (Node, error) {
-	n := Node{Pos: p.at, Kind: String}
-	p.step()
+// parseString reads a string.
+func (p *parser) parseString() (Node, error) {
+	n := Node{Pos: p.pos, Kind: String}
+	p.next()
 	var b strings.Builder
-	for len(p.text) > 0 {
-		at := p.at
-		if r, size := utf8.DecodeRune(p.text); r == utf8.RuneError && size == 1 {
-			return n, Errorf(at, "found the byte 0x%02x, want text in UTF-8", p.text[0])
+	for len(p.rest) > 0 {
+		at := p.pos
+		if r, size := utf8.DecodeRune(p.rest); r == utf8.RuneError && size == 1 {
+			return n, Errorf(at, "found the byte 0x%02x, want text in UTF-8", p.rest[0])
 		}
-		switch r := p.step(); r {
+		switch r := p.next(); r {
 		case '"':
 			n.Text = b.String()
 			return n, nil
 		case '\\':
-			if len(p.text) == 0 {
+			if len(p.rest) == 0 {
 				return n, Errorf(n.Pos, "found the end of the file, want the \" that ends this string")
 			}
-			r := p.step()
+			r := p.next()
 			meant, ok := escapes[r]
 			if !ok {
 				return n, Errorf(at, "found \\%c, want \\\", \\\\, \\n or \\t", r)
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestBroken has each broken sample told with its place and what was expected.
-func TestBroken(t *testing.T) {
+// TestErrorPlaces has each broken sample told with its place and what was expected.
+func TestErrorPlaces(t *testing.T) {
 	for text, want := range map[string]string{
 		"(a":                    "f:1:1: found the end of the file, want the ) of this (",
 		"(a))":                  "f:1:4: found ) without its (",
@@ -33,7 +33,7 @@
 		"(name a)\n\n(name b)":  "f:3:1: (name ...) is given twice, first at f:1:1",
 		strings.Repeat("(", 99): "lists stand over 64 deep",
 	} {
-		_, err := load(text)
+		_, err := parseSample(text)
 		var place *Error
 		if !errors.As(err, &place) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want %q", text, err, want)
@@ -41,14 +41,14 @@
 	}
 }
 
-// told is what the sample's forms say.
-type told struct {
+// sampleValues is what the sample's forms say.
+type sampleValues struct {
 	name string
 	wait time.Duration
 	size int64
 }
 
-func load(text string) (v told, err error) {
+func parseSample(text string) (v sampleValues, err error) {
 	forms, err := Parse("f", []byte(text))
 	if err != nil {
 		return v, err
@@ -59,12 +59,12 @@
 
 // TestUnits reads figures with their units.
 func TestUnits(t *testing.T) {
-	for text, want := range map[string]told{
+	for text, want := range map[string]sampleValues{
 		"(time 1.5s) ; a comment\n(size 64kB)(name x)": {"x", 1500 * time.Millisecond, 64000},
 		"(size 2MiB) (name \"a \\\"b\\\" \\\\ \\n\")":  {"a \"b\" \\ \n", 0, 2 << 20},
 		"(time 250ms)(size 7B)":                        {"", 250 * time.Millisecond, 7},
 	} {
-		if got, err := load(text); err != nil || got != want {
+		if got, err := parseSample(text); err != nil || got != want {
 			t.Errorf("%q: %+v, %v", text, got, err)
 		}
 	}
@@ -76,7 +76,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		_, err := load(text)
+		_, err := parseSample(text)
 		var place *Error
 		if err != nil && (!errors.As(err, &place) || place.Pos.Line < 1 || place.Pos.Line > strings.Count(text, "\n")+1) {
 			t.Errorf("error without its place: %v", err)
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// copyOf is a file layer of its own with the files of a folder.
-func copyOf(t testing.TB, from vfs.FS, damage func(name string, text []byte) []byte) vfs.FS {
+// copyFiles is a file layer of its own with the files of a folder.
+func copyFiles(t testing.TB, from vfs.FS, damage func(name string, text []byte) []byte) vfs.FS {
 	t.Helper()
 	to := vfs.NewMem()
 	names, err := from.List("/state")
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		victim := names[int(file)%len(names)]
-		damaged := copyOf(t, sound, func(name string, text []byte) []byte {
+		damaged := copyFiles(t, sound, func(name string, text []byte) []byte {
 			if name != victim || len(text) == 0 {
 				return text
 			}
--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -12,13 +12,13 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// patience is how long a store may take to tell what became of a write, far more than it needs.
-const patience = 30 * time.Second
+// timeout is how long a store may take to tell what became of a write, far more than it needs.
+const writeDeadline = 30 * time.Second
 
-// TestDiskComesBack has a disk that is full or fails from a random call to the file layer on, under enough writes for files to
+// TestDiskRecovers has a disk that is full or fails from a random call to the file layer on, under enough writes for files to
 // be begun and rewritten: each write is told, nothing that was told to be down is lost, and the store writes again once the
 // disk is well, without being opened anew.
-func TestDiskComesBack(t *testing.T) {
+func TestDiskRecovers(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -39,7 +39,7 @@
 			left.Store(rng.Int64N(300))
 			failed := 0
 			for i := 0; failed < 3 && i < 2000; i++ {
-				if !put(t, s, rng, down) {
+				if !putRandom(t, s, rng, down) {
 					failed++
 				}
 			}
@@ -48,7 +48,7 @@
 			if failed == 0 {
 				t.Fatalf("round %d: a disk that fails was not noticed", round)
 			}
-			for try := 0; !put(t, s, rng, down); try++ {
+			for try := 0; !putRandom(t, s, rng, down); try++ {
 				if try == 5 {
 					t.Fatalf("round %d, sickness %d: the disk is well, and writes fail", round, sickness)
 				}
@@ -73,8 +73,8 @@
 	t.Logf("%d writes failed, %d times the records were taken up anew", failures, opened)
 }
 
-// put writes a record, and notes in down what was told: of one that failed either value may be there.
-func put(t *testing.T, s *Store, rng *rand.Rand, down map[string]string) bool {
+// putRandom writes a record, and notes in down what was told: of one that failed either value may be there.
+func putRandom(t *testing.T, s *Store, rng *rand.Rand, down map[string]string) bool {
 	t.Helper()
 	name := fmt.Sprint("k", rng.IntN(50))
 	value := make([]byte, 20000)
@@ -91,7 +91,7 @@
 			down[name] = ""
 		}
 		return err == nil
-	case <-time.After(patience):
+	case <-time.After(writeDeadline):
 		t.Fatal("nobody tells what became of a write")
 		return false
 	}
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -13,45 +13,45 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// engine is one opening of a folder's records. Pebble does not go on after a write that failed: it may ask for the end of the
+// currentEngine is one opening of a folder's records. Pebble does not go on after a write that failed: it may ask for the end of the
 // process, or stand still with its locks held. So whatever may write runs on a goroutine that can be left behind, an engine
 // that failed is cut off from the disk, and another takes its place once the disk is well.
 type engine struct {
 	db     *pebble.DB
 	failed chan struct{} // closed by the first failure, which is in err
 
-	mu  sync.Mutex
-	err error
-	off bool // cut off from the disk
+	mu       sync.Mutex
+	err      error
+	detached bool // cut off from the disk
 }
 
 // The errors of engines.
 var (
-	errCutOff  = errors.New("store: cut off after a failure")
-	errStands  = errors.New("store: the disk stands still")
-	errWornOut = errors.New("store: it failed too often to be taken up again")
-	errStuck   = errors.New("store: a write does not end, though the disk takes others down")
+	errDetached     = errors.New("store: cut off after a failure")
+	errDiskStalled  = errors.New("store: the disk stands still")
+	errTooManyStuck = errors.New("store: it failed too often to be taken up again")
+	errWriteHung    = errors.New("store: a write does not end, though the disk takes others down")
 )
 
 const (
-	// closePatience is how long the end of an engine is waited for.
-	closePatience = 500 * time.Millisecond
-	// stuckAfter is how long a write may take before the disk is asked whether it takes down others meanwhile.
-	stuckAfter = 5 * time.Second
-	// mostFiles is how many files may wait to be rewritten: so many that writes never wait for it. Reads are at the start only.
-	mostFiles = 1 << 20
-	// mostStuck is how many engines may fail without an end. Each holds on to about a megabyte.
-	mostStuck = 8
+	// closeTimeout is how long the end of an engine is waited for.
+	closeTimeout = 500 * time.Millisecond
+	// hungWriteAfter is how long a write may take before the disk is asked whether it takes down others meanwhile.
+	hungWriteAfter = 5 * time.Second
+	// maxL0Files is how many files may wait to be rewritten: so many that writes never wait for it. Reads are at the start only.
+	maxL0Files = 1 << 20
+	// maxStuckEngines is how many engines may fail without an end. Each holds on to about a megabyte.
+	maxStuckEngines = 8
 	// probeBytes is how much room a disk has to have, and to take down, before records are taken up again.
 	probeBytes = 2 * memTableBytes
 	probeName  = "probe"
 )
 
-// unlocked is a file layer whose folder the store has locked itself, for longer than one engine lasts.
-type unlocked struct{ vfs.FS }
+// lockedByStore is a file layer whose folder the store has locked itself, for longer than one engine lasts.
+type lockedByStore struct{ vfs.FS }
 
 // Lock implements vfs.FS.
-func (unlocked) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (lockedByStore) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 // openEngine opens the records of a folder that is locked.
 func openEngine(c Config) (*engine, error) {
@@ -59,22 +59,22 @@
 	disk := errorfs.Wrap(c.FS, errorfs.InjectorFunc(func(errorfs.Op, string) error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.off {
-			return errCutOff
+		if e.detached {
+			return errDetached
 		}
 		return nil
 	}))
 	cache := pebble.NewCache(cacheBytes)
 	defer cache.Unref()
 	var db *pebble.DB
-	err := e.guard(func() (err error) {
-		db, err = pebble.Open(c.Dir, &pebble.Options{FS: unlocked{disk}, Cache: cache, MemTableSize: memTableBytes, MemTableStopWritesThreshold: 4,
+	err := e.runAbandonable(func() (err error) {
+		db, err = pebble.Open(c.Dir, &pebble.Options{FS: lockedByStore{disk}, Cache: cache, MemTableSize: memTableBytes, MemTableStopWritesThreshold: 4,
 			MaxOpenFiles: openFiles, ReadOnly: c.ReadOnly, Logger: e, ErrorIfNotExists: c.ReadOnly, MaxConcurrentCompactions: func() int { return 1 },
-			DisableAutomaticCompactions: true, L0StopWritesThreshold: mostFiles})
+			DisableAutomaticCompactions: true, L0StopWritesThreshold: maxL0Files})
 		return err
 	})
 	if err != nil {
-		e.cutOff()
+		e.detach()
 		return nil, openError(c.Dir, err)
 	}
 	e.db = db
@@ -108,15 +108,15 @@
 	}
 }
 
-// cutOff keeps an engine from the disk from now on: what it may still do must not meet what comes after it.
-func (e *engine) cutOff() {
+// detach keeps an engine from the disk from now on: what it may still do must not meet what comes after it.
+func (e *engine) detach() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.off = true
+	e.detached = true
 }
 
-// guard has something done that may write, and returns once it is done or the engine failed.
-func (e *engine) guard(work func() error) error {
+// runAbandonable has something done that may write, and returns once it is done or the engine failed.
+func (e *engine) runAbandonable(work func() error) error {
 	done := make(chan error, 1)
 	go func() {
 		defer func() {
@@ -140,20 +140,20 @@
 	}
 }
 
-// do is guard with the records.
-func (e *engine) do(work func(db *pebble.DB) error) error {
-	return e.guard(func() error { return work(e.db) })
+// withDB is guard with the records.
+func (e *engine) withDB(work func(db *pebble.DB) error) error {
+	return e.runAbandonable(func() error { return work(e.db) })
 }
 
-// write is do, but gives up where that does not end though the disk takes others down or fails: Pebble may stand still after
+// writeWithTimeout is do, but gives up where that does not end though the disk takes others down or fails: Pebble may stand still after
 // a write that failed, and say nothing. While the disk itself stands still there is nothing to do but wait.
-func (e *engine) write(work func(db *pebble.DB) error, probe func() error, patience time.Duration) error {
+func (e *engine) writeWithTimeout(work func(db *pebble.DB) error, probe func() error, timeout time.Duration) error {
 	ended := make(chan error, 1)
-	go func() { ended <- e.do(work) }()
+	go func() { ended <- e.withDB(work) }()
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 	probed := make(chan error, 1)
 	go func() { probed <- probe() }()
@@ -161,7 +161,7 @@
 	case err := <-ended:
 		return err
 	case err := <-probed:
-		e.fail(cmp.Or(err, errStuck)) // an engine that failed or went on just now is given up all the same
+		e.fail(cmp.Or(err, errWriteHung)) // an engine that failed or went on just now is given up all the same
 		return <-ended
 	}
 }
@@ -169,30 +169,30 @@
 // close ends an engine, or leaves it behind where it does not end soon.
 func (e *engine) close() error {
 	ended := make(chan error, 1)
-	go func() { ended <- e.do((*pebble.DB).Close) }()
+	go func() { ended <- e.withDB((*pebble.DB).Close) }()
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(closePatience):
-		e.cutOff()
-		return errStands
+	case <-time.After(closeTimeout):
+		e.detach()
+		return errDiskStalled
 	}
 }
 
-// use has something done with the records, by the engine of the moment.
-func (s *Store) use(work func(db *pebble.DB) error) error {
+// withDB has something done with the records, by the engine of the moment.
+func (s *Store) withDB(work func(db *pebble.DB) error) error {
 	s.mu.RLock()
 	e := s.engine
 	s.mu.RUnlock()
 	if e == nil {
-		return errCutOff
+		return errDetached
 	}
-	return e.do(work)
+	return e.withDB(work)
 }
 
-// abandon gives up an engine that failed.
-func (s *Store) abandon(e *engine) {
-	e.cutOff()
+// abandonEngine gives up an engine that failed.
+func (s *Store) abandonEngine(e *engine) {
+	e.detach()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.engine != e {
@@ -211,8 +211,8 @@
 	}()
 }
 
-// probe asks a disk that failed whether it takes down what records need, so that an engine is opened only where it is well.
-func (s *Store) probe() error {
+// probeDisk asks a disk that failed whether it takes down what records need, so that an engine is opened only where it is well.
+func (s *Store) probeDisk() error {
 	fsys := s.config.FS
 	path := fsys.PathJoin(s.config.Dir, probeName)
 	f, err := fsys.Create(path)
--- a/internal/store/hung_write_test.go
+++ b/internal/store/hung_write_test.go
@@ -16,8 +16,8 @@
 	const patience = time.Millisecond
 	for _, disk := range []error{nil, syscall.ENOSPC} {
 		e := &engine{failed: make(chan struct{})}
-		err := e.write(func(*pebble.DB) error { select {} }, func() error { return disk }, patience)
-		if want := cmp.Or(disk, errStuck); !errors.Is(err, want) {
+		err := e.writeWithTimeout(func(*pebble.DB) error { select {} }, func() error { return disk }, patience)
+		if want := cmp.Or(disk, errWriteHung); !errors.Is(err, want) {
 			t.Errorf("a write that does not end: %v, want %v", err, want)
 		}
 	}
@@ -27,7 +27,7 @@
 		close(slow)
 		select {}
 	}
-	if err := e.write(func(*pebble.DB) error { <-slow; return nil }, standing, patience); err != nil {
+	if err := e.writeWithTimeout(func(*pebble.DB) error { <-slow; return nil }, standing, patience); err != nil {
 		t.Errorf("a write on a disk that stood still: %v", err)
 	}
 }
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -13,19 +13,19 @@
 	"tillerusher/internal/idempotency"
 )
 
-// touch is one operation on one record: a write of a value, or a read where it is nil.
-type touch struct {
+// registerOp is one operation on one record: a write of a value, or a read where it is nil.
+type registerOp struct {
 	name  string
 	value []byte
 }
 
-// registers is a map of registers, each checked by itself.
-var registers = porcupine.Model{
+// registerModel is a map of registers, each checked by itself.
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		var names []string
 		for _, op := range history {
-			name := op.Input.(touch).name
+			name := op.Input.(registerOp).name
 			if by[name] == nil {
 				names = append(names, name)
 			}
@@ -39,7 +39,7 @@
 	},
 	Init: func() interface{} { return "" },
 	Step: func(state, input, output interface{}) (bool, interface{}) {
-		in := input.(touch)
+		in := input.(registerOp)
 		if in.value != nil {
 			return true, string(in.value)
 		}
@@ -65,8 +65,8 @@
 			go func() {
 				defer all.Done()
 				for i := range 60 {
-					op := porcupine.Operation{ClientId: client, Input: touch{name: fmt.Sprint("k", rng.IntN(4))}}
-					in := op.Input.(touch)
+					op := porcupine.Operation{ClientId: client, Input: registerOp{name: fmt.Sprint("k", rng.IntN(4))}}
+					in := op.Input.(registerOp)
 					if rng.IntN(2) == 0 {
 						in.value = fmt.Appendf(nil, "%d-%d-%d", round, client, i)
 						op.Input = in
@@ -95,7 +95,7 @@
 			t.Fatal(err)
 		}
 	}
-	if result := porcupine.CheckOperationsTimeout(registers, history, time.Minute); result != porcupine.Ok {
+	if result := porcupine.CheckOperationsTimeout(registerModel, history, time.Minute); result != porcupine.Ok {
 		t.Errorf("%d operations: %v", len(history), result)
 	}
 }
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -20,62 +20,62 @@
 // The slips' world: how long a key must not run again, how long a try may be on its way, and how many cuts a folder lives
 // through.
 const (
-	slipWindow = 18354 * time.Millisecond
-	slipDelay  = 3 * time.Second
-	slipLives  = 100
-	slipKeys   = 12
+	keyWindow      = 18354 * time.Millisecond
+	maxDelay       = 3 * time.Second
+	livesPerFolder = 100
+	keyCount       = 12
 )
 
-// slip is a request that a life of the server knows.
-type slip struct {
-	until   time.Time
-	over    bool
-	failed  bool // it may have run, and nobody knows how it ended
-	waiting []string
-	before  *slip // a run whose window had passed; late tries of it may still come
+// modelRequest is a request that a life of the server knows.
+type modelRequest struct {
+	until      time.Time
+	isFinished bool
+	hasFailed  bool // it may have run, and nobody knows how it ended
+	waiting    []string
+	replaced   *modelRequest // a run whose window had passed; late tries of it may still come
 }
 
-// slipWorld is one folder, the callers of its server, and the interpreter.
-type slipWorld struct {
+// cluster is one folder, the callers of its server, and the interpreter.
+type cluster struct {
 	rng      *rand.Rand
 	fsys     *vfs.MemFS
 	observer *invariant.Checker
 	now      time.Time // of the callers
 	skew     time.Duration
-	tries    int
+	attempts int
 	counts   map[string]int
 }
 
-// slipLife is one life of the server, from its start to the cut.
-type slipLife struct {
-	*slipWorld
-	store   *Store
-	rules   *idempotency.Table
-	known   map[idempotency.Key]*slip
-	running []idempotency.Key
-	posted  chan func()
-	pending int // orders whose end was not heard of
-	dead    atomic.Bool
+// serverLife is one life of the server, from its start to the cut.
+type serverLife struct {
+	*cluster
+	store       *Store
+	table       *idempotency.Table
+	known       map[idempotency.Key]*modelRequest
+	running     []idempotency.Key
+	posted      chan func()
+	pending     int // orders whose end was not heard of
+	isPowerLost atomic.Bool
 }
 
 // clock is the server's, which may have been stepped back since its last life.
-func (w *slipWorld) clock() time.Time { return w.now.Add(w.skew) }
+func (w *cluster) clock() time.Time { return w.now.Add(w.skew) }
 
-// live plays one life: the power goes at a random call to the file layer, and whatever was not synced is lost, torn or kept
+// playLife plays one life: the power goes at a random call to the file layer, and whatever was not synced is lost, torn or kept
 // in part.
-func (w *slipWorld) live(t *testing.T) error {
-	l := &slipLife{slipWorld: w, known: map[idempotency.Key]*slip{}, posted: make(chan func(), 1024)}
+func (w *cluster) playLife(t *testing.T) error {
+	l := &serverLife{cluster: w, known: map[idempotency.Key]*modelRequest{}, posted: make(chan func(), 1024)}
 	var calls atomic.Int64
 	at := int64(1 + w.rng.IntN(160))
 	disk := errorfs.Wrap(w.fsys, errorfs.InjectorFunc(func(errorfs.Op, string) error {
 		if calls.Add(1) == at {
-			l.dead.Store(true) // before the syncs stop: what is told to be down from here on is not heard of
+			l.isPowerLost.Store(true) // replaced the syncs stop: what is told to be down from here on is not heard of
 			w.fsys.SetIgnoreSyncs(true)
 		}
 		return nil
 	}))
 	err := l.run(disk)
-	if !l.dead.Swap(true) {
+	if !l.isPowerLost.Swap(true) {
 		w.counts["cuts between calls"]++
 		w.fsys.SetIgnoreSyncs(true)
 		if err != nil {
@@ -104,22 +104,22 @@
 }
 
 // run opens the folder, reads what an earlier life left and serves until the power is gone.
-func (l *slipLife) run(disk vfs.FS) (err error) {
+func (l *serverLife) run(disk vfs.FS) (err error) {
 	if l.store, err = Open(config(disk)); err != nil {
 		return err
 	}
-	l.rules = idempotency.NewTable(idempotency.Limits{MaxKeys: 10, MaxBytes: 3000})
-	err = l.store.ForEach(idempotency.RecordPrefix, func(name, value []byte) error { return l.rules.Load(string(name), value) })
+	l.table = idempotency.NewTable(idempotency.Limits{MaxKeys: 10, MaxBytes: 3000})
+	err = l.store.ForEach(idempotency.RecordPrefix, func(name, value []byte) error { return l.table.Load(string(name), value) })
 	if err != nil {
 		return err
 	}
-	for _, e := range l.rules.Entries() {
+	for _, e := range l.table.Entries() {
 		if !l.clock().After(e.ExpiresAt) {
-			l.known[e.Key] = &slip{until: e.ReceivedAt.Add(slipWindow), over: true, failed: e.State != idempotency.Completed}
+			l.known[e.Key] = &modelRequest{until: e.ReceivedAt.Add(keyWindow), isFinished: true, hasFailed: e.State != idempotency.Completed}
 			l.counts["recovered "+e.State.String()]++
 		}
 	}
-	for step := 0; step < 60 && !l.dead.Load(); step++ {
+	for step := 0; step < 60 && !l.isPowerLost.Load(); step++ {
 		switch n := l.rng.IntN(10); {
 		case n < 5:
 			l.arrive()
@@ -127,7 +127,7 @@
 			l.end()
 		case n < 8:
 			l.now = l.now.Add(time.Duration(l.rng.Int64N(int64(time.Second))))
-			l.write(l.rules.Expire(l.clock(), 3), nil)
+			l.write(l.table.Expire(l.clock(), 3), nil)
 		case l.pending > 0:
 			(<-l.posted)()
 		}
@@ -138,14 +138,14 @@
 	return nil
 }
 
-// write hands over changes; then hears on the life's own goroutine that they are down, unless the power went before.
-func (l *slipLife) write(changes []idempotency.Change, then func(err error)) {
+// writeWithTimeout hands over changes; then hears on the life's own goroutine that they are down, unless the power went before.
+func (l *serverLife) write(changes []idempotency.Change, then func(err error)) {
 	if len(changes) == 0 {
 		return
 	}
 	l.pending++
 	err := l.store.Write(changes, func(err error) {
-		gone := l.dead.Load()
+		gone := l.isPowerLost.Load()
 		l.posted <- func() {
 			l.pending--
 			if !gone && then != nil {
@@ -162,39 +162,39 @@
 }
 
 // arrive has a try come in, most of them for few keys.
-func (l *slipLife) arrive() {
-	n := min(l.rng.IntN(slipKeys), l.rng.IntN(slipKeys))
+func (l *serverLife) arrive() {
+	n := min(l.rng.IntN(keyCount), l.rng.IntN(keyCount))
 	k := idempotency.Key{Class: "stock-reserve", Key: fmt.Sprint("slip ", n)}
-	l.tries++
-	try := invariant.Attempt{ID: fmt.Sprint(l.tries), Key: k.Key, AtMostOnce: true, ExpectedBody: k.Key, Deadline: l.now.Add(24 * time.Hour),
-		Received: l.now.Add(-time.Duration(l.rng.Int64N(int64(slipDelay))))}
+	l.attempts++
+	try := invariant.Attempt{ID: fmt.Sprint(l.attempts), Key: k.Key, AtMostOnce: true, ExpectedBody: k.Key, Deadline: l.now.Add(24 * time.Hour),
+		Received: l.now.Add(-time.Duration(l.rng.Int64N(int64(maxDelay))))}
 	l.observer.RecordSent(try)
 	if s := l.known[k]; s != nil && !try.Received.After(s.until) {
 		switch {
-		case !s.over:
+		case !s.isFinished:
 			s.waiting = append(s.waiting, try.ID)
-		case s.failed:
+		case s.hasFailed:
 			l.answer(try.ID, invariant.Failed, k)
 		default:
 			l.answer(try.ID, invariant.Served, k)
 		}
 		return
 	}
-	if l.rules.Admit(l.clock()) != idempotency.Admitted {
+	if l.table.Admit(l.clock()) != idempotency.Admitted {
 		l.answer(try.ID, invariant.Rejected, k)
 		return
 	}
-	s := &slip{until: try.Received.Add(slipWindow), waiting: []string{try.ID}, before: l.known[k]}
+	s := &modelRequest{until: try.Received.Add(keyWindow), waiting: []string{try.ID}, replaced: l.known[k]}
 	l.known[k] = s
-	l.write(l.rules.Begin(idempotency.Entry{Key: k, ReceivedAt: try.Received, ExpiresAt: s.until.Add(slipDelay)}), func(err error) {
+	l.write(l.table.Begin(idempotency.Entry{Key: k, ReceivedAt: try.Received, ExpiresAt: s.until.Add(maxDelay)}), func(err error) {
 		switch {
 		case err != nil:
-			l.rules.ObserveWrite(err, l.clock())
-			l.rules.RevertIntent(k)
-			l.takeBack(k)
+			l.table.ObserveWrite(err, l.clock())
+			l.table.RevertIntent(k)
+			l.reject(k)
 		case l.rng.IntN(8) == 0: // it was given up meanwhile, and nothing ran
-			l.write(l.rules.Abort(k), nil)
-			l.takeBack(k)
+			l.write(l.table.Abort(k), nil)
+			l.reject(k)
 		default:
 			l.observer.RecordRun(try.ID)
 			l.counts["runs"]++
@@ -203,30 +203,30 @@
 	})
 }
 
-// takeBack refuses what waits for a request that nothing ran for.
-func (l *slipLife) takeBack(k idempotency.Key) {
-	l.over(k, invariant.Rejected)
-	if l.known[k] = l.known[k].before; l.known[k] == nil {
+// reject refuses what waits for a request that nothing ran for.
+func (l *serverLife) reject(k idempotency.Key) {
+	l.finish(k, invariant.Rejected)
+	if l.known[k] = l.known[k].replaced; l.known[k] == nil {
 		delete(l.known, k)
 	}
 }
 
 // end has a run end: its answer goes out at once, and its record down behind it.
-func (l *slipLife) end() {
+func (l *serverLife) end() {
 	i := l.rng.IntN(len(l.running))
 	k := l.running[i]
 	l.running = append(l.running[:i], l.running[i+1:]...)
-	l.over(k, invariant.Served)
+	l.finish(k, invariant.Served)
 	body := append([]byte(k.Key), make([]byte, l.rng.IntN(600))...)
-	l.write(l.rules.Complete(k, idempotency.Response{Status: 200, Body: body}), nil)
+	l.write(l.table.Complete(k, idempotency.Response{Status: 200, Body: body}), nil)
 }
 
-// over answers all that wait for a request.
-func (l *slipLife) over(k idempotency.Key, kind invariant.Outcome) {
+// isFinished answers all that wait for a request.
+func (l *serverLife) finish(k idempotency.Key, kind invariant.Outcome) {
 	s := l.known[k]
-	s.over = true
+	s.isFinished = true
 	if kind == invariant.Served {
-		s.before = nil
+		s.replaced = nil
 	}
 	for _, id := range s.waiting {
 		l.answer(id, kind, k)
@@ -234,17 +234,17 @@
 	s.waiting = nil
 }
 
-func (l *slipLife) answer(id string, kind invariant.Outcome, k idempotency.Key) {
+func (l *serverLife) answer(id string, kind invariant.Outcome, k idempotency.Key) {
 	l.counts[[]string{"served", "refused", "failed"}[kind]]++
 	l.observer.RecordAnswer(id, kind, k.Key, l.now)
 }
 
-// TestSlipCuts has slips repeat while the power goes at random calls to the file layer, clocks are stepped back and the
+// TestPowerCutsKeepKeys has slips repeat while the power goes at random calls to the file layer, clocks are stepped back and the
 // bound is reached: no key runs twice in its window, and every try is answered, or was open at a cut.
-func TestSlipCuts(t *testing.T) {
+func TestPowerCutsKeepKeys(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
-	worlds := max(*cuts/slipLives, 1)
+	worlds := max(*powerCuts/livesPerFolder, 1)
 	var next atomic.Int64
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -255,7 +255,7 @@
 		go func() {
 			defer all.Done()
 			for n := next.Add(1); n <= int64(worlds); n = next.Add(1) {
-				counts, err := playSlips(t, seed, uint64(n))
+				counts, err := playFolder(t, seed, uint64(n))
 				mu.Lock()
 				for name, count := range counts {
 					total[name] += count
@@ -271,7 +271,7 @@
 	if err := errors.Join(failures...); err != nil {
 		t.Errorf("%.2000s", err.Error())
 	}
-	t.Logf("%d worlds of %d cuts: %v", worlds, slipLives, total)
+	t.Logf("%d worlds of %d cuts: %v", worlds, livesPerFolder, total)
 	for _, name := range []string{"served", "refused", "failed", "runs", "recovered done", "recovered intent", "recovered answer given up"} {
 		if total[name] == 0 {
 			t.Errorf("none were %s", name)
@@ -279,12 +279,12 @@
 	}
 }
 
-// playSlips plays one folder's lives.
-func playSlips(t *testing.T, seed, n uint64) (map[string]int, error) {
-	w := &slipWorld{rng: rand.New(rand.NewPCG(seed, n)), fsys: vfs.NewStrictMem(), observer: invariant.New(slipWindow), counts: map[string]int{},
+// playFolder plays one folder's lives.
+func playFolder(t *testing.T, seed, n uint64) (map[string]int, error) {
+	w := &cluster{rng: rand.New(rand.NewPCG(seed, n)), fsys: vfs.NewStrictMem(), observer: invariant.New(keyWindow), counts: map[string]int{},
 		now: time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)}
-	for life := range slipLives {
-		if err := w.live(t); err != nil {
+	for life := range livesPerFolder {
+		if err := w.playLife(t); err != nil {
 			return w.counts, fmt.Errorf("life %d: %w", life, err)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -52,8 +52,8 @@
 
 // The names of records that are the folder's own.
 const (
-	identityKey = "\x00identity"
-	userPrefix  = 'u' // before the names of all others
+	identityKey  = "\x00identity"
+	recordPrefix = 'u' // replaced the names of all others
 )
 
 // The store's share of a small server's memory.
@@ -83,7 +83,7 @@
 	if c.FS == nil {
 		c.FS = vfs.Default
 	}
-	if c.ReadOnly && !exists(c) {
+	if c.ReadOnly && !hasStore(c) {
 		return nil, fmt.Errorf("%s: %w", c.Dir, ErrNoStore)
 	}
 	if !c.ReadOnly {
@@ -97,7 +97,7 @@
 	}
 	s := &Store{config: c, lock: lock}
 	if s.engine, err = openEngine(c); err == nil {
-		if err = s.identify(c); err != nil {
+		if err = s.loadIdentity(c); err != nil {
 			s.engine.close() // why it is not used is told, whatever comes of this
 		}
 	}
@@ -111,8 +111,8 @@
 	return s, nil
 }
 
-// openPace is how often a folder that another process uses is tried again.
-const openPace = 20 * time.Millisecond
+// openRetryInterval is how often a folder that another process uses is tried again.
+const openRetryInterval = 20 * time.Millisecond
 
 // OpenWait is Open, but waits for the end of another process that uses the folder, until the context ends: the process
 // before this one may still drain. It calls waiting once before it waits.
@@ -122,7 +122,7 @@
 		return s, err
 	}
 	waiting()
-	again := time.NewTicker(openPace)
+	again := time.NewTicker(openRetryInterval)
 	defer again.Stop()
 	for errors.Is(err, ErrInUse) {
 		select {
@@ -135,8 +135,8 @@
 	return s, err
 }
 
-// exists tells whether a folder has a store.
-func exists(c Config) bool {
+// hasStore tells whether a folder has a store.
+func hasStore(c Config) bool {
 	names, err := c.FS.List(c.Dir)
 	return err == nil && slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, "MANIFEST-") })
 }
@@ -144,7 +144,7 @@
 // openError names why a folder could not be opened.
 func openError(dir string, err error) error {
 	switch {
-	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EACCES) && locked(dir), strings.Contains(err.Error(), "lock held by current process"):
+	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EACCES) && isLockedByOther(dir), strings.Contains(err.Error(), "lock held by current process"):
 		return fmt.Errorf("%s: %w", dir, ErrInUse)
 	case errors.Is(err, fs.ErrPermission), errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EIO), errors.Is(err, fs.ErrNotExist):
 		return fmt.Errorf("%s: store: %w", dir, err)
@@ -155,8 +155,8 @@
 	return fmt.Errorf("%s: %w: %w", dir, ErrCorrupt, err)
 }
 
-// locked tells whether the folder's lock is held by another.
-func locked(dir string) bool {
+// isLockedByOther tells whether the folder's lock is held by another.
+func isLockedByOther(dir string) bool {
 	f, err := os.Open(filepath.Join(dir, "LOCK"))
 	if err != nil {
 		return false
@@ -165,14 +165,14 @@
 	return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == syscall.EWOULDBLOCK
 }
 
-// identify reads whose the folder is, or writes it into a new one.
-func (s *Store) identify(c Config) error {
+// loadIdentity reads whose the folder is, or writes it into a new one.
+func (s *Store) loadIdentity(c Config) error {
 	text, closer, err := s.engine.db.Get([]byte(identityKey))
 	switch {
 	case errors.Is(err, pebble.ErrNotFound) && c.ReadOnly:
 		return fmt.Errorf("%s: %w", c.Dir, ErrNoStore)
 	case errors.Is(err, pebble.ErrNotFound):
-		return s.name(c)
+		return s.initialize(c)
 	case err != nil:
 		return fmt.Errorf("%s: %w: %w", c.Dir, ErrCorrupt, err)
 	}
@@ -204,8 +204,8 @@
 	return id, nil
 }
 
-// name makes a new folder this server's. A folder that has records and no name lost it: it is nobody's.
-func (s *Store) name(c Config) error {
+// initialize makes a new folder this server's. A folder that has records and no name lost it: it is nobody's.
+func (s *Store) initialize(c Config) error {
 	it, err := s.engine.db.NewIter(nil)
 	if err != nil {
 		return fmt.Errorf("%s: store: %w", c.Dir, err)
@@ -224,7 +224,7 @@
 	s.identity = Identity{Version: Version, Server: c.Server, SiteHash: c.SiteHash, Secret: secret, CreatedAt: time.Now().UTC()}
 	text, err := json.Marshal(s.identity)
 	if err == nil {
-		err = s.engine.do(func(db *pebble.DB) error { return db.Set([]byte(identityKey), text, pebble.Sync) })
+		err = s.engine.withDB(func(db *pebble.DB) error { return db.Set([]byte(identityKey), text, pebble.Sync) })
 	}
 	if err == nil {
 		err = syncParent(c)
@@ -256,9 +256,9 @@
 // ForEach hands on all records whose names begin with the prefix, in the order of names, until visit returns an error. The
 // bytes are valid during the call only.
 func (s *Store) ForEach(prefix string, visit func(name, value []byte) error) error {
-	low := append([]byte{userPrefix}, prefix...)
-	return s.use(func(db *pebble.DB) error {
-		it, err := db.NewIter(&pebble.IterOptions{LowerBound: low, UpperBound: after(low)})
+	low := append([]byte{recordPrefix}, prefix...)
+	return s.withDB(func(db *pebble.DB) error {
+		it, err := db.NewIter(&pebble.IterOptions{LowerBound: low, UpperBound: prefixEnd(low)})
 		if err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
@@ -272,8 +272,8 @@
 	})
 }
 
-// after is the first name behind all that begin with the prefix.
-func after(prefix []byte) []byte {
+// prefixEnd is the first name behind all that begin with the prefix.
+func prefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
 		if end[i]++; end[i] != 0 {
@@ -285,8 +285,8 @@
 
 // Get is one record, or nil where there is none.
 func (s *Store) Get(name string) (value []byte, err error) {
-	err = s.use(func(db *pebble.DB) error {
-		v, closer, err := db.Get(append([]byte{userPrefix}, name...))
+	err = s.withDB(func(db *pebble.DB) error {
+		v, closer, err := db.Get(append([]byte{recordPrefix}, name...))
 		if errors.Is(err, pebble.ErrNotFound) {
 			return nil
 		}
@@ -302,14 +302,14 @@
 	return value, nil
 }
 
-// compactLeast is how much has to lie in files that were never rewritten before it is worth while.
-const compactLeast = 1 << 20
+// minCompactBytes is how much has to lie in files that were never rewritten before it is worth while.
+const minCompactBytes = 1 << 20
 
 // Compact rewrites all records without those that were removed, where much was written since the last time, and returns how
 // many bytes that was. Nothing else rewrites them: when it is done is the caller's affair.
 func (s *Store) Compact() (bytes int64, err error) {
-	err = s.use(func(db *pebble.DB) error {
-		if bytes = db.Metrics().Levels[0].Size; bytes < compactLeast {
+	err = s.withDB(func(db *pebble.DB) error {
+		if bytes = db.Metrics().Levels[0].Size; bytes < minCompactBytes {
 			bytes = 0
 			return nil
 		}
@@ -322,7 +322,7 @@
 }
 
 // CompactAll is Compact however little was written.
-func (s *Store) CompactAll() error { return s.use(compact) }
+func (s *Store) CompactAll() error { return s.withDB(compact) }
 
 func compact(db *pebble.DB) error {
 	if err := db.Compact([]byte{0}, []byte{0xff, 0xff}, false); err != nil {
@@ -333,7 +333,7 @@
 
 // Size is about how many bytes the folder takes.
 func (s *Store) Size() (n int64) {
-	s.use(func(db *pebble.DB) error { // a store that failed has none that can be told
+	s.withDB(func(db *pebble.DB) error { // a store that failed has none that can be told
 		m := db.Metrics()
 		n = int64(m.DiskSpaceUsage())
 		return nil
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,8 +19,8 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// cuts is how many power cuts TestPowerCuts plays; docs/design/state.md has what more showed.
-var cuts = flag.Int("cuts", 150, "how many power cuts are played")
+// powerCuts is how many power cuts TestPowerCuts plays; docs/design/state.md has what more showed.
+var powerCuts = flag.Int("cuts", 150, "how many power cuts are played")
 
 func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteHash: "s", FS: fsys} }
 
@@ -43,7 +43,7 @@
 	return m
 }
 
-// write writes and waits.
+// writeWithTimeout writes and waits.
 func write(s *Store, changes ...Change) error {
 	done := make(chan error, 1)
 	if err := s.Write(changes, func(err error) { done <- err }); err != nil {
@@ -132,7 +132,7 @@
 	fsys := vfs.NewStrictMem()
 	down := map[string]string{}
 	torn, kept, dropped := 0, 0, 0
-	for cut := range *cuts {
+	for cut := range *powerCuts {
 		s := open(t, fsys)
 		if got := contents(t, s); !maps.Equal(got, down) {
 			t.Fatalf("cut %d: %d records instead of %d", cut, len(got), len(down))
@@ -197,7 +197,7 @@
 		}
 		dropped += len(left)
 	}
-	t.Logf("%d cuts, %d logs torn, %d orders under way of which %d were down", *cuts, torn, dropped, kept)
+	t.Logf("%d cuts, %d logs torn, %d orders under way of which %d were down", *powerCuts, torn, dropped, kept)
 }
 
 // apply applies an order to a map.
@@ -324,7 +324,7 @@
 	if c := s.Stats(); c.Changes != 5000 || c.Syncs > 4000 {
 		t.Errorf("%+v", c)
 	}
-	if err := s.Write([]Change{{Name: "x", Value: make([]byte, mostWaiting+1)}}, nil); !errors.Is(err, ErrBusy) {
+	if err := s.Write([]Change{{Name: "x", Value: make([]byte, maxPendingBytes+1)}}, nil); !errors.Is(err, ErrBusy) {
 		t.Errorf("more than may wait: %v", err)
 	}
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -20,14 +20,14 @@
 	ErrClosed = errors.New("store: it is closed")
 )
 
-// mostWaiting is how many bytes may wait to be written, and mostBatch how many go down with one sync.
+// maxPendingBytes is how many bytes may wait to be written, and maxBatchBytes how many go down with one sync.
 const (
-	mostWaiting = 4 << 20
-	mostBatch   = 256 << 10
+	maxPendingBytes = 4 << 20
+	maxBatchBytes   = 256 << 10
 )
 
-// order is changes that go down together, and who hears of it.
-type order struct {
+// writeRequest is changes that go down together, and who hears of it.
+type writeRequest struct {
 	changes []Change
 	bytes   int
 	done    func(error)
@@ -36,18 +36,18 @@
 // writer is the goroutine that writes. What comes while a sync is under way goes down with the next one: the more comes,
 // the fewer syncs each change takes.
 type writer struct {
-	store   *Store
-	mu      sync.Mutex
-	wake    *sync.Cond
-	waiting []order
-	bytes   int
-	closed  bool
-	ended   chan struct{}
-	counts  idempotency.StoreStats
+	store        *Store
+	mu           sync.Mutex
+	wake         *sync.Cond
+	pending      []writeRequest
+	pendingBytes int
+	closed       bool
+	done         chan struct{}
+	stats        idempotency.StoreStats
 }
 
 func startWriter(s *Store) *writer {
-	w := &writer{store: s, ended: make(chan struct{})}
+	w := &writer{store: s, done: make(chan struct{})}
 	w.wake = sync.NewCond(&w.mu)
 	go w.run()
 	return w
@@ -56,7 +56,7 @@
 // Write hands over changes that go down together. It never waits: done is called from the writer's goroutine once they are
 // down, or could not be written, and not at all where Write returns an error.
 func (s *Store) Write(changes []Change, done func(error)) error {
-	w, o := s.writer, order{changes: changes, done: done}
+	w, o := s.writer, writeRequest{changes: changes, done: done}
 	for _, c := range changes {
 		o.bytes += len(c.Name) + len(c.Value) + 32
 	}
@@ -65,11 +65,11 @@
 	switch {
 	case w.closed:
 		return ErrClosed
-	case w.bytes+o.bytes > mostWaiting:
+	case w.pendingBytes+o.bytes > maxPendingBytes:
 		return ErrBusy
 	}
-	w.waiting = append(w.waiting, o)
-	w.bytes += o.bytes
+	w.pending = append(w.pending, o)
+	w.pendingBytes += o.bytes
 	w.wake.Signal()
 	return nil
 }
@@ -78,32 +78,32 @@
 func (s *Store) Stats() idempotency.StoreStats {
 	s.writer.mu.Lock()
 	defer s.writer.mu.Unlock()
-	return s.writer.counts
+	return s.writer.stats
 }
 
 // run writes until it is stopped and nothing waits.
 func (w *writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for {
 		w.mu.Lock()
-		for len(w.waiting) == 0 && !w.closed {
+		for len(w.pending) == 0 && !w.closed {
 			w.wake.Wait()
 		}
-		if len(w.waiting) == 0 {
+		if len(w.pending) == 0 {
 			w.mu.Unlock()
 			return
 		}
 		n, bytes := 0, 0
-		for n < len(w.waiting) && (n == 0 || bytes+w.waiting[n].bytes <= mostBatch) {
-			bytes += w.waiting[n].bytes
+		for n < len(w.pending) && (n == 0 || bytes+w.pending[n].bytes <= maxBatchBytes) {
+			bytes += w.pending[n].bytes
 			n++
 		}
-		batch := append([]order(nil), w.waiting[:n]...)
-		w.waiting = append(w.waiting[:0], w.waiting[n:]...)
+		batch := append([]writeRequest(nil), w.pending[:n]...)
+		w.pending = append(w.pending[:0], w.pending[n:]...)
 		w.mu.Unlock()
 		err := w.commit(batch)
 		w.mu.Lock()
-		w.bytes -= bytes
+		w.pendingBytes -= bytes
 		w.mu.Unlock()
 		for _, o := range batch {
 			if o.done != nil {
@@ -114,8 +114,8 @@
 }
 
 // commit writes a batch with one sync.
-func (w *writer) commit(batch []order) error {
-	e, err := w.engine()
+func (w *writer) commit(batch []writeRequest) error {
+	e, err := w.currentEngine()
 	if err != nil {
 		return err
 	}
@@ -123,20 +123,20 @@
 	for _, o := range batch {
 		n += uint64(len(o.changes))
 	}
-	if err := e.write(func(db *pebble.DB) error { return writeBatch(db, batch) }, w.store.probe, stuckAfter); err != nil {
-		w.store.abandon(e)
+	if err := e.writeWithTimeout(func(db *pebble.DB) error { return writeBatch(db, batch) }, w.store.probeDisk, hungWriteAfter); err != nil {
+		w.store.abandonEngine(e)
 		return fmt.Errorf("store: %w", err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counts.Syncs++
-	w.counts.Changes += n
+	w.stats.Syncs++
+	w.stats.Changes += n
 	return nil
 }
 
-// engine is what to write with, which is opened where the one before it failed and the disk is well again. That may take long:
+// currentEngine is what to write with, which is opened where the one before it failed and the disk is well again. That may take long:
 // no lock is held meanwhile, and no other goroutine opens one.
-func (w *writer) engine() (*engine, error) {
+func (w *writer) currentEngine() (*engine, error) {
 	s := w.store
 	s.mu.RLock()
 	e, stuck := s.engine, s.stuck
@@ -144,10 +144,10 @@
 	switch {
 	case e != nil:
 		return e, nil
-	case stuck >= mostStuck:
-		return nil, errWornOut
+	case stuck >= maxStuckEngines:
+		return nil, errTooManyStuck
 	}
-	if err := s.probe(); err != nil {
+	if err := s.probeDisk(); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	e, err := openEngine(s.config)
@@ -160,16 +160,16 @@
 	s.engine = e
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counts.Reopens++
+	w.stats.Reopens++
 	return e, nil
 }
 
 // writeBatch writes changes that go down together.
-func writeBatch(db *pebble.DB, batch []order) (err error) {
+func writeBatch(db *pebble.DB, batch []writeRequest) (err error) {
 	b := db.NewBatch()
 	for _, o := range batch {
 		for _, c := range o.changes {
-			name := append([]byte{userPrefix}, c.Name...)
+			name := append([]byte{recordPrefix}, c.Name...)
 			if c.Value == nil {
 				err = b.Delete(name, nil)
 			} else {
@@ -193,9 +193,9 @@
 	w.wake.Signal()
 	w.mu.Unlock()
 	select {
-	case <-w.ended:
+	case <-w.done:
 		return nil
-	case <-time.After(closePatience):
-		return errStands
+	case <-time.After(closeTimeout):
+		return errDiskStalled
 	}
 }
