--- /dev/null
+++ b/internal/idempotency/change.go
@@ -0,0 +1,14 @@
+package idempotency
+
+// Change is one record to be written, or removed where Value is nil.
+type Change struct {
+	Name  string
+	Value []byte
+}
+
+// StoreStats count what a store did with changes since it was opened.
+type StoreStats struct {
+	Syncs   uint64 // batches that were synced
+	Changes uint64 // durable changes
+	Reopens uint64 // times that the records were opened again after a disk failure
+}
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,8 +1,11 @@
-// Package durable decides on keyed requests over restarts: what has to be written before a run, what a repeat is told after
-// one, which requests are turned away because they could not be protected, and how a server behaves while its disk fails.
-// It does no I/O and reads no clock; it says which records to write, and hears what became of that.
+// Package idempotency decides how requests with an idempotency key behave across restarts of the server: which record has
+// to be durable before a run, what a retry is answered after a restart, which requests are rejected because their key could
+// not be protected, and how the server behaves while its disk fails. It does no I/O and reads no clock: methods return the
+// changes to write, and ObserveWrite takes in what became of them.
 //
-// The order is that of a write-ahead log: an intent is down before its run is asked for, its result after it. So after a
-// death a repeat of what finished gets the stored answer, one whose intent has no result an honest failure (whether it ran
-// is not known), and one without an intent runs, for it never has.
+// The order is that of a write-ahead log: the intent is durable before its run is asked for, the result is written after it.
+// So after a crash a retry of a completed request gets the stored response, a retry of a request that has an intent and no
+// result fails (whether it ran is unknown), and a request without an intent runs, because it never did.
+//
+// RunTimes, the record of learned run times, shares the record format and has a file of its own.
 package idempotency
--- a/internal/idempotency/runtimes.go
+++ b/internal/idempotency/runtimes.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// RunTimes is what a server learned of its classes, as it is kept.
+// RunTimes is the record of the run times that a server learned of its classes. A new process starts from them instead of
+// from nothing.
 type RunTimes struct {
 	SavedAt time.Time
-	Machine string // on which it was learned
+	Machine string // on which they were measured
 	Classes []ClassRunTime
 }
 
@@ -24,79 +25,94 @@
 // RunTimesRecordName is the name of the record.
 const RunTimesRecordName = "l/classes"
 
-const runTimesVersion = 1
+// The fixed part of the record: version and time of saving.
+const (
+	runTimesVersion = 1
 
-// Encode is the record: its version, the time of saving in Unix nanoseconds (8 bytes, big endian), the machine and the
-// number of classes, then for each its name, both times in nanoseconds and the runs, texts and numbers as varints with
-// lengths before texts, and a CRC-32 (Castagnoli) of all.
-func (l *RunTimes) Encode() []byte {
-	b := binary.BigEndian.AppendUint64([]byte{runTimesVersion}, uint64(l.SavedAt.UnixNano()))
-	text := func(s string) { b = append(binary.AppendUvarint(b, uint64(len(s))), s...) }
-	number := func(n int64) { b = binary.AppendUvarint(b, uint64(max(n, 0))) }
-	text(l.Machine)
-	number(int64(len(l.Classes)))
-	for _, c := range l.Classes {
-		text(c.Name)
-		number(int64(c.CoreTime / time.Microsecond))
-		number(int64(c.WallTime / time.Microsecond))
-		number(int64(c.Samples))
-	}
-	return seal(b)
-}
+	runTimesSavedAt   = 1
+	runTimesMachineAt = runTimesSavedAt + timestampSize
 
-// DecodeRunTimes reads the record.
-func DecodeRunTimes(b []byte) (*RunTimes, error) {
-	body, err := openSealed(b, 15, runTimesVersion, "what was learned")
-	if err != nil {
-		return nil, err
-	}
-	l := &RunTimes{SavedAt: time.Unix(0, int64(binary.BigEndian.Uint64(body[1:])))}
-	r := reader{rest: body[9:]}
-	l.Machine = string(r.bytes())
-	for n := r.length(); n > 0 && !r.isMalformed; n-- {
-		c := ClassRunTime{Name: string(r.bytes())}
-		c.CoreTime, c.WallTime = time.Duration(r.microseconds())*time.Microsecond, time.Duration(r.microseconds())*time.Microsecond
-		c.Samples = int(r.microseconds())
-		l.Classes = append(l.Classes, c)
-	}
-	if r.isMalformed || len(r.rest) > 0 {
-		return nil, fmt.Errorf("%w: what was learned: it is cut short or goes on behind its end", ErrBadRecord)
-	}
-	return l, nil
-}
+	minRunTimesBytes = runTimesMachineAt + 2 + checksumSize // an empty machine and no classes
+)
 
-// microseconds reads a number that is no length.
-func (r *reader) microseconds() uint64 { return r.upTo(maxMicroseconds) }
+// runTimesRecord names the record in errors.
+const runTimesRecord = "what was learned"
 
-// maxMicroseconds are the most that a time.Duration holds.
+// maxMicroseconds is the most that a time.Duration holds.
 const maxMicroseconds = math.MaxInt64 / 1000
 
 const (
-	// runTimesHalfLife is the age at which what was learned counts half: outlets' mixes of requests change by the hour.
+	// runTimesHalfLife is the age at which an estimate counts half: the sites' mixes of requests change by the hour.
 	runTimesHalfLife = time.Hour
-	// maxSamples is as how many runs what was learned counts when it is fresh: three measured ones weigh as much.
+	// maxSamples is as how many runs a fresh estimate counts: three measured runs weigh as much.
 	maxSamples = 3
-	// maxRunTimesAge is the age from which it is not used at all.
+	// maxRunTimesAge is the age from which estimates are not used at all.
 	maxRunTimesAge = 24 * time.Hour
-	// maxClockStepBack is how far in the future it may have been saved: a clock was stepped back.
+	// maxClockStepBack is how far in the future they may have been saved: the clock was stepped back since.
 	maxClockStepBack = 2 * time.Hour
 )
 
-// WeightByAge is what of a record counts at a start: for each class how long its runs take, as so many runs. What was learned
-// counts less the older it is. Of another machine nothing is taken: how long runs take is its cores' affair.
-func (l *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
-	age := now.Sub(l.SavedAt)
-	if age < -maxClockStepBack || age > maxRunTimesAge || machine != l.Machine {
+// Encode returns the record: its version, the time of saving in Unix nanoseconds (8 bytes, big endian), the machine and the
+// number of classes, then for each its name, both times in microseconds and the samples, strings and numbers as varints with
+// lengths before strings, and a CRC-32 (Castagnoli) of all of that.
+func (r *RunTimes) Encode() []byte {
+	record := binary.BigEndian.AppendUint64([]byte{runTimesVersion}, uint64(r.SavedAt.UnixNano()))
+	record = appendString(record, r.Machine)
+	record = appendCount(record, int64(len(r.Classes)))
+	for _, c := range r.Classes {
+		record = appendString(record, c.Name)
+		record = appendCount(record, int64(c.CoreTime/time.Microsecond))
+		record = appendCount(record, int64(c.WallTime/time.Microsecond))
+		record = appendCount(record, int64(c.Samples))
+	}
+	return seal(record)
+}
+
+// appendCount adds a number as a varint; negative ones count as 0.
+func appendCount(b []byte, n int64) []byte { return binary.AppendUvarint(b, uint64(max(n, 0))) }
+
+// DecodeRunTimes reads a record that Encode made.
+func DecodeRunTimes(record []byte) (*RunTimes, error) {
+	body, err := openSealed(record, minRunTimesBytes, runTimesVersion, runTimesRecord)
+	if err != nil {
+		return nil, err
+	}
+	runTimes := &RunTimes{SavedAt: decodeTime(body[runTimesSavedAt:])}
+	fields := reader{rest: body[runTimesMachineAt:]}
+	runTimes.Machine = string(fields.bytes())
+	for n := fields.length(); n > 0 && !fields.isMalformed; n-- {
+		c := ClassRunTime{Name: string(fields.bytes())}
+		c.CoreTime = fields.microseconds()
+		c.WallTime = fields.microseconds()
+		c.Samples = int(fields.upTo(maxMicroseconds))
+		runTimes.Classes = append(runTimes.Classes, c)
+	}
+	if !fields.isAtEnd() {
+		return nil, fmt.Errorf("%w: %s: it is cut short or goes on behind its end", ErrBadRecord, runTimesRecord)
+	}
+	return runTimes, nil
+}
+
+// microseconds reads a duration.
+func (r *reader) microseconds() time.Duration {
+	return time.Duration(r.upTo(maxMicroseconds)) * time.Microsecond
+}
+
+// WeightByAge returns the run times as they count at a start on the machine: the older they are, the fewer samples each
+// counts for. Those of another machine do not count, since run times depend on its cores.
+func (r *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
+	age := now.Sub(r.SavedAt)
+	if age < -maxClockStepBack || age > maxRunTimesAge || machine != r.Machine {
 		return nil
 	}
 	weight := math.Exp2(-max(age, 0).Hours() / runTimesHalfLife.Hours())
-	var list []ClassRunTime
-	for _, c := range l.Classes {
+	var weighted []ClassRunTime
+	for _, c := range r.Classes {
 		if c.CoreTime <= 0 || c.Samples <= 0 {
 			continue
 		}
 		c.Samples = int(math.Ceil(weight * float64(min(c.Samples, maxSamples))))
-		list = append(list, c)
+		weighted = append(weighted, c)
 	}
-	return list
+	return weighted
 }
