--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,7 +1,8 @@
-// Package store keeps records in a folder that outlasts the process: a durable map with group commit. It owns the folder,
-// its identity (whose it is, of which site, of which format) and its lock, and one goroutine that writes: callers hand over
-// changes and hear of them once they are down. Which records there are, and what they mean, is internal/idempotency's.
+// Package store keeps records in a folder that outlives the process: a durable map with group commit. It owns the folder, its
+// identity (of which server and which site, in which format) and its lock, and one goroutine that writes: callers hand over
+// changes and are called back once these are durable. Which records there are and what they mean is up to
+// internal/idempotency.
 //
-// The records are in a Pebble store (github.com/cockroachdb/pebble), whose file layer tests replace by one that forgets,
-// tears and fails. docs/design/state.md says why Pebble.
+// The records are in a Pebble database (github.com/cockroachdb/pebble). Its file layer can be replaced; tests use one that
+// forgets, tears and fails. docs/design/state.md says why Pebble.
 package store
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"io"
 	"sync"
@@ -13,64 +12,50 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// currentEngine is one opening of a folder's records. Pebble does not go on after a write that failed: it may ask for the end of the
-// process, or stand still with its locks held. So whatever may write runs on a goroutine that can be left behind, an engine
-// that failed is cut off from the disk, and another takes its place once the disk is well.
+// engine is one opening of a folder's database. Pebble does not go on after a write that failed: it may ask for the end of
+// the process, or block with its locks held. So whatever may write runs on a goroutine that can be abandoned, an engine that
+// failed is detached from the disk, and another takes its place once the disk works again.
 type engine struct {
 	db     *pebble.DB
 	failed chan struct{} // closed by the first failure, which is in err
 
 	mu       sync.Mutex
 	err      error
-	detached bool // cut off from the disk
+	detached bool // every call to the disk fails from now on
 }
 
-// The errors of engines.
-var (
-	errDetached     = errors.New("store: cut off after a failure")
-	errDiskStalled  = errors.New("store: the disk stands still")
-	errTooManyStuck = errors.New("store: it failed too often to be taken up again")
-	errWriteHung    = errors.New("store: a write does not end, though the disk takes others down")
+// The share of a small server's memory that the database may take.
+const (
+	cacheBytes    = 1 << 20
+	memTableBytes = 512 << 10
+	memTables     = 4
+	openFiles     = 32
 )
 
 const (
-	// closeTimeout is how long the end of an engine is waited for.
+	// closeTimeout is how long to wait for an engine or the writer to end.
 	closeTimeout = 500 * time.Millisecond
-	// hungWriteAfter is how long a write may take before the disk is asked whether it takes down others meanwhile.
+	// hungWriteAfter is how long a write may take before the disk is probed, to tell a hung engine from a stalled disk.
 	hungWriteAfter = 5 * time.Second
-	// maxL0Files is how many files may wait to be rewritten: so many that writes never wait for it. Reads are at the start only.
+	// maxL0Files is how many files may wait for compaction before writes do: so many that they never do. Only the start reads.
 	maxL0Files = 1 << 20
-	// maxStuckEngines is how many engines may fail without an end. Each holds on to about a megabyte.
-	maxStuckEngines = 8
-	// probeBytes is how much room a disk has to have, and to take down, before records are taken up again.
-	probeBytes = 2 * memTableBytes
-	probeName  = "probe"
 )
 
-// lockedByStore is a file layer whose folder the store has locked itself, for longer than one engine lasts.
+// lockedByStore is a file layer whose folder the store itself has locked, for longer than one engine lasts.
 type lockedByStore struct{ vfs.FS }
 
 // Lock implements vfs.FS.
 func (lockedByStore) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-// openEngine opens the records of a folder that is locked.
+// openEngine opens the database of a folder that is locked.
 func openEngine(c Config) (*engine, error) {
 	e := &engine{failed: make(chan struct{})}
-	disk := errorfs.Wrap(c.FS, errorfs.InjectorFunc(func(errorfs.Op, string) error {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		if e.detached {
-			return errDetached
-		}
-		return nil
-	}))
 	cache := pebble.NewCache(cacheBytes)
 	defer cache.Unref()
+	options := e.options(c, cache)
 	var db *pebble.DB
 	err := e.runAbandonable(func() (err error) {
-		db, err = pebble.Open(c.Dir, &pebble.Options{FS: lockedByStore{disk}, Cache: cache, MemTableSize: memTableBytes, MemTableStopWritesThreshold: 4,
-			MaxOpenFiles: openFiles, ReadOnly: c.ReadOnly, Logger: e, ErrorIfNotExists: c.ReadOnly, MaxConcurrentCompactions: func() int { return 1 },
-			DisableAutomaticCompactions: true, L0StopWritesThreshold: maxL0Files})
+		db, err = pebble.Open(c.Dir, options)
 		return err
 	})
 	if err != nil {
@@ -81,16 +66,44 @@
 	return e, nil
 }
 
-// Infof and Errorf keep what Pebble has to say out of the log: what matters comes back as errors.
+// options returns those of Pebble.
+func (e *engine) options(c Config, cache *pebble.Cache) *pebble.Options {
+	disk := errorfs.Wrap(c.FS, errorfs.InjectorFunc(e.checkAttached))
+	return &pebble.Options{
+		FS:                          lockedByStore{disk},
+		Logger:                      e,
+		ReadOnly:                    c.ReadOnly,
+		ErrorIfNotExists:            c.ReadOnly,
+		Cache:                       cache,
+		MaxOpenFiles:                openFiles,
+		MemTableSize:                memTableBytes,
+		MemTableStopWritesThreshold: memTables,
+		DisableAutomaticCompactions: true,
+		MaxConcurrentCompactions:    func() int { return 1 },
+		L0StopWritesThreshold:       maxL0Files,
+	}
+}
+
+// checkAttached fails all calls to the disk of an engine that was detached.
+func (e *engine) checkAttached(errorfs.Op, string) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.detached {
+		return errDetached
+	}
+	return nil
+}
+
+// Infof implements pebble.Logger. What matters comes back as errors.
 func (e *engine) Infof(string, ...interface{}) {}
 
 // Errorf implements pebble.Logger.
 func (e *engine) Errorf(string, ...interface{}) {}
 
-// Fatalf implements pebble.Logger. It must not return, and whoever called may hold locks: the goroutine is left behind.
+// Fatalf implements pebble.Logger. It must not return, and its caller may hold Pebble's locks, so the goroutine is abandoned.
 func (e *engine) Fatalf(format string, args ...interface{}) {
-	for _, a := range args {
-		if err, ok := a.(error); ok { // the cause itself tells more than the text
+	for _, arg := range args {
+		if err, ok := arg.(error); ok { // the cause says more than the message, and can be compared
 			e.fail(err)
 		}
 	}
@@ -98,7 +111,7 @@
 	select {}
 }
 
-// fail notes the first failure.
+// fail records the first failure.
 func (e *engine) fail(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,26 +121,18 @@
 	}
 }
 
-// detach keeps an engine from the disk from now on: what it may still do must not meet what comes after it.
+// detach fails all calls to the disk from now on, so that an abandoned goroutine cannot disturb the next engine.
 func (e *engine) detach() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.detached = true
 }
 
-// runAbandonable has something done that may write, and returns once it is done or the engine failed.
+// runAbandonable runs work, which may write, and returns once it is done or the engine failed.
 func (e *engine) runAbandonable(work func() error) error {
 	done := make(chan error, 1)
 	go func() {
-		defer func() {
-			if r := recover(); r != nil { // Pebble panics on what it takes for its own fault, damage among it
-				err, ok := r.(error)
-				if !ok {
-					err = fmt.Errorf("%v", r)
-				}
-				e.fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
-			}
-		}()
+		defer e.recoverPanic()
 		done <- work()
 	}()
 	select {
@@ -140,88 +145,54 @@
 	}
 }
 
-// withDB is guard with the records.
+// recoverPanic turns a panic into a failure. Pebble panics on what it takes for a bug of its own, corruption among it.
+func (e *engine) recoverPanic() {
+	reason := recover()
+	if reason == nil {
+		return
+	}
+	err, ok := reason.(error)
+	if !ok {
+		err = fmt.Errorf("%v", reason)
+	}
+	e.fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
+}
+
+// withDB runs work on the database, as runAbandonable does.
 func (e *engine) withDB(work func(db *pebble.DB) error) error {
 	return e.runAbandonable(func() error { return work(e.db) })
 }
 
-// writeWithTimeout is do, but gives up where that does not end though the disk takes others down or fails: Pebble may stand still after
-// a write that failed, and say nothing. While the disk itself stands still there is nothing to do but wait.
+// writeWithTimeout is withDB, but gives up on a write that does not end while a probe of the disk does: Pebble may hang after
+// a write that failed. While the disk itself stalls, it waits.
 func (e *engine) writeWithTimeout(work func(db *pebble.DB) error, probe func() error, timeout time.Duration) error {
-	ended := make(chan error, 1)
-	go func() { ended <- e.withDB(work) }()
+	written := make(chan error, 1)
+	go func() { written <- e.withDB(work) }()
 	select {
-	case err := <-ended:
+	case err := <-written:
 		return err
 	case <-time.After(timeout):
 	}
 	probed := make(chan error, 1)
 	go func() { probed <- probe() }()
 	select {
-	case err := <-ended:
+	case err := <-written:
 		return err
 	case err := <-probed:
-		e.fail(cmp.Or(err, errWriteHung)) // an engine that failed or went on just now is given up all the same
-		return <-ended
+		e.fail(cmp.Or(err, errWriteHung)) // also where the write ended just now: the engine is replaced all the same
+		return <-written
 	}
 }
 
-// close ends an engine, or leaves it behind where it does not end soon.
+// close ends an engine, or detaches it where that takes too long.
 func (e *engine) close() error {
-	ended := make(chan error, 1)
-	go func() { ended <- e.withDB((*pebble.DB).Close) }()
+	closed := make(chan error, 1)
+	go func() { closed <- e.withDB((*pebble.DB).Close) }()
 	select {
-	case err := <-ended:
+	case err := <-closed:
 		return err
 	case <-time.After(closeTimeout):
 		e.detach()
 		return errDiskStalled
 	}
 }
-
-// withDB has something done with the records, by the engine of the moment.
-func (s *Store) withDB(work func(db *pebble.DB) error) error {
-	s.mu.RLock()
-	e := s.engine
-	s.mu.RUnlock()
-	if e == nil {
-		return errDetached
-	}
-	return e.withDB(work)
-}
-
-// abandonEngine gives up an engine that failed.
-func (s *Store) abandonEngine(e *engine) {
-	e.detach()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.engine != e {
-		return
-	}
-	s.engine = nil
-	s.stuck++
-	go func() {
-		defer func() {
-			recover() // it failed before; what it holds on to stays counted
-		}()
-		e.db.Close() // nothing that it says counts any more
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.stuck--
-	}()
-}
-
-// probeDisk asks a disk that failed whether it takes down what records need, so that an engine is opened only where it is well.
-func (s *Store) probeDisk() error {
-	fsys := s.config.FS
-	path := fsys.PathJoin(s.config.Dir, probeName)
-	f, err := fsys.Create(path)
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(make([]byte, probeBytes))
-	if err == nil {
-		err = f.Sync()
-	}
-	return errors.Join(err, f.Close(), fsys.Remove(path))
-}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -1,7 +1,6 @@
 package store
 
 import (
-	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -14,38 +13,38 @@
 // Change is one record to be written, or removed where its value is nil.
 type Change = idempotency.Change
 
-// The errors of handing over changes.
-var (
-	ErrBusy   = errors.New("store: too much waits to be written")
-	ErrClosed = errors.New("store: it is closed")
-)
-
-// maxPendingBytes is how many bytes may wait to be written, and maxBatchBytes how many go down with one sync.
 const (
+	// maxPendingBytes is how many bytes may wait to be written.
 	maxPendingBytes = 4 << 20
-	maxBatchBytes   = 256 << 10
+	// maxBatchBytes is how many bytes are written with one sync.
+	maxBatchBytes = 256 << 10
+	// changeOverhead is about what a change takes beside its name and value.
+	changeOverhead = 32
 )
 
-// writeRequest is changes that go down together, and who hears of it.
+// writeRequest is changes that are written together, and who is called back.
 type writeRequest struct {
 	changes []Change
 	bytes   int
-	done    func(error)
+	done    func(error) // may be nil
 }
 
-// writer is the goroutine that writes. What comes while a sync is under way goes down with the next one: the more comes,
-// the fewer syncs each change takes.
+// writer is the goroutine that writes (group commit). What comes during a sync is written with the next one, so the more
+// comes, the fewer syncs each change takes.
 type writer struct {
-	store        *Store
+	store *Store
+
 	mu           sync.Mutex
 	wake         *sync.Cond
 	pending      []writeRequest
-	pendingBytes int
+	pendingBytes int // of pending requests and of the batch that is being written
 	closed       bool
-	done         chan struct{}
 	stats        idempotency.StoreStats
+
+	done chan struct{}
 }
 
+// startWriter starts the goroutine.
 func startWriter(s *Store) *writer {
 	w := &writer{store: s, done: make(chan struct{})}
 	w.wake = sync.NewCond(&w.mu)
@@ -53,129 +52,114 @@
 	return w
 }
 
-// Write hands over changes that go down together. It never waits: done is called from the writer's goroutine once they are
-// down, or could not be written, and not at all where Write returns an error.
+// Write hands over changes that are written together. It never waits: done is called from the writer's goroutine once they
+// are durable or could not be written, and not at all where Write returns an error.
 func (s *Store) Write(changes []Change, done func(error)) error {
-	w, o := s.writer, writeRequest{changes: changes, done: done}
+	request := writeRequest{changes: changes, done: done}
 	for _, c := range changes {
-		o.bytes += len(c.Name) + len(c.Value) + 32
+		request.bytes += len(c.Name) + len(c.Value) + changeOverhead
 	}
+	return s.writer.enqueue(request)
+}
+
+// enqueue adds a request, unless the writer is closed or too much is pending.
+func (w *writer) enqueue(request writeRequest) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case w.closed:
 		return ErrClosed
-	case w.pendingBytes+o.bytes > maxPendingBytes:
+	case w.pendingBytes+request.bytes > maxPendingBytes:
 		return ErrBusy
 	}
-	w.pending = append(w.pending, o)
-	w.pendingBytes += o.bytes
+	w.pending = append(w.pending, request)
+	w.pendingBytes += request.bytes
 	w.wake.Signal()
 	return nil
 }
 
-// Stats are what the store did since it was opened.
+// Stats returns what the store did since it was opened.
 func (s *Store) Stats() idempotency.StoreStats {
 	s.writer.mu.Lock()
 	defer s.writer.mu.Unlock()
 	return s.writer.stats
 }
 
-// run writes until it is stopped and nothing waits.
+// run writes until it is stopped and nothing is pending.
 func (w *writer) run() {
 	defer close(w.done)
 	for {
-		w.mu.Lock()
-		for len(w.pending) == 0 && !w.closed {
-			w.wake.Wait()
-		}
-		if len(w.pending) == 0 {
-			w.mu.Unlock()
+		batch, bytes := w.nextBatch()
+		if batch == nil {
 			return
 		}
-		n, bytes := 0, 0
-		for n < len(w.pending) && (n == 0 || bytes+w.pending[n].bytes <= maxBatchBytes) {
-			bytes += w.pending[n].bytes
-			n++
-		}
-		batch := append([]writeRequest(nil), w.pending[:n]...)
-		w.pending = append(w.pending[:0], w.pending[n:]...)
-		w.mu.Unlock()
 		err := w.commit(batch)
 		w.mu.Lock()
 		w.pendingBytes -= bytes
 		w.mu.Unlock()
-		for _, o := range batch {
-			if o.done != nil {
-				o.done(err)
+		for _, request := range batch {
+			if request.done != nil {
+				request.done(err)
 			}
 		}
 	}
 }
 
+// nextBatch waits for requests and takes as many as one sync may write, at least one. It returns nil at the end.
+func (w *writer) nextBatch() (batch []writeRequest, bytes int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for len(w.pending) == 0 && !w.closed {
+		w.wake.Wait()
+	}
+	if len(w.pending) == 0 {
+		return nil, 0
+	}
+	n := 0
+	for n < len(w.pending) && (n == 0 || bytes+w.pending[n].bytes <= maxBatchBytes) {
+		bytes += w.pending[n].bytes
+		n++
+	}
+	batch = append([]writeRequest(nil), w.pending[:n]...)
+	w.pending = append(w.pending[:0], w.pending[n:]...)
+	return batch, bytes
+}
+
 // commit writes a batch with one sync.
 func (w *writer) commit(batch []writeRequest) error {
-	e, err := w.currentEngine()
+	current, err := w.store.currentEngine()
 	if err != nil {
 		return err
 	}
-	n := uint64(0)
-	for _, o := range batch {
-		n += uint64(len(o.changes))
+	changes := uint64(0)
+	for _, request := range batch {
+		changes += uint64(len(request.changes))
 	}
-	if err := e.writeWithTimeout(func(db *pebble.DB) error { return writeBatch(db, batch) }, w.store.probeDisk, hungWriteAfter); err != nil {
-		w.store.abandonEngine(e)
+	write := func(db *pebble.DB) error { return writeBatch(db, batch) }
+	if err := current.writeWithTimeout(write, w.store.probeDisk, hungWriteAfter); err != nil {
+		w.store.abandonEngine(current)
 		return fmt.Errorf("store: %w", err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Syncs++
-	w.stats.Changes += n
+	w.stats.Changes += changes
 	return nil
 }
 
-// currentEngine is what to write with, which is opened where the one before it failed and the disk is well again. That may take long:
-// no lock is held meanwhile, and no other goroutine opens one.
-func (w *writer) currentEngine() (*engine, error) {
-	s := w.store
-	s.mu.RLock()
-	e, stuck := s.engine, s.stuck
-	s.mu.RUnlock()
-	switch {
-	case e != nil:
-		return e, nil
-	case stuck >= maxStuckEngines:
-		return nil, errTooManyStuck
-	}
-	if err := s.probeDisk(); err != nil {
-		return nil, fmt.Errorf("store: %w", err)
-	}
-	e, err := openEngine(s.config)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if err != nil {
-		s.stuck++ // what was half open is not told apart from what was not
-		return nil, err
-	}
-	s.engine = e
+// countReopen counts an engine that took the place of one that failed.
+func (w *writer) countReopen() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Reopens++
-	return e, nil
 }
 
-// writeBatch writes changes that go down together.
-func writeBatch(db *pebble.DB, batch []writeRequest) (err error) {
+// writeBatch writes a batch's changes atomically.
+func writeBatch(db *pebble.DB, batch []writeRequest) error {
 	b := db.NewBatch()
-	for _, o := range batch {
-		for _, c := range o.changes {
-			name := append([]byte{recordPrefix}, c.Name...)
-			if c.Value == nil {
-				err = b.Delete(name, nil)
-			} else {
-				err = b.Set(name, c.Value, nil)
-			}
-			if err != nil {
+	for _, request := range batch {
+		for _, c := range request.changes {
+			if err := addChange(b, c); err != nil {
 				return err
 			}
 		}
@@ -186,7 +170,16 @@
 	return b.Close()
 }
 
-// stop ends the writing once all that waits is down, or the disk stands still for too long.
+// addChange adds one change to a batch.
+func addChange(b *pebble.Batch, c Change) error {
+	key := recordKey(c.Name)
+	if c.Value == nil {
+		return b.Delete(key, nil)
+	}
+	return b.Set(key, c.Value, nil)
+}
+
+// stop ends the writing once everything pending is written, or the disk stalls for too long.
 func (w *writer) stop() error {
 	w.mu.Lock()
 	w.closed = true
