--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// FuzzIdentity reads any text as a folder's identity: an error is one of the two that there are, and what is read is whole.
+// FuzzIdentity parses any text as a folder's identity: an error is one of two, and an identity without an error is whole.
 func FuzzIdentity(f *testing.F) {
 	f.Add([]byte(`{"version":1,"server":"n3","site":"s","secret":"AAAAAAAAAAAAAAAAAAAAAA==","made":"2026-12-01T12:00:00Z"}`))
 	f.Add([]byte(`{"version":2,"secret":7}`))
@@ -23,7 +23,7 @@
 	})
 }
 
-// copyFiles is a file layer of its own with the files of a folder.
+// copyFiles returns a file layer of its own with the files of a folder, each passed through damage.
 func copyFiles(t testing.TB, from vfs.FS, damage func(name string, text []byte) []byte) vfs.FS {
 	t.Helper()
 	to := vfs.NewMem()
@@ -58,11 +58,11 @@
 	return to
 }
 
-// FuzzFolder damages a byte of a file of a folder, or cuts the file there: opening and reading it ends with the records as they
-// were written, some of them missing at the most, or with an error. It never panics and never stands still.
+// FuzzFolder damages a byte of a file of a folder, or truncates the file there: opening and reading it yields the records as
+// they were written, with some missing at most, or an error. It never panics and never hangs.
 func FuzzFolder(f *testing.F) {
-	sound := vfs.NewMem()
-	s := open(f, sound)
+	intact := vfs.NewMem()
+	s := open(f, intact)
 	for i := range 40 {
 		if err := write(s, Change{Name: fmt.Sprint("k", i), Value: fmt.Appendf(nil, "value %d", i)}); err != nil {
 			f.Fatal(err)
@@ -81,13 +81,13 @@
 		f.Add(n, uint32(20), byte(0))
 	}
 	f.Fuzz(func(t *testing.T, file uint8, at uint32, mask byte) {
-		names, err := sound.List("/state")
+		names, err := intact.List("/state")
 		if err != nil {
 			t.Fatal(err)
 		}
-		victim := names[int(file)%len(names)]
-		damaged := copyFiles(t, sound, func(name string, text []byte) []byte {
-			if name != victim || len(text) == 0 {
+		target := names[int(file)%len(names)]
+		damaged := copyFiles(t, intact, func(name string, text []byte) []byte {
+			if name != target || len(text) == 0 {
 				return text
 			}
 			place := int(at) % len(text)
--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -12,12 +12,12 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// timeout is how long a store may take to tell what became of a write, far more than it needs.
+// writeDeadline is how long a store may take to report how a write ended, far more than it needs.
 const writeDeadline = 30 * time.Second
 
 // TestDiskRecovers has a disk that is full or fails from a random call to the file layer on, under enough writes for files to
-// be begun and rewritten: each write is told, nothing that was told to be down is lost, and the store writes again once the
-// disk is well, without being opened anew.
+// be created and compacted: each write is reported, nothing that was reported as durable is lost, and the store writes again
+// once the disk works, without being opened anew.
 func TestDiskRecovers(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -26,20 +26,20 @@
 	for round := range 60 {
 		var left atomic.Int64 // calls until the disk fails
 		left.Store(1 << 40)
-		why := []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)]
+		cause := []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)]
 		disk := errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
 			if left.Add(-1) < 0 && op.OpKind() == errorfs.OpKindWrite && op != errorfs.OpFileClose {
-				return why
+				return cause
 			}
 			return nil
 		}))
 		s := open(t, disk)
-		down := map[string]string{}
-		for sickness := range 3 {
+		durable := map[string]string{}
+		for failure := range 3 {
 			left.Store(rng.Int64N(300))
 			failed := 0
 			for i := 0; failed < 3 && i < 2000; i++ {
-				if !putRandom(t, s, rng, down) {
+				if !putRandom(t, s, rng, durable) {
 					failed++
 				}
 			}
@@ -48,16 +48,16 @@
 			if failed == 0 {
 				t.Fatalf("round %d: a disk that fails was not noticed", round)
 			}
-			for try := 0; !putRandom(t, s, rng, down); try++ {
-				if try == 5 {
-					t.Fatalf("round %d, sickness %d: the disk is well, and writes fail", round, sickness)
+			for attempt := 0; !putRandom(t, s, rng, durable); attempt++ {
+				if attempt == 5 {
+					t.Fatalf("round %d, failure %d: the disk works, and writes fail", round, failure)
 				}
 			}
 		}
 		check := func(when string, got map[string]string) {
-			for name, value := range down {
+			for name, value := range durable {
 				if value != "" && got[name] != value {
-					t.Fatalf("round %d, %s: %s was told to be down and is %.20q, want %.20q", round, when, name, got[name], value)
+					t.Fatalf("round %d, %s: %s was reported as durable and is %.20q, want %.20q", round, when, name, got[name], value)
 				}
 			}
 		}
@@ -70,11 +70,11 @@
 		check("opened anew", contents(t, s))
 		s.Close()
 	}
-	t.Logf("%d writes failed, %d times the records were taken up anew", failures, opened)
+	t.Logf("%d writes failed, %d times the database was opened again", failures, opened)
 }
 
-// putRandom writes a record, and notes in down what was told: of one that failed either value may be there.
-func putRandom(t *testing.T, s *Store, rng *rand.Rand, down map[string]string) bool {
+// putRandom writes a record, and notes in durable what was reported: after a failure either value may be there.
+func putRandom(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) bool {
 	t.Helper()
 	name := fmt.Sprint("k", rng.IntN(50))
 	value := make([]byte, 20000)
@@ -87,12 +87,12 @@
 	}
 	select {
 	case err := <-done:
-		if down[name] = string(value); err != nil {
-			down[name] = ""
+		if durable[name] = string(value); err != nil {
+			durable[name] = ""
 		}
 		return err == nil
 	case <-time.After(writeDeadline):
-		t.Fatal("nobody tells what became of a write")
+		t.Fatal("the end of a write is not reported")
 		return false
 	}
 }
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -19,7 +19,7 @@
 	value []byte
 }
 
-// registerModel is a map of registers, each checked by itself.
+// registerModel is a map of registers, each checked on its own.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -47,8 +47,8 @@
 	},
 }
 
-// TestLinearizable has many goroutines write and read at once, over closings and openings: the history is one that a map
-// under a lock could have had.
+// TestLinearizable has many goroutines write and read concurrently, over restarts: the history must be one that a map under a
+// lock could have had.
 func TestLinearizable(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -58,12 +58,12 @@
 	start := time.Now()
 	for round := range 3 {
 		s := open(t, fsys)
-		var all sync.WaitGroup
+		var clients sync.WaitGroup
 		for client := range 6 {
 			rng := rand.New(rand.NewPCG(seed, uint64(10*round+client)))
-			all.Add(1)
+			clients.Add(1)
 			go func() {
-				defer all.Done()
+				defer clients.Done()
 				for i := range 60 {
 					op := porcupine.Operation{ClientId: client, Input: registerOp{name: fmt.Sprint("k", rng.IntN(4))}}
 					in := op.Input.(registerOp)
@@ -90,7 +90,7 @@
 				}
 			}()
 		}
-		all.Wait()
+		clients.Wait()
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-// BenchmarkRecovery opens folders of so many records and reads them all.
+// BenchmarkRecovery opens folders with many records and reads them clients.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -109,16 +109,16 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			chance := rand.New(rand.NewPCG(1, 2))
+			rng := rand.New(rand.NewPCG(1, 2))
 			body := make([]byte, 150) // of which nothing can be compressed away
 			for at := 0; at < n; at += 1000 {
 				var changes []Change
 				for range 1000 {
 					for i := range body {
-						body[i] = byte(chance.Uint32())
+						body[i] = byte(rng.Uint32())
 					}
-					e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())},
-						State: idempotency.Completed, ReceivedAt: time.Now(), ExpiresAt: time.Now(), BodyHash: chance.Uint64(), Response: idempotency.Response{Status: 200, Body: body,
+					e := idempotency.Entry{Key: idempotency.Key{Class: "stock-reserve", Key: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())},
+						State: idempotency.Completed, ReceivedAt: time.Now(), ExpiresAt: time.Now(), BodyHash: rng.Uint64(), Response: idempotency.Response{Status: 200, Body: body,
 							Header: []idempotency.HeaderField{{Name: "Content-Type", Value: "application/json"}}}}
 					changes = append(changes, Change{Name: e.Key.RecordName(), Value: e.Encode()})
 				}
@@ -126,7 +126,7 @@
 					b.Fatal(err)
 				}
 			}
-			if _, err := s.Compact(); err != nil { // as a server does in a quiet moment
+			if _, err := s.Compact(); err != nil { // as a server does while it is idle
 				b.Fatal(err)
 			}
 			if err := s.Close(); err != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// BenchmarkSyncs writes intents at set rates to a real folder, and tells the syncs that each took.
+// BenchmarkSyncs writes intents at fixed rates to a real folder, and reports the syncs that each took.
 func BenchmarkSyncs(b *testing.B) {
 	for _, rate := range []int{1, 50, 500, 5000} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
@@ -163,18 +163,18 @@
 			defer s.Close()
 			value := make([]byte, 100)
 			before := s.Stats().Syncs
-			var all sync.WaitGroup
+			var written sync.WaitGroup
 			next, n := time.Now(), 0
 			for b.Loop() {
 				next = next.Add(time.Second / time.Duration(rate))
 				time.Sleep(time.Until(next))
-				all.Add(1)
+				written.Add(1)
 				n++
-				if err := s.Write([]Change{{Name: fmt.Sprint(n), Value: value}}, func(error) { all.Done() }); err != nil {
+				if err := s.Write([]Change{{Name: fmt.Sprint(n), Value: value}}, func(error) { written.Done() }); err != nil {
 					b.Fatal(err)
 				}
 			}
-			all.Wait()
+			written.Wait()
 			b.ReportMetric(float64(s.Stats().Syncs-before)/float64(n), "syncs/write")
 		})
 	}
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -17,36 +17,36 @@
 	"tillerusher/internal/invariant"
 )
 
-// The slips' world: how long a key must not run again, how long a try may be on its way, and how many cuts a folder lives
-// through.
 const (
-	keyWindow      = 18354 * time.Millisecond
-	maxDelay       = 3 * time.Second
-	livesPerFolder = 100
+	keyWindow      = 18354 * time.Millisecond // in which a key must not run again
+	maxDelay       = 3 * time.Second          // that an attempt may be in transit
+	livesPerFolder = 100                      // one power cut each
 	keyCount       = 12
+	maxCallsToCut  = 160 // calls to the file layer
+	stepsPerLife   = 60
 )
 
-// modelRequest is a request that a life of the server knows.
+// modelRequest is what a life of the server knows of a key.
 type modelRequest struct {
 	until      time.Time
 	isFinished bool
-	hasFailed  bool // it may have run, and nobody knows how it ended
-	waiting    []string
-	replaced   *modelRequest // a run whose window had passed; late tries of it may still come
+	hasFailed  bool          // it may have run, and its result is unknown
+	waiting    []string      // attempts that were not answered
+	replaced   *modelRequest // a run whose window had passed; late attempts of it may still come
 }
 
-// cluster is one folder, the callers of its server, and the interpreter.
+// cluster is one folder, the callers of its server, and the interpreter, over many lives of the server.
 type cluster struct {
 	rng      *rand.Rand
 	fsys     *vfs.MemFS
-	observer *invariant.Checker
+	checker  *invariant.Checker
 	now      time.Time // of the callers
 	skew     time.Duration
 	attempts int
 	counts   map[string]int
 }
 
-// serverLife is one life of the server, from its start to the cut.
+// serverLife is one life of the server, from its start to the power cut.
 type serverLife struct {
 	*cluster
 	store       *Store
@@ -54,56 +54,56 @@
 	known       map[idempotency.Key]*modelRequest
 	running     []idempotency.Key
 	posted      chan func()
-	pending     int // orders whose end was not heard of
+	pending     int // writes whose end was not reported
 	isPowerLost atomic.Bool
 }
 
-// clock is the server's, which may have been stepped back since its last life.
-func (w *cluster) clock() time.Time { return w.now.Add(w.skew) }
+// clock returns the time of the server, whose clock may have been stepped back since its last life.
+func (c *cluster) clock() time.Time { return c.now.Add(c.skew) }
 
-// playLife plays one life: the power goes at a random call to the file layer, and whatever was not synced is lost, torn or kept
-// in part.
-func (w *cluster) playLife(t *testing.T) error {
-	l := &serverLife{cluster: w, known: map[idempotency.Key]*modelRequest{}, posted: make(chan func(), 1024)}
+// playLife plays one life: the power goes at a random call to the file layer, and whatever was not synced is lost, torn or
+// kept in part.
+func (c *cluster) playLife(t *testing.T) error {
+	l := &serverLife{cluster: c, known: map[idempotency.Key]*modelRequest{}, posted: make(chan func(), 1024)}
 	var calls atomic.Int64
-	at := int64(1 + w.rng.IntN(160))
-	disk := errorfs.Wrap(w.fsys, errorfs.InjectorFunc(func(errorfs.Op, string) error {
-		if calls.Add(1) == at {
-			l.isPowerLost.Store(true) // replaced the syncs stop: what is told to be down from here on is not heard of
-			w.fsys.SetIgnoreSyncs(true)
+	cutAt := int64(1 + c.rng.IntN(maxCallsToCut))
+	disk := errorfs.Wrap(c.fsys, errorfs.InjectorFunc(func(errorfs.Op, string) error {
+		if calls.Add(1) == cutAt {
+			l.isPowerLost.Store(true) // before the syncs stop: writes that are reported as durable from here on do not count
+			c.fsys.SetIgnoreSyncs(true)
 		}
 		return nil
 	}))
 	err := l.run(disk)
 	if !l.isPowerLost.Swap(true) {
-		w.counts["cuts between calls"]++
-		w.fsys.SetIgnoreSyncs(true)
+		c.counts["cuts between calls"]++
+		c.fsys.SetIgnoreSyncs(true)
 		if err != nil {
-			return fmt.Errorf("before the cut: %w", err)
+			return fmt.Errorf("before the cut: %c", err)
 		}
 	}
-	before := tails(t, w.fsys)
+	before := tails(t, c.fsys)
 	if l.store != nil {
-		l.store.Close() // with the power gone nothing of it counts
+		l.store.Close() // without power its error does not count
 	}
-	w.fsys.ResetToSyncedState()
-	w.fsys.SetIgnoreSyncs(false)
-	w.counts["torn logs"] += tear(t, w.fsys, before, w.rng)
+	c.fsys.ResetToSyncedState()
+	c.fsys.SetIgnoreSyncs(false)
+	c.counts["torn logs"] += tear(t, c.fsys, before, c.rng)
 	for _, s := range l.known {
 		for _, id := range s.waiting {
-			w.observer.RecordLost(id)
-			w.counts["open at a cut"]++
+			c.checker.RecordLost(id)
+			c.counts["open at a cut"]++
 		}
 	}
-	w.now = w.now.Add(time.Duration(w.rng.ExpFloat64() * float64(2*time.Second)))
-	w.skew = 0
-	if w.rng.IntN(20) == 0 {
-		w.skew = -time.Duration(w.rng.Int64N(int64(time.Hour)))
+	c.now = c.now.Add(time.Duration(c.rng.ExpFloat64() * float64(2*time.Second)))
+	c.skew = 0
+	if c.rng.IntN(20) == 0 {
+		c.skew = -time.Duration(c.rng.Int64N(int64(time.Hour)))
 	}
 	return nil
 }
 
-// run opens the folder, reads what an earlier life left and serves until the power is gone.
+// run opens the folder, loads what an earlier life left and serves until the power cut.
 func (l *serverLife) run(disk vfs.FS) (err error) {
 	if l.store, err = Open(config(disk)); err != nil {
 		return err
@@ -119,7 +119,7 @@
 			l.counts["recovered "+e.State.String()]++
 		}
 	}
-	for step := 0; step < 60 && !l.isPowerLost.Load(); step++ {
+	for step := 0; step < stepsPerLife && !l.isPowerLost.Load(); step++ {
 		switch n := l.rng.IntN(10); {
 		case n < 5:
 			l.arrive()
@@ -138,17 +138,17 @@
 	return nil
 }
 
-// writeWithTimeout hands over changes; then hears on the life's own goroutine that they are down, unless the power went before.
+// write hands over changes; then is called on the life's own goroutine once they are durable, unless the power went before.
 func (l *serverLife) write(changes []idempotency.Change, then func(err error)) {
 	if len(changes) == 0 {
 		return
 	}
 	l.pending++
 	err := l.store.Write(changes, func(err error) {
-		gone := l.isPowerLost.Load()
+		wasCut := l.isPowerLost.Load()
 		l.posted <- func() {
 			l.pending--
-			if !gone && then != nil {
+			if !wasCut && then != nil {
 				then(err)
 			}
 		}
@@ -161,49 +161,49 @@
 	}
 }
 
-// arrive has a try come in, most of them for few keys.
+// arrive receives an attempt, most of them for few keys.
 func (l *serverLife) arrive() {
 	n := min(l.rng.IntN(keyCount), l.rng.IntN(keyCount))
 	k := idempotency.Key{Class: "stock-reserve", Key: fmt.Sprint("slip ", n)}
 	l.attempts++
-	try := invariant.Attempt{ID: fmt.Sprint(l.attempts), Key: k.Key, AtMostOnce: true, ExpectedBody: k.Key, Deadline: l.now.Add(24 * time.Hour),
+	attempt := invariant.Attempt{ID: fmt.Sprint(l.attempts), Key: k.Key, AtMostOnce: true, ExpectedBody: k.Key, Deadline: l.now.Add(24 * time.Hour),
 		Received: l.now.Add(-time.Duration(l.rng.Int64N(int64(maxDelay))))}
-	l.observer.RecordSent(try)
-	if s := l.known[k]; s != nil && !try.Received.After(s.until) {
+	l.checker.RecordSent(attempt)
+	if request := l.known[k]; request != nil && !attempt.Received.After(request.until) {
 		switch {
-		case !s.isFinished:
-			s.waiting = append(s.waiting, try.ID)
-		case s.hasFailed:
-			l.answer(try.ID, invariant.Failed, k)
+		case !request.isFinished:
+			request.waiting = append(request.waiting, attempt.ID)
+		case request.hasFailed:
+			l.answer(attempt.ID, invariant.Failed, k)
 		default:
-			l.answer(try.ID, invariant.Served, k)
+			l.answer(attempt.ID, invariant.Served, k)
 		}
 		return
 	}
 	if l.table.Admit(l.clock()) != idempotency.Admitted {
-		l.answer(try.ID, invariant.Rejected, k)
+		l.answer(attempt.ID, invariant.Rejected, k)
 		return
 	}
-	s := &modelRequest{until: try.Received.Add(keyWindow), waiting: []string{try.ID}, replaced: l.known[k]}
-	l.known[k] = s
-	l.write(l.table.Begin(idempotency.Entry{Key: k, ReceivedAt: try.Received, ExpiresAt: s.until.Add(maxDelay)}), func(err error) {
+	request := &modelRequest{until: attempt.Received.Add(keyWindow), waiting: []string{attempt.ID}, replaced: l.known[k]}
+	l.known[k] = request
+	l.write(l.table.Begin(idempotency.Entry{Key: k, ReceivedAt: attempt.Received, ExpiresAt: request.until.Add(maxDelay)}), func(err error) {
 		switch {
 		case err != nil:
 			l.table.ObserveWrite(err, l.clock())
 			l.table.RevertIntent(k)
 			l.reject(k)
-		case l.rng.IntN(8) == 0: // it was given up meanwhile, and nothing ran
+		case l.rng.IntN(8) == 0: // it was cancelled meanwhile, and nothing ran
 			l.write(l.table.Abort(k), nil)
 			l.reject(k)
 		default:
-			l.observer.RecordRun(try.ID)
+			l.checker.RecordRun(attempt.ID)
 			l.counts["runs"]++
 			l.running = append(l.running, k)
 		}
 	})
 }
 
-// reject refuses what waits for a request that nothing ran for.
+// reject rejects the attempts that wait for a request that did not run.
 func (l *serverLife) reject(k idempotency.Key) {
 	l.finish(k, invariant.Rejected)
 	if l.known[k] = l.known[k].replaced; l.known[k] == nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// end has a run end: its answer goes out at once, and its record down behind it.
+// end finishes a run: its response goes out at once, and its record is written behind it.
 func (l *serverLife) end() {
 	i := l.rng.IntN(len(l.running))
 	k := l.running[i]
@@ -221,57 +221,58 @@
 	l.write(l.table.Complete(k, idempotency.Response{Status: 200, Body: body}), nil)
 }
 
-// isFinished answers all that wait for a request.
+// finish answers all attempts that wait for a request.
 func (l *serverLife) finish(k idempotency.Key, kind invariant.Outcome) {
-	s := l.known[k]
-	s.isFinished = true
+	request := l.known[k]
+	request.isFinished = true
 	if kind == invariant.Served {
-		s.replaced = nil
+		request.replaced = nil
 	}
-	for _, id := range s.waiting {
+	for _, id := range request.waiting {
 		l.answer(id, kind, k)
 	}
-	s.waiting = nil
+	request.waiting = nil
 }
 
+// answer answers one attempt.
 func (l *serverLife) answer(id string, kind invariant.Outcome, k idempotency.Key) {
 	l.counts[[]string{"served", "refused", "failed"}[kind]]++
-	l.observer.RecordAnswer(id, kind, k.Key, l.now)
+	l.checker.RecordAnswer(id, kind, k.Key, l.now)
 }
 
-// TestPowerCutsKeepKeys has slips repeat while the power goes at random calls to the file layer, clocks are stepped back and the
-// bound is reached: no key runs twice in its window, and every try is answered, or was open at a cut.
+// TestPowerCutsKeepKeys retries keys while the power goes at random calls to the file layer, clocks are stepped back and the
+// limits are reached: no key runs twice in its window, and every attempt is answered, or was open at a cut.
 func TestPowerCutsKeepKeys(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
-	worlds := max(*powerCuts/livesPerFolder, 1)
+	folders := max(*powerCuts/livesPerFolder, 1)
 	var next atomic.Int64
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var players sync.WaitGroup
 	total := map[string]int{}
 	var failures []error
 	for range runtime.GOMAXPROCS(0) {
-		all.Add(1)
+		players.Add(1)
 		go func() {
-			defer all.Done()
-			for n := next.Add(1); n <= int64(worlds); n = next.Add(1) {
+			defer players.Done()
+			for n := next.Add(1); n <= int64(folders); n = next.Add(1) {
 				counts, err := playFolder(t, seed, uint64(n))
 				mu.Lock()
 				for name, count := range counts {
 					total[name] += count
 				}
 				if err != nil {
-					failures = append(failures, fmt.Errorf("world %d: %w", n, err))
+					failures = append(failures, fmt.Errorf("folder %d: %w", n, err))
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	all.Wait()
+	players.Wait()
 	if err := errors.Join(failures...); err != nil {
 		t.Errorf("%.2000s", err.Error())
 	}
-	t.Logf("%d worlds of %d cuts: %v", worlds, livesPerFolder, total)
+	t.Logf("%d folders of %d cuts: %v", folders, livesPerFolder, total)
 	for _, name := range []string{"served", "refused", "failed", "runs", "recovered done", "recovered intent", "recovered answer given up"} {
 		if total[name] == 0 {
 			t.Errorf("none were %s", name)
@@ -279,17 +280,22 @@
 	}
 }
 
-// playFolder plays one folder's lives.
+// playFolder plays the lives of one folder's servers.
 func playFolder(t *testing.T, seed, n uint64) (map[string]int, error) {
-	w := &cluster{rng: rand.New(rand.NewPCG(seed, n)), fsys: vfs.NewStrictMem(), observer: invariant.New(keyWindow), counts: map[string]int{},
-		now: time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)}
+	c := &cluster{
+		rng:     rand.New(rand.NewPCG(seed, n)),
+		fsys:    vfs.NewStrictMem(),
+		checker: invariant.New(keyWindow),
+		now:     time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC),
+		counts:  map[string]int{},
+	}
 	for life := range livesPerFolder {
-		if err := w.playLife(t); err != nil {
-			return w.counts, fmt.Errorf("life %d: %w", life, err)
+		if err := c.playLife(t); err != nil {
+			return c.counts, fmt.Errorf("life %d: %w", life, err)
 		}
 	}
-	if b := w.observer.Violations(w.now.Add(48 * time.Hour)); len(b) > 0 {
-		return w.counts, fmt.Errorf("%d rules were broken, the first: %s", len(b), b[0])
+	if violations := c.checker.Violations(c.now.Add(48 * time.Hour)); len(violations) > 0 {
+		return c.counts, fmt.Errorf("%d rules were broken, the first: %s", len(violations), violations[0])
 	}
-	return w.counts, nil
+	return c.counts, nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,8 +22,10 @@
 // powerCuts is how many power cuts TestPowerCuts plays; docs/design/state.md has what more showed.
 var powerCuts = flag.Int("cuts", 150, "how many power cuts are played")
 
+// config is that of the tests' folder.
 func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteHash: "s", FS: fsys} }
 
+// open opens the folder of the tests.
 func open(t testing.TB, fsys vfs.FS) *Store {
 	t.Helper()
 	s, err := Open(config(fsys))
@@ -33,7 +35,7 @@
 	return s
 }
 
-// contents are all records.
+// contents returns all records.
 func contents(t testing.TB, s *Store) map[string]string {
 	t.Helper()
 	m := map[string]string{}
@@ -43,7 +45,7 @@
 	return m
 }
 
-// writeWithTimeout writes and waits.
+// write writes changes and waits until they are durable.
 func write(s *Store, changes ...Change) error {
 	done := make(chan error, 1)
 	if err := s.Write(changes, func(err error) { done <- err }); err != nil {
@@ -52,7 +54,7 @@
 	return <-done
 }
 
-// tails are the bytes of the logs of a folder, those that were never synced included.
+// tails returns the bytes of the folder's logs, including those that were never synced.
 func tails(t testing.TB, fsys *vfs.MemFS) map[string][]byte {
 	t.Helper()
 	names, err := fsys.List("/state")
@@ -79,21 +81,21 @@
 	return logs
 }
 
-// sector is what a disk writes at once; sectors may go down in any order.
+// sector is what a disk writes at once; sectors may be written in any order.
 const sector = 512
 
-// tear leaves a part of what was never synced, as a disk does that was writing when the power went: a beginning, at times
-// with sectors missing before its end or a bit changed.
+// tear leaves a part of what was never synced, as a disk does that was writing when the power went: a prefix, sometimes with
+// sectors missing before its end or a flipped bit. It returns how many logs it tore.
 func tear(t testing.TB, fsys *vfs.MemFS, before map[string][]byte, rng *rand.Rand) int {
 	t.Helper()
 	torn := 0
-	for name, was := range before {
+	for name, content := range before {
 		path := fsys.PathJoin("/state", name)
 		info, err := fsys.Stat(path)
-		if err != nil || info.Size() >= int64(len(was)) {
+		if err != nil || info.Size() >= int64(len(content)) {
 			continue
 		}
-		lost := append([]byte(nil), was[info.Size():]...)
+		lost := append([]byte(nil), content[info.Size():]...)
 		lost = lost[:rng.IntN(len(lost)+1)]
 		if rng.IntN(3) == 0 {
 			for from := 0; from < len(lost); { // to the next border of a sector of the file
@@ -123,45 +125,51 @@
 	return torn
 }
 
-// TestPowerCuts cuts the power at random points of random writes: what was told to be down is there after it, what was not
-// is there whole or not at all, and nothing else is.
+// randomChanges returns changes of up to three records, as a list and by name.
+func randomChanges(rng *rand.Rand) ([]Change, map[string]string) {
+	byName := map[string]string{}
+	var list []Change
+	for range 1 + rng.IntN(3) {
+		name := fmt.Sprint("k", rng.IntN(40))
+		if _, twice := byName[name]; twice {
+			continue
+		}
+		c := Change{Name: name}
+		if rng.IntN(4) > 0 {
+			c.Value = fmt.Appendf(nil, "%d %s", rng.Uint64(), strings.Repeat("x", rng.IntN(400)))
+		}
+		byName[name] = string(c.Value)
+		list = append(list, c)
+	}
+	return list, byName
+}
+
+// TestPowerCuts cuts the power at random points of random writes: what was reported as durable is there after it, other
+// requests are there whole or not at all, and nothing else is.
 func TestPowerCuts(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 0))
 	fsys := vfs.NewStrictMem()
-	down := map[string]string{}
+	durable := map[string]string{}
 	torn, kept, dropped := 0, 0, 0
 	for cut := range *powerCuts {
 		s := open(t, fsys)
-		if got := contents(t, s); !maps.Equal(got, down) {
-			t.Fatalf("cut %d: %d records instead of %d", cut, len(got), len(down))
+		if got := contents(t, s); !maps.Equal(got, durable) {
+			t.Fatalf("cut %d: %d records instead of %d", cut, len(got), len(durable))
 		}
 		var mu sync.Mutex
-		var waiting []map[string]string // orders that were not told to be down, in order
+		var waiting []map[string]string // requests that were not reported, in order
 		for range rng.IntN(20) {
-			changes := map[string]string{}
-			var list []Change
-			for range 1 + rng.IntN(3) {
-				name := fmt.Sprint("k", rng.IntN(40))
-				if _, twice := changes[name]; twice {
-					continue
-				}
-				c := Change{Name: name}
-				if rng.IntN(4) > 0 {
-					c.Value = fmt.Appendf(nil, "%d %s", rng.Uint64(), strings.Repeat("x", rng.IntN(400)))
-				}
-				changes[name] = string(c.Value)
-				list = append(list, c)
-			}
+			list, changes := randomChanges(rng)
 			mu.Lock()
 			waiting = append(waiting, changes)
 			mu.Unlock()
 			err := s.Write(list, func(err error) {
 				mu.Lock()
 				defer mu.Unlock()
-				if err == nil { // orders go down in order
-					apply(down, waiting[0])
+				if err == nil { // requests are written in order
+					apply(durable, waiting[0])
 				}
 				waiting = waiting[1:]
 			})
@@ -172,8 +180,8 @@
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Microsecond)
 			}
 		}
-		mu.Lock() // nothing is told from here on: what goes down now was not told to be
-		told, left := maps.Clone(down), append([]map[string]string(nil), waiting...)
+		mu.Lock() // nothing is reported from here on
+		reported, unreported := maps.Clone(durable), append([]map[string]string(nil), waiting...)
 		fsys.SetIgnoreSyncs(true)
 		before := tails(t, fsys)
 		mu.Unlock()
@@ -186,21 +194,21 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		// What was told is there, and of the rest a beginning, each order whole.
-		down = told
-		for n := 0; !maps.Equal(got, down); n++ {
-			if n == len(left) {
+		// What was reported is there, and of the rest a prefix, each request whole.
+		durable = reported
+		for n := 0; !maps.Equal(got, durable); n++ {
+			if n == len(unreported) {
 				t.Fatalf("cut %d: what is there is no beginning of what was written: %d records", cut, len(got))
 			}
-			apply(down, left[n])
+			apply(durable, unreported[n])
 			kept++
 		}
-		dropped += len(left)
+		dropped += len(unreported)
 	}
-	t.Logf("%d cuts, %d logs torn, %d orders under way of which %d were down", *powerCuts, torn, dropped, kept)
+	t.Logf("%d cuts, %d logs torn, %d requests open of which %d were durable", *powerCuts, torn, dropped, kept)
 }
 
-// apply applies an order to a map.
+// apply applies a request's changes to a map.
 func apply(m, changes map[string]string) {
 	for name, value := range changes {
 		if value == "" {
@@ -211,8 +219,8 @@
 	}
 }
 
-// TestErrors has each call to the file layer fail in turn, once and from there on: no panic, nothing that was told to be
-// down is lost, and the folder opens again once the disk is well.
+// TestErrors has each call to the file layer fail in turn, once and from there on: no panic, nothing that was reported as
+// durable is lost, and the folder opens again once the disk works.
 func TestErrors(t *testing.T) {
 	for _, forever := range []bool{false, true} {
 		injected := 0
@@ -220,7 +228,7 @@
 			fsys := vfs.NewMem()
 			at := errorfs.OnIndex(index)
 			var hit atomic.Bool // files are removed in the background
-			down := map[string]string{}
+			durable := map[string]string{}
 			err := script(errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, path string) error {
 				if hit.Load() && forever {
 					return errorfs.ErrInjected
@@ -230,22 +238,22 @@
 					hit.Store(true)
 				}
 				return err
-			})), down)
+			})), durable)
 			if !hit.Load() {
 				break // the script has no more calls
 			}
 			injected++
 			if err != nil && strings.Contains(err.Error(), "\n") {
-				t.Errorf("call %d: told in more than one line: %v", index, err)
+				t.Errorf("call %d: an error of more than one line: %v", index, err)
 			}
 			s, err := Open(config(fsys))
 			if err != nil {
 				t.Fatalf("call %d failed, and the folder does not open again: %v", index, err)
 			}
 			got := contents(t, s)
-			for name, value := range down {
+			for name, value := range durable {
 				if got[name] != value {
-					t.Fatalf("call %d: %s was told to be down and is %q", index, name, got[name])
+					t.Fatalf("call %d: %s was reported as durable and is %q", index, name, got[name])
 				}
 			}
 			s.Close()
@@ -257,8 +265,8 @@
 	}
 }
 
-// script opens a folder and writes; down is what was told to be there.
-func script(fsys vfs.FS, down map[string]string) (err error) {
+// script opens a folder and writes; durable is what was reported to be there.
+func script(fsys vfs.FS, durable map[string]string) (err error) {
 	defer func() {
 		if r := recover(); r != nil { // Pebble ends the process where its manifest can't be written
 			err = fmt.Errorf("the store gave up: %v", r)
@@ -272,9 +280,9 @@
 		name, value := fmt.Sprint("k", i%4), fmt.Sprint("v", i)
 		if other := write(s, Change{Name: name, Value: []byte(value)}); other != nil {
 			err = errors.Join(err, other)
-			delete(down, name) // either value may be there
+			delete(durable, name) // either value may be there
 		} else {
-			down[name] = value
+			durable[name] = value
 		}
 	}
 	if other := s.Close(); err == nil {
@@ -283,7 +291,7 @@
 	return nil
 }
 
-// TestIdentity keeps folders apart.
+// TestIdentity opens a folder for its own server and site only.
 func TestIdentity(t *testing.T) {
 	fsys := vfs.NewMem()
 	s := open(t, fsys)
@@ -309,22 +317,22 @@
 	}
 }
 
-// TestGroupCommit has what comes while a sync is under way go down with the next one.
+// TestGroupCommit has what comes during a sync be written with the next one.
 func TestGroupCommit(t *testing.T) {
 	s := open(t, vfs.NewMem())
 	defer s.Close()
-	var all sync.WaitGroup
+	var written sync.WaitGroup
 	for i := range 5000 {
-		all.Add(1)
-		if err := s.Write([]Change{{Name: fmt.Sprint(i), Value: []byte("x")}}, func(error) { all.Done() }); err != nil {
+		written.Add(1)
+		if err := s.Write([]Change{{Name: fmt.Sprint(i), Value: []byte("x")}}, func(error) { written.Done() }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	all.Wait()
+	written.Wait()
 	if c := s.Stats(); c.Changes != 5000 || c.Syncs > 4000 {
 		t.Errorf("%+v", c)
 	}
 	if err := s.Write([]Change{{Name: "x", Value: make([]byte, maxPendingBytes+1)}}, nil); !errors.Is(err, ErrBusy) {
-		t.Errorf("more than may wait: %v", err)
+		t.Errorf("more than may be pending: %v", err)
 	}
 }
