--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package sickdisk is a file layer with the habits of a sick disk, for rehearsals and measurements: one that stands still now
-// and then, and one that is full for a while. The programs that serve do not link it.
+// Package faultfs wraps a file layer with the faults of a disk: one that stalls periodically and one that is full for a while.
+// Scenarios and measurements use it; the programs that serve do not link it.
 package faultfs
 
 import (
@@ -12,40 +12,39 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// Profile are what a disk does; the zero value is a sound one.
+// Profile is the faults of a disk; the zero value has none.
 type Profile struct {
-	StallTime      time.Duration // how long it stands still at a time
-	StallInterval  time.Duration // from the begin of one such time to the next
-	FullMarkerFile string        // it is full while a file of this name is there; "" is never
+	StallTime      time.Duration // how long each stall lasts
+	StallInterval  time.Duration // from the start of one stall to that of the next
+	FullMarkerFile string        // the disk is full while a file of this name exists; "" is never
 }
 
-// Validate names the first value that makes no sense.
-func (h Profile) Validate() error {
-	switch {
-	case h.StallTime < 0 || h.StallTime > 0 && h.StallInterval <= h.StallTime:
-		return fmt.Errorf("sickdisk: a disk that stands still for %v every %v, want it to go on in between", h.StallTime, h.StallInterval)
+// Validate reports the first value that makes no sense.
+func (p Profile) Validate() error {
+	if p.StallTime < 0 || p.StallTime > 0 && p.StallInterval <= p.StallTime {
+		return fmt.Errorf("sickdisk: a disk that stands still for %v every %v, want it to go on in between", p.StallTime, p.StallInterval)
 	}
 	return nil
 }
 
-// remainingStall is for how long a call waits that comes at a time.
-func (h Profile) remainingStall(at time.Duration) time.Duration {
-	if h.StallTime <= 0 {
+// remainingStall returns how long a call waits that comes at a time since the start.
+func (p Profile) remainingStall(at time.Duration) time.Duration {
+	if p.StallTime <= 0 {
 		return 0
 	}
-	return max(h.StallTime-at%h.StallInterval, 0)
+	return max(p.StallTime-at%p.StallInterval, 0)
 }
 
-// isFull tells whether there is no room.
-func (h Profile) isFull() bool {
-	if h.FullMarkerFile == "" {
+// isFull tells whether the disk has no space now.
+func (p Profile) isFull() bool {
+	if p.FullMarkerFile == "" {
 		return false
 	}
-	_, err := os.Stat(h.FullMarkerFile)
+	_, err := os.Stat(p.FullMarkerFile)
 	return err == nil
 }
 
-// allocatesSpace are the calls that a full disk fails.
+// allocatesSpace tells whether an operation fails on a full disk.
 func allocatesSpace(op errorfs.Op) bool {
 	switch op {
 	case errorfs.OpCreate, errorfs.OpFileWrite, errorfs.OpFileWriteAt, errorfs.OpFilePreallocate, errorfs.OpMkdirAll, errorfs.OpReuseForRewrite:
@@ -54,17 +53,17 @@
 	return false
 }
 
-// Wrap gives a file layer habits. Calls that write wait while the disk stands still.
-func Wrap(fsys vfs.FS, h Profile) vfs.FS {
-	begun := time.Now()
+// Wrap gives a file layer the faults. Operations that write wait during a stall.
+func Wrap(fsys vfs.FS, p Profile) vfs.FS {
+	start := time.Now()
 	return errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
 		if op.OpKind() != errorfs.OpKindWrite {
 			return nil
 		}
-		if wait := h.remainingStall(time.Since(begun)); wait > 0 {
+		if wait := p.remainingStall(time.Since(start)); wait > 0 {
 			time.Sleep(wait)
 		}
-		if allocatesSpace(op) && h.isFull() {
+		if allocatesSpace(op) && p.isFull() {
 			return syscall.ENOSPC
 		}
 		return nil
--- a/internal/maintenance/scheduler.go
+++ b/internal/maintenance/scheduler.go
@@ -1,146 +1,110 @@
-// Package chores decides when background work runs: compaction, sweeping, checkpoints, saves. It does no I/O and reads no
-// clock. Each chore has a priority, a least time between two runs, a cost that it is expected to have, and a deadline after
-// which it runs whatever else goes on; all share budgets of time and bytes a second, and none runs before its deadline while
-// the server is pressed.
 package maintenance
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"time"
 )
 
-// Task is one kind of background work.
-type Task struct {
-	Name        string
-	Priority    int           // the higher goes first
-	MinInterval time.Duration // least time between two runs
-	MaxInterval time.Duration // longest time between two runs, though the server is pressed or the budgets are used up; 0 is none
-}
-
-// Cost is what a run took.
-type Cost struct {
-	Duration time.Duration
-	Bytes    int64
-}
-
-// Budget is what all chores may take.
+// Budget is what all tasks together may take.
 type Budget struct {
-	TimePerSecond  time.Duration // of each second
-	BytesPerSecond int64         // a second
+	TimePerSecond  time.Duration
+	BytesPerSecond int64
 }
 
-// burstSeconds is how many seconds of a budget may be used at once.
+// burstSeconds is how many seconds of the budget may be used at once.
 const burstSeconds = 2
 
-// taskState is a chore's.
-type taskState struct {
-	Task
-	lastEnd    time.Duration // when it last ended
-	isRunning  bool
-	runs       uint64
-	forcedRuns uint64 // runs by their deadline
-	totalCost  Cost   // in all
-	meanCost   Cost   // of a run, of late
-}
-
-// Scheduler decides. Time is that of the caller, and never goes back.
+// Scheduler decides which task runs. The caller's clock must never go back. A Scheduler belongs to one goroutine.
 type Scheduler struct {
 	budget     Budget
-	tasks      []*taskState
+	tasks      []*taskState // by priority, the highest first
 	refilledAt time.Duration
-	timeLeft   float64 // seconds that may be used
+	timeLeft   float64 // seconds; below 0 after a run that took more than expected
 	bytesLeft  float64
 }
 
-// New returns a scheduler of chores, all of which may run at once.
-func New(b Budget, now time.Duration, tasks ...Task) (*Scheduler, error) {
-	s := &Scheduler{budget: b, refilledAt: now, timeLeft: burstSeconds * b.TimePerSecond.Seconds(), bytesLeft: burstSeconds * float64(b.BytesPerSecond)}
+// New returns a scheduler of the tasks.
+func New(budget Budget, now time.Duration, tasks ...Task) (*Scheduler, error) {
+	s := &Scheduler{budget: budget, refilledAt: now}
+	s.timeLeft, s.bytesLeft = s.capacity()
 	names := map[string]bool{}
-	for _, c := range tasks {
-		switch {
-		case c.Name == "" || names[c.Name]:
-			return nil, fmt.Errorf("chores: a chore called %q, want a name of its own", c.Name)
-		case c.MinInterval < 0 || c.MaxInterval != 0 && c.MaxInterval < c.MinInterval:
-			return nil, fmt.Errorf("chores: %s runs every %v and has to after %v", c.Name, c.MinInterval, c.MaxInterval)
+	for _, task := range tasks {
+		if err := task.validate(names); err != nil {
+			return nil, err
 		}
-		names[c.Name] = true
-		s.tasks = append(s.tasks, &taskState{Task: c, lastEnd: now})
+		names[task.Name] = true
+		s.tasks = append(s.tasks, &taskState{Task: task, lastEnd: now})
 	}
 	slices.SortStableFunc(s.tasks, func(a, b *taskState) int { return -cmp.Compare(a.Priority, b.Priority) })
 	return s, nil
 }
 
-// refill adds what time brings to the budgets.
+// capacity returns the sizes of the token buckets.
+func (s *Scheduler) capacity() (seconds, bytes float64) {
+	return burstSeconds * s.budget.TimePerSecond.Seconds(), burstSeconds * float64(s.budget.BytesPerSecond)
+}
+
+// refill adds the tokens of the time since the last refill.
 func (s *Scheduler) refill(now time.Duration) {
-	since := max(now-s.refilledAt, 0).Seconds()
+	elapsed := max(now-s.refilledAt, 0).Seconds()
 	s.refilledAt = max(s.refilledAt, now)
-	s.timeLeft = min(s.timeLeft+since*s.budget.TimePerSecond.Seconds(), burstSeconds*s.budget.TimePerSecond.Seconds())
-	s.bytesLeft = min(s.bytesLeft+since*float64(s.budget.BytesPerSecond), burstSeconds*float64(s.budget.BytesPerSecond))
+	maxTime, maxBytes := s.capacity()
+	s.timeLeft = min(s.timeLeft+elapsed*s.budget.TimePerSecond.Seconds(), maxTime)
+	s.bytesLeft = min(s.bytesLeft+elapsed*float64(s.budget.BytesPerSecond), maxBytes)
 }
 
-// Next is the chore that is to run now, or "". It counts as running until Done.
+// Next returns the name of the task to run now, or "". The task counts as running until Finish.
 func (s *Scheduler) Next(now time.Duration, overloaded bool) string {
 	s.refill(now)
-	for _, c := range s.tasks { // those whose deadline is over, whatever else
-		if !c.isRunning && c.MaxInterval > 0 && now-c.lastEnd >= c.MaxInterval {
-			c.isRunning = true
-			c.forcedRuns++
-			return c.Name
+	for _, task := range s.tasks {
+		if task.isOverdue(now) {
+			task.isRunning = true
+			task.forcedRuns++
+			return task.Name
 		}
 	}
 	if overloaded {
 		return ""
 	}
-	for _, c := range s.tasks {
-		if c.isRunning || now-c.lastEnd < c.MinInterval {
+	for _, task := range s.tasks {
+		if !task.isDue(now) {
 			continue
 		}
-		if s.timeLeft < c.meanCost.Duration.Seconds() || s.bytesLeft < float64(c.meanCost.Bytes) || s.timeLeft <= 0 || s.bytesLeft <= 0 {
-			return "" // one of lower priority must not use up what this one waits for
+		if !s.canAfford(task.meanCost) {
+			return "" // a task of lower priority must not use up what this one waits for
 		}
-		c.isRunning = true
-		return c.Name
+		task.isRunning = true
+		return task.Name
 	}
 	return ""
 }
 
-// meanCostWeight is the weight of one run in the mean cost.
-const meanCostWeight = 0.3
+// canAfford tells whether the budget has enough left for a run.
+func (s *Scheduler) canAfford(expected Cost) bool {
+	return s.timeLeft >= expected.Duration.Seconds() && s.bytesLeft >= float64(expected.Bytes) &&
+		s.timeLeft > 0 && s.bytesLeft > 0
+}
 
-// Finish hears of the end of a run and of what it took.
+// Finish takes in the end of a run and what it took.
 func (s *Scheduler) Finish(name string, now time.Duration, cost Cost) {
 	s.refill(now)
-	for _, c := range s.tasks {
-		if c.Name != name || !c.isRunning {
+	for _, task := range s.tasks {
+		if task.Name != name || !task.isRunning {
 			continue
 		}
-		c.isRunning, c.lastEnd = false, now
-		if c.runs++; c.runs == 1 {
-			c.meanCost = cost
-		}
-		c.meanCost.Duration += time.Duration(float64(cost.Duration-c.meanCost.Duration) * meanCostWeight)
-		c.meanCost.Bytes += int64(float64(cost.Bytes-c.meanCost.Bytes) * meanCostWeight)
-		c.totalCost.Duration, c.totalCost.Bytes = c.totalCost.Duration+cost.Duration, c.totalCost.Bytes+cost.Bytes
-		s.timeLeft -= cost.Duration.Seconds() // below 0 where it took more than was thought: the next ones wait for it
+		task.finish(now, cost)
+		s.timeLeft -= cost.Duration.Seconds() // may go below 0: later runs wait for it
 		s.bytesLeft -= float64(cost.Bytes)
 		return
 	}
 }
 
-// TaskStats is what a chore did.
-type TaskStats struct {
-	Name         string
-	Runs, Forced uint64
-	Cost         Cost
-}
-
-// Stats are those of all chores, by priority.
+// Stats returns those of all tasks, by priority.
 func (s *Scheduler) Stats() []TaskStats {
 	var list []TaskStats
-	for _, c := range s.tasks {
-		list = append(list, TaskStats{c.Name, c.runs, c.forcedRuns, c.totalCost})
+	for _, task := range s.tasks {
+		list = append(list, TaskStats{task.Name, task.runs, task.forcedRuns, task.totalCost})
 	}
 	return list
 }
--- a/internal/maintenance/scheduler_test.go
+++ b/internal/maintenance/scheduler_test.go
@@ -1,24 +1,55 @@
 package maintenance
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// TestBudgets plays random chores on a virtual clock: over any stretch they take no more than the budgets and a burst,
-// but for what deadlines force; none runs while the server is pressed but by its deadline; none is late by its deadline.
+// usage is what the tasks of a test used.
+type usage struct {
+	budget  Budget
+	total   Cost
+	forced  Cost // of forced runs
+	biggest Cost // of one run
+}
+
+// add adds a run.
+func (u *usage) add(cost Cost, isForced bool) {
+	u.total = u.total.add(cost)
+	u.biggest.Duration, u.biggest.Bytes = max(u.biggest.Duration, cost.Duration), max(u.biggest.Bytes, cost.Bytes)
+	if isForced {
+		u.forced = u.forced.add(cost)
+	}
+}
+
+// check compares the usage with the budget: a burst and one run may come on top, and forced runs.
+func (u *usage) check(t *rapid.T, now time.Duration) {
+	most := (now.Seconds() + burstSeconds) * u.budget.TimePerSecond.Seconds()
+	if (u.total.Duration - u.forced.Duration - u.biggest.Duration).Seconds() > most {
+		t.Fatalf("%v used after %v, %v of it forced, of %v a second", u.total.Duration, now, u.forced.Duration, u.budget.TimePerSecond)
+	}
+	if float64(u.total.Bytes-u.forced.Bytes-u.biggest.Bytes) > (now.Seconds()+burstSeconds)*float64(u.budget.BytesPerSecond) {
+		t.Fatalf("%d bytes used after %v, %d of them forced, of %d a second", u.total.Bytes, now, u.forced.Bytes, u.budget.BytesPerSecond)
+	}
+}
+
+// TestBudgets runs random tasks on a virtual clock: over any time they take no more than the budget and a burst, but for
+// forced runs; none runs while the server is overloaded unless forced; none is later than its MaxInterval.
 func TestBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{TimePerSecond: time.Duration(rapid.IntRange(5, 200).Draw(t, "ms")) * time.Millisecond, BytesPerSecond: int64(rapid.IntRange(1, 100).Draw(t, "kb")) << 10}
-		list := []Task{{"compact", 1, time.Second, time.Minute}, {"sweep", 3, 100 * time.Millisecond, 5 * time.Second}, {"save", 2, 2 * time.Second, 0}}
-		s, err := New(b, 0, list...)
+		budget := Budget{
+			TimePerSecond:  time.Duration(rapid.IntRange(5, 200).Draw(t, "ms")) * time.Millisecond,
+			BytesPerSecond: int64(rapid.IntRange(1, 100).Draw(t, "kb")) << 10,
+		}
+		tasks := []Task{{"compact", 1, time.Second, time.Minute}, {"sweep", 3, 100 * time.Millisecond, 5 * time.Second}, {"save", 2, 2 * time.Second, 0}}
+		s, err := New(budget, 0, tasks...)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, overloaded := time.Duration(0), false
-		used, forced, biggest := Cost{}, Cost{}, Cost{}
+		now, overloaded, used := time.Duration(0), false, usage{budget: budget}
 		last := map[string]time.Duration{}
 		for range rapid.IntRange(50, 500).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * time.Millisecond
@@ -26,47 +57,32 @@
 				overloaded = !overloaded
 			}
 			name := s.Next(now, overloaded)
-			for _, c := range list {
-				if c.MaxInterval > 0 && name == "" && now-last[c.Name] >= c.MaxInterval {
-					t.Fatalf("%s is %v late", c.Name, now-last[c.Name]-c.MaxInterval)
+			for _, task := range tasks {
+				if task.MaxInterval > 0 && name == "" && now-last[task.Name] >= task.MaxInterval {
+					t.Fatalf("%s is %v late", task.Name, now-last[task.Name]-task.MaxInterval)
 				}
 			}
 			if name == "" {
 				continue
 			}
 			cost := Cost{time.Duration(rapid.IntRange(0, 20).Draw(t, "took")) * time.Millisecond, int64(rapid.IntRange(0, 8<<10).Draw(t, "bytes"))}
-			var c Task
-			for _, k := range list {
-				if k.Name == name {
-					c = k
-				}
-			}
-			byDeadline := c.MaxInterval > 0 && now-last[name] >= c.MaxInterval
-			if overloaded && !byDeadline {
-				t.Fatalf("%s runs while the server is pressed", name)
+			task := tasks[slices.IndexFunc(tasks, func(task Task) bool { return task.Name == name })]
+			isForced := task.MaxInterval > 0 && now-last[name] >= task.MaxInterval
+			if overloaded && !isForced {
+				t.Fatalf("%s runs while the server is overloaded", name)
 			}
-			if now-last[name] < c.MinInterval {
+			if now-last[name] < task.MinInterval {
 				t.Fatalf("%s runs again after %v", name, now-last[name])
 			}
 			s.Finish(name, now, cost)
 			last[name] = now
-			used.Duration, used.Bytes = used.Duration+cost.Duration, used.Bytes+cost.Bytes
-			biggest.Duration, biggest.Bytes = max(biggest.Duration, cost.Duration), max(biggest.Bytes, cost.Bytes)
-			if byDeadline {
-				forced.Duration, forced.Bytes = forced.Duration+cost.Duration, forced.Bytes+cost.Bytes
-			}
-			most := (now.Seconds() + burstSeconds) * b.TimePerSecond.Seconds()
-			if (used.Duration - forced.Duration - biggest.Duration).Seconds() > most {
-				t.Fatalf("%v used after %v, %v of it forced, of %v a second", used.Duration, now, forced.Duration, b.TimePerSecond)
-			}
-			if float64(used.Bytes-forced.Bytes-biggest.Bytes) > (now.Seconds()+burstSeconds)*float64(b.BytesPerSecond) {
-				t.Fatalf("%d bytes used after %v, %d of them forced, of %d a second", used.Bytes, now, forced.Bytes, b.BytesPerSecond)
-			}
+			used.add(cost, isForced)
+			used.check(t, now)
 		}
 	})
 }
 
-// TestPriorityOrder has the higher priority go first, and one that waits for its budget not be starved by a lower one.
+// TestPriorityOrder runs the task of higher priority first, and does not let a lower one starve it of the budget.
 func TestPriorityOrder(t *testing.T) {
 	s, err := New(Budget{time.Second, 1000}, 0, Task{"low", 1, 0, 0}, Task{"high", 2, 0, 0})
 	if err != nil {
