--- a/internal/capture/arrivals.go
+++ b/internal/capture/arrivals.go
@@ -5,36 +5,34 @@
 	"time"
 )
 
-// ReadArrivals are the times at which first tries reached the machine in a capture, counted from the first of them: what a
-// storm or the model can play again.
+// ReadArrivals returns the times at which first attempts reached the machine in a capture, counted from the first of them,
+// for load tests and simulations to replay. Times that would go back are raised to the one before.
 func ReadArrivals(path string) ([]time.Duration, error) {
 	segments, _, err := Open(path)
 	if err != nil {
 		return nil, err
 	}
-	var list []time.Duration
+	var arrivals []time.Duration
 	for _, s := range segments {
-		for i := range s.Blocks {
-			err := s.Blocks[i].forEach(func(r *Record) error {
-				if r.Kind == KindRequest && !r.Request.IsRetry {
-					list = append(list, r.At-r.Request.QueueingDelay)
-				}
-				return nil
-			})
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", s.Path, err)
+		err := s.ForEach(func(_ Position, r *Record) error {
+			if r.Kind == KindRequest && !r.Request.IsRetry {
+				arrivals = append(arrivals, r.At-r.Request.QueueingDelay)
 			}
+			return nil
+		})
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", s.Path, err)
 		}
 	}
-	if len(list) == 0 {
+	if len(arrivals) == 0 {
 		return nil, fmt.Errorf("%s: found no requests, want some whose arrivals can be played", path)
 	}
-	first := list[0]
-	for i := range list {
-		list[i] = max(list[i]-first, 0)
+	first := arrivals[0]
+	for i := range arrivals {
+		arrivals[i] = max(arrivals[i]-first, 0)
 		if i > 0 {
-			list[i] = max(list[i], list[i-1])
+			arrivals[i] = max(arrivals[i], arrivals[i-1])
 		}
 	}
-	return list, nil
+	return arrivals, nil
 }
--- a/internal/capture/codec_test.go
+++ b/internal/capture/codec_test.go
@@ -15,7 +15,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// loadTestRecords are those of a real storm of the kit.
+// loadTestRecords returns those of a real load test.
 func loadTestRecords(b *testing.B) (*Segment, []Record) {
 	b.Helper()
 	s, err := ReadSegment("../replay/testdata/overload.capture")
@@ -25,7 +25,7 @@
 	return s, readRecords(b, s, nil)
 }
 
-// BenchmarkCompression weighs compressions of the blocks of a storm: bytes a second, and what is left of them.
+// BenchmarkCompression compares compressions of a load test's blocks: bytes a second, and the share that is left.
 func BenchmarkCompression(b *testing.B) {
 	s, records := loadTestRecords(b)
 	last := s.Meta.ModuleTime
@@ -70,7 +70,7 @@
 	}
 }
 
-// BenchmarkEncoding weighs serializations of the records of a storm: time and bytes a record.
+// BenchmarkEncoding compares serializations of a load test's records: time and bytes a record.
 func BenchmarkEncoding(b *testing.B) {
 	_, records := loadTestRecords(b)
 	var out bytes.Buffer
@@ -103,6 +103,7 @@
 	}
 }
 
+// encodeAll returns the bytes that an encoder makes of the records.
 func encodeAll(out *bytes.Buffer, e interface{ Encode(any) error }, records []Record) (int, error) {
 	out.Reset()
 	for i := range records {
@@ -113,7 +114,7 @@
 	return out.Len(), nil
 }
 
-// TestBlockOfLoadTest has a block of a real storm survive its compression.
+// TestBlockOfLoadTest compresses and decompresses a block of a real load test.
 func TestBlockOfLoadTest(t *testing.T) {
 	raw, err := os.ReadFile("../replay/testdata/overload.capture")
 	if err != nil {
--- a/internal/capture/directory.go
+++ b/internal/capture/directory.go
@@ -12,9 +12,9 @@
 	"strings"
 )
 
-// Directory is the folder that segments are written to. Tests put one in its place that fills, stalls or fails.
+// Directory is where segments are written. Tests replace it by one that fills up, stalls or fails.
 type Directory interface {
-	// Create makes a file that must not exist yet.
+	// Create creates a file that must not exist yet.
 	Create(name string) (io.WriteCloser, error)
 	// List returns the names and sizes of all files.
 	List() (map[string]int64, error)
@@ -25,7 +25,7 @@
 // directoryPath is a directory of the file system.
 type directoryPath string
 
-// OpenDirectory returns a directory, which is made where it does not exist.
+// OpenDirectory returns a directory of the file system, and creates it where it does not exist.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -33,14 +33,14 @@
 	return directoryPath(path), nil
 }
 
-// Create implements Files.
-func (f directoryPath) Create(name string) (io.WriteCloser, error) {
-	return os.OpenFile(filepath.Join(string(f), name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
+// Create implements Directory.
+func (d directoryPath) Create(name string) (io.WriteCloser, error) {
+	return os.OpenFile(filepath.Join(string(d), name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, segmentMode)
 }
 
-// List implements Files.
-func (f directoryPath) List() (map[string]int64, error) {
-	dir, err := os.Open(string(f))
+// List implements Directory.
+func (d directoryPath) List() (map[string]int64, error) {
+	dir, err := os.Open(string(d))
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 	}
 	sizes := make(map[string]int64, len(names))
 	for _, name := range names {
-		info, err := os.Lstat(filepath.Join(string(f), name))
+		info, err := os.Lstat(filepath.Join(string(d), name))
 		switch {
 		case errors.Is(err, fs.ErrNotExist): // removed since
 		case err != nil:
@@ -63,38 +63,43 @@
 	return sizes, nil
 }
 
-// Remove implements Files.
-func (f directoryPath) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
+// Remove implements Directory.
+func (d directoryPath) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// segmentSuffix ends the names of segments.
+// segmentSuffix ends the names of segment files.
 const segmentSuffix = ".capture"
 
-// segmentName is the name of the file with the number.
-func segmentName(number int) string { return fmt.Sprintf("%010d%s", number, segmentSuffix) }
+// minSegmentDigits is the least number of digits in the name of a segment file.
+const minSegmentDigits = 10
 
-// segmentNumber reads the number of a file's name.
-func segmentNumber(name string) (int, bool) {
+// segmentName returns the name of the file with the number.
+func segmentName(number int) string {
+	return fmt.Sprintf("%0*d%s", minSegmentDigits, number, segmentSuffix)
+}
+
+// segmentNumber is the inverse of segmentName; ok is false for the names of other files.
+func segmentNumber(name string) (number int, ok bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
-	if !ok || len(digits) < 10 {
+	if !ok || len(digits) < minSegmentDigits {
 		return 0, false
 	}
-	n, err := strconv.Atoi(digits)
-	return n, err == nil && n > 0
+	number, err := strconv.Atoi(digits)
+	return number, err == nil && number > 0
 }
 
-// listSegments are the segments of a folder by their numbers, and those in order.
-func listSegments(f Directory) (sizes map[int]int64, order []int, err error) {
-	all, err := f.List()
+// listSegments returns the sizes of a directory's segments by their numbers, and the numbers in order.
+func listSegments(directory Directory) (sizes map[int]int64, numbers []int, err error) {
+	files, err := directory.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
 	}
 	sizes = map[int]int64{}
-	for name, size := range all {
-		if n, ok := segmentNumber(name); ok {
-			sizes[n] = size
-			order = append(order, n)
+	for name, size := range files {
+		if number, ok := segmentNumber(name); ok {
+			sizes[number] = size
+			numbers = append(numbers, number)
 		}
 	}
-	slices.Sort(order)
-	return sizes, order, nil
+	slices.Sort(numbers)
+	return sizes, numbers, nil
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -1,117 +1,95 @@
 package capture
 
 import (
-	"fmt"
 	"runtime"
 	"strconv"
 	"time"
 )
 
-// Config is how a recorder writes. All sizes are in bytes.
-type Config struct {
-	SegmentBytes  int64         // size at which a new segment is begun
-	SegmentAge    time.Duration // age at which a new segment is begun
-	MaxBytes      int64         // what all segments of the folder may take together
-	BufferBytes   int           // of blocks that wait for the disk
-	FlushInterval time.Duration // how long a record waits to be written at the most, while events come
-}
-
-// DefaultConfig are what is used where nothing else is told.
-func DefaultConfig() Config {
-	return Config{SegmentBytes: 8 << 20, SegmentAge: time.Minute, MaxBytes: 256 << 20, BufferBytes: 1 << 20, FlushInterval: 200 * time.Millisecond}
-}
+// retryInterval is how long a recorder waits after the disk failed before it begins a new segment.
+const retryInterval = time.Second
 
-// The least values of a configuration that make sense.
+// Causes of gaps, as segments store them.
 const (
-	minSegmentBytes = 4 << 10
-	minBufferBytes  = 8 * minBlockSize
-	minBlockSize    = 2 * maxRecordSize
-	maxBlockSize    = 64 << 10
-	// retryInterval is how long a recorder waits after a failure before it tries a new segment.
-	retryInterval = time.Second
+	causeSlowDisk   = "the disk is too slow"
+	causeFailedDisk = "the disk failed"
 )
 
-// Validate names the first value that makes no sense.
-func (c Config) Validate() error {
-	switch {
-	case c.SegmentBytes < minSegmentBytes:
-		return fmt.Errorf("capture: a segment of %d bytes, want at least %d", c.SegmentBytes, minSegmentBytes)
-	case c.MaxBytes < 2*(c.SegmentBytes+int64(c.BufferBytes)):
-		return fmt.Errorf("capture: %d bytes are kept, want at least twice a segment and the memory, %d", c.MaxBytes,
-			2*(c.SegmentBytes+int64(c.BufferBytes)))
-	case c.BufferBytes < minBufferBytes:
-		return fmt.Errorf("capture: %d bytes of memory, want at least %d", c.BufferBytes, minBufferBytes)
-	case c.SegmentAge <= 0 || c.FlushInterval <= 0:
-		return fmt.Errorf("capture: age %v and flush %v, want more than 0", c.SegmentAge, c.FlushInterval)
-	}
-	return nil
+// Counters are what became of a recording since its start.
+type Counters struct {
+	Records           uint64 // recorded
+	Dropped           uint64 // not recorded, since the disk was slow, full or broken
+	Gaps              uint64 // stretches of dropped records
+	Segments          uint64 // begun
+	WrittenBytes      uint64
+	UncompressedBytes uint64 // of what was written
+	DiskErrors        uint64
 }
 
-// buffer is a block that is filled or waits for the disk.
+// buffer is a block that is being filled, or waits for the disk.
 type buffer struct {
 	header   blockHeader
-	meta     *Meta // of the segment that it begins
+	meta     *Meta // of the segment that this block begins, else nil
 	records  uint64
 	data     []byte
-	freeList chan *buffer // where it goes when it is free
+	freeList chan *buffer // to which it returns; it has room for all its buffers
 }
 
-// release makes a buffer free.
+// release returns a buffer to its free list.
 func (b *buffer) release() {
 	b.meta, b.records, b.data = nil, 0, b.data[:0]
-	b.freeList <- b // there is room for all there are
-}
-
-// Counters tell what became of a recording; all count from the start.
-type Counters struct {
-	Records           uint64 // recorded
-	Dropped           uint64 // not recorded, as the disk was slow, full or broken
-	Gaps              uint64 // times that records were lost in a row
-	Segments          uint64 // begun
-	WrittenBytes      uint64 // written
-	UncompressedBytes uint64 // the same before compression
-	DiskErrors        uint64 // of the disk
+	b.freeList <- b
 }
 
-// Recorder writes records. Its methods belong to the goroutine that owns the module, and none of them waits: a
-// record is put into a block in memory, full blocks go to a goroutine that writes them, and where no block is
-// left in memory records are lost, counted, and followed by a new segment with a state of its own.
+// Recorder writes records. Its methods belong to the goroutine that owns the module, and none of them waits: a record is put
+// into a block in memory, full blocks go to a goroutine that writes them, and while no block is free records are dropped and
+// counted, and a new segment with a snapshot of its own follows.
 type Recorder struct {
-	config        Config
-	meta          Meta // of the segment that is recorded
-	writer        *writer
+	config   Config
+	meta     Meta // of the current segment
+	unixTime func() time.Time
+	writer   *writer
+	isClosed bool
+	counters Counters
+
+	// Buffers.
 	freeBlocks    chan *buffer
-	freeSnapshots chan *buffer // the one buffer for states; it grows with them
-	current       *buffer      // nil in a gap
-	blockSize     int          // size of a block
-	lastEvent     time.Duration
-	counters      Counters
-	gap           *Gap // nil while nothing is lost
-	segmentStart  time.Duration
-	retryAt       time.Duration
-	unixTime      func() time.Time
-	isClosed      bool
-}
-
-// NewRecorder returns a recorder that writes to the folder; about names the server, its classes and its tenants. What goes
-// wrong with the disk is told to trouble, from another goroutine.
-func NewRecorder(files Directory, cfg Config, about Meta, unix func() time.Time, trouble func(error)) (*Recorder, error) {
-	if err := cfg.Validate(); err != nil {
+	freeSnapshots chan *buffer // has one buffer, which grows to the size of the snapshots
+	blockSize     int
+	current       *buffer // nil during a gap
+
+	lastEvent    time.Duration
+	segmentStart time.Duration
+	gap          *Gap // nil while nothing is dropped
+	retryAt      time.Duration
+}
+
+// NewRecorder returns a recorder that writes to the directory. The meta names the server, its classes and its tenants. Errors
+// of the disk are passed to reportError, from another goroutine.
+func NewRecorder(directory Directory, config Config, meta Meta, unixTime func() time.Time, reportError func(error)) (*Recorder, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	if _, _, err := listSegments(files); err != nil {
+	if _, _, err := listSegments(directory); err != nil {
 		return nil, err
 	}
-	size := min(maxBlockSize, cfg.BufferBytes/8)
-	n := cfg.BufferBytes / size
-	r := &Recorder{config: cfg, meta: about, blockSize: size, unixTime: unix, freeBlocks: make(chan *buffer, n), freeSnapshots: make(chan *buffer, 1),
-		writer: &writer{directory: files, maxBytes: cfg.MaxBytes, reservedBytes: cfg.SegmentBytes + int64(cfg.BufferBytes), reportError: trouble,
-			blocks: make(chan *buffer, n+1), done: make(chan struct{})}}
-	for range n {
-		r.freeBlocks <- &buffer{data: make([]byte, 0, size), freeList: r.freeBlocks}
+	blockSize := config.blockSize()
+	blocks := config.BufferBytes / blockSize
+	r := &Recorder{
+		config:        config,
+		meta:          meta,
+		unixTime:      unixTime,
+		writer:        newWriter(directory, config, blocks, reportError),
+		freeBlocks:    make(chan *buffer, blocks),
+		freeSnapshots: make(chan *buffer, 1),
+		blockSize:     blockSize,
+	}
+	for range blocks {
+		r.freeBlocks <- &buffer{data: make([]byte, 0, blockSize), freeList: r.freeBlocks}
 	}
 	r.freeSnapshots <- &buffer{freeList: r.freeSnapshots}
-	r.meta.Run, r.meta.Arch = strconv.FormatInt(unix().UnixNano(), 36), runtime.GOARCH
+	r.meta.Run = strconv.FormatInt(unixTime().UnixNano(), 36)
+	r.meta.Arch = runtime.GOARCH
 	go r.writer.run()
 	return r, nil
 }
@@ -119,7 +97,7 @@
 // add records one event, action or note.
 func (r *Recorder) add(rec *Record) {
 	if r.current != nil && len(r.current.data)+maxRecordSize > r.blockSize && !r.nextBlock() {
-		r.beginGap("the disk is too slow", rec.At)
+		r.beginGap(causeSlowDisk, rec.At)
 	}
 	if r.current == nil {
 		r.counters.Dropped++
@@ -133,7 +111,7 @@
 	r.counters.Records++
 }
 
-// beginGap begins a gap.
+// beginGap drops the current block and all records until the next segment.
 func (r *Recorder) beginGap(cause string, now time.Duration) {
 	if r.current != nil {
 		r.counters.Records -= r.current.records
@@ -147,9 +125,9 @@
 	}
 }
 
-// nextBlock hands the block to the writer and goes on in a free one; it returns false where there is none.
+// nextBlock hands the current block to the writer and takes a free one; it returns false where there is none.
 func (r *Recorder) nextBlock() bool {
-	r.writer.blocks <- r.current // there is room for all there are
+	r.writer.blocks <- r.current // never blocks: it has room for all buffers
 	r.current = nil
 	select {
 	case r.current = <-r.freeBlocks:
@@ -160,17 +138,15 @@
 	}
 }
 
-// beginBlock sets the head of a block.
+// beginBlock sets the header of a block.
 func (r *Recorder) beginBlock(b *buffer, kind blockKind) {
 	b.header = blockHeader{kind: kind, firstRecord: r.counters.Records, baseTime: r.lastEvent, unixTime: r.unixTime()}
 }
 
-// endRound ends a group of events: the module is between events, so its state may be taken.
+// endRound ends a group of events. The module is between events here, so a snapshot may be taken.
 func (r *Recorder) endRound(now time.Duration, snapshot func([]byte) []byte) {
-	w := r.writer
-	current := int64(r.meta.Segment)
-	if r.current != nil && w.failedSegment.Load() == current {
-		r.beginGap("the disk failed", now)
+	if r.current != nil && r.writer.failedSegment.Load() == int64(r.meta.Segment) {
+		r.beginGap(causeFailedDisk, now)
 		r.retryAt = now + retryInterval
 	}
 	switch {
@@ -179,25 +155,31 @@
 		if now >= r.retryAt {
 			r.startSegment(now, snapshot)
 		}
-	case now-r.segmentStart >= r.config.SegmentAge, w.segmentNumber.Load() == current && w.segmentBytes.Load() >= r.config.SegmentBytes:
+	case r.isSegmentFull(now):
 		r.startSegment(now, snapshot)
-	case len(r.current.data) > 0 && r.unixTime().Sub(r.current.header.unixTime) >= r.config.FlushInterval && !r.nextBlock():
-		r.beginGap("the disk is too slow", now)
+	case r.isFlushDue() && !r.nextBlock():
+		r.beginGap(causeSlowDisk, now)
 	}
 }
 
-// startSegment begins a segment where memory is left for that; else the present one, or the gap, goes on.
-func (r *Recorder) startSegment(now time.Duration, snapshot func([]byte) []byte) {
-	var state, block *buffer
-	select {
-	case state = <-r.freeSnapshots:
-	default:
-		return // the one before is not written yet
+// isSegmentFull tells whether the current segment has reached its age or its size.
+func (r *Recorder) isSegmentFull(now time.Duration) bool {
+	if now-r.segmentStart >= r.config.SegmentAge {
+		return true
 	}
-	select {
-	case block = <-r.freeBlocks:
-	default:
-		state.release()
+	isWriting := r.writer.segmentNumber.Load() == int64(r.meta.Segment) // else its size is that of the one before
+	return isWriting && r.writer.segmentBytes.Load() >= r.config.SegmentBytes
+}
+
+// isFlushDue tells whether the current block has waited long enough to be written though it is not full.
+func (r *Recorder) isFlushDue() bool {
+	return len(r.current.data) > 0 && r.unixTime().Sub(r.current.header.unixTime) >= r.config.FlushInterval
+}
+
+// startSegment begins a segment if there are buffers for it; else the current one, or the gap, goes on.
+func (r *Recorder) startSegment(now time.Duration, snapshot func([]byte) []byte) {
+	state, block := r.takeSegmentBuffers()
+	if state == nil {
 		return
 	}
 	if r.current != nil {
@@ -205,8 +187,9 @@
 	}
 	r.lastEvent, r.segmentStart = now, now
 	r.meta.Segment++
-	r.meta.FirstRecord, r.meta.ModuleTime, r.meta.UnixTime, r.meta.Gap = r.counters.Records, now, r.unixTime(), r.gap
-	r.gap = nil
+	r.meta.FirstRecord = r.counters.Records
+	r.meta.ModuleTime, r.meta.UnixTime = now, r.unixTime()
+	r.meta.Gap, r.gap = r.gap, nil
 	meta := r.meta
 	r.beginBlock(state, blockSnapshot)
 	state.meta, state.data = &meta, snapshot(state.data)
@@ -215,19 +198,38 @@
 	r.current = block
 }
 
+// takeSegmentBuffers takes the buffers for a segment's snapshot and its first block, or none where one is missing.
+func (r *Recorder) takeSegmentBuffers() (state, block *buffer) {
+	select {
+	case state = <-r.freeSnapshots:
+	default:
+		return nil, nil // the one before is not written yet
+	}
+	select {
+	case block = <-r.freeBlocks:
+		return state, block
+	default:
+		state.release()
+		return nil, nil
+	}
+}
+
 // Counters returns what became of the recording so far.
 func (r *Recorder) Counters() Counters {
-	c, w := r.counters, r.writer
+	counters, w := r.counters, r.writer
 	dropped := w.droppedRecords.Load()
-	c.Records -= min(dropped, c.Records)
-	c.Dropped += dropped
-	c.Segments, c.WrittenBytes, c.UncompressedBytes, c.DiskErrors = w.segments.Load(), w.totalBytes.Load(), w.rawBytes.Load(), w.errorCount.Load()
-	return c
-}
-
-// Close has the rest written and ends the segment. It waits for the disk no longer than the time, and returns
-// whether all was written.
-func (r *Recorder) Close(patience time.Duration) bool {
+	counters.Records -= min(dropped, counters.Records)
+	counters.Dropped += dropped
+	counters.Segments = w.segments.Load()
+	counters.WrittenBytes = w.totalBytes.Load()
+	counters.UncompressedBytes = w.rawBytes.Load()
+	counters.DiskErrors = w.errorCount.Load()
+	return counters
+}
+
+// Close writes the rest and closes the segment. It waits for the disk no longer than the timeout, and returns whether
+// everything was written.
+func (r *Recorder) Close(timeout time.Duration) bool {
 	if r.isClosed {
 		return true
 	}
@@ -240,7 +242,7 @@
 	select {
 	case <-r.writer.done:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -2,84 +2,27 @@
 
 import (
 	"errors"
-	"io"
 	"os"
 	"path/filepath"
-	"sync"
 	"testing"
 	"time"
 
 	"tillerusher/admission"
 )
 
-// testSettings are those of a server of two cores.
-func testSettings() admission.Settings {
-	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 40000, KeyKB: 50,
-		RunningMemoryFactor: 16, MaxConcurrencyFactor: 8, MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second,
-		Classes: []admission.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Weight: 1},
-			{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2, Effect: admission.IdempotentByKey, KeyWindow: 5 * time.Second}},
-		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
-}
-
-// recordedModule is a recorder with a module behind it.
-type recordedModule struct {
-	*Recorder
-	tap *Tap
-	now time.Duration
-	id  admission.RequestID
-}
-
-// startRecording starts a module that is recorded.
-func startRecording(t testing.TB, files Directory, cfg Config, trouble func(error)) *recordedModule {
-	t.Helper()
-	rec, err := NewRecorder(files, cfg, Meta{Server: "n3", Classes: []string{"look", "take"}}, time.Now, trouble)
-	if err != nil {
-		t.Fatal(err)
-	}
-	tap := NewTap(rec, admission.NoActions{})
-	m, err := admission.New(testSettings(), tap)
-	if err != nil {
-		t.Fatal(err)
-	}
-	tap.Attach(m, 0)
-	return &recordedModule{Recorder: rec, tap: tap}
-}
-
-// endRound is a usual round: a request comes, one of those before ends, and a timer rings now and then.
-func (b *recordedModule) round() {
-	b.now += 3 * time.Millisecond
-	b.id++
-	b.tap.NameRequest(b.id, "00000000000000aa", "")
-	b.tap.Request(b.now, admission.Request{ID: b.id, Class: int(b.id % 2), Tenant: int(b.id % 2), Caller: 1, SizeKB: 24.5})
-	if b.id > 4 {
-		b.tap.RunFinished(b.now, b.id-4, admission.OK)
-	}
-	if b.id%30 == 0 {
-		b.tap.Timer(b.now, 0, admission.Gauges{Utilization: 0.5, Runnable: 2})
-	}
-	b.tap.Settle(b.now)
-}
-
-// smallConfig is a configuration with many small blocks and segments.
-func smallConfig() Config {
-	return Config{SegmentBytes: minSegmentBytes, SegmentAge: time.Hour, MaxBytes: 1 << 30, BufferBytes: minBufferBytes, FlushInterval: time.Hour}
-}
-
-func ignoreError(error) {}
-
-// TestRotation keeps the folder within its bound, begins each segment with a state, and overwrites nothing of an
-// earlier start.
+// TestRotation keeps the directory within its limit, begins each segment with a snapshot, and overwrites nothing of an earlier
+// start.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
-	files, err := OpenDirectory(filepath.Join(dir, "new"))
+	directory, err := OpenDirectory(filepath.Join(dir, "new"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := smallConfig()
-	cfg.MaxBytes = 4 * (cfg.SegmentBytes + int64(cfg.BufferBytes))
-	seen := map[string]bool{}
+	config := smallConfig()
+	config.MaxBytes = 4 * (config.SegmentBytes + int64(config.BufferBytes))
+	runs := map[string]bool{}
 	for range 2 { // starts
-		b := startRecording(t, files, cfg, func(err error) { t.Error(err) })
+		b := startRecording(t, directory, config, func(err error) { t.Error(err) })
 		for range 40 {
 			for range 100 {
 				b.round()
@@ -94,73 +37,41 @@
 		if c := b.Counters(); c.Segments < 3 || c.Records == 0 || c.Dropped > 0 {
 			t.Errorf("counters %+v", c)
 		}
-		segments, bad, err := Open(filepath.Join(dir, "new"))
-		if err != nil || len(bad) > 0 {
-			t.Fatal(bad, err)
-		}
-		total := int64(0)
-		for i, s := range segments {
-			total += s.Size
-			if !s.Complete || len(s.Damage) > 0 || s.Snapshot == nil || s.Meta.Server != "n3" {
-				t.Errorf("%s: complete %t, damage %v", s.Path, s.Complete, s.Damage)
-			}
-			if _, err := admission.Restore(s.Snapshot, admission.NoActions{}); err != nil {
-				t.Error(err)
-			}
-			if i > 0 && s.Meta.Run == segments[i-1].Meta.Run && !s.IsContinuationOf(segments[i-1]) {
-				t.Errorf("%s does not go on where the one before ended", s.Path)
-			}
-			seen[s.Meta.Run] = true
-		}
-		if total > cfg.MaxBytes {
-			t.Errorf("%d bytes are kept, %d are allowed", total, cfg.MaxBytes)
+		total := checkRotated(t, filepath.Join(dir, "new"), runs)
+		if total > config.MaxBytes {
+			t.Errorf("%d bytes are kept, %d are allowed", total, config.MaxBytes)
 		}
 	}
-	if len(seen) != 2 {
-		t.Errorf("segments of %d starts were seen", len(seen))
+	if len(runs) != 2 {
+		t.Errorf("segments of %d starts were found", len(runs))
 	}
 }
 
-// faultyDirectory is a folder whose disk can stand still or be full.
-type faultyDirectory struct {
-	Directory
-	mu     sync.Mutex
-	isFull bool
-}
-
-var errFull = errors.New("no space left on device")
-
-func (v *faultyDirectory) setFull(full bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.isFull = full
-}
-
-func (v *faultyDirectory) Create(name string) (f io.WriteCloser, err error) {
-	if f, err = v.Directory.Create(name); err != nil {
-		return nil, err
+// checkRotated checks that the segments of a directory are whole and continue each other. It adds their runs and returns
+// their bytes.
+func checkRotated(t *testing.T, dir string, runs map[string]bool) (total int64) {
+	t.Helper()
+	segments, unreadable, err := Open(dir)
+	if err != nil || len(unreadable) > 0 {
+		t.Fatal(unreadable, err)
 	}
-	return faultyFile{v, f}, nil
-}
-
-type faultyFile struct {
-	v *faultyDirectory
-	f io.WriteCloser
-}
-
-func (f faultyFile) Write(p []byte) (int, error) {
-	f.v.mu.Lock() // a test that holds it stalls the disk
-	defer f.v.mu.Unlock()
-	if f.v.isFull {
-		n, _ := f.f.Write(p[:len(p)/2])
-		return n, errFull
-	}
-	return f.f.Write(p)
+	for i, s := range segments {
+		total += s.Size
+		if !s.Complete || len(s.Damage) > 0 || s.Snapshot == nil || s.Meta.Server != "n3" {
+			t.Errorf("%s: complete %t, damage %v", s.Path, s.Complete, s.Damage)
+		}
+		if _, err := admission.Restore(s.Snapshot, admission.NoActions{}); err != nil {
+			t.Error(err)
+		}
+		if i > 0 && s.Meta.Run == segments[i-1].Meta.Run && !s.IsContinuationOf(segments[i-1]) {
+			t.Errorf("%s does not go on where the one before ended", s.Path)
+		}
+		runs[s.Meta.Run] = true
+	}
+	return total
 }
 
-func (f faultyFile) Close() error { return f.f.Close() }
-
-// checkGaps reads a capture with one gap of so many records.
+// checkGaps reads a capture that has gaps and compares it with the counters.
 func checkGaps(t *testing.T, dir string, c Counters) {
 	t.Helper()
 	segments, _, err := Open(dir)
@@ -184,27 +95,27 @@
 	}
 }
 
-// TestStalledDisk has the disk stand still: the loop goes on, memory stays bounded, and what is lost is told by the
-// segment that follows.
+// TestStalledDisk has the disk stall: the loop goes on, memory stays bounded, and the segment that follows says what was
+// dropped.
 func TestStalledDisk(t *testing.T) {
 	dir := t.TempDir()
-	files, err := OpenDirectory(dir)
+	directory, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &faultyDirectory{Directory: files}
-	b := startRecording(t, v, smallConfig(), ignoreError)
+	disk := &faultyDirectory{Directory: directory}
+	b := startRecording(t, disk, smallConfig(), ignoreError)
 	for range 50 {
 		b.round()
 	}
-	v.mu.Lock()
+	disk.mu.Lock()
 	for range 20000 {
 		b.round() // would not return if it waited for the disk
 	}
 	if waiting := len(b.writer.blocks) + len(b.freeBlocks); waiting > 10 {
 		t.Errorf("%d buffers are in use", waiting)
 	}
-	v.mu.Unlock()
+	disk.mu.Unlock()
 	for b.current == nil {
 		b.round()
 		time.Sleep(time.Millisecond)
@@ -218,33 +129,33 @@
 	checkGaps(t, dir, b.Counters())
 }
 
-// TestFullDisk has the disk be full for a while: the segment breaks off, the trouble is told, and a new segment
-// follows once there is room.
+// TestFullDisk has the disk be full for a while: the segment is abandoned, the error is reported, and a new segment follows
+// once there is space.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	files, err := OpenDirectory(dir)
+	directory, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &faultyDirectory{Directory: files}
-	told := make(chan error, 100)
-	b := startRecording(t, v, smallConfig(), func(err error) { told <- err })
+	disk := &faultyDirectory{Directory: directory}
+	reported := make(chan error, 100)
+	b := startRecording(t, disk, smallConfig(), func(err error) { reported <- err })
 	for range 50 {
 		b.round()
 	}
-	v.setFull(true)
-	for len(told) == 0 {
+	disk.setFull(true)
+	for len(reported) == 0 {
 		b.round()
 		time.Sleep(time.Millisecond) // the writer needs the processor, too
 	}
-	if err := <-told; !errors.Is(err, errFull) {
-		t.Errorf("told %v", err)
+	if err := <-reported; !errors.Is(err, errFull) {
+		t.Errorf("reported %v", err)
 	}
 	for b.current != nil {
 		b.round()
 		time.Sleep(time.Millisecond)
 	}
-	v.setFull(false)
+	disk.setFull(false)
 	for b.current == nil || b.writer.segmentNumber.Load() != int64(b.meta.Segment) {
 		b.round()
 		time.Sleep(time.Millisecond)
@@ -263,35 +174,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	broken := len(unreadable) // one that broke off in its very first bytes
+	abandoned := len(unreadable) // one that was abandoned in its first bytes
 	for _, s := range segments {
 		if !s.Complete && len(s.Damage) > 0 {
-			broken++
+			abandoned++
 		}
 	}
-	if broken == 0 {
-		t.Error("the segment that broke off looks whole")
+	if abandoned == 0 {
+		t.Error("the abandoned segment looks whole")
 	}
 }
 
-// TestCloseDoesNotWait has a disk that never comes back not hold up the end of the process.
+// TestCloseDoesNotWait closes a recorder whose disk stalls for good: the end of the process must not wait for it.
 func TestCloseDoesNotWait(t *testing.T) {
-	files, err := OpenDirectory(t.TempDir())
+	directory, err := OpenDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &faultyDirectory{Directory: files}
-	v.mu.Lock()
-	b := startRecording(t, v, smallConfig(), ignoreError)
+	disk := &faultyDirectory{Directory: directory}
+	disk.mu.Lock()
+	b := startRecording(t, disk, smallConfig(), ignoreError)
 	b.round()
 	if b.Close(time.Millisecond) {
 		t.Error("it was closed")
 	}
-	v.mu.Unlock()
+	disk.mu.Unlock()
 	<-b.writer.done
 }
 
-// TestConfig names what makes no sense.
+// TestConfig rejects values that make no sense.
 func TestConfig(t *testing.T) {
 	if err := DefaultConfig().Validate(); err != nil {
 		t.Error(err)
@@ -301,22 +212,22 @@
 		c := DefaultConfig()
 		change(&c)
 		if c.Validate() == nil {
-			t.Errorf("change %d is taken", i)
+			t.Errorf("change %d is accepted", i)
 		}
 	}
 	if _, err := OpenDirectory(filepath.Join(os.DevNull, "x")); err == nil {
-		t.Error("a folder in a file")
+		t.Error("a directory in a file")
 	}
 }
 
-// BenchmarkRecord is what a round with one request costs the loop, recorded and not.
+// BenchmarkRecord measures what a round with one request costs the loop, recorded and not.
 func BenchmarkRecord(b *testing.B) {
 	b.Run("on", func(b *testing.B) {
-		files, err := OpenDirectory(b.TempDir())
+		directory, err := OpenDirectory(b.TempDir())
 		if err != nil {
 			b.Fatal(err)
 		}
-		r := startRecording(b, files, DefaultConfig(), ignoreError)
+		r := startRecording(b, directory, DefaultConfig(), ignoreError)
 		b.ReportAllocs()
 		for b.Loop() {
 			r.round()
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -1,18 +1,12 @@
 package capture
 
 import (
-	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
-	"slices"
-	"strings"
 	"time"
 )
 
-// SegmentBytes is one file of a capture, as far as it can be read.
+// Segment is one file of a capture, as far as it can be read.
 type Segment struct {
 	Path              string
 	Size              int64
@@ -20,19 +14,19 @@
 	Snapshot          []byte   // nil where it is damaged: a replay cannot begin here
 	Blocks            []Block  // of records, in order
 	Damage            []Damage // what could not be read
-	Complete          bool     // it was ended in order
-	CompressedBytes   int64    // totalBytes of all blocks, stored
-	UncompressedBytes int64    // the same before compression
+	Complete          bool     // it was closed in order
+	CompressedBytes   int64    // of all blocks as they are stored
+	UncompressedBytes int64
 }
 
 // Block is one block of records.
 type Block struct {
 	Offset      int64         // in the file
-	FirstRecord uint64        // fileNumber of its first record within the run
+	FirstRecord uint64        // number of its first record within the run
 	BaseTime    time.Duration // the module's clock before it
 	UnixTime    time.Time     // when it was begun
 	AfterDamage bool          // what comes before it is missing
-	raw         []byte
+	content     []byte
 }
 
 // Damage is a part of a file that could not be read.
@@ -42,122 +36,20 @@
 	Reason string `json:"what"`
 }
 
-// String names the place and what is wrong there.
+// String returns the place and the reason.
 func (d Damage) String() string {
 	return fmt.Sprintf("%d bytes at %d: %s", d.Bytes, d.Offset, d.Reason)
 }
 
-// ReadSegment reads one file. What is damaged is left out and named; the error is for a file that is none, is of
-// a newer version, or does not even tell what it is of.
-func ReadSegment(path string) (*Segment, error) {
-	b, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("capture: %w", err)
-	}
-	s, err := Parse(b)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	s.Path = path
-	return s, nil
-}
-
-// Parse reads the bytes of a segment, as ReadSegment does.
-func Parse(b []byte) (*Segment, error) {
-	if err := readPreamble(b); err != nil {
-		return nil, err
-	}
-	s := &Segment{Size: int64(len(b))}
-	next, told := uint64(0), false
-	for at := preambleSize; at < len(b); {
-		h, ok := readBlockHeader(b[at:])
-		if !ok {
-			skip := findNextHeader(b[at:])
-			what := "no block begins here"
-			if at+skip == len(b) {
-				what = "the last block is torn"
-			}
-			s.addDamage(at, skip, what)
-			at += skip
-			continue
-		}
-		if blockHeaderSize+h.storedSize > len(b)-at {
-			// Torn, or followed by a block that began before this one was whole: a copy that lost bytes.
-			skip := 1 + findNextHeader(b[at+1:])
-			what := fmt.Sprintf("a block of %d bytes ends early", blockHeaderSize+h.storedSize)
-			if at+skip == len(b) {
-				what = "the last block is torn"
-			}
-			s.addDamage(at, skip, what)
-			at += skip
-			continue
-		}
-		raw, err := readBlockContent(h, b[at:])
-		if err != nil {
-			s.addDamage(at, blockHeaderSize+h.storedSize, err.Error())
-			at += blockHeaderSize + h.storedSize
-			continue
-		}
-		s.CompressedBytes += int64(blockHeaderSize + h.storedSize)
-		s.UncompressedBytes += int64(h.rawSize)
-		switch h.kind {
-		case blockMeta:
-			if err := json.Unmarshal(raw, &s.Meta); err != nil {
-				return nil, fmt.Errorf("%w: its description: %w", ErrNotCapture, err)
-			}
-			next, told = s.Meta.FirstRecord, true
-		case blockSnapshot:
-			s.Snapshot = raw
-		case blockRecords:
-			blk := Block{Offset: int64(at), FirstRecord: h.firstRecord, BaseTime: h.baseTime, UnixTime: h.unixTime, AfterDamage: h.firstRecord != next, raw: raw}
-			n, err := blk.countRecords()
-			if err != nil {
-				s.addDamage(at, blockHeaderSize+h.storedSize, err.Error())
-				break
-			}
-			next = h.firstRecord + n
-			s.Blocks = append(s.Blocks, blk)
-		case blockEnd:
-			s.Complete = true
-		default:
-			s.addDamage(at, blockHeaderSize+h.storedSize, fmt.Sprintf("a block of the unknown kind %d", h.kind))
-		}
-		at += blockHeaderSize + h.storedSize
-	}
-	if !told {
-		return nil, fmt.Errorf("%w: its description is damaged", ErrNotCapture)
-	}
-	return s, nil
-}
-
-func (s *Segment) addDamage(at, n int, what string) {
-	s.Damage = append(s.Damage, Damage{Offset: int64(at), Bytes: int64(n), Reason: what})
-}
-
-// findNextHeader is how far the next sound head is away, or the length where there is none.
-func findNextHeader(b []byte) int {
-	for at := 1; at < len(b); at++ {
-		i := bytes.Index(b[at:], blockMarker[:])
-		if i < 0 {
-			break
-		}
-		at += i
-		if _, ok := readBlockHeader(b[at:]); ok {
-			return at
-		}
-	}
-	return len(b)
-}
-
-// counters reads all records, so that none of a block is handed on where one of it makes no sense.
+// countRecords decodes all records, so that a block with a malformed one is rejected as a whole.
 func (b *Block) countRecords() (uint64, error) {
 	n := uint64(0)
 	return n, b.forEach(func(*Record) error { n++; return nil })
 }
 
-// forEach hands on the block's records; the record is valid until the function returns.
+// forEach calls visit with the block's records; a record is valid until visit returns.
 func (b *Block) forEach(visit func(r *Record) error) error {
-	d := decoder{rest: b.raw, lastEvent: b.BaseTime}
+	d := decoder{rest: b.content, lastEvent: b.BaseTime}
 	var r Record
 	for len(d.rest) > 0 {
 		if err := d.next(&r); err != nil {
@@ -178,10 +70,11 @@
 	AfterDamage bool   // it is the first behind a damaged part
 }
 
-// ErrStop ends Each without an error.
+// ErrStop ends ForEach without an error.
 var ErrStop = errors.New("capture: stop")
 
-// ForEach hands on the records that can be read, in order; the record is valid until the function returns.
+// ForEach calls visit with the records that can be read, in order, until it returns an error; a record is valid until visit
+// returns.
 func (s *Segment) ForEach(visit func(p Position, r *Record) error) error {
 	for i := range s.Blocks {
 		b := &s.Blocks[i]
@@ -192,7 +85,7 @@
 			p.AfterDamage = false
 			return err
 		})
-		if err == ErrStop {
+		if errors.Is(err, ErrStop) {
 			return nil
 		}
 		if err != nil {
@@ -202,7 +95,7 @@
 	return nil
 }
 
-// UnixTime is the Unix time at a time of the module's clock, by the blocks of the segment.
+// UnixTime returns the wall clock at a time of the module's clock, by the blocks of the segment.
 func (s *Segment) UnixTime(at time.Duration) time.Time {
 	unix := s.Meta.UnixTime.Add(at - s.Meta.ModuleTime)
 	for i := range s.Blocks {
@@ -213,7 +106,7 @@
 	return unix
 }
 
-// ModuleTime is the time of the module's clock at a Unix time, by the blocks of the segment.
+// ModuleTime returns the module's clock at a time of the wall clock, by the blocks of the segment.
 func (s *Segment) ModuleTime(unix time.Time) time.Duration {
 	at := s.Meta.ModuleTime + unix.Sub(s.Meta.UnixTime)
 	for i := range s.Blocks {
@@ -224,69 +117,24 @@
 	return at
 }
 
-// IsContinuationOf tells whether the segment goes on where the one before ended.
+// IsContinuationOf tells whether the segment continues where the one before ended, with nothing missing in between.
 func (s *Segment) IsContinuationOf(before *Segment) bool {
-	if before == nil || s.Meta.Run != before.Meta.Run || s.Meta.Segment != before.Meta.Segment+1 || s.Meta.Gap != nil ||
-		!before.Complete || len(before.Damage) > 0 {
+	if before == nil || s.Meta.Gap != nil || !before.Complete || len(before.Damage) > 0 {
 		return false
 	}
-	end := before.Meta.FirstRecord
-	if n := len(before.Blocks); n > 0 {
-		count, err := before.Blocks[n-1].countRecords()
-		if err != nil {
-			return false
-		}
-		end = before.Blocks[n-1].FirstRecord + count
+	if s.Meta.Run != before.Meta.Run || s.Meta.Segment != before.Meta.Segment+1 {
+		return false
 	}
-	return end == s.Meta.FirstRecord
-}
-
-// UnreadableFile is a file that looks like a segment and can't be read as one.
-type UnreadableFile struct {
-	Path string
-	Err  error
+	end, err := before.endRecord()
+	return err == nil && end == s.Meta.FirstRecord
 }
 
-// Open reads a capture: a directory's segments in their order, or one file. Files of the directory that can't be
-// read are returned apart; the error says that there is nothing to read.
-func Open(path string) ([]*Segment, []UnreadableFile, error) {
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, nil, fmt.Errorf("capture: %w", err)
-	}
-	if !info.IsDir() {
-		s, err := ReadSegment(path)
-		if err != nil {
-			return nil, nil, err
-		}
-		return []*Segment{s}, nil, nil
-	}
-	entries, err := os.ReadDir(path)
-	if err != nil {
-		return nil, nil, fmt.Errorf("capture: %w", err)
-	}
-	names := []string{}
-	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), segmentSuffix) && !e.IsDir() {
-			names = append(names, e.Name())
-		}
-	}
-	slices.Sort(names)
-	var segments []*Segment
-	var bad []UnreadableFile
-	for _, name := range names {
-		s, err := ReadSegment(filepath.Join(path, name))
-		switch {
-		case errors.Is(err, ErrNewerVersion):
-			return nil, nil, err
-		case err != nil:
-			bad = append(bad, UnreadableFile{filepath.Join(path, name), err})
-		default:
-			segments = append(segments, s)
-		}
-	}
-	if len(segments) == 0 && len(bad) == 0 {
-		return nil, nil, fmt.Errorf("%w: no *%s in %s", ErrNotCapture, segmentSuffix, path)
+// endRecord returns the number of the record behind the segment's last.
+func (s *Segment) endRecord() (uint64, error) {
+	if len(s.Blocks) == 0 {
+		return s.Meta.FirstRecord, nil
 	}
-	return segments, bad, nil
+	last := &s.Blocks[len(s.Blocks)-1]
+	count, err := last.countRecords()
+	return last.FirstRecord + count, err
 }
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// sampleSegment is the bytes of one segment with a few blocks, and its records.
+// sampleSegment returns the bytes of one segment with a few blocks, and its records.
 func sampleSegment(t testing.TB) ([]byte, []Record) {
 	t.Helper()
 	dir := t.TempDir()
-	files, err := OpenDirectory(dir)
+	directory, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := smallConfig()
-	cfg.SegmentBytes, cfg.MaxBytes = 1<<20, 1<<30
-	b := startRecording(t, files, cfg, func(err error) { t.Error(err) })
+	config := smallConfig()
+	config.SegmentBytes, config.MaxBytes = 1<<20, 1<<30
+	b := startRecording(t, directory, config, func(err error) { t.Error(err) })
 	for range 300 {
 		b.round()
 		for len(b.freeBlocks) < 2 {
-			time.Sleep(time.Millisecond) // the disk is waited for: nothing may be lost here
+			time.Sleep(time.Millisecond) // wait for the disk: nothing may be dropped here
 		}
 	}
 	b.tap.Annotate("the end")
@@ -41,7 +41,7 @@
 	return raw, readRecords(t, s, nil)
 }
 
-// readRecords returns a segment's records; where whole is given, each must be the one that it has under the number.
+// readRecords returns a segment's records. Where whole is given, each must equal the one there with its number.
 func readRecords(t testing.TB, s *Segment, whole []Record) []Record {
 	t.Helper()
 	var list []Record
@@ -58,7 +58,7 @@
 	return list
 }
 
-// TestRecordRoundTrip has every kind of record come back as it was.
+// TestRecordRoundTrip encodes and decodes every kind of record.
 func TestRecordRoundTrip(t *testing.T) {
 	_, records := sampleSegment(t)
 	kinds := map[Kind]bool{}
@@ -82,14 +82,13 @@
 		if err := d.next(&out); err != nil || len(d.rest) > 0 || out.Kind != k {
 			t.Errorf("%v: %v, %d bytes left", k, err, len(d.rest))
 		}
-		var again time.Duration
-		if b := appendRecord(nil, &again, &out); !slices.Equal(b, appendRecord(nil, new(time.Duration), &in)) {
+		if b := appendRecord(nil, new(time.Duration), &out); !slices.Equal(b, appendRecord(nil, new(time.Duration), &in)) {
 			t.Errorf("%v does not come back: %+v", k, out)
 		}
 	}
 }
 
-// TestTorn cuts a segment at places all over it: what is whole is read, and nothing is invented.
+// TestTorn truncates a segment all over: what is whole is read, and nothing is made up.
 func TestTorn(t *testing.T) {
 	raw, records := sampleSegment(t)
 	for n := 0; n < len(raw); n += 1 + n%7 {
@@ -105,12 +104,12 @@
 			t.Fatalf("cut at %d: complete %t, %d records", n, s.Complete, len(got))
 		}
 		if len(s.Damage) == 0 && s.Size != s.CompressedBytes+int64(preambleSize) {
-			t.Fatalf("cut at %d: nothing is said of the torn end", n)
+			t.Fatalf("cut at %d: the torn end is not reported", n)
 		}
 	}
 }
 
-// TestFlippedBits flips a bit anywhere: it is found by its block, and the rest is read.
+// TestFlippedBits flips a bit anywhere: its block is found to be damaged, and the rest is read.
 func TestFlippedBits(t *testing.T) {
 	raw, records := sampleSegment(t)
 	whole, err := Parse(raw)
@@ -134,7 +133,7 @@
 		b[at] ^= 1 << rng.IntN(8)
 		s, err := Parse(b)
 		if err != nil {
-			continue // the preamble or the description, without which nothing can be told
+			continue // the preamble or the meta, without which nothing can be read
 		}
 		got := readRecords(t, s, records)
 		if len(s.Damage) == 0 {
@@ -146,7 +145,7 @@
 	}
 }
 
-// TestNewerVersion names a segment of a version that is not known.
+// TestNewerVersion reports a segment of an unknown version.
 func TestNewerVersion(t *testing.T) {
 	raw, _ := sampleSegment(t)
 	b := slices.Clone(raw)
@@ -163,7 +162,7 @@
 	}
 }
 
-// TestSkippedBytes has a segment with foreign bytes in the middle read before and behind them.
+// TestSkippedBytes reads a segment before and behind foreign bytes in its middle.
 func TestSkippedBytes(t *testing.T) {
 	raw, records := sampleSegment(t)
 	s, _ := Parse(raw)
@@ -178,7 +177,7 @@
 	}
 }
 
-// FuzzSegment reads any bytes without a panic, and what it reads can be read through.
+// FuzzSegment parses any bytes without a panic, and can read all records of what it parsed.
 func FuzzSegment(f *testing.F) {
 	raw, _ := sampleSegment(f)
 	f.Add(raw)
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -9,29 +9,46 @@
 	"sync/atomic"
 )
 
-// writer owns the folder: it runs in a goroutine of its own and may stand still as long as the disk does.
+// writer owns the directory. It runs in a goroutine of its own and may block as long as the disk does.
 type writer struct {
 	directory     Directory
-	maxBytes      int64 // totalBytes that all segments together may take
-	reservedBytes int64 // of them for the segment that is written, beside the state that it begins with
+	maxBytes      int64 // of all segments together
+	reservedBytes int64 // of them, for the segment that is written, beside its snapshot
 	reportError   func(error)
 
-	blocks chan *buffer // blocks to be written, in order
+	blocks chan *buffer // to be written, in order; closed at the end
+	done   chan struct{}
 
-	file           io.WriteCloser // the segment that is written, nil before the first and after a failure
-	fileNumber     int            // of its file
-	currentSegment int            // fileNumber of the segment within the run, also of one that could not be begun
+	file           io.WriteCloser // of the segment that is written; nil before the first and after a failure
+	fileNumber     int
+	currentSegment int // number within the run, also of a segment that could not be begun
 	scratch        []byte
 
-	segmentNumber  atomic.Int64  // fileNumber within the run of the segment that is written
-	segmentBytes   atomic.Int64  // totalBytes of it
-	failedSegment  atomic.Int64  // the last segment that could not be written on; only a new one helps
-	droppedRecords atomic.Uint64 // records of such segments
-	segments       atomic.Uint64 // segments
-	totalBytes     atomic.Uint64 // of all segments so far
-	rawBytes       atomic.Uint64 // the same before compression
+	progress
+}
+
+// progress is what the recorder reads of the writer, from its own goroutine.
+type progress struct {
+	segmentNumber  atomic.Int64  // within the run, of the segment that is written
+	segmentBytes   atomic.Int64  // written of it
+	failedSegment  atomic.Int64  // the last segment that could not be continued; only a new one helps
+	droppedRecords atomic.Uint64 // of such segments
+	segments       atomic.Uint64 // begun
+	totalBytes     atomic.Uint64 // of all segments
+	rawBytes       atomic.Uint64 // of all segments before compression
 	errorCount     atomic.Uint64
-	done           chan struct{}
+}
+
+// newWriter returns a writer; run starts it. So many buffers are for blocks, one more is for a snapshot.
+func newWriter(directory Directory, config Config, blocks int, reportError func(error)) *writer {
+	return &writer{
+		directory:     directory,
+		maxBytes:      config.MaxBytes,
+		reservedBytes: config.SegmentBytes + int64(config.BufferBytes),
+		reportError:   reportError,
+		blocks:        make(chan *buffer, blocks+1),
+		done:          make(chan struct{}),
+	}
 }
 
 // run writes blocks until the recorder has no more.
@@ -46,7 +63,7 @@
 	w.closeSegment()
 }
 
-// write adds one block, as the first of a new segment where it says so.
+// write writes one block, as the first of a new segment where it has a meta.
 func (w *writer) write(b *buffer) error {
 	if b.meta != nil {
 		w.closeSegment()
@@ -55,7 +72,7 @@
 		}
 	}
 	if w.file == nil {
-		w.droppedRecords.Add(b.records) // the segment broke off: the next one begins with a state
+		w.droppedRecords.Add(b.records) // nothing can be replayed before the next segment's snapshot
 		return nil
 	}
 	w.rawBytes.Add(uint64(len(b.data)))
@@ -66,7 +83,7 @@
 	return nil
 }
 
-// writeBlock compresses a block and hands it to the disk.
+// writeBlock compresses a block and writes it.
 func (w *writer) writeBlock(h blockHeader, content []byte) error {
 	w.scratch = appendBlock(w.scratch[:0], h, content)
 	return w.writeBytes(w.scratch)
@@ -83,29 +100,21 @@
 	return err
 }
 
-// openSegment begins a segment under a number that no file has, after making room for it.
-func (w *writer) openSegment(m *Meta, state int64) error {
+// openSegment begins a segment, after removing old ones to make space for it and a snapshot of so many bytes.
+func (w *writer) openSegment(m *Meta, snapshotBytes int64) error {
 	w.currentSegment = m.Segment
-	sizes, order, err := listSegments(w.directory)
+	sizes, numbers, err := listSegments(w.directory)
 	if err != nil {
 		return err
 	}
-	if len(order) > 0 {
-		w.fileNumber = max(w.fileNumber, order[len(order)-1])
+	if len(numbers) > 0 {
+		w.fileNumber = max(w.fileNumber, numbers[len(numbers)-1])
 	}
-	if err := w.removeOldest(sizes, order, w.maxBytes-w.reservedBytes-state); err != nil {
+	if err := w.removeOldest(sizes, numbers, w.maxBytes-w.reservedBytes-snapshotBytes); err != nil {
 		return err
 	}
-	for {
-		w.fileNumber++
-		w.file, err = w.directory.Create(segmentName(w.fileNumber))
-		if err == nil {
-			break
-		}
-		w.file = nil
-		if !errors.Is(err, fs.ErrExist) {
-			return err
-		}
+	if err := w.createFile(); err != nil {
+		return err
 	}
 	w.segmentBytes.Store(0)
 	w.segmentNumber.Store(int64(m.Segment))
@@ -117,28 +126,44 @@
 	if err := w.writeBytes(appendPreamble(nil)); err != nil {
 		return err
 	}
-	return w.writeBlock(blockHeader{kind: blockMeta, firstRecord: m.FirstRecord, baseTime: m.ModuleTime, unixTime: m.UnixTime}, text)
+	return w.writeBlock(m.header(blockMeta), text)
+}
+
+// createFile creates a file under the next number that no file has.
+func (w *writer) createFile() error {
+	for {
+		w.fileNumber++
+		file, err := w.directory.Create(segmentName(w.fileNumber))
+		if err == nil {
+			w.file = file
+			return nil
+		}
+		w.file = nil
+		if !errors.Is(err, fs.ErrExist) {
+			return err
+		}
+	}
 }
 
 // removeOldest removes the oldest segments until all take no more than so many bytes.
-func (w *writer) removeOldest(sizes map[int]int64, order []int, most int64) error {
+func (w *writer) removeOldest(sizes map[int]int64, numbers []int, maxBytes int64) error {
 	total := int64(0)
 	for _, size := range sizes {
 		total += size
 	}
-	for _, n := range order {
-		if total <= most {
+	for _, number := range numbers {
+		if total <= maxBytes {
 			break
 		}
-		if err := w.directory.Remove(segmentName(n)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := w.directory.Remove(segmentName(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
-		total -= sizes[n]
+		total -= sizes[number]
 	}
 	return nil
 }
 
-// closeSegment closes a segment in order.
+// closeSegment ends the segment in order.
 func (w *writer) closeSegment() {
 	if w.file == nil {
 		return
@@ -154,11 +179,11 @@
 	w.file = nil
 }
 
-// abandonSegment gives up the segment: what follows would be torn, and has to begin with a state of its own.
+// abandonSegment gives up the segment after a failure. What follows would be torn, so it has to wait for a new segment.
 func (w *writer) abandonSegment(err error) {
 	w.errorCount.Add(1)
 	if w.file != nil {
-		w.file.Close() // the first error is the one to tell
+		w.file.Close() // the first error is the one to report
 		w.file = nil
 	}
 	w.failedSegment.Store(int64(w.currentSegment))
