--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/fake"
 )
 
-// configText returns a configuration with one field replaced; nil leaves it out.
+// configText returns a configuration with one field replaced, or left out where the value is nil.
 func configText(t *testing.T, field string, value any) []byte {
 	c := map[string]any{"name": "n3", "listen": "10.0.0.4:4100", "vm": "10.1.0.1:9300", "announce": "10.2.0.1:8761",
 		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.SiteSettings),
@@ -26,6 +26,7 @@
 	return b
 }
 
+// TestLoad reads a file that the environment names, and lets the environment override it.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, configText(t, "more", "unknown keys are skipped"), 0o600); err != nil {
@@ -45,15 +46,15 @@
 	if c, err = Load(func(name string) string { return env[name] }); err != nil || c.Name != "n4" || c.Listen.String() != "10.0.0.5:4100" {
 		t.Errorf("%+v, %v", c, err)
 	}
-	for _, change := range []string{"", path + ".missing"} {
-		env["RELAY_CONFIG"] = change
+	for _, wrongPath := range []string{"", path + ".missing"} {
+		env["RELAY_CONFIG"] = wrongPath
 		if _, err := Load(func(name string) string { return env[name] }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-			t.Errorf("RELAY_CONFIG %q: %v", change, err)
+			t.Errorf("RELAY_CONFIG %q: %v", wrongPath, err)
 		}
 	}
 }
 
-// TestFieldErrors has each error name the field at fault.
+// TestFieldErrors checks that each error names the field at fault.
 func TestFieldErrors(t *testing.T) {
 	limits := func(cores, memory, sockets any) any {
 		return map[string]any{"cores": cores, "memory_mb": memory, "sockets": sockets}
@@ -80,11 +81,11 @@
 		t.Errorf("address of the environment: %v", err)
 	}
 	if _, err := parsePlatform([]byte("{"), "", ""); err == nil {
-		t.Error("broken JSON was taken")
+		t.Error("broken JSON was accepted")
 	}
 }
 
-// TestNumbers takes limits as any JSON writes numbers: a legal deployment must not be refused for a fraction.
+// TestNumbers accepts limits in every form that JSON has for numbers: a valid deployment must not be rejected for a fraction.
 func TestNumbers(t *testing.T) {
 	c, err := parsePlatform(configText(t, "limits", map[string]any{"cores": 0.0625, "memory_mb": 38.4, "sockets": json.RawMessage("5.12e2")}), "", "")
 	if err != nil || c.Limits != (Limits{Cores: 0.0625, MemoryMB: 38, Sockets: 512}) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -17,15 +17,24 @@
 	capture.Config
 }
 
-// StateConfig is where and how much a server keeps over restarts.
+// StateConfig is where and how much state a server keeps across restarts.
 type StateConfig struct {
 	Directory string
 	idempotency.Limits
 }
 
-// DefaultStateConfig is what is kept where the file says no figures.
+// Defaults and bounds of a StateConfig.
+const (
+	defaultMaxKeys  = 20000
+	maxMaxKeys      = 10_000_000
+	defaultMaxBytes = 16 << 20
+	minMaxBytes     = 64 << 10
+	maxMaxBytes     = 1 << 40
+)
+
+// DefaultStateConfig returns the limits that apply where the file sets none.
 func DefaultStateConfig() *StateConfig {
-	return &StateConfig{Limits: idempotency.Limits{MaxKeys: 20000, MaxBytes: 16 << 20}}
+	return &StateConfig{Limits: idempotency.Limits{MaxKeys: defaultMaxKeys, MaxBytes: defaultMaxBytes}}
 }
 
 // OperatorConfig is what the operators' own file says; what is absent is nil.
@@ -34,7 +43,7 @@
 	State   *StateConfig
 }
 
-// LoadOperatorConfig reads the operators' file.
+// LoadOperatorConfig reads the operators' file. Errors in it are of type *sexp.Error.
 func LoadOperatorConfig(path string) (*OperatorConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,58 +58,64 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &OperatorConfig{}
+	operator := &OperatorConfig{}
 	err = sexp.ReadFields(forms, map[string]func(sexp.Node) error{
 		"capture": func(form sexp.Node) (err error) {
-			o.Capture, err = readCaptureConfig(form)
+			operator.Capture, err = readCaptureConfig(form)
 			return err
 		},
 		"state": func(form sexp.Node) (err error) {
-			o.State, err = readStateConfig(form)
+			operator.State, err = readStateConfig(form)
 			return err
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return o, nil
+	return operator, nil
 }
 
 // readStateConfig reads (state ...).
 func readStateConfig(form sexp.Node) (*StateConfig, error) {
-	s := DefaultStateConfig()
+	state := DefaultStateConfig()
 	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
-		"directory": sexp.Text(&s.Directory),
-		"keys":      sexp.Int(&s.MaxKeys, 1, 10_000_000),
-		"size":      sexp.Bytes(&s.MaxBytes, 64<<10, 1<<40),
+		"directory": sexp.Text(&state.Directory),
+		"keys":      sexp.Int(&state.MaxKeys, 1, maxMaxKeys),
+		"size":      sexp.Bytes(&state.MaxBytes, minMaxBytes, maxMaxBytes),
 	})
-	if err == nil && s.Directory == "" {
-		err = sexp.Errorf(form.Pos, "(state ...) has no (directory ...)")
+	if err == nil && state.Directory == "" {
+		err = errNoDirectory(form)
 	}
-	return s, err
+	return state, err
 }
 
-// readCaptureConfig reads (capture ...).
+// readCaptureConfig reads (capture ...). The bounds here only catch slips of the unit; capture.Config.Validate has the
+// others.
 func readCaptureConfig(form sexp.Node) (*CaptureConfig, error) {
 	c := &CaptureConfig{Config: capture.DefaultConfig()}
-	memory := int64(c.BufferBytes)
+	bufferBytes := int64(c.BufferBytes)
 	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
 		"directory": sexp.Text(&c.Directory),
 		"segment":   sexp.Bytes(&c.SegmentBytes, 1, math.MaxInt32),
 		"age":       sexp.Duration(&c.SegmentAge, time.Second, 24*time.Hour),
 		"keep":      sexp.Bytes(&c.MaxBytes, 1, 1<<50),
-		"memory":    sexp.Bytes(&memory, 1, 1<<30),
+		"memory":    sexp.Bytes(&bufferBytes, 1, 1<<30),
 		"flush":     sexp.Duration(&c.FlushInterval, time.Millisecond, time.Minute),
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.BufferBytes = int(memory)
+	c.BufferBytes = int(bufferBytes)
 	if c.Directory == "" {
-		return nil, sexp.Errorf(form.Pos, "(capture ...) has no (directory ...)")
+		return nil, errNoDirectory(form)
 	}
 	if err := c.Validate(); err != nil {
 		return nil, sexp.Errorf(form.Pos, "%v", err)
 	}
 	return c, nil
 }
+
+// errNoDirectory reports a form that has to name a directory.
+func errNoDirectory(form sexp.Node) error {
+	return sexp.Errorf(form.Pos, "(%s ...) has no (directory ...)", form.Name())
+}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestOperatorConfig reads what the operators' file says.
+// TestOperatorConfig reads an operators' file.
 func TestOperatorConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.sexp")
 	text := "(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))"
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestOperatorErrors names the place of what makes no sense.
+// TestOperatorErrors checks that each error names its place.
 func TestOperatorErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"(capture)":                                   "f:1:1: (capture ...) has no (directory ...)",
@@ -46,13 +46,13 @@
 	}
 }
 
-// FuzzOperatorConfig reads any text without a panic.
+// FuzzOperatorConfig parses any text without a panic.
 func FuzzOperatorConfig(f *testing.F) {
 	f.Add("(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))")
 	f.Add("(capture (directory")
 	f.Fuzz(func(t *testing.T, text string) {
 		if o, err := parseOperatorConfig("f", []byte(text)); err == nil && o.Capture != nil && o.Capture.Validate() != nil {
-			t.Errorf("taken: %+v", o.Capture)
+			t.Errorf("accepted: %+v", o.Capture)
 		}
 	})
 }
--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,145 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"tillerusher/internal/settings"
+)
+
+// platformFile mirrors the platform's configuration file; unknown keys are skipped. All numbers are floats, since a limit may
+// be written as 38.4.
+type platformFile struct {
+	Name        string          `json:"name"`
+	Listen      string          `json:"listen"`
+	Interpreter string          `json:"vm"`
+	LoadReports string          `json:"announce"`
+	StopMS      float64         `json:"stop_ms"`
+	Limits      platformLimits  `json:"limits"`
+	Settings    json.RawMessage `json:"settings"`
+}
+
+// platformLimits mirrors the limits in the platform's configuration file.
+type platformLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  float64 `json:"sockets"`
+}
+
+// Bounds of the numbers in the platform's configuration file.
+const (
+	minStopMS   = 1
+	minCores    = 0.01
+	minMemoryMB = 16
+	minSockets  = 32
+	maxNumber   = 1e9
+)
+
+// parsePlatform reads the text of the platform's configuration file; name and listen override its own where they are not
+// empty.
+func parsePlatform(text []byte, name, listen string) (*Config, error) {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return nil, fmt.Errorf("config: %w", err)
+	}
+	nameField, listenField := "name", "listen"
+	if name != "" {
+		file.Name, nameField = name, envName
+	}
+	if listen != "" {
+		file.Listen, listenField = listen, envListen
+	}
+	c := &Config{Name: file.Name, StopTimeout: time.Duration(file.StopMS * float64(time.Millisecond))}
+	if err := checkName(nameField, file.Name); err != nil {
+		return nil, err
+	}
+	if err := c.parseAddresses(&file, listenField); err != nil {
+		return nil, err
+	}
+	if err := file.checkNumbers(); err != nil {
+		return nil, err
+	}
+	c.Limits = Limits{Cores: file.Limits.Cores, MemoryMB: int(file.Limits.MemoryMB), Sockets: int(file.Limits.Sockets)}
+	if err := c.parseSettings(file.Settings); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// checkName rejects names that cannot stand as one word in a load report.
+func checkName(field, name string) error {
+	isSeparator := func(r rune) bool { return r <= ' ' || r == 0x7f }
+	if name == "" || strings.ContainsFunc(name, isSeparator) {
+		return &FieldError{Field: field, Value: fmt.Sprintf("%q", name), Wanted: "one word"}
+	}
+	return nil
+}
+
+// parseAddresses reads the addresses of a file.
+func (c *Config) parseAddresses(file *platformFile, listenField string) error {
+	for _, address := range []struct {
+		field, text string
+		to          *netip.AddrPort
+	}{
+		{listenField, file.Listen, &c.Listen},
+		{"vm", file.Interpreter, &c.Interpreter},
+		{"announce", file.LoadReports, &c.LoadReports},
+	} {
+		parsed, err := netip.ParseAddrPort(address.text)
+		if err != nil {
+			return &FieldError{Field: address.field, Value: fmt.Sprintf("%q", address.text), Wanted: "an IP address and a port"}
+		}
+		*address.to = parsed
+	}
+	return nil
+}
+
+// checkNumbers checks the numbers of a file against their bounds.
+func (f *platformFile) checkNumbers() error {
+	for _, number := range []struct {
+		field   string
+		value   float64
+		minimum float64
+	}{
+		{"stop_ms", f.StopMS, minStopMS},
+		{"limits.cores", f.Limits.Cores, minCores},
+		{"limits.memory_mb", f.Limits.MemoryMB, minMemoryMB},
+		{"limits.sockets", f.Limits.Sockets, minSockets},
+	} {
+		if !(number.value >= number.minimum && number.value < maxNumber) {
+			return &FieldError{Field: number.field, Value: fmt.Sprint(number.value), Wanted: fmt.Sprintf("at least %v", number.minimum)}
+		}
+	}
+	return nil
+}
+
+// parseSettings reads the site's settings.
+func (c *Config) parseSettings(text json.RawMessage) error {
+	if len(text) == 0 {
+		return &FieldError{Field: "settings", Fault: "is missing"}
+	}
+	site, err := settings.Parse(text)
+	if err != nil {
+		return fmt.Errorf("config: %w", err)
+	}
+	c.Settings = site
+	if err := checkDistinct("settings.lanes", site.ClassNames); err != nil {
+		return err
+	}
+	return checkDistinct("settings.realms", site.TenantNames)
+}
+
+// checkDistinct rejects names by which requests could not select one of a list.
+func checkDistinct(field string, names []string) error {
+	known := map[string]bool{}
+	for _, name := range names {
+		if name == "" || known[name] {
+			return &FieldError{Field: field, Fault: fmt.Sprintf("has the name %q twice or empty", name)}
+		}
+		known[name] = true
+	}
+	return nil
+}
