--- a/internal/sexp/doc.go
+++ b/internal/sexp/doc.go
@@ -1,5 +1,5 @@
-// Package sexp owns the language of the operators' files: S-expressions whose every part knows its file, line and
-// column, forms whose fields are read once each, and figures whose units are checked.
+// Package sexp owns the language of the operators' files: S-expressions whose every part knows its file, line and column,
+// forms whose fields are read by tables of functions, and numbers whose units and bounds are checked.
 //
 // The grammar:
 //
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestErrorPlaces has each broken sample told with its place and what was expected.
+// TestErrorPlaces checks that each broken sample is reported with its position and what was wanted.
 func TestErrorPlaces(t *testing.T) {
 	for text, want := range map[string]string{
 		"(a":                    "f:1:1: found the end of the file, want the ) of this (",
@@ -41,13 +41,14 @@
 	}
 }
 
-// sampleValues is what the sample's forms say.
+// sampleValues are the fields of the samples.
 type sampleValues struct {
 	name string
 	wait time.Duration
 	size int64
 }
 
+// parseSample reads the fields of a sample.
 func parseSample(text string) (v sampleValues, err error) {
 	forms, err := Parse("f", []byte(text))
 	if err != nil {
@@ -57,7 +58,7 @@
 		"time": Duration(&v.wait, time.Millisecond, time.Minute), "size": Bytes(&v.size, 1, 1e9)})
 }
 
-// TestUnits reads figures with their units.
+// TestUnits reads numbers with their units.
 func TestUnits(t *testing.T) {
 	for text, want := range map[string]sampleValues{
 		"(time 1.5s) ; a comment\n(size 64kB)(name x)": {"x", 1500 * time.Millisecond, 64000},
@@ -70,7 +71,7 @@
 	}
 }
 
-// FuzzParse reads any text without a panic, and places every error in it.
+// FuzzParse parses any text without a panic, and every error has a position in it.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"(a b (c \"d\") 3ms) ; e", "(a", "\"\\", "(((", "(time 3s)(time 4s)"} {
 		f.Add(text)
