--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -1,137 +1,58 @@
-// Package arrival makes up when requests come: the same processes drive the model in virtual time and storms on real
-// sockets. A process is open: it knows nothing of how the requests before were answered.
 package arrival
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"time"
 )
 
-// Process says when requests come.
+// Process generates arrivals.
 type Process interface {
-	// Next is the time of the next arrival, counted from the start and never before the one of the last call; false
-	// where none follows.
+	// Next returns the time of the next arrival since the start, never before that of the last call; false at the end.
 	Next() (time.Duration, bool)
 }
 
-// Kind is a kind of process.
-type Kind string
+// rateFunc returns the rate of a process at a time, in arrivals a second.
+type rateFunc func(t time.Duration) float64
 
-// The kinds.
-const (
-	Poisson Kind = "poisson" // independent arrivals at one rate
-	Bursty  Kind = "bursty"  // a Markov-modulated Poisson process of two states
-	Diurnal Kind = "diurnal" // a rate that swings as a sine does
-	Replay  Kind = "replay"  // times arrivals
-)
-
-// Config is a process by its figures.
-type Config struct {
-	Kind          Kind
-	Rate          float64       // arrivals a second, in the mean
-	BurstFactor   float64       `json:"Burst"` // Bursty: the rate of its bursts over the mean
-	BurstFraction float64       `json:"Part"`  // Bursty: part of the time that is bursts
-	MeanBurst     time.Duration `json:"Stay"`  // Bursty: mean length of a burst
-	Amplitude     float64       `json:"Swing"` // Diurnal: how far the rate swings, as a part of the mean
-	Period        time.Duration `json:"Day"`   // Diurnal: length of a swing
-	Surges        []Surge       `json:"Jumps"` // of any kind but Replay
-
-	Times []time.Duration `json:"Recorded"` // Replay
-	Speed float64         `json:"Factor"`   // Replay: how many times as fast they come; 0 is 1
-}
-
-// Surge is a stretch in which the rate is a multiple of what it would be. It rises and falls evenly.
-type Surge struct {
-	Start    time.Duration `json:"From"`
-	Duration time.Duration `json:"For"`
-	Factor   float64
-	RampUp   time.Duration `json:"Rise"` // within For
-	RampDown time.Duration `json:"Fall"` // within For
-}
-
-// factorAt is the factor of a jump at a time.
-func (j Surge) factorAt(t time.Duration) float64 {
-	since, left := t-j.Start, j.Start+j.Duration-t
-	if since < 0 || left <= 0 {
-		return 1
-	}
-	part := 1.0
-	if j.RampUp > 0 {
-		part = min(part, float64(since)/float64(j.RampUp))
-	}
-	if j.RampDown > 0 {
-		part = min(part, float64(left)/float64(j.RampDown))
-	}
-	return 1 + (j.Factor-1)*part
-}
-
-// Validate names the first figure that makes no sense.
-func (c *Config) Validate() error {
-	switch c.Kind {
-	case Poisson, Diurnal, Bursty:
-		if !(c.Rate > 0) || math.IsInf(c.Rate, 0) {
-			return fmt.Errorf("arrival: a rate of %v, want more than 0", c.Rate)
-		}
-	case Replay:
-		if len(c.Times) == 0 {
-			return fmt.Errorf("arrival: nothing is recorded")
-		}
-		if c.Speed < 0 {
-			return fmt.Errorf("arrival: a factor of %v, want more than 0", c.Speed)
-		}
-	default:
-		return fmt.Errorf("arrival: no process is called %q, want poisson, bursty, diurnal or replay", c.Kind)
-	}
-	switch {
-	case c.Kind == Bursty && (!(c.BurstFraction > 0) || c.BurstFraction >= 1 || c.BurstFactor < 1 || c.BurstFactor*c.BurstFraction > 1 || c.MeanBurst <= 0):
-		return fmt.Errorf("arrival: bursts of %v times the rate in %v of the time for %v, want at least 1, a part between 0 and 1, "+
-			"their product at most 1, and a time", c.BurstFactor, c.BurstFraction, c.MeanBurst)
-	case c.Kind == Diurnal && (c.Amplitude < 0 || c.Amplitude > 1 || c.Period <= 0):
-		return fmt.Errorf("arrival: a swing of %v over %v, want 0 to 1 and a time", c.Amplitude, c.Period)
-	}
-	for _, j := range c.Surges {
-		if j.Factor < 0 || j.Duration < 0 || j.RampUp < 0 || j.RampDown < 0 {
-			return fmt.Errorf("arrival: a jump to %v for %v, want none below 0", j.Factor, j.Duration)
-		}
-	}
-	return nil
-}
-
-// New returns the process; what is drawn comes from rng.
+// New returns a process that draws its random numbers from rng.
 func New(c Config, rng *rand.Rand) (Process, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	switch c.Kind {
 	case Replay:
-		return &recordedArrivals{c.Times, max(c.Speed, 0), 0}, nil
+		return &recordedArrivals{times: c.Times, speed: max(c.Speed, 0)}, nil
 	case Bursty:
-		return newThinned(c, rng, c.Rate*c.BurstFactor, (&modulatedRate{config: c, rng: rng}).rate), nil
+		bursts := &modulatedRate{config: c, rng: rng}
+		return newThinned(c, rng, c.Rate*c.BurstFactor, bursts.rate), nil
 	case Diurnal:
-		return newThinned(c, rng, c.Rate*(1+c.Amplitude), func(t time.Duration) float64 {
-			return c.Rate * (1 + c.Amplitude*math.Sin(2*math.Pi*float64(t)/float64(c.Period)))
-		}), nil
+		return newThinned(c, rng, c.Rate*(1+c.Amplitude), c.diurnalRate), nil
 	}
-	return newThinned(c, rng, c.Rate, func(time.Duration) float64 { return c.Rate }), nil
+	constant := func(time.Duration) float64 { return c.Rate }
+	return newThinned(c, rng, c.Rate, constant), nil
+}
+
+// diurnalRate is the rate of a Diurnal process.
+func (c *Config) diurnalRate(t time.Duration) float64 {
+	return c.Rate * (1 + c.Amplitude*math.Sin(2*math.Pi*float64(t)/float64(c.Period)))
 }
 
-// thinned is a Poisson process of a rate that changes, by thinning one of the highest rate (Lewis and Shedler, 1979).
+// thinned is a Poisson process with a variable rate, made by thinning one with the maximum rate (Lewis and Shedler, 1979).
 type thinned struct {
 	rng     *rand.Rand
 	maxRate float64
-	rate    func(t time.Duration) float64
+	rate    rateFunc
 	surges  []Surge
-	seconds float64 // seconds
+	seconds float64 // time of the last candidate
 }
 
-// newThinned returns the process; most is the highest that rate can be.
-func newThinned(c Config, rng *rand.Rand, most float64, rate func(time.Duration) float64) *thinned {
-	for _, j := range c.Surges {
-		most *= max(j.Factor, 1)
+// newThinned returns the process; maxRate is the maximum of rate.
+func newThinned(c Config, rng *rand.Rand, maxRate float64, rate rateFunc) *thinned {
+	for _, s := range c.Surges {
+		maxRate *= max(s.Factor, 1)
 	}
-	return &thinned{rng: rng, maxRate: most, rate: rate, surges: c.Surges}
+	return &thinned{rng: rng, maxRate: maxRate, rate: rate, surges: c.Surges}
 }
 
 // Next implements Process.
@@ -140,8 +61,8 @@
 		p.seconds += p.rng.ExpFloat64() / p.maxRate
 		t := time.Duration(p.seconds * float64(time.Second))
 		rate := p.rate(t)
-		for _, j := range p.surges {
-			rate *= j.factorAt(t)
+		for _, s := range p.surges {
+			rate *= s.factorAt(t)
 		}
 		if rate >= p.maxRate || p.rng.Float64()*p.maxRate < rate {
 			return t, true
@@ -149,37 +70,40 @@
 	}
 }
 
-// modulatedRate is the rate of a Markov-modulated Poisson process, asked for in the order of time.
+// modulatedRate is the rate of a Markov-modulated Poisson process with two states. It must be asked in the order of time.
 type modulatedRate struct {
 	config   Config
 	rng      *rand.Rand
-	stateEnd time.Duration
-	inBurst  bool
 	started  bool
+	inBurst  bool
+	stateEnd time.Duration
 }
 
-func (b *modulatedRate) rate(t time.Duration) float64 {
-	if !b.started {
-		b.started, b.inBurst = true, b.rng.Float64() >= b.config.BurstFraction // turned below
+// rate is the rateFunc.
+func (m *modulatedRate) rate(t time.Duration) float64 {
+	c := &m.config
+	if !m.started {
+		m.started = true
+		m.inBurst = m.rng.Float64() >= c.BurstFraction // the loop below enters the other state
 	}
-	for t >= b.stateEnd {
-		b.inBurst = !b.inBurst
-		stay := float64(b.config.MeanBurst)
-		if !b.inBurst {
-			stay *= (1 - b.config.BurstFraction) / b.config.BurstFraction
+	for t >= m.stateEnd {
+		m.inBurst = !m.inBurst
+		mean := float64(c.MeanBurst)
+		if !m.inBurst {
+			mean *= (1 - c.BurstFraction) / c.BurstFraction
 		}
-		b.stateEnd += max(time.Duration(b.rng.ExpFloat64()*stay), 1)
+		m.stateEnd += max(time.Duration(m.rng.ExpFloat64()*mean), 1)
 	}
-	if b.inBurst {
-		return b.config.Rate * b.config.BurstFactor
+	if m.inBurst {
+		return c.Rate * c.BurstFactor
 	}
-	return b.config.Rate * (1 - b.config.BurstFactor*b.config.BurstFraction) / (1 - b.config.BurstFraction)
+	return c.Rate * (1 - c.BurstFactor*c.BurstFraction) / (1 - c.BurstFraction)
 }
 
-// recordedArrivals is recorded arrivals.
+// recordedArrivals is a Replay process.
 type recordedArrivals struct {
 	times []time.Duration
-	speed float64
+	speed float64 // 0 is 1
 	next  int
 }
 
--- a/internal/arrival/arrival_test.go
+++ b/internal/arrival/arrival_test.go
@@ -9,19 +9,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// TestRates has each process keep its mean rate, and its shape: gaps of a Poisson process vary as an exponential does,
-// those of a bursty one more.
+// TestRates checks the mean rate of each process and the shape of its gaps: those of a Poisson process vary as an exponential
+// does, those of the others more.
 func TestRates(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		cfg         Config
+		config      Config
 		least, most float64 // of the coefficient of variation of the gaps
 	}{
 		{"poisson", Config{Kind: Poisson, Rate: 100}, 0.99, 1.01},
 		{"bursty", Config{Kind: Bursty, Rate: 100, BurstFactor: 4, BurstFraction: 0.1, MeanBurst: time.Second}, 1.2, 2},
 		{"diurnal", Config{Kind: Diurnal, Rate: 100, Amplitude: 0.8, Period: time.Minute}, 1.05, 2},
 	} {
-		p, err := New(c.cfg, rand.New(rand.NewPCG(1, 2)))
+		p, err := New(c.config, rand.New(rand.NewPCG(1, 2)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestSurge has a jump multiply the rate where it is, and nowhere else.
+// TestSurge checks that a surge multiplies the rate during its time only.
 func TestSurge(t *testing.T) {
 	p, err := New(Config{Kind: Poisson, Rate: 1000, Surges: []Surge{{Start: 10 * time.Second, Duration: 10 * time.Second, Factor: 2}}},
 		rand.New(rand.NewPCG(3, 4)))
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestReplay plays recorded arrivals at their pace and faster.
+// TestReplay replays recorded arrivals faster.
 func TestReplay(t *testing.T) {
 	p, err := New(Config{Kind: Replay, Times: []time.Duration{time.Second, 3 * time.Second}, Speed: 2}, nil)
 	if err != nil {
@@ -75,12 +75,12 @@
 	}
 }
 
-// TestValidate names what makes no sense.
+// TestValidate rejects parameters that make no sense.
 func TestValidate(t *testing.T) {
 	for _, c := range []Config{{}, {Kind: Poisson}, {Kind: Bursty, Rate: 1, BurstFactor: 4, BurstFraction: 0.5, MeanBurst: 1},
 		{Kind: Diurnal, Rate: 1, Amplitude: 2, Period: 1}, {Kind: Replay}, {Kind: Poisson, Rate: 1, Surges: []Surge{{Factor: -1}}}} {
 		if _, err := New(c, nil); err == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 }
--- /dev/null
+++ b/internal/arrival/config.go
@@ -0,0 +1,124 @@
+package arrival
+
+import (
+	"fmt"
+	"math"
+	"time"
+)
+
+// Kind is a kind of arrival process. The values are those of configuration files and flags.
+type Kind string
+
+// The kinds.
+const (
+	Poisson Kind = "poisson" // independent arrivals at one rate
+	Bursty  Kind = "bursty"  // a Markov-modulated Poisson process of two states
+	Diurnal Kind = "diurnal" // a Poisson process whose rate is a sine
+	Replay  Kind = "replay"  // recorded arrivals
+)
+
+// Config are the parameters of a process. The JSON keys are those of experiment headers.
+type Config struct {
+	Kind          Kind
+	Rate          float64       // mean arrivals a second
+	BurstFactor   float64       `json:"Burst"` // Bursty: rate of a burst as a multiple of the mean
+	BurstFraction float64       `json:"Part"`  // Bursty: fraction of the time that is bursts
+	MeanBurst     time.Duration `json:"Stay"`  // Bursty: mean length of a burst
+	Amplitude     float64       `json:"Swing"` // Diurnal: of the rate, as a fraction of the mean
+	Period        time.Duration `json:"Day"`   // Diurnal
+	Surges        []Surge       `json:"Jumps"` // of any kind but Replay
+
+	Times []time.Duration `json:"Recorded"` // Replay
+	Speed float64         `json:"Factor"`   // Replay: how many times as fast as recorded; 0 is 1
+}
+
+// Surge is a time in which the rate is multiplied by a factor. It ramps up and down linearly.
+type Surge struct {
+	Start    time.Duration `json:"From"`
+	Duration time.Duration `json:"For"`
+	Factor   float64
+	RampUp   time.Duration `json:"Rise"` // at the start of Duration
+	RampDown time.Duration `json:"Fall"` // at the end of Duration
+}
+
+// factorAt returns the factor at a time.
+func (s Surge) factorAt(t time.Duration) float64 {
+	elapsed, left := t-s.Start, s.Start+s.Duration-t
+	if elapsed < 0 || left <= 0 {
+		return 1
+	}
+	ramp := 1.0
+	if s.RampUp > 0 {
+		ramp = min(ramp, float64(elapsed)/float64(s.RampUp))
+	}
+	if s.RampDown > 0 {
+		ramp = min(ramp, float64(left)/float64(s.RampDown))
+	}
+	return 1 + (s.Factor-1)*ramp
+}
+
+// Validate reports the first parameter that makes no sense.
+func (c *Config) Validate() error {
+	if err := c.validateKind(); err != nil {
+		return err
+	}
+	for _, s := range c.Surges {
+		if s.Factor < 0 || s.Duration < 0 || s.RampUp < 0 || s.RampDown < 0 {
+			return fmt.Errorf("arrival: a jump to %v for %v, want none below 0", s.Factor, s.Duration)
+		}
+	}
+	return nil
+}
+
+// validateKind checks the parameters that the kind uses.
+func (c *Config) validateKind() error {
+	switch c.Kind {
+	case Poisson:
+		return c.validateRate()
+	case Bursty:
+		if err := c.validateRate(); err != nil {
+			return err
+		}
+		if !c.hasValidBursts() {
+			return fmt.Errorf("arrival: bursts of %v times the rate in %v of the time for %v, want at least 1, a part between 0 and 1, "+
+				"their product at most 1, and a time", c.BurstFactor, c.BurstFraction, c.MeanBurst)
+		}
+		return nil
+	case Diurnal:
+		if err := c.validateRate(); err != nil {
+			return err
+		}
+		if c.Amplitude < 0 || c.Amplitude > 1 || c.Period <= 0 {
+			return fmt.Errorf("arrival: a swing of %v over %v, want 0 to 1 and a time", c.Amplitude, c.Period)
+		}
+		return nil
+	case Replay:
+		return c.validateReplay()
+	}
+	return fmt.Errorf("arrival: no process is called %q, want poisson, bursty, diurnal or replay", c.Kind)
+}
+
+// validateRate checks the mean rate.
+func (c *Config) validateRate() error {
+	if !(c.Rate > 0) || math.IsInf(c.Rate, 0) {
+		return fmt.Errorf("arrival: a rate of %v, want more than 0", c.Rate)
+	}
+	return nil
+}
+
+// hasValidBursts checks the parameters of Bursty. Bursts alone must not exceed the mean rate.
+func (c *Config) hasValidBursts() bool {
+	return c.BurstFraction > 0 && c.BurstFraction < 1 && !(c.BurstFactor < 1) &&
+		!(c.BurstFactor*c.BurstFraction > 1) && c.MeanBurst > 0
+}
+
+// validateReplay checks the parameters of Replay.
+func (c *Config) validateReplay() error {
+	if len(c.Times) == 0 {
+		return fmt.Errorf("arrival: nothing is recorded")
+	}
+	if c.Speed < 0 {
+		return fmt.Errorf("arrival: a factor of %v, want more than 0", c.Speed)
+	}
+	return nil
+}
