--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -170,19 +170,26 @@
 		t.Errorf("counters %+v", c)
 	}
 	checkGaps(t, dir, b.Counters())
+	if countAbandoned(t, dir) == 0 {
+		t.Error("the abandoned segment looks whole")
+	}
+}
+
+// countAbandoned returns how many segments of a capture are torn, or cannot be read since they were abandoned in their first
+// bytes.
+func countAbandoned(t *testing.T, dir string) int {
+	t.Helper()
 	segments, unreadable, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	abandoned := len(unreadable) // one that was abandoned in its first bytes
+	abandoned := len(unreadable)
 	for _, s := range segments {
 		if !s.Complete && len(s.Damage) > 0 {
 			abandoned++
 		}
 	}
-	if abandoned == 0 {
-		t.Error("the abandoned segment looks whole")
-	}
+	return abandoned
 }
 
 // TestCloseDoesNotWait closes a recorder whose disk stalls for good: the end of the process must not wait for it.
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -65,14 +65,18 @@
 	for _, r := range records {
 		kinds[r.Kind] = true
 	}
-	for _, k := range []Kind{KindRequest, KindRunFinished, KindTimer, KindSettle, KindRun, KindReject, KindKeepKey, KindSetTimer, KindSetHealth, KindRequestNames, KindAnnotation} {
+	for _, k := range []Kind{
+		KindRequest, KindRunFinished, KindTimer, KindSettle,
+		KindRun, KindReject, KindKeepKey, KindSetTimer, KindSetHealth,
+		KindRequestNames, KindAnnotation,
+	} {
 		if !kinds[k] {
 			t.Errorf("the sample has no record of %v", k)
 		}
 	}
 	for k := KindRequest; k <= KindAnnotation; k++ {
 		if k > KindSettle && k < KindRun || k > KindLog && k < KindRequestNames {
-			continue
+			continue // no kind has the value
 		}
 		in := Record{Kind: k, At: time.Minute, ID: 7, Duration: 3 * time.Second, Text: "a text", Key: "00ff", Flag: true, Value: 0.5}
 		in.Request.ID, in.Request.Work, in.Request.SizeKB, in.Request.IsRetry = 7, time.Second, 2.5, true
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/sexp"
 )
 
-// CaptureConfig is where and how a server records what its decision module is told and decides.
+// CaptureConfig is where and how a server records the events and actions of its decision module.
 type CaptureConfig struct {
 	Directory string
 	capture.Config
--- a/internal/idempotency/codec_test.go
+++ b/internal/idempotency/codec_test.go
@@ -12,9 +12,21 @@
 // TestEntryRoundTrip decodes what was encoded, and detects any flipped bit.
 func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := Entry{Key: Key{rapid.StringMatching(`[a-z-]{1,9}`).Draw(t, "class"), rapid.StringMatching(`[0-9a-f]{32}`).Draw(t, "key")},
-			State: State(rapid.IntRange(1, 3).Draw(t, "state")), ReceivedAt: start, ExpiresAt: start.Add(time.Hour), BodyHash: rapid.Uint64().Draw(t, "sum"),
-			Response: Response{Status: 200, Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"), Header: []HeaderField{{"A", "b"}}}}
+		e := Entry{
+			Key: Key{
+				Class: rapid.StringMatching(`[a-z-]{1,9}`).Draw(t, "class"),
+				Key:   rapid.StringMatching(`[0-9a-f]{32}`).Draw(t, "key"),
+			},
+			State:      State(rapid.IntRange(1, 3).Draw(t, "state")),
+			ReceivedAt: start,
+			ExpiresAt:  start.Add(time.Hour),
+			BodyHash:   rapid.Uint64().Draw(t, "sum"),
+			Response: Response{
+				Status: 200,
+				Header: []HeaderField{{"A", "b"}},
+				Body:   rapid.SliceOf(rapid.Byte()).Draw(t, "body"),
+			},
+		}
 		if e.Response.Body == nil {
 			e.Response.Body = []byte{}
 		}
--- a/internal/idempotency/runtimes_test.go
+++ b/internal/idempotency/runtimes_test.go
@@ -9,8 +9,11 @@
 
 // TestRunTimes decodes what was encoded, detects any flipped bit, and gives old run times less weight.
 func TestRunTimes(t *testing.T) {
-	runTimes := &RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500}, {Name: "never"},
-		{"b", time.Second, 2 * time.Second, 3}}}
+	runTimes := &RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{
+		{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500},
+		{Name: "never"},
+		{"b", time.Second, 2 * time.Second, 3},
+	}}
 	record := runTimes.Encode()
 	decoded, err := DecodeRunTimes(record)
 	if err != nil || !reflect.DeepEqual(decoded, runTimes) {
@@ -27,8 +30,15 @@
 		age     time.Duration
 		machine string
 		samples []int
-	}{{0, "m", []int{3, 3}}, {time.Hour, "m", []int{2, 2}}, {10 * time.Hour, "m", []int{1, 1}}, {25 * time.Hour, "m", nil}, {-time.Hour, "m", []int{3, 3}},
-		{-3 * time.Hour, "m", nil}, {0, "other", nil}} {
+	}{
+		{0, "m", []int{3, 3}},
+		{time.Hour, "m", []int{2, 2}},
+		{10 * time.Hour, "m", []int{1, 1}},
+		{25 * time.Hour, "m", nil},
+		{-time.Hour, "m", []int{3, 3}},
+		{-3 * time.Hour, "m", nil},
+		{0, "other", nil},
+	} {
 		var samples []int
 		for _, class := range runTimes.WeightByAge(start.Add(c.age), c.machine) {
 			samples = append(samples, class.Samples)
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -10,20 +10,22 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// FuzzIdentity parses any text as a folder's identity: an error is one of two, and an identity without an error is whole.
+// FuzzIdentity parses any text as a directory's identity: an error is one of two, and an identity without an error is whole.
 func FuzzIdentity(f *testing.F) {
 	f.Add([]byte(`{"version":1,"server":"n3","site":"s","secret":"AAAAAAAAAAAAAAAAAAAAAA==","made":"2026-12-01T12:00:00Z"}`))
 	f.Add([]byte(`{"version":2,"secret":7}`))
 	f.Add([]byte(`{"version":1,"secret":"AA=="}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		id, err := parseIdentity(text)
-		if err == nil && (id.Version != Version || len(id.Secret) != secretBytes) || err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) {
+		isWhole := id.Version == Version && len(id.Secret) == secretBytes
+		isKnownError := errors.Is(err, ErrCorrupt) || errors.Is(err, ErrNewerVersion)
+		if err == nil && !isWhole || err != nil && !isKnownError {
 			t.Errorf("%+v, %v", id, err)
 		}
 	})
 }
 
-// copyFiles returns a file layer of its own with the files of a folder, each passed through damage.
+// copyFiles returns a file layer of its own with the files of a directory, each passed through damage.
 func copyFiles(t testing.TB, from vfs.FS, damage func(name string, text []byte) []byte) vfs.FS {
 	t.Helper()
 	to := vfs.NewMem()
@@ -58,11 +60,10 @@
 	return to
 }
 
-// FuzzFolder damages a byte of a file of a folder, or truncates the file there: opening and reading it yields the records as
-// they were written, with some missing at most, or an error. It never panics and never hangs.
-func FuzzFolder(f *testing.F) {
-	intact := vfs.NewMem()
-	s := open(f, intact)
+// writeSample fills a store with 40 records, half of them in a table and half in a log.
+func writeSample(f *testing.F, fsys vfs.FS) {
+	f.Helper()
+	s := open(f, fsys)
 	for i := range 40 {
 		if err := write(s, Change{Name: fmt.Sprint("k", i), Value: fmt.Appendf(nil, "value %d", i)}); err != nil {
 			f.Fatal(err)
@@ -76,6 +77,23 @@
 	if err := s.Close(); err != nil {
 		f.Fatal(err)
 	}
+}
+
+// damage flips the bits of the mask in the byte at a place, or truncates the text there where the mask is 0.
+func damage(text []byte, place int, mask byte) []byte {
+	if mask == 0 {
+		return text[:place]
+	}
+	text = append([]byte(nil), text...)
+	text[place] ^= mask
+	return text
+}
+
+// FuzzFolder damages a byte of a file of a directory, or truncates the file there: opening and reading it yields the records as
+// they were written, with some missing at most, or an error. It never panics and never hangs.
+func FuzzFolder(f *testing.F) {
+	intact := vfs.NewMem()
+	writeSample(f, intact)
 	for n := range uint8(12) {
 		f.Add(n, uint32(n)*37, byte(1<<(n%8)))
 		f.Add(n, uint32(20), byte(0))
@@ -90,13 +108,7 @@
 			if name != target || len(text) == 0 {
 				return text
 			}
-			place := int(at) % len(text)
-			if mask == 0 {
-				return text[:place]
-			}
-			text = append([]byte(nil), text...)
-			text[place] ^= mask
-			return text
+			return damage(text, int(at)%len(text), mask)
 		})
 		s, err := Open(config(damaged))
 		if err != nil {
--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -15,6 +15,61 @@
 // writeDeadline is how long a store may take to report how a write ended, far more than it needs.
 const writeDeadline = 30 * time.Second
 
+// failingDisk is a file layer whose writes fail after so many calls.
+type failingDisk struct {
+	vfs.FS
+	callsLeft atomic.Int64
+	cause     error
+}
+
+// unlimited is more calls than a test makes.
+const unlimited = 1 << 40
+
+// newFailingDisk returns a disk that works until callsLeft is set.
+func newFailingDisk(cause error) *failingDisk {
+	d := &failingDisk{cause: cause}
+	d.callsLeft.Store(unlimited)
+	d.FS = errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
+		if d.callsLeft.Add(-1) < 0 && op.OpKind() == errorfs.OpKindWrite && op != errorfs.OpFileClose {
+			return d.cause
+		}
+		return nil
+	}))
+	return d
+}
+
+// failAndRecover has the disk fail until writes do, and work again, and returns how many writes failed.
+func (d *failingDisk) failAndRecover(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) (failed int) {
+	t.Helper()
+	d.callsLeft.Store(rng.Int64N(300))
+	for i := 0; failed < 3 && i < 2000; i++ {
+		if !putRandom(t, s, rng, durable) {
+			failed++
+		}
+	}
+	d.callsLeft.Store(unlimited)
+	if failed == 0 {
+		t.Fatal("a disk that fails was not noticed")
+	}
+	for attempt := 0; !putRandom(t, s, rng, durable); attempt++ {
+		if attempt == 5 {
+			t.Fatal("the disk works, and writes fail")
+		}
+	}
+	return failed
+}
+
+// checkDurable compares the records of a store with those that were reported as durable.
+func checkDurable(t *testing.T, s *Store, durable map[string]string, when string) {
+	t.Helper()
+	got := contents(t, s)
+	for name, value := range durable {
+		if value != "" && got[name] != value {
+			t.Fatalf("%s: %s was reported as durable and is %.20q, want %.20q", when, name, got[name], value)
+		}
+	}
+}
+
 // TestDiskRecovers has a disk that is full or fails from a random call to the file layer on, under enough writes for files to
 // be created and compacted: each write is reported, nothing that was reported as durable is lost, and the store writes again
 // once the disk works, without being opened anew.
@@ -24,50 +79,19 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	failures, opened := 0, 0
 	for round := range 60 {
-		var left atomic.Int64 // calls until the disk fails
-		left.Store(1 << 40)
-		cause := []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)]
-		disk := errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
-			if left.Add(-1) < 0 && op.OpKind() == errorfs.OpKindWrite && op != errorfs.OpFileClose {
-				return cause
-			}
-			return nil
-		}))
+		disk := newFailingDisk([]error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)])
 		s := open(t, disk)
 		durable := map[string]string{}
-		for failure := range 3 {
-			left.Store(rng.Int64N(300))
-			failed := 0
-			for i := 0; failed < 3 && i < 2000; i++ {
-				if !putRandom(t, s, rng, durable) {
-					failed++
-				}
-			}
-			failures += failed
-			left.Store(1 << 40)
-			if failed == 0 {
-				t.Fatalf("round %d: a disk that fails was not noticed", round)
-			}
-			for attempt := 0; !putRandom(t, s, rng, durable); attempt++ {
-				if attempt == 5 {
-					t.Fatalf("round %d, failure %d: the disk works, and writes fail", round, failure)
-				}
-			}
-		}
-		check := func(when string, got map[string]string) {
-			for name, value := range durable {
-				if value != "" && got[name] != value {
-					t.Fatalf("round %d, %s: %s was reported as durable and is %.20q, want %.20q", round, when, name, got[name], value)
-				}
-			}
+		for range 3 {
+			failures += disk.failAndRecover(t, s, rng, durable)
 		}
-		check("open", contents(t, s))
+		checkDurable(t, s, durable, fmt.Sprintf("round %d, open", round))
 		opened += int(s.Stats().Reopens)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 		s = open(t, disk)
-		check("opened anew", contents(t, s))
+		checkDurable(t, s, durable, fmt.Sprintf("round %d, opened anew", round))
 		s.Close()
 	}
 	t.Logf("%d writes failed, %d times the database was opened again", failures, opened)
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,4 +1,4 @@
-// Package store keeps records in a folder that outlives the process: a durable map with group commit. It owns the folder, its
+// Package store keeps records in a directory that outlives the process: a durable map with group commit. It owns the directory, its
 // identity (of which server and which site, in which format) and its lock, and one goroutine that writes: callers hand over
 // changes and are called back once these are durable. Which records there are and what they mean is up to
 // internal/idempotency.
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// engine is one opening of a folder's database. Pebble does not go on after a write that failed: it may ask for the end of
+// engine is one opening of a directory's database. Pebble does not go on after a write that failed: it may ask for the end of
 // the process, or block with its locks held. So whatever may write runs on a goroutine that can be abandoned, an engine that
 // failed is detached from the disk, and another takes its place once the disk works again.
 type engine struct {
@@ -41,13 +41,13 @@
 	maxL0Files = 1 << 20
 )
 
-// lockedByStore is a file layer whose folder the store itself has locked, for longer than one engine lasts.
+// lockedByStore is a file layer whose directory the store itself has locked, for longer than one engine lasts.
 type lockedByStore struct{ vfs.FS }
 
 // Lock implements vfs.FS.
 func (lockedByStore) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-// openEngine opens the database of a folder that is locked.
+// openEngine opens the database of a directory that is locked.
 func openEngine(c Config) (*engine, error) {
 	e := &engine{failed: make(chan struct{})}
 	cache := pebble.NewCache(cacheBytes)
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// The errors of opening a folder. They are wrapped with the folder's name and what was found.
+// The errors of opening a directory. They are wrapped with the directory's name and what was found.
 var (
 	ErrInUse        = errors.New("store: another process uses the folder")
 	ErrForeign      = errors.New("store: the folder is another server's")
@@ -36,7 +36,7 @@
 // pebbleLockHeld is what Pebble's in-process lock says; it has no error value to compare with.
 const pebbleLockHeld = "lock held by current process"
 
-// openError classifies why a folder could not be opened.
+// openError classifies why a directory could not be opened.
 func openError(dir string, err error) error {
 	switch {
 	case isLockConflict(dir, err):
@@ -49,7 +49,7 @@
 	return fmt.Errorf("%s: %w: %w", dir, ErrCorrupt, err)
 }
 
-// isLockConflict tells whether an error means that another has the folder's lock. EACCES also comes of missing permissions,
+// isLockConflict tells whether an error means that another has the directory's lock. EACCES also comes of missing permissions,
 // so the lock itself is asked.
 func isLockConflict(dir string, err error) bool {
 	return errors.Is(err, syscall.EAGAIN) ||
@@ -57,7 +57,7 @@
 		strings.Contains(err.Error(), pebbleLockHeld)
 }
 
-// isLockedByOther tells whether another process holds the folder's lock.
+// isLockedByOther tells whether another process holds the directory's lock.
 func isLockedByOther(dir string) bool {
 	f, err := os.Open(filepath.Join(dir, lockName))
 	if err != nil {
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -13,13 +13,13 @@
 // Version is the version of the format that this package writes, and the newest it reads.
 const Version = 1
 
-// identityKey is the name of the folder's own record.
+// identityKey is the name of the directory's own record.
 const identityKey = "\x00identity"
 
-// secretBytes is the length of a folder's secret.
+// secretBytes is the length of a directory's secret.
 const secretBytes = 16
 
-// Identity says whose a folder is.
+// Identity says whose a directory is.
 type Identity struct {
 	Version  int    `json:"version"`
 	Server   string `json:"server"`
@@ -29,7 +29,7 @@
 	CreatedAt time.Time `json:"made"`
 }
 
-// newSecret draws a folder's secret.
+// newSecret draws a directory's secret.
 func newSecret() ([]byte, error) {
 	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
@@ -53,7 +53,7 @@
 	return id, nil
 }
 
-// loadIdentity reads the folder's identity and compares it with the configuration. A new folder gets one.
+// loadIdentity reads the directory's identity and compares it with the configuration. A new directory gets one.
 func (s *Store) loadIdentity() error {
 	dir := s.config.Dir
 	text, closer, err := s.engine.db.Get([]byte(identityKey))
@@ -72,7 +72,7 @@
 	return s.checkOwner()
 }
 
-// checkOwner compares the folder's server and site with those of the configuration, where that names them.
+// checkOwner compares the directory's server and site with those of the configuration, where that names them.
 func (s *Store) checkOwner() error {
 	dir, id, want := s.config.Dir, s.identity, s.config
 	if want.Server != "" && id.Server != want.Server {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// initialize writes the identity of a new folder.
+// initialize writes the identity of a new directory.
 func (s *Store) initialize() error {
 	if err := s.checkEmpty(); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkEmpty reports a folder that has records and no identity: the identity was lost, so nobody knows whose it is.
+// checkEmpty reports a directory that has records and no identity: the identity was lost, so nobody knows whose it is.
 func (s *Store) checkEmpty() error {
 	dir := s.config.Dir
 	it, err := s.engine.db.NewIter(nil)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// syncParent makes a new folder's entry in its parent survive a power cut; Pebble syncs only what is in the folder.
+// syncParent makes a new directory's entry in its parent survive a power cut; Pebble syncs only what is in the directory.
 func (s *Store) syncParent() error {
 	fs := s.config.FS
 	parent, err := fs.OpenDir(fs.PathDir(s.config.Dir))
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	keyWindow      = 18354 * time.Millisecond // in which a key must not run again
-	maxDelay       = 3 * time.Second          // that an attempt may be in transit
-	livesPerFolder = 100                      // one power cut each
-	keyCount       = 12
-	maxCallsToCut  = 160 // calls to the file layer
-	stepsPerLife   = 60
+	keyWindow         = 18354 * time.Millisecond // in which a key must not run again
+	maxDelay          = 3 * time.Second          // that an attempt may be in transit
+	livesPerDirectory = 100                      // one power cut each
+	keyCount          = 12
+	maxCallsToCut     = 160 // calls to the file layer
+	stepsPerLife      = 60
 )
 
 // modelRequest is what a life of the server knows of a key.
@@ -35,7 +35,7 @@
 	replaced   *modelRequest // a run whose window had passed; late attempts of it may still come
 }
 
-// cluster is one folder, the callers of its server, and the interpreter, over many lives of the server.
+// cluster is one directory, the callers of its server, and the interpreter, over many lives of the server.
 type cluster struct {
 	rng      *rand.Rand
 	fsys     *vfs.MemFS
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// run opens the folder, loads what an earlier life left and serves until the power cut.
+// run opens the directory, loads what an earlier life left and serves until the power cut.
 func (l *serverLife) run(disk vfs.FS) (err error) {
 	if l.store, err = Open(config(disk)); err != nil {
 		return err
@@ -245,7 +245,7 @@
 func TestPowerCutsKeepKeys(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
-	folders := max(*powerCuts/livesPerFolder, 1)
+	directories := max(*powerCuts/livesPerDirectory, 1)
 	var next atomic.Int64
 	var mu sync.Mutex
 	var players sync.WaitGroup
@@ -255,8 +255,8 @@
 		players.Add(1)
 		go func() {
 			defer players.Done()
-			for n := next.Add(1); n <= int64(folders); n = next.Add(1) {
-				counts, err := playFolder(t, seed, uint64(n))
+			for n := next.Add(1); n <= int64(directories); n = next.Add(1) {
+				counts, err := playDirectory(t, seed, uint64(n))
 				mu.Lock()
 				for name, count := range counts {
 					total[name] += count
@@ -272,7 +272,7 @@
 	if err := errors.Join(failures...); err != nil {
 		t.Errorf("%.2000s", err.Error())
 	}
-	t.Logf("%d folders of %d cuts: %v", folders, livesPerFolder, total)
+	t.Logf("%d directories of %d cuts: %v", directories, livesPerDirectory, total)
 	for _, name := range []string{"served", "refused", "failed", "runs", "recovered done", "recovered intent", "recovered answer given up"} {
 		if total[name] == 0 {
 			t.Errorf("none were %s", name)
@@ -280,8 +280,8 @@
 	}
 }
 
-// playFolder plays the lives of one folder's servers.
-func playFolder(t *testing.T, seed, n uint64) (map[string]int, error) {
+// playDirectory plays the lives of one directory's servers.
+func playDirectory(t *testing.T, seed, n uint64) (map[string]int, error) {
 	c := &cluster{
 		rng:     rand.New(rand.NewPCG(seed, n)),
 		fsys:    vfs.NewStrictMem(),
@@ -289,7 +289,7 @@
 		now:     time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC),
 		counts:  map[string]int{},
 	}
-	for life := range livesPerFolder {
+	for life := range livesPerDirectory {
 		if err := c.playLife(t); err != nil {
 			return c.counts, fmt.Errorf("life %d: %w", life, err)
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,43 +13,43 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// Config is how a folder is opened.
+// Config is how a directory is opened.
 type Config struct {
 	Dir      string
-	Server   string // whose the folder must be; "" is any
-	SiteHash string // of which site the folder must be; "" is any
+	Server   string // whose the directory must be; "" is any
+	SiteHash string // of which site the directory must be; "" is any
 	Machine  string // on which it is open
 	ReadOnly bool
 	FS       vfs.FS // nil is the disk
 }
 
-// Store is an open folder. Its methods may be called from any goroutine.
+// Store is an open directory. Its methods may be called from any goroutine.
 type Store struct {
 	config   Config
 	lock     io.Closer
 	identity Identity
-	writer   *writer // nil where the folder is read only
+	writer   *writer // nil where the directory is read only
 
 	mu           sync.RWMutex
 	engine       *engine // nil after a failure, until the disk works again
 	stuckEngines int     // that failed and did not end
 }
 
-// lockName is the file in a folder whose lock keeps other processes out.
+// lockName is the file in a directory whose lock keeps other processes out.
 const lockName = "LOCK"
 
-// manifestPrefix begins the names of Pebble's manifests; a folder without one has no database.
+// manifestPrefix begins the names of Pebble's manifests; a directory without one has no database.
 const manifestPrefix = "MANIFEST-"
 
-// openRetryInterval is how often a folder that another process uses is tried again.
+// openRetryInterval is how often a directory that another process uses is tried again.
 const openRetryInterval = 20 * time.Millisecond
 
-// Open opens a folder. It creates one that does not exist, unless it is opened read only.
+// Open opens a directory. It creates one that does not exist, unless it is opened read only.
 func Open(c Config) (*Store, error) {
 	if c.FS == nil {
 		c.FS = vfs.Default
 	}
-	if err := prepareFolder(c); err != nil {
+	if err := prepareDirectory(c); err != nil {
 		return nil, err
 	}
 	lock, err := c.FS.Lock(c.FS.PathJoin(c.Dir, lockName))
@@ -67,8 +67,8 @@
 	return s, nil
 }
 
-// prepareFolder makes sure that there is a folder to lock.
-func prepareFolder(c Config) error {
+// prepareDirectory makes sure that there is a directory to lock.
+func prepareDirectory(c Config) error {
 	if c.ReadOnly {
 		if !hasStore(c) {
 			return fmt.Errorf("%s: %w", c.Dir, ErrNoStore)
@@ -81,13 +81,13 @@
 	return nil
 }
 
-// hasStore tells whether a folder has a store.
+// hasStore tells whether a directory has a store.
 func hasStore(c Config) bool {
 	names, err := c.FS.List(c.Dir)
 	return err == nil && slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, manifestPrefix) })
 }
 
-// openDatabase opens the first engine and checks whose the folder is.
+// openDatabase opens the first engine and checks whose the directory is.
 func (s *Store) openDatabase() error {
 	var err error
 	if s.engine, err = openEngine(s.config); err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// OpenWait is Open, but waits for another process that uses the folder until the context ends: the process before this one
+// OpenWait is Open, but waits for another process that uses the directory until the context ends: the process before this one
 // may still drain. It calls waiting once before it waits.
 func OpenWait(ctx context.Context, c Config, waiting func()) (*Store, error) {
 	s, err := Open(c)
@@ -121,16 +121,16 @@
 	return s, err
 }
 
-// Identity returns whose the folder is.
+// Identity returns whose the directory is.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Machine identifies the machine on which the folder is open.
+// Machine identifies the machine on which the directory is open.
 func (s *Store) Machine() string { return s.config.Machine }
 
-// Secret returns the folder's secret, which keys the hashes of request bodies.
+// Secret returns the directory's secret, which keys the hashes of request bodies.
 func (s *Store) Secret() []byte { return s.identity.Secret }
 
-// Close writes what was handed over and releases the folder. It does not wait long for a stalled disk: what was reported as
+// Close writes what was handed over and releases the directory. It does not wait long for a stalled disk: what was reported as
 // durable is, and the rest was promised to nobody.
 func (s *Store) Close() error {
 	var err error
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,10 +22,10 @@
 // powerCuts is how many power cuts TestPowerCuts plays; docs/design/state.md has what more showed.
 var powerCuts = flag.Int("cuts", 150, "how many power cuts are played")
 
-// config is that of the tests' folder.
+// config is that of the tests' directory.
 func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteHash: "s", FS: fsys} }
 
-// open opens the folder of the tests.
+// open opens the directory of the tests.
 func open(t testing.TB, fsys vfs.FS) *Store {
 	t.Helper()
 	s, err := Open(config(fsys))
@@ -54,7 +54,7 @@
 	return <-done
 }
 
-// tails returns the bytes of the folder's logs, including those that were never synced.
+// tails returns the bytes of the directory's logs, including those that were never synced.
 func tails(t testing.TB, fsys *vfs.MemFS) map[string][]byte {
 	t.Helper()
 	names, err := fsys.List("/state")
@@ -144,6 +144,42 @@
 	return list, byName
 }
 
+// writeLog is what was written to a store, and what of it was reported as durable.
+type writeLog struct {
+	mu         sync.Mutex
+	durable    map[string]string   // records as of the requests that were reported
+	unreported []map[string]string // requests that were not, in order
+}
+
+// writeRandom writes a request.
+func (l *writeLog) writeRandom(t *testing.T, s *Store, rng *rand.Rand) {
+	t.Helper()
+	list, changes := randomChanges(rng)
+	l.mu.Lock()
+	l.unreported = append(l.unreported, changes)
+	l.mu.Unlock()
+	err := s.Write(list, func(err error) {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		if err == nil { // requests are written in order
+			apply(l.durable, l.unreported[0])
+		}
+		l.unreported = l.unreported[1:]
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// cutPower lets nothing be synced from here on. It returns what was reported and what was not, and the bytes of the logs.
+func (l *writeLog) cutPower(t *testing.T, fsys *vfs.MemFS) (durable map[string]string, unreported []map[string]string, logs map[string][]byte) {
+	t.Helper()
+	l.mu.Lock() // nothing is reported meanwhile
+	defer l.mu.Unlock()
+	fsys.SetIgnoreSyncs(true)
+	return maps.Clone(l.durable), append([]map[string]string(nil), l.unreported...), tails(t, fsys)
+}
+
 // TestPowerCuts cuts the power at random points of random writes: what was reported as durable is there after it, other
 // requests are there whole or not at all, and nothing else is.
 func TestPowerCuts(t *testing.T) {
@@ -158,37 +194,18 @@
 		if got := contents(t, s); !maps.Equal(got, durable) {
 			t.Fatalf("cut %d: %d records instead of %d", cut, len(got), len(durable))
 		}
-		var mu sync.Mutex
-		var waiting []map[string]string // requests that were not reported, in order
+		writes := &writeLog{durable: durable}
 		for range rng.IntN(20) {
-			list, changes := randomChanges(rng)
-			mu.Lock()
-			waiting = append(waiting, changes)
-			mu.Unlock()
-			err := s.Write(list, func(err error) {
-				mu.Lock()
-				defer mu.Unlock()
-				if err == nil { // requests are written in order
-					apply(durable, waiting[0])
-				}
-				waiting = waiting[1:]
-			})
-			if err != nil {
-				t.Fatal(err)
-			}
+			writes.writeRandom(t, s, rng)
 			if rng.IntN(3) == 0 {
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Microsecond)
 			}
 		}
-		mu.Lock() // nothing is reported from here on
-		reported, unreported := maps.Clone(durable), append([]map[string]string(nil), waiting...)
-		fsys.SetIgnoreSyncs(true)
-		before := tails(t, fsys)
-		mu.Unlock()
+		reported, unreported, logs := writes.cutPower(t, fsys)
 		s.Close()
 		fsys.ResetToSyncedState()
 		fsys.SetIgnoreSyncs(false)
-		torn += tear(t, fsys, before, rng)
+		torn += tear(t, fsys, logs, rng)
 		s = open(t, fsys)
 		got := contents(t, s)
 		if err := s.Close(); err != nil {
@@ -220,7 +237,7 @@
 }
 
 // TestErrors has each call to the file layer fail in turn, once and from there on: no panic, nothing that was reported as
-// durable is lost, and the folder opens again once the disk works.
+// durable is lost, and the directory opens again once the disk works.
 func TestErrors(t *testing.T) {
 	for _, forever := range []bool{false, true} {
 		injected := 0
@@ -265,7 +282,7 @@
 	}
 }
 
-// script opens a folder and writes; durable is what was reported to be there.
+// script opens a directory and writes; durable is what was reported to be there.
 func script(fsys vfs.FS, durable map[string]string) (err error) {
 	defer func() {
 		if r := recover(); r != nil { // Pebble ends the process where its manifest can't be written
@@ -291,7 +308,7 @@
 	return nil
 }
 
-// TestIdentity opens a folder for its own server and site only.
+// TestIdentity opens a directory for its own server and site only.
 func TestIdentity(t *testing.T) {
 	fsys := vfs.NewMem()
 	s := open(t, fsys)
