--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -21,8 +21,8 @@
 }
 
 var (
-	errLingered = errors.New("loop: the peer went on after the end")
-	errUntaken  = errors.New("loop: too much waits for peers that do not read")
+	errLingerTimeout  = errors.New("loop: the peer went on after the end")
+	errOutputOverflow = errors.New("loop: too much waits for peers that do not read")
 )
 
 // OnConn is one non-blocking stream connection.
@@ -194,8 +194,8 @@
 	}
 	c.keep(len(c.out))
 	switch {
-	case len(c.out) > 0 && c.loop.untaken > c.loop.most && len(c.out) > c.loop.most/untakenParts:
-		c.fail(errUntaken)
+	case len(c.out) > 0 && c.loop.unsentBytes > c.loop.maxUnsentBytes && len(c.out) > c.loop.maxUnsentBytes/untakenParts:
+		c.fail(errOutputOverflow)
 		return
 	case len(c.out) > 0:
 	case c.closing:
@@ -216,7 +216,7 @@
 
 // keep notes how much of the output the peer has not taken.
 func (c *Conn) keep(left int) {
-	c.loop.untaken += left - c.left
+	c.loop.unsentBytes += left - c.left
 	c.left = left
 }
 
@@ -237,7 +237,7 @@
 	c.linger = c.loop.AfterFunc(lingerMost, func() {
 		if !c.closed {
 			c.Close()
-			c.handler.Closed(c, errLingered)
+			c.handler.Closed(c, errLingerTimeout)
 		}
 	})
 }
@@ -245,7 +245,7 @@
 // rewatch registers the connection for what it waits for: a peer that does not take its answers is not read.
 func (c *Conn) rewatch() {
 	var events uint32
-	if len(c.out) < highWater && !c.closing || c.lingering {
+	if len(c.out) < highWatermark && !c.closing || c.lingering {
 		events |= unix.EPOLLIN
 	}
 	if len(c.out) > 0 {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -11,8 +11,8 @@
 const (
 	backlog    = 512
 	acceptMost = 64 // connections accepted in one round
-	// acceptRest is how long a listener rests when no descriptor is left even for turning callers away.
-	acceptRest = 50 * time.Millisecond
+	// acceptPause is how long a listener rests when no descriptor is left even for turning callers away.
+	acceptPause = 50 * time.Millisecond
 )
 
 // AcceptCallbacks tells of new connections.
@@ -125,7 +125,7 @@
 	}
 	ln.resting = true
 	ln.loop.watch(ln.fd, 0)
-	ln.loop.AfterFunc(acceptRest, func() {
+	ln.loop.AfterFunc(acceptPause, func() {
 		ln.resting = false
 		if !ln.closed {
 			if ln.spare < 0 {
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -7,18 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// sick is a machine that can't accept connections for a while.
-type sick struct {
+// faultySystem is a machine that can't accept connections for a while.
+type faultySystem struct {
 	Kernel
-	err    error
-	well   bool // calls are carried out
-	called int
+	acceptErr   error
+	isRecovered bool // calls are carried out
+	acceptCalls int
 }
 
-func (s *sick) Accept(fd int) (int, error) {
-	if s.called++; !s.well {
-		s.well = s.err == unix.ECONNABORTED || s.err == unix.EINTR // which are of one connection, or one call
-		return -1, s.err
+func (s *faultySystem) Accept(fd int) (int, error) {
+	if s.acceptCalls++; !s.isRecovered {
+		s.isRecovered = s.acceptErr == unix.ECONNABORTED || s.acceptErr == unix.EINTR // which are of one connection, or one call
+		return -1, s.acceptErr
 	}
 	return s.Kernel.Accept(fd)
 }
@@ -30,15 +30,15 @@
 		err  error
 		told bool // the owner hears of it
 	}{{unix.EPROTO, true}, {unix.EPERM, true}, {unix.ECONNABORTED, false}, {unix.EINTR, false}} {
-		s := &sick{err: c.err}
+		s := &faultySystem{acceptErr: c.err}
 		l, err := New(s, testTick, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := 0
+		reported := 0
 		ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), AcceptCallbacks{
-			OnConn:  func(*Conn) ConnHandler { l.Stop(); return newEcho() },
-			OnError: func(err error) { told++ }})
+			OnConn:  func(*Conn) ConnHandler { l.Stop(); return newEchoHandler() },
+			OnError: func(err error) { reported++ }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,12 +47,12 @@
 			t.Fatal(err)
 		}
 		dial(t, addr.String())
-		l.AfterFunc(6*acceptRest, func() { s.well = true })
+		l.AfterFunc(6*acceptPause, func() { s.isRecovered = true })
 		if err := l.Run(func() bool { return false }); err != nil {
 			t.Fatal(err)
 		}
-		if (told > 0) != c.told || s.called > 20 { // however slow the machine, no more than one in each rest, and a few
-			t.Errorf("%v: %d errors told, %d calls to accept one connection", c.err, told, s.called)
+		if (reported > 0) != c.told || s.acceptCalls > 20 { // however slow the machine, no more than one in each rest, and a few
+			t.Errorf("%v: %d errors told, %d calls to accept one connection", c.err, reported, s.acceptCalls)
 		}
 		ln.Close()
 		l.Close()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	maxEvents = 256      // ready descriptors of one round
-	readSize  = 32 << 10 // bytes read from one connection in a round
-	highWater = 64 << 10 // unsent bytes over which a connection is not read
+	maxEvents     = 256      // ready descriptors of one round
+	readSize      = 32 << 10 // bytes read from one connection in a round
+	highWatermark = 64 << 10 // unsent bytes over which a connection is not read
 	// arenaSize bounds what one round reads from all connections: a flood of them must neither take the memory
 	// nor hold up a round for long.
 	arenaSize = 16 * readSize
@@ -37,23 +37,23 @@
 
 // Loop owns all that is registered with it. Its methods belong to the goroutine in Run, but for Post.
 type Loop struct {
-	system      System
-	epoll, wake int
-	sources     map[int]source
-	ready       []source
-	arena       []byte // what this round read
-	full        bool   // the arena had no room for all of it
-	turn        int    // where the next round begins to read
-	waste       [readSize]byte
-	one         [8]byte  // of the wakeups, and of looks into sockets
-	spare       [][]byte // empty output buffers
-	untaken     int      // bytes that peers have not taken
-	most        int      // untaken bytes over which peers that hold many of them are cut off
-	dirty       []*Conn
-	failed      []source // connections that could not be written to, to be reported next
-	now         time.Time
-	wheel       *timerWheel
-	stopped     bool
+	system         System
+	epoll, wake    int
+	sources        map[int]source
+	ready          []source
+	arena          []byte // what this round read
+	full           bool   // the arena had no room for all of it
+	turn           int    // where the next round begins to read
+	waste          [readSize]byte
+	one            [8]byte  // of the wakeups, and of looks into sockets
+	spare          [][]byte // empty output buffers
+	unsentBytes    int      // bytes that peers have not taken
+	maxUnsentBytes int      // unsentBytes bytes over which peers that hold many of them are cut off
+	dirty          []*Conn
+	failed         []source // connections that could not be written to, to be reported next
+	now            time.Time
+	wheel          *timerWheel
+	stopped        bool
 
 	mu     sync.Mutex
 	posted []func()
@@ -73,8 +73,8 @@
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
 	now := system.Now()
-	l := &Loop{system: system, epoll: epoll, wake: wake, sources: map[int]source{}, now: now, wheel: newWheel(tick, now),
-		arena: make([]byte, 0, arenaSize), most: untaken}
+	l := &Loop{system: system, epoll: epoll, wake: wake, sources: map[int]source{}, now: now, wheel: newTimerWheel(tick, now),
+		arena: make([]byte, 0, arenaSize), maxUnsentBytes: untaken}
 	if err := l.add(wake, unix.EPOLLIN, wakeup{l}); err != nil {
 		l.Close()
 		return nil, err
@@ -101,7 +101,7 @@
 
 // AfterFunc fires once the wait is over.
 func (l *Loop) AfterFunc(wait time.Duration, fire func()) *Timer {
-	return l.wheel.set(l.now, wait, fire)
+	return l.wheel.schedule(l.now, wait, fire)
 }
 
 // CancelTimer disarms a timer; nil and one that fired are left alone.
@@ -129,7 +129,7 @@
 	for !l.stopped {
 		wait := 0
 		if !again && len(l.failed) == 0 {
-			wait = int((l.wheel.wait(l.system.Now()) + time.Millisecond - 1) / time.Millisecond)
+			wait = int((l.wheel.untilNext(l.system.Now()) + time.Millisecond - 1) / time.Millisecond)
 		}
 		n, err := l.system.EpollWait(l.epoll, events, wait)
 		if err != nil && !errors.Is(err, unix.EINTR) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,20 +12,20 @@
 	"tillerusher/internal/servertest"
 )
 
-// echo is a handler that answers with what it reads.
-type echo struct {
+// echoHandler is a handler that answers with what it reads.
+type echoHandler struct {
 	connected, closed chan error
 	onData            func(c *Conn, p []byte)
 }
 
-func newEcho() *echo {
+func newEchoHandler() *echoHandler {
 	// Room for all connections of a test: the loop must not wait for a test that has ended.
-	return &echo{connected: make(chan error, 256), closed: make(chan error, 256), onData: func(c *Conn, p []byte) { c.Write(p) }}
+	return &echoHandler{connected: make(chan error, 256), closed: make(chan error, 256), onData: func(c *Conn, p []byte) { c.Write(p) }}
 }
 
-func (e *echo) Connected(*Conn)           { e.connected <- nil }
-func (e *echo) Data(c *Conn, p []byte)    { e.onData(c, p) }
-func (e *echo) Closed(_ *Conn, err error) { e.closed <- err }
+func (e *echoHandler) Connected(*Conn)           { e.connected <- nil }
+func (e *echoHandler) Data(c *Conn, p []byte)    { e.onData(c, p) }
+func (e *echoHandler) Closed(_ *Conn, err error) { e.closed <- err }
 
 // serve runs a loop that listens, and ends it with the test.
 func serve(t *testing.T, h ConnHandler, settle func()) (*Loop, string) {
@@ -62,7 +62,7 @@
 // what waits for it stays bounded.
 func TestEcho(t *testing.T) {
 	unsent := 0
-	e := newEcho()
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		c.Write(p)
 		unsent = max(unsent, c.UnsentBytes())
@@ -89,21 +89,21 @@
 		}
 	}
 	// The end of the peer's side ends the connection: only what was read before it is certain to come back.
-	if !bytes.HasPrefix(sent, got) || len(got) < len(sent)-highWater-readSize-8<<20 {
+	if !bytes.HasPrefix(sent, got) || len(got) < len(sent)-highWatermark-readSize-8<<20 {
 		t.Errorf("%d bytes came back of %d", len(got), len(sent))
 	}
 	if err := <-e.closed; !errors.Is(err, io.EOF) {
 		t.Errorf("closed with %v", err)
 	}
-	if unsent > highWater+readSize {
+	if unsent > highWatermark+readSize {
 		t.Errorf("%d bytes waited to be sent", unsent)
 	}
 }
 
-// TestRound reports all that is ready before the owner settles once, and sends all of a round together.
-func TestRound(t *testing.T) {
+// TestRoundIsBatched reports all that is ready before the owner settles once, and sends all of a round together.
+func TestRoundIsBatched(t *testing.T) {
 	events, settled := 0, make(chan int, 1000)
-	e := newEcho()
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		for range p {
 			events++
@@ -153,8 +153,8 @@
 
 // TestDial connects, and hears of a call that nobody takes.
 func TestDial(t *testing.T) {
-	e := newEcho()
-	l, addr := serve(t, newEcho(), func() {})
+	e := newEchoHandler()
+	l, addr := serve(t, newEchoHandler(), func() {})
 	l.Post(func() {
 		c, err := l.Dial(netip.MustParseAddrPort(addr), e)
 		if err != nil {
@@ -166,7 +166,7 @@
 	if err := <-e.connected; err != nil {
 		t.Error(err)
 	}
-	refused := newEcho()
+	refused := newEchoHandler()
 	nobody := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	l.Post(func() {
 		if _, err := l.Dial(nobody, refused); err != nil {
@@ -178,10 +178,10 @@
 	}
 }
 
-// TestQuietAndCloseSent finds a connection quiet only when nothing waits in it, and sends before it closes.
-func TestQuietAndCloseSent(t *testing.T) {
+// TestIdleAndCloseAfterFlush finds a connection quiet only when nothing waits in it, and sends before it closes.
+func TestIdleAndCloseAfterFlush(t *testing.T) {
 	var conn *Conn
-	e := newEcho()
+	e := newEchoHandler()
 	got := make(chan string, 10)
 	e.onData = func(c *Conn, p []byte) { conn = c; got <- string(p) }
 	l, addr := serve(t, e, func() {})
@@ -192,24 +192,24 @@
 	defer c.Close()
 	io.WriteString(c, "a")
 	<-got
-	quiet := make(chan bool)
+	idle := make(chan bool)
 	l.Post(func() {
 		// Written while the loop stands in this round: it waits in the socket.
 		io.WriteString(c, "b")
 		for end := time.Now().Add(servertest.WaitTimeout); conn.IsIdle(0) && time.Now().Before(end); {
 		}
-		quiet <- conn.IsIdle(0)
+		idle <- conn.IsIdle(0)
 	})
-	if <-quiet {
+	if <-idle {
 		t.Error("quiet with a byte in the socket")
 	}
 	<-got
-	l.Post(func() { quiet <- conn.IsIdle(0) })
-	if !<-quiet {
+	l.Post(func() { idle <- conn.IsIdle(0) })
+	if !<-idle {
 		t.Error("not quiet with nothing in the socket")
 	}
-	l.Post(func() { quiet <- conn.IsIdle(time.Hour) })
-	if <-quiet {
+	l.Post(func() { idle <- conn.IsIdle(time.Hour) })
+	if <-idle {
 		t.Error("quiet before the time")
 	}
 	l.Post(func() {
@@ -238,7 +238,7 @@
 // TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the answer
 // arrives all the same, and a peer that never stops is cut off.
 func TestLinger(t *testing.T) {
-	e := newEcho()
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		c.Write([]byte("too much"))
 		c.CloseAfterFlush()
@@ -264,15 +264,15 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	if err := <-e.closed; !errors.Is(err, errLingered) {
+	if err := <-e.closed; !errors.Is(err, errLingerTimeout) {
 		t.Errorf("an endless peer was closed with %v", err)
 	}
 }
 
-// TestFlood has more senders at full speed than one round can read: one that comes later is read all the same, and
+// TestFloodIsFair has more senders at full speed than one round can read: one that comes later is read all the same, and
 // what a round reads stays within the arena.
-func TestFlood(t *testing.T) {
-	e := newEcho()
+func TestFloodIsFair(t *testing.T) {
+	e := newEchoHandler()
 	answered := make(chan bool, 1)
 	e.onData = func(c *Conn, p []byte) {
 		if len(p) == 1 && p[0] == 'a' {
@@ -311,10 +311,10 @@
 	}
 }
 
-// TestUntaken answers many peers that do not read: what waits for all of them stays bounded, and one that reads
+// TestUnreadOutputIsBounded answers many peers that do not read: what waits for all of them stays bounded, and one that reads
 // is not cut off for it.
-func TestUntaken(t *testing.T) {
-	e := newEcho()
+func TestUnreadOutputIsBounded(t *testing.T) {
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) { c.Write(make([]byte, 1000*len(p))) }
 	l, addr := serve(t, e, func() {})
 	for range 16 { // each is owed 8 MB, far more than its socket takes
@@ -324,7 +324,7 @@
 		}
 	}
 	for range 8 {
-		if err := <-e.closed; !errors.Is(err, errUntaken) {
+		if err := <-e.closed; !errors.Is(err, errOutputOverflow) {
 			t.Errorf("closed with %v", err)
 		}
 	}
@@ -336,8 +336,8 @@
 		}
 	}
 	untaken := make(chan int)
-	l.Post(func() { untaken <- l.untaken })
-	if got := <-untaken; got > l.most+8<<20 {
+	l.Post(func() { untaken <- l.unsentBytes })
+	if got := <-untaken; got > l.maxUnsentBytes+8<<20 {
 		t.Errorf("%d bytes wait for peers that do not read", got)
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -15,15 +15,15 @@
 // timerWheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and at most one tick
 // late.
 type timerWheel struct {
-	tick   time.Duration
-	origin time.Time
-	done   int64 // the last tick whose timers were fired
-	slots  [wheelSlots]Timer
-	armed  int
+	tick      time.Duration
+	origin    time.Time
+	done      int64 // the last tick whose timers were fired
+	slots     [wheelSlots]Timer
+	scheduled int
 }
 
-// newWheel returns an empty wheel that starts now.
-func newWheel(tick time.Duration, now time.Time) *timerWheel {
+// newTimerWheel returns an empty wheel that starts now.
+func newTimerWheel(tick time.Duration, now time.Time) *timerWheel {
 	w := &timerWheel{tick: tick, origin: now}
 	for i := range w.slots {
 		head := &w.slots[i]
@@ -32,14 +32,14 @@
 	return w
 }
 
-// set arms a timer that fires once the wait is over.
-func (w *timerWheel) set(now time.Time, wait time.Duration, fire func()) *Timer {
+// schedule arms a timer that fires once the wait is over.
+func (w *timerWheel) schedule(now time.Time, wait time.Duration, fire func()) *Timer {
 	at := now.Sub(w.origin) + max(wait, 0)
 	t := &Timer{due: max(int64((at+w.tick-1)/w.tick), w.done+1), fire: fire}
 	head := &w.slots[t.due%wheelSlots]
 	t.prev, t.next = head.prev, head
 	t.prev.next, head.prev = t, t
-	w.armed++
+	w.scheduled++
 	return t
 }
 
@@ -50,7 +50,7 @@
 	}
 	t.prev.next, t.next.prev = t.next, t.prev
 	t.next, t.prev = nil, nil
-	w.armed--
+	w.scheduled--
 }
 
 // advance fires all that is due at now. Timers set meanwhile wait for a later call.
@@ -76,9 +76,9 @@
 	}
 }
 
-// wait is how long nothing is due, at most one turn of the wheel.
-func (w *timerWheel) wait(now time.Time) time.Duration {
-	if w.armed == 0 {
+// untilNext is how long nothing is due, at most one turn of the wheel.
+func (w *timerWheel) untilNext(now time.Time) time.Duration {
+	if w.scheduled == 0 {
 		return wheelSlots * w.tick
 	}
 	for tick := w.done + 1; tick <= w.done+wheelSlots; tick++ {
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -14,7 +14,7 @@
 func TestWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		w := newWheel(testTick, now)
+		w := newTimerWheel(testTick, now)
 		type entry struct {
 			timer *Timer
 			due   time.Time
@@ -26,7 +26,7 @@
 			"set": func(t *rapid.T) {
 				wait := time.Duration(rapid.Int64Range(-1e6, 8e9).Draw(t, "wait"))
 				e := &entry{due: now.Add(max(wait, 0))}
-				e.timer = w.set(now, wait, func() { e.fired++ })
+				e.timer = w.schedule(now, wait, func() { e.fired++ })
 				all = append(all, e)
 			},
 			"cancel": func(t *rapid.T) {
@@ -41,7 +41,7 @@
 				w.advance(now)
 			},
 			"sleep": func(t *rapid.T) {
-				wait := w.wait(now)
+				wait := w.untilNext(now)
 				w.advance(now.Add(wait - 1))
 				now = now.Add(wait)
 				w.advance(now)
@@ -59,26 +59,26 @@
 						armed++
 					}
 				}
-				if w.armed != armed {
-					t.Fatalf("%d armed, want %d", w.armed, armed)
+				if w.scheduled != armed {
+					t.Fatalf("%d armed, want %d", w.scheduled, armed)
 				}
 			},
 		})
 	})
 }
 
-// TestWheelOrder fires in the order of the ticks, and lets a timer that fires set and cancel others.
-func TestWheelOrder(t *testing.T) {
+// TestTimerWheelOrder fires in the order of the ticks, and lets a timer that fires set and cancel others.
+func TestTimerWheelOrder(t *testing.T) {
 	now := time.Now()
-	w := newWheel(testTick, now)
+	w := newTimerWheel(testTick, now)
 	var got []string
 	note := func(s string) func() { return func() { got = append(got, s) } }
-	w.set(now, 30*time.Millisecond, note("late"))
-	cancelled := w.set(now, 10*time.Millisecond, note("cancelled"))
-	w.set(now, 10*time.Millisecond, func() {
+	w.schedule(now, 30*time.Millisecond, note("late"))
+	cancelled := w.schedule(now, 10*time.Millisecond, note("cancelled"))
+	w.schedule(now, 10*time.Millisecond, func() {
 		note("first")()
 		w.cancel(cancelled)
-		w.set(now, 0, note("again"))
+		w.schedule(now, 0, note("again"))
 	})
 	w.cancel(cancelled)
 	w.cancel(cancelled)
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -11,7 +11,7 @@
 // AppendRequest adds a whole request in the role Responder, whose connection is to be kept. Most responders take one
 // request at a time on a connection; a number of its own for each tells its answer from a late one to another.
 func AppendRequest(b []byte, id uint16, params []gateway.Field, body []byte) []byte {
-	b = append(appendHeader(b, typeBegin, id, 8), 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
+	b = append(appendHeader(b, typeBeginRequest, id, 8), 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
 	var list []byte
 	for _, p := range params {
 		list = appendPair(list, p.Name, p.Value)
@@ -30,7 +30,7 @@
 type ResponseParser struct {
 	RequestID uint16
 	MaxBytes  int // bytes of it at the most
-	parse     parser
+	parse     recordReader
 	out       []byte
 	status    byte
 	ended     bool
@@ -49,31 +49,31 @@
 	return r.ended, r.err
 }
 
-// part implements sink.
-func (r *ResponseParser) part(rec record, p []byte) {
+// body implements sink.
+func (r *ResponseParser) content(rec recordHeader, p []byte) {
 	switch {
-	case rec.kind == typeStdout && rec.id == r.RequestID && !r.ended:
+	case rec.recordType == typeStdout && rec.requestID == r.RequestID && !r.ended:
 		if len(r.out)+len(p) > r.MaxBytes {
 			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 			return
 		}
 		r.out = append(r.out, p...)
-	case rec.kind == typeEnd && rec.id == r.RequestID && rec.content == 8:
+	case rec.recordType == typeEnd && rec.requestID == r.RequestID && rec.content == 8:
 		r.out = append(r.out, p...) // taken off again when the record ends
 	}
 }
 
-// end implements sink.
-func (r *ResponseParser) end(rec record) error {
+// endRecord implements sink.
+func (r *ResponseParser) endRecord(rec recordHeader) error {
 	switch {
 	case r.ended:
 		return errors.New("a record behind the end")
-	case rec.id != r.RequestID && rec.id != 0:
-		return fmt.Errorf("a record of request %d", rec.id)
-	case rec.kind == typeStdout, rec.kind == typeStderr, rec.id == 0:
+	case rec.requestID != r.RequestID && rec.requestID != 0:
+		return fmt.Errorf("a record of request %d", rec.requestID)
+	case rec.recordType == typeStdout, rec.recordType == typeStderr, rec.requestID == 0:
 		return nil
-	case rec.kind != typeEnd || rec.content != 8 || len(r.out) < 8:
-		return fmt.Errorf("a record of type %d and %d bytes", rec.kind, rec.content)
+	case rec.recordType != typeEnd || rec.content != 8 || len(r.out) < 8:
+		return fmt.Errorf("a record of type %d and %d bytes", rec.recordType, rec.content)
 	}
 	tail := r.out[len(r.out)-8:]
 	r.status, r.out, r.ended = tail[4], r.out[:len(r.out)-8], true
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/gateway"
 )
 
-// answerBytes are a member's answer with padding, a word for the log and a management record between.
-func answerBytes(id uint16, text string) []byte {
+// encodeResponse are a member's answer with padding, a word for the log and a management record between.
+func encodeResponse(id uint16, text string) []byte {
 	b := fake.EncodeRecord(fake.Stdout, id, []byte(text[:len(text)/2]), 3)
 	b = append(b, fake.EncodeRecord(7, id, []byte("a warning"), 0)...)
 	b = append(b, fake.EncodeRecord(fake.UnknownType, 0, make([]byte, 8), 0)...)
@@ -21,7 +21,7 @@
 
 // TestResponse puts an answer together wherever its bytes are split.
 func TestResponse(t *testing.T) {
-	whole := answerBytes(7, "Status: 404 Not Found\r\nX-A: b: c\nY:\r\n\r\nthe body\n\n")
+	whole := encodeResponse(7, "Status: 404 Not Found\r\nX-A: b: c\nY:\r\n\r\nthe body\n\n")
 	for split := range whole {
 		r := ResponseParser{RequestID: 7, MaxBytes: 1000}
 		first, err := r.Feed(whole[:split])
@@ -39,12 +39,12 @@
 	}
 }
 
-// TestResponseOdd turns away what makes no sense, in the stream and in the header.
-func TestResponseOdd(t *testing.T) {
+// TestInvalidResponses turns away what makes no sense, in the stream and in the header.
+func TestInvalidResponses(t *testing.T) {
 	end := fake.EncodeRecord(fake.EndRequest, 1, make([]byte, 8), 0)
 	for what, b := range map[string][]byte{
-		"another request's": answerBytes(2, "Status: 200\r\n\r\n"),
-		"behind the end":    append(answerBytes(1, "\r\nx"), end...),
+		"another request's": encodeResponse(2, "Status: 200\r\n\r\n"),
+		"behind the end":    append(encodeResponse(1, "\r\nx"), end...),
 		"too long":          fake.EncodeRecord(fake.Stdout, 1, make([]byte, 1001), 0),
 		"an odd record":     fake.EncodeRecord(fake.Params, 1, []byte("x"), 0),
 		"no FastCGI":        []byte("HTTP/1.1 200 OK\r\n\r\n"),
@@ -58,7 +58,7 @@
 	for text, want := range map[string]string{"Status: 200\r\n": "no empty line", "nonsense\r\n\r\n": "header line",
 		"Status: many\r\n\r\n": "status", "Status: 7\r\n\r\n": "status", "a b: c\r\n\r\n": "header line"} {
 		r := ResponseParser{RequestID: 1, MaxBytes: 1000}
-		if whole, err := r.Feed(answerBytes(1, text)); !whole || err != nil {
+		if whole, err := r.Feed(encodeResponse(1, text)); !whole || err != nil {
 			t.Fatal(err)
 		}
 		if _, err := r.Response(); !errors.Is(err, ErrResponse) || !strings.Contains(err.Error(), want) {
@@ -72,7 +72,7 @@
 	long := strings.Repeat("x", 70_000)
 	b := AppendRequest(nil, 9, []gateway.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "SCRIPT_NAME", Value: "/a"},
 		{Name: "REQUEST_URI", Value: "/a?b"}, {Name: "HTTP_X_LONG", Value: strings.Repeat("y", 200)}}, []byte(long))
-	rec := &reading{}
+	rec := &requestKeeper{}
 	s := NewProtocol(Limits{OpenRequests: 4, ParamBytes: 1 << 10, BodyBytes: 1 << 20, TotalBytes: 1 << 20, KeepParams: true})(rec, rec)
 	if err := s.Feed(b); err != nil {
 		t.Fatal(err)
@@ -84,21 +84,21 @@
 	}
 }
 
-// reading keeps the request that a session hands over.
-type reading struct {
+// requestKeeper keeps the request that a session hands over.
+type requestKeeper struct {
 	gateway.Handler
 	request gateway.Request
 }
 
-func (r *reading) Write([]byte) {}
+func (r *requestKeeper) Write([]byte) {}
 
-func (r *reading) RequestReceived(_ gateway.Session, _ gateway.StreamID, q gateway.Request) {
+func (r *requestKeeper) RequestReceived(_ gateway.Session, _ gateway.StreamID, q gateway.Request) {
 	r.request = q
 }
 
 // FuzzResponse feeds any bytes without a panic.
 func FuzzResponse(f *testing.F) {
-	f.Add(answerBytes(1, "Status: 200\r\n\r\nx"), 5)
+	f.Add(encodeResponse(1, "Status: 200\r\n\r\nx"), 5)
 	f.Add([]byte{1, 3, 0, 1, 0, 8, 0, 0}, 0)
 	f.Fuzz(func(t *testing.T, b []byte, split int) {
 		r := ResponseParser{RequestID: 1, MaxBytes: 1000}
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -10,7 +10,7 @@
 
 // The record types.
 const (
-	typeBegin           = 1
+	typeBeginRequest    = 1
 	typeAbort           = 2
 	typeEnd             = 3
 	typeParams          = 4
@@ -36,36 +36,36 @@
 	maxContent    = 65535
 )
 
-// errPairs says that a list of names and values ends in the middle of one.
-var errPairs = errors.New("fastcgi: cut name-value pair")
+// errTruncatedPair says that a list of names and values ends in the middle of one.
+var errTruncatedPair = errors.New("fastcgi: cut name-value pair")
 
-// record is the head of one record.
-type record struct {
-	kind    byte
-	id      uint16
-	content int
-	padding int
+// recordHeader is the head of one record.
+type recordHeader struct {
+	recordType byte
+	requestID  uint16
+	content    int
+	padding    int
 }
 
-// parser cuts a byte stream into records, wherever the stream is split. Content is handed on as it comes, so
+// recordReader cuts a byte stream into records, wherever the stream is split. Content is handed on as it comes, so
 // that nothing but a header is ever buffered.
-type parser struct {
+type recordReader struct {
 	head   [headerSize]byte
 	have   int // bytes of head
-	rec    record
+	rec    recordHeader
 	inside bool // rec is being read
-	left   int  // content bytes still to come
-	pad    int  // padding bytes still to come
+	left   int  // body bytes still to come
+	pad    int  // drawPadding bytes still to come
 }
 
-// sink takes what a parser finds: parts of the content in order, then the end of the record.
-type sink interface {
-	part(r record, p []byte)
-	end(r record) error
+// recordHandler takes what a parser finds: parts of the content in order, then the end of the record.
+type recordHandler interface {
+	content(r recordHeader, p []byte)
+	endRecord(r recordHeader) error
 }
 
 // feed takes in the next bytes.
-func (ps *parser) feed(p []byte, to sink) error {
+func (ps *recordReader) feed(p []byte, to recordHandler) error {
 	for len(p) > 0 || ps.inside && ps.left == 0 && ps.pad == 0 {
 		if !ps.inside {
 			n := copy(ps.head[ps.have:], p)
@@ -77,12 +77,12 @@
 			if ps.head[0] != version {
 				return fmt.Errorf("fastcgi: record of version %d", ps.head[0])
 			}
-			ps.rec = record{kind: ps.head[1], id: binary.BigEndian.Uint16(ps.head[2:]),
+			ps.rec = recordHeader{recordType: ps.head[1], requestID: binary.BigEndian.Uint16(ps.head[2:]),
 				content: int(binary.BigEndian.Uint16(ps.head[4:])), padding: int(ps.head[6])}
 			ps.have, ps.inside, ps.left, ps.pad = 0, true, ps.rec.content, ps.rec.padding
 		}
 		if n := min(ps.left, len(p)); n > 0 {
-			to.part(ps.rec, p[:n])
+			to.content(ps.rec, p[:n])
 			ps.left -= n
 			p = p[n:]
 		}
@@ -92,7 +92,7 @@
 			p = p[n:]
 			if ps.pad == 0 {
 				ps.inside = false
-				if err := to.end(ps.rec); err != nil {
+				if err := to.endRecord(ps.rec); err != nil {
 					return err
 				}
 			}
@@ -134,8 +134,8 @@
 	return append(append(b, name...), value...)
 }
 
-// pairs calls take for each name and value of a list.
-func pairs(p []byte, take func(name, value []byte)) error {
+// parsePairs calls take for each name and value of a list.
+func parsePairs(p []byte, take func(name, value []byte)) error {
 	for len(p) > 0 {
 		var n [2]int
 		for i := range n {
@@ -147,11 +147,11 @@
 				n[i] = int(binary.BigEndian.Uint32(p) &^ (1 << 31))
 				p = p[4:]
 			default:
-				return errPairs
+				return errTruncatedPair
 			}
 		}
 		if n[0] > len(p) || n[1] > len(p)-n[0] {
-			return errPairs
+			return errTruncatedPair
 		}
 		take(p[:n[0]], p[n[0]:n[0]+n[1]])
 		p = p[n[0]+n[1]:]
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -55,9 +55,9 @@
 	limits   Limits
 	out      gateway.Output
 	handler  gateway.Handler
-	parse    parser
+	parse    recordReader
 	open     map[uint16]*request
-	control  []byte // content of a BEGIN_REQUEST or management record
+	control  []byte // body of a BEGIN_REQUEST or management record
 	excess   int    // bytes passed over since the last whole request
 	coming   int    // open requests that have not come whole
 	finished bool
@@ -102,22 +102,22 @@
 	return true
 }
 
-// part takes in content as it comes. What is over a limit is dropped and noted.
-func (s *Session) part(r record, p []byte) {
-	q := s.open[r.id]
+// body takes in content as it comes. What is over a limit is dropped and noted.
+func (s *Session) content(r recordHeader, p []byte) {
+	q := s.open[r.requestID]
 	switch {
-	case r.kind == typeParams && q != nil && !q.paramsDone && !q.handed:
+	case r.recordType == typeParams && q != nil && !q.paramsDone && !q.handed:
 		q.params = s.grow(q, q.params, p, s.limits.ParamBytes)
-	case r.kind == typeStdin && q != nil && !q.handed:
+	case r.recordType == typeStdin && q != nil && !q.handed:
 		q.body = s.grow(q, q.body, p, s.limits.BodyBytes)
-	case (r.kind == typeBegin || r.id == 0) && len(s.control)+len(p) <= s.limits.ParamBytes:
+	case (r.recordType == typeBeginRequest || r.requestID == 0) && len(s.control)+len(p) <= s.limits.ParamBytes:
 		s.control = append(s.control, p...)
 	default:
 		s.excess += len(p)
 	}
 	// A request that is over a limit is answered at once: its end may be far away, or never come.
 	if q != nil && q.flawed && !q.handed {
-		s.complete(r.id, q)
+		s.complete(r.requestID, q)
 	}
 }
 
@@ -144,9 +144,9 @@
 	}
 }
 
-// end acts on a whole record. What follows the record that ends the connection is not looked at, in the same
+// endRecord acts on a whole record. What follows the record that ends the connection is not looked at, in the same
 // read as in a later one.
-func (s *Session) end(r record) error {
+func (s *Session) endRecord(r recordHeader) error {
 	err := s.act(r)
 	switch {
 	case err != nil:
@@ -161,60 +161,60 @@
 
 // act carries out a record. Records of requests that are not open are passed over, as the gateway may have
 // sent them before it saw the end.
-func (s *Session) act(r record) error {
+func (s *Session) act(r recordHeader) error {
 	control := s.control
 	if s.control = s.control[:0]; cap(control) > keepControl {
 		s.control = nil
 	}
-	if r.id == 0 {
+	if r.requestID == 0 {
 		s.excess += headerSize
 		return s.manage(r, control)
 	}
-	if r.kind == typeBegin {
+	if r.recordType == typeBeginRequest {
 		return s.begin(r, control)
 	}
-	q := s.open[r.id]
+	q := s.open[r.requestID]
 	if q == nil {
 		s.excess += headerSize
 		return nil
 	}
-	switch r.kind {
+	switch r.recordType {
 	case typeParams:
 		if r.content == 0 {
 			q.paramsDone = true
 		}
 	case typeStdin:
 		if r.content == 0 && !q.handed {
-			s.complete(r.id, q)
+			s.complete(r.requestID, q)
 		}
 	case typeAbort:
 		if q.handed {
-			s.handler.RequestAborted(s, gateway.StreamID(r.id))
+			s.handler.RequestAborted(s, gateway.StreamID(r.requestID))
 		} else {
 			s.coming--
-			s.finish(r.id, q, appendEnd(s.shared.records[:0], r.id, 1, statusComplete))
+			s.finish(r.requestID, q, appendEnd(s.shared.records[:0], r.requestID, 1, statusComplete))
 		}
 	}
 	return nil
 }
 
 // begin opens a request.
-func (s *Session) begin(r record, content []byte) error {
+func (s *Session) begin(r recordHeader, content []byte) error {
 	if len(content) < 8 {
 		return fmt.Errorf("fastcgi: BEGIN_REQUEST of %d bytes", len(content))
 	}
-	if s.open[r.id] != nil {
-		return fmt.Errorf("fastcgi: request %d begins while it is open", r.id)
+	if s.open[r.requestID] != nil {
+		return fmt.Errorf("fastcgi: request %d begins while it is open", r.requestID)
 	}
 	role := binary.BigEndian.Uint16(content)
 	keep := content[2]&flagKeepConn != 0
 	switch {
 	case role != roleResponder:
-		s.reject(r.id, keep, gateway.UnsupportedRole, statusUnknownRole)
+		s.reject(r.requestID, keep, gateway.UnsupportedRole, statusUnknownRole)
 	case len(s.open) >= s.limits.OpenRequests:
-		s.reject(r.id, keep, gateway.TooManyRequests, statusOverloaded)
+		s.reject(r.requestID, keep, gateway.TooManyRequests, statusOverloaded)
 	default:
-		s.open[r.id] = &request{keep: keep}
+		s.open[r.requestID] = &request{keep: keep}
 		s.coming++
 	}
 	return nil
@@ -238,7 +238,7 @@
 	if !q.paramsDone {
 		q.spoil(gateway.Malformed)
 	}
-	if !q.flawed && pairs(q.params, func(name, value []byte) { set(&r, string(name), string(value)) }) != nil {
+	if !q.flawed && parsePairs(q.params, func(name, value []byte) { set(&r, string(name), string(value)) }) != nil {
 		q.spoil(gateway.Malformed)
 	}
 	q.params = nil
@@ -317,14 +317,14 @@
 }
 
 // manage answers a management record.
-func (s *Session) manage(r record, content []byte) error {
-	if r.kind != typeGetValues {
+func (s *Session) manage(r recordHeader, content []byte) error {
+	if r.recordType != typeGetValues {
 		b := appendHeader(s.shared.records[:0], typeUnknown, 0, 8)
-		s.write(append(b, r.kind, 0, 0, 0, 0, 0, 0, 0))
+		s.write(append(b, r.recordType, 0, 0, 0, 0, 0, 0, 0))
 		return nil
 	}
 	var reply []byte
-	err := pairs(content, func(name, _ []byte) {
+	err := parsePairs(content, func(name, _ []byte) {
 		switch string(name) {
 		case "FCGI_MAX_REQS":
 			reply = appendPair(reply, string(name), strconv.Itoa(s.limits.OpenRequests))
--- a/internal/fastcgi/session_test.go
+++ b/internal/fastcgi/session_test.go
@@ -10,58 +10,58 @@
 	"tillerusher/internal/gateway"
 )
 
-// reporter is what peer needs of a test, be it Go's or rapid's.
-type reporter interface {
+// testingT is what peer needs of a test, be it Go's or rapid's.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// peer stands on both sides of a session: it is its handler, and it reads what the session writes.
-type peer struct {
-	t       reporter
-	session gateway.Session
-	reader  fake.ResponseReader
-	got     map[gateway.StreamID]gateway.Request // handed over, not answered
-	aborted []gateway.StreamID
-	flaws   []gateway.RejectReason
-	answers []fake.Response
-	err     error
+// testGateway stands on both sides of a session: it is its handler, and it reads what the session writes.
+type testGateway struct {
+	t         testingT
+	session   gateway.Session
+	reader    fake.ResponseReader
+	received  map[gateway.StreamID]gateway.Request // isComplete over, not answered
+	aborted   []gateway.StreamID
+	reasons   []gateway.RejectReason
+	responses []fake.Response
+	err       error
 }
 
 var testLimits = Limits{OpenRequests: 4, ParamBytes: 1000, BodyBytes: 100, TotalBytes: 5000}
 
-func newPeer(t reporter) *peer {
-	p := &peer{t: t, got: map[gateway.StreamID]gateway.Request{}}
+func newTestGateway(t testingT) *testGateway {
+	p := &testGateway{t: t, received: map[gateway.StreamID]gateway.Request{}}
 	p.session = NewProtocol(testLimits)(p, p)
 	return p
 }
 
 // Write implements front.Output.
-func (p *peer) Write(b []byte) {
+func (p *testGateway) Write(b []byte) {
 	answers, err := p.reader.Feed(b)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.answers = append(p.answers, answers...)
+	p.responses = append(p.responses, answers...)
 }
 
-func (p *peer) RequestReceived(_ gateway.Session, id gateway.StreamID, r gateway.Request) {
-	p.got[id] = r
+func (p *testGateway) RequestReceived(_ gateway.Session, id gateway.StreamID, r gateway.Request) {
+	p.received[id] = r
 }
-func (p *peer) RequestAborted(_ gateway.Session, id gateway.StreamID) {
+func (p *testGateway) RequestAborted(_ gateway.Session, id gateway.StreamID) {
 	p.aborted = append(p.aborted, id)
 }
-func (p *peer) RequestRejected(f gateway.RejectReason) { p.flaws = append(p.flaws, f) }
+func (p *testGateway) RequestRejected(f gateway.RejectReason) { p.reasons = append(p.reasons, f) }
 
 // Flawed answers as a server would.
-func (p *peer) RequestInvalid(s gateway.Session, id gateway.StreamID, f gateway.RejectReason) {
-	p.flaws = append(p.flaws, f)
+func (p *testGateway) RequestInvalid(s gateway.Session, id gateway.StreamID, f gateway.RejectReason) {
+	p.reasons = append(p.reasons, f)
 	s.Respond(id, gateway.Response{Status: map[gateway.RejectReason]int{gateway.TooLarge: 413, gateway.Malformed: 400}[f], Overloaded: f == gateway.TooManyRequests})
 }
 
 // feed sends bytes to the session.
-func (p *peer) feed(parts ...[]byte) {
+func (p *testGateway) feed(parts ...[]byte) {
 	for _, b := range parts {
 		if p.err = p.session.Feed(b); p.err != nil {
 			return
@@ -69,16 +69,16 @@
 	}
 }
 
-// answer answers a request and returns what the gateway read.
-func (p *peer) answer(id gateway.StreamID, a gateway.Response) fake.Response {
+// respond answers a request and returns what the gateway read.
+func (p *testGateway) respond(id gateway.StreamID, a gateway.Response) fake.Response {
 	p.t.Helper()
-	n := len(p.answers)
+	n := len(p.responses)
 	p.session.Respond(id, a)
-	delete(p.got, id)
-	if len(p.answers) != n+1 {
-		p.t.Fatalf("%d answers to one request", len(p.answers)-n)
+	delete(p.received, id)
+	if len(p.responses) != n+1 {
+		p.t.Fatalf("%d answers to one request", len(p.responses)-n)
 	}
-	return p.answers[n]
+	return p.responses[n]
 }
 
 func lookup(body string) fake.Request {
@@ -86,8 +86,8 @@
 		Headers: map[string]string{"Request-Id": "9b1f03aa5c7e2d41", "Sent-By": "4"}, Body: []byte(body)}
 }
 
-// TestRequestAndAnswer sends one request whole, in single bytes, and with its parameters in several records.
-func TestRequestAndAnswer(t *testing.T) {
+// TestRequestAndResponse sends one request whole, in single bytes, and with its parameters in several records.
+func TestRequestAndResponse(t *testing.T) {
 	r := lookup("body bytes\x00\xff")
 	whole := r.Encode(5)
 	single := make([][]byte, len(whole))
@@ -100,9 +100,9 @@
 		fake.EncodeRecord(fake.Stdin, 5, r.Body[:4], 0), fake.EncodeRecord(fake.Stdin, 5, r.Body[4:], 200),
 		fake.EncodeRecord(fake.Stdin, 5, nil, 0)}
 	for name, parts := range map[string][][]byte{"whole": {whole}, "single bytes": single, "several records": several} {
-		p := newPeer(t)
+		p := newTestGateway(t)
 		p.feed(parts...)
-		got, ok := p.got[5]
+		got, ok := p.received[5]
 		if !ok || p.err != nil {
 			t.Fatalf("%s: not handed over, error %v", name, p.err)
 		}
@@ -111,7 +111,7 @@
 			!bytes.Equal(got.Body, r.Body) {
 			t.Errorf("%s: %+v", name, got)
 		}
-		a := p.answer(5, gateway.Response{Status: 200, Headers: []gateway.Field{{Name: "Server-Hint", Value: "0.5"}}, Body: []byte("result\r\n\r\n")})
+		a := p.respond(5, gateway.Response{Status: 200, Headers: []gateway.Field{{Name: "Server-Hint", Value: "0.5"}}, Body: []byte("result\r\n\r\n")})
 		if a.ID != 5 || a.Status != 200 || a.Header.Get("Server-Hint") != "0.5" || string(a.Body) != "result\r\n\r\n" {
 			t.Errorf("%s: answer %+v", name, a)
 		}
@@ -123,44 +123,44 @@
 
 // TestInterleaved opens several requests at once, answers them out of order and uses an id again.
 func TestInterleaved(t *testing.T) {
-	p := newPeer(t)
+	p := newTestGateway(t)
 	a, b := lookup("first").Encode(1), lookup("second").Encode(2)
 	params := len(a) - 8 - (8 + len("first") + 1) // where the body's record begins
 	p.feed(a[:16], b[:16], a[16:params], b[16:], a[params:])
-	if string(p.got[1].Body) != "first" || string(p.got[2].Body) != "second" {
-		t.Fatalf("handed over: %v", p.got)
+	if string(p.received[1].Body) != "first" || string(p.received[2].Body) != "second" {
+		t.Fatalf("handed over: %v", p.received)
 	}
-	if got := p.answer(2, gateway.Response{Status: 503}); got.ID != 2 || got.Status != 503 {
+	if got := p.respond(2, gateway.Response{Status: 503}); got.ID != 2 || got.Status != 503 {
 		t.Errorf("answer %+v", got)
 	}
 	p.feed(lookup("again").Encode(2))
-	if string(p.got[2].Body) != "again" {
-		t.Errorf("the id was not free again: %v", p.got)
+	if string(p.received[2].Body) != "again" {
+		t.Errorf("the id was not free again: %v", p.received)
 	}
-	p.answer(1, gateway.Response{Status: 200})
-	p.answer(2, gateway.Response{Status: 200})
+	p.respond(1, gateway.Response{Status: 200})
+	p.respond(2, gateway.Response{Status: 200})
 	p.session.Respond(2, gateway.Response{Status: 500})
-	if len(p.answers) != 3 {
-		t.Errorf("%d answers to 3 requests", len(p.answers))
+	if len(p.responses) != 3 {
+		t.Errorf("%d answers to 3 requests", len(p.responses))
 	}
 }
 
 // TestTooMany turns away what is over the limit of open requests by the protocol's own status.
 func TestTooMany(t *testing.T) {
-	p := newPeer(t)
+	p := newTestGateway(t)
 	for id := range uint16(6) {
 		p.feed(lookup("").Encode(id + 1))
 	}
-	if len(p.got) != 4 || len(p.answers) != 2 || p.answers[0].ProtocolStatus != statusOverloaded || p.answers[0].Status != 0 {
-		t.Errorf("%d handed over, answers %+v", len(p.got), p.answers)
+	if len(p.received) != 4 || len(p.responses) != 2 || p.responses[0].ProtocolStatus != statusOverloaded || p.responses[0].Status != 0 {
+		t.Errorf("%d handed over, answers %+v", len(p.received), p.responses)
 	}
-	if p.err != nil || p.flaws[0] != gateway.TooManyRequests {
-		t.Errorf("error %v, flaws %v", p.err, p.flaws)
+	if p.err != nil || p.reasons[0] != gateway.TooManyRequests {
+		t.Errorf("error %v, flaws %v", p.err, p.reasons)
 	}
 }
 
-// TestFlawed answers requests that can't be handed over, and goes on with the connection.
-func TestFlawed(t *testing.T) {
+// TestInvalidRequests answers requests that can't be handed over, and goes on with the connection.
+func TestInvalidRequests(t *testing.T) {
 	cut := fake.EncodeBeginRequest(1, 1, true)
 	cut = append(cut, fake.EncodeRecord(fake.Params, 1, []byte{5, 5, 'a'}, 0)...)
 	cut = append(cut, fake.EncodeRecord(fake.Params, 1, nil, 0)...)
@@ -178,20 +178,20 @@
 		"long parameters":     {manyParams.Encode(1), 413, gateway.TooLarge},
 		"long body":           {lookup(strings.Repeat("b", 101)).Encode(1), 413, gateway.TooLarge},
 	} {
-		p := newPeer(t)
+		p := newTestGateway(t)
 		p.feed(c.records)
-		if p.err != nil || len(p.answers) != 1 || p.answers[0].Status != c.status || len(p.flaws) != 1 || p.flaws[0] != c.flaw {
-			t.Errorf("%s: error %v, answers %+v, flaws %v", name, p.err, p.answers, p.flaws)
+		if p.err != nil || len(p.responses) != 1 || p.responses[0].Status != c.status || len(p.reasons) != 1 || p.reasons[0] != c.flaw {
+			t.Errorf("%s: error %v, answers %+v, flaws %v", name, p.err, p.responses, p.reasons)
 		}
 		p.feed(lookup("next").Encode(1))
-		if string(p.got[1].Body) != "next" {
+		if string(p.received[1].Body) != "next" {
 			t.Errorf("%s: the connection did not go on", name)
 		}
 	}
 }
 
-// TestBroken finds streams after which nothing can be understood.
-func TestBroken(t *testing.T) {
+// TestProtocolErrors finds streams after which nothing can be understood.
+func TestProtocolErrors(t *testing.T) {
 	begin := fake.EncodeBeginRequest(3, 1, true)
 	for name, parts := range map[string][][]byte{
 		"id in use":   {begin, begin},
@@ -199,7 +199,7 @@
 		"not FastCGI": {[]byte("GET / HTTP/1.1\r\n\r\n")},
 		"cut values":  {fake.EncodeRecord(fake.GetValues, 0, []byte{9, 9}, 0)},
 	} {
-		p := newPeer(t)
+		p := newTestGateway(t)
 		p.feed(parts...)
 		if p.err == nil {
 			t.Errorf("%s was taken", name)
@@ -209,37 +209,37 @@
 
 // TestAbort covers requests that are still coming and requests that were handed over: each gets one end.
 func TestAbort(t *testing.T) {
-	p := newPeer(t)
+	p := newTestGateway(t)
 	p.feed(fake.EncodeBeginRequest(1, 1, true), fake.EncodeRecord(fake.AbortRequest, 1, nil, 0))
-	if len(p.answers) != 1 || p.answers[0].ID != 1 || p.session.OpenRequests() != 0 || len(p.aborted) != 0 {
-		t.Fatalf("answers %+v, told %v", p.answers, p.aborted)
+	if len(p.responses) != 1 || p.responses[0].ID != 1 || p.session.OpenRequests() != 0 || len(p.aborted) != 0 {
+		t.Fatalf("answers %+v, told %v", p.responses, p.aborted)
 	}
 	p.feed(fake.EncodeRecord(fake.Params, 1, []byte("late"), 0), fake.EncodeRecord(fake.AbortRequest, 1, nil, 0))
 	p.feed(lookup("").Encode(2), fake.EncodeRecord(fake.AbortRequest, 2, nil, 0))
-	if len(p.answers) != 1 || len(p.aborted) != 1 || p.aborted[0] != 2 {
-		t.Fatalf("answers %+v, told %v", p.answers, p.aborted)
+	if len(p.responses) != 1 || len(p.aborted) != 1 || p.aborted[0] != 2 {
+		t.Fatalf("answers %+v, told %v", p.responses, p.aborted)
 	}
-	if a := p.answer(2, gateway.Response{Status: 500}); a.ID != 2 {
+	if a := p.respond(2, gateway.Response{Status: 500}); a.ID != 2 {
 		t.Errorf("answer %+v", a)
 	}
 }
 
 // TestManagement answers queries about the application, and records and roles that are not known.
 func TestManagement(t *testing.T) {
-	p := newPeer(t)
+	p := newTestGateway(t)
 	query := append(fake.EncodePair("FCGI_MPXS_CONNS", "", false), fake.EncodePair("FCGI_MAX_REQS", "", false)...)
 	p.feed(fake.EncodeRecord(fake.GetValues, 0, append(query, fake.EncodePair("OTHER", "", false)...), 2))
 	want := append(fake.EncodePair("FCGI_MPXS_CONNS", "1", false), fake.EncodePair("FCGI_MAX_REQS", "4", false)...)
-	if len(p.answers) != 1 || p.answers[0].RecordType != fake.GetValuesResult || !bytes.Equal(p.answers[0].Content, want) {
-		t.Errorf("values %+v", p.answers)
+	if len(p.responses) != 1 || p.responses[0].RecordType != fake.GetValuesResult || !bytes.Equal(p.responses[0].Content, want) {
+		t.Errorf("values %+v", p.responses)
 	}
 	p.feed(fake.EncodeRecord(77, 0, []byte("?"), 0))
-	if a := p.answers[len(p.answers)-1]; a.RecordType != fake.UnknownType || a.Content[0] != 77 {
+	if a := p.responses[len(p.responses)-1]; a.RecordType != fake.UnknownType || a.Content[0] != 77 {
 		t.Errorf("unknown type: %+v", a)
 	}
 	p.feed(fake.EncodeBeginRequest(1, 2, true), fake.EncodeRecord(fake.Stdin, 1, nil, 0))
-	if a := p.answers[len(p.answers)-1]; a.ID != 1 || a.ProtocolStatus != statusUnknownRole || p.flaws[0] != gateway.UnsupportedRole {
-		t.Errorf("unknown role: %+v, flaws %v", a, p.flaws)
+	if a := p.responses[len(p.responses)-1]; a.ID != 1 || a.ProtocolStatus != statusUnknownRole || p.reasons[0] != gateway.UnsupportedRole {
+		t.Errorf("unknown role: %+v, flaws %v", a, p.reasons)
 	}
 	if p.err != nil {
 		t.Error(p.err)
@@ -250,35 +250,35 @@
 // after connections that ended.
 func TestMemory(t *testing.T) {
 	protocol := NewProtocol(Limits{OpenRequests: 4, ParamBytes: 1000, BodyBytes: 100, TotalBytes: 600})
-	first, second := newPeer(t), newPeer(t)
+	first, second := newTestGateway(t), newTestGateway(t)
 	first.session, second.session = protocol(first, first), protocol(second, second)
 	first.feed(lookup(strings.Repeat("b", 100)).Encode(1), lookup(strings.Repeat("b", 100)).Encode(2))
 	second.feed(lookup(strings.Repeat("b", 100)).Encode(1), lookup(strings.Repeat("b", 100)).Encode(2))
-	if len(first.got) != 2 || len(second.answers) != 2 || second.answers[0].ProtocolStatus != statusOverloaded || second.flaws[0] != gateway.TooManyRequests {
-		t.Fatalf("handed over %d and %d, answers %+v", len(first.got), len(second.got), second.answers)
+	if len(first.received) != 2 || len(second.responses) != 2 || second.responses[0].ProtocolStatus != statusOverloaded || second.reasons[0] != gateway.TooManyRequests {
+		t.Fatalf("handed over %d and %d, answers %+v", len(first.received), len(second.received), second.responses)
 	}
-	first.answer(1, gateway.Response{Status: 200})
+	first.respond(1, gateway.Response{Status: 200})
 	first.session.Close()
 	second.feed(lookup(strings.Repeat("b", 100)).Encode(1), lookup(strings.Repeat("b", 100)).Encode(2))
-	if len(second.got) != 2 {
-		t.Errorf("%d handed over after there was room again", len(second.got))
+	if len(second.received) != 2 {
+		t.Errorf("%d handed over after there was room again", len(second.received))
 	}
 }
 
-// TestNoKeep ends the connection after the answer to a request that did not ask to keep it.
-func TestNoKeep(t *testing.T) {
-	p := newPeer(t)
+// TestConnectionNotKept ends the connection after the answer to a request that did not ask to keep it.
+func TestConnectionNotKept(t *testing.T) {
+	p := newTestGateway(t)
 	p.feed(lookup("kept").Encode(1))
 	last := lookup("last").Encode(2)
 	last[8+2] = 0 // the flags of BEGIN_REQUEST
 	p.feed(last)
-	p.answer(2, gateway.Response{Status: 200})
+	p.respond(2, gateway.Response{Status: 200})
 	if p.session.ShouldClose() {
 		t.Error("finished while a request is open")
 	}
 	p.feed(lookup("too late").Encode(3))
-	p.answer(1, gateway.Response{Status: 200})
-	if !p.session.ShouldClose() || len(p.got) != 0 {
-		t.Errorf("finished %t, handed over %v", p.session.ShouldClose(), p.got)
+	p.respond(1, gateway.Response{Status: 200})
+	if !p.session.ShouldClose() || len(p.received) != 0 {
+		t.Errorf("finished %t, handed over %v", p.session.ShouldClose(), p.received)
 	}
 }
--- a/internal/interpreter/client.go
+++ b/internal/interpreter/client.go
@@ -8,9 +8,9 @@
 	"tillerusher/internal/eventloop"
 )
 
-// redial is the least time between two tries to connect: a link that stood is made anew at once, since no run
+// minRedialInterval is the least time between two tries to connect: a link that stood is made anew at once, since no run
 // starts without it, and one that fails again and again is left alone for a while.
-const redial = 50 * time.Millisecond
+const minRedialInterval = 50 * time.Millisecond
 
 // Client keeps a Link connected.
 type Client struct {
@@ -104,7 +104,7 @@
 		d.told = true
 		d.handler.ReportError("interpreter link lost", err)
 	}
-	d.redial = d.loop.AfterFunc(redial-d.loop.Now().Sub(d.dialled), d.dial)
+	d.redial = d.loop.AfterFunc(minRedialInterval-d.loop.Now().Sub(d.dialled), d.dial)
 }
 
 // Close ends the link for good.
--- a/internal/interpreter/client_test.go
+++ b/internal/interpreter/client_test.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/eventloop"
 )
 
-// TestRedial loses a link that stood: the next is dialled at once, since no run starts until then.
-func TestRedial(t *testing.T) {
+// TestRedialsAtOnceAfterLoss loses a link that stood: the next is dialled at once, since no run starts until then.
+func TestRedialsAtOnceAfterLoss(t *testing.T) {
 	l, err := eventloop.New(eventloop.Kernel{}, time.Millisecond, 1<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -21,13 +21,13 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	d := Dial(l, listener.Addr().(*net.TCPAddr).AddrPort(), newEar(t))
+	d := Dial(l, listener.Addr().(*net.TCPAddr).AddrPort(), newRecordingHandler(t))
 	defer d.Close()
 	dialled := false
-	l.AfterFunc(2*redial, func() {
+	l.AfterFunc(2*minRedialInterval, func() {
 		d.conn.Close()
 		d.Closed(d.conn, io.EOF)
-		l.AfterFunc(redial/2, func() { // timers fire in order, however late
+		l.AfterFunc(minRedialInterval/2, func() { // timers fire in order, however late
 			dialled = d.conn != nil
 			l.Stop()
 		})
--- a/internal/interpreter/codec_test.go
+++ b/internal/interpreter/codec_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCodec checks the package's own encoder and decoder against the general ones, for any command, and for any
+// TestCodecMatchesEncodingJSON checks the package's own encoder and decoder against the general ones, for any command, and for any
 // notice in any layout.
-func TestCodec(t *testing.T) {
+func TestCodecMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body, seq := rapid.SliceOf(rapid.Byte()).Draw(t, "body"), rapid.Uint64().Draw(t, "seq")
 		c := command{Op: rapid.String().Draw(t, "op"), Seq: &seq, ID: rapid.String().Draw(t, "id"),
@@ -19,9 +19,9 @@
 		if err := json.Unmarshal(c.appendTo(nil), &got); err != nil || !sameCommand(got, c) {
 			t.Fatalf("%s: %v", c.appendTo(nil), err)
 		}
-		n := notice{Op: c.Op, Seq: seq, ID: c.ID, End: c.Class, MS: rapid.Float64().Draw(t, "ms"), Body: body, Tag: c.Tag,
+		n := notice{Op: c.Op, Seq: seq, ID: c.ID, Detail: c.Class, Milliseconds: rapid.Float64().Draw(t, "ms"), Body: body, Tag: c.Tag,
 			Values: rapid.SliceOf(rapid.Float64()).Draw(t, "values")}
-		fields := map[string]any{"op": n.Op, "seq": n.Seq, "id": n.ID, "end": n.End, "ms": n.MS, "body": n.Body, "tag": n.Tag,
+		fields := map[string]any{"op": n.Op, "seq": n.Seq, "id": n.ID, "end": n.Detail, "ms": n.Milliseconds, "body": n.Body, "tag": n.Tag,
 			"values": n.Values, "more": map[string]any{"of": []any{"it", 1, nil}}}
 		line, err := json.Marshal(fields)
 		if rapid.Bool().Draw(t, "indented") {
@@ -32,7 +32,7 @@
 		}
 		read, err := parseNotice(line)
 		var want notice
-		if json.Unmarshal(line, &want); err != nil || !reflect.DeepEqual(normal(read), normal(want)) {
+		if json.Unmarshal(line, &want); err != nil || !reflect.DeepEqual(normalize(read), normalize(want)) {
 			t.Fatalf("%s: read %+v, %v, want %+v", line, read, err, want)
 		}
 	})
@@ -43,8 +43,8 @@
 		string(*a.Body) == string(*b.Body)
 }
 
-// normal makes no difference between empty and absent lists.
-func normal(n notice) notice {
+// normalize makes no difference between empty and absent lists.
+func normalize(n notice) notice {
 	n.Body, n.Values = append([]byte{}, n.Body...), append([]float64{}, n.Values...)
 	return n
 }
--- a/internal/interpreter/decode.go
+++ b/internal/interpreter/decode.go
@@ -65,7 +65,7 @@
 	case "id":
 		n.ID = string(text)
 	case "end":
-		n.End = string(text)
+		n.Detail = string(text)
 	case "tag":
 		n.Tag = string(text)
 	case "body":
@@ -75,7 +75,7 @@
 	case "seq":
 		n.Seq, err = s.whole()
 	case "ms":
-		n.MS, err = strconv.ParseFloat(string(s.word()), 64)
+		n.Milliseconds, err = strconv.ParseFloat(string(s.word()), 64)
 	case "values":
 		err = s.values(n)
 	default:
@@ -112,7 +112,7 @@
 	}
 }
 
-// take passes over the character if it comes next.
+// handleCommand passes over the character if it comes next.
 func (s *scanner) take(c byte) bool {
 	s.space()
 	if s.i < len(s.p) && s.p[s.i] == c {
--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxLine bounds a line from the interpreter: a result of 4 KiB in base64 with its fields is far under it.
-	maxLine = 64 << 10
+	// maxLineBytes bounds a line from the interpreter: a result of 4 KiB in base64 with its fields is far under it.
+	maxLineBytes = 64 << 10
 	// QueryTimeout is how long an answer to TOP or SMOKE is waited for.
 	QueryTimeout = 2 * time.Second
 )
@@ -42,7 +42,7 @@
 	broken    bool   // BREAK was written on this link
 }
 
-// asked is a TOP or SMOKE without its answer.
+// submitted is a TOP or SMOKE without its answer.
 type asked struct {
 	tag    string
 	number uint64 // of the tag
@@ -256,8 +256,8 @@
 func (l *Link) Feed(p []byte) error {
 	for {
 		line, rest, whole := bytes.Cut(p, []byte{'\n'})
-		if len(l.partial)+len(line) > maxLine {
-			return fmt.Errorf("interp: line of over %d bytes", maxLine)
+		if len(l.partial)+len(line) > maxLineBytes {
+			return fmt.Errorf("interp: line of over %d bytes", maxLineBytes)
 		}
 		if !whole {
 			l.partial = append(l.partial, line...)
@@ -297,7 +297,7 @@
 		l.banner = true
 		if !l.up {
 			l.up = true
-			l.handler.InterpreterStarted(n.End == "COLD", n.age())
+			l.handler.InterpreterStarted(n.Detail == "COLD", n.age())
 		}
 		// An interpreter that was not up yet turned the question behind CONNECT away. What comes now must not wait for the
 		// next look at that.
@@ -305,7 +305,7 @@
 			l.sync()
 		}
 	case opValue:
-		l.ended(n.ID, Outcome(n.End), n.Body)
+		l.ended(n.ID, Outcome(n.Detail), n.Body)
 	case opAwait:
 		if l.runs[n.ID] == nil {
 			l.Stats.UnknownNotices++
@@ -315,12 +315,12 @@
 	case opTops, opSmoked:
 		l.answered(n)
 	case opError:
-		if n.End == opTop || n.End == opSmoke {
+		if n.Detail == opTop || n.Detail == opSmoke {
 			l.unasked(n)
 			return
 		}
-		l.handler.ReportError("interpreter turned a command away", fmt.Errorf("%s %s", n.End, n.ID))
-		if n.End == opApply {
+		l.handler.ReportError("interpreter turned a command away", fmt.Errorf("%s %s", n.Detail, n.ID))
+		if n.Detail == opApply {
 			l.rejected(n.ID)
 		}
 	case opTrace:
@@ -332,13 +332,13 @@
 // unasked ends a question that was turned away: as long as the interpreter is not up, and where the site does not allow
 // it. The latter is an answer as good as any to show that the link is in step.
 func (l *Link) unasked(n *notice) {
-	a, found := l.asked(cmp.Or(n.Tag, n.ID), n.End == opTop)
+	a, found := l.asked(cmp.Or(n.Tag, n.ID), n.Detail == opTop)
 	if !found {
 		return
 	}
 	l.Stats.UnansweredQueries++
 	if l.banner {
-		l.handler.ReportError("interpreter turned a command away", fmt.Errorf("%s %s", n.End, a.tag))
+		l.handler.ReportError("interpreter turned a command away", fmt.Errorf("%s %s", n.Detail, a.tag))
 	}
 	a.answer(nil, a.sync && l.banner)
 }
@@ -366,7 +366,7 @@
 	l.handler.RunFinished(id, end, result)
 }
 
-// asked takes out the question with a tag, for gauges or for a deep check; what fits none is counted.
+// submitted takes out the question with a tag, for gauges or for a deep check; what fits none is counted.
 func (l *Link) asked(tag string, gauges bool) (asked, bool) {
 	i := slices.IndexFunc(l.asks, func(a asked) bool { return a.tag == tag })
 	if i < 0 || (l.asks[i].gauges != nil) != gauges {
@@ -387,5 +387,5 @@
 	for _, r := range l.runs {
 		r.taken = r.taken || r.current && r.tag < a.number
 	}
-	a.answer(n.Values, n.Op == opTops || n.End == string(OutcomeOK))
+	a.answer(n.Values, n.Op == opTops || n.Detail == string(OutcomeOK))
 }
--- a/internal/interpreter/message.go
+++ b/internal/interpreter/message.go
@@ -45,15 +45,17 @@
 
 // notice is a message from the interpreter.
 type notice struct {
-	Op     string    `json:"op"`
-	Seq    uint64    `json:"seq"`
-	ID     string    `json:"id"`
-	End    string    `json:"end"`
-	MS     float64   `json:"ms"`
-	Body   []byte    `json:"body"`
-	Tag    string    `json:"tag"`
-	Values []float64 `json:"values"`
+	Op           string    `json:"op"`
+	Seq          uint64    `json:"seq"`
+	ID           string    `json:"id"`
+	Detail       string    `json:"end"`
+	Milliseconds float64   `json:"ms"`
+	Body         []byte    `json:"body"`
+	Tag          string    `json:"tag"`
+	Values       []float64 `json:"values"`
 }
 
 // age reads the notice's milliseconds.
-func (n *notice) age() time.Duration { return time.Duration(n.MS * float64(time.Millisecond)) }
+func (n *notice) age() time.Duration {
+	return time.Duration(n.Milliseconds * float64(time.Millisecond))
+}
--- a/internal/interpreter/model_test.go
+++ b/internal/interpreter/model_test.go
@@ -11,33 +11,33 @@
 	"pgregory.net/rapid"
 )
 
-// far is an interpreter at the other end of a line that can be cut at any time, with all that is on its way.
-type far struct {
-	t        *rapid.T
-	link     *Link
-	greeted  bool             // it has read CONNECT on this connection
-	commands []map[string]any // on their way to it
-	lines    []string         // on their way from it
-	notices  []string         // all it ever told, by number
-	started  map[string]int
-	running  []string
-	over     map[string]bool
-	heard    map[string]int
+// fakeInterpreter is an interpreter at the other end of a line that can be cut at any time, with all that is on its way.
+type fakeInterpreter struct {
+	t           *rapid.T
+	link        *Link
+	isConnected bool             // it has read CONNECT on this connection
+	commands    []map[string]any // on their way to it
+	inTransit   []string         // on their way from it
+	notices     []string         // all it ever told, by number
+	startCount  map[string]int
+	running     []string
+	finished    map[string]bool
+	finishCount map[string]int
 }
 
-func (f *far) InterpreterStarted(bool, time.Duration) {}
-func (f *far) ReportError(text string, err error)     { f.t.Fatalf("%s: %v", text, err) }
+func (f *fakeInterpreter) InterpreterStarted(bool, time.Duration) {}
+func (f *fakeInterpreter) ReportError(text string, err error)     { f.t.Fatalf("%s: %v", text, err) }
 
-func (f *far) CallRequested(id string) { f.t.Fatalf("a call of %s", id) }
+func (f *fakeInterpreter) CallRequested(id string) { f.t.Fatalf("a call of %s", id) }
 
-func (f *far) RunFinished(id string, end Outcome, _ []byte) {
-	if f.heard[id]++; end != OutcomeOK {
+func (f *fakeInterpreter) RunFinished(id string, end Outcome, _ []byte) {
+	if f.finishCount[id]++; end != OutcomeOK {
 		f.t.Fatalf("run %s ended %s", id, end)
 	}
 }
 
 // write takes commands onto the line.
-func (f *far) write(p []byte) {
+func (f *fakeInterpreter) write(p []byte) {
 	for line := range strings.SplitSeq(strings.TrimSpace(string(p)), "\n") {
 		var c map[string]any
 		if err := json.Unmarshal([]byte(line), &c); err != nil {
@@ -48,19 +48,19 @@
 }
 
 // connect makes a new connection in place of any other.
-func (f *far) connect() {
-	f.commands, f.lines, f.greeted = nil, nil, false
-	f.link.Connected(f.write, start)
+func (f *fakeInterpreter) connect() {
+	f.commands, f.inTransit, f.isConnected = nil, nil, false
+	f.link.Connected(f.write, testStart)
 }
 
-// cut loses all that is on its way.
-func (f *far) cut() {
-	f.commands, f.lines, f.greeted = nil, nil, false
+// disconnect loses all that is on its way.
+func (f *fakeInterpreter) disconnect() {
+	f.commands, f.inTransit, f.isConnected = nil, nil, false
 	f.link.Disconnected()
 }
 
-// take carries out the next command.
-func (f *far) take() bool {
+// handleCommand carries out the next command.
+func (f *fakeInterpreter) handleCommand() bool {
 	if len(f.commands) == 0 {
 		return false
 	}
@@ -69,103 +69,103 @@
 	id, _ := c["id"].(string)
 	switch c["op"] {
 	case "CONNECT":
-		f.greeted = true
-		f.lines = append(f.lines, `{"op":"BANNER","end":"WARM","ms":1}`)
-		f.lines = append(f.lines, f.notices[int(c["seq"].(float64)):]...)
+		f.isConnected = true
+		f.inTransit = append(f.inTransit, `{"op":"BANNER","end":"WARM","ms":1}`)
+		f.inTransit = append(f.inTransit, f.notices[int(c["seq"].(float64)):]...)
 	case "APPLY":
 		switch {
-		case f.over[id]:
-			f.tell(id, "MOOT")
+		case f.finished[id]:
+			f.sendValue(id, "MOOT")
 		case !slices.Contains(f.running, id):
-			f.started[id]++
+			f.startCount[id]++
 			f.running = append(f.running, id)
 		}
 	case "BREAK":
 		if i := slices.Index(f.running, id); i >= 0 {
-			f.end(i)
+			f.finishRun(i)
 		}
 	case "TOP":
-		f.lines = append(f.lines, fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, c["tag"]))
+		f.inTransit = append(f.inTransit, fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, c["tag"]))
 	}
 	return true
 }
 
-// end ends a run.
-func (f *far) end(i int) {
+// finishRun ends a run.
+func (f *fakeInterpreter) finishRun(i int) {
 	id := f.running[i]
-	f.running, f.over[id] = slices.Delete(f.running, i, i+1), true
-	f.tell(id, "OK")
+	f.running, f.finished[id] = slices.Delete(f.running, i, i+1), true
+	f.sendValue(id, "OK")
 }
 
-// tell sends a notice, and keeps it for connections to come.
-func (f *far) tell(id, end string) {
+// sendValue sends a notice, and keeps it for connections to come.
+func (f *fakeInterpreter) sendValue(id, end string) {
 	n := fmt.Sprintf(`{"op":"VALUE","seq":%d,"id":%q,"end":%q,"ms":1,"body":""}`, len(f.notices)+1, id, end)
 	f.notices = append(f.notices, n)
-	if f.greeted {
-		f.lines = append(f.lines, n)
+	if f.isConnected {
+		f.inTransit = append(f.inTransit, n)
 	}
 }
 
-// deliver hands the next line to the link.
-func (f *far) deliver() bool {
-	if len(f.lines) == 0 {
+// deliverLine hands the next line to the link.
+func (f *fakeInterpreter) deliverLine() bool {
+	if len(f.inTransit) == 0 {
 		return false
 	}
-	line := f.lines[0]
-	f.lines = f.lines[1:]
+	line := f.inTransit[0]
+	f.inTransit = f.inTransit[1:]
 	if err := f.link.Feed([]byte(line + "\n")); err != nil {
 		f.t.Fatal(err)
 	}
 	return true
 }
 
-// TestModel cuts the line at random with commands and notices on their way: no run is begun twice, and the end
+// TestRandomDisconnects cuts the line at random with commands and notices on their way: no run is begun twice, and the end
 // of each is told once.
-func TestModel(t *testing.T) {
+func TestRandomDisconnects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &far{t: t, started: map[string]int{}, over: map[string]bool{}, heard: map[string]int{}}
-		f.link = NewLink(f)
-		asked, withdrawn := 0, map[string]bool{}
-		pick := func(t *rapid.T) string { return fmt.Sprint(rapid.IntRange(1, max(asked, 1)).Draw(t, "id")) }
+		fake := &fakeInterpreter{t: t, startCount: map[string]int{}, finished: map[string]bool{}, finishCount: map[string]int{}}
+		fake.link = NewLink(fake)
+		submitted, withdrawn := 0, map[string]bool{}
+		drawID := func(t *rapid.T) string { return fmt.Sprint(rapid.IntRange(1, max(submitted, 1)).Draw(t, "id")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"apply": func(*rapid.T) {
-				asked++
-				f.link.Submit(fmt.Sprint(asked), "look", nil)
+				submitted++
+				fake.link.Submit(fmt.Sprint(submitted), "look", nil)
 			},
 			"withdraw": func(t *rapid.T) {
-				id := pick(t)
-				withdrawn[id] = f.link.Withdraw(id) || withdrawn[id]
+				id := drawID(t)
+				withdrawn[id] = fake.link.Withdraw(id) || withdrawn[id]
 			},
-			"break":   func(t *rapid.T) { f.link.Stop(pick(t)) },
-			"cut":     func(*rapid.T) { f.cut() },
-			"connect": func(*rapid.T) { f.connect() },
-			"take":    func(*rapid.T) { f.take() },
-			"deliver": func(*rapid.T) { f.deliver() },
+			"break":   func(t *rapid.T) { fake.link.Stop(drawID(t)) },
+			"cut":     func(*rapid.T) { fake.disconnect() },
+			"connect": func(*rapid.T) { fake.connect() },
+			"take":    func(*rapid.T) { fake.handleCommand() },
+			"deliver": func(*rapid.T) { fake.deliverLine() },
 			"end": func(t *rapid.T) {
-				if n := len(f.running); n > 0 {
-					f.end(rapid.IntRange(0, n-1).Draw(t, "run"))
+				if n := len(fake.running); n > 0 {
+					fake.finishRun(rapid.IntRange(0, n-1).Draw(t, "run"))
 				}
 			},
 		})
 		// In the end the line stays up and all runs end.
-		f.connect()
-		for f.take() || f.deliver() || len(f.running) > 0 {
-			if len(f.commands) == 0 && len(f.running) > 0 {
-				f.end(0)
+		fake.connect()
+		for fake.handleCommand() || fake.deliverLine() || len(fake.running) > 0 {
+			if len(fake.commands) == 0 && len(fake.running) > 0 {
+				fake.finishRun(0)
 			}
 		}
-		for n := range asked {
+		for n := range submitted {
 			id := fmt.Sprint(n + 1)
 			want := 1
 			if withdrawn[id] {
 				want = 0
 			}
-			if f.started[id] != want || f.heard[id] != want {
-				t.Fatalf("run %s: withdrawn %t, begun %d times, its end told %d times", id, withdrawn[id], f.started[id], f.heard[id])
+			if fake.startCount[id] != want || fake.finishCount[id] != want {
+				t.Fatalf("run %s: withdrawn %t, begun %d times, its end told %d times", id, withdrawn[id], fake.startCount[id], fake.finishCount[id])
 			}
 		}
-		if f.link.OpenRuns() != 0 {
-			t.Fatalf("%d runs are left", f.link.OpenRuns())
+		if fake.link.OpenRuns() != 0 {
+			t.Fatalf("%d runs are left", fake.link.OpenRuns())
 		}
 	})
 }
--- a/internal/loadreport/reporter_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// reporting is a reporter that ends with the test, and the service that it reports to.
-func reporting(t *testing.T) (r *Reporter, service *net.UDPConn, addr *net.UDPAddr) {
+// startReporter is a reporter that ends with the test, and the service that it reports to.
+func startReporter(t *testing.T) (r *Reporter, service *net.UDPConn, addr *net.UDPAddr) {
 	t.Helper()
 	service, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -26,7 +26,7 @@
 
 // TestReport sends both reports, and goes on after the service was away.
 func TestReport(t *testing.T) {
-	r, service, addr := reporting(t)
+	r, service, addr := startReporter(t)
 	var err error
 	buf := make([]byte, 100)
 	expect := func(accepting bool, want string) {
@@ -52,9 +52,9 @@
 	expect(true, "announce n3 true")
 }
 
-// TestServiceBack has the service come back after a report that nobody heard: the next one arrives.
-func TestServiceBack(t *testing.T) {
-	r, service, addr := reporting(t)
+// TestServiceRestarted has the service come back after a report that nobody heard: the next one arrives.
+func TestServiceRestarted(t *testing.T) {
+	r, service, addr := startReporter(t)
 	var err error
 	service.Close()
 	r.Report(true)
--- a/internal/scgi/client_test.go
+++ b/internal/scgi/client_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestBadResponses names what makes no sense.
-func TestBadResponses(t *testing.T) {
+// TestInvalidResponses names what makes no sense.
+func TestInvalidResponses(t *testing.T) {
 	for text, want := range map[string]error{
 		"":                                   ErrResponse,
 		"Status: 200\r\n":                    ErrResponse,
