--- a/internal/interpreter/client.go
+++ b/internal/interpreter/client.go
@@ -1,115 +1,120 @@
 package interpreter
 
 import (
-	"errors"
 	"net/netip"
 	"time"
 
 	"tillerusher/internal/eventloop"
 )
 
-// minRedialInterval is the least time between two tries to connect: a link that stood is made anew at once, since no run
-// starts without it, and one that fails again and again is left alone for a while.
-const minRedialInterval = 50 * time.Millisecond
+const (
+	// minRedialInterval is the least time between two connection attempts. A connection that had been up for longer is
+	// dialled again at once, since no run starts without it; one that fails again and again is not retried in a spin.
+	minRedialInterval = 50 * time.Millisecond
+	// connectTimeout is how long a connection attempt may take.
+	connectTimeout = QueryTimeout
+	// tickInterval is the time between two looks for overdue queries.
+	tickInterval = QueryTimeout / 10
+)
 
 // Client keeps a Link connected.
 type Client struct {
 	*Link
-	loop    *eventloop.Loop
-	to      netip.AddrPort
-	conn    *eventloop.Conn
-	ticker  *eventloop.Timer
-	redial  *eventloop.Timer
-	dialled time.Time
-	stands  bool // the connection is made
-	told    bool // the present trouble was reported
-	stopped bool
+	loop        *eventloop.Loop
+	addr        netip.AddrPort
+	conn        *eventloop.Conn // nil while waiting to dial again
+	tickTimer   *eventloop.Timer
+	redialTimer *eventloop.Timer
+	dialledAt   time.Time
+	isConnected bool
+	isReported  bool // the present loss of the connection was reported
+	isClosed    bool
 }
 
 // Dial starts connecting and goes on until Close.
-func Dial(l *eventloop.Loop, to netip.AddrPort, h Handler) *Client {
-	d := &Client{Link: NewLink(h), loop: l, to: to}
-	d.dial()
-	d.tick()
-	return d
+func Dial(l *eventloop.Loop, addr netip.AddrPort, h Handler) *Client {
+	c := &Client{Link: NewLink(h), loop: l, addr: addr}
+	c.dial()
+	c.tick()
+	return c
 }
 
-// dial tries one connection.
-func (d *Client) dial() {
-	if d.stopped {
+// dial starts one connection attempt.
+func (c *Client) dial() {
+	if c.isClosed {
 		return
 	}
-	d.dialled, d.stands = d.loop.Now(), false
-	conn, err := d.loop.Dial(d.to, d)
+	c.dialledAt, c.isConnected = c.loop.Now(), false
+	conn, err := c.loop.Dial(c.addr, c)
 	if err != nil {
-		d.Closed(nil, err)
+		c.Closed(nil, err)
 		return
 	}
-	d.conn = conn
+	c.conn = conn
 }
 
-// Redirect goes on at another address. The connection to the old one ends now, so that it gets nothing new; runs,
-// their commands and the numbers of notices go on, as after any lost link.
-func (d *Client) Redirect(to netip.AddrPort) {
-	if d.stopped || to == d.to {
+// Redirect goes on at another address. The connection to the old one is closed now, so that nothing new is sent to it;
+// runs, their commands and the numbers of notices are kept, as after any lost connection.
+func (c *Client) Redirect(addr netip.AddrPort) {
+	if c.isClosed || addr == c.addr {
 		return
 	}
-	d.to, d.told = to, false
-	d.hangUp()
-	d.dial()
+	c.addr, c.isReported = addr, false
+	c.disconnect()
+	c.dial()
 }
 
-// hangUp gives up the connection there is, or the wait for the next.
-func (d *Client) hangUp() {
-	d.loop.CancelTimer(d.redial)
-	if d.conn != nil {
-		d.conn.Close()
-		d.conn = nil
+// disconnect closes the connection there is, or ends the wait for the next attempt.
+func (c *Client) disconnect() {
+	c.loop.CancelTimer(c.redialTimer)
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
-	d.Disconnected()
+	c.Disconnected()
 }
 
-// tick gives up old questions now and then.
-func (d *Client) tick() {
-	if d.stopped {
+// tick looks for overdue queries, and for a connection attempt that takes too long.
+func (c *Client) tick() {
+	if c.isClosed {
 		return
 	}
-	d.Tick(d.loop.Now())
-	if d.conn != nil && !d.stands && d.loop.Now().Sub(d.dialled) >= QueryTimeout {
-		d.conn.Close()
-		d.Closed(d.conn, errors.New("no answer to the call"))
+	c.Tick(c.loop.Now())
+	if c.conn != nil && !c.isConnected && c.loop.Now().Sub(c.dialledAt) >= connectTimeout {
+		c.conn.Close()
+		c.Closed(c.conn, errConnectTimeout)
 	}
-	d.ticker = d.loop.AfterFunc(QueryTimeout/10, d.tick)
+	c.tickTimer = c.loop.AfterFunc(tickInterval, c.tick)
 }
 
-// Connected implements loop.ConnHandler.
-func (d *Client) Connected(c *eventloop.Conn) {
-	d.told, d.stands = false, true
-	d.Link.Connected(c.Write, d.loop.Now())
+// Connected implements eventloop.ConnHandler.
+func (c *Client) Connected(conn *eventloop.Conn) {
+	c.isReported, c.isConnected = false, true
+	c.Link.Connected(conn.Write, c.loop.Now())
 }
 
-// Data implements loop.ConnHandler.
-func (d *Client) Data(c *eventloop.Conn, p []byte) {
-	if err := d.Feed(p); err != nil {
-		c.Close()
-		d.Closed(c, err)
+// Data implements eventloop.ConnHandler.
+func (c *Client) Data(conn *eventloop.Conn, p []byte) {
+	if err := c.Feed(p); err != nil {
+		conn.Close()
+		c.Closed(conn, err)
 	}
 }
 
-// Closed implements loop.ConnHandler.
-func (d *Client) Closed(_ *eventloop.Conn, err error) {
-	d.conn = nil
-	d.Disconnected()
-	if !d.told {
-		d.told = true
-		d.handler.ReportError("interpreter link lost", err)
+// Closed implements eventloop.ConnHandler. A loss is reported once, not for each attempt that fails after it.
+func (c *Client) Closed(_ *eventloop.Conn, err error) {
+	c.conn = nil
+	c.Disconnected()
+	if !c.isReported {
+		c.isReported = true
+		c.handler.ReportError("interpreter link lost", err)
 	}
-	d.redial = d.loop.AfterFunc(minRedialInterval-d.loop.Now().Sub(d.dialled), d.dial)
+	c.redialTimer = c.loop.AfterFunc(minRedialInterval-c.loop.Now().Sub(c.dialledAt), c.dial)
 }
 
 // Close ends the link for good.
-func (d *Client) Close() {
-	d.stopped = true
-	d.loop.CancelTimer(d.ticker)
-	d.hangUp()
+func (c *Client) Close() {
+	c.isClosed = true
+	c.loop.CancelTimer(c.tickTimer)
+	c.disconnect()
 }
--- a/internal/interpreter/client_test.go
+++ b/internal/interpreter/client_test.go
@@ -9,7 +9,8 @@
 	"tillerusher/internal/eventloop"
 )
 
-// TestRedialsAtOnceAfterLoss loses a link that stood: the next is dialled at once, since no run starts until then.
+// TestRedialsAtOnceAfterLoss loses a connection that was up for a while: another is dialled at once, since no run starts
+// until then.
 func TestRedialsAtOnceAfterLoss(t *testing.T) {
 	l, err := eventloop.New(eventloop.Kernel{}, time.Millisecond, 1<<20)
 	if err != nil {
@@ -21,14 +22,14 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	d := Dial(l, listener.Addr().(*net.TCPAddr).AddrPort(), newRecordingHandler(t))
-	defer d.Close()
+	client := Dial(l, listener.Addr().(*net.TCPAddr).AddrPort(), newRecordingHandler(t))
+	defer client.Close()
 	dialled := false
 	l.AfterFunc(2*minRedialInterval, func() {
-		d.conn.Close()
-		d.Closed(d.conn, io.EOF)
+		client.conn.Close()
+		client.Closed(client.conn, io.EOF)
 		l.AfterFunc(minRedialInterval/2, func() { // timers fire in order, however late
-			dialled = d.conn != nil
+			dialled = client.conn != nil
 			l.Stop()
 		})
 	})
@@ -36,6 +37,6 @@
 		t.Fatal(err)
 	}
 	if !dialled {
-		t.Error("a link that stood was not dialled at once")
+		t.Error("a lost connection was not dialled again at once")
 	}
 }
--- a/internal/interpreter/codec_test.go
+++ b/internal/interpreter/codec_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCodecMatchesEncodingJSON checks the package's own encoder and decoder against the general ones, for any command, and for any
-// notice in any layout.
+// TestCodecMatchesEncodingJSON checks the package's encoder and decoder against encoding/json, for any command, and for
+// any notice in any layout.
 func TestCodecMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body, seq := rapid.SliceOf(rapid.Byte()).Draw(t, "body"), rapid.Uint64().Draw(t, "seq")
@@ -38,6 +38,7 @@
 	})
 }
 
+// sameCommand compares commands whose pointers are set.
 func sameCommand(a, b command) bool {
 	return a.Op == b.Op && *a.Seq == *b.Seq && a.ID == b.ID && a.Class == b.Class && a.Tag == b.Tag &&
 		string(*a.Body) == string(*b.Body)
--- a/internal/interpreter/decode.go
+++ b/internal/interpreter/decode.go
@@ -4,183 +4,211 @@
 	"bytes"
 	"encoding/base64"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"math"
 	"strconv"
 )
 
-// errNotice says that a line is no notice.
-var errNotice = errors.New("interp: the line is no notice")
+// maxExactInteger is the first float64 from which on not every integer can be told apart.
+const maxExactInteger = 1 << 53
 
-// scanner reads the tokens of one line. Notices come for each request, and a general decoder takes many times as
-// long; what notices never have, such as strings with escapes or values of unknown fields, is left to it.
+// scanner reads the tokens of one line. It is written by hand because a notice comes for every request, where
+// encoding/json takes many times as long; what notices do not have in practice, such as escapes in strings and
+// unknown fields, is left to encoding/json.
 type scanner struct {
-	p []byte
-	i int
+	line []byte
+	pos  int
 }
 
-// parseNotice reads one line.
-func parseNotice(line []byte) (n notice, err error) {
-	s := scanner{p: line}
-	if !s.take('{') {
-		return n, errNotice
-	}
-	for first := true; !s.take('}'); first = false {
-		if !first && !s.take(',') {
-			return n, errNotice
-		}
-		name, err := s.text()
-		if err == nil && !s.take(':') {
-			err = errNotice
+// parseNotice reads one line. Its error is a *ProtocolError.
+func parseNotice(line []byte) (notice, error) {
+	var n notice
+	s := scanner{line: line}
+	if !s.accept('{') {
+		return n, &ProtocolError{Err: ErrMalformed}
+	}
+	for first := true; !s.accept('}'); first = false {
+		if !first && !s.accept(',') {
+			return n, &ProtocolError{Err: ErrMalformed}
 		}
-		if err == nil {
-			err = s.field(&n, string(name))
+		name, err := s.readString()
+		if err == nil && !s.accept(':') {
+			err = ErrMalformed
 		}
 		if err != nil {
-			return n, err
+			return n, &ProtocolError{Err: err}
+		}
+		if err := s.readField(&n, name); err != nil {
+			return n, &ProtocolError{Field: string(name), Err: err}
 		}
 	}
-	if s.space(); s.i < len(s.p) {
-		return n, errNotice
+	s.skipSpace()
+	if s.pos < len(s.line) {
+		return n, &ProtocolError{Err: ErrMalformed}
 	}
 	return n, nil
 }
 
-// field reads the value of a field into the notice.
-func (s *scanner) field(n *notice, name string) (err error) {
-	var text []byte
-	switch name {
-	case "op", "id", "end", "tag", "body":
-		if s.space(); s.i < len(s.p) && s.p[s.i] == 'n' {
-			return s.skip() // null
-		}
-		if text, err = s.text(); err != nil {
-			return err
-		}
-	}
-	switch name {
+// readField reads the value of the named field into the notice. A field that is not known is skipped, so that the
+// interpreter may add some.
+func (s *scanner) readField(n *notice, name []byte) (err error) {
+	switch string(name) {
 	case "op":
-		n.Op = string(text)
+		return s.readStringInto(&n.Op)
 	case "id":
-		n.ID = string(text)
+		return s.readStringInto(&n.ID)
 	case "end":
-		n.Detail = string(text)
+		return s.readStringInto(&n.Detail)
 	case "tag":
-		n.Tag = string(text)
+		return s.readStringInto(&n.Tag)
 	case "body":
-		if n.Body, err = base64.StdEncoding.AppendDecode(nil, text); err != nil {
-			return fmt.Errorf("interp: body: %w", err)
-		}
+		return s.readBody(n)
 	case "seq":
-		n.Seq, err = s.whole()
+		n.Seq, err = s.readUint()
 	case "ms":
-		n.Milliseconds, err = strconv.ParseFloat(string(s.word()), 64)
+		n.Milliseconds, err = s.readFloat()
 	case "values":
-		err = s.values(n)
+		err = s.readValues(n)
 	default:
-		err = s.skip()
+		err = s.skipValue()
+	}
+	return err
+}
+
+// readStringInto reads a string, or null, which leaves the field as it is.
+func (s *scanner) readStringInto(field *string) error {
+	if s.atNull() {
+		return s.skipValue()
 	}
+	text, err := s.readString()
 	if err != nil {
-		return fmt.Errorf("interp: field %s: %w", name, err)
+		return err
 	}
+	*field = string(text)
 	return nil
 }
 
-// values reads a list of numbers.
-func (s *scanner) values(n *notice) error {
-	if !s.take('[') {
-		return errNotice
+// readBody reads bytes in base64, or null.
+func (s *scanner) readBody(n *notice) error {
+	if s.atNull() {
+		return s.skipValue()
 	}
-	for !s.take(']') {
-		if len(n.Values) > 0 && !s.take(',') {
-			return errNotice
+	text, err := s.readString()
+	if err != nil {
+		return err
+	}
+	n.Body, err = base64.StdEncoding.AppendDecode(nil, text)
+	return err
+}
+
+// readValues reads a list of numbers.
+func (s *scanner) readValues(n *notice) error {
+	if !s.accept('[') {
+		return ErrMalformed
+	}
+	for !s.accept(']') {
+		if len(n.Values) > 0 && !s.accept(',') {
+			return ErrMalformed
 		}
-		v, err := strconv.ParseFloat(string(s.word()), 64)
+		value, err := s.readFloat()
 		if err != nil {
 			return err
 		}
-		n.Values = append(n.Values, v)
+		n.Values = append(n.Values, value)
 	}
 	return nil
 }
 
-// space passes over white space.
-func (s *scanner) space() {
-	for s.i < len(s.p) && (s.p[s.i] == ' ' || s.p[s.i] == '\t' || s.p[s.i] == '\r' || s.p[s.i] == '\n') {
-		s.i++
+// skipSpace passes over white space.
+func (s *scanner) skipSpace() {
+	for s.pos < len(s.line) && isSpace(s.line[s.pos]) {
+		s.pos++
 	}
 }
 
-// handleCommand passes over the character if it comes next.
-func (s *scanner) take(c byte) bool {
-	s.space()
-	if s.i < len(s.p) && s.p[s.i] == c {
-		s.i++
+// isSpace reports whether c is white space in JSON.
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
+
+// atNull reports whether the next value begins as null does.
+func (s *scanner) atNull() bool {
+	s.skipSpace()
+	return s.pos < len(s.line) && s.line[s.pos] == 'n'
+}
+
+// accept passes over c if it is the next token, and reports whether it was.
+func (s *scanner) accept(c byte) bool {
+	s.skipSpace()
+	if s.pos < len(s.line) && s.line[s.pos] == c {
+		s.pos++
 		return true
 	}
 	return false
 }
 
-// word reads up to the end of a number or literal.
-func (s *scanner) word() []byte {
-	s.space()
-	n := bytes.IndexAny(s.p[s.i:], ",]} \t\r\n")
-	if n < 0 {
-		n = len(s.p) - s.i
-	}
-	s.i += n
-	return s.p[s.i-n : s.i]
+// readLiteral returns what comes up to the end of a number or literal.
+func (s *scanner) readLiteral() []byte {
+	s.skipSpace()
+	start := s.pos
+	if n := bytes.IndexAny(s.line[start:], ",]} \t\r\n"); n >= 0 {
+		s.pos += n
+	} else {
+		s.pos = len(s.line)
+	}
+	return s.line[start:s.pos]
 }
 
-// whole reads a whole number, in any form that JSON has for one.
-func (s *scanner) whole() (uint64, error) {
-	word := string(s.word())
-	n, err := strconv.ParseUint(word, 10, 64)
+// readFloat reads a number.
+func (s *scanner) readFloat() (float64, error) {
+	return strconv.ParseFloat(string(s.readLiteral()), 64)
+}
+
+// readUint reads a whole number in any form that JSON has for one, such as 1e3.
+func (s *scanner) readUint() (uint64, error) {
+	literal := string(s.readLiteral())
+	n, err := strconv.ParseUint(literal, 10, 64)
 	if err == nil {
 		return n, nil
 	}
-	f, ferr := strconv.ParseFloat(word, 64)
-	if ferr != nil || f < 0 || f >= 1<<53 || f != math.Trunc(f) {
+	float, floatErr := strconv.ParseFloat(literal, 64)
+	if floatErr != nil || float < 0 || float >= maxExactInteger || float != math.Trunc(float) {
 		return 0, err
 	}
-	return uint64(f), nil
+	return uint64(float), nil
 }
 
-// text reads a string; it is valid as long as the line.
-func (s *scanner) text() ([]byte, error) {
-	if !s.take('"') {
-		return nil, errNotice
+// readString reads a string. What it returns is valid as long as the line.
+func (s *scanner) readString() ([]byte, error) {
+	if !s.accept('"') {
+		return nil, ErrMalformed
 	}
-	for j := s.i; j < len(s.p); j++ {
-		switch s.p[j] {
+	for i := s.pos; i < len(s.line); i++ {
+		switch s.line[i] {
 		case '"':
-			text := s.p[s.i:j]
-			s.i = j + 1
+			text := s.line[s.pos:i]
+			s.pos = i + 1
 			return text, nil
 		case '\\':
-			s.i--
+			s.pos-- // back to the opening quote
 			var text string
-			err := s.general(&text)
+			err := s.decodeValue(&text)
 			return []byte(text), err
 		}
 	}
-	return nil, errNotice
+	return nil, ErrMalformed
 }
 
-// skip passes over any value.
-func (s *scanner) skip() error {
-	var any json.RawMessage
-	return s.general(&any)
+// skipValue passes over any value.
+func (s *scanner) skipValue() error {
+	var value json.RawMessage
+	return s.decodeValue(&value)
 }
 
-// general reads the next value by the general decoder.
-func (s *scanner) general(to any) error {
-	s.space()
-	d := json.NewDecoder(bytes.NewReader(s.p[s.i:]))
-	if err := d.Decode(to); err != nil {
-		return fmt.Errorf("interp: %w", err)
-	}
-	s.i += int(d.InputOffset())
+// decodeValue reads the next value by encoding/json.
+func (s *scanner) decodeValue(to any) error {
+	s.skipSpace()
+	decoder := json.NewDecoder(bytes.NewReader(s.line[s.pos:]))
+	if err := decoder.Decode(to); err != nil {
+		return err
+	}
+	s.pos += int(decoder.InputOffset())
 	return nil
 }
--- a/internal/interpreter/encode.go
+++ b/internal/interpreter/encode.go
@@ -6,32 +6,40 @@
 	"strconv"
 )
 
-// appendTo adds the command as a line. Commands go out for each request, and a general encoder takes many times as
-// long.
-func (c *command) appendTo(b []byte) []byte {
-	b = appendText(append(b, `{"op":`...), c.Op)
+// appendTo appends the command as one line to buf. It is written out by hand because a command is sent for every
+// request, where encoding/json takes many times as long.
+func (c *command) appendTo(buf []byte) []byte {
+	buf = appendString(append(buf, `{"op":`...), c.Op)
 	if c.Seq != nil {
-		b = strconv.AppendUint(append(b, `,"seq":`...), *c.Seq, 10)
-	}
-	for _, f := range [...]struct{ name, value string }{{`,"id":`, c.ID}, {`,"class":`, c.Class}, {`,"tag":`, c.Tag}} {
-		if f.value != "" {
-			b = appendText(append(b, f.name...), f.value)
-		}
+		buf = strconv.AppendUint(append(buf, `,"seq":`...), *c.Seq, 10)
 	}
+	buf = appendOptional(buf, `,"id":`, c.ID)
+	buf = appendOptional(buf, `,"class":`, c.Class)
+	buf = appendOptional(buf, `,"tag":`, c.Tag)
 	if c.Body != nil {
-		b = base64.StdEncoding.AppendEncode(append(b, `,"body":"`...), *c.Body)
-		b = append(b, '"')
+		buf = base64.StdEncoding.AppendEncode(append(buf, `,"body":"`...), *c.Body)
+		buf = append(buf, '"')
+	}
+	return append(buf, '}', '\n')
+}
+
+// appendOptional appends a member whose value is not empty; key holds the comma, the quoted name and the colon.
+func appendOptional(buf []byte, key, value string) []byte {
+	if value == "" {
+		return buf
 	}
-	return append(b, '}', '\n')
+	return appendString(append(buf, key...), value)
 }
 
-// appendText adds a string; only one with letters that need more than quotes is left to the general encoder.
-func appendText(b []byte, s string) []byte {
+// appendString appends s as a JSON string. Only one with characters that need escapes is left to encoding/json.
+func appendString(buf []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
-			quoted, _ := json.Marshal(s) // a string always has a text
-			return append(b, quoted...)
+			quoted, _ := json.Marshal(s) // never fails for a string
+			return append(buf, quoted...)
 		}
 	}
-	return append(append(append(b, '"'), s...), '"')
+	buf = append(buf, '"')
+	buf = append(buf, s...)
+	return append(buf, '"')
 }
--- /dev/null
+++ b/internal/interpreter/errors.go
@@ -0,0 +1,42 @@
+package interpreter
+
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrMalformed says that a line of the interpreter is not a JSON object of the protocol.
+var ErrMalformed = errors.New("malformed notice")
+
+// ErrLineTooLong says that the interpreter sent more than a notice can need without an end of line.
+var ErrLineTooLong = fmt.Errorf("line of over %d bytes", maxLineBytes)
+
+// errConnectTimeout says that the interpreter's host did not answer a connection attempt in time.
+var errConnectTimeout = errors.New("connection attempt timed out")
+
+// ProtocolError reports a line of the interpreter that could not be read. The connection it came on can only be closed,
+// since what the line said is lost.
+type ProtocolError struct {
+	Field string // the field whose value is invalid; empty where the line as a whole is
+	Err   error
+}
+
+// Error implements error.
+func (e *ProtocolError) Error() string {
+	if e.Field == "" {
+		return "interpreter: " + e.Err.Error()
+	}
+	return fmt.Sprintf("interpreter: field %s: %v", e.Field, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *ProtocolError) Unwrap() error { return e.Err }
+
+// RejectedCommandError says that the interpreter rejected a command.
+type RejectedCommandError struct {
+	Command string // the operation, such as APPLY
+	ID      string // of the run, or the tag of the query
+}
+
+// Error implements error.
+func (e *RejectedCommandError) Error() string { return e.Command + " " + e.ID }
--- a/internal/interpreter/message.go
+++ b/internal/interpreter/message.go
@@ -1,38 +1,47 @@
-// Package interp keeps the link to the interpreter, which does the work: JSON objects, one a line.
 package interpreter
 
 import "time"
 
-// Outcome is how a run ended.
+// Outcome is how a run ended, in the words of the protocol.
 type Outcome string
 
-// The ends of a run.
+// The outcomes of a run.
 const (
-	OutcomeOK         Outcome = "OK"
-	OutcomeError      Outcome = "ERROR"
-	OutcomeStopped    Outcome = "STOPPED"
+	OutcomeOK      Outcome = "OK"
+	OutcomeError   Outcome = "ERROR"
+	OutcomeStopped Outcome = "STOPPED"
+	// OutcomeNotStarted answers an APPLY for a run that had ended already: nothing was started by it.
 	OutcomeNotStarted Outcome = "MOOT"
-	// OutcomeRejected is no word of the interpreter's: it turned the command away, so nothing was run.
+	// OutcomeRejected is not sent by the interpreter: it says that the interpreter rejected the APPLY, so nothing ran.
 	OutcomeRejected Outcome = "rejected"
 )
 
-// The names of messages.
+// String returns the protocol's word.
+func (o Outcome) String() string { return string(o) }
+
+// The commands of the protocol, sent to the interpreter.
 const (
-	opConnect = "CONNECT"
-	opApply   = "APPLY"
-	opBreak   = "BREAK"
-	opTop     = "TOP"
-	opSmoke   = "SMOKE"
-
-	opBanner = "BANNER"
-	opValue  = "VALUE"
-	opAwait  = "AWAIT"
-	opTops   = "TOPS"
-	opSmoked = "SMOKED"
-	opError  = "ERROR"
-	opTrace  = "TRACE"
+	opConnect = "CONNECT" // replay the notices after a number
+	opApply   = "APPLY"   // start a run
+	opBreak   = "BREAK"   // stop a run
+	opTop     = "TOP"     // query the gauges
+	opSmoke   = "SMOKE"   // run a deep health check
 )
 
+// The notices of the protocol, sent by the interpreter.
+const (
+	opBanner = "BANNER" // the interpreter is up
+	opValue  = "VALUE"  // a run finished
+	opAwait  = "AWAIT"  // a run waits for a downstream call
+	opTops   = "TOPS"   // the answer to TOP
+	opSmoked = "SMOKED" // the answer to SMOKE
+	opError  = "ERROR"  // a command was rejected
+	opTrace  = "TRACE"  // text for the interpreter's own log
+)
+
+// bannerCold is the detail of a BANNER from an interpreter that started with empty caches.
+const bannerCold = "COLD"
+
 // command is a message to the interpreter.
 type command struct {
 	Op    string  `json:"op"`
@@ -45,9 +54,11 @@
 
 // notice is a message from the interpreter.
 type notice struct {
-	Op           string    `json:"op"`
-	Seq          uint64    `json:"seq"`
-	ID           string    `json:"id"`
+	Op  string `json:"op"`
+	Seq uint64 `json:"seq"` // 0 for notices that are not replayed after a lost connection
+	ID  string `json:"id"`
+	// Detail depends on Op: the outcome of a VALUE or SMOKED, the temperature of a BANNER, the rejected command of an
+	// ERROR.
 	Detail       string    `json:"end"`
 	Milliseconds float64   `json:"ms"`
 	Body         []byte    `json:"body"`
@@ -55,7 +66,7 @@
 	Values       []float64 `json:"values"`
 }
 
-// age reads the notice's milliseconds.
+// age returns how long ago the interpreter started, of a BANNER.
 func (n *notice) age() time.Duration {
 	return time.Duration(n.Milliseconds * float64(time.Millisecond))
 }
--- a/internal/interpreter/model_test.go
+++ b/internal/interpreter/model_test.go
@@ -11,14 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// fakeInterpreter is an interpreter at the other end of a line that can be cut at any time, with all that is on its way.
+// fakeInterpreter is an interpreter whose connection can be lost at any time, with all that is in transit. It is the
+// link's Handler, too.
 type fakeInterpreter struct {
 	t           *rapid.T
 	link        *Link
 	isConnected bool             // it has read CONNECT on this connection
-	commands    []map[string]any // on their way to it
-	inTransit   []string         // on their way from it
-	notices     []string         // all it ever told, by number
+	commands    []map[string]any // in transit to it
+	inTransit   []string         // lines from it
+	notices     []string         // all that it ever sent, by number
 	startCount  map[string]int
 	running     []string
 	finished    map[string]bool
@@ -26,17 +27,18 @@
 }
 
 func (f *fakeInterpreter) InterpreterStarted(bool, time.Duration) {}
-func (f *fakeInterpreter) ReportError(text string, err error)     { f.t.Fatalf("%s: %v", text, err) }
+func (f *fakeInterpreter) ReportError(message string, err error)  { f.t.Fatalf("%s: %v", message, err) }
 
 func (f *fakeInterpreter) CallRequested(id string) { f.t.Fatalf("a call of %s", id) }
 
-func (f *fakeInterpreter) RunFinished(id string, end Outcome, _ []byte) {
-	if f.finishCount[id]++; end != OutcomeOK {
-		f.t.Fatalf("run %s ended %s", id, end)
+func (f *fakeInterpreter) RunFinished(id string, outcome Outcome, _ []byte) {
+	f.finishCount[id]++
+	if outcome != OutcomeOK {
+		f.t.Fatalf("run %s ended %s", id, outcome)
 	}
 }
 
-// write takes commands onto the line.
+// write puts commands in transit.
 func (f *fakeInterpreter) write(p []byte) {
 	for line := range strings.SplitSeq(strings.TrimSpace(string(p)), "\n") {
 		var c map[string]any
@@ -53,13 +55,13 @@
 	f.link.Connected(f.write, testStart)
 }
 
-// disconnect loses all that is on its way.
+// disconnect loses all that is in transit.
 func (f *fakeInterpreter) disconnect() {
 	f.commands, f.inTransit, f.isConnected = nil, nil, false
 	f.link.Disconnected()
 }
 
-// handleCommand carries out the next command.
+// handleCommand reads the next command, and reports whether there was one.
 func (f *fakeInterpreter) handleCommand() bool {
 	if len(f.commands) == 0 {
 		return false
@@ -90,23 +92,23 @@
 	return true
 }
 
-// finishRun ends a run.
+// finishRun finishes the i-th running run.
 func (f *fakeInterpreter) finishRun(i int) {
 	id := f.running[i]
 	f.running, f.finished[id] = slices.Delete(f.running, i, i+1), true
 	f.sendValue(id, "OK")
 }
 
-// sendValue sends a notice, and keeps it for connections to come.
-func (f *fakeInterpreter) sendValue(id, end string) {
-	n := fmt.Sprintf(`{"op":"VALUE","seq":%d,"id":%q,"end":%q,"ms":1,"body":""}`, len(f.notices)+1, id, end)
+// sendValue sends a notice, and keeps it to be replayed on later connections.
+func (f *fakeInterpreter) sendValue(id, outcome string) {
+	n := fmt.Sprintf(`{"op":"VALUE","seq":%d,"id":%q,"end":%q,"ms":1,"body":""}`, len(f.notices)+1, id, outcome)
 	f.notices = append(f.notices, n)
 	if f.isConnected {
 		f.inTransit = append(f.inTransit, n)
 	}
 }
 
-// deliverLine hands the next line to the link.
+// deliverLine has the link read the next line, and reports whether there was one.
 func (f *fakeInterpreter) deliverLine() bool {
 	if len(f.inTransit) == 0 {
 		return false
@@ -119,8 +121,8 @@
 	return true
 }
 
-// TestRandomDisconnects cuts the line at random with commands and notices on their way: no run is begun twice, and the end
-// of each is told once.
+// TestRandomDisconnects loses the connection at random, with commands and notices in transit: no run is started twice,
+// and the end of each is reported once.
 func TestRandomDisconnects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fake := &fakeInterpreter{t: t, startCount: map[string]int{}, finished: map[string]bool{}, finishCount: map[string]int{}}
@@ -147,7 +149,7 @@
 				}
 			},
 		})
-		// In the end the line stays up and all runs end.
+		// In the end the connection stays up and all runs finish.
 		fake.connect()
 		for fake.handleCommand() || fake.deliverLine() || len(fake.running) > 0 {
 			if len(fake.commands) == 0 && len(fake.running) > 0 {
--- /dev/null
+++ b/internal/interpreter/query.go
@@ -0,0 +1,123 @@
+package interpreter
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"time"
+)
+
+// query is a TOP or SMOKE without its answer. Exactly one of its callbacks is set.
+type query struct {
+	tag      string
+	number   uint64 // of the tag
+	deadline time.Time
+	onGauges func(values []float64, ok bool) // of a TOP
+	onHealth func(ok bool)                   // of a SMOKE
+	isSync   bool                            // any answer shows that the notices before it were read
+}
+
+// isGaugeQuery reports whether the query is a TOP.
+func (q *query) isGaugeQuery() bool { return q.onGauges != nil }
+
+// complete calls whoever sent the query.
+func (q *query) complete(values []float64, ok bool) {
+	if q.isGaugeQuery() {
+		q.onGauges(values, ok)
+	} else {
+		q.onHealth(ok)
+	}
+}
+
+// queryTable holds the queries without an answer.
+type queryTable struct {
+	pending    []query
+	lastNumber uint64 // of the last query sent, over all connections
+}
+
+// take removes and returns the query with a tag, if it is of the kind.
+func (t *queryTable) take(tag string, isGaugeQuery bool) (query, bool) {
+	i := slices.IndexFunc(t.pending, func(q query) bool { return q.tag == tag })
+	if i < 0 || t.pending[i].isGaugeQuery() != isGaugeQuery {
+		return query{}, false
+	}
+	q := t.pending[i]
+	t.pending = slices.Delete(t.pending, i, i+1)
+	return q, true
+}
+
+// QueryGauges asks for the gauges. Done is called once, with ok false where there is no answer.
+func (l *Link) QueryGauges(now time.Time, done func(values []float64, ok bool)) {
+	l.sendQuery(opTop, now, query{onGauges: done})
+}
+
+// CheckHealth has the interpreter run a deep health check. Done is called once, with ok false where it failed or there
+// is no answer.
+func (l *Link) CheckHealth(now time.Time, done func(ok bool)) {
+	l.sendQuery(opSmoke, now, query{onHealth: done})
+}
+
+// sendQuery sends a query, which fails at once where there is no connection.
+func (l *Link) sendQuery(op string, now time.Time, q query) {
+	if l.session.send == nil {
+		q.complete(nil, false)
+		return
+	}
+	l.queries.lastNumber++
+	q.number = l.queries.lastNumber
+	q.tag = strconv.FormatUint(q.number, 10)
+	q.deadline = now.Add(QueryTimeout)
+	l.queries.pending = append(l.queries.pending, q)
+	l.write(command{Op: op, Tag: q.tag})
+}
+
+// expireQueries fails the queries for which isExpired holds. They are taken out before any callback is called, since a
+// callback may send a query.
+func (l *Link) expireQueries(isExpired func(query) bool) {
+	pending := l.queries.pending
+	l.queries.pending = nil
+	for i := range pending {
+		if !isExpired(pending[i]) {
+			l.queries.pending = append(l.queries.pending, pending[i])
+		}
+	}
+	for i := range pending {
+		if isExpired(pending[i]) {
+			l.Stats.UnansweredQueries++
+			pending[i].complete(nil, false)
+		}
+	}
+}
+
+// takeQuery removes and returns the query that a notice is about; what fits none is counted.
+func (l *Link) takeQuery(tag string, isGaugeQuery bool) (query, bool) {
+	q, found := l.queries.take(tag, isGaugeQuery)
+	if !found {
+		l.Stats.UnknownNotices++
+	}
+	return q, found
+}
+
+// handleAnswer completes a query; an answer that comes too late is skipped.
+func (l *Link) handleAnswer(n *notice) {
+	q, found := l.takeQuery(n.Tag, n.Op == opTops)
+	if !found {
+		return
+	}
+	l.runs.markReceived(q.number)
+	q.complete(n.Values, n.Op == opTops || n.Detail == string(OutcomeOK))
+}
+
+// rejectQuery fails a query that was rejected, as it is while the interpreter is not up and where the site does not allow
+// it. In the latter case the rejection shows as well as an answer that the link is synced.
+func (l *Link) rejectQuery(n *notice) {
+	q, found := l.takeQuery(cmp.Or(n.Tag, n.ID), n.Detail == opTop)
+	if !found {
+		return
+	}
+	l.Stats.UnansweredQueries++
+	if l.session.hasBanner {
+		l.reportRejection(n.Detail, q.tag)
+	}
+	q.complete(nil, q.isSync && l.session.hasBanner)
+}
