--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -9,54 +9,54 @@
 )
 
 const (
-	backlog    = 512
-	acceptMost = 64 // connections accepted in one round
-	// acceptPause is how long a listener rests when no descriptor is left even for turning callers away.
+	listenBacklog = 512
+	maxAccepts    = 64 // connections accepted in one round
+	// acceptPause is how long a listener pauses when no connection can be accepted, nor rejected for want of descriptors.
 	acceptPause = 50 * time.Millisecond
 )
 
-// AcceptCallbacks tells of new connections.
+// AcceptCallbacks are called for new connections.
 type AcceptCallbacks struct {
-	// OnConn names the handler of a new connection, or nil to turn it away.
+	// OnConn returns the handler of a new connection, or nil to reject it.
 	OnConn func(c *Conn) ConnHandler
-	// OnError hears of connections that could not be accepted.
+	// OnError is told of connections that could not be accepted.
 	OnError func(err error)
 }
 
 // Listener accepts connections.
 type Listener struct {
-	loop    *Loop
-	fd      int
-	spare   int // given up to accept and close when descriptors run out, or -1
-	on      AcceptCallbacks
-	fds     []int // accepted in this round
-	errs    []error
-	closed  bool
-	resting bool
+	loop      *Loop
+	fd        int
+	spareFD   int // closed to accept and reject a connection when descriptors run out; -1 while there is none
+	callbacks AcceptCallbacks
+	accepted  []int   // descriptors of this round
+	errs      []error // of this round
+	isClosed  bool
+	isPaused  bool
 }
 
 // Listen accepts connections at the address.
-func (l *Loop) Listen(at netip.AddrPort, on AcceptCallbacks) (*Listener, error) {
+func (l *Loop) Listen(at netip.AddrPort, callbacks AcceptCallbacks) (*Listener, error) {
 	fd, err := l.system.NewStreamSocket(at)
 	if err != nil {
 		return nil, fmt.Errorf("listen at %v: %w", at, err)
 	}
 	if err = l.system.Bind(fd, at); err == nil {
-		err = l.system.Listen(fd, backlog)
+		err = l.system.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		l.system.Close(fd)
 		return nil, fmt.Errorf("listen at %v: %w", at, err)
 	}
-	ln := &Listener{loop: l, fd: fd, on: on, spare: openSpare(l.system)}
-	if err := l.add(fd, unix.EPOLLIN, ln); err != nil {
+	ln := &Listener{loop: l, fd: fd, callbacks: callbacks, spareFD: openSpare(l.system)}
+	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		l.system.Close(fd)
 		return nil, err
 	}
 	return ln, nil
 }
 
-// Addr is the address that is listened at.
+// Addr returns the address that is listened at.
 func (ln *Listener) Addr() (netip.AddrPort, error) {
 	at, err := ln.loop.system.LocalAddr(ln.fd)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return at, nil
 }
 
-// openSpare holds a descriptor back.
+// openSpare opens a descriptor that is held in reserve, or returns -1.
 func openSpare(system System) int {
 	fd, err := system.Eventfd()
 	if err != nil {
@@ -77,25 +77,26 @@
 // gather implements source.
 func (ln *Listener) gather(uint32) {
 	if !ln.accept() {
-		ln.rest() // left alone, the listener would stay ready and turn the loop into a spin
+		ln.pause() // otherwise the listener would stay ready and the loop spin
 	}
 }
 
-// accept takes connections until none waits, and tells whether it could.
+// accept takes connections until none waits, and reports whether it could.
 func (ln *Listener) accept() bool {
-	for range acceptMost {
+	for range maxAccepts {
 		fd, err := ln.loop.system.Accept(ln.fd)
 		switch {
 		case err == nil:
-			ln.fds = append(ln.fds, fd)
+			ln.accepted = append(ln.accepted, fd)
 		case err == unix.EAGAIN:
 			return true
 		case err == unix.EMFILE || err == unix.ENFILE:
 			ln.errs = append(ln.errs, err)
-			if !ln.shed() {
+			if !ln.rejectOne() {
 				return false
 			}
 		case err == unix.EINTR || err == unix.ECONNABORTED:
+			// Of this call or this connection alone.
 		default: // as likely to come again at once
 			ln.errs = append(ln.errs, err)
 			return false
@@ -104,67 +105,78 @@
 	return true
 }
 
-// shed gives up the spare descriptor to accept one connection and close it, so that its caller hears at once.
-func (ln *Listener) shed() bool {
-	if ln.spare < 0 {
+// rejectOne closes the spare descriptor to accept one connection and close it, so that its caller is told at once. It
+// reports whether there is a spare descriptor again.
+func (ln *Listener) rejectOne() bool {
+	if ln.spareFD < 0 {
 		return false
 	}
-	ln.loop.system.Close(ln.spare)
+	ln.loop.system.Close(ln.spareFD)
 	fd, err := ln.loop.system.Accept(ln.fd)
 	if err == nil {
 		ln.loop.system.Close(fd)
 	}
-	ln.spare = openSpare(ln.loop.system)
-	return ln.spare >= 0
+	ln.spareFD = openSpare(ln.loop.system)
+	return ln.spareFD >= 0
 }
 
-// rest stops accepting for a moment.
-func (ln *Listener) rest() {
-	if ln.resting {
+// pause stops accepting for acceptPause.
+func (ln *Listener) pause() {
+	if ln.isPaused {
 		return
 	}
-	ln.resting = true
-	ln.loop.watch(ln.fd, 0)
-	ln.loop.AfterFunc(acceptPause, func() {
-		ln.resting = false
-		if !ln.closed {
-			if ln.spare < 0 {
-				ln.spare = openSpare(ln.loop.system)
-			}
-			ln.loop.watch(ln.fd, unix.EPOLLIN)
-		}
-	})
+	ln.isPaused = true
+	ln.loop.modify(ln.fd, 0)
+	ln.loop.AfterFunc(acceptPause, ln.resume)
+}
+
+// resume ends a pause.
+func (ln *Listener) resume() {
+	ln.isPaused = false
+	if ln.isClosed {
+		return
+	}
+	if ln.spareFD < 0 {
+		ln.spareFD = openSpare(ln.loop.system)
+	}
+	ln.loop.modify(ln.fd, unix.EPOLLIN)
 }
 
 // report implements source.
 func (ln *Listener) report() {
-	fds, errs := ln.fds, ln.errs
-	ln.fds, ln.errs = nil, nil
+	accepted, errs := ln.accepted, ln.errs
+	ln.accepted, ln.errs = nil, nil
 	for _, err := range errs {
-		ln.on.OnError(err)
+		ln.callbacks.OnError(err)
 	}
-	for _, fd := range fds {
-		c, err := ln.loop.newConn(fd, unix.EPOLLIN, nil)
-		if err != nil {
-			ln.on.OnError(err)
-			continue
-		}
-		if c.handler = ln.on.OnConn(c); c.handler == nil {
-			c.Close()
-		}
+	for _, fd := range accepted {
+		ln.open(fd)
+	}
+}
+
+// open makes a connection of an accepted descriptor.
+func (ln *Listener) open(fd int) {
+	c, err := ln.loop.newConn(fd, unix.EPOLLIN, stateEstablished, nil)
+	if err != nil {
+		ln.callbacks.OnError(err)
+		return
+	}
+	c.handler = ln.callbacks.OnConn(c)
+	if c.handler == nil {
+		c.Close()
 	}
 }
 
 // Close accepts what waits and then stops listening.
 func (ln *Listener) Close() {
-	if ln.closed {
+	if ln.isClosed {
 		return
 	}
 	ln.accept()
-	ln.closed = true
-	ln.loop.drop(ln.fd)
-	if ln.spare >= 0 {
-		ln.loop.system.Close(ln.spare)
+	ln.isClosed = true
+	ln.loop.unregister(ln.fd)
+	if ln.spareFD >= 0 {
+		ln.loop.system.Close(ln.spareFD)
 	}
 	ln.report()
 }
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -7,28 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultySystem is a machine that can't accept connections for a while.
+// faultySystem is a system on which Accept fails for a while.
 type faultySystem struct {
 	Kernel
 	acceptErr   error
-	isRecovered bool // calls are carried out
+	isRecovered bool // Accept works
 	acceptCalls int
 }
 
 func (s *faultySystem) Accept(fd int) (int, error) {
-	if s.acceptCalls++; !s.isRecovered {
-		s.isRecovered = s.acceptErr == unix.ECONNABORTED || s.acceptErr == unix.EINTR // which are of one connection, or one call
+	s.acceptCalls++
+	if !s.isRecovered {
+		// These two are of one connection or one call: the next may work.
+		s.isRecovered = s.acceptErr == unix.ECONNABORTED || s.acceptErr == unix.EINTR
 		return -1, s.acceptErr
 	}
 	return s.Kernel.Accept(fd)
 }
 
-// TestAcceptErrors has connections fail to be accepted, once and again: the next is taken in all the same, and the loop
-// doesn't spin on a listener that stays ready.
+// TestAcceptErrors has Accept fail, once or for a while: the next connection is accepted all the same, and the loop does
+// not spin on a listener that stays ready.
 func TestAcceptErrors(t *testing.T) {
 	for _, c := range []struct {
-		err  error
-		told bool // the owner hears of it
+		err        error
+		isReported bool // to the owner
 	}{{unix.EPROTO, true}, {unix.EPERM, true}, {unix.ECONNABORTED, false}, {unix.EINTR, false}} {
 		s := &faultySystem{acceptErr: c.err}
 		l, err := New(s, testTick, 1<<20)
@@ -51,8 +53,8 @@
 		if err := l.Run(func() bool { return false }); err != nil {
 			t.Fatal(err)
 		}
-		if (reported > 0) != c.told || s.acceptCalls > 20 { // however slow the machine, no more than one in each rest, and a few
-			t.Errorf("%v: %d errors told, %d calls to accept one connection", c.err, reported, s.acceptCalls)
+		if (reported > 0) != c.isReported || s.acceptCalls > 20 { // however slow the machine, no more than one in each pause, and a few
+			t.Errorf("%v: %d errors reported, %d calls to accept one connection", c.err, reported, s.acceptCalls)
 		}
 		ln.Close()
 		l.Close()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,3 @@
-// Package loop runs one goroutine over epoll: sockets, coarse timers and work handed over from elsewhere. A
-// round gathers all that is ready, reads the clock once, reports what came in order, lets the owner settle,
-// and then sends what each connection has to send in one write.
 package eventloop
 
 import (
@@ -13,216 +10,257 @@
 )
 
 const (
-	maxEvents     = 256      // ready descriptors of one round
-	readSize      = 32 << 10 // bytes read from one connection in a round
-	highWatermark = 64 << 10 // unsent bytes over which a connection is not read
-	// arenaSize bounds what one round reads from all connections: a flood of them must neither take the memory
-	// nor hold up a round for long.
+	maxEvents = 256      // ready descriptors of one round
+	readSize  = 32 << 10 // bytes read from one connection in a round
+	// highWatermark is how many unsent bytes stop a connection from being read: a peer that does not take its responses
+	// may not ask for more.
+	highWatermark = 64 << 10
+	// arenaSize bounds what one round reads from all connections: a flood of them must neither take the memory nor hold
+	// up a round for long.
 	arenaSize = 16 * readSize
-	// untakenParts is the part of the memory for output that a connection may hold while that is used up.
-	untakenParts = 512
-	// lingerMost is how long a connection that this side has ended is still read, and lingerReads how many
-	// reads it gets in a round.
-	lingerMost  = time.Second
-	lingerReads = 8
-	// The output buffers that are kept for use again: so many, and none that grew beyond a few answers.
-	spareBuffers, spareSize = 64, 16 << 10
+	// unsentShareDivisor makes the share of the memory for output that one connection may hold while that is used up.
+	unsentShareDivisor = 512
+	// lingerTimeout is how long a connection that this side has ended is still read, and lingerReads how many reads it
+	// gets in a round.
+	lingerTimeout = time.Second
+	lingerReads   = 8
+	// Output buffers are kept for use again, up to maxFreeBuffers, and none that grew beyond a few responses.
+	maxFreeBuffers    = 64
+	maxFreeBufferSize = 16 << 10
+	newBufferSize     = 512
 )
 
-// source is what stands behind a registered descriptor.
+// source is what is registered with a descriptor.
 type source interface {
-	gather(events uint32) // take in what is ready
-	report()              // hand it on
+	gather(events uint32) // read what is ready, without calling the owner
+	report()              // call the owner
 }
 
 // Loop owns all that is registered with it. Its methods belong to the goroutine in Run, but for Post.
 type Loop struct {
-	system         System
-	epoll, wake    int
-	sources        map[int]source
-	ready          []source
-	arena          []byte // what this round read
-	full           bool   // the arena had no room for all of it
-	turn           int    // where the next round begins to read
-	waste          [readSize]byte
-	one            [8]byte  // of the wakeups, and of looks into sockets
-	spare          [][]byte // empty output buffers
-	unsentBytes    int      // bytes that peers have not taken
-	maxUnsentBytes int      // unsentBytes bytes over which peers that hold many of them are cut off
-	dirty          []*Conn
-	failed         []source // connections that could not be written to, to be reported next
-	now            time.Time
-	wheel          *timerWheel
-	stopped        bool
-
-	mu     sync.Mutex
-	posted []func()
-	closed bool
-}
-
-// New returns a loop on a system whose timers fire on the tick, and which keeps about so many bytes at most for peers that
-// do not read.
-func New(system System, tick time.Duration, untaken int) (*Loop, error) {
-	epoll, err := system.EpollCreate()
+	system    System
+	epollFD   int
+	sources   map[int]source // by descriptor
+	timers    *timerWheel
+	now       time.Time // the clock reading of this round
+	isStopped bool
+	input     roundInput
+	output    outputState
+	posted    postQueue
+}
+
+// roundInput is what one round gathered.
+type roundInput struct {
+	ready       []source // to be reported
+	arena       []byte   // bytes read from all connections
+	isArenaFull bool     // some connection was not read for want of room
+	firstEvent  int      // index of the event that the next round begins with, modulo their number
+	discarded   [readSize]byte
+	peeked      [1]byte
+}
+
+// outputState is what connections have to send.
+type outputState struct {
+	dirty          []*Conn  // to be flushed at the end of the round
+	failed         []source // connections that could not be written to, to be reported in the next round
+	freeBuffers    [][]byte // empty buffers for use again
+	unsentBytes    int      // that peers have not taken, of all connections
+	maxUnsentBytes int      // over which peers that hold a large share of them are cut off
+}
+
+// postQueue hands functions of other goroutines to the loop.
+type postQueue struct {
+	wakeFD   int // an eventfd: a write ends the loop's wait
+	counter  [8]byte
+	mu       sync.Mutex
+	pending  []func()
+	isClosed bool
+}
+
+// New returns a loop whose timers fire on the tick, and which keeps about maxUnsentBytes at most for peers that do not
+// read.
+func New(system System, tick time.Duration, maxUnsentBytes int) (*Loop, error) {
+	epollFD, err := system.EpollCreate()
 	if err != nil {
-		return nil, fmt.Errorf("loop: epoll: %w", err)
+		return nil, fmt.Errorf("eventloop: epoll: %w", err)
 	}
-	wake, err := system.Eventfd()
+	wakeFD, err := system.Eventfd()
 	if err != nil {
-		system.Close(epoll)
-		return nil, fmt.Errorf("loop: eventfd: %w", err)
+		system.Close(epollFD)
+		return nil, fmt.Errorf("eventloop: eventfd: %w", err)
 	}
 	now := system.Now()
-	l := &Loop{system: system, epoll: epoll, wake: wake, sources: map[int]source{}, now: now, wheel: newTimerWheel(tick, now),
-		arena: make([]byte, 0, arenaSize), maxUnsentBytes: untaken}
-	if err := l.add(wake, unix.EPOLLIN, wakeup{l}); err != nil {
+	l := &Loop{system: system, epollFD: epollFD, sources: map[int]source{}, timers: newTimerWheel(tick, now), now: now}
+	l.input.arena = make([]byte, 0, arenaSize)
+	l.output.maxUnsentBytes = maxUnsentBytes
+	l.posted.wakeFD = wakeFD
+	if err := l.register(wakeFD, unix.EPOLLIN, wakeup{l}); err != nil {
 		l.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-// Close gives up the loop's own descriptors, after Run.
+// Close closes the loop's own descriptors, after Run.
 func (l *Loop) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.closed {
-		l.closed = true
-		l.system.Close(l.epoll)
-		l.system.Close(l.wake)
+	l.posted.mu.Lock()
+	defer l.posted.mu.Unlock()
+	if !l.posted.isClosed {
+		l.posted.isClosed = true
+		l.system.Close(l.epollFD)
+		l.system.Close(l.posted.wakeFD)
 	}
 }
 
-// System is what the loop runs on.
+// System returns the system that the loop runs on.
 func (l *Loop) System() System { return l.system }
 
-// Now is the clock reading of this round.
+// Now returns the clock reading of this round.
 func (l *Loop) Now() time.Time { return l.now }
 
-// AfterFunc fires once the wait is over.
-func (l *Loop) AfterFunc(wait time.Duration, fire func()) *Timer {
-	return l.wheel.schedule(l.now, wait, fire)
+// AfterFunc calls callback on the loop's goroutine once the delay is over.
+func (l *Loop) AfterFunc(delay time.Duration, callback func()) *Timer {
+	return l.timers.schedule(l.now, delay, callback)
 }
 
-// CancelTimer disarms a timer; nil and one that fired are left alone.
-func (l *Loop) CancelTimer(t *Timer) { l.wheel.cancel(t) }
+// CancelTimer cancels a timer; nil and one that fired are left alone.
+func (l *Loop) CancelTimer(t *Timer) { l.timers.cancel(t) }
 
 // Stop ends Run after this round.
-func (l *Loop) Stop() { l.stopped = true }
+func (l *Loop) Stop() { l.isStopped = true }
 
-// Post has the loop call fn in its next round; any goroutine may call it. A loop that ended calls nothing.
+// Post has the loop call fn in its next round. Any goroutine may call it. A closed loop calls nothing.
 func (l *Loop) Post(fn func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
-		return // the descriptor's number may be another's by now
+	l.posted.mu.Lock()
+	defer l.posted.mu.Unlock()
+	if l.posted.isClosed {
+		return // the descriptor's number may be in use for another by now
 	}
-	l.posted = append(l.posted, fn)
-	l.system.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only when a wakeup is pending already
+	l.posted.pending = append(l.posted.pending, fn)
+	l.system.Write(l.posted.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only while a wakeup is pending already
 }
 
-// Run goes on until Stop. After the events of a round it calls settle, which tells whether it left events of
-// its own for a next round at once.
-func (l *Loop) Run(settle func() (again bool)) error {
+// Run goes on until Stop. After the events of a round it calls settle, which reports whether it left events of its own
+// for another round at once.
+func (l *Loop) Run(settle func() (hasEvents bool)) error {
 	events := make([]unix.EpollEvent, maxEvents)
-	again := false
-	for !l.stopped {
-		wait := 0
-		if !again && len(l.failed) == 0 {
-			wait = int((l.wheel.untilNext(l.system.Now()) + time.Millisecond - 1) / time.Millisecond)
-		}
-		n, err := l.system.EpollWait(l.epoll, events, wait)
-		if err != nil && !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("loop: epoll wait: %w", err)
-		}
-		l.ready, l.arena = append(l.ready[:0], l.failed...), l.arena[:0]
-		l.failed = l.failed[:0]
-		n = max(n, 0)
-		for i := range n {
-			// Were the order the same each time, a few that never pause could keep all others from being read.
-			e := events[(i+l.turn)%n]
-			if s := l.sources[int(e.Fd)]; s != nil {
-				s.gather(e.Events)
-				l.ready = append(l.ready, s)
-			}
-		}
-		if l.full {
-			l.full = false
-			l.turn += arenaSize / readSize
+	hasEvents := false
+	for !l.isStopped {
+		n, err := l.wait(events, hasEvents)
+		if err != nil {
+			return err
 		}
+		l.gather(events[:n])
 		l.now = l.system.Now()
-		for _, s := range l.ready {
+		for _, s := range l.input.ready {
 			s.report()
 		}
-		l.wheel.advance(l.now)
-		again = settle()
+		l.timers.advance(l.now)
+		hasEvents = settle()
 		l.flush()
 	}
 	return nil
 }
 
-// flush sends what the round wrote, one write a connection.
+// wait waits until a descriptor is ready or a timer is due, and not at all where there is work already. It returns the
+// number of events.
+func (l *Loop) wait(events []unix.EpollEvent, hasEvents bool) (int, error) {
+	ms := 0
+	if !hasEvents && len(l.output.failed) == 0 {
+		delay := l.timers.untilNext(l.system.Now())
+		ms = int((delay + time.Millisecond - 1) / time.Millisecond)
+	}
+	n, err := l.system.EpollWait(l.epollFD, events, ms)
+	if err != nil && !errors.Is(err, unix.EINTR) {
+		return 0, fmt.Errorf("eventloop: epoll wait: %w", err)
+	}
+	return max(n, 0), nil
+}
+
+// gather reads what is ready and lists whom to report. The order of the events rotates: were it the same each time, a few
+// connections that never pause could keep all others from being read.
+func (l *Loop) gather(events []unix.EpollEvent) {
+	in := &l.input
+	in.ready = append(in.ready[:0], l.output.failed...)
+	in.arena = in.arena[:0]
+	l.output.failed = l.output.failed[:0]
+	for i := range events {
+		event := events[(i+in.firstEvent)%len(events)]
+		if s := l.sources[int(event.Fd)]; s != nil {
+			s.gather(event.Events)
+			in.ready = append(in.ready, s)
+		}
+	}
+	if in.isArenaFull {
+		in.isArenaFull = false
+		in.firstEvent += arenaSize / readSize
+	}
+}
+
+// flush sends what the round wrote, in one write for each connection.
 func (l *Loop) flush() {
-	for i := 0; i < len(l.dirty); i++ {
-		l.dirty[i].flush()
+	for i := 0; i < len(l.output.dirty); i++ {
+		l.output.dirty[i].flush()
 	}
-	l.dirty = l.dirty[:0]
+	l.output.dirty = l.output.dirty[:0]
 }
 
-// buffer returns an empty output buffer.
-func (l *Loop) buffer() []byte {
-	n := len(l.spare)
+// takeBuffer returns an empty output buffer.
+func (o *outputState) takeBuffer() []byte {
+	n := len(o.freeBuffers)
 	if n == 0 {
-		return make([]byte, 0, 512)
+		return make([]byte, 0, newBufferSize)
 	}
-	b := l.spare[n-1]
-	l.spare = l.spare[:n-1]
-	return b
+	buf := o.freeBuffers[n-1]
+	o.freeBuffers = o.freeBuffers[:n-1]
+	return buf
 }
 
-// reuse keeps an output buffer for later.
-func (l *Loop) reuse(b []byte) {
-	if cap(b) > 0 && cap(b) <= spareSize && len(l.spare) < spareBuffers {
-		l.spare = append(l.spare, b[:0])
+// releaseBuffer keeps an output buffer for use again.
+func (o *outputState) releaseBuffer(buf []byte) {
+	if cap(buf) > 0 && cap(buf) <= maxFreeBufferSize && len(o.freeBuffers) < maxFreeBuffers {
+		o.freeBuffers = append(o.freeBuffers, buf[:0])
 	}
 }
 
-// add registers a descriptor.
-func (l *Loop) add(fd int, events uint32, s source) error {
-	if err := l.system.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, events); err != nil {
-		return fmt.Errorf("loop: register: %w", err)
+// register adds a descriptor.
+func (l *Loop) register(fd int, events uint32, s source) error {
+	if err := l.system.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, events); err != nil {
+		return fmt.Errorf("eventloop: register: %w", err)
 	}
 	l.sources[fd] = s
 	return nil
 }
 
-// watch changes what a descriptor is registered for.
-func (l *Loop) watch(fd int, events uint32) {
-	// It fails only for a descriptor that is not registered, which would be an error of this package.
-	if err := l.system.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, events); err != nil {
-		panic(fmt.Sprintf("loop: watch: %v", err))
+// modify changes the events that a descriptor is registered for.
+func (l *Loop) modify(fd int, events uint32) {
+	// It fails only for a descriptor that is not registered, which would be a bug of this package.
+	if err := l.system.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, events); err != nil {
+		panic(fmt.Sprintf("eventloop: modify: %v", err))
 	}
 }
 
-// drop closes a registered descriptor.
-func (l *Loop) drop(fd int) {
+// unregister closes a registered descriptor, which takes it out of the epoll set, too.
+func (l *Loop) unregister(fd int) {
 	delete(l.sources, fd)
 	l.system.Close(fd)
 }
 
-// wakeup stands behind the descriptor that Post writes to.
-type wakeup struct{ l *Loop }
+// wakeup is the source of the eventfd that Post writes to.
+type wakeup struct{ loop *Loop }
 
+// gather implements source.
 func (w wakeup) gather(uint32) {
-	w.l.system.Read(w.l.wake, w.l.one[:])
+	w.loop.system.Read(w.loop.posted.wakeFD, w.loop.posted.counter[:])
 }
 
+// report implements source: it calls what was posted.
 func (w wakeup) report() {
-	w.l.mu.Lock()
-	posted := w.l.posted
-	w.l.posted = nil
-	w.l.mu.Unlock()
-	for _, fn := range posted {
+	w.loop.posted.mu.Lock()
+	pending := w.loop.posted.pending
+	w.loop.posted.pending = nil
+	w.loop.posted.mu.Unlock()
+	for _, fn := range pending {
 		fn()
 	}
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// echoHandler is a handler that answers with what it reads.
+// echoHandler sends back what it reads, unless onData is replaced.
 type echoHandler struct {
 	connected, closed chan error
 	onData            func(c *Conn, p []byte)
@@ -59,7 +59,7 @@
 }
 
 // TestEcho sends more than any buffer holds both ways: a peer that does not read for a while loses nothing, and
-// what waits for it stays bounded.
+// what is queued for it stays bounded.
 func TestEcho(t *testing.T) {
 	unsent := 0
 	e := newEchoHandler()
@@ -88,7 +88,7 @@
 			break
 		}
 	}
-	// The end of the peer's side ends the connection: only what was read before it is certain to come back.
+	// The peer's end of stream closes the connection: only what was read before it is certain to come back.
 	if !bytes.HasPrefix(sent, got) || len(got) < len(sent)-highWatermark-readSize-8<<20 {
 		t.Errorf("%d bytes came back of %d", len(got), len(sent))
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestRoundIsBatched reports all that is ready before the owner settles once, and sends all of a round together.
+// TestRoundIsBatched reports all that is ready before it calls settle once, and sends all of a round together.
 func TestRoundIsBatched(t *testing.T) {
 	events, settled := 0, make(chan int, 1000)
 	e := newEchoHandler()
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestDial connects, and hears of a call that nobody takes.
+// TestDial connects, and reports a connection that is refused.
 func TestDial(t *testing.T) {
 	e := newEchoHandler()
 	l, addr := serve(t, newEchoHandler(), func() {})
@@ -161,24 +161,24 @@
 			t.Error(err)
 			return
 		}
-		c.Write([]byte("early")) // goes out once the connection stands
+		c.Write([]byte("early")) // sent once the connection is established
 	})
 	if err := <-e.connected; err != nil {
 		t.Error(err)
 	}
 	refused := newEchoHandler()
-	nobody := netip.MustParseAddrPort(servertest.FreeAddr(t))
+	unusedAddr := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	l.Post(func() {
-		if _, err := l.Dial(nobody, refused); err != nil {
+		if _, err := l.Dial(unusedAddr, refused); err != nil {
 			t.Error(err)
 		}
 	})
 	if err := <-refused.closed; err == nil {
-		t.Error("a call that nobody takes ended without an error")
+		t.Error("a connection to an unused address ended without an error")
 	}
 }
 
-// TestIdleAndCloseAfterFlush finds a connection quiet only when nothing waits in it, and sends before it closes.
+// TestIdleAndCloseAfterFlush finds a connection idle only when nothing waits to be read, and sends before it closes.
 func TestIdleAndCloseAfterFlush(t *testing.T) {
 	var conn *Conn
 	e := newEchoHandler()
@@ -194,23 +194,23 @@
 	<-got
 	idle := make(chan bool)
 	l.Post(func() {
-		// Written while the loop stands in this round: it waits in the socket.
+		// Written while the loop is in this round: it waits in the socket.
 		io.WriteString(c, "b")
 		for end := time.Now().Add(servertest.WaitTimeout); conn.IsIdle(0) && time.Now().Before(end); {
 		}
 		idle <- conn.IsIdle(0)
 	})
 	if <-idle {
-		t.Error("quiet with a byte in the socket")
+		t.Error("idle with a byte in the socket")
 	}
 	<-got
 	l.Post(func() { idle <- conn.IsIdle(0) })
 	if !<-idle {
-		t.Error("not quiet with nothing in the socket")
+		t.Error("not idle with nothing in the socket")
 	}
 	l.Post(func() { idle <- conn.IsIdle(time.Hour) })
 	if <-idle {
-		t.Error("quiet before the time")
+		t.Error("idle before the time")
 	}
 	l.Post(func() {
 		conn.Write([]byte("bye"))
@@ -235,8 +235,8 @@
 	return c
 }
 
-// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the answer
-// arrives all the same, and a peer that never stops is cut off.
+// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the response arrives
+// all the same, and the connection of a peer that never stops is closed.
 func TestLinger(t *testing.T) {
 	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
@@ -269,8 +269,8 @@
 	}
 }
 
-// TestFloodIsFair has more senders at full speed than one round can read: one that comes later is read all the same, and
-// what a round reads stays within the arena.
+// TestFloodIsFair has more senders at full speed than one round can read: one that connects later is read all the same,
+// and what a round reads stays within the arena.
 func TestFloodIsFair(t *testing.T) {
 	e := newEchoHandler()
 	answered := make(chan bool, 1)
@@ -305,19 +305,19 @@
 		t.Error("a connection was not read beside many that never pause")
 	}
 	size := make(chan int)
-	l.Post(func() { size <- cap(l.arena) })
+	l.Post(func() { size <- cap(l.input.arena) })
 	if got := <-size; got != arenaSize {
 		t.Errorf("the arena grew to %d", got)
 	}
 }
 
-// TestUnreadOutputIsBounded answers many peers that do not read: what waits for all of them stays bounded, and one that reads
-// is not cut off for it.
+// TestUnreadOutputIsBounded sends to many peers that do not read: what is queued for all of them stays bounded, and the
+// connection of one that reads is not closed for it.
 func TestUnreadOutputIsBounded(t *testing.T) {
 	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) { c.Write(make([]byte, 1000*len(p))) }
 	l, addr := serve(t, e, func() {})
-	for range 16 { // each is owed 8 MB, far more than its socket takes
+	for range 16 { // 8 MB are sent to each, far more than its socket takes
 		c := dial(t, addr)
 		if _, err := c.Write(make([]byte, 8<<10)); err != nil {
 			t.Fatal(err)
@@ -335,9 +335,9 @@
 			t.Fatal(err)
 		}
 	}
-	untaken := make(chan int)
-	l.Post(func() { untaken <- l.unsentBytes })
-	if got := <-untaken; got > l.maxUnsentBytes+8<<20 {
-		t.Errorf("%d bytes wait for peers that do not read", got)
+	unsent := make(chan int)
+	l.Post(func() { unsent <- l.output.unsentBytes })
+	if got := <-unsent; got > l.output.maxUnsentBytes+8<<20 {
+		t.Errorf("%d bytes queued for peers that do not read", got)
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// wheelSlots is how many ticks the wheel spans; later timers go round more than once.
+// wheelSlots is how many ticks one turn of the wheel spans; timers that fire later stay in their slot for more turns.
 const wheelSlots = 512
 
-// Timer is one entry of a wheel.
+// Timer is one scheduled callback.
 type Timer struct {
-	due        int64 // the tick in which it fires
-	fire       func()
-	next, prev *Timer // nil while it is not set
+	tick       int64 // in which it fires
+	callback   func()
+	next, prev *Timer // in its slot's list; nil while it is not scheduled
 }
 
-// timerWheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and at most one tick
-// late.
+// timerWheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and at most one tick late.
 type timerWheel struct {
 	tick      time.Duration
-	origin    time.Time
-	done      int64 // the last tick whose timers were fired
+	origin    time.Time // the beginning of tick 0
+	lastTick  int64     // the last tick whose timers were fired
 	slots     [wheelSlots]Timer
-	scheduled int
+	scheduled int // timers in all slots
 }
 
-// newTimerWheel returns an empty wheel that starts now.
+// newTimerWheel returns an empty wheel whose tick 0 begins now.
 func newTimerWheel(tick time.Duration, now time.Time) *timerWheel {
 	w := &timerWheel{tick: tick, origin: now}
 	for i := range w.slots {
@@ -32,18 +31,19 @@
 	return w
 }
 
-// schedule arms a timer that fires once the wait is over.
-func (w *timerWheel) schedule(now time.Time, wait time.Duration, fire func()) *Timer {
-	at := now.Sub(w.origin) + max(wait, 0)
-	t := &Timer{due: max(int64((at+w.tick-1)/w.tick), w.done+1), fire: fire}
-	head := &w.slots[t.due%wheelSlots]
+// schedule returns a timer that fires once the delay is over.
+func (w *timerWheel) schedule(now time.Time, delay time.Duration, callback func()) *Timer {
+	at := now.Sub(w.origin) + max(delay, 0)
+	tick := int64((at + w.tick - 1) / w.tick)
+	t := &Timer{tick: max(tick, w.lastTick+1), callback: callback}
+	head := &w.slots[t.tick%wheelSlots]
 	t.prev, t.next = head.prev, head
 	t.prev.next, head.prev = t, t
 	w.scheduled++
 	return t
 }
 
-// cancel disarms a timer; one that fired or was never set is left alone.
+// cancel takes a timer out; nil, and one that fired or was cancelled, are left alone.
 func (w *timerWheel) cancel(t *Timer) {
 	if t == nil || t.next == nil {
 		return
@@ -53,38 +53,42 @@
 	w.scheduled--
 }
 
-// advance fires all that is due at now. Timers set meanwhile wait for a later call.
+// advance fires all timers due by now. Those that are scheduled meanwhile wait for a later call.
 func (w *timerWheel) advance(now time.Time) {
-	last := int64(now.Sub(w.origin) / w.tick)
-	if last <= w.done {
+	current := int64(now.Sub(w.origin) / w.tick)
+	if current <= w.lastTick {
 		return
 	}
-	// AfterFunc a long stop one turn passes every slot.
-	first := max(w.done+1, last-wheelSlots+1)
-	w.done = last
-	for tick := first; tick <= last; tick++ {
-		head := &w.slots[tick%wheelSlots]
-		for t := head.next; t != head; {
-			if t.due > last {
-				t = t.next
-				continue
-			}
-			w.cancel(t)
-			t.fire()
-			t = head.next // fire may have cancelled any other timer
+	// After a long pause one turn passes every slot.
+	first := max(w.lastTick+1, current-wheelSlots+1)
+	w.lastTick = current
+	for tick := first; tick <= current; tick++ {
+		w.fireSlot(&w.slots[tick%wheelSlots], current)
+	}
+}
+
+// fireSlot fires the timers of a slot that are due by the current tick.
+func (w *timerWheel) fireSlot(head *Timer, current int64) {
+	for t := head.next; t != head; {
+		if t.tick > current {
+			t = t.next
+			continue
 		}
+		w.cancel(t)
+		t.callback()
+		t = head.next // the callback may have cancelled any other timer
 	}
 }
 
-// untilNext is how long nothing is due, at most one turn of the wheel.
+// untilNext returns how long no timer is due, at most one turn of the wheel.
 func (w *timerWheel) untilNext(now time.Time) time.Duration {
 	if w.scheduled == 0 {
 		return wheelSlots * w.tick
 	}
-	for tick := w.done + 1; tick <= w.done+wheelSlots; tick++ {
+	for tick := w.lastTick + 1; tick <= w.lastTick+wheelSlots; tick++ {
 		head := &w.slots[tick%wheelSlots]
 		for t := head.next; t != head; t = t.next {
-			if t.due <= tick {
+			if t.tick <= tick {
 				return max(w.origin.Add(time.Duration(tick)*w.tick).Sub(now), 0)
 			}
 		}
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -10,29 +10,29 @@
 
 const testTick = 5 * time.Millisecond
 
-// TestWheel checks random timers against the rule: never early, at most a tick late, once, unless cancelled.
-func TestWheel(t *testing.T) {
+// TestTimerWheel checks random timers: they fire once, never early, at most a tick late, and not after they are cancelled.
+func TestTimerWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		w := newTimerWheel(testTick, now)
 		type entry struct {
-			timer *Timer
-			due   time.Time
-			fired int
-			off   bool
+			timer       *Timer
+			deadline    time.Time
+			fired       int
+			isCancelled bool
 		}
 		var all []*entry
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
-				wait := time.Duration(rapid.Int64Range(-1e6, 8e9).Draw(t, "wait"))
-				e := &entry{due: now.Add(max(wait, 0))}
-				e.timer = w.schedule(now, wait, func() { e.fired++ })
+				delay := time.Duration(rapid.Int64Range(-1e6, 8e9).Draw(t, "wait"))
+				e := &entry{deadline: now.Add(max(delay, 0))}
+				e.timer = w.schedule(now, delay, func() { e.fired++ })
 				all = append(all, e)
 			},
 			"cancel": func(t *rapid.T) {
 				if len(all) > 0 {
 					e := rapid.SampledFrom(all).Draw(t, "timer")
-					e.off = e.off || e.fired == 0
+					e.isCancelled = e.isCancelled || e.fired == 0
 					w.cancel(e.timer)
 				}
 			},
@@ -47,38 +47,38 @@
 				w.advance(now)
 			},
 			"": func(t *rapid.T) {
-				armed := 0
+				scheduled := 0
 				for _, e := range all {
-					late := now.Sub(e.due)
+					late := now.Sub(e.deadline)
 					switch {
-					case e.fired > 1 || e.fired == 1 && (e.off || late < 0):
-						t.Fatalf("fired %d times, cancelled %t, %v after it was due", e.fired, e.off, late)
-					case e.fired == 0 && !e.off && late > 2*testTick:
-						t.Fatalf("not fired %v after it was due", late)
-					case e.fired == 0 && !e.off:
-						armed++
+					case e.fired > 1 || e.fired == 1 && (e.isCancelled || late < 0):
+						t.Fatalf("fired %d times, cancelled %t, %v after its deadline", e.fired, e.isCancelled, late)
+					case e.fired == 0 && !e.isCancelled && late > 2*testTick:
+						t.Fatalf("not fired %v after its deadline", late)
+					case e.fired == 0 && !e.isCancelled:
+						scheduled++
 					}
 				}
-				if w.scheduled != armed {
-					t.Fatalf("%d armed, want %d", w.scheduled, armed)
+				if w.scheduled != scheduled {
+					t.Fatalf("%d scheduled, want %d", w.scheduled, scheduled)
 				}
 			},
 		})
 	})
 }
 
-// TestTimerWheelOrder fires in the order of the ticks, and lets a timer that fires set and cancel others.
+// TestTimerWheelOrder fires in the order of the ticks, and lets a callback schedule and cancel other timers.
 func TestTimerWheelOrder(t *testing.T) {
 	now := time.Now()
 	w := newTimerWheel(testTick, now)
 	var got []string
-	note := func(s string) func() { return func() { got = append(got, s) } }
-	w.schedule(now, 30*time.Millisecond, note("late"))
-	cancelled := w.schedule(now, 10*time.Millisecond, note("cancelled"))
+	record := func(s string) func() { return func() { got = append(got, s) } }
+	w.schedule(now, 30*time.Millisecond, record("late"))
+	cancelled := w.schedule(now, 10*time.Millisecond, record("cancelled"))
 	w.schedule(now, 10*time.Millisecond, func() {
-		note("first")()
+		record("first")()
 		w.cancel(cancelled)
-		w.schedule(now, 0, note("again"))
+		w.schedule(now, 0, record("again"))
 	})
 	w.cancel(cancelled)
 	w.cancel(cancelled)
