--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -8,92 +8,104 @@
 	"tillerusher/internal/gateway"
 )
 
-// AppendRequest adds a whole request in the role Responder, whose connection is to be kept. Most responders take one
-// request at a time on a connection; a number of its own for each tells its answer from a late one to another.
-func AppendRequest(b []byte, id uint16, params []gateway.Field, body []byte) []byte {
-	b = append(appendHeader(b, typeBeginRequest, id, 8), 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
-	var list []byte
-	for _, p := range params {
-		list = appendPair(list, p.Name, p.Value)
-	}
-	b = appendStream(b, typeParams, id, list)
-	return appendStream(b, typeStdin, id, body)
-}
+// ErrResponse says that a responder's response can't be read; errors of ResponseParser wrap it.
+var ErrResponse = errors.New("fastcgi: invalid response")
 
-// ErrResponse says that a responder's answer makes no sense.
-var ErrResponse = errors.New("fastcgi: response makes no sense")
+// protocolStatusOffset is where the protocol status is in the content of an END_REQUEST record.
+const protocolStatusOffset = 4
 
-// typeStderr is the record of what a responder has to say for the log.
-const typeStderr = 7
+// AppendRequest appends a whole request to a responder, on a connection that is to be kept open. Most responders take one
+// request at a time on a connection; a new ID for each tells its response from a late one to another.
+func AppendRequest(buf []byte, id uint16, params []gateway.Field, body []byte) []byte {
+	buf = appendHeader(buf, typeBeginRequest, id, beginRequestSize)
+	buf = append(buf, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
+	var pairs []byte
+	for _, param := range params {
+		pairs = appendPair(pairs, param.Name, param.Value)
+	}
+	buf = appendStream(buf, typeParams, id, pairs)
+	return appendStream(buf, typeStdin, id, body)
+}
 
-// ResponseParser puts together the answer to one request, fed with what the connection brings.
+// ResponseParser puts together the response to one request, fed with what the connection brings.
 type ResponseParser struct {
-	RequestID uint16
-	MaxBytes  int // bytes of it at the most
-	parse     recordReader
-	out       []byte
-	status    byte
-	ended     bool
-	err       error
+	RequestID      uint16
+	MaxBytes       int // of the response
+	reader         recordReader
+	stdout         []byte
+	protocolStatus byte
+	isComplete     bool
+	err            error
 }
 
-// Feed takes in the next bytes and tells whether the answer is whole. Bytes behind its end are an error: nothing was
+// Feed reads the next bytes and reports whether the response is complete. Bytes behind its end are an error: nothing was
 // asked for.
-func (r *ResponseParser) Feed(p []byte) (whole bool, err error) {
-	if r.ended {
-		return true, fmt.Errorf("%w: it goes on behind its end", ErrResponse)
+func (r *ResponseParser) Feed(p []byte) (complete bool, err error) {
+	if r.isComplete {
+		return true, fmt.Errorf("%w: bytes behind its end", ErrResponse)
 	}
-	if err := r.parse.feed(p, r); err != nil {
+	if err := r.reader.feed(p, r); err != nil {
 		return false, fmt.Errorf("%w: %w", ErrResponse, err)
 	}
-	return r.ended, r.err
+	return r.isComplete, r.err
 }
 
-// body implements sink.
-func (r *ResponseParser) content(rec recordHeader, p []byte) {
+// content implements recordHandler.
+func (r *ResponseParser) content(header recordHeader, p []byte) {
+	if header.requestID != r.RequestID {
+		return
+	}
 	switch {
-	case rec.recordType == typeStdout && rec.requestID == r.RequestID && !r.ended:
-		if len(r.out)+len(p) > r.MaxBytes {
+	case header.recordType == typeStdout && !r.isComplete:
+		if len(r.stdout)+len(p) > r.MaxBytes {
 			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 			return
 		}
-		r.out = append(r.out, p...)
-	case rec.recordType == typeEnd && rec.requestID == r.RequestID && rec.content == 8:
-		r.out = append(r.out, p...) // taken off again when the record ends
+		r.stdout = append(r.stdout, p...)
+	case header.isEndRequest():
+		r.stdout = append(r.stdout, p...) // taken off again by endRecord
 	}
 }
 
-// endRecord implements sink.
-func (r *ResponseParser) endRecord(rec recordHeader) error {
+// isEndRequest reports whether the record is an END_REQUEST of the right length.
+func (h recordHeader) isEndRequest() bool {
+	return h.recordType == typeEndRequest && h.contentLength == endRequestSize
+}
+
+// endRecord implements recordHandler.
+func (r *ResponseParser) endRecord(header recordHeader) error {
 	switch {
-	case r.ended:
+	case r.isComplete:
 		return errors.New("a record behind the end")
-	case rec.requestID != r.RequestID && rec.requestID != 0:
-		return fmt.Errorf("a record of request %d", rec.requestID)
-	case rec.recordType == typeStdout, rec.recordType == typeStderr, rec.requestID == 0:
+	case header.requestID != r.RequestID && header.requestID != managementID:
+		return fmt.Errorf("a record of request %d", header.requestID)
+	case header.recordType == typeStdout, header.recordType == typeStderr, header.requestID == managementID:
 		return nil
-	case rec.recordType != typeEnd || rec.content != 8 || len(r.out) < 8:
-		return fmt.Errorf("a record of type %d and %d bytes", rec.recordType, rec.content)
+	case !header.isEndRequest() || len(r.stdout) < endRequestSize:
+		return fmt.Errorf("a record of type %d and %d bytes", header.recordType, header.contentLength)
 	}
-	tail := r.out[len(r.out)-8:]
-	r.status, r.out, r.ended = tail[4], r.out[:len(r.out)-8], true
+	responseBytes := len(r.stdout) - endRequestSize
+	r.protocolStatus = r.stdout[responseBytes+protocolStatusOffset]
+	r.stdout, r.isComplete = r.stdout[:responseBytes], true
 	return nil
 }
 
-// Overloaded tells whether the responder turned the request away unseen.
-func (r *ResponseParser) Overloaded() bool { return r.ended && r.status == statusOverloaded }
+// Overloaded reports whether the responder rejected the request without looking at it.
+func (r *ResponseParser) Overloaded() bool {
+	return r.isComplete && r.protocolStatus == statusOverloaded
+}
 
-// CompleteAtEOF tells whether the answer is whole now that the connection has ended, which ends none that was not.
-func (r *ResponseParser) CompleteAtEOF() bool { return r.ended }
+// CompleteAtEOF reports whether the response is complete now that the connection has ended, which completes none.
+func (r *ResponseParser) CompleteAtEOF() bool { return r.isComplete }
 
-// Response reads the whole answer.
+// Response returns the complete response.
 func (r *ResponseParser) Response() (gateway.Response, error) {
-	if r.status != statusComplete {
-		return gateway.Response{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.status)
+	if r.protocolStatus != statusComplete {
+		return gateway.Response{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.protocolStatus)
 	}
-	a, err := cgi.ParseResponse(r.out)
+	response, err := cgi.ParseResponse(r.stdout)
 	if err != nil {
-		return a, fmt.Errorf("%w: %w", ErrResponse, err)
+		return response, fmt.Errorf("%w: %w", ErrResponse, err)
 	}
-	return a, nil
+	return response, nil
 }
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/gateway"
 )
 
-// encodeResponse are a member's answer with padding, a word for the log and a management record between.
+// encodeResponse returns a member's response with padding, a line for the log and a management record in between.
 func encodeResponse(id uint16, text string) []byte {
 	b := fake.EncodeRecord(fake.Stdout, id, []byte(text[:len(text)/2]), 3)
 	b = append(b, fake.EncodeRecord(7, id, []byte("a warning"), 0)...)
@@ -19,7 +19,7 @@
 	return append(b, fake.EncodeRecord(fake.EndRequest, id, make([]byte, 8), 0)...)
 }
 
-// TestResponse puts an answer together wherever its bytes are split.
+// TestResponse reads a response wherever its bytes are split.
 func TestResponse(t *testing.T) {
 	whole := encodeResponse(7, "Status: 404 Not Found\r\nX-A: b: c\nY:\r\n\r\nthe body\n\n")
 	for split := range whole {
@@ -31,15 +31,15 @@
 		if second, err := r.Feed(whole[split:]); err != nil || !second {
 			t.Fatalf("split at %d: %t, %v", split, second, err)
 		}
-		a, err := r.Response()
-		if err != nil || a.Status != 404 || string(a.Body) != "the body\n\n" || len(a.Headers) != 2 ||
-			a.Headers[0] != (gateway.Field{Name: "X-A", Value: "b: c"}) {
-			t.Fatalf("split at %d: %+v, %v", split, a, err)
+		response, err := r.Response()
+		if err != nil || response.Status != 404 || string(response.Body) != "the body\n\n" || len(response.Headers) != 2 ||
+			response.Headers[0] != (gateway.Field{Name: "X-A", Value: "b: c"}) {
+			t.Fatalf("split at %d: %+v, %v", split, response, err)
 		}
 	}
 }
 
-// TestInvalidResponses turns away what makes no sense, in the stream and in the header.
+// TestInvalidResponses has errors in the stream and in the header.
 func TestInvalidResponses(t *testing.T) {
 	end := fake.EncodeRecord(fake.EndRequest, 1, make([]byte, 8), 0)
 	for what, b := range map[string][]byte{
@@ -67,20 +67,20 @@
 	}
 }
 
-// TestRequestRoundTrip has a session read what the client side writes.
+// TestRequestRoundTrip has a session read what AppendRequest writes.
 func TestRequestRoundTrip(t *testing.T) {
 	long := strings.Repeat("x", 70_000)
 	b := AppendRequest(nil, 9, []gateway.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "SCRIPT_NAME", Value: "/a"},
 		{Name: "REQUEST_URI", Value: "/a?b"}, {Name: "HTTP_X_LONG", Value: strings.Repeat("y", 200)}}, []byte(long))
-	rec := &requestKeeper{}
-	s := NewProtocol(Limits{OpenRequests: 4, ParamBytes: 1 << 10, BodyBytes: 1 << 20, TotalBytes: 1 << 20, KeepParams: true})(rec, rec)
+	keeper := &requestKeeper{}
+	s := NewProtocol(Limits{OpenRequests: 4, ParamBytes: 1 << 10, BodyBytes: 1 << 20, TotalBytes: 1 << 20, KeepParams: true})(keeper, keeper)
 	if err := s.Feed(b); err != nil {
 		t.Fatal(err)
 	}
-	q := rec.request
-	if q.Method != "POST" || q.Path != "/a" || q.URI != "/a?b" || len(q.Headers["x-long"]) != 200 || string(q.Body) != long ||
-		q.Params["HTTP_X_LONG"] == "" {
-		t.Errorf("read %s %s %s, %d fields, %d bytes", q.Method, q.Path, q.URI, len(q.Headers), len(q.Body))
+	request := keeper.request
+	if request.Method != "POST" || request.Path != "/a" || request.URI != "/a?b" || len(request.Headers["x-long"]) != 200 || string(request.Body) != long ||
+		request.Params["HTTP_X_LONG"] == "" {
+		t.Errorf("read %s %s %s, %d fields, %d bytes", request.Method, request.Path, request.URI, len(request.Headers), len(request.Body))
 	}
 }
 
@@ -107,7 +107,7 @@
 			return
 		}
 		if whole, err := r.Feed(b[split:]); err == nil && whole {
-			r.Response() // whatever it says
+			r.Response() // whatever it returns
 		}
 	})
 }
--- a/internal/fastcgi/model_test.go
+++ b/internal/fastcgi/model_test.go
@@ -17,12 +17,12 @@
 	isComplete   bool
 }
 
-// sessionModel is the state that a connection should be in, next to the one that it is in.
+// sessionModel is the expected state of a session, beside the session itself.
 type sessionModel struct {
 	*testGateway
 	open      map[uint16]*expectedRequest
 	responses int // that the gateway should have read
-	aborts    int // that the handler should have heard of
+	aborts    int // that the handler should have been told of
 }
 
 // send feeds a record in pieces of any size.
@@ -37,7 +37,7 @@
 	}
 }
 
-// requestID draws an id, of which a few are in use again and again.
+// drawID draws an ID, of which a few are in use again and again.
 func drawID(t *rapid.T) uint16 { return rapid.Uint16Range(1, 6).Draw(t, "id") }
 
 // drawPadding draws the padding of a record.
@@ -70,16 +70,16 @@
 				m.send(t, fake.EncodeRecord(fake.Params, id, list[:cut], drawPadding(t)))
 				m.send(t, fake.EncodeRecord(fake.Params, id, list[cut:], drawPadding(t)))
 				m.send(t, fake.EncodeRecord(fake.Params, id, nil, drawPadding(t)))
-				if q := m.open[id]; q != nil {
-					q.hasAllParams = true
+				if request := m.open[id]; request != nil {
+					request.hasAllParams = true
 				}
 			},
 			"body": func(t *rapid.T) {
 				id, part := drawID(t), rapid.SliceOfN(rapid.Byte(), 1, 60).Draw(t, "part")
 				m.send(t, fake.EncodeRecord(fake.Stdin, id, part, drawPadding(t)))
-				if q := m.open[id]; q != nil && !q.isComplete {
-					if q.body = append(q.body, part...); len(q.body) > testLimits.BodyBytes {
-						delete(m.open, id) // answered at once
+				if request := m.open[id]; request != nil && !request.isComplete {
+					if request.body = append(request.body, part...); len(request.body) > testLimits.BodyBytes {
+						delete(m.open, id) // rejected at once
 						m.responses++
 					}
 				}
@@ -87,25 +87,25 @@
 			"last": func(t *rapid.T) {
 				id := drawID(t)
 				m.send(t, fake.EncodeRecord(fake.Stdin, id, nil, drawPadding(t)))
-				q := m.open[id]
+				request := m.open[id]
 				switch {
-				case q == nil || q.isComplete:
-				case !q.hasAllParams:
+				case request == nil || request.isComplete:
+				case !request.hasAllParams:
 					delete(m.open, id)
 					m.responses++
 				default:
-					q.isComplete = true
-					if got := m.received[gateway.StreamID(id)]; !bytes.Equal(got.Body, q.body) || got.Headers["sent-by"] != "4" {
-						t.Fatalf("handed over %+v, want the body %q", got, q.body)
+					request.isComplete = true
+					if got := m.received[gateway.StreamID(id)]; !bytes.Equal(got.Body, request.body) || got.Headers["sent-by"] != "4" {
+						t.Fatalf("handed over %+v, want the body %q", got, request.body)
 					}
 				}
 			},
 			"abort": func(t *rapid.T) {
 				id := drawID(t)
 				m.send(t, fake.EncodeRecord(fake.AbortRequest, id, nil, drawPadding(t)))
-				switch q := m.open[id]; {
-				case q == nil:
-				case q.isComplete:
+				switch request := m.open[id]; {
+				case request == nil:
+				case request.isComplete:
 					m.aborts++
 				default:
 					delete(m.open, id)
@@ -116,7 +116,7 @@
 				id := drawID(t)
 				m.session.Respond(gateway.StreamID(id), gateway.Response{Status: 200, Body: []byte{byte(id)},
 					Overloaded: rapid.Bool().Draw(t, "overloaded")})
-				if q := m.open[id]; q != nil && q.isComplete {
+				if request := m.open[id]; request != nil && request.isComplete {
 					delete(m.open, id)
 					delete(m.received, gateway.StreamID(id))
 					m.responses++
@@ -128,18 +128,18 @@
 				m.responses++
 			},
 			"": func(t *rapid.T) {
-				handed := 0
-				for _, q := range m.open {
-					if q.isComplete {
-						handed++
+				complete := 0
+				for _, request := range m.open {
+					if request.isComplete {
+						complete++
 					}
 				}
-				if m.session.HasPartialInput() != (handed < len(m.open)) {
-					t.Fatalf("unfinished %t, %d of %d handed over", m.session.HasPartialInput(), handed, len(m.open))
+				if m.session.HasPartialInput() != (complete < len(m.open)) {
+					t.Fatalf("partial input %t, %d of %d requests complete", m.session.HasPartialInput(), complete, len(m.open))
 				}
-				if len(m.testGateway.responses) != m.responses || m.session.OpenRequests() != len(m.open) || len(m.received) != handed || len(m.aborted) != m.aborts {
+				if len(m.testGateway.responses) != m.responses || m.session.OpenRequests() != len(m.open) || len(m.received) != complete || len(m.aborted) != m.aborts {
 					t.Fatalf("%d answers, %d open, %d handed over, %d aborts; want %d, %d, %d, %d", len(m.testGateway.responses),
-						m.session.OpenRequests(), len(m.received), len(m.aborted), m.responses, len(m.open), handed, m.aborts)
+						m.session.OpenRequests(), len(m.received), len(m.aborted), m.responses, len(m.open), complete, m.aborts)
 				}
 			},
 		})
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -1,5 +1,3 @@
-// Package fastcgi reads and writes FastCGI 1.0 as an application in the role Responder sees it. It owns no
-// socket: a Session is fed bytes and writes its records to an output.
 package fastcgi
 
 import (
@@ -8,17 +6,18 @@
 	"fmt"
 )
 
-// The record types.
+// The record types (section 8).
 const (
 	typeBeginRequest    = 1
-	typeAbort           = 2
-	typeEnd             = 3
+	typeAbortRequest    = 2
+	typeEndRequest      = 3
 	typeParams          = 4
 	typeStdin           = 5
 	typeStdout          = 6
+	typeStderr          = 7
 	typeGetValues       = 9
 	typeGetValuesResult = 10
-	typeUnknown         = 11
+	typeUnknownType     = 11
 )
 
 // The protocol statuses of an END_REQUEST record.
@@ -28,133 +27,212 @@
 	statusUnknownRole = 3
 )
 
+// The application statuses that this package writes, as of a program that exits.
+const (
+	appSuccess = 0
+	appFailure = 1
+)
+
 const (
 	version       = 1
-	headerSize    = 8
 	roleResponder = 1
 	flagKeepConn  = 1
-	maxContent    = 65535
+
+	headerSize       = 8
+	beginRequestSize = 8 // of the content
+	endRequestSize   = 8
+	unknownTypeSize  = 8
+	maxContent       = 65535
+
+	// A length in a name-value pair takes one byte below this, and four bytes with the highest bit set otherwise.
+	minLongLength = 128
+	longLengthBit = 1 << 31
+
+	// managementID is the request ID of management records, which concern no request.
+	managementID = 0
 )
 
-// errTruncatedPair says that a list of names and values ends in the middle of one.
-var errTruncatedPair = errors.New("fastcgi: cut name-value pair")
+// errTruncatedPair says that a list of name-value pairs ends in the middle of one.
+var errTruncatedPair = errors.New("fastcgi: truncated name-value pair")
+
+// VersionError reports a record of a version other than 1: what follows it can't be read.
+type VersionError struct{ Version byte }
 
-// recordHeader is the head of one record.
+// Error implements error.
+func (e *VersionError) Error() string { return fmt.Sprintf("fastcgi: record of version %d", e.Version) }
+
+// recordHeader is the header of one record.
 type recordHeader struct {
-	recordType byte
-	requestID  uint16
-	content    int
-	padding    int
+	recordType    byte
+	requestID     uint16
+	contentLength int
+	paddingLength int
 }
 
-// recordReader cuts a byte stream into records, wherever the stream is split. Content is handed on as it comes, so
-// that nothing but a header is ever buffered.
-type recordReader struct {
-	head   [headerSize]byte
-	have   int // bytes of head
-	rec    recordHeader
-	inside bool // rec is being read
-	left   int  // body bytes still to come
-	pad    int  // drawPadding bytes still to come
+// parseHeader reads a header.
+func parseHeader(p *[headerSize]byte) (recordHeader, error) {
+	if p[0] != version {
+		return recordHeader{}, &VersionError{Version: p[0]}
+	}
+	return recordHeader{
+		recordType:    p[1],
+		requestID:     binary.BigEndian.Uint16(p[2:]),
+		contentLength: int(binary.BigEndian.Uint16(p[4:])),
+		paddingLength: int(p[6]),
+	}, nil
 }
 
-// recordHandler takes what a parser finds: parts of the content in order, then the end of the record.
+// recordHandler is told what a recordReader reads: parts of a record's content in order, then the end of the record.
 type recordHandler interface {
-	content(r recordHeader, p []byte)
-	endRecord(r recordHeader) error
-}
-
-// feed takes in the next bytes.
-func (ps *recordReader) feed(p []byte, to recordHandler) error {
-	for len(p) > 0 || ps.inside && ps.left == 0 && ps.pad == 0 {
-		if !ps.inside {
-			n := copy(ps.head[ps.have:], p)
-			ps.have += n
-			p = p[n:]
-			if ps.have < headerSize {
-				return nil
-			}
-			if ps.head[0] != version {
-				return fmt.Errorf("fastcgi: record of version %d", ps.head[0])
+	content(h recordHeader, p []byte)
+	endRecord(h recordHeader) error
+}
+
+// recordReader cuts a byte stream into records, wherever the stream is split. Content is handed on as it comes, so that
+// nothing but a header is ever buffered.
+type recordReader struct {
+	header      [headerSize]byte
+	headerBytes int // read of header
+	current     recordHeader
+	inRecord    bool // the header of current was read
+	contentLeft int
+	paddingLeft int
+}
+
+// hasPartialRecord reports whether a record was begun that has not come whole.
+func (r *recordReader) hasPartialRecord() bool { return r.inRecord || r.headerBytes > 0 }
+
+// feed reads the next bytes.
+func (r *recordReader) feed(p []byte, to recordHandler) error {
+	for len(p) > 0 || r.inRecord && r.contentLeft == 0 && r.paddingLeft == 0 {
+		if !r.inRecord {
+			var err error
+			if p, err = r.readHeader(p); err != nil || !r.inRecord {
+				return err
 			}
-			ps.rec = recordHeader{recordType: ps.head[1], requestID: binary.BigEndian.Uint16(ps.head[2:]),
-				content: int(binary.BigEndian.Uint16(ps.head[4:])), padding: int(ps.head[6])}
-			ps.have, ps.inside, ps.left, ps.pad = 0, true, ps.rec.content, ps.rec.padding
 		}
-		if n := min(ps.left, len(p)); n > 0 {
-			to.content(ps.rec, p[:n])
-			ps.left -= n
-			p = p[n:]
+		p = r.readContent(p, to)
+		if r.contentLeft > 0 {
+			continue
 		}
-		if ps.left == 0 {
-			n := min(ps.pad, len(p))
-			ps.pad -= n
-			p = p[n:]
-			if ps.pad == 0 {
-				ps.inside = false
-				if err := to.endRecord(ps.rec); err != nil {
-					return err
-				}
+		p = r.skipPadding(p)
+		if r.paddingLeft == 0 {
+			r.inRecord = false
+			if err := to.endRecord(r.current); err != nil {
+				return err
 			}
 		}
 	}
 	return nil
 }
 
-// appendHeader adds the head of a record without padding.
-func appendHeader(b []byte, kind byte, id uint16, content int) []byte {
-	return append(b, version, kind, byte(id>>8), byte(id), byte(content>>8), byte(content), 0, 0)
+// readHeader reads bytes of a header, begins the record once it is whole, and returns the bytes behind it.
+func (r *recordReader) readHeader(p []byte) ([]byte, error) {
+	n := copy(r.header[r.headerBytes:], p)
+	r.headerBytes += n
+	if r.headerBytes < headerSize {
+		return nil, nil
+	}
+	header, err := parseHeader(&r.header)
+	if err != nil {
+		return nil, err
+	}
+	r.current, r.headerBytes, r.inRecord = header, 0, true
+	r.contentLeft, r.paddingLeft = header.contentLength, header.paddingLength
+	return p[n:], nil
+}
+
+// readContent hands on bytes of the content, and returns those behind it.
+func (r *recordReader) readContent(p []byte, to recordHandler) []byte {
+	n := min(r.contentLeft, len(p))
+	if n > 0 {
+		to.content(r.current, p[:n])
+		r.contentLeft -= n
+	}
+	return p[n:]
 }
 
-// appendStream adds a stream's content as records, and the empty record that ends it.
-func appendStream(b []byte, kind byte, id uint16, content []byte) []byte {
+// skipPadding returns the bytes behind the padding.
+func (r *recordReader) skipPadding(p []byte) []byte {
+	n := min(r.paddingLeft, len(p))
+	r.paddingLeft -= n
+	return p[n:]
+}
+
+// appendHeader appends the header of a record without padding.
+func appendHeader(buf []byte, recordType byte, requestID uint16, contentLength int) []byte {
+	return append(buf, version, recordType, byte(requestID>>8), byte(requestID),
+		byte(contentLength>>8), byte(contentLength), 0, 0)
+}
+
+// appendStream appends a stream's content as records, and the empty record that ends it.
+func appendStream(buf []byte, recordType byte, requestID uint16, content []byte) []byte {
 	for len(content) > 0 {
 		n := min(len(content), maxContent)
-		b = append(appendHeader(b, kind, id, n), content[:n]...)
+		buf = append(appendHeader(buf, recordType, requestID, n), content[:n]...)
 		content = content[n:]
 	}
-	return appendHeader(b, kind, id, 0)
+	return appendHeader(buf, recordType, requestID, 0)
 }
 
-// appendEnd adds an END_REQUEST record.
-func appendEnd(b []byte, id uint16, appStatus uint32, status byte) []byte {
-	b = binary.BigEndian.AppendUint32(appendHeader(b, typeEnd, id, 8), appStatus)
-	return append(b, status, 0, 0, 0)
+// appendEndRequest appends an END_REQUEST record.
+func appendEndRequest(buf []byte, requestID uint16, appStatus uint32, protocolStatus byte) []byte {
+	buf = appendHeader(buf, typeEndRequest, requestID, endRequestSize)
+	buf = binary.BigEndian.AppendUint32(buf, appStatus)
+	return append(buf, protocolStatus, 0, 0, 0)
 }
 
-// appendPair adds one name and value.
-func appendPair(b []byte, name, value string) []byte {
-	for _, n := range []int{len(name), len(value)} {
-		if n < 128 {
-			b = append(b, byte(n))
-		} else {
-			b = binary.BigEndian.AppendUint32(b, uint32(n)|1<<31)
-		}
+// appendUnknownType appends the answer to a management record of a type that is not known.
+func appendUnknownType(buf []byte, recordType byte) []byte {
+	buf = appendHeader(buf, typeUnknownType, managementID, unknownTypeSize)
+	return append(buf, recordType, 0, 0, 0, 0, 0, 0, 0)
+}
+
+// appendPair appends one name-value pair (section 3.4).
+func appendPair(buf []byte, name, value string) []byte {
+	buf = appendLength(buf, len(name))
+	buf = appendLength(buf, len(value))
+	buf = append(buf, name...)
+	return append(buf, value...)
+}
+
+// appendLength appends the length of a name or value.
+func appendLength(buf []byte, n int) []byte {
+	if n < minLongLength {
+		return append(buf, byte(n))
 	}
-	return append(append(b, name...), value...)
+	return binary.BigEndian.AppendUint32(buf, uint32(n)|longLengthBit)
 }
 
-// parsePairs calls take for each name and value of a list.
-func parsePairs(p []byte, take func(name, value []byte)) error {
+// parsePairs calls yield for each name-value pair of a list.
+func parsePairs(p []byte, yield func(name, value []byte)) error {
 	for len(p) > 0 {
-		var n [2]int
-		for i := range n {
-			switch {
-			case len(p) >= 1 && p[0] < 128:
-				n[i] = int(p[0])
-				p = p[1:]
-			case len(p) >= 4:
-				n[i] = int(binary.BigEndian.Uint32(p) &^ (1 << 31))
-				p = p[4:]
-			default:
-				return errTruncatedPair
-			}
+		nameLength, p1, err := parseLength(p)
+		if err != nil {
+			return err
 		}
-		if n[0] > len(p) || n[1] > len(p)-n[0] {
+		valueLength, p2, err := parseLength(p1)
+		if err != nil {
+			return err
+		}
+		p = p2
+		if nameLength > len(p) || valueLength > len(p)-nameLength {
 			return errTruncatedPair
 		}
-		take(p[:n[0]], p[n[0]:n[0]+n[1]])
-		p = p[n[0]+n[1]:]
+		end := nameLength + valueLength
+		yield(p[:nameLength], p[nameLength:end])
+		p = p[end:]
 	}
 	return nil
 }
+
+// parseLength reads the length of a name or value, and returns the bytes behind it.
+func parseLength(p []byte) (int, []byte, error) {
+	switch {
+	case len(p) >= 1 && p[0] < minLongLength:
+		return int(p[0]), p[1:], nil
+	case len(p) >= 4:
+		return int(binary.BigEndian.Uint32(p) &^ longLengthBit), p[4:], nil
+	}
+	return 0, nil, errTruncatedPair
+}
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// recordLog is a sink that writes down what it is told.
+// recordLog is a recordHandler that writes down what it is told.
 type recordLog struct {
 	text strings.Builder
 	body []byte
 }
 
-func (c *recordLog) content(_ recordHeader, p []byte) { c.body = append(c.body, p...) }
+func (l *recordLog) content(_ recordHeader, p []byte) { l.body = append(l.body, p...) }
 
-func (c *recordLog) endRecord(r recordHeader) error {
-	fmt.Fprintf(&c.text, "%d/%d:%q ", r.recordType, r.requestID, c.body)
-	c.body = c.body[:0]
+func (l *recordLog) endRecord(h recordHeader) error {
+	fmt.Fprintf(&l.text, "%d/%d:%q ", h.recordType, h.requestID, l.body)
+	l.body = l.body[:0]
 	return nil
 }
 
@@ -29,37 +29,38 @@
 	padded[6] = 5
 	stream = append(append(append(stream, padded...), "abc"...), 0, 0, 0, 0, 0)
 	empty := appendHeader(nil, typeStdin, 7, 0)
-	empty[6] = 1 // drawPadding without content
+	empty[6] = 1 // padding without content
 	stream = append(append(stream, empty...), 0)
 	stream = append(appendHeader(stream, typeBeginRequest, 1, 2), "xy"...)
 	const want = `4/7:"" 5/258:"abc" 5/7:"" 1/1:"xy" `
 	for cut := 0; cut <= len(stream); cut++ {
-		var ps recordReader
-		var c recordLog
+		var reader recordReader
+		var log recordLog
 		for _, p := range [][]byte{stream[:cut], stream[cut:]} {
-			if err := ps.feed(p, &c); err != nil {
+			if err := reader.feed(p, &log); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got := c.text.String(); got != want {
+		if got := log.text.String(); got != want {
 			t.Fatalf("cut at %d: %s, want %s", cut, got, want)
 		}
 	}
-	var ps recordReader
-	var c recordLog
+	var reader recordReader
+	var log recordLog
 	for i := range stream {
-		if err := ps.feed(stream[i:i+1], &c); err != nil {
+		if err := reader.feed(stream[i:i+1], &log); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := c.text.String(); got != want {
+	if got := log.text.String(); got != want {
 		t.Errorf("byte by byte: %s, want %s", got, want)
 	}
 }
 
+// TestRecordVersion rejects a version that is not known.
 func TestRecordVersion(t *testing.T) {
-	var ps recordReader
-	if err := ps.feed([]byte{2, 1, 0, 1, 0, 0, 0, 0}, &recordLog{}); err == nil {
+	var reader recordReader
+	if err := reader.feed([]byte{2, 1, 0, 1, 0, 0, 0, 0}, &recordLog{}); err == nil {
 		t.Error("a record of version 2 was taken")
 	}
 }
@@ -69,8 +70,8 @@
 	long := strings.Repeat("v", 300)
 	list := appendPair(appendPair(appendPair(nil, "A", "1"), "LONG", long), long, "")
 	var got []string
-	take := func(name, value []byte) { got = append(got, string(name)+"="+string(value)) }
-	if err := parsePairs(list, take); err != nil {
+	record := func(name, value []byte) { got = append(got, string(name)+"="+string(value)) }
+	if err := parsePairs(list, record); err != nil {
 		t.Fatal(err)
 	}
 	if want := []string{"A=1", "LONG=" + long, long + "="}; fmt.Sprint(got) != fmt.Sprint(want) {
@@ -85,7 +86,7 @@
 		}
 	}
 	// A length near the end of the range must not be taken for a small one.
-	if err := parsePairs([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 'x'}, take); !errors.Is(err, errTruncatedPair) {
+	if err := parsePairs([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 'x'}, record); !errors.Is(err, errTruncatedPair) {
 		t.Errorf("huge lengths: %v", err)
 	}
 }
@@ -93,11 +94,11 @@
 // TestAppendStream cuts content that is longer than a record.
 func TestAppendStream(t *testing.T) {
 	content := bytes.Repeat([]byte("0123456789"), 14000)
-	var ps recordReader
+	var reader recordReader
 	var got []byte
 	ends := 0
-	sink := handlerFuncs{func(p []byte) { got = append(got, p...) }, func(r recordHeader) { ends++ }}
-	if err := ps.feed(appendStream(nil, typeStdout, 9, content), sink); err != nil {
+	handler := handlerFuncs{func(p []byte) { got = append(got, p...) }, func(recordHeader) { ends++ }}
+	if err := reader.feed(appendStream(nil, typeStdout, 9, content), handler); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, content) || ends != 4 {
@@ -105,11 +106,15 @@
 	}
 }
 
-// handlerFuncs is a sink of two functions.
+// handlerFuncs is a recordHandler of two functions.
 type handlerFuncs struct {
 	onContent func(p []byte)
-	onEnd     func(r recordHeader)
+	onEnd     func(h recordHeader)
 }
 
-func (s handlerFuncs) content(_ recordHeader, p []byte) { s.onContent(p) }
-func (s handlerFuncs) endRecord(r recordHeader) error   { s.onEnd(r); return nil }
+func (f handlerFuncs) content(_ recordHeader, p []byte) { f.onContent(p) }
+
+func (f handlerFuncs) endRecord(h recordHeader) error {
+	f.onEnd(h)
+	return nil
+}
