--- a/internal/cgi/response.go
+++ b/internal/cgi/response.go
@@ -11,39 +11,56 @@
 	"tillerusher/internal/gateway"
 )
 
-// ErrResponse says that a response makes no sense.
-var ErrResponse = errors.New("cgi: response makes no sense")
+// ErrResponse says that a response can't be read; errors of ParseResponse wrap it.
+var ErrResponse = errors.New("cgi: invalid response")
 
-// ParseResponse reads a whole response. Without a Status field its status is 200, as section 6.3.3 has it.
+// defaultStatus is the status of a response without a Status field (section 6.3.3).
+const defaultStatus = 200
+
+// The statuses that HTTP has.
+const (
+	minStatus = 100
+	maxStatus = 599
+)
+
+// ParseResponse reads a whole response. The body is a copy.
 func ParseResponse(response []byte) (gateway.Response, error) {
-	a := gateway.Response{Status: 200}
+	parsed := gateway.Response{Status: defaultStatus}
 	rest := response
 	for {
-		line, after, ok := bytes.Cut(rest, []byte{'\n'})
-		if !ok {
-			return a, fmt.Errorf("%w: no empty line behind its header", ErrResponse)
+		line, after, found := bytes.Cut(rest, []byte{'\n'})
+		if !found {
+			return parsed, fmt.Errorf("%w: no empty line behind its header", ErrResponse)
 		}
 		rest = after
 		text := strings.TrimSuffix(string(line), "\r")
 		if text == "" {
 			break
 		}
-		name, value, ok := strings.Cut(text, ":")
-		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return a, fmt.Errorf("%w: header line %.40q", ErrResponse, text)
-		}
-		value = strings.TrimSpace(value)
-		if !strings.EqualFold(name, "Status") {
-			a.Headers = append(a.Headers, gateway.Field{Name: name, Value: value})
-			continue
-		}
-		code, _, _ := strings.Cut(value, " ")
-		status, err := strconv.Atoi(code)
-		if err != nil || status < 100 || status > 599 {
-			return a, fmt.Errorf("%w: status %.40q", ErrResponse, value)
+		if err := parseField(&parsed, text); err != nil {
+			return parsed, err
 		}
-		a.Status = status
 	}
-	a.Body = bytes.Clone(rest)
-	return a, nil
+	parsed.Body = bytes.Clone(rest)
+	return parsed, nil
+}
+
+// parseField reads one header field.
+func parseField(response *gateway.Response, text string) error {
+	name, value, found := strings.Cut(text, ":")
+	if !found || name == "" || strings.ContainsAny(name, " \t") {
+		return fmt.Errorf("%w: header line %.40q", ErrResponse, text)
+	}
+	value = strings.TrimSpace(value)
+	if !strings.EqualFold(name, "Status") {
+		response.Headers = append(response.Headers, gateway.Field{Name: name, Value: value})
+		return nil
+	}
+	code, _, _ := strings.Cut(value, " ")
+	status, err := strconv.Atoi(code)
+	if err != nil || status < minStatus || status > maxStatus {
+		return fmt.Errorf("%w: status %.40q", ErrResponse, value)
+	}
+	response.Status = status
+	return nil
 }
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -1,4 +1,5 @@
-// Package announce reports to the announce service, one datagram a report.
+// Package loadreport tells the platform's announce service whether this server accepts requests, one UDP datagram a
+// report. It belongs to the event loop's goroutine.
 package loadreport
 
 import (
@@ -8,8 +9,11 @@
 	"tillerusher/internal/eventloop"
 )
 
-// Reporter sends reports for one server. A report gets no answer, and one that can't be sent is not repeated:
-// the next is due soon.
+// reportFormat is the content of a datagram: the server's name, and whether it accepts requests.
+const reportFormat = "announce %s %t"
+
+// Reporter sends reports for one server. A report is not acknowledged, and one that can't be sent is not repeated: the
+// next is due soon.
 type Reporter struct {
 	system eventloop.System
 	fd     int
@@ -29,16 +33,16 @@
 	return &Reporter{system: system, fd: fd, name: name}, nil
 }
 
-// Report sends one report. That nobody heard the one before is told by an error of the next write, which sends nothing
-// then, though the service may be back: one more goes out in its place, and the error is handed on.
+// Report sends one report. A connected socket reports by an error of this write that nobody received the report before,
+// and sends nothing then, though the service may be back: the report is written once more, and the error is returned.
 func (r *Reporter) Report(accepting bool) error {
-	report := fmt.Appendf(nil, "announce %s %t", r.name, accepting)
+	report := fmt.Appendf(nil, reportFormat, r.name, accepting)
 	if _, err := r.system.Write(r.fd, report); err != nil {
-		r.system.Write(r.fd, report) // where that fails, too, the next is due soon
+		r.system.Write(r.fd, report) // if this fails, too, the next report is due soon
 		return fmt.Errorf("announce: %w", err)
 	}
 	return nil
 }
 
-// Close ends the reporter.
+// Close closes the socket.
 func (r *Reporter) Close() { r.system.Close(r.fd) }
--- a/internal/loadreport/reporter_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// startReporter is a reporter that ends with the test, and the service that it reports to.
+// startReporter returns a reporter, which is closed with the test, and the service that it reports to.
 func startReporter(t *testing.T) (r *Reporter, service *net.UDPConn, addr *net.UDPAddr) {
 	t.Helper()
 	service, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -24,7 +24,7 @@
 	return r, service, addr
 }
 
-// TestReport sends both reports, and goes on after the service was away.
+// TestReport sends both reports, and goes on after the service was down.
 func TestReport(t *testing.T) {
 	r, service, addr := startReporter(t)
 	var err error
@@ -42,7 +42,7 @@
 	expect(true, "announce n3 true")
 	expect(false, "announce n3 false")
 	service.Close()
-	r.Report(true) // nobody hears it, and the socket may learn of that at the next
+	r.Report(true) // nobody receives it, and the socket may learn of that at the next
 	r.Report(true)
 	if service, err = net.ListenUDP("udp4", addr); err != nil {
 		t.Skip("the address is taken")
@@ -52,7 +52,7 @@
 	expect(true, "announce n3 true")
 }
 
-// TestServiceRestarted has the service come back after a report that nobody heard: the next one arrives.
+// TestServiceRestarted has the service come back after a report that nobody received: the next one arrives.
 func TestServiceRestarted(t *testing.T) {
 	r, service, addr := startReporter(t)
 	var err error
@@ -63,7 +63,7 @@
 	}
 	defer service.Close()
 	if err := r.Report(true); err == nil {
-		t.Error("that nobody heard the first was not told")
+		t.Error("no error for the report that nobody received")
 	}
 	service.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 	buf := make([]byte, 100)
--- a/internal/scgi/client.go
+++ b/internal/scgi/client.go
@@ -1,6 +1,6 @@
-// Package scgi speaks the Simple Common Gateway Interface (Neil Schemenauer, "SCGI: A Simple Common Gateway Interface
-// alternative", 2008): a request is a netstring of names and values and a body, the answer a CGI response that the end
-// of the connection ends. It owns no sockets.
+// Package scgi is the client side of the Simple Common Gateway Interface (Neil Schemenauer, "SCGI: A Simple Common
+// Gateway Interface alternative", 2008): a request is a netstring of names and values and a body, the response a CGI
+// response that the end of the connection ends. The package owns no sockets.
 package scgi
 
 import (
@@ -13,72 +13,85 @@
 	"tillerusher/internal/gateway"
 )
 
-// The fields that every request has: the length of the body, which comes first, and the protocol's version.
+// The headers that every request has: the length of the body, which comes first, and the protocol's version.
 const (
-	lengthField  = "CONTENT_LENGTH"
-	versionField = "SCGI"
-	version      = "1"
+	contentLengthHeader = "CONTENT_LENGTH"
+	versionHeader       = "SCGI"
+	version             = "1"
 )
 
-// AppendRequest adds a whole request. Params of the two fields that the protocol sets itself are passed over, and so are
+// separator ends each name and value of a request.
+const separator = "\x00"
+
+// ErrResponse says that a member's response can't be read; errors of ResponseParser wrap it.
+var ErrResponse = errors.New("scgi: invalid response")
+
+// AppendRequest appends a whole request. Params of the two headers that the protocol sets itself are left out, and so are
 // those with a zero byte in them, which no request can carry.
-func AppendRequest(b []byte, params []gateway.Field, body []byte) []byte {
-	list := appendField(nil, lengthField, strconv.Itoa(len(body)))
-	list = appendField(list, versionField, version)
-	for _, p := range params {
-		if p.Name != lengthField && p.Name != versionField && !strings.Contains(p.Name+p.Value, "\x00") {
-			list = appendField(list, p.Name, p.Value)
+func AppendRequest(buf []byte, params []gateway.Field, body []byte) []byte {
+	headers := appendHeader(nil, contentLengthHeader, strconv.Itoa(len(body)))
+	headers = appendHeader(headers, versionHeader, version)
+	for _, param := range params {
+		if isSendable(param) {
+			headers = appendHeader(headers, param.Name, param.Value)
 		}
 	}
-	b = strconv.AppendInt(b, int64(len(list)), 10)
-	b = append(append(b, ':'), list...)
-	return append(append(b, ','), body...)
+	buf = strconv.AppendInt(buf, int64(len(headers)), 10)
+	buf = append(buf, ':')
+	buf = append(buf, headers...)
+	buf = append(buf, ',')
+	return append(buf, body...)
 }
 
-// appendField adds one name and value.
-func appendField(b []byte, name, value string) []byte {
-	b = append(append(b, name...), 0)
-	return append(append(b, value...), 0)
+// isSendable reports whether a param may stand in a request.
+func isSendable(param gateway.Field) bool {
+	return param.Name != contentLengthHeader && param.Name != versionHeader &&
+		!strings.Contains(param.Name, separator) && !strings.Contains(param.Value, separator)
 }
 
-// ErrResponse says that a member's answer makes no sense.
-var ErrResponse = errors.New("scgi: response makes no sense")
+// appendHeader appends one name and value.
+func appendHeader(buf []byte, name, value string) []byte {
+	buf = append(buf, name...)
+	buf = append(buf, separator...)
+	buf = append(buf, value...)
+	return append(buf, separator...)
+}
 
-// ResponseParser puts together the answer to one request, fed with what the connection brings.
+// ResponseParser puts together the response to one request, fed with what the connection brings.
 type ResponseParser struct {
-	MaxBytes int // bytes of it at the most
-	out      []byte
+	MaxBytes int // of the response
+	received []byte
 }
 
-// Feed takes in the next bytes. No answer is whole before the end of the connection.
-func (r *ResponseParser) Feed(p []byte) (whole bool, err error) {
-	if len(r.out)+len(p) > r.MaxBytes {
+// Feed reads the next bytes. No response is complete before the end of the connection.
+func (r *ResponseParser) Feed(p []byte) (complete bool, err error) {
+	if len(r.received)+len(p) > r.MaxBytes {
 		return false, fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 	}
-	r.out = append(r.out, p...)
+	r.received = append(r.received, p...)
 	return false, nil
 }
 
-// Closed tells whether there is an answer now that the connection has ended.
-func (r *ResponseParser) CompleteAtEOF() bool { return len(r.out) > 0 }
+// CompleteAtEOF reports whether there is a response now that the connection has ended.
+func (r *ResponseParser) CompleteAtEOF() bool { return len(r.received) > 0 }
 
-// Overloaded is false: the protocol has no word for a request that was turned away unseen.
+// Overloaded is false: the protocol has no way to say that a request was rejected without a look at it.
 func (r *ResponseParser) Overloaded() bool { return false }
 
-// Answer reads the whole answer. One that says how long it is must be as long: a member that died half way ends its
-// connection as one that is done does.
+// Response returns the complete response. The body must be as long as Content-Length says, where that is given: a member
+// that died half way ends its connection as one that is done does.
 func (r *ResponseParser) Response() (gateway.Response, error) {
-	a, err := cgi.ParseResponse(r.out)
+	response, err := cgi.ParseResponse(r.received)
 	if err != nil {
-		return a, fmt.Errorf("%w: %w", ErrResponse, err)
+		return response, fmt.Errorf("%w: %w", ErrResponse, err)
 	}
-	for _, f := range a.Headers {
-		if !strings.EqualFold(f.Name, "Content-Length") {
+	for _, header := range response.Headers {
+		if !strings.EqualFold(header.Name, "Content-Length") {
 			continue
 		}
-		if n, err := strconv.Atoi(f.Value); err != nil || n != len(a.Body) {
-			return a, fmt.Errorf("%w: %d bytes where it says %.20q", ErrResponse, len(a.Body), f.Value)
+		if n, err := strconv.Atoi(header.Value); err != nil || n != len(response.Body) {
+			return response, fmt.Errorf("%w: %d bytes where Content-Length is %.20q", ErrResponse, len(response.Body), header.Value)
 		}
 	}
-	return a, nil
+	return response, nil
 }
--- a/internal/scgi/client_test.go
+++ b/internal/scgi/client_test.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/gateway"
 )
 
-// TestRequest is the example of the protocol's page.
+// TestRequest is the example of the specification.
 func TestRequest(t *testing.T) {
 	got := AppendRequest(nil, []gateway.Field{{Name: "REQUEST_METHOD", Value: "POST"}, {Name: "CONTENT_LENGTH", Value: "9"},
 		{Name: "REQUEST_URI", Value: "/deepthought"}, {Name: "ODD", Value: "a\x00b"}},
@@ -23,7 +23,7 @@
 	}
 }
 
-// TestResponse has any answer come out whole however it is cut, and one that is cut short found where it says its length.
+// TestResponse reads any response however it is split, and finds one that is shorter than its Content-Length.
 func TestResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
@@ -51,7 +51,7 @@
 	})
 }
 
-// TestInvalidResponses names what makes no sense.
+// TestInvalidResponses rejects responses that can't be read.
 func TestInvalidResponses(t *testing.T) {
 	for text, want := range map[string]error{
 		"":                                   ErrResponse,
@@ -75,6 +75,6 @@
 	}
 	r := &ResponseParser{MaxBytes: 100}
 	if _, err := r.Feed(make([]byte, 101)); !errors.Is(err, ErrResponse) {
-		t.Errorf("an endless answer: %v", err)
+		t.Errorf("an endless response: %v", err)
 	}
 }
