--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -9,182 +9,196 @@
 	"tillerusher/internal/pool"
 )
 
-// maxAnswer bounds a member's answer.
-const maxAnswer = 1 << 20
-
-// conn is a connection to a member: it has a job, or it is idle.
+// conn is a connection to a member: it has a request, or it is idle.
 type conn struct {
-	link     *Forwarder
-	target   *target
-	protocol *protocol // the target's, when the connection was made
-	addr     string
-	conn     *eventloop.Conn
-	job      *pendingRequest
-	sent     bool   // any of the job may have reached the member
-	number   uint16 // of the last request
-	response response
-	timer    *eventloop.Timer
-	ended    bool
-}
-
-// take gives the connection a job.
-func (c *conn) take(w *pendingRequest) {
-	c.job, w.conn = w, c
-	c.sent = false
-	if c.number++; c.number == 0 { // 0 is the connection's own
-		c.number++
+	forwarder *Forwarder
+	target    *targetPool
+	protocol  *protocol // the target's when the connection was made
+	addr      string
+	socket    *eventloop.Conn
+	request   *pendingRequest // nil while the connection is idle
+	isSent    bool            // some of the request may have reached the member
+	requestID uint16          // of the last request
+	parser    responseParser
+	timer     *eventloop.Timer
+	isClosed  bool
+}
+
+// assign gives the connection a request.
+func (c *conn) assign(req *pendingRequest) {
+	c.request, req.conn = req, c
+	c.isSent = false
+	c.requestID++
+	if c.requestID == 0 { // 0 is the ID of FastCGI's management records
+		c.requestID++
 	}
-	c.response = c.protocol.response(c.number)
+	c.parser = c.protocol.newParser(c.requestID)
 }
 
-// limit ends the connection unless the timer is cancelled before.
-func (c *conn) limit(after time.Duration) {
-	c.link.loop.CancelTimer(c.timer)
-	c.timer = c.link.loop.AfterFunc(after, c.late)
+// startTimeout fails the connection after the time, unless the timer is cancelled before.
+func (c *conn) startTimeout(timeout time.Duration) {
+	c.forwarder.loop.CancelTimer(c.timer)
+	c.timer = c.forwarder.loop.AfterFunc(timeout, c.timedOut)
 }
 
-// late ends a connection on which the member took too long.
-func (c *conn) late() {
-	c.link.Stats.Timeouts++
+// timedOut fails a connection on which the member took too long.
+func (c *conn) timedOut() {
+	c.forwarder.Stats.Timeouts++
 	c.fail(pool.Timeout)
 }
 
-// watch ends the connection once the member takes nothing of the request, or sends nothing of its answer, for as long as
-// the pool says: nginx's send and read time limits, between two operations. What comes and goes sets no timer anew; the
-// timer looks when that was last.
-func (c *conn) watch() {
-	limit := c.target.cfg.ReadTimeout
-	if c.conn.UnsentBytes() > 0 {
-		limit = c.target.cfg.SendTimeout
+// checkActivity fails the connection once the member takes nothing of the request, or sends nothing of its response, for
+// as long as the pool allows: nginx's send and read timeouts, which are between two operations. Activity does not reset
+// the timer; the timer looks when the last one was.
+func (c *conn) checkActivity() {
+	timeout := c.target.config.ReadTimeout
+	if c.socket.UnsentBytes() > 0 {
+		timeout = c.target.config.SendTimeout
 	}
-	rested := c.link.loop.Now().Sub(c.conn.LastActivity())
-	if rested >= limit {
-		c.late()
+	idle := c.forwarder.loop.Now().Sub(c.socket.LastActivity())
+	if idle >= timeout {
+		c.timedOut()
 		return
 	}
-	c.timer = c.link.loop.AfterFunc(limit-rested, c.watch)
+	c.timer = c.forwarder.loop.AfterFunc(timeout-idle, c.checkActivity)
 }
 
-// send writes the job.
+// send writes the request.
 func (c *conn) send() {
-	c.sent = true
-	c.conn.Write(c.protocol.request(nil, c.number, c.job.Params, c.job.Body))
-	c.link.loop.CancelTimer(c.timer)
-	c.timer = c.link.loop.AfterFunc(min(c.target.cfg.SendTimeout, c.target.cfg.ReadTimeout), c.watch)
+	c.isSent = true
+	c.socket.Write(c.protocol.appendRequest(nil, c.requestID, c.request.Params, c.request.Body))
+	c.forwarder.loop.CancelTimer(c.timer)
+	timeout := min(c.target.config.SendTimeout, c.target.config.ReadTimeout)
+	c.timer = c.forwarder.loop.AfterFunc(timeout, c.checkActivity)
 }
 
-// Connected implements loop.ConnHandler.
+// Connected implements eventloop.ConnHandler.
 func (c *conn) Connected(*eventloop.Conn) {
-	if c.job == nil {
+	if c.request == nil {
 		c.close()
 		return
 	}
 	c.send()
 }
 
-// Data implements loop.ConnHandler.
+// Data implements eventloop.ConnHandler.
 func (c *conn) Data(_ *eventloop.Conn, p []byte) {
-	if c.job == nil {
-		c.drop() // an answer to nothing, or a second one
+	if c.request == nil {
+		c.closeIdle() // a response to nothing, or a second one
 		return
 	}
-	whole, err := c.response.Feed(p)
+	complete, err := c.parser.Feed(p)
 	switch {
 	case err != nil:
-		c.link.Stats.InvalidResponses++
+		c.forwarder.Stats.InvalidResponses++
 		c.fail(pool.InvalidHeader)
-	case whole:
-		c.answered()
+	case complete:
+		c.responded()
 	}
 }
 
-// statusConditions are the statuses of answers for which a request may go on to another member.
-var statusConditions = map[int]pool.RetryCondition{500: pool.HTTP500, 503: pool.HTTP503, 403: pool.HTTP403, 404: pool.HTTP404,
-	429: pool.HTTP429}
+// retryConditions are the conditions of responses after which a request may be retried, by their status.
+var retryConditions = map[int]pool.RetryCondition{
+	500: pool.HTTP500,
+	503: pool.HTTP503,
+	403: pool.HTTP403,
+	404: pool.HTTP404,
+	429: pool.HTTP429,
+}
 
-// answered ends a try whose answer is whole.
-func (c *conn) answered() {
-	w, l := c.job, c.link
-	if c.response.Overloaded() {
-		l.Stats.Rejected++
+// responded ends an attempt whose response is complete.
+func (c *conn) responded() {
+	req, forwarder := c.request, c.forwarder
+	if c.parser.Overloaded() {
+		forwarder.Stats.Rejected++
 		c.fail(pool.Rejection)
 		return
 	}
-	a, err := c.response.Response()
+	response, err := c.parser.Response()
 	if err != nil {
-		l.Stats.InvalidResponses++
+		forwarder.Stats.InvalidResponses++
 		c.fail(pool.InvalidHeader)
 		return
 	}
 	c.release()
-	if condition := statusConditions[a.Status]; condition&w.target.cfg.RetryOn != 0 {
-		l.failed(w, c.addr, pool.Failure{Condition: condition, Sent: true, NonIdempotent: w.NonIdempotent}, &a)
+	condition := retryConditions[response.Status]
+	if condition&req.target.config.RetryOn != 0 {
+		failure := pool.Failure{Condition: condition, Sent: true, NonIdempotent: req.NonIdempotent}
+		forwarder.attemptFailed(req, c.addr, failure, &response)
 		return
 	}
-	l.done(w, c.addr, pool.Succeeded)
-	l.end(w, Responded, a)
+	forwarder.attemptEnded(req, c.addr, pool.Succeeded)
+	forwarder.finish(req, Responded, response)
 }
 
-// release makes the connection idle, or closes it where enough are kept.
+// release makes the connection idle, or closes it where it can't be used again or enough are kept.
 func (c *conn) release() {
-	c.job = nil
-	c.link.loop.CancelTimer(c.timer)
-	if c.ended || c.protocol != c.target.protocol || !c.protocol.keeps || c.target.kept >= c.target.cfg.MaxIdleConns || c.link.pools[c.target.cfg.Name] != c.target {
+	c.request = nil
+	c.forwarder.loop.CancelTimer(c.timer)
+	if !c.canBeReused() || c.target.idleCount >= c.target.config.MaxIdleConns {
 		c.close()
 		return
 	}
 	c.target.idle[c.addr] = append(c.target.idle[c.addr], c)
-	c.target.kept++
+	c.target.idleCount++
+}
+
+// canBeReused reports whether another request may be sent on the connection: it is open, and a reload has neither changed
+// the pool's protocol nor removed the pool.
+func (c *conn) canBeReused() bool {
+	return !c.isClosed && c.protocol.keepsConns && c.protocol == c.target.protocol &&
+		c.forwarder.pools[c.target.config.Name] == c.target
 }
 
-// fail ends the connection and the try on it.
+// fail closes the connection and ends the attempt on it.
 func (c *conn) fail(condition pool.RetryCondition) {
-	w, sent := c.job, c.sent
-	c.job = nil
+	req, isSent := c.request, c.isSent
+	c.request = nil
 	c.close()
-	if w != nil {
-		c.link.failed(w, c.addr, pool.Failure{Condition: condition, Sent: sent, NonIdempotent: w.NonIdempotent}, nil)
+	if req != nil {
+		failure := pool.Failure{Condition: condition, Sent: isSent, NonIdempotent: req.NonIdempotent}
+		c.forwarder.attemptFailed(req, c.addr, failure, nil)
 	}
 }
 
-// Closed implements loop.ConnHandler.
+// Closed implements eventloop.ConnHandler.
 func (c *conn) Closed(_ *eventloop.Conn, err error) {
-	c.ended = true
+	c.isClosed = true
 	switch {
-	case c.job == nil:
-		c.forget()
+	case c.request == nil:
+		c.removeIdle()
 		return
-	case c.sent && errors.Is(err, io.EOF) && c.response.CompleteAtEOF():
-		c.answered()
+	case c.isSent && errors.Is(err, io.EOF) && c.parser.CompleteAtEOF():
+		c.responded()
 		return
 	}
-	c.link.Stats.Errors++
+	c.forwarder.Stats.Errors++
 	c.fail(pool.ConnectionError)
 }
 
-// drop closes an idle connection.
-func (c *conn) drop() {
-	c.forget()
+// closeIdle closes an idle connection.
+func (c *conn) closeIdle() {
+	c.removeIdle()
 	c.close()
 }
 
-// forget takes an idle connection out of the list.
-func (c *conn) forget() {
-	list := c.target.idle[c.addr]
-	for i := range list {
-		if list[i] == c {
-			c.target.idle[c.addr] = append(list[:i], list[i+1:]...)
-			c.target.kept--
+// removeIdle takes a connection out of the idle ones.
+func (c *conn) removeIdle() {
+	conns := c.target.idle[c.addr]
+	for i := range conns {
+		if conns[i] == c {
+			c.target.idle[c.addr] = append(conns[:i], conns[i+1:]...)
+			c.target.idleCount--
 			return
 		}
 	}
 }
 
-// close ends the connection.
+// close closes the connection.
 func (c *conn) close() {
-	c.link.loop.CancelTimer(c.timer)
-	if !c.ended {
-		c.ended = true
-		c.conn.Close()
+	c.forwarder.loop.CancelTimer(c.timer)
+	if !c.isClosed {
+		c.isClosed = true
+		c.socket.Close()
 	}
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -1,13 +1,7 @@
-// Package forward passes requests to members of pools over FastCGI or SCGI, one at a time on each connection, and keeps
-// FastCGI's connections that are idle. Which member a try goes to, and whether another follows, is decided by internal/pool; this
-// package owns the connections, their time limits and what is known of a try: whether any of it may have reached a
-// member.
 package forward
 
 import (
-	"fmt"
 	"math/rand/v2"
-	"net/netip"
 	"slices"
 	"strings"
 	"time"
@@ -18,316 +12,169 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// Outcome says how a job ended.
-type Outcome uint8
-
-// The ends.
-const (
-	Responded    Outcome = iota // a member answered
-	ResponseLost                // no answer came, and a member may have run it
-	NotStarted                  // no member has run it
-)
-
-// The statuses of ends without an answer.
-const (
-	statusBad  = 502
-	statusLate = 504
-)
-
-// Request is one request to be passed on.
-type Request struct {
-	ID            string
-	Pool          string
-	HashKey       []byte // for the hash methods
-	NonIdempotent bool   // it must not run twice
-	Params        []gateway.Field
-	Body          []byte
-}
-
-// Handler hears of ends, once for each job. Where no member answered, the answer has only the status that nginx has for
-// that: 504 where a member took too long, 502 otherwise.
+// Handler is told of the outcomes of requests and of changes in pools.
 type Handler interface {
-	RequestFinished(id string, end Outcome, a gateway.Response)
-	// MemberChanged tells of a member that is out, in, ejected or gone.
+	// RequestFinished is called once for each request. Where no member responded, the response has only the status that
+	// nginx has for that: 504 where a member took too long, 502 otherwise.
+	RequestFinished(id string, outcome Outcome, r gateway.Response)
+	// MemberChanged says that a member of a pool is out, in, ejected or gone.
 	MemberChanged(pool string, c pool.StateChange)
 }
 
-// Stats count what went to members.
+// Stats counts what was sent to members.
 type Stats struct {
-	Attempts, Retries, Rejected, Timeouts, Errors, InvalidResponses, Dials, ReusedConns uint64
-	RetryDecisions                                                                      [8]uint64 // by pool.RetryDecision, of failed tries
-}
-
-// Forwarder passes jobs on. It belongs to the loop's goroutine.
+	Attempts         uint64
+	Retries          uint64 // attempts but the first of a request
+	Rejected         uint64 // attempts that the member rejected as overloaded
+	Timeouts         uint64
+	Errors           uint64 // connections that failed or could not be begun
+	InvalidResponses uint64
+	Dials            uint64
+	ReusedConns      uint64
+	RetryDecisions   [8]uint64 // by pool.RetryDecision, of failed attempts
+}
+
+// Forwarder sends requests to members of pools.
 type Forwarder struct {
-	loop    *eventloop.Loop
-	handler Handler
-	start   time.Time
-	pools   map[string]*target
-	jobs    map[string]*pendingRequest
-	Stats   Stats
-}
-
-// target is a pool with its connections.
-type target struct {
-	cfg      routeconfig.Pool
-	protocol *protocol
-	pool     *pool.Pool
-	idle     map[string][]*conn // by member, the one used last at the end
-	kept     int
+	loop     *eventloop.Loop
+	handler  Handler
+	start    time.Time
+	pools    map[string]*targetPool
+	requests map[string]*pendingRequest
+	Stats    Stats
 }
 
-// pendingRequest is a Job under way.
-type pendingRequest struct {
-	Request
-	target *target
-	choice pool.Request
-	conn   *conn
-	began  time.Time         // of the try under way
-	last   *gateway.Response // of a member whose answer called for another try
+// targetPool is a pool with its connections.
+type targetPool struct {
+	config    routeconfig.Pool
+	protocol  *protocol
+	balancer  *pool.Pool
+	idle      map[string][]*conn // by member, the one used last at the end
+	idleCount int
 }
 
-// New returns a link that has no pools yet.
+// New returns a forwarder without pools.
 func New(l *eventloop.Loop, h Handler) *Forwarder {
-	return &Forwarder{loop: l, handler: h, start: l.Now(), pools: map[string]*target{}, jobs: map[string]*pendingRequest{}}
+	return &Forwarder{loop: l, handler: h, start: l.Now(), pools: map[string]*targetPool{}, requests: map[string]*pendingRequest{}}
 }
 
-// now is the time that the pools go by.
-func (l *Forwarder) now() time.Duration { return l.loop.Now().Sub(l.start) }
+// now returns the time that the pools go by.
+func (f *Forwarder) now() time.Duration { return f.loop.Now().Sub(f.start) }
 
-// Update takes over pools: those that stay keep what is known of their members, those that left end what they have.
-func (l *Forwarder) Update(pools []routeconfig.Pool, random func() *rand.Rand) error {
-	next := make(map[string]*target, len(pools))
-	for _, cfg := range pools {
-		t := l.pools[cfg.Name]
-		if t == nil {
-			p, err := pool.New(cfg.Config, random(), l.now())
-			if err != nil {
-				return err
-			}
-			t = &target{pool: p, idle: map[string][]*conn{}}
-		} else if err := t.pool.Update(cfg.Config, l.now()); err != nil {
+// Update replaces the pools. Those that stay keep what is known of their members; the others lose their idle connections,
+// and requests under way end as they would have.
+func (f *Forwarder) Update(configs []routeconfig.Pool, newRand func() *rand.Rand) error {
+	next := make(map[string]*targetPool, len(configs))
+	for _, config := range configs {
+		target, err := f.updatedPool(config, newRand)
+		if err != nil {
 			return err
 		}
-		if t.cfg.Protocol != cfg.Protocol {
-			t.hangUp(func(string) bool { return true }) // what is idle speaks the old one
-			protocol, err := protocolOf(cfg.Protocol)
-			if err != nil {
-				return err
-			}
-			t.protocol = protocol
-		}
-		t.cfg = cfg
-		next[cfg.Name] = t
+		next[config.Name] = target
 	}
-	for _, t := range l.pools {
-		if next[t.cfg.Name] == nil {
-			t.hangUp(func(string) bool { return true })
+	for name, target := range f.pools {
+		if next[name] == nil {
+			target.closeAllIdle()
 		}
 	}
-	l.pools = next
-	for _, t := range next {
-		members := map[string]bool{}
-		for _, m := range t.cfg.Members {
-			members[m.Addr] = true
-		}
-		t.hangUp(func(addr string) bool { return !members[addr] })
-		l.tell(t)
+	f.pools = next
+	for _, target := range next {
+		target.closeIdleOfRemoved()
+		f.reportChanges(target)
 	}
 	return nil
 }
 
-// hangUp closes the idle connections to the members that gone names.
-func (t *target) hangUp(gone func(addr string) bool) {
-	for addr, list := range t.idle {
-		if !gone(addr) {
-			continue
+// updatedPool returns the pool of the configuration: the one there is, or a new one.
+func (f *Forwarder) updatedPool(config routeconfig.Pool, newRand func() *rand.Rand) (*targetPool, error) {
+	target := f.pools[config.Name]
+	if target == nil {
+		balancer, err := pool.New(config.Config, newRand(), f.now())
+		if err != nil {
+			return nil, err
 		}
-		for _, c := range list {
-			c.close()
-			t.kept--
+		target = &targetPool{balancer: balancer, idle: map[string][]*conn{}}
+	} else if err := target.balancer.Update(config.Config, f.now()); err != nil {
+		return nil, err
+	}
+	if target.config.Protocol != config.Protocol {
+		target.closeAllIdle() // they speak the old protocol
+		protocol, err := newProtocol(config.Protocol)
+		if err != nil {
+			return nil, err
 		}
-		delete(t.idle, addr)
+		target.protocol = protocol
 	}
+	target.config = config
+	return target, nil
 }
 
-// tell hands on the changes of a pool's members.
-func (l *Forwarder) tell(t *target) {
-	for _, c := range t.pool.TakeChanges() {
-		l.handler.MemberChanged(t.cfg.Name, c)
+// closeIdleOfRemoved closes the idle connections to members that are no longer configured.
+func (t *targetPool) closeIdleOfRemoved() {
+	isMember := make(map[string]bool, len(t.config.Members))
+	for _, member := range t.config.Members {
+		isMember[member.Addr] = true
 	}
+	t.closeIdle(func(addr string) bool { return !isMember[addr] })
 }
 
-// PoolState is how a pool is.
-type PoolState struct {
-	Name        string
-	IdleConns   int     // connections
-	RetryBudget float64 // further tries that could be made at once
-	Members     []pool.MemberStatus
-}
-
-// PoolStates are those of all pools, by their names.
-func (l *Forwarder) PoolStates() []PoolState {
-	list := make([]PoolState, 0, len(l.pools))
-	for name, t := range l.pools {
-		s := PoolState{Name: name, IdleConns: t.kept, Members: t.pool.MemberStatuses(), RetryBudget: t.pool.AvailableRetries(l.now())}
-		list = append(list, s)
-	}
-	slices.SortFunc(list, func(a, b PoolState) int { return strings.Compare(a.Name, b.Name) })
-	return list
-}
-
-// Runs is how many jobs have not ended.
-func (l *Forwarder) OpenRuns() int { return len(l.jobs) }
-
-// Submit passes a job on.
-func (l *Forwarder) Submit(j Request) {
-	t := l.pools[j.Pool]
-	if t == nil { // it left with a reload since the request was routed
-		l.handler.RequestFinished(j.ID, NotStarted, gateway.Response{Status: statusBad})
-		return
-	}
-	w := &pendingRequest{Request: j, target: t, choice: pool.Request{HashKey: j.HashKey}}
-	l.jobs[j.ID] = w
-	l.try(w)
-}
+// closeAllIdle closes the idle connections to all members.
+func (t *targetPool) closeAllIdle() { t.closeIdle(func(string) bool { return true }) }
 
-// try sends a job to the next member.
-func (l *Forwarder) try(w *pendingRequest) {
-	addr, ok := w.target.pool.Pick(&w.choice, l.now())
-	l.tell(w.target)
-	switch {
-	case !ok && w.last != nil:
-		l.end(w, Responded, *w.last) // no better one is to be had
-		return
-	case !ok:
-		l.end(w, NotStarted, gateway.Response{Status: statusBad})
-		return
-	}
-	l.Stats.Attempts++
-	if w.choice.Attempts > 1 {
-		l.Stats.Retries++
-	}
-	w.began = l.loop.Now()
-	if l.attach(w, addr) != nil { // no connection could even be begun, for want of descriptors say
-		l.Stats.Errors++
-		l.failed(w, addr, pool.Failure{Condition: pool.ConnectionError, NonIdempotent: w.NonIdempotent}, nil)
-	}
-}
-
-// done tells the pool how a try at a member ended.
-func (l *Forwarder) done(w *pendingRequest, addr string, o pool.Outcome) {
-	w.conn = nil
-	w.target.pool.Finish(addr, o, l.loop.Now().Sub(w.began), l.now())
-	l.tell(w.target)
-}
-
-// attach gives a job a connection to the member.
-func (l *Forwarder) attach(w *pendingRequest, addr string) error {
-	t := w.target
-	for len(t.idle[addr]) > 0 {
-		list := t.idle[addr]
-		c := list[len(list)-1]
-		t.idle[addr] = list[:len(list)-1]
-		t.kept--
-		if c.conn.HasPendingInput() { // its end, most likely: a request that must not run twice would be lost on it
-			c.close()
+// closeIdle closes the idle connections to the members for which matches holds.
+func (t *targetPool) closeIdle(matches func(addr string) bool) {
+	for addr, conns := range t.idle {
+		if !matches(addr) {
 			continue
 		}
-		l.Stats.ReusedConns++
-		c.take(w)
-		c.send()
-		return nil
-	}
-	to, err := netip.ParseAddrPort(addr)
-	if err != nil {
-		return fmt.Errorf("forward: %w", err)
-	}
-	c := &conn{link: l, target: t, protocol: t.protocol, addr: addr}
-	l.Stats.Dials++
-	if c.conn, err = l.loop.Dial(to, c); err != nil {
-		return err
-	}
-	c.take(w)
-	c.limit(t.cfg.ConnectTimeout)
-	return nil
-}
-
-// failed ends a try that brought no answer to be passed on, and goes on with another member or not at all. Answer is
-// what the member said, where it said anything.
-func (l *Forwarder) failed(w *pendingRequest, addr string, f pool.Failure, a *gateway.Response) {
-	l.done(w, addr, pool.Failed)
-	v := w.target.pool.DecideRetry(&w.choice, f, w.target.cfg.RetryOn, l.now())
-	l.Stats.RetryDecisions[v]++
-	none := gateway.Response{Status: statusBad}
-	if f.Condition == pool.Timeout {
-		none.Status = statusLate
-	}
-	switch {
-	case v == pool.Retry:
-		w.last = a
-		l.try(w)
-	case a != nil:
-		l.end(w, Responded, *a)
-	case f.Sent && f.Condition != pool.Rejection:
-		l.end(w, ResponseLost, none)
-	default:
-		l.end(w, NotStarted, none)
-	}
-}
-
-// end ends a job.
-func (l *Forwarder) end(w *pendingRequest, e Outcome, a gateway.Response) {
-	if l.jobs[w.ID] != w {
-		return
+		for _, c := range conns {
+			c.close()
+			t.idleCount--
+		}
+		delete(t.idle, addr)
 	}
-	delete(l.jobs, w.ID)
-	l.handler.RequestFinished(w.ID, e, a)
 }
 
-// Withdraw takes a job back that no member has seen, and tells whether it could.
-func (l *Forwarder) Withdraw(id string) bool {
-	w := l.jobs[id]
-	if w == nil || w.conn == nil || w.conn.sent {
-		return false
+// reportChanges hands on the changes of a pool's members.
+func (f *Forwarder) reportChanges(target *targetPool) {
+	for _, change := range target.balancer.TakeChanges() {
+		f.handler.MemberChanged(target.config.Name, change)
 	}
-	l.abandon(w)
-	return true
 }
 
-// Break gives up a job; its end is told.
-func (l *Forwarder) Stop(id string) {
-	if w := l.jobs[id]; w != nil {
-		sent := w.conn != nil && w.conn.sent
-		l.abandon(w)
-		e := NotStarted
-		if sent {
-			e = ResponseLost
-		}
-		l.handler.RequestFinished(id, e, gateway.Response{Status: statusBad})
-	}
+// PoolState is a pool's state at a time.
+type PoolState struct {
+	Name        string
+	IdleConns   int
+	RetryBudget float64 // retries that could be made at once
+	Members     []pool.MemberStatus
 }
 
-// abandon forgets a job and ends its connection: an answer that still came would be nobody's.
-func (l *Forwarder) abandon(w *pendingRequest) {
-	delete(l.jobs, w.ID)
-	if c := w.conn; c != nil {
-		c.job = nil
-		c.close()
-		l.done(w, c.addr, pool.Neutral)
+// PoolStates returns the states of all pools, sorted by name.
+func (f *Forwarder) PoolStates() []PoolState {
+	states := make([]PoolState, 0, len(f.pools))
+	for name, target := range f.pools {
+		states = append(states, PoolState{
+			Name:        name,
+			IdleConns:   target.idleCount,
+			RetryBudget: target.balancer.AvailableRetries(f.now()),
+			Members:     target.balancer.MemberStatuses(),
+		})
 	}
+	slices.SortFunc(states, func(a, b PoolState) int { return strings.Compare(a.Name, b.Name) })
+	return states
 }
 
-// Close ends all connections.
-func (l *Forwarder) Close() {
-	for _, w := range l.jobs {
-		if w.conn != nil {
-			w.conn.job = nil
-			w.conn.close()
+// Close closes all connections. No request under way is reported.
+func (f *Forwarder) Close() {
+	for _, r := range f.requests {
+		if r.conn != nil {
+			r.conn.request = nil
+			r.conn.close()
 		}
 	}
-	clear(l.jobs)
-	for _, t := range l.pools {
-		t.hangUp(func(string) bool { return true })
+	clear(f.requests)
+	for _, target := range f.pools {
+		target.closeAllIdle()
 	}
 }
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -8,36 +8,58 @@
 	"tillerusher/internal/scgi"
 )
 
-// response puts together a member's answer from what its connection brings.
-type response interface {
-	// Feed takes in the next bytes, and tells whether the answer is whole.
-	Feed(p []byte) (whole bool, err error)
-	// Closed tells whether it is whole now that the member has ended the connection.
+// maxResponseBytes bounds a member's response.
+const maxResponseBytes = 1 << 20
+
+// responseParser puts together a member's response from what its connection brings.
+type responseParser interface {
+	// Feed reads the next bytes, and reports whether the response is complete.
+	Feed(p []byte) (complete bool, err error)
+	// CompleteAtEOF reports whether it is complete now that the member has ended the connection.
 	CompleteAtEOF() bool
-	// Overloaded tells whether the member turned the request away unseen.
+	// Overloaded reports whether the member rejected the request without looking at it.
 	Overloaded() bool
-	// Answer reads the whole answer.
+	// Response returns the complete response.
 	Response() (gateway.Response, error)
 }
 
-// protocol is how members of a pool are spoken to.
+// protocol is how requests are sent to the members of a pool.
 type protocol struct {
-	request  func(b []byte, number uint16, params []gateway.Field, body []byte) []byte
-	response func(number uint16) response
-	keeps    bool // connections can be used again
+	appendRequest func(buf []byte, id uint16, params []gateway.Field, body []byte) []byte
+	newParser     func(id uint16) responseParser
+	keepsConns    bool // a connection can be used for more than one request
 }
 
-// protocolOf is the protocol of that name.
-func protocolOf(name string) (*protocol, error) {
+// newProtocol returns the protocol of a name in the configuration.
+func newProtocol(name string) (*protocol, error) {
 	switch name {
 	case "fastcgi":
-		return &protocol{request: fastcgi.AppendRequest, response: func(number uint16) response {
-			return &fastcgi.ResponseParser{RequestID: number, MaxBytes: maxAnswer}
-		}, keeps: true}, nil
+		return newFastCGI(), nil
 	case "scgi":
-		return &protocol{request: func(b []byte, _ uint16, params []gateway.Field, body []byte) []byte {
-			return scgi.AppendRequest(b, params, body)
-		}, response: func(uint16) response { return &scgi.ResponseParser{MaxBytes: maxAnswer} }}, nil
+		return newSCGI(), nil
 	}
 	return nil, fmt.Errorf("forward: no protocol is called %q, want fastcgi or scgi", name)
 }
+
+// newFastCGI returns the FastCGI protocol.
+func newFastCGI() *protocol {
+	return &protocol{
+		appendRequest: fastcgi.AppendRequest,
+		newParser: func(id uint16) responseParser {
+			return &fastcgi.ResponseParser{RequestID: id, MaxBytes: maxResponseBytes}
+		},
+		keepsConns: true,
+	}
+}
+
+// newSCGI returns the SCGI protocol, whose connections end with the response.
+func newSCGI() *protocol {
+	return &protocol{
+		appendRequest: func(buf []byte, _ uint16, params []gateway.Field, body []byte) []byte {
+			return scgi.AppendRequest(buf, params, body)
+		},
+		newParser: func(uint16) responseParser {
+			return &scgi.ResponseParser{MaxBytes: maxResponseBytes}
+		},
+	}
+}
--- /dev/null
+++ b/internal/forward/request.go
@@ -0,0 +1,197 @@
+package forward
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/pool"
+)
+
+//go:generate go run golang.org/x/tools/cmd/stringer -type=Outcome
+
+// Outcome is how a request ended.
+type Outcome uint8
+
+// The outcomes of a request.
+const (
+	Responded    Outcome = iota // a member responded
+	ResponseLost                // there was no response, and a member may have run the request
+	NotStarted                  // no member has run the request
+)
+
+// The statuses of requests without a response, as nginx has them.
+const (
+	statusBadGateway     = 502
+	statusGatewayTimeout = 504
+)
+
+// Request is one request to be sent to a member of a pool.
+type Request struct {
+	ID            string
+	Pool          string
+	HashKey       []byte // for the hash policies
+	NonIdempotent bool   // it must not run twice
+	Params        []gateway.Field
+	Body          []byte
+}
+
+// pendingRequest is a Request that has not finished.
+type pendingRequest struct {
+	Request
+	target         *targetPool
+	selection      pool.Request // what members were tried
+	conn           *conn
+	attemptStarted time.Time
+	lastResponse   *gateway.Response // of a member whose response called for a retry
+}
+
+// OpenRuns returns how many requests have not finished.
+func (f *Forwarder) OpenRuns() int { return len(f.requests) }
+
+// Submit sends a request to a member of its pool.
+func (f *Forwarder) Submit(request Request) {
+	target := f.pools[request.Pool]
+	if target == nil { // removed by a reload since the request was routed
+		f.handler.RequestFinished(request.ID, NotStarted, gateway.Response{Status: statusBadGateway})
+		return
+	}
+	req := &pendingRequest{Request: request, target: target, selection: pool.Request{HashKey: request.HashKey}}
+	f.requests[request.ID] = req
+	f.attempt(req)
+}
+
+// attempt sends a request to the next member.
+func (f *Forwarder) attempt(req *pendingRequest) {
+	addr, ok := req.target.balancer.Pick(&req.selection, f.now())
+	f.reportChanges(req.target)
+	switch {
+	case !ok && req.lastResponse != nil:
+		f.finish(req, Responded, *req.lastResponse) // no member is left that may do better
+		return
+	case !ok:
+		f.finish(req, NotStarted, gateway.Response{Status: statusBadGateway})
+		return
+	}
+	f.Stats.Attempts++
+	if req.selection.Attempts > 1 {
+		f.Stats.Retries++
+	}
+	req.attemptStarted = f.loop.Now()
+	if f.connect(req, addr) != nil { // no connection could even be begun, such as for want of descriptors
+		f.Stats.Errors++
+		f.attemptFailed(req, addr, pool.Failure{Condition: pool.ConnectionError, NonIdempotent: req.NonIdempotent}, nil)
+	}
+}
+
+// connect gives a request a connection to the member: an idle one, or a new one.
+func (f *Forwarder) connect(req *pendingRequest, addr string) error {
+	if c := req.target.takeIdle(addr); c != nil {
+		f.Stats.ReusedConns++
+		c.assign(req)
+		c.send()
+		return nil
+	}
+	to, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return fmt.Errorf("forward: %w", err)
+	}
+	c := &conn{forwarder: f, target: req.target, protocol: req.target.protocol, addr: addr}
+	f.Stats.Dials++
+	if c.socket, err = f.loop.Dial(to, c); err != nil {
+		return err
+	}
+	c.assign(req)
+	c.startTimeout(req.target.config.ConnectTimeout)
+	return nil
+}
+
+// takeIdle returns the idle connection to a member that was used last, or nil. One with input is most likely closed by
+// the member: a non-idempotent request would be lost on it.
+func (t *targetPool) takeIdle(addr string) *conn {
+	for len(t.idle[addr]) > 0 {
+		conns := t.idle[addr]
+		c := conns[len(conns)-1]
+		t.idle[addr] = conns[:len(conns)-1]
+		t.idleCount--
+		if !c.socket.HasPendingInput() {
+			return c
+		}
+		c.close()
+	}
+	return nil
+}
+
+// attemptEnded tells the pool how an attempt ended.
+func (f *Forwarder) attemptEnded(req *pendingRequest, addr string, outcome pool.Outcome) {
+	req.conn = nil
+	req.target.balancer.Finish(addr, outcome, f.loop.Now().Sub(req.attemptStarted), f.now())
+	f.reportChanges(req.target)
+}
+
+// attemptFailed ends an attempt without a response to be passed on, and retries or finishes the request. Response is what
+// the member said, or nil.
+func (f *Forwarder) attemptFailed(req *pendingRequest, addr string, failure pool.Failure, response *gateway.Response) {
+	f.attemptEnded(req, addr, pool.Failed)
+	decision := req.target.balancer.DecideRetry(&req.selection, failure, req.target.config.RetryOn, f.now())
+	f.Stats.RetryDecisions[decision]++
+	noResponse := gateway.Response{Status: statusBadGateway}
+	if failure.Condition == pool.Timeout {
+		noResponse.Status = statusGatewayTimeout
+	}
+	switch {
+	case decision == pool.Retry:
+		req.lastResponse = response
+		f.attempt(req)
+	case response != nil:
+		f.finish(req, Responded, *response)
+	case failure.Sent && failure.Condition != pool.Rejection:
+		f.finish(req, ResponseLost, noResponse)
+	default:
+		f.finish(req, NotStarted, noResponse)
+	}
+}
+
+// finish reports a request's outcome.
+func (f *Forwarder) finish(req *pendingRequest, outcome Outcome, response gateway.Response) {
+	if f.requests[req.ID] != req {
+		return
+	}
+	delete(f.requests, req.ID)
+	f.handler.RequestFinished(req.ID, outcome, response)
+}
+
+// Withdraw takes back a request of which no byte was sent, and reports whether it could.
+func (f *Forwarder) Withdraw(id string) bool {
+	req := f.requests[id]
+	if req == nil || req.conn == nil || req.conn.isSent {
+		return false
+	}
+	f.abandon(req)
+	return true
+}
+
+// Stop gives up a request; its outcome is reported.
+func (f *Forwarder) Stop(id string) {
+	req := f.requests[id]
+	if req == nil {
+		return
+	}
+	outcome := NotStarted
+	if req.conn != nil && req.conn.isSent {
+		outcome = ResponseLost
+	}
+	f.abandon(req)
+	f.handler.RequestFinished(id, outcome, gateway.Response{Status: statusBadGateway})
+}
+
+// abandon forgets a request and closes its connection: a response that still came would be to none.
+func (f *Forwarder) abandon(req *pendingRequest) {
+	delete(f.requests, req.ID)
+	if c := req.conn; c != nil {
+		c.request = nil
+		c.close()
+		f.attemptEnded(req, c.addr, pool.Neutral)
+	}
+}
