--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -90,15 +90,15 @@
 		return nil, fmt.Errorf("eventloop: eventfd: %w", err)
 	}
 	now := system.Now()
-	l := &Loop{system: system, epollFD: epollFD, sources: map[int]source{}, timers: newTimerWheel(tick, now), now: now}
-	l.input.arena = make([]byte, 0, arenaSize)
-	l.output.maxUnsentBytes = maxUnsentBytes
-	l.posted.wakeFD = wakeFD
-	if err := l.register(wakeFD, unix.EPOLLIN, wakeup{l}); err != nil {
-		l.Close()
+	loop := &Loop{system: system, epollFD: epollFD, sources: map[int]source{}, timers: newTimerWheel(tick, now), now: now}
+	loop.input.arena = make([]byte, 0, arenaSize)
+	loop.output.maxUnsentBytes = maxUnsentBytes
+	loop.posted.wakeFD = wakeFD
+	if err := loop.register(wakeFD, unix.EPOLLIN, wakeup{loop}); err != nil {
+		loop.Close()
 		return nil, err
 	}
-	return l, nil
+	return loop, nil
 }
 
 // Close closes the loop's own descriptors, after Run.
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -93,6 +93,11 @@
 		c.send()
 		return nil
 	}
+	return f.dial(req, addr)
+}
+
+// dial gives a request a new connection to the member.
+func (f *Forwarder) dial(req *pendingRequest, addr string) error {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("forward: %w", err)
