--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,20 +12,20 @@
 	"tillerusher/internal/servertest"
 )
 
-// echo is a handler that answers with what it reads.
-type echo struct {
+// echoHandler sends back what it reads, unless onData is replaced.
+type echoHandler struct {
 	connected, closed chan error
 	onData            func(c *Conn, p []byte)
 }
 
-func newEcho() *echo {
+func newEchoHandler() *echoHandler {
 	// Room for all connections of a test: the loop must not wait for a test that has ended.
-	return &echo{connected: make(chan error, 256), closed: make(chan error, 256), onData: func(c *Conn, p []byte) { c.Write(p) }}
+	return &echoHandler{connected: make(chan error, 256), closed: make(chan error, 256), onData: func(c *Conn, p []byte) { c.Write(p) }}
 }
 
-func (e *echo) Connected(*Conn)           { e.connected <- nil }
-func (e *echo) Data(c *Conn, p []byte)    { e.onData(c, p) }
-func (e *echo) Closed(_ *Conn, err error) { e.closed <- err }
+func (e *echoHandler) Connected(*Conn)           { e.connected <- nil }
+func (e *echoHandler) Data(c *Conn, p []byte)    { e.onData(c, p) }
+func (e *echoHandler) Closed(_ *Conn, err error) { e.closed <- err }
 
 // serve runs a loop that listens, and ends it with the test.
 func serve(t *testing.T, h ConnHandler, settle func()) (*Loop, string) {
@@ -59,10 +59,10 @@
 }
 
 // TestEcho sends more than any buffer holds both ways: a peer that does not read for a while loses nothing, and
-// what waits for it stays bounded.
+// what is queued for it stays bounded.
 func TestEcho(t *testing.T) {
 	unsent := 0
-	e := newEcho()
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		c.Write(p)
 		unsent = max(unsent, c.UnsentBytes())
@@ -88,22 +88,22 @@
 			break
 		}
 	}
-	// The end of the peer's side ends the connection: only what was read before it is certain to come back.
-	if !bytes.HasPrefix(sent, got) || len(got) < len(sent)-highWater-readSize-8<<20 {
+	// The peer's end of stream closes the connection: only what was read before it is certain to come back.
+	if !bytes.HasPrefix(sent, got) || len(got) < len(sent)-highWatermark-readSize-8<<20 {
 		t.Errorf("%d bytes came back of %d", len(got), len(sent))
 	}
 	if err := <-e.closed; !errors.Is(err, io.EOF) {
 		t.Errorf("closed with %v", err)
 	}
-	if unsent > highWater+readSize {
+	if unsent > highWatermark+readSize {
 		t.Errorf("%d bytes waited to be sent", unsent)
 	}
 }
 
-// TestRound reports all that is ready before the owner settles once, and sends all of a round together.
-func TestRound(t *testing.T) {
+// TestRoundIsBatched reports all that is ready before it calls settle once, and sends all of a round together.
+func TestRoundIsBatched(t *testing.T) {
 	events, settled := 0, make(chan int, 1000)
-	e := newEcho()
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		for range p {
 			events++
@@ -151,37 +151,37 @@
 	}
 }
 
-// TestDial connects, and hears of a call that nobody takes.
+// TestDial connects, and reports a connection that is refused.
 func TestDial(t *testing.T) {
-	e := newEcho()
-	l, addr := serve(t, newEcho(), func() {})
+	e := newEchoHandler()
+	l, addr := serve(t, newEchoHandler(), func() {})
 	l.Post(func() {
 		c, err := l.Dial(netip.MustParseAddrPort(addr), e)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		c.Write([]byte("early")) // goes out once the connection stands
+		c.Write([]byte("early")) // sent once the connection is established
 	})
 	if err := <-e.connected; err != nil {
 		t.Error(err)
 	}
-	refused := newEcho()
-	nobody := netip.MustParseAddrPort(servertest.FreeAddr(t))
+	refused := newEchoHandler()
+	unusedAddr := netip.MustParseAddrPort(servertest.FreeAddr(t))
 	l.Post(func() {
-		if _, err := l.Dial(nobody, refused); err != nil {
+		if _, err := l.Dial(unusedAddr, refused); err != nil {
 			t.Error(err)
 		}
 	})
 	if err := <-refused.closed; err == nil {
-		t.Error("a call that nobody takes ended without an error")
+		t.Error("a connection to an unused address ended without an error")
 	}
 }
 
-// TestQuietAndCloseSent finds a connection quiet only when nothing waits in it, and sends before it closes.
-func TestQuietAndCloseSent(t *testing.T) {
+// TestIdleAndCloseAfterFlush finds a connection idle only when nothing waits to be read, and sends before it closes.
+func TestIdleAndCloseAfterFlush(t *testing.T) {
 	var conn *Conn
-	e := newEcho()
+	e := newEchoHandler()
 	got := make(chan string, 10)
 	e.onData = func(c *Conn, p []byte) { conn = c; got <- string(p) }
 	l, addr := serve(t, e, func() {})
@@ -192,25 +192,25 @@
 	defer c.Close()
 	io.WriteString(c, "a")
 	<-got
-	quiet := make(chan bool)
+	idle := make(chan bool)
 	l.Post(func() {
-		// Written while the loop stands in this round: it waits in the socket.
+		// Written while the loop is in this round: it waits in the socket.
 		io.WriteString(c, "b")
 		for end := time.Now().Add(servertest.WaitTimeout); conn.IsIdle(0) && time.Now().Before(end); {
 		}
-		quiet <- conn.IsIdle(0)
+		idle <- conn.IsIdle(0)
 	})
-	if <-quiet {
-		t.Error("quiet with a byte in the socket")
+	if <-idle {
+		t.Error("idle with a byte in the socket")
 	}
 	<-got
-	l.Post(func() { quiet <- conn.IsIdle(0) })
-	if !<-quiet {
-		t.Error("not quiet with nothing in the socket")
+	l.Post(func() { idle <- conn.IsIdle(0) })
+	if !<-idle {
+		t.Error("not idle with nothing in the socket")
 	}
-	l.Post(func() { quiet <- conn.IsIdle(time.Hour) })
-	if <-quiet {
-		t.Error("quiet before the time")
+	l.Post(func() { idle <- conn.IsIdle(time.Hour) })
+	if <-idle {
+		t.Error("idle before the time")
 	}
 	l.Post(func() {
 		conn.Write([]byte("bye"))
@@ -235,10 +235,10 @@
 	return c
 }
 
-// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the answer
-// arrives all the same, and a peer that never stops is cut off.
+// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the response arrives
+// all the same, and the connection of a peer that never stops is closed.
 func TestLinger(t *testing.T) {
-	e := newEcho()
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		c.Write([]byte("too much"))
 		c.CloseAfterFlush()
@@ -264,15 +264,15 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	if err := <-e.closed; !errors.Is(err, errLingered) {
+	if err := <-e.closed; !errors.Is(err, errLingerTimeout) {
 		t.Errorf("an endless peer was closed with %v", err)
 	}
 }
 
-// TestFlood has more senders at full speed than one round can read: one that comes later is read all the same, and
-// what a round reads stays within the arena.
-func TestFlood(t *testing.T) {
-	e := newEcho()
+// TestFloodIsFair has more senders at full speed than one round can read: one that connects later is read all the same,
+// and what a round reads stays within the arena.
+func TestFloodIsFair(t *testing.T) {
+	e := newEchoHandler()
 	answered := make(chan bool, 1)
 	e.onData = func(c *Conn, p []byte) {
 		if len(p) == 1 && p[0] == 'a' {
@@ -305,26 +305,26 @@
 		t.Error("a connection was not read beside many that never pause")
 	}
 	size := make(chan int)
-	l.Post(func() { size <- cap(l.arena) })
+	l.Post(func() { size <- cap(l.input.arena) })
 	if got := <-size; got != arenaSize {
 		t.Errorf("the arena grew to %d", got)
 	}
 }
 
-// TestUntaken answers many peers that do not read: what waits for all of them stays bounded, and one that reads
-// is not cut off for it.
-func TestUntaken(t *testing.T) {
-	e := newEcho()
+// TestUnreadOutputIsBounded sends to many peers that do not read: what is queued for all of them stays bounded, and the
+// connection of one that reads is not closed for it.
+func TestUnreadOutputIsBounded(t *testing.T) {
+	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) { c.Write(make([]byte, 1000*len(p))) }
 	l, addr := serve(t, e, func() {})
-	for range 16 { // each is owed 8 MB, far more than its socket takes
+	for range 16 { // 8 MB are sent to each, far more than its socket takes
 		c := dial(t, addr)
 		if _, err := c.Write(make([]byte, 8<<10)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 8 {
-		if err := <-e.closed; !errors.Is(err, errUntaken) {
+		if err := <-e.closed; !errors.Is(err, errOutputOverflow) {
 			t.Errorf("closed with %v", err)
 		}
 	}
@@ -335,9 +335,9 @@
 			t.Fatal(err)
 		}
 	}
-	untaken := make(chan int)
-	l.Post(func() { untaken <- l.untaken })
-	if got := <-untaken; got > l.most+8<<20 {
-		t.Errorf("%d bytes wait for peers that do not read", got)
+	unsent := make(chan int)
+	l.Post(func() { unsent <- l.output.unsentBytes })
+	if got := <-unsent; got > l.output.maxUnsentBytes+8<<20 {
+		t.Errorf("%d bytes queued for peers that do not read", got)
 	}
 }
--- a/internal/loadreport/announce_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// reporting is a reporter that ends with the test, and the service that it reports to.
-func reporting(t *testing.T) (r *Reporter, service *net.UDPConn, addr *net.UDPAddr) {
+// startReporter returns a reporter, which is closed with the test, and the service that it reports to.
+func startReporter(t *testing.T) (r *Reporter, service *net.UDPConn, addr *net.UDPAddr) {
 	t.Helper()
 	service, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -24,9 +24,9 @@
 	return r, service, addr
 }
 
-// TestReport sends both reports, and goes on after the service was away.
+// TestReport sends both reports, and goes on after the service was down.
 func TestReport(t *testing.T) {
-	r, service, addr := reporting(t)
+	r, service, addr := startReporter(t)
 	var err error
 	buf := make([]byte, 100)
 	expect := func(accepting bool, want string) {
@@ -42,7 +42,7 @@
 	expect(true, "announce n3 true")
 	expect(false, "announce n3 false")
 	service.Close()
-	r.Report(true) // nobody hears it, and the socket may learn of that at the next
+	r.Report(true) // nobody receives it, and the socket may learn of that at the next
 	r.Report(true)
 	if service, err = net.ListenUDP("udp4", addr); err != nil {
 		t.Skip("the address is taken")
@@ -52,9 +52,9 @@
 	expect(true, "announce n3 true")
 }
 
-// TestServiceBack has the service come back after a report that nobody heard: the next one arrives.
-func TestServiceBack(t *testing.T) {
-	r, service, addr := reporting(t)
+// TestServiceRestarted has the service come back after a report that nobody received: the next one arrives.
+func TestServiceRestarted(t *testing.T) {
+	r, service, addr := startReporter(t)
 	var err error
 	service.Close()
 	r.Report(true)
@@ -63,7 +63,7 @@
 	}
 	defer service.Close()
 	if err := r.Report(true); err == nil {
-		t.Error("that nobody heard the first was not told")
+		t.Error("no error for the report that nobody received")
 	}
 	service.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 	buf := make([]byte, 100)
