--- a/admission/calls.go
+++ b/admission/calls.go
@@ -83,7 +83,8 @@
 		if in.inHand > 0 && float64(in.inHand+1) > in.set.FairCallShare || in.callDebt > 0 {
 			return
 		}
-		timeout = min(timeout, time.Duration(float64(in.set.CallAveragingTime)*min(in.set.FairCallShare, 1)/2))
+		over := float64(in.set.CallAveragingTime)
+		timeout = min(timeout, time.Duration(over*min(in.set.FairCallShare, 1)/2))
 	}
 	in.do.Call(r.id, max(timeout, in.set.Tick))
 	in.setState(r, calling)
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -31,5 +31,6 @@
 // leaving tells whether callers should look for another server: only when the grace of a drain nears its end,
 // as what arrives until then is run, and sent away sooner it crowds servers whose successors few know of.
 func (in *Instance) leaving() bool {
-	return in.draining && in.now+min(2*pollInterval, in.set.DrainGracePeriod/4) >= in.notice+in.set.DrainGracePeriod
+	grace := in.set.DrainGracePeriod
+	return in.draining && in.now+min(2*pollInterval, grace/4) >= in.notice+grace
 }
--- a/admission/events.go
+++ b/admission/events.go
@@ -28,11 +28,30 @@
 	for _, t := range s.Tenants {
 		in.quotas += max(t.Quota, 1e-3)
 	}
-	// An arrival halves about when its answer is due: a surge shows and ends as the work that it brings does.
+	// An arrival halves about when its answer is due: a surge shows and ends as the work that it brings
+	// does.
 	in.lambda = math.Ln2 / in.longestAim.Seconds()
 	return in, nil
 }
 
+// tick moves the clocks to now.
+func (in *Instance) tick(now time.Duration) {
+	if !in.begun {
+		in.begun, in.start, in.now = true, now, now
+		in.nextPoll = now
+		in.do.SetHealth(true, true)
+	}
+	if now <= in.now {
+		return
+	}
+	part := float64(min(in.onCores, 1)*in.set.Cores) / float64(max(in.onCores, in.set.Cores))
+	// A timer comes at each poll of the gauges: a longer gap means that the process stood still, and its
+	// work with it.
+	in.coreClock += min(now-in.now, 2*pollInterval).Seconds() * part
+	in.callDebt = max(0, in.callDebt+(now-in.now).Seconds()*(float64(in.inHand)-in.set.FairCallShare))
+	in.now = now
+}
+
 // Cancel reports that the caller of a request no longer waits.
 func (in *Instance) Cancel(now time.Duration, id RequestID) {
 	in.tick(now)
--- a/admission/state.go
+++ b/admission/state.go
@@ -123,23 +123,6 @@
 	weight, advertised         float64
 }
 
-// tick moves the clocks to now.
-func (in *Instance) tick(now time.Duration) {
-	if !in.begun {
-		in.begun, in.start, in.now = true, now, now
-		in.nextPoll = now
-		in.do.SetHealth(true, true)
-	}
-	if now <= in.now {
-		return
-	}
-	part := float64(min(in.onCores, 1)*in.set.Cores) / float64(max(in.onCores, in.set.Cores))
-	// A timer comes at each poll of the gauges: a longer gap means that the process stood still, and its work with it.
-	in.coreClock += min(now-in.now, 2*pollInterval).Seconds() * part
-	in.callDebt = max(0, in.callDebt+(now-in.now).Seconds()*(float64(in.inHand)-in.set.FairCallShare))
-	in.now = now
-}
-
 // user is the place of the estimate for the request's tenant. Where there are no tenants it goes by callers,
 // whose slice is the rate of ended runs over the live callers.
 func (in *Instance) user(q Request) int {
