--- a/admission/calls.go
+++ b/admission/calls.go
@@ -6,22 +6,22 @@
 
 // CallRequested reports that a running request waits for a decision on a call.
 func (in *Instance) CallRequested(now time.Duration, id RequestID) {
-	in.tick(now)
+	in.advanceClock(now)
 	r := in.byID[id]
-	if r == nil || r.state != running {
+	if r == nil || r.state != stateRunning {
 		return
 	}
-	in.progress = in.coreClock
+	in.progressAt = in.coreClock
 	r.coreTime += in.coreClock - r.partStart
-	r.callAt = now
-	in.setState(r, asking)
+	r.nextCallAt = now
+	in.setState(r, stateCallPending)
 }
 
 // CallFinished reports the outcome of a call.
 func (in *Instance) CallFinished(now time.Duration, id RequestID, o Outcome, took time.Duration) {
-	in.tick(now)
+	in.advanceClock(now)
 	r := in.byID[id]
-	if r == nil || r.state != calling {
+	if r == nil || r.state != stateCalling {
 		return
 	}
 	if o == OK {
@@ -29,63 +29,64 @@
 			in.callTime = took.Seconds()
 		}
 		known := in.expectedCall()
-		in.callTime, in.calledAt = known+(took.Seconds()-known)*learnWeight, now
+		in.callTime, in.callLearnedAt = known+(took.Seconds()-known)*learnWeight, now
 		r.partStart = in.coreClock
-		in.setState(r, running)
+		in.setState(r, stateRunning)
 		return
 	}
 	if o == TimedOut {
-		in.callDebt += in.set.CallLinger.Seconds()
+		in.callDebt += in.settings.CallLinger.Seconds()
 	}
-	in.setState(r, asking)
-	r.calls++
-	if o != Rejected && o != Unreachable && o != NotStarted && in.set.Classes[r.class].Effect != Safe {
-		in.answer(r, DeadlineReached) // the call may have had its effect: never a second one
+	in.setState(r, stateCallPending)
+	r.callFailures++
+	if o != Rejected && o != Unreachable && o != NotStarted && in.settings.Classes[r.class].Effect != Safe {
+		in.rejectOrFail(r, DeadlineReached) // the call may have had its effect: never a second one
 		return
 	}
-	r.callAt = now + time.Duration(r.calls)*pollInterval/2
+	r.nextCallAt = now + time.Duration(r.callFailures)*pollInterval/2
 }
 
 // expectedCall is how long a call takes in seconds.
-func (in *Instance) expectedCall() float64 { return in.faded(in.callTime, in.calledAt) }
+func (in *Instance) expectedCall() float64 { return in.decayLearned(in.callTime, in.callLearnedAt) }
 
-// placeCalls decides on the requests that stand at a call.
-func (in *Instance) placeCalls() {
-	if in.atCall == in.inHand {
+// decideCalls decides on the requests that stand at a call.
+func (in *Instance) decideCalls() {
+	if in.offCore == in.callsInFlight {
 		return
 	}
-	for _, r := range in.all {
-		if r.state == asking && r.callAt <= in.now {
-			in.placeCall(r)
+	for _, r := range in.byArrival {
+		if r.state == stateCallPending && r.nextCallAt <= in.now {
+			in.decideCall(r)
 		}
 	}
 }
 
-// placeCall makes the call, skips it or leaves the request to wait.
-func (in *Instance) placeCall(r *request) {
-	c := in.set.Classes[r.class]
-	rest := seconds(in.runTime(r.class) / 2)
-	left := r.useful - in.now - rest
-	if c.SkippedCallWeight > 0 && (r.calls > 2 || left < seconds(in.expectedCall()/2)) {
-		in.do.SkipCall(r.id)
+// decideCall makes the call, skips it or leaves the request to wait.
+func (in *Instance) decideCall(r *request) {
+	c := in.settings.Classes[r.class]
+	rest := seconds(in.expectedCoreTime(r.class) / 2)
+	left := r.objectiveDeadline - in.now - rest
+	if c.SkippedCallWeight > 0 && (r.callFailures > 2 || left < seconds(in.expectedCall()/2)) {
+		in.actions.SkipCall(r.id)
 		r.partStart = in.coreClock
-		in.setState(r, running)
+		in.setState(r, stateRunning)
 		return
 	}
-	timeout := r.due - in.now
+	timeout := r.deadline - in.now
 	if c.Effect == Safe && left > 0 {
 		// Some calls hang, whatever the cause: enough time is kept to make another.
 		timeout = min(left, max(left/3, seconds(4*in.expectedCall())))
 	}
-	if in.set.Downstream == DependencyShared {
+	if in.settings.Downstream == DependencyShared {
 		// All servers' calls in hand must stay under what the dependency survives on the mean: parts under
 		// one and calls that linger are paid for between calls; no call may outlast the time of the mean.
-		if in.inHand > 0 && float64(in.inHand+1) > in.set.FairCallShare || in.callDebt > 0 {
+		more := float64(in.callsInFlight + 1)
+		if in.callsInFlight > 0 && more > in.settings.FairCallShare || in.callDebt > 0 {
 			return
 		}
-		over := float64(in.set.CallAveragingTime)
-		timeout = min(timeout, time.Duration(over*min(in.set.FairCallShare, 1)/2))
+		over := float64(in.settings.CallAveragingTime)
+		timeout = min(timeout, time.Duration(over*min(in.settings.FairCallShare, 1)/2))
 	}
-	in.do.Call(r.id, max(timeout, in.set.Tick))
-	in.setState(r, calling)
+	in.actions.Call(r.id, max(timeout, in.settings.Tick))
+	in.setState(r, stateCalling)
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// afterGrace tells whether the request came after the grace of a drain.
-func (in *Instance) afterGrace(r *request) bool {
-	return in.draining && r.arrived > in.notice+in.set.DrainGracePeriod
+// isPastDrainGrace tells whether the request came after the grace of a drain.
+func (in *Instance) isPastDrainGrace(r *request) bool {
+	return in.isDraining && r.arrivedAt > in.noticedAt+in.settings.DrainGracePeriod
 }
 
 // Drain reports the notice that the process is stopped after the time.
 func (in *Instance) Drain(now, left time.Duration) {
-	in.tick(now)
-	if in.draining {
+	in.advanceClock(now)
+	if in.isDraining {
 		return
 	}
-	in.draining, in.notice = true, now
-	in.stopAt = now + left - max(2*in.margin(), left/20)
-	for _, r := range in.all {
-		r.due = min(r.due, in.stopAt)
-		r.useful = min(r.useful, r.due)
+	in.isDraining, in.noticedAt = true, now
+	in.stopAt = now + left - max(2*in.answerMargin(), left/20)
+	for _, r := range in.byArrival {
+		r.deadline = min(r.deadline, in.stopAt)
+		r.objectiveDeadline = min(r.objectiveDeadline, r.deadline)
 	}
-	in.nextDue = now
-	in.do.Log(fmt.Sprintf("drain: %d held, %d running", len(in.queue), in.onCores))
+	in.nextDeadline = now
+	in.actions.Log(fmt.Sprintf("drain: %d held, %d running", len(in.queue), in.running))
 }
 
-// leaving tells whether callers should look for another server: only when the grace of a drain nears its end,
-// as what arrives until then is run, and sent away sooner it crowds servers whose successors few know of.
-func (in *Instance) leaving() bool {
-	grace := in.set.DrainGracePeriod
-	return in.draining && in.now+min(2*pollInterval, grace/4) >= in.notice+grace
+// isDrainEnding tells whether callers should look for another server: only when the grace of a drain nears
+// its end, as what arrives until then is run, and sent away sooner it crowds servers whose successors few
+// know of.
+func (in *Instance) isDrainEnding() bool {
+	grace := in.settings.DrainGracePeriod
+	return in.isDraining && in.now+min(2*pollInterval, grace/4) >= in.noticedAt+grace
 }
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -9,183 +9,183 @@
 
 // The figures of the rules that the module is not told.
 const (
-	answerSlack = 80 * ms
-	crowdOver   = 2 * time.Second
+	answerSlack              = 80 * ms
+	concurrencyAveragingTime = 2 * time.Second
 )
 
-// phase is where the host has a request.
-type phase uint8
+// hostPhase is where the host has a request.
+type hostPhase uint8
 
 const (
-	inHold phase = iota
-	atWork
-	atCall
-	outCall
-	awaiting // reuse
-	finished
+	hostQueued hostPhase = iota
+	hostRunning
+	hostCallPending
+	hostCalling
+	hostReplaying // reuse
+	hostFinished
 )
 
-// hosted is the host's own record of one request.
-type hosted struct {
-	q        Request
-	arrived  time.Duration
-	due      time.Duration
-	phase    phase
-	answered bool
-	gone     bool
-	ran      bool
-	root     RequestID // keyed: the first try of the same request
-	unproven bool      // a call of it may have had its effect
+// hostedRequest is the host's own record of one request.
+type hostedRequest struct {
+	request            Request
+	arrivedAt          time.Duration
+	deadline           time.Duration
+	phase              hostPhase
+	isAnswered         bool
+	isCancelled        bool
+	hasRun             bool
+	firstAttempt       RequestID // keyed: the first try of the same request
+	mayHaveTakenEffect bool      // a call of it may have had its effect
 }
 
-// host is the other side of a random test: it carries out actions, checks the four rules from outside and
+// randomHost is the other side of a random test: it carries out actions, checks the four rules from outside and
 // makes up legal events. It models no server: what ends when is drawn at random.
-type host struct {
-	t      *testing.T
-	set    Settings
-	in     *Instance
-	rng    *rand.Rand
-	now    time.Duration
-	wake   []time.Duration
-	all    map[RequestID]*hosted
-	order  []RequestID
-	keys   map[RequestID]time.Duration // entries of the table
-	ranAt  map[RequestID]time.Duration // arrival of the try that ran, by root
-	notice time.Duration
-	stop   time.Duration
-	window []float64 // running requests at the latest steps, for the fourth rule
-	debt   float64
-	counts map[string]int
+type randomHost struct {
+	t              *testing.T
+	settings       Settings
+	module         *Instance
+	rng            *rand.Rand
+	now            time.Duration
+	timers         []time.Duration
+	requests       map[RequestID]*hostedRequest
+	arrivals       []RequestID
+	keys           map[RequestID]time.Duration // entries of the table
+	ranArrivals    map[RequestID]time.Duration // arrival of the try that ran, by root
+	drainNoticeAt  time.Duration
+	stopAt         time.Duration
+	runningSamples []float64 // stateRunning requests at the latest steps, for the fourth rule
+	callDebt       float64
+	actionCounts   map[string]int
 }
 
-func (h *host) get(id RequestID, action string) *hosted {
-	h.counts[action]++
-	r := h.all[id]
+func (h *randomHost) count(id RequestID, action string) *hostedRequest {
+	h.actionCounts[action]++
+	r := h.requests[id]
 	if r == nil {
 		h.t.Fatalf("%v: %s of unknown request %d", h.now, action, id)
 	}
 	return r
 }
 
-func (h *host) run(id RequestID) {
-	r := h.get(id, "run")
-	if r.phase != inHold || r.answered || r.gone {
+func (h *randomHost) run(id RequestID) {
+	r := h.count(id, "run")
+	if r.phase != hostQueued || r.isAnswered || r.isCancelled {
 		h.t.Fatalf("%v: run of %d, which is over or not held", h.now, id)
 	}
-	class := h.set.Classes[r.q.Class]
+	class := h.settings.Classes[r.request.Class]
 	if class.Effect == IdempotentByKey {
-		at, ran := h.ranAt[r.root]
-		if ran && r.arrived < at+class.KeyWindow {
+		at, ran := h.ranArrivals[r.firstAttempt]
+		if ran && r.arrivedAt < at+class.KeyWindow {
 			h.t.Fatalf("%v: %d runs a second time within its window", h.now, id)
 		}
 		if _, kept := h.keys[id]; !kept {
 			h.t.Fatalf("%v: %d runs without its key", h.now, id)
 		}
-		h.ranAt[r.root] = r.arrived
+		h.ranArrivals[r.firstAttempt] = r.arrivedAt
 	}
-	if class.Effect != Safe && r.ran {
+	if class.Effect != Safe && r.hasRun {
 		h.t.Fatalf("%v: %d with an effect runs again", h.now, id)
 	}
-	if h.stop > 0 && r.arrived > h.notice+h.set.DrainGracePeriod {
+	if h.stopAt > 0 && r.arrivedAt > h.drainNoticeAt+h.settings.DrainGracePeriod {
 		h.t.Fatalf("%v: %d arrived after the grace and runs", h.now, id)
 	}
-	r.phase, r.ran = atWork, true
+	r.phase, r.hasRun = hostRunning, true
 }
 
-func (h *host) answer(id RequestID, refused bool) {
-	r := h.get(id, "answer")
-	if r.answered {
+func (h *randomHost) answer(id RequestID, refused bool) {
+	r := h.count(id, "answer")
+	if r.isAnswered {
 		h.t.Fatalf("%v: second answer to %d", h.now, id)
 	}
-	if _, ran := h.ranAt[r.root]; refused && h.set.Classes[r.q.Class].Effect != Safe && (r.ran || ran && r.phase != inHold) {
+	if _, ran := h.ranArrivals[r.firstAttempt]; refused && h.settings.Classes[r.request.Class].Effect != Safe && (r.hasRun || ran && r.phase != hostQueued) {
 		h.t.Fatalf("%v: %d ran and is turned away", h.now, id)
 	}
-	r.answered = true
-	if r.phase == inHold || r.phase == awaiting {
-		r.phase = finished
+	r.isAnswered = true
+	if r.phase == hostQueued || r.phase == hostReplaying {
+		r.phase = hostFinished
 	}
 }
 
-func (h *host) call(id RequestID, timeout time.Duration) {
-	r := h.get(id, "call")
-	if r.phase != atCall {
+func (h *randomHost) call(id RequestID, timeout time.Duration) {
+	r := h.count(id, "call")
+	if r.phase != hostCallPending {
 		return
 	}
-	if r.unproven && h.set.Classes[r.q.Class].Effect != Safe {
+	if r.mayHaveTakenEffect && h.settings.Classes[r.request.Class].Effect != Safe {
 		h.t.Fatalf("%v: call of %d repeated though it may have had its effect", h.now, id)
 	}
 	if timeout <= 0 {
 		h.t.Fatalf("%v: call of %d without a time-out", h.now, id)
 	}
-	r.phase = outCall
+	r.phase = hostCalling
 }
 
-func (h *host) skip(id RequestID) {
-	r := h.get(id, "skip")
-	if h.set.Classes[r.q.Class].SkippedCallWeight == 0 {
+func (h *randomHost) skip(id RequestID) {
+	r := h.count(id, "skip")
+	if h.settings.Classes[r.request.Class].SkippedCallWeight == 0 {
 		h.t.Fatalf("%v: skip of %d is not allowed", h.now, id)
 	}
-	if r.phase == atCall {
-		r.phase = atWork
+	if r.phase == hostCallPending {
+		r.phase = hostRunning
 	}
 }
 
-func (h *host) halt(id RequestID) {
-	r := h.get(id, "halt")
-	if h.set.StopMode == StopNone {
+func (h *randomHost) halt(id RequestID) {
+	r := h.count(id, "halt")
+	if h.settings.StopMode == StopNone {
 		h.t.Fatalf("%v: halt of %d is not allowed", h.now, id)
 	}
-	if r.phase == atWork && (r.answered || r.gone) && h.rng.Intn(4) > 0 { // else the cores stand still
-		r.phase = finished
-		h.later(func() { h.in.RunFinished(h.now, id, Cancelled) })
+	if r.phase == hostRunning && (r.isAnswered || r.isCancelled) && h.rng.Intn(4) > 0 { // else the cores stand still
+		r.phase = hostFinished
+		h.later(func() { h.module.RunFinished(h.now, id, Cancelled) })
 	}
 }
 
-func (h *host) keep(id RequestID, lifetime time.Duration) {
-	h.get(id, "keep")
+func (h *randomHost) keep(id RequestID, lifetime time.Duration) {
+	h.count(id, "keep")
 	h.keys[id] = h.now + lifetime
 }
 
-func (h *host) forget(id RequestID) {
-	r := h.get(id, "forget")
-	if r.ran {
+func (h *randomHost) forget(id RequestID) {
+	r := h.count(id, "forget")
+	if r.hasRun {
 		h.t.Fatalf("%v: the key of %d, which ran, is erased", h.now, id)
 	}
 	delete(h.keys, id)
 }
 
-func (h *host) reuse(id RequestID) {
-	r := h.get(id, "reuse")
-	if r.q.RetryOf == 0 || r.phase != inHold {
+func (h *randomHost) reuse(id RequestID) {
+	r := h.count(id, "reuse")
+	if r.request.RetryOf == 0 || r.phase != hostQueued {
 		h.t.Fatalf("%v: reuse of %d is not allowed", h.now, id)
 	}
-	r.phase = awaiting
+	r.phase = hostReplaying
 }
 
 var pending []func()
 
 // later keeps an event for the next batch.
-func (h *host) later(event func()) { pending = append(pending, event) }
+func (h *randomHost) later(event func()) { pending = append(pending, event) }
 
-// check compares the needs with the limits after the actions of a batch.
-func (h *host) check(step time.Duration) {
-	memory, crowd, calls := 0.0, 0.0, 0.0
-	for _, id := range h.order {
-		r := h.all[id]
+// checkLimits compares the needs with the limits after the actions of a batch.
+func (h *randomHost) checkLimits(step time.Duration) {
+	memory, running, calls := 0.0, 0.0, 0.0
+	for _, id := range h.arrivals {
+		r := h.requests[id]
 		switch r.phase {
-		case inHold, awaiting:
-			memory += r.q.SizeKB
-		case atWork:
-			crowd++
-			memory += r.q.SizeKB * h.set.RunningMemoryFactor
-		case atCall, outCall:
-			memory += r.q.SizeKB * h.set.RunningMemoryFactor
-			if r.phase == outCall {
+		case hostQueued, hostReplaying:
+			memory += r.request.SizeKB
+		case hostRunning:
+			running++
+			memory += r.request.SizeKB * h.settings.RunningMemoryFactor
+		case hostCallPending, hostCalling:
+			memory += r.request.SizeKB * h.settings.RunningMemoryFactor
+			if r.phase == hostCalling {
 				calls++
 			}
 		}
-		if !r.answered && !r.gone && r.phase != finished && h.now > r.due+answerSlack {
-			h.t.Fatalf("%v: %d was due at %v (phase %d)", h.now, id, r.due, r.phase)
+		if !r.isAnswered && !r.isCancelled && r.phase != hostFinished && h.now > r.deadline+answerSlack {
+			h.t.Fatalf("%v: %d was due at %v (phase %d)", h.now, id, r.deadline, r.phase)
 		}
 	}
 	for id, until := range h.keys {
@@ -193,105 +193,105 @@
 			delete(h.keys, id)
 		}
 	}
-	memory += float64(len(h.keys)) * h.set.KeyKB
-	if memory > h.set.MemoryKB {
-		h.t.Fatalf("%v: %.0f KB needed of %.0f", h.now, memory, h.set.MemoryKB)
+	memory += float64(len(h.keys)) * h.settings.KeyKB
+	if memory > h.settings.MemoryKB {
+		h.t.Fatalf("%v: %.0f KB needed of %.0f", h.now, memory, h.settings.MemoryKB)
 	}
-	h.window = append(h.window, crowd)
-	if n := int(crowdOver / step); len(h.window) > n {
-		h.window = h.window[len(h.window)-n:]
+	h.runningSamples = append(h.runningSamples, running)
+	if n := int(concurrencyAveragingTime / step); len(h.runningSamples) > n {
+		h.runningSamples = h.runningSamples[len(h.runningSamples)-n:]
 		sum := 0.0
-		for _, c := range h.window {
+		for _, c := range h.runningSamples {
 			sum += c
 		}
 		share := 1.0
-		if h.set.WarmingUp {
-			share = min(1, h.set.InitialCapacity+(1-h.set.InitialCapacity)*float64(h.now)/float64(h.set.WarmUpTime))
+		if h.settings.WarmingUp {
+			share = min(1, h.settings.InitialCapacity+(1-h.settings.InitialCapacity)*float64(h.now)/float64(h.settings.WarmUpTime))
 		}
-		if limit := float64(h.set.Cores) * (1 + (h.set.MaxConcurrencyFactor-1)*share); sum/float64(n) > limit {
+		if limit := float64(h.settings.Cores) * (1 + (h.settings.MaxConcurrencyFactor-1)*share); sum/float64(n) > limit {
 			h.t.Fatalf("%v: %.1f on the cores on the mean, %.1f survive", h.now, sum/float64(n), limit)
 		}
 	}
-	if h.set.Downstream == DependencyShared {
-		h.debt += (calls - max(h.set.FairCallShare, 0)) * step.Seconds()
-		h.debt = max(h.debt, 0)
-		if h.debt > h.set.CallAveragingTime.Seconds()*max(1, h.set.FairCallShare) {
+	if h.settings.Downstream == DependencyShared {
+		h.callDebt += (calls - max(h.settings.FairCallShare, 0)) * step.Seconds()
+		h.callDebt = max(h.callDebt, 0)
+		if h.callDebt > h.settings.CallAveragingTime.Seconds()*max(1, h.settings.FairCallShare) {
 			h.t.Fatalf("%v: calls in hand run far over this server's part", h.now)
 		}
 	}
 }
 
 // arrive makes up one request, at times a further try of an earlier keyed one.
-func (h *host) arrive(id RequestID) {
-	q := Request{ID: id, Class: h.rng.Intn(len(h.set.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
+func (h *randomHost) arrive(id RequestID) {
+	q := Request{ID: id, Class: h.rng.Intn(len(h.settings.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
 		SizeKB: 10 + 50*h.rng.Float64(), RemainingTime: time.Duration(50+h.rng.Intn(6000)) * ms, IsRetry: h.rng.Intn(4) == 0,
 		QueueingDelay: time.Duration(h.rng.Intn(40)) * ms}
 	if h.rng.Intn(50) == 0 {
 		q.Tenant, q.RemainingTime, q.SizeKB = -1, 0, 0
 	}
-	r := &hosted{arrived: h.now - q.QueueingDelay, root: id}
-	if h.set.Classes[q.Class].Effect == IdempotentByKey && h.rng.Intn(2) == 0 {
-		for tries := 0; tries < 30 && len(h.order) > 0; tries++ {
-			old := h.order[h.rng.Intn(len(h.order))]
-			o := h.all[old]
-			if o.q.Class != q.Class {
+	r := &hostedRequest{arrivedAt: h.now - q.QueueingDelay, firstAttempt: id}
+	if h.settings.Classes[q.Class].Effect == IdempotentByKey && h.rng.Intn(2) == 0 {
+		for tries := 0; tries < 30 && len(h.arrivals) > 0; tries++ {
+			originalID := h.arrivals[h.rng.Intn(len(h.arrivals))]
+			original := h.requests[originalID]
+			if original.request.Class != q.Class {
 				continue
 			}
-			until, kept := h.keys[old]
-			if kept && r.arrived < until && (o.ran || o.phase == inHold) {
-				q.RetryOf, r.root = old, o.root
+			until, kept := h.keys[originalID]
+			if kept && r.arrivedAt < until && (original.hasRun || original.phase == hostQueued) {
+				q.RetryOf, r.firstAttempt = originalID, original.firstAttempt
 				break
 			}
 		}
 	}
-	r.q = q
-	r.due = h.now + q.RemainingTime
+	r.request = q
+	r.deadline = h.now + q.RemainingTime
 	if q.RemainingTime == 0 {
-		r.due = max(r.arrived+h.set.Classes[q.Class].Deadline, h.now)
+		r.deadline = max(r.arrivedAt+h.settings.Classes[q.Class].Deadline, h.now)
 	}
-	h.all[id] = r
-	h.order = append(h.order, id)
-	h.in.Request(h.now, q)
+	h.requests[id] = r
+	h.arrivals = append(h.arrivals, id)
+	h.module.Request(h.now, q)
 }
 
 // step makes up what happens to one request.
-func (h *host) step(id RequestID, hung bool) {
-	r := h.all[id]
-	over := r.answered || r.gone
+func (h *randomHost) step(id RequestID, isHung bool) {
+	r := h.requests[id]
+	isOver := r.isAnswered || r.isCancelled
 	switch {
-	case r.phase == finished:
+	case r.phase == hostFinished:
 		if h.rng.Intn(200) == 0 { // late news of what is over
-			h.in.Cancel(h.now, id)
+			h.module.Cancel(h.now, id)
 		}
-	case !over && h.rng.Intn(400) == 0:
-		r.gone = true
-		if r.phase == inHold || r.phase == awaiting {
-			r.phase = finished
+	case !isOver && h.rng.Intn(400) == 0:
+		r.isCancelled = true
+		if r.phase == hostQueued || r.phase == hostReplaying {
+			r.phase = hostFinished
 		}
-		h.in.Cancel(h.now, id)
-	case (r.phase == atCall || r.phase == outCall) && over:
-		r.phase = finished
-		h.in.RunFinished(h.now, id, Cancelled)
-	case r.phase == atWork && !hung && h.rng.Intn(40) == 0:
-		if !over && h.set.Downstream != DependencyNone && h.rng.Intn(2) == 0 {
-			r.phase = atCall
-			h.in.CallRequested(h.now, id)
+		h.module.Cancel(h.now, id)
+	case (r.phase == hostCallPending || r.phase == hostCalling) && isOver:
+		r.phase = hostFinished
+		h.module.RunFinished(h.now, id, Cancelled)
+	case r.phase == hostRunning && !isHung && h.rng.Intn(40) == 0:
+		if !isOver && h.settings.Downstream != DependencyNone && h.rng.Intn(2) == 0 {
+			r.phase = hostCallPending
+			h.module.CallRequested(h.now, id)
 			return
 		}
-		r.phase, r.answered = finished, true
-		h.in.RunFinished(h.now, id, []Outcome{OK, OK, OK, Failed}[h.rng.Intn(4)])
-	case r.phase == outCall && h.rng.Intn(30) == 0:
-		o := Outcome(h.rng.Intn(6))
-		if o == OK {
-			r.phase = atWork
+		r.phase, r.isAnswered = hostFinished, true
+		h.module.RunFinished(h.now, id, []Outcome{OK, OK, OK, Failed}[h.rng.Intn(4)])
+	case r.phase == hostCalling && h.rng.Intn(30) == 0:
+		outcome := Outcome(h.rng.Intn(6))
+		if outcome == OK {
+			r.phase = hostRunning
 		} else {
-			r.phase = atCall
-			r.unproven = r.unproven || o == Failed || o == TimedOut || o == Reset
+			r.phase = hostCallPending
+			r.mayHaveTakenEffect = r.mayHaveTakenEffect || outcome == Failed || outcome == TimedOut || outcome == Reset
 		}
-		h.in.CallFinished(h.now, id, o, 20*ms)
-	case r.phase == awaiting && h.all[r.q.RetryOf].phase == finished:
-		r.phase, r.answered = finished, true
-		h.in.RunFinished(h.now, id, OK)
+		h.module.CallFinished(h.now, id, outcome, 20*ms)
+	case r.phase == hostReplaying && h.requests[r.request.RetryOf].phase == hostFinished:
+		r.phase, r.isAnswered = hostFinished, true
+		h.module.RunFinished(h.now, id, OK)
 	}
 }
 
@@ -299,77 +299,77 @@
 	for _, mode := range []StopMode{StopNone, StopDiscard, StopPause} {
 		for _, below := range []Dependency{DependencyNone, DependencyShared, DependencyTier} {
 			for seed := int64(1); seed <= 3; seed++ {
-				t.Run(fmt.Sprint(mode, below, seed), func(t *testing.T) { randomDay(t, mode, below, seed) })
+				t.Run(fmt.Sprint(mode, below, seed), func(t *testing.T) { runRandomEvents(t, mode, below, seed) })
 			}
 		}
 	}
 }
 
-func randomDay(t *testing.T, mode StopMode, below Dependency, seed int64) {
+func runRandomEvents(t *testing.T, mode StopMode, below Dependency, seed int64) {
 	const tick = 5 * ms
-	set := testSettings()
-	set.StopMode, set.Downstream, set.WarmingUp, set.FairCallShare, set.CallAveragingTime = mode, below, seed%2 == 1, 0.6, 4*time.Second
-	set.MemoryKB, set.KeyKB = []float64{1600, 6000}[seed%2], 10
-	h := &host{t: t, set: set, rng: rand.New(rand.NewSource(seed)), all: map[RequestID]*hosted{},
-		keys: map[RequestID]time.Duration{}, ranAt: map[RequestID]time.Duration{}, counts: map[string]int{}}
+	settings := testSettings()
+	settings.StopMode, settings.Downstream, settings.WarmingUp, settings.FairCallShare, settings.CallAveragingTime = mode, below, seed%2 == 1, 0.6, 4*time.Second
+	settings.MemoryKB, settings.KeyKB = []float64{1600, 6000}[seed%2], 10
+	h := &randomHost{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), requests: map[RequestID]*hostedRequest{},
+		keys: map[RequestID]time.Duration{}, ranArrivals: map[RequestID]time.Duration{}, actionCounts: map[string]int{}}
 	pending = nil
 	var err error
-	if h.in, err = New(set, &recorder{host: h}); err != nil {
+	if h.module, err = New(settings, &recorder{host: h}); err != nil {
 		t.Fatal(err)
 	}
 	next := RequestID(1)
 	for i := 0; i < 4000; i++ {
 		h.now = time.Duration(i) * tick
-		hung := i%1500 > 1200
-		due := pending
+		isHung := i%1500 > 1200
+		events := pending
 		pending = nil
-		for _, event := range due {
+		for _, event := range events {
 			event()
 		}
-		for j := 0; j < len(h.wake); j++ {
-			if h.wake[j] <= h.now {
-				h.wake = append(h.wake[:j], h.wake[j+1:]...)
-				h.in.Timer(h.now, 0, Gauges{Utilization: h.rng.Float64() + 0.3, Runnable: -1})
+		for j := 0; j < len(h.timers); j++ {
+			if h.timers[j] <= h.now {
+				h.timers = append(h.timers[:j], h.timers[j+1:]...)
+				h.module.Timer(h.now, 0, Gauges{Utilization: h.rng.Float64() + 0.3, Runnable: -1})
 				j--
 			}
 		}
-		for n := len(h.order); n > 0; n-- {
-			h.step(h.order[n-1], hung)
+		for n := len(h.arrivals); n > 0; n-- {
+			h.step(h.arrivals[n-1], isHung)
 		}
 		for n := h.rng.Intn(3) * h.rng.Intn(2); n > 0; n-- {
 			h.arrive(next)
 			next++
 		}
 		if i == 3100 {
-			h.notice, h.stop = h.now, h.now+4*time.Second
-			h.in.Drain(h.now, 4*time.Second)
+			h.drainNoticeAt, h.stopAt = h.now, h.now+4*time.Second
+			h.module.Drain(h.now, 4*time.Second)
 		}
-		h.in.Settle(h.now)
-		h.check(tick)
-		if h.stop > 0 && h.now >= h.stop {
+		h.module.Settle(h.now)
+		h.checkLimits(tick)
+		if h.stopAt > 0 && h.now >= h.stopAt {
 			break
 		}
 		if i%200 == 0 { // forget what is long over
-			kept := h.order[:0]
-			for _, id := range h.order {
-				if _, key := h.keys[id]; key || h.all[id].phase != finished || h.now < h.all[id].due+time.Second {
+			kept := h.arrivals[:0]
+			for _, id := range h.arrivals {
+				if _, key := h.keys[id]; key || h.requests[id].phase != hostFinished || h.now < h.requests[id].deadline+time.Second {
 					kept = append(kept, id)
 				}
 			}
-			h.order = kept
+			h.arrivals = kept
 		}
 	}
-	for _, id := range h.order {
-		if r := h.all[id]; !r.answered && !r.gone {
+	for _, id := range h.arrivals {
+		if r := h.requests[id]; !r.isAnswered && !r.isCancelled {
 			t.Fatalf("%d read before the stop was not answered", id)
 		}
 	}
 	for _, action := range []string{"run", "answer", "keep", "forget", "reuse"} {
-		if h.counts[action] == 0 {
+		if h.actionCounts[action] == 0 {
 			t.Errorf("no %s in the whole run: it tests too little", action)
 		}
 	}
-	if below != DependencyNone && h.counts["call"] == 0 {
+	if below != DependencyNone && h.actionCounts["call"] == 0 {
 		t.Error("no call in the whole run")
 	}
 }
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -48,7 +48,7 @@
 	Queued           int               `json:"held"`
 	Running          int               `json:"running"`
 	Calling          int               `json:"at_call"`
-	ConcurrencyLimit float64           `json:"limit"`     // running requests wanted
+	ConcurrencyLimit float64           `json:"limit"`     // stateRunning requests wanted
 	MaxConcurrency   float64           `json:"crowd"`     // most running requests that are allowed, by what the server survives
 	MemoryKB         float64           `json:"memory_kb"` // needed now
 	MaxMemoryKB      float64           `json:"most_kb"`   // that may be needed
@@ -62,7 +62,7 @@
 	RetryStorm       bool              `json:"stormy"`  // most arrivals are tries made again, or arrivals lie unread
 	RetryShare       float64           `json:"retries"` // part of the latest arrivals
 	ReadDelay        time.Duration     `json:"unread"`  // that arrivals lately waited to be read
-	HalfLife         time.Duration     `json:"half"`    // in which an arrival halves in the estimates
+	HalfLife         time.Duration     `json:"half"`    // module which an arrival halves in the estimates
 	TrafficWeight    float64           `json:"weight"`  // part of the usual traffic that is wanted
 	Classes          []ClassInspection `json:"classes"`
 }
@@ -81,13 +81,13 @@
 
 // Inspect returns what the Instance knows.
 func (in *Instance) Inspect() Inspection {
-	i := Inspection{Now: in.now, Queued: len(in.queue), Running: in.onCores, Calling: in.atCall, ConcurrencyLimit: in.concurrencyLimit, MaxConcurrency: in.maxConcurrency(),
-		MemoryKB: in.memory(), MaxMemoryKB: in.set.MemoryKB * memoryMargin, Keys: in.keyCount, Utilization: in.busy, Runnable: in.runnable,
-		Saturated: in.full(), Overloaded: in.overloaded(), Stalled: in.stalled, Draining: in.draining, RetryStorm: in.retryStorm(),
-		RetryShare: in.retries, ReadDelay: seconds(in.readDelay), HalfLife: in.longestAim, TrafficWeight: in.weight}
+	i := Inspection{Now: in.now, Queued: len(in.queue), Running: in.running, Calling: in.offCore, ConcurrencyLimit: in.concurrencyLimit, MaxConcurrency: in.maxConcurrency(),
+		MemoryKB: in.memoryKB(), MaxMemoryKB: in.settings.MemoryKB * usableMemory, Keys: in.keyCount, Utilization: in.utilization, Runnable: in.runnable,
+		Saturated: in.isSaturated(), Overloaded: in.isOverloaded(), Stalled: in.isStalled, Draining: in.isDraining, RetryStorm: in.isRetryStorm(),
+		RetryShare: in.retryShare, ReadDelay: seconds(in.readDelay), HalfLife: in.longestObjective, TrafficWeight: in.trafficWeight}
 	for _, c := range in.classes {
-		i.Classes = append(i.Classes, ClassInspection{CoreTime: seconds(c.run), WallTime: seconds(c.wall), Samples: c.runs, QueuedWithinQuota: c.held[0], QueuedOverQuota: c.held[1],
-			Starved: c.starved, Rejections: c.rejections})
+		i.Classes = append(i.Classes, ClassInspection{CoreTime: seconds(c.coreTime), WallTime: seconds(c.wallTime), Samples: c.samples, QueuedWithinQuota: c.queued[0], QueuedOverQuota: c.queued[1],
+			Starved: c.isStarved, Rejections: c.rejections})
 	}
 	return i
 }
@@ -102,11 +102,11 @@
 	Threshold         float64       `json:"threshold"`  // of the rate at a full aim of predicted wait; 0 = none
 	RateRatio         float64       `json:"excess"`     // rate over threshold
 	PredictedWait     time.Duration `json:"wait"`       // predicted
-	Slack             time.Duration `json:"spare"`      // longest wait after which it would meet its aim
+	Slack             time.Duration `json:"spare"`      // longestRun wait after which it would meet its aim
 	ObjectiveDeadline time.Duration `json:"useful"`     // when an answer stops earning its full worth
 	Deadline          time.Duration `json:"due"`        // when its answer must be out
 	RetryAfter        time.Duration `json:"stay_away"`  // the advice of a refusal
-	QueuedAhead       []RequestID   `json:"held_ahead"` // in the queue before it
+	QueuedAhead       []RequestID   `json:"held_ahead"` // module the queue before it
 	Running           []RequestID   `json:"on_cores"`   // running
 }
 
@@ -116,20 +116,20 @@
 	if err != nil || c.byID[q.ID] != nil {
 		return AdmissionCheck{}
 	}
-	c.tick(now)
-	user := c.user(q)
-	w := AdmissionCheck{LastArrival: c.senders[user].last, QueuedAhead: c.order(), Running: c.inState(running)}
-	r := c.read(q)
-	w.ImpulseSize, w.Rate = c.senders[user].n, c.senders[user].rate(c.now, c.lambda)
-	w.RateRatio = r.excess
-	if r.excess > 0 {
-		w.Threshold = w.Rate / r.excess
+	c.advanceClock(now)
+	user := c.senderIndex(q)
+	w := AdmissionCheck{LastArrival: c.senders[user].updatedAt, QueuedAhead: c.runOrder(), Running: c.inState(stateRunning)}
+	r := c.register(q)
+	w.ImpulseSize, w.Rate = c.senders[user].impulse, c.senders[user].rate(c.now, c.decay)
+	w.RateRatio = r.rateRatio
+	if r.rateRatio > 0 {
+		w.Threshold = w.Rate / r.rateRatio
 	}
-	w.PredictedWait, w.Slack, w.ObjectiveDeadline, w.Deadline = seconds(c.predictedWait(r)), seconds(c.slack(r)), r.useful, r.due
-	if w.Coalesced = c.repeated(r, q); !w.Coalesced {
-		w.Reason = c.rejection(r)
+	w.PredictedWait, w.Slack, w.ObjectiveDeadline, w.Deadline = seconds(c.predictedWait(r)), seconds(c.slack(r)), r.objectiveDeadline, r.deadline
+	if w.Coalesced = c.isCoalesced(r, q); !w.Coalesced {
+		w.Reason = c.checkArrival(r)
 	}
-	w.RetryAfter = c.backOff(r)
+	w.RetryAfter = c.retryAfter(r)
 	return w
 }
 
@@ -147,9 +147,9 @@
 }
 
 // phases are the words for where a request is.
-var phases = [...]string{held: "held", follows: "waits for the held one that it repeats",
-	echoing: "waits for the answer of the one that it repeats", running: "running", asking: "waits for a decision on its call",
-	calling: "its call is out", ended: "answered while its work goes on", over: "over"}
+var phases = [...]string{stateQueued: "held", stateFollowing: "waits for the held one that it repeats",
+	stateReplaying: "waits for the answer of the one that it repeats", stateRunning: "running", stateCallPending: "waits for a decision on its call",
+	stateCalling: "its call is out", stateAbandoned: "answered while its work goes on", stateFinished: "over"}
 
 // InspectRequest tells how a known request looks now, and false for one that is not known. It leaves the Instance as it is.
 func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
@@ -157,19 +157,19 @@
 	if err != nil || c.byID[id] == nil {
 		return QueueDecision{}, false
 	}
-	c.tick(now)
+	c.advanceClock(now)
 	r := c.byID[id]
-	j := QueueDecision{Phase: phases[r.state], Arrived: r.arrived, ObjectiveDeadline: r.useful, Deadline: r.due, ExpectedRunTime: c.ownTime(r),
-		RateRatio: r.excess, Running: c.inState(running)}
+	j := QueueDecision{Phase: phases[r.state], Arrived: r.arrivedAt, ObjectiveDeadline: r.objectiveDeadline, Deadline: r.deadline, ExpectedRunTime: c.expectedRunTime(r),
+		RateRatio: r.rateRatio, Running: c.inState(stateRunning)}
 	switch {
-	case c.stalled:
+	case c.isStalled:
 		j.Reason = Stalled
-	case r.due <= c.now+c.margin():
+	case r.deadline <= c.now+c.answerMargin():
 		j.Reason = DeadlineReached
-	case r.state == held:
-		j.Reason = c.uselessReason(r)
+	case r.state == stateQueued:
+		j.Reason = c.checkQueued(r)
 	}
-	for _, ahead := range c.order() {
+	for _, ahead := range c.runOrder() {
 		if ahead == id {
 			break
 		}
@@ -179,13 +179,15 @@
 }
 
 // Queue is the held requests in the order in which they would be run now, and those that run.
-func (in *Instance) Queue() (held, onCores []RequestID) { return in.order(), in.inState(running) }
+func (in *Instance) Queue() (held, onCores []RequestID) {
+	return in.runOrder(), in.inState(stateRunning)
+}
 
 // clone returns an Instance in the same state whose actions nobody hears of.
 func (in *Instance) clone() (*Instance, error) { return Restore(in.Snapshot(nil), NoActions{}) }
 
-// order is the held requests in the order in which they would be run now. It leaves the queue as it is.
-func (in *Instance) order() []RequestID {
+// runOrder is the held requests in the order in which they would be run now. It leaves the queue as it is.
+func (in *Instance) runOrder() []RequestID {
 	kept := append([]*request(nil), in.queue...)
 	var ids []RequestID
 	for len(in.queue) > 0 {
@@ -203,9 +205,9 @@
 }
 
 // inState is the requests in a state, in the order of arrival.
-func (in *Instance) inState(s state) []RequestID {
+func (in *Instance) inState(s requestState) []RequestID {
 	var ids []RequestID
-	for _, r := range in.all {
+	for _, r := range in.byArrival {
 		if r.state == s {
 			ids = append(ids, r.id)
 		}
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -32,7 +32,7 @@
 
 // The stop modes.
 const (
-	StopNone    StopMode = iota // running work cannot be stopped
+	StopNone    StopMode = iota // stateRunning work cannot be stopped
 	StopDiscard                 // the work done is lost; the request is held again
 	StopPause                   // the work keeps its progress and memory until it is run again
 )
@@ -80,19 +80,19 @@
 	Servers         int           // servers of this tier listed at the start
 	Callers         int           // balancers that send to this tier
 	Cores           int           // cores of this server
-	IndependentRuns bool          // runs do not share the cores: how long one takes tells nothing of another
+	IndependentRuns bool          // samples do not share the cores: how long one takes tells nothing of another
 	Tick            time.Duration // shortest time between two groups of events
 	Classes         []Class       // what may be asked for, by index
 	Tenants         []Tenant      // who may ask, by index; may be empty
 
 	WarmingUp       bool          // the process has just started and is slow
 	InitialCapacity float64       // least share of full speed of a process at its start
-	WarmUpTime      time.Duration // longest time until it is at full speed
+	WarmUpTime      time.Duration // longestRun time until it is at full speed
 
-	MemoryKB             float64       // memory of this server
-	KeyKB                float64       // memory of one remembered key
-	RunningMemoryFactor  float64       // memory of a running request over that of a held one
-	MaxConcurrencyFactor float64       // running requests a core that a warm server survives
+	MemoryKB             float64       // memoryKB of this server
+	KeyKB                float64       // memoryKB of one remembered key
+	RunningMemoryFactor  float64       // memoryKB of a running request over that of a held one
+	MaxConcurrencyFactor float64       // stateRunning requests a core that a warm server survives
 	DrainGracePeriod     time.Duration // arrivals later than this after the notice must not run
 
 	StopMode          StopMode      // what Halt does
@@ -101,7 +101,7 @@
 	CallAveragingTime time.Duration // DependencyShared: time over which those are averaged
 	CallLinger        time.Duration // how long an abandoned call may stay in the dependency's hands
 	Feedback          Feedback      // meaning of Say
-	MaxRetryAfter     time.Duration // longest advice to stay away that is honoured; 0 = none is
+	MaxRetryAfter     time.Duration // longestRun advice to stay away that is honoured; 0 = none is
 	ResultFreshness   time.Duration // how long the answer to a safe read may serve others
 	HasDeadlines      bool          // requests state how long their caller waits
 	CallerIdleTimeout time.Duration // how long callers keep an idle connection; 0 = not told
@@ -118,13 +118,13 @@
 	RemainingTime time.Duration `json:"Budget"`  // how long its caller still waits, where Settings.Deadlines
 	IsRetry       bool          `json:"Retry"`   // marked as a further try
 	RetryOf       RequestID     `json:"Repeats"` // an earlier request whose result may answer this one; 0 = none
-	SizeKB        float64       // memory while held
+	SizeKB        float64       // memoryKB while held
 	Work          time.Duration // expected work on a standard core; 0 = not told
 }
 
 // Gauges are the server's own readings, which come with each Timer. A reading the host lacks is negative.
 type Gauges struct {
-	Utilization float64 `json:"Busy"` // busy part of the cores, 0 to 1, over the last half second
+	Utilization float64 `json:"Busy"` // utilization part of the cores, 0 to 1, over the last half second
 	Runnable    float64 // what wants a core now: runs, reading, checks and new connections
 }
 
--- a/admission/learned.go
+++ b/admission/learned.go
@@ -22,7 +22,7 @@
 func (in *Instance) ExportRunTimes() RunTimeEstimates {
 	l := RunTimeEstimates{Classes: make([]ClassRunTime, len(in.classes))}
 	for i, c := range in.classes {
-		l.Classes[i] = ClassRunTime{CoreTime: seconds(c.run), WallTime: seconds(c.wall), Samples: c.runs}
+		l.Classes[i] = ClassRunTime{CoreTime: seconds(c.coreTime), WallTime: seconds(c.wallTime), Samples: c.samples}
 	}
 	return l
 }
@@ -32,8 +32,8 @@
 func (in *Instance) ImportRunTimes(l RunTimeEstimates) {
 	for i := range min(len(l.Classes), len(in.classes)) {
 		c, from := &in.classes[i], l.Classes[i]
-		if c.runs == 0 && from.CoreTime > 0 && from.Samples > 0 {
-			c.run, c.wall, c.runs = from.CoreTime.Seconds(), from.WallTime.Seconds(), from.Samples
+		if c.samples == 0 && from.CoreTime > 0 && from.Samples > 0 {
+			c.coreTime, c.wallTime, c.samples = from.CoreTime.Seconds(), from.WallTime.Seconds(), from.Samples
 		}
 	}
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -9,80 +9,84 @@
 )
 
 const (
-	// busyFull and busyRoom: from the first the cores read full by the gauge, under the second there is room.
-	// The gauge averages half a second: higher values need so many runs that they slow each other.
-	busyFull, busyRoom = 0.92, 0.88
+	// saturatedUtilization and spareUtilization: from the first the cores read full by the gauge, under the
+	// second there is room. The gauge averages half a second: higher values need so many runs that they
+	// slow each other.
+	saturatedUtilization, spareUtilization = 0.92, 0.88
 	// concurrencyMargin is the part that is used of the running requests that a server survives. The rest
 	// covers calls that all return at once.
 	concurrencyMargin = 0.75
 	// stallRuns is how many expected ends of runs must be missing before the work counts as stalled. Fewer
 	// are mostly a slow server or a bunch of ends, and a false stall throws work away.
 	stallRuns = 60.0
-	// stallOver is for how many of the longest run of late nothing ends in a stall where runs do not share
-	// the cores, and stallLate how long that run counts, by half: many long runs may stand behind short ones.
-	stallOver, stallLate = 3.0, 30 * time.Second
+	// stallLongestRuns is for how many of the longest run of late nothing ends in a stall where runs do not
+	// share the cores, and longestRunHalfLife how long that run counts, by half: many long runs may stand
+	// behind short ones.
+	stallLongestRuns, longestRunHalfLife = 3.0, 30 * time.Second
 )
 
-// full tells whether the cores read fully busy. The gauge of what wants a core now decides where it is told:
-// the other averages half a second, in which short runs leave idle cores for a queue that is late as a whole.
-func (in *Instance) full() bool {
+// isSaturated tells whether the cores read fully busy. The gauge of what wants a core now decides where it
+// is told: the other averages half a second, in which short runs leave idle cores for a queue that is late
+// as a whole.
+func (in *Instance) isSaturated() bool {
 	if in.runnable >= 0 {
-		return in.runnable >= float64(in.set.Cores)
+		return in.runnable >= float64(in.settings.Cores)
 	}
-	return in.busy >= busyFull
+	return in.utilization >= saturatedUtilization
 }
 
-// overloaded is the sign under which arrivals are refused: work is held and the cores read full.
-func (in *Instance) overloaded() bool { return len(in.queue) > 0 && in.full() }
+// isOverloaded is the sign under which arrivals are refused: work is held and the cores read full.
+func (in *Instance) isOverloaded() bool { return len(in.queue) > 0 && in.isSaturated() }
 
-// adjustLimit moves the running limit by the core gauge.
-func (in *Instance) adjustLimit() {
+// adjustConcurrencyLimit moves the running limit by the core gauge.
+func (in *Instance) adjustConcurrencyLimit() {
 	switch {
-	case !in.full() && (in.runnable >= 0 || in.busy < busyRoom) && len(in.queue) > 0:
-		in.concurrencyLimit += float64(in.set.Cores) / 8
-	case in.full():
-		in.concurrencyLimit -= float64(in.set.Cores) / 2
+	case !in.isSaturated() && (in.runnable >= 0 || in.utilization < spareUtilization) && len(in.queue) > 0:
+		in.concurrencyLimit += float64(in.settings.Cores) / 8
+	case in.isSaturated():
+		in.concurrencyLimit -= float64(in.settings.Cores) / 2
 	}
-	in.concurrencyLimit = min(max(in.concurrencyLimit, float64(in.set.Cores)), max(in.maxConcurrency(), 1))
+	least, most := float64(in.settings.Cores), max(in.maxConcurrency(), 1)
+	in.concurrencyLimit = min(max(in.concurrencyLimit, least), most)
 }
 
 // maxConcurrency is how many running requests this server may have, assuming the slowest allowed warm-up.
 func (in *Instance) maxConcurrency() float64 {
 	share := 1.0
-	if in.set.WarmingUp && in.set.WarmUpTime > 0 {
-		age := float64(in.now-in.start) / float64(in.set.WarmUpTime)
-		share = min(1, in.set.InitialCapacity+(1-in.set.InitialCapacity)*age)
+	if in.settings.WarmingUp && in.settings.WarmUpTime > 0 {
+		age := float64(in.now-in.startedAt) / float64(in.settings.WarmUpTime)
+		share = min(1, in.settings.InitialCapacity+(1-in.settings.InitialCapacity)*age)
 	}
-	return float64(in.set.Cores) * (1 + (in.set.MaxConcurrencyFactor-1)*share) * concurrencyMargin
+	return float64(in.settings.Cores) * (1 + (in.settings.MaxConcurrencyFactor-1)*share) * concurrencyMargin
 }
 
-// watchStall finds work that no longer ends, whatever the cause.
-func (in *Instance) watchStall() {
+// detectStall finds work that no longer ends, whatever the cause.
+func (in *Instance) detectStall() {
 	mean, runs := 0.0, 0
 	for class := range in.classes {
-		mean, runs = max(mean, in.runTime(class)), runs+in.classes[class].runs
+		mean, runs = max(mean, in.expectedCoreTime(class)), runs+in.classes[class].samples
 	}
 	// The first runs to end are the shortest: until each core has ended a few, their mean proves nothing.
-	if in.onCores == 0 || runs < 3*in.set.Cores {
-		in.progress = in.coreClock
+	if in.running == 0 || runs < 3*in.settings.Cores {
+		in.progressAt = in.coreClock
 	}
-	stalled := (in.coreClock-in.progress)*float64(in.onCores) > stallRuns*mean
-	if in.set.IndependentRuns {
-		in.longest *= math.Exp2(-pollInterval.Seconds() / stallLate.Seconds())
-		stalled = in.coreClock-in.progress > stallOver*in.longest
+	stalled := (in.coreClock-in.progressAt)*float64(in.running) > stallRuns*mean
+	if in.settings.IndependentRuns {
+		in.longestRun *= math.Exp2(-pollInterval.Seconds() / longestRunHalfLife.Seconds())
+		stalled = in.coreClock-in.progressAt > stallLongestRuns*in.longestRun
 	}
-	if stalled == in.stalled {
+	if stalled == in.isStalled {
 		return
 	}
-	in.stalled = stalled
+	in.isStalled = stalled
 	if !stalled {
-		in.do.Log("stall: work ends again")
+		in.actions.Log("stall: work ends again")
 		return
 	}
-	in.do.Log(fmt.Sprintf("stall: nothing ended in %d runs", in.onCores))
-	for _, r := range in.all {
-		if r.state == held || r.state == running && in.set.Classes[r.class].Effect == Safe {
-			in.answer(r, Stalled)
+	in.actions.Log(fmt.Sprintf("stall: nothing ended in %d runs", in.running))
+	for _, r := range in.byArrival {
+		if r.state == stateQueued || r.state == stateRunning && in.settings.Classes[r.class].Effect == Safe {
+			in.rejectOrFail(r, Stalled)
 		}
 	}
 }
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -11,7 +11,7 @@
 // recorder keeps the actions as lines and, where a host is attached, carries them out.
 type recorder struct {
 	lines []string
-	host  *host
+	host  *randomHost
 }
 
 func (r *recorder) add(format string, args ...any) {
@@ -87,7 +87,7 @@
 func (r *recorder) SetTimer(wait time.Duration, _ uint32) {
 	r.add("after %v", wait)
 	if r.host != nil {
-		r.host.wake = append(r.host.wake, r.host.now+wait)
+		r.host.timers = append(r.host.timers, r.host.now+wait)
 	}
 }
 func (r *recorder) Log(line string) { r.add("log %s", line) }
@@ -120,7 +120,7 @@
 		MaxRetryAfter: time.Second, HasDeadlines: true}
 }
 
-func start(t *testing.T, s Settings) (*Instance, *recorder) {
+func newTestInstance(t *testing.T, s Settings) (*Instance, *recorder) {
 	t.Helper()
 	rec := &recorder{}
 	in, err := New(s, rec)
@@ -134,11 +134,11 @@
 
 const ms = time.Millisecond
 
-func ask(id RequestID, class int) Request {
+func testRequest(id RequestID, class int) Request {
 	return Request{ID: id, Class: class, SizeKB: 30, RemainingTime: 6 * time.Second}
 }
 
-func expect(t *testing.T, rec *recorder, words string, want ...string) {
+func expectActions(t *testing.T, rec *recorder, words string, want ...string) {
 	t.Helper()
 	got := rec.take(strings.Fields(words)...)
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -146,10 +146,10 @@
 	}
 }
 
-// fill runs as many requests of the class as may run, from id 1000 on, and returns their number.
-func fill(in *Instance, rec *recorder, now time.Duration, class int) int {
+// fillCores runs as many requests of the class as may run, from id 1000 on, and returns their number.
+func fillCores(in *Instance, rec *recorder, now time.Duration, class int) int {
 	for i := 0; ; i++ {
-		in.Request(now, ask(RequestID(1000+i), class))
+		in.Request(now, testRequest(RequestID(1000+i), class))
 		in.Settle(now)
 		if len(rec.take("run")) == 0 {
 			in.Cancel(now, RequestID(1000+i))
@@ -160,12 +160,12 @@
 }
 
 func TestEstimateByHand(t *testing.T) {
-	var e estimate
+	var e rateEstimate
 	// λ = ln 2, so one second halves: N = 1, then 1 + 1/2, then 1 + 3/8 after two seconds.
 	for i, want := range []float64{1, 1.5, 1.375} {
 		now := []time.Duration{0, time.Second, 3 * time.Second}[i]
-		if r := e.count(now, math.Ln2); math.Abs(e.n-want) > 1e-12 || math.Abs(r-want*math.Ln2) > 1e-12 {
-			t.Errorf("arrival %d: N %v, r %v, want N %v", i, e.n, r, want)
+		if r := e.count(now, math.Ln2); math.Abs(e.impulse-want) > 1e-12 || math.Abs(r-want*math.Ln2) > 1e-12 {
+			t.Errorf("arrival %d: N %v, r %v, want N %v", i, e.impulse, r, want)
 		}
 	}
 	if r := e.rate(4*time.Second, math.Ln2); math.Abs(r-1.375/2*math.Ln2) > 1e-12 {
@@ -173,68 +173,68 @@
 	}
 }
 
-func TestThresholdBindsOnlyWhilePressed(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestThresholdBindsOnlyWhileOverloaded(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	in.learn(0, 0.05, 0.05)
 	in.learn(0, 0.05, 0.05)
-	n := fill(in, rec, 0, 0)
+	n := fillCores(in, rec, 0, 0)
 	for id := RequestID(1); id <= 60; id++ {
-		in.Request(10*ms, ask(id, 0))
+		in.Request(10*ms, testRequest(id, 0))
 	}
 	if got := rec.take("refuse"); len(got) != 0 {
 		t.Fatalf("%d running, cores not known to be full, yet %q", n, got)
 	}
-	in.busy = 1
-	in.Request(20*ms, ask(100, 0))
-	other := ask(101, 0)
+	in.utilization = 1
+	in.Request(20*ms, testRequest(100, 0))
+	other := testRequest(101, 0)
 	other.Tenant = 1
 	in.Request(20*ms, other)
-	expect(t, rec, "refuse", "refuse 100 1s false") // it is far over its slice
+	expectActions(t, rec, "refuse", "refuse 100 1s false") // it is far over its slice
 }
 
 // Every refusal tells when to come back. A tenant over its slice hears when its estimate will be back there.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRejectionTellsWhenToRetry(t *testing.T) {
 	s := testSettings()
-	in, _ := start(t, s)
-	in.classes[0].run, in.classes[0].held[0] = 0.5, 2 // half a second of work on each of two cores
+	in, _ := newTestInstance(t, s)
+	in.classes[0].coreTime, in.classes[0].queued[0] = 0.5, 2 // half a second of work on each of two cores
 	for _, c := range []struct {
 		excess float64
 		want   time.Duration
 	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, s.MaxRetryAfter}} {
-		if got := in.backOff(&request{excess: c.excess}); got != c.want {
+		if got := in.retryAfter(&request{rateRatio: c.excess}); got != c.want {
 			t.Errorf("%v times its slice: %v, want %v", c.excess, got, c.want)
 		}
 	}
-	in.classes[0].held[0] = 0
-	if got := in.backOff(&request{}); got != pollInterval {
+	in.classes[0].queued[0] = 0
+	if got := in.retryAfter(&request{}); got != pollInterval {
 		t.Errorf("with no wait predicted: %v, want the time to the next look", got)
 	}
-	in.draining = true
-	if got := in.backOff(&request{}); got != s.MaxRetryAfter {
+	in.isDraining = true
+	if got := in.retryAfter(&request{}); got != s.MaxRetryAfter {
 		t.Errorf("while draining: %v, want the longest", got)
 	}
-	in.draining = false
-	var e estimate
+	in.isDraining = false
+	var e rateEstimate
 	now := time.Duration(0)
 	for range 40 {
-		e.count(now, in.lambda)
+		e.count(now, in.decay)
 	}
 	const slice = 12
-	back := in.backOff(&request{excess: e.rate(now, in.lambda) / slice})
-	if r := e.rate(now+back, in.lambda); back >= s.MaxRetryAfter || r > slice*1.001 || r < slice*0.999 {
+	back := in.retryAfter(&request{rateRatio: e.rate(now, in.decay) / slice})
+	if r := e.rate(now+back, in.decay); back >= s.MaxRetryAfter || r > slice*1.001 || r < slice*0.999 {
 		t.Errorf("after %v the rate is %v, want %v", back, r, slice)
 	}
 }
 
 // A held request that can't be useful any more is answered at once, though no core becomes free.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
-	in, rec := start(t, testSettings())
-	fill(in, rec, 0, 0)
-	in.Request(0, ask(100, 0))
-	in.busy = 1
-	useful := in.byID[100].useful
+func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
+	in.Request(0, testRequest(100, 0))
+	in.utilization = 1
+	useful := in.byID[100].objectiveDeadline
 	in.Settle(useful - ms)
-	expect(t, rec, "refuse")
+	expectActions(t, rec, "refuse")
 	in.Settle(useful + ms)
 	if got := rec.take("refuse", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 100 ") {
 		t.Errorf("got %q", got)
@@ -243,23 +243,23 @@
 
 // A class whose runs were slow for a while is run again as soon as the cores have room: only that shows whether
 // it still is. It was turned away for good before, on cores that stood idle.
-func TestSlowClassIsTriedAgain(t *testing.T) {
-	in, rec := start(t, testSettings())
-	in.set.Classes[0].LateWeight = 0
+func TestSlowClassIsRunAgain(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.settings.Classes[0].LateWeight = 0
 	for range 20 {
 		in.learn(0, 0.1, 4) // seconds of the wall: over the aim, within the deadline
 	}
-	in.busy = 0.5
-	in.Request(0, ask(1, 0))
+	in.utilization = 0.5
+	in.Request(0, testRequest(1, 0))
 	in.Settle(0)
-	expect(t, rec, "run refuse", "run 1")
+	expectActions(t, rec, "run refuse", "run 1")
 	in.RunFinished(100*ms, 1, OK)
-	if wall := in.classes[0].wall; wall >= 4 {
+	if wall := in.classes[0].wallTime; wall >= 4 {
 		t.Errorf("a fast run left the expected time at %v s", wall)
 	}
-	fill(in, rec, 100*ms, 0)
-	in.busy = 1
-	in.Request(200*ms, ask(2, 0))
+	fillCores(in, rec, 100*ms, 0)
+	in.utilization = 1
+	in.Request(200*ms, testRequest(2, 0))
 	in.Settle(200 * ms)
 	if got := rec.take("refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 2 ") {
 		t.Errorf("on full cores: %q", got)
@@ -267,20 +267,20 @@
 }
 
 // A server that can't read what comes asks for less and less of every rank; one that only works asks for half.
-func TestBacklogAsksForLess(t *testing.T) {
+func TestBacklogReducesTrafficWeight(t *testing.T) {
 	for _, c := range []struct {
 		unread, least, most float64
 	}{{0, 0.5, 0.5}, {10, 0, 0.1}} {
 		s := testSettings()
 		s.Feedback = FeedbackLevel
-		in, _ := start(t, s)
-		in.classes[0].run, in.classes[0].held[0] = 1, 1000
+		in, _ := newTestInstance(t, s)
+		in.classes[0].coreTime, in.classes[0].queued[0] = 1, 1000
 		for range 100 {
-			in.busy, in.readDelay = 1, c.unread
+			in.utilization, in.readDelay = 1, c.unread
 			in.updateFeedback()
 		}
-		if in.weight < c.least || in.weight > c.most {
-			t.Errorf("arrivals wait %v s unread: weight %v", c.unread, in.weight)
+		if in.trafficWeight < c.least || in.trafficWeight > c.most {
+			t.Errorf("arrivals wait %v s unread: weight %v", c.unread, in.trafficWeight)
 		}
 	}
 }
@@ -288,32 +288,32 @@
 func TestAdmissionByPredictedWait(t *testing.T) {
 	s := testSettings()
 	s.Tenants[0].Quota = 1e6
-	in, rec := start(t, s)
+	in, rec := newTestInstance(t, s)
 	in.learn(0, 0.5, 0.5)
 	in.learn(0, 0.5, 0.5)
-	fill(in, rec, 0, 0)
-	in.busy = 1
+	fillCores(in, rec, 0, 0)
+	in.utilization = 1
 	for id := RequestID(1); id <= 8; id++ {
-		in.Request(10*ms, ask(id, 0))
+		in.Request(10*ms, testRequest(id, 0))
 	}
 	// Each held request adds 0.5 s / 2 cores; 1.5 s are left of the aim after its own 0.5 s.
-	expect(t, rec, "refuse", "refuse 8 1s false")
-	unknown := ask(9, 2)
-	in.classes[2].runs = 0
+	expectActions(t, rec, "refuse", "refuse 8 1s false")
+	unknown := testRequest(9, 2)
+	in.classes[2].samples = 0
 	in.Request(10*ms, unknown)
-	expect(t, rec, "refuse")
+	expectActions(t, rec, "refuse")
 }
 
-func TestRunningLimitAndCrowd(t *testing.T) {
+func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
 	s := testSettings()
 	s.WarmingUp = true
-	in, rec := start(t, s)
-	if n := fill(in, rec, 0, 0); n != 2 {
+	in, rec := newTestInstance(t, s)
+	if n := fillCores(in, rec, 0, 0); n != 2 {
 		t.Errorf("%d run at the start, want the core count", n)
 	}
 	for i := 0; i < 100; i++ {
-		in.queue = append(in.queue, &request{useful: time.Hour, due: time.Hour})
-		in.adjustLimit()
+		in.queue = append(in.queue, &request{objectiveDeadline: time.Hour, deadline: time.Hour})
+		in.adjustConcurrencyLimit()
 	}
 	// WarmingUp at a quarter of the speed: 2 cores x (1 + 5/4) x 0.75.
 	if in.concurrencyLimit > 3.376 {
@@ -321,34 +321,34 @@
 	}
 	in.now = 10 * time.Second
 	for i := 0; i < 100; i++ {
-		in.adjustLimit()
+		in.adjustConcurrencyLimit()
 	}
 	if want := 2 * 6 * concurrencyMargin; math.Abs(in.concurrencyLimit-want) > 1e-9 {
 		t.Errorf("warm limit %v, want %v", in.concurrencyLimit, want)
 	}
-	in.busy = 1
+	in.utilization = 1
 	for i := 0; i < 100; i++ {
-		in.adjustLimit()
+		in.adjustConcurrencyLimit()
 	}
 	if in.concurrencyLimit != 2 {
 		t.Errorf("limit %v with full cores, want the core count", in.concurrencyLimit)
 	}
 }
 
-func TestAnswersByDueTimeWhereverItIs(t *testing.T) {
-	in, rec := start(t, testSettings())
-	in.Request(0, ask(1, 0)) // will run
-	in.Request(0, ask(2, 1)) // will stand at a call
+func TestAnswersByDeadlineInEveryState(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.Request(0, testRequest(1, 0)) // will run
+	in.Request(0, testRequest(2, 1)) // will stand at a call
 	in.Settle(0)
 	in.CallRequested(10*ms, 2)
 	in.Settle(10 * ms)
-	expect(t, rec, "run call", "run 1", "run 2", "call 2")
-	again := ask(3, 1)
+	expectActions(t, rec, "run call", "run 1", "run 2", "call 2")
+	again := testRequest(3, 1)
 	again.RetryOf = 2
 	in.Request(20*ms, again)
-	expect(t, rec, "reuse", "reuse 3")
-	fill(in, rec, 30*ms, 0)
-	last := 6*time.Second - in.margin()
+	expectActions(t, rec, "reuse", "reuse 3")
+	fillCores(in, rec, 30*ms, 0)
+	last := 6*time.Second - in.answerMargin()
 	in.Settle(last - ms)
 	rec.take()
 	in.Settle(last)
@@ -364,56 +364,56 @@
 	}
 	in.RunFinished(6*time.Second+30*ms, 2, Cancelled)
 	in.Settle(6*time.Second + 30*ms)
-	expect(t, rec, "fail refuse run")
+	expectActions(t, rec, "fail refuse run")
 }
 
-func TestKeyedRunsOnce(t *testing.T) {
-	in, rec := start(t, testSettings())
-	in.Request(0, ask(1, 1))
-	second := ask(2, 1)
+func TestIdempotentRequestRunsOnce(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.Request(0, testRequest(1, 1))
+	second := testRequest(2, 1)
 	second.RetryOf = 1
 	in.Request(0, second) // two tries in one batch
 	in.Settle(0)
-	expect(t, rec, "keep run reuse refuse", "keep 1 10.01s", "run 1", "reuse 2")
+	expectActions(t, rec, "keep run reuse refuse", "keep 1 10.01s", "run 1", "reuse 2")
 	in.RunFinished(ms, 1, Failed)
 	in.RunFinished(ms, 2, Failed)
-	third := ask(3, 1)
+	third := testRequest(3, 1)
 	third.RetryOf = 1
 	in.Request(2*ms, third)
 	in.Settle(2 * ms)
-	expect(t, rec, "keep run reuse refuse", "reuse 3")
+	expectActions(t, rec, "keep run reuse refuse", "reuse 3")
 }
 
-func TestKeyedWindowCountsFromArrival(t *testing.T) {
-	in, rec := start(t, testSettings())
-	q := ask(1, 1)
+func TestKeyWindowCountsFromArrival(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	q := testRequest(1, 1)
 	q.QueueingDelay = 3 * time.Second
 	in.Request(5*time.Second, q)
-	expect(t, rec, "keep", "keep 1 7.01s")
+	expectActions(t, rec, "keep", "keep 1 7.01s")
 }
 
-func TestRepeatTakesThePlaceOfOneThatNeverRan(t *testing.T) {
-	in, rec := start(t, testSettings())
-	fill(in, rec, 0, 0)
-	first := ask(1, 1)
+func TestFollowerIsPromotedWhenOriginalNeverRan(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
+	first := testRequest(1, 1)
 	first.RemainingTime = time.Second
 	in.Request(0, first)
-	second := ask(2, 1)
+	second := testRequest(2, 1)
 	second.RetryOf = 1
 	in.Request(10*ms, second)
 	in.Settle(10 * ms)
-	expect(t, rec, "keep run reuse", "keep 1 10.01s")
+	expectActions(t, rec, "keep run reuse", "keep 1 10.01s")
 	in.Settle(time.Second)
-	expect(t, rec, "refuse forget keep fail run", "refuse 1 100ms false", "forget 1", "keep 2 9.02s")
+	expectActions(t, rec, "refuse forget keep fail run", "refuse 1 100ms false", "forget 1", "keep 2 9.02s")
 	in.RunFinished(time.Second+ms, 1000, OK)
 	in.Settle(time.Second + ms)
-	expect(t, rec, "run", "run 2")
+	expectActions(t, rec, "run", "run 2")
 }
 
-func TestRepeatPastTheGraceDoesNotTakeThePlace(t *testing.T) {
-	in, rec := start(t, testSettings())
-	fill(in, rec, 0, 0)
-	first, second := ask(1, 1), ask(2, 1)
+func TestFollowerPastDrainGraceIsNotPromoted(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
+	first, second := testRequest(1, 1), testRequest(2, 1)
 	first.RemainingTime, second.RetryOf = 2500*ms, 1
 	in.Request(0, first)
 	in.Drain(0, 4*time.Second)
@@ -421,40 +421,40 @@
 	in.Settle(2500 * ms)
 	in.RunFinished(2600*ms, 1000, OK)
 	in.Settle(2600 * ms)
-	expect(t, rec, "run refuse", "refuse 1 1s false", "refuse 2 1s false")
+	expectActions(t, rec, "run refuse", "refuse 1 1s false", "refuse 2 1s false")
 }
 
-func TestRepeatReadWithTheRefusalCountsAsNew(t *testing.T) {
+func TestRetryReadWithTheRejectionCountsAsNew(t *testing.T) {
 	s := testSettings()
-	in, rec := start(t, s)
-	in.stalled = true
-	in.Request(0, ask(1, 1))
-	in.stalled = false
-	second := ask(2, 1)
+	in, rec := newTestInstance(t, s)
+	in.isStalled = true
+	in.Request(0, testRequest(1, 1))
+	in.isStalled = false
+	second := testRequest(2, 1)
 	second.RetryOf = 1
 	in.Request(0, second)
 	in.Settle(0)
-	expect(t, rec, "refuse reuse run", "refuse 1 1s false", "run 2")
+	expectActions(t, rec, "refuse reuse run", "refuse 1 1s false", "run 2")
 }
 
-func TestNoRoomForTheKey(t *testing.T) {
+func TestNoMemoryForTheKey(t *testing.T) {
 	s := testSettings()
 	s.KeyKB = s.MemoryKB
-	in, rec := start(t, s)
-	in.Request(0, ask(1, 1))
-	in.Request(0, ask(2, 0))
+	in, rec := newTestInstance(t, s)
+	in.Request(0, testRequest(1, 1))
+	in.Request(0, testRequest(2, 0))
 	in.Settle(0)
 	if got := rec.take("refuse", "run", "keep"); len(got) != 2 || !strings.HasPrefix(got[0], "refuse 1 ") || got[1] != "run 2" {
 		t.Errorf("got %q", got)
 	}
 }
 
-func TestCallOfAnEffectIsRepeatedOnlyWhenProvenUnrun(t *testing.T) {
+func TestCallWithEffectIsRetriedOnlyIfNotCarriedOut(t *testing.T) {
 	for o, repeats := range map[Outcome]bool{Rejected: true, Unreachable: true, NotStarted: true,
 		Failed: false, TimedOut: false, Reset: false} {
 		for class := 0; class < 3; class++ {
-			in, rec := start(t, testSettings())
-			in.Request(0, ask(1, class))
+			in, rec := newTestInstance(t, testSettings())
+			in.Request(0, testRequest(1, class))
 			in.Settle(0)
 			in.CallRequested(10*ms, 1)
 			in.Settle(10 * ms)
@@ -472,41 +472,41 @@
 }
 
 func TestDrainGrace(t *testing.T) {
-	in, rec := start(t, testSettings())
+	in, rec := newTestInstance(t, testSettings())
 	in.Drain(time.Second, 4*time.Second)
 	in.Settle(time.Second)
-	inside, past := ask(1, 0), ask(2, 0)
+	inside, past := testRequest(1, 0), testRequest(2, 0)
 	inside.QueueingDelay, past.QueueingDelay = 10*ms, 9*ms
 	in.Request(3*time.Second+10*ms, inside)
 	in.Request(3*time.Second+10*ms, past)
 	in.Settle(3*time.Second + 10*ms)
-	expect(t, rec, "run refuse", "refuse 2 1s false", "run 1")
+	expectActions(t, rec, "run refuse", "refuse 2 1s false", "run 1")
 	in.Settle(5*time.Second - ms)
-	expect(t, rec, "fail", "fail 1")
+	expectActions(t, rec, "fail", "fail 1")
 }
 
-func TestNoRunAfterTheGraceThoughHeldBefore(t *testing.T) {
-	in, rec := start(t, testSettings())
-	fill(in, rec, 0, 0)
+func TestNoRunOfArrivalsAfterDrainGrace(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
 	in.Drain(0, 4*time.Second)
-	q := ask(1, 0)
+	q := testRequest(1, 0)
 	in.Request(2*time.Second+ms, q)
 	in.RunFinished(2*time.Second+2*ms, 1000, OK)
 	in.Settle(2*time.Second + 2*ms)
-	expect(t, rec, "run refuse", "refuse 1 1s false")
+	expectActions(t, rec, "run refuse", "refuse 1 1s false")
 }
 
-func TestStallTellsAndRecovers(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestStallIsReportedAndEnds(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	now := time.Duration(0)
 	for id := RequestID(1); id <= 10; id++ {
-		in.Request(now, ask(id, 0))
+		in.Request(now, testRequest(id, 0))
 		in.Settle(now)
 		now += 100 * ms
 		in.RunFinished(now, id, OK)
 	}
-	n := fill(in, rec, now, 0)
-	in.Request(now, ask(50, 1))
+	n := fillCores(in, rec, now, 0)
+	in.Request(now, testRequest(50, 1))
 	in.Settle(now)
 	rec.take()
 	logs := 0
@@ -524,79 +524,79 @@
 		all = append(all, rec.lines...)
 	}
 	rec.lines = all
-	if logs != 1 || !in.stalled {
-		t.Errorf("%d running: %d lines logged, stalled %v", n, logs, in.stalled)
+	if logs != 1 || !in.isStalled {
+		t.Errorf("%d running: %d lines logged, stalled %v", n, logs, in.isStalled)
 	}
 	if got := strings.Join(rec.take("health", "refuse"), ","); !strings.Contains(got, "health false true") || !strings.Contains(got, "refuse 50 ") {
 		t.Errorf("actions %q", got)
 	}
 	in.RunFinished(now, 1000, OK)
 	in.Timer(now+100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
-	if in.stalled {
+	if in.isStalled {
 		t.Error("an end of a run did not end the stall")
 	}
 }
 
-func TestStandingStillIsNoStall(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestPausedProcessIsNoStall(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	for id := RequestID(1); id <= 10; id++ {
-		in.Request(0, ask(id, 0))
+		in.Request(0, testRequest(id, 0))
 		in.Settle(0)
 		in.learn(0, 0.1, 0.1)
 		in.RunFinished(0, id, OK)
 	}
-	fill(in, rec, 0, 0)
+	fillCores(in, rec, 0, 0)
 	in.Timer(5*time.Second, 0, Gauges{Utilization: 1, Runnable: -1})
-	if in.stalled {
+	if in.isStalled {
 		t.Error("a pause of the whole process was taken for a stall of its work")
 	}
 }
 
 func TestFirstShortRunIsNoStall(t *testing.T) {
-	in, rec := start(t, testSettings())
-	fill(in, rec, 0, 0)
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
 	in.RunFinished(10*ms, 1000, OK)
 	for now := 100 * ms; now <= 700*ms; now += 100 * ms {
 		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 	}
-	if in.stalled {
+	if in.isStalled {
 		t.Error("one short run and half a second without an end were taken for a stall")
 	}
 }
 
-// TestAdviceIsNoLongerThanHalfAnAim has refusals keep callers away no longer than half of the longest aim, however long is
+// TestRetryAfterIsAtMostHalfAnObjective has refusals keep callers away no longer than half of the longest aim, however long is
 // honoured: in the model all gateways left for five seconds at once, the cores stood idle, and they came back at once.
-func TestAdviceIsNoLongerThanHalfAnAim(t *testing.T) {
+func TestRetryAfterIsAtMostHalfAnObjective(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = time.Minute
-	in, _ := start(t, s)
+	in, _ := newTestInstance(t, s)
 	now := time.Duration(0)
 	for id := RequestID(1); id < 200; id++ {
 		now += time.Millisecond
 		in.Request(now, Request{ID: id, SizeKB: 30, RemainingTime: 6 * time.Second, IsRetry: true, QueueingDelay: 600 * ms})
 		in.Settle(now)
 	}
-	r := in.all[len(in.all)-1]
-	if !in.retryStorm() || in.backOff(r) != in.longestAim/2 {
-		t.Errorf("stormy %v, advice %v, want %v", in.retryStorm(), in.backOff(r), in.longestAim/2)
+	r := in.byArrival[len(in.byArrival)-1]
+	if !in.isRetryStorm() || in.retryAfter(r) != in.longestObjective/2 {
+		t.Errorf("stormy %v, advice %v, want %v", in.isRetryStorm(), in.retryAfter(r), in.longestObjective/2)
 	}
-	in.stalled = true
-	if in.backOff(r) != s.MaxRetryAfter {
-		t.Errorf("advice of a server that stands still %v", in.backOff(r))
+	in.isStalled = true
+	if in.retryAfter(r) != s.MaxRetryAfter {
+		t.Errorf("advice of a server that stands still %v", in.retryAfter(r))
 	}
 }
 
-// TestApartIsNoStallWhereLongRunsStandBehindShortOnes has runs that do not share cores: many long ones are no stall, and
+// TestIndependentRunsStallAfterTheLongestRun has runs that do not share cores: many long ones are no stall, and
 // nothing at all for several times the longest is one.
-func TestApartIsNoStallWhereLongRunsStandBehindShortOnes(t *testing.T) {
+func TestIndependentRunsStallAfterTheLongestRun(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		s := testSettings()
 		s.IndependentRuns, s.Cores = apart, 8
-		in, rec := start(t, s)
+		in, rec := newTestInstance(t, s)
 		now, id := time.Duration(0), RequestID(0)
 		run := func(took time.Duration) {
 			id++
-			in.Request(now, ask(id, 0))
+			in.Request(now, testRequest(id, 0))
 			in.Settle(now)
 			now += took
 			in.RunFinished(now, id, OK)
@@ -606,9 +606,9 @@
 		for range 200 {
 			run(5 * time.Millisecond)
 		}
-		for range s.Cores { // all are long ones now
+		for range s.Cores { // byArrival are long ones now
 			id++
-			in.Request(now, ask(id, 0))
+			in.Request(now, testRequest(id, 0))
 			in.Settle(now)
 		}
 		glances := func(n int) {
@@ -619,11 +619,11 @@
 			}
 		}
 		glances(7)
-		if in.stalled == apart {
-			t.Errorf("apart %v: after 0.7 s without an end stalled is %v", apart, in.stalled)
+		if in.isStalled == apart {
+			t.Errorf("apart %v: after 0.7 s without an end stalled is %v", apart, in.isStalled)
 		}
 		glances(25)
-		if !in.stalled {
+		if !in.isStalled {
 			t.Errorf("apart %v: after 3.2 s without an end it is no stall", apart)
 		}
 		rec.take()
@@ -631,7 +631,7 @@
 }
 
 func TestUnknownRepeatedAndLateEventsDoNothing(t *testing.T) {
-	in, rec := start(t, testSettings())
+	in, rec := newTestInstance(t, testSettings())
 	in.RunFinished(0, 77, OK)
 	in.Cancel(0, 77)
 	in.CallRequested(0, 77)
@@ -645,8 +645,8 @@
 	in.RunFinished(ms, 1, OK)
 	in.Cancel(ms, 1)
 	in.Settle(ms)
-	expect(t, rec, "run refuse fail call", "run 1")
-	if in.onCores != 0 || in.heldKB != 0 || in.runKB != 0 || in.atCall != 0 {
+	expectActions(t, rec, "run refuse fail call", "run 1")
+	if in.running != 0 || in.queuedKB != 0 || in.runningKB != 0 || in.offCore != 0 {
 		t.Errorf("left over: %+v", in)
 	}
 }
@@ -668,89 +668,89 @@
 	}
 }
 
-func TestStormAsksNotToTryElsewhere(t *testing.T) {
-	in, rec := start(t, testSettings())
-	in.stalled = true
+func TestRetryStormForbidsRetries(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.isStalled = true
 	for id := RequestID(1); id <= 20; id++ {
-		q := ask(id, 0)
+		q := testRequest(id, 0)
 		q.IsRetry = true
 		in.Request(0, q)
 	}
-	in.stalled = false
-	in.draining = true
-	in.notice = -time.Hour
+	in.isStalled = false
+	in.isDraining = true
+	in.noticedAt = -time.Hour
 	rec.take()
-	in.Request(0, ask(50, 0))
-	expect(t, rec, "refuse", "refuse 50 1s true")
+	in.Request(0, testRequest(50, 0))
+	expectActions(t, rec, "refuse", "refuse 50 1s true")
 	for id := RequestID(60); id <= 80; id++ {
-		in.Request(0, ask(id, 0))
+		in.Request(0, testRequest(id, 0))
 	}
 	if got := rec.take("refuse"); got[len(got)-1] != "refuse 80 1s false" {
 		t.Errorf("after the storm: %q", got[len(got)-1])
 	}
 }
 
-func TestUnreadBacklogIsAStorm(t *testing.T) {
-	in, rec := start(t, testSettings())
-	in.stalled = true
+func TestUnreadBacklogIsARetryStorm(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.isStalled = true
 	for id := RequestID(1); id <= 20; id++ {
-		q := ask(id, 0)
+		q := testRequest(id, 0)
 		q.QueueingDelay = time.Second
 		in.Request(time.Second, q)
 	}
-	in.stalled, in.draining, in.notice = false, true, -time.Hour
+	in.isStalled, in.isDraining, in.noticedAt = false, true, -time.Hour
 	rec.take()
-	in.Request(time.Second, ask(50, 0))
-	expect(t, rec, "refuse", "refuse 50 1s true")
+	in.Request(time.Second, testRequest(50, 0))
+	expectActions(t, rec, "refuse", "refuse 50 1s true")
 }
 
 func TestCreditLeavesOutTheUnread(t *testing.T) {
 	s := testSettings()
 	s.Feedback = FeedbackCredit
-	in, rec := start(t, s)
+	in, rec := newTestInstance(t, s)
 	for i := 1; i <= 200; i++ {
-		q := ask(RequestID(i), 0)
+		q := testRequest(RequestID(i), 0)
 		q.QueueingDelay = 2 * time.Second
 		in.Request(time.Duration(i)*50*ms, q)
 		in.Settle(time.Duration(i) * 50 * ms)
 		in.RunFinished(time.Duration(i)*50*ms+ms, q.ID, OK)
 	}
-	in.classes[0].run = 1
+	in.classes[0].coreTime = 1
 	rec.take()
 	in.Timer(10100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
-	expect(t, rec, "say", "say 0.000")
+	expectActions(t, rec, "say", "say 0.000")
 }
 
-func TestHoldRunsByTimeLeftOverWorth(t *testing.T) {
+func TestQueueRunsByTimeLeftOverWeight(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Weight = 4
-	in, rec := start(t, s)
-	fill(in, rec, 0, 0)
-	cheap, dear := ask(1, 2), ask(2, 0)
+	in, rec := newTestInstance(t, s)
+	fillCores(in, rec, 0, 0)
+	cheap, dear := testRequest(1, 2), testRequest(2, 0)
 	in.Request(0, cheap)
 	in.Request(500*ms, dear) // 2 s / 4 is less than 1.5 s / 1
 	in.RunFinished(500*ms, 1000, OK)
 	in.Settle(500 * ms)
-	expect(t, rec, "run", "run 2")
+	expectActions(t, rec, "run", "run 2")
 }
 
-func TestCallersThatSingleThisServerOutAreSentAway(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestTenantsOverTheirSharesAreRejected(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	in.learn(0, 1, 1)
 	for id := RequestID(1); id <= 120; id++ {
-		q := ask(id, 0)
+		q := testRequest(id, 0)
 		q.Tenant = int(id) % 2 // both tenants send far over their slices
 		in.Request(0, q)
 	}
-	in.busy = 1
-	in.Request(0, ask(200, 0))
-	expect(t, rec, "refuse", "refuse 200 1s false")
+	in.utilization = 1
+	in.Request(0, testRequest(200, 0))
+	expectActions(t, rec, "refuse", "refuse 200 1s false")
 }
 
-func TestNoRunForACallerWhoLeavesBeforeItsEnd(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestNoRunThatOutlastsItsCaller(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	in.learn(2, 1, 1)
-	hasty := ask(1, 2)
+	hasty := testRequest(1, 2)
 	hasty.RemainingTime = 500 * ms
 	in.Request(0, hasty)
 	in.Settle(0)
@@ -759,110 +759,110 @@
 	}
 }
 
-func TestTenantWithinItsSliceDoesNotWaitForThoseOver(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestTenantWithinQuotaDoesNotWaitForThoseOver(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	in.learn(0, 0.2, 0.2)
-	fill(in, rec, 0, 0)
+	fillCores(in, rec, 0, 0)
 	for id := RequestID(1); id <= 60; id++ {
-		in.Request(0, ask(id, 0))
+		in.Request(0, testRequest(id, 0))
 	}
-	for _, r := range in.queue { // all that is held came from a tenant over its slice
-		r.rank = 1
+	for _, r := range in.queue { // byArrival that is held came from a tenant over its slice
+		r.quota = 1
 	}
 	for class := range in.classes {
 		c := &in.classes[class]
-		c.held[0], c.held[1] = 0, c.held[0]+c.held[1]
+		c.queued[0], c.queued[1] = 0, c.queued[0]+c.queued[1]
 	}
-	in.busy = 1
-	other := ask(100, 0)
+	in.utilization = 1
+	other := testRequest(100, 0)
 	other.Tenant = 1
 	in.Request(0, other)
-	expect(t, rec, "refuse")
-	in.Request(0, ask(101, 0))
-	expect(t, rec, "refuse", "refuse 101 1s false")
+	expectActions(t, rec, "refuse")
+	in.Request(0, testRequest(101, 0))
+	expectActions(t, rec, "refuse", "refuse 101 1s false")
 }
 
-func TestWithoutTenantsTheSliceIsPerCaller(t *testing.T) {
+func TestWithoutTenantsQuotaShareIsPerCaller(t *testing.T) {
 	s := testSettings()
 	s.Tenants = nil
-	in, _ := start(t, s)
+	in, _ := newTestInstance(t, s)
 	for i := 0; i < 40; i++ { // two live callers, and eight ended runs for their forty arrivals
-		q := ask(RequestID(i+1), 0)
+		q := testRequest(RequestID(i+1), 0)
 		q.Caller = i % 2
-		in.excess(q)
+		in.measureRateRatio(q)
 		if i < 8 {
-			in.completions.count(0, in.lambda)
+			in.completions.count(0, in.decay)
 		}
 	}
 	in.liveCallers = 2
-	if slice := in.slice(0, 0); math.Abs(slice-8*in.lambda/2) > 1e-9 {
-		t.Errorf("slice %v, want half the rate of ended runs %v", slice, 8*in.lambda/2)
+	if slice := in.quotaShare(0, 0); math.Abs(slice-8*in.decay/2) > 1e-9 {
+		t.Errorf("slice %v, want half the rate of ended runs %v", slice, 8*in.decay/2)
 	}
 	// The 21st arrival of caller 0 at one instant: r = 21λ. Of a slice of 4λ the rate has a mean of 5λ and a deviation of √2·λ.
-	if e := in.excess(ask(99, 0)); math.Abs(e-21/(5+2*math.Sqrt2)) > 1e-9 {
+	if e := in.measureRateRatio(testRequest(99, 0)); math.Abs(e-21/(5+2*math.Sqrt2)) > 1e-9 {
 		t.Errorf("excess %v", e)
 	}
 }
 
-func TestReadsOfOneSubjectShareAnAnswer(t *testing.T) {
+func TestReadsOfOneResourceShareAResult(t *testing.T) {
 	s := testSettings()
 	s.ResultFreshness = time.Second
-	in, rec := start(t, s)
-	first, second := ask(1, 0), ask(2, 0)
+	in, rec := newTestInstance(t, s)
+	first, second := testRequest(1, 0), testRequest(2, 0)
 	first.ResourceID, second.ResourceID, second.RetryOf = 7, 7, 1
 	in.Request(0, first)
 	in.Settle(0)
 	in.Request(ms, second)
 	in.Settle(ms)
-	expect(t, rec, "keep run reuse", "keep 1 7s", "run 1", "reuse 2")
+	expectActions(t, rec, "keep run reuse", "keep 1 7s", "run 1", "reuse 2")
 }
 
-// TestFreeValueWhileDraining has a server that drains be used as ever while its grace lasts, and send callers away
+// TestAdvertisedLoadWhileDraining has a server that drains be used as ever while its grace lasts, and send callers away
 // just before it is over: those that learn late are served, and the others are not crowded sooner than they must be.
-func TestFreeValueWhileDraining(t *testing.T) {
+func TestAdvertisedLoadWhileDraining(t *testing.T) {
 	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"say 0.000"}, {"say 1.000"}},
 		FeedbackCredit: {{"say 2.000"}, {"say 0.000"}}, FeedbackWeight: {{"say 1.000"}, {"say 0.000"}}} {
 		s := testSettings()
 		s.Feedback = feedback
-		in, rec := start(t, s)
+		in, rec := newTestInstance(t, s)
 		in.learn(0, 1, 1)
 		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		in.Drain(0, 4*time.Second)
 		in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
-		expect(t, rec, "say idle", want[0]...)
+		expectActions(t, rec, "say idle", want[0]...)
 		in.Timer(s.DrainGracePeriod-100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
-		expect(t, rec, "say idle", append([]string{"idle 10ms"}, want[1]...)...)
+		expectActions(t, rec, "say idle", append([]string{"idle 10ms"}, want[1]...)...)
 	}
 }
 
-func TestRepeatedTriesDoNotPutEveryTenantOverItsSlice(t *testing.T) {
+func TestRetriesDoNotPutEveryTenantOverQuota(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
-	in, _ := start(t, s)
+	in, _ := newTestInstance(t, s)
 	small, large := 0.0, 0.0
 	for i := 0; i < 400; i++ { // ten requests a second where the slices are half of one; the small asks a fifth
 		now := time.Duration(i) * 100 * ms
-		q := ask(RequestID(i+1), 0)
+		q := testRequest(RequestID(i+1), 0)
 		in.now = now
 		if q.Tenant = 1; i%5 == 0 {
 			q.Tenant = 0
-			small = in.excess(q)
+			small = in.measureRateRatio(q)
 			continue
 		}
-		large = in.excess(q)
+		large = in.measureRateRatio(q)
 	}
 	if small >= 1 || large <= 1 {
 		t.Errorf("excess of the small tenant %v, of the large %v; want under and over 1", small, large)
 	}
 }
 
-func TestAgeOfAFurtherTry(t *testing.T) {
-	in, _ := start(t, testSettings())
+func TestAgeBeforeRetry(t *testing.T) {
+	in, _ := newTestInstance(t, testSettings())
 	useful := func(id RequestID, retry bool, budget time.Duration) time.Duration {
-		q := ask(id, 0)
+		q := testRequest(id, 0)
 		q.IsRetry, q.RemainingTime = retry, budget
 		in.Request(10*time.Second, q)
-		return in.byID[id].useful - 10*time.Second
+		return in.byID[id].objectiveDeadline - 10*time.Second
 	}
 	// LatencyObjective 2 s, deadline 6 s. Nothing is known of a further try before a first one was seen.
 	for i, c := range []struct {
@@ -877,21 +877,21 @@
 	}
 }
 
-func TestCallThatMayLingerIsPaidFor(t *testing.T) {
+func TestLingeringCallAccruesDebt(t *testing.T) {
 	for _, end := range []string{"gone", "due"} {
 		s := testSettings()
 		s.Downstream, s.FairCallShare, s.CallAveragingTime, s.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
-		in, rec := start(t, s)
-		first := ask(1, 0)
+		in, rec := newTestInstance(t, s)
+		first := testRequest(1, 0)
 		first.RemainingTime = 500 * ms
 		in.Request(0, first)
-		in.Request(0, ask(2, 0))
+		in.Request(0, testRequest(2, 0))
 		in.Settle(0)
 		in.CallRequested(10*ms, 1)
 		in.Settle(10 * ms)
 		in.CallRequested(20*ms, 2)
 		in.Settle(20 * ms)
-		expect(t, rec, "call", "call 1")
+		expectActions(t, rec, "call", "call 1")
 		now := 100 * ms
 		if end == "due" {
 			now = 490 * ms
@@ -899,42 +899,42 @@
 			in.Cancel(now, 1)
 		}
 		in.Settle(now)
-		expect(t, rec, "call")
+		expectActions(t, rec, "call")
 		in.Settle(now + 150*ms)
-		expect(t, rec, "call")
+		expectActions(t, rec, "call")
 		in.Settle(now + 250*ms)
-		expect(t, rec, "call", "call 2")
+		expectActions(t, rec, "call", "call 2")
 	}
 }
 
-func TestStallFailsSafeRunsSoThatOthersMayTry(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestStallFailsSafeRuns(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	for id := RequestID(1); id <= 10; id++ {
-		in.Request(0, ask(id, 0))
+		in.Request(0, testRequest(id, 0))
 		in.Settle(0)
 		in.learn(0, 0.1, 0.1)
 		in.RunFinished(0, id, OK)
 	}
-	in.Request(0, ask(50, 0))
-	in.Request(0, ask(51, 1))
+	in.Request(0, testRequest(50, 0))
+	in.Request(0, testRequest(51, 1))
 	in.Settle(0)
 	rec.take()
-	for now := 100 * ms; !in.stalled && now < 5*time.Second; now += 100 * ms {
+	for now := 100 * ms; !in.isStalled && now < 5*time.Second; now += 100 * ms {
 		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 		in.Settle(now)
 	}
-	expect(t, rec, "fail refuse", "fail 50")
+	expectActions(t, rec, "fail refuse", "fail 50")
 }
 
-func TestSafeCallKeepsTimeForAnother(t *testing.T) {
-	in, _ := start(t, testSettings())
+func TestSafeCallLeavesTimeForRetry(t *testing.T) {
+	in, _ := newTestInstance(t, testSettings())
 	for id, want := range map[RequestID]time.Duration{1: 2 * time.Second / 3, 2: 6 * time.Second} {
-		q := ask(id, int(id)-1)
+		q := testRequest(id, int(id)-1)
 		in.Request(0, q)
 		in.Settle(0)
 		in.CallRequested(0, id)
 		var got time.Duration
-		in.do = callTimes{&recorder{}, &got}
+		in.actions = callTimeoutRecorder{&recorder{}, &got}
 		in.Settle(0)
 		if got != want {
 			t.Errorf("call of class %d abandoned after %v, want %v", id-1, got, want)
@@ -942,57 +942,57 @@
 	}
 }
 
-// callTimes notes the time after which a call is abandoned.
-type callTimes struct {
+// callTimeoutRecorder notes the time after which a call is abandoned.
+type callTimeoutRecorder struct {
 	*recorder
-	got *time.Duration
+	timeout *time.Duration
 }
 
-func (c callTimes) Call(_ RequestID, timeout time.Duration) { *c.got = timeout }
+func (c callTimeoutRecorder) Call(_ RequestID, timeout time.Duration) { *c.timeout = timeout }
 
-func TestWaitOfThoseOverTheirSlicesCountsWhatWillGoFirst(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestPredictedWaitOverQuotaCountsRunsWithinQuota(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	in.learn(0, 0.4, 0.4)
-	fill(in, rec, 0, 0)
-	in.Request(0, ask(1, 0))
-	in.withinShare = 0
-	over := &request{rank: 1, useful: time.Hour}
+	fillCores(in, rec, 0, 0)
+	in.Request(0, testRequest(1, 0))
+	in.withinQuotaShare = 0
+	over := &request{quota: 1, objectiveDeadline: time.Hour}
 	plain := in.predictedWait(over)
-	in.withinShare = 0.5 // every other run is of a tenant within its slice
+	in.withinQuotaShare = 0.5 // every other run is of a tenant within its slice
 	if got := in.predictedWait(over); plain <= 0 || math.Abs(got-2*plain) > 1e-9 {
 		t.Errorf("wait %v, want twice %v", got, plain)
 	}
 	if got := in.longestWait(); math.Abs(got-2*plain) > 1e-9 {
 		t.Errorf("longest wait %v, want twice %v", got, plain)
 	}
-	if in.withinShare = 1; in.predictedWait(over) > 4.1*plain {
+	if in.withinQuotaShare = 1; in.predictedWait(over) > 4.1*plain {
 		t.Errorf("wait %v has no bound", in.predictedWait(over))
 	}
 }
 
 func TestLimitGrowsAndShrinksByPartsOfTheCores(t *testing.T) {
-	in, _ := start(t, testSettings())
+	in, _ := newTestInstance(t, testSettings())
 	in.queue = append(in.queue, &request{})
 	in.concurrencyLimit = 4
-	in.adjustLimit()
+	in.adjustConcurrencyLimit()
 	grown := in.concurrencyLimit
-	in.busy = 1
-	in.adjustLimit()
+	in.utilization = 1
+	in.adjustConcurrencyLimit()
 	if grown != 4.25 || in.concurrencyLimit != 3.25 {
 		t.Errorf("limit 4 grows to %v and shrinks to %v", grown, in.concurrencyLimit)
 	}
 }
 
-func TestWithinTheSliceNeverRefusedByTheThreshold(t *testing.T) {
-	in, _ := start(t, testSettings())
+func TestWithinQuotaIsNeverRejectedByThreshold(t *testing.T) {
+	in, _ := newTestInstance(t, testSettings())
 	for excess, want := range map[float64]bool{0.9: false, 1.1: true} {
-		if got := in.overThreshold(&request{excess: excess}, 1.5); got != want {
+		if got := in.isOverThreshold(&request{rateRatio: excess}, 1.5); got != want {
 			t.Errorf("excess %v at three quarters of an aim: refused %v", excess, got)
 		}
 	}
 }
 
-func TestIdleConnectionsGoWhereCallersAreRareAndNoTriesAreRepeated(t *testing.T) {
+func TestIdleConnectionsCloseWhereCallersAreRare(t *testing.T) {
 	for _, c := range []struct {
 		callers int
 		retry   bool
@@ -1003,9 +1003,9 @@
 		{300, false, time.Second, []string{"idle 1s"}}} {
 		s := testSettings()
 		s.Callers, s.CallerIdleTimeout = c.callers, c.idle
-		in, rec := start(t, s)
+		in, rec := newTestInstance(t, s)
 		for id := RequestID(1); id <= 20; id++ {
-			q := ask(id, 0)
+			q := testRequest(id, 0)
 			q.IsRetry = c.retry
 			in.Request(0, q)
 		}
@@ -1014,43 +1014,43 @@
 		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		in.nextPoll = 0
 		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
-		expect(t, rec, "idle", c.want...)
+		expectActions(t, rec, "idle", c.want...)
 	}
 }
 
-// TestFullNow goes by what wants a core at this moment: the mean of half a second still reads room when a hold of
+// TestRunnableDecidesSaturation goes by what wants a core at this moment: the mean of half a second still reads room when a hold of
 // many short runs is late as a whole, and has the limit grow into a crowd that is slower for all.
-func TestFullNow(t *testing.T) {
-	in, rec := start(t, testSettings())
+func TestRunnableDecidesSaturation(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
 	for id := RequestID(1); id <= 10; id++ {
 		in.learn(0, 0.1, 0.1)
 	}
-	n := fill(in, rec, 0, 0)
+	n := fillCores(in, rec, 0, 0)
 	for i := range 40 {
-		in.Request(0, ask(RequestID(2000+i), 0))
+		in.Request(0, testRequest(RequestID(2000+i), 0))
 	}
 	in.Settle(0)
 	limit := in.concurrencyLimit
 	in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: float64(n)})
 	in.Settle(100 * ms)
 	rec.take()
-	in.Request(100*ms, ask(50, 0))
+	in.Request(100*ms, testRequest(50, 0))
 	if got := strings.Join(rec.take("refuse"), ","); !strings.Contains(got, "refuse 50 ") || in.concurrencyLimit != limit {
 		t.Errorf("cores full at this moment: actions %q, limit %v, want a refusal and %v", got, in.concurrencyLimit, limit)
 	}
 	in.Timer(200*ms, 0, Gauges{Utilization: 1, Runnable: 1})
 	in.Settle(200 * ms)
-	in.Request(200*ms, ask(51, 0))
+	in.Request(200*ms, testRequest(51, 0))
 	if got := strings.Join(rec.take("refuse"), ","); got != "" || in.concurrencyLimit <= limit {
 		t.Errorf("cores with room at this moment: actions %q, limit %v", got, in.concurrencyLimit)
 	}
 }
 
-func TestHeldRequestsLeaveRoomToRun(t *testing.T) {
+func TestQueuedRequestsLeaveMemoryToRun(t *testing.T) {
 	s := testSettings()
 	s.MemoryKB, s.KeyKB, s.RunningMemoryFactor = 4000, 50, 16
 	s.Classes[0].Effect, s.Classes[0].KeyWindow = IdempotentByKey, time.Minute
-	in, rec := start(t, s)
+	in, rec := newTestInstance(t, s)
 	on, id := map[RequestID]bool{}, RequestID(0)
 	for round := range 60 { // each run leaves a key for a minute
 		now := time.Duration(round) * 10 * ms
@@ -1071,7 +1071,7 @@
 			}
 		}
 		if held, _ := in.Queue(); len(held) > 0 && len(on) == 0 {
-			t.Fatalf("round %d: %d are held, none runs, %.0f of %.0f KB are taken", round, len(held), in.memory(), s.MemoryKB)
+			t.Fatalf("round %d: %d are held, none runs, %.0f of %.0f KB are taken", round, len(held), in.memoryKB(), s.MemoryKB)
 		}
 	}
 }
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("%w: versions 1 to %d are known", ErrSnapshot, snapshotVersion)
 	}
 	c := coder{b: from[1:], version: from[0], reading: true}
-	in := &Instance{do: a, byID: map[RequestID]*request{}, unrun: map[RequestID]bool{}}
+	in := &Instance{actions: a, byID: map[RequestID]*request{}, notStarted: map[RequestID]bool{}}
 	c.instance(in)
 	switch {
 	case c.err != nil:
@@ -50,7 +50,7 @@
 			return nil, err
 		}
 	}
-	if err := validate(in.set); err != nil {
+	if err := validate(in.settings); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	return in, nil
@@ -58,24 +58,24 @@
 
 // change alters the settings and what follows from them.
 func (in *Instance) change(change func(*Settings) error) error {
-	s := in.set
+	s := in.settings
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	if err := change(&s); err != nil {
 		return err
 	}
-	if len(s.Classes) != len(in.set.Classes) || len(s.Tenants) != len(in.set.Tenants) {
+	if len(s.Classes) != len(in.settings.Classes) || len(s.Tenants) != len(in.settings.Tenants) {
 		return errors.New("tillerusher: the number of classes and tenants cannot be changed")
 	}
-	fresh, err := New(s, in.do)
+	fresh, err := New(s, in.actions)
 	if err != nil {
 		return err
 	}
-	in.set, in.longestAim, in.quotas, in.lambda = s, fresh.longestAim, fresh.quotas, fresh.lambda
+	in.settings, in.longestObjective, in.totalQuota, in.decay = s, fresh.longestObjective, fresh.totalQuota, fresh.decay
 	return nil
 }
 
 // Settings returns what the Instance was told at its start.
-func (in *Instance) Settings() Settings { return in.set }
+func (in *Instance) Settings() Settings { return in.settings }
 
 // coder walks the state once for both directions, so that neither can forget what the other carries.
 type coder struct {
@@ -187,14 +187,14 @@
 	}
 }
 
-func (c *coder) estimate(e *estimate) {
-	c.float(&e.n)
-	c.times(&e.last)
+func (c *coder) estimate(e *rateEstimate) {
+	c.float(&e.impulse)
+	c.times(&e.updatedAt)
 }
 
-func (c *coder) key(k *key) {
-	c.times(&k.until)
-	c.bools(&k.gone)
+func (c *coder) key(k *keyEntry) {
+	c.times(&k.expiresAt)
+	c.bools(&k.isReleased)
 }
 
 // request carries one request without its pointers.
@@ -202,115 +202,115 @@
 	whole(c, &r.id)
 	whole(c, &r.class)
 	whole(c, &r.state)
-	whole(c, &r.rank)
-	whole(c, &r.calls)
-	c.times(&r.due, &r.useful, &r.arrived, &r.callAt, &r.began)
-	c.bools(&r.retry, &r.subject, &r.ran)
-	c.floats(&r.excess, &r.sizeKB, &r.coreTime, &r.partStart)
+	whole(c, &r.quota)
+	whole(c, &r.callFailures)
+	c.times(&r.deadline, &r.objectiveDeadline, &r.arrivedAt, &r.nextCallAt, &r.startedAt)
+	c.bools(&r.isRetry, &r.isShareable, &r.hasRun)
+	c.floats(&r.rateRatio, &r.sizeKB, &r.coreTime, &r.partStart)
 }
 
 // instance carries everything.
 func (c *coder) instance(in *Instance) {
-	c.settings(&in.set)
-	c.times(&in.start, &in.now, &in.longestAim, &in.idleTimeout, &in.notice, &in.stopAt, &in.nextPoll, &in.nextDue, &in.wakeAt)
-	c.bools(&in.begun, &in.stalled, &in.draining, &in.healthy)
+	c.settings(&in.settings)
+	c.times(&in.startedAt, &in.now, &in.longestObjective, &in.idleTimeout, &in.noticedAt, &in.stopAt, &in.nextPoll, &in.nextDeadline, &in.timerAt)
+	c.bools(&in.isStarted, &in.isStalled, &in.isDraining, &in.isHealthy)
 	whole(c, &in.keyCount)
-	whole(c, &in.onCores)
-	whole(c, &in.atCall)
-	whole(c, &in.inHand)
-	c.floats(&in.heldKB, &in.runKB, &in.lambda, &in.quotas, &in.liveCallers, &in.withinShare, &in.retries, &in.readDelay, &in.coreClock,
-		&in.progress, &in.busy, &in.runnable, &in.concurrencyLimit, &in.callTime, &in.callDebt, &in.weight, &in.advertised)
+	whole(c, &in.running)
+	whole(c, &in.offCore)
+	whole(c, &in.callsInFlight)
+	c.floats(&in.queuedKB, &in.runningKB, &in.decay, &in.totalQuota, &in.liveCallers, &in.withinQuotaShare, &in.retryShare, &in.readDelay, &in.coreClock,
+		&in.progressAt, &in.utilization, &in.runnable, &in.concurrencyLimit, &in.callTime, &in.callDebt, &in.trafficWeight, &in.advertised)
 	if c.version > 1 {
-		c.float(&in.longest)
+		c.float(&in.longestRun)
 	}
 	if c.version > 2 {
-		c.times(&in.calledAt)
+		c.times(&in.callLearnedAt)
 	}
 	list(c, &in.senders, c.estimate)
 	c.estimate(&in.completions)
 	c.estimate(&in.arrivals)
-	list(c, &in.classes, func(k *classStats) {
-		c.floats(&k.run, &k.wall)
-		whole(c, &k.runs)
-		whole(c, &k.held[0])
-		whole(c, &k.held[1])
-		c.times(&k.patience)
+	list(c, &in.classes, func(k *classState) {
+		c.floats(&k.coreTime, &k.wallTime)
+		whole(c, &k.samples)
+		whole(c, &k.queued[0])
+		whole(c, &k.queued[1])
+		c.times(&k.callerTimeout)
 		if c.version > 2 {
-			whole(c, &k.wasted)
-			c.times(&k.wastedAt, &k.learnedAt)
+			whole(c, &k.consecutiveFailures)
+			c.times(&k.lastFailureAt, &k.learnedAt)
 			c.estimate(&k.started)
 			c.estimate(&k.rejected)
-			c.bools(&k.starved)
+			c.bools(&k.isStarved)
 			for why := range k.rejections {
 				whole(c, &k.rejections[why])
 			}
 		}
 	})
-	unrun := make([]int, 0, len(in.unrun))
-	for id := range in.unrun {
+	unrun := make([]int, 0, len(in.notStarted))
+	for id := range in.notStarted {
 		unrun = append(unrun, int(id))
 	}
 	slices.Sort(unrun) // equal states give equal bytes
 	list(c, &unrun, func(id *int) { whole(c, id) })
 	for _, id := range unrun {
-		in.unrun[RequestID(id)] = true
+		in.notStarted[RequestID(id)] = true
 	}
 	c.requests(in)
 }
 
 // requests carries the requests, the keys, and who points to whom by the numbers of their places.
 func (c *coder) requests(in *Instance) {
-	list(c, &in.keys, func(of *[]*key) {
-		list(c, of, func(k **key) {
+	list(c, &in.keys, func(of *[]*keyEntry) {
+		list(c, of, func(k **keyEntry) {
 			if c.reading {
-				*k = &key{}
+				*k = &keyEntry{}
 			}
 			c.key(*k)
 		})
 	})
-	list(c, &in.all, func(r **request) {
+	list(c, &in.byArrival, func(r **request) {
 		if c.reading {
 			*r = &request{}
 		}
 		c.request(*r)
 	})
 	keys := slices.Concat(in.keys...)
-	keyAt := make(map[*key]int, len(keys))
+	keyAt := make(map[*keyEntry]int, len(keys))
 	for i, k := range keys {
 		keyAt[k] = i
 	}
-	at := make(map[*request]int, len(in.all))
-	for i, r := range in.all {
+	at := make(map[*request]int, len(in.byArrival))
+	for i, r := range in.byArrival {
 		at[r] = i
 	}
-	for _, r := range in.all {
+	for _, r := range in.byArrival {
 		// A request may keep a key that ran out of the table, or point to one that is over and swept.
-		if kind := pointer(c, &r.keyed, keys, keyAt); kind == detached {
+		if kind := pointer(c, &r.key, keys, keyAt); kind == detached {
 			if c.reading {
-				r.keyed = &key{}
+				r.key = &keyEntry{}
 			}
-			c.key(r.keyed)
+			c.key(r.key)
 		}
-		if kind := pointer(c, &r.original, in.all, at); kind == detached && c.reading {
-			r.original = &request{state: over}
+		if kind := pointer(c, &r.original, in.byArrival, at); kind == detached && c.reading {
+			r.original = &request{state: stateFinished}
 		}
 	}
-	list(c, &in.queue, func(r **request) { pointer(c, r, in.all, at) })
+	list(c, &in.queue, func(r **request) { pointer(c, r, in.byArrival, at) })
 	if slices.Contains(in.queue, nil) {
 		c.fail("a held request is missing")
 	}
 	if !c.reading || c.err != nil {
 		return
 	}
-	if len(in.classes) != len(in.set.Classes) || len(in.keys) != len(in.set.Classes) {
+	if len(in.classes) != len(in.settings.Classes) || len(in.keys) != len(in.settings.Classes) {
 		c.fail("its lists do not fit its classes")
 	}
-	for _, r := range in.all {
-		if r.class < 0 || r.class >= len(in.set.Classes) || r.rank < 0 || r.rank > 1 || r.state > over {
+	for _, r := range in.byArrival {
+		if r.class < 0 || r.class >= len(in.settings.Classes) || r.quota < 0 || r.quota > 1 || r.state > stateFinished {
 			c.fail("a request is out of range")
 			return
 		}
-		if r.state != over {
+		if r.state != stateFinished {
 			in.byID[r.id] = r
 		}
 	}
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -11,26 +11,26 @@
 	"pgregory.net/rapid"
 )
 
-// populated returns an Instance in which every list has an element.
-func populated(t testing.TB) *Instance {
+// populatedInstance returns an Instance in which every list has an element.
+func populatedInstance(t testing.TB) *Instance {
 	s := testSettings()
 	s.Tenants = []Tenant{{Quota: 3}}
 	in, err := New(s, &recorder{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &key{}
-	r, original := &request{id: 1, keyed: k, state: follows}, &request{id: 2, state: held}
+	k := &keyEntry{}
+	r, original := &request{id: 1, key: k, state: stateFollowing}, &request{id: 2, state: stateQueued}
 	r.original = original
-	in.all, in.queue = []*request{original, r}, []*request{original}
+	in.byArrival, in.queue = []*request{original, r}, []*request{original}
 	in.byID[1], in.byID[2] = r, original
-	in.keys[0] = []*key{k}
-	in.senders = []estimate{{}}
+	in.keys[0] = []*keyEntry{k}
+	in.senders = []rateEstimate{{}}
 	return in
 }
 
-// bump makes a value another one, and reports whether it knows how.
-func bump(v reflect.Value) bool {
+// changeValue makes a value another one, and reports whether it knows how.
+func changeValue(v reflect.Value) bool {
 	v = reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem() // fields are not exported
 	switch {
 	case v.CanInt():
@@ -42,9 +42,9 @@
 	case v.Kind() == reflect.Bool:
 		v.SetBool(!v.Bool())
 	case v.Kind() == reflect.Array:
-		return bump(v.Index(0))
+		return changeValue(v.Index(0))
 	case v.Kind() == reflect.Struct:
-		return bump(v.Field(0))
+		return changeValue(v.Field(0))
 	default:
 		return false
 	}
@@ -55,23 +55,23 @@
 // leaves the snapshot as it was.
 func TestSnapshotCarriesEveryField(t *testing.T) {
 	// Lists and pointers are carried by their elements; do is the host's, byID follows from all.
-	structure := map[string]bool{"Instance.do": true, "Instance.byID": true, "Instance.all": true,
-		"Instance.queue": true, "Instance.unrun": true, "Instance.keys": true, "Instance.senders": true,
-		"Instance.classes": true, "request.keyed": true,
+	structure := map[string]bool{"Instance.actions": true, "Instance.byID": true, "Instance.byArrival": true,
+		"Instance.queue": true, "Instance.notStarted": true, "Instance.keys": true, "Instance.senders": true,
+		"Instance.classes": true, "request.key": true,
 		"request.original": true, "Settings.Classes": true, "Settings.Tenants": true}
 	parts := []func(in *Instance) any{
-		func(in *Instance) any { return in }, func(in *Instance) any { return in.all[1] },
+		func(in *Instance) any { return in }, func(in *Instance) any { return in.byArrival[1] },
 		func(in *Instance) any { return in.keys[0][0] }, func(in *Instance) any { return &in.senders[0] },
 		func(in *Instance) any { return &in.completions }, func(in *Instance) any { return &in.arrivals },
-		func(in *Instance) any { return &in.classes[0] }, func(in *Instance) any { return &in.set },
-		func(in *Instance) any { return &in.set.Classes[0] }, func(in *Instance) any { return &in.set.Tenants[0] }}
-	base := populated(t).Snapshot(nil)
+		func(in *Instance) any { return &in.classes[0] }, func(in *Instance) any { return &in.settings },
+		func(in *Instance) any { return &in.settings.Classes[0] }, func(in *Instance) any { return &in.settings.Tenants[0] }}
+	base := populatedInstance(t).Snapshot(nil)
 	for _, part := range parts {
-		kind := reflect.TypeOf(part(populated(t))).Elem()
+		kind := reflect.TypeOf(part(populatedInstance(t))).Elem()
 		for i := range kind.NumField() {
 			name := kind.Name() + "." + kind.Field(i).Name
-			in := populated(t)
-			if !bump(reflect.ValueOf(part(in)).Elem().Field(i)) {
+			in := populatedInstance(t)
+			if !changeValue(reflect.ValueOf(part(in)).Elem().Field(i)) {
 				if !structure[name] {
 					t.Errorf("%s is not known here: carry it and name it", name)
 				}
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestSnapshotGoesOnAlike drives an Instance by random events, restores it at a random moment, and drives both
+// TestRestoredInstanceDecidesAlike drives an Instance by random events, restores it at a random moment, and drives both
 // on: every action must be the same.
-func TestSnapshotGoesOnAlike(t *testing.T) {
+func TestRestoredInstanceDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
 		s.ResultFreshness = time.Duration(rapid.IntRange(0, 2).Draw(t, "fresh")) * time.Second
@@ -150,9 +150,9 @@
 	})
 }
 
-// TestSnapshotOfAnythingElse has bytes turned away that are no snapshot, wherever they end.
-func TestSnapshotOfAnythingElse(t *testing.T) {
-	whole := populated(t).Snapshot(nil)
+// TestRestoreRejectsOtherBytes has bytes turned away that are no snapshot, wherever they end.
+func TestRestoreRejectsOtherBytes(t *testing.T) {
+	whole := populatedInstance(t).Snapshot(nil)
 	for n := range whole {
 		if _, err := Restore(whole[:n], nil); !errors.Is(err, ErrSnapshot) {
 			t.Errorf("the first %d of %d bytes: %v", n, len(whole), err)
@@ -165,7 +165,7 @@
 
 // FuzzRestore has any bytes turned away or restored, without a panic.
 func FuzzRestore(f *testing.F) {
-	f.Add(populated(f).Snapshot(nil))
+	f.Add(populatedInstance(f).Snapshot(nil))
 	f.Add([]byte{snapshotVersion})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		in, err := Restore(b, &recorder{})
--- a/admission/validate_test.go
+++ b/admission/validate_test.go
@@ -54,19 +54,19 @@
 		"worth a million times":     func(s *Settings) { s.Classes[1].Weight = 1e6 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := twoClasses()
+			set := twoClassSettings()
 			set.Feedback = FeedbackCredit
 			change(&set)
-			s := newServer(t, set)
+			s := newDriver(t, set)
 			asked, running := map[RequestID]time.Duration{}, []RequestID(nil)
 			for step := range 600 {
-				s.full = len(running) >= set.Cores
+				s.isSaturated = len(running) >= set.Cores
 				for class := range 2 {
-					id := s.ask(class, nil)
+					id := s.request(class, nil)
 					asked[id] = s.now + set.Classes[class].Deadline
 				}
 				s.advance(20 * ms)
-				for _, line := range s.rec.take("run", "refuse", "fail") {
+				for _, line := range s.recorder.take("run", "refuse", "fail") {
 					word, id := scanAction(t, line)
 					if word == "run" {
 						running = append(running, id)
@@ -75,7 +75,7 @@
 					}
 				}
 				if step%3 == 0 && len(running) > 0 {
-					s.in.RunFinished(s.now, running[0], OK)
+					s.module.RunFinished(s.now, running[0], OK)
 					delete(asked, running[0])
 					running = running[1:]
 				}
@@ -84,7 +84,7 @@
 						t.Fatalf("request %d has no answer %v after it was due", id, s.now-due)
 					}
 				}
-				if i := s.in.Inspect(); math.IsNaN(i.TrafficWeight) || math.IsNaN(i.ConcurrencyLimit) {
+				if i := s.module.Inspect(); math.IsNaN(i.TrafficWeight) || math.IsNaN(i.ConcurrencyLimit) {
 					t.Fatalf("step %d: weight %v, limit %v", step, i.TrafficWeight, i.ConcurrencyLimit)
 				}
 			}
