--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,4 +1,5 @@
-// Admission and refusal. The interface is in interface.go.
+// Admission of arriving requests, and the answers to those that are not served. The interface is in
+// interface.go.
 
 package admission
 
@@ -7,87 +8,113 @@
 	"time"
 )
 
-// usableMemory is how much of the memory is used; the rest covers requests read before the next decision.
-const usableMemory = 0.92
-
-// isOverThreshold is the design's test of the rate, its threshold stretched by how little wait is
-// predicted: a tenant just over the slice is refused from half an aim of wait on, at twice it from a
-// quarter, and one within it never by this test. The aim is the longest of all classes, so that it prefers
-// none of them.
-func (in *Instance) isOverThreshold(r *request, wait float64) bool {
-	return r.rateRatio > 1 && r.rateRatio*wait > in.longestObjective.Seconds()/2
-}
+const (
+	// usableMemory is the part of the memory that is used; the rest covers requests that are read before
+	// the next decision.
+	usableMemory = 0.92
+	// runMemoryDivisor: room for runs is kept up to the memory that keys leave divided by it.
+	runMemoryDivisor = 2
+	// thresholdWaitDivisor: a tenant just over its threshold is rejected when the predicted wait is over
+	// the longest objective divided by it.
+	thresholdWaitDivisor = 2
+	// retryAfterDivisor: the retry-after advice is at most the longest objective divided by it.
+	retryAfterDivisor = 2
+)
 
-// Request takes in one try that was read.
-func (in *Instance) Request(now time.Duration, q Request) {
+// Request decides on an attempt that was read.
+func (in *Instance) Request(now time.Duration, arrival Request) {
 	in.advanceClock(now)
-	if in.byID[q.ID] != nil {
-		return // the host broke its word; the first keeps its place
+	if in.requests.byID[arrival.ID] != nil {
+		return // the host used an ID twice; the first request keeps its place
 	}
-	r := in.register(q)
-	if in.isCoalesced(r, q) {
-		in.coalesce(r, q.RetryOf)
+	r := in.register(arrival)
+	if in.isCoalesced(r, arrival) {
+		in.coalesce(r, arrival.RetryOf)
 	} else {
 		in.admit(r)
 	}
 	if r.state != stateFinished {
-		in.nextDeadline = min(in.nextDeadline, r.deadline)
+		in.schedule.nextDeadline = min(in.schedule.nextDeadline, r.deadline)
 	}
 }
 
-// register counts an arrival and keeps what is known of it.
-func (in *Instance) register(q Request) *request {
-	q.Class = min(max(q.Class, 0), len(in.settings.Classes)-1)
-	c := in.settings.Classes[q.Class]
-	r := &request{id: q.ID, class: q.Class, isRetry: q.IsRetry, isShareable: q.ResourceID != 0,
-		arrivedAt: in.now - q.QueueingDelay, sizeKB: max(q.SizeKB, 0)}
-	in.readDelay += (max(q.QueueingDelay, 0).Seconds() - in.readDelay) * learnWeight
-	in.retryShare *= 1 - learnWeight
-	if q.IsRetry {
-		in.retryShare += learnWeight
+// register counts an arrival in the estimates and enters it into the request table.
+func (in *Instance) register(arrival Request) *request {
+	arrival.Class = min(max(arrival.Class, 0), len(in.settings.Classes)-1)
+	in.traffic.countArrival(arrival.IsRetry, arrival.QueueingDelay)
+	r := &request{
+		id:          arrival.ID,
+		class:       arrival.Class,
+		isRetry:     arrival.IsRetry,
+		isShareable: arrival.ResourceID != 0,
+		sizeKB:      max(arrival.SizeKB, 0),
+		arrivedAt:   in.clock.now - arrival.QueueingDelay,
 	}
-	r.deadline = r.arrivedAt + c.Deadline
-	if in.settings.HasDeadlines && q.RemainingTime > 0 {
-		r.deadline = in.now + q.RemainingTime
+	r.deadline = in.requestDeadline(r, arrival)
+	r.objectiveDeadline = in.requestObjective(r, arrival)
+	r.rateRatio = in.measureRateRatio(arrival)
+	if r.rateRatio > 1 {
+		r.quota = overQuota
 	}
-	r.deadline = max(r.deadline, in.now)
-	if in.isDraining {
-		r.deadline = min(r.deadline, in.stopAt)
+	in.requests.byID[r.id] = r
+	in.requests.byArrival = append(in.requests.byArrival, r)
+	in.use.add(r, in.settings.RunningMemoryFactor, 1)
+	return r
+}
+
+// requestDeadline is when the answer must be out: as the request states, or by its class, and before the
+// process is stopped.
+func (in *Instance) requestDeadline(r *request, arrival Request) time.Duration {
+	deadline := r.arrivedAt + in.settings.Classes[r.class].Deadline
+	if in.settings.HasDeadlines && arrival.RemainingTime > 0 {
+		deadline = in.clock.now + arrival.RemainingTime
 	}
-	aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(q.Work))
-	r.objectiveDeadline = min(r.arrivedAt+min(aim, c.Deadline)-in.ageBeforeRetry(q), r.deadline)
-	if r.rateRatio = in.measureRateRatio(q); r.rateRatio > 1 {
-		r.quota = 1
+	deadline = max(deadline, in.clock.now)
+	if in.drain.isDraining {
+		deadline = min(deadline, in.drain.stopAt)
 	}
-	in.byID[r.id] = r
-	in.byArrival = append(in.byArrival, r)
-	in.queuedKB += r.sizeKB
-	return r
+	return deadline
 }
 
-// isCoalesced tells whether the request is answered by what becomes of the one that it repeats.
-func (in *Instance) isCoalesced(r *request, q Request) bool {
-	return q.RetryOf != 0 && !in.notStarted[q.RetryOf] && in.settings.Classes[r.class].Effect != NonIdempotent
+// requestObjective is when an answer stops earning the full weight, counted from the first attempt.
+func (in *Instance) requestObjective(r *request, arrival Request) time.Duration {
+	class := in.settings.Classes[r.class]
+	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(arrival.Work))
+	objective = min(objective, class.Deadline)
+	return min(r.arrivedAt+objective-in.ageBeforeRetry(arrival), r.deadline)
 }
 
-// ageBeforeRetry is how long before this try the first of its request began, as far as that can be told. A
-// caller waits for a first try as long as its habit is, and for a further try at most until the deadline of
-// all: one that waits longer than any first try tells by that what is left.
-func (in *Instance) ageBeforeRetry(q Request) time.Duration {
-	s, wait := &in.classes[q.Class], q.RemainingTime+max(q.QueueingDelay, 0)
-	if !q.IsRetry {
-		s.callerTimeout = max(s.callerTimeout, wait)
+// ageBeforeRetry is how long before this attempt the first of its request began, as far as that can be
+// told. A caller waits for a first attempt as long as its configured timeout, and for a retry at most until
+// the deadline of all attempts: one that waits longer than any first attempt shows by that what is left.
+func (in *Instance) ageBeforeRetry(arrival Request) time.Duration {
+	class := &in.classes[arrival.Class]
+	wait := arrival.RemainingTime + max(arrival.QueueingDelay, 0)
+	if !arrival.IsRetry {
+		class.callerTimeout = max(class.callerTimeout, wait)
+	}
+	if !in.settings.HasDeadlines || class.callerTimeout == 0 {
+		return 0
 	}
-	if !in.settings.HasDeadlines || s.callerTimeout == 0 || wait <= s.callerTimeout+in.settings.Tick {
+	if wait <= class.callerTimeout+in.settings.Tick {
 		return 0
 	}
-	return max(in.settings.Classes[q.Class].Deadline-wait, 0)
+	return max(in.settings.Classes[arrival.Class].Deadline-wait, 0)
 }
 
-// coalesce takes in a further try of a request, or of a read whose answer may be shared. One that was run
-// is answered by its result; one that is still held is waited for, and its place taken if it is given up.
+// isCoalesced tells whether the request is answered by the result of the one that it repeats.
+func (in *Instance) isCoalesced(r *request, arrival Request) bool {
+	if arrival.RetryOf == 0 || in.keys.notStarted[arrival.RetryOf] {
+		return false
+	}
+	return in.settings.Classes[r.class].Effect != NonIdempotent
+}
+
+// coalesce takes in a retry of a request, or a read whose result may be shared. If the original was run its
+// result is the answer; if it is still queued the request follows it, and takes its place if the original
+// is given up.
 func (in *Instance) coalesce(r *request, id RequestID) {
-	original := in.byID[id]
+	original := in.requests.byID[id]
 	for original != nil && original.state == stateFollowing {
 		original = original.original
 	}
@@ -96,11 +123,11 @@
 		in.setState(r, stateFollowing)
 		return
 	}
-	r.hasRun = original == nil || original.state != stateQueued
+	r.run.hasRun = original == nil || original.state != stateQueued
 	switch {
 	case in.isPastDrainGrace(r):
 		in.rejectOrFail(r, AfterDrainGrace)
-	case !r.hasRun || !in.fitsInMemory(r):
+	case !r.run.hasRun || !in.fitsInMemory(r):
 		in.rejectOrFail(r, OutOfMemory)
 	default:
 		in.setState(r, stateReplaying)
@@ -108,25 +135,25 @@
 	}
 }
 
-// admit holds the request or turns it away on arrival.
+// admit queues the request or rejects it on arrival.
 func (in *Instance) admit(r *request) {
-	if why := in.checkArrival(r); why != Admitted {
-		in.rejectOrFail(r, why)
-	} else {
-		in.enqueue(r)
+	if reason := in.checkArrival(r); reason != Admitted {
+		in.rejectOrFail(r, reason)
+		return
 	}
+	in.enqueue(r)
 }
 
-// checkArrival is why the request is turned away on arrival, or that it is not.
+// checkArrival returns why the request is rejected on arrival, or Admitted.
 func (in *Instance) checkArrival(r *request) Reason {
 	switch {
 	case in.isPastDrainGrace(r):
 		return AfterDrainGrace
-	case in.isStalled:
+	case in.stall.isStalled:
 		return Stalled
 	case !in.fitsInMemory(r):
 		return OutOfMemory
-	case r.deadline <= in.now+in.answerMargin():
+	case r.deadline <= in.clock.now+in.answerMargin():
 		return DeadlineReached
 	case !in.isOverloaded():
 		return Admitted
@@ -135,94 +162,128 @@
 	switch {
 	case in.isOverThreshold(r, wait):
 		return RateOverThreshold
-	case in.isFailing(r) || in.classes[r.class].coreTime > 0 && wait > in.slack(r):
+	case in.isFailing(r):
+		return PredictedWaitTooLong
+	case in.classes[r.class].runTime.coreTime > 0 && wait > in.slack(r):
 		return PredictedWaitTooLong
 	}
 	return Admitted
 }
 
-// slack is the longest wait in seconds after which a run would still meet the aim.
+// isOverThreshold is the design's test of the rate, its threshold stretched by how short the predicted wait
+// is: a tenant just over its quota share is rejected from half an objective of wait on, at twice its share
+// from a quarter, and one within it never by this test. The objective is the longest of all classes, so
+// that it prefers none.
+func (in *Instance) isOverThreshold(r *request, wait float64) bool {
+	return r.rateRatio > 1 && r.rateRatio*wait > in.longestObjective.Seconds()/thresholdWaitDivisor
+}
+
+// slack is the longest wait in seconds after which a run would still meet the objective.
 func (in *Instance) slack(r *request) float64 {
-	return (r.objectiveDeadline - in.now - in.expectedRunTime(r)).Seconds()
+	return (r.objectiveDeadline - in.clock.now - in.expectedRunTime(r)).Seconds()
 }
 
-// fitsInMemory tells whether the memory has room to hold the request, to keep its key, and to run one like
-// it on each core, or as many as fit into half of what keys leave: where held requests take that room too,
-// none of them can ever be run.
+// fitsInMemory tells whether the memory has room to queue the request, to keep its key, and to run one like
+// it on each core, or as many as fit into half of what keys leave: if queued requests took that room too,
+// none of them could ever run.
 func (in *Instance) fitsInMemory(r *request) bool {
-	most := in.settings.MemoryKB * usableMemory
-	run := in.settings.RunningMemoryFactor * r.sizeKB
-	runs := max(run, min(float64(in.settings.Cores)*run, (most-in.keysKB())/2))
-	need := in.memoryKB() + max(0, runs-in.runningKB)
+	usable := in.settings.MemoryKB * usableMemory
+	oneRun := in.settings.RunningMemoryFactor * r.sizeKB
+	allCores := float64(in.settings.Cores) * oneRun
+	runs := max(oneRun, min(allCores, (usable-in.keysKB())/runMemoryDivisor))
+	need := in.memoryKB() + max(0, runs-in.use.runningKB)
 	if in.settings.Classes[r.class].Effect == IdempotentByKey {
 		need += in.settings.KeyKB
 	}
-	return need <= most
+	return need <= usable
 }
 
-// rejectOrFail turns the request away, or fails it where it ran and has an effect; work on the cores goes
-// on or is stopped.
-func (in *Instance) rejectOrFail(r *request, why Reason) {
-	if r.state == stateRunning && !in.isStalled {
-		in.learnTimeout(r)
+// rejectOrFail answers a request that is not served: it is rejected, or failed if its work began. A run
+// that still goes on is stopped if it can be.
+func (in *Instance) rejectOrFail(r *request, reason Reason) {
+	if r.state == stateRunning && !in.stall.isStalled {
+		elapsed := (in.clock.now - r.run.startedAt).Seconds()
+		in.classes[r.class].runTime.learnTimeout(in.clock.now, in.longestObjective, elapsed)
 	}
-	effect := r.hasRun && in.settings.Classes[r.class].Effect != Safe
-	if effect || r.state == stateRunning || r.state == stateCalling || r.state == stateCallPending {
+	if in.mustFail(r) {
 		in.actions.Fail(r.id)
 	} else {
-		in.actions.Reject(r.id, in.retryAfter(r), (r.isRetry || in.isRetryStorm()) && !in.isStalled)
-		in.classes[r.class].rejections[why]++
-		if in.hasFairShareClaim(r) {
-			in.classes[r.class].rejected.count(in.now, in.decay)
-		}
+		in.reject(r, reason)
 	}
 	in.finish(r)
 }
 
-// retryAfter is the advice that goes with refusals: the longest while nothing can be served here. Else it
-// is the predicted wait, or for a tenant over its slice the time in which its estimate decays to it, by λ,
-// and the most in a storm: half an aim. Longer advice has all callers leave idle cores and come back at
-// once.
+// mustFail tells whether a rejection, which says that the request never ran, would be wrong.
+func (in *Instance) mustFail(r *request) bool {
+	switch r.state {
+	case stateRunning, stateCallPending, stateCalling:
+		return true
+	}
+	return r.run.hasRun && in.settings.Classes[r.class].Effect != Safe
+}
+
+// reject answers that the request never ran, and counts it.
+func (in *Instance) reject(r *request, reason Reason) {
+	noRetry := (r.isRetry || in.isRetryStorm()) && !in.stall.isStalled
+	in.actions.Reject(r.id, in.retryAfter(r), noRetry)
+	class := &in.classes[r.class]
+	class.rejections[reason]++
+	if in.hasFairShareClaim(r) {
+		class.share.rejected.count(in.clock.now, in.rates.decay)
+	}
+}
+
+// retryAfter is the advice of a rejection: the longest while nothing can be served here. Else it is the
+// predicted wait, or for a tenant over its quota share the time in which its estimate decays to it, and in
+// a retry storm half an objective, which is also the most: longer advice makes all callers leave the cores
+// idle and return at once.
 func (in *Instance) retryAfter(r *request) time.Duration {
-	if in.isStalled || in.isDraining {
+	if in.stall.isStalled || in.drain.isDraining {
 		return in.settings.MaxRetryAfter
 	}
-	most, seconds := min(in.settings.MaxRetryAfter, in.longestObjective/2), in.longestWait()
+	longest := min(in.settings.MaxRetryAfter, in.longestObjective/retryAfterDivisor)
 	if in.isRetryStorm() {
-		return most
-	} else if r.rateRatio > 1 {
-		seconds = math.Log(r.rateRatio) / in.decay
+		return longest
 	}
-	return min(max(time.Duration(seconds*1e9), pollInterval), most) // no sooner than its next poll
-}
-
-// isRetryStorm tells that reading has become the work: most of what arrives is tried again despite
-// refusals, or arrivals wait a tenth of an aim unread. Refusals then ask for no further try anywhere. It
-// should cover any cause of repeated tries or backlog; it harms where one slow server keeps tries from
-// others with room.
-func (in *Instance) isRetryStorm() bool {
-	return in.retryShare > 0.5 || in.readDelay > 0.1*in.longestObjective.Seconds()
+	wait := in.longestWait()
+	if r.rateRatio > 1 {
+		wait = math.Log(r.rateRatio) / in.rates.decay
+	}
+	advice := max(time.Duration(wait*1e9), pollInterval) // no decision changes before the next poll
+	return min(advice, longest)
 }
 
-// finish forgets a request that needs no answer any more.
+// finish ends a request that needs no answer any more. Work that goes on keeps it in the table as
+// abandoned.
 func (in *Instance) finish(r *request) {
 	switch r.state {
 	case stateRunning, stateCallPending, stateCalling:
-		in.countFailure(r)
-		// One at its call ends there by itself, charged as if it ran until then; its call may linger below.
-		if r.state == stateCalling {
-			in.callDebt += in.settings.CallLinger.Seconds()
-		}
-		canStop := in.settings.StopMode != StopNone && in.settings.Classes[r.class].Effect == Safe
-		if r.state == stateRunning && canStop {
-			in.actions.Stop(r.id)
-		}
-		in.setState(r, stateAbandoned)
+		in.abandon(r)
 		return
 	case stateQueued:
 		in.dequeue(r)
 		in.releaseKey(r)
 	}
+	in.remove(r)
+}
+
+// abandon leaves a run to itself and stops it if that is possible and has no effect.
+func (in *Instance) abandon(r *request) {
+	in.classes[r.class].runTime.countFailure(in.clock.now)
+	// A request at its call ends by itself when the call does; the dependency may go on with the call
+	// meanwhile.
+	if r.state == stateCalling {
+		in.calls.addLinger(in.settings.CallLinger)
+	}
+	canStop := in.settings.StopMode != StopNone && in.settings.Classes[r.class].Effect == Safe
+	if r.state == stateRunning && canStop {
+		in.actions.Stop(r.id)
+	}
+	in.setState(r, stateAbandoned)
+}
+
+// remove takes a request out of the table; the next sweep takes it out of the list.
+func (in *Instance) remove(r *request) {
 	in.setState(r, stateFinished)
-	delete(in.byID, r.id)
+	delete(in.requests.byID, r.id)
 }
--- /dev/null
+++ b/admission/admission_test.go
@@ -0,0 +1,209 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestThresholdBindsOnlyWhileOverloaded(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	learnRun(in, 0, 0.05, 0.05)
+	learnRun(in, 0, 0.05, 0.05)
+	n := fillCores(in, rec, 0, 0)
+	for id := RequestID(1); id <= 60; id++ {
+		in.Request(10*ms, testRequest(id, 0))
+	}
+	if got := rec.take("refuse"); len(got) != 0 {
+		t.Fatalf("%d running, cores not known to be full, yet %q", n, got)
+	}
+	in.limiter.utilization = 1
+	in.Request(20*ms, testRequest(100, 0))
+	other := testRequest(101, 0)
+	other.Tenant = 1
+	in.Request(20*ms, other)
+	expectActions(t, rec, "refuse", "refuse 100 1s false") // it is far over its quota share
+}
+
+// Every rejection tells when to come back. A tenant over its quota share hears when its estimate will be back there.
+func TestRejectionTellsWhenToRetry(t *testing.T) {
+	s := testSettings()
+	in, _ := newTestInstance(t, s)
+	in.classes[0].runTime.coreTime, in.classes[0].queued[0] = 0.5, 2 // half a second of work on each of two cores
+	for _, c := range []struct {
+		rateRatio float64
+		want      time.Duration
+	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, s.MaxRetryAfter}} {
+		if got := in.retryAfter(&request{rateRatio: c.rateRatio}); got != c.want {
+			t.Errorf("%v times its quota share: %v, want %v", c.rateRatio, got, c.want)
+		}
+	}
+	in.classes[0].queued[0] = 0
+	if got := in.retryAfter(&request{}); got != pollInterval {
+		t.Errorf("with no wait predicted: %v, want the time to the next look", got)
+	}
+	in.drain.isDraining = true
+	if got := in.retryAfter(&request{}); got != s.MaxRetryAfter {
+		t.Errorf("while draining: %v, want the longest", got)
+	}
+	in.drain.isDraining = false
+	var e rateEstimate
+	now := time.Duration(0)
+	for range 40 {
+		e.count(now, in.rates.decay)
+	}
+	const quotaShare = 12
+	back := in.retryAfter(&request{rateRatio: e.rate(now, in.rates.decay) / quotaShare})
+	if r := e.rate(now+back, in.rates.decay); back >= s.MaxRetryAfter || r > quotaShare*1.001 || r < quotaShare*0.999 {
+		t.Errorf("after %v the rate is %v, want %v", back, r, quotaShare)
+	}
+}
+
+func TestAdmissionByPredictedWait(t *testing.T) {
+	s := testSettings()
+	s.Tenants[0].Quota = 1e6
+	in, rec := newTestInstance(t, s)
+	learnRun(in, 0, 0.5, 0.5)
+	learnRun(in, 0, 0.5, 0.5)
+	fillCores(in, rec, 0, 0)
+	in.limiter.utilization = 1
+	for id := RequestID(1); id <= 8; id++ {
+		in.Request(10*ms, testRequest(id, 0))
+	}
+	// Each queued request adds 0.5 s / 2 cores; 1.5 s are left of the objective after its own 0.5 s.
+	expectActions(t, rec, "refuse", "refuse 8 1s false")
+	unknown := testRequest(9, 2)
+	in.classes[2].runTime.samples = 0
+	in.Request(10*ms, unknown)
+	expectActions(t, rec, "refuse")
+}
+
+// TestRetryAfterIsAtMostHalfAnObjective has rejections keep callers away no longer than half of the longest
+// objective, however long is honoured: in the model all gateways left for five seconds at once, the cores stood idle,
+// and they came back at once.
+func TestRetryAfterIsAtMostHalfAnObjective(t *testing.T) {
+	s := testSettings()
+	s.MaxRetryAfter = time.Minute
+	in, _ := newTestInstance(t, s)
+	now := time.Duration(0)
+	for id := RequestID(1); id < 200; id++ {
+		now += time.Millisecond
+		in.Request(now, Request{ID: id, SizeKB: 30, RemainingTime: 6 * time.Second, IsRetry: true, QueueingDelay: 600 * ms})
+		in.Settle(now)
+	}
+	r := in.requests.byArrival[len(in.requests.byArrival)-1]
+	if !in.isRetryStorm() || in.retryAfter(r) != in.longestObjective/2 {
+		t.Errorf("retry storm %v, advice %v, want %v", in.isRetryStorm(), in.retryAfter(r), in.longestObjective/2)
+	}
+	in.stall.isStalled = true
+	if in.retryAfter(r) != s.MaxRetryAfter {
+		t.Errorf("advice of a server that stands still %v", in.retryAfter(r))
+	}
+}
+
+func TestTenantsOverTheirSharesAreRejected(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	learnRun(in, 0, 1, 1)
+	for id := RequestID(1); id <= 120; id++ {
+		q := testRequest(id, 0)
+		q.Tenant = int(id) % 2 // both tenants send far over their quota shares
+		in.Request(0, q)
+	}
+	in.limiter.utilization = 1
+	in.Request(0, testRequest(200, 0))
+	expectActions(t, rec, "refuse", "refuse 200 1s false")
+}
+
+func TestAgeBeforeRetry(t *testing.T) {
+	in, _ := newTestInstance(t, testSettings())
+	objective := func(id RequestID, retry bool, budget time.Duration) time.Duration {
+		q := testRequest(id, 0)
+		q.IsRetry, q.RemainingTime = retry, budget
+		in.Request(10*time.Second, q)
+		return in.requests.byID[id].objectiveDeadline - 10*time.Second
+	}
+	// Objective 2 s, deadline 6 s. Nothing is known of a retry before a first one was seen.
+	for i, c := range []struct {
+		retry        bool
+		budget, want time.Duration
+	}{{true, 5 * time.Second, 2 * time.Second}, {false, 3 * time.Second, 2 * time.Second},
+		{true, 3 * time.Second, 2 * time.Second}, {true, 5 * time.Second, time.Second},
+		{true, 3500 * ms, -500 * ms}, {true, 9 * time.Second, 2 * time.Second}} {
+		if got := objective(RequestID(i+1), c.retry, c.budget); got != c.want {
+			t.Errorf("attempt %d: useful for %v, want %v", i, got, c.want)
+		}
+	}
+}
+
+func TestWithinQuotaIsNeverRejectedByThreshold(t *testing.T) {
+	in, _ := newTestInstance(t, testSettings())
+	for rateRatio, want := range map[float64]bool{0.9: false, 1.1: true} {
+		if got := in.isOverThreshold(&request{rateRatio: rateRatio}, 1.5); got != want {
+			t.Errorf("rate ratio %v at three quarters of an objective: rejected %v", rateRatio, got)
+		}
+	}
+}
+
+// TestThresholdPrefersNoClass judges a tenant over its quota share alike whichever class it asks for.
+func TestThresholdPrefersNoClass(t *testing.T) {
+	s := newDriver(t, twoClassSettings())
+	for _, wait := range []float64{0.2, 0.5, 1, 2, 4} {
+		short := s.module.isOverThreshold(&request{class: 0, rateRatio: 1.5}, wait)
+		long := s.module.isOverThreshold(&request{class: 1, rateRatio: 1.5}, wait)
+		if short != long {
+			t.Errorf("%v s of wait: with a short objective rejected %v, with a long one %v", wait, short, long)
+		}
+	}
+}
+
+func TestQueuedRequestsLeaveMemoryToRun(t *testing.T) {
+	s := testSettings()
+	s.MemoryKB, s.KeyKB, s.RunningMemoryFactor = 4000, 50, 16
+	s.Classes[0].Effect, s.Classes[0].KeyWindow = IdempotentByKey, time.Minute
+	in, rec := newTestInstance(t, s)
+	running, id := map[RequestID]bool{}, RequestID(0)
+	for round := range 60 { // each run leaves a key for a minute
+		now := time.Duration(round) * 10 * ms
+		for runningID := range running {
+			in.RunFinished(now, runningID, OK)
+		}
+		clear(running)
+		for range 8 {
+			id++
+			in.Request(now, Request{ID: id, Class: int(id % 2), SizeKB: 50})
+		}
+		rec.take()
+		in.Settle(now)
+		for _, line := range rec.lines {
+			var ran RequestID
+			if n, _ := fmt.Sscanf(line, "run %d", &ran); n == 1 {
+				running[ran] = true
+			}
+		}
+		if queued, _ := in.Queue(); len(queued) > 0 && len(running) == 0 {
+			t.Fatalf("round %d: %d are queued, none runs, %.0f of %.0f KB are taken", round, len(queued), in.memoryKB(), s.MemoryKB)
+		}
+	}
+}
+
+// TestKeysLeaveLargeRequestsRoom keeps keys in most of the memory: a request whose runs need much of what is left is
+// still taken in by a server that has nothing else to do.
+func TestKeysLeaveLargeRequestsRoom(t *testing.T) {
+	set := twoClassSettings()
+	set.MemoryKB, set.KeyKB = 10000, 10
+	set.Classes[1].Effect, set.Classes[1].KeyWindow = IdempotentByKey, time.Hour
+	s := newDriver(t, set)
+	for range 600 {
+		id := s.request(1, func(q *Request) { q.SizeKB = 1 })
+		s.advance(10 * ms)
+		s.module.RunFinished(s.now, id, OK)
+	}
+	if s.module.keys.count < 500 {
+		t.Fatalf("%d keys: the test shows nothing", s.module.keys.count)
+	}
+	s.recorder.take()
+	large := s.request(0, func(q *Request) { q.SizeKB = 600 })
+	if got := s.recorder.take("run", "refuse"); !hasAction(got, "run", large) {
+		t.Errorf("got %q, want a run of %d", got, large)
+	}
+}
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,61 +1,117 @@
-// Calls that requests make while they run. The interface is in interface.go.
+// Downstream calls that requests make while they run. The interface is in interface.go.
 
 package admission
 
 import "time"
 
-// CallRequested reports that a running request waits for a decision on a call.
+const (
+	// maxSkippableFailures is how many attempts of a call may fail before a call that can be skipped is.
+	maxSkippableFailures = 2
+	// callRetryInterval is the wait before another attempt of a call for each that failed.
+	callRetryInterval = pollInterval / 2
+	// callTimeoutDivisor: a call may take at most the time left to the objective divided by it, so that
+	// another attempt has time.
+	callTimeoutDivisor = 3
+	// callTimeoutFactor is how many expected call times a call may take all the same.
+	callTimeoutFactor = 4
+)
+
+// downstreamCalls knows how long calls take, and keeps this server within its share of a shared dependency.
+type downstreamCalls struct {
+	callTime  float64       // seconds of a usual call; 0 = not known
+	learnedAt time.Duration // when that was learned last
+	// debt is the time in seconds by which calls exceeded this server's share, never negative. No call
+	// begins while there is debt, so that the mean number in flight stays within the share.
+	debt float64
+}
+
+// learn updates the call time by a call that succeeded.
+func (c *downstreamCalls) learn(now, objective, took time.Duration) {
+	if c.callTime == 0 {
+		c.callTime = took.Seconds()
+	}
+	known := c.expectedSeconds(now, objective)
+	c.callTime = known + (took.Seconds()-known)*learnWeight
+	c.learnedAt = now
+}
+
+// expectedSeconds is how long a call is expected to take.
+func (c *downstreamCalls) expectedSeconds(now, objective time.Duration) float64 {
+	return decayLearned(c.callTime, now-c.learnedAt, objective)
+}
+
+// accrueDebt charges the calls in flight over the elapsed time against this server's share of them.
+func (c *downstreamCalls) accrueDebt(elapsed time.Duration, inFlight int, share float64) {
+	c.debt = max(0, c.debt+elapsed.Seconds()*(float64(inFlight)-share))
+}
+
+// addLinger charges the time that the dependency may go on with a call that was abandoned.
+func (c *downstreamCalls) addLinger(linger time.Duration) { c.debt += linger.Seconds() }
+
+// CallRequested reports that a running request waits for a decision on a downstream call.
 func (in *Instance) CallRequested(now time.Duration, id RequestID) {
 	in.advanceClock(now)
-	r := in.byID[id]
+	r := in.requests.byID[id]
 	if r == nil || r.state != stateRunning {
 		return
 	}
-	in.progressAt = in.coreClock
-	r.coreTime += in.coreClock - r.partStart
-	r.nextCallAt = now
+	in.stall.progressAt = in.clock.core
+	r.run.coreTime += in.clock.core - r.run.partStart
+	r.call.attemptAt = now
 	in.setState(r, stateCallPending)
 }
 
-// CallFinished reports the outcome of a call.
-func (in *Instance) CallFinished(now time.Duration, id RequestID, o Outcome, took time.Duration) {
+// CallFinished reports the outcome of a downstream call and how long it took.
+func (in *Instance) CallFinished(now time.Duration, id RequestID, outcome Outcome, took time.Duration) {
 	in.advanceClock(now)
-	r := in.byID[id]
+	r := in.requests.byID[id]
 	if r == nil || r.state != stateCalling {
 		return
 	}
-	if o == OK {
-		if in.callTime == 0 {
-			in.callTime = took.Seconds()
-		}
-		known := in.expectedCall()
-		in.callTime, in.callLearnedAt = known+(took.Seconds()-known)*learnWeight, now
-		r.partStart = in.coreClock
-		in.setState(r, stateRunning)
+	if outcome == OK {
+		in.calls.learn(now, in.longestObjective, took)
+		in.resume(r)
 		return
 	}
-	if o == TimedOut {
-		in.callDebt += in.settings.CallLinger.Seconds()
+	if outcome == TimedOut {
+		in.calls.addLinger(in.settings.CallLinger)
 	}
 	in.setState(r, stateCallPending)
-	r.callFailures++
-	if o != Rejected && o != Unreachable && o != NotStarted && in.settings.Classes[r.class].Effect != Safe {
-		in.rejectOrFail(r, DeadlineReached) // the call may have had its effect: never a second one
+	r.call.failures++
+	if mayHaveTakenEffect(outcome) && in.settings.Classes[r.class].Effect != Safe {
+		in.rejectOrFail(r, DeadlineReached) // a second call could repeat the effect
 		return
 	}
-	r.nextCallAt = now + time.Duration(r.callFailures)*pollInterval/2
+	r.call.attemptAt = now + time.Duration(r.call.failures)*callRetryInterval
 }
 
-// expectedCall is how long a call takes in seconds.
-func (in *Instance) expectedCall() float64 { return in.decayLearned(in.callTime, in.callLearnedAt) }
+// mayHaveTakenEffect tells whether a call that failed with the outcome may have been carried out.
+func mayHaveTakenEffect(outcome Outcome) bool {
+	switch outcome {
+	case Rejected, Unreachable, NotStarted:
+		return false
+	}
+	return true
+}
+
+// resume puts a request back on the cores after its call was made or skipped.
+func (in *Instance) resume(r *request) {
+	r.run.partStart = in.clock.core
+	in.setState(r, stateRunning)
+}
+
+// expectedCallSeconds is how long a call is expected to take now.
+func (in *Instance) expectedCallSeconds() float64 {
+	return in.calls.expectedSeconds(in.clock.now, in.longestObjective)
+}
 
-// decideCalls decides on the requests that stand at a call.
+// decideCalls decides on the requests that wait for a decision on their call.
 func (in *Instance) decideCalls() {
-	if in.offCore == in.callsInFlight {
+	if in.use.offCore == in.use.callsInFlight {
 		return
 	}
-	for _, r := range in.byArrival {
-		if r.state == stateCallPending && r.nextCallAt <= in.now {
+	for _, r := range in.requests.byArrival {
+		if r.state == stateCallPending && r.call.attemptAt <= in.clock.now {
 			in.decideCall(r)
 		}
 	}
@@ -63,30 +119,44 @@
 
 // decideCall makes the call, skips it or leaves the request to wait.
 func (in *Instance) decideCall(r *request) {
-	c := in.settings.Classes[r.class]
-	rest := seconds(in.expectedCoreTime(r.class) / 2)
-	left := r.objectiveDeadline - in.now - rest
-	if c.SkippedCallWeight > 0 && (r.callFailures > 2 || left < seconds(in.expectedCall()/2)) {
+	class := in.settings.Classes[r.class]
+	restOfRun := seconds(in.expectedCoreTime(r.class) / 2)
+	left := r.objectiveDeadline - in.clock.now - restOfRun
+	if class.SkippedCallWeight > 0 && in.shouldSkipCall(r, left) {
 		in.actions.SkipCall(r.id)
-		r.partStart = in.coreClock
-		in.setState(r, stateRunning)
+		in.resume(r)
 		return
 	}
-	timeout := r.deadline - in.now
-	if c.Effect == Safe && left > 0 {
-		// Some calls hang, whatever the cause: enough time is kept to make another.
-		timeout = min(left, max(left/3, seconds(4*in.expectedCall())))
+	timeout := r.deadline - in.clock.now
+	if class.Effect == Safe && left > 0 {
+		// Some calls hang, whatever the cause: enough time is kept for another attempt.
+		usual := seconds(callTimeoutFactor * in.expectedCallSeconds())
+		timeout = min(left, max(left/callTimeoutDivisor, usual))
 	}
 	if in.settings.Downstream == DependencyShared {
-		// All servers' calls in hand must stay under what the dependency survives on the mean: parts under
-		// one and calls that linger are paid for between calls; no call may outlast the time of the mean.
-		more := float64(in.callsInFlight + 1)
-		if in.callsInFlight > 0 && more > in.settings.FairCallShare || in.callDebt > 0 {
+		if !in.isWithinCallShare() {
 			return
 		}
-		over := float64(in.settings.CallAveragingTime)
-		timeout = min(timeout, time.Duration(over*min(in.settings.FairCallShare, 1)/2))
+		// No call may outlast the time over which the dependency averages.
+		share := min(in.settings.FairCallShare, 1)
+		timeout = min(timeout, time.Duration(float64(in.settings.CallAveragingTime)*share/2))
 	}
 	in.actions.Call(r.id, max(timeout, in.settings.Tick))
 	in.setState(r, stateCalling)
 }
+
+// shouldSkipCall tells whether a call that may be skipped failed too often or has too little time left.
+func (in *Instance) shouldSkipCall(r *request, left time.Duration) bool {
+	return r.call.failures > maxSkippableFailures || left < seconds(in.expectedCallSeconds()/2)
+}
+
+// isWithinCallShare tells whether one more call keeps the mean of the calls of all servers under what the
+// shared dependency survives. A share under one call allows one at a time and is paid for between calls, as
+// debt.
+func (in *Instance) isWithinCallShare() bool {
+	if in.calls.debt > 0 {
+		return false
+	}
+	inFlight := in.use.callsInFlight
+	return inFlight == 0 || float64(inFlight+1) <= in.settings.FairCallShare
+}
--- /dev/null
+++ b/admission/calls_test.go
@@ -0,0 +1,129 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestCallWithEffectIsRetriedOnlyIfNotCarriedOut(t *testing.T) {
+	for o, repeats := range map[Outcome]bool{Rejected: true, Unreachable: true, NotStarted: true,
+		Failed: false, TimedOut: false, Reset: false} {
+		for class := 0; class < 3; class++ {
+			in, rec := newTestInstance(t, testSettings())
+			in.Request(0, testRequest(1, class))
+			in.Settle(0)
+			in.CallRequested(10*ms, 1)
+			in.Settle(10 * ms)
+			in.CallFinished(20*ms, 1, o, 10*ms)
+			in.Settle(500 * ms)
+			want := "[run 1 call 1 call 1]"
+			if !repeats && class > 0 {
+				want = "[run 1 call 1 fail 1]"
+			}
+			if got := fmt.Sprint(rec.take("run", "call", "fail", "refuse")); got != want {
+				t.Errorf("outcome %d of class %d: %s, want %s", o, class, got, want)
+			}
+		}
+	}
+}
+
+func TestLingeringCallAccruesDebt(t *testing.T) {
+	for _, end := range []string{"gone", "due"} {
+		s := testSettings()
+		s.Downstream, s.FairCallShare, s.CallAveragingTime, s.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
+		in, rec := newTestInstance(t, s)
+		first := testRequest(1, 0)
+		first.RemainingTime = 500 * ms
+		in.Request(0, first)
+		in.Request(0, testRequest(2, 0))
+		in.Settle(0)
+		in.CallRequested(10*ms, 1)
+		in.Settle(10 * ms)
+		in.CallRequested(20*ms, 2)
+		in.Settle(20 * ms)
+		expectActions(t, rec, "call", "call 1")
+		now := 100 * ms
+		if end == "due" {
+			now = 490 * ms
+		} else {
+			in.Cancel(now, 1)
+		}
+		in.Settle(now)
+		expectActions(t, rec, "call")
+		in.Settle(now + 150*ms)
+		expectActions(t, rec, "call")
+		in.Settle(now + 250*ms)
+		expectActions(t, rec, "call", "call 2")
+	}
+}
+
+func TestSafeCallLeavesTimeForRetry(t *testing.T) {
+	in, _ := newTestInstance(t, testSettings())
+	for id, want := range map[RequestID]time.Duration{1: 2 * time.Second / 3, 2: 6 * time.Second} {
+		q := testRequest(id, int(id)-1)
+		in.Request(0, q)
+		in.Settle(0)
+		in.CallRequested(0, id)
+		var got time.Duration
+		in.actions = callTimeoutRecorder{&recorder{}, &got}
+		in.Settle(0)
+		if got != want {
+			t.Errorf("call of class %d abandoned after %v, want %v", id-1, got, want)
+		}
+	}
+}
+
+// TestSlowCallsAreMadeAgain has calls of a class whose answers may leave them out take longer than its objective for
+// a while: calls are made again later, so that they can show that they are fast again. What is left out is learned
+// from by nobody.
+func TestSlowCallsAreMadeAgain(t *testing.T) {
+	set := twoClassSettings()
+	set.Downstream = DependencyTier
+	set.Classes[0].SkippedCallWeight = 0.5
+	s := newDriver(t, set)
+	call := func(took time.Duration) (called bool) {
+		id := s.request(0, nil)
+		s.module.CallRequested(s.now, id)
+		s.module.Settle(s.now)
+		called = hasAction(s.recorder.take("call"), "call", id)
+		s.advance(took)
+		if called {
+			s.module.CallFinished(s.now, id, OK, took)
+		}
+		s.module.RunFinished(s.now, id, OK)
+		return called
+	}
+	for range 10 {
+		if !call(1300 * ms) {
+			break
+		}
+	}
+	calls := 0
+	for range 600 { // a minute
+		if call(50 * ms) {
+			calls++
+		}
+		s.advance(50 * ms)
+	}
+	if calls < 300 {
+		t.Errorf("%d calls were made for 600 requests in the minute after calls were slow, want half at least", calls)
+	}
+}
+
+// TestCallDebt charges the calls over the share, and pays back in time without them, never more than all.
+func TestCallDebt(t *testing.T) {
+	var calls downstreamCalls
+	calls.accrueDebt(2*time.Second, 3, 1) // two more than the share
+	if calls.debt != 4 {
+		t.Errorf("debt %v, want 4", calls.debt)
+	}
+	calls.addLinger(500 * ms)
+	calls.accrueDebt(time.Second, 0, 1)
+	if calls.debt != 3.5 {
+		t.Errorf("debt %v, want 3.5", calls.debt)
+	}
+	if calls.accrueDebt(time.Minute, 0, 1); calls.debt != 0 {
+		t.Errorf("debt %v, want none", calls.debt)
+	}
+}
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -1,4 +1,4 @@
-// The drain of a process that is to stop. The interface is in interface.go.
+// Graceful shutdown. The interface is in interface.go.
 
 package admission
 
@@ -7,31 +7,61 @@
 	"time"
 )
 
-// isPastDrainGrace tells whether the request came after the grace of a drain.
-func (in *Instance) isPastDrainGrace(r *request) bool {
-	return in.isDraining && r.arrivedAt > in.noticedAt+in.settings.DrainGracePeriod
+const (
+	// stopMarginPart: all answers are out this part of the time left before the process is stopped.
+	stopMarginPart = 20
+	// drainLeavePolls is how many polls before the end of the grace period callers are sent away.
+	drainLeavePolls = 2
+	// drainLeavePart bounds that time to this part of the grace period.
+	drainLeavePart = 4
+)
+
+// drainState is what is known of the notice that the process is to stop. Once draining it never returns to
+// service.
+type drainState struct {
+	isDraining bool
+	noticedAt  time.Duration
+	stopAt     time.Duration // when all answers must be out, before the process is stopped
 }
 
-// Drain reports the notice that the process is stopped after the time.
-func (in *Instance) Drain(now, left time.Duration) {
+// isPastGrace tells whether a request that arrived then came after the grace period and must not run.
+func (d *drainState) isPastGrace(arrivedAt, grace time.Duration) bool {
+	return d.isDraining && arrivedAt > d.noticedAt+grace
+}
+
+// isGraceEnding tells whether callers should look for another server. That is only when the grace period is
+// nearly over: what arrives until then is run, and sent away sooner it crowds servers whose successors few
+// know of.
+func (d *drainState) isGraceEnding(now, grace time.Duration) bool {
+	if !d.isDraining {
+		return false
+	}
+	lead := min(drainLeavePolls*pollInterval, grace/drainLeavePart)
+	return now+lead >= d.noticedAt+grace
+}
+
+// Drain reports the notice that the process is stopped after the time. Further notices change nothing.
+func (in *Instance) Drain(now, timeLeft time.Duration) {
 	in.advanceClock(now)
-	if in.isDraining {
+	if in.drain.isDraining {
 		return
 	}
-	in.isDraining, in.noticedAt = true, now
-	in.stopAt = now + left - max(2*in.answerMargin(), left/20)
-	for _, r := range in.byArrival {
-		r.deadline = min(r.deadline, in.stopAt)
+	margin := max(2*in.answerMargin(), timeLeft/stopMarginPart)
+	in.drain = drainState{isDraining: true, noticedAt: now, stopAt: now + timeLeft - margin}
+	for _, r := range in.requests.byArrival {
+		r.deadline = min(r.deadline, in.drain.stopAt)
 		r.objectiveDeadline = min(r.objectiveDeadline, r.deadline)
 	}
-	in.nextDeadline = now
-	in.actions.Log(fmt.Sprintf("drain: %d held, %d running", len(in.queue), in.running))
+	in.schedule.nextDeadline = now
+	in.actions.Log(fmt.Sprintf("drain: %d held, %d running", in.queue.len(), in.use.running))
 }
 
-// isDrainEnding tells whether callers should look for another server: only when the grace of a drain nears
-// its end, as what arrives until then is run, and sent away sooner it crowds servers whose successors few
-// know of.
+// isPastDrainGrace tells whether the request arrived after the drain grace period.
+func (in *Instance) isPastDrainGrace(r *request) bool {
+	return in.drain.isPastGrace(r.arrivedAt, in.settings.DrainGracePeriod)
+}
+
+// isDrainEnding tells whether callers should look for another server because this one stops.
 func (in *Instance) isDrainEnding() bool {
-	grace := in.settings.DrainGracePeriod
-	return in.isDraining && in.now+min(2*pollInterval, grace/4) >= in.noticedAt+grace
+	return in.drain.isGraceEnding(in.clock.now, in.settings.DrainGracePeriod)
 }
--- /dev/null
+++ b/admission/drain_test.go
@@ -0,0 +1,51 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDrainGrace(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.Drain(time.Second, 4*time.Second)
+	in.Settle(time.Second)
+	inside, past := testRequest(1, 0), testRequest(2, 0)
+	inside.QueueingDelay, past.QueueingDelay = 10*ms, 9*ms
+	in.Request(3*time.Second+10*ms, inside)
+	in.Request(3*time.Second+10*ms, past)
+	in.Settle(3*time.Second + 10*ms)
+	expectActions(t, rec, "run refuse", "refuse 2 1s false", "run 1")
+	in.Settle(5*time.Second - ms)
+	expectActions(t, rec, "fail", "fail 1")
+}
+
+func TestNoRunOfArrivalsAfterDrainGrace(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
+	in.Drain(0, 4*time.Second)
+	q := testRequest(1, 0)
+	in.Request(2*time.Second+ms, q)
+	in.RunFinished(2*time.Second+2*ms, 1000, OK)
+	in.Settle(2*time.Second + 2*ms)
+	expectActions(t, rec, "run refuse", "refuse 1 1s false")
+}
+
+// TestGracePeriod counts the grace from the notice, and sends callers away two polls before its end, or a quarter of it.
+func TestGracePeriod(t *testing.T) {
+	none := drainState{}
+	if none.isPastGrace(time.Hour, time.Second) || none.isGraceEnding(time.Hour, time.Second) {
+		t.Error("a grace period without a drain")
+	}
+	d := drainState{isDraining: true, noticedAt: time.Minute}
+	for _, c := range []struct {
+		grace, left time.Duration
+	}{{2 * time.Second, 200 * ms}, {400 * ms, 100 * ms}} {
+		end := time.Minute + c.grace
+		if d.isPastGrace(end, c.grace) || !d.isPastGrace(end+1, c.grace) {
+			t.Errorf("a grace of %v does not end at its end", c.grace)
+		}
+		if d.isGraceEnding(end-c.left-1, c.grace) || !d.isGraceEnding(end-c.left, c.grace) {
+			t.Errorf("a grace of %v does not send callers away %v before its end", c.grace, c.left)
+		}
+	}
+}
--- /dev/null
+++ b/admission/driver_test.go
@@ -0,0 +1,91 @@
+package admission
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// driver drives an Instance by events alone, and ends its runs when the test says so.
+type driver struct {
+	t           *testing.T
+	module      *Instance
+	recorder    *recorder
+	now         time.Duration
+	lastID      RequestID
+	isSaturated bool // what the gauges read
+}
+
+// newDriver returns a driver of a new Instance.
+func newDriver(t *testing.T, s Settings) *driver {
+	t.Helper()
+	in, rec := newTestInstance(t, s)
+	return &driver{t: t, module: in, recorder: rec}
+}
+
+// advance has the clock and the module's timer go on.
+func (d *driver) advance(elapsed time.Duration) {
+	d.now += elapsed
+	gauges := Gauges{Utilization: 0.5, Runnable: 0}
+	if d.isSaturated {
+		gauges = Gauges{Utilization: 1, Runnable: 100}
+	}
+	d.module.Timer(d.now, 0, gauges)
+	d.module.Settle(d.now)
+}
+
+// request has a request of the class come, and returns its number.
+func (d *driver) request(class int, change func(*Request)) RequestID {
+	d.lastID++
+	q := testRequest(d.lastID, class)
+	q.RemainingTime = 0
+	if change != nil {
+		change(&q)
+	}
+	d.module.Request(d.now, q)
+	d.module.Settle(d.now)
+	return d.lastID
+}
+
+// startedRuns returns what the module has run since the last look.
+func (d *driver) startedRuns() (ids []RequestID) {
+	d.t.Helper()
+	for _, a := range d.recorder.take("run") {
+		_, id := scanAction(d.t, a)
+		ids = append(ids, id)
+	}
+	return ids
+}
+
+// hasAction tells whether the module has done the word to the request since the last look.
+func hasAction(actions []string, word string, id RequestID) bool {
+	want := fmt.Sprintf("%s %d", word, id)
+	for _, a := range actions {
+		if a == want || strings.HasPrefix(a, want+" ") {
+			return true
+		}
+	}
+	return false
+}
+
+// scanAction reads the word and the request of an action.
+func scanAction(t *testing.T, action string) (word string, id RequestID) {
+	t.Helper()
+	if _, err := fmt.Sscanf(action, "%s %d", &word, &id); err != nil {
+		t.Fatalf("%q: %v", action, err)
+	}
+	return word, id
+}
+
+// twoClassSettings are settings of 300 servers and 150 callers: a class with an objective of 0.6 s and one with an
+// objective of 6 s.
+func twoClassSettings() Settings {
+	return Settings{Servers: 300, Callers: 150, Cores: 2, Tick: 5 * ms, MemoryKB: 1e6,
+		RunningMemoryFactor: 4, MaxConcurrencyFactor: 8,
+		DrainGracePeriod: 2 * time.Second, MaxRetryAfter: time.Second,
+		Classes: []Class{
+			{LatencyObjective: 600 * ms, Deadline: 1500 * ms, Weight: 1},
+			{LatencyObjective: 6 * time.Second, Deadline: 15 * time.Second, Weight: 1},
+		}}
+}
--- a/admission/events.go
+++ b/admission/events.go
@@ -8,102 +8,126 @@
 )
 
 const (
-	// pollInterval is the time between two readings of the gauges: a fifth of what they average over.
+	// pollInterval is the time between two uses of the gauges: a fifth of the time over which they average.
 	pollInterval = 100 * time.Millisecond
-	// answerTicks is how many ticks before its due time a request is answered.
+	// answerTicks is how many ticks before its deadline a request is answered.
 	answerTicks = 2
+	// maxSweepInterval is the longest time between two sweeps.
+	maxSweepInterval = time.Hour
+	// finishedSlack is how many finished requests the list may hold, beside as many as there are unfinished
+	// ones, before they are swept: decisions range over the list.
+	finishedSlack = 64
+	// minQuota is the least quota in requests a second, so that no threshold is 0.
+	minQuota = 1e-3
 )
 
-// New returns an Instance for the settings, or an error that names a field on which no instance can run.
-func New(s Settings, a Actions) (*Instance, error) {
-	if err := validate(s); err != nil {
+// New returns an Instance for the settings, or an error that names a field that makes no sense.
+func New(settings Settings, actions Actions) (*Instance, error) {
+	if err := validate(settings); err != nil {
 		return nil, err
 	}
-	in := &Instance{settings: s, actions: a, byID: map[RequestID]*request{}, notStarted: map[RequestID]bool{},
-		keys: make([][]*keyEntry, len(s.Classes)), classes: make([]classState, len(s.Classes)),
-		concurrencyLimit: float64(s.Cores), runnable: -1, trafficWeight: 1, advertised: -1, isHealthy: true}
-	for _, c := range s.Classes {
-		in.longestObjective = max(in.longestObjective, c.LatencyObjective)
+	in := &Instance{
+		settings: settings,
+		actions:  actions,
+		requests: requestTable{byID: map[RequestID]*request{}},
+		classes:  make([]classState, len(settings.Classes)),
+		keys: idempotencyKeys{
+			byClass:    make([][]*keyEntry, len(settings.Classes)),
+			notStarted: map[RequestID]bool{},
+		},
+		limiter:  concurrencyLimiter{runnable: -1, limit: float64(settings.Cores)},
+		feedback: loadFeedback{trafficWeight: 1, advertised: -1, isHealthy: true},
 	}
-	for _, t := range s.Tenants {
-		in.totalQuota += max(t.Quota, 1e-3)
+	for _, class := range settings.Classes {
+		in.longestObjective = max(in.longestObjective, class.LatencyObjective)
+	}
+	for _, tenant := range settings.Tenants {
+		in.rates.totalQuota += max(tenant.Quota, minQuota)
 	}
 	// An arrival halves about when its answer is due: a surge shows and ends as the work that it brings
 	// does.
-	in.decay = math.Ln2 / in.longestObjective.Seconds()
+	in.rates.decay = math.Ln2 / in.longestObjective.Seconds()
 	return in, nil
 }
 
-// advanceClock moves the clocks to now.
+// advanceClock moves the clocks to now, and begins the service at the first event.
 func (in *Instance) advanceClock(now time.Duration) {
-	if !in.isStarted {
-		in.isStarted, in.startedAt, in.now = true, now, now
-		in.nextPoll = now
+	if !in.clock.isStarted {
+		in.clock.isStarted = true
+		in.clock.startedAt = now
+		in.clock.now = now
+		in.schedule.nextPoll = now
 		in.actions.SetHealth(true, true)
 	}
-	if now <= in.now {
+	if now <= in.clock.now {
 		return
 	}
-	part := float64(min(in.running, 1)*in.settings.Cores) / float64(max(in.running, in.settings.Cores))
-	// A timer comes at each poll of the gauges: a longer gap means that the process stood still, and its
+	elapsed := now - in.clock.now
+	cores := in.settings.Cores
+	coreShare := float64(min(in.use.running, 1)*cores) / float64(max(in.use.running, cores))
+	// A timer fires at each poll of the gauges: a longer gap means that the process stood still, and its
 	// work with it.
-	in.coreClock += min(now-in.now, 2*pollInterval).Seconds() * part
-	excess := float64(in.callsInFlight) - in.settings.FairCallShare
-	in.callDebt = max(0, in.callDebt+(now-in.now).Seconds()*excess)
-	in.now = now
+	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * coreShare
+	in.calls.accrueDebt(elapsed, in.use.callsInFlight, in.settings.FairCallShare)
+	in.clock.now = now
 }
 
 // Cancel reports that the caller of a request no longer waits.
 func (in *Instance) Cancel(now time.Duration, id RequestID) {
 	in.advanceClock(now)
-	if r := in.byID[id]; r != nil && r.state != stateAbandoned {
+	r := in.requests.byID[id]
+	if r != nil && r.state != stateAbandoned {
 		in.finish(r)
 	}
 }
 
-// RunFinished reports the end of a run or of a reuse.
-func (in *Instance) RunFinished(now time.Duration, id RequestID, o Outcome) {
+// RunFinished reports the end of a run or of a replay.
+func (in *Instance) RunFinished(now time.Duration, id RequestID, outcome Outcome) {
 	in.advanceClock(now)
-	r := in.byID[id]
+	r := in.requests.byID[id]
 	if r == nil || r.state == stateQueued || r.state == stateFollowing {
 		return
 	}
-	if r.state == stateRunning || r.state == stateAbandoned && o != Cancelled {
-		in.progressAt = in.coreClock
+	if r.state == stateRunning || r.state == stateAbandoned && outcome != Cancelled {
+		in.stall.progressAt = in.clock.core
 	}
 	if r.state == stateRunning {
-		r.coreTime += in.coreClock - r.partStart
-		if o == OK {
-			in.learn(r.class, r.coreTime, (now - r.startedAt).Seconds())
-			in.longestRun = max(in.longestRun, (now - r.startedAt).Seconds())
-			in.completions.count(now, in.decay)
-		} else {
-			in.countFailure(r)
-		}
+		in.learnFromRun(now, r, outcome)
 	}
-	if o == Cancelled && r.state != stateAbandoned && r.state != stateReplaying {
+	if outcome == Cancelled && r.state != stateAbandoned && r.state != stateReplaying {
 		in.actions.Fail(r.id) // stopped, though its answer is still owed
 	}
-	in.setState(r, stateFinished)
-	delete(in.byID, r.id)
+	in.remove(r)
 }
 
-// answerMargin is how long before its due time a request is answered.
+// learnFromRun updates the estimates by a run that ended.
+func (in *Instance) learnFromRun(now time.Duration, r *request, outcome Outcome) {
+	r.run.coreTime += in.clock.core - r.run.partStart
+	estimator := &in.classes[r.class].runTime
+	if outcome != OK {
+		estimator.countFailure(in.clock.now)
+		return
+	}
+	wallTime := (now - r.run.startedAt).Seconds()
+	estimator.learn(in.clock.now, in.longestObjective, r.run.coreTime, wallTime)
+	in.stall.longestRun = max(in.stall.longestRun, wallTime)
+	in.rates.completions.count(now, in.rates.decay)
+}
+
+// answerMargin is how long before its deadline a request is answered.
 func (in *Instance) answerMargin() time.Duration { return answerTicks * in.settings.Tick }
 
-// Timer reports that the time asked for has passed, with the server's gauges.
-func (in *Instance) Timer(now time.Duration, _ uint32, g Gauges) {
+// Timer reports that the time of SetTimer has passed, with the server's gauges.
+func (in *Instance) Timer(now time.Duration, _ uint32, gauges Gauges) {
 	in.advanceClock(now)
-	if now >= in.timerAt {
-		in.timerAt = 0
+	if now >= in.schedule.timerAt {
+		in.schedule.timerAt = 0
 	}
-	if now < in.nextPoll {
+	if now < in.schedule.nextPoll {
 		return
 	}
-	in.nextPoll = now + pollInterval
-	if g.Utilization >= 0 {
-		in.utilization, in.runnable = g.Utilization, g.Runnable
-	}
+	in.schedule.nextPoll = now + pollInterval
+	in.limiter.read(gauges)
 	in.countLiveCallers()
 	in.adjustConcurrencyLimit()
 	in.detectStall()
@@ -111,49 +135,52 @@
 	in.updateFeedback()
 }
 
-// Settle acts on what the last group of events left to do.
+// Settle ends a group of simultaneous events and decides on what they left to do.
 func (in *Instance) Settle(now time.Duration) {
 	in.advanceClock(now)
-	in.expireKeys()
-	if now+in.answerMargin() >= in.nextDeadline || len(in.byArrival) > 2*len(in.byID)+64 {
-		in.sweep() // also where most are over: what follows ranges over all
+	in.keys.expire(in.clock.now, in.settings.Tick)
+	isDeadlineNear := now+in.answerMargin() >= in.schedule.nextDeadline
+	isListStale := len(in.requests.byArrival) > 2*len(in.requests.byID)+finishedSlack
+	if isDeadlineNear || isListStale {
+		in.sweep()
 	}
 	in.rejectFromQueue()
 	in.startQueued()
 	in.decideCalls()
-	clear(in.notStarted)
+	clear(in.keys.notStarted)
 	in.setTimer()
 }
 
-// sweep answers all that is due and finds the next due time.
+// sweep answers all requests whose deadline has come, drops finished ones and finds the next deadline.
 func (in *Instance) sweep() {
-	in.nextDeadline = in.now + time.Hour
-	kept := in.byArrival[:0]
-	all := in.byArrival
+	in.schedule.nextDeadline = in.clock.now + maxSweepInterval
+	all := in.requests.byArrival
 	for _, r := range all {
-		if r.state != stateFinished && r.state != stateAbandoned && r.deadline <= in.now+in.answerMargin() {
+		isOwed := r.state != stateFinished && r.state != stateAbandoned
+		if isOwed && r.deadline <= in.clock.now+in.answerMargin() {
 			in.rejectOrFail(r, DeadlineReached)
 		}
 	}
+	kept := all[:0]
 	for _, r := range all {
 		if r.state == stateFinished {
 			continue
 		}
 		kept = append(kept, r)
 		if r.state != stateAbandoned {
-			in.nextDeadline = min(in.nextDeadline, r.deadline)
+			in.schedule.nextDeadline = min(in.schedule.nextDeadline, r.deadline)
 		}
 	}
-	in.byArrival = kept
+	in.requests.byArrival = kept
 }
 
-// setTimer asks for one timer, for the earliest thing to do.
+// setTimer asks for one timer, for the earliest thing to do, unless an earlier one was asked for.
 func (in *Instance) setTimer() {
-	next := min(in.nextPoll, in.nextDeadline-in.answerMargin())
-	next = max(next, in.now+in.settings.Tick)
-	if in.timerAt != 0 && in.timerAt <= next {
+	next := min(in.schedule.nextPoll, in.schedule.nextDeadline-in.answerMargin())
+	next = max(next, in.clock.now+in.settings.Tick)
+	if in.schedule.timerAt != 0 && in.schedule.timerAt <= next {
 		return
 	}
-	in.timerAt = next
-	in.actions.SetTimer(next-in.now, 0)
+	in.schedule.timerAt = next
+	in.actions.SetTimer(next-in.clock.now, 0)
 }
--- /dev/null
+++ b/admission/feedback_test.go
@@ -0,0 +1,110 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+// A server that can't read what comes asks for less and less traffic; one that only works asks for half.
+func TestBacklogReducesTrafficWeight(t *testing.T) {
+	for _, c := range []struct {
+		readDelay, least, most float64
+	}{{0, 0.5, 0.5}, {10, 0, 0.1}} {
+		s := testSettings()
+		s.Feedback = FeedbackLevel
+		in, _ := newTestInstance(t, s)
+		in.classes[0].runTime.coreTime, in.classes[0].queued[0] = 1, 1000
+		for range 100 {
+			in.limiter.utilization, in.traffic.readDelay = 1, c.readDelay
+			in.updateFeedback()
+		}
+		if in.feedback.trafficWeight < c.least || in.feedback.trafficWeight > c.most {
+			t.Errorf("arrivals wait %v s before they are read: weight %v", c.readDelay, in.feedback.trafficWeight)
+		}
+	}
+}
+
+func TestCreditLeavesOutTheUnread(t *testing.T) {
+	s := testSettings()
+	s.Feedback = FeedbackCredit
+	in, rec := newTestInstance(t, s)
+	for i := 1; i <= 200; i++ {
+		q := testRequest(RequestID(i), 0)
+		q.QueueingDelay = 2 * time.Second
+		in.Request(time.Duration(i)*50*ms, q)
+		in.Settle(time.Duration(i) * 50 * ms)
+		in.RunFinished(time.Duration(i)*50*ms+ms, q.ID, OK)
+	}
+	in.classes[0].runTime.coreTime = 1
+	rec.take()
+	in.Timer(10100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
+	expectActions(t, rec, "say", "say 0.000")
+}
+
+// TestAdvertisedLoadWhileDraining has a server that drains be used as ever while its grace lasts, and send callers
+// away just before it is over: those that learn late are served, and the others are not crowded sooner than they must
+// be.
+func TestAdvertisedLoadWhileDraining(t *testing.T) {
+	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"say 0.000"}, {"say 1.000"}},
+		FeedbackCredit: {{"say 2.000"}, {"say 0.000"}}, FeedbackWeight: {{"say 1.000"}, {"say 0.000"}}} {
+		s := testSettings()
+		s.Feedback = feedback
+		in, rec := newTestInstance(t, s)
+		learnRun(in, 0, 1, 1)
+		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
+		in.Drain(0, 4*time.Second)
+		in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
+		expectActions(t, rec, "say idle", want[0]...)
+		in.Timer(s.DrainGracePeriod-100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
+		expectActions(t, rec, "say idle", append([]string{"idle 10ms"}, want[1]...)...)
+	}
+}
+
+func TestIdleConnectionsCloseWhereCallersAreRare(t *testing.T) {
+	for _, c := range []struct {
+		callers int
+		retry   bool
+		idle    time.Duration
+		want    []string
+	}{{300, false, 30 * time.Second, []string{"idle 4s"}}, {300, true, 30 * time.Second, []string{"idle 30s"}},
+		{2, false, 30 * time.Second, []string{"idle 30s"}}, {300, false, 0, nil},
+		{300, false, time.Second, []string{"idle 1s"}}} {
+		s := testSettings()
+		s.Callers, s.CallerIdleTimeout = c.callers, c.idle
+		in, rec := newTestInstance(t, s)
+		for id := RequestID(1); id <= 20; id++ {
+			q := testRequest(id, 0)
+			q.IsRetry = c.retry
+			in.Request(0, q)
+		}
+		in.schedule.nextPoll = 0
+		rec.take()
+		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
+		in.schedule.nextPoll = 0
+		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
+		expectActions(t, rec, "idle", c.want...)
+	}
+}
+
+// TestCreditDoesNotDependOnTheOrderOfClasses has a class of short runs and one of long runs make up the same traffic,
+// listed one way and the other: callers get the same credit.
+func TestCreditDoesNotDependOnTheOrderOfClasses(t *testing.T) {
+	credit := func(first, second float64) string {
+		set := twoClassSettings()
+		set.Feedback = FeedbackCredit
+		set.Classes[0] = set.Classes[1]
+		s := newDriver(t, set)
+		for i, run := range []float64{first, second} {
+			learnRun(s.module, i, run, run)
+			id := s.request(i, nil)
+			s.advance(ms)
+			s.module.RunFinished(s.now, id, Failed)
+		}
+		s.advance(200 * ms)
+		advertised := s.recorder.take("say")
+		return advertised[len(advertised)-1]
+	}
+	if a, b := credit(0.1, 1), credit(1, 0.1); a != b {
+		t.Errorf("with the short runs first: %s; with the long ones: %s", a, b)
+	}
+}
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -1,68 +1,35 @@
-// What an Instance knows, for operators who ask why it decided as it did. Nothing here decides.
+// What an Instance knows, for operators who ask why it decided as it did. Nothing here decides, and nothing
+// here changes the Instance.
 
 package admission
 
-import "time"
-
-// Reason is why a request was turned away, where the decision is made by itself.
-type Reason uint8
-
-// The reasons. On arrival: from AfterDrainGrace to PredictedWaitTooLong; in the queue: Due, Stalled, and from DeadlineUnreachable on.
-const (
-	Admitted             Reason = iota // it was not
-	AfterDrainGrace                    // it arrived later than the grace of a drain
-	Stalled                            // the work stands still
-	OutOfMemory                        // no memory is left to hold it or to keep its key
-	DeadlineReached                    // its answer is due
-	RateOverThreshold                  // its tenant's rate is over the threshold while the cores are full and work is held
-	PredictedWaitTooLong               // the predicted wait misses its aim while the cores are full and work is held
-	DeadlineUnreachable                // a run begun now would end after it is due
-	LateWithoutWeight                  // a late answer of its class earns nothing
-	LateWhileSaturated                 // a run begun now would be late, and others wait for full cores
-
-	reasonCount = int(LateWhileSaturated) + 1
+import (
+	"slices"
+	"time"
 )
 
-// reasonTexts say the reasons in a sentence's end.
-var reasonTexts = [...]string{"it was admitted", "it arrived after the grace of the drain", "the work stood still",
-	"no memory was left for it", "its answer was due",
-	"its tenant's rate was over the threshold while work was held and the cores were full",
-	"the predicted wait missed its aim while work was held and the cores were full",
-	"a run begun then would have ended after it was due", "it was past its aim and a late answer earns nothing",
-	"a run begun then would have been late while the cores were full"}
-
-// String says the reason.
-func (r Reason) String() string {
-	if int(r) < len(reasonTexts) {
-		return reasonTexts[r]
-	}
-	return "for an unknown reason"
-}
-
-// MarshalText writes the reason's sentence.
-func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
-
-// Inspection is what an Instance knows at a moment. Times are of its clock; durations are in nanoseconds in JSON.
+// Inspection is what an Instance knows at a time. Times are of its clock; durations are in nanoseconds in
+// JSON.
 type Inspection struct {
 	Now              time.Duration     `json:"now"`
 	Queued           int               `json:"held"`
 	Running          int               `json:"running"`
 	Calling          int               `json:"at_call"`
-	ConcurrencyLimit float64           `json:"limit"`     // stateRunning requests wanted
-	MaxConcurrency   float64           `json:"crowd"`     // most running requests that are allowed, by what the server survives
-	MemoryKB         float64           `json:"memory_kb"` // needed now
-	MaxMemoryKB      float64           `json:"most_kb"`   // that may be needed
+	ConcurrencyLimit float64           `json:"limit"`     // running requests wanted
+	MaxConcurrency   float64           `json:"crowd"`     // running requests that the server survives, less a margin
+	MemoryKB         float64           `json:"memory_kb"` // in use
+	MaxMemoryKB      float64           `json:"most_kb"`   // that may be in use
 	Keys             int               `json:"keys"`
-	Utilization      float64           `json:"busy"`     // the core gauge
-	Runnable         float64           `json:"runnable"` // what wants a core; negative = not told
-	Saturated        bool              `json:"full"`     // the cores read full
-	Overloaded       bool              `json:"pressed"`  // full, and work is held
+	Utilization      float64           `json:"busy"`     // of the cores, 0 to 1
+	Runnable         float64           `json:"runnable"` // what wants a core; negative = not known
+	Saturated        bool              `json:"full"`     // all cores are busy
+	Overloaded       bool              `json:"pressed"`  // saturated, and requests are queued
 	Stalled          bool              `json:"stalled"`
 	Draining         bool              `json:"draining"`
-	RetryStorm       bool              `json:"stormy"`  // most arrivals are tries made again, or arrivals lie unread
+	RetryStorm       bool              `json:"stormy"`  // most arrivals are retries, or arrivals wait to be read
 	RetryShare       float64           `json:"retries"` // part of the latest arrivals
 	ReadDelay        time.Duration     `json:"unread"`  // that arrivals lately waited to be read
-	HalfLife         time.Duration     `json:"half"`    // module which an arrival halves in the estimates
+	HalfLife         time.Duration     `json:"half"`    // in which an arrival halves in the rate estimates
 	TrafficWeight    float64           `json:"weight"`  // part of the usual traffic that is wanted
 	Classes          []ClassInspection `json:"classes"`
 }
@@ -71,66 +38,105 @@
 type ClassInspection struct {
 	CoreTime          time.Duration `json:"core_time"` // of a run; 0 = not known
 	WallTime          time.Duration `json:"wall"`      // from the start of a run to its end
-	Samples           int           `json:"runs"`      // learned from
-	QueuedWithinQuota int           `json:"within"`    // held, of tenants within their slices
-	QueuedOverQuota   int           `json:"over"`      // held, of tenants over them
+	Samples           int           `json:"runs"`      // runs learned from
+	QueuedWithinQuota int           `json:"within"`    // queued, of tenants within their quota shares
+	QueuedOverQuota   int           `json:"over"`      // queued, of tenants over them
 
 	Starved    bool                `json:"starved"`    // a smaller part of its requests is run than of the others
-	Rejections [reasonCount]uint64 `json:"rejections"` // requests turned away since the start, by Reason
+	Rejections [reasonCount]uint64 `json:"rejections"` // rejected requests since the start, by Reason
 }
 
 // Inspect returns what the Instance knows.
 func (in *Instance) Inspect() Inspection {
-	i := Inspection{Now: in.now, Queued: len(in.queue), Running: in.running, Calling: in.offCore, ConcurrencyLimit: in.concurrencyLimit, MaxConcurrency: in.maxConcurrency(),
-		MemoryKB: in.memoryKB(), MaxMemoryKB: in.settings.MemoryKB * usableMemory, Keys: in.keyCount, Utilization: in.utilization, Runnable: in.runnable,
-		Saturated: in.isSaturated(), Overloaded: in.isOverloaded(), Stalled: in.isStalled, Draining: in.isDraining, RetryStorm: in.isRetryStorm(),
-		RetryShare: in.retryShare, ReadDelay: seconds(in.readDelay), HalfLife: in.longestObjective, TrafficWeight: in.trafficWeight}
-	for _, c := range in.classes {
-		i.Classes = append(i.Classes, ClassInspection{CoreTime: seconds(c.coreTime), WallTime: seconds(c.wallTime), Samples: c.samples, QueuedWithinQuota: c.queued[0], QueuedOverQuota: c.queued[1],
-			Starved: c.isStarved, Rejections: c.rejections})
+	inspection := Inspection{
+		Now:              in.clock.now,
+		Queued:           in.queue.len(),
+		Running:          in.use.running,
+		Calling:          in.use.offCore,
+		ConcurrencyLimit: in.limiter.limit,
+		MaxConcurrency:   in.maxConcurrency(),
+		MemoryKB:         in.memoryKB(),
+		MaxMemoryKB:      in.settings.MemoryKB * usableMemory,
+		Keys:             in.keys.count,
+		Utilization:      in.limiter.utilization,
+		Runnable:         in.limiter.runnable,
+		Saturated:        in.isSaturated(),
+		Overloaded:       in.isOverloaded(),
+		Stalled:          in.stall.isStalled,
+		Draining:         in.drain.isDraining,
+		RetryStorm:       in.isRetryStorm(),
+		RetryShare:       in.traffic.retryShare,
+		ReadDelay:        seconds(in.traffic.readDelay),
+		HalfLife:         in.longestObjective,
+		TrafficWeight:    in.feedback.trafficWeight,
+	}
+	for i := range in.classes {
+		inspection.Classes = append(inspection.Classes, in.classes[i].inspect())
+	}
+	return inspection
+}
+
+// inspect returns what was learned of the class.
+func (c *classState) inspect() ClassInspection {
+	return ClassInspection{
+		CoreTime:          seconds(c.runTime.coreTime),
+		WallTime:          seconds(c.runTime.wallTime),
+		Samples:           c.runTime.samples,
+		QueuedWithinQuota: c.queued[withinQuota],
+		QueuedOverQuota:   c.queued[overQuota],
+		Starved:           c.share.isStarved,
+		Rejections:        c.rejections,
 	}
-	return i
 }
 
 // AdmissionCheck is how an arrival looks to an Instance.
 type AdmissionCheck struct {
 	Reason            Reason        `json:"reason"`
-	Coalesced         bool          `json:"repeats"`    // it is answered by what becomes of the one it repeats
+	Coalesced         bool          `json:"repeats"`    // it is answered by the result of the one that it repeats
 	ImpulseSize       float64       `json:"n"`          // EARRRL's N of its tenant or caller, with it counted
-	LastArrival       time.Duration `json:"t"`          // and T, when that was counted last before it
+	LastArrival       time.Duration `json:"t"`          // EARRRL's T, when its sender's previous arrival was counted
 	Rate              float64       `json:"rate"`       // arrivals a second, with it counted
-	Threshold         float64       `json:"threshold"`  // of the rate at a full aim of predicted wait; 0 = none
+	Threshold         float64       `json:"threshold"`  // of the rate at a full objective of predicted wait; 0 = none
 	RateRatio         float64       `json:"excess"`     // rate over threshold
-	PredictedWait     time.Duration `json:"wait"`       // predicted
-	Slack             time.Duration `json:"spare"`      // longestRun wait after which it would meet its aim
-	ObjectiveDeadline time.Duration `json:"useful"`     // when an answer stops earning its full worth
+	PredictedWait     time.Duration `json:"wait"`       // in the queue
+	Slack             time.Duration `json:"spare"`      // longest wait after which it would meet its objective
+	ObjectiveDeadline time.Duration `json:"useful"`     // when an answer stops earning the full weight
 	Deadline          time.Duration `json:"due"`        // when its answer must be out
-	RetryAfter        time.Duration `json:"stay_away"`  // the advice of a refusal
-	QueuedAhead       []RequestID   `json:"held_ahead"` // module the queue before it
-	Running           []RequestID   `json:"on_cores"`   // running
+	RetryAfter        time.Duration `json:"stay_away"`  // the advice of a rejection
+	QueuedAhead       []RequestID   `json:"held_ahead"` // in the queue before it
+	Running           []RequestID   `json:"on_cores"`   // on the cores
 }
 
-// CheckAdmission tells how an arrival would look now. It leaves the Instance as it is.
-func (in *Instance) CheckAdmission(now time.Duration, q Request) AdmissionCheck {
-	c, err := in.clone()
-	if err != nil || c.byID[q.ID] != nil {
+// CheckAdmission tells how an arrival would look now.
+func (in *Instance) CheckAdmission(now time.Duration, arrival Request) AdmissionCheck {
+	trial, err := in.clone()
+	if err != nil || trial.requests.byID[arrival.ID] != nil {
 		return AdmissionCheck{}
 	}
-	c.advanceClock(now)
-	user := c.senderIndex(q)
-	w := AdmissionCheck{LastArrival: c.senders[user].updatedAt, QueuedAhead: c.runOrder(), Running: c.inState(stateRunning)}
-	r := c.register(q)
-	w.ImpulseSize, w.Rate = c.senders[user].impulse, c.senders[user].rate(c.now, c.decay)
-	w.RateRatio = r.rateRatio
+	trial.advanceClock(now)
+	sender := trial.rates.senderIndex(arrival, len(trial.settings.Tenants))
+	check := AdmissionCheck{
+		LastArrival: trial.rates.senders[sender].updatedAt,
+		QueuedAhead: trial.runOrder(),
+		Running:     trial.inState(stateRunning),
+	}
+	r := trial.register(arrival)
+	check.ImpulseSize = trial.rates.senders[sender].impulse
+	check.Rate = trial.rates.senders[sender].rate(trial.clock.now, trial.rates.decay)
+	check.RateRatio = r.rateRatio
 	if r.rateRatio > 0 {
-		w.Threshold = w.Rate / r.rateRatio
+		check.Threshold = check.Rate / r.rateRatio
 	}
-	w.PredictedWait, w.Slack, w.ObjectiveDeadline, w.Deadline = seconds(c.predictedWait(r)), seconds(c.slack(r)), r.objectiveDeadline, r.deadline
-	if w.Coalesced = c.isCoalesced(r, q); !w.Coalesced {
-		w.Reason = c.checkArrival(r)
+	check.PredictedWait = seconds(trial.predictedWait(r))
+	check.Slack = seconds(trial.slack(r))
+	check.ObjectiveDeadline = r.objectiveDeadline
+	check.Deadline = r.deadline
+	check.Coalesced = trial.isCoalesced(r, arrival)
+	if !check.Coalesced {
+		check.Reason = trial.checkArrival(r)
 	}
-	w.RetryAfter = c.retryAfter(r)
-	return w
+	check.RetryAfter = trial.retryAfter(r)
+	return check
 }
 
 // QueueDecision is how a request that was taken in looks to an Instance.
@@ -140,122 +146,81 @@
 	Arrived           time.Duration `json:"arrived"`
 	ObjectiveDeadline time.Duration `json:"useful"`
 	Deadline          time.Duration `json:"due"`
-	ExpectedRunTime   time.Duration `json:"own_time"` // that a run of it is expected to take
-	RateRatio         float64       `json:"excess"`   // of its tenant when it arrived
+	ExpectedRunTime   time.Duration `json:"own_time"`
+	RateRatio         float64       `json:"excess"` // of its tenant when it arrived
 	QueuedAhead       []RequestID   `json:"held_ahead"`
 	Running           []RequestID   `json:"on_cores"`
 }
 
-// phases are the words for where a request is.
-var phases = [...]string{stateQueued: "held", stateFollowing: "waits for the held one that it repeats",
-	stateReplaying: "waits for the answer of the one that it repeats", stateRunning: "running", stateCallPending: "waits for a decision on its call",
-	stateCalling: "its call is out", stateAbandoned: "answered while its work goes on", stateFinished: "over"}
-
-// InspectRequest tells how a known request looks now, and false for one that is not known. It leaves the Instance as it is.
+// InspectRequest tells how a known request looks now, and false for one that is not known.
 func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
-	c, err := in.clone()
-	if err != nil || c.byID[id] == nil {
+	trial, err := in.clone()
+	if err != nil || trial.requests.byID[id] == nil {
 		return QueueDecision{}, false
 	}
-	c.advanceClock(now)
-	r := c.byID[id]
-	j := QueueDecision{Phase: phases[r.state], Arrived: r.arrivedAt, ObjectiveDeadline: r.objectiveDeadline, Deadline: r.deadline, ExpectedRunTime: c.expectedRunTime(r),
-		RateRatio: r.rateRatio, Running: c.inState(stateRunning)}
-	switch {
-	case c.isStalled:
-		j.Reason = Stalled
-	case r.deadline <= c.now+c.answerMargin():
-		j.Reason = DeadlineReached
-	case r.state == stateQueued:
-		j.Reason = c.checkQueued(r)
+	trial.advanceClock(now)
+	r := trial.requests.byID[id]
+	decision := QueueDecision{
+		Reason:            trial.presentReason(r),
+		Phase:             r.state.String(),
+		Arrived:           r.arrivedAt,
+		ObjectiveDeadline: r.objectiveDeadline,
+		Deadline:          r.deadline,
+		ExpectedRunTime:   trial.expectedRunTime(r),
+		RateRatio:         r.rateRatio,
+		Running:           trial.inState(stateRunning),
 	}
-	for _, ahead := range c.runOrder() {
+	for _, ahead := range trial.runOrder() {
 		if ahead == id {
 			break
 		}
-		j.QueuedAhead = append(j.QueuedAhead, ahead)
+		decision.QueuedAhead = append(decision.QueuedAhead, ahead)
 	}
-	return j, true
+	return decision, true
 }
 
-// Queue is the held requests in the order in which they would be run now, and those that run.
-func (in *Instance) Queue() (held, onCores []RequestID) {
+// presentReason returns why a known request would be given up now, or Admitted.
+func (in *Instance) presentReason(r *request) Reason {
+	switch {
+	case in.stall.isStalled:
+		return Stalled
+	case r.deadline <= in.clock.now+in.answerMargin():
+		return DeadlineReached
+	case r.state == stateQueued:
+		return in.checkQueued(r)
+	}
+	return Admitted
+}
+
+// Queue returns the queued requests in the order in which they would be run now, and the running ones.
+func (in *Instance) Queue() (queued, running []RequestID) {
 	return in.runOrder(), in.inState(stateRunning)
 }
 
-// clone returns an Instance in the same state whose actions nobody hears of.
+// clone returns an Instance in the same state whose actions have no effect.
 func (in *Instance) clone() (*Instance, error) { return Restore(in.Snapshot(nil), NoActions{}) }
 
-// runOrder is the held requests in the order in which they would be run now. It leaves the queue as it is.
+// runOrder returns the queued requests in the order in which they would be run now.
 func (in *Instance) runOrder() []RequestID {
-	kept := append([]*request(nil), in.queue...)
+	original := in.queue.requests
+	in.queue.requests = slices.Clone(original)
 	var ids []RequestID
-	for len(in.queue) > 0 {
-		r := in.nextToRun()
-		ids = append(ids, r.id)
-		for i, h := range in.queue {
-			if h == r {
-				in.queue = append(in.queue[:i], in.queue[i+1:]...)
-				break
-			}
-		}
+	for in.queue.len() > 0 {
+		next := in.nextToRun()
+		ids = append(ids, next.id)
+		in.queue.remove(next)
 	}
-	in.queue = kept
+	in.queue.requests = original
 	return ids
 }
 
-// inState is the requests in a state, in the order of arrival.
-func (in *Instance) inState(s requestState) []RequestID {
+// inState returns the requests in a state in the order of arrival.
+func (in *Instance) inState(state requestState) []RequestID {
 	var ids []RequestID
-	for _, r := range in.byArrival {
-		if r.state == s {
+	for _, r := range in.requests.byArrival {
+		if r.state == state {
 			ids = append(ids, r.id)
 		}
 	}
 	return ids
 }
-
-// NoActions takes actions and does nothing, for hosts that leave out some or all of them.
-type NoActions struct{}
-
-// CoreTime implements Actions.
-func (NoActions) Run(RequestID) {}
-
-// Reject implements Actions.
-func (NoActions) Reject(RequestID, time.Duration, bool) {}
-
-// Fail implements Actions.
-func (NoActions) Fail(RequestID) {}
-
-// Call implements Actions.
-func (NoActions) Call(RequestID, time.Duration) {}
-
-// SkipCall implements Actions.
-func (NoActions) SkipCall(RequestID) {}
-
-// Stop implements Actions.
-func (NoActions) Stop(RequestID) {}
-
-// KeepKey implements Actions.
-func (NoActions) KeepKey(RequestID, time.Duration) {}
-
-// ReleaseKey implements Actions.
-func (NoActions) ReleaseKey(RequestID) {}
-
-// ReplayResult implements Actions.
-func (NoActions) ReplayResult(RequestID) {}
-
-// AdvertiseLoad implements Actions.
-func (NoActions) AdvertiseLoad(float64) {}
-
-// SetHealth implements Actions.
-func (NoActions) SetHealth(bool, bool) {}
-
-// CloseIdleConnections implements Actions.
-func (NoActions) CloseIdleConnections(time.Duration) {}
-
-// SetTimer implements Actions.
-func (NoActions) SetTimer(time.Duration, uint32) {}
-
-// Log implements Actions.
-func (NoActions) Log(string) {}
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -1,64 +1,119 @@
-// The keys of requests that must run once only. The interface is in interface.go.
+// Idempotency keys of requests that must run once only. The interface is in interface.go.
 
 package admission
 
-// keepKey remembers the key of a request that must run once only, and that of a read whose answer may serve
-// others that ask for the same.
+import (
+	"time"
+)
+
+// keyEntry is one remembered key.
+type keyEntry struct {
+	expiresAt  time.Duration
+	isReleased bool
+}
+
+// idempotencyKeys mirrors the host's key table, so that its memory is known. Its count
+// is that of the entries that are neither released nor expired.
+type idempotencyKeys struct {
+	byClass [][]*keyEntry // in the order in which they were kept, which is about that of their expiry
+	count   int
+	// notStarted are the requests of this group of events whose keys were released: a retry that was read
+	// with them still names the original, and counts as new.
+	notStarted map[RequestID]bool
+}
+
+// keep enters a key.
+func (k *idempotencyKeys) keep(class int, expiresAt time.Duration) *keyEntry {
+	entry := &keyEntry{expiresAt: expiresAt}
+	k.byClass[class] = append(k.byClass[class], entry)
+	k.count++
+	return entry
+}
+
+// release marks a key as no longer kept; expire drops it from the list.
+func (k *idempotencyKeys) release(entry *keyEntry) {
+	entry.isReleased = true
+	k.count--
+}
+
+// expire drops the keys whose window is over.
+func (k *idempotencyKeys) expire(now, tick time.Duration) {
+	for class, entries := range k.byClass {
+		for len(entries) > 0 {
+			oldest := entries[0]
+			if !oldest.isReleased && oldest.expiresAt+tick >= now {
+				break
+			}
+			if !oldest.isReleased {
+				k.count--
+			}
+			entries = entries[1:]
+		}
+		k.byClass[class] = entries
+	}
+}
+
+// keepKey remembers the key of a request that must run once only, and that of a read whose result may
+// answer others.
 func (in *Instance) keepKey(r *request) {
-	c := in.settings.Classes[r.class]
-	until := r.arrivedAt + c.KeyWindow + 2*in.settings.Tick
-	if c.Effect == Safe {
-		until = r.deadline + in.settings.ResultFreshness
+	class := in.settings.Classes[r.class]
+	expiresAt := r.arrivedAt + class.KeyWindow + 2*in.settings.Tick
+	if class.Effect == Safe {
+		expiresAt = r.deadline + in.settings.ResultFreshness
 	}
-	shared := c.Effect == Safe && in.settings.ResultFreshness > 0 && r.isShareable &&
-		in.memoryKB() < in.settings.MemoryKB/2
-	if c.Effect == IdempotentByKey || shared {
-		r.key = &keyEntry{expiresAt: until}
-		in.keys[r.class] = append(in.keys[r.class], r.key)
-		in.keyCount++
-		in.actions.KeepKey(r.id, until-in.now)
+	if class.Effect != IdempotentByKey && !in.isResultShared(r) {
+		return
 	}
+	r.key = in.keys.keep(r.class, expiresAt)
+	in.actions.KeepKey(r.id, expiresAt-in.clock.now)
 }
 
-// releaseKey erases the key of a request that never ran, so that a further try counts as new, and lets the
-// first that waited for it take its place.
+// isResultShared tells whether the result of a safe read may answer others, which takes memory that must be
+// to spare.
+func (in *Instance) isResultShared(r *request) bool {
+	isSafe := in.settings.Classes[r.class].Effect == Safe
+	if !isSafe || !r.isShareable || in.settings.ResultFreshness <= 0 {
+		return false
+	}
+	return in.memoryKB() < in.settings.MemoryKB/2
+}
+
+// releaseKey removes the key of a request that never ran, so that a retry counts as new, and promotes its
+// first follower to its place.
 func (in *Instance) releaseKey(r *request) {
 	if r.key != nil {
 		in.actions.ReleaseKey(r.id)
-		r.key.isReleased = true
-		in.keyCount--
+		in.keys.release(r.key)
 		r.key = nil
 	}
-	in.notStarted[r.id] = true
-	var heir *request
-	for _, f := range in.byArrival {
-		if f.state != stateFollowing || f.original != r {
-			continue
-		}
-		if heir == nil {
-			heir = f
-		} else {
-			f.original = heir
-		}
-	}
+	in.keys.notStarted[r.id] = true
+	promoted := in.promoteFollower(r)
 	switch {
-	case heir == nil:
-	case in.isPastDrainGrace(heir): // it came after the grace of a drain: the place is not its to take
-		in.rejectOrFail(heir, AfterDrainGrace)
+	case promoted == nil:
+	case in.isPastDrainGrace(promoted): // it must not run, though its original might have
+		in.rejectOrFail(promoted, AfterDrainGrace)
 	default:
-		in.enqueue(heir)
+		in.enqueue(promoted)
 	}
 }
 
-// expireKeys releases the memory of keys whose window is over.
-func (in *Instance) expireKeys() {
-	for class, list := range in.keys {
-		for len(list) > 0 && (list[0].isReleased || list[0].expiresAt+in.settings.Tick < in.now) {
-			if !list[0].isReleased {
-				in.keyCount--
-			}
-			list = list[1:]
+// promoteFollower has the followers of a request follow the first of them, and returns that or nil.
+func (in *Instance) promoteFollower(r *request) *request {
+	var promoted *request
+	for _, follower := range in.requests.byArrival {
+		if !follower.isFollowing(r) {
+			continue
+		}
+		if promoted == nil {
+			promoted = follower
+		} else {
+			follower.original = promoted
 		}
-		in.keys[class] = list
 	}
+	return promoted
+}
+
+// isFollowing tells whether the request waits for the other to run.
+func (r *request) isFollowing(other *request) bool {
+	return r.state == stateFollowing && r.original == other
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,175 +1,174 @@
-// The queue: predicted waits, the order of runs, and fair shares. The interface is in interface.go.
+// The queue: predicted waits, and what is started or rejected from it. The interface is in interface.go.
 
 package admission
 
-// starvedPart is the part of the fair share of runs under which a class counts as starved. The operators
-// want half of the fair share served; the rest covers runs that end too late.
-const starvedPart = 0.65
+import "slices"
 
-// predictedWait is the class run times, over the cores, of the held requests that go before the request: a
-// short aim may be met though much is held for longer ones.
+// maxWithinQuotaShare bounds the share of runs that goes before requests over their quota, so that their
+// predicted wait has a bound.
+const maxWithinQuotaShare = 0.75
+
+// requestQueue holds the requests in stateQueued in the order in which they were queued. The order in which
+// they run is decided anew for each run.
+type requestQueue struct {
+	requests []*request
+	// withinQuotaShare is the part of the latest runs that were of tenants within their quota share.
+	withinQuotaShare float64
+}
+
+// len is the number of queued requests.
+func (q *requestQueue) len() int { return len(q.requests) }
+
+// push adds a request.
+func (q *requestQueue) push(r *request) { q.requests = append(q.requests, r) }
+
+// remove takes a request out, and tells whether it was there.
+func (q *requestQueue) remove(r *request) bool {
+	i := slices.Index(q.requests, r)
+	if i < 0 {
+		return false
+	}
+	q.requests = append(q.requests[:i], q.requests[i+1:]...)
+	return true
+}
+
+// countRun counts a run in the share.
+func (q *requestQueue) countRun(quota quotaStatus) {
+	within := 0.0
+	if quota == withinQuota {
+		within = 1
+	}
+	q.withinQuotaShare += (within - q.withinQuotaShare) * learnWeight / 2
+}
+
+// enqueue puts the request into the queue and keeps its key.
+func (in *Instance) enqueue(r *request) {
+	r.original = nil
+	in.setState(r, stateQueued)
+	in.queue.push(r)
+	in.classes[r.class].queued[r.quota]++
+	in.keepKey(r)
+}
+
+// dequeue takes the request out of the queue.
+func (in *Instance) dequeue(r *request) {
+	if in.queue.remove(r) {
+		in.classes[r.class].queued[r.quota]--
+	}
+}
+
+// predictedWait is how long in seconds the queued requests that go before the request occupy the cores: a
+// short objective may be met though much is queued with longer ones.
 func (in *Instance) predictedWait(r *request) float64 {
 	in.updateStarvation()
-	sum := 0.0
-	place := in.runPriority(r)
-	for _, h := range in.queue {
-		if !place.isBefore(in.runPriority(h)) {
-			sum += in.expectedCoreTime(h.class)
+	ahead := 0.0
+	priority := in.runPriority(r)
+	for _, queued := range in.queue.requests {
+		if !priority.isBefore(in.runPriority(queued)) {
+			ahead += in.expectedCoreTime(queued.class)
 		}
 	}
-	return in.perCore(sum, r.quota)
+	return in.perCore(ahead, r.quota)
 }
 
-// longestWait is the class run times of all held requests over the cores.
+// longestWait is how long in seconds all queued requests occupy the cores.
 func (in *Instance) longestWait() float64 {
-	sum := 0.0
-	for class, c := range in.classes {
-		sum += float64(c.queued[0]+c.queued[1]) * in.expectedCoreTime(class)
+	total := 0.0
+	for i := range in.classes {
+		queued := &in.classes[i].queued
+		total += float64(queued[withinQuota]+queued[overQuota]) * in.expectedCoreTime(i)
 	}
-	return in.perCore(sum, 1)
+	return in.perCore(total, overQuota)
 }
 
-// perCore is how long the cores take for the run times before a request of the rank is run. Runs of those
-// within their slices go on going before those of a tenant over its slice.
-func (in *Instance) perCore(seconds float64, rank int) float64 {
-	return seconds / (1 - float64(rank)*min(in.withinQuotaShare, 0.75)) / float64(in.settings.Cores)
+// perCore is how long the cores take for the core time before a request with the quota status is run.
+// Requests of tenants within their quota share that are still to come run before those over it.
+func (in *Instance) perCore(coreTime float64, quota quotaStatus) float64 {
+	taken := 0.0
+	if quota == overQuota {
+		taken = min(in.queue.withinQuotaShare, maxWithinQuotaShare)
+	}
+	return coreTime / (1 - taken) / float64(in.settings.Cores)
 }
 
-// startQueued runs held requests while there is room on the cores and in memory.
+// startQueued runs queued requests while there is room on the cores and in memory.
 func (in *Instance) startQueued() {
 	in.updateStarvation()
-	for len(in.queue) > 0 && float64(in.running) < in.concurrencyLimit &&
-		float64(in.running+in.offCore) < in.maxConcurrency() {
+	for in.queue.len() > 0 && in.hasCapacityToRun() {
 		r := in.nextToRun()
-		if r == nil {
-			return
-		}
-		more := r.sizeKB * (in.settings.RunningMemoryFactor - 1)
-		if in.memoryKB()+more > in.settings.MemoryKB*usableMemory {
+		if r == nil || !in.hasMemoryToRun(r) {
 			return
 		}
 		in.start(r)
 	}
 }
 
-// startedAt starts a held request and answers those that wait for it from its result.
+// hasCapacityToRun tells whether one more request may run. Those at a call do not count against the limit,
+// but return to the cores and must be survived there.
+func (in *Instance) hasCapacityToRun() bool {
+	if float64(in.use.running) >= in.limiter.limit {
+		return false
+	}
+	return float64(in.use.running+in.use.offCore) < in.maxConcurrency()
+}
+
+// hasMemoryToRun tells whether the memory suffices for a run of the queued request.
+func (in *Instance) hasMemoryToRun(r *request) bool {
+	more := r.sizeKB * (in.settings.RunningMemoryFactor - 1)
+	return in.memoryKB()+more <= in.settings.MemoryKB*usableMemory
+}
+
+// start runs a queued request and answers its followers from its result.
 func (in *Instance) start(r *request) {
 	in.dequeue(r)
 	in.setState(r, stateRunning)
-	r.hasRun = true
 	if in.hasFairShareClaim(r) {
-		in.classes[r.class].started.count(in.now, in.decay)
+		in.classes[r.class].share.started.count(in.clock.now, in.rates.decay)
 	}
-	in.withinQuotaShare += (1 - float64(r.quota) - in.withinQuotaShare) * learnWeight / 2
-	r.partStart, r.startedAt = in.coreClock, in.now
+	in.queue.countRun(r.quota)
+	r.run.hasRun = true
+	r.run.startedAt = in.clock.now
+	r.run.partStart = in.clock.core
 	in.actions.Run(r.id)
-	for _, f := range in.byArrival {
-		if f.state == stateFollowing && f.original == r {
-			f.hasRun = true
-			in.setState(f, stateReplaying)
-			in.actions.ReplayResult(f.id)
+	for _, follower := range in.requests.byArrival {
+		if follower.isFollowing(r) {
+			follower.run.hasRun = true
+			in.setState(follower, stateReplaying)
+			in.actions.ReplayResult(follower.id)
 		}
 	}
 }
 
-// rejectFromQueue turns away what waits in the queue and can be of no use any more, at once and not only
-// when a core is free: its caller may still be served elsewhere.
+// rejectFromQueue rejects queued requests that can be of no use any more, at once and not only when a core
+// is free: their callers may still be served elsewhere.
 func (in *Instance) rejectFromQueue() {
-	for i := 0; i < len(in.queue); i++ {
-		if why := in.checkQueued(in.queue[i]); why != Admitted {
-			in.rejectOrFail(in.queue[i], why)
-			i--
+	for i := 0; i < in.queue.len(); {
+		r := in.queue.requests[i]
+		if reason := in.checkQueued(r); reason != Admitted {
+			in.rejectOrFail(r, reason) // takes it out of the queue
+		} else {
+			i++
 		}
 	}
 }
 
-// wouldMissObjective tells whether a run begun now would miss the time of the full worth.
+// wouldMissObjective tells whether a run begun now would end after the objective.
 func (in *Instance) wouldMissObjective(r *request) bool {
-	return in.now+in.expectedRunTime(r) > r.objectiveDeadline
+	return in.clock.now+in.expectedRunTime(r) > r.objectiveDeadline
 }
 
-// checkQueued is why a run begun now would earn nothing, or little while others wait for full cores, or
-// that it would earn something. How long a run takes is known from the latest ones only: where the cores
-// have room and the caller still waits, it is tried.
+// checkQueued returns why a run begun now would earn nothing, or little while others wait for saturated
+// cores, or Admitted. How long a run takes is known from the latest ones only: if the cores have room and
+// the caller still waits, it is run.
 func (in *Instance) checkQueued(r *request) Reason {
+	lateWeight := in.settings.Classes[r.class].LateWeight
 	switch {
-	case in.now+in.expectedRunTime(r) > r.deadline:
+	case in.clock.now+in.expectedRunTime(r) > r.deadline:
 		return DeadlineUnreachable
-	case in.now > r.objectiveDeadline && in.settings.Classes[r.class].LateWeight == 0:
+	case in.clock.now > r.objectiveDeadline && lateWeight == 0:
 		return LateWithoutWeight
 	case in.wouldMissObjective(r) && in.isSaturated():
 		return LateWhileSaturated
 	}
 	return Admitted
 }
-
-// updateStarvation marks the classes of whose requests a smaller part is run than starvedPart of that of
-// all work.
-func (in *Instance) updateStarvation() {
-	run, asked := 0.0, 0.0
-	for i := range in.classes {
-		started, of := in.shareRates(i)
-		run += started * in.expectedCoreTime(i)
-		asked += of * in.expectedCoreTime(i)
-	}
-	for i := range in.classes {
-		started, of := in.shareRates(i)
-		in.classes[i].isStarved = started*asked < starvedPart*run*of
-	}
-}
-
-// hasFairShareClaim tells whether the request has a claim to its class's fair share: what a tenant sends
-// over its slice has none.
-func (in *Instance) hasFairShareClaim(r *request) bool {
-	return r.quota == 0 || len(in.settings.Tenants) == 0
-}
-
-// runPriority is where a request stands in the order of runs: the lower tier first, then the lower urgency.
-type runPriority struct {
-	tier    priorityTier
-	urgency float64 // seconds that are left until its answer stops earning its worth, over that worth
-}
-
-// priorityTier is the first mark of a place.
-type priorityTier uint8
-
-const (
-	tierStarved     priorityTier = iota // of a class that gets less than its fair share
-	tierWithinQuota                     // of a tenant within its slice
-	tierOverQuota                       // of one over it
-	tierLate                            // it can't be on time any more, or nobody would be served by its run
-)
-
-// isBefore tells whether one place goes before another.
-func (p runPriority) isBefore(o runPriority) bool {
-	return p.tier < o.tier || p.tier == o.tier && p.urgency < o.urgency
-}
-
-// runPriority is where the request stands now.
-func (in *Instance) runPriority(r *request) runPriority {
-	weight := max(in.settings.Classes[r.class].Weight, 1e-3)
-	p := runPriority{urgency: (r.objectiveDeadline - in.now).Seconds() / weight}
-	switch {
-	case in.wouldMissObjective(r) || in.isFailing(r):
-		p.tier = tierLate
-	case in.classes[r.class].isStarved && in.hasFairShareClaim(r):
-		p.tier = tierStarved
-	case r.quota == 0:
-		p.tier = tierWithinQuota
-	default:
-		p.tier = tierOverQuota
-	}
-	return p
-}
-
-// nextToRun picks the next to run.
-func (in *Instance) nextToRun() *request {
-	var best *request
-	var first runPriority
-	for _, r := range in.queue {
-		if p := in.runPriority(r); best == nil || p.isBefore(first) {
-			best, first = r, p
-		}
-	}
-	return best
-}
--- /dev/null
+++ b/admission/queue_test.go
@@ -0,0 +1,125 @@
+package admission
+
+import (
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A queued request that can't be useful any more is answered at once, though no core becomes free.
+func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	fillCores(in, rec, 0, 0)
+	in.Request(0, testRequest(100, 0))
+	in.limiter.utilization = 1
+	useful := in.requests.byID[100].objectiveDeadline
+	in.Settle(useful - ms)
+	expectActions(t, rec, "refuse")
+	in.Settle(useful + ms)
+	if got := rec.take("refuse", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 100 ") {
+		t.Errorf("got %q", got)
+	}
+}
+
+// A class whose runs were slow for a while is run again as soon as the cores have room: only that shows whether
+// it still is. It was rejected for good before, on cores that stood idle.
+func TestSlowClassIsRunAgain(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.settings.Classes[0].LateWeight = 0
+	for range 20 {
+		learnRun(in, 0, 0.1, 4) // seconds of the wall: over the objective, within the deadline
+	}
+	in.limiter.utilization = 0.5
+	in.Request(0, testRequest(1, 0))
+	in.Settle(0)
+	expectActions(t, rec, "run refuse", "run 1")
+	in.RunFinished(100*ms, 1, OK)
+	if wall := in.classes[0].runTime.wallTime; wall >= 4 {
+		t.Errorf("a fast run left the expected time at %v s", wall)
+	}
+	fillCores(in, rec, 100*ms, 0)
+	in.limiter.utilization = 1
+	in.Request(200*ms, testRequest(2, 0))
+	in.Settle(200 * ms)
+	if got := rec.take("refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 2 ") {
+		t.Errorf("on full cores: %q", got)
+	}
+}
+
+func TestNoRunThatOutlastsItsCaller(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	learnRun(in, 2, 1, 1)
+	hasty := testRequest(1, 2)
+	hasty.RemainingTime = 500 * ms
+	in.Request(0, hasty)
+	in.Settle(0)
+	if got := rec.take("run", "refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 1 ") {
+		t.Errorf("a run of one second for a caller who waits half of it: %q", got)
+	}
+}
+
+func TestTenantWithinQuotaDoesNotWaitForThoseOver(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	learnRun(in, 0, 0.2, 0.2)
+	fillCores(in, rec, 0, 0)
+	for id := RequestID(1); id <= 60; id++ {
+		in.Request(0, testRequest(id, 0))
+	}
+	for _, r := range in.queue.requests { // all that is queued came from a tenant over its quota share
+		r.quota = 1
+	}
+	for class := range in.classes {
+		c := &in.classes[class]
+		c.queued[0], c.queued[1] = 0, c.queued[0]+c.queued[1]
+	}
+	in.limiter.utilization = 1
+	other := testRequest(100, 0)
+	other.Tenant = 1
+	in.Request(0, other)
+	expectActions(t, rec, "refuse")
+	in.Request(0, testRequest(101, 0))
+	expectActions(t, rec, "refuse", "refuse 101 1s false")
+}
+
+func TestPredictedWaitOverQuotaCountsRunsWithinQuota(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	learnRun(in, 0, 0.4, 0.4)
+	fillCores(in, rec, 0, 0)
+	in.Request(0, testRequest(1, 0))
+	in.queue.withinQuotaShare = 0
+	over := &request{quota: overQuota, objectiveDeadline: time.Hour}
+	plain := in.predictedWait(over)
+	in.queue.withinQuotaShare = 0.5 // every other run is of a tenant within its quota share
+	if got := in.predictedWait(over); plain <= 0 || math.Abs(got-2*plain) > 1e-9 {
+		t.Errorf("wait %v, want twice %v", got, plain)
+	}
+	if got := in.longestWait(); math.Abs(got-2*plain) > 1e-9 {
+		t.Errorf("longest wait %v, want twice %v", got, plain)
+	}
+	if in.queue.withinQuotaShare = 1; in.predictedWait(over) > 4.1*plain {
+		t.Errorf("wait %v has no bound", in.predictedWait(over))
+	}
+}
+
+// TestPredictedWaitLeavesOutLaterRuns holds two seconds of work whose objective is long: a request with a short
+// objective goes before all of it, and is not rejected for work that waits behind it.
+func TestPredictedWaitLeavesOutLaterRuns(t *testing.T) {
+	s := newDriver(t, twoClassSettings())
+	for _, class := range []int{0, 1} { // a run of each is known to take 0.2 s
+		s.request(class, nil)
+		s.advance(200 * ms)
+		s.module.RunFinished(s.now, s.lastID, OK)
+	}
+	s.isSaturated = true
+	s.advance(100 * ms)
+	for range 2 + 20 { // two run
+		s.request(1, nil)
+	}
+	s.advance(100 * ms)
+	s.recorder.take()
+	quick := s.request(0, nil)
+	if hasAction(s.recorder.take("refuse"), "refuse", quick) {
+		t.Error("a request with a short objective was rejected for work that waits behind it")
+	}
+}
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -8,56 +8,108 @@
 )
 
 const (
-	// quotaShareSlack is how many times its slice a tenant may send.
+	// quotaShareSlack is how many times its quota share a tenant may send.
 	quotaShareSlack = 1.3
 	// noiseDeviations is how many standard deviations the threshold lies over the mean rate of a tenant
-	// that sends just its slice, where the slice is too small for quotaShareSlack to cover them.
+	// that sends just its quota share, where the share is too small for quotaShareSlack to cover them.
 	noiseDeviations = 2.0
 )
 
-// count adds an arrival to the estimate and returns the rate: EARRRL's N = 1 + N·e^(−λΔt), then
-// r = N·λ·e^(−λΔt), read after the arrival was counted, so that Δt is 0.
-func (e *rateEstimate) count(now time.Duration, lambda float64) float64 {
+// rateEstimate is the estimate of one sender's rate by EARRRL (the Estimated Average Recent Request Rate
+// Limiter): all its arrivals as one impulse that decays exponentially. Decay is EARRRL's λ, per second.
+type rateEstimate struct {
+	impulse   float64       // EARRRL's N; 0 = nothing has arrived
+	updatedAt time.Duration // EARRRL's T
+}
+
+// count adds an arrival and returns the rate: N = 1 + N·e^(−λΔt), then r = N·λ·e^(−λΔt), read after the
+// arrival was counted, so that Δt is 0.
+func (e *rateEstimate) count(now time.Duration, decay float64) float64 {
 	if e.impulse == 0 {
 		e.impulse = 1
 	} else {
-		e.impulse = 1 + e.impulse*math.Exp(-lambda*(now-e.updatedAt).Seconds())
+		e.impulse = 1 + e.impulse*math.Exp(-decay*(now-e.updatedAt).Seconds())
 	}
 	e.updatedAt = now
-	return e.rate(now, lambda)
+	return e.rate(now, decay)
+}
+
+// rate is r = N·λ·e^(−λΔt), in arrivals a second.
+func (e *rateEstimate) rate(now time.Duration, decay float64) float64 {
+	return e.impulse * decay * math.Exp(-decay*(now-e.updatedAt).Seconds())
 }
 
-// rate is r = N·λ·e^(−λΔt).
-func (e *rateEstimate) rate(now time.Duration, lambda float64) float64 {
-	return e.impulse * lambda * math.Exp(-lambda*(now-e.updatedAt).Seconds())
+// rateEstimator estimates the rates of all senders. Rejected arrivals count too.
+type rateEstimator struct {
+	senders     []rateEstimate // by tenant, or by caller if there are no tenants; grows as they are heard of
+	arrivals    rateEstimate   // all requests
+	completions rateEstimate   // ended runs: the threshold of callers if there are no quotas
+	decay       float64        // EARRRL's λ: ln 2 over the longest latency objective, per second
+	totalQuota  float64        // of all tenants
+	liveCallers float64        // callers heard of within about one half-life; 0 if there are tenants
 }
 
-// measureRateRatio counts the arrival and returns its tenant's rate over its threshold at a full aim of
-// predicted wait.
-func (in *Instance) measureRateRatio(q Request) float64 {
-	user := in.senderIndex(q)
-	slice := in.quotaShare(user, in.arrivals.count(in.now, in.decay))
-	if r := in.senders[user].count(in.now, in.decay); slice > 0 {
-		return r / in.rateThreshold(slice)
+// senderIndex is the index of the estimate for the request: its tenant's, or its caller's if there are no
+// tenants.
+func (e *rateEstimator) senderIndex(arrival Request, tenants int) int {
+	sender := min(max(arrival.Tenant, 0), tenants-1)
+	if tenants == 0 {
+		sender = min(max(arrival.Caller, 0), math.MaxUint16)
+	}
+	for len(e.senders) <= sender {
+		e.senders = append(e.senders, rateEstimate{})
+	}
+	return sender
+}
+
+// countLive returns how many senders were heard of within about one half-life.
+func (e *rateEstimator) countLive(now time.Duration) float64 {
+	live := 0.0
+	for i := range e.senders {
+		if e.senders[i].rate(now, e.decay) > e.decay/2 {
+			live++
+		}
+	}
+	return live
+}
+
+// threshold is the rate over which a sender counts as sending more than its quota share. The rate of one
+// that sends just its share has, after an arrival, a mean of the share plus λ, and a variance of λ/2 times
+// the share.
+func (e *rateEstimator) threshold(share float64) float64 {
+	noise := noiseDeviations * math.Sqrt(share*e.decay/2)
+	return max(share*quotaShareSlack, share+e.decay+noise)
+}
+
+// countLiveCallers updates the number of live callers if there are no tenants.
+func (in *Instance) countLiveCallers() {
+	if len(in.settings.Tenants) == 0 {
+		in.rates.liveCallers = in.rates.countLive(in.clock.now)
 	}
-	return 0
 }
 
-// rateThreshold is the rate over which a tenant is held to send more than its slice. The rate of one that
-// sends just its slice has, after an arrival, a mean of the slice and λ, and a variance of λ/2 times the
-// slice.
-func (in *Instance) rateThreshold(slice float64) float64 {
-	noise := noiseDeviations * math.Sqrt(slice*in.decay/2)
-	return max(slice*quotaShareSlack, slice+in.decay+noise)
+// measureRateRatio counts the arrival and returns its sender's rate over the threshold; 0 = no threshold is
+// known.
+func (in *Instance) measureRateRatio(arrival Request) float64 {
+	now, decay := in.clock.now, in.rates.decay
+	sender := in.rates.senderIndex(arrival, len(in.settings.Tenants))
+	total := in.rates.arrivals.count(now, decay)
+	share := in.quotaShare(sender, total)
+	rate := in.rates.senders[sender].count(now, decay)
+	if share > 0 {
+		return rate / in.rates.threshold(share)
+	}
+	return 0
 }
 
-// quotaShare is this server's part of what the tenant or caller may send in a second; 0 = not known. Where
-// all arrivals are over all quotas it is the tenant's part of the arrivals: tries made again, those meant
-// for lost servers and a fleet that shrank would put every tenant over a fixed slice.
-func (in *Instance) quotaShare(user int, all float64) float64 {
+// quotaShare is this server's part of what the tenant or caller may send in a second; 0 = not known. If all
+// arrivals together are over all quotas it is the tenant's part of the arrivals: retries, requests meant
+// for lost servers and a fleet that shrank would put every tenant over a fixed share.
+func (in *Instance) quotaShare(sender int, totalRate float64) float64 {
 	if len(in.settings.Tenants) > 0 {
-		quota := max(in.settings.Tenants[user].Quota, 1e-3)
-		return quota * max(1/float64(in.settings.Servers), all/in.totalQuota)
+		quota := max(in.settings.Tenants[sender].Quota, minQuota)
+		return quota * max(1/float64(in.settings.Servers), totalRate/in.rates.totalQuota)
 	}
-	return in.completions.rate(in.now, in.decay) / max(in.liveCallers, 1)
+	completions := in.rates.completions.rate(in.clock.now, in.rates.decay)
+	return completions / max(in.rates.liveCallers, 1)
 }
--- /dev/null
+++ b/admission/rate_test.go
@@ -0,0 +1,117 @@
+package admission
+
+import (
+	"math"
+	"math/rand"
+	"testing"
+	"time"
+)
+
+func TestEstimateByHand(t *testing.T) {
+	var e rateEstimate
+	// λ = ln 2, so one second halves: N = 1, then 1 + 1/2, then 1 + 3/8 after two seconds.
+	for i, want := range []float64{1, 1.5, 1.375} {
+		now := []time.Duration{0, time.Second, 3 * time.Second}[i]
+		if r := e.count(now, math.Ln2); math.Abs(e.impulse-want) > 1e-12 || math.Abs(r-want*math.Ln2) > 1e-12 {
+			t.Errorf("arrival %d: N %v, r %v, want N %v", i, e.impulse, r, want)
+		}
+	}
+	if r := e.rate(4*time.Second, math.Ln2); math.Abs(r-1.375/2*math.Ln2) > 1e-12 {
+		t.Errorf("a second later r is %v", r)
+	}
+}
+
+func TestWithoutTenantsQuotaShareIsPerCaller(t *testing.T) {
+	s := testSettings()
+	s.Tenants = nil
+	in, _ := newTestInstance(t, s)
+	for i := 0; i < 40; i++ { // two live callers, and eight ended runs for their forty arrivals
+		q := testRequest(RequestID(i+1), 0)
+		q.Caller = i % 2
+		in.measureRateRatio(q)
+		if i < 8 {
+			in.rates.completions.count(0, in.rates.decay)
+		}
+	}
+	in.rates.liveCallers = 2
+	if share := in.quotaShare(0, 0); math.Abs(share-8*in.rates.decay/2) > 1e-9 {
+		t.Errorf("quota share %v, want half the rate of ended runs %v", share, 8*in.rates.decay/2)
+	}
+	// The 21st arrival of caller 0 at one instant: r = 21λ. Of a quota share of 4λ the rate has a mean of 5λ and a
+	// deviation of √2·λ.
+	if e := in.measureRateRatio(testRequest(99, 0)); math.Abs(e-21/(5+2*math.Sqrt2)) > 1e-9 {
+		t.Errorf("rate ratio %v", e)
+	}
+}
+
+func TestRetriesDoNotPutEveryTenantOverQuota(t *testing.T) {
+	s := testSettings()
+	s.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
+	in, _ := newTestInstance(t, s)
+	small, large := 0.0, 0.0
+	for i := 0; i < 400; i++ { // ten requests a second where the quota shares are half of one; the small asks a fifth
+		now := time.Duration(i) * 100 * ms
+		q := testRequest(RequestID(i+1), 0)
+		in.clock.now = now
+		if q.Tenant = 1; i%5 == 0 {
+			q.Tenant = 0
+			small = in.measureRateRatio(q)
+			continue
+		}
+		large = in.measureRateRatio(q)
+	}
+	if small >= 1 || large <= 1 {
+		t.Errorf("rate ratio of the small tenant %v, of the large %v; want under and over 1", small, large)
+	}
+}
+
+// partOverThreshold is the part of the arrivals of a tenant that read as over its threshold, where so many come in a
+// half-life as its quota share is, times the factor, by chance.
+func partOverThreshold(t *testing.T, perHalfLife, factor float64) float64 {
+	t.Helper()
+	s := twoClassSettings()
+	share := perHalfLife / s.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
+	s.Tenants = []Tenant{{Quota: share * float64(s.Servers)}, {Quota: 1e9}}
+	in, _ := newTestInstance(t, s)
+	const arrivals = 4000
+	rng, over := rand.New(rand.NewSource(1)), 0
+	for range arrivals {
+		in.clock.now += time.Duration(rng.ExpFloat64() / (factor * share) * float64(time.Second))
+		if in.measureRateRatio(Request{ID: 1}) > 1 {
+			over++
+		}
+	}
+	return float64(over) / arrivals
+}
+
+// TestThresholdCoversNoiseOfSmallShares sends a tenant's requests by chance at just the rate of its quota share,
+// however small that is beside λ: few of them may read as over the threshold.
+func TestThresholdCoversNoiseOfSmallShares(t *testing.T) {
+	for _, perHalfLife := range []float64{0.01, 0.1, 0.5, 1, 3, 10} {
+		if part := partOverThreshold(t, perHalfLife, 1); part > 0.1 {
+			t.Errorf("%v arrivals in a half-life: %.3f of them are over the threshold of their own rate, want at most 0.1",
+				perHalfLife, part)
+		}
+	}
+}
+
+// TestSingleArrivalIsWithinThreshold has one request come: it is no rate, however small the quota share.
+func TestSingleArrivalIsWithinThreshold(t *testing.T) {
+	for _, quota := range []float64{0, 1e-6, 1, 300} {
+		s := twoClassSettings()
+		s.Tenants = []Tenant{{Quota: quota}, {Quota: 1e9}}
+		in, _ := newTestInstance(t, s)
+		if e := in.measureRateRatio(Request{ID: 1}); e > 1 {
+			t.Errorf("a quota of %v: a single arrival is %.2f times the threshold", quota, e)
+		}
+	}
+}
+
+// TestThresholdFindsTenantsOverQuota has a tenant send four times its quota share: most of its arrivals are over.
+func TestThresholdFindsTenantsOverQuota(t *testing.T) {
+	for _, perHalfLife := range []float64{3, 10, 100} {
+		if part := partOverThreshold(t, perHalfLife, 4); part < 0.9 {
+			t.Errorf("%v arrivals in a half-life: %.3f of one that sends four times that are over, want 0.9", perHalfLife, part)
+		}
+	}
+}
--- /dev/null
+++ b/admission/recorder_test.go
@@ -0,0 +1,118 @@
+package admission
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// recorder keeps the actions as lines, each a word and its arguments, and has a host carry them out if there is one.
+type recorder struct {
+	lines []string
+	host  *randomHost
+}
+
+// add keeps an action.
+func (r *recorder) add(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
+}
+
+func (r *recorder) Run(id RequestID) {
+	r.add("run %d", id)
+	if r.host != nil {
+		r.host.run(id)
+	}
+}
+
+func (r *recorder) Reject(id RequestID, retryAfter time.Duration, noRetry bool) {
+	r.add("refuse %d %v %v", id, retryAfter, noRetry)
+	if r.host != nil {
+		r.host.answer(id, true)
+	}
+}
+
+func (r *recorder) Fail(id RequestID) {
+	r.add("fail %d", id)
+	if r.host != nil {
+		r.host.answer(id, false)
+	}
+}
+
+func (r *recorder) Call(id RequestID, timeout time.Duration) {
+	r.add("call %d", id)
+	if r.host != nil {
+		r.host.call(id, timeout)
+	}
+}
+
+func (r *recorder) SkipCall(id RequestID) {
+	r.add("skip %d", id)
+	if r.host != nil {
+		r.host.skip(id)
+	}
+}
+
+func (r *recorder) Stop(id RequestID) {
+	r.add("halt %d", id)
+	if r.host != nil {
+		r.host.halt(id)
+	}
+}
+
+func (r *recorder) KeepKey(id RequestID, lifetime time.Duration) {
+	r.add("keep %d %v", id, lifetime)
+	if r.host != nil {
+		r.host.keep(id, lifetime)
+	}
+}
+
+func (r *recorder) ReleaseKey(id RequestID) {
+	r.add("forget %d", id)
+	if r.host != nil {
+		r.host.forget(id)
+	}
+}
+
+func (r *recorder) ReplayResult(id RequestID) {
+	r.add("reuse %d", id)
+	if r.host != nil {
+		r.host.reuse(id)
+	}
+}
+
+func (r *recorder) AdvertiseLoad(value float64) { r.add("say %.3f", value) }
+
+func (r *recorder) SetHealth(healthy, fromStore bool) { r.add("health %v %v", healthy, fromStore) }
+
+func (r *recorder) CloseIdleConnections(idle time.Duration) { r.add("idle %v", idle) }
+
+func (r *recorder) SetTimer(wait time.Duration, _ uint32) {
+	r.add("after %v", wait)
+	if r.host != nil {
+		r.host.timers = append(r.host.timers, r.host.now+wait)
+	}
+}
+
+func (r *recorder) Log(line string) { r.add("log %s", line) }
+
+// take returns the actions since the last take that begin with one of the words.
+func (r *recorder) take(words ...string) []string {
+	var taken []string
+	for _, line := range r.lines {
+		for _, word := range words {
+			if strings.HasPrefix(line, word+" ") {
+				taken = append(taken, line)
+			}
+		}
+	}
+	r.lines = nil
+	return taken
+}
+
+// callTimeoutRecorder notes the time after which a call is abandoned.
+type callTimeoutRecorder struct {
+	*recorder
+	timeout *time.Duration
+}
+
+func (c callTimeoutRecorder) Call(_ RequestID, timeout time.Duration) { *c.timeout = timeout }
--- /dev/null
+++ b/admission/retrystorm_test.go
@@ -0,0 +1,56 @@
+package admission
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestRetryStormForbidsRetries(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.stall.isStalled = true
+	for id := RequestID(1); id <= 20; id++ {
+		q := testRequest(id, 0)
+		q.IsRetry = true
+		in.Request(0, q)
+	}
+	in.stall.isStalled = false
+	in.drain.isDraining = true
+	in.drain.noticedAt = -time.Hour
+	rec.take()
+	in.Request(0, testRequest(50, 0))
+	expectActions(t, rec, "refuse", "refuse 50 1s true")
+	for id := RequestID(60); id <= 80; id++ {
+		in.Request(0, testRequest(id, 0))
+	}
+	if got := rec.take("refuse"); got[len(got)-1] != "refuse 80 1s false" {
+		t.Errorf("after the storm: %q", got[len(got)-1])
+	}
+}
+
+func TestUnreadBacklogIsARetryStorm(t *testing.T) {
+	in, rec := newTestInstance(t, testSettings())
+	in.stall.isStalled = true
+	for id := RequestID(1); id <= 20; id++ {
+		q := testRequest(id, 0)
+		q.QueueingDelay = time.Second
+		in.Request(time.Second, q)
+	}
+	in.stall.isStalled, in.drain.isDraining, in.drain.noticedAt = false, true, -time.Hour
+	rec.take()
+	in.Request(time.Second, testRequest(50, 0))
+	expectActions(t, rec, "refuse", "refuse 50 1s true")
+}
+
+// TestTrafficMonitor has each arrival count by learnWeight, and a negative delay as none.
+func TestTrafficMonitor(t *testing.T) {
+	var m trafficMonitor
+	m.countArrival(true, 12*time.Second)
+	if math.Abs(m.retryShare-learnWeight) > 1e-12 || math.Abs(m.readDelay-1) > 1e-12 {
+		t.Errorf("after one retry: share %v, delay %v", m.retryShare, m.readDelay)
+	}
+	m.countArrival(false, -time.Second)
+	if math.Abs(m.retryShare-learnWeight*(1-learnWeight)) > 1e-12 || math.Abs(m.readDelay-(1-learnWeight)) > 1e-12 {
+		t.Errorf("after one more arrival: share %v, delay %v", m.retryShare, m.readDelay)
+	}
+}
--- a/admission/runtime.go
+++ b/admission/runtime.go
@@ -1,4 +1,4 @@
-// What is learned of how long runs take. The interface is in interface.go.
+// Estimates of how long runs take. The interface is in interface.go.
 
 package admission
 
@@ -8,37 +8,94 @@
 )
 
 const (
-	// learnWeight is the weight of one run in the learned run time of its class.
+	// learnWeight is the weight of one observation in an estimate.
 	learnWeight = 1.0 / 12
 	// maxConsecutiveFailures is after how many runs in a row that serve nobody a class gives way to the
 	// others.
 	maxConsecutiveFailures = 30
-	// staleObjectives is how many of the longest aims after it was learned last the time of a run or call
-	// begins to halve, once in each further aim. Sooner a slow server is tried too often.
+	// staleObjectives is how many of the longest objectives after it was learned last a run or call time
+	// begins to halve, once in each further objective. Sooner a slow server is tried too often.
 	staleObjectives = 4
 )
 
-// expectedCoreTime is the learned core time of a class in seconds, that of all classes where it is not
-// known.
+// runTimeEstimator estimates how long the runs of one class take, in seconds.
+type runTimeEstimator struct {
+	coreTime  float64       // core time of a whole run; 0 = not known
+	wallTime  float64       // from the start of a run to its end, with calls and waiting for cores
+	samples   int           // runs learned from
+	learnedAt time.Duration // when a run was last learned from
+
+	consecutiveFailures int           // latest runs in a row that served nobody
+	lastFailureAt       time.Duration // when the last of them ended
+}
+
+// learn updates the estimates by a run that served its caller. The first runs count as their mean.
+func (e *runTimeEstimator) learn(now, objective time.Duration, coreTime, wallTime float64) {
+	known := e.expectedWallTime(now, objective)
+	e.samples++
+	e.learnedAt = now
+	e.consecutiveFailures = 0
+	part := max(learnWeight, 1/float64(e.samples))
+	e.coreTime += (coreTime - e.coreTime) * part
+	e.wallTime = known + (wallTime-known)*part
+}
+
+// learnTimeout updates the wall time by a run that still went on at its deadline.
+func (e *runTimeEstimator) learnTimeout(now, objective time.Duration, elapsed float64) {
+	known := e.expectedWallTime(now, objective)
+	e.wallTime = known + max(elapsed-known, 0)*learnWeight
+	e.learnedAt = now
+}
+
+// countFailure counts a run that served nobody.
+func (e *runTimeEstimator) countFailure(now time.Duration) {
+	e.consecutiveFailures++
+	e.lastFailureAt = now
+}
+
+// isFailing tells whether the latest runs served nobody. After a while the class is tried again.
+func (e *runTimeEstimator) isFailing(now, objective time.Duration) bool {
+	return e.consecutiveFailures >= maxConsecutiveFailures && now-e.lastFailureAt < staleObjectives*objective
+}
+
+// expectedWallTime is the wall time. What was learned long ago counts less and less: a class that was slow
+// once would else be rejected for good, as nothing of it is run any more.
+func (e *runTimeEstimator) expectedWallTime(now, objective time.Duration) float64 {
+	return decayLearned(e.wallTime, now-e.learnedAt, objective)
+}
+
+// decayLearned is what a learned figure of that age still counts for, where the objective is the longest of
+// all.
+func decayLearned(learned float64, age, objective time.Duration) float64 {
+	stale := age - staleObjectives*objective
+	if stale <= 0 {
+		return learned
+	}
+	return learned * math.Exp2(-stale.Seconds()/objective.Seconds())
+}
+
+// expectedCoreTime is the core time of a run of the class in seconds: the mean of the other classes if it
+// is not known, and 0 if none is.
 func (in *Instance) expectedCoreTime(class int) float64 {
-	if run := in.classes[class].coreTime; run > 0 {
-		return run
+	if coreTime := in.classes[class].runTime.coreTime; coreTime > 0 {
+		return coreTime
 	}
-	sum, n := 0.0, 0
-	for _, c := range in.classes {
-		if c.coreTime > 0 {
-			sum, n = sum+c.coreTime, n+1
+	sum, known := 0.0, 0
+	for i := range in.classes {
+		if coreTime := in.classes[i].runTime.coreTime; coreTime > 0 {
+			sum += coreTime
+			known++
 		}
 	}
-	return sum / float64(max(n, 1))
+	return sum / float64(max(known, 1))
 }
 
-// meanCoreTime is the core time of a run in seconds, in the mean of those lately begun; 0 = not known.
+// meanCoreTime is the core time in seconds of the mean of the runs that were begun lately; 0 = not known.
 func (in *Instance) meanCoreTime() float64 {
 	sum, runs := 0.0, 0.0
-	for class := range in.classes {
-		started := in.classes[class].started.rate(in.now, in.decay)
-		sum += started * in.expectedCoreTime(class)
+	for i := range in.classes {
+		started := in.classes[i].share.started.rate(in.clock.now, in.rates.decay)
+		sum += started * in.expectedCoreTime(i)
 		runs += started
 	}
 	if runs == 0 {
@@ -47,49 +104,12 @@
 	return sum / runs
 }
 
-// learn updates the run time of a class.
-func (in *Instance) learn(class int, seconds, wall float64) {
-	c := &in.classes[class]
-	known := in.expectedWallTime(class)
-	c.samples++
-	c.learnedAt, c.consecutiveFailures = in.now, 0
-	part := max(learnWeight, 1/float64(c.samples))
-	c.coreTime, c.wallTime = c.coreTime+(seconds-c.coreTime)*part, known+(wall-known)*part
-}
-
-// learnTimeout updates the wall time of a class by a run that still went on when its answer was due.
-func (in *Instance) learnTimeout(r *request) {
-	c := &in.classes[r.class]
-	known, took := in.expectedWallTime(r.class), (in.now - r.startedAt).Seconds()
-	c.wallTime = known + max(took-known, 0)*learnWeight
-	c.learnedAt = in.now
-}
-
-// isFailing tells whether the latest runs of the request's class served nobody; it is tried after a while.
+// isFailing tells whether the latest runs of the request's class served nobody.
 func (in *Instance) isFailing(r *request) bool {
-	c := &in.classes[r.class]
-	since := in.now - c.lastFailureAt
-	return c.consecutiveFailures >= maxConsecutiveFailures && since < staleObjectives*in.longestObjective
+	return in.classes[r.class].runTime.isFailing(in.clock.now, in.longestObjective)
 }
 
-// expectedRunTime is how long a run of the request is expected to take.
+// expectedRunTime is how long a run of the request is expected to take from its start to its end.
 func (in *Instance) expectedRunTime(r *request) time.Duration {
-	return seconds(in.expectedWallTime(r.class))
-}
-
-// expectedWallTime is the learned wall time of a class in seconds. What was learned long ago counts less
-// and less: a class that was slow once would else be turned away for good, as nothing of it is run any
-// more.
-func (in *Instance) expectedWallTime(class int) float64 {
-	c := &in.classes[class]
-	return in.decayLearned(c.wallTime, c.learnedAt)
-}
-
-// decayLearned is what a learned figure still counts for by the time since it was learned.
-func (in *Instance) decayLearned(learned float64, at time.Duration) float64 {
-	stale := in.now - at - staleObjectives*in.longestObjective
-	if stale <= 0 {
-		return learned
-	}
-	return learned * math.Exp2(-stale.Seconds()/in.longestObjective.Seconds())
+	return seconds(in.classes[r.class].runTime.expectedWallTime(in.clock.now, in.longestObjective))
 }
--- /dev/null
+++ b/admission/runtime_test.go
@@ -0,0 +1,111 @@
+package admission
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// TestSlowClassIsRunAgainOnSaturatedCores has runs of a class take longer than its objective once, and another class
+// keep the cores full from then on: the class is run again after a while, so that it can show that it is fast again.
+func TestSlowClassIsRunAgainOnSaturatedCores(t *testing.T) {
+	s := newDriver(t, twoClassSettings())
+	for range 10 {
+		id := s.request(0, nil)
+		s.advance(1400 * ms)
+		s.module.RunFinished(s.now, id, OK)
+	}
+	s.isSaturated = true
+	for range 10 {
+		s.request(1, nil)
+	}
+	s.advance(100 * ms)
+	running := s.startedRuns()
+	quick, quickRuns := map[RequestID]bool{}, 0
+	for range 600 { // a minute, in which a run of the other class ends every 100 ms, and one of this class at once
+		s.request(1, nil)
+		quick[s.request(0, nil)] = true
+		s.advance(100 * ms)
+		for _, id := range s.startedRuns() {
+			if quick[id] {
+				quickRuns++
+				s.module.RunFinished(s.now+10*ms, id, OK)
+			} else {
+				running = append(running, id)
+			}
+		}
+		if len(running) > 0 {
+			s.module.RunFinished(s.now+10*ms, running[0], OK)
+			running = running[1:]
+		}
+	}
+	if quickRuns < 60 {
+		t.Errorf("%d requests of the class were run of the 600 that came in a minute, want a tenth at least", quickRuns)
+	}
+}
+
+// TestTimedOutRunIsLearnedFrom has runs of a class go on until their answers are due, as on a server that became
+// slow: the expected time grows, though no run ends well.
+func TestTimedOutRunIsLearnedFrom(t *testing.T) {
+	s := newDriver(t, twoClassSettings())
+	learnRun(s.module, 0, 0.1, 0.1)
+	for range 20 {
+		s.request(0, nil)
+		s.advance(1500 * ms)
+	}
+	if own := s.module.expectedRunTime(&request{class: 0}); own < 600*ms {
+		t.Errorf("a run is expected to take %v, though 20 went on until they were due after 1.5 s", own)
+	}
+}
+
+// TestFailingClassYieldsCores has all runs of a class end for nothing, as where they come to a call that can't be
+// made, and more of the other class come than the cores can do: once that shows, the other class gets the cores. As
+// soon as runs of the first end well it is run again.
+func TestFailingClassYieldsCores(t *testing.T) {
+	s := newDriver(t, twoClassSettings())
+	runs := [2]int{}
+	class := map[RequestID]int{}
+	var running []RequestID
+	for step := range 1500 { // two and a half minutes; a run ends every 100 ms, and one request of each class comes
+		served := step >= 900
+		s.isSaturated = len(running) >= 2
+		for c := range 2 {
+			class[s.request(c, nil)] = c
+		}
+		s.advance(100 * ms)
+		for _, id := range s.startedRuns() {
+			running = append(running, id)
+			if step >= 300 && step < 900 || step >= 1250 {
+				runs[class[id]]++
+			}
+		}
+		if len(running) > 0 {
+			id := running[0]
+			running = running[1:]
+			if class[id] == 0 && !served {
+				s.module.Cancel(s.now, id)
+				s.module.RunFinished(s.now, id, Cancelled)
+			} else {
+				s.module.RunFinished(s.now, id, OK)
+			}
+		}
+		if step == 899 {
+			if part := float64(runs[0]) / float64(runs[0]+runs[1]); part > 0.1 {
+				t.Errorf("the class that is never served has %.2f of the runs, want at most 0.1", part)
+			}
+			runs = [2]int{}
+		}
+	}
+	if part := float64(runs[0]) / float64(runs[0]+runs[1]); part < 0.2 {
+		t.Errorf("the class has %.2f of the runs once they end well, want 0.2 at least", part)
+	}
+}
+
+// TestLearnedTimeDecays keeps a learned time for four objectives and halves it in each further one.
+func TestLearnedTimeDecays(t *testing.T) {
+	for age, want := range map[time.Duration]float64{0: 8, 8 * time.Second: 8, 10 * time.Second: 4, 12 * time.Second: 2} {
+		if got := decayLearned(8, age, 2*time.Second); math.Abs(got-want) > 1e-9 {
+			t.Errorf("after %v: %v, want %v", age, got, want)
+		}
+	}
+}
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 	"unsafe"
@@ -22,10 +23,10 @@
 	k := &keyEntry{}
 	r, original := &request{id: 1, key: k, state: stateFollowing}, &request{id: 2, state: stateQueued}
 	r.original = original
-	in.byArrival, in.queue = []*request{original, r}, []*request{original}
-	in.byID[1], in.byID[2] = r, original
-	in.keys[0] = []*keyEntry{k}
-	in.senders = []rateEstimate{{}}
+	in.requests.byArrival, in.queue.requests = []*request{original, r}, []*request{original}
+	in.requests.byID[1], in.requests.byID[2] = r, original
+	in.keys.byClass[0] = []*keyEntry{k}
+	in.rates.senders = []rateEstimate{{}}
 	return in
 }
 
@@ -43,56 +44,73 @@
 		v.SetBool(!v.Bool())
 	case v.Kind() == reflect.Array:
 		return changeValue(v.Index(0))
-	case v.Kind() == reflect.Struct:
-		return changeValue(v.Field(0))
 	default:
 		return false
 	}
 	return true
 }
 
+// stateField is a field of the state that is no struct itself.
+type stateField struct {
+	name  string // type and field
+	index []int  // from the outermost struct
+}
+
+// fieldsOf lists the fields of a struct and of the structs in it.
+func fieldsOf(kind reflect.Type, index ...int) (fields []stateField) {
+	for i := range kind.NumField() {
+		field := kind.Field(i)
+		at := append(slices.Clone(index), i)
+		if field.Type.Kind() == reflect.Struct {
+			fields = append(fields, fieldsOf(field.Type, at...)...)
+		} else {
+			fields = append(fields, stateField{name: kind.Name() + "." + field.Name, index: at})
+		}
+	}
+	return fields
+}
+
 // TestSnapshotCarriesEveryField changes one field of the state at a time: a field that is added and not carried
 // leaves the snapshot as it was.
 func TestSnapshotCarriesEveryField(t *testing.T) {
-	// Lists and pointers are carried by their elements; do is the host's, byID follows from all.
-	structure := map[string]bool{"Instance.actions": true, "Instance.byID": true, "Instance.byArrival": true,
-		"Instance.queue": true, "Instance.notStarted": true, "Instance.keys": true, "Instance.senders": true,
-		"Instance.classes": true, "request.key": true,
+	// Lists and pointers are carried by their elements; the actions are the host's, byID follows from byArrival.
+	structure := map[string]bool{"Instance.actions": true, "Instance.classes": true, "requestTable.byID": true,
+		"requestTable.byArrival": true, "requestQueue.requests": true, "idempotencyKeys.notStarted": true,
+		"idempotencyKeys.byClass": true, "rateEstimator.senders": true, "request.key": true,
 		"request.original": true, "Settings.Classes": true, "Settings.Tenants": true}
 	parts := []func(in *Instance) any{
-		func(in *Instance) any { return in }, func(in *Instance) any { return in.byArrival[1] },
-		func(in *Instance) any { return in.keys[0][0] }, func(in *Instance) any { return &in.senders[0] },
-		func(in *Instance) any { return &in.completions }, func(in *Instance) any { return &in.arrivals },
+		func(in *Instance) any { return in }, func(in *Instance) any { return in.requests.byArrival[1] },
+		func(in *Instance) any { return in.keys.byClass[0][0] }, func(in *Instance) any { return &in.rates.senders[0] },
+		func(in *Instance) any { return &in.rates.completions }, func(in *Instance) any { return &in.rates.arrivals },
 		func(in *Instance) any { return &in.classes[0] }, func(in *Instance) any { return &in.settings },
 		func(in *Instance) any { return &in.settings.Classes[0] }, func(in *Instance) any { return &in.settings.Tenants[0] }}
 	base := populatedInstance(t).Snapshot(nil)
 	for _, part := range parts {
 		kind := reflect.TypeOf(part(populatedInstance(t))).Elem()
-		for i := range kind.NumField() {
-			name := kind.Name() + "." + kind.Field(i).Name
+		for _, field := range fieldsOf(kind) {
 			in := populatedInstance(t)
-			if !changeValue(reflect.ValueOf(part(in)).Elem().Field(i)) {
-				if !structure[name] {
-					t.Errorf("%s is not known here: carry it and name it", name)
+			if !changeValue(reflect.ValueOf(part(in)).Elem().FieldByIndex(field.index)) {
+				if !structure[field.name] {
+					t.Errorf("%s is not known here: carry it and name it", field.name)
 				}
 				continue
 			}
 			changed := in.Snapshot(nil)
 			if bytes.Equal(changed, base) {
-				t.Errorf("%s is not in the snapshot", name)
+				t.Errorf("%s is not in the snapshot", field.name)
 			}
-			back, err := Restore(changed, &recorder{})
+			restored, err := Restore(changed, &recorder{})
 			if err != nil {
-				t.Errorf("%s: %v", name, err)
-			} else if !bytes.Equal(back.Snapshot(nil), changed) {
-				t.Errorf("%s does not come back", name)
+				t.Errorf("%s: %v", field.name, err)
+			} else if !bytes.Equal(restored.Snapshot(nil), changed) {
+				t.Errorf("%s does not come back", field.name)
 			}
 		}
 	}
 }
 
-// TestRestoredInstanceDecidesAlike drives an Instance by random events, restores it at a random moment, and drives both
-// on: every action must be the same.
+// TestRestoredInstanceDecidesAlike drives an Instance by random events, restores it at a random moment, and drives
+// both on: every action must be the same.
 func TestRestoredInstanceDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
@@ -150,7 +168,7 @@
 	})
 }
 
-// TestRestoreRejectsOtherBytes has bytes turned away that are no snapshot, wherever they end.
+// TestRestoreRejectsOtherBytes has bytes rejected that are no snapshot, wherever they end.
 func TestRestoreRejectsOtherBytes(t *testing.T) {
 	whole := populatedInstance(t).Snapshot(nil)
 	for n := range whole {
@@ -163,7 +181,7 @@
 	}
 }
 
-// FuzzRestore has any bytes turned away or restored, without a panic.
+// FuzzRestore has any bytes rejected or restored, without a panic.
 func FuzzRestore(f *testing.F) {
 	f.Add(populatedInstance(f).Snapshot(nil))
 	f.Add([]byte{snapshotVersion})
--- /dev/null
+++ b/admission/stall.go
@@ -0,0 +1,87 @@
+// Detection of stalls: work that no longer ends. The interface is in interface.go.
+
+package admission
+
+import (
+	"fmt"
+	"math"
+	"time"
+)
+
+const (
+	// stallRuns is how many expected ends of runs must be missing before the work counts as stalled. Fewer
+	// are mostly a slow server or a burst of ends, and a false stall throws work away.
+	stallRuns = 60.0
+	// stallRunsPerCore is how many runs per core must have ended before a stall is looked for: the first to
+	// end are the shortest, and their mean proves nothing.
+	stallRunsPerCore = 3
+	// stallLongestRuns is how many of the longest recent run must pass without an end in a stall if runs do
+	// not share the cores: many long runs may stand behind short ones.
+	stallLongestRuns = 3.0
+	// longestRunHalfLife is the time in which the longest recent run counts half.
+	longestRunHalfLife = 30 * time.Second
+)
+
+// stallDetector finds out whether runs still end. Its times are of the core clock, which stands still with
+// the process.
+type stallDetector struct {
+	progressAt float64 // the core clock at the last end of a run or of a part of one
+	longestRun float64 // seconds of the longest recent run
+	isStalled  bool
+}
+
+// decayLongestRun lets the longest recent run count less by the time of one poll.
+func (d *stallDetector) decayLongestRun() {
+	d.longestRun *= math.Exp2(-pollInterval.Seconds() / longestRunHalfLife.Seconds())
+}
+
+// detectStall finds work that no longer ends, whatever the cause, and rejects what can be tried elsewhere.
+func (in *Instance) detectStall() {
+	if in.use.running == 0 || in.countSamples() < stallRunsPerCore*in.settings.Cores {
+		in.stall.progressAt = in.clock.core
+	}
+	isStalled := in.isProgressMissing()
+	if isStalled == in.stall.isStalled {
+		return
+	}
+	in.stall.isStalled = isStalled
+	if !isStalled {
+		in.actions.Log("stall: work ends again")
+		return
+	}
+	in.actions.Log(fmt.Sprintf("stall: nothing ended in %d runs", in.use.running))
+	in.rejectStalled()
+}
+
+// countSamples is how many runs of all classes were learned from.
+func (in *Instance) countSamples() int {
+	samples := 0
+	for i := range in.classes {
+		samples += in.classes[i].runTime.samples
+	}
+	return samples
+}
+
+// isProgressMissing tells whether no run ended for much longer than the runs of late explain.
+func (in *Instance) isProgressMissing() bool {
+	sinceProgress := in.clock.core - in.stall.progressAt
+	if in.settings.IndependentRuns {
+		in.stall.decayLongestRun()
+		return sinceProgress > stallLongestRuns*in.stall.longestRun
+	}
+	slowest := 0.0
+	for class := range in.classes {
+		slowest = max(slowest, in.expectedCoreTime(class))
+	}
+	return sinceProgress*float64(in.use.running) > stallRuns*slowest
+}
+
+// rejectStalled rejects or fails what has no effect yet, so that it can be tried on another server.
+func (in *Instance) rejectStalled() {
+	for _, r := range in.requests.byArrival {
+		isSafeRun := r.state == stateRunning && in.settings.Classes[r.class].Effect == Safe
+		if r.state == stateQueued || isSafeRun {
+			in.rejectOrFail(r, Stalled)
+		}
+	}
+}
--- a/admission/validate.go
+++ b/admission/validate.go
@@ -7,53 +7,92 @@
 	"math"
 )
 
-// setting is one figure of the settings, by the name that errors give it.
-type setting struct {
+// SettingError says which field of the settings makes no sense, and what was expected.
+type SettingError struct {
+	Field    string  // as operators know it
+	Value    float64 // that it has
+	Expected string
+}
+
+// Error returns one line that names the field, its value and what was expected.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("tillerusher: %s is %v, want %s", e.Field, e.Value, e.Expected)
+}
+
+// namedValue is a number of the settings with the name that errors give it. The names are those that
+// operators know from earlier versions.
+type namedValue struct {
 	name  string
 	value float64
 }
 
-// validate names the first field that makes no sense, and what was expected.
-func validate(s Settings) error {
-	for _, f := range positiveSettings(s) {
+// validate returns a *SettingError for the first field that makes no sense.
+func validate(settings Settings) error {
+	for _, f := range positiveSettings(settings) {
 		if !(f.value > 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("tillerusher: %s is %v, want more than 0", f.name, f.value)
+			return &SettingError{Field: f.name, Value: f.value, Expected: "more than 0"}
 		}
 	}
-	for _, f := range nonNegativeSettings(s) {
+	for _, f := range nonNegativeSettings(settings) {
 		if !(f.value >= 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("tillerusher: %s is %v, want 0 or more", f.name, f.value)
+			return &SettingError{Field: f.name, Value: f.value, Expected: "0 or more"}
 		}
 	}
 	return nil
 }
 
-// positiveSettings are the figures without which nothing can run.
-func positiveSettings(s Settings) []setting {
-	list := []setting{{"Cores", float64(s.Cores)}, {"Servers", float64(s.Servers)}, {"Tick", float64(s.Tick)},
-		{"MemoryKB", s.MemoryKB}, {"RunFactor", s.RunningMemoryFactor}, {"CrowdFactor", s.MaxConcurrencyFactor},
-		{"the number of Classes", float64(len(s.Classes))}}
-	for i, c := range s.Classes {
-		list = append(list, setting{fmt.Sprintf("Classes[%d].Aim", i), float64(c.LatencyObjective)},
-			setting{fmt.Sprintf("Classes[%d].Deadline", i), float64(c.Deadline)})
+// positiveSettings are the values without which nothing can run.
+func positiveSettings(settings Settings) []namedValue {
+	values := []namedValue{
+		{"Cores", float64(settings.Cores)},
+		{"Servers", float64(settings.Servers)},
+		{"Tick", float64(settings.Tick)},
+		{"MemoryKB", settings.MemoryKB},
+		{"RunFactor", settings.RunningMemoryFactor},
+		{"CrowdFactor", settings.MaxConcurrencyFactor},
+		{"the number of Classes", float64(len(settings.Classes))},
+	}
+	for i, class := range settings.Classes {
+		values = append(values,
+			namedValue{fmt.Sprintf("Classes[%d].Aim", i), float64(class.LatencyObjective)},
+			namedValue{fmt.Sprintf("Classes[%d].Deadline", i), float64(class.Deadline)})
 	}
-	return list
+	return values
 }
 
-// nonNegativeSettings are the figures that may be nothing.
-func nonNegativeSettings(s Settings) []setting {
-	list := []setting{{"Callers", float64(s.Callers)}, {"KeyKB", s.KeyKB}, {"ColdShare", s.InitialCapacity}, {"ColdFor", float64(s.WarmUpTime)},
-		{"DrainGrace", float64(s.DrainGracePeriod)}, {"FairCalls", s.FairCallShare}, {"CallsOver", float64(s.CallAveragingTime)},
-		{"CallStays", float64(s.CallLinger)}, {"RetryAfter", float64(s.MaxRetryAfter)}, {"Fresh", float64(s.ResultFreshness)},
-		{"CallerIdle", float64(s.CallerIdleTimeout)}}
-	for i, c := range s.Classes {
-		for _, f := range []setting{{"AimStretch", c.ObjectiveStretch}, {"Worth", c.Weight}, {"LateWorth", c.LateWeight},
-			{"Window", float64(c.KeyWindow)}, {"SkipWorth", c.SkippedCallWeight}} {
-			list = append(list, setting{fmt.Sprintf("Classes[%d].%s", i, f.name), f.value})
+// nonNegativeSettings are the values that may be 0.
+func nonNegativeSettings(settings Settings) []namedValue {
+	values := []namedValue{
+		{"Callers", float64(settings.Callers)},
+		{"KeyKB", settings.KeyKB},
+		{"ColdShare", settings.InitialCapacity},
+		{"ColdFor", float64(settings.WarmUpTime)},
+		{"DrainGrace", float64(settings.DrainGracePeriod)},
+		{"FairCalls", settings.FairCallShare},
+		{"CallsOver", float64(settings.CallAveragingTime)},
+		{"CallStays", float64(settings.CallLinger)},
+		{"RetryAfter", float64(settings.MaxRetryAfter)},
+		{"Fresh", float64(settings.ResultFreshness)},
+		{"CallerIdle", float64(settings.CallerIdleTimeout)},
+	}
+	for i, class := range settings.Classes {
+		for _, f := range nonNegativeOfClass(class) {
+			values = append(values, namedValue{fmt.Sprintf("Classes[%d].%s", i, f.name), f.value})
 		}
 	}
-	for i, t := range s.Tenants {
-		list = append(list, setting{fmt.Sprintf("Tenants[%d].Quota", i), t.Quota})
+	for i, tenant := range settings.Tenants {
+		values = append(values, namedValue{fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota})
+	}
+	return values
+}
+
+// nonNegativeOfClass are the values of a class that may be 0.
+func nonNegativeOfClass(class Class) []namedValue {
+	return []namedValue{
+		{"AimStretch", class.ObjectiveStretch},
+		{"Worth", class.Weight},
+		{"LateWorth", class.LateWeight},
+		{"Window", float64(class.KeyWindow)},
+		{"SkipWorth", class.SkippedCallWeight},
 	}
-	return list
 }
--- a/admission/validate_test.go
+++ b/admission/validate_test.go
@@ -7,7 +7,25 @@
 	"time"
 )
 
-// TestIllegalSettings changes one field to what no instance can go by: the error is one line that names it and what was expected.
+func TestSettingsOnWhichNothingCanRun(t *testing.T) {
+	for field, spoil := range map[string]func(*Settings){
+		"Cores": func(s *Settings) { s.Cores = 0 }, "Servers": func(s *Settings) { s.Servers = 0 },
+		"Classes": func(s *Settings) { s.Classes = nil }, "Tick": func(s *Settings) { s.Tick = 0 },
+		"MemoryKB": func(s *Settings) { s.MemoryKB = math.NaN() }, "RunFactor": func(s *Settings) { s.RunningMemoryFactor = -1 },
+		"CrowdFactor":      func(s *Settings) { s.MaxConcurrencyFactor = math.Inf(1) },
+		"Classes[1]":       func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"Tenants[0].Quota": func(s *Settings) { s.Tenants[0].Quota = -1 },
+	} {
+		s := testSettings()
+		spoil(&s)
+		if _, err := New(s, &recorder{}); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: error %v", field, err)
+		}
+	}
+}
+
+// TestIllegalSettings changes one field to what no instance can go by: the error is one line that names it and what
+// was expected.
 func TestIllegalSettings(t *testing.T) {
 	for field, change := range map[string]func(s *Settings){
 		"Callers":              func(s *Settings) { s.Callers = -1 },
@@ -33,25 +51,26 @@
 	}
 }
 
-// TestExtremeSettings drives a server under settings that are legal, however odd: each request gets its answer in time.
+// TestExtremeSettings drives a server under settings that are legal, however odd: each request gets its answer in
+// time.
 func TestExtremeSettings(t *testing.T) {
 	manyTenants := make([]Tenant, 500)
 	for name, change := range map[string]func(s *Settings){
-		"nothing is worth anything": func(s *Settings) { s.Classes[0].Weight, s.Classes[1].Weight = 0, 0 },
-		"an aim of a millisecond":   func(s *Settings) { s.Classes[0].LatencyObjective = ms },
-		"an aim of a day":           func(s *Settings) { s.Classes[1].LatencyObjective, s.Classes[1].Deadline = 24*time.Hour, 48*time.Hour },
-		"an aim over the deadline":  func(s *Settings) { s.Classes[0].LatencyObjective = time.Minute },
-		"no window":                 func(s *Settings) { s.Classes[1].Effect, s.Classes[1].KeyWindow = IdempotentByKey, 0 },
-		"a window of a year":        func(s *Settings) { s.Classes[1].Effect, s.Classes[1].KeyWindow = IdempotentByKey, 365*24*time.Hour },
-		"no callers told":           func(s *Settings) { s.Callers = 0 },
-		"a million servers":         func(s *Settings) { s.Servers = 1e6 },
-		"quotas of nothing":         func(s *Settings) { s.Tenants = manyTenants },
-		"memory for nothing":        func(s *Settings) { s.MemoryKB = 1 },
-		"a thousand cores":          func(s *Settings) { s.Cores = 1000 },
-		"a crowd of a hundredth":    func(s *Settings) { s.MaxConcurrencyFactor = 0.01 },
-		"no cold share":             func(s *Settings) { s.WarmingUp, s.InitialCapacity, s.WarmUpTime = true, 0, time.Hour },
-		"a tick of a nanosecond":    func(s *Settings) { s.Tick = 1 },
-		"worth a million times":     func(s *Settings) { s.Classes[1].Weight = 1e6 },
+		"nothing is of any weight":             func(s *Settings) { s.Classes[0].Weight, s.Classes[1].Weight = 0, 0 },
+		"an objective of a millisecond":        func(s *Settings) { s.Classes[0].LatencyObjective = ms },
+		"an objective of a day":                func(s *Settings) { s.Classes[1].LatencyObjective, s.Classes[1].Deadline = 24*time.Hour, 48*time.Hour },
+		"an objective over the deadline":       func(s *Settings) { s.Classes[0].LatencyObjective = time.Minute },
+		"no window":                            func(s *Settings) { s.Classes[1].Effect, s.Classes[1].KeyWindow = IdempotentByKey, 0 },
+		"a window of a year":                   func(s *Settings) { s.Classes[1].Effect, s.Classes[1].KeyWindow = IdempotentByKey, 365*24*time.Hour },
+		"no callers given":                     func(s *Settings) { s.Callers = 0 },
+		"a million servers":                    func(s *Settings) { s.Servers = 1e6 },
+		"quotas of nothing":                    func(s *Settings) { s.Tenants = manyTenants },
+		"memory for nothing":                   func(s *Settings) { s.MemoryKB = 1 },
+		"a thousand cores":                     func(s *Settings) { s.Cores = 1000 },
+		"a maximum concurrency of a hundredth": func(s *Settings) { s.MaxConcurrencyFactor = 0.01 },
+		"no cold share":                        func(s *Settings) { s.WarmingUp, s.InitialCapacity, s.WarmUpTime = true, 0, time.Hour },
+		"a tick of a nanosecond":               func(s *Settings) { s.Tick = 1 },
+		"a weight of a million":                func(s *Settings) { s.Classes[1].Weight = 1e6 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := twoClassSettings()
