--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,11 +19,11 @@
  "servers": 11, "tick-ns": 4000000}`
 
 func TestParse(t *testing.T) {
-	told, err := Parse([]byte(settingsExample))
+	site, err := Parse([]byte(settingsExample))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := told.Admission
+	s := site.Admission
 	if s.Cores != 6 || s.Servers != 11 || s.Tick != 4*time.Millisecond || !s.WarmingUp ||
 		s.StopMode != admission.StopDiscard || s.Feedback != admission.FeedbackWeight ||
 		s.Downstream != admission.DependencyTier || s.MaxRetryAfter != time.Second || s.Tenants[0].Quota != 33 {
@@ -32,21 +32,21 @@
 	if c := s.Classes[1]; c.Effect != admission.IdempotentByKey || c.KeyWindow != 17058*time.Millisecond || c.SkippedCallWeight != 0 || c.Weight != 2 {
 		t.Errorf("class %+v", c)
 	}
-	if s.Classes[0].SkippedCallWeight != 0.3 || !reflect.DeepEqual(told.GaugeNames, []string{"cpu_busy", "sockets"}) {
-		t.Errorf("class %+v, gauges %v", s.Classes[0], told.GaugeNames)
+	if s.Classes[0].SkippedCallWeight != 0.3 || !reflect.DeepEqual(site.GaugeNames, []string{"cpu_busy", "sockets"}) {
+		t.Errorf("class %+v, gauges %v", s.Classes[0], site.GaugeNames)
 	}
-	if !reflect.DeepEqual(told.ClassNames, []string{"look", ""}) || !reflect.DeepEqual(told.TenantNames, []string{"east"}) {
-		t.Errorf("classes %q, tenants %q", told.ClassNames, told.TenantNames)
+	if !reflect.DeepEqual(site.ClassNames, []string{"look", ""}) || !reflect.DeepEqual(site.TenantNames, []string{"east"}) {
+		t.Errorf("classes %q, tenants %q", site.ClassNames, site.TenantNames)
 	}
-	if g := told.ReadGauges([]float64{0.25, 3}); g.Utilization != 0.25 {
+	if g := site.ReadGauges([]float64{0.25, 3}); g.Utilization != 0.25 {
 		t.Errorf("reading %+v", g)
 	}
-	told.GaugeNames = []string{"runnable", "cpu_busy"}
-	if g := told.ReadGauges([]float64{7, 0.25}); g.Utilization != 0.25 || g.Runnable != 7 {
+	site.GaugeNames = []string{"runnable", "cpu_busy"}
+	if g := site.ReadGauges([]float64{7, 0.25}); g.Utilization != 0.25 || g.Runnable != 7 {
 		t.Errorf("reading in another order %+v", g)
 	}
-	if g := told.ReadGauges(nil); g.Utilization >= 0 || g.Runnable >= 0 {
-		t.Errorf("a reading that was not told is %+v", g)
+	if g := site.ReadGauges(nil); g.Utilization >= 0 || g.Runnable >= 0 {
+		t.Errorf("a missing reading is %+v", g)
 	}
 	bad := strings.Replace(settingsExample, `"drop"`, `"melt"`, 1)
 	if _, err := Parse([]byte(bad)); err == nil || !strings.Contains(err.Error(), "stop-mode") {
@@ -57,11 +57,11 @@
 	}
 }
 
-// TestFirstListed starts where the list names no server yet, and not where the number is missing.
-func TestFirstListed(t *testing.T) {
-	told, err := Parse([]byte(`{"servers": 0}`))
-	if err != nil || told.Admission.Servers != 1 {
-		t.Errorf("%+v, %v", told, err)
+// TestServerNotYetListed counts itself if the endpoint list names no server yet, and not where the number is missing.
+func TestServerNotYetListed(t *testing.T) {
+	site, err := Parse([]byte(`{"servers": 0}`))
+	if err != nil || site.Admission.Servers != 1 {
+		t.Errorf("%+v, %v", site, err)
 	}
 	if _, err := Parse([]byte(`{}`)); err == nil || !strings.Contains(err.Error(), "servers") {
 		t.Errorf("no number of servers: %v", err)
