--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -98,7 +98,7 @@
 }
 
 func TestPanicIsReported(t *testing.T) {
-	h := &host{instances: map[uint32]*hosted{}}
+	h := newHost()
 	h.guard(3, func() { panic("broken") })
 	var out bytes.Buffer
 	if err := h.reply.Flush(&out); err != nil {
--- /dev/null
+++ b/internal/simulatorwire/reader.go
@@ -0,0 +1,77 @@
+package simulatorwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"time"
+)
+
+// Errors of a stream that ends within a frame.
+var (
+	errShortHeader = errors.New("frame: input ends within a header")
+	errShortBatch  = errors.New("frame: input ends within a batch")
+)
+
+// Batch is one decoded frame: the events of one time.
+type Batch struct {
+	Now    time.Duration
+	Events []Event
+}
+
+// Reader decodes batches from a stream.
+type Reader struct {
+	in   io.Reader
+	body []byte
+}
+
+// NewReader returns a Reader of the stream.
+func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
+
+// Next fills the batch with the next frame; it returns io.EOF at a clean end of input. The events' byte slices are
+// valid until the next call.
+func (r *Reader) Next(b *Batch) error {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(r.in, header[:]); err != nil {
+		if errors.Is(err, io.ErrUnexpectedEOF) {
+			return errShortHeader
+		}
+		return err
+	}
+	now := time.Duration(binary.LittleEndian.Uint64(header[:]))
+	size := int64(binary.LittleEndian.Uint32(header[8:])) - countSize
+	count := int64(binary.LittleEndian.Uint32(header[12:]))
+	if size < 0 || size > maxBatchSize {
+		return fmt.Errorf("frame: impossible length %d", size+countSize)
+	}
+	if count*eventSize > size {
+		return fmt.Errorf("frame: %d records do not fit in %d bytes", count, size)
+	}
+	if err := r.readBody(size); err != nil {
+		return err
+	}
+	b.Now = now
+	b.Events = b.Events[:0]
+	tail := r.body[count*eventSize:]
+	for i := range count {
+		event, err := decodeEvent(r.body[i*eventSize:(i+1)*eventSize], tail)
+		if err != nil {
+			return fmt.Errorf("frame: record %d: %w", i, err)
+		}
+		b.Events = append(b.Events, event)
+	}
+	return nil
+}
+
+// readBody reads what follows the header. The buffer is reused.
+func (r *Reader) readBody(size int64) error {
+	if int64(cap(r.body)) < size {
+		r.body = make([]byte, size)
+	}
+	r.body = r.body[:size]
+	if _, err := io.ReadFull(r.in, r.body); err != nil {
+		return errShortBatch
+	}
+	return nil
+}
