--- a/admission/admission.go
+++ b/admission/admission.go
@@ -12,7 +12,7 @@
 	// usableMemory is the part of the memory that is used; the rest covers requests that are read before
 	// the next decision.
 	usableMemory = 0.92
-	// runMemoryDivisor: room for runs is kept up to the memory that keys leave divided by it.
+	// runMemoryDivisor: memory for runs is kept free up to what keys leave divided by it.
 	runMemoryDivisor = 2
 	// thresholdWaitDivisor: a tenant just over its threshold is rejected when the predicted wait is over
 	// the longest objective divided by it.
@@ -249,7 +249,7 @@
 	if r.rateRatio > 1 {
 		wait = math.Log(r.rateRatio) / in.rates.decay
 	}
-	advice := max(time.Duration(wait*1e9), pollInterval) // no decision changes before the next poll
+	advice := max(seconds(wait), pollInterval) // no decision changes before the next poll
 	return min(advice, longest)
 }
 
@@ -270,8 +270,7 @@
 // abandon leaves a run to itself and stops it if that is possible and has no effect.
 func (in *Instance) abandon(r *request) {
 	in.classes[r.class].runTime.countFailure(in.clock.now)
-	// A request at its call ends by itself when the call does; the dependency may go on with the call
-	// meanwhile.
+	// A request at its call ends by itself, but the dependency may go on with the call.
 	if r.state == stateCalling {
 		in.calls.addLinger(in.settings.CallLinger)
 	}
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -12,7 +12,7 @@
 	// callTimeoutDivisor: a call may take at most the time left to the objective divided by it, so that
 	// another attempt has time.
 	callTimeoutDivisor = 3
-	// callTimeoutFactor is how many expected call times a call may take all the same.
+	// callTimeoutFactor: a call may take this many expected call times though that is more.
 	callTimeoutFactor = 4
 )
 
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// stopMarginPart: all answers are out this part of the time left before the process is stopped.
-	stopMarginPart = 20
+	// stopMarginDivisor: all answers are out before the process is stopped, by at least the time left at
+	// the notice divided by it.
+	stopMarginDivisor = 20
 	// drainLeavePolls is how many polls before the end of the grace period callers are sent away.
 	drainLeavePolls = 2
-	// drainLeavePart bounds that time to this part of the grace period.
-	drainLeavePart = 4
+	// drainLeaveDivisor bounds that time to the grace period divided by it.
+	drainLeaveDivisor = 4
 )
 
 // drainState is what is known of the notice that the process is to stop. Once draining it never returns to
@@ -30,13 +31,13 @@
 }
 
 // isGraceEnding tells whether callers should look for another server. That is only when the grace period is
-// nearly over: what arrives until then is run, and sent away sooner it crowds servers whose successors few
-// know of.
+// nearly over: what arrives until then is run, and callers that are sent away sooner overload servers whose
+// replacements few callers know yet.
 func (d *drainState) isGraceEnding(now, grace time.Duration) bool {
 	if !d.isDraining {
 		return false
 	}
-	lead := min(drainLeavePolls*pollInterval, grace/drainLeavePart)
+	lead := min(drainLeavePolls*pollInterval, grace/drainLeaveDivisor)
 	return now+lead >= d.noticedAt+grace
 }
 
@@ -46,7 +47,7 @@
 	if in.drain.isDraining {
 		return
 	}
-	margin := max(2*in.answerMargin(), timeLeft/stopMarginPart)
+	margin := max(2*in.answerMargin(), timeLeft/stopMarginDivisor)
 	in.drain = drainState{isDraining: true, noticedAt: now, stopAt: now + timeLeft - margin}
 	for _, r := range in.requests.byArrival {
 		r.deadline = min(r.deadline, in.drain.stopAt)
--- a/admission/events.go
+++ b/admission/events.go
@@ -44,8 +44,7 @@
 	for _, tenant := range settings.Tenants {
 		in.rates.totalQuota += max(tenant.Quota, minQuota)
 	}
-	// An arrival halves about when its answer is due: a surge shows and ends as the work that it brings
-	// does.
+	// An arrival halves about when its answer is due: a surge begins and ends as its work does.
 	in.rates.decay = math.Ln2 / in.longestObjective.Seconds()
 	return in, nil
 }
@@ -63,15 +62,20 @@
 		return
 	}
 	elapsed := now - in.clock.now
-	cores := in.settings.Cores
-	coreShare := float64(min(in.use.running, 1)*cores) / float64(max(in.use.running, cores))
-	// A timer fires at each poll of the gauges: a longer gap means that the process stood still, and its
-	// work with it.
-	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * coreShare
+	// A timer fires at each poll of the gauges: in a longer gap the whole process was paused, its runs too.
+	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * in.coreShare()
 	in.calls.accrueDebt(elapsed, in.use.callsInFlight, in.settings.FairCallShare)
 	in.clock.now = now
 }
 
+// coreShare is the part of a core that each running request gets.
+func (in *Instance) coreShare() float64 {
+	if in.use.running == 0 {
+		return 0
+	}
+	return float64(in.settings.Cores) / float64(max(in.use.running, in.settings.Cores))
+}
+
 // Cancel reports that the caller of a request no longer waits.
 func (in *Instance) Cancel(now time.Duration, id RequestID) {
 	in.advanceClock(now)
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -7,8 +7,7 @@
 const (
 	// idleObjectives is how many longest objectives an open connection may carry nothing.
 	idleObjectives = 2
-	// idleRetryShare is the part of the arrivals that are retries from which idle connections are kept
-	// open.
+	// idleRetryShare is the share of retries among the arrivals over which idle connections stay open.
 	idleRetryShare = 0.3
 	// minIdleTimeout is the idle timeout of a server that sends callers away, unless a tick is longer.
 	minIdleTimeout = 10 * time.Millisecond
@@ -21,14 +20,13 @@
 	weightReduction, weightGrowth = 0.96, 0.02
 	// minTrafficWeight bounds the traffic weight of a server that can read what comes.
 	minTrafficWeight = 0.5
-	// unreadableDelay is the read delay, as a part of the longest objective, from which there is no such
-	// bound.
+	// unreadableDelay is the read delay, as a part of the longest objective, over which there is no bound.
 	unreadableDelay = 0.25
 	// creditQueue is the queue that callers may fill, in longest objectives of work.
 	creditQueue = 0.5
 )
 
-// loadFeedback is what callers were told last. An action follows only a change of what they were told.
+// loadFeedback is what callers were sent last. Only a change of it takes an action.
 type loadFeedback struct {
 	trafficWeight float64       // part of the usual traffic that is wanted, 0 to 1
 	advertised    float64       // the value last advertised; negative = none yet
--- a/admission/instance.go
+++ b/admission/instance.go
@@ -28,6 +28,8 @@
 	feedback loadFeedback
 }
 
+var _ Events = (*Instance)(nil)
+
 // clock is the time as the host reports it. It never goes back.
 type clock struct {
 	isStarted bool
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -2,9 +2,7 @@
 
 package admission
 
-import (
-	"time"
-)
+import "time"
 
 // keyEntry is one remembered key.
 type keyEntry struct {
@@ -12,8 +10,8 @@
 	isReleased bool
 }
 
-// idempotencyKeys mirrors the host's key table, so that its memory is known. Its count
-// is that of the entries that are neither released nor expired.
+// idempotencyKeys mirrors the host's key table, so that its memory is known. Its count is that of
+// the entries that are neither released nor expired.
 type idempotencyKeys struct {
 	byClass [][]*keyEntry // in the order in which they were kept, which is about that of their expiry
 	count   int
@@ -68,8 +66,8 @@
 	in.actions.KeepKey(r.id, expiresAt-in.clock.now)
 }
 
-// isResultShared tells whether the result of a safe read may answer others, which takes memory that must be
-// to spare.
+// isResultShared tells whether the result of a safe read may answer others. Keeping it takes memory, of
+// which half must be free.
 func (in *Instance) isResultShared(r *request) bool {
 	isSafe := in.settings.Classes[r.class].Effect == Safe
 	if !isSafe || !r.isShareable || in.settings.ResultFreshness <= 0 {
--- a/admission/stall.go
+++ b/admission/stall.go
@@ -40,6 +40,9 @@
 	if in.use.running == 0 || in.countSamples() < stallRunsPerCore*in.settings.Cores {
 		in.stall.progressAt = in.clock.core
 	}
+	if in.settings.IndependentRuns {
+		in.stall.decayLongestRun()
+	}
 	isStalled := in.isProgressMissing()
 	if isStalled == in.stall.isStalled {
 		return
@@ -62,11 +65,10 @@
 	return samples
 }
 
-// isProgressMissing tells whether no run ended for much longer than the runs of late explain.
+// isProgressMissing tells whether no run ended for much longer than the recent runs explain.
 func (in *Instance) isProgressMissing() bool {
 	sinceProgress := in.clock.core - in.stall.progressAt
 	if in.settings.IndependentRuns {
-		in.stall.decayLongestRun()
 		return sinceProgress > stallLongestRuns*in.stall.longestRun
 	}
 	slowest := 0.0
