--- a/admission/admission.go
+++ b/admission/admission.go
@@ -213,7 +213,7 @@
 	in.finish(r)
 }
 
-// mustFail tells whether a rejection, which says that the request never ran, would be wrong.
+// mustFail tells whether the request must be failed: a rejection promises that it never ran.
 func (in *Instance) mustFail(r *request) bool {
 	switch r.state {
 	case stateRunning, stateCallPending, stateCalling:
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -12,8 +12,8 @@
 type printer struct{ admission.Actions }
 
 func (printer) Run(id admission.RequestID) { fmt.Println("run", id) }
-func (printer) Reject(id admission.RequestID, stayAway time.Duration, _ bool) {
-	fmt.Println("refuse", id, "and stay away for", stayAway)
+func (printer) Reject(id admission.RequestID, retryAfter time.Duration, _ bool) {
+	fmt.Println("refuse", id, "and stay away for", retryAfter)
 }
 func (printer) SetHealth(good, _ bool)             { fmt.Println("healthy:", good) }
 func (printer) SetTimer(time.Duration, uint32)     {} // a server would set a timer that ends in Instance.Timer
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 // errNoServers says that the settings lack the number of servers, without which no quota can be shared.
 var errNoServers = errors.New("settings: servers is missing")
 
-// Site is what the settings say to the host of an instance.
+// Site is the settings of a site, translated for the host of an instance.
 type Site struct {
 	Admission   admission.Settings
 	ClassNames  []string // by the classes' index
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -80,3 +80,16 @@
 		}
 	}
 }
+
+// TestIdempotencyFingerprint names the classes with keys and their windows, in alphabetical order. It is stored: it must
+// not change.
+func TestIdempotencyFingerprint(t *testing.T) {
+	site, err := Parse([]byte(`{"servers": 1, "lanes": [{"name": "write", "repeat": "dedup", "repeat-window-ns": 17058000000},
+ {"name": "read", "repeat": "retryable"}, {"name": "order", "repeat": "dedup", "repeat-window-ns": 60000000000}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, want := site.IdempotencyFingerprint(), "order 1m0s, write 17.058s"; got != want {
+		t.Errorf("fingerprint %q, want %q", got, want)
+	}
+}
