--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -2,10 +2,71 @@
 package main
 
 import (
+	"errors"
+	"flag"
+	"fmt"
+	"io"
 	"os"
 
+	"go.uber.org/zap"
+
+	"tillerusher/internal/cli"
+	"tillerusher/internal/config"
 	"tillerusher/internal/metrics"
-	"tillerusher/server"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/router"
 )
 
-func main() { os.Exit(server.ServeRoutes(os.Args[1:], os.Stderr, metrics.Serve)) }
+func main() { os.Exit(run(os.Args[1:], os.Stderr)) }
+
+// run runs a router and returns the exit status. SIGTERM or SIGINT drains it, SIGHUP has its routes read again and
+// SIGUSR1 logs its counters.
+func run(args []string, stderr io.Writer) int {
+	signals := cli.CatchSignals()
+	options, err := parseArgs(args)
+	if errors.Is(err, flag.ErrHelp) {
+		fmt.Fprint(stderr, usage)
+		return cli.ExitOK
+	}
+	if err != nil {
+		fmt.Fprintln(stderr, err)
+		return cli.ExitUsage
+	}
+	log, flush := cli.NewLogger(stderr)
+	defer flush()
+	r, err := newRouter(options, log)
+	if err != nil {
+		fmt.Fprintln(stderr, err)
+		return cli.ExitUsage
+	}
+	cli.TuneRuntime(config.Limits{Cores: 1, MemoryMB: options.router.MemoryMB})
+	go reloadOnSignal(r, signals, options.routesFile, log)
+	return cli.Run(r, signals, stderr)
+}
+
+// newRouter returns a router that listens, with its metrics where they are asked for.
+func newRouter(o *options, log *zap.Logger) (*router.Router, error) {
+	r, err := router.New(&o.router, log)
+	if err != nil {
+		return nil, err
+	}
+	if o.metricsAddr != "" {
+		if err := metrics.Serve(r, o.metricsAddr); err != nil {
+			r.Close()
+			return nil, err
+		}
+	}
+	return r, nil
+}
+
+// reloadOnSignal reads the routes again whenever it is told to.
+func reloadOnSignal(r *router.Router, signals cli.Signals, file string, log *zap.Logger) {
+	for range signals.Reload {
+		routes, err := routeconfig.Load(file)
+		if err != nil {
+			log.Error("configuration not reloaded", zap.Error(err))
+			continue
+		}
+		r.Reload(routes)
+	}
+}
--- a/cmd/catalogue-server-durable/main.go
+++ b/cmd/catalogue-server-durable/main.go
@@ -1,5 +1,5 @@
-// Command catalogue-server-durable is one catalogue server that keeps state over restarts; catalogue-server serve --state DIR becomes it,
-// so that the program on machines without a disk stays small.
+// Command catalogue-server-durable is one catalogue server that keeps state over restarts; catalogue-server serve
+// --state DIR starts it in its place, so that the program on machines without a disk stays small.
 package main
 
 import (
@@ -9,12 +9,13 @@
 	"os"
 	"runtime"
 
+	"tillerusher/internal/cli"
 	"tillerusher/internal/store"
 	"tillerusher/server"
 )
 
-// machine tells this machine from others: what runs take on one says nothing of another.
-func machine() string {
+// machineID names this machine: run times measured on one say nothing of another.
+func machineID() string {
 	id, err := os.ReadFile("/etc/machine-id")
 	if err != nil || len(id) == 0 {
 		name, err := os.Hostname()
@@ -26,8 +27,10 @@
 	return fmt.Sprintf("%x, %d processors", sha256.Sum256(id), runtime.NumCPU())
 }
 
-func main() {
-	os.Exit(server.ServeDurable(os.Args[1:], os.Getenv, os.Stderr, func(ctx context.Context, f server.StateDirectory) (server.DurableStore, error) {
-		return store.OpenWait(ctx, store.Config{Dir: f.Path, Server: f.Server, SiteHash: f.Site, Machine: machine()}, f.OnWait)
-	}))
+func main() { os.Exit(cli.ServeDurable(os.Args[1:], os.Getenv, os.Stderr, openStore)) }
+
+// openStore opens the store in a state directory.
+func openStore(ctx context.Context, d cli.StateDirectory) (server.DurableStore, error) {
+	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteHash: d.Site, Machine: machineID()}
+	return store.OpenWait(ctx, cfg, d.OnWait)
 }
--- a/cmd/catalogue-server/deps_test.go
+++ b/cmd/catalogue-server/deps_test.go
@@ -15,7 +15,9 @@
 	for _, dep := range strings.Fields(string(out)) {
 		for _, not := range []string{"tillerusher/internal/replay", "tillerusher/internal/loadtest", "tillerusher/internal/fake",
 			"tillerusher/internal/invariant", "spf13", "HdrHistogram", "progressbar", "compress/zstd", "cbor",
-			"prometheus", "tillerusher/internal/nginx", "tillerusher/internal/metrics"} {
+			"prometheus", "tillerusher/internal/nginx", "tillerusher/internal/metrics", "tillerusher/internal/router",
+			"tillerusher/internal/forward", "tillerusher/internal/pool", "tillerusher/internal/route", "tillerusher/internal/clustersim",
+			"tillerusher/internal/scenario", "tillerusher/internal/simnet", "tillerusher/internal/report", "gonum.org"} {
 			if strings.Contains(dep, not) {
 				t.Errorf("the daemon links %s", dep)
 			}
--- a/cmd/catalogue-server/main.go
+++ b/cmd/catalogue-server/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"tillerusher/server"
+	"tillerusher/internal/cli"
 )
 
-func main() { os.Exit(server.Serve(os.Args[1:], os.Getenv, os.Stderr)) }
+func main() { os.Exit(cli.Serve(os.Args[1:], os.Getenv, os.Stderr)) }
--- a/cmd/cataloguectl/statecost.go
+++ b/cmd/cataloguectl/statecost.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/spf13/cobra"
 
+	"tillerusher/internal/cli"
 	"tillerusher/internal/faultfs"
 	"tillerusher/internal/loadtest"
 	"tillerusher/internal/store"
@@ -46,7 +47,7 @@
 			if dir != "" {
 				args = append(args, "--state", dir)
 			}
-			status := server.ServeDurable(args, os.Getenv, os.Stderr, func(ctx context.Context, f server.StateDirectory) (server.DurableStore, error) {
+			status := cli.ServeDurable(args, os.Getenv, os.Stderr, func(ctx context.Context, f cli.StateDirectory) (server.DurableStore, error) {
 				return store.OpenWait(ctx, store.Config{Dir: f.Path, Server: f.Server, SiteHash: f.Site, FS: faultfs.Wrap(vfs.Default, h)}, f.OnWait)
 			})
 			if status != 0 {
--- a/server/args.go
+++ b/internal/cli/args.go
@@ -1,6 +1,7 @@
-package server
+package cli
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -8,11 +9,10 @@
 	"path/filepath"
 	"syscall"
 
-	"tillerusher/internal/capture"
 	"tillerusher/internal/config"
 )
 
-const usage = `catalogue-server is one catalogue server, configured by RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN.
+const serveUsage = `catalogue-server is one catalogue server, configured by RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN.
 
 Usage:
   catalogue-server [serve] [flags]
@@ -32,14 +32,20 @@
 Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.
 `
 
-// The programs that route and that keep state over restarts. They are programs of their own, so that the catalogue server
-// stays as small as its machine wants it.
+// The subcommands of catalogue-server.
 const (
-	routeProgram = "catalogue-router"
-	stateProgram = "catalogue-server-durable"
+	serveCommand = "serve"
+	routeCommand = "route"
 )
 
-// execProgram goes on as another program, which lies beside this one. It returns only where it can't.
+// The programs that route and that keep state over restarts. They are programs of their own, so that the catalogue
+// server links no more than a machine without a disk wants.
+const (
+	routerProgram  = "catalogue-router"
+	durableProgram = "catalogue-server-durable"
+)
+
+// execProgram replaces this process by another program, which lies beside this one. It returns only where it can't.
 func execProgram(program string, args []string, stderr io.Writer) int {
 	self, err := os.Executable()
 	if err == nil {
@@ -48,52 +54,39 @@
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	fmt.Fprintln(stderr, err)
-	return 2
+	return ExitUsage
 }
 
-// parseArgs reads the command line into what the operators want beside the platform's configuration.
-func parseArgs(args []string, stderr io.Writer) (*config.OperatorConfig, error) {
-	if len(args) > 0 && args[0] == "serve" {
+// parseServeArgs reads the command line into the operators' own settings. It returns flag.ErrHelp once it has printed
+// the help.
+func parseServeArgs(args []string, stderr io.Writer) (*config.OperatorConfig, error) {
+	if len(args) > 0 && args[0] == serveCommand {
 		args = args[1:]
 	}
 	flags := flag.NewFlagSet("catalogue-server", flag.ContinueOnError)
-	flags.SetOutput(io.Discard) // the error is told once, by the caller
+	flags.SetOutput(io.Discard) // the caller prints the error
 	settings := flags.String("settings", "", "")
-	directory := flags.String("capture", "", "")
-	state := flags.String("state", "", "")
-	if err := flags.Parse(args); err == flag.ErrHelp {
-		fmt.Fprint(stderr, usage)
+	captureDirectory := flags.String("capture", "", "")
+	stateDirectory := flags.String("state", "", "")
+	err := flags.Parse(args)
+	switch {
+	case errors.Is(err, flag.ErrHelp):
+		fmt.Fprint(stderr, serveUsage)
 		return nil, err
-	} else if err != nil {
+	case err != nil:
 		return nil, fmt.Errorf("arguments: %w; see catalogue-server --help", err)
-	}
-	if flags.NArg() > 0 {
+	case flags.NArg() > 0:
 		return nil, fmt.Errorf("arguments: %q is not known, want serve, route or flags; see catalogue-server --help", flags.Arg(0))
 	}
-	o, err := loadOperator(*settings, *directory)
-	if err == nil && *state != "" {
-		if o.State == nil {
-			o.State = config.DefaultStateConfig()
-		}
-		o.State.Directory = *state
-	}
-	return o, err
-}
-
-// loadOperator reads the operators' own settings; a directory takes the place of the one in the file.
-func loadOperator(settings, directory string) (*config.OperatorConfig, error) {
-	o := &config.OperatorConfig{}
-	if settings != "" {
-		var err error
-		if o, err = config.LoadOperatorConfig(settings); err != nil {
-			return nil, err
-		}
+	operator, err := LoadOperator(*settings, *captureDirectory)
+	if err != nil {
+		return nil, err
 	}
-	if directory != "" {
-		if o.Capture == nil {
-			o.Capture = &config.CaptureConfig{Config: capture.DefaultConfig()}
+	if *stateDirectory != "" {
+		if operator.State == nil {
+			operator.State = config.DefaultStateConfig()
 		}
-		o.Capture.Directory = directory
+		operator.State.Directory = *stateDirectory
 	}
-	return o, nil
+	return operator, nil
 }
--- /dev/null
+++ b/internal/cli/log.go
@@ -0,0 +1,91 @@
+package cli
+
+import (
+	"io"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+)
+
+const (
+	// logQueueLines is how many lines may wait to be written.
+	logQueueLines = 1024
+	// sameMessagePerSecond is how often a second the same message is logged.
+	sameMessagePerSecond = 10
+	// flushTimeout is how long the end of the log waits for its reader.
+	flushTimeout = 100 * time.Millisecond
+)
+
+// asyncWriter hands lines to a goroutine of its own, so that a reader of the log that stands still never blocks the
+// event loop. Lines for which there is no room are dropped and counted.
+type asyncWriter struct {
+	lines      chan []byte
+	dropped    atomic.Uint64
+	stop, done chan struct{}
+}
+
+// newAsyncWriter returns a writer to another one.
+func newAsyncWriter(to io.Writer) *asyncWriter {
+	w := &asyncWriter{
+		lines: make(chan []byte, logQueueLines),
+		stop:  make(chan struct{}),
+		done:  make(chan struct{}),
+	}
+	go w.run(to)
+	return w
+}
+
+// Write implements io.Writer.
+func (w *asyncWriter) Write(p []byte) (int, error) {
+	select {
+	case w.lines <- append([]byte(nil), p...):
+	default:
+		w.dropped.Add(1)
+	}
+	return len(p), nil
+}
+
+// run writes lines until it is stopped, and then those that wait.
+func (w *asyncWriter) run(to io.Writer) {
+	defer close(w.done)
+	for {
+		select {
+		case line := <-w.lines:
+			to.Write(line) // a log that can't be written has nowhere to be reported
+		case <-w.stop:
+			for len(w.lines) > 0 {
+				to.Write(<-w.lines)
+			}
+			return
+		}
+	}
+}
+
+// close writes what waits, if the reader takes it in time.
+func (w *asyncWriter) close() {
+	close(w.stop)
+	select {
+	case <-w.done:
+	case <-time.After(flushTimeout):
+	}
+}
+
+// NewLogger returns a logger that never blocks, and a function that writes out what waits and ends it; lines that come
+// later are lost.
+func NewLogger(to io.Writer) (log *zap.Logger, flush func()) {
+	w := newAsyncWriter(to)
+	encoder := zap.NewProductionEncoderConfig()
+	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
+	encoder.EncodeDuration = zapcore.MillisDurationEncoder
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), zapcore.AddSync(w), zap.InfoLevel)
+	// An error that repeats is logged a few times a second; the counters have it in full.
+	log = zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sameMessagePerSecond, 0))
+	return log, func() {
+		if n := w.dropped.Load(); n > 0 {
+			log.Warn("log lines dropped", zap.Uint64("lines", n))
+		}
+		w.close()
+	}
+}
--- a/server/log_test.go
+++ b/internal/cli/log_test.go
@@ -1,4 +1,4 @@
-package server
+package cli
 
 import (
 	"bytes"
--- /dev/null
+++ b/internal/cli/serve.go
@@ -0,0 +1,140 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"tillerusher/internal/config"
+	"tillerusher/server"
+)
+
+// releaseSlack is how long the process before this one may take over its stop time to let go of the state directory.
+const releaseSlack = 2 * time.Second
+
+// StateDirectory is where a server keeps what outlasts it.
+type StateDirectory struct {
+	Path   string
+	Server string
+	Site   string // tells sites apart as far as idempotency keys go
+	OnWait func() // called once where another process uses the directory, which the opening waits for
+}
+
+// OpenStore opens a state directory. It waits while another process uses the directory, until the context ends.
+type OpenStore func(ctx context.Context, d StateDirectory) (server.DurableStore, error)
+
+// Serve runs one catalogue server: configured by the environment and the arguments, drained by SIGTERM or SIGINT, its
+// configuration read again on SIGHUP and its counters logged on SIGUSR1. It returns the exit status.
+func Serve(args []string, getenv func(string) string, stderr io.Writer) int {
+	return serve(args, getenv, stderr, nil)
+}
+
+// ServeDurable is Serve in the program that keeps state over restarts. At a release the process before this one still
+// drains and uses the directory: its end is waited for as long as it may take.
+func ServeDurable(args []string, getenv func(string) string, stderr io.Writer, open OpenStore) int {
+	return serve(args, getenv, stderr, open)
+}
+
+// serve is Serve; open is nil in the program that keeps no state.
+func serve(args []string, getenv func(string) string, stderr io.Writer, open OpenStore) int {
+	signals := CatchSignals()
+	if len(args) > 0 && args[0] == routeCommand {
+		return execProgram(routerProgram, args[1:], stderr)
+	}
+	operator, err := parseServeArgs(args, stderr)
+	if errors.Is(err, flag.ErrHelp) {
+		return ExitOK
+	}
+	if err == nil && operator.State != nil && open == nil {
+		return execProgram(durableProgram, args, stderr)
+	}
+	var cfg *server.Config
+	if err == nil {
+		cfg, err = config.Load(getenv)
+	}
+	if err != nil {
+		fmt.Fprintln(stderr, err)
+		return ExitUsage
+	}
+	cfg.Capture = operator.Capture
+	log, flush := NewLogger(stderr)
+	defer flush()
+	s, err := newServer(cfg, operator.State, open, log)
+	switch {
+	case errors.Is(err, errStopped):
+		return ExitOK
+	case err != nil:
+		fmt.Fprintln(stderr, err)
+		return ExitUsage
+	}
+	go reloadOnSignal(s, signals, getenv, operator, log)
+	return Run(s, signals, stderr)
+}
+
+// errStopped says that the process was told to end before it served anything.
+var errStopped = errors.New("stopped while waiting for the state directory")
+
+// newServer returns a server that listens. With a state configuration it keeps results over restarts.
+func newServer(cfg *server.Config, state *config.StateConfig, open OpenStore, log *zap.Logger) (*server.Server, error) {
+	var store server.DurableStore
+	if state != nil {
+		var err error
+		if store, err = openStore(cfg, state.Directory, open, log); err != nil {
+			return nil, err
+		}
+	}
+	TuneRuntime(cfg.Limits)
+	s, err := server.New(cfg, log)
+	if err != nil {
+		return nil, err
+	}
+	if store != nil {
+		if err := s.EnableDurableResults(store, state.Limits); err != nil {
+			s.Close()
+			return nil, err
+		}
+	}
+	return s, nil
+}
+
+// openStore opens the state directory. It returns errStopped where a signal ended the waiting.
+func openStore(cfg *server.Config, path string, open OpenStore, log *zap.Logger) (server.DurableStore, error) {
+	signalled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	maxWait := cfg.StopTimeout + releaseSlack
+	ctx, cancel := context.WithTimeout(signalled, maxWait)
+	defer cancel()
+	store, err := open(ctx, StateDirectory{
+		Path:   path,
+		Server: cfg.Name,
+		Site:   cfg.Settings.IdempotencyFingerprint(),
+		OnWait: func() {
+			log.Info("waiting for the folder", zap.String("directory", path), zap.Duration("at_most_ms", maxWait))
+		},
+	})
+	if err != nil && signalled.Err() != nil {
+		return nil, errStopped
+	}
+	return store, err
+}
+
+// reloadOnSignal reads the configuration again whenever it is told to, on a goroutine of its own, since reading a file
+// may take long.
+func reloadOnSignal(s *server.Server, signals Signals, getenv func(string) string, operator *config.OperatorConfig, log *zap.Logger) {
+	for range signals.Reload {
+		cfg, err := config.Load(getenv)
+		if err != nil {
+			log.Error("configuration not reloaded", zap.Error(err))
+			continue
+		}
+		cfg.Capture = operator.Capture // needs a restart
+		s.Reload(cfg)
+	}
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,8 +12,8 @@
 
 	"tillerusher/internal/fake"
 	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/router"
 	"tillerusher/internal/servertest"
-	"tillerusher/server"
 )
 
 // TestMetrics has requests of a server that routes show in its metrics, by pool and member.
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
-	s, err := server.NewRouter(&server.RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256,
+	s, err := router.New(&router.Config{Name: "r", Listen: at, StopTimeout: time.Second, MemoryMB: 64, Sockets: 256,
 		Routes: d, Seed: 1}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
--- a/server/router_bench_test.go
+++ b/internal/router/bench_test.go
@@ -1,4 +1,4 @@
-package server
+package router
 
 import (
 	"fmt"
@@ -40,14 +40,14 @@
 	}
 	defer l.Close()
 	go fcgi.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
-	text := strings.Replace(routes, "(member @A) (member @B) (keepalive 4)", "(member "+l.Addr().String()+") (keepalive 32)", 1)
+	text := strings.Replace(twoMembers, "(member @A) (member @B) (keepalive 4)", "(member "+l.Addr().String()+") (keepalive 32)", 1)
 	text = strings.Replace(text, "(capacity 8)", "(capacity 64)", 1)
 	d, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, _ := serveRoutes(b, d)
-	for name, addr := range map[string]string{"direct": l.Addr().String(), "routed": s.cfg.Listen.String()} {
+	r, _ := startRouter(b, d)
+	for name, addr := range map[string]string{"direct": l.Addr().String(), "routed": listenAddr(r)} {
 		b.Run(name, func(b *testing.B) { loadHop(b, addr) })
 	}
 }
@@ -100,18 +100,18 @@
 	}
 	defer l.Close()
 	const gateways, streams = 8, 32
-	text := strings.Replace(routes, "(member @A) (member @B)", "(member "+l.Addr().String()+")", 1)
+	text := strings.Replace(twoMembers, "(member @A) (member @B)", "(member "+l.Addr().String()+")", 1)
 	text = strings.Replace(strings.Replace(text, "(capacity 8)", "(capacity 1000)", 1), "(read 300ms)", "(read 1m)", 1)
 	d, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		s, g := serveRoutes(b, d)
+		r, g := startRouter(b, d)
 		before := heap()
 		conns := []*servertest.Gateway{g}
 		for range gateways - 1 {
-			conns = append(conns, servertest.Dial(b, s.cfg.Listen.String()))
+			conns = append(conns, servertest.Dial(b, listenAddr(r)))
 		}
 		for _, c := range conns {
 			for id := range streams {
@@ -119,7 +119,7 @@
 			}
 		}
 		servertest.WaitFor(b, "all requests at members", func() (all bool) {
-			do(s, func() { all = s.backend.OpenRuns() == gateways*streams })
+			onLoop(r, func() { all = r.backend.OpenRuns() == gateways*streams })
 			return all
 		})
 		b.ReportMetric(float64(heap()-before)/(gateways*streams), "B/open")
--- a/server/corpus_test.go
+++ b/internal/router/corpus_test.go
@@ -1,4 +1,4 @@
-package server
+package router
 
 import (
 	"fmt"
@@ -236,9 +236,9 @@
 			}
 			addresses := string(text)
 			for i, pool := range []string{"red", "green", "blue", "grey"} {
-				m := member(t, pool)
+				m := startMember(t, pool)
 				if strings.Contains(addresses, "scgi_pass "+pool) {
-					m = scgiMember(t, pool)
+					m = startSCGIMember(t, pool)
 				}
 				m.SetStatusFunc(func(params map[string]string) int { return memberStatus(params["SCRIPT_NAME"]) })
 				addresses = strings.ReplaceAll(addresses, fmt.Sprintf("127.0.0.1:900%d", i+1), m.Addr())
@@ -262,7 +262,7 @@
 				}
 			}
 			o := readOriginal(list)
-			_, g := serveRoutes(t, d)
+			_, g := startRouter(t, d)
 			for _, host := range corpusHosts {
 				for _, path := range corpusPaths {
 					r := fake.Request{Method: "GET", Path: path, Headers: map[string]string{"Host": host}}
--- a/server/router_faults_test.go
+++ b/internal/router/faults_test.go
@@ -1,4 +1,4 @@
-package server
+package router
 
 import (
 	"flag"
@@ -15,11 +15,11 @@
 	"tillerusher/internal/servertest"
 )
 
-// storms is how often TestRouteStorm is played; docs/design/routes.md has what 100 showed.
-var storms = flag.Int("storms", 2, "how often TestRouteStorm is played")
+// storms is how often TestRandomFaults is played; docs/design/routes.md has what 100 showed.
+var storms = flag.Int("storms", 2, "how often TestRandomFaults is played")
 
-// stormRoutes are those of the storms: time limits are short, so that silent members are met often.
-const stormRoutes = `(capacity 16)
+// faultRoutes are those of TestRandomFaults: time limits are short, so that silent members are met often.
+const faultRoutes = `(capacity 16)
 (class web (aim 1s) (deadline 4s) (effect by-method))
 (class book (aim 1s) (deadline 4s) (effect keyed) (window 30s))
 (pool app (method least-conn) MEMBERS (keepalive 4) (next error timeout invalid_header http_500)
@@ -32,19 +32,19 @@
   (location named sorry (return 503)))
 (pool spare SPARE (read 80ms) (connect 80ms))`
 
-// TestRouteStorm has members die, slow down, send nonsense and come back, and pools reloaded, at random under a mixed
+// TestRandomFaults has members die, slow down, send nonsense and come back, and pools reloaded, at random under a mixed
 // load: nothing is lost, answered twice or run twice.
-func TestRouteStorm(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	totals := map[invariant.Outcome]int{}
 	for run := range *storms {
-		begin, protocol := member, "" // by turns
+		start, protocol := startMember, "" // by turns
 		if run%2 == 1 {
-			begin, protocol = scgiMember, "(protocol scgi)"
+			start, protocol = startSCGIMember, "(protocol scgi)"
 		}
 		t.Run(fmt.Sprint(run, protocol), func(t *testing.T) {
-			playRouteStorm(t, rand.New(rand.NewPCG(seed, uint64(run))), totals, begin, protocol)
+			playFaults(t, rand.New(rand.NewPCG(seed, uint64(run))), totals, start, protocol)
 		})
 	}
 	t.Logf("%d storms: %d served, %d refused, %d failed", *storms, totals[invariant.Served], totals[invariant.Rejected], totals[invariant.Failed])
@@ -53,38 +53,39 @@
 	}
 }
 
-func playRouteStorm(t *testing.T, rng *rand.Rand, totals map[invariant.Outcome]int,
-	begin func(testing.TB, string) *fake.Member, protocol string) {
-	observer := invariant.New(30 * time.Second)
+// playFaults plays TestRandomFaults once.
+func playFaults(t *testing.T, rng *rand.Rand, totals map[invariant.Outcome]int,
+	start func(testing.TB, string) *fake.Member, protocol string) {
+	checker := invariant.New(30 * time.Second)
 	var members []*fake.Member
 	for _, name := range []string{"a", "b", "c", "d"} {
-		m := begin(t, name)
-		m.OnRequest(func(params map[string]string) { observer.RecordRun(params["HTTP_X_TRY"]) })
+		m := start(t, name)
+		m.OnRequest(func(params map[string]string) { checker.RecordRun(params["HTTP_X_TRY"]) })
 		members = append(members, m)
 	}
-	spare := begin(t, "spare")
-	spare.OnRequest(func(params map[string]string) { observer.RecordRun(params["HTTP_X_TRY"]) })
+	spare := start(t, "spare")
+	spare.OnRequest(func(params map[string]string) { checker.RecordRun(params["HTTP_X_TRY"]) })
 	with := func(some []*fake.Member) *routeconfig.Config {
 		text := ""
 		for _, m := range some {
 			text += "(member " + m.Addr() + " (max-fails 3) (fail-timeout 200ms)) "
 		}
-		return describe(t, strings.NewReplacer("MEMBERS", protocol+text, "SPARE", protocol+"(member "+spare.Addr()+")").Replace(stormRoutes))
+		return parseRoutes(t, strings.NewReplacer("MEMBERS", protocol+text, "SPARE", protocol+"(member "+spare.Addr()+")").Replace(faultRoutes))
 	}
-	s, g := serveRoutes(t, with(members))
+	r, g := startRouter(t, with(members))
 	var callers sync.WaitGroup
 	var mu sync.Mutex
-	over := make(chan bool)
+	stop := make(chan bool)
 	for n := range 4 {
 		conn := g
 		if n > 0 {
-			conn = servertest.Dial(t, s.cfg.Listen.String())
+			conn = servertest.Dial(t, listenAddr(r))
 		}
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			counts := callRoutes(t, conn, observer, own, n, over)
+			counts := sendRequests(t, conn, checker, own, n, stop)
 			mu.Lock()
 			defer mu.Unlock()
 			for k, v := range counts {
@@ -92,19 +93,19 @@
 			}
 		}()
 	}
-	trouble(rng, s, append(members, spare), members, with)
-	close(over)
+	injectFaults(rng, r, append(members, spare), members, with)
+	close(stop)
 	callers.Wait()
-	if b := observer.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
+	if b := checker.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
 		t.Errorf("%d rules were broken, the first: %s", len(b), b[0])
 	}
 }
 
-// incidents is how many things happen in one storm.
+// incidents is how many faults and reloads there are in one play.
 const incidents = 60
 
-// trouble changes members and routes under the callers' load.
-func trouble(rng *rand.Rand, s *Server, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Config) {
+// injectFaults changes members and routes under the callers' load.
+func injectFaults(rng *rand.Rand, r *Router, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Config) {
 	down := map[*fake.Member]bool{}
 	for range incidents {
 		time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
@@ -124,33 +125,33 @@
 				delete(down, m)
 			}
 		case 4:
-			s.ReloadRoutes(with(members[:1+rng.IntN(len(members))]))
+			r.Reload(with(members[:1+rng.IntN(len(members))]))
 		default:
 			m.SetBehavior(fake.Healthy, 0)
 		}
 	}
 }
 
-// callRoutes sends requests of all kinds on one connection, four at a time, until the storm is over, and counts the
+// sendRequests sends requests of all kinds on one connection, four at a time, until it is told to stop, and counts the
 // answers.
-func callRoutes(t *testing.T, g *servertest.Gateway, observer *invariant.Checker, rng *rand.Rand, caller int, over <-chan bool) map[invariant.Outcome]int {
+func sendRequests(t *testing.T, g *servertest.Gateway, checker *invariant.Checker, rng *rand.Rand, caller int, stop <-chan bool) map[invariant.Outcome]int {
 	counts := map[invariant.Outcome]int{}
 	open := map[uint16]string{}
 	send := func(stream uint16, n int) {
 		id := fmt.Sprintf("%d-%d", caller, n)
 		try := invariant.Attempt{ID: id, Received: time.Now(), Deadline: time.Now().Add(4*time.Second + 500*time.Millisecond)}
-		r := get("/r", "")
+		r := newRequest("/r", "")
 		switch rng.IntN(4) {
 		case 0:
-			r, try.AtMostOnce = get("/w", "w"+id), true
+			r, try.AtMostOnce = newRequest("/w", "w"+id), true
 		case 2:
-			r, try.AtMostOnce = get("/kept", "k"+id), true
+			r, try.AtMostOnce = newRequest("/kept", "k"+id), true
 		case 1:
 			try.Key, try.AtMostOnce = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
-			r = get("/book", "of "+try.Key).WithHeader("Once-Key", try.Key)
+			r = newRequest("/book", "of "+try.Key).WithHeader("Once-Key", try.Key)
 		}
 		try.ExpectedBody = r.Path + " " + string(r.Body)
-		observer.RecordSent(try)
+		checker.RecordSent(try)
 		open[stream] = id
 		g.Write(r.WithHeader("X-Try", id).Encode(stream))
 	}
@@ -174,10 +175,10 @@
 			kind = invariant.Rejected
 		}
 		counts[kind]++
-		observer.RecordAnswer(open[a.ID], kind, body, time.Now())
+		checker.RecordAnswer(open[a.ID], kind, body, time.Now())
 		delete(open, a.ID)
 		select {
-		case <-over:
+		case <-stop:
 			if n >= least {
 				continue
 			}
--- /dev/null
+++ b/internal/router/parse.go
@@ -0,0 +1,145 @@
+package router
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+	"time"
+
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/route"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/server"
+)
+
+// The statuses that the router answers with by itself.
+const (
+	statusMovedPermanently   = 301
+	statusBadRequest         = 400
+	statusNotFound           = 404
+	statusTooManyRequests    = 429
+	statusBadGateway         = 502
+	statusServiceUnavailable = 503
+)
+
+// safeMethods are those that change nothing (RFC 9110, section 9.2.1).
+var safeMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
+
+// Parse implements server.RequestParser: it finds the request's route. Where that leads to no pool, the route's own
+// answer is returned.
+func (b *backend) Parse(r gateway.Request, now time.Duration) (server.ParsedRequest, error) {
+	routed, response := b.resolve(r)
+	if response != nil {
+		return server.ParsedRequest{Response: response}, nil
+	}
+	return b.parseAttempt(routed, now)
+}
+
+// resolve returns the route of a request, or the answer of a route that leads to no pool.
+func (b *backend) resolve(r gateway.Request) (*routedRequest, *gateway.Response) {
+	virtualServer, _ := b.table.FindServer(b.localAddress(r), r.Headers["host"])
+	if virtualServer == nil {
+		return nil, &gateway.Response{Status: statusNotFound}
+	}
+	requestedPath := r.Path
+	if r.URI != "" {
+		requestedPath = r.URI // SCRIPT_NAME may have been changed on its way
+	}
+	resolution, err := virtualServer.Resolve(requestedPath, r.Query)
+	if err != nil {
+		return nil, &gateway.Response{Status: statusBadRequest}
+	}
+	if response := resolvedResponse(resolution); response != nil {
+		return nil, response
+	}
+	routed := &routedRequest{
+		backend:       b,
+		request:       r,
+		server:        virtualServer,
+		location:      resolution.Location.Value.(*routeconfig.Location),
+		requestedPath: requestedPath,
+		path:          resolution.Path,
+		query:         resolution.Query,
+		isRewritten:   resolution.Rewritten,
+	}
+	if response := routed.directAnswer(resolution.StoppedByBreak); response != nil {
+		return nil, response
+	}
+	return routed, nil
+}
+
+// resolvedResponse returns the answer that a resolution is by itself, or nil where it has a location.
+func resolvedResponse(resolution route.Resolution) *gateway.Response {
+	if resolution.RedirectTrailingSlash {
+		resolution.Status, resolution.RedirectURL = statusMovedPermanently, resolution.Path+"/"
+		if resolution.Query != "" {
+			resolution.RedirectURL += "?" + resolution.Query
+		}
+	}
+	switch {
+	case resolution.RedirectURL != "":
+		location := gateway.Field{Name: "Location", Value: resolution.RedirectURL}
+		return &gateway.Response{Status: resolution.Status, Headers: []gateway.Field{location}}
+	case resolution.Status != 0:
+		return &gateway.Response{Status: resolution.Status}
+	case resolution.Location == nil:
+		return &gateway.Response{Status: statusNotFound}
+	}
+	return nil
+}
+
+// localAddress is the address at which the gateway's caller reached it, where the gateway sends that, and else that of
+// this server.
+func (b *backend) localAddress(r gateway.Request) netip.AddrPort {
+	address, err := netip.ParseAddrPort(net.JoinHostPort(r.Params["SERVER_ADDR"], r.Params["SERVER_PORT"]))
+	if err != nil {
+		return b.listen
+	}
+	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
+}
+
+// parseAttempt reads what the module has to know of a request. Gateways may send the platform's fields, but need not.
+func (b *backend) parseAttempt(routed *routedRequest, now time.Duration) (server.ParsedRequest, error) {
+	r := routed.request
+	f := server.NewFieldReader(r.Headers)
+	class := b.classes[routed.location.Class]
+	b.lastRequestID++
+	parsed := server.ParsedRequest{Request: server.Request{
+		RequestID: fmt.Sprintf("%016x", b.lastRequestID),
+		HasOwnID:  true,
+		Body:      r.Body,
+		Runner:    routed,
+	}}
+	parsed.Class, parsed.AtMostOnce = class.forMethod(r.Method)
+	unixNow := b.server.Loop().Now().Round(0)
+	parsed.ReceivedAt = unixNow
+	if r.Headers["received-at"] != "" {
+		parsed.ReceivedAt = f.ReceivedAt(unixNow)
+	}
+	parsed.Admission = admission.Request{
+		Class:   parsed.Class,
+		IsRetry: r.Headers["attempt-again"] == "1",
+		Caller:  int(f.Number("Sent-By", 0, server.MaxSender, 0)),
+		SizeKB:  1 + float64(len(r.Body))/1024,
+	}
+	if class.hasKey {
+		parsed.HasKey, parsed.Key = true, f.Required("Once-Key")
+		parsed.BodyHash = b.server.HashBody(r.Body)
+	}
+	if err := f.Err(); err != nil {
+		return server.ParsedRequest{}, err
+	}
+	parsed.Admission.QueueingDelay = max(unixNow.Sub(parsed.ReceivedAt), 0)
+	parsed.ArrivedAt = now - parsed.Admission.QueueingDelay
+	return parsed, nil
+}
+
+// forMethod returns the module's class of a request, and whether it must not run twice.
+func (m classMapping) forMethod(method string) (class int, atMostOnce bool) {
+	if !m.atMostOnce || !m.hasKey && slices.Contains(safeMethods, method) {
+		return m.safe, m.atMostOnce && m.safe == m.other
+	}
+	return m.other, m.atMostOnce
+}
--- /dev/null
+++ b/internal/router/routed_request.go
@@ -0,0 +1,194 @@
+package router
+
+import (
+	"maps"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"tillerusher/internal/forward"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/pool"
+	"tillerusher/internal/route"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/server"
+)
+
+// routedRequest is a request with its route.
+type routedRequest struct {
+	backend  *backend
+	request  gateway.Request
+	server   *route.Server
+	location *routeconfig.Location
+	// requestedPath is as the caller sent it; path and query are normalized and rewritten.
+	requestedPath string
+	path          string
+	query         string
+	isRewritten   bool
+	// isFallback says that a fallback location took over, whose answer gets fallbackStatus; 0 means its own status.
+	isFallback     bool
+	fallbackStatus int
+	// attempt is what the core knows of the request; nil until it runs.
+	attempt *server.Request
+}
+
+// Run implements server.Runner: the request goes to the pool of its location.
+func (q *routedRequest) Run(r *server.Request) {
+	q.attempt = r
+	q.backend.inFlight[r.RequestID] = q
+	q.backend.forwarder.Submit(forward.Request{
+		ID:            r.RequestID,
+		Pool:          q.location.Pool,
+		HashKey:       q.hashKey(),
+		NonIdempotent: r.AtMostOnce,
+		Params:        q.memberParams(),
+		Body:          q.request.Body,
+	})
+}
+
+// directAnswer returns the answer of a route that leads to no pool, or nil. A status without a text of its own may lead
+// to a fallback location, which then is the route. hasBreak says that a rewrite ended the location's own, after which
+// its status does not count.
+func (q *routedRequest) directAnswer(hasBreak bool) *gateway.Response {
+	location := q.location
+	if location.Pool != "" && (location.ReturnStatus == 0 || hasBreak) {
+		return nil
+	}
+	response := &gateway.Response{Status: statusNotFound}
+	if location.ReturnStatus != 0 && !hasBreak {
+		response = returnResponse(location)
+		if location.ReturnText != "" {
+			return response
+		}
+	}
+	if !q.takeFallback(response.Status) {
+		return response
+	}
+	if q.location.Pool != "" {
+		return nil
+	}
+	final := *response
+	if q.location.ReturnStatus != 0 {
+		final = *returnResponse(q.location)
+	}
+	final.Status = q.finalStatus(final.Status)
+	return &final
+}
+
+// takeFallback makes the location's fallback for a status the route, and returns false where there is none. A request
+// takes one fallback at most: how that one ends is the end, as in nginx.
+func (q *routedRequest) takeFallback(status int) bool {
+	if q.isFallback {
+		return false
+	}
+	for _, fallback := range q.location.Fallbacks {
+		if !slices.Contains(fallback.Statuses, status) {
+			continue
+		}
+		named := q.server.NamedLocation(fallback.Location)
+		if named == nil {
+			return false // the configuration was checked
+		}
+		q.location, q.isFallback = named.Value.(*routeconfig.Location), true
+		q.fallbackStatus = fallback.ResponseStatus
+		if fallback.ResponseStatus == routeconfig.KeepStatus {
+			q.fallbackStatus = status
+		}
+		return true
+	}
+	return false
+}
+
+// finalStatus is the status of the caller's answer, where the location's answer has this one.
+func (q *routedRequest) finalStatus(status int) int {
+	if q.fallbackStatus != 0 {
+		return q.fallbackStatus
+	}
+	return status
+}
+
+// returnResponse is the answer of a location that has one of its own.
+func returnResponse(location *routeconfig.Location) *gateway.Response {
+	r := &gateway.Response{Status: location.ReturnStatus}
+	isRedirect := location.ReturnStatus >= 300 && location.ReturnStatus < 400
+	switch {
+	case location.ReturnText == "":
+	case isRedirect:
+		r.Headers = []gateway.Field{{Name: "Location", Value: location.ReturnText}}
+	default:
+		r.Headers = []gateway.Field{{Name: "Content-Type", Value: "text/plain"}}
+		r.Body = []byte(location.ReturnText)
+	}
+	return r
+}
+
+// hashKey is what the hash methods of the location's pool choose a member by.
+func (q *routedRequest) hashKey() []byte {
+	target := q.backend.pools[q.location.Pool]
+	if target == nil {
+		return nil
+	}
+	if target.BalancingPolicy == pool.IPHash {
+		return q.clientAddress()
+	}
+	switch name, header, _ := strings.Cut(target.HashKey, ":"); name {
+	case "uri":
+		uri := q.requestedPath
+		if q.request.Query != "" {
+			uri += "?" + q.request.Query
+		}
+		return []byte(uri)
+	case "path":
+		return []byte(q.path)
+	case "query":
+		return []byte(q.query)
+	case "host":
+		return []byte(q.request.Headers["host"])
+	case "client":
+		return q.clientAddress()
+	case "header":
+		return []byte(q.request.Headers[strings.ToLower(header)])
+	}
+	return nil
+}
+
+// clientAddress is the address of the gateway's caller; one that can't be read counts as the machine itself.
+func (q *routedRequest) clientAddress() []byte {
+	if address, err := netip.ParseAddr(q.request.Params["REMOTE_ADDR"]); err == nil {
+		return address.Unmap().AsSlice()
+	}
+	return []byte{127, 0, 0, 1}
+}
+
+// memberParams are the parameters that a member gets: the location's, and those of the gateway that the location does
+// not set. REQUEST_URI stays as the caller sent it, whatever was rewritten.
+func (q *routedRequest) memberParams() []gateway.Field {
+	params := make([]gateway.Field, 0, len(q.request.Params)+len(q.location.Params))
+	isSet := map[string]bool{}
+	for _, p := range q.location.Params {
+		isSet[p.Name] = true
+		params = append(params, gateway.Field{Name: p.Name, Value: p.Value})
+	}
+	for _, name := range slices.Sorted(maps.Keys(q.request.Params)) {
+		if isSet[name] {
+			continue
+		}
+		value := q.request.Params[name]
+		if q.isRewritten {
+			value = q.rewrittenParam(name, value)
+		}
+		params = append(params, gateway.Field{Name: name, Value: value})
+	}
+	return params
+}
+
+// rewrittenParam is the value of a parameter after a rewrite.
+func (q *routedRequest) rewrittenParam(name, value string) string {
+	switch name {
+	case "SCRIPT_NAME", "DOCUMENT_URI":
+		return q.path
+	case "QUERY_STRING":
+		return q.query
+	}
+	return value
+}
--- a/server/router_test.go
+++ b/internal/router/router_test.go
@@ -1,94 +1,23 @@
-package server
+package router
 
 import (
 	"fmt"
-	"net/netip"
 	"strings"
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"tillerusher/internal/fake"
-	"tillerusher/internal/routeconfig"
 	"tillerusher/internal/servertest"
+	"tillerusher/internal/servertest/interleave"
 )
 
-// member starts a member that ends with the test.
-func member(t testing.TB, name string) *fake.Member {
-	t.Helper()
-	m, err := fake.NewMember(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(m.Stop)
-	return m
-}
-
-// scgiMember starts a member that speaks SCGI and ends with the test.
-func scgiMember(t testing.TB, name string) *fake.Member {
-	t.Helper()
-	m, err := fake.NewSCGIMember(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(m.Stop)
-	return m
-}
-
-// describe reads a description in which A, B and C stand for the members' addresses.
-func describe(t testing.TB, text string, members ...*fake.Member) *routeconfig.Config {
-	t.Helper()
-	for i, m := range members {
-		text = strings.ReplaceAll(text, "@"+string(rune('A'+i)), m.Addr())
-	}
-	d, err := routeconfig.Parse("f", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return d
-}
-
-// routes is a description of two members, a keyed class and one by method.
-const routes = `(capacity 8)
-(class web (aim 1s) (deadline 3s) (effect by-method))
-(class book (aim 1s) (deadline 3s) (effect keyed) (window 10s))
-(pool app (member @A) (member @B) (keepalive 4) (next error timeout http_500) (read 300ms) (connect 300ms))
-(server (listen 0.0.0.0:0)
-  (location prefix / (pool app) (class web) (param ROUTED yes))
-  (location prefix /book (pool app) (class book))
-  (location exact /hello (return 200 "hi"))
-  (location prefix /docs/ (pool app) (class web)))`
-
-// serveRoutes starts a server that routes, and returns it with a gateway.
-func serveRoutes(t testing.TB, d *routeconfig.Config) (*Server, *servertest.Gateway) {
-	t.Helper()
-	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
-	s, err := NewRouter(&RouterConfig{Name: "r", Listen: at, Stop: time.Second, MemoryMB: 64, Sockets: 256, Routes: d,
-		Seed: 1}, zap.NewNop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	serveFor(t, s)
-	return s, servertest.Dial(t, at.String())
-}
-
-// get is a request without any of the platform's fields.
-func get(path, body string) fake.Request {
-	r := fake.Request{Method: "GET", Path: path, Body: []byte(body), Headers: map[string]string{"Host": "x"}}
-	if body != "" {
-		r.Method = "POST"
-	}
-	return r
-}
-
 // TestRoute has requests reach the members in turn, with their parameters, and answers of the table's own.
 func TestRoute(t *testing.T) {
-	a, b := member(t, "a"), member(t, "b")
-	_, g := serveRoutes(t, describe(t, routes, a, b))
+	a, b := startMember(t, "a"), startMember(t, "b")
+	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
 	got := ""
 	for i := range 4 {
-		g.Write(get(fmt.Sprint("/p", i), "").Encode(1))
+		g.Write(newRequest(fmt.Sprint("/p", i), "").Encode(1))
 		ans := g.WaitResponse(1)
 		if ans.Status != 200 || !strings.Contains(string(ans.Body), fmt.Sprint(" /p", i)) {
 			t.Errorf("answer %+v", ans)
@@ -102,7 +31,7 @@
 		t.Errorf("the member saw %v", seen)
 	}
 	for path, want := range map[string]int{"/hello": 200, "/docs": 301, "/../x": 400} {
-		g.Write(get(path, "").Encode(1))
+		g.Write(newRequest(path, "").Encode(1))
 		if ans := g.WaitResponse(1); ans.Status != want {
 			t.Errorf("%s: %+v", path, ans)
 		}
@@ -111,33 +40,34 @@
 
 // TestRouteFailures has reads go on to the other member whatever the first does, and writes never once they may have run.
 func TestRouteFailures(t *testing.T) {
-	t.Run("fastcgi", func(t *testing.T) { routeFailures(t, member, "") })
-	t.Run("scgi", func(t *testing.T) { routeFailures(t, scgiMember, "(protocol scgi)") })
+	t.Run("fastcgi", func(t *testing.T) { testRouteFailures(t, startMember, "") })
+	t.Run("scgi", func(t *testing.T) { testRouteFailures(t, startSCGIMember, "(protocol scgi)") })
 }
 
-func routeFailures(t *testing.T, member func(testing.TB, string) *fake.Member, protocol string) {
-	routes := strings.Replace(routes, "(keepalive", protocol+" (keepalive", 1)
-	for _, mood := range []fake.Behavior{fake.Silent, fake.Truncated, fake.Failing, fake.Closing, fake.Overloaded,
+// testRouteFailures plays TestRouteFailures with members of a protocol.
+func testRouteFailures(t *testing.T, start func(testing.TB, string) *fake.Member, protocol string) {
+	routes := strings.Replace(twoMembers, "(keepalive", protocol+" (keepalive", 1)
+	for _, behavior := range []fake.Behavior{fake.Silent, fake.Truncated, fake.Failing, fake.Closing, fake.Overloaded,
 		fake.Duplicated, fake.Malformed} {
-		if mood == fake.Duplicated && protocol == "" {
+		if behavior == fake.Duplicated && protocol == "" {
 			continue // the first answer is whole, and its connection goes no further
 		}
-		a, b := member(t, "a"), member(t, "b")
+		a, b := start(t, "a"), start(t, "b")
 		with := strings.NewReplacer("(keepalive", "(eject (errors 0)) (keepalive", "http_500", "http_500 http_503 invalid_header")
-		_, g := serveRoutes(t, describe(t, with.Replace(routes), a, b))
-		a.SetBehavior(mood, 0)
+		_, g := startRouter(t, parseRoutes(t, with.Replace(routes), a, b))
+		a.SetBehavior(behavior, 0)
 		for i := range 3 {
-			g.Write(get(fmt.Sprint("/r", i), "").Encode(1))
+			g.Write(newRequest(fmt.Sprint("/r", i), "").Encode(1))
 			if ans := g.WaitResponse(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
-				t.Errorf("mood %d, read %d: %+v", mood, i, ans)
+				t.Errorf("behavior %d, read %d: %+v", behavior, i, ans)
 			}
 		}
 	}
-	a, b := member(t, "a"), member(t, "b")
-	_, g := serveRoutes(t, describe(t, routes, a, b))
+	a, b := start(t, "a"), start(t, "b")
+	_, g := startRouter(t, parseRoutes(t, routes, a, b))
 	a.SetBehavior(fake.Truncated, 0)
 	b.SetBehavior(fake.Truncated, 0)
-	g.Write(get("/w", "body").Encode(1))
+	g.Write(newRequest("/w", "body").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 500 {
 		t.Errorf("a write that may have run: %+v", ans)
 	}
@@ -148,11 +78,11 @@
 
 // TestRouteSCGI has requests reach SCGI members whole, on a connection each.
 func TestRouteSCGI(t *testing.T) {
-	a, b := scgiMember(t, "a"), scgiMember(t, "b")
-	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
+	a, b := startSCGIMember(t, "a"), startSCGIMember(t, "b")
+	r, g := startRouter(t, parseRoutes(t, strings.Replace(twoMembers, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
 	for i := range 4 {
 		body := strings.Repeat("x", i*i*3000)
-		g.Write(get(fmt.Sprint("/p", i), body).Encode(1))
+		g.Write(newRequest(fmt.Sprint("/p", i), body).Encode(1))
 		ans := g.WaitResponse(1)
 		if want := fmt.Sprintf("%s /p%d %s", ans.Header.Get("X-Member"), i, body); ans.Status != 200 || string(ans.Body) != want {
 			t.Errorf("answer %d of %d bytes", ans.Status, len(ans.Body))
@@ -161,24 +91,24 @@
 	if seen := a.ReceivedParams(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
 		t.Errorf("the member saw %v", seen)
 	}
-	told, _ := s.RoutingStats()
-	for _, c := range told.Counters {
+	stats, _ := r.Stats()
+	for _, c := range stats.Counters {
 		if want := map[string]uint64{"dials": 4, "reused_connections": 0}; c.Name != "" && want[c.Name] != c.Value && (c.Name == "dials" || c.Name == "reused_connections") {
 			t.Errorf("%s is %d", c.Name, c.Value)
 		}
 	}
 }
 
-// TestProtocolMoves has a reload change a pool's protocol while connections of the old one are idle.
-func TestProtocolMoves(t *testing.T) {
-	a, b := member(t, "a"), scgiMember(t, "b")
-	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a))
+// TestReloadProtocol has a reload change a pool's protocol while connections of the old one are idle.
+func TestReloadProtocol(t *testing.T) {
+	a, b := startMember(t, "a"), startSCGIMember(t, "b")
+	r, g := startRouter(t, parseRoutes(t, strings.Replace(twoMembers, "(member @B)", "", 1), a))
 	ask := func() string {
-		g.Write(get("/x", "").Encode(1))
+		g.Write(newRequest("/x", "").Encode(1))
 		return g.WaitResponse(1).Header.Get("X-Member")
 	}
 	before := ask()
-	s.ReloadRoutes(describe(t, strings.NewReplacer("(member @A)", "", "(keepalive", "(protocol scgi) (keepalive").Replace(routes), a, b))
+	r.Reload(parseRoutes(t, strings.NewReplacer("(member @A)", "", "(keepalive", "(protocol scgi) (keepalive").Replace(twoMembers), a, b))
 	servertest.WaitFor(t, "the new routes", func() bool { return ask() == "b" })
 	if before != "a" {
 		t.Errorf("before the reload: %s", before)
@@ -188,14 +118,14 @@
 // TestRouteSend has a member that reads nothing given up after the time limit for sending, not the longer one for its
 // answer.
 func TestRouteSend(t *testing.T) {
-	a, b := member(t, "a"), member(t, "b")
+	a, b := startMember(t, "a"), startMember(t, "b")
 	a.SetBehavior(fake.NotReading, 0)
 	a.Stop() // what it listens with was made before it was deaf
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(routes, "(read 300ms)", "(read 1h) (send 100ms)", 1)
-	s, g := serveRoutes(t, describe(t, strings.ReplaceAll(text, "3s", "1h"), a, b))
+	text := strings.Replace(twoMembers, "(read 300ms)", "(read 1h) (send 100ms)", 1)
+	r, g := startRouter(t, parseRoutes(t, strings.ReplaceAll(text, "3s", "1h"), a, b))
 	for range 2 { // one of them goes to a first
 		r := fake.Request{Method: "GET", Path: "/r", Body: make([]byte, 800<<10), Headers: map[string]string{"Host": "x"}}
 		g.Write(r.Encode(1))
@@ -203,9 +133,7 @@
 			t.Errorf("answer %d of %s", ans.Status, ans.Header.Get("X-Member"))
 		}
 	}
-	var timeouts uint64
-	do(s, func() { timeouts = s.backend.(*router).Stats.Timeouts })
-	if timeouts != 1 {
+	if timeouts := counter(t, r, "member_timeouts"); timeouts != 1 {
 		t.Errorf("%d tries timed out, want one", timeouts)
 	}
 }
@@ -213,12 +141,12 @@
 // TestRouteUnavailable has a member's 503 passed on for a read, and told as a failure of what must not run twice: gateways
 // take a 503 as the word that nothing ran.
 func TestRouteUnavailable(t *testing.T) {
-	a, b := scgiMember(t, "a"), scgiMember(t, "b")
+	a, b := startSCGIMember(t, "a"), startSCGIMember(t, "b")
 	a.SetBehavior(fake.Overloaded, 0)
 	b.SetBehavior(fake.Overloaded, 0)
-	_, g := serveRoutes(t, describe(t, strings.Replace(routes, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
+	_, g := startRouter(t, parseRoutes(t, strings.Replace(twoMembers, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
 	for body, want := range map[string]int{"": 503, "a write": 502} {
-		g.Write(get("/x", body).Encode(1))
+		g.Write(newRequest("/x", body).Encode(1))
 		if ans := g.WaitResponse(1); ans.Status != want {
 			t.Errorf("body %q: %+v, want %d", body, ans, want)
 		}
@@ -228,8 +156,8 @@
 // TestRouteFallback has named locations take over for statuses, once, with the status that is wanted, and never run a second
 // time what must not.
 func TestRouteFallback(t *testing.T) {
-	a, b := member(t, "a"), member(t, "b")
-	_, g := serveRoutes(t, describe(t, `(capacity 8)
+	a, b := startMember(t, "a"), startMember(t, "b")
+	_, g := startRouter(t, parseRoutes(t, `(capacity 8)
 (class web (aim 1s) (deadline 3s) (effect by-method))
 (class book (aim 1s) (deadline 3s) (effect keyed) (window 10s))
 (pool first (member @A (max-fails 0)) (read 100ms) (connect 100ms))
@@ -255,45 +183,45 @@
 		}
 	}
 	a.SetBehavior(fake.Failing, 0)
-	expect("a read whose member fails", get("/x", ""), "200 b")
-	expect("a write whose member failed", get("/x", "w"), "500")
-	expect("an error that is not intercepted", get("/kept", ""), "500")
-	expect("the status that led to it", get("/same", ""), "500 b")
-	expect("a return", get("/gone", ""), "299 b")
-	expect("a return with a text", get("/told", ""), "410")
+	expect("a read whose member fails", newRequest("/x", ""), "200 b")
+	expect("a write whose member failed", newRequest("/x", "w"), "500")
+	expect("an error that is not intercepted", newRequest("/kept", ""), "500")
+	expect("the status that led to it", newRequest("/same", ""), "500 b")
+	expect("a return", newRequest("/gone", ""), "299 b")
+	expect("a return with a text", newRequest("/told", ""), "410")
 	b.SetBehavior(fake.Failing, 0)
-	expect("a fallback that fails too", get("/x", ""), "500")
+	expect("a fallback that fails too", newRequest("/x", ""), "500")
 	b.SetBehavior(fake.Healthy, 0)
 	a.SetBehavior(fake.Truncated, 0)
-	expect("a write that may have run", get("/x", "w"), "500")
-	expect("a booking that may have run", get("/book", "w").WithHeader("Once-Key", "k1"), "502")
+	expect("a write that may have run", newRequest("/x", "w"), "500")
+	expect("a booking that may have run", newRequest("/book", "w").WithHeader("Once-Key", "k1"), "502")
 	a.Stop()
-	expect("a write that no member has seen", get("/x", "w"), "200 b")
-	expect("a booking that no member has seen", get("/book", "w").WithHeader("Once-Key", "k2"), "502")
+	expect("a write that no member has seen", newRequest("/x", "w"), "200 b")
+	expect("a booking that no member has seen", newRequest("/book", "w").WithHeader("Once-Key", "k2"), "502")
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
 	a.SetBehavior(fake.Healthy, 0)
-	expect("the same again, which has not run", get("/book", "w").WithHeader("Once-Key", "k2"), "200 a")
-	expect("the one that may have run", get("/book", "w").WithHeader("Once-Key", "k1"), "502")
+	expect("the same again, which has not run", newRequest("/book", "w").WithHeader("Once-Key", "k2"), "200 a")
+	expect("the one that may have run", newRequest("/book", "w").WithHeader("Once-Key", "k1"), "502")
 }
 
 // TestRouteRewrite has members see the path that a rewrite made, and what was asked for beside it.
 func TestRouteRewrite(t *testing.T) {
-	a := member(t, "a")
-	_, g := serveRoutes(t, describe(t, `(class web)
+	a := startMember(t, "a")
+	_, g := startRouter(t, parseRoutes(t, `(class web)
 (pool app (member @A))
 (server (listen 0.0.0.0:0) (rewrite "^/old/(.*)" /new/$1?from=old)
   (location prefix /new/ (pool app) (class web))
   (location prefix /away/ (rewrite "^/away/(.*)" /there/$1 permanent)))`, a))
-	g.Write(get("/old/x", "").Encode(1))
+	g.Write(newRequest("/old/x", "").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 200 {
 		t.Errorf("answer %+v", ans)
 	}
 	if seen := a.ReceivedParams(); len(seen) != 1 || seen[0]["SCRIPT_NAME"] != "/new/x" {
 		t.Errorf("the member saw %v", seen)
 	}
-	g.Write(get("/away/a%20b", "").Encode(1))
+	g.Write(newRequest("/away/a%20b", "").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 301 || ans.Header.Get("Location") != "/there/a%20b" {
 		t.Errorf("answer %+v", ans)
 	}
@@ -301,17 +229,17 @@
 
 // TestRouteDead has a dead member passed over, and all dead answered.
 func TestRouteDead(t *testing.T) {
-	a, b := member(t, "a"), member(t, "b")
-	_, g := serveRoutes(t, describe(t, routes, a, b))
+	a, b := startMember(t, "a"), startMember(t, "b")
+	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
 	a.Stop()
 	for i := range 3 {
-		g.Write(get("/w", fmt.Sprint("body", i)).Encode(1))
+		g.Write(newRequest("/w", fmt.Sprint("body", i)).Encode(1))
 		if ans := g.WaitResponse(1); ans.Status != 200 || ans.Header.Get("X-Member") != "b" {
 			t.Errorf("answer %+v", ans)
 		}
 	}
 	b.Stop()
-	g.Write(get("/x", "").Encode(1))
+	g.Write(newRequest("/x", "").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 500 && ans.Status != 503 {
 		t.Errorf("without any member: %+v", ans)
 	}
@@ -319,10 +247,10 @@
 
 // TestRouteKeyed has a repeat answered by the run of the first.
 func TestRouteKeyed(t *testing.T) {
-	a, b := member(t, "a"), member(t, "b")
-	_, g := serveRoutes(t, describe(t, routes, a, b))
+	a, b := startMember(t, "a"), startMember(t, "b")
+	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
 	a.SetBehavior(fake.Healthy, 50*time.Millisecond)
-	r := get("/book", "x").WithHeader("Once-Key", "k1")
+	r := newRequest("/book", "x").WithHeader("Once-Key", "k1")
 	g.Write(r.Encode(1), r.Encode(2))
 	first, second := g.WaitResponse(1), g.WaitResponse(2)
 	if first.Status != 200 || second.Status != 200 || string(first.Body) != string(second.Body) {
@@ -331,7 +259,7 @@
 	if n := len(a.ReceivedParams()) + len(b.ReceivedParams()); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
-	g.Write(get("/book", "x").Encode(1))
+	g.Write(newRequest("/book", "x").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 400 {
 		t.Errorf("without its key: %+v", ans)
 	}
@@ -340,39 +268,39 @@
 // TestCrossMemberEnd has a member end its idle connections, as one that restarts does, while the word of it lies unread and a
 // request that must not run twice comes: it goes by a new connection, and is not given up as one that may have run.
 func TestCrossMemberEnd(t *testing.T) {
-	a := member(t, "a")
-	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a))
-	g.Write(get("/book", "x").WithHeader("Once-Key", "k1").Encode(1))
+	a := startMember(t, "a")
+	system := interleave.New()
+	_, g := startRouterOn(t, system, parseRoutes(t, strings.Replace(twoMembers, "(member @B)", "", 1), a))
+	g.Write(newRequest("/book", "x").WithHeader("Once-Key", "k1").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 200 {
 		t.Fatalf("answer %+v", ans)
 	}
-	do(s, func() {
-		for c := range s.connections() {
-			c.Data(c.conn, get("/book", "y").WithHeader("Once-Key", "k2").Encode(2))
+	system.BeforeCall(func(call interleave.Syscall, fd int) bool {
+		if call != interleave.Read || !interleave.IsPeer(fd, g.Conn()) {
+			return false
 		}
 		a.Stop()
 		if err := a.Start(); err != nil {
 			t.Error(err)
 		}
+		return true
 	})
+	g.Write(newRequest("/book", "y").WithHeader("Once-Key", "k2").Encode(2))
 	if ans := g.WaitResponse(2); ans.Status != 200 {
 		t.Errorf("answer %+v", ans)
 	}
 }
 
-// TestReroute has members come and go while requests are open: those that left end what they have.
-func TestReroute(t *testing.T) {
-	a, b := member(t, "a"), member(t, "b")
-	s, g := serveRoutes(t, describe(t, strings.Replace(routes, "(member @B)", "", 1), a, b))
+// TestReload has members come and go while requests are open: those that left end what they have.
+func TestReload(t *testing.T) {
+	a, b := startMember(t, "a"), startMember(t, "b")
+	r, g := startRouter(t, parseRoutes(t, strings.Replace(twoMembers, "(member @B)", "", 1), a, b))
 	a.SetBehavior(fake.Healthy, 200*time.Millisecond)
-	g.Write(get("/open", "").Encode(1))
+	g.Write(newRequest("/open", "").Encode(1))
 	servertest.WaitFor(t, "the request at the member", func() bool { return len(a.ReceivedParams()) == 1 })
-	s.ReloadRoutes(describe(t, strings.Replace(routes, "(member @A)", "", 1), a, b))
-	servertest.WaitFor(t, "the new routes", func() (n bool) {
-		do(s, func() { n = s.counters.reloads == 1 })
-		return n
-	})
-	g.Write(get("/new", "").Encode(2))
+	r.Reload(parseRoutes(t, strings.Replace(twoMembers, "(member @A)", "", 1), a, b))
+	servertest.WaitFor(t, "the new routes", func() bool { return counter(t, r, "reloads") == 1 })
+	g.Write(newRequest("/new", "").Encode(2))
 	if ans := g.WaitResponse(2); ans.Header.Get("X-Member") != "b" {
 		t.Errorf("after the reload: %+v", ans)
 	}
--- a/server/actions.go
+++ b/server/actions.go
@@ -7,167 +7,149 @@
 	"go.uber.org/zap"
 
 	"tillerusher/admission"
-	"tillerusher/internal/gateway"
 )
 
-// The statuses of answers.
-const (
-	statusOK            = 200
-	statusBadRequest    = 400
-	statusTooLarge      = 413
-	statusInternalError = 500
-	statusUnavailable   = 503
-)
-
-// actions carries out what the module decides.
+// actions implements admission.Actions: it carries out what the module decides, but for what would break a rule that
+// stands above its decisions: no request at most once is run twice, and none is rejected that may have run.
 type actions struct{ *Server }
 
 // Run implements admission.Actions.
-func (a actions) Run(id admission.RequestID) {
-	t := a.attempts[id]
-	if t == nil || t.isAnswered || t.state == runInFlight {
+func (ac actions) Run(id admission.RequestID) {
+	a := ac.attempts.byID[id]
+	if a == nil || a.isAnswered || a.state == runInFlight {
 		return
 	}
-	if t.hasKey && t.atMostOnce && !a.keys.claim(t, a.told.Admission.Classes[t.class].KeyWindow+keyWindowSlack) {
-		// A second run would break the rule on single effect, whatever led to it.
-		a.counters.secondRunsPrevented++
-		a.log.Error("second run prevented", zap.String("request", t.requestID))
-		a.annotateCapture("second run of %d prevented", id)
-		a.answer(t, gateway.Response{Status: statusInternalError})
-		a.deferEvent(func() { a.module.RunFinished(a.moduleTime(), id, admission.Failed) })
+	if a.HasKey && a.AtMostOnce && !ac.keys.claim(a, ac.site.Admission.Classes[a.Class].KeyWindow+keyWindowSlack) {
+		ac.preventSecondRun(a)
 		return
 	}
-	a.counters.runs++
-	t.state = runInFlight
-	if t.hasKey && t.atMostOnce && a.durable != nil {
-		a.durable.runAfterIntent(t)
+	ac.counters.runsStarted++
+	a.state = runInFlight
+	if a.HasKey && a.AtMostOnce && ac.durable != nil {
+		ac.durable.runAfterIntent(a)
 		return
 	}
-	a.backend.Submit(t)
+	a.Runner.Run(&a.Request)
+}
+
+// preventSecondRun fails an attempt of a request that ran already.
+func (ac actions) preventSecondRun(a *attempt) {
+	ac.counters.secondRunsPrevented++
+	ac.log.Error("second run prevented", zap.String("request", a.RequestID))
+	ac.Annotate("second run of %d prevented", a.id)
+	ac.answerFailed(a)
+	ac.deferEvent(func() { ac.module.events.RunFinished(ac.eventTime(), a.id, admission.Failed) })
 }
 
-// Refuse implements admission.Actions.
-func (a actions) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
-	t := a.attempts[id]
-	if t == nil || t.isAnswered {
+// Reject implements admission.Actions.
+func (ac actions) Reject(id admission.RequestID, retryAfter time.Duration, isFinal bool) {
+	a := ac.attempts.byID[id]
+	if a == nil || a.isAnswered {
 		return
 	}
-	if t.atMostOnce && (t.state != runPending || t.hasKey && a.keys.hasRun(t)) {
-		// A refusal says that nothing ran.
-		a.counters.rejectionsPrevented++
-		a.log.Error("refusal after a run prevented", zap.String("request", t.requestID))
-		a.annotateCapture("refusal of %d after its run prevented", id)
-		a.Fail(id)
+	if a.AtMostOnce && (a.state != runPending || a.HasKey && ac.keys.hasRun(a)) {
+		// A rejection says that nothing ran.
+		ac.counters.rejectionsPrevented++
+		ac.log.Error("rejection after a run prevented", zap.String("request", a.RequestID))
+		ac.Annotate("refusal of %d after its run prevented", id)
+		ac.Fail(id)
 		return
 	}
-	a.answer(t, rejection(stayAway, last))
-	t.isStopRequested = t.isIntentPending
-	a.withdraw(t)
-	a.forget(t)
+	ac.answer(a, rejection(retryAfter, isFinal))
+	ac.cancelRun(a)
 }
 
-// rejection is an answer that says when to come back, where that is honoured, and whether to try no other server.
-func rejection(stayAway time.Duration, last bool) gateway.Response {
-	r := gateway.Response{Status: statusUnavailable}
-	if stayAway > 0 {
-		ms := (stayAway + time.Millisecond - 1) / time.Millisecond
-		r.Headers = append(r.Headers, gateway.Field{Name: "Back-Off-Ms", Value: strconv.FormatInt(int64(ms), 10)})
-	}
-	if last {
-		r.Headers = append(r.Headers, gateway.Field{Name: "Final-Refusal", Value: "1"})
+// Fail implements admission.Actions.
+func (ac actions) Fail(id admission.RequestID) {
+	if a := ac.attempts.byID[id]; a != nil && !a.isAnswered {
+		ac.answerFailed(a)
+		ac.cancelRun(a)
 	}
-	return r
 }
 
-// Fail implements admission.Actions.
-func (a actions) Fail(id admission.RequestID) {
-	if t := a.attempts[id]; t != nil && !t.isAnswered {
-		a.answer(t, gateway.Response{Status: statusInternalError})
-		t.isStopRequested = t.isIntentPending
-		a.withdraw(t)
-		a.forget(t)
-	}
+// cancelRun takes back the run of an attempt that was answered, where that is still possible.
+func (ac actions) cancelRun(a *attempt) {
+	a.isStopRequested = a.isIntentPending
+	ac.withdraw(a)
+	ac.forget(a)
 }
 
-// withdraw takes back the run of a try that the interpreter never heard of, and tells whether it did.
-func (a actions) withdraw(t *attempt) bool {
-	if t.state != runInFlight || t.isIntentPending || !a.backend.Withdraw(t.requestID) {
+// withdraw takes back a run that the backend has not begun, and returns whether it did.
+func (ac actions) withdraw(a *attempt) bool {
+	if a.state != runInFlight || a.isIntentPending || !ac.backend.Withdraw(a.RequestID) {
 		return false
 	}
-	t.state = runFailed
-	a.releaseKey(t)
-	a.deferEvent(func() { a.failRun(t, admission.Cancelled) })
+	a.state = runFailed
+	ac.releaseKey(a)
+	ac.deferEvent(func() { ac.failRun(a, admission.Cancelled) })
 	return true
 }
 
-// Halt implements admission.Actions.
-func (a actions) Stop(id admission.RequestID) {
-	t := a.attempts[id]
+// Stop implements admission.Actions.
+func (ac actions) Stop(id admission.RequestID) {
+	a := ac.attempts.byID[id]
 	switch {
-	case t == nil || t.state != runInFlight || a.withdraw(t):
-	case t.isIntentPending:
-		t.isStopRequested = true
+	case a == nil || a.state != runInFlight || ac.withdraw(a):
+	case a.isIntentPending:
+		a.isStopRequested = true
 	default:
-		a.backend.Stop(t.requestID)
+		ac.backend.Stop(a.RequestID)
 	}
 }
 
-// Keep implements admission.Actions.
-func (a actions) KeepKey(id admission.RequestID, lifetime time.Duration) {
-	if t := a.attempts[id]; t != nil && t.hasKey {
-		a.keys.hold(t, a.clock.now+lifetime)
+// KeepKey implements admission.Actions.
+func (ac actions) KeepKey(id admission.RequestID, lifetime time.Duration) {
+	if a := ac.attempts.byID[id]; a != nil && a.HasKey {
+		ac.keys.hold(a, ac.clock.now+lifetime)
 	}
 }
 
-// Forget implements admission.Actions.
-func (a actions) ReleaseKey(id admission.RequestID) {
-	a.keys.release(id)
-}
+// ReleaseKey implements admission.Actions.
+func (ac actions) ReleaseKey(id admission.RequestID) { ac.keys.release(id) }
 
-// Reuse implements admission.Actions.
-func (a actions) ReplayResult(id admission.RequestID) {
-	t := a.attempts[id]
-	if t == nil || t.isAnswered {
+// ReplayResult implements admission.Actions.
+func (ac actions) ReplayResult(id admission.RequestID) {
+	a := ac.attempts.byID[id]
+	if a == nil || a.isAnswered {
 		return
 	}
-	source := a.keys.originalOf(t)
-	if source != nil && (source.state == runInFlight || source.state == runPending && !source.isAnswered) {
-		source.waiters = append(source.waiters, t)
+	original := ac.keys.originalOf(a)
+	if original != nil && (original.state == runInFlight || original.state == runPending && !original.isAnswered) {
+		original.waiters = append(original.waiters, a)
 		return
 	}
-	a.deferEvent(func() { a.replayResult(t, source) })
+	ac.deferEvent(func() { ac.replayResult(a, original) })
 }
 
-// Say implements admission.Actions.
-func (a actions) AdvertiseLoad(value float64) {
-	a.advertisedLoad = strconv.FormatFloat(value, 'f', 4, 64)
+// AdvertiseLoad implements admission.Actions.
+func (ac actions) AdvertiseLoad(value float64) {
+	ac.load.advertised = strconv.FormatFloat(value, 'f', loadDigits, 64)
 }
 
-// Health implements admission.Actions.
-func (a actions) SetHealth(good, fromStore bool) { a.isHealthy, a.healthFromStore = good, fromStore }
-
-// CloseIdle implements admission.Actions.
-func (a actions) CloseIdleConnections(idle time.Duration) {
-	a.idleTimeout = idle
-	a.loop.CancelTimer(a.idleScanTimer)
-	a.scheduleIdleScan()
+// SetHealth implements admission.Actions.
+func (ac actions) SetHealth(isHealthy, isFixed bool) {
+	ac.health.isHealthy, ac.health.isFixed = isHealthy, isFixed
 }
 
-// After implements admission.Actions.
-func (a actions) SetTimer(wait time.Duration, token uint32) {
-	a.loop.AfterFunc(wait, func() { a.timerFired(token) })
+// CloseIdleConnections implements admission.Actions.
+func (ac actions) CloseIdleConnections(idle time.Duration) { ac.conns.setIdleTimeout(idle) }
+
+// SetTimer implements admission.Actions.
+func (ac actions) SetTimer(wait time.Duration, token uint32) {
+	ac.loop.AfterFunc(wait, func() { ac.timerFired(token) })
 }
 
 // Log implements admission.Actions.
-func (a actions) Log(line string) { a.log.Info("decision", zap.String("text", line)) }
+func (ac actions) Log(line string) { ac.log.Info("decision", zap.String("text", line)) }
 
-// Call implements admission.Actions; the module hears of no calls, as Awaits ends the requests that come to one.
-func (a actions) Call(id admission.RequestID, _ time.Duration) { a.noCalls(id) }
+// Call implements admission.Actions. The module hears of no calls, as callRequested ends the requests that come to
+// one, so it decides on none.
+func (ac actions) Call(id admission.RequestID, _ time.Duration) { ac.logUnexpectedCall(id) }
 
-// Skip implements admission.Actions, as Call.
-func (a actions) SkipCall(id admission.RequestID) { a.noCalls(id) }
+// SkipCall implements admission.Actions, as Call.
+func (ac actions) SkipCall(id admission.RequestID) { ac.logUnexpectedCall(id) }
 
-// noCalls reports a decision that nothing can have led to.
-func (a actions) noCalls(id admission.RequestID) {
-	a.log.Error("call without a dependency", zap.Uint32("id", uint32(id)))
+// logUnexpectedCall logs a decision that nothing can have led to.
+func (ac actions) logUnexpectedCall(id admission.RequestID) {
+	ac.log.Error("call without a dependency", zap.Uint32("id", uint32(id)))
 }
--- a/server/actions_test.go
+++ b/server/actions_test.go
@@ -6,48 +6,58 @@
 
 	"go.uber.org/zap"
 
-	"tillerusher/admission"
 	"tillerusher/internal/eventloop"
 	"tillerusher/internal/gateway"
 	"tillerusher/internal/interpreter"
 )
 
-// quiet is a session that notes what it is told to answer.
-type quiet struct{ answers []gateway.Response }
+// recordingSession is a session that records its responses.
+type recordingSession struct{ answers []gateway.Response }
 
-func (q *quiet) Feed([]byte) error                              { return nil }
-func (q *quiet) Respond(_ gateway.StreamID, a gateway.Response) { q.answers = append(q.answers, a) }
-func (q *quiet) OpenRequests() int                              { return 0 }
-func (q *quiet) Close()                                         {}
-func (q *quiet) ShouldClose() bool                              { return false }
-func (q *quiet) HasPartialInput() bool                          { return false }
+func (q *recordingSession) Feed([]byte) error { return nil }
+func (q *recordingSession) Respond(_ gateway.StreamID, a gateway.Response) {
+	q.answers = append(q.answers, a)
+}
+func (q *recordingSession) OpenRequests() int     { return 0 }
+func (q *recordingSession) Close()                {}
+func (q *recordingSession) ShouldClose() bool     { return false }
+func (q *recordingSession) HasPartialInput() bool { return false }
 
 // guarded is a server without sockets that has taken in keyed tries of one request.
-func guarded(t *testing.T, tries int) (actions, *quiet) {
+func newGuardedServer(t *testing.T, tries int) (actions, *recordingSession) {
 	t.Helper()
 	l, err := eventloop.New(eventloop.Kernel{}, 5*time.Millisecond, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	session := &quiet{}
-	told := testTold(t)
-	s := &Server{log: zap.NewNop(), loop: l, clock: newClock(l.Now()), told: told, keys: newIdempotencyTable(1<<20, 0),
-		classCounts: make([]classCounters, len(told.ClassNames)),
-		attempts:    map[admission.RequestID]*attempt{}, byRequestID: map[string]*attempt{}}
-	s.backend = interpreterBackend{&interpreter.Client{Link: interpreter.NewLink(s)}, s.told}
+	session := &recordingSession{}
+	site := testSite(t)
+	s := &Server{
+		log:           zap.NewNop(),
+		loop:          l,
+		clock:         newClock(l.Now()),
+		site:          site,
+		keys:          newIdempotencyTable(1<<20, 0),
+		classCounters: make([]classCounters, len(site.ClassNames)),
+		attempts:      newAttemptTable(newRecentIDs(time.Second, 1)),
+	}
+	backend := &interpreterBackend{server: s}
+	backend.client = &interpreter.Client{Link: interpreter.NewLink(backend)}
+	s.backend = backend
 	g := &gatewayConn{server: s, session: session, attempts: map[gateway.StreamID]*attempt{}}
 	for i := range tries {
-		r := keyedTry(i+1, "k", time.Duration(i)*time.Second)
-		r.conn, r.stream, r.requestID = g, gateway.StreamID(i+1), string(rune('a'+i))
-		s.attempts[r.id], s.byRequestID[r.requestID], g.attempts[r.stream] = r, r, r
+		r := keyedAttempt(i+1, "k", time.Duration(i)*time.Second)
+		r.conn, r.stream, r.RequestID, r.Runner = g, gateway.StreamID(i+1), string(rune('a'+i)), backend
+		s.attempts.add(r)
+		g.attempts[r.stream] = r
 	}
 	return actions{s}, session
 }
 
 // TestSecondRunPrevented has a decision to run another try of a request that ran: the rule stands above it.
 func TestSecondRunPrevented(t *testing.T) {
-	a, session := guarded(t, 2)
+	a, session := newGuardedServer(t, 2)
 	a.Run(1)
 	a.Run(2)
 	if a.backend.OpenRuns() != 1 || a.counters.secondRunsPrevented != 1 || len(session.answers) != 1 || session.answers[0].Status != statusInternalError {
@@ -61,7 +71,7 @@
 
 // TestRefusalAfterRunPrevented has decisions to refuse a try that runs, and a further try of its request.
 func TestRefusalAfterRunPrevented(t *testing.T) {
-	a, session := guarded(t, 3)
+	a, session := newGuardedServer(t, 3)
 	a.Reject(3, time.Second, false)
 	a.Run(1)
 	a.Reject(2, time.Second, false)
--- a/server/backend.go
+++ b/server/backend.go
@@ -1,73 +1,49 @@
 package server
 
-import (
-	"time"
+import "time"
 
-	"tillerusher/internal/gateway"
-	"tillerusher/internal/interpreter"
-	"tillerusher/internal/settings"
-)
+// Runner starts the run of one attempt. A RequestParser puts one into each request: the catalogue server's is the same
+// for all, the router's holds the request's route.
+type Runner interface {
+	// Run starts the run of a request, whose end the backend reports by Server.RunFinished, once.
+	Run(r *Request)
+}
 
-// backend is what runs requests: the platform's interpreter, or the members of pools. The end of each run is told once,
-// by Server.ran.
-type backend interface {
-	// Submit has a try run.
-	Submit(t *attempt)
-	// Withdraw takes back a run that nobody has heard of, and tells whether it could.
-	Withdraw(wire string) bool
-	// Break stops a run, whose end is told in time.
-	Stop(wire string)
-	// Ready tells whether what is applied goes out at once.
-	Ready() bool
-	// Runs is how many runs have not ended.
+// Backend is where requests run: the platform's interpreter, or the members of pools. All methods are called by the
+// loop's goroutine.
+type Backend interface {
+	// Connect starts the backend; Server.Run calls it first of all. The backend calls Server.BackendStarted once it
+	// can run requests.
+	Connect()
+	// Withdraw takes back a run that nothing has begun, and returns whether it could. The end of a run that was
+	// taken back is not reported.
+	Withdraw(requestID string) bool
+	// Stop stops a run, whose end is reported in time.
+	Stop(requestID string)
+	// IsReady returns whether what is asked for now goes out at once.
+	IsReady() bool
+	// OpenRuns is how many runs have not ended.
 	OpenRuns() int
-	// QueryGauges asks for the gauges, and Smoke whether work gets done.
+	// QueryGauges asks for the site's gauges, and CheckHealth whether work gets done.
 	QueryGauges(now time.Time, then func(values []float64, ok bool))
 	CheckHealth(now time.Time, then func(ok bool))
-	// Counters are the link's own, for the log.
-	Counters() []reading
+	// Reconfigure takes over what concerns the backend of a configuration that was read again.
+	Reconfigure(cfg *Config)
+	// Counters are the backend's own, for the log.
+	Counters() []Counter
+	// Close gives up the backend's connections. It is called only after Connect.
 	Close()
 }
 
-// interpreterBackend is the worker on this platform.
-type interpreterBackend struct {
-	*interpreter.Client
-	told *settings.Site
-}
-
-// Submit implements worker.
-func (i interpreterBackend) Submit(t *attempt) {
-	i.Client.Submit(t.requestID, i.told.ClassNames[t.class], t.body)
-}
-
-// Counters implements worker.
-func (i interpreterBackend) Counters() []reading {
-	l := &i.Stats
-	return []reading{{"links", l.Connects}, {"applied", l.Submitted}, {"reapplied", l.Resubmitted}, {"breaks", l.StopsSent},
-		{"notices", l.Notices}, {"replayed", l.DuplicateNotices}, {"unknown_notices", l.UnknownNotices}, {"unanswered", l.UnansweredQueries}}
-}
-
-// Awaits implements interp.Handler. Requests may call what lies below at some sites, but no page says how a server
-// makes such a call, so the run can't go on and its request can't be served: it is answered at once. A request without an
-// effect is refused, with the wish that no other server be tried, which could not serve it either.
-func (s *Server) CallRequested(wire string) {
-	t := s.byRequestID[wire]
-	if t == nil || t.state != runInFlight {
-		return
-	}
-	s.counters.calls++
-	if t.isAnswered {
-		return // its run ends by itself
-	}
-	if t.atMostOnce {
-		s.answer(t, gateway.Response{Status: statusInternalError})
-	} else {
-		s.answer(t, rejection(s.told.Admission.MaxRetryAfter, true))
-	}
-	s.module.Cancel(s.moduleTime(), t.id)
-}
-
-// Ended implements interp.Handler.
-func (s *Server) RunFinished(wire string, end interpreter.Outcome, result []byte) {
-	s.finishRun(wire, end, gateway.Response{Status: statusOK, Body: result})
-}
+// RunOutcome is how a run ended.
+type RunOutcome uint8
+
+// The outcomes of runs.
+const (
+	RunSucceeded  RunOutcome = iota // it made a result
+	RunAnswered                     // there is an answer for it, but nothing ran
+	RunFailed                       // it made no result; what was done is not known
+	RunStopped                      // it was stopped before its end
+	RunRejected                     // the backend rejected it and nothing ran
+	RunNotStarted                   // it was stopped before it began
+)
--- a/server/calls_test.go
+++ b/server/calls_test.go
@@ -15,9 +15,9 @@
 func TestCallsBelow(t *testing.T) {
 	for _, below := range []admission.Dependency{admission.DependencyTier, admission.DependencyShared} {
 		t.Run(fmt.Sprint(below), func(t *testing.T) {
-			told := testTold(t)
-			told.Admission.Downstream = below
-			s, it := runAt(t, told)
+			site := testSite(t)
+			site.Admission.Downstream = below
+			s, it := startServerAt(t, site)
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			g.Write(fake.NewLookup("calls").Encode(1), fake.NewReserve(1, "calls").Encode(2))
 			for _, r := range it.WaitRuns(2) {
@@ -41,9 +41,9 @@
 			if a := g.WaitResponse(4); a.Status != 200 {
 				t.Errorf("a lookup without a call: %+v", a)
 			}
-			do(s, func() {
-				if s.counters.calls != 2 || len(s.attempts) != 0 || s.backend.OpenRuns() != 0 {
-					t.Errorf("%d calls, %d tries, %d runs; want 2, 0, 0", s.counters.calls, len(s.attempts), s.backend.OpenRuns())
+			onLoop(s, func() {
+				if s.counters.calls != 2 || len(s.attempts.byID) != 0 || s.backend.OpenRuns() != 0 {
+					t.Errorf("%d calls, %d tries, %d runs; want 2, 0, 0", s.counters.calls, len(s.attempts.byID), s.backend.OpenRuns())
 				}
 			})
 		})
--- a/server/capture.go
+++ b/server/capture.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"go.uber.org/zap"
 
@@ -14,7 +13,14 @@
 // before the process would be killed.
 const captureCloseTimeout = stopMargin / 4
 
-// openCapture begins to record, where that is wanted.
+// captureState records what the module is told and decides. Both fields are nil where nothing is recorded, and tap
+// until the module starts.
+type captureState struct {
+	recorder *capture.Recorder
+	tap      *capture.Tap
+}
+
+// openCapture starts recording, where the configuration says so.
 func (s *Server) openCapture() error {
 	if s.cfg.Capture == nil {
 		return nil
@@ -23,9 +29,9 @@
 	if err != nil {
 		return err
 	}
-	about := capture.Meta{Server: s.cfg.Name, Classes: s.told.ClassNames, Tenants: s.told.TenantNames}
-	s.recorder, err = capture.NewRecorder(files, s.cfg.Capture.Config, about, func() time.Time { return s.loop.Now() },
-		func(err error) { s.log.Warn("capture not written", zap.Error(err)) })
+	meta := capture.Meta{Server: s.cfg.Name, Classes: s.site.ClassNames, Tenants: s.site.TenantNames}
+	logError := func(err error) { s.log.Warn("capture not written", zap.Error(err)) }
+	s.capture.recorder, err = capture.NewRecorder(files, s.cfg.Capture.Config, meta, s.loop.Now, logError)
 	if err != nil {
 		return err
 	}
@@ -35,48 +41,63 @@
 
 // newModule starts the decision module, behind a tap where what it is told and decides is recorded.
 func (s *Server) newModule(set admission.Settings) (admission.Events, error) {
-	var does admission.Actions = actions{s}
-	var tap *capture.Tap
-	if s.recorder != nil {
-		tap = capture.NewTap(s.recorder, does)
-		does = tap
+	if s.capture.recorder == nil {
+		instance, err := s.newInstance(set, actions{s})
+		if err != nil {
+			return nil, err
+		}
+		return instance, nil
 	}
-	module, err := admission.New(set, does)
+	tap := capture.NewTap(s.capture.recorder, actions{s})
+	instance, err := s.newInstance(set, tap)
 	if err != nil {
 		return nil, err
 	}
-	s.decisions = module
-	if s.durable != nil {
-		s.durable.restoreRunTimes(module) // previousRun the first state that is recorded
+	tap.Attach(instance, s.eventTime())
+	s.capture.tap = tap
+	return tap, nil
+}
+
+// newInstance returns a module that knows the run times that an earlier process measured.
+func (s *Server) newInstance(set admission.Settings, act admission.Actions) (*admission.Instance, error) {
+	instance, err := admission.New(set, act)
+	if err != nil {
+		return nil, err
 	}
-	if tap == nil {
-		return module, nil
+	s.module.instance = instance
+	if s.durable != nil {
+		s.durable.restoreRunTimes(instance) // before the first state that is recorded
 	}
-	tap.Attach(module, s.moduleTime())
-	s.tap = tap
-	return tap, nil
+	return instance, nil
 }
 
-// annotateCapture notes in the capture what the module is not told.
-func (s *Server) annotateCapture(format string, args ...any) {
-	if s.tap != nil {
-		s.tap.Annotate(fmt.Sprintf(format, args...))
+// Annotate notes in the capture what the module is not told.
+func (s *Server) Annotate(format string, args ...any) {
+	if s.capture.tap != nil {
+		s.capture.tap.Annotate(fmt.Sprintf(format, args...))
 	}
 }
 
-// closeCapture has what was recorded written.
+// closeCapture has the rest of the capture written.
 func (s *Server) closeCapture() {
-	if s.recorder != nil && !s.recorder.Close(captureCloseTimeout) {
+	if s.capture.recorder != nil && !s.capture.recorder.Close(captureCloseTimeout) {
 		s.log.Warn("capture not written", zap.String("error", "the disk did not take the end in time"))
 	}
 }
 
 // logCaptureCounters logs what became of the recording.
 func (s *Server) logCaptureCounters() {
-	if s.recorder == nil {
+	if s.capture.recorder == nil {
 		return
 	}
-	c := s.recorder.Counters()
-	s.logReadings("capture", nil, []reading{{"records", c.Records}, {"lost", c.Dropped}, {"gaps", c.Gaps},
-		{"segments", c.Segments}, {"bytes", c.WrittenBytes}, {"raw", c.UncompressedBytes}, {"errors", c.DiskErrors}})
+	c := s.capture.recorder.Counters()
+	s.logCounterLine("capture", nil, []Counter{
+		{"records", c.Records},
+		{"lost", c.Dropped},
+		{"gaps", c.Gaps},
+		{"segments", c.Segments},
+		{"bytes", c.WrittenBytes},
+		{"raw", c.UncompressedBytes},
+		{"errors", c.DiskErrors},
+	})
 }
--- a/server/conns.go
+++ b/server/conns.go
@@ -2,122 +2,215 @@
 
 import (
 	"cmp"
+	"container/list"
+	"iter"
 	"time"
+
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/gateway"
 )
 
-// The pace at which connections are looked at.
+// reservedSockets are kept from gateways: the loop's own, the backend's, logs and what the runtime holds.
+const reservedSockets = 24
+
+// The bounds of the interval at which connections are scanned for idle ones.
 const (
 	minIdleScan = 10 * time.Millisecond
 	maxIdleScan = 250 * time.Millisecond
+	// idleScansPerTimeout is how many scans there are within the idle timeout.
+	idleScansPerTimeout = 4
 )
 
 const (
-	// requestTimeout is how long a connection may take until its first request is whole, and any later one: a
-	// caller that is silent or stops half way is owed an end within 3 s. Gateways write a request at once, so
-	// only one whose machine stands still comes near it.
+	// requestTimeout is how long a connection may take until its first request is whole, and any later one: the
+	// platform grants a caller that is silent, or stops half way, 3 s. Gateways write a request at once, so only one
+	// whose machine stands still comes near it.
 	requestTimeout = 2500 * time.Millisecond
 	// sendTimeout is how long a connection may take none of what is to be sent on it.
 	sendTimeout = 30 * time.Second
-	// newConnGrace is how long a new connection that has sent nothing is neither idle nor in the way of another.
+	// newConnGrace is how long a new connection that has sent nothing is neither idle nor evicted.
 	newConnGrace = 250 * time.Millisecond
-	// minIdleBeforeEviction is how long a connection that served its gateway must rest before it may make room for another.
+	// minIdleBeforeEviction is how long a connection that served its gateway must be idle before it may be evicted.
 	minIdleBeforeEviction = 50 * time.Millisecond
 )
 
-// hasOpenRequests tells whether requests of the connection are owed an answer.
-func (g *gatewayConn) hasOpenRequests() bool { return len(g.attempts)+len(g.healthChecks) > 0 }
+// connTable holds the gateways' connections. Each is in the list from accept until it is closed, in the order of
+// accepting: what is done to several of them must not depend on chance, or a scenario could not be repeated.
+type connTable struct {
+	loop          *eventloop.Loop
+	protocol      gateway.Protocol
+	max           int
+	list          list.List     // of *gatewayConn
+	idleTimeout   time.Duration // as the module set it; 0 means not yet
+	idleScanTimer *eventloop.Timer
+	counters      connCounters
+}
+
+// newConnTable returns an empty table for at most so many connections.
+func newConnTable(loop *eventloop.Loop, protocol gateway.Protocol, maxConns int) connTable {
+	return connTable{loop: loop, protocol: protocol, max: maxConns}
+}
+
+// add takes in an accepted connection.
+func (t *connTable) add(g *gatewayConn) {
+	t.counters.accepted++
+	g.element = t.list.PushBack(g)
+}
+
+// remove forgets a connection.
+func (t *connTable) remove(g *gatewayConn) { t.list.Remove(g.element) }
+
+// len is the number of connections.
+func (t *connTable) len() int { return t.list.Len() }
+
+// all iterates over the connections. The one that is handed on may be removed meanwhile.
+func (t *connTable) all() iter.Seq[*gatewayConn] {
+	return func(yield func(*gatewayConn) bool) {
+		for e := t.list.Front(); e != nil; {
+			g := e.Value.(*gatewayConn)
+			if e = e.Next(); !yield(g) {
+				return
+			}
+		}
+	}
+}
 
-// isIdle tells whether nothing is under way on the connection: no request is open, and none has come in part. A gateway
-// may write slowly.
-func (g *gatewayConn) isIdle() bool {
-	return g.session.OpenRequests() == 0 && !g.session.HasPartialInput()
+// closeAfterFlush ends this side of all connections, once what they are owed is sent.
+func (t *connTable) closeAfterFlush() {
+	for g := range t.all() {
+		if !g.conn.IsClosing() {
+			g.closeAfterFlush()
+		}
+	}
 }
 
-// isOverdue tells whether a connection has to go, as it has not sent a whole request in time.
-func (g *gatewayConn) isOverdue(now time.Time) bool {
-	return !g.conn.IsClosing() && !g.incompleteSince.IsZero() && now.Sub(g.incompleteSince) >= requestTimeout && !g.hasOpenRequests()
+// setIdleTimeout sets how long connections may be idle.
+func (t *connTable) setIdleTimeout(idle time.Duration) {
+	t.idleTimeout = idle
+	t.loop.CancelTimer(t.idleScanTimer)
+	t.scheduleIdleScan()
 }
 
-// idleAllowance is how long a connection may carry nothing: one that is closed right after the accept would only be made
-// again.
-func (g *gatewayConn) idleAllowance(idle time.Duration) time.Duration {
-	if g.validRequests == 0 {
-		return max(idle, newConnGrace)
+// scheduleIdleScan sets the time of the next scan for idle connections.
+func (t *connTable) scheduleIdleScan() {
+	interval := maxIdleScan
+	if t.idleTimeout > 0 {
+		interval = min(max(t.idleTimeout/idleScansPerTimeout, minIdleScan), maxIdleScan)
 	}
-	return idle
+	t.idleScanTimer = t.loop.AfterFunc(interval, t.closeIdle)
 }
 
-// closeIdleConns ends connections that are overdue or carried nothing for the time the module set, and looks again
-// later. Bytes may be on their way at that very moment: a close over them would reset the connection, and take with it
-// answers that the gateway has not read yet. So this side ends first, and what still comes is read and thrown away: a
-// gateway whose request crosses the end makes it again.
-func (s *Server) closeIdleConns() {
-	now := s.loop.Now()
-	for g := range s.connections() {
+// closeIdle closes connections that are overdue or idle for the timeout, and sets the time of the next scan. Bytes may
+// be on their way at that very moment: closing the socket over them would reset the connection and take with it answers
+// that the gateway has not read yet. So this side is shut down first, and what still comes is read and discarded: a
+// gateway whose request crosses the shutdown sends it again on another connection.
+func (t *connTable) closeIdle() {
+	now := t.loop.Now()
+	for g := range t.all() {
 		switch {
 		case g.conn.IsWriteStalled(sendTimeout):
-			s.counters.requestTimeouts++
+			t.counters.timeouts++
 			g.close() // what it is sent goes nowhere
 		case g.isOverdue(now):
-			s.counters.requestTimeouts++
-			g.closeAfterSend()
-		case s.idleTimeout > 0 && !g.conn.IsClosing() && g.isIdle() && g.conn.IsIdle(g.idleAllowance(s.idleTimeout)):
-			s.counters.idleClosed++
-			g.closeAfterSend()
+			t.counters.timeouts++
+			g.closeAfterFlush()
+		case t.idleTimeout > 0 && !g.conn.IsClosing() && g.isIdle() && g.conn.IsIdle(g.idleAllowance(t.idleTimeout)):
+			t.counters.idleClosed++
+			g.closeAfterFlush()
 		}
 	}
-	s.scheduleIdleScan()
+	t.scheduleIdleScan()
 }
 
-// scheduleIdleScan sets the time of the next look.
-func (s *Server) scheduleIdleScan() {
-	pace := maxIdleScan
-	if s.idleTimeout > 0 {
-		pace = min(max(s.idleTimeout/4, minIdleScan), maxIdleScan)
+// makeRoom evicts a connection for a new one, if need be, and returns whether there is room.
+func (t *connTable) makeRoom() bool {
+	if t.len() < t.max || t.evict() {
+		return true
 	}
-	s.idleScanTimer = s.loop.AfterFunc(pace, s.closeIdleConns)
+	t.counters.rejected++
+	return false
 }
 
-// evictConn closes a connection for a new one and tells whether it could. Callers that connect in their hundreds
-// and stay silent, or ask once and stay, must not keep gateways out. First goes one that has ended on this side,
-// then one that never sent a whole request, then the one that has rested longest. Those that never sent one make
-// room for each other, however new, where they are half of all: gateways may need the other half. One for which bytes
-// wait unread stays as long as there is another: it may be a gateway whose request has just come.
-func (s *Server) evictConn() bool {
-	var victim, oldest, unread *gatewayConn
-	best, silent := 0, 0
-	now := s.loop.Now()
-	for g := range s.connections() { // values two alike the older one is taken
-		rank := 0
-		switch {
-		case g.conn.IsClosing():
-			rank = 3
-		case g.validRequests == 0:
-			silent++
-			if oldest == nil || g.incompleteSince.Before(oldest.incompleteSince) {
-				if g.conn.HasPendingInput() {
-					unread = cmp.Or(unread, g)
-					continue
-				}
-				oldest = g
-			}
-			if now.Sub(g.incompleteSince) >= newConnGrace {
-				rank = 2
-			}
-		case g.isIdle() && now.Sub(g.conn.LastActivity()) >= minIdleBeforeEviction:
-			rank = 1
-		}
-		if (rank > best || rank == best && rank > 0 && g.conn.LastActivity().Before(victim.conn.LastActivity())) &&
-			(rank == 3 || !g.conn.HasPendingInput()) {
-			victim, best = g, rank
-		}
+// evictionRank orders connections by how little is lost with them.
+type evictionRank uint8
+
+const (
+	rankKeep    evictionRank = iota // it must stay
+	rankIdle                        // it served its gateway and is idle
+	rankSilent                      // it has sent no whole request for a while
+	rankClosing                     // this side has ended it
+)
+
+// evictionScan is what a look at all connections found.
+type evictionScan struct {
+	now         time.Time
+	candidate   *gatewayConn // of the highest rank, the one that was active least lately
+	rank        evictionRank // of the candidate
+	silent      int          // connections that never sent a whole request
+	oldest      *gatewayConn // of the silent ones for which no bytes wait unread
+	firstUnread *gatewayConn // of the silent ones for which bytes wait unread
+}
+
+// evict closes a connection for a new one and returns whether it could. Callers that connect in their hundreds and stay
+// silent, or send one request and stay, must not keep gateways out. First goes one that this side has ended, then one
+// that never sent a whole request, then the one that has been idle longest. Those that never sent one are evicted for
+// each other, however new, where they are half of all: gateways may need the other half. One for which bytes wait
+// unread stays as long as there is another: it may be a gateway whose request has just come.
+func (t *connTable) evict() bool {
+	scan := evictionScan{now: t.loop.Now()}
+	for g := range t.all() {
+		scan.add(g)
 	}
-	if best < 2 && 2*silent >= s.conns.Len() {
-		victim = cmp.Or(oldest, unread)
-	} else if victim == nil || best == 1 && !victim.conn.IsIdle(minIdleBeforeEviction) {
+	evicted := scan.candidate
+	if scan.rank < rankSilent && 2*scan.silent >= t.len() {
+		evicted = cmp.Or(scan.oldest, scan.firstUnread)
+	} else if evicted == nil || scan.rank == rankIdle && !evicted.conn.IsIdle(minIdleBeforeEviction) {
 		return false
 	}
-	s.counters.connsEvicted++
-	victim.close()
+	t.counters.evicted++
+	evicted.close()
 	return true
 }
+
+// add looks at a connection. Of two that are alike, the one that was accepted first is the candidate.
+func (e *evictionScan) add(g *gatewayConn) {
+	isSilent := g.validRequests == 0 && !g.conn.IsClosing()
+	if isSilent && e.addSilent(g) {
+		return
+	}
+	rank := e.rankOf(g)
+	isBetter := rank > e.rank ||
+		rank == e.rank && rank > rankKeep && g.conn.LastActivity().Before(e.candidate.conn.LastActivity())
+	if isBetter && (rank == rankClosing || !g.conn.HasPendingInput()) {
+		e.candidate, e.rank = g, rank
+	}
+}
+
+// addSilent counts a connection that never sent a whole request, and returns true where it can't be the candidate
+// because bytes wait unread for it.
+func (e *evictionScan) addSilent(g *gatewayConn) bool {
+	e.silent++
+	if e.oldest != nil && !g.incompleteSince.Before(e.oldest.incompleteSince) {
+		return false
+	}
+	if g.conn.HasPendingInput() {
+		e.firstUnread = cmp.Or(e.firstUnread, g)
+		return true
+	}
+	e.oldest = g
+	return false
+}
+
+// rankOf returns the rank of a connection.
+func (e *evictionScan) rankOf(g *gatewayConn) evictionRank {
+	switch {
+	case g.conn.IsClosing():
+		return rankClosing
+	case g.validRequests == 0 && e.now.Sub(g.incompleteSince) >= newConnGrace:
+		return rankSilent
+	case g.validRequests > 0 && g.isIdle() && e.now.Sub(g.conn.LastActivity()) >= minIdleBeforeEviction:
+		return rankIdle
+	default:
+		return rankKeep
+	}
+}
--- a/server/counters.go
+++ b/server/counters.go
@@ -1,60 +1,179 @@
 package server
 
-import "go.uber.org/zap"
+import (
+	"time"
 
-// counters tell what a server took in, sent and answered since its start.
+	"go.uber.org/zap"
+
+	"tillerusher/admission"
+)
+
+// connCounters count gateway connections since the start.
+type connCounters struct {
+	accepted, acceptErrors uint64
+	rejected               uint64 // for want of descriptors
+	evicted                uint64 // for newer ones
+	idleClosed             uint64
+	timeouts               uint64 // of requests that did not come whole, and answers that were not taken
+	protocolErrors         uint64
+}
+
+// counters count requests and runs since the start.
 type counters struct {
-	accepted, connsRejected, connsEvicted, acceptErrors       uint64 // connections
-	idleClosed, requestTimeouts, protocolErrors, requestsLost uint64 // connections that ended, and requests lost with them
-
-	requests, retries, coalesced, aborted          uint64 // taken in
-	malformed, tooLarge, tooMany, badRole, invalid uint64 // flawed requests
-
-	served, rejected, failed, replayed uint64 // answers; reused ones are among those served
-	healthChecks, healthChecksFailed   uint64 // health checks
-	directAnswers                      uint64 // answers that a route has by itself
-
-	runs, runsFinished, runsFailed, runsStopped, runsNotStarted uint64 // runs
-	calls                                                       uint64 // runs that came to a call, which nothing can make
-	secondRunsPrevented, rejectionsPrevented                    uint64 // decisions that a rule forbids and that were not carried out
-	resultsEvicted                                              uint64 // restartFields results given up for memory
-	reports, reportErrors                                       uint64 // to the announce service
-	reloads                                                     uint64 // configurations taken over
-}
-
-// reading is one counter and its name in the log.
-type reading struct {
-	name  string
-	value uint64
-}
-
-// logCounters logs the counters, and what there is at this moment, in one line.
-func (s *Server) logCounters(why string) {
-	c := &s.counters
-	s.logReadings("counters", []zap.Field{zap.String("why", why)}, append([]reading{
-		{"connections", uint64(s.conns.Len())}, {"open", uint64(len(s.attempts))}, {"running", uint64(s.backend.OpenRuns())},
-		{"keys", uint64(len(s.keys.entries))}, {"result_bytes", uint64(s.keys.resultBytes)},
-		{"accepted", c.accepted}, {"turned_away", c.connsRejected}, {"made_room", c.connsEvicted},
-		{"accept_errors", c.acceptErrors}, {"idle_closed", c.idleClosed}, {"unfinished", c.requestTimeouts},
-		{"broken", c.protocolErrors}, {"lost", c.requestsLost}, {"requests", c.requests}, {"retries", c.retries},
-		{"repeats", c.coalesced}, {"aborted", c.aborted}, {"malformed", c.malformed}, {"too_large", c.tooLarge},
-		{"too_many", c.tooMany}, {"bad_role", c.badRole}, {"invalid", c.invalid}, {"served", c.served},
-		{"refused", c.rejected}, {"failed", c.failed}, {"reused", c.replayed}, {"checks", c.healthChecks},
-		{"checks_bad", c.healthChecksFailed}, {"direct", c.directAnswers}, {"runs", c.runs}, {"ended", c.runsFinished}, {"errored", c.runsFailed},
-		{"stopped", c.runsStopped}, {"moot", c.runsNotStarted}, {"calls", c.calls}, {"ran_twice", c.secondRunsPrevented}, {"refused_ran", c.rejectionsPrevented},
-		{"results_dropped", c.resultsEvicted}, {"reports", c.reports}, {"report_errors", c.reportErrors},
-		{"reloads", c.reloads}}, s.backend.Counters()...))
+	requests, retries, aborted uint64
+	coalesced                  uint64 // retries that joined another attempt
+	requestsLost               uint64 // with their connection
+	directAnswers              uint64 // that needed no decision
+
+	malformed, tooLarge, tooMany, badRole, invalid uint64 // requests that made no sense
+
+	served, rejected, failed uint64 // answers
+	replayed                 uint64 // answers from the run of another attempt, among those served
+
+	runsStarted, runsFinished, runsFailed, runsStopped, runsNotStarted uint64
+
+	calls uint64 // runs that came to a call, which no server can make
+	// secondRunsPrevented and rejectionsPrevented count decisions that were not carried out: see actions.
+	secondRunsPrevented, rejectionsPrevented uint64
+	resultsEvicted                           uint64 // kept results dropped for memory, as of the last expiry of keys
+	reloads                                  uint64 // configurations taken over
+}
+
+// classCounters count the requests of one class since the start.
+type classCounters struct {
+	requests, served, rejected, failed uint64
+}
+
+// Counter is one counter by its name in the log.
+type Counter struct {
+	Name  string
+	Value uint64
+}
+
+// logReason is why counters are logged.
+type logReason string
+
+const (
+	onRequest logReason = "asked" // by a signal
+	atExit    logReason = "exit"
+)
+
+// logCounters logs all counters, and what there is at this moment, in a line for each kind.
+func (s *Server) logCounters(why logReason) {
+	s.logCounterLine("counters", []zap.Field{zap.String("why", string(why))}, s.Counters())
 	s.logClassCounters(why)
-	if s.durable != nil && why != "exit" {
-		s.logReadings("state", nil, s.durable.readings())
+	if s.durable != nil && why != atExit {
+		s.logCounterLine("state", nil, s.durable.counters())
 	}
 	s.logCaptureCounters()
 }
 
-// logReadings logs counters in one line, behind other fields.
-func (s *Server) logReadings(msg string, fields []zap.Field, readings []reading) {
-	for _, r := range readings {
-		fields = append(fields, zap.Uint64(r.name, r.value))
+// Counters returns the server's and the backend's counters by their names in the log. It belongs to the loop's
+// goroutine.
+func (s *Server) Counters() []Counter {
+	conns, c := &s.conns.counters, &s.counters
+	return append([]Counter{
+		{"connections", uint64(s.conns.len())},
+		{"open", uint64(len(s.attempts.byID))},
+		{"running", uint64(s.backend.OpenRuns())},
+		{"keys", uint64(len(s.keys.entries))},
+		{"result_bytes", uint64(s.keys.resultBytes)},
+		{"accepted", conns.accepted},
+		{"turned_away", conns.rejected},
+		{"made_room", conns.evicted},
+		{"accept_errors", conns.acceptErrors},
+		{"idle_closed", conns.idleClosed},
+		{"unfinished", conns.timeouts},
+		{"broken", conns.protocolErrors},
+		{"lost", c.requestsLost},
+		{"requests", c.requests},
+		{"retries", c.retries},
+		{"repeats", c.coalesced},
+		{"aborted", c.aborted},
+		{"malformed", c.malformed},
+		{"too_large", c.tooLarge},
+		{"too_many", c.tooMany},
+		{"bad_role", c.badRole},
+		{"invalid", c.invalid},
+		{"served", c.served},
+		{"refused", c.rejected},
+		{"failed", c.failed},
+		{"reused", c.replayed},
+		{"checks", s.health.checks},
+		{"checks_bad", s.health.failed},
+		{"direct", c.directAnswers},
+		{"runs", c.runsStarted},
+		{"ended", c.runsFinished},
+		{"errored", c.runsFailed},
+		{"stopped", c.runsStopped},
+		{"moot", c.runsNotStarted},
+		{"calls", c.calls},
+		{"ran_twice", c.secondRunsPrevented},
+		{"refused_ran", c.rejectionsPrevented},
+		{"results_dropped", c.resultsEvicted},
+		{"reports", s.load.reports},
+		{"report_errors", s.load.errors},
+		{"reloads", c.reloads},
+	}, s.backend.Counters()...)
+}
+
+// logCounterLine logs counters in one line, after other fields.
+func (s *Server) logCounterLine(msg string, fields []zap.Field, counters []Counter) {
+	for _, c := range counters {
+		fields = append(fields, zap.Uint64(c.Name, c.Value))
 	}
 	s.log.Info(msg, fields...)
 }
+
+// rejectionNames are the names in the log of the reasons for which the module rejects requests.
+var rejectionNames = map[admission.Reason]string{
+	admission.AfterDrainGrace:      "after_grace",
+	admission.Stalled:              "stalled",
+	admission.OutOfMemory:          "no_memory",
+	admission.DeadlineReached:      "due",
+	admission.RateOverThreshold:    "over_threshold",
+	admission.PredictedWaitTooLong: "wait_too_long",
+	admission.DeadlineUnreachable:  "no_time_left",
+	admission.LateWithoutWeight:    "worth_nothing",
+	admission.LateWhileSaturated:   "late_while_full",
+}
+
+// logClassCounters logs the counters of each class, and what the module knows of it, in one line.
+func (s *Server) logClassCounters(why logReason) {
+	var inspections []admission.ClassInspection
+	if s.module.instance != nil {
+		inspections = s.module.instance.Inspect().Classes
+	}
+	var classes []zap.Field
+	for class, name := range s.site.ClassNames {
+		c := &s.classCounters[class]
+		fields := []zap.Field{
+			zap.Uint64("requests", c.requests),
+			zap.Uint64("served", c.served),
+			zap.Uint64("refused", c.rejected),
+			zap.Uint64("failed", c.failed),
+		}
+		if inspections != nil {
+			fields = append(fields, inspectionFields(&inspections[class])...)
+		}
+		classes = append(classes, zap.Dict(name, fields...))
+	}
+	s.log.Info("classes", zap.String("why", string(why)), zap.Dict("classes", classes...))
+}
+
+// inspectionFields are what the module knows of a class at this moment, and why requests were rejected since the start.
+func inspectionFields(c *admission.ClassInspection) []zap.Field {
+	fields := []zap.Field{
+		zap.Bool("starved", c.Starved),
+		zap.Int("queued", c.QueuedWithinQuota+c.QueuedOverQuota),
+		zap.Int("learned_runs", c.Samples),
+		zap.Int64("core_ms", c.CoreTime.Round(time.Millisecond).Milliseconds()),
+		zap.Int64("wall_ms", c.WallTime.Round(time.Millisecond).Milliseconds()),
+	}
+	for reason, n := range c.Rejections {
+		if n > 0 {
+			fields = append(fields, zap.Uint64(rejectionNames[admission.Reason(reason)], n))
+		}
+	}
+	return fields
+}
--- a/server/deadlines_test.go
+++ b/server/deadlines_test.go
@@ -12,10 +12,10 @@
 // TestBudget has gateways tell how long they wait: a request is answered when that is over, although its class has an
 // hour, and one whose time went by unread is not run. The time counts from Received-At.
 func TestBudget(t *testing.T) {
-	told := testTold(t)
-	told.Admission.HasDeadlines = true
-	told.Admission.Classes[0].Deadline = time.Hour
-	s, it := runAt(t, told)
+	site := testSite(t)
+	site.Admission.HasDeadlines = true
+	site.Admission.Classes[0].Deadline = time.Hour
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	before := time.Now().Add(-time.Second)
 	g.Write(fake.NewLookup("late").WithHeader("Budget-Ms", "900").WithHeader("Received-At", strconv.FormatInt(before.UnixMilli(), 10)).Encode(1))
@@ -40,7 +40,7 @@
 
 // TestBudgetUntold has the field mean nothing where the site passes no deadlines.
 func TestBudgetUntold(t *testing.T) {
-	s, it := run(t)
+	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	g.Write(fake.NewLookup("x").WithHeader("Budget-Ms", "soon").Encode(1))
 	it.EndRun(it.WaitRuns(1)[0].ID, "OK", nil)
--- /dev/null
+++ b/server/durable_maintenance.go
@@ -0,0 +1,132 @@
+package server
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"tillerusher/admission"
+	"tillerusher/internal/idempotency"
+	"tillerusher/internal/maintenance"
+)
+
+// The maintenance tasks, and what they may take of each second.
+const (
+	taskExpire       = "expire"
+	taskSave         = "save"
+	taskCompact      = "compact"
+	maintenanceTime  = 20 * time.Millisecond
+	maintenanceBytes = 2 << 20
+)
+
+// maxExpiredPerRun is how many expired records one run of the task removes.
+const maxExpiredPerRun = 256
+
+// newMaintenance returns the schedule of the maintenance tasks.
+func newMaintenance() (*maintenance.Scheduler, error) {
+	return maintenance.New(maintenance.Budget{TimePerSecond: maintenanceTime, BytesPerSecond: maintenanceBytes}, 0,
+		maintenance.Task{Name: taskExpire, Priority: 2, MinInterval: time.Second, MaxInterval: 10 * time.Second},
+		maintenance.Task{Name: taskSave, Priority: 1, MinInterval: 10 * time.Second, MaxInterval: 2 * time.Minute},
+		maintenance.Task{Name: taskCompact, Priority: 0, MinInterval: 5 * time.Second, MaxInterval: time.Minute})
+}
+
+// runMaintenance implements durability.
+func (d *durableResults) runMaintenance() {
+	now := d.server.loop.Now()
+	elapsed := now.Sub(d.startedAt)
+	isOverloaded := d.server.module.instance != nil && d.server.module.instance.Inspect().Overloaded
+	for {
+		task := d.maintenance.Next(elapsed, isOverloaded)
+		if task == "" {
+			return
+		}
+		if task == taskCompact {
+			d.compact()
+			continue // it ends later
+		}
+		startedAt := time.Now()
+		bytes := d.runTask(task, now)
+		d.maintenance.Finish(task, elapsed, maintenance.Cost{Duration: time.Since(startedAt), Bytes: bytes})
+	}
+}
+
+// runTask runs a task on the loop's goroutine and returns how many bytes it wrote.
+func (d *durableResults) runTask(task string, now time.Time) (bytes int64) {
+	switch task {
+	case taskExpire:
+		changes := d.table.Expire(now.Round(0), maxExpiredPerRun)
+		for _, change := range changes {
+			bytes += int64(len(change.Name))
+		}
+		d.write(changes)
+	case taskSave:
+		bytes = d.saveRunTimes()
+	}
+	return bytes
+}
+
+// compact frees space on the disk, on a goroutine of its own.
+func (d *durableResults) compact() {
+	go func() {
+		startedAt := time.Now()
+		bytes, err := d.store.Compact()
+		cost := maintenance.Cost{Duration: time.Since(startedAt), Bytes: bytes}
+		d.server.loop.Post(func() {
+			d.maintenance.Finish(taskCompact, d.server.loop.Now().Sub(d.startedAt), cost)
+			if err != nil { // writes find out by themselves whether the disk works
+				d.server.log.Warn("state not compacted", zap.Error(err))
+			}
+		})
+	}()
+}
+
+// readRunTimes reads the run times that an earlier process measured. What can't be read counts as none.
+func (d *durableResults) readRunTimes() error {
+	text, err := d.store.Get(idempotency.RunTimesRecordName)
+	if err != nil || text == nil {
+		return err
+	}
+	learned, err := idempotency.DecodeRunTimes(text)
+	if err != nil {
+		d.unreadable++
+		d.server.log.Error("state record not read", zap.Error(err))
+		return nil
+	}
+	now := d.server.loop.Now()
+	d.runTimes = learned.WeightByAge(now.Round(0), d.machine)
+	d.server.log.Info("run times restored",
+		zap.Duration("age_ms", now.Sub(learned.SavedAt)),
+		zap.Int("classes", len(d.runTimes)))
+	return nil
+}
+
+// restoreRunTimes implements durability.
+func (d *durableResults) restoreRunTimes(module *admission.Instance) {
+	estimates := admission.RunTimeEstimates{Classes: make([]admission.ClassRunTime, len(d.server.site.ClassNames))}
+	for _, c := range d.runTimes {
+		if class, isKnown := d.classIndex[c.Name]; isKnown {
+			estimates.Classes[class] = admission.ClassRunTime{CoreTime: c.CoreTime, WallTime: c.WallTime, Samples: c.Samples}
+		}
+	}
+	module.ImportRunTimes(estimates)
+}
+
+// saveRunTimes has the run times that the module measured kept, and returns their size.
+func (d *durableResults) saveRunTimes() (bytes int64) {
+	module := d.server.module.instance
+	if module == nil {
+		return 0
+	}
+	learned := idempotency.RunTimes{SavedAt: d.server.loop.Now().Round(0), Machine: d.machine}
+	for class, c := range module.ExportRunTimes().Classes {
+		learned.Classes = append(learned.Classes, idempotency.ClassRunTime{
+			Name:     d.server.site.ClassNames[class],
+			CoreTime: c.CoreTime,
+			WallTime: c.WallTime,
+			Samples:  c.Samples,
+		})
+	}
+	text := learned.Encode()
+	d.write([]idempotency.Change{{Name: idempotency.RunTimesRecordName, Value: text}})
+	return int64(len(text))
+}
--- a/server/durable_test.go
+++ b/server/durable_test.go
@@ -117,7 +117,7 @@
 	it := servertest.NewInterpreter(t)
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)), Interpreter: netip.MustParseAddrPort(it.Addr()),
 		LoadReports: netip.MustParseAddrPort("127.0.0.1:9"), StopTimeout: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64},
-		Settings: testTold(t)}
+		Settings: testSite(t)}
 	s, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -130,9 +130,9 @@
 			t.Error("the keeper is not closed")
 		}
 	})
-	serveFor(t, s)
+	runUntilTestEnd(t, s)
 	g := servertest.Dial(t, cfg.Listen.String())
-	servertest.WaitFor(t, "a healthy server", func() bool { return check(g, false) == 200 })
+	servertest.WaitFor(t, "a healthy server", func() bool { return checkHealth(g, false) == 200 })
 	return s, it, g
 }
 
@@ -190,7 +190,7 @@
 		t.Errorf("a repeat: %+v", a)
 	}
 	var unprotected uint64
-	do(s, func() { unprotected = s.durable.(*durableResults).unprotected })
+	onLoop(s, func() { unprotected = s.durable.(*durableResults).unprotected })
 	if unprotected < 5 {
 		t.Errorf("%d turned away are counted", unprotected)
 	}
@@ -230,7 +230,7 @@
 	}
 }
 
-// TestBodiesOverRestarts has a key with another body be told so after a restart, too.
+// TestBodiesOverRestarts has a key with another body rejected after a restart, too.
 func TestBodiesOverRestarts(t *testing.T) {
 	k := &keeper{records: map[string][]byte{}}
 	t.Run("before", func(t *testing.T) {
--- a/server/fragments_test.go
+++ b/server/fragments_test.go
@@ -65,7 +65,7 @@
 // TestPieces writes requests in every legal form, each cut in two at every byte with the server reading in between, and
 // one in pieces of a byte: all of them are run with the body as it was sent, and answered.
 func TestPieces(t *testing.T) {
-	s, it := run(t)
+	s, it := startServer(t)
 	it.FinishImmediately()
 	n := uint16(0)
 	ask := func(g *servertest.Gateway, what string, pieces func(text []byte) [][]byte) {
@@ -74,7 +74,7 @@
 		body := fmt.Sprintf("body %d", n)
 		for i, p := range pieces(forms(fake.NewLookup(body), n)[what]) {
 			if i > 0 {
-				nextRound(s)
+				waitRound(s)
 			}
 			g.Write(p)
 		}
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/list"
-	"iter"
 	"time"
 
 	"go.uber.org/zap"
@@ -11,77 +10,71 @@
 	"tillerusher/internal/gateway"
 )
 
-// gatewayConn is one connection of a gateway.
+// gatewayConn is one connection of a gateway, with the requests that are open on it.
 type gatewayConn struct {
-	server          *Server
-	element         *list.Element // among the server's connections
-	conn            *eventloop.Conn
-	session         gateway.Session
-	attempts        map[gateway.StreamID]*attempt
-	healthChecks    map[gateway.StreamID]bool // deep health checks under way
-	incompleteSince time.Time                 // when what has not come whole was begun; zero = nothing
-	validRequests   uint64                    // requests that came whole and made sense
+	server   *Server
+	element  *list.Element // in connTable
+	conn     *eventloop.Conn
+	session  gateway.Session
+	attempts map[gateway.StreamID]*attempt // owed an answer
+	// healthChecks are the deep health checks under way.
+	healthChecks map[gateway.StreamID]bool
+	// incompleteSince is when a request began that has not come whole; zero means that there is none.
+	incompleteSince time.Time
+	validRequests   uint64 // that came whole and made sense
 }
 
 // accept takes in a new connection, while descriptors are left for everything else.
 func (s *Server) accept(c *eventloop.Conn) eventloop.ConnHandler {
-	if s.conns.Len() >= s.cfg.Limits.Sockets-reservedSockets && !s.evictConn() {
-		s.counters.connsRejected++
+	if !s.conns.makeRoom() {
 		return nil
 	}
-	s.counters.accepted++
-	g := &gatewayConn{server: s, conn: c, attempts: map[gateway.StreamID]*attempt{}, healthChecks: map[gateway.StreamID]bool{}, incompleteSince: s.loop.Now()}
-	g.session = s.protocol(c, g)
-	g.element = s.conns.PushBack(g)
-	return g
-}
-
-// connections are those of gateways in the order of accepting: what is done to several of them must not hang on chance, or a
-// rehearsal could not be played again. The one that is handed on may end meanwhile.
-func (s *Server) connections() iter.Seq[*gatewayConn] {
-	return func(yield func(*gatewayConn) bool) {
-		for e := s.conns.Front(); e != nil; {
-			g := e.Value.(*gatewayConn)
-			if e = e.Next(); !yield(g) {
-				return
-			}
-		}
+	g := &gatewayConn{
+		server:          s,
+		conn:            c,
+		attempts:        map[gateway.StreamID]*attempt{},
+		healthChecks:    map[gateway.StreamID]bool{},
+		incompleteSince: s.loop.Now(),
 	}
+	g.session = s.conns.protocol(c, g)
+	s.conns.add(g)
+	return g
 }
 
 // acceptError hears of a connection that could not be accepted.
 func (s *Server) acceptError(err error) {
-	s.counters.acceptErrors++
+	s.conns.counters.acceptErrors++
 	s.log.Warn("accept failed", zap.Error(err))
 }
 
-// Connected implements loop.ConnHandler; gateways dial, not the server.
+// Connected implements eventloop.ConnHandler. It is never called: gateways dial, not the server.
 func (g *gatewayConn) Connected(*eventloop.Conn) {}
 
-// Data implements loop.ConnHandler.
+// Data implements eventloop.ConnHandler.
 func (g *gatewayConn) Data(_ *eventloop.Conn, p []byte) {
-	sound := g.validRequests
+	validBefore := g.validRequests
 	if g.session.Feed(p) != nil {
-		g.server.counters.protocolErrors++
-		g.closeAfterSend()
+		g.server.conns.counters.protocolErrors++
+		g.closeAfterFlush()
 		return
 	}
 	switch {
 	case g.validRequests > 0 && !g.session.HasPartialInput():
 		g.incompleteSince = time.Time{}
-	case g.incompleteSince.IsZero() || g.validRequests != sound:
+	case g.incompleteSince.IsZero() || g.validRequests != validBefore:
 		g.incompleteSince = g.server.loop.Now()
 	}
 	g.closeIfFinished()
 }
 
-// closeAfterSend ends a connection from which nothing can be expected; answers that are on their way still go out.
-func (g *gatewayConn) closeAfterSend() {
+// closeAfterFlush ends this side of a connection from which no more requests are taken; answers that are on their way
+// still go out.
+func (g *gatewayConn) closeAfterFlush() {
 	g.abandonRequests()
 	g.conn.CloseAfterFlush()
 }
 
-// close ends a connection now.
+// close closes a connection now.
 func (g *gatewayConn) close() {
 	g.conn.Close()
 	g.remove()
@@ -94,70 +87,69 @@
 	}
 }
 
-// Closed implements loop.ConnHandler.
+// Closed implements eventloop.ConnHandler.
 func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.remove() }
 
-// remove forgets a connection that is gone.
+// remove forgets a connection that is closed.
 func (g *gatewayConn) remove() {
-	g.server.conns.Remove(g.element)
+	g.server.conns.remove(g)
 	g.abandonRequests()
 }
 
-// abandonRequests forgets the requests of a connection: nobody waits for them any more.
+// abandonRequests forgets the open requests of a connection: nobody waits for their answers any more.
 func (g *gatewayConn) abandonRequests() {
 	s := g.server
 	g.session.Close()
-	for _, t := range inArrivalOrder(g.attempts) {
-		if t.isAnswered {
-			continue // the end of one before it had the module answer it
+	for _, a := range inArrivalOrder(g.attempts) {
+		if a.isAnswered {
+			continue // the module answered it when it heard of the end of one before it
 		}
 		s.counters.requestsLost++
-		t.isAnswered = true
-		now := s.moduleTime()
-		s.module.Cancel(now, t.id)
-		s.forget(t)
+		a.isAnswered = true
+		s.module.events.Cancel(s.eventTime(), a.id)
+		s.forget(a)
 	}
 	clear(g.attempts)
 	clear(g.healthChecks)
 }
 
-// Request implements front.Handler.
-func (g *gatewayConn) RequestReceived(_ gateway.Session, id gateway.StreamID, r gateway.Request) {
-	g.server.handleRequest(g, id, r)
+// RequestReceived implements gateway.Handler.
+func (g *gatewayConn) RequestReceived(_ gateway.Session, stream gateway.StreamID, r gateway.Request) {
+	g.server.handleRequest(g, stream, r)
 }
 
-// Aborted implements front.Handler: the gateway wants no answer, but the protocol owes it an end.
-func (g *gatewayConn) RequestAborted(_ gateway.Session, id gateway.StreamID) {
+// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol owes it an end.
+func (g *gatewayConn) RequestAborted(_ gateway.Session, stream gateway.StreamID) {
 	s := g.server
 	s.counters.aborted++
-	if g.healthChecks[id] {
-		delete(g.healthChecks, id)
-		g.sendAnswer(id, gateway.Response{Status: statusInternalError})
+	if g.healthChecks[stream] {
+		delete(g.healthChecks, stream)
+		g.respond(stream, gateway.Response{Status: statusInternalError})
 		return
 	}
-	t := g.attempts[id]
-	if t == nil {
+	a := g.attempts[stream]
+	if a == nil {
 		return
 	}
-	s.answer(t, gateway.Response{Status: statusInternalError})
-	s.module.Cancel(s.moduleTime(), t.id)
-	s.forget(t)
+	s.answerFailed(a)
+	s.module.events.Cancel(s.eventTime(), a.id)
+	s.forget(a)
 }
 
-// Flawed implements front.Handler.
-func (g *gatewayConn) RequestInvalid(_ gateway.Session, id gateway.StreamID, f gateway.RejectReason) {
-	g.RequestRejected(f)
-	a := gateway.Response{Status: statusBadRequest, Overloaded: f == gateway.TooManyRequests}
-	if f == gateway.TooLarge {
-		a.Status = statusTooLarge
+// RequestInvalid implements gateway.Handler.
+func (g *gatewayConn) RequestInvalid(_ gateway.Session, stream gateway.StreamID, reason gateway.RejectReason) {
+	g.RequestRejected(reason)
+	r := gateway.Response{Status: statusBadRequest, Overloaded: reason == gateway.TooManyRequests}
+	if reason == gateway.TooLarge {
+		r.Status = statusTooLarge
 	}
-	g.sendAnswer(id, a)
+	g.respond(stream, r)
 }
 
-// Rejected implements front.Handler.
-func (g *gatewayConn) RequestRejected(f gateway.RejectReason) {
+// RequestRejected implements gateway.Handler.
+func (g *gatewayConn) RequestRejected(reason gateway.RejectReason) {
 	c := &g.server.counters
-	switch f {
+	switch reason {
 	case gateway.TooLarge:
 		c.tooLarge++
 	case gateway.TooManyRequests:
@@ -169,11 +161,35 @@
 	}
 }
 
-// sendAnswer sends an answer with the value that callers read.
-func (g *gatewayConn) sendAnswer(id gateway.StreamID, a gateway.Response) {
-	if hint := g.server.advertisedLoad; hint != "" && !a.Overloaded {
-		a.Headers = append(a.Headers, gateway.Field{Name: "Server-Hint", Value: hint})
+// respond sends an answer, with the advertised load that callers read.
+func (g *gatewayConn) respond(stream gateway.StreamID, r gateway.Response) {
+	if load := g.server.load.advertised; load != "" && !r.Overloaded {
+		r.Headers = append(r.Headers, gateway.Field{Name: "Server-Hint", Value: load})
 	}
-	g.session.Respond(id, a)
+	g.session.Respond(stream, r)
 	g.closeIfFinished()
 }
+
+// hasOpenRequests returns whether requests of the connection are owed an answer.
+func (g *gatewayConn) hasOpenRequests() bool { return len(g.attempts)+len(g.healthChecks) > 0 }
+
+// isIdle returns whether nothing is under way on the connection: no request is open, and none has come in part, as
+// gateways may write slowly.
+func (g *gatewayConn) isIdle() bool {
+	return g.session.OpenRequests() == 0 && !g.session.HasPartialInput()
+}
+
+// isOverdue returns whether a connection has not sent a whole request in time.
+func (g *gatewayConn) isOverdue(now time.Time) bool {
+	return !g.conn.IsClosing() && !g.incompleteSince.IsZero() && now.Sub(g.incompleteSince) >= requestTimeout &&
+		!g.hasOpenRequests()
+}
+
+// idleAllowance is how long a connection may carry nothing, where others may for a time: one that is closed right after
+// the accept would only be made again.
+func (g *gatewayConn) idleAllowance(idle time.Duration) time.Duration {
+	if g.validRequests == 0 {
+		return max(idle, newConnGrace)
+	}
+	return idle
+}
--- a/server/health.go
+++ b/server/health.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/url"
-	"time"
 
 	"tillerusher/internal/gateway"
 )
@@ -10,59 +9,40 @@
 // healthPath is where health checks arrive.
 const healthPath = "/healthz"
 
-// checkHealth answers a health check: from the module's setting, or, where the gateway asks whether work gets done
-// and the setting alone may not answer, by the outcome of a deep check.
-func (s *Server) checkHealth(g *gatewayConn, id gateway.StreamID, r gateway.Request) {
-	s.counters.healthChecks++
+// healthState is how health checks are answered, as the module set it.
+type healthState struct {
+	isHealthy bool
+	// isFixed says that deep checks are answered from isHealthy, too, without asking the backend.
+	isFixed        bool
+	checks, failed uint64
+}
+
+// checkHealth answers a health check: from the module's setting, or, where the gateway asks for a deep check and the
+// setting alone may not answer it, by whether the backend gets work done.
+func (s *Server) checkHealth(g *gatewayConn, stream gateway.StreamID, r gateway.Request) {
+	s.health.checks++
 	g.validRequests++
-	query, _ := url.ParseQuery(r.Query) // what is not understood asks for nothing
-	if query.Get("full") != "1" || s.healthFromStore || !s.isHealthy {
-		s.answerHealthCheck(g, id, s.isHealthy)
+	query, _ := url.ParseQuery(r.Query) // what can't be parsed asks for nothing
+	isDeep := query.Get("full") == "1"
+	if !isDeep || s.health.isFixed || !s.health.isHealthy {
+		s.answerHealthCheck(g, stream, s.health.isHealthy)
 		return
 	}
-	g.healthChecks[id] = true
+	g.healthChecks[stream] = true
 	s.backend.CheckHealth(s.loop.Now(), func(ok bool) {
-		if g.healthChecks[id] {
-			delete(g.healthChecks, id)
-			s.answerHealthCheck(g, id, ok && s.isHealthy)
+		if g.healthChecks[stream] {
+			delete(g.healthChecks, stream)
+			s.answerHealthCheck(g, stream, ok && s.health.isHealthy)
 		}
 	})
 }
 
 // answerHealthCheck sends the outcome of a health check.
-func (s *Server) answerHealthCheck(g *gatewayConn, id gateway.StreamID, good bool) {
+func (s *Server) answerHealthCheck(g *gatewayConn, stream gateway.StreamID, isHealthy bool) {
 	status := statusOK
-	if !good {
-		s.counters.healthChecksFailed++
+	if !isHealthy {
+		s.health.failed++
 		status = statusUnavailable
 	}
-	g.sendAnswer(id, gateway.Response{Status: status})
-}
-
-const (
-	// endpointExpiry is how long after its last report a server leaves the list.
-	endpointExpiry = 3 * time.Second
-	// loadReportInterval sends many reports in that time: they are datagrams, and where a quarter is lost, three in a
-	// row often are.
-	loadReportInterval = 250 * time.Millisecond
-)
-
-// reportLoad reports that this server takes requests, until it drains.
-func (s *Server) reportLoad() {
-	if s.isDraining {
-		return
-	}
-	s.sendLoadReport(true)
-	s.loop.AfterFunc(loadReportInterval, s.reportLoad)
-}
-
-// sendLoadReport sends one report.
-func (s *Server) sendLoadReport(accepting bool) {
-	if s.reporter == nil {
-		return
-	}
-	s.counters.reports++
-	if err := s.reporter.Report(accepting); err != nil {
-		s.counters.reportErrors++ // the next report is due soon
-	}
+	g.respond(stream, gateway.Response{Status: status})
 }
--- a/server/idempotency_table.go
+++ b/server/idempotency_table.go
@@ -7,191 +7,219 @@
 	"tillerusher/internal/gateway"
 )
 
-// idempotencyKey names an entry: tries of one request agree in both.
+// idempotencyKey names an entry: attempts of one request agree in both.
 type idempotencyKey struct {
 	class int
 	key   string
 }
 
+// idempotencyKey is the entry of an attempt that has a key.
+func (a *attempt) idempotencyKey() idempotencyKey { return idempotencyKey{a.Class, a.Key} }
+
 // keyEntry is what is remembered under a key.
 type keyEntry struct {
-	holder       *attempt      // the try that the module keeps, or nil
-	holdUntil    time.Duration // the module keeps it for arrivals until then
-	lastRun      *attempt      // the try that was run, or nil
-	lastRunUntil time.Time     // arrivals until then, by the Unix clock, must not be run again
-	// previousRun is the run that the one above came after, and previousRunUntil its lastRunUntil: where the later one comes to nothing,
-	// tries of the earlier one may still come.
+	// holder is the attempt that the module keeps the key for, or nil; attempts that arrive until holdUntil, by the
+	// module's clock, are its retries.
+	holder    *attempt
+	holdUntil time.Duration
+	// lastRun is the attempt that was run, or nil; attempts that arrive until lastRunUntil, by the Unix clock, must not
+	// run again.
+	lastRun      *attempt
+	lastRunUntil time.Time
+	// previousRun is the run before lastRun: where lastRun comes to nothing, retries of the earlier one may still come.
 	previousRun      *attempt
 	previousRunUntil time.Time
 }
 
-// hasResult is a result that is kept for repeats, in the order of keeping.
+// forgetPreviousRun forgets the run before the last.
+func (e *keyEntry) forgetPreviousRun() {
+	if e.previousRun != nil {
+		e.previousRun.isExpired, e.previousRun = true, nil
+	}
+}
+
+// isEmpty returns whether nothing is remembered.
+func (e *keyEntry) isEmpty() bool { return e.holder == nil && e.lastRun == nil }
+
+// storedResult is a result that is kept for retries.
 type storedResult struct {
 	attempt *attempt
 	size    int
 }
 
-// idempotencyTable remembers tries by key and class, and the results of those that were run. Entries are as many as
-// the module keeps; the memory of results has a limit of its own, past which the oldest are given up: their
-// repeats then fail, which is no second run.
+// idempotencyTable remembers attempts by class and key, and the results of those that were run. There are as many
+// entries as the module keeps keys. The memory of results has a limit of its own, over which the oldest are evicted:
+// their retries then fail, but don't run again.
+//
+// An attempt is in holders while it is the holder of its entry. No entry is empty between two calls.
 type idempotencyTable struct {
 	entries        map[idempotencyKey]*keyEntry
-	holders        map[admission.RequestID]*attempt // the tries that hold an entry, answered or not
-	results        []storedResult
-	resultBytes    int // values the results kept
+	holders        map[admission.RequestID]*attempt // answered or not
+	results        []storedResult                   // in the order of storing
+	resultBytes    int
 	maxResultBytes int
 	evicted        uint64
-	freshness      time.Duration // how long after its end the answer to a read may serve others
+	freshness      time.Duration // how long after its end the result of a read may answer others
 }
 
 // newIdempotencyTable returns an empty table that keeps results of so many bytes, and those of reads for so long.
-func newIdempotencyTable(limit int, fresh time.Duration) idempotencyTable {
-	return idempotencyTable{entries: map[idempotencyKey]*keyEntry{}, holders: map[admission.RequestID]*attempt{}, maxResultBytes: limit, freshness: fresh}
+func newIdempotencyTable(maxResultBytes int, freshness time.Duration) idempotencyTable {
+	return idempotencyTable{
+		entries:        map[idempotencyKey]*keyEntry{},
+		holders:        map[admission.RequestID]*attempt{},
+		maxResultBytes: maxResultBytes,
+		freshness:      freshness,
+	}
 }
 
-// findOriginal returns the try that a new arrival repeats, or nil: the one kept, or, where the module's entry ran out
-// since the arrival, the one that was run. A read takes its answer from another that is under way, or that ended
-// well no longer ago than answers stay fresh.
-func (k *idempotencyTable) findOriginal(t *attempt, now time.Duration) *attempt {
-	e := k.entries[t.key]
+// findOriginal returns the attempt that a new arrival is a retry of, or nil: the holder, or, where the module's entry
+// expired since the arrival, the one that was run. A read is answered from another that is under way, or that succeeded
+// no longer ago than results stay fresh.
+func (t *idempotencyTable) findOriginal(a *attempt, now time.Duration) *attempt {
+	e := t.entries[a.idempotencyKey()]
 	switch {
 	case e == nil:
 		return nil
-	case e.holder != nil && !t.atMostOnce && (e.holder.state == runFailed || e.holder.state == runFinished && now-e.holder.finishedAt > k.freshness):
+	case e.holder != nil && !a.AtMostOnce && t.isStale(e.holder, now):
 		return nil
-	case e.holder != nil && t.arrivedAt <= e.holdUntil:
+	case e.holder != nil && a.ArrivedAt <= e.holdUntil:
 		return e.holder
-	case k.hasRun(t):
+	case t.hasRun(a):
 		return e.lastRun
 	}
 	return nil
 }
 
-// keyEntry returns the entry of a key, made anew where there is none.
-func (k *idempotencyTable) entryFor(id idempotencyKey) *keyEntry {
-	e := k.entries[id]
+// isStale returns whether a read can't answer others any more.
+func (t *idempotencyTable) isStale(a *attempt, now time.Duration) bool {
+	return a.state == runFailed || a.state == runSucceeded && now-a.finishedAt > t.freshness
+}
+
+// entryFor returns the entry of an attempt's key, made where there is none.
+func (t *idempotencyTable) entryFor(a *attempt) *keyEntry {
+	key := a.idempotencyKey()
+	e := t.entries[key]
 	if e == nil {
 		e = &keyEntry{}
-		k.entries[id] = e
+		t.entries[key] = e
 	}
 	return e
 }
 
-// hold makes the try the holder of its key.
-func (k *idempotencyTable) hold(t *attempt, until time.Duration) {
-	e := k.entryFor(t.key)
-	k.clearHolder(e)
-	e.holder, e.holdUntil = t, until
-	k.holders[t.id] = t
+// hold makes an attempt the holder of its key.
+func (t *idempotencyTable) hold(a *attempt, until time.Duration) {
+	e := t.entryFor(a)
+	t.clearHolder(e)
+	e.holder, e.holdUntil = a, until
+	t.holders[a.id] = a
 }
 
 // clearHolder takes an entry from its holder.
-func (k *idempotencyTable) clearHolder(e *keyEntry) {
+func (t *idempotencyTable) clearHolder(e *keyEntry) {
 	if e.holder != nil {
-		delete(k.holders, e.holder.id)
+		delete(t.holders, e.holder.id)
 		e.holder = nil
 	}
 }
 
-// dropResult takes the key from its holder; what was run stays known. The holder is known here by itself: a try
-// that was turned away is forgotten elsewhere before the module gives up its key, and a key left behind would
-// fail every further try of a request that never ran.
-func (k *idempotencyTable) release(id admission.RequestID) {
-	t := k.holders[id]
-	if t == nil {
+// release takes the key from its holder; what was run stays known. The holder is looked up in this table: an attempt
+// that was rejected is forgotten elsewhere before the module releases its key, and a key left behind would fail every
+// retry of a request that never ran.
+func (t *idempotencyTable) release(id admission.RequestID) {
+	a := t.holders[id]
+	if a == nil {
 		return
 	}
-	e := k.entries[t.key]
-	k.clearHolder(e)
-	if e.lastRun == nil {
-		delete(k.entries, t.key)
+	e := t.entries[a.idempotencyKey()]
+	t.clearHolder(e)
+	if e.isEmpty() {
+		delete(t.entries, a.idempotencyKey())
 	}
 }
 
-// hasRun tells whether a run stands for the request of a try: it, or another within the window.
-func (k *idempotencyTable) hasRun(t *attempt) bool {
-	e := k.entries[t.key]
-	return e != nil && e.lastRun != nil && !t.receivedAt.After(e.lastRunUntil)
+// hasRun returns whether a run counts as that of an attempt's request: its own, or another's within the window.
+func (t *idempotencyTable) hasRun(a *attempt) bool {
+	e := t.entries[a.idempotencyKey()]
+	return e != nil && e.lastRun != nil && !a.ReceivedAt.After(e.lastRunUntil)
 }
 
-// claim notes that the try is run now. It returns false where another try of the request ran within its
-// window: the rule on single effect stands above any decision.
-func (k *idempotencyTable) claim(t *attempt, window time.Duration) bool {
-	e := k.entryFor(t.key)
-	if e.lastRun != t && k.hasRun(t) {
+// claim notes that an attempt is run now. It returns false where another attempt of the request ran within its window:
+// then this one must not run, whatever the module decided.
+func (t *idempotencyTable) claim(a *attempt, window time.Duration) bool {
+	e := t.entryFor(a)
+	if e.lastRun != a && t.hasRun(a) {
 		return false
 	}
-	if e.lastRun != nil && e.lastRun != t {
+	if e.lastRun != nil && e.lastRun != a {
 		e.forgetPreviousRun()
 		e.previousRun, e.previousRunUntil = e.lastRun, e.lastRunUntil
 	}
-	e.lastRun, e.lastRunUntil = t, t.receivedAt.Add(window)
+	e.lastRun, e.lastRunUntil = a, a.ReceivedAt.Add(window)
 	return true
 }
 
-// forgetPreviousRun forgets the run before the last.
-func (e *keyEntry) forgetPreviousRun() {
-	if e.previousRun != nil {
-		e.previousRun.isExpired, e.previousRun = true, nil
-	}
-}
-
-// restoreRun makes a try of an earlier process known as one that was run.
-func (k *idempotencyTable) restoreRun(t *attempt, until time.Time) {
-	e := k.entryFor(t.key)
-	e.lastRun, e.lastRunUntil = t, until
+// restoreRun makes an attempt of an earlier process known as one that was run.
+func (t *idempotencyTable) restoreRun(a *attempt, until time.Time) {
+	e := t.entryFor(a)
+	e.lastRun, e.lastRunUntil = a, until
 }
 
-// unclaim takes back that the try was run, which it turned out not to be: its key is as it was before.
-func (k *idempotencyTable) unclaim(t *attempt) {
-	if e := k.entries[t.key]; e != nil && e.lastRun == t {
+// unclaim takes back that an attempt was run, where it turned out not to be: its key is as it was before.
+func (t *idempotencyTable) unclaim(a *attempt) {
+	if e := t.entries[a.idempotencyKey()]; e != nil && e.lastRun == a {
 		e.lastRun, e.lastRunUntil, e.previousRun = e.previousRun, e.previousRunUntil, nil
-		if e.holder == nil && e.lastRun == nil {
-			delete(k.entries, t.key)
+		if e.isEmpty() {
+			delete(t.entries, a.idempotencyKey())
 		}
 	}
-	k.release(t.id)
+	t.release(a.id)
 }
 
-// originalOf is the try whose run answers a repeat.
-func (k *idempotencyTable) originalOf(t *attempt) *attempt {
-	if e := k.entries[t.key]; e != nil && e.lastRun != nil {
+// originalOf returns the attempt whose run answers a retry.
+func (t *idempotencyTable) originalOf(a *attempt) *attempt {
+	if e := t.entries[a.idempotencyKey()]; e != nil && e.lastRun != nil {
 		return e.lastRun
 	}
-	return t.retryOf
+	return a.retryOf
 }
 
-// storeResult keeps the result of a try that was run and gives up the oldest results over the limit.
-func (k *idempotencyTable) storeResult(t *attempt, result gateway.Response) {
-	if e := k.entries[t.key]; e == nil || e.lastRun != t && e.holder != t {
+// storeResult keeps the result of an attempt that was run, and evicts the oldest results over the limit.
+func (t *idempotencyTable) storeResult(a *attempt, result gateway.Response) {
+	if e := t.entries[a.idempotencyKey()]; e == nil || e.lastRun != a && e.holder != a {
 		return
 	}
-	t.result, t.hasResult = result, true
-	size := len(result.Body)
-	for _, f := range result.Headers {
-		size += len(f.Name) + len(f.Value)
+	a.result, a.hasResult = result, true
+	size := responseBytes(result)
+	t.results = append(t.results, storedResult{a, size})
+	t.resultBytes += size
+	for t.resultBytes > t.maxResultBytes && len(t.results) > 0 {
+		t.dropResult(t.results[0])
+		t.results = t.results[1:]
+		t.evicted++
 	}
-	k.results = append(k.results, storedResult{t, size})
-	k.resultBytes += size
-	for k.resultBytes > k.maxResultBytes && len(k.results) > 0 {
-		k.dropResult(k.results[0])
-		k.results = k.results[1:]
-		k.evicted++
+}
+
+// responseBytes is what a response takes of the memory.
+func responseBytes(r gateway.Response) int {
+	size := len(r.Body)
+	for _, f := range r.Headers {
+		size += len(f.Name) + len(f.Value)
 	}
+	return size
 }
 
 // dropResult frees a stored result.
-func (k *idempotencyTable) dropResult(r storedResult) {
+func (t *idempotencyTable) dropResult(r storedResult) {
 	r.attempt.result, r.attempt.hasResult = gateway.Response{}, false
-	k.resultBytes -= r.size
+	t.resultBytes -= r.size
 }
 
-// expire forgets entries that no arrival can find any more. A request may lie unread for a while, so entries
-// outlast their time by the slack.
-func (k *idempotencyTable) expire(now time.Duration, unix time.Time, slack time.Duration) {
-	for id, e := range k.entries {
+// expire removes entries that no arrival can find any more, and the results of expired runs. A request may lie unread
+// for a while, so entries outlast their time by the slack.
+func (t *idempotencyTable) expire(now time.Duration, unix time.Time, slack time.Duration) {
+	for key, e := range t.entries {
 		if e.holder != nil && now > e.holdUntil+slack {
-			k.clearHolder(e)
+			t.clearHolder(e)
 		}
 		if e.previousRun != nil && unix.After(e.previousRunUntil.Add(slack)) {
 			e.forgetPreviousRun()
@@ -199,18 +227,23 @@
 		if e.lastRun != nil && unix.After(e.lastRunUntil.Add(slack)) {
 			e.lastRun.isExpired, e.lastRun = true, nil
 		}
-		if e.holder == nil && e.lastRun == nil {
-			delete(k.entries, id)
+		if e.isEmpty() {
+			delete(t.entries, key)
 		}
 	}
-	kept := k.results[:0]
-	for _, r := range k.results {
+	t.dropExpiredResults()
+}
+
+// dropExpiredResults frees the results that no retry can find any more.
+func (t *idempotencyTable) dropExpiredResults() {
+	kept := t.results[:0]
+	for _, r := range t.results {
 		if r.attempt.isExpired {
-			k.dropResult(r)
+			t.dropResult(r)
 		} else {
 			kept = append(kept, r)
 		}
 	}
-	clear(k.results[len(kept):])
-	k.results = kept
+	clear(t.results[len(kept):])
+	t.results = kept
 }
--- a/server/idempotency_table_test.go
+++ b/server/idempotency_table_test.go
@@ -10,8 +10,11 @@
 	"tillerusher/internal/gateway"
 )
 
-func keyedTry(id int, key string, arrived time.Duration) *attempt {
-	return &attempt{id: admission.RequestID(id), class: 1, hasKey: true, atMostOnce: true, key: idempotencyKey{1, key}, arrivedAt: arrived, receivedAt: at(arrived)}
+func keyedAttempt(id int, key string, arrived time.Duration) *attempt {
+	return &attempt{
+		id:      admission.RequestID(id),
+		Request: Request{Class: 1, HasKey: true, AtMostOnce: true, Key: key, ArrivedAt: arrived, ReceivedAt: at(arrived)},
+	}
 }
 
 // listen is a moment of the Unix clock.
@@ -23,24 +26,24 @@
 // arrivals within the time only, whenever they are read.
 func TestKeysFind(t *testing.T) {
 	k := newIdempotencyTable(1<<20, 0)
-	a := keyedTry(1, "k", time.Second)
+	a := keyedAttempt(1, "k", time.Second)
 	k.hold(a, 10*time.Second)
-	if k.findOriginal(keyedTry(99, "k", 10*time.Second), 0) != a || k.findOriginal(&attempt{key: idempotencyKey{0, "k"}}, 0) != nil || k.findOriginal(keyedTry(99, "j", 0), 0) != nil {
+	if k.findOriginal(keyedAttempt(99, "k", 10*time.Second), 0) != a || k.findOriginal(&attempt{Request: Request{Class: 0, Key: "k"}}, 0) != nil || k.findOriginal(keyedAttempt(99, "j", 0), 0) != nil {
 		t.Error("a kept try is found by its key and class alone")
 	}
-	if k.findOriginal(keyedTry(99, "k", 10*time.Second+1), 0) != nil {
+	if k.findOriginal(keyedAttempt(99, "k", 10*time.Second+1), 0) != nil {
 		t.Error("an entry that ran out was found")
 	}
-	if !k.claim(a, window) || k.findOriginal(keyedTry(99, "k", 19*time.Second), 0) != a || k.findOriginal(keyedTry(99, "k", 19*time.Second+1), 0) != nil {
+	if !k.claim(a, window) || k.findOriginal(keyedAttempt(99, "k", 19*time.Second), 0) != a || k.findOriginal(keyedAttempt(99, "k", 19*time.Second+1), 0) != nil {
 		t.Error("a try that was run is found until its window is over")
 	}
-	if k.claim(keyedTry(2, "k", 19*time.Second), window) {
+	if k.claim(keyedAttempt(2, "k", 19*time.Second), window) {
 		t.Error("a second run within the window was allowed")
 	}
-	if !k.hasRun(keyedTry(2, "k", 19*time.Second)) || k.hasRun(keyedTry(3, "k", 19*time.Second+1)) || k.hasRun(keyedTry(4, "j", 0)) {
+	if !k.hasRun(keyedAttempt(2, "k", 19*time.Second)) || k.hasRun(keyedAttempt(3, "k", 19*time.Second+1)) || k.hasRun(keyedAttempt(4, "j", 0)) {
 		t.Error("a run stands for the tries of its request within the window, and for no others")
 	}
-	if !k.claim(keyedTry(3, "k", 19*time.Second+1), window) {
+	if !k.claim(keyedAttempt(3, "k", 19*time.Second+1), window) {
 		t.Error("a run after the window was not allowed")
 	}
 }
@@ -49,11 +52,11 @@
 // window is one of the Unix clock.
 func TestKeysClockSetBack(t *testing.T) {
 	k := newIdempotencyTable(1<<20, 0)
-	a := keyedTry(1, "k", time.Hour)
+	a := keyedAttempt(1, "k", time.Hour)
 	k.claim(a, window)
 	k.expire(time.Hour+time.Minute, at(time.Hour), 0)
-	b := keyedTry(2, "k", time.Hour+time.Minute)
-	b.receivedAt = a.receivedAt.Add(time.Second)
+	b := keyedAttempt(2, "k", time.Hour+time.Minute)
+	b.ReceivedAt = a.ReceivedAt.Add(time.Second)
 	if k.findOriginal(b, 0) != a || k.claim(b, window) {
 		t.Error("a request ran again within its window")
 	}
@@ -63,22 +66,22 @@
 // been answered before: then no other table knows it.
 func TestKeysForget(t *testing.T) {
 	k := newIdempotencyTable(1<<20, 0)
-	a, b := keyedTry(1, "k", 0), keyedTry(2, "k", 0)
+	a, b := keyedAttempt(1, "k", 0), keyedAttempt(2, "k", 0)
 	a.isAnswered = true
 	k.hold(a, time.Minute)
 	k.release(a.id)
-	if k.findOriginal(keyedTry(99, "k", 0), 0) != nil || len(k.entries) != 0 || len(k.holders) != 0 {
+	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != nil || len(k.entries) != 0 || len(k.holders) != 0 {
 		t.Error("a forgotten key was found")
 	}
 	k.hold(a, time.Minute)
 	k.hold(b, time.Minute) // the entry goes to the newer try
 	k.release(a.id)
-	if k.findOriginal(keyedTry(99, "k", 0), 0) != b {
+	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != b {
 		t.Error("the key was taken from another holder")
 	}
 	k.claim(b, window)
 	k.release(b.id)
-	if k.findOriginal(keyedTry(99, "k", 0), 0) != b || k.claim(keyedTry(3, "k", 0), window) {
+	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != b || k.claim(keyedAttempt(3, "k", 0), window) {
 		t.Error("a try that was run was forgotten")
 	}
 }
@@ -88,7 +91,7 @@
 	k := newIdempotencyTable(25, 0)
 	tries := map[string]*attempt{}
 	for i, key := range []string{"a", "b", "c"} {
-		r := keyedTry(i+1, key, time.Duration(i)*time.Second)
+		r := keyedAttempt(i+1, key, time.Duration(i)*time.Second)
 		tries[key] = r
 		k.hold(r, window)
 		k.claim(r, window)
@@ -97,10 +100,10 @@
 	if tries["a"].hasResult || !tries["b"].hasResult || !tries["c"].hasResult || k.resultBytes != 20 || k.evicted != 1 {
 		t.Errorf("%d bytes kept, %d dropped", k.resultBytes, k.evicted)
 	}
-	if k.claim(keyedTry(9, "a", 0), window) {
+	if k.claim(keyedAttempt(9, "a", 0), window) {
 		t.Error("a request ran again since its result was given up")
 	}
-	stranger := keyedTry(10, "z", 0)
+	stranger := keyedAttempt(10, "z", 0)
 	k.storeResult(stranger, gateway.Response{Body: make([]byte, 5)})
 	if stranger.hasResult {
 		t.Error("a result was kept that nothing can find")
@@ -119,7 +122,7 @@
 // before it are still known.
 func TestKeyUsedAnew(t *testing.T) {
 	k := newIdempotencyTable(1000, 0)
-	first, anew, late := keyedTry(1, "a", 0), keyedTry(2, "a", window+time.Second), keyedTry(3, "a", window-time.Second)
+	first, anew, late := keyedAttempt(1, "a", 0), keyedAttempt(2, "a", window+time.Second), keyedAttempt(3, "a", window-time.Second)
 	if !k.claim(first, window) || !k.claim(anew, window) {
 		t.Fatal("a run within no window was held up")
 	}
@@ -129,7 +132,7 @@
 	}
 	k.claim(anew, window)
 	k.expire(2*window, at(2*window), 0)
-	if e := k.entries[anew.key]; e.previousRun != nil || !first.isExpired {
+	if e := k.entries[anew.idempotencyKey()]; e.previousRun != nil || !first.isExpired {
 		t.Error("the run before is kept for ever")
 	}
 }
@@ -145,7 +148,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				ids++
-				tries = append(tries, keyedTry(ids, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), now))
+				tries = append(tries, keyedAttempt(ids, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), now))
 				k.hold(tries[len(tries)-1], now+window)
 			},
 			"run": func(t *rapid.T) {
@@ -153,14 +156,14 @@
 					t.Skip()
 				}
 				r := rapid.SampledFrom(tries).Draw(t, "try")
-				last, before := ran[r.key.key]
+				last, before := ran[r.Key]
 				allowed := k.claim(r, window)
-				if again := r.state != runPending; before && !again && (r.arrivedAt <= last+window) == allowed {
-					t.Fatalf("run of a try that arrived %v after the last that ran: %t", r.arrivedAt-last, allowed)
+				if again := r.state != runPending; before && !again && (r.ArrivedAt <= last+window) == allowed {
+					t.Fatalf("run of a try that arrived %v after the last that ran: %t", r.ArrivedAt-last, allowed)
 				}
 				if allowed && r.state == runPending {
-					ran[r.key.key] = r.arrivedAt
-					r.state = runFinished
+					ran[r.Key] = r.ArrivedAt
+					r.state = runSucceeded
 					k.storeResult(r, gateway.Response{Body: make([]byte, 90)})
 				}
 			},
--- a/server/interleave_test.go
+++ b/server/interleave_test.go
@@ -22,15 +22,15 @@
 // the list, and what is ruled out by reading.
 
 // ends waits for the end of a connection, and fails where it was reset instead, or brought anything more.
-func ends(t *testing.T, g *servertest.Gateway) {
+func waitCleanEnd(t *testing.T, g *servertest.Gateway) {
 	t.Helper()
 	if a, err := g.TryResponse(0); !errors.Is(err, io.EOF) {
 		t.Errorf("%+v, %v instead of a clean end", a, err)
 	}
 }
 
-// atEnd has something done just before the server ends its side of a connection, by whatever call.
-func atEnd(system *interleave.System, of net.Conn, do func()) <-chan bool {
+// beforeEnd has something done just before the server ends its side of a connection, by whatever call.
+func beforeEnd(system *interleave.System, of net.Conn, do func()) <-chan bool {
 	done := make(chan bool)
 	system.BeforeCall(func(call interleave.Syscall, fd int) bool {
 		if call != interleave.Shutdown && call != interleave.Close || !interleave.IsPeer(fd, of) {
@@ -43,10 +43,10 @@
 	return done
 }
 
-// nextRound waits until the server has taken in all that was written to it before.
-func nextRound(s *Server) {
+// waitRound waits until the server has taken in all that was written to it before.
+func waitRound(s *Server) {
 	for range 2 { // what is posted may be called in the round that began before
-		do(s, func() {})
+		onLoop(s, func() {})
 	}
 }
 
@@ -57,22 +57,22 @@
 	for what, late := range map[string][]byte{"a request": whole, "half a request": whole[:30], "a byte": whole[:1]} {
 		t.Run(what, func(t *testing.T) {
 			system := interleave.New()
-			s, it := runOn(t, system, testTold(t))
+			s, it := startServerOn(t, system, testSite(t))
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			done := atEnd(system, g.Conn(), func() { g.Write(late) })
+			done := beforeEnd(system, g.Conn(), func() { g.Write(late) })
 			g.Write(fake.NewLookup("answered").Encode(1))
 			it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("x"))
 			servertest.WaitFor(t, "the module's own setting", func() (set bool) {
-				do(s, func() { set = s.idleTimeout > 0 })
+				onLoop(s, func() { set = s.conns.idleTimeout > 0 })
 				return set
 			})
-			do(s, func() { actions{s}.CloseIdleConnections(20 * time.Millisecond) })
+			onLoop(s, func() { actions{s}.CloseIdleConnections(20 * time.Millisecond) })
 			<-done
-			nextRound(s)
+			waitRound(s)
 			if a := g.WaitResponse(1); a.Status != 200 {
 				t.Errorf("answer before the end: %+v", a)
 			}
-			ends(t, g)
+			waitCleanEnd(t, g)
 			if runs := it.StartedRuns(); len(runs) != 1 {
 				t.Errorf("what came after the end was run: %v", runs)
 			}
@@ -83,19 +83,19 @@
 // TestCrossSlowWriter has the first bytes of a request be there as connections are closed that have rested: it comes whole
 // and is answered.
 func TestCrossSlowWriter(t *testing.T) {
-	s, it := run(t)
+	s, it := startServer(t)
 	it.FinishImmediately()
 	for cut := 1; cut < 24; cut++ {
 		g := servertest.Dial(t, s.cfg.Listen.String())
-		check(g, false)
+		checkHealth(g, false)
 		whole := fake.NewLookup("slowly").Encode(2)
 		g.Write(whole[:cut])
-		nextRound(s)
-		do(s, func() {
-			idle := s.idleTimeout
-			s.idleTimeout = time.Nanosecond
-			s.closeIdleConns()
-			s.idleTimeout = idle
+		waitRound(s)
+		onLoop(s, func() {
+			idle := s.conns.idleTimeout
+			s.conns.idleTimeout = time.Nanosecond
+			s.conns.closeIdle()
+			s.conns.idleTimeout = idle
 		})
 		g.Write(whole[cut:])
 		if a, err := g.TryResponse(2); err != nil || a.Status != 200 && a.Status != 503 {
@@ -107,22 +107,22 @@
 // TestCrossUnfinished has the rest of a request come as the connection is closed for being late with it.
 func TestCrossUnfinished(t *testing.T) {
 	system := interleave.New()
-	s, it := runOn(t, system, testTold(t))
+	s, it := startServerOn(t, system, testSite(t))
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	whole := fake.NewLookup("late").Encode(1)
-	done := atEnd(system, g.Conn(), func() { g.Write(whole[30:]) })
+	done := beforeEnd(system, g.Conn(), func() { g.Write(whole[30:]) })
 	g.Write(whole[:30])
-	nextRound(s)
-	do(s, func() {
-		for c := range s.connections() {
+	waitRound(s)
+	onLoop(s, func() {
+		for c := range s.conns.all() {
 			if !c.incompleteSince.IsZero() {
 				c.incompleteSince = c.incompleteSince.Add(-requestTimeout)
 			}
 		}
-		s.closeIdleConns()
+		s.conns.closeIdle()
 	})
 	<-done
-	ends(t, g)
+	waitCleanEnd(t, g)
 	if runs := it.StartedRuns(); len(runs) != 0 {
 		t.Errorf("what came after the end was run: %v", runs)
 	}
@@ -139,14 +139,14 @@
 			if what == "not yet up" {
 				it.MarkDown()
 			}
-			s := runWith(t, system, testTold(t), it)
+			s := startServerWith(t, system, testSite(t), it)
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			servertest.WaitFor(t, "the interpreter", func() bool { return what == "not yet up" || check(g, false) == 200 })
-			check(g, false)
-			done := atEnd(system, g.Conn(), func() { g.Write(fake.NewLookup("crosses").Encode(2)) })
+			servertest.WaitFor(t, "the interpreter", func() bool { return what == "not yet up" || checkHealth(g, false) == 200 })
+			checkHealth(g, false)
+			done := beforeEnd(system, g.Conn(), func() { g.Write(fake.NewLookup("crosses").Encode(2)) })
 			s.loop.Post(func() { end(s) })
 			<-done
-			ends(t, g)
+			waitCleanEnd(t, g)
 			if runs := it.StartedRuns(); len(runs) != 0 {
 				t.Errorf("what came after the end was run: %v", runs)
 			}
@@ -157,19 +157,19 @@
 // TestCrossRoom has a gateway's first request lie unread as a newcomer needs room: silent callers go before it.
 func TestCrossRoom(t *testing.T) {
 	system := interleave.New()
-	s, it := runOn(t, system, testTold(t))
+	s, it := startServerOn(t, system, testSite(t))
 	most := s.cfg.Limits.Sockets - reservedSockets
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	for range most - 1 {
 		servertest.Dial(t, s.cfg.Listen.String())
 	}
 	servertest.WaitFor(t, "all to be let in", func() (in bool) {
-		do(s, func() { in = s.conns.Len() == most })
+		onLoop(s, func() { in = s.conns.len() == most })
 		return in
 	})
-	do(s, func() {
+	onLoop(s, func() {
 		g.Write(fake.NewLookup("just came").Encode(1))
-		if !s.evictConn() {
+		if !s.conns.evict() {
 			t.Error("no room was made")
 		}
 	})
@@ -183,11 +183,11 @@
 // answered. One that comes after that, as the listener closes, is not let in, and nothing of it is run.
 func TestCrossListener(t *testing.T) {
 	system := interleave.New()
-	s, it := runOn(t, system, testTold(t))
+	s, it := startServerOn(t, system, testSite(t))
 	it.FinishImmediately()
 	var g, after *servertest.Gateway
 	done := make(chan bool)
-	do(s, func() {
+	onLoop(s, func() {
 		s.drain()
 		system.BeforeCall(func(call interleave.Syscall, fd int) bool {
 			switch {
@@ -227,11 +227,11 @@
 // TestCrossDrain has requests read after the notice: those that came within the grace are run, as the notice and the
 // request in one round are, whichever is first; later ones are refused at once.
 func TestCrossDrain(t *testing.T) {
-	told := testTold(t)
-	told.Admission.DrainGracePeriod = 500 * time.Millisecond
-	s, it := runAt(t, told)
+	site := testSite(t)
+	site.Admission.DrainGracePeriod = 500 * time.Millisecond
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	do(s, func() {
+	onLoop(s, func() {
 		g.Write(fake.NewLookup("with the notice").Encode(1))
 		s.drain()
 	})
@@ -248,7 +248,7 @@
 			t.Errorf("request %d: %+v", id+1, a)
 		}
 	}
-	do(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // a second goes by
+	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // a second goes by
 	g.Write(received(fake.NewLookup("after the grace"), 0).Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Errorf("after the grace: %+v", a)
@@ -256,7 +256,7 @@
 	if runs := it.StartedRuns(); len(runs) != 2 {
 		t.Errorf("runs %v", runs)
 	}
-	ends(t, g)
+	waitCleanEnd(t, g)
 }
 
 // TestCrossReloadDrain has a new configuration and the notice to leave in one round, in either order, while a run is
@@ -264,7 +264,7 @@
 func TestCrossReloadDrain(t *testing.T) {
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
-			s, it := run(t)
+			s, it := startServer(t)
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			g.Write(fake.NewReserve(1, "x").Encode(1))
 			id := it.WaitRuns(1)[0].ID
@@ -272,7 +272,7 @@
 			cfg := *s.cfg
 			cfg.Interpreter = netip.MustParseAddrPort(moved)
 			cfg.StopTimeout *= 2
-			do(s, func() {
+			onLoop(s, func() {
 				it.EndRun(id, "OK", []byte("result"))
 				if first == "reload" {
 					s.reload(&cfg)
@@ -285,7 +285,7 @@
 			if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "result" {
 				t.Errorf("answer %+v", a)
 			}
-			ends(t, g)
+			waitCleanEnd(t, g)
 			if runs := it.StartedRuns(); len(runs) != 1 || it.LinkAddr() != moved {
 				t.Errorf("runs %v on the link at %s", runs, it.LinkAddr())
 			}
@@ -296,14 +296,14 @@
 // TestCrossLink has the link replaced while the end of a run lies unread on it, while a command is written but not read,
 // and while the gauges are asked for: each run begins once, ends once and is answered once.
 func TestCrossLink(t *testing.T) {
-	s, it := run(t)
+	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	move := func(with func()) {
 		t.Helper()
 		moved := it.AddListener()
 		cfg := *s.cfg
 		cfg.Interpreter = netip.MustParseAddrPort(moved)
-		do(s, func() {
+		onLoop(s, func() {
 			with()
 			s.reload(&cfg)
 		})
@@ -316,7 +316,7 @@
 	}
 	// The command goes out at the end of the round in which the request is read, so the link goes in the next.
 	g.Write(fake.NewReserve(2, "y").Encode(2))
-	nextRound(s)
+	waitRound(s)
 	move(func() {})
 	it.EndRun(it.WaitRuns(2)[1].ID, "OK", []byte("two"))
 	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "two" {
@@ -339,14 +339,14 @@
 // TestCrossLinkDown has a keyed request be due while the link is down, so that the interpreter never heard of its run: a
 // further try is run once the link stands, as the first never was.
 func TestCrossLinkDown(t *testing.T) {
-	told := testTold(t)
-	told.Admission.Classes[1].Deadline = 300 * time.Millisecond
-	s, it := runAt(t, told)
+	site := testSite(t)
+	site.Admission.Classes[1].Deadline = 300 * time.Millisecond
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	it.RejectLinks(true)
 	it.CutLink()
 	servertest.WaitFor(t, "the link to be lost", func() (lost bool) {
-		do(s, func() { lost = !s.backend.Ready() })
+		onLoop(s, func() { lost = !s.backend.IsReady() })
 		return lost
 	})
 	g.Write(fake.NewReserve(1, "x").Encode(1))
@@ -355,7 +355,7 @@
 	}
 	it.RejectLinks(false)
 	servertest.WaitFor(t, "a new link", func() (stands bool) {
-		do(s, func() { stands = s.backend.Ready() })
+		onLoop(s, func() { stands = s.backend.IsReady() })
 		return stands
 	})
 	g.Write(fake.NewReserve(1, "x").WithHeader("Attempt-Again", "1").Encode(2))
@@ -373,14 +373,14 @@
 	for what, sent := range map[string][]byte{"nothing": nil, "half a request": whole[:30], "a request": whole} {
 		t.Run(what, func(t *testing.T) {
 			system := interleave.New()
-			s, it := runOn(t, system, testTold(t))
+			s, it := startServerOn(t, system, testSite(t))
 			reset := func(c net.Conn) {
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 			}
 			done := make(chan bool)
 			var g *servertest.Gateway
-			do(s, func() { // one that is reset while it waits to be accepted
+			onLoop(s, func() { // one that is reset while it waits to be accepted
 				early := servertest.Dial(t, s.cfg.Listen.String())
 				early.Write(sent)
 				reset(early.Conn())
@@ -396,18 +396,18 @@
 				})
 			})
 			if len(sent) == 0 { // nothing to be read would come
-				do(s, func() { g.Write([]byte{1}) })
+				onLoop(s, func() { g.Write([]byte{1}) })
 			}
 			<-done
 			servertest.WaitFor(t, "the connections to be forgotten", func() (gone bool) {
-				do(s, func() { gone = s.conns.Len() <= 1 && len(s.attempts) == 0 })
+				onLoop(s, func() { gone = s.conns.len() <= 1 && len(s.attempts.byID) == 0 })
 				for _, r := range it.StartedRuns() {
 					it.EndRun(r.ID, "STOPPED", nil)
 				}
 				return gone
 			})
 			next := servertest.Dial(t, s.cfg.Listen.String())
-			if got := check(next, false); got != 200 {
+			if got := checkHealth(next, false); got != 200 {
 				t.Errorf("the next caller: %d", got)
 			}
 		})
@@ -419,13 +419,13 @@
 func TestCrossRepeat(t *testing.T) {
 	for _, end := range []string{"OK", "ERROR"} {
 		t.Run(end, func(t *testing.T) {
-			s, it := run(t)
+			s, it := startServer(t)
 			first, second := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
-			check(second, false)
+			checkHealth(second, false)
 			for n := range 20 { // the order in which epoll tells of them differs from round to round
 				first.Write(fake.NewReserve(n, "x").Encode(1))
 				id := it.WaitRuns(n + 1)[n].ID
-				do(s, func() {
+				onLoop(s, func() {
 					if n%2 == 0 {
 						second.Write(fake.NewReserve(n, "x").WithHeader("Attempt-Again", "1").Encode(2))
 						it.EndRun(id, end, []byte("result"))
@@ -451,10 +451,10 @@
 // TestCrossWindow has further tries come at the edge of the window, by their Received-At: up to the 50 ms that limits on
 // sockets are longer none is run.
 func TestCrossWindow(t *testing.T) {
-	told := testTold(t)
+	site := testSite(t)
 	window := 700 * time.Millisecond
-	told.Admission.Classes[1].KeyWindow = window
-	s, it := runAt(t, told)
+	site.Admission.Classes[1].KeyWindow = window
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	received := time.Now().Truncate(time.Millisecond)
 	try := func(n int, after time.Duration) []byte {
@@ -476,17 +476,17 @@
 // TestCrossDrainRepeat has a further try come after the notice while the first runs, and one after the end of it: both
 // have its result, and nothing is run again.
 func TestCrossDrainRepeat(t *testing.T) {
-	told := testTold(t)
-	told.Admission.DrainGracePeriod = 500 * time.Millisecond
-	s, it := runAt(t, told)
+	site := testSite(t)
+	site.Admission.DrainGracePeriod = 500 * time.Millisecond
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	id := it.WaitRuns(1)[0].ID
-	do(s, func() {
+	onLoop(s, func() {
 		s.drain()
 		g.Write(fake.NewReserve(1, "x").Encode(2))
 	})
-	nextRound(s)
+	waitRound(s)
 	it.EndRun(id, "OK", []byte("result"))
 	for try := range uint16(2) {
 		if a := g.WaitResponse(try + 1); a.Status != 200 || string(a.Body) != "result" {
@@ -508,26 +508,26 @@
 func TestCrossFullBuffer(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reads %t", reads), func(t *testing.T) {
-			s, it := run(t)
+			s, it := startServer(t)
 			it.FinishImmediately()
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			g.Conn().(*net.TCPConn).SetReadBuffer(4 << 10)
 			body := bytes.Repeat([]byte("x"), 2000)
 			sent := 0
 			servertest.WaitFor(t, "a full buffer", func() (full bool) {
-				for range maxOpenRequests / 2 {
+				for range MaxOpenRequests / 2 {
 					sent++
 					g.Write(fake.NewLookup(string(body)).Encode(uint16(sent)))
 				}
-				nextRound(s)
-				do(s, func() {
-					for c := range s.connections() {
+				waitRound(s)
+				onLoop(s, func() {
+					for c := range s.conns.all() {
 						full = full || c.conn.UnsentBytes() > 0
 					}
 				})
 				return full
 			})
-			do(s, func() {
+			onLoop(s, func() {
 				s.drain()
 				s.stopListening()
 			})
--- a/server/module.go
+++ b/server/module.go
@@ -3,33 +3,92 @@
 import (
 	"time"
 
+	"go.uber.org/zap"
+
 	"tillerusher/admission"
 )
 
-// gaugeTimeout is how long a timer of the module waits for the gauges that go with it.
+// gaugeTimeout is how long a timer of the module waits for the gauges that are reported with it.
 const gaugeTimeout = 20 * time.Millisecond
 
+// moduleState is the decision module and what orders the events that it hears of. The module must not be called while
+// it acts: events that an action causes are deferred until it has returned.
+type moduleState struct {
+	events      admission.Events    // nil until the backend is up
+	instance    *admission.Instance // the module itself, behind the capture's tap; nil until the backend is up
+	needsSettle bool                // events were reported in this round
+	deferred    []func()
+}
+
+// eventTime returns the time of an event that the module is about to hear of, and has the module settle at the end of
+// this round.
+func (s *Server) eventTime() time.Duration {
+	s.module.needsSettle = true
+	return s.clock.read(s.loop.Now())
+}
+
+// deferEvent has an event reported that an action caused, once the module has returned.
+func (s *Server) deferEvent(event func()) { s.module.deferred = append(s.module.deferred, event) }
+
+// settle ends a round of the loop. It returns true where the module's actions caused events, which the next round
+// reports.
+func (s *Server) settle() (again bool) {
+	s.runDeferredEvents()
+	if s.module.needsSettle && s.module.events != nil {
+		s.module.needsSettle = false
+		s.module.events.Settle(s.clock.read(s.loop.Now()))
+	}
+	return len(s.module.deferred) > 0
+}
+
+// runDeferredEvents reports the events that actions caused, and those that these cause in turn.
+func (s *Server) runDeferredEvents() {
+	for len(s.module.deferred) > 0 {
+		events := s.module.deferred
+		s.module.deferred = nil
+		for _, event := range events {
+			event()
+		}
+	}
+}
+
+// BackendStarted starts the decision module. Backends call it once they can run requests: an interpreter may come up
+// long after this process, and warms up from then on.
+func (s *Server) BackendStarted(isWarmingUp bool, age time.Duration) {
+	set := s.site.Admission
+	set.WarmingUp = isWarmingUp
+	s.log.Info("interpreter up", zap.Bool("cold", isWarmingUp), zap.Duration("age_ms", age))
+	module, err := s.newModule(set)
+	if err != nil {
+		s.log.Error("decision module", zap.Error(err)) // New has tried the same settings
+		return
+	}
+	s.module.events = module
+	s.eventTime()
+	s.reportLoad()
+}
+
 // timerFired ends a timer of the module. The gauges that go with it are read now, since the module acts on what they
-// say of the moment; where the interpreter does not tell them soon it goes without.
+// say at this moment; where the backend does not answer in time, the timer goes without.
 func (s *Server) timerFired(token uint32) {
-	rung := false
-	end := func(g admission.Gauges) {
-		if !rung {
-			rung = true
-			s.module.Timer(s.moduleTime(), token, g)
+	isReported := false
+	report := func(g admission.Gauges) {
+		if !isReported {
+			isReported = true
+			s.module.events.Timer(s.eventTime(), token, g)
 		}
 	}
-	none := admission.Gauges{Utilization: -1, Runnable: -1}
-	if !s.backend.Ready() {
-		end(none)
+	unknown := admission.Gauges{Utilization: -1, Runnable: -1}
+	if !s.backend.IsReady() {
+		report(unknown)
 		return
 	}
-	s.loop.AfterFunc(gaugeTimeout, func() { end(none) })
+	s.loop.AfterFunc(gaugeTimeout, func() { report(unknown) })
 	s.backend.QueryGauges(s.loop.Now(), func(values []float64, ok bool) {
 		if ok {
-			end(s.told.ReadGauges(values))
+			report(s.site.ReadGauges(values))
 		} else {
-			end(none)
+			report(unknown)
 		}
 	})
 }
--- a/server/recent_ids.go
+++ b/server/recent_ids.go
@@ -3,38 +3,40 @@
 import "time"
 
 const (
-	// minIDRetention is the least time for which ids are remembered.
+	// minIDRetention is the least time for which IDs are remembered.
 	minIDRetention = 10 * time.Second
-	// recentIDsMemoryDivisor is the part of the memory that remembered ids may take, recentIDBytes what one of them takes.
-	recentIDsMemoryDivisor, recentIDBytes = 32, 64
+	// recentIDBytes is about what one remembered ID takes of the memory.
+	recentIDBytes = 64
 )
 
-// recentIDs remembers the ids of requests that were read lately. An id is new with every try, so one that comes
-// again is no gateway's: a sender that repeats itself as soon as it is turned away would raise its tenant's rate
-// and the share of further tries with each copy, and one that takes another's id could get its answer.
+// recentIDs remembers the IDs of requests that were read lately. A gateway makes a new ID for every attempt, so one
+// that comes again is no gateway's: a sender that repeats its request as soon as it is rejected would raise its
+// tenant's rate and the share of retries with each copy, and one that takes another's ID could get its answer.
 //
-// There are two generations, so that nothing is ever searched for what is too old.
+// There are two generations, of which the older one is dropped as a whole: nothing is searched for expired IDs.
 type recentIDs struct {
 	recent, older    map[uint64]struct{}
-	nextRotation     time.Duration // when the generations change next
-	retention        time.Duration // least time that an id is remembered
-	maxPerGeneration int           // ids of one generation
+	nextRotation     time.Duration
+	retention        time.Duration // least time that an ID is remembered, where memory suffices
+	maxPerGeneration int
 }
 
-// newRecentIDs returns an empty memory.
-func newRecentIDs(span time.Duration, most int) recentIDs {
-	return recentIDs{recent: map[uint64]struct{}{}, retention: span, maxPerGeneration: max(most/2, 1)}
+// newRecentIDs returns an empty memory for so many IDs.
+func newRecentIDs(retention time.Duration, maxIDs int) recentIDs {
+	return recentIDs{recent: map[uint64]struct{}{}, retention: retention, maxPerGeneration: max(maxIDs/2, 1)}
 }
 
-// add remembers an id and tells whether it is new.
-func (m *recentIDs) add(id uint64, now time.Duration) bool {
-	if now >= m.nextRotation || len(m.recent) >= m.maxPerGeneration {
-		m.recent, m.older, m.nextRotation = make(map[uint64]struct{}, len(m.recent)), m.recent, now+m.retention
+// add remembers an ID and returns whether it is new.
+func (r *recentIDs) add(id uint64, now time.Duration) bool {
+	if now >= r.nextRotation || len(r.recent) >= r.maxPerGeneration {
+		r.older = r.recent
+		r.recent = make(map[uint64]struct{}, len(r.older))
+		r.nextRotation = now + r.retention
 	}
-	if _, found := m.older[id]; found {
+	if _, found := r.older[id]; found {
 		return false
 	}
-	before := len(m.recent)
-	m.recent[id] = struct{}{}
-	return len(m.recent) > before
+	before := len(r.recent)
+	r.recent[id] = struct{}{}
+	return len(r.recent) > before
 }
--- a/server/request_parser.go
+++ b/server/request_parser.go
@@ -1,186 +1,278 @@
 package server
 
 import (
+	"errors"
 	"fmt"
-	"hash/maphash"
 	"strconv"
 	"strings"
 	"time"
 
 	"tillerusher/admission"
 	"tillerusher/internal/gateway"
+	"tillerusher/internal/settings"
 )
 
-// runState is how far the run of a try has come.
-type runState uint8
+// Request is what the server knows of one attempt of a caller, as a RequestParser understood it.
+type Request struct {
+	// RequestID names the attempt to the backend, in hexadecimal.
+	RequestID string
+	// HasOwnID says that this process made the RequestID, so that it can't be that of another attempt.
+	HasOwnID bool
+	// Class is the index of the request's class among those of the site.
+	Class int
+	// AtMostOnce says that the request must not run twice.
+	AtMostOnce bool
+	// Key tells retries from other requests, together with the class, where HasKey is set: by it they are answered
+	// from the first attempt's run.
+	Key    string
+	HasKey bool
+	// BodyHash is that of the body, where attempts with one key must agree in it.
+	BodyHash uint64
+	// ReceivedAt is when the gateway received the request, by the Unix clock, and ArrivedAt the same by the
+	// module's clock.
+	ReceivedAt time.Time
+	ArrivedAt  time.Duration
+	Body       []byte
+	// Runner starts the request's run.
+	Runner Runner
+}
+
+// ParsedRequest is the outcome of parsing: a Response that answers the request at once, or all else.
+type ParsedRequest struct {
+	Request
+	// Admission is what the module is told. The server fills in the ID and what the request is a retry of.
+	Admission admission.Request
+	// Response, where it is not nil, is the answer to a request that needs neither the module nor a run.
+	Response *gateway.Response
+}
+
+// RequestParser understands the requests of gateways.
+type RequestParser interface {
+	// Parse understands a request that was read at a time of the module's clock. What an error says is the body of
+	// the answer, with status 400.
+	Parse(r gateway.Request, now time.Duration) (ParsedRequest, error)
+}
+
+// FieldError says that a field of a request makes no sense.
+type FieldError struct {
+	Field  string // as in the platform's documents
+	Value  string
+	Wanted string // what the field should have been
+}
+
+// Error implements error. What was wanted is left out: gateways log the text as it always was.
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %.40q", e.Field, e.Value) }
+
+var (
+	errDuplicateRequestID = errors.New("field Request-Id is that of another try")
+	errKeyOfOtherBody     = errors.New("field Once-Key is that of a request with another body")
+)
 
+// The bounds of numbers in requests. What is outside is no request of a gateway, and must not reach the module's
+// estimates: one time far in the past would look like a backlog, one in the future would keep a key for good.
 const (
-	runPending  runState = iota // never begun
-	runInFlight                 // begun, and not over
-	runFinished                 // failRun with a result
-	runFailed                   // failRun without one
+	minFootprintKB, maxFootprintKB = 1e-6, 2000
+	maxWorkEstimateMS              = 1e5
+	maxBudgetMS                    = 1e9
+	// MaxSender bounds the numbers of gateways, which take new ones whenever they restart.
+	MaxSender = 1e15
+	// maxUnixMS bounds times in milliseconds since 1970.
+	maxUnixMS       = 1e15
+	maxClockSkew    = time.Second // between two machines
+	maxQueueingTime = time.Minute // a request may lie unread while the machine pauses
 )
 
-// attempt is one request of a gateway, from its reading to the end of its answer and its run.
-type attempt struct {
-	id              admission.RequestID
-	requestID       string // Request-Id, by which the interpreter knows it
-	conn            *gatewayConn
-	stream          gateway.StreamID
-	class           int
-	hasKey          bool // retryOf of it can be told by key
-	atMostOnce      bool // it must not run twice
-	key             idempotencyKey
-	arrivedAt       time.Duration // by the module's clock
-	receivedAt      time.Time     // Received-At
-	body            []byte
-	bodyHash        uint64 // values the body, where tries of one request must agree in it
-	retryOf         *attempt
-	isAnswered      bool // no answer is owed any more
-	state           runState
-	finishedAt      time.Duration    // done: when, by the module's clock
-	isIntentPending bool             // its intent is being written: the run is not asked for yet
-	isStopRequested bool             // and it will not be
-	result          gateway.Response // restartFields for repeats
-	routed          any              // its route, where the server routes: a *routed, which the catalogue server need not know
-	hasResult       bool             // result is valid
-	isExpired       bool             // no repeat can find it any more
-	waiters         []*attempt       // retryOf that wait for its run
-}
-
-// The bounds of figures. What is outside is no request of a gateway, and must not reach the module's estimates:
-// one time far in the past would look like a backlog, one in the future would keep a key for good.
+// The numbers of digits of fields in hexadecimal.
 const (
-	minFootprint, maxFootprint = 1e-6, 2000  // KB
-	maxWorkEstimate            = 1e5         // ms
-	maxSender                  = 1e15        // conns that restart take new numbers for ever
-	maxClockSkew               = time.Second // clocks of two machines differ
-	maxQueueingDelay           = time.Minute // a request may lie unread while the machine pauses
-	maxBudget                  = 1e9         // ms
+	requestIDDigits      = 16
+	idempotencyKeyDigits = 32
 )
 
-// fieldReader reads the fields of a request and keeps the first complaint.
-type fieldReader struct {
-	values map[string]string
+// FieldReader reads the fields of a request and keeps the first error.
+type FieldReader struct {
+	fields map[string]string // by their names in lower case
 	err    error
 }
 
-// required reads a field that must be there.
-func (f *fieldReader) required(name string) string {
-	value := f.values[strings.ToLower(name)]
-	if value == "" {
-		f.reject(name, value)
+// NewFieldReader returns a reader of fields that have their names in lower case.
+func NewFieldReader(fields map[string]string) *FieldReader { return &FieldReader{fields: fields} }
+
+// Err is the first error, or nil.
+func (f *FieldReader) Err() error { return f.err }
+
+// Reject notes that a field makes no sense.
+func (f *FieldReader) Reject(name, value, wanted string) {
+	if f.err == nil {
+		f.err = &FieldError{Field: name, Value: value, Wanted: wanted}
 	}
-	return value
 }
 
-// reject notes a field that makes no sense.
-func (f *fieldReader) reject(name, value string) {
-	if f.err == nil {
-		f.err = fmt.Errorf("field %s is %.40q", name, value)
+// Required returns a field that must be there.
+func (f *FieldReader) Required(name string) string {
+	value := f.fields[strings.ToLower(name)]
+	if value == "" {
+		f.Reject(name, value, "a value")
 	}
+	return value
 }
 
-// lastRequest reads a field within bounds; one that is absent is the default where there is one.
-func (f *fieldReader) number(name string, from, under float64, absent ...float64) float64 {
-	text := f.values[strings.ToLower(name)]
+// Number returns a number from low to below high. Where the field is absent, it returns the default, if there is one.
+func (f *FieldReader) Number(name string, low, high float64, absent ...float64) float64 {
+	text := f.fields[strings.ToLower(name)]
 	if text == "" && len(absent) > 0 {
 		return absent[0]
 	}
 	value, err := strconv.ParseFloat(text, 64)
-	if err != nil || strings.Trim(text, "0123456789.") != "" || !(value >= from && value < under) {
-		f.reject(name, text)
+	if err != nil || strings.Trim(text, "0123456789.") != "" || !(value >= low && value < high) {
+		f.Reject(name, text, "a number within its bounds")
 	}
 	return value
 }
 
-// hex reads a field of so many hex digits.
-func (f *fieldReader) hex(name string, digits int) string {
-	text := f.required(name)
+// Hex returns a field of so many hexadecimal digits.
+func (f *FieldReader) Hex(name string, digits int) string {
+	text := f.Required(name)
 	for _, r := range text {
 		if !strings.ContainsRune("0123456789abcdefABCDEF", r) {
-			f.reject(name, text)
+			f.Reject(name, text, "hexadecimal digits")
 		}
 	}
 	if len(text) != digits {
-		f.reject(name, text)
+		f.Reject(name, text, "hexadecimal digits")
 	}
 	return text
 }
 
-// requestParser turns a request of a gateway into a try and what the module is told of it, or into an answer that needs
-// neither.
-type requestParser func(r gateway.Request, now time.Duration) (*attempt, admission.Request, *gateway.Response, error)
+// ReceivedAt returns the time at which the gateway received the request, which is near the time of now.
+func (f *FieldReader) ReceivedAt(now time.Time) time.Time {
+	received := time.UnixMilli(int64(f.Number("Received-At", 1, maxUnixMS)))
+	if waited := now.Sub(received); waited > maxQueueingTime || waited < -maxClockSkew {
+		f.Reject("Received-At", f.fields["received-at"], "a time near the server's")
+	}
+	return received
+}
+
+// classPathPrefix is what the name of the class follows in the path.
+const classPathPrefix = "/v1/"
+
+// catalogueParser understands requests as the platform's gateways send them.
+type catalogueParser struct {
+	server      *Server
+	site        *settings.Site
+	runner      Runner
+	classIndex  map[string]int
+	tenantIndex map[string]int
+}
+
+// newCatalogueParser returns the parser of a server, whose requests the runner runs.
+func newCatalogueParser(s *Server, runner Runner) *catalogueParser {
+	return &catalogueParser{
+		server:      s,
+		site:        s.site,
+		runner:      runner,
+		classIndex:  indexByName(s.site.ClassNames),
+		tenantIndex: indexByName(s.site.TenantNames),
+	}
+}
 
-// bodyHash is that of a body, where tries of one request must agree in it.
-func (s *Server) hashBody(body []byte) uint64 {
-	if s.durable != nil {
-		return s.durable.hashBody(body)
+// Parse implements RequestParser.
+func (p *catalogueParser) Parse(r gateway.Request, now time.Duration) (ParsedRequest, error) {
+	f := NewFieldReader(r.Headers)
+	unixNow := p.server.loop.Now().Round(0)
+	parsed := ParsedRequest{Request: Request{Class: p.class(f, r), Body: r.Body, Runner: p.runner}}
+	parsed.RequestID = f.Hex("Request-Id", requestIDDigits)
+	parsed.ReceivedAt = f.ReceivedAt(unixNow)
+	parsed.Admission = p.admissionRequest(f, r, parsed.Class)
+	budget, hasBudget := p.budget(f, r)
+	p.tenant(f, &parsed.Admission)
+	p.key(f, r, &parsed)
+	if f.err != nil {
+		return ParsedRequest{}, f.err
 	}
-	return maphash.Bytes(s.hashSeed, body)
+	// The time that a request lay unread counts: its caller waits since Received-At.
+	waited := max(unixNow.Sub(parsed.ReceivedAt), 0)
+	parsed.Admission.QueueingDelay = waited
+	parsed.ArrivedAt = now - waited
+	if hasBudget {
+		parsed.Admission.RemainingTime = max(budget-waited, time.Nanosecond) // zero would mean that it is not known
+	}
+	return parsed, nil
 }
 
-// parseRequest is the intake on this platform.
-func (s *Server) parseRequest(r gateway.Request, now time.Duration) (*attempt, admission.Request, *gateway.Response, error) {
-	f := &fieldReader{values: r.Headers}
-	class, known := s.classIndex[strings.TrimPrefix(r.Path, classPath)]
-	if !known || !strings.HasPrefix(r.Path, classPath) {
-		f.reject("SCRIPT_NAME", r.Path)
+// class returns the index of the class that the path names.
+func (p *catalogueParser) class(f *FieldReader, r gateway.Request) int {
+	class, isKnown := p.classIndex[strings.TrimPrefix(r.Path, classPathPrefix)]
+	if !isKnown || !strings.HasPrefix(r.Path, classPathPrefix) {
+		f.Reject("SCRIPT_NAME", r.Path, classPathPrefix+" and a class of the site")
 	}
 	if r.Method != "POST" {
-		f.reject("REQUEST_METHOD", r.Method)
-	}
-	t := &attempt{requestID: f.hex("Request-Id", 16), class: class, body: r.Body}
-	unix := s.loop.Now().Round(0)
-	t.receivedAt = time.UnixMilli(int64(f.number("Received-At", 1, 1e15)))
-	if lain := unix.Sub(t.receivedAt); lain > maxQueueingDelay || lain < -maxClockSkew {
-		f.reject("Received-At", r.Headers["received-at"])
-	}
-	if again := r.Headers["attempt-again"]; again != "" && again != "1" {
-		f.reject("Attempt-Again", again)
-	}
-	q := admission.Request{Class: class, IsRetry: r.Headers["attempt-again"] == "1",
-		Caller: int(f.number("Sent-By", 0, maxSender, 0)),
-		Work:   time.Duration(f.number("Work-Estimate", 0, maxWorkEstimate, 0) * float64(time.Millisecond)),
-		SizeKB: f.number("Footprint-Kb", minFootprint, maxFootprint)}
-	f.number("Priority-Rank", 0, 1, 0)
-	// Told in milliseconds from Received-At where the site passes deadlines, and no field of a request elsewhere.
-	budget, told := time.Duration(0), s.told.Admission.HasDeadlines && r.Headers["budget-ms"] != ""
-	if told {
-		budget = time.Duration(f.number("Budget-Ms", 0, maxBudget) * float64(time.Millisecond))
-	}
-	if len(s.tenantIndex) > 0 {
-		account := f.required("Account")
-		if q.Tenant, known = s.tenantIndex[account]; !known {
-			f.reject("Account", account)
-		}
+		f.Reject("REQUEST_METHOD", r.Method, "POST")
+	}
+	return class
+}
+
+// admissionRequest returns what the module is told of a request.
+func (p *catalogueParser) admissionRequest(f *FieldReader, r gateway.Request, class int) admission.Request {
+	retry := r.Headers["attempt-again"]
+	if retry != "" && retry != "1" {
+		f.Reject("Attempt-Again", retry, "1 or nothing")
+	}
+	q := admission.Request{
+		Class:   class,
+		IsRetry: retry == "1",
+		Caller:  int(f.Number("Sent-By", 0, MaxSender, 0)),
+		Work:    milliseconds(f.Number("Work-Estimate", 0, maxWorkEstimateMS, 0)),
+		SizeKB:  f.Number("Footprint-Kb", minFootprintKB, maxFootprintKB),
+	}
+	f.Number("Priority-Rank", 0, 1, 0) // not used, but one that makes no sense is no gateway's
+	return q
+}
+
+// budget returns how long after Received-At the caller waits, at sites where gateways tell it. The field is no field
+// of a request elsewhere.
+func (p *catalogueParser) budget(f *FieldReader, r gateway.Request) (budget time.Duration, ok bool) {
+	if !p.site.Admission.HasDeadlines || r.Headers["budget-ms"] == "" {
+		return 0, false
+	}
+	return milliseconds(f.Number("Budget-Ms", 0, maxBudgetMS)), true
+}
+
+// tenant reads the tenant, at sites that have any.
+func (p *catalogueParser) tenant(f *FieldReader, q *admission.Request) {
+	if len(p.tenantIndex) == 0 {
+		return
+	}
+	account := f.Required("Account")
+	tenant, isKnown := p.tenantIndex[account]
+	if !isKnown {
+		f.Reject("Account", account, "a tenant of the site")
 	}
-	set := s.told.Admission
-	switch effect := set.Classes[class].Effect; {
+	q.Tenant = tenant
+}
+
+// key reads what tells retries of a request, or reads of one resource, from others.
+func (p *catalogueParser) key(f *FieldReader, r gateway.Request, parsed *ParsedRequest) {
+	set := &p.site.Admission
+	switch effect := set.Classes[parsed.Class].Effect; {
 	case effect == admission.IdempotentByKey:
-		t.hasKey, t.atMostOnce, t.key = true, true, idempotencyKey{class, strings.ToLower(f.hex("Once-Key", 32))}
-		t.bodyHash = s.hashBody(r.Body)
+		parsed.HasKey, parsed.AtMostOnce = true, true
+		parsed.Key = strings.ToLower(f.Hex("Once-Key", idempotencyKeyDigits))
+		parsed.BodyHash = p.server.HashBody(r.Body)
 	case effect == admission.NonIdempotent:
-		t.atMostOnce = true
+		parsed.AtMostOnce = true
 	case r.Headers["resource-key"] != "":
-		subject, err := strconv.ParseUint(r.Headers["resource-key"], 16, 64)
+		resource, err := strconv.ParseUint(r.Headers["resource-key"], 16, 64)
 		if err != nil {
-			f.reject("Resource-Key", r.Headers["resource-key"])
+			f.Reject("Resource-Key", r.Headers["resource-key"], "a hexadecimal number")
 		}
-		q.ResourceID = subject
-		if set.ResultFreshness > 0 && subject != 0 {
-			// Reads of one subject that ask for different things have different answers.
-			t.hasKey, t.key = true, idempotencyKey{class, fmt.Sprintf("%x %x", subject, s.hashBody(r.Body))}
+		parsed.Admission.ResourceID = resource
+		if set.ResultFreshness > 0 && resource != 0 {
+			// Reads of one resource that ask for different things have different answers.
+			parsed.HasKey = true
+			parsed.Key = fmt.Sprintf("%x %x", resource, p.server.HashBody(r.Body))
 		}
 	}
-	if f.err != nil {
-		return nil, q, nil, f.err
-	}
-	// The time that a request lay unread counts: its caller waits since Received-At.
-	q.QueueingDelay = max(unix.Sub(t.receivedAt), 0)
-	t.arrivedAt = now - q.QueueingDelay
-	if told {
-		q.RemainingTime = max(budget-q.QueueingDelay, time.Nanosecond) // none would mean that it is not told
-	}
-	return t, q, nil, nil
 }
+
+// milliseconds converts a number of milliseconds.
+func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
--- a/server/requests.go
+++ b/server/requests.go
@@ -1,213 +1,164 @@
 package server
 
 import (
-	"cmp"
-	"errors"
-	"fmt"
-	"slices"
+	"hash/maphash"
 	"strconv"
 	"time"
 
 	"tillerusher/admission"
 	"tillerusher/internal/gateway"
-	"tillerusher/internal/interpreter"
 )
 
-// handleRequest takes in a whole request.
-func (s *Server) handleRequest(g *gatewayConn, id gateway.StreamID, r gateway.Request) {
+// The statuses of answers.
+const (
+	statusOK            = 200
+	statusBadRequest    = 400
+	statusTooLarge      = 413
+	statusInternalError = 500
+	statusUnavailable   = 503
+)
+
+// handleRequest takes in a whole request: a health check, one that is answered at once, or one that becomes an attempt
+// which the module decides on.
+func (s *Server) handleRequest(g *gatewayConn, stream gateway.StreamID, r gateway.Request) {
 	if r.Path == healthPath {
-		s.checkHealth(g, id, r)
+		s.checkHealth(g, stream, r)
 		return
 	}
 	s.counters.requests++
-	now := s.moduleTime()
-	t, q, direct, err := s.parser(r, now)
-	if direct != nil {
+	now := s.eventTime()
+	parsed, err := s.parser.Parse(r, now)
+	switch {
+	case err != nil:
+		s.answerInvalid(g, stream, err)
+		return
+	case parsed.Response != nil:
 		g.validRequests++
 		s.counters.directAnswers++
-		g.sendAnswer(id, *direct)
+		g.respond(stream, *parsed.Response)
 		return
-	}
-	if err == nil && s.module == nil {
+	case s.module.events == nil: // nothing can run yet
 		g.validRequests++
-		s.counters.rejected++
-		g.sendAnswer(id, rejection(s.told.Admission.MaxRetryAfter, false)) // nothing can run yet
+		s.rejectEarly(g, stream)
 		return
 	}
-	if err == nil {
-		err = s.identify(t, now)
-	}
-	if err != nil {
-		s.counters.invalid++
-		g.sendAnswer(id, gateway.Response{Status: statusBadRequest, Body: []byte(err.Error() + "\n")})
+	a := &attempt{Request: parsed.Request, conn: g, stream: stream}
+	if err := s.identify(a, now); err != nil {
+		s.answerInvalid(g, stream, err)
 		return
 	}
 	g.validRequests++
-	if s.durable != nil && s.durable.rejects(t) {
-		s.counters.rejected++
-		g.sendAnswer(id, rejection(s.told.Admission.MaxRetryAfter, false))
+	if s.durable != nil && s.durable.rejects(a) {
+		s.rejectEarly(g, stream)
 		return
 	}
-	s.lastID++
-	t.id, q.ID, t.conn, t.stream = s.lastID, s.lastID, g, id
-	if q.IsRetry {
-		s.counters.retries++
+	s.admit(a, parsed.Admission, now)
+}
+
+// answerInvalid answers a request that makes no sense.
+func (s *Server) answerInvalid(g *gatewayConn, stream gateway.StreamID, err error) {
+	s.counters.invalid++
+	g.respond(stream, gateway.Response{Status: statusBadRequest, Body: []byte(err.Error() + "\n")})
+}
+
+// rejectEarly rejects a request that the module does not hear of.
+func (s *Server) rejectEarly(g *gatewayConn, stream gateway.StreamID) {
+	s.counters.rejected++
+	g.respond(stream, rejection(s.site.Admission.MaxRetryAfter, false))
+}
+
+// identify finds the attempt that this one is a retry of. It returns an error for a request ID that was used before,
+// and for a key whose request had another body: the sender must not get the result of that.
+func (s *Server) identify(a *attempt, now time.Duration) error {
+	if !a.HasOwnID {
+		if err := s.attempts.checkRequestID(a.RequestID, now); err != nil {
+			return err
+		}
 	}
-	if t.retryOf != nil {
-		s.counters.coalesced++
-		q.RetryOf = t.retryOf.id
+	if !a.HasKey {
+		return nil
 	}
-	s.classCounts[t.class].requests++
-	s.attempts[t.id], s.byRequestID[t.requestID], g.attempts[id] = t, t, t
-	if s.tap != nil {
-		s.tap.NameRequest(t.id, t.requestID, t.key.key)
+	a.retryOf = s.keys.findOriginal(a, now)
+	if a.retryOf != nil && a.retryOf.BodyHash != a.BodyHash {
+		return errKeyOfOtherBody
 	}
-	s.module.Request(now, q)
+	return nil
 }
 
-// identify finds the try that this one repeats. It complains of an id that was used before, and of a key whose
-// request had another body: its sender must not get the result of that.
-func (s *Server) identify(t *attempt, now time.Duration) error {
-	number, err := strconv.ParseUint(t.requestID, 16, 64)
-	if err != nil {
-		return fmt.Errorf("field Request-Id: %w", err)
+// admit has the module decide on an attempt.
+func (s *Server) admit(a *attempt, q admission.Request, now time.Duration) {
+	a.id = s.attempts.nextID()
+	q.ID = a.id
+	if q.IsRetry {
+		s.counters.retries++
 	}
-	if t.routed == nil && (s.byRequestID[t.requestID] != nil || !s.recentIDs.add(number, now)) {
-		return errors.New("field Request-Id is that of another try")
+	if a.retryOf != nil {
+		s.counters.coalesced++
+		q.RetryOf = a.retryOf.id
 	}
-	if !t.hasKey {
-		return nil
+	s.classCounters[a.Class].requests++
+	s.attempts.add(a)
+	a.conn.attempts[a.stream] = a
+	if s.capture.tap != nil {
+		s.capture.tap.NameRequest(a.id, a.RequestID, a.Key)
 	}
-	if t.retryOf = s.keys.findOriginal(t, now); t.retryOf != nil && t.retryOf.bodyHash != t.bodyHash {
-		return errors.New("field Once-Key is that of a request with another body")
+	s.module.events.Request(now, q)
+}
+
+// HashBody returns the hash of a body by which attempts with one idempotency key must agree.
+func (s *Server) HashBody(body []byte) uint64 {
+	if s.durable != nil {
+		return s.durable.hashBody(body)
 	}
-	return nil
+	return maphash.Bytes(s.bodyHashSeed, body)
 }
 
-// sendAnswer gives a try its final answer.
-func (s *Server) answer(t *attempt, a gateway.Response) {
-	if t.isAnswered {
+// rejection returns an answer that says when to come back, where callers honour that, and whether to try no other
+// server.
+func rejection(retryAfter time.Duration, isFinal bool) gateway.Response {
+	r := gateway.Response{Status: statusUnavailable}
+	if retryAfter > 0 {
+		ms := (retryAfter + time.Millisecond - 1) / time.Millisecond
+		r.Headers = append(r.Headers, gateway.Field{Name: "Back-Off-Ms", Value: strconv.FormatInt(int64(ms), 10)})
+	}
+	if isFinal {
+		r.Headers = append(r.Headers, gateway.Field{Name: "Final-Refusal", Value: "1"})
+	}
+	return r
+}
+
+// answer gives an attempt its only answer.
+func (s *Server) answer(a *attempt, r gateway.Response) {
+	if a.isAnswered {
 		return
 	}
-	t.isAnswered = true
-	delete(t.conn.attempts, t.stream)
-	class := &s.classCounts[t.class]
+	a.isAnswered = true
+	delete(a.conn.attempts, a.stream)
+	class := &s.classCounters[a.Class]
 	switch {
-	case a.Status == statusUnavailable:
+	case r.Status == statusUnavailable:
 		s.counters.rejected++
 		class.rejected++
-	case a.Status < statusInternalError: // members may answer with any status
+	case r.Status < statusInternalError: // servers behind a router may answer with any status
 		s.counters.served++
 		class.served++
 	default:
 		s.counters.failed++
 		class.failed++
 	}
-	t.conn.sendAnswer(t.stream, a)
-}
-
-// dropResult forgets a try that is answered and does not run.
-func (s *Server) forget(t *attempt) {
-	if t.isAnswered && t.state != runInFlight {
-		delete(s.attempts, t.id)
-		delete(s.byRequestID, t.requestID)
-		t.body, t.conn, t.routed = nil, nil, nil // a remembered key must not hold on to its connection
-	}
-}
-
-// finishRun ends the run of a try.
-func (s *Server) finishRun(wire string, end interpreter.Outcome, result gateway.Response) {
-	t := s.byRequestID[wire]
-	if t == nil || t.state != runInFlight {
-		return
-	}
-	s.counters.runsFinished++
-	switch end {
-	case interpreter.OutcomeOK:
-		t.state, t.finishedAt = runFinished, s.clock.now
-		if t.hasKey {
-			s.keys.storeResult(t, result)
-		}
-		if t.hasKey && t.atMostOnce && s.durable != nil {
-			s.durable.storeResult(t, result)
-		}
-		s.answer(t, result)
-		s.reportRunFinished(t, admission.OK, result)
-	case interpreter.OutcomeStopped:
-		s.counters.runsStopped++
-		s.failRun(t, admission.Cancelled)
-	case interpreter.OutcomeRejected:
-		s.counters.runsFailed++
-		s.releaseKey(t)
-		s.failRun(t, admission.NotStarted)
-	case interpreter.OutcomeNotStarted:
-		s.counters.runsNotStarted++
-		s.failRun(t, admission.NotStarted)
-	default:
-		s.counters.runsFailed++
-		s.failRun(t, admission.Failed)
-	}
+	a.conn.respond(a.stream, r)
 }
 
-// releaseKey has the key of a try be free for the request that it belongs to: nothing ran.
-func (s *Server) releaseKey(t *attempt) {
-	s.keys.unclaim(t)
-	if t.hasKey && t.atMostOnce && s.durable != nil {
-		s.durable.releaseKey(t)
-	}
-}
-
-// failRun ends a run that made no result. The answer that may still be owed is a failure: whether anything was
-// done is not known.
-func (s *Server) failRun(t *attempt, o admission.Outcome) {
-	t.state = runFailed
-	s.answer(t, gateway.Response{Status: statusInternalError})
-	s.reportRunFinished(t, o, gateway.Response{})
+// answerFailed answers an attempt of which it is not known whether it ran.
+func (s *Server) answerFailed(a *attempt) {
+	s.answer(a, gateway.Response{Status: statusInternalError})
 }
 
-// closeAfterSend tells the module how a run ended, and then those that waited for it.
-func (s *Server) reportRunFinished(t *attempt, o admission.Outcome, result gateway.Response) {
-	s.module.RunFinished(s.moduleTime(), t.id, o)
-	waiters := t.waiters
-	t.waiters = nil
-	for _, w := range waiters {
-		s.answerReplay(w, t.state == runFinished, result)
-	}
-	s.forget(t)
-}
-
-// replayResult answers a repeat from the kept result of the try that was run.
-func (s *Server) replayResult(t, source *attempt) {
-	if source == nil || !source.hasResult {
-		s.answerReplay(t, false, gateway.Response{})
-		return
+// forget drops an attempt that is answered and does not run. Its key may be remembered for long, so it must not hold
+// on to the connection, the body and the route.
+func (s *Server) forget(a *attempt) {
+	if a.isAnswered && a.state != runInFlight {
+		s.attempts.remove(a)
+		a.Body, a.conn, a.Runner = nil, nil, nil
 	}
-	s.answerReplay(t, true, source.result)
-}
-
-// answerReplay gives a repeat its outcome.
-func (s *Server) answerReplay(t *attempt, ok bool, result gateway.Response) {
-	if t.isAnswered {
-		return
-	}
-	outcome := admission.Failed
-	if ok {
-		outcome = admission.OK
-		s.counters.replayed++
-		s.answer(t, result)
-	} else {
-		s.answer(t, gateway.Response{Status: statusInternalError})
-	}
-	s.module.RunFinished(s.moduleTime(), t.id, outcome)
-	s.forget(t)
-}
-
-// inArrivalOrder returns tries in the order of reading.
-func inArrivalOrder[K comparable](tries map[K]*attempt) []*attempt {
-	list := make([]*attempt, 0, len(tries))
-	for _, t := range tries {
-		list = append(list, t)
-	}
-	slices.SortFunc(list, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
-	return list
 }
