--- a/server/server_test.go
+++ b/server/server_test.go
@@ -15,57 +15,57 @@
 	"tillerusher/internal/settings"
 )
 
-// testTold is what the test's settings say, but for the cores: so many have to have ended their first runs before a time
+// testSite is what the test's settings say, but for the cores: so many have to have ended their first runs before a time
 // without an end is taken for a stall that a test on a slow machine never gets there. Stalls are the module's tests' affair.
-func testTold(t *testing.T) *settings.Site {
+func testSite(t *testing.T) *settings.Site {
 	t.Helper()
-	told, err := settings.Parse([]byte(fake.SiteSettings))
+	site, err := settings.Parse([]byte(fake.SiteSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told.Admission.Cores = 10_000
-	return told
+	site.Admission.Cores = 10_000
+	return site
 }
 
 // runAfterIntent starts a server with an interpreter, which serves when it returns, and drains it with the test.
-func run(t *testing.T) (*Server, *servertest.Interpreter) {
+func startServer(t *testing.T) (*Server, *servertest.Interpreter) {
 	t.Helper()
-	return runAt(t, testTold(t))
+	return startServerAt(t, testSite(t))
 }
 
 // runAt is run at a site.
-func runAt(t *testing.T, told *settings.Site) (*Server, *servertest.Interpreter) {
+func startServerAt(t *testing.T, site *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
-	return runOn(t, eventloop.Kernel{}, told)
+	return startServerOn(t, eventloop.Kernel{}, site)
 }
 
 // runOn is runAt on a system that need not be the machine's.
-func runOn(t *testing.T, system eventloop.System, told *settings.Site) (*Server, *servertest.Interpreter) {
+func startServerOn(t *testing.T, system eventloop.System, site *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
-	s := runWith(t, system, told, it)
+	s := startServerWith(t, system, site, it)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	defer g.Close()
-	servertest.WaitFor(t, "a healthy server", func() bool { return check(g, false) == 200 })
+	servertest.WaitFor(t, "a healthy server", func() bool { return checkHealth(g, false) == 200 })
 	return s, it
 }
 
 // runWith starts a server with an interpreter that need not be up.
-func runWith(t *testing.T, system eventloop.System, told *settings.Site, it *servertest.Interpreter) *Server {
+func startServerWith(t *testing.T, system eventloop.System, site *settings.Site, it *servertest.Interpreter) *Server {
 	t.Helper()
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)),
 		Interpreter: netip.MustParseAddrPort(it.Addr()), LoadReports: netip.MustParseAddrPort("127.0.0.1:9"),
-		StopTimeout: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64}, Settings: told}
+		StopTimeout: time.Second, Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 64}, Settings: site}
 	s, err := NewOnSystem(system, cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	serveFor(t, s)
+	runUntilTestEnd(t, s)
 	return s
 }
 
-// serveFor runs a server until the test ends, and drains it then.
-func serveFor(t testing.TB, s *Server) {
+// runUntilTestEnd runs a server until the test ends, and drains it then.
+func runUntilTestEnd(t testing.TB, s *Server) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
@@ -78,13 +78,13 @@
 }
 
 // checkHealth asks for the server's health.
-func check(g *servertest.Gateway, full bool) int {
+func checkHealth(g *servertest.Gateway, full bool) int {
 	g.Write(fake.NewHealthCheck(full).Encode(1))
 	return g.WaitResponse(1).Status
 }
 
 // do has the server's goroutine do something, and waits for it.
-func do(s *Server, step func()) {
+func onLoop(s *Server, step func()) {
 	done := make(chan bool)
 	s.loop.Post(func() {
 		step()
@@ -96,21 +96,21 @@
 // TestDeepCheck has a check do real work where the module does not have it answered from store: it is good
 // only when the work was done, and not waited for without end.
 func TestDeepCheck(t *testing.T) {
-	s, it := run(t)
+	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	do(s, func() { s.healthFromStore = false })
-	if got := check(g, true); got != 200 {
+	onLoop(s, func() { s.health.isFixed = false })
+	if got := checkHealth(g, true); got != 200 {
 		t.Errorf("deep check of a server that works: %d", got)
 	}
 	it.IgnoreQueries()
-	if got := check(g, true); got != 503 {
+	if got := checkHealth(g, true); got != 503 {
 		t.Errorf("deep check of a server that does not work: %d", got)
 	}
-	if got := check(g, false); got != 200 {
+	if got := checkHealth(g, false); got != 200 {
 		t.Errorf("shallow check: %d", got)
 	}
-	do(s, func() { actions{s}.SetHealth(false, true) })
-	if got := check(g, false); got != 503 {
+	onLoop(s, func() { actions{s}.SetHealth(false, true) })
+	if got := checkHealth(g, false); got != 503 {
 		t.Errorf("check of a server that the module calls bad: %d", got)
 	}
 }
@@ -118,25 +118,25 @@
 // TestCloseIdle closes connections that carry nothing for the time the module sets, and none with an open
 // request.
 func TestCloseIdle(t *testing.T) {
-	s, it := run(t)
+	s, it := startServer(t)
 	idle, busy := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
-	check(idle, false)
+	checkHealth(idle, false)
 	busy.Write(fake.NewLookup("").Encode(1))
 	run := it.WaitRuns(1)[0].ID
 	servertest.WaitFor(t, "the module's own setting", func() (set bool) {
-		do(s, func() { set = s.idleTimeout > 0 })
+		onLoop(s, func() { set = s.conns.idleTimeout > 0 })
 		return set
 	})
-	do(s, func() { actions{s}.CloseIdleConnections(20 * time.Millisecond) })
+	onLoop(s, func() { actions{s}.CloseIdleConnections(20 * time.Millisecond) })
 	idle.WaitClosed()
 	it.EndRun(run, "OK", []byte("x"))
 	if a := busy.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer on the connection with an open request: %+v", a)
 	}
 	busy.WaitClosed()
-	do(s, func() {
-		if s.counters.idleClosed < 2 {
-			t.Errorf("%d connections were closed as idle", s.counters.idleClosed)
+	onLoop(s, func() {
+		if s.conns.counters.idleClosed < 2 {
+			t.Errorf("%d connections were closed as idle", s.conns.counters.idleClosed)
 		}
 	})
 }
--- a/server/shared_reads_test.go
+++ b/server/shared_reads_test.go
@@ -17,9 +17,9 @@
 // does while it is fresh, however the subject is written; for another thing it does not, as its sender would be
 // answered with what no run made for it (seen on the short days at a site of ours, 63 times in one day).
 func TestSharedReads(t *testing.T) {
-	told := testTold(t)
-	told.Admission.ResultFreshness = time.Hour
-	s, it := runAt(t, told)
+	site := testSite(t)
+	site.Admission.ResultFreshness = time.Hour
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	g.Write(reader("00aa", "fits what").Encode(1))
 	it.WaitRuns(1)
@@ -40,7 +40,7 @@
 			t.Errorf("request %d: %d %q, want %q", id, a.Status, a.Body, want)
 		}
 	}
-	do(s, func() {
+	onLoop(s, func() {
 		if s.counters.replayed != 2 {
 			t.Errorf("%d answers served others, want 2", s.counters.replayed)
 		}
@@ -49,9 +49,9 @@
 
 // TestStaleReads asks again after an answer went stale, and after a run without a result: both are run anew.
 func TestStaleReads(t *testing.T) {
-	told := testTold(t)
-	told.Admission.ResultFreshness = time.Nanosecond
-	s, it := runAt(t, told)
+	site := testSite(t)
+	site.Admission.ResultFreshness = time.Nanosecond
+	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	for i, end := range []string{"OK", "ERROR", "OK"} {
 		g.Write(reader("00aa", "fits what").Encode(uint16(i + 1)))
