--- /dev/null
+++ b/server/durable.go
@@ -0,0 +1,317 @@
+package server
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"time"
+
+	"go.uber.org/zap"
+
+	"tillerusher/admission"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/idempotency"
+	"tillerusher/internal/maintenance"
+)
+
+// DurableStore keeps records over restarts; internal/store is one.
+type DurableStore interface {
+	// Write takes in changes without waiting for the disk, and reports from any goroutine what became of them.
+	Write(changes []idempotency.Change, done func(error)) error
+	// ForEach visits the records whose names begin with a prefix.
+	ForEach(prefix string, visit func(name, value []byte) error) error
+	// Get returns the value of a record, or nil where there is none.
+	Get(name string) ([]byte, error)
+	// Secret is the store's own, the same over restarts.
+	Secret() []byte
+	// Machine names the machine on which this process runs.
+	Machine() string
+	// Compact frees the space of removed records, where there is much, and returns how many bytes it rewrote. It may
+	// take long, and is called from a goroutine of its own.
+	Compact() (int64, error)
+	// Stats are the store's counters.
+	Stats() idempotency.StoreStats
+	Close() error
+}
+
+// durability is what a server needs of durableResults. It is an interface so that a program that keeps no state does
+// not link them.
+type durability interface {
+	// hashBody is as Server.HashBody, the same over restarts.
+	hashBody(body []byte) uint64
+	// restoreRunTimes tells a new module the run times that an earlier process measured.
+	restoreRunTimes(module *admission.Instance)
+	// rejects returns whether an attempt would run at most once but can't be protected now.
+	rejects(a *attempt) bool
+	// runAfterIntent has an attempt run once its intent is written.
+	runAfterIntent(a *attempt)
+	// storeResult has the result of a run kept.
+	storeResult(a *attempt, r gateway.Response)
+	// releaseKey has the key of an attempt be free again, since nothing ran.
+	releaseKey(a *attempt)
+	// runMaintenance runs the maintenance tasks that are due.
+	runMaintenance()
+	counters() []Counter
+	close()
+}
+
+// durableResults keeps the results of requests with an idempotency key over restarts, by the rules of
+// internal/idempotency. Two orders hold: the intent of a run is on the disk before the backend hears of the run, and
+// its result is handed to the disk before the caller is answered.
+type durableResults struct {
+	server      *Server
+	store       DurableStore
+	table       *idempotency.Table
+	classIndex  map[string]int
+	machine     string                     // on which this process runs
+	runTimes    []idempotency.ClassRunTime // what an earlier process measured, as far as it counts here
+	maintenance *maintenance.Scheduler
+	startedAt   time.Time
+	// unprotected counts the requests that were rejected because they could not be protected, recovered those that an
+	// earlier process may have run, and unreadable the records that could not be read.
+	unprotected, recovered, unreadable uint64
+}
+
+// EnableDurableResults has the results of requests with an idempotency key outlast the process, and takes in what an
+// earlier one left. It has to be called before Run, which closes the store at its end.
+func (s *Server) EnableDurableResults(store DurableStore, limits idempotency.Limits) error {
+	d := &durableResults{
+		server:     s,
+		store:      store,
+		table:      idempotency.NewTable(limits),
+		classIndex: indexByName(s.site.ClassNames),
+		machine:    store.Machine(),
+		startedAt:  s.loop.Now(),
+	}
+	var err error
+	if d.maintenance, err = newMaintenance(); err != nil {
+		return err
+	}
+	if err := d.readRunTimes(); err != nil {
+		return err
+	}
+	if err := d.readRecords(); err != nil {
+		return err
+	}
+	s.durable = d
+	d.restoreAttempts()
+	keys, bytes := d.table.Size()
+	s.log.Info("state read",
+		zap.Int("keys", keys),
+		zap.Int64("bytes", bytes),
+		zap.Uint64("recovered", d.recovered),
+		zap.Uint64("unread", d.unreadable))
+	return nil
+}
+
+// readRecords reads the records of an earlier process. One that can't be read is skipped: what is whole counts, and
+// only the retries of that one request may run again.
+func (d *durableResults) readRecords() error {
+	return d.store.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
+		if err := d.table.Load(string(name), value); err != nil {
+			d.unreadable++
+			d.server.log.Error("state record not read", zap.Error(err))
+		}
+		return nil
+	})
+}
+
+// restoreAttempts makes the requests that an earlier process may have run known again.
+func (d *durableResults) restoreAttempts() {
+	now := d.server.loop.Now().Round(0)
+	for _, e := range d.table.Entries() {
+		if class, isKnown := d.classIndex[e.Key.Class]; isKnown && !now.After(e.ExpiresAt) {
+			d.restoreAttempt(class, e)
+		}
+	}
+}
+
+// restoreAttempt makes one request known again, as an attempt that is answered and over.
+func (d *durableResults) restoreAttempt(class int, e idempotency.Entry) {
+	d.recovered++
+	request := Request{
+		Class:      class,
+		AtMostOnce: true,
+		Key:        e.Key.Key,
+		HasKey:     true,
+		BodyHash:   e.BodyHash,
+		ReceivedAt: e.ReceivedAt,
+	}
+	a := &attempt{Request: request, id: d.server.attempts.nextID(), isAnswered: true, state: runFailed}
+	d.server.keys.restoreRun(a, e.ReceivedAt.Add(d.window(class)))
+	if e.State == idempotency.Completed {
+		a.state = runSucceeded
+		d.server.keys.storeResult(a, responseOf(e.Response))
+	}
+}
+
+// responseOf converts the stored form of a response.
+func responseOf(a idempotency.Response) gateway.Response {
+	r := gateway.Response{Status: a.Status, Body: a.Body}
+	for _, f := range a.Header {
+		r.Headers = append(r.Headers, gateway.Field{Name: f.Name, Value: f.Value})
+	}
+	return r
+}
+
+// storedFormOf converts a response to its stored form.
+func storedFormOf(r gateway.Response) idempotency.Response {
+	a := idempotency.Response{Status: r.Status, Body: r.Body}
+	for _, f := range r.Headers {
+		a.Header = append(a.Header, idempotency.HeaderField{Name: f.Name, Value: f.Value})
+	}
+	return a
+}
+
+// hashBody implements durability. The store's secret makes hashes the same over restarts, and such that no sender can
+// construct two bodies with one hash.
+func (d *durableResults) hashBody(body []byte) uint64 {
+	h := sha256.New()
+	h.Write(d.store.Secret())
+	h.Write(body)
+	return binary.BigEndian.Uint64(h.Sum(nil))
+}
+
+// key is an attempt's key as records have it.
+func (d *durableResults) key(a *attempt) idempotency.Key {
+	return idempotency.Key{Class: d.server.site.ClassNames[a.Class], Key: a.Key}
+}
+
+// window is for how long after a run's ReceivedAt no attempt of its request must run again.
+func (d *durableResults) window(class int) time.Duration {
+	return d.server.site.Admission.Classes[class].KeyWindow + keyWindowSlack
+}
+
+// rejects implements durability. A retry is let in: its key is known already.
+func (d *durableResults) rejects(a *attempt) bool {
+	if !a.HasKey || !a.AtMostOnce || a.retryOf != nil {
+		return false
+	}
+	verdict := d.table.Admit(d.server.loop.Now().Round(0))
+	if verdict == idempotency.Admitted {
+		return false
+	}
+	d.unprotected++
+	if isPowerOfTwo(d.unprotected) { // many are rejected while a disk is full
+		d.server.log.Warn("keyed request rejected", zap.Stringer("why", verdict), zap.Uint64("so_far", d.unprotected))
+	}
+	return true
+}
+
+// isPowerOfTwo returns whether a positive number is a power of two.
+func isPowerOfTwo(n uint64) bool { return n&(n-1) == 0 }
+
+// runAfterIntent implements durability.
+func (d *durableResults) runAfterIntent(a *attempt) {
+	a.isIntentPending = true
+	// An attempt runs until its deadline, so one that was received within the window may end so much after it.
+	until := a.ReceivedAt.Add(d.window(a.Class) + d.server.maxDeadline)
+	intent := idempotency.Entry{Key: d.key(a), ReceivedAt: a.ReceivedAt, ExpiresAt: until, BodyHash: a.BodyHash}
+	err := d.store.Write(d.table.Begin(intent), func(err error) {
+		d.server.loop.Post(func() { d.intentWritten(a, err) })
+	})
+	if err != nil {
+		d.server.deferEvent(func() { d.intentWritten(a, err) })
+	}
+}
+
+// intentWritten goes on with an attempt whose intent is written, or could not be.
+func (d *durableResults) intentWritten(a *attempt, err error) {
+	d.noteWrite(err)
+	a.isIntentPending = false
+	switch {
+	case err != nil:
+		d.rejectUnprotected(a)
+	case a.state != runInFlight || a.isStopRequested:
+		d.write(d.table.Abort(d.key(a)))
+		if a.state == runInFlight {
+			d.server.keys.unclaim(a)
+			d.server.failRun(a, admission.Cancelled)
+		}
+	default:
+		a.Runner.Run(&a.Request)
+	}
+}
+
+// rejectUnprotected ends an attempt whose intent could not be written. Nothing ran, and the caller may hear so.
+func (d *durableResults) rejectUnprotected(a *attempt) {
+	d.table.RevertIntent(d.key(a))
+	if a.state != runInFlight {
+		return
+	}
+	d.unprotected++
+	d.server.answer(a, rejection(d.server.site.Admission.MaxRetryAfter, false))
+	d.server.RunFinished(a.RequestID, RunRejected, gateway.Response{})
+}
+
+// storeResult implements durability.
+func (d *durableResults) storeResult(a *attempt, r gateway.Response) {
+	d.write(d.table.Complete(d.key(a), storedFormOf(r)))
+}
+
+// releaseKey implements durability.
+func (d *durableResults) releaseKey(a *attempt) { d.write(d.table.Abort(d.key(a))) }
+
+// write hands over changes that nothing waits for.
+func (d *durableResults) write(changes []idempotency.Change) {
+	if len(changes) == 0 {
+		return
+	}
+	err := d.store.Write(changes, func(err error) {
+		if err != nil {
+			d.server.loop.Post(func() { d.noteWrite(err) })
+		}
+	})
+	if err != nil {
+		d.noteWrite(err)
+	}
+}
+
+// noteWrite tells the journal whether a write worked, and logs where the disk failed or recovered by that.
+func (d *durableResults) noteWrite(err error) {
+	if !d.table.ObserveWrite(err, d.server.loop.Now().Round(0)) {
+		return
+	}
+	if err != nil {
+		d.server.log.Error("state not written", zap.Error(err),
+			zap.String("mode", "keyed requests are rejected, all others served"))
+	} else {
+		d.server.log.Info("state written again")
+	}
+	d.server.Annotate("state: %v", d.table.DiskState())
+}
+
+// counters implements durability.
+func (d *durableResults) counters() []Counter {
+	c, k := &d.table.Counters, d.store.Stats()
+	keys, bytes := d.table.Size()
+	return []Counter{
+		{"state_keys", uint64(keys)},
+		{"state_bytes", uint64(bytes)},
+		{"state_mode", uint64(d.table.DiskState())},
+		{"intents", c.Intents},
+		{"results_kept", c.Completed},
+		{"keys_freed", c.Aborted},
+		{"keys_expired", c.Expired},
+		{"answers_given_up", c.Evicted},
+		{"turned_away_no_room", c.RejectedFull},
+		{"turned_away_no_disk", c.RejectedDisk},
+		{"write_failures", c.WriteFailures},
+		{"disk_recoveries", c.Recoveries},
+		{"unprotected", d.unprotected},
+		{"recovered", d.recovered},
+		{"records_unread", d.unreadable},
+		{"syncs", k.Syncs},
+		{"changes", k.Changes},
+		{"reopened", k.Reopens},
+	}
+}
+
+// close implements durability. What was handed to the store is on the disk when it returns.
+func (d *durableResults) close() {
+	d.saveRunTimes()
+	d.server.logCounterLine("state", nil, d.counters())
+	if err := d.store.Close(); err != nil {
+		d.server.log.Error("state not closed", zap.Error(fmt.Errorf("state: %w", err)))
+	}
+}
