--- /dev/null
+++ b/internal/capture/directory.go
@@ -0,0 +1,105 @@
+package capture
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Directory is where segments are written. Tests replace it by one that fills up, stalls or fails.
+type Directory interface {
+	// Create creates a file that must not exist yet.
+	Create(name string) (io.WriteCloser, error)
+	// List returns the names and sizes of all files.
+	List() (map[string]int64, error)
+	// Remove deletes a file.
+	Remove(name string) error
+}
+
+// directoryPath is a directory of the file system.
+type directoryPath string
+
+// OpenDirectory returns a directory of the file system, and creates it where it does not exist.
+func OpenDirectory(path string) (Directory, error) {
+	if err := os.MkdirAll(path, 0o750); err != nil {
+		return nil, fmt.Errorf("capture: %w", err)
+	}
+	return directoryPath(path), nil
+}
+
+// Create implements Directory.
+func (d directoryPath) Create(name string) (io.WriteCloser, error) {
+	return os.OpenFile(filepath.Join(string(d), name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, segmentMode)
+}
+
+// List implements Directory.
+func (d directoryPath) List() (map[string]int64, error) {
+	dir, err := os.Open(string(d))
+	if err != nil {
+		return nil, err
+	}
+	defer dir.Close()
+	names, err := dir.Readdirnames(-1)
+	if err != nil {
+		return nil, err
+	}
+	sizes := make(map[string]int64, len(names))
+	for _, name := range names {
+		info, err := os.Lstat(filepath.Join(string(d), name))
+		switch {
+		case errors.Is(err, fs.ErrNotExist): // removed since
+		case err != nil:
+			return nil, err
+		case info.Mode().IsRegular():
+			sizes[name] = info.Size()
+		}
+	}
+	return sizes, nil
+}
+
+// Remove implements Directory.
+func (d directoryPath) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
+
+// segmentSuffix ends the names of segment files.
+const segmentSuffix = ".capture"
+
+// minSegmentDigits is the least number of digits in the name of a segment file.
+const minSegmentDigits = 10
+
+// segmentName returns the name of the file with the number.
+func segmentName(number int) string {
+	return fmt.Sprintf("%0*d%s", minSegmentDigits, number, segmentSuffix)
+}
+
+// segmentNumber is the inverse of segmentName; ok is false for the names of other files.
+func segmentNumber(name string) (number int, ok bool) {
+	digits, ok := strings.CutSuffix(name, segmentSuffix)
+	if !ok || len(digits) < minSegmentDigits {
+		return 0, false
+	}
+	number, err := strconv.Atoi(digits)
+	return number, err == nil && number > 0
+}
+
+// listSegments returns the sizes of a directory's segments by their numbers, and the numbers in order.
+func listSegments(directory Directory) (sizes map[int]int64, numbers []int, err error) {
+	files, err := directory.List()
+	if err != nil {
+		return nil, nil, fmt.Errorf("capture: %w", err)
+	}
+	sizes = map[int]int64{}
+	for name, size := range files {
+		if number, ok := segmentNumber(name); ok {
+			sizes[number] = size
+			numbers = append(numbers, number)
+		}
+	}
+	slices.Sort(numbers)
+	return sizes, numbers, nil
+}
