--- /dev/null
+++ b/internal/daemon/log.go
@@ -0,0 +1,46 @@
+package daemon
+
+import (
+	"bytes"
+	"encoding/json"
+	"slices"
+	"sync"
+)
+
+// Log collects what a daemon logs: JSON, one object a line. Its methods may be called by several goroutines at once.
+type Log struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+// Write implements io.Writer.
+func (l *Log) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(p)
+}
+
+// String returns the log so far.
+func (l *Log) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+// Entry is a line of the log.
+type Entry map[string]any
+
+// Last returns the newest entry with the message that matches, or nil. A nil function matches all.
+func (l *Log) Last(message string, matches func(Entry) bool) Entry {
+	lines := bytes.Split([]byte(l.String()), []byte{'\n'})
+	for _, line := range slices.Backward(lines) {
+		var entry Entry
+		if json.Unmarshal(line, &entry) != nil || entry["msg"] != message {
+			continue
+		}
+		if matches == nil || matches(entry) {
+			return entry
+		}
+	}
+	return nil
+}
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,4 +1,4 @@
-// Package standin is the other side of everything that a server talks to: gateways that speak FastCGI, an
-// interpreter and an announce service, all on loopback. Tests and the kit's storms use the same ones. It shares no
-// code with the server, so that neither can hide the mistakes of the other.
+// Package fake has the other side of everything that a server talks to: gateways that speak FastCGI, an interpreter,
+// and members of a pool, all on loopback. Tests, load tests and simulated scenarios use the same ones. The package shares no
+// code with the server, so that a mistake in one of them is not hidden by the same mistake in the other.
 package fake
--- a/internal/fake/gateway.go
+++ b/internal/fake/gateway.go
@@ -2,14 +2,15 @@
 
 import (
 	"net"
+	"slices"
 	"time"
 )
 
-// Gateway is one connection to a server.
+// Gateway is one connection of a gateway to a server. One goroutine may write while another reads.
 type Gateway struct {
 	conn    net.Conn
 	reader  ResponseReader
-	answers []Response // read and not asked for yet
+	pending []Response // received, and not returned yet
 	buf     []byte
 }
 
@@ -19,10 +20,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Gateway{conn: conn, buf: make([]byte, 32<<10)}, nil
+	return &Gateway{conn: conn, buf: make([]byte, readBufferSize)}, nil
 }
 
-// Conn is the connection itself.
+// Conn returns the connection itself.
 func (g *Gateway) Conn() net.Conn { return g.conn }
 
 // Write sends bytes as they are.
@@ -31,30 +32,30 @@
 	return err
 }
 
-// ReadResponse waits until the deadline for an answer to the request, or to any where id is 0, or for the end of the
-// connection. The zero deadline is none.
+// ReadResponse waits for a response to the request, or for any response where id is 0. It fails at the deadline, unless that
+// is zero, and at the end of the connection.
 func (g *Gateway) ReadResponse(id uint16, deadline time.Time) (Response, error) {
 	if err := g.conn.SetReadDeadline(deadline); err != nil {
 		return Response{}, err
 	}
 	for {
-		for i, a := range g.answers {
-			if id == 0 || a.ID == id {
-				g.answers = append(g.answers[:i], g.answers[i+1:]...)
-				return a, nil
-			}
+		i := slices.IndexFunc(g.pending, func(r Response) bool { return id == 0 || r.ID == id })
+		if i >= 0 {
+			response := g.pending[i]
+			g.pending = append(g.pending[:i], g.pending[i+1:]...)
+			return response, nil
 		}
 		n, err := g.conn.Read(g.buf)
 		if err != nil {
 			return Response{}, err
 		}
-		answers, err := g.reader.Feed(g.buf[:n])
-		g.answers = append(g.answers, answers...)
+		responses, err := g.reader.Feed(g.buf[:n])
+		g.pending = append(g.pending, responses...)
 		if err != nil {
 			return Response{}, err
 		}
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (g *Gateway) Close() { g.conn.Close() }
--- a/internal/fake/member_scgi.go
+++ b/internal/fake/member_scgi.go
@@ -5,55 +5,108 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"strconv"
 )
 
-// errSCGI says that a request is not as the protocol has it.
-var errSCGI = errors.New("standin: no SCGI request")
+// errSCGI is returned for a request that breaks the SCGI protocol.
+var errSCGI = errors.New("fake: no SCGI request")
+
+// maxSCGIHeader is about the longest header that is read.
+const maxSCGIHeader = 1 << 20
+
+// answerSCGI answers the one request of a connection. Overload, for which the protocol has no word, is a status.
+func (m *Member) answerSCGI(conn net.Conn, behavior Behavior, status int, request memberRequest) {
+	text := fmt.Sprintf("%s %s %s", m.Name, request.params["SCRIPT_NAME"], request.body)
+	response := fmt.Appendf(nil, "Status: %d\r\nContent-Length: %d\r\nX-Member: %s\r\n\r\n%s", status, len(text), m.Name, text)
+	switch behavior {
+	case Silent:
+		io.Copy(io.Discard, conn)
+	case Truncated:
+		conn.Write(response[:len(response)-len(text)/2-1])
+	case Duplicated:
+		conn.Write(append(response, response...))
+	case Failing:
+		conn.Write([]byte("Status: 500\r\n\r\n"))
+	case Overloaded:
+		conn.Write([]byte("Status: 503\r\n\r\n"))
+	case Closing:
+	case Malformed:
+		conn.Write([]byte(malformedResponse))
+	default:
+		conn.Write(response)
+	}
+}
 
 // readSCGI reads one request: a netstring of names and values, of which CONTENT_LENGTH comes first, and the body.
-func readSCGI(c io.Reader) (params map[string]string, body []byte, err error) {
+func readSCGI(r io.Reader) (memberRequest, error) {
+	header, err := readNetstring(r)
+	if err != nil {
+		return memberRequest{}, err
+	}
+	params, err := parseSCGIHeader(header)
+	if err != nil {
+		return memberRequest{}, err
+	}
+	size, err := strconv.Atoi(params["CONTENT_LENGTH"])
+	if err != nil || size < 0 {
+		return memberRequest{}, fmt.Errorf("%w: CONTENT_LENGTH", errSCGI)
+	}
+	body := make([]byte, size)
+	_, err = io.ReadFull(r, body)
+	return memberRequest{id: 1, params: params, body: body}, err
+}
+
+// readNetstring reads the header, which must end with a zero byte, and returns it without that.
+func readNetstring(r io.Reader) ([]byte, error) {
+	size, err := readNetstringLength(r)
+	if err != nil {
+		return nil, err
+	}
+	header := make([]byte, size+1)
+	if _, err := io.ReadFull(r, header); err != nil {
+		return nil, err
+	}
+	if size == 0 || header[size] != ',' || header[size-1] != 0 {
+		return nil, fmt.Errorf("%w: the end of its header", errSCGI)
+	}
+	return header[:size-1], nil
+}
+
+// readNetstringLength reads the decimal number before the colon.
+func readNetstringLength(r io.Reader) (int, error) {
 	size := 0
 	for {
-		var one [1]byte
-		if _, err := io.ReadFull(c, one[:]); err != nil {
-			return nil, nil, err
+		var digit [1]byte
+		if _, err := io.ReadFull(r, digit[:]); err != nil {
+			return 0, err
 		}
-		if one[0] == ':' {
-			break
+		if digit[0] == ':' {
+			return size, nil
 		}
-		if one[0] < '0' || one[0] > '9' || size > 1<<20 {
-			return nil, nil, fmt.Errorf("%w: length", errSCGI)
+		if digit[0] < '0' || digit[0] > '9' || size > maxSCGIHeader {
+			return 0, fmt.Errorf("%w: length", errSCGI)
 		}
-		size = size*10 + int(one[0]-'0')
-	}
-	list := make([]byte, size+1)
-	if _, err := io.ReadFull(c, list); err != nil {
-		return nil, nil, err
+		size = size*10 + int(digit[0]-'0')
 	}
-	if size == 0 || list[size] != ',' || list[size-1] != 0 {
-		return nil, nil, fmt.Errorf("%w: the end of its header", errSCGI)
-	}
-	words := bytes.Split(list[:size-1], []byte{0})
-	if len(words)%2 != 0 || string(words[0]) != "CONTENT_LENGTH" {
-		return nil, nil, fmt.Errorf("%w: header", errSCGI)
+}
+
+// parseSCGIHeader reads names and values that are separated by zero bytes.
+func parseSCGIHeader(header []byte) (map[string]string, error) {
+	fields := bytes.Split(header, []byte{0})
+	if len(fields)%2 != 0 || string(fields[0]) != "CONTENT_LENGTH" {
+		return nil, fmt.Errorf("%w: header", errSCGI)
 	}
-	params = map[string]string{}
-	for i := 0; i < len(words); i += 2 {
-		name := string(words[i])
-		if _, twice := params[name]; twice {
-			return nil, nil, fmt.Errorf("%w: %s is given twice", errSCGI, name)
+	params := map[string]string{}
+	for i := 0; i < len(fields); i += 2 {
+		name := string(fields[i])
+		if _, isDuplicate := params[name]; isDuplicate {
+			return nil, fmt.Errorf("%w: %s is given twice", errSCGI, name)
 		}
-		params[name] = string(words[i+1])
+		params[name] = string(fields[i+1])
 	}
 	if params["SCGI"] != "1" {
-		return nil, nil, fmt.Errorf("%w: version", errSCGI)
-	}
-	n, err := strconv.Atoi(params["CONTENT_LENGTH"])
-	if err != nil || n < 0 {
-		return nil, nil, fmt.Errorf("%w: CONTENT_LENGTH", errSCGI)
+		return nil, fmt.Errorf("%w: version", errSCGI)
 	}
-	body = make([]byte, n)
-	_, err = io.ReadFull(c, body)
-	return params, body, err
+	return params, nil
 }
--- a/internal/fake/requests.go
+++ b/internal/fake/requests.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"net/http"
 	"strconv"
 	"sync/atomic"
 	"time"
@@ -9,70 +11,81 @@
 	"tillerusher/internal/invariant"
 )
 
-// tries numbers the requests of a process.
-var tries atomic.Uint64
+// attemptCount numbers the attempts of a process, for IDs that differ.
+var attemptCount atomic.Uint64
 
-// NewHealthCheck is a health check; full asks whether work gets done.
-func NewHealthCheck(full bool) Request {
+// NewHealthCheck returns a health check; a deep one asks whether work gets done.
+func NewHealthCheck(deep bool) Request {
 	r := Request{Method: "GET", Path: "/healthz"}
-	if full {
+	if deep {
 		r.Query = "full=1"
 	}
 	return r
 }
 
-// NewLookup is a request of the safe class, just arrived.
+// NewLookup returns a request of the safe class that is received now.
 func NewLookup(body string) Request {
-	return NewAttempt(fmt.Sprintf("%016x", tries.Add(1)), "", time.Now(), []byte(body))
+	return NewAttempt(nextID(), "", time.Now(), []byte(body))
 }
 
-// NewReserve is a try of the keyed class, just arrived; the number names the request.
+// NewReserve returns an attempt of the class with idempotency keys that is received now. Attempts of one request have the
+// same number.
 func NewReserve(number int, body string) Request {
-	return NewAttempt(fmt.Sprintf("%016x", tries.Add(1)), fmt.Sprintf("%032x", number), time.Now(), []byte(body))
+	return NewAttempt(nextID(), fmt.Sprintf("%032x", number), time.Now(), []byte(body))
 }
 
-// NewAttempt is a try that a gateway received at a time: of the keyed class where it has a key.
+func nextID() string { return fmt.Sprintf("%016x", attemptCount.Add(1)) }
+
+// NewAttempt returns an attempt that a gateway received at the time. It is of the class with idempotency keys where it has a
+// key, and else of the safe class.
 func NewAttempt(id, key string, received time.Time, body []byte) Request {
-	r := Request{Method: "POST", Path: "/v1/part-lookup", Body: body, Headers: map[string]string{
-		"Request-Id": id, "Received-At": strconv.FormatInt(received.UnixMilli(), 10),
-		"Sent-By": "1", "Account": "central", "Work-Estimate": "12.50", "Footprint-Kb": "24.5", "Priority-Rank": "0.6250"}}
+	request := Request{Method: "POST", Path: "/v1/part-lookup", Body: body, Headers: map[string]string{
+		"Request-Id":    id,
+		"Received-At":   strconv.FormatInt(received.UnixMilli(), 10),
+		"Sent-By":       "1",
+		"Account":       "central",
+		"Work-Estimate": "12.50",
+		"Footprint-Kb":  "24.5",
+		"Priority-Rank": "0.6250",
+	}}
 	if key != "" {
-		r.Path, r.Headers["Once-Key"] = "/v1/stock-reserve", key
+		request.Path, request.Headers["Once-Key"] = "/v1/stock-reserve", key
 	}
-	return r
+	return request
 }
 
-// Deadline is how long after it was received a try has to be answered.
-func Deadline(keyed bool) time.Duration {
-	if keyed {
+// Deadline returns how long after it was received an attempt has to be answered.
+func Deadline(hasKey bool) time.Duration {
+	if hasKey {
 		return ReserveDeadline
 	}
 	return LookupDeadline
 }
 
-// Outcome is what an answer means to the caller.
-func (a Response) Outcome() invariant.Outcome {
+// Outcome returns what the response means to the caller.
+func (r Response) Outcome() invariant.Outcome {
 	switch {
-	case a.Status == 200:
+	case r.Status == http.StatusOK:
 		return invariant.Served
-	case a.Status == 429 || a.Status == 503 || a.ProtocolStatus != 0:
+	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable || r.ProtocolStatus != 0:
 		return invariant.Rejected
 	}
 	return invariant.Failed
 }
 
-// ID is the request's Request-Id.
+// ID returns the request's Request-Id.
 func (r Request) ID() string { return r.Headers["Request-Id"] }
 
-// WithHeader returns the request with a field changed, or left out where the value is empty.
+// WithHeader returns the request with a header changed, or removed where the value is empty.
 func (r Request) WithHeader(name, value string) Request {
-	fields := map[string]string{}
-	for n, v := range r.Headers {
-		fields[n] = v
+	headers := maps.Clone(r.Headers)
+	if headers == nil {
+		headers = map[string]string{}
 	}
-	if fields[name] = value; value == "" {
-		delete(fields, name)
+	headers[name] = value
+	if value == "" {
+		delete(headers, name)
 	}
-	r.Headers = fields
+	r.Headers = headers
 	return r
 }
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SiteSettings is what a server is told of its site: a safe and a keyed class, two tenants.
+// SiteSettings are the settings of a site with a safe class, a class with idempotency keys and two tenants.
 const SiteSettings = `{"servers": 2, "tick-ns": 5000000,
  "lanes": [{"name": "part-lookup", "on-time-ns": 1400000000, "hard-limit-ns": 3700000000, "repeat": "retryable", "worth": 1},
   {"name": "stock-reserve", "on-time-ns": 2400000000, "hard-limit-ns": 6100000000, "late-worth": 0.2, "repeat": "dedup",
@@ -17,7 +17,7 @@
  "limits": {"max-retry-after-ns": 1000000000, "retry-after": true},
  "obligations": {"cold-ns": 16000000000, "cold-share": 0.22, "drain-grace-ns": 300000000, "overload-factor": 8}}`
 
-// What the settings say, for callers that keep to it.
+// The limits of SiteSettings that callers have to know.
 const (
 	LookupDeadline    = 3700 * time.Millisecond
 	ReserveDeadline   = 6100 * time.Millisecond
--- a/internal/fake/work.go
+++ b/internal/fake/work.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// pace is the longest time between two looks at runs that take time, shortest the least, and busyOver the time over which
-// the gauge of the cores averages.
 const (
-	pace     = time.Millisecond
-	shortest = 20 * time.Microsecond
-	busyOver = 500 * time.Millisecond
+	// maxWorkInterval and minWorkInterval bound the time between two updates of runs that take time.
+	maxWorkInterval = time.Millisecond
+	minWorkInterval = 20 * time.Microsecond
+	// utilizationWindow is the time constant of the cores' gauge, an exponential moving average.
+	utilizationWindow = 500 * time.Millisecond
 )
 
-// labour is how the interpreter spends time on runs: its cores are shared evenly by all that run.
-type labour struct {
-	cores int
-	took  func(RunCommand) time.Duration
-	left  map[string]time.Duration // of a core's time, by run
-	last  time.Time                // up to which time was spent
-	stop  func()                   // ends the looks
-	look  func()                   // spends time, and plans the next look while something runs
-	idle  bool                     // no look is planned
+// simulatedWork is the processor time that runs take: the cores are shared evenly by all that run.
+type simulatedWork struct {
+	cores       int
+	runTime     func(RunCommand) time.Duration
+	remaining   map[string]time.Duration // core time, by request ID
+	spentUntil  time.Time                // up to which time was spent
+	cancelTimer func()
+	onTimer     func() // spends time, and sets the timer again while something runs
+	isIdle      bool   // no timer is set
 }
 
-// Clock is the time that a stand-in lives in.
+// Clock is the time that an interpreter lives in.
 type Clock interface {
 	Now() time.Time
-	// After has something called after a while, unless it is cancelled before.
+	// After has the function called after the wait, unless it is cancelled before.
 	After(wait time.Duration, fire func()) (cancel func())
 }
 
-// wallClock is the machine's.
+// wallClock is the machine's clock.
 type wallClock struct{}
 
 func (wallClock) Now() time.Time { return time.Now() }
@@ -43,93 +43,102 @@
 	return func() { t.Stop() }
 }
 
-// SimulateWork has runs take as much time of a core as took says, shared with all others that run, and end with the body
-// of their request behind "done ". It looks when the next of them is due, so that no core's time is lost between two looks.
-func (it *Interpreter) SimulateWork(cores int, took func(RunCommand) time.Duration) {
-	l := &labour{cores: cores, took: took, left: map[string]time.Duration{}, last: it.clock.Now()}
-	l.stop = func() {}
-	l.look = func() {
-		it.set(func() {
-			if it.labour != l {
+// SimulateWork has each run take the core time that runTime returns, on cores that are shared evenly by all that run, and
+// end with WorkResult of its request's body. Runs are updated when the next of them is to end, so that no core time is lost
+// between two updates.
+func (it *Interpreter) SimulateWork(cores int, runTime func(RunCommand) time.Duration) {
+	work := &simulatedWork{cores: cores, runTime: runTime, remaining: map[string]time.Duration{}, spentUntil: it.clock.Now()}
+	work.cancelTimer = func() {}
+	work.onTimer = func() {
+		it.update(func() {
+			if it.work != work {
 				return
 			}
-			it.labourOn(l)
-			if l.idle = len(it.running) == 0; !l.idle {
-				l.stop = it.clock.After(it.nextEnd(l), l.look)
+			it.spendWork(work)
+			work.isIdle = len(it.runs.running) == 0
+			if !work.isIdle {
+				work.cancelTimer = it.clock.After(it.untilNextEnd(work), work.onTimer)
 			}
 		})
 	}
-	it.set(func() {
-		it.labour, l.idle = l, true
-		it.labours(l) // what runs already
+	it.update(func() {
+		it.work, work.isIdle = work, true
+		it.scheduleWork(work) // for what runs already
 	})
 }
 
-// labours has time be spent on what runs from now on.
-func (it *Interpreter) labours(l *labour) {
-	if l.idle && len(it.running) > 0 {
-		l.idle = false
-		l.stop = it.clock.After(it.nextEnd(l), l.look)
+// StopSimulatingWork has runs end as they start, as FinishImmediately does.
+func (it *Interpreter) StopSimulatingWork() {
+	it.update(func() {
+		it.stopWork()
+		it.behavior.finishImmediately, it.behavior.utilization = true, 0
+	})
+}
+
+// stopWork ends simulated work. The caller holds the lock.
+func (it *Interpreter) stopWork() {
+	if it.work != nil {
+		it.work.cancelTimer()
+		it.work = nil
 	}
 }
 
-// nextEnd is how long the next look may wait.
-func (it *Interpreter) nextEnd(l *labour) time.Duration {
-	wait := pace
-	for _, id := range it.running {
-		wait = min(wait, time.Duration(float64(l.left[id])*max(1, float64(len(it.running))/float64(l.cores))))
+// scheduleWork sets the timer if something runs and no timer is set. The caller holds the lock.
+func (it *Interpreter) scheduleWork(w *simulatedWork) {
+	if w.isIdle && len(it.runs.running) > 0 {
+		w.isIdle = false
+		w.cancelTimer = it.clock.After(it.untilNextEnd(w), w.onTimer)
 	}
-	return max(wait, shortest)
 }
 
-// StopSimulatingWork has runs end at once again.
-func (it *Interpreter) StopSimulatingWork() {
-	it.set(func() {
-		if it.labour != nil {
-			it.labour.stop()
-			it.labour = nil
-		}
-		it.prompt, it.busy = true, 0
-	})
+// untilNextEnd returns the time until the first run is to end, within the bounds of the timer.
+func (it *Interpreter) untilNextEnd(w *simulatedWork) time.Duration {
+	runsPerCore := max(1, float64(len(it.runs.running))/float64(w.cores))
+	wait := maxWorkInterval
+	for _, id := range it.runs.running {
+		wait = min(wait, time.Duration(float64(w.remaining[id])*runsPerCore))
+	}
+	return max(wait, minWorkInterval)
 }
 
-// labourOn spends the time since the last look.
-func (it *Interpreter) labourOn(l *labour) {
+// spendWork spends the time since the last update on what runs, and ends the runs that are through.
+func (it *Interpreter) spendWork(work *simulatedWork) {
 	now := it.clock.Now()
-	since := now.Sub(l.last)
-	l.last = now
-	n := len(it.running)
-	part := math.Exp(-since.Seconds() / busyOver.Seconds())
-	it.busy = it.busy*part + (1-part)*min(1, float64(n)/float64(l.cores))
-	if n == 0 {
+	elapsed := now.Sub(work.spentUntil)
+	work.spentUntil = now
+	running := len(it.runs.running)
+	decay := math.Exp(-elapsed.Seconds() / utilizationWindow.Seconds())
+	it.behavior.utilization = it.behavior.utilization*decay + (1-decay)*min(1, float64(running)/float64(work.cores))
+	if running == 0 {
 		return
 	}
-	spent := time.Duration(float64(since) * min(1, float64(l.cores)/float64(n)))
-	var over []string
-	for _, id := range it.running {
-		if l.left[id] -= spent; l.left[id] <= 0 {
-			over = append(over, id)
+	spent := time.Duration(float64(elapsed) * min(1, float64(work.cores)/float64(running)))
+	var finished []string
+	for _, id := range it.runs.running {
+		work.remaining[id] -= spent
+		if work.remaining[id] <= 0 {
+			finished = append(finished, id)
 		}
 	}
-	for _, id := range over {
-		it.end(id, "OK", WorkResult(it.bodies[id]))
+	for _, id := range finished {
+		it.endRun(id, statusOK, WorkResult(it.runs.bodies[id]))
 	}
 }
 
-// WorkResult is what a run makes of a request's body where the interpreter works.
+// WorkResult returns the result of a run with simulated work.
 func WorkResult(body []byte) []byte { return append([]byte("done "), body...) }
 
-// WorkBody is a body that names its request and says how long a run of it takes.
-func WorkBody(name string, work time.Duration) []byte {
-	return fmt.Appendf(nil, "%s work=%d", name, work.Microseconds())
+// WorkBody returns a request body that names the request and the core time of its run, which ParseWork reads.
+func WorkBody(name string, coreTime time.Duration) []byte {
+	return fmt.Appendf(nil, "%s work=%d", name, coreTime.Microseconds())
 }
 
-// ParseWork reads how long a run takes from its body.
-func ParseWork(a RunCommand) time.Duration {
-	_, text, _ := bytes.Cut(a.Body, []byte("work="))
-	us := 0
-	if _, err := fmt.Sscan(string(text), &us); err != nil {
+// ParseWork returns the core time that the command's body names, or 0 where it names none.
+func ParseWork(command RunCommand) time.Duration {
+	_, text, _ := bytes.Cut(command.Body, []byte("work="))
+	microseconds := 0
+	if _, err := fmt.Sscan(string(text), &microseconds); err != nil {
 		return 0
 	}
-	return time.Duration(us) * time.Microsecond
+	return time.Duration(microseconds) * time.Microsecond
 }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,5 +1,7 @@
-// Package rules is an outside observer of a server: it is told what was sent, answered and run, and names every
-// breach of the rules that hold whatever the server decides. It shares no state and no code with the server.
+// Package invariant checks a server from outside against the rules that hold whatever the server decides: each request is
+// answered once and by its deadline, a successful answer carries the result of its own run, an idempotency key runs once
+// within its window, and a request with an effect is never both run and rejected. The checker is told what was sent,
+// answered and run, and lists every violation. It shares no state and no code with the server.
 package invariant
 
 import (
@@ -9,144 +11,147 @@
 	"time"
 )
 
-// Outcome says how a try was answered.
+// Outcome is how an attempt was answered.
 type Outcome uint8
 
-// The answers.
+// The outcomes that the rules tell apart.
 const (
-	Served Outcome = iota
-	Rejected
-	Failed
+	Served   Outcome = iota // with the result of a run
+	Rejected                // without a run: the caller may send the request again
+	Failed                  // otherwise; the request may have taken effect
 )
 
-// Attempt is one try of a request.
+// Attempt is one attempt of a request, as its caller knows it.
 type Attempt struct {
-	ID           string // new with every try
-	Key          string // the same for all tries of a keyed request; "" elsewhere
-	AtMostOnce   bool   // it has an effect that must come once
-	ExpectedBody string // the only right body of an answer
+	ID           string // differs for every attempt, retries of one request included
+	Key          string // the idempotency key that all attempts of a request share; "" without one
+	AtMostOnce   bool   // whether its effect must not come twice
+	ExpectedBody string // the only correct body of a successful answer
 	Received     time.Time
-	Deadline     time.Time // when its answer must be there
+	Deadline     time.Time // the latest time of its answer
 }
 
-// tried is what is known of a try.
-type tried struct {
+// attemptState is what is known of an attempt that was sent.
+type attemptState struct {
 	Attempt
-	excused  time.Duration // of the observer, when it was sent
-	answers  int
-	answer   Outcome
-	runs     int
-	reported bool
+	pausesBefore time.Duration // the checker's pauses when the attempt was sent
+	answers      int
+	outcome      Outcome // of the last answer
+	runs         int
+	isClosed     bool // its final violation was reported, or no answer can come
 }
 
-// Checker is told what happens. Any goroutine may tell it.
+// Checker collects the violations of one server. It may be used by several goroutines at once.
 type Checker struct {
-	mu       sync.Mutex
-	window   time.Duration // in which a keyed request must not run twice
-	excused  time.Duration // for which the machine stood still, in all
-	tries    map[string]*tried
-	order    []*tried
-	ran      map[string]*tried // by key, the last that ran
-	breaches []string
+	mu         sync.Mutex
+	window     time.Duration            // in which an idempotency key must not run twice
+	pauses     time.Duration            // total time for which the machine stood still
+	attempts   map[string]*attemptState // by attempt ID
+	order      []*attemptState          // all attempts in the order in which they were sent
+	lastRun    map[string]*attemptState // by idempotency key
+	violations []string
 }
 
-// New returns an observer; keyed requests may come again within the window.
+// New returns a checker. An idempotency key may run again once the window has passed.
 func New(window time.Duration) *Checker {
-	return &Checker{window: window, tries: map[string]*tried{}, ran: map[string]*tried{}}
+	return &Checker{window: window, attempts: map[string]*attemptState{}, lastRun: map[string]*attemptState{}}
 }
 
-// breach notes one, with the lock held.
-func (o *Checker) breach(format string, args ...any) {
-	o.breaches = append(o.breaches, fmt.Sprintf(format, args...))
+// addViolation appends a violation. The caller holds the lock.
+func (c *Checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// ExcusePause says that the machine stood still for a while, which is not counted against answers that are open.
-func (o *Checker) ExcusePause(pause time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.excused += pause
+// ExcusePause extends the deadlines of all unanswered attempts by a time for which the whole machine stood still.
+func (c *Checker) ExcusePause(pause time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pauses += pause
 }
 
-// RecordSent says that the whole try was written to the server.
-func (o *Checker) RecordSent(t Attempt) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.tries[t.ID] != nil {
-		o.breach("try %s was sent twice: the caller is at fault", t.ID)
+// RecordSent records that an attempt was completely written to the server.
+func (c *Checker) RecordSent(attempt Attempt) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.attempts[attempt.ID] != nil {
+		c.addViolation("try %s was sent twice: the caller is at fault", attempt.ID)
 		return
 	}
-	r := &tried{Attempt: t, excused: o.excused}
-	o.tries[t.ID] = r
-	o.order = append(o.order, r)
+	state := &attemptState{Attempt: attempt, pausesBefore: c.pauses}
+	c.attempts[attempt.ID] = state
+	c.order = append(c.order, state)
 }
 
-// RecordAnswer says that an answer came.
-func (o *Checker) RecordAnswer(id string, a Outcome, body string, at time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	t := o.tries[id]
-	if t == nil {
-		o.breach("an answer to try %s, which was not sent", id)
+// RecordAnswer records an answer of the server to the attempt with the ID.
+func (c *Checker) RecordAnswer(id string, outcome Outcome, body string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	attempt := c.attempts[id]
+	if attempt == nil {
+		c.addViolation("an answer to try %s, which was not sent", id)
 		return
 	}
-	t.answers++
-	t.answer = a
-	if t.answers > 1 {
-		o.breach("try %s was answered %d times", id, t.answers)
+	attempt.answers++
+	attempt.outcome = outcome
+	if attempt.answers > 1 {
+		c.addViolation("try %s was answered %d times", id, attempt.answers)
 	}
-	if a == Served && body != t.ExpectedBody {
-		o.breach("try %s was served with %q, which no run of it made", id, body)
+	if outcome == Served && body != attempt.ExpectedBody {
+		c.addViolation("try %s was served with %q, which no run of it made", id, body)
 	}
-	if due := t.Deadline.Add(o.excused - t.excused); at.After(due) {
-		o.breach("try %s was answered %v late", id, at.Sub(due))
+	pausedMeanwhile := c.pauses - attempt.pausesBefore
+	if deadline := attempt.Deadline.Add(pausedMeanwhile); at.After(deadline) {
+		c.addViolation("try %s was answered %v late", id, at.Sub(deadline))
 	}
 }
 
-// RecordLost says that no answer can come any more, since the server was killed.
-func (o *Checker) RecordLost(id string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if t := o.tries[id]; t != nil {
-		t.reported = true
+// RecordLost records that no answer to the attempt can come any more, since the server was killed.
+func (c *Checker) RecordLost(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if attempt := c.attempts[id]; attempt != nil {
+		attempt.isClosed = true
 	}
 }
 
-// RecordRun says that the interpreter began a run.
-func (o *Checker) RecordRun(id string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	t := o.tries[id]
-	if t == nil {
-		o.breach("a run of try %s, which was not sent", id)
+// RecordRun records that the interpreter began to run the attempt.
+func (c *Checker) RecordRun(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	attempt := c.attempts[id]
+	if attempt == nil {
+		c.addViolation("a run of try %s, which was not sent", id)
 		return
 	}
-	t.runs++
-	if t.AtMostOnce && t.runs > 1 {
-		o.breach("try %s ran %d times", id, t.runs)
+	attempt.runs++
+	if attempt.AtMostOnce && attempt.runs > 1 {
+		c.addViolation("try %s ran %d times", id, attempt.runs)
 	}
-	if t.Key == "" {
+	if attempt.Key == "" {
 		return
 	}
-	if before := o.ran[t.Key]; before != nil && before != t && t.Received.Sub(before.Received) < o.window {
-		o.breach("key %s ran twice within its window, as tries %s and %s", t.Key, before.ID, id)
+	previous := c.lastRun[attempt.Key]
+	if previous != nil && previous != attempt && attempt.Received.Sub(previous.Received) < c.window {
+		c.addViolation("key %s ran twice within its window, as tries %s and %s", attempt.Key, previous.ID, id)
 	}
-	o.ran[t.Key] = t
+	c.lastRun[attempt.Key] = attempt
 }
 
-// Violations looks for what was never answered, and for refusals of what ran, and returns all breaches so far.
-func (o *Checker) Violations(now time.Time) []string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, t := range o.order {
+// Violations adds those that show only afterwards, which are attempts without an answer by their deadline and rejected
+// attempts that ran, and returns all violations so far.
+func (c *Checker) Violations(now time.Time) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, attempt := range c.order {
 		switch {
-		case t.reported:
-		case t.answers == 0 && now.After(t.Deadline):
-			t.reported = true
-			o.breach("try %s was not answered", t.ID)
-		case t.answers > 0 && t.answer == Rejected && t.runs > 0 && t.AtMostOnce:
-			t.reported = true
-			o.breach("try %s ran and was refused", t.ID)
+		case attempt.isClosed:
+		case attempt.answers == 0 && now.After(attempt.Deadline):
+			attempt.isClosed = true
+			c.addViolation("try %s was not answered", attempt.ID)
+		case attempt.answers > 0 && attempt.outcome == Rejected && attempt.runs > 0 && attempt.AtMostOnce:
+			attempt.isClosed = true
+			c.addViolation("try %s ran and was refused", attempt.ID)
 		}
 	}
-	return slices.Clone(o.breaches)
+	return slices.Clone(c.violations)
 }
--- /dev/null
+++ b/internal/loadtest/attempt.go
@@ -0,0 +1,40 @@
+package loadtest
+
+import "time"
+
+// request is what a caller wants. It has one attempt or several.
+type request struct {
+	key           string // idempotency key, or ""
+	tenant        string
+	body          []byte
+	firstIntended time.Time // when its first attempt was meant to be sent
+	attempts      int
+	wasServed     bool
+}
+
+// attempt is one attempt of a request.
+type attempt struct {
+	id       string
+	request  *request
+	number   int       // among the attempts of its request, from 1
+	intended time.Time // when it was meant to be sent
+	received time.Time // the time of its Received-At
+}
+
+// attemptQueue is a heap of attempts by the time at which they are meant to be sent.
+type attemptQueue []*attempt
+
+func (q attemptQueue) Len() int           { return len(q) }
+func (q attemptQueue) Less(i, j int) bool { return q[i].intended.Before(q[j].intended) }
+func (q attemptQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *attemptQueue) Push(x any) { *q = append(*q, x.(*attempt)) }
+
+// Pop implements heap.Interface.
+func (q *attemptQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
--- /dev/null
+++ b/internal/loadtest/capturecost.go
@@ -0,0 +1,58 @@
+package loadtest
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// CaptureCost compares throughputs with the capture on and off that were measured in turn.
+type CaptureCost struct {
+	Rounds []Throughput       `json:"rounds"`
+	Ratio  map[string]float64 `json:"ratio"` // median over the pairs of on over off
+}
+
+// MeasureCaptureCost measures what a daemon on one core does under a saturating load, with the capture on and off in turn.
+func MeasureCaptureCost(ctx context.Context, config SaturationConfig) (*CaptureCost, error) {
+	dir, err := os.MkdirTemp("", "tillerusher-cost")
+	if err != nil {
+		return nil, fmt.Errorf("storm: %w", err)
+	}
+	defer os.RemoveAll(dir)
+	cost := &CaptureCost{Ratio: map[string]float64{}}
+	ratios := map[string][]float64{}
+	for n := range 2 * config.Rounds {
+		if err := ctx.Err(); err != nil {
+			return nil, err
+		}
+		// Capturing comes first in every other pair, so that a machine that slows down favours neither.
+		isCapturing := (n+n/2)%2 == 0
+		args := []string{"serve"}
+		if isCapturing {
+			args = append(args, "--capture", filepath.Join(dir, fmt.Sprint(n)))
+		}
+		throughput, _, err := runRound(config, args, nil)
+		if err != nil {
+			return nil, err
+		}
+		throughput.Capturing = isCapturing
+		cost.Rounds = append(cost.Rounds, *throughput)
+		if isPairDone := n%2 == 1; isPairDone {
+			on, off := &cost.Rounds[n], &cost.Rounds[n-1]
+			if !on.Capturing {
+				on, off = off, on
+			}
+			for name, ratio := range on.ratiosTo(off) {
+				ratios[name] = append(ratios[name], ratio)
+			}
+		}
+		if config.Progress != nil {
+			config.Progress(n+1, 2*config.Rounds)
+		}
+	}
+	for name, list := range ratios {
+		cost.Ratio[name] = median(list)
+	}
+	return cost, nil
+}
--- a/internal/loadtest/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -7,104 +7,96 @@
 	"tillerusher/internal/fake"
 )
 
-// maxOpen is how many requests a connection may have open.
-const maxOpen = 32
+// maxOpenRequests is how many requests a connection may have open.
+const maxOpenRequests = 32
 
-// try is one try of a request.
-type try struct {
-	id       string
-	request  *request
-	number   int       // of the tries of its request, from 1
-	intended time.Time // when it was meant to be sent
-	received time.Time
-}
-
-// gateway is one connection to the daemon, made anew where it ends.
+// gateway is a connection to the daemon, which is made again after it ended.
 type gateway struct {
-	storm *storm
+	loadTest *loadTest
 
-	mu   sync.Mutex
-	conn *fake.Gateway // nil until the first try, and after an end
-	open map[uint16]*try
-	free []uint16
+	mu      sync.Mutex          // guards all that follows
+	conn    *fake.Gateway       // nil until the first attempt and after an end
+	open    map[uint16]*attempt // by FastCGI request ID
+	freeIDs []uint16
 }
 
-func newGateway(s *storm) *gateway {
-	g := &gateway{storm: s, open: map[uint16]*try{}}
-	for id := uint16(maxOpen); id > 0; id-- {
-		g.free = append(g.free, id)
+func newGateway(l *loadTest) *gateway {
+	g := &gateway{loadTest: l, open: map[uint16]*attempt{}}
+	for id := uint16(maxOpenRequests); id > 0; id-- {
+		g.freeIDs = append(g.freeIDs, id)
 	}
 	return g
 }
 
-// send writes a try; it returns false where the connection has no room or can't be made.
-func (g *gateway) send(t *try) bool {
+// send writes an attempt, and returns false where the connection has no room or can't be made.
+func (g *gateway) send(a *attempt) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.free) == 0 {
+	if len(g.freeIDs) == 0 {
 		return false
 	}
 	if g.conn == nil {
-		conn, err := fake.Dial(g.storm.daemon.addr)
+		conn, err := fake.Dial(g.loadTest.target.addr)
 		if err != nil {
 			return false
 		}
 		g.conn = conn
-		g.storm.readers.Add(1)
+		g.loadTest.readers.Add(1)
 		go g.read(conn)
 	}
-	id := g.free[len(g.free)-1]
-	g.free = g.free[:len(g.free)-1]
-	g.open[id] = t
-	t.received = time.Now()
-	bytes := g.storm.records(t, id)
-	g.storm.observer.RecordSent(g.storm.told(t))
-	if g.conn.Write(bytes) != nil {
-		g.end(g.conn) // the reader finds the end too, and finds it done
+	id := g.freeIDs[len(g.freeIDs)-1]
+	g.freeIDs = g.freeIDs[:len(g.freeIDs)-1]
+	g.open[id] = a
+	a.received = time.Now()
+	records := g.loadTest.encode(a, id)
+	g.loadTest.recordSent(a)
+	if g.conn.Write(records) != nil {
+		g.disconnect(g.conn) // the reader finds the end too, and finds this done
 	}
 	return true
 }
 
-// read takes in the answers of one connection.
+// read handles the responses of one connection until it ends.
 func (g *gateway) read(conn *fake.Gateway) {
-	defer g.storm.readers.Done()
+	defer g.loadTest.readers.Done()
 	for {
-		a, err := conn.ReadResponse(0, time.Time{})
+		response, err := conn.ReadResponse(0, time.Time{})
 		now := time.Now()
 		g.mu.Lock()
 		if err != nil {
-			g.end(conn)
+			g.disconnect(conn)
 			g.mu.Unlock()
 			return
 		}
-		t := g.open[a.ID]
-		if t != nil {
-			delete(g.open, a.ID)
-			g.free = append(g.free, a.ID)
+		a := g.open[response.ID]
+		if a != nil {
+			delete(g.open, response.ID)
+			g.freeIDs = append(g.freeIDs, response.ID)
 		}
 		g.mu.Unlock()
-		if t != nil {
-			g.storm.answered(t, a, now)
+		if a != nil {
+			g.loadTest.handleResponse(a, response, now)
 		}
 	}
 }
 
-// end forgets a connection, with the lock held. What was open on it stays unanswered, which the observer reports.
-func (g *gateway) end(conn *fake.Gateway) {
+// disconnect closes a connection and gives up what was open on it, which the checker reports as unanswered. The caller holds
+// the lock.
+func (g *gateway) disconnect(conn *fake.Gateway) {
 	conn.Close()
 	if g.conn != conn {
 		return
 	}
 	g.conn = nil
-	for id, t := range g.open {
-		g.free = append(g.free, id)
+	for id, a := range g.open {
+		g.freeIDs = append(g.freeIDs, id)
 		delete(g.open, id)
-		g.storm.lost(t)
+		g.loadTest.handleLost(a)
 	}
 }
 
-// hangUp closes the connection.
-func (g *gateway) hangUp() {
+// close closes the connection, which its reader finds ended.
+func (g *gateway) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.conn != nil {
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -11,371 +11,337 @@
 	"syscall"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"tillerusher/internal/arrival"
 	"tillerusher/internal/fake"
 	"tillerusher/internal/invariant"
 )
 
 const (
-	// answerSlack is how much later than its due time an answer may be seen here.
-	answerSlack = 150 * time.Millisecond
-	// drainTail is how long tries go on after SIGTERM, well within the grace of the settings.
-	drainTail = 120 * time.Millisecond
-	// longest is the longest latency that is told apart.
-	longest = time.Minute
+	// answerTolerance is how much later than its deadline an answer may be seen here.
+	answerTolerance = 150 * time.Millisecond
+	// drainTime is how long attempts go on after SIGTERM, well within the drain grace period of the settings.
+	drainTime = 120 * time.Millisecond
+	// maxRepeatDelay bounds the time after which a served request with a key is sent again.
+	maxRepeatDelay = 2 * time.Second
+	// defaultBackOffMS is the back-off before a retry where the answer names none.
+	defaultBackOffMS = 50
+	// secondTenantShare is the share of the requests that come from secondTenant.
+	secondTenantShare = 0.3
+	// linkCutParts is the number of equal parts of the load between which the link is cut.
+	linkCutParts = 4
 )
 
-// Result is what came of a storm. Latencies are in milliseconds, of served requests from the moment at which their
-// first try was meant to be sent.
-type Result struct {
-	Seed             uint64         `json:"seed"`
-	Requests         int            `json:"requests"` // first tries sent
-	Attempts         int            `json:"tries"`    // all tries sent
-	Unsent           int            `json:"unsent"`   // no connection had room
-	Served           int            `json:"served"`   // tries
-	Rejected         int            `json:"refused"`
-	Failed           int            `json:"failed"`
-	Lost             int            `json:"lost"`    // tries whose connection ended
-	ServedShare      float64        `json:"share"`   // of the first tries' requests, served by any of their tries
-	Repeats          int            `json:"repeats"` // of keyed requests that were served before
-	LinkCount        int            `json:"links"`   // connections that the interpreter saw
-	Seconds          float64        `json:"seconds"`
-	Rate             float64        `json:"rate"` // tries answered a second
-	P50              float64        `json:"p50_ms"`
-	P99              float64        `json:"p99_ms"`
-	P999             float64        `json:"p999_ms"`
-	ExitStatus       int            `json:"exit"` // the daemon's status
-	Violations       []string       `json:"breaches"`
-	Counters         map[string]any `json:"counters"` // the daemon's own, at its end
-	RestartSeconds   float64        `json:"restart_at_s,omitempty"`
-	Series           []SeriesPoint  `json:"shares,omitempty"` // over steps of time, where the daemon was restarted
-	Capture          map[string]any `json:"capture,omitempty"`
-	DaemonCPUSeconds float64        `json:"daemon_cpu_s"`
-	DaemonPeakKB     int64          `json:"daemon_peak_kb"`
-}
-
-// request is what a caller wants.
-type request struct {
-	number int
-	key    string // of a keyed one
-	tenant string
-	body   []byte
-	first  time.Time
-	served bool
-	tries  int
-}
-
-// storm is one under way.
-type storm struct {
-	cfg      Config
-	daemon   *daemon
-	observer *invariant.Checker
-	gateways []*gateway
-	readers  sync.WaitGroup
-	turn     int
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	later   tries // further tries, by their time
-	result  Result
-	latency *hdrhistogram.Histogram
-	served  int // requests
-	ended   bool
-
-	begun     time.Time
-	restarted chan error // nil until a restart
-}
-
-// SeriesStep is the time that each figure of Result.Shares is over.
-const SeriesStep = 250 * time.Millisecond
-
-// ServedShare is how many requests were first meant to be sent in a step, and how many of them were served by any of their tries.
-type SeriesPoint struct {
-	Requests int `json:"requests"`
-	Served   int `json:"served"`
-}
-
-// step is that of a time, with the lock held.
-func (s *storm) step(at time.Time) *SeriesPoint {
-	n := max(int(at.Sub(s.begun)/SeriesStep), 0)
-	for len(s.result.Series) <= n {
-		s.result.Series = append(s.result.Series, SeriesPoint{})
-	}
-	return &s.result.Series[n]
-}
-
-// tries is a heap by the time at which they are meant to be sent.
-type tries []*try
-
-func (h tries) Len() int           { return len(h) }
-func (h tries) Less(i, j int) bool { return h[i].intended.Before(h[j].intended) }
-func (h tries) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *tries) Push(x any)        { *h = append(*h, x.(*try)) }
-func (h *tries) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
-}
+// The tenants of fake.SiteSettings.
+const (
+	firstTenant  = "central"
+	secondTenant = "northern"
+)
 
-// newLatencies is an empty histogram of times, and record adds one to it.
-func newLatencies() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 3) }
+// loadTest is a load test that is under way. One goroutine sends; each connection has one that reads.
+type loadTest struct {
+	config      Config
+	target      *target
+	checker     *invariant.Checker
+	gateways    []*gateway
+	nextGateway int            // of the sending goroutine
+	readers     sync.WaitGroup // of the connections
+	begin       time.Time
+	restarted   chan error // has one error or nil after a restart; nil until one begins
 
-func record(h *hdrhistogram.Histogram, took time.Duration) {
-	h.RecordValue(min(max(took.Microseconds(), 1), longest.Microseconds())) // it has room for all of these
+	mu             sync.Mutex // guards all that follows
+	rng            *rand.Rand
+	queue          attemptQueue // retries and repeats that are to be sent
+	isDraining     bool         // no further attempts are queued
+	result         Result
+	latencies      latencies
+	servedRequests int
 }
 
-// Run plays a storm to its end, or until the context ends it sooner; the daemon is drained either way.
-func Run(ctx context.Context, c Config) (*Result, error) {
-	if err := c.Validate(); err != nil {
+// Run runs a load test to its end, or until the context ends it sooner. The daemon is drained either way.
+func Run(ctx context.Context, config Config) (*Result, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	d, err := start(c)
+	target, err := startTarget(config)
 	if err != nil {
 		return nil, err
 	}
-	defer d.kill()
-	s := &storm{cfg: c, daemon: d, observer: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(c.Seed, 0)),
-		latency: newLatencies()}
-	s.result.Seed = c.Seed
-	d.interpreter.OnRun(func(a fake.RunCommand) { s.observer.RecordRun(a.ID) })
-	for range c.Gateways {
-		s.gateways = append(s.gateways, newGateway(s))
+	defer target.kill()
+	l := &loadTest{config: config, target: target, checker: invariant.New(fake.IdempotencyWindow),
+		rng: rand.New(rand.NewPCG(config.Seed, 0)), latencies: newLatencies()}
+	l.result.Seed = config.Seed
+	target.interpreter.OnRun(func(command fake.RunCommand) { l.checker.RecordRun(command.ID) })
+	for range config.Gateways {
+		l.gateways = append(l.gateways, newGateway(l))
 	}
-	s.begun = time.Now()
-	over := make(chan struct{})
-	defer close(over)
-	go watchPauses(s.observer.ExcusePause, over)
-	err = s.play(ctx)
-	if s.restarted != nil {
-		err = errors.Join(err, <-s.restarted)
+	l.begin = time.Now()
+	done := make(chan struct{})
+	defer close(done)
+	go watchPauses(l.checker.ExcusePause, done)
+	err = l.sendAll(ctx)
+	if l.restarted != nil {
+		err = errors.Join(err, <-l.restarted)
 	}
 	if err == nil {
-		err = s.drain()
+		err = l.drain()
 	}
 	if err != nil {
 		return nil, err
 	}
-	return s.finish(s.begun)
+	return l.summarize(), nil
 }
 
-// play sends all first tries, and what comes of them meanwhile.
-func (s *storm) play(ctx context.Context) error {
-	arrivals, err := arrival.New(*s.cfg.arrivals(), arrivalStream(s.cfg.Seed))
+// sendAll sends all first attempts, and the retries and repeats that come meanwhile.
+func (l *loadTest) sendAll(ctx context.Context) error {
+	arrivals, err := arrival.New(*l.config.arrivals(), newArrivalRand(l.config.Seed))
 	if err != nil {
 		return fmt.Errorf("storm: %w", err)
 	}
-	for n := range s.cfg.Requests {
+	for n := range l.config.Requests {
 		at, more := arrivals.Next()
 		if !more {
 			return nil
 		}
-		next := s.begun.Add(at)
-		s.mu.Lock()
-		t := s.first(n, next)
-		s.mu.Unlock()
-		s.until(next)
+		intended := l.begin.Add(at)
+		l.mu.Lock()
+		first := l.newRequest(n, intended)
+		l.mu.Unlock()
+		l.sendQueuedUntil(intended)
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.send(t)
-		if s.cfg.Progress != nil {
-			s.cfg.Progress(n+1, s.cfg.Requests)
+		l.send(first)
+		if l.config.Progress != nil {
+			l.config.Progress(n+1, l.config.Requests)
 		}
-		if err := s.incident(n); err != nil {
+		if err := l.causeIncident(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// incident has happen what belongs behind the first try of the number.
-func (s *storm) incident(n int) error {
-	if s.cfg.CutLink && (n+1)%max(s.cfg.Requests/4, 1) == 0 && n+1 < s.cfg.Requests {
-		s.daemon.interpreter.CutLink()
+// causeIncident causes the incidents that are configured to follow the first attempt of the n-th request.
+func (l *loadTest) causeIncident(n int) error {
+	isHalfWay := n == l.config.Requests/2
+	isLast := n+1 >= l.config.Requests
+	if l.config.CutLink && (n+1)%max(l.config.Requests/linkCutParts, 1) == 0 && !isLast {
+		l.target.interpreter.CutLink()
 	}
-	if s.cfg.Reload && n == s.cfg.Requests/2 {
-		return s.daemon.reload()
+	if l.config.Reload && isHalfWay {
+		return l.target.reload()
 	}
-	if s.cfg.Restart && n == s.cfg.Requests/2 {
-		s.mu.Lock()
-		s.result.RestartSeconds = time.Since(s.begun).Seconds()
-		s.mu.Unlock()
-		s.restarted = make(chan error, 1)
-		go func() { s.restarted <- s.daemon.restart(s.cfg) }() // requests come meanwhile
+	if l.config.Restart && isHalfWay {
+		l.mu.Lock()
+		l.result.RestartSeconds = time.Since(l.begin).Seconds()
+		l.mu.Unlock()
+		l.restarted = make(chan error, 1)
+		go func() { l.restarted <- l.target.restart(l.config) }() // requests go on meanwhile
 	}
 	return nil
 }
 
-// until sends the further tries that come before the time, and waits for it.
-func (s *storm) until(end time.Time) {
+// sendQueuedUntil sends the queued attempts that are meant to be sent before the end, and waits for that.
+func (l *loadTest) sendQueuedUntil(end time.Time) {
 	for {
-		s.mu.Lock()
-		var t *try
-		if len(s.later) > 0 && !s.later[0].intended.After(end) {
-			t = heap.Pop(&s.later).(*try)
+		l.mu.Lock()
+		var next *attempt
+		if len(l.queue) > 0 && !l.queue[0].intended.After(end) {
+			next = heap.Pop(&l.queue).(*attempt)
 		}
-		s.mu.Unlock()
-		if t == nil {
+		l.mu.Unlock()
+		if next == nil {
 			time.Sleep(time.Until(end))
 			return
 		}
-		time.Sleep(time.Until(t.intended))
-		s.send(t)
+		time.Sleep(time.Until(next.intended))
+		l.send(next)
 	}
 }
 
-// first makes the first try of a new request, with the lock held.
-func (s *storm) first(n int, at time.Time) *try {
-	r := &request{number: n, tenant: "central", first: at}
-	if s.cfg.Restart {
-		s.step(at).Requests++
+// newRequest returns the first attempt of a new request. The caller holds the lock.
+func (l *loadTest) newRequest(n int, intended time.Time) *attempt {
+	r := &request{tenant: firstTenant, firstIntended: intended}
+	if l.config.Restart {
+		l.seriesPoint(intended).Requests++
 	}
-	if s.rng.Float64() < 0.3 {
-		r.tenant = "northern"
+	if l.rng.Float64() < secondTenantShare {
+		r.tenant = secondTenant
 	}
-	if s.rng.Float64() < s.cfg.IdempotentShare {
-		r.key = fmt.Sprintf("%016x%016x", s.rng.Uint64(), n)
+	if l.rng.Float64() < l.config.IdempotentShare {
+		r.key = fmt.Sprintf("%016x%016x", l.rng.Uint64(), n)
 	}
-	r.body = fake.WorkBody(strconv.Itoa(n), time.Duration(s.rng.ExpFloat64()*float64(s.cfg.MeanWork)))
-	return s.again(r, at)
+	work := time.Duration(l.rng.ExpFloat64() * float64(l.config.MeanWork))
+	r.body = fake.WorkBody(strconv.Itoa(n), work)
+	return l.newAttempt(r, intended)
 }
 
-// again makes the next try of a request, with the lock held.
-func (s *storm) again(r *request, at time.Time) *try {
-	r.tries++
-	return &try{id: fmt.Sprintf("%016x", s.rng.Uint64()), request: r, number: r.tries, intended: at}
+// newAttempt returns the next attempt of a request. The caller holds the lock.
+func (l *loadTest) newAttempt(r *request, intended time.Time) *attempt {
+	r.attempts++
+	return &attempt{id: fmt.Sprintf("%016x", l.rng.Uint64()), request: r, number: r.attempts, intended: intended}
 }
 
-// send writes a try on the next connection with room.
-func (s *storm) send(t *try) {
-	for range s.gateways {
-		s.turn = (s.turn + 1) % len(s.gateways)
-		if s.gateways[s.turn].send(t) {
-			s.mu.Lock()
-			s.result.Attempts++
-			if t.number == 1 {
-				s.result.Requests++
+// seriesPoint returns the point that a time belongs to. The caller holds the lock.
+func (l *loadTest) seriesPoint(at time.Time) *SeriesPoint {
+	n := max(int(at.Sub(l.begin)/SeriesStep), 0)
+	for len(l.result.Series) <= n {
+		l.result.Series = append(l.result.Series, SeriesPoint{})
+	}
+	return &l.result.Series[n]
+}
+
+// send writes an attempt to the next connection with room.
+func (l *loadTest) send(a *attempt) {
+	for range l.gateways {
+		l.nextGateway = (l.nextGateway + 1) % len(l.gateways)
+		if l.gateways[l.nextGateway].send(a) {
+			l.mu.Lock()
+			l.result.Attempts++
+			if a.number == 1 {
+				l.result.Requests++
 			}
-			s.mu.Unlock()
+			l.mu.Unlock()
 			return
 		}
 	}
-	s.mu.Lock()
-	s.result.Unsent++
-	s.mu.Unlock()
+	l.mu.Lock()
+	l.result.Unsent++
+	l.mu.Unlock()
 }
 
-// records is a try as it is written.
-func (s *storm) records(t *try, id uint16) []byte {
-	r := fake.NewAttempt(t.id, t.request.key, t.received, t.request.body)
-	r.Headers["Account"] = t.request.tenant
-	if t.number > 1 {
+// encode returns an attempt as it is written to a connection.
+func (l *loadTest) encode(a *attempt, id uint16) []byte {
+	r := fake.NewAttempt(a.id, a.request.key, a.received, a.request.body)
+	r.Headers["Account"] = a.request.tenant
+	if a.number > 1 {
 		r.Headers["Attempt-Again"] = "1"
 	}
 	return r.Encode(id)
 }
 
-// told is a try as the observer is told of it.
-func (s *storm) told(t *try) invariant.Attempt {
-	keyed := t.request.key != ""
-	return invariant.Attempt{ID: t.id, Key: t.request.key, AtMostOnce: keyed, Received: t.received, ExpectedBody: string(fake.WorkResult(t.request.body)),
-		Deadline: t.received.Add(fake.Deadline(keyed) + answerSlack)}
+// recordSent tells the checker of an attempt.
+func (l *loadTest) recordSent(a *attempt) {
+	hasKey := a.request.key != ""
+	l.checker.RecordSent(invariant.Attempt{
+		ID:           a.id,
+		Key:          a.request.key,
+		AtMostOnce:   hasKey,
+		ExpectedBody: string(fake.WorkResult(a.request.body)),
+		Received:     a.received,
+		Deadline:     a.received.Add(fake.Deadline(hasKey) + answerTolerance),
+	})
 }
 
-// answered takes in an answer and decides whether a further try follows.
-func (s *storm) answered(t *try, a fake.Response, now time.Time) {
-	kind := a.Outcome()
-	s.observer.RecordAnswer(t.id, kind, string(a.Body), now)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := t.request
-	switch kind {
+// handleResponse takes a response, and queues a repeat or a retry where one follows.
+func (l *loadTest) handleResponse(a *attempt, response fake.Response, now time.Time) {
+	outcome := response.Outcome()
+	l.checker.RecordAnswer(a.id, outcome, string(response.Body), now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch outcome {
 	case invariant.Served:
-		s.result.Served++
-		if !r.served {
-			r.served = true
-			s.served++
-			if s.cfg.Restart {
-				s.step(r.first).Served++
-			}
-			record(s.latency, now.Sub(r.first))
-		}
-		if r.key != "" && s.rng.Float64() < s.cfg.RepeatShare && !s.ended {
-			s.result.Repeats++
-			wait := time.Duration(s.rng.Float64() * float64(2*time.Second))
-			heap.Push(&s.later, s.again(r, now.Add(wait)))
-		}
+		l.result.Served++
+		l.handleServed(a.request, now)
 	case invariant.Rejected:
-		s.result.Rejected++
-		if r.tries < s.cfg.MaxAttempts && a.Header.Get("Final-Refusal") == "" && !s.ended {
-			ms, err := strconv.Atoi(a.Header.Get("Back-Off-Ms"))
-			if err != nil {
-				ms = 50
-			}
-			wait := time.Duration(float64(ms)*(1+s.rng.Float64())) * time.Millisecond
-			heap.Push(&s.later, s.again(r, now.Add(wait)))
-		}
+		l.result.Rejected++
+		l.handleRejected(a.request, response, now)
 	default:
-		s.result.Failed++
+		l.result.Failed++
+	}
+}
+
+// handleServed counts a request that was served, and queues a repeat of one with a key at random. The caller holds the lock.
+func (l *loadTest) handleServed(r *request, now time.Time) {
+	if !r.wasServed {
+		r.wasServed = true
+		l.servedRequests++
+		if l.config.Restart {
+			l.seriesPoint(r.firstIntended).Served++
+		}
+		l.latencies.record(now.Sub(r.firstIntended))
+	}
+	if r.key != "" && l.rng.Float64() < l.config.RepeatShare && !l.isDraining {
+		l.result.Repeats++
+		wait := time.Duration(l.rng.Float64() * float64(maxRepeatDelay))
+		heap.Push(&l.queue, l.newAttempt(r, now.Add(wait)))
 	}
 }
 
-// lost takes in that the connection of a try ended.
-func (s *storm) lost(t *try) {
-	if s.cfg.Restart {
-		s.observer.RecordLost(t.id) // no answer can be owed by a daemon that was killed
+// handleRejected queues a retry after the advised back-off, with jitter, unless the request has had all its attempts or the
+// answer says that no retry will do. The caller holds the lock.
+func (l *loadTest) handleRejected(r *request, response fake.Response, now time.Time) {
+	if r.attempts >= l.config.MaxAttempts || response.Header.Get("Final-Refusal") != "" || l.isDraining {
+		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.result.Lost++
+	backOffMS, err := strconv.Atoi(response.Header.Get("Back-Off-Ms"))
+	if err != nil {
+		backOffMS = defaultBackOffMS
+	}
+	wait := time.Duration(float64(backOffMS)*(1+l.rng.Float64())) * time.Millisecond
+	heap.Push(&l.queue, l.newAttempt(r, now.Add(wait)))
 }
 
-// drain has the daemon leave under load, and waits for all answers and for its end.
-func (s *storm) drain() error {
-	if err := s.daemon.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+// handleLost counts an attempt whose connection ended before its answer.
+func (l *loadTest) handleLost(a *attempt) {
+	if l.config.Restart {
+		l.checker.RecordLost(a.id) // a daemon that was killed owes no answer
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.result.Lost++
+}
+
+// drain has the daemon stop under load, and waits for all answers and for its end.
+func (l *loadTest) drain() error {
+	if err := l.target.process.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("storm: %w", err)
 	}
-	s.mu.Lock()
-	s.ended = true // no tries are made beyond those that were meant before
-	for i := range s.cfg.DrainRequests {
-		at := time.Now().Add(drainTail * time.Duration(i) / time.Duration(s.cfg.DrainRequests))
-		heap.Push(&s.later, s.first(s.cfg.Requests+i, at))
+	l.mu.Lock()
+	l.isDraining = true
+	for i := range l.config.DrainRequests {
+		at := time.Now().Add(drainTime * time.Duration(i) / time.Duration(l.config.DrainRequests))
+		heap.Push(&l.queue, l.newRequest(l.config.Requests+i, at))
+	}
+	l.mu.Unlock()
+	l.sendQueuedUntil(time.Now().Add(drainTime))
+	if err := l.waitForExit(); err != nil {
+		return err
+	}
+	for _, g := range l.gateways {
+		g.close()
 	}
-	s.mu.Unlock()
-	s.until(time.Now().Add(drainTail))
-	code, err := s.daemon.wait()
-	s.result.ExitStatus = code
+	l.readers.Wait()
+	return nil
+}
+
+// waitForExit waits for the daemon's end and records its exit status and what it used.
+func (l *loadTest) waitForExit() error {
+	state, err := l.target.wait()
 	if err != nil {
 		return err
 	}
-	for _, g := range s.gateways {
-		g.hangUp()
+	l.result.ExitStatus = state.ExitCode()
+	l.result.DaemonCPUSeconds = cpuTime(state).Seconds()
+	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+		l.result.DaemonPeakKB = usage.Maxrss
 	}
-	s.readers.Wait()
 	return nil
 }
 
-// finish puts the result together.
-func (s *storm) finish(begun time.Time) (*Result, error) {
-	r := &s.result
-	r.Seconds = time.Since(begun).Seconds()
+// summarize completes the result after the daemon has ended.
+func (l *loadTest) summarize() *Result {
+	r := &l.result
+	r.Seconds = time.Since(l.begin).Seconds()
 	r.Rate = float64(r.Served+r.Rejected+r.Failed) / r.Seconds
-	r.ServedShare = float64(s.served) / float64(max(r.Requests, 1))
-	ms := func(q float64) float64 { return float64(s.latency.ValueAtQuantile(q)) / 1000 }
-	r.P50, r.P99, r.P999 = ms(50), ms(99), ms(99.9)
-	r.LinkCount = s.daemon.interpreter.LinkCount()
-	r.Violations = s.observer.Violations(time.Now().Add(fake.ReserveDeadline + time.Second))
+	r.ServedShare = float64(l.servedRequests) / float64(max(r.Requests, 1))
+	r.P50, r.P99, r.P999 = l.latencies.percentiles()
+	r.LinkCount = l.target.interpreter.LinkCount()
+	allDeadlinesPassed := time.Now().Add(fake.ReserveDeadline + time.Second)
+	r.Violations = l.checker.Violations(allDeadlinesPassed)
 	if r.ExitStatus != 0 {
 		r.Violations = append(r.Violations, fmt.Sprintf("the daemon ended with status %d", r.ExitStatus))
 	}
-	state := s.daemon.cmd.ProcessState
-	r.DaemonCPUSeconds = (state.UserTime() + state.SystemTime()).Seconds()
-	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
-		r.DaemonPeakKB = usage.Maxrss
-	}
-	r.Counters, r.Capture = s.daemon.logged("counters"), s.daemon.logged("capture")
-	return r, nil
+	r.Counters, r.Capture = l.target.log.Last("counters", nil), l.target.log.Last("capture", nil)
+	return r
 }
--- a/internal/loadtest/pause.go
+++ b/internal/loadtest/pause.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// lookEvery is how often pauses of the machine are looked for, and pauseLeast the shortest that counts.
-	lookEvery  = 5 * time.Millisecond
-	pauseLeast = 20 * time.Millisecond
+	// pauseCheckInterval is how often pauses of the machine are looked for, and minPause the shortest that counts.
+	pauseCheckInterval = 5 * time.Millisecond
+	minPause           = 20 * time.Millisecond
 )
 
-// watchPauses tells of the times for which this process got no processor: on such a machine the daemon gets none
-// either, and an answer is late through no fault of its own.
-func watchPauses(pause func(time.Duration), over <-chan struct{}) {
-	tick := time.NewTicker(lookEvery)
-	defer tick.Stop()
+// watchPauses reports the times for which this process got no processor, until done is closed. The daemon gets none in such
+// a time either, so an answer may be late through no fault of its own.
+func watchPauses(report func(time.Duration), done <-chan struct{}) {
+	ticker := time.NewTicker(pauseCheckInterval)
+	defer ticker.Stop()
 	last := time.Now()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		now := time.Now()
-		if late := now.Sub(last) - lookEvery; late >= pauseLeast {
-			pause(late)
+		if late := now.Sub(last) - pauseCheckInterval; late >= minPause {
+			report(late)
 		}
 		last = now
 	}
--- a/internal/loadtest/saturation.go
+++ b/internal/loadtest/saturation.go
@@ -1,198 +1,182 @@
 package loadtest
 
 import (
-	"context"
 	"fmt"
-	"os"
-	"path/filepath"
 	"slices"
 	"sync"
 	"syscall"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"tillerusher/internal/fake"
 )
 
-// Throughput is what a daemon held while its callers always had as much open as they may. Latencies are in milliseconds.
+// SaturationConfig is a load whose callers always have as many requests open as they may. Runs take no time, so that the
+// daemon's own work is all there is to measure.
+type SaturationConfig struct {
+	Daemon        string
+	Gateways      int           // connections
+	OpenRequests  int           // that each connection keeps open
+	RoundDuration time.Duration // of each round
+	Rounds        int           // comparisons, each of which takes a round of everything that is compared
+	PinnedCore    int           // the daemon's only core
+	Progress      func(done, of int)
+}
+
+// Throughput is what a daemon did under a saturating load. Latencies are in milliseconds.
 type Throughput struct {
 	Capturing   bool    `json:"capture"`
-	Rate        float64 `json:"rate"` // answers a second
+	Rate        float64 `json:"rate"` // answers per second
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 	P999        float64 `json:"p999_ms"`
-	CPUMicros   float64 `json:"cpu_us"` // of the daemon, for each answer
-	LostRecords float64 `json:"lost"`   // records that were not captured
-}
-
-// fill computes what is told of latencies.
-func (l *Throughput) fill(h *hdrhistogram.Histogram, over time.Duration) {
-	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	l.Rate, l.P50, l.P99, l.P999 = float64(h.TotalCount())/over.Seconds(), ms(50), ms(99), ms(99.9)
-}
-
-// CaptureCost compares loads with the capture on and off that were taken in turn.
-type CaptureCost struct {
-	Rounds []Throughput       `json:"rounds"`
-	Ratio  map[string]float64 `json:"ratio"` // median over the pairs of on over off
+	CPUMicros   float64 `json:"cpu_us"` // processor time of the daemon per answer
+	LostRecords float64 `json:"lost"`   // that were not captured
 }
 
-// SaturationConfig is what the cost of capturing is measured with.
-type SaturationConfig struct {
-	Daemon        string
-	Gateways      int           // connections
-	OpenRequests  int           // requests that each keeps open
-	RoundDuration time.Duration // of each round
-	Rounds        int           // pairs of on and off
-	PinnedCore    int           // core of the daemon
-	Progress      func(done, of int)
+// setLatencies fills in the rate and the percentiles of latencies that were measured over a time.
+func (t *Throughput) setLatencies(l latencies, over time.Duration) {
+	t.Rate = float64(l.count()) / over.Seconds()
+	t.P50, t.P99, t.P999 = l.percentiles()
 }
 
-// ratios are those of two loads.
-func ratios(a, b *Throughput) map[string]float64 {
-	return map[string]float64{"rate": a.Rate / b.Rate, "p50": a.P50 / b.P50, "p99": a.P99 / b.P99, "p999": a.P999 / b.P999, "cpu": a.CPUMicros / b.CPUMicros}
+// ratiosTo returns each figure over that of another throughput.
+func (t *Throughput) ratiosTo(base *Throughput) map[string]float64 {
+	return map[string]float64{
+		"rate": t.Rate / base.Rate,
+		"p50":  t.P50 / base.P50,
+		"p99":  t.P99 / base.P99,
+		"p999": t.P999 / base.P999,
+		"cpu":  t.CPUMicros / base.CPUMicros,
+	}
 }
 
-// median is the middle of a list, which it sorts.
+// median returns the middle of a list, which it sorts.
 func median(list []float64) float64 {
 	slices.Sort(list)
 	return (list[(len(list)-1)/2] + list[len(list)/2]) / 2
 }
 
-// MeasureCaptureCost has a daemon on one core answer as much as it can, in rounds with the capture on and off in turn. Runs
-// take no time, so that the daemon's own work is all there is.
-func MeasureCaptureCost(ctx context.Context, c SaturationConfig) (*CaptureCost, error) {
-	dir, err := os.MkdirTemp("", "tillerusher-cost")
-	if err != nil {
-		return nil, fmt.Errorf("storm: %w", err)
-	}
-	defer os.RemoveAll(dir)
-	cost := &CaptureCost{Ratio: map[string]float64{}}
-	of := map[string][]float64{}
-	for round := range 2 * c.Rounds {
-		if err := ctx.Err(); err != nil {
-			return nil, err
-		}
-		// The first of a pair is once on and once off, so that a machine that slows down favours neither.
-		on := (round+round/2)%2 == 0
-		args := []string{"serve"}
-		if on {
-			args = append(args, "--capture", filepath.Join(dir, fmt.Sprint(round)))
-		}
-		l, _, err := hold(c, args, nil)
-		if err != nil {
-			return nil, err
-		}
-		l.Capturing = on
-		cost.Rounds = append(cost.Rounds, *l)
-		if round%2 == 1 {
-			a, b := &cost.Rounds[round], &cost.Rounds[round-1]
-			if !a.Capturing {
-				a, b = b, a
-			}
-			for name, v := range ratios(a, b) {
-				of[name] = append(of[name], v)
-			}
-		}
-		if c.Progress != nil {
-			c.Progress(round+1, 2*c.Rounds)
-		}
-	}
-	for name, list := range of {
-		cost.Ratio[name] = median(list)
-	}
-	return cost, nil
+// requestBody is the body of all requests of a saturating load.
+const requestBody = "a body of a usual length, say"
+
+// round is one run of a daemon under a saturating load.
+type round struct {
+	config SaturationConfig
+	target *target
+	end    time.Time
+
+	callers   sync.WaitGroup
+	mu        sync.Mutex // guards all that follows
+	latencies latencies
+	errs      []error
 }
 
-// hold runs one round, with a further caller where there is one, and returns the daemon, which has ended, as well.
-func hold(c SaturationConfig, args []string, further func(d *daemon, end time.Time) error) (*Throughput, *daemon, error) {
-	cfg := Defaults()
-	cfg.Daemon, cfg.Args, cfg.PinnedCore = c.Daemon, args, c.PinnedCore
-	d, err := start(cfg)
+// runRound runs one round with a daemon that is started with the arguments, and with an additional caller if there is one.
+// It returns the target as well, whose daemon has ended.
+func runRound(config SaturationConfig, args []string, additional func(t *target, end time.Time) error) (*Throughput, *target, error) {
+	targetConfig := Defaults()
+	targetConfig.Daemon, targetConfig.Args, targetConfig.PinnedCore = config.Daemon, args, config.PinnedCore
+	t, err := startTarget(targetConfig)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer d.kill()
-	d.interpreter.StopSimulatingWork()
-	end := time.Now().Add(c.RoundDuration)
-	var mu sync.Mutex
-	all, errs := newLatencies(), []error(nil)
-	var callers sync.WaitGroup
-	call := func(work func() error) {
-		callers.Add(1)
-		go func() {
-			defer callers.Done()
-			if err := work(); err != nil {
-				mu.Lock()
-				defer mu.Unlock()
-				errs = append(errs, err)
-			}
-		}()
+	defer t.kill()
+	t.interpreter.StopSimulatingWork()
+	r := &round{config: config, target: t, end: time.Now().Add(config.RoundDuration), latencies: newLatencies()}
+	for range config.Gateways {
+		r.startCaller(r.call)
 	}
-	for range c.Gateways {
-		call(func() error {
-			h, err := caller(d.addr, c.OpenRequests, end)
-			if err == nil {
-				mu.Lock()
-				defer mu.Unlock()
-				all.Merge(h)
-			}
-			return err
-		})
+	if additional != nil {
+		r.startCaller(func() error { return additional(t, r.end) })
 	}
-	if further != nil {
-		call(func() error { return further(d, end) })
+	r.callers.Wait()
+	if len(r.errs) > 0 {
+		return nil, nil, fmt.Errorf("storm: %w", r.errs[0])
 	}
-	callers.Wait()
-	if len(errs) > 0 {
-		return nil, nil, fmt.Errorf("storm: %w", errs[0])
+	throughput, err := r.stop()
+	if err != nil {
+		return nil, nil, err
 	}
-	d.cmd.Process.Signal(syscall.SIGTERM) // the status tells whether it came
-	if code, err := d.wait(); err != nil || code != 0 {
-		return nil, nil, fmt.Errorf("storm: the daemon ended with status %d: %w", code, err)
+	return throughput, t, nil
+}
+
+// startCaller starts a goroutine and collects its error.
+func (r *round) startCaller(call func() error) {
+	r.callers.Add(1)
+	go func() {
+		defer r.callers.Done()
+		if err := call(); err != nil {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.errs = append(r.errs, err)
+		}
+	}()
+}
+
+// call loads the daemon over one connection and collects the latencies.
+func (r *round) call() error {
+	l, err := keepOpen(r.target.addr, r.config.OpenRequests, r.end)
+	if err != nil {
+		return err
 	}
-	state := d.cmd.ProcessState
-	l := &Throughput{CPUMicros: float64((state.UserTime() + state.SystemTime()).Microseconds()) / float64(max(all.TotalCount(), 1))}
-	l.fill(all, c.RoundDuration)
-	if m := d.logged("capture"); m != nil {
-		l.LostRecords, _ = m["lost"].(float64)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.latencies.merge(l)
+	return nil
+}
+
+// stop drains the daemon and returns what it did.
+func (r *round) stop() (*Throughput, error) {
+	r.target.process.Signal(syscall.SIGTERM) // the exit status shows whether it came
+	exitStatus := -1
+	state, err := r.target.wait()
+	if err == nil {
+		exitStatus = state.ExitCode()
+	}
+	if exitStatus != 0 {
+		return nil, fmt.Errorf("storm: the daemon ended with status %d: %w", exitStatus, err)
 	}
-	return l, d, nil
+	answers := max(r.latencies.count(), 1)
+	t := &Throughput{CPUMicros: float64(cpuTime(state).Microseconds()) / float64(answers)}
+	t.setLatencies(r.latencies, r.config.RoundDuration)
+	if entry := r.target.log.Last("capture", nil); entry != nil {
+		t.LostRecords, _ = entry["lost"].(float64)
+	}
+	return t, nil
 }
 
-// caller keeps so many requests open on one connection until the end, and returns how long each took.
-func caller(addr string, open int, end time.Time) (*hdrhistogram.Histogram, error) {
-	g, err := fake.Dial(addr)
+// keepOpen keeps so many requests open on one connection until the end, and returns how long each took.
+func keepOpen(addr string, openRequests int, end time.Time) (latencies, error) {
+	conn, err := fake.Dial(addr)
 	if err != nil {
-		return nil, err
+		return latencies{}, err
 	}
-	defer g.Close()
-	h := newLatencies()
-	sent := make([]time.Time, open+1)
+	defer conn.Close()
+	measured := newLatencies()
+	sent := make([]time.Time, openRequests+1) // by FastCGI request ID
 	send := func(id uint16) error {
 		sent[id] = time.Now()
-		return g.Write(fake.NewLookup("a body of a usual length, say").Encode(id))
+		return conn.Write(fake.NewLookup(requestBody).Encode(id))
 	}
-	for id := range open {
+	for id := range openRequests {
 		if err := send(uint16(id + 1)); err != nil {
-			return nil, err
+			return latencies{}, err
 		}
 	}
-	for waiting := open; waiting > 0; {
-		a, err := g.ReadResponse(0, end.Add(patience))
+	for open := openRequests; open > 0; {
+		response, err := conn.ReadResponse(0, end.Add(daemonTimeout))
 		if err != nil {
-			return nil, err
+			return latencies{}, err
 		}
 		now := time.Now()
-		record(h, now.Sub(sent[a.ID]))
-		if now.Before(end) {
-			if err := send(a.ID); err != nil {
-				return nil, err
-			}
+		measured.record(now.Sub(sent[response.ID]))
+		if !now.Before(end) {
+			open--
 			continue
 		}
-		waiting--
+		if err := send(response.ID); err != nil {
+			return latencies{}, err
+		}
 	}
-	return h, nil
+	return measured, nil
 }
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"os"
 	"path/filepath"
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"tillerusher/internal/fake"
 	"tillerusher/internal/faultfs"
 )
@@ -17,182 +16,231 @@
 // Disk is what a server keeps its state on in a comparison.
 type Disk string
 
-// The disks: none at all, a sound one, and one that stands still now and then.
+// The disks that are compared.
 const (
-	NoDisk      Disk = "none"
-	HealthyDisk Disk = "sound"
-	FaultyDisk  Disk = "stalling"
+	NoDisk      Disk = "none"     // no state is kept
+	HealthyDisk Disk = "sound"    // the machine's own
+	FaultyDisk  Disk = "stalling" // one that stalls now and then
 )
 
-// StateCostConfig is what the cost of keeping state is measured with. The daemon is a program with the command line of
+// The classes of requests, as they are named in StateCost.Ratio.
+const (
+	lookupClass     = "lookups"
+	idempotentClass = "keyed"
+)
+
+// StateCostConfig is the measurement of what keeping state costs. The daemon is a program with the command line of
 // `cataloguectl state serve`, so that one program plays all disks.
 type StateCostConfig struct {
 	SaturationConfig
-	IdempotentRate float64 // keyed requests a second, on a connection of their own
+	IdempotentRate float64 // requests with an idempotency key per second, on a connection of their own
 	FaultProfile   faultfs.Profile
 }
 
-// StateThroughput is a round: what lookups and keyed requests got on a disk. Lookups come as fast as they are answered, keyed ones at
-// their rate, and a keyed one's latency counts from when it was meant to be sent.
+// StateThroughput is a round on one disk. Lookups come as fast as they are answered, requests with an idempotency key at
+// their rate; the latency of these counts from the time at which they were meant to be sent.
 type StateThroughput struct {
 	Disk       Disk       `json:"disk"`
 	Lookups    Throughput `json:"lookups"`
 	Idempotent Throughput `json:"keyed"`
-	Rejected   int        `json:"refused"` // keyed requests that were not served
-	Syncs      float64    `json:"syncs"`   // for each keyed request that was
+	Rejected   int        `json:"refused"` // requests with a key that were not served
+	Syncs      float64    `json:"syncs"`   // per request with a key that was served
 }
 
-// StateCost compares disks that were taken in turn.
+// StateCost compares disks that were measured in turn.
 type StateCost struct {
 	Rounds []StateThroughput `json:"rounds"`
-	// Ratio has the medians over the rounds of a disk's figures over those with none, by disk, class and figure.
+	// Ratio has the medians over the rounds of a disk's figures over those without a disk, by disk, class and figure.
 	Ratio map[Disk]map[string]map[string]float64 `json:"ratio"`
 }
 
-// MeasureStateCost has a daemon on one core answer as many lookups as it can beside keyed requests at a rate, on each disk in
-// turn.
-func MeasureStateCost(ctx context.Context, c StateCostConfig) (*StateCost, error) {
+// MeasureStateCost measures how many lookups a daemon on one core answers beside requests with an idempotency key at a rate,
+// on each disk in turn.
+func MeasureStateCost(ctx context.Context, config StateCostConfig) (*StateCost, error) {
 	dir, err := os.MkdirTemp("", "catalogue-server-durable")
 	if err != nil {
 		return nil, fmt.Errorf("storm: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	disks := []Disk{NoDisk, HealthyDisk, FaultyDisk}
-	cost := &StateCost{Ratio: map[Disk]map[string]map[string]float64{}}
-	of := map[Disk]map[string]map[string][]float64{}
-	for round := range c.Rounds {
-		loads := map[Disk]*StateThroughput{}
-		for n := range disks {
+	cost := &StateCost{}
+	ratios := stateRatios{}
+	for n := range config.Rounds {
+		byDisk := map[Disk]*StateThroughput{}
+		for i := range disks {
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			disk := disks[(n+round)%len(disks)] // each comes first as often, so that a machine that slows down favours none
-			l, err := holdState(c, disk, filepath.Join(dir, fmt.Sprint(round, disk)))
+			disk := disks[(i+n)%len(disks)] // each comes first as often, so that a machine that slows down favours none
+			throughput, err := runStateRound(config, disk, filepath.Join(dir, fmt.Sprint(n, disk)))
 			if err != nil {
 				return nil, err
 			}
-			loads[disk] = l
-			cost.Rounds = append(cost.Rounds, *l)
-			if c.Progress != nil {
-				c.Progress(len(cost.Rounds), len(disks)*c.Rounds)
+			byDisk[disk] = throughput
+			cost.Rounds = append(cost.Rounds, *throughput)
+			if config.Progress != nil {
+				config.Progress(len(cost.Rounds), len(disks)*config.Rounds)
 			}
 		}
 		for _, disk := range disks[1:] {
-			if of[disk] == nil {
-				of[disk] = map[string]map[string][]float64{"lookups": {}, "keyed": {}}
-			}
-			for class, pair := range map[string][2]*Throughput{"lookups": {&loads[disk].Lookups, &loads[NoDisk].Lookups},
-				"keyed": {&loads[disk].Idempotent, &loads[NoDisk].Idempotent}} {
-				for name, v := range ratios(pair[0], pair[1]) {
-					of[disk][class][name] = append(of[disk][class][name], v)
-				}
-			}
+			ratios.add(disk, lookupClass, &byDisk[disk].Lookups, &byDisk[NoDisk].Lookups)
+			ratios.add(disk, idempotentClass, &byDisk[disk].Idempotent, &byDisk[NoDisk].Idempotent)
 		}
 	}
-	for disk, classes := range of {
-		cost.Ratio[disk] = map[string]map[string]float64{}
+	cost.Ratio = ratios.medians()
+	return cost, nil
+}
+
+// stateRatios collects ratios by disk, class and figure.
+type stateRatios map[Disk]map[string]map[string][]float64
+
+// add adds the ratios of a class's figures on a disk.
+func (r stateRatios) add(disk Disk, class string, t, base *Throughput) {
+	if r[disk] == nil {
+		r[disk] = map[string]map[string][]float64{}
+	}
+	if r[disk][class] == nil {
+		r[disk][class] = map[string][]float64{}
+	}
+	for figure, ratio := range t.ratiosTo(base) {
+		r[disk][class][figure] = append(r[disk][class][figure], ratio)
+	}
+}
+
+// medians returns the median of each figure.
+func (r stateRatios) medians() map[Disk]map[string]map[string]float64 {
+	medians := map[Disk]map[string]map[string]float64{}
+	for disk, classes := range r {
+		medians[disk] = map[string]map[string]float64{}
 		for class, figures := range classes {
-			cost.Ratio[disk][class] = map[string]float64{}
-			for name, list := range figures {
-				if name == "cpu" && class == "keyed" {
-					continue // the daemon's is counted with the lookups
+			medians[disk][class] = map[string]float64{}
+			for figure, list := range figures {
+				if figure == "cpu" && class == idempotentClass {
+					continue // the daemon's processor time is counted with the lookups
 				}
-				cost.Ratio[disk][class][name] = median(list)
+				medians[disk][class][figure] = median(list)
 			}
 		}
 	}
-	return cost, nil
+	return medians
 }
 
-// holdState runs one round.
-func holdState(c StateCostConfig, disk Disk, dir string) (*StateThroughput, error) {
+// runStateRound runs one round on a disk.
+func runStateRound(config StateCostConfig, disk Disk, dir string) (*StateThroughput, error) {
 	args := []string{"state", "serve"}
 	if disk != NoDisk {
 		args = append(args, "--dir", dir)
 	}
 	if disk == FaultyDisk {
-		args = append(args, "--stall", c.FaultProfile.StallTime.String(), "--every", c.FaultProfile.StallInterval.String())
+		args = append(args, "--stall", config.FaultProfile.StallTime.String(), "--every", config.FaultProfile.StallInterval.String())
 	}
-	out := &StateThroughput{Disk: disk}
+	throughput := &StateThroughput{Disk: disk}
 	served := 0
-	lookups, d, err := hold(c.SaturationConfig, args, func(d *daemon, end time.Time) error {
-		k := paced{rate: c.IdempotentRate, h: newLatencies()}
-		err := k.run(d.addr, end)
-		out.Idempotent.fill(k.h, c.RoundDuration)
-		served, out.Rejected = k.served, int(k.h.TotalCount())-k.served
+	lookups, t, err := runRound(config.SaturationConfig, args, func(t *target, end time.Time) error {
+		sender := pacedSender{rate: config.IdempotentRate, end: end, latencies: newLatencies()}
+		err := sender.run(t.addr)
+		throughput.Idempotent.setLatencies(sender.latencies, config.RoundDuration)
+		served = sender.served
+		throughput.Rejected = int(sender.latencies.count()) - served
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	out.Lookups = *lookups
-	if m := d.logged("state"); m != nil {
-		if syncs, ok := m["syncs"].(float64); ok && served > 0 {
-			out.Syncs = syncs / float64(served)
+	throughput.Lookups = *lookups
+	if entry := t.log.Last("state", nil); entry != nil {
+		if syncs, ok := entry["syncs"].(float64); ok && served > 0 {
+			throughput.Syncs = syncs / float64(served)
 		}
 	}
-	return out, nil
+	return throughput, nil
 }
 
-// paced sends keyed requests at a rate on one connection.
-type paced struct {
-	rate   float64
-	h      *hdrhistogram.Histogram
-	served int
+// pacedSender sends requests with an idempotency key at a rate on one connection.
+type pacedSender struct {
+	rate    float64
+	end     time.Time
+	conn    *fake.Gateway
+	freeIDs chan uint16
+	readErr chan error
+
+	mu        sync.Mutex           // guards all that follows
+	intended  map[uint16]time.Time // by FastCGI request ID
+	latencies latencies
+	served    int
 }
 
-// run sends until the end and waits for all answers.
-func (p *paced) run(addr string, end time.Time) error {
-	g, err := fake.Dial(addr)
+// run sends until the end and waits for all responses.
+func (s *pacedSender) run(addr string) error {
+	conn, err := fake.Dial(addr)
 	if err != nil {
 		return err
 	}
-	defer g.Close()
-	var mu sync.Mutex
-	intended := map[uint16]time.Time{}
-	free := make(chan uint16, maxOpen)
-	for id := uint16(1); id <= maxOpen; id++ {
-		free <- id
-	}
-	read := make(chan error, 1)
-	go func() {
-		for {
-			a, err := g.ReadResponse(0, end.Add(patience))
-			now := time.Now()
-			if err != nil {
-				read <- err
-				return
-			}
-			mu.Lock()
-			record(p.h, now.Sub(intended[a.ID]))
-			if a.Status == 200 {
-				p.served++
-			}
-			mu.Unlock()
-			free <- a.ID
+	defer conn.Close()
+	s.conn = conn
+	s.intended = map[uint16]time.Time{}
+	s.freeIDs, s.readErr = make(chan uint16, maxOpenRequests), make(chan error, 1)
+	for id := uint16(1); id <= maxOpenRequests; id++ {
+		s.freeIDs <- id
+	}
+	go s.read()
+	if err := s.sendAll(); err != nil {
+		return err
+	}
+	for range maxOpenRequests { // once all are free, all are answered
+		if _, err := s.takeID(); err != nil {
+			return err
 		}
-	}()
-	each := time.Duration(float64(time.Second) / p.rate)
-	for next, n := time.Now(), 0; next.Before(end); next, n = next.Add(each), n+1 {
+	}
+	return nil
+}
+
+// sendAll sends requests at the rate until the end.
+func (s *pacedSender) sendAll() error {
+	interval := time.Duration(float64(time.Second) / s.rate)
+	n := 0
+	for next := time.Now(); next.Before(s.end); next = next.Add(interval) {
 		time.Sleep(time.Until(next))
-		select {
-		case err := <-read:
+		id, err := s.takeID()
+		if err != nil {
 			return err
-		case id := <-free:
-			mu.Lock()
-			intended[id] = next
-			mu.Unlock()
-			if err := g.Write(fake.NewReserve(n, "a body of a usual length, say").Encode(id)); err != nil {
-				return err
-			}
 		}
-	}
-	for range maxOpen { // all are free again
-		select {
-		case err := <-read:
+		s.mu.Lock()
+		s.intended[id] = next
+		s.mu.Unlock()
+		if err := s.conn.Write(fake.NewReserve(n, requestBody).Encode(id)); err != nil {
 			return err
-		case <-free:
 		}
+		n++
 	}
 	return nil
 }
+
+// takeID waits for a request ID that is free, or for the reader's error.
+func (s *pacedSender) takeID() (uint16, error) {
+	select {
+	case err := <-s.readErr:
+		return 0, err
+	case id := <-s.freeIDs:
+		return id, nil
+	}
+}
+
+// read records the responses until the connection ends.
+func (s *pacedSender) read() {
+	for {
+		response, err := s.conn.ReadResponse(0, s.end.Add(daemonTimeout))
+		now := time.Now()
+		if err != nil {
+			s.readErr <- err
+			return
+		}
+		s.mu.Lock()
+		s.latencies.record(now.Sub(s.intended[response.ID]))
+		if response.Status == http.StatusOK {
+			s.served++
+		}
+		s.mu.Unlock()
+		s.freeIDs <- response.ID
+	}
+}
--- a/internal/loadtest/target.go
+++ b/internal/loadtest/target.go
@@ -2,176 +2,131 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"net"
+	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"runtime"
-	"sync"
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
+	"tillerusher/internal/daemon"
 	"tillerusher/internal/fake"
 )
 
 const (
-	stopMS = 3200
-	// patience is how long a daemon may take to start, and to end after its stop_ms.
-	patience = 20 * time.Second
-	// sockets is the daemon's limit; gateways may use half of it.
-	sockets = 1024
+	// daemonTimeout is how long a daemon may take to start, and to end after its stop time.
+	daemonTimeout = 20 * time.Second
+	// healthCheckTimeout bounds one health check, and healthCheckInterval is the time between two while a daemon starts.
+	healthCheckTimeout  = time.Second
+	healthCheckInterval = 5 * time.Millisecond
 )
 
-// daemon is the program under the storm, with the stand-ins that it talks to.
-type daemon struct {
+// target is the daemon under test, with the fakes that it talks to.
+type target struct {
 	interpreter *fake.Interpreter
-	announce    *net.UDPConn
+	reports     *net.UDPConn // the load report service, which nobody reads
 	addr        string
-	dir         string
+	dir         string // of the configuration file
 	config      map[string]any
-	cmd         *exec.Cmd
-	exited      chan struct{}
-
-	mu  sync.Mutex
-	log bytes.Buffer
-}
-
-// Write takes in the daemon's log.
-func (d *daemon) Write(p []byte) (int, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.log.Write(p)
+	process     *daemon.Process
+	log         daemon.Log
 }
 
-// lines is the daemon's log so far.
-func (d *daemon) lines() []byte {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return bytes.Clone(d.log.Bytes())
-}
-
-// start starts a daemon and waits until it serves.
-func start(c Config) (d *daemon, err error) {
-	d = &daemon{}
+// startTarget starts a daemon and waits until it serves.
+func startTarget(config Config) (t *target, err error) {
+	t = &target{}
 	defer func() {
 		if err != nil {
-			d.kill()
+			t.kill()
 		}
 	}()
-	if d.interpreter, err = fake.NewInterpreter(); err != nil {
-		return d, fmt.Errorf("storm: interpreter: %w", err)
+	if err := t.startFakes(config); err != nil {
+		return t, err
 	}
-	d.interpreter.SimulateWork(c.InterpreterCores, fake.ParseWork)
-	if d.announce, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
-		return d, fmt.Errorf("storm: announce service: %w", err)
+	if err := t.prepareConfig(config); err != nil {
+		return t, err
 	}
-	if d.addr, err = fake.FreeAddr(); err != nil {
-		return d, fmt.Errorf("storm: %w", err)
+	if err := t.launch(config); err != nil {
+		return t, err
+	}
+	return t, t.waitHealthy()
+}
+
+// startFakes starts what the daemon talks to.
+func (t *target) startFakes(c Config) (err error) {
+	if t.interpreter, err = fake.NewInterpreter(); err != nil {
+		return fmt.Errorf("storm: interpreter: %w", err)
 	}
-	if d.dir, err = os.MkdirTemp("", "tillerusher-storm"); err != nil {
-		return d, fmt.Errorf("storm: %w", err)
+	t.interpreter.SimulateWork(c.InterpreterCores, fake.ParseWork)
+	if t.reports, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+		return fmt.Errorf("storm: announce service: %w", err)
 	}
-	d.config = map[string]any{"name": "storm", "listen": d.addr, "vm": d.interpreter.Addr(),
-		"announce": d.announce.LocalAddr().String(), "stop_ms": stopMS, "settings": json.RawMessage(fake.SiteSettings),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": c.MemoryMB, "sockets": sockets}}
-	if err = d.configure(); err != nil {
-		return d, err
+	return nil
+}
+
+// prepareConfig chooses an address and writes the configuration file.
+func (t *target) prepareConfig(c Config) (err error) {
+	if t.addr, err = fake.FreeAddr(); err != nil {
+		return fmt.Errorf("storm: %w", err)
 	}
-	if err = d.launch(c); err != nil {
-		return d, err
+	if t.dir, err = os.MkdirTemp("", "tillerusher-storm"); err != nil {
+		return fmt.Errorf("storm: %w", err)
 	}
-	return d, d.waitUp()
+	endpoints := daemon.Endpoints{Listen: t.addr, Interpreter: t.interpreter.Addr(), LoadReport: t.reports.LocalAddr().String()}
+	t.config = daemon.NewConfig("storm", endpoints, c.MemoryMB, fake.SiteSettings)
+	return t.writeConfig()
 }
 
-// launch starts the program.
-func (d *daemon) launch(c Config) error {
-	cmd, exited := exec.Command(c.Daemon, c.Args...), make(chan struct{})
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+d.configPath(), "RELAY_NAME=", "RELAY_LISTEN=")
-	cmd.Stderr = d
-	if err := startOn(cmd, c.PinnedCore); err != nil {
+// launch starts the process.
+func (t *target) launch(c Config) error {
+	process, err := daemon.Start(daemon.Command{Program: c.Daemon, Args: c.Args, Core: c.PinnedCore,
+		Env: []string{"RELAY_CONFIG=" + t.configPath(), "RELAY_NAME=", "RELAY_LISTEN="}}, &t.log)
+	if err != nil {
 		return fmt.Errorf("storm: %w", err)
 	}
-	d.cmd, d.exited = cmd, exited
-	go func() {
-		cmd.Wait() // its status is read from the state
-		close(exited)
-	}()
+	t.process = process
 	return nil
 }
 
-// restart kills the daemon and starts it again, without what it left in a directory where there is one to forget.
-func (d *daemon) restart(c Config) error {
-	d.cmd.Process.Kill() // what else could end it ended it
-	<-d.exited
+// restart kills the daemon and starts it again, without the state that it left where the configuration says so.
+func (t *target) restart(c Config) error {
+	t.process.Kill()
 	if c.RemoveStateDir != "" {
 		if err := os.RemoveAll(c.RemoveStateDir); err != nil {
 			return fmt.Errorf("storm: %w", err)
 		}
 	}
-	return d.launch(c)
+	return t.launch(c)
 }
 
-// startOn starts a program on one core, or on any where it is negative.
-func startOn(cmd *exec.Cmd, core int) error {
-	if core < 0 {
-		return cmd.Start()
-	}
-	runtime.LockOSThread() // what is started inherits the cores of the thread that starts it
-	defer runtime.UnlockOSThread()
-	var before, pinned unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &before); err != nil {
-		return err
-	}
-	pinned.Set(core)
-	if err := unix.SchedSetaffinity(0, &pinned); err != nil {
-		return fmt.Errorf("core %d: %w", core, err)
-	}
-	err := cmd.Start()
-	if back := unix.SchedSetaffinity(0, &before); err == nil {
-		err = back
-	}
-	return err
-}
+func (t *target) configPath() string { return filepath.Join(t.dir, "config.json") }
 
-func (d *daemon) configPath() string { return filepath.Join(d.dir, "config.json") }
-
-// configure writes the configuration in one step.
-func (d *daemon) configure() error {
-	text, err := json.Marshal(d.config)
-	if err == nil {
-		err = os.WriteFile(d.configPath()+".new", text, 0o600)
-	}
-	if err == nil {
-		err = os.Rename(d.configPath()+".new", d.configPath())
-	}
-	if err != nil {
+func (t *target) writeConfig() error {
+	if err := daemon.ConfigFile(t.configPath()).Write(t.config); err != nil {
 		return fmt.Errorf("storm: configuration: %w", err)
 	}
 	return nil
 }
 
-// waitUp waits until the daemon is healthy.
-func (d *daemon) waitUp() error {
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+// waitHealthy waits until the daemon passes a health check.
+func (t *target) waitHealthy() error {
+	for end := time.Now().Add(daemonTimeout); time.Now().Before(end); {
 		select {
-		case <-d.exited:
-			return fmt.Errorf("storm: the daemon ended at its start: %s", bytes.TrimSpace(d.lines()))
+		case <-t.process.Exited():
+			return fmt.Errorf("storm: the daemon ended at its start: %s", bytes.TrimSpace([]byte(t.log.String())))
 		default:
 		}
-		if d.healthy() {
+		if t.isHealthy() {
 			return nil
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(healthCheckInterval)
 	}
-	return fmt.Errorf("storm: the daemon does not serve after %v", patience)
+	return fmt.Errorf("storm: the daemon does not serve after %v", daemonTimeout)
 }
 
-func (d *daemon) healthy() bool {
-	g, err := fake.Dial(d.addr)
+func (t *target) isHealthy() bool {
+	g, err := fake.Dial(t.addr)
 	if err != nil {
 		return false
 	}
@@ -179,58 +134,47 @@
 	if g.Write(fake.NewHealthCheck(false).Encode(1)) != nil {
 		return false
 	}
-	a, err := g.ReadResponse(1, time.Now().Add(time.Second))
-	return err == nil && a.Status == 200
-}
-
-// logged is the last line of the daemon's log with the message, or nil.
-func (d *daemon) logged(msg string) map[string]any {
-	var last map[string]any
-	for _, line := range bytes.Split(d.lines(), []byte{'\n'}) {
-		var m map[string]any
-		if json.Unmarshal(line, &m) == nil && m["msg"] == msg {
-			last = m
-		}
-	}
-	return last
+	response, err := g.ReadResponse(1, time.Now().Add(healthCheckTimeout))
+	return err == nil && response.Status == http.StatusOK
 }
 
-// reload moves the interpreter to a new address and has the daemon read its configuration anew.
-func (d *daemon) reload() error {
-	addr, err := d.interpreter.AddListener()
+// reload moves the interpreter to a new address and has the daemon read its configuration again.
+func (t *target) reload() error {
+	addr, err := t.interpreter.AddListener()
 	if err != nil {
 		return fmt.Errorf("storm: %w", err)
 	}
-	d.config["vm"] = addr
-	if err := d.configure(); err != nil {
+	t.config["vm"] = addr
+	if err := t.writeConfig(); err != nil {
 		return err
 	}
-	return d.cmd.Process.Signal(syscall.SIGHUP)
+	return t.process.Signal(syscall.SIGHUP)
 }
 
-// wait waits for the daemon's end and returns its exit status.
-func (d *daemon) wait() (int, error) {
-	select {
-	case <-d.exited:
-		return d.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(stopMS*time.Millisecond + patience):
-		return -1, fmt.Errorf("storm: the daemon did not end")
+// wait waits for the daemon's end and returns its state then.
+func (t *target) wait() (*os.ProcessState, error) {
+	state, err := t.process.Wait(daemon.StopTime + daemonTimeout)
+	if err != nil {
+		return nil, fmt.Errorf("storm: %w", err)
 	}
+	return state, nil
 }
 
-// kill ends everything at once.
-func (d *daemon) kill() {
-	if d.cmd != nil {
-		d.cmd.Process.Kill()
-		<-d.exited
+// cpuTime returns the processor time that an ended process used.
+func cpuTime(state *os.ProcessState) time.Duration { return state.UserTime() + state.SystemTime() }
+
+// kill ends the process and the fakes at once, and removes the configuration.
+func (t *target) kill() {
+	if t.process != nil {
+		t.process.Kill()
 	}
-	if d.interpreter != nil {
-		d.interpreter.Close()
+	if t.interpreter != nil {
+		t.interpreter.Close()
 	}
-	if d.announce != nil {
-		d.announce.Close()
+	if t.reports != nil {
+		t.reports.Close()
 	}
-	if d.dir != "" {
-		os.RemoveAll(d.dir)
+	if t.dir != "" {
+		os.RemoveAll(t.dir)
 	}
 }
--- a/internal/retrysim/retrysim.go
+++ b/internal/retrysim/retrysim.go
@@ -1,5 +1,5 @@
-// Package poolstorm plays a retry storm to the decisions of a pool in virtual time: what a budget for further tries is
-// for can be seen without a socket.
+// Package retrysim simulates a retry storm on the decisions of a pool in virtual time. It shows without sockets what a retry
+// budget is for: with it the load on the members stays near what is offered, without it retries multiply the load.
 package retrysim
 
 import (
@@ -10,76 +10,118 @@
 	"tillerusher/internal/pool"
 )
 
-// Config is a storm: members fail a part of their tries for a while.
+// Config is a simulation of an outage in which members fail a share of their attempts.
 type Config struct {
 	Members                int
-	RequestRate            float64       // requests a second
-	Duration               time.Duration // of it all
-	OutageStart, OutageEnd time.Duration // of the outage
-	FailureShare           float64       // part of the tries that fail in it
-	BudgetShare            float64       // of the budget; 0 is none
+	RequestRate            float64       // requests per second
+	Duration               time.Duration // of the simulation
+	OutageStart, OutageEnd time.Duration
+	FailureShare           float64 // share of the attempts that fail in the outage
+	BudgetShare            float64 // retries per first attempt that the budget allows; 0 is no budget
 	Seed                   uint64
 }
 
-// Defaults are a storm of ten seconds in which every member fails 30 % of its tries.
+// Defaults returns an outage of ten seconds in which every member fails 30 % of its attempts.
 func Defaults() Config {
-	return Config{Members: 5, RequestRate: 1000, Duration: 30 * time.Second, OutageStart: 10 * time.Second, OutageEnd: 20 * time.Second, FailureShare: 0.3,
-		BudgetShare: 0.15, Seed: 1}
+	return Config{
+		Members:      5,
+		RequestRate:  1000,
+		Duration:     30 * time.Second,
+		OutageStart:  10 * time.Second,
+		OutageEnd:    20 * time.Second,
+		FailureShare: 0.3,
+		BudgetShare:  0.15,
+		Seed:         1,
+	}
 }
 
-// Sample is a stretch of the storm.
+// Sample is what came in one interval of the simulation.
 type Sample struct {
-	EndSeconds  float64 `json:"at"`     // its end, in seconds
-	LoadFactor  float64 `json:"load"`   // tries over requests
-	ServedShare float64 `json:"served"` // part of the requests
+	EndSeconds  float64 `json:"at"`     // the end of the interval
+	LoadFactor  float64 `json:"load"`   // attempts over requests
+	ServedShare float64 `json:"served"` // of the requests
 }
 
-// step is the length of a stretch.
-const step = 500 * time.Millisecond
+const (
+	sampleInterval  = 500 * time.Millisecond
+	attemptDuration = time.Millisecond // as the pool is told
+)
+
+// simulation is a simulation that is under way.
+type simulation struct {
+	config Config
+	rng    *rand.Rand
+	pool   *pool.Pool
+
+	requests, attempts, served int // of the current interval
+}
 
-// Run plays a storm.
+// Run runs a simulation and returns its complete intervals.
 func Run(c Config) ([]Sample, error) {
-	cfg := pool.DefaultConfig()
-	cfg.Name, cfg.RetryRatio, cfg.MinRetriesPerSecond = "storm", c.BudgetShare, 0
-	cfg.EjectionErrorRate, cfg.EjectionLatencyFactor = 0, 0 // all fail alike: nobody stands out
-	for i := range c.Members {
-		m := pool.DefaultMember(fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1))
-		m.MaxFails = 0
-		cfg.Members = append(cfg.Members, m)
-	}
-	rng := rand.New(rand.NewPCG(c.Seed, 0))
-	p, err := pool.New(cfg, rng, 0)
+	s := &simulation{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0))}
+	p, err := pool.New(poolConfig(c), s.rng, 0)
 	if err != nil {
 		return nil, err
 	}
-	var points []Sample
-	requests, tries, served := 0, 0, 0
-	end := step
-	for now := time.Duration(0); now < c.Duration; now += time.Duration(rng.ExpFloat64() / c.RequestRate * float64(time.Second)) {
-		for now >= end {
-			n := float64(max(requests, 1))
-			points = append(points, Sample{end.Seconds(), float64(tries) / n, float64(served) / n})
-			requests, tries, served = 0, 0, 0
-			end += step
+	s.pool = p
+	var samples []Sample
+	intervalEnd := sampleInterval
+	for now := time.Duration(0); now < c.Duration; now += s.nextWait() {
+		for now >= intervalEnd {
+			samples = append(samples, s.takeSample(intervalEnd))
+			intervalEnd += sampleInterval
+		}
+		s.simulateRequest(now)
+	}
+	return samples, nil
+}
+
+// poolConfig returns a pool that ejects no member, since all fail alike and none stands out.
+func poolConfig(c Config) pool.Config {
+	config := pool.DefaultConfig()
+	config.Name, config.RetryRatio, config.MinRetriesPerSecond = "storm", c.BudgetShare, 0
+	config.EjectionErrorRate, config.EjectionLatencyFactor = 0, 0
+	for i := range c.Members {
+		member := pool.DefaultMember(fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1))
+		member.MaxFails = 0
+		config.Members = append(config.Members, member)
+	}
+	return config
+}
+
+// nextWait draws the time until the next request.
+func (s *simulation) nextWait() time.Duration {
+	return time.Duration(s.rng.ExpFloat64() / s.config.RequestRate * float64(time.Second))
+}
+
+// takeSample returns the interval that ends, and begins the next.
+func (s *simulation) takeSample(end time.Duration) Sample {
+	requests := float64(max(s.requests, 1))
+	sample := Sample{end.Seconds(), float64(s.attempts) / requests, float64(s.served) / requests}
+	s.requests, s.attempts, s.served = 0, 0, 0
+	return sample
+}
+
+// simulateRequest makes attempts of one request until one succeeds or the pool allows no further one. Attempts take no
+// virtual time.
+func (s *simulation) simulateRequest(now time.Duration) {
+	s.requests++
+	request := &pool.Request{}
+	for {
+		addr, ok := s.pool.Pick(request, now)
+		if !ok {
+			return
+		}
+		s.attempts++
+		isOutage := now >= s.config.OutageStart && now < s.config.OutageEnd
+		if !isOutage || s.rng.Float64() >= s.config.FailureShare {
+			s.pool.Finish(addr, pool.Succeeded, attemptDuration, now)
+			s.served++
+			return
 		}
-		requests++
-		r := &pool.Request{}
-		for {
-			addr, ok := p.Pick(r, now)
-			if !ok {
-				break
-			}
-			tries++
-			if out := now >= c.OutageStart && now < c.OutageEnd; !out || rng.Float64() >= c.FailureShare {
-				p.Finish(addr, pool.Succeeded, time.Millisecond, now)
-				served++
-				break
-			}
-			p.Finish(addr, pool.Failed, time.Millisecond, now)
-			if p.DecideRetry(r, pool.Failure{Condition: pool.ConnectionError}, pool.DefaultRetryOn, now) != pool.Retry {
-				break
-			}
+		s.pool.Finish(addr, pool.Failed, attemptDuration, now)
+		if s.pool.DecideRetry(request, pool.Failure{Condition: pool.ConnectionError}, pool.DefaultRetryOn, now) != pool.Retry {
+			return
 		}
 	}
-	return points, nil
 }
--- a/internal/servertest/gateway.go
+++ b/internal/servertest/gateway.go
@@ -8,7 +8,7 @@
 	"tillerusher/internal/fake"
 )
 
-// Gateway is one connection to a server, which fails the test where it can't go on.
+// Gateway is one connection to a server. It fails its test where it can't go on.
 type Gateway struct {
 	t testing.TB
 	*fake.Gateway
@@ -37,29 +37,29 @@
 	}
 }
 
-// WaitResponse returns the next answer to the request, or to any where id is 0.
+// WaitResponse returns the next response to the request, or to any request where id is 0.
 func (g *Gateway) WaitResponse(id uint16) fake.Response {
 	g.t.Helper()
-	a, err := g.TryResponse(id)
+	response, err := g.TryResponse(id)
 	if err != nil {
 		g.t.Fatalf("no answer to request %d: %v", id, err)
 	}
-	return a
+	return response
 }
 
-// TryResponse returns the next answer to the request, or why there is none.
+// TryResponse is WaitResponse for a response that may not come.
 func (g *Gateway) TryResponse(id uint16) (fake.Response, error) {
 	return g.ReadResponse(id, time.Now().Add(WaitTimeout))
 }
 
-// WaitClosed waits for the end of the connection and fails on any further answer.
+// WaitClosed waits for the end of the connection, before which no further response may come.
 func (g *Gateway) WaitClosed() {
 	g.t.Helper()
-	a, err := g.TryResponse(0)
+	response, err := g.TryResponse(0)
 	if err == nil {
-		g.t.Fatalf("answer %+v instead of the end of the connection", a)
+		g.t.Fatalf("answer %+v instead of the end of the connection", response)
 	}
-	if e, ok := err.(net.Error); ok && e.Timeout() {
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 		g.t.Fatal("the connection was not closed")
 	}
 }
--- a/internal/servertest/interleave/interleave.go
+++ b/internal/servertest/interleave/interleave.go
@@ -1,5 +1,5 @@
-// Package crossing has a test do something between two system calls of a loop: a byte comes after the look into a
-// socket and before its close, a call after the last accept. The order is the test's own, and no sleep's.
+// Package interleave lets a test act between two system calls of an event loop: a byte arrives after the last look into a
+// socket and before its close, a connection after the last accept. The test decides the order; no sleep is involved.
 package interleave
 
 import (
@@ -12,10 +12,10 @@
 	"tillerusher/internal/eventloop"
 )
 
-// Syscall is a system call that a test may come before.
+// Syscall is a system call before which a test may act.
 type Syscall string
 
-// The calls.
+// The system calls that are intercepted.
 const (
 	Accept   Syscall = "accept"
 	Read     Syscall = "read"
@@ -25,74 +25,78 @@
 	Close    Syscall = "close"
 )
 
-// System is a loop's system that tells a test of calls before they are made.
+// System is the system of an event loop. It calls the test's function before system calls.
 type System struct {
 	eventloop.System
-	mu     sync.Mutex
-	before func(call Syscall, fd int) (done bool)
+	mu         sync.Mutex
+	beforeCall func(call Syscall, fd int) (done bool)
 }
 
-// New is the machine's own system, with nothing in between yet.
+// New returns the operating system itself, with no function to call yet.
 func New() *System { return &System{System: eventloop.Kernel{}} }
 
-// BeforeCall has a function called before each call until it returns true, on the goroutine that makes the call.
-func (s *System) BeforeCall(do func(call Syscall, fd int) (done bool)) {
+// BeforeCall has the function called before each system call until it returns true, on the goroutine that makes the call.
+func (s *System) BeforeCall(f func(call Syscall, fd int) (done bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.before = do
+	s.beforeCall = f
 }
 
-// tell tells the test of a call.
-func (s *System) tell(call Syscall, fd int) {
+// intercept calls the test's function.
+func (s *System) intercept(call Syscall, fd int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.before != nil && s.before(call, fd) {
-		s.before = nil
+	if s.beforeCall != nil && s.beforeCall(call, fd) {
+		s.beforeCall = nil
 	}
 }
 
-// Accept implements loop.System.
+// Accept implements eventloop.System.
 func (s *System) Accept(fd int) (int, error) {
-	s.tell(Accept, fd)
+	s.intercept(Accept, fd)
 	return s.System.Accept(fd)
 }
 
-// Read implements loop.System.
+// Read implements eventloop.System.
 func (s *System) Read(fd int, p []byte) (int, error) {
-	s.tell(Read, fd)
+	s.intercept(Read, fd)
 	return s.System.Read(fd, p)
 }
 
-// Peek implements loop.System.
+// Peek implements eventloop.System.
 func (s *System) Peek(fd int, p []byte) (int, error) {
-	s.tell(Peek, fd)
+	s.intercept(Peek, fd)
 	return s.System.Peek(fd, p)
 }
 
-// Write implements loop.System.
+// Write implements eventloop.System.
 func (s *System) Write(fd int, p []byte) (int, error) {
-	s.tell(Write, fd)
+	s.intercept(Write, fd)
 	return s.System.Write(fd, p)
 }
 
-// ShutdownWrite implements loop.System.
+// ShutdownWrite implements eventloop.System.
 func (s *System) ShutdownWrite(fd int) error {
-	s.tell(Shutdown, fd)
+	s.intercept(Shutdown, fd)
 	return s.System.ShutdownWrite(fd)
 }
 
-// Close implements loop.System.
+// Close implements eventloop.System.
 func (s *System) Close(fd int) error {
-	s.tell(Close, fd)
+	s.intercept(Close, fd)
 	return s.System.Close(fd)
 }
 
-// IsPeer tells whether a descriptor of this process is the other end of a connection.
-func IsPeer(fd int, of net.Conn) bool {
-	sa, err := unix.Getpeername(fd)
+// IsPeer returns whether a descriptor of this process is the other end of the connection.
+func IsPeer(fd int, conn net.Conn) bool {
+	name, err := unix.Getpeername(fd)
 	if err != nil {
 		return false
 	}
-	at, ok := sa.(*unix.SockaddrInet4)
-	return ok && netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)) == of.LocalAddr().(*net.TCPAddr).AddrPort()
+	addr, ok := name.(*unix.SockaddrInet4)
+	if !ok {
+		return false
+	}
+	peer := netip.AddrPortFrom(netip.AddrFrom4(addr.Addr), uint16(addr.Port))
+	return peer == conn.LocalAddr().(*net.TCPAddr).AddrPort()
 }
--- a/internal/servertest/interpreter.go
+++ b/internal/servertest/interpreter.go
@@ -1,5 +1,4 @@
-// Package testkit starts the stand-ins of internal/fake and nodes for tests, and fails the test where they can't
-// go on.
+// Package servertest starts servers and the fakes that they talk to for tests, and fails the test where they can't go on.
 package servertest
 
 import (
@@ -10,20 +9,24 @@
 	"tillerusher/internal/fake"
 )
 
-// WaitTimeout is how long a test waits for what has to come; a loaded machine may need much of it.
-const WaitTimeout = 20 * time.Second
+const (
+	// WaitTimeout is how long a test waits for what has to come. A loaded machine may need much of it.
+	WaitTimeout = 20 * time.Second
+	// pollInterval is the time between two looks at a condition.
+	pollInterval = time.Millisecond
+)
 
 // WaitFor polls until the condition holds.
 func WaitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
 	}
 }
 
-// Interpreter is an interpreter that ends with its test.
+// Interpreter is a fake interpreter that ends with its test.
 type Interpreter struct {
 	t testing.TB
 	*fake.Interpreter
@@ -40,7 +43,7 @@
 	return &Interpreter{t, it}
 }
 
-// AddListener has the same interpreter accept links at a new address too, and returns that.
+// AddListener has the interpreter accept links at a new address too, and returns that.
 func (it *Interpreter) AddListener() string {
 	it.t.Helper()
 	addr, err := it.Interpreter.AddListener()
@@ -50,14 +53,15 @@
 	return addr
 }
 
-// WaitGaugeReading waits until what the gauges read now has come to the server: it asks for them again only once it has read them.
+// WaitGaugeReading waits until the server has what the gauges read now. The server asks again only after it has read an
+// answer, so it has the first of two further readings once the second is sent.
 func (it *Interpreter) WaitGaugeReading() {
 	it.t.Helper()
-	from := it.GaugeReadings()
-	WaitFor(it.t, "readings of the gauges", func() bool { return it.GaugeReadings() >= from+2 })
+	before := it.GaugeReadings()
+	WaitFor(it.t, "readings of the gauges", func() bool { return it.GaugeReadings() >= before+2 })
 }
 
-// WaitRuns waits until so many runs were started, and returns them.
+// WaitRuns waits until n runs have started, and returns all that have.
 func (it *Interpreter) WaitRuns(n int) []fake.RunCommand {
 	it.t.Helper()
 	WaitFor(it.t, fmt.Sprintf("%d runs", n), func() bool { return len(it.StartedRuns()) >= n })
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -1,24 +1,28 @@
 package servertest
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
 
+	"tillerusher/internal/daemon"
 	"tillerusher/internal/fake"
 )
 
-// Server is one running server with all that it talks to.
+// serverName and serverSeed identify the server towards the platform; memoryMB is its memory limit.
+const (
+	serverName = "n3"
+	serverSeed = "8c1f30d27a5be964"
+	memoryMB   = 192
+)
+
+// Server is a running server process with the interpreter and the load report service that it talks to. It ends with its
+// test.
 type Server struct {
 	*Interpreter
 	Addr       string
@@ -26,188 +30,157 @@
 	Process    *os.Process
 
 	t       testing.TB
+	process *daemon.Process
 	config  map[string]any
 	reports *net.UDPConn
-	mu      sync.Mutex
-	log     bytes.Buffer
-	exited  chan struct{}
-	state   *os.ProcessState
-}
-
-// Write implements io.Writer for the node's log.
-func (n *Server) Write(p []byte) (int, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.log.Write(p)
-}
-
-// Log returns what the node has logged so far.
-func (n *Server) Log() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.log.String()
+	log     daemon.Log
 }
 
-// FreeAddr returns a loopback address that nothing listens at.
-func FreeAddr(t testing.TB) string {
-	t.Helper()
-	addr, err := fake.FreeAddr()
-	if err != nil {
-		t.Fatal(err)
-	}
-	return addr
-}
-
-// NewReportListener opens an announce service.
-func NewReportListener(t testing.TB) *net.UDPConn {
-	t.Helper()
-	reports, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { reports.Close() })
-	return reports
-}
-
-// ReadReport waits for the next report to an announce service.
-func ReadReport(t testing.TB, reports *net.UDPConn) string {
-	t.Helper()
-	buf := make([]byte, 256)
-	reports.SetReadDeadline(time.Now().Add(WaitTimeout))
-	size, err := reports.Read(buf)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(buf[:size])
-}
-
-// Start starts the program, by a line for the shell as the platform does, with an interpreter; change may edit the
-// configuration.
+// Start starts the program with an interpreter. The program is a line for the shell, as it is on the platform. change may edit
+// the configuration, and may be nil.
 func Start(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
-	return startNode(t, program, it, change, "RELAY_NAME=n3")
+	return start(t, program, it, change, serverName)
 }
 
-// StartWithConfigName is Start with the name that the configuration has, instead of one from the environment.
+// StartWithConfigName is Start with no name in the environment, so that the configuration's name counts.
 func StartWithConfigName(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
-	return startNode(t, program, it, change, "RELAY_NAME=")
+	return start(t, program, it, change, "")
 }
 
-func startNode(t testing.TB, program string, it *Interpreter, change func(config map[string]any), name string) *Server {
+func start(t testing.TB, program string, it *Interpreter, change func(config map[string]any), name string) *Server {
 	t.Helper()
-	reports := NewReportListener(t)
-	n := &Server{Interpreter: it, Addr: FreeAddr(t), t: t, reports: reports, exited: make(chan struct{})}
-	config := map[string]any{"name": "n3", "listen": n.Addr, "vm": it.Addr(), "announce": reports.LocalAddr().String(),
-		"seed": "8c1f30d27a5be964", "stop_ms": 3200, "settings": json.RawMessage(fake.SiteSettings),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
+	s := &Server{Interpreter: it, Addr: FreeAddr(t), t: t, reports: NewReportListener(t)}
+	endpoints := daemon.Endpoints{Listen: s.Addr, Interpreter: it.Addr(), LoadReport: s.reports.LocalAddr().String()}
+	s.config = daemon.NewConfig(serverName, endpoints, memoryMB, fake.SiteSettings)
+	s.config["seed"] = serverSeed
 	if change != nil {
-		change(config)
+		change(s.config)
 	}
-	n.config, n.ConfigPath = config, filepath.Join(t.TempDir(), "config.json")
-	n.Configure(func(map[string]any) {})
-	cmd := exec.Command("/bin/sh", "-c", program)
-	cmd.Env = append(os.Environ(), name, "RELAY_LISTEN="+n.Addr, "RELAY_CONFIG="+n.ConfigPath)
-	cmd.Stderr = n
-	if err := cmd.Start(); err != nil {
+	s.ConfigPath = filepath.Join(t.TempDir(), "config.json")
+	s.Configure(func(map[string]any) {})
+	process, err := daemon.Start(daemon.Command{Program: "/bin/sh", Args: []string{"-c", program}, Core: daemon.AnyCore,
+		Env: []string{"RELAY_NAME=" + name, "RELAY_LISTEN=" + s.Addr, "RELAY_CONFIG=" + s.ConfigPath}}, &s.log)
+	if err != nil {
 		t.Fatal(err)
 	}
-	n.Process = cmd.Process
-	go func() {
-		cmd.Wait()
-		n.state = cmd.ProcessState
-		close(n.exited)
-	}()
+	s.process, s.Process = process, process.OS()
 	t.Cleanup(func() {
-		n.Process.Kill()
-		<-n.exited
+		process.Kill()
 		if t.Failed() {
-			t.Logf("log of the node:\n%s", n.Log())
+			t.Logf("log of the node:\n%s", s.Log())
 		}
 	})
-	return n
+	return s
 }
 
-// Configure replaces the file by an edited copy of the configuration that the node was started with.
-func (n *Server) Configure(edit func(config map[string]any)) {
-	n.t.Helper()
-	config := maps.Clone(n.config)
+// Log returns what the server has logged so far.
+func (s *Server) Log() string { return s.log.String() }
+
+// Configure replaces the configuration file by an edited copy of the configuration that the server was started with.
+func (s *Server) Configure(edit func(config map[string]any)) {
+	s.t.Helper()
+	config := maps.Clone(s.config)
 	edit(config)
-	text, err := json.Marshal(config)
-	if err == nil {
-		err = os.WriteFile(n.ConfigPath+".new", text, 0o600)
-	}
-	if err == nil {
-		err = os.Rename(n.ConfigPath+".new", n.ConfigPath)
-	}
-	if err != nil {
-		n.t.Fatal(err)
+	if err := daemon.ConfigFile(s.ConfigPath).Write(config); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
 // Signal sends the process a signal.
-func (n *Server) Signal(sig syscall.Signal) {
-	n.t.Helper()
-	if err := n.Process.Signal(sig); err != nil {
-		n.t.Fatal(err)
+func (s *Server) Signal(signal syscall.Signal) {
+	s.t.Helper()
+	if err := s.process.Signal(signal); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
 // WaitExit waits for the end of the process and returns its exit status.
-func (n *Server) WaitExit() int {
-	n.t.Helper()
-	select {
-	case <-n.exited:
-		return n.state.ExitCode()
-	case <-time.After(WaitTimeout):
-		n.t.Fatal("the process did not end")
+func (s *Server) WaitExit() int {
+	s.t.Helper()
+	state, err := s.process.Wait(WaitTimeout)
+	if err != nil {
+		s.t.Fatal("the process did not end")
 		return -1
 	}
+	return state.ExitCode()
 }
 
-// WaitReport waits for the next report to the announce service.
-func (n *Server) WaitReport() string {
-	n.t.Helper()
-	return ReadReport(n.t, n.reports)
-}
-
-// CloseReportListener takes the announce service down, and returns where it was.
-func (n *Server) CloseReportListener() *net.UDPAddr {
-	at := n.reports.LocalAddr().(*net.UDPAddr)
-	n.reports.Close()
-	return at
+// WaitHealthy waits until the server passes a health check.
+func (s *Server) WaitHealthy() {
+	s.t.Helper()
+	WaitFor(s.t, "a healthy node", func() bool {
+		g := Dial(s.t, s.Addr)
+		defer g.Close()
+		g.Write(fake.NewHealthCheck(false).Encode(1))
+		return g.WaitResponse(1).Status == 200
+	})
 }
 
-// Counter returns a counter of the newest line of counters, or -1 before the first.
-func (n *Server) Counter(name string) int {
-	lines := strings.Split(n.Log(), "\n")
-	for i := len(lines) - 1; i >= 0; i-- {
-		var line map[string]any
-		if json.Unmarshal([]byte(lines[i]), &line) == nil && line["msg"] == "counters" {
-			if value, ok := line[name].(float64); ok {
-				return int(value)
-			}
-		}
+// Counter returns a counter of the newest line of counters in the log, or -1 before the first.
+func (s *Server) Counter(name string) int {
+	isNumber := func(e daemon.Entry) bool {
+		_, ok := e[name].(float64)
+		return ok
+	}
+	if entry := s.log.Last("counters", isNumber); entry != nil {
+		return int(entry[name].(float64))
 	}
 	return -1
 }
 
-// WaitCounter asks for the counters until one has the value.
-func (n *Server) WaitCounter(name string, want int) {
-	n.t.Helper()
-	WaitFor(n.t, fmt.Sprintf("counter %s to be %d", name, want), func() bool {
-		n.Signal(syscall.SIGUSR1)
-		return n.Counter(name) == want
+// WaitCounter has the server log its counters until the counter has the value.
+func (s *Server) WaitCounter(name string, want int) {
+	s.t.Helper()
+	WaitFor(s.t, fmt.Sprintf("counter %s to be %d", name, want), func() bool {
+		s.Signal(syscall.SIGUSR1)
+		return s.Counter(name) == want
 	})
 }
 
-// WaitHealthy waits until the node serves.
-func (n *Server) WaitHealthy() {
-	n.t.Helper()
-	WaitFor(n.t, "a healthy node", func() bool {
-		g := Dial(n.t, n.Addr)
-		defer g.Close()
-		g.Write(fake.NewHealthCheck(false).Encode(1))
-		return g.WaitResponse(1).Status == 200
-	})
+// WaitReport waits for the next load report.
+func (s *Server) WaitReport() string {
+	s.t.Helper()
+	return ReadReport(s.t, s.reports)
+}
+
+// CloseReportListener closes the load report service, and returns its address.
+func (s *Server) CloseReportListener() *net.UDPAddr {
+	addr := s.reports.LocalAddr().(*net.UDPAddr)
+	s.reports.Close()
+	return addr
+}
+
+// FreeAddr returns a loopback address that nothing listens at.
+func FreeAddr(t testing.TB) string {
+	t.Helper()
+	addr, err := fake.FreeAddr()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+// NewReportListener opens a load report service on loopback. It is closed with the test.
+func NewReportListener(t testing.TB) *net.UDPConn {
+	t.Helper()
+	reports, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { reports.Close() })
+	return reports
+}
+
+// ReadReport waits for the next report to a load report service.
+func ReadReport(t testing.TB, reports *net.UDPConn) string {
+	t.Helper()
+	buf := make([]byte, 256)
+	reports.SetReadDeadline(time.Now().Add(WaitTimeout))
+	size, err := reports.Read(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(buf[:size])
 }
