--- a/internal/replay/action_recorder.go
+++ b/internal/replay/action_recorder.go
@@ -7,84 +7,109 @@
 	"tillerusher/internal/capture"
 )
 
-// ActionRecorder is the host's side of a replay: it keeps the actions that the last event led to and carries out none.
+// ActionRecorder implements admission.Actions for a replay: it keeps the actions that the last event led to, and carries out
+// none.
 type ActionRecorder struct {
 	Actions []capture.Record
 	now     time.Duration
 }
 
-// begin forgets the actions of the event before.
-func (s *ActionRecorder) begin(now time.Duration) { s.Actions, s.now = s.Actions[:0], now }
+// reset drops the actions of the previous event; those to come have the time now.
+func (a *ActionRecorder) reset(now time.Duration) { a.Actions, a.now = a.Actions[:0], now }
 
-func (s *ActionRecorder) add(r capture.Record) {
-	r.At = s.now
-	s.Actions = append(s.Actions, r)
+func (a *ActionRecorder) add(r capture.Record) {
+	r.At = a.now
+	a.Actions = append(a.Actions, r)
 }
 
 // Run implements admission.Actions.
-func (s *ActionRecorder) Run(id admission.RequestID) {
-	s.add(capture.Record{Kind: capture.KindRun, ID: id})
+func (a *ActionRecorder) Run(id admission.RequestID) {
+	a.add(capture.Record{Kind: capture.KindRun, ID: id})
 }
 
-// Refuse implements admission.Actions.
-func (s *ActionRecorder) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
-	s.add(capture.Record{Kind: capture.KindReject, ID: id, Duration: stayAway, Flag: last})
+// Reject implements admission.Actions.
+func (a *ActionRecorder) Reject(id admission.RequestID, retryAfter time.Duration, isFinal bool) {
+	a.add(capture.Record{Kind: capture.KindReject, ID: id, Duration: retryAfter, Flag: isFinal})
 }
 
 // Fail implements admission.Actions.
-func (s *ActionRecorder) Fail(id admission.RequestID) {
-	s.add(capture.Record{Kind: capture.KindFail, ID: id})
+func (a *ActionRecorder) Fail(id admission.RequestID) {
+	a.add(capture.Record{Kind: capture.KindFail, ID: id})
 }
 
 // Call implements admission.Actions.
-func (s *ActionRecorder) Call(id admission.RequestID, timeout time.Duration) {
-	s.add(capture.Record{Kind: capture.KindCall, ID: id, Duration: timeout})
+func (a *ActionRecorder) Call(id admission.RequestID, timeout time.Duration) {
+	a.add(capture.Record{Kind: capture.KindCall, ID: id, Duration: timeout})
 }
 
-// Skip implements admission.Actions.
-func (s *ActionRecorder) SkipCall(id admission.RequestID) {
-	s.add(capture.Record{Kind: capture.KindSkipCall, ID: id})
+// SkipCall implements admission.Actions.
+func (a *ActionRecorder) SkipCall(id admission.RequestID) {
+	a.add(capture.Record{Kind: capture.KindSkipCall, ID: id})
 }
 
-// Halt implements admission.Actions.
-func (s *ActionRecorder) Stop(id admission.RequestID) {
-	s.add(capture.Record{Kind: capture.KindStop, ID: id})
+// Stop implements admission.Actions.
+func (a *ActionRecorder) Stop(id admission.RequestID) {
+	a.add(capture.Record{Kind: capture.KindStop, ID: id})
 }
 
-// Keep implements admission.Actions.
-func (s *ActionRecorder) KeepKey(id admission.RequestID, lifetime time.Duration) {
-	s.add(capture.Record{Kind: capture.KindKeepKey, ID: id, Duration: lifetime})
+// KeepKey implements admission.Actions.
+func (a *ActionRecorder) KeepKey(id admission.RequestID, lifetime time.Duration) {
+	a.add(capture.Record{Kind: capture.KindKeepKey, ID: id, Duration: lifetime})
 }
 
-// Forget implements admission.Actions.
-func (s *ActionRecorder) ReleaseKey(id admission.RequestID) {
-	s.add(capture.Record{Kind: capture.KindReleaseKey, ID: id})
+// ReleaseKey implements admission.Actions.
+func (a *ActionRecorder) ReleaseKey(id admission.RequestID) {
+	a.add(capture.Record{Kind: capture.KindReleaseKey, ID: id})
 }
 
-// Reuse implements admission.Actions.
-func (s *ActionRecorder) ReplayResult(id admission.RequestID) {
-	s.add(capture.Record{Kind: capture.KindReplayResult, ID: id})
+// ReplayResult implements admission.Actions.
+func (a *ActionRecorder) ReplayResult(id admission.RequestID) {
+	a.add(capture.Record{Kind: capture.KindReplayResult, ID: id})
 }
 
-// Say implements admission.Actions.
-func (s *ActionRecorder) AdvertiseLoad(value float64) {
-	s.add(capture.Record{Kind: capture.KindAdvertiseLoad, Value: value})
+// AdvertiseLoad implements admission.Actions.
+func (a *ActionRecorder) AdvertiseLoad(value float64) {
+	a.add(capture.Record{Kind: capture.KindAdvertiseLoad, Value: value})
 }
 
-// Health implements admission.Actions.
-func (s *ActionRecorder) SetHealth(good, fromStore bool) {
-	s.add(capture.Record{Kind: capture.KindSetHealth, Flag: good, FromStore: fromStore})
+// SetHealth implements admission.Actions.
+func (a *ActionRecorder) SetHealth(isHealthy, fromStore bool) {
+	a.add(capture.Record{Kind: capture.KindSetHealth, Flag: isHealthy, FromStore: fromStore})
 }
 
-// CloseIdle implements admission.Actions.
-func (s *ActionRecorder) CloseIdleConnections(idle time.Duration) {
-	s.add(capture.Record{Kind: capture.KindCloseIdleConnections, Duration: idle})
+// CloseIdleConnections implements admission.Actions.
+func (a *ActionRecorder) CloseIdleConnections(idle time.Duration) {
+	a.add(capture.Record{Kind: capture.KindCloseIdleConnections, Duration: idle})
 }
 
-// AfterEvent implements admission.Actions.
-func (s *ActionRecorder) SetTimer(wait time.Duration, token uint32) {
-	s.add(capture.Record{Kind: capture.KindSetTimer, Duration: wait, Token: token})
+// SetTimer implements admission.Actions.
+func (a *ActionRecorder) SetTimer(wait time.Duration, token uint32) {
+	a.add(capture.Record{Kind: capture.KindSetTimer, Duration: wait, Token: token})
 }
 
 // Log implements admission.Actions.
-func (s *ActionRecorder) Log(line string) { s.add(capture.Record{Kind: capture.KindLog, Text: line}) }
+func (a *ActionRecorder) Log(line string) {
+	a.add(capture.Record{Kind: capture.KindLog, Text: line})
+}
+
+// Deliver passes a recorded event to a module.
+func Deliver(module admission.Events, event *capture.Record) {
+	switch event.Kind {
+	case capture.KindRequest:
+		module.Request(event.At, event.Request)
+	case capture.KindCancel:
+		module.Cancel(event.At, event.ID)
+	case capture.KindRunFinished:
+		module.RunFinished(event.At, event.ID, event.Outcome)
+	case capture.KindCallRequested:
+		module.CallRequested(event.At, event.ID)
+	case capture.KindCallFinished:
+		module.CallFinished(event.At, event.ID, event.Outcome, event.Duration)
+	case capture.KindDrain:
+		module.Drain(event.At, event.Duration)
+	case capture.KindTimer:
+		module.Timer(event.At, event.Token, event.Gauges)
+	case capture.KindSettle:
+		module.Settle(event.At)
+	}
+}
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -1,18 +1,51 @@
 package replay
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
-// Attempt is how one try ended.
+// EndStatus is how an attempt ended.
+type EndStatus string
+
+// The end statuses.
+const (
+	StatusOpen      EndStatus = "open"    // no answer is in the capture
+	StatusServed    EndStatus = "served"  // by its own run
+	StatusReplayed  EndStatus = "reused"  // by the result of another attempt's run
+	StatusRejected  EndStatus = "refused" // without a run
+	StatusFailed    EndStatus = "failed"  // by the module, whether it ran or not
+	StatusCancelled EndStatus = "left"    // its caller no longer waits
+	StatusErrored   EndStatus = "errored" // its run ended without a result
+)
+
+// statusAfter returns the status of an attempt that has not ended, after a record of it, and whether that is its end.
+func statusAfter(status EndStatus, r *capture.Record) (after EndStatus, hasEnded bool) {
+	switch r.Kind {
+	case capture.KindReject:
+		return StatusRejected, true
+	case capture.KindFail:
+		return StatusFailed, true
+	case capture.KindCancel:
+		return StatusCancelled, true
+	case capture.KindReplayResult:
+		return StatusReplayed, false
+	case capture.KindRunFinished:
+		switch {
+		case r.Outcome != admission.OK:
+			return StatusErrored, true
+		case status == StatusReplayed:
+			return StatusReplayed, true
+		}
+		return StatusServed, true
+	}
+	return status, false
+}
+
+// Attempt is what became of one attempt of a request. Times are by the module's clock.
 type Attempt struct {
 	ID        admission.RequestID `json:"id"`
 	WireID    string              `json:"request_id,omitempty"`
@@ -21,83 +54,23 @@
 	Retry     bool                `json:"retry,omitempty"`
 	ArrivedAt time.Duration       `json:"arrived"` // at the machine
 	ReadAt    time.Duration       `json:"read"`
-	RunStart  time.Duration       `json:"run_at,omitempty"` // 0 = not run
+	RunStart  time.Duration       `json:"run_at,omitempty"` // 0: it was not run
 	RunEnd    time.Duration       `json:"run_end,omitempty"`
-	CoreTime  time.Duration       `json:"work,omitempty"` // time of a core that its run took, the cores shared evenly
+	CoreTime  time.Duration       `json:"work,omitempty"` // of its run, if the cores were shared evenly
 	Status    EndStatus           `json:"ending"`
 	EndAt     time.Duration       `json:"end_at,omitempty"`
 }
 
-// OnTime tells whether the try was served within its class's aim.
-func (o *Attempt) OnTime(classes []admission.Class) bool {
-	return o.good() && o.Class < len(classes) && o.EndAt-o.ArrivedAt <= classes[o.Class].LatencyObjective
-}
-
-func (o *Attempt) good() bool { return o.Status == StatusServed || o.Status == StatusReplayed }
-
-// ledger follows tries to their ends.
-type ledger struct {
-	cores   float64
-	order   []*Attempt
-	byID    map[admission.RequestID]*Attempt
-	running int
-	clock   float64 // seconds of core time of a try that had always been running
-	begun   map[admission.RequestID]float64
-	now     time.Duration
-}
-
-func newLedger(cores int) *ledger {
-	return &ledger{cores: float64(cores), byID: map[admission.RequestID]*Attempt{}, begun: map[admission.RequestID]float64{}}
-}
-
-// pass moves the clock.
-func (l *ledger) pass(now time.Duration) {
-	if now > l.now {
-		if l.running > 0 {
-			l.clock += (now - l.now).Seconds() * min(1, l.cores/float64(l.running))
-		}
-		l.now = now
-	}
+// OnTime returns whether the attempt was served within its class's latency objective.
+func (a *Attempt) OnTime(classes []admission.Class) bool {
+	return a.wasServed() && a.Class < len(classes) && a.EndAt-a.ArrivedAt <= classes[a.Class].LatencyObjective
 }
 
-// record takes in an event or an action.
-func (l *ledger) record(r *capture.Record, wire string) {
-	l.pass(r.At)
-	if r.Kind == capture.KindRequest {
-		o := &Attempt{ID: r.ID, WireID: wire, Class: r.Request.Class, Tenant: r.Request.Tenant, Retry: r.Request.IsRetry,
-			ArrivedAt: r.At - r.Request.QueueingDelay, ReadAt: r.At, Status: StatusOpen}
-		l.order = append(l.order, o)
-		l.byID[r.ID] = o
-		return
-	}
-	o := l.byID[r.ID]
-	if o == nil || r.ID == 0 {
-		return
-	}
-	if o.EndAt == 0 {
-		var ended bool
-		if o.Status, ended = ending(o.Status, r); ended {
-			o.EndAt = r.At
-		}
-	}
-	switch r.Kind {
-	case capture.KindRun:
-		o.RunStart = r.At
-		l.running++
-		l.begun[r.ID] = l.clock
-	case capture.KindRunFinished:
-		if at, ran := l.begun[r.ID]; ran {
-			delete(l.begun, r.ID)
-			l.running--
-			o.RunEnd, o.CoreTime = r.At, time.Duration((l.clock-at)*float64(time.Second))
-		}
-		delete(l.byID, r.ID) // nothing more can happen to it
-	}
-}
+func (a *Attempt) wasServed() bool { return a.Status == StatusServed || a.Status == StatusReplayed }
 
-// RecordedAttempts are the ends of all tries of one start of the server, as they were recorded.
+// RecordedAttempts returns all attempts of one run of the server, as they were recorded.
 func RecordedAttempts(segments []*capture.Segment, cores int) ([]*Attempt, error) {
-	l := newLedger(cores)
+	tracker := newAttemptTracker(cores)
 	names := map[admission.RequestID]string{}
 	for _, s := range segments {
 		err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
@@ -105,7 +78,7 @@
 				names[r.ID] = r.Text
 				return nil
 			}
-			l.record(r, names[r.ID])
+			tracker.record(r, names[r.ID])
 			if r.Kind == capture.KindRequest {
 				delete(names, r.ID)
 			}
@@ -115,112 +88,100 @@
 			return nil, err
 		}
 	}
-	return l.order, nil
+	return tracker.attempts, nil
 }
 
-// Summary sums up the ends of a group of tries. Times are in milliseconds.
-type Summary struct {
-	Class     string  `json:"class"`
-	Tenant    string  `json:"tenant"`
-	Attempts  int     `json:"tries"`
-	Retries   int     `json:"retries"`
-	Served    int     `json:"served"`
-	Replayed  int     `json:"reused"`
-	OnTime    int     `json:"on_time"` // of those served
-	Rejected  int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	Other     int     `json:"other"` // left, errored or open
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"` // of those served, from their arrival at the machine
-	QueuedP99 float64 `json:"held_p99_ms"`
+// RecordedSettings returns the module's settings in the first segment whose state can be read.
+func RecordedSettings(segments []*capture.Segment) (admission.Settings, error) {
+	for _, s := range segments {
+		if s.Snapshot == nil {
+			continue
+		}
+		module, err := admission.Restore(s.Snapshot, &ActionRecorder{})
+		if err != nil {
+			return admission.Settings{}, fmt.Errorf("%s: %w", s.Path, err)
+		}
+		return module.Settings(), nil
+	}
+	return admission.Settings{}, ErrNoState
 }
 
-// tallied is a tally in the making.
-type tallied struct {
-	Summary
-	latency, held *hdrhistogram.Histogram
+// attemptTracker follows attempts to their ends.
+//
+// Core times come from a virtual clock: it advances by the core time that each run gets, so a run's core time is the
+// difference of the clock between its start and its end, however many ran beside it.
+type attemptTracker struct {
+	attempts []*Attempt // in the order in which they were read
+	byID     map[admission.RequestID]*Attempt
+
+	cores        float64
+	running      int
+	now          time.Duration
+	virtualClock float64 // seconds
+	runStarts    map[admission.RequestID]float64
 }
 
-// longestLatency is the longest latency that is told apart.
-const longestLatency = 10 * time.Minute
-
-func newTallied(class, tenant string) *tallied {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestLatency.Microseconds(), 3) }
-	return &tallied{Summary: Summary{Class: class, Tenant: tenant}, latency: h(), held: h()}
+func newAttemptTracker(cores int) *attemptTracker {
+	return &attemptTracker{byID: map[admission.RequestID]*Attempt{}, cores: float64(cores),
+		runStarts: map[admission.RequestID]float64{}}
 }
 
-func micros(d time.Duration) int64 {
-	return min(max(d.Microseconds(), 1), longestLatency.Microseconds())
+// advance moves both clocks.
+func (t *attemptTracker) advance(now time.Duration) {
+	if now <= t.now {
+		return
+	}
+	if t.running > 0 {
+		t.virtualClock += (now - t.now).Seconds() * min(1, t.cores/float64(t.running))
+	}
+	t.now = now
 }
 
-func (t *tallied) add(o *Attempt, classes []admission.Class) {
-	t.Attempts++
-	if o.Retry {
-		t.Retries++
+// record takes an event or an action. wireID is that of a request's event.
+func (t *attemptTracker) record(r *capture.Record, wireID string) {
+	t.advance(r.At)
+	if r.Kind == capture.KindRequest {
+		t.add(r, wireID)
+		return
 	}
-	if o.RunStart > 0 {
-		t.held.RecordValue(micros(o.RunStart - o.ReadAt))
+	a := t.byID[r.ID]
+	if a == nil || r.ID == 0 {
+		return
 	}
-	switch o.Status {
-	case StatusServed, StatusReplayed:
-		t.Served++
-		if o.Status == StatusReplayed {
-			t.Replayed++
+	if a.EndAt == 0 {
+		var hasEnded bool
+		a.Status, hasEnded = statusAfter(a.Status, r)
+		if hasEnded {
+			a.EndAt = r.At
 		}
-		if o.OnTime(classes) {
-			t.OnTime++
-		}
-		t.latency.RecordValue(micros(o.EndAt - o.ArrivedAt))
-	case StatusRejected:
-		t.Rejected++
-	case StatusFailed:
-		t.Failed++
-	default:
-		t.Other++
+	}
+	switch r.Kind {
+	case capture.KindRun:
+		a.RunStart = r.At
+		t.running++
+		t.runStarts[r.ID] = t.virtualClock
+	case capture.KindRunFinished:
+		t.finishRun(a, r.At)
+		delete(t.byID, r.ID) // nothing more can happen to it
 	}
 }
 
-func (t *tallied) done() Summary {
-	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	t.P50, t.P99, t.QueuedP99 = ms(t.latency, 50), ms(t.latency, 99), ms(t.held, 99)
-	return t.Summary
-}
-
-// Summarize sums up tries by class and tenant, and all of them first.
-func Summarize(outcomes []*Attempt, m capture.Meta, classes []admission.Class) []Summary {
-	type group struct{ class, tenant int }
-	all, groups := newTallied("all", "all"), map[group]*tallied{}
-	var order []group
-	for _, o := range outcomes {
-		g := group{o.Class, o.Tenant}
-		if groups[g] == nil {
-			groups[g] = newTallied(nameOf(m.Classes, o.Class), nameOf(m.Tenants, o.Tenant))
-			order = append(order, g)
-		}
-		groups[g].add(o, classes)
-		all.add(o, classes)
-	}
-	slices.SortFunc(order, func(a, b group) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.tenant, b.tenant))
-	})
-	tallies := []Summary{all.done()}
-	for _, g := range order {
-		tallies = append(tallies, groups[g].done())
-	}
-	return tallies
+// add begins an attempt.
+func (t *attemptTracker) add(r *capture.Record, wireID string) {
+	a := &Attempt{ID: r.ID, WireID: wireID, Class: r.Request.Class, Tenant: r.Request.Tenant, Retry: r.Request.IsRetry,
+		ArrivedAt: r.At - r.Request.QueueingDelay, ReadAt: r.At, Status: StatusOpen}
+	t.attempts = append(t.attempts, a)
+	t.byID[r.ID] = a
 }
 
-// RecordedSettings are those of the module in the first segment whose state can be read.
-func RecordedSettings(segments []*capture.Segment) (admission.Settings, error) {
-	for _, s := range segments {
-		if s.Snapshot == nil {
-			continue
-		}
-		in, err := admission.Restore(s.Snapshot, &ActionRecorder{})
-		if err != nil {
-			return admission.Settings{}, fmt.Errorf("%s: %w", s.Path, err)
-		}
-		return in.Settings(), nil
+// finishRun ends the attempt's run, if it has one.
+func (t *attemptTracker) finishRun(a *Attempt, at time.Duration) {
+	start, ok := t.runStarts[a.ID]
+	if !ok {
+		return
 	}
-	return admission.Settings{}, ErrNoState
+	delete(t.runStarts, a.ID)
+	t.running--
+	a.RunEnd = at
+	a.CoreTime = time.Duration((t.virtualClock - start) * float64(time.Second))
 }
--- a/internal/replay/comparison.go
+++ b/internal/replay/comparison.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/capture"
 )
 
-// StatusChange is a try that ends otherwise.
+// StatusChange is an attempt that ends otherwise.
 type StatusChange struct {
 	ID     admission.RequestID `json:"id"`
 	WireID string              `json:"request_id,omitempty"`
@@ -21,47 +21,50 @@
 	To     EndStatus           `json:"to"`
 }
 
-// Comparison is what two modelled replays of one capture differ in.
+// Comparison is the difference of two simulations of one capture.
 type Comparison struct {
 	Changes []StatusChange `json:"changes"`
 	Before  []Summary      `json:"before"`
 	After   []Summary      `json:"after"`
 }
 
-// Compare sets two replays of the same tries side by side.
-func Compare(before, after []*Attempt, m capture.Meta, classes []admission.Class) Comparison {
-	c := Comparison{Changes: []StatusChange{}, Before: Summarize(before, m, classes), After: Summarize(after, m, classes)}
+// Compare compares two simulations of the same attempts.
+func Compare(before, after []*Attempt, meta capture.Meta, classes []admission.Class) Comparison {
+	c := Comparison{
+		Changes: []StatusChange{}, // not nil, for JSON
+		Before:  Summarize(before, meta, classes),
+		After:   Summarize(after, meta, classes),
+	}
 	byID := make(map[admission.RequestID]*Attempt, len(after))
-	for _, o := range after {
-		byID[o.ID] = o
+	for _, a := range after {
+		byID[a.ID] = a
 	}
-	for _, o := range before {
-		if n := byID[o.ID]; n != nil && n.Status != o.Status {
-			c.Changes = append(c.Changes, StatusChange{o.ID, o.WireID, o.ReadAt, o.Status, n.Status})
+	for _, old := range before {
+		if a := byID[old.ID]; a != nil && a.Status != old.Status {
+			c.Changes = append(c.Changes, StatusChange{old.ID, old.WireID, old.ReadAt, old.Status, a.Status})
 		}
 	}
 	return c
 }
 
-// header begins the file of a modelled replay.
-type header struct {
-	Run     string        `json:"run"`
-	Module  time.Duration `json:"module"`
-	Version int           `json:"version"`
+// attemptsHeader is the first line of a file of attempts. It identifies the capture.
+type attemptsHeader struct {
+	Run        string        `json:"run"`
+	ModuleTime time.Duration `json:"module"`
+	Version    int           `json:"version"`
 }
 
-const outcomesVersion = 1
+const attemptsVersion = 1
 
-// WriteAttempts writes a modelled replay, so that another build can be compared with this one: JSON, one object a
-// line.
-func WriteAttempts(w io.Writer, m capture.Meta, outcomes []*Attempt) error {
+// WriteAttempts writes a simulation, so that another build's can be compared with it: JSON, one object a line.
+func WriteAttempts(w io.Writer, meta capture.Meta, attempts []*Attempt) error {
 	buf := bufio.NewWriter(w)
-	e := json.NewEncoder(buf)
-	if err := e.Encode(header{m.Run, m.ModuleTime, outcomesVersion}); err != nil {
+	encoder := json.NewEncoder(buf)
+	if err := encoder.Encode(attemptsHeader{meta.Run, meta.ModuleTime, attemptsVersion}); err != nil {
 		return err
 	}
-	for _, o := range outcomes {
-		if err := e.Encode(o); err != nil {
+	for _, a := range attempts {
+		if err := encoder.Encode(a); err != nil {
 			return err
 		}
 	}
@@ -69,27 +72,29 @@
 }
 
 // ReadAttempts reads what WriteAttempts wrote of the same capture.
-func ReadAttempts(r io.Reader, m capture.Meta) ([]*Attempt, error) {
-	d := json.NewDecoder(bufio.NewReader(r))
-	var h header
-	if err := d.Decode(&h); err != nil {
+func ReadAttempts(r io.Reader, meta capture.Meta) ([]*Attempt, error) {
+	decoder := json.NewDecoder(bufio.NewReader(r))
+	var header attemptsHeader
+	if err := decoder.Decode(&header); err != nil {
 		return nil, fmt.Errorf("replay: no modelled replay: %w", err)
 	}
-	if h.Version != outcomesVersion {
-		return nil, fmt.Errorf("replay: a modelled replay of version %d, want %d", h.Version, outcomesVersion)
+	if header.Version != attemptsVersion {
+		return nil, fmt.Errorf("replay: a modelled replay of version %d, want %d", header.Version, attemptsVersion)
 	}
-	if h.Run != m.Run || h.Module != m.ModuleTime {
+	if header.Run != meta.Run || header.ModuleTime != meta.ModuleTime {
 		return nil, errors.New("replay: the modelled replay is of another capture")
 	}
-	var outcomes []*Attempt
+	var attempts []*Attempt
 	for {
-		o := &Attempt{}
-		switch err := d.Decode(o); {
-		case err == io.EOF:
-			return outcomes, nil
-		case err != nil:
-			return nil, fmt.Errorf("replay: line %d of the modelled replay: %w", len(outcomes)+2, err)
+		a := &Attempt{}
+		err := decoder.Decode(a)
+		if errors.Is(err, io.EOF) {
+			return attempts, nil
+		}
+		if err != nil {
+			line := len(attempts) + 2
+			return nil, fmt.Errorf("replay: line %d of the modelled replay: %w", line, err)
 		}
-		outcomes = append(outcomes, o)
+		attempts = append(attempts, a)
 	}
 }
--- a/internal/replay/excerpt.go
+++ b/internal/replay/excerpt.go
@@ -9,164 +9,191 @@
 	"tillerusher/internal/capture"
 )
 
-// Span is a part of a capture, by the module's clock.
+// ErrEmptySpan is returned where a span has no records.
+var ErrEmptySpan = errors.New("replay: the span has no records")
+
+// Span is a time span by the module's clock.
 type Span struct{ From, To time.Duration }
 
-// SpanOf is the span from the reading of the requests in the stories to the last of their answers.
-func SpanOf(stories []*RequestTrace) Span {
-	s := Span{From: stories[0].ReadAt}
-	for _, st := range stories {
-		s.From, s.To = min(s.From, st.ReadAt), max(s.To, st.ReadAt, st.EndAt)
+// SpanOf returns the span from the reading of the first of the attempts to the last of their answers.
+func SpanOf(traces []*RequestTrace) Span {
+	span := Span{From: traces[0].ReadAt}
+	for _, t := range traces {
+		span.From = min(span.From, t.ReadAt)
+		span.To = max(span.To, t.ReadAt, t.EndAt)
 	}
-	return s
+	return span
 }
 
-// Excerpt is a part of a capture in memory: the state at its start, and its records.
+// Excerpt is a part of a capture in memory: the module's state at its start, and its records.
 type Excerpt struct {
 	Meta     capture.Meta
 	Snapshot []byte
 	Records  []capture.Record
 }
 
-// ErrEmptySpan says that a span has no records.
-var ErrEmptySpan = errors.New("replay: the span has no records")
-
-// Cut takes the smallest piece that holds a span: from the last moment before it at which the module was between two
-// rounds, to the end of the round in which it ends. The segments are those of one start of the server.
-func Cut(segments []*capture.Segment, s Span) (*Excerpt, error) {
-	var p *Excerpt
-	var notes []capture.Record // before the event that comes next
-	between := true
-	take := func(at capture.Position, event *capture.Record, in *admission.Instance) {
-		if p != nil || !between || event.At < s.From {
-			return
-		}
-		meta := at.Segment.Meta
-		meta.ModuleTime, meta.UnixTime, meta.FirstRecord = event.At, at.Segment.UnixTime(event.At), at.Number-uint64(len(notes))
-		meta.Gap, meta.Segment = nil, 1
-		p = &Excerpt{Meta: meta, Snapshot: in.Snapshot(nil), Records: notes}
-	}
-	r, err := Run(segments, false, Visitor{
-		BeforeEvent: func(at capture.Position, event *capture.Record, in *admission.Instance) error {
-			take(at, event, in)
-			notes = nil
-			return nil
-		},
-		OnAnnotation: func(_ capture.Position, n *capture.Record) error {
-			if p != nil {
-				p.Records = append(p.Records, *n)
-			} else {
-				notes = append(notes, *n)
-			}
-			return nil
-		},
-		AfterEvent: func(_ capture.Position, event *capture.Record, actions []capture.Record, _ *admission.Instance) error {
-			between = event.Kind == capture.KindSettle
-			if p == nil {
-				return nil
-			}
-			p.Records = append(append(p.Records, *event), actions...)
-			if between && event.At >= s.To {
-				return capture.ErrStop
-			}
-			return nil
-		}})
+// Cut returns the smallest excerpt that holds a span: from the last time before it at which the module was between two
+// rounds of events, to the end of the round in which the span ends. The segments are those of one run of the server.
+func Cut(segments []*capture.Segment, span Span) (*Excerpt, error) {
+	c := cutter{span: span, isBetweenRounds: true}
+	result, err := Run(segments, false, Visitor{BeforeEvent: c.beforeEvent, OnAnnotation: c.onAnnotation, AfterEvent: c.afterEvent})
 	switch {
 	case err != nil:
 		return nil, err
-	case r.FirstDifference != nil:
-		return nil, fmt.Errorf("replay: this program decides otherwise before the span ends, use --redecide: %v", r.FirstDifference)
-	case p == nil || len(p.Records) == 0:
+	case result.FirstDifference != nil:
+		return nil, fmt.Errorf("replay: this program decides otherwise before the span ends, use --redecide: %v", result.FirstDifference)
+	case c.excerpt == nil || len(c.excerpt.Records) == 0:
 		return nil, ErrEmptySpan
 	}
-	return p, nil
+	return c.excerpt, nil
 }
 
-// Write writes the piece as a segment; comment says what it is.
-func (p *Excerpt) Write(path, comment string) error {
-	m := p.Meta
-	m.Comment = comment
-	return capture.WriteSegment(path, m, p.Snapshot, func(add func(*capture.Record)) error {
-		for i := range p.Records {
-			add(&p.Records[i])
-		}
+// cutter collects an excerpt during a replay.
+type cutter struct {
+	span            Span
+	excerpt         *Excerpt         // nil before it begins
+	annotations     []capture.Record // since the last event, while the excerpt has not begun
+	isBetweenRounds bool
+}
+
+// beforeEvent begins the excerpt with the first event of the span.
+func (c *cutter) beforeEvent(at capture.Position, event *capture.Record, module *admission.Instance) error {
+	if c.excerpt == nil && c.isBetweenRounds && event.At >= c.span.From {
+		meta := at.Segment.Meta
+		meta.ModuleTime, meta.UnixTime = event.At, at.Segment.UnixTime(event.At)
+		meta.FirstRecord = at.Number - uint64(len(c.annotations))
+		meta.Gap, meta.Segment = nil, 1
+		c.excerpt = &Excerpt{Meta: meta, Snapshot: module.Snapshot(nil), Records: c.annotations}
+	}
+	c.annotations = nil
+	return nil
+}
+
+func (c *cutter) onAnnotation(_ capture.Position, annotation *capture.Record) error {
+	if c.excerpt != nil {
+		c.excerpt.Records = append(c.excerpt.Records, *annotation)
+	} else {
+		c.annotations = append(c.annotations, *annotation)
+	}
+	return nil
+}
+
+// afterEvent adds the event and its actions, and stops the replay at the end of the span.
+func (c *cutter) afterEvent(_ capture.Position, event *capture.Record, actions []capture.Record, _ *admission.Instance) error {
+	c.isBetweenRounds = event.Kind == capture.KindSettle
+	if c.excerpt == nil {
 		return nil
-	})
+	}
+	c.excerpt.Records = append(c.excerpt.Records, *event)
+	c.excerpt.Records = append(c.excerpt.Records, actions...)
+	if c.isBetweenRounds && event.At >= c.span.To {
+		return capture.ErrStop
+	}
+	return nil
 }
 
-// LoadExcerpt reads a piece from a segment.
+// LoadExcerpt reads a whole segment, which must not be damaged.
 func LoadExcerpt(s *capture.Segment) (*Excerpt, error) {
 	if s.Snapshot == nil || len(s.Damage) > 0 {
 		return nil, fmt.Errorf("%s: damaged", s.Path)
 	}
-	p := &Excerpt{Meta: s.Meta, Snapshot: s.Snapshot}
+	e := &Excerpt{Meta: s.Meta, Snapshot: s.Snapshot}
 	err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
-		p.Records = append(p.Records, *r)
+		e.Records = append(e.Records, *r)
 		return nil
 	})
-	return p, err
+	return e, err
 }
 
-// Join reads the events of whole segments into one piece, whatever the recorded actions were.
-func Join(segments []*capture.Segment, s Span) (*Excerpt, error) {
-	var p *Excerpt
-	for _, seg := range segments {
-		last := seg.Meta.ModuleTime
-		if n := len(seg.Blocks); n > 0 {
-			last = seg.Blocks[n-1].BaseTime
-		}
-		if p == nil && last < s.From && seg != segments[len(segments)-1] {
+// Join reads whole segments into one excerpt that holds a span, whatever the recorded actions were. A span that ends at 0
+// has no end.
+func Join(segments []*capture.Segment, span Span) (*Excerpt, error) {
+	var joined *Excerpt
+	for i, s := range segments {
+		isLast := i == len(segments)-1
+		if joined == nil && lastBlockTime(s) < span.From && !isLast {
 			continue
 		}
-		next, err := LoadExcerpt(seg)
+		next, err := LoadExcerpt(s)
 		if err != nil {
 			return nil, err
 		}
-		if p == nil {
-			p = next
+		if joined == nil {
+			joined = next
 		} else {
-			p.Records = append(p.Records, next.Records...)
+			joined.Records = append(joined.Records, next.Records...)
 		}
 	}
-	if p == nil {
+	if joined == nil {
 		return nil, ErrEmptySpan
 	}
-	for i := range p.Records {
-		if r := &p.Records[i]; s.To > 0 && r.Kind == capture.KindSettle && r.At >= s.To {
-			p.Records = p.Records[:i+1]
-			break
+	joined.truncate(span.To)
+	return joined, nil
+}
+
+// lastBlockTime returns the module's clock at the start of the segment's last block.
+func lastBlockTime(s *capture.Segment) time.Duration {
+	if n := len(s.Blocks); n > 0 {
+		return s.Blocks[n-1].BaseTime
+	}
+	return s.Meta.ModuleTime
+}
+
+// truncate drops what follows the first round that ends at the time or later; 0 drops nothing.
+func (e *Excerpt) truncate(end time.Duration) {
+	if end <= 0 {
+		return
+	}
+	for i := range e.Records {
+		if r := &e.Records[i]; r.Kind == capture.KindSettle && r.At >= end {
+			e.Records = e.Records[:i+1]
+			return
 		}
 	}
-	return p, nil
 }
 
-// EventObserver hears of each event that a piece is fed with: the module before and after it, and what it decided.
+// Write writes the excerpt to a new file, as a segment with the comment.
+func (e *Excerpt) Write(path, comment string) error {
+	meta := e.Meta
+	meta.Comment = comment
+	return capture.WriteSegment(path, meta, e.Snapshot, func(add func(*capture.Record)) error {
+		for i := range e.Records {
+			add(&e.Records[i])
+		}
+		return nil
+	})
+}
+
+// EventObserver is told of each event that an excerpt is replayed with.
 type EventObserver interface {
-	ObserveEvent(event *capture.Record, actions []capture.Record, in *admission.Instance)
+	// ObserveEvent is called after the event, with the actions that it led to and the module as it is then.
+	ObserveEvent(event *capture.Record, actions []capture.Record, module *admission.Instance)
 }
 
-// Replay feeds the piece's events to this program's module, tells watch of them, and returns the piece with this
-// program's actions in place of the recorded ones.
-func (p *Excerpt) Replay(watch EventObserver) (*Excerpt, error) {
-	var sink ActionRecorder
-	in, err := admission.Restore(p.Snapshot, &sink)
+// Replay passes the excerpt's events to the module, and returns the excerpt with the module's actions in place of the
+// recorded ones. The observer may be nil.
+func (e *Excerpt) Replay(observer EventObserver) (*Excerpt, error) {
+	var recorder ActionRecorder
+	module, err := admission.Restore(e.Snapshot, &recorder)
 	if err != nil {
 		return nil, err
 	}
-	out := &Excerpt{Meta: p.Meta, Snapshot: p.Snapshot}
-	for i := range p.Records {
-		r := &p.Records[i]
-		switch {
-		case r.Kind.IsEvent():
-			sink.begin(r.At)
-			Deliver(in, r)
-			out.Records = append(append(out.Records, *r), sink.Actions...)
-			if watch != nil {
-				watch.ObserveEvent(r, sink.Actions, in)
-			}
-		case !r.Kind.IsAction():
-			out.Records = append(out.Records, *r)
+	replayed := &Excerpt{Meta: e.Meta, Snapshot: e.Snapshot}
+	for i := range e.Records {
+		r := &e.Records[i]
+		if r.Kind.IsAction() {
+			continue
+		}
+		replayed.Records = append(replayed.Records, *r)
+		if !r.Kind.IsEvent() {
+			continue
+		}
+		recorder.reset(r.At)
+		Deliver(module, r)
+		replayed.Records = append(replayed.Records, recorder.Actions...)
+		if observer != nil {
+			observer.ObserveEvent(r, recorder.Actions, module)
 		}
 	}
-	return out, nil
+	return replayed, nil
 }
--- a/internal/replay/predicate.go
+++ b/internal/replay/predicate.go
@@ -10,88 +10,103 @@
 	"tillerusher/internal/capture"
 )
 
-// Predicate is something that a run of the module shows or does not.
+// Predicate is a property that a replay of an excerpt shows or does not show.
 type Predicate interface {
 	EventObserver
-	// Matched tells whether it was shown.
+	// Matched returns whether the property was shown.
 	Matched() bool
 }
 
-// ParsePredicate returns a function that makes a fresh predicate for each run, from its text:
+// The kinds of predicates.
+const (
+	predicateRejected     = "refused"
+	predicateFailed       = "failed"
+	predicateRun          = "run"
+	predicateLog          = "log"
+	predicateStuckBacklog = "jam"
+)
+
+// predicateActions are the actions that predicates with a request look for.
+var predicateActions = map[string]capture.Kind{
+	predicateRejected: capture.KindReject,
+	predicateFailed:   capture.KindFail,
+	predicateRun:      capture.KindRun,
+}
+
+// ParsePredicate reads a predicate and returns a function that makes a new one for each replay:
 //
-//	refused:ID  failed:ID  run:ID    the module's request ID is refused, failed or run
+//	refused:ID  failed:ID  run:ID    the module's request ID is rejected, failed or run
 //	log:TEXT                          the module logs a line with the text
-//	jam:DURATION                      for so long requests are held and none runs, though nothing is stalled
+//	jam:DURATION                      for so long requests are queued and none runs, though nothing is stalled
 func ParsePredicate(text string) (func() Predicate, error) {
-	kind, rest, _ := strings.Cut(text, ":")
-	actions := map[string]capture.Kind{"refused": capture.KindReject, "failed": capture.KindFail, "run": capture.KindRun}
+	kind, argument, _ := strings.Cut(text, ":")
 	switch {
-	case actions[kind] != 0:
-		id, err := strconv.ParseUint(strings.TrimPrefix(rest, "#"), 10, 32)
+	case predicateActions[kind] != 0:
+		id, err := strconv.ParseUint(strings.TrimPrefix(argument, "#"), 10, 32)
 		if err != nil {
-			return nil, fmt.Errorf("predicate %q: %q is no number of a request", text, rest)
+			return nil, fmt.Errorf("predicate %q: %q is no number of a request", text, argument)
 		}
-		return func() Predicate {
-			return &actionPredicate{match: func(a *capture.Record) bool {
-				return a.Kind == actions[kind] && a.ID == admission.RequestID(id)
-			}}
-		}, nil
-	case kind == "log" && rest != "":
-		return func() Predicate {
-			return &actionPredicate{match: func(a *capture.Record) bool {
-				return a.Kind == capture.KindLog && strings.Contains(a.Text, rest)
-			}}
-		}, nil
-	case kind == "jam":
-		d, err := time.ParseDuration(rest)
-		if err != nil || d <= 0 {
-			return nil, fmt.Errorf("predicate %q: %q is no time such as 500ms", text, rest)
+		return newActionPredicate(func(a *capture.Record) bool {
+			return a.Kind == predicateActions[kind] && a.ID == admission.RequestID(id)
+		}), nil
+	case kind == predicateLog && argument != "":
+		return newActionPredicate(func(a *capture.Record) bool {
+			return a.Kind == capture.KindLog && strings.Contains(a.Text, argument)
+		}), nil
+	case kind == predicateStuckBacklog:
+		duration, err := time.ParseDuration(argument)
+		if err != nil || duration <= 0 {
+			return nil, fmt.Errorf("predicate %q: %q is no time such as 500ms", text, argument)
 		}
-		return func() Predicate { return &StuckBacklog{MinDuration: d} }, nil
+		return func() Predicate { return &StuckBacklog{MinDuration: duration} }, nil
 	}
 	return nil, fmt.Errorf("predicate %q: want refused:ID, failed:ID, run:ID, log:TEXT or jam:DURATION", text)
 }
 
-// actionPredicate looks for an action.
+// actionPredicate matches a replay with an action that the function returns true for.
 type actionPredicate struct {
-	match   func(*capture.Record) bool
+	matches func(action *capture.Record) bool
 	matched bool
 }
 
-// ObserveEvent implements Watch.
-func (s *actionPredicate) ObserveEvent(_ *capture.Record, actions []capture.Record, _ *admission.Instance) {
+func newActionPredicate(matches func(action *capture.Record) bool) func() Predicate {
+	return func() Predicate { return &actionPredicate{matches: matches} }
+}
+
+// ObserveEvent implements EventObserver.
+func (p *actionPredicate) ObserveEvent(_ *capture.Record, actions []capture.Record, _ *admission.Instance) {
 	for i := range actions {
-		s.matched = s.matched || s.match(&actions[i])
+		p.matched = p.matched || p.matches(&actions[i])
 	}
 }
 
 // Matched implements Predicate.
-func (s *actionPredicate) Matched() bool { return s.matched }
+func (p *actionPredicate) Matched() bool { return p.matched }
 
-// StuckBacklog is a hold from which nothing runs while nothing keeps it from that.
+// StuckBacklog matches a replay in which requests are queued and none runs, although the module does not see a stall.
 type StuckBacklog struct {
 	MinDuration time.Duration // how long it has to last
 
-	Longest time.Duration // that was seen
-	since   time.Duration
-	on      bool
+	longest time.Duration
+	since   time.Duration // when the present backlog got stuck
+	isStuck bool
 }
 
-// ObserveEvent implements Watch.
-func (j *StuckBacklog) ObserveEvent(event *capture.Record, _ []capture.Record, in *admission.Instance) {
+// ObserveEvent implements EventObserver.
+func (b *StuckBacklog) ObserveEvent(event *capture.Record, _ []capture.Record, module *admission.Instance) {
 	if event.Kind != capture.KindSettle {
 		return
 	}
-	i := in.Inspect()
-	if i.Queued == 0 || i.Running > 0 || i.Calling > 0 || i.Stalled {
-		j.on = false
+	state := module.Inspect()
+	if state.Queued == 0 || state.Running > 0 || state.Calling > 0 || state.Stalled {
+		b.isStuck = false
 		return
 	}
-	if !j.on {
-		j.on, j.since = true, event.At
+	if !b.isStuck {
+		b.isStuck, b.since = true, event.At
 	}
-	j.Longest = max(j.Longest, event.At-j.since)
+	b.longest = max(b.longest, event.At-b.since)
 }
 
 // Matched implements Predicate.
-func (j *StuckBacklog) Matched() bool { return j.Longest >= j.MinDuration }
+func (b *StuckBacklog) Matched() bool { return b.longest >= b.MinDuration }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,6 @@
-// Package replay feeds captures to the decision module again, in virtual time: to see that it decides the same, to
-// explain what it decided, to see what it would have decided, and to cut captures down to what matters.
+// Package replay feeds captures to the decision module again, in virtual time: to check that it decides the same (Run), to
+// explain what it decided (Explain, InspectAt), to simulate what it would have decided otherwise (Simulate), and to reduce
+// captures to what matters (Cut, Shrink).
 package replay
 
 import (
@@ -12,7 +13,7 @@
 	"tillerusher/internal/capture"
 )
 
-// Result is what became of a replay.
+// Result is what came of a replay.
 type Result struct {
 	Segments         int           `json:"segments"`
 	Records          uint64        `json:"records"`
@@ -22,22 +23,35 @@
 	Rejected         uint64        `json:"refused"`
 	Failed           uint64        `json:"failed"`
 	Runs             uint64        `json:"runs"`
-	Restarts         int           `json:"restarts"` // times that it began from a snapshot instead of going on
-	Duration         time.Duration `json:"spanned"`  // of the module's clock, in nanoseconds
-	Skipped          uint64        `json:"skipped"`  // events behind damage, which no state precedes
-	MatchedSnapshots int           `json:"states"`   // snapshots that were the very state that the replay had come to
+	Restarts         int           `json:"restarts"` // how often it began from a snapshot instead of going on
+	Duration         time.Duration `json:"spanned"`  // by the module's clock
+	Skipped          uint64        `json:"skipped"`  // events behind damage, whose state before is not known
+	MatchedSnapshots int           `json:"states"`   // snapshots that were equal to the state that the replay had reached
 	FirstDifference  *Difference   `json:"first,omitempty"`
 }
 
-// Difference is where a replay did not decide what was recorded.
+// countAction counts a recorded action.
+func (r *Result) countAction(action *capture.Record) {
+	r.Actions++
+	switch action.Kind {
+	case capture.KindRun:
+		r.Runs++
+	case capture.KindReject:
+		r.Rejected++
+	case capture.KindFail:
+		r.Failed++
+	}
+}
+
+// Difference is a place at which a replay does not decide what was recorded.
 type Difference struct {
 	Segment      string               `json:"segment"`
-	RecordNumber uint64               `json:"number"` // of the event's record within the run
+	RecordNumber uint64               `json:"number"` // of the event's record, within the run of the server
 	Event        *capture.Record      `json:"event,omitempty"`
-	Recorded     *capture.Record      `json:"recorded,omitempty"` // nil: nothing more was recorded
-	Replayed     *capture.Record      `json:"replayed,omitempty"` // nil: nothing more was decided
-	StateDiffers bool                 `json:"state,omitempty"`    // the state at the segment's start is another one
-	StateBefore  admission.Inspection `json:"before"`             // what the module knew before the event
+	Recorded     *capture.Record      `json:"recorded,omitempty"` // nil: no further action was recorded
+	Replayed     *capture.Record      `json:"replayed,omitempty"` // nil: no further action was decided
+	StateDiffers bool                 `json:"state,omitempty"`    // the difference is in the snapshot at the segment's start
+	StateBefore  admission.Inspection `json:"before"`             // before the event
 }
 
 // String names the place and both actions.
@@ -45,237 +59,224 @@
 	if d.StateDiffers {
 		return fmt.Sprintf("%s: the state at its start is not the one that the replay had come to", d.Segment)
 	}
-	return fmt.Sprintf("%s: record %d: at %s the record has %s, the replay has %s", d.Segment, d.RecordNumber, FormatRecord(d.Event),
-		FormatRecord(d.Recorded), FormatRecord(d.Replayed))
+	return fmt.Sprintf("%s: record %d: at %s the record has %s, the replay has %s", d.Segment, d.RecordNumber,
+		FormatRecord(d.Event), FormatRecord(d.Recorded), FormatRecord(d.Replayed))
 }
 
-// Visitor follows a replay. Before is called with the module as it is before each event, After with the actions
-// that the event led to. Nil functions are not called. An error ends the replay.
+// Visitor follows a replay. Its functions may be nil. An error that one returns ends the replay, capture.ErrStop without an
+// error of Run.
 type Visitor struct {
-	BeforeEvent  func(p capture.Position, event *capture.Record, in *admission.Instance) error
-	AfterEvent   func(p capture.Position, event *capture.Record, actions []capture.Record, in *admission.Instance) error
-	OnAnnotation func(p capture.Position, note *capture.Record) error
+	// BeforeEvent is called with the module as it is before the event.
+	BeforeEvent func(at capture.Position, event *capture.Record, module *admission.Instance) error
+	// AfterEvent is called with the actions that the event led to, if they are the recorded ones.
+	AfterEvent func(at capture.Position, event *capture.Record, actions []capture.Record, module *admission.Instance) error
+	// OnAnnotation is called with records that are neither events nor actions.
+	OnAnnotation func(at capture.Position, annotation *capture.Record) error
 }
 
 // errDiffers ends a replay at its first difference.
 var errDiffers = errors.New("replay: the decisions differ")
 
-// Run replays the segments in their order. It goes on from one to the next where nothing is missing between them,
-// and begins from a segment's own snapshot elsewhere, or at each where fresh is set.
+// Run replays the segments in their order. It goes on from one segment to the next where no record is missing between them,
+// and begins from a segment's own snapshot elsewhere, or at every segment where fresh is set.
 func Run(segments []*capture.Segment, fresh bool, v Visitor) (*Result, error) {
-	m := &machine{visitor: v}
-	var before *capture.Segment
+	r := &replayer{visitor: v}
+	var previous *capture.Segment
 	for _, s := range segments {
-		err := m.segment(s, before, fresh)
-		if err == errDiffers || errors.Is(err, capture.ErrStop) {
-			return &m.result, nil
+		err := r.replaySegment(s, previous, fresh)
+		if errors.Is(err, errDiffers) || errors.Is(err, capture.ErrStop) {
+			return &r.result, nil
 		}
 		if err != nil {
-			return &m.result, fmt.Errorf("%s: %w", s.Path, err)
+			return &r.result, fmt.Errorf("%s: %w", s.Path, err)
 		}
-		before = s
+		previous = s
 	}
-	return &m.result, nil
+	return &r.result, nil
 }
 
-// machine is a replay under way.
-type machine struct {
-	visitor Visitor
-	result  Result
-	in      *admission.Instance // nil where no state is known
-	sink    ActionRecorder
-	event   capture.Record // the last event, whose actions are compared
-	at      capture.Position
-	open    bool // an event was fed
-	next    int  // of the replayed actions, to be compared
-	scratch []byte
+// replayer is a replay that is under way.
+type replayer struct {
+	visitor  Visitor
+	result   Result
+	module   *admission.Instance // nil where its state is not known
+	recorder ActionRecorder
+	snapshot []byte // a buffer
+
+	isComparing bool           // an event was delivered, whose actions are being compared
+	event       capture.Record // that event
+	eventAt     capture.Position
+	compared    int // actions of the recorder that were compared
 }
 
-// segment replays one segment.
-func (m *machine) segment(s, before *capture.Segment, fresh bool) error {
-	m.result.Segments++
-	goesOn := m.in != nil && s.IsContinuationOf(before)
-	if goesOn && s.Snapshot != nil {
-		m.scratch = m.in.Snapshot(m.scratch[:0])
-		if !bytes.Equal(m.scratch, s.Snapshot) {
-			m.result.FirstDifference = &Difference{Segment: s.Path, RecordNumber: s.Meta.FirstRecord, StateDiffers: true, StateBefore: m.in.Inspect()}
-			return errDiffers
-		}
-		m.result.MatchedSnapshots++
-	}
-	if !goesOn || fresh {
-		if err := m.restore(s); err != nil {
+// replaySegment replays one segment.
+func (r *replayer) replaySegment(s, previous *capture.Segment, fresh bool) error {
+	r.result.Segments++
+	continues := r.module != nil && s.IsContinuationOf(previous)
+	if continues && s.Snapshot != nil {
+		if err := r.compareSnapshot(s); err != nil {
 			return err
 		}
 	}
-	last := s.Meta.ModuleTime
-	var stopped error // Each ends the segment without an error, and the replay is to end too
-	err := s.ForEach(func(p capture.Position, r *capture.Record) error {
-		if p.AfterDamage {
-			m.in, m.open = nil, false // what is missing may have changed anything
+	if !continues || fresh {
+		if err := r.restore(s); err != nil {
+			return err
 		}
-		last = max(last, r.At)
-		stopped = m.record(p, r)
-		return stopped
-	})
-	m.result.Duration += last - s.Meta.ModuleTime
-	if err == nil {
-		err = stopped
 	}
-	if err != nil {
+	if err := r.replayRecords(s); err != nil {
 		return err
 	}
 	if s.Complete {
-		return m.close()
+		return r.finishEvent()
 	}
-	m.open = false // the last event's actions may not all have been recorded
+	r.isComparing = false // the last event's actions may not all have been recorded
+	return nil
+}
+
+// compareSnapshot compares the state that the replay has reached with the segment's snapshot.
+func (r *replayer) compareSnapshot(s *capture.Segment) error {
+	r.snapshot = r.module.Snapshot(r.snapshot[:0])
+	if !bytes.Equal(r.snapshot, s.Snapshot) {
+		r.result.FirstDifference = &Difference{Segment: s.Path, RecordNumber: s.Meta.FirstRecord, StateDiffers: true,
+			StateBefore: r.module.Inspect()}
+		return errDiffers
+	}
+	r.result.MatchedSnapshots++
 	return nil
 }
 
 // restore takes the state at a segment's start.
-func (m *machine) restore(s *capture.Segment) error {
-	m.in, m.open = nil, false
-	m.result.Restarts++
+func (r *replayer) restore(s *capture.Segment) error {
+	r.module, r.isComparing = nil, false
+	r.result.Restarts++
 	if s.Snapshot == nil {
-		return nil // damaged: its events are skipped
+		return nil // it is damaged, and the segment's events are skipped
 	}
-	in, err := admission.Restore(s.Snapshot, &m.sink)
+	module, err := admission.Restore(s.Snapshot, &r.recorder)
 	if err != nil {
 		return err
 	}
-	m.in = in
+	r.module = module
 	return nil
 }
 
-// record takes the next record.
-func (m *machine) record(p capture.Position, r *capture.Record) error {
-	m.result.Records++
+// replayRecords replays the records of a segment.
+func (r *replayer) replayRecords(s *capture.Segment) error {
+	last := s.Meta.ModuleTime
+	var recordErr error // kept, since ForEach returns nil where it is stopped by capture.ErrStop
+	err := s.ForEach(func(at capture.Position, record *capture.Record) error {
+		if at.AfterDamage {
+			r.module, r.isComparing = nil, false // what is missing may have changed anything
+		}
+		last = max(last, record.At)
+		recordErr = r.replayRecord(at, record)
+		return recordErr
+	})
+	r.result.Duration += last - s.Meta.ModuleTime
+	if err != nil {
+		return err
+	}
+	return recordErr
+}
+
+// replayRecord replays the next record.
+func (r *replayer) replayRecord(at capture.Position, record *capture.Record) error {
+	r.result.Records++
 	switch {
-	case r.Kind.IsEvent():
-		if err := m.close(); err != nil {
+	case record.Kind.IsEvent():
+		if err := r.finishEvent(); err != nil {
 			return err
 		}
-		return m.feed(p, r)
-	case r.Kind.IsAction():
-		m.result.count(r)
-		if !m.open {
-			return nil
-		}
-		if m.next >= len(m.sink.Actions) || m.sink.Actions[m.next] != *r {
-			return m.differs(r)
-		}
-		m.next++
-		return nil
-	case m.visitor.OnAnnotation != nil:
-		return m.visitor.OnAnnotation(p, r)
+		return r.deliverEvent(at, record)
+	case record.Kind.IsAction():
+		r.result.countAction(record)
+		return r.compareAction(record)
+	case r.visitor.OnAnnotation != nil:
+		return r.visitor.OnAnnotation(at, record)
 	}
 	return nil
 }
 
-// feed tells the module of an event.
-func (m *machine) feed(p capture.Position, r *capture.Record) error {
-	m.result.Events++
-	if r.Kind == capture.KindRequest {
-		m.result.Requests++
+// deliverEvent passes an event to the module.
+func (r *replayer) deliverEvent(at capture.Position, event *capture.Record) error {
+	r.result.Events++
+	if event.Kind == capture.KindRequest {
+		r.result.Requests++
 	}
-	if m.in == nil {
-		m.result.Skipped++
+	if r.module == nil {
+		r.result.Skipped++
 		return nil
 	}
-	m.event, m.at, m.open, m.next = *r, p, true, 0
-	if m.visitor.BeforeEvent != nil {
-		if err := m.visitor.BeforeEvent(p, r, m.in); err != nil {
+	r.event, r.eventAt, r.isComparing, r.compared = *event, at, true, 0
+	if r.visitor.BeforeEvent != nil {
+		if err := r.visitor.BeforeEvent(at, event, r.module); err != nil {
 			return err
 		}
 	}
-	m.sink.begin(r.At)
-	Deliver(m.in, r)
+	r.recorder.reset(event.At)
+	Deliver(r.module, event)
 	return nil
 }
 
-// close ends an event: no action may be left that was not recorded.
-func (m *machine) close() error {
-	if !m.open {
+// compareAction compares a recorded action with the next one that the module decided.
+func (r *replayer) compareAction(recorded *capture.Record) error {
+	if !r.isComparing {
 		return nil
 	}
-	m.open = false
-	if m.next < len(m.sink.Actions) {
-		return m.differs(nil)
+	if r.compared >= len(r.recorder.Actions) || r.recorder.Actions[r.compared] != *recorded {
+		return r.reportDifference(recorded)
 	}
-	if m.visitor.AfterEvent != nil {
-		return m.visitor.AfterEvent(m.at, &m.event, m.sink.Actions, m.in)
+	r.compared++
+	return nil
+}
+
+// finishEvent ends an event: the module may not have decided more actions than were recorded.
+func (r *replayer) finishEvent() error {
+	if !r.isComparing {
+		return nil
+	}
+	r.isComparing = false
+	if r.compared < len(r.recorder.Actions) {
+		return r.reportDifference(nil)
+	}
+	if r.visitor.AfterEvent != nil {
+		return r.visitor.AfterEvent(r.eventAt, &r.event, r.recorder.Actions, r.module)
 	}
 	return nil
 }
 
-// differs notes the first difference.
-func (m *machine) differs(recorded *capture.Record) error {
-	event := m.event
-	d := &Difference{Segment: m.at.Segment.Path, RecordNumber: m.at.Number, Event: &event}
+// reportDifference sets the result's difference. recorded is nil where no further action was recorded.
+func (r *replayer) reportDifference(recorded *capture.Record) error {
+	event := r.event
+	d := &Difference{Segment: r.eventAt.Segment.Path, RecordNumber: r.eventAt.Number, Event: &event}
 	if recorded != nil {
-		r := *recorded
-		d.Recorded = &r
+		copied := *recorded
+		d.Recorded = &copied
 	}
-	if m.next < len(m.sink.Actions) {
-		a := m.sink.Actions[m.next]
-		d.Replayed = &a
+	if r.compared < len(r.recorder.Actions) {
+		replayed := r.recorder.Actions[r.compared]
+		d.Replayed = &replayed
 	}
-	d.StateBefore = m.stateBefore()
-	m.result.FirstDifference = d
+	d.StateBefore = r.inspectBeforeEvent()
+	r.result.FirstDifference = d
 	return errDiffers
 }
 
-// stateBefore replays the segment once more up to the event that differs.
-func (m *machine) stateBefore() (known admission.Inspection) {
-	again := machine{}
-	if again.restore(m.at.Segment) != nil || again.in == nil {
-		return known
+// inspectBeforeEvent replays the segment again, up to the event that differs, and returns the module's state there.
+func (r *replayer) inspectBeforeEvent() (state admission.Inspection) {
+	again := replayer{}
+	if again.restore(r.eventAt.Segment) != nil || again.module == nil {
+		return state
 	}
-	stop := m.at.Number
-	m.at.Segment.ForEach(func(p capture.Position, r *capture.Record) error {
-		if p.Number == stop {
-			known = again.in.Inspect()
+	r.eventAt.Segment.ForEach(func(at capture.Position, record *capture.Record) error {
+		if at.Number == r.eventAt.Number {
+			state = again.module.Inspect()
 			return capture.ErrStop
 		}
-		if r.Kind.IsEvent() {
-			Deliver(again.in, r)
+		if record.Kind.IsEvent() {
+			Deliver(again.module, record)
 		}
 		return nil
 	})
-	return known
-}
-
-// count adds what an action did.
-func (r *Result) count(a *capture.Record) {
-	r.Actions++
-	switch a.Kind {
-	case capture.KindRun:
-		r.Runs++
-	case capture.KindReject:
-		r.Rejected++
-	case capture.KindFail:
-		r.Failed++
-	}
-}
-
-// Deliver tells a module of a recorded event.
-func Deliver(m admission.Events, r *capture.Record) {
-	switch r.Kind {
-	case capture.KindRequest:
-		m.Request(r.At, r.Request)
-	case capture.KindCancel:
-		m.Cancel(r.At, r.ID)
-	case capture.KindRunFinished:
-		m.RunFinished(r.At, r.ID, r.Outcome)
-	case capture.KindCallRequested:
-		m.CallRequested(r.At, r.ID)
-	case capture.KindCallFinished:
-		m.CallFinished(r.At, r.ID, r.Outcome, r.Duration)
-	case capture.KindDrain:
-		m.Drain(r.At, r.Duration)
-	case capture.KindTimer:
-		m.Timer(r.At, r.Token, r.Gauges)
-	case capture.KindSettle:
-		m.Settle(r.At)
-	}
+	return state
 }
--- a/internal/replay/setting_change.go
+++ b/internal/replay/setting_change.go
@@ -1,6 +1,7 @@
 package replay
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -11,28 +12,33 @@
 	"tillerusher/internal/capture"
 )
 
-// SettingChange is one changed value of the module's settings.
+// SettingChange is a changed value of the module's settings.
 type SettingChange struct{ Name, Value string }
 
-// ParseSettingChanges reads NAME=VALUE pairs: cores, servers, memory-kb, key-kb, crowd-factor, retry-after and fresh; of a
-// class aim.CLASS, deadline.CLASS and worth.CLASS; of a tenant quota.TENANT.
+// errUnknownSetting lists the settings that can be changed.
+var errUnknownSetting = errors.New("want cores, servers, memory-kb, key-kb, crowd-factor, retry-after, fresh, aim.CLASS, " +
+	"deadline.CLASS, worth.CLASS or quota.TENANT")
+
+// ParseSettingChanges reads NAME=VALUE pairs. The names are cores, servers, memory-kb, key-kb, crowd-factor, retry-after and
+// fresh; of a class aim.CLASS, deadline.CLASS and worth.CLASS; of a tenant quota.TENANT.
 func ParseSettingChanges(pairs []string) ([]SettingChange, error) {
-	var list []SettingChange
-	for _, p := range pairs {
-		name, value, ok := strings.Cut(p, "=")
+	var changes []SettingChange
+	for _, pair := range pairs {
+		name, value, ok := strings.Cut(pair, "=")
 		if !ok || name == "" || value == "" {
-			return nil, fmt.Errorf("setting %q: want NAME=VALUE", p)
+			return nil, fmt.Errorf("setting %q: want NAME=VALUE", pair)
 		}
-		list = append(list, SettingChange{name, value})
+		changes = append(changes, SettingChange{name, value})
 	}
-	return list, nil
+	return changes, nil
 }
 
-// ApplySettingChanges returns a function for Model that makes the changes; m names the classes and tenants.
-func ApplySettingChanges(list []SettingChange, m capture.Meta) func(*admission.Settings) error {
-	return func(s *admission.Settings) error {
-		for _, c := range list {
-			if err := c.apply(s, m); err != nil {
+// ApplySettingChanges returns a function for Simulate that makes the changes. The capture's meta names the classes and
+// tenants.
+func ApplySettingChanges(changes []SettingChange, meta capture.Meta) func(*admission.Settings) error {
+	return func(settings *admission.Settings) error {
+		for _, c := range changes {
+			if err := c.apply(settings, meta); err != nil {
 				return fmt.Errorf("setting %s=%s: %w", c.Name, c.Value, err)
 			}
 		}
@@ -41,58 +47,62 @@
 }
 
 // apply makes one change.
-func (c SettingChange) apply(s *admission.Settings, m capture.Meta) error {
-	name, of, _ := strings.Cut(c.Name, ".")
+func (c SettingChange) apply(settings *admission.Settings, meta capture.Meta) error {
+	name, object, _ := strings.Cut(c.Name, ".")
 	switch name {
 	case "aim", "deadline", "worth":
-		i := slices.Index(m.Classes, of)
-		if i < 0 || i >= len(s.Classes) {
-			return fmt.Errorf("no class %q, want one of %s", of, strings.Join(m.Classes, ", "))
-		}
-		class := &s.Classes[i]
-		switch name {
-		case "aim":
-			return setTime(&class.LatencyObjective, c.Value)
-		case "deadline":
-			return setTime(&class.Deadline, c.Value)
+		i := slices.Index(meta.Classes, object)
+		if i < 0 || i >= len(settings.Classes) {
+			return fmt.Errorf("no class %q, want one of %s", object, strings.Join(meta.Classes, ", "))
 		}
-		return setFloat(&class.Weight, c.Value)
+		return c.applyToClass(name, &settings.Classes[i])
 	case "quota":
-		i := slices.Index(m.Tenants, of)
-		if i < 0 || i >= len(s.Tenants) {
-			return fmt.Errorf("no tenant %q, want one of %s", of, strings.Join(m.Tenants, ", "))
+		i := slices.Index(meta.Tenants, object)
+		if i < 0 || i >= len(settings.Tenants) {
+			return fmt.Errorf("no tenant %q, want one of %s", object, strings.Join(meta.Tenants, ", "))
 		}
-		return setFloat(&s.Tenants[i].Quota, c.Value)
+		return parseFloat(c.Value, &settings.Tenants[i].Quota)
 	case "cores":
-		return setInt(&s.Cores, c.Value)
+		return parseInt(c.Value, &settings.Cores)
 	case "servers":
-		return setInt(&s.Servers, c.Value)
+		return parseInt(c.Value, &settings.Servers)
 	case "memory-kb":
-		return setFloat(&s.MemoryKB, c.Value)
+		return parseFloat(c.Value, &settings.MemoryKB)
 	case "key-kb":
-		return setFloat(&s.KeyKB, c.Value)
+		return parseFloat(c.Value, &settings.KeyKB)
 	case "crowd-factor":
-		return setFloat(&s.MaxConcurrencyFactor, c.Value)
+		return parseFloat(c.Value, &settings.MaxConcurrencyFactor)
 	case "retry-after":
-		return setTime(&s.MaxRetryAfter, c.Value)
+		return parseDuration(c.Value, &settings.MaxRetryAfter)
 	case "fresh":
-		return setTime(&s.ResultFreshness, c.Value)
+		return parseDuration(c.Value, &settings.ResultFreshness)
+	}
+	return errUnknownSetting
+}
+
+// applyToClass changes a setting of a class.
+func (c SettingChange) applyToClass(name string, class *admission.Class) error {
+	switch name {
+	case "aim":
+		return parseDuration(c.Value, &class.LatencyObjective)
+	case "deadline":
+		return parseDuration(c.Value, &class.Deadline)
+	default:
+		return parseFloat(c.Value, &class.Weight)
 	}
-	return fmt.Errorf("want cores, servers, memory-kb, key-kb, crowd-factor, retry-after, fresh, aim.CLASS, " +
-		"deadline.CLASS, worth.CLASS or quota.TENANT")
 }
 
-func setFloat(to *float64, text string) (err error) {
+func parseFloat(text string, to *float64) (err error) {
 	*to, err = strconv.ParseFloat(text, 64)
 	return err
 }
 
-func setInt(to *int, text string) (err error) {
+func parseInt(text string, to *int) (err error) {
 	*to, err = strconv.Atoi(text)
 	return err
 }
 
-func setTime(to *time.Duration, text string) (err error) {
+func parseDuration(text string, to *time.Duration) (err error) {
 	*to, err = time.ParseDuration(text)
 	return err
 }
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -2,102 +2,136 @@
 
 import (
 	"errors"
+	"slices"
 
 	"tillerusher/admission"
 	"tillerusher/internal/capture"
 )
 
-// ErrNotMatched says that what a piece should be shrunk to is not seen in it.
+// ErrNotMatched is returned where a predicate does not hold for the excerpt that is to be shrunk.
 var ErrNotMatched = errors.New("replay: the predicate does not hold for the whole")
 
-// Shrink drops events as long as the predicate holds: all events of a request at once, and timers, by the
-// delta-debugging algorithm ddmin (Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002).
-// What is left has this program's own actions. Runs is how often the module was run.
-func Shrink(p *Excerpt, predicate func() Predicate) (small *Excerpt, runs int, err error) {
-	holds := func(of *Excerpt) (bool, error) {
-		runs++
-		seen := predicate()
-		_, err := of.Replay(seen)
-		return err == nil && seen.Matched(), err
-	}
-	if ok, err := holds(p); err != nil {
-		return nil, runs, err
+// Shrink drops events as long as the predicate holds, by the delta-debugging algorithm ddmin (Zeller and Hildebrandt,
+// Simplifying and Isolating Failure-Inducing Input, 2002). All events of a request are dropped at once. The result has this
+// program's own actions; replays is how often the excerpt was replayed.
+func Shrink(e *Excerpt, newPredicate func() Predicate) (small *Excerpt, replays int, err error) {
+	s := shrinker{excerpt: e, newPredicate: newPredicate}
+	if ok, err := s.holds(e); err != nil {
+		return nil, s.replays, err
 	} else if !ok {
-		return nil, runs, ErrNotMatched
+		return nil, s.replays, ErrNotMatched
+	}
+	units, err := s.minimize(unitsOf(e))
+	if err != nil {
+		return nil, s.replays, err
 	}
-	units := unitsOf(p)
+	small, err = e.only(units).Replay(nil)
+	return small, s.replays, err
+}
+
+// shrinker is the state of Shrink.
+type shrinker struct {
+	excerpt      *Excerpt
+	newPredicate func() Predicate
+	replays      int
+}
+
+// holds returns whether the predicate holds for an excerpt.
+func (s *shrinker) holds(e *Excerpt) (bool, error) {
+	s.replays++
+	predicate := s.newPredicate()
+	_, err := e.Replay(predicate)
+	return err == nil && predicate.Matched(), err
+}
+
+// minimize returns units of which none of the last tried parts can be dropped: it tries to drop parts of the units, and
+// smaller ones where no part can be dropped.
+func (s *shrinker) minimize(units []unit) ([]unit, error) {
 	for parts := 2; len(units) > 1; {
 		size := (len(units) + parts - 1) / parts
-		dropped := false
-		for from := 0; from < len(units); from += size {
-			rest := append(append([]unit(nil), units[:from]...), units[min(from+size, len(units)):]...)
-			ok, err := holds(p.only(rest))
-			if err != nil {
-				return nil, runs, err
-			}
-			if ok {
-				units, parts, dropped = rest, max(parts-1, 2), true
-				break
-			}
+		rest, ok, err := s.dropOnePart(units, size)
+		if err != nil {
+			return nil, err
 		}
-		if !dropped {
-			if size <= 1 {
-				break
-			}
+		switch {
+		case ok:
+			units, parts = rest, max(parts-1, 2)
+		case size <= 1:
+			return units, nil
+		default:
 			parts = min(parts*2, len(units))
 		}
 	}
-	small, err = p.only(units).Replay(nil)
-	return small, runs, err
+	return units, nil
 }
 
-// unit is what is dropped at once: a request with all that happens to it, or one other event by its place.
+// dropOnePart returns the units without the first part of the size that can be dropped, and false where there is none.
+func (s *shrinker) dropOnePart(units []unit, size int) ([]unit, bool, error) {
+	for from := 0; from < len(units); from += size {
+		to := min(from+size, len(units))
+		rest := slices.Concat(units[:from], units[to:])
+		ok, err := s.holds(s.excerpt.only(rest))
+		if err != nil {
+			return nil, false, err
+		}
+		if ok {
+			return rest, true, nil
+		}
+	}
+	return nil, false, nil
+}
+
+// unit is what is dropped at once: a request with all its events, or one other record by its index.
 type unit struct {
 	id    admission.RequestID
-	place int
+	index int
 }
 
-// unitOf is the unit that a record belongs to; settling belongs to none.
-func unitOf(place int, r *capture.Record) (unit, bool) {
+// unitOf returns the unit that a record belongs to, and false for the end of a round and for actions.
+func unitOf(index int, r *capture.Record) (unit, bool) {
 	switch {
 	case r.Kind == capture.KindSettle || r.Kind.IsAction():
 		return unit{}, false
 	case r.ID != 0:
 		return unit{id: r.ID}, true
 	}
-	return unit{place: place}, true
+	return unit{index: index}, true
 }
 
-// unitsOf lists a piece's units in order.
-func unitsOf(p *Excerpt) []unit {
+// unitsOf returns an excerpt's units in order.
+func unitsOf(e *Excerpt) []unit {
 	var units []unit
-	seen := map[unit]bool{}
-	for i := range p.Records {
-		if u, ok := unitOf(i, &p.Records[i]); ok && !seen[u] {
-			seen[u] = true
+	isListed := map[unit]bool{}
+	for i := range e.Records {
+		if u, ok := unitOf(i, &e.Records[i]); ok && !isListed[u] {
+			isListed[u] = true
 			units = append(units, u)
 		}
 	}
 	return units
 }
 
-// only is the piece with these units; rounds in which nothing is left are dropped too.
-func (p *Excerpt) only(units []unit) *Excerpt {
+// only returns the excerpt with the units alone. Rounds of which nothing is left are dropped too.
+func (e *Excerpt) only(units []unit) *Excerpt {
 	keep := make(map[unit]bool, len(units))
 	for _, u := range units {
 		keep[u] = true
 	}
-	small := &Excerpt{Meta: p.Meta, Snapshot: p.Snapshot}
-	open := false // something stands in this round
-	for i := range p.Records {
-		r := &p.Records[i]
+	small := &Excerpt{Meta: e.Meta, Snapshot: e.Snapshot}
+	isRoundEmpty := true
+	for i := range e.Records {
+		r := &e.Records[i]
 		if r.Kind.IsAction() {
 			continue
 		}
-		if u, ok := unitOf(i, r); ok && !keep[u] || r.Kind == capture.KindSettle && !open {
+		if u, ok := unitOf(i, r); ok && !keep[u] {
+			continue
+		}
+		isRoundEnd := r.Kind == capture.KindSettle
+		if isRoundEnd && isRoundEmpty {
 			continue
 		}
-		open = r.Kind != capture.KindSettle
+		isRoundEmpty = isRoundEnd
 		small.Records = append(small.Records, *r)
 	}
 	return small
--- /dev/null
+++ b/internal/replay/simulated_cores.go
@@ -0,0 +1,122 @@
+package replay
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"tillerusher/admission"
+	"tillerusher/internal/capture"
+)
+
+// utilizationWindow is the time constant of the cores' gauge, an exponential moving average.
+const utilizationWindow = 500 * time.Millisecond
+
+// simulatedCores are cores that are shared evenly by all runs.
+type simulatedCores struct {
+	count       int
+	runs        []*simulatedRun
+	utilization float64
+}
+
+// simulatedRun is a run and the core time that it still takes.
+type simulatedRun struct {
+	id        admission.RequestID
+	remaining time.Duration
+}
+
+// start adds a run.
+func (c *simulatedCores) start(id admission.RequestID, coreTime time.Duration) {
+	c.runs = append(c.runs, &simulatedRun{id, coreTime})
+}
+
+// remove ends a run, and returns whether there was one.
+func (c *simulatedCores) remove(id admission.RequestID) bool {
+	i := c.index(id)
+	if i < 0 {
+		return false
+	}
+	c.runs = slices.Delete(c.runs, i, i+1)
+	return true
+}
+
+// has returns whether the request runs.
+func (c *simulatedCores) has(id admission.RequestID) bool { return c.index(id) >= 0 }
+
+func (c *simulatedCores) index(id admission.RequestID) int {
+	return slices.IndexFunc(c.runs, func(r *simulatedRun) bool { return r.id == id })
+}
+
+// share returns the part of a core that each run gets.
+func (c *simulatedCores) share() float64 {
+	return min(1, float64(c.count)/float64(max(len(c.runs), 1)))
+}
+
+// next returns the run that ends next and the time until then, or nil.
+func (c *simulatedCores) next() (*simulatedRun, time.Duration) {
+	var next *simulatedRun
+	for _, r := range c.runs {
+		if next == nil || r.remaining < next.remaining {
+			next = r
+		}
+	}
+	if next == nil {
+		return nil, 0
+	}
+	return next, time.Duration(math.Ceil(float64(next.remaining) / c.share()))
+}
+
+// advance lets a time pass.
+func (c *simulatedCores) advance(elapsed time.Duration) {
+	spent := time.Duration(float64(elapsed) * c.share())
+	for _, r := range c.runs {
+		r.remaining = max(r.remaining-spent, 0)
+	}
+	decay := math.Exp(-float64(elapsed) / float64(utilizationWindow))
+	c.utilization = c.utilization*decay + (1-decay)*min(1, float64(len(c.runs))/float64(c.count))
+}
+
+// coreTimes are the core times of runs, from what was recorded.
+type coreTimes struct {
+	byID      map[admission.RequestID]time.Duration
+	classMean []time.Duration
+	mean      time.Duration // of all classes
+}
+
+// newCoreTimes computes the core times of recorded attempts. A class without runs has the mean of all.
+func newCoreTimes(recorded []*Attempt, classes int) coreTimes {
+	t := coreTimes{byID: map[admission.RequestID]time.Duration{}, classMean: make([]time.Duration, classes)}
+	counts := make([]int, classes)
+	total, count := time.Duration(0), 0
+	for _, a := range recorded {
+		if a.RunEnd == 0 || a.Class >= classes || a.Status == StatusErrored {
+			continue
+		}
+		t.byID[a.ID] = a.CoreTime
+		t.classMean[a.Class] += a.CoreTime
+		counts[a.Class]++
+		total += a.CoreTime
+		count++
+	}
+	for class := range t.classMean {
+		switch {
+		case counts[class] > 0:
+			t.classMean[class] /= time.Duration(counts[class])
+		case count > 0:
+			t.classMean[class] = total / time.Duration(count)
+		}
+	}
+	t.mean = total / time.Duration(max(count, 1))
+	return t
+}
+
+// of returns the core time of a run; request is its record, or nil for one from before the recording.
+func (t *coreTimes) of(id admission.RequestID, request *capture.Record) time.Duration {
+	if coreTime, ok := t.byID[id]; ok {
+		return coreTime
+	}
+	if request != nil && request.Request.Class < len(t.classMean) {
+		return t.classMean[request.Request.Class]
+	}
+	return 0
+}
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -1,7 +1,6 @@
 package replay
 
 import (
-	"container/heap"
 	"errors"
 	"math"
 	"time"
@@ -10,141 +9,83 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNoState says that a capture has no state to begin from.
+// ErrNoState is returned where a capture has no state to begin from.
 var ErrNoState = errors.New("replay: the first segment has no readable state")
 
-// Simulate plays what was recorded of one start of the server to a module that may decide otherwise: arrivals, callers
-// that leave, and drains come as they were recorded; runs take the time of a core that they were recorded to take, or
-// the mean of their class where they were not run, and the cores are shared evenly; the gauges follow from that.
-// Callers do not react to other answers: further tries come as they were recorded, no more and no fewer. Change alters
-// the settings; nil leaves them as they are.
+// Simulate passes what was recorded of one run of the server to a module that may decide otherwise, and returns what becomes
+// of each attempt and the module's settings. Arrivals, callers that leave and drains come as they were recorded. Runs take
+// the core time that they were recorded to take, or the mean of their class where they were not run; the cores are shared
+// evenly, and the gauges follow from that. Callers do not react to other answers: retries come as they were recorded, no
+// more and no fewer. change alters the settings, and may be nil.
 func Simulate(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Attempt, admission.Settings, error) {
 	if len(segments) == 0 || segments[0].Snapshot == nil {
 		return nil, admission.Settings{}, ErrNoState
 	}
-	w := &world{now: segments[0].Meta.ModuleTime}
-	was, err := admission.Restore(segments[0].Snapshot, w)
+	s := &simulation{now: segments[0].Meta.ModuleTime}
+	recordedModule, err := admission.Restore(segments[0].Snapshot, s)
 	if err != nil {
 		return nil, admission.Settings{}, err
 	}
-	if w.in, err = admission.RestoreWith(segments[0].Snapshot, w, change); err != nil {
+	s.module, err = admission.RestoreWith(segments[0].Snapshot, s, change)
+	if err != nil {
 		return nil, admission.Settings{}, err
 	}
-	w.set = w.in.Settings()
-	recorded, err := RecordedAttempts(segments, was.Settings().Cores)
+	settings := s.module.Settings()
+	recorded, err := RecordedAttempts(segments, recordedModule.Settings().Cores)
 	if err != nil {
-		return nil, w.set, err
+		return nil, settings, err
 	}
-	w.learn(recorded)
-	w.ledger = newLedger(w.set.Cores)
-	w.resume()
-	if err := w.load(segments); err != nil {
-		return nil, w.set, err
+	s.coreTimes = newCoreTimes(recorded, len(settings.Classes))
+	s.cores = simulatedCores{count: settings.Cores}
+	s.tracker = newAttemptTracker(settings.Cores)
+	s.resume()
+	if err := s.queueRecorded(segments); err != nil {
+		return nil, settings, err
 	}
-	w.play()
-	return w.ledger.order, w.set, nil
+	s.run()
+	return s.tracker.attempts, settings, nil
 }
 
-// world is the host of a modelled replay.
-type world struct {
-	admission.NoActions // what changes nothing here
+// simulation is a simulation that is under way. It implements admission.Actions.
+type simulation struct {
+	admission.NoActions // for the actions without effect here
 
-	in      *admission.Instance
-	set     admission.Settings
-	ledger  *ledger
-	now     time.Duration
-	queue   happenings
-	order   int
-	work    map[admission.RequestID]time.Duration
-	mean    []time.Duration // by class
-	typical time.Duration   // of all classes
-	runs    []*modelRun     // on the cores
-	busy    float64
-	waiting map[admission.RequestID][]admission.RequestID // repeats that wait for a run, by its try
-	asked   map[admission.RequestID]*capture.Record
-	result  map[admission.RequestID]bool // tries whose run made a result
-	later   []capture.Record             // events that actions led to
-	ends    time.Duration                // of the recording
-}
+	module    *admission.Instance
+	now       time.Duration // by the module's clock
+	end       time.Duration // of the recording
+	cores     simulatedCores
+	coreTimes coreTimes
+	tracker   *attemptTracker
+	events    eventQueue       // that come at a time
+	followUps []capture.Record // events that actions led to, which come at once
 
-// modelRun is a run and how much of its work is left.
-type modelRun struct {
-	id   admission.RequestID
-	left time.Duration
+	requests  map[admission.RequestID]*capture.Record       // that were passed to the module
+	hasResult map[admission.RequestID]bool                  // requests whose run made a result
+	waiting   map[admission.RequestID][]admission.RequestID // coalesced requests, by the one whose run they wait for
 }
 
-// happening is an event to come; those of one time come in the order in which they were made.
-type happening struct {
-	at    time.Duration
-	order int
-	event capture.Record
-	wire  string
-}
-
-type happenings []happening
-
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
-}
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
-}
-
-// learn takes the work of runs from what was recorded.
-func (w *world) learn(recorded []*Attempt) {
-	w.work = map[admission.RequestID]time.Duration{}
-	w.mean = make([]time.Duration, len(w.set.Classes))
-	counts := make([]int, len(w.set.Classes))
-	total, count := time.Duration(0), 0
-	for _, o := range recorded {
-		if o.RunEnd == 0 || o.Class >= len(w.mean) || o.Status == StatusErrored {
-			continue
-		}
-		w.work[o.ID] = o.CoreTime
-		w.mean[o.Class] += o.CoreTime
-		counts[o.Class]++
-		total += o.CoreTime
-		count++
-	}
-	for c := range w.mean {
-		switch {
-		case counts[c] > 0:
-			w.mean[c] /= time.Duration(counts[c])
-		case count > 0:
-			w.mean[c] = total / time.Duration(count)
-		}
-	}
-	w.typical = total / time.Duration(max(count, 1))
-}
-
-// resume goes on with what the state at the start has in hand: its runs, which take the mean of all, and its timer.
-func (w *world) resume() {
-	_, running := w.in.Queue()
+// resume continues what the state at the start has in flight: its runs, which take the mean core time, and its timer.
+func (s *simulation) resume() {
+	_, running := s.module.Queue()
 	for _, id := range running {
-		w.runs = append(w.runs, &modelRun{id, w.typical})
+		s.cores.start(id, s.coreTimes.mean)
 	}
-	w.push(w.now, capture.Record{Kind: capture.KindTimer}, "")
+	s.events.push(s.now, capture.Record{Kind: capture.KindTimer}, "")
 }
 
-// load queues what does not depend on decisions.
-func (w *world) load(segments []*capture.Segment) error {
-	w.waiting = map[admission.RequestID][]admission.RequestID{}
-	w.asked, w.result = map[admission.RequestID]*capture.Record{}, map[admission.RequestID]bool{}
+// queueRecorded queues the recorded events that do not depend on decisions.
+func (s *simulation) queueRecorded(segments []*capture.Segment) error {
+	s.waiting = map[admission.RequestID][]admission.RequestID{}
+	s.requests, s.hasResult = map[admission.RequestID]*capture.Record{}, map[admission.RequestID]bool{}
 	names := map[admission.RequestID]string{}
-	for _, s := range segments {
-		err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
-			w.ends = max(w.ends, r.At)
+	for _, segment := range segments {
+		err := segment.ForEach(func(_ capture.Position, r *capture.Record) error {
+			s.end = max(s.end, r.At)
 			switch r.Kind {
 			case capture.KindRequestNames:
 				names[r.ID] = r.Text
 			case capture.KindRequest, capture.KindCancel, capture.KindDrain:
-				w.push(r.At, *r, names[r.ID])
+				s.events.push(r.At, *r, names[r.ID])
 				delete(names, r.ID)
 			}
 			return nil
@@ -156,182 +97,153 @@
 	return nil
 }
 
-func (w *world) push(at time.Duration, event capture.Record, wire string) {
-	w.order++
-	heap.Push(&w.queue, happening{at, w.order, event, wire})
-}
-
-// play goes from event to event until the recording's end; what is open then stays open.
-func (w *world) play() {
-	w.in.Settle(w.now)
+// run goes from event to event until the recording's end. What is open then stays open.
+func (s *simulation) run() {
+	s.module.Settle(s.now)
 	for {
-		next := time.Duration(math.MaxInt64)
-		if len(w.queue) > 0 {
-			next = w.queue[0].at
-		}
-		run, at := w.nextEnd()
-		switch {
-		case min(next, at) > w.ends:
+		nextEvent := s.events.nextTime()
+		run, runEnd := s.nextRunEnd()
+		if min(nextEvent, runEnd) > s.end {
 			return
-		case run != nil && at <= next:
-			w.pass(at)
-			w.end(run)
-		default:
-			h := heap.Pop(&w.queue).(happening)
-			w.pass(h.at)
-			h.event.At = max(h.at, w.now)
-			if h.event.Kind == capture.KindTimer {
-				h.event.Gauges = admission.Gauges{Utilization: w.busy, Runnable: float64(len(w.runs))}
-			}
-			w.tell(h.event, h.wire)
 		}
-		for len(w.later) > 0 {
-			event := w.later[0]
-			w.later = w.later[1:]
-			event.At = w.now
-			w.tell(event, "")
+		if run != nil && runEnd <= nextEvent {
+			s.advance(runEnd)
+			s.finishRun(run.id)
+		} else {
+			s.deliverNext()
 		}
-		w.in.Settle(w.now)
+		s.deliverFollowUps()
+		s.module.Settle(s.now)
 	}
 }
 
-// tell reports an event to the module.
-func (w *world) tell(event capture.Record, wire string) {
-	if event.Kind == capture.KindRequest {
-		r := event
-		w.asked[event.ID] = &r
+// nextRunEnd returns the run that ends next, and when.
+func (s *simulation) nextRunEnd() (*simulatedRun, time.Duration) {
+	run, wait := s.cores.next()
+	if run == nil {
+		return nil, math.MaxInt64
 	}
-	w.ledger.record(&event, wire)
-	Deliver(w.in, &event)
+	return run, s.now + wait
 }
 
-// share is the part of a core that each run gets.
-func (w *world) share() float64 {
-	return min(1, float64(w.set.Cores)/float64(max(len(w.runs), 1)))
+// advance moves the clock forward, and the runs with it.
+func (s *simulation) advance(to time.Duration) {
+	if to > s.now {
+		s.cores.advance(to - s.now)
+		s.now = to
+	}
 }
 
-// nextEnd is the run that ends next, and when.
-func (w *world) nextEnd() (*modelRun, time.Duration) {
-	var next *modelRun
-	for _, r := range w.runs {
-		if next == nil || r.left < next.left {
-			next = r
-		}
+// deliverNext passes the next queued event to the module.
+func (s *simulation) deliverNext() {
+	next := s.events.pop()
+	s.advance(next.at)
+	next.event.At = max(next.at, s.now)
+	if next.event.Kind == capture.KindTimer {
+		next.event.Gauges = admission.Gauges{Utilization: s.cores.utilization, Runnable: float64(len(s.cores.runs))}
 	}
-	if next == nil {
-		return nil, math.MaxInt64
-	}
-	return next, w.now + time.Duration(math.Ceil(float64(next.left)/w.share()))
+	s.deliver(next.event, next.wireID)
 }
 
-// busyOver is the time over which the gauge of the cores averages.
-const busyOver = 500 * time.Millisecond
-
-// pass moves the time, the runs and the gauge of the cores.
-func (w *world) pass(to time.Duration) {
-	if to <= w.now {
-		return
+// deliverFollowUps passes the events to the module that its actions led to, and those that follow from these.
+func (s *simulation) deliverFollowUps() {
+	for len(s.followUps) > 0 {
+		event := s.followUps[0]
+		s.followUps = s.followUps[1:]
+		event.At = s.now
+		s.deliver(event, "")
 	}
-	spent := time.Duration(float64(to-w.now) * w.share())
-	for _, r := range w.runs {
-		r.left = max(r.left-spent, 0)
+}
+
+// deliver passes an event to the module.
+func (s *simulation) deliver(event capture.Record, wireID string) {
+	if event.Kind == capture.KindRequest {
+		request := event
+		s.requests[event.ID] = &request
 	}
-	part := math.Exp(-float64(to-w.now) / float64(busyOver))
-	w.busy = w.busy*part + (1-part)*min(1, float64(len(w.runs))/float64(w.set.Cores))
-	w.now = to
+	s.tracker.record(&event, wireID)
+	Deliver(s.module, &event)
 }
 
-// end ends a run, and answers the repeats that wait for it.
-func (w *world) end(run *modelRun) {
-	w.remove(run.id)
-	w.result[run.id] = true
-	w.tell(capture.Record{Kind: capture.KindRunFinished, At: w.now, ID: run.id, Outcome: admission.OK}, "")
-	w.release(run.id, admission.OK)
+// finishRun ends a run, and answers the requests that wait for it.
+func (s *simulation) finishRun(id admission.RequestID) {
+	s.cores.remove(id)
+	s.hasResult[id] = true
+	s.deliver(capture.Record{Kind: capture.KindRunFinished, At: s.now, ID: id, Outcome: admission.OK}, "")
+	s.releaseWaiting(id, admission.OK)
 }
 
-// release answers the repeats that waited for a run.
-func (w *world) release(id admission.RequestID, o admission.Outcome) {
-	for _, f := range w.waiting[id] {
-		w.later = append(w.later, capture.Record{Kind: capture.KindRunFinished, ID: f, Outcome: o})
+// releaseWaiting answers the requests that waited for a run.
+func (s *simulation) releaseWaiting(id admission.RequestID, outcome admission.Outcome) {
+	for _, waiting := range s.waiting[id] {
+		s.followUp(capture.KindRunFinished, waiting, outcome)
 	}
-	delete(w.waiting, id)
+	delete(s.waiting, id)
 }
 
-// remove takes a run off the cores, and tells whether it was on them.
-func (w *world) remove(id admission.RequestID) bool {
-	for i, r := range w.runs {
-		if r.id == id {
-			w.runs = append(w.runs[:i], w.runs[i+1:]...)
-			return true
-		}
-	}
-	return false
+// followUp adds an event that comes at once.
+func (s *simulation) followUp(kind capture.Kind, id admission.RequestID, outcome admission.Outcome) {
+	s.followUps = append(s.followUps, capture.Record{Kind: kind, ID: id, Outcome: outcome})
 }
 
-// note takes an action into the ledger.
-func (w *world) note(k capture.Kind, id admission.RequestID) {
-	w.ledger.record(&capture.Record{Kind: k, At: w.now, ID: id}, "")
+// track records an action.
+func (s *simulation) track(kind capture.Kind, id admission.RequestID) {
+	s.tracker.record(&capture.Record{Kind: kind, At: s.now, ID: id}, "")
 }
 
 // Run implements admission.Actions.
-func (w *world) Run(id admission.RequestID) {
-	w.note(capture.KindRun, id)
-	work, known := w.work[id]
-	if r := w.asked[id]; !known && r != nil && r.Request.Class < len(w.mean) {
-		work = w.mean[r.Request.Class]
-	}
-	w.runs = append(w.runs, &modelRun{id, work})
+func (s *simulation) Run(id admission.RequestID) {
+	s.track(capture.KindRun, id)
+	s.cores.start(id, s.coreTimes.of(id, s.requests[id]))
 }
 
-// Refuse implements admission.Actions.
-func (w *world) Reject(id admission.RequestID, _ time.Duration, _ bool) {
-	w.note(capture.KindReject, id)
+// Reject implements admission.Actions.
+func (s *simulation) Reject(id admission.RequestID, _ time.Duration, _ bool) {
+	s.track(capture.KindReject, id)
 }
 
 // Fail implements admission.Actions.
-func (w *world) Fail(id admission.RequestID) { w.note(capture.KindFail, id) }
+func (s *simulation) Fail(id admission.RequestID) { s.track(capture.KindFail, id) }
 
-// Halt implements admission.Actions.
-func (w *world) Stop(id admission.RequestID) {
-	if w.remove(id) {
-		w.later = append(w.later, capture.Record{Kind: capture.KindRunFinished, ID: id, Outcome: admission.Cancelled})
-		w.release(id, admission.Failed)
+// Stop implements admission.Actions.
+func (s *simulation) Stop(id admission.RequestID) {
+	if s.cores.remove(id) {
+		s.followUp(capture.KindRunFinished, id, admission.Cancelled)
+		s.releaseWaiting(id, admission.Failed)
 	}
 }
 
-// Reuse implements admission.Actions.
-func (w *world) ReplayResult(id admission.RequestID) {
-	w.note(capture.KindReplayResult, id)
-	source := id
-	for r := w.asked[source]; r != nil && r.Request.RetryOf != 0 && !w.result[source] && !w.onCores(source); r = w.asked[source] {
-		source = r.Request.RetryOf
-	}
-	if w.onCores(source) {
-		w.waiting[source] = append(w.waiting[source], id)
-		return
+// ReplayResult implements admission.Actions.
+func (s *simulation) ReplayResult(id admission.RequestID) {
+	s.track(capture.KindReplayResult, id)
+	source := s.resultSource(id)
+	switch {
+	case s.cores.has(source):
+		s.waiting[source] = append(s.waiting[source], id)
+	case s.hasResult[source] || s.requests[source] == nil: // a run before the recording is taken to have succeeded
+		s.followUp(capture.KindRunFinished, id, admission.OK)
+	default:
+		s.followUp(capture.KindRunFinished, id, admission.Failed)
 	}
-	o := admission.Failed
-	if w.result[source] || w.asked[source] == nil { // a run before the recording is taken to have gone well
-		o = admission.OK
-	}
-	w.later = append(w.later, capture.Record{Kind: capture.KindRunFinished, ID: id, Outcome: o})
 }
 
-func (w *world) onCores(id admission.RequestID) bool {
-	for _, r := range w.runs {
-		if r.id == id {
-			return true
+// resultSource follows the chain of earlier attempts to the one that runs or has a result.
+func (s *simulation) resultSource(id admission.RequestID) admission.RequestID {
+	for {
+		r := s.requests[id]
+		if r == nil || r.Request.RetryOf == 0 || s.hasResult[id] || s.cores.has(id) {
+			return id
 		}
+		id = r.Request.RetryOf
 	}
-	return false
 }
 
-// AfterEvent implements admission.Actions.
-func (w *world) SetTimer(wait time.Duration, token uint32) {
-	w.push(w.now+wait, capture.Record{Kind: capture.KindTimer, Token: token}, "")
+// SetTimer implements admission.Actions.
+func (s *simulation) SetTimer(wait time.Duration, token uint32) {
+	s.events.push(s.now+wait, capture.Record{Kind: capture.KindTimer, Token: token}, "")
 }
 
-// Call implements admission.Actions: calls go well at once.
-func (w *world) Call(id admission.RequestID, _ time.Duration) {
-	w.later = append(w.later, capture.Record{Kind: capture.KindCallFinished, ID: id, Outcome: admission.OK})
+// Call implements admission.Actions. Calls succeed at once.
+func (s *simulation) Call(id admission.RequestID, _ time.Duration) {
+	s.followUp(capture.KindCallFinished, id, admission.OK)
 }
--- /dev/null
+++ b/internal/replay/state_at.go
@@ -0,0 +1,116 @@
+package replay
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"tillerusher/admission"
+	"tillerusher/internal/capture"
+)
+
+// StateAt is what the module knew at a time, and what it decided around it.
+type StateAt struct {
+	At        time.Duration         `json:"at"`
+	Unix      time.Time             `json:"unix"`
+	State     admission.Inspection  `json:"known"`
+	Queued    []admission.RequestID `json:"held"`
+	Running   []admission.RequestID `json:"on_cores"`
+	Decisions []Decision            `json:"near"`
+}
+
+// Decision is one answer to a request, or the start of its run.
+type Decision struct {
+	At     time.Duration       `json:"at"`
+	ID     admission.RequestID `json:"id"`
+	WireID string              `json:"request_id,omitempty"`
+	Text   string              `json:"text"`
+}
+
+// maxDecisions bounds StateAt.Decisions.
+const maxDecisions = 200
+
+// InspectAt returns what the module knew before the first event at or after the time of its clock, and what it decided within
+// the span before and after that. The segments are those of one run of the server.
+func InspectAt(segments []*capture.Segment, at, span time.Duration) (*StateAt, error) {
+	i := inspector{at: at, span: span, wireIDs: map[admission.RequestID]string{}}
+	_, err := Run(segments, false, Visitor{OnAnnotation: i.onAnnotation, BeforeEvent: i.beforeEvent, AfterEvent: i.afterEvent})
+	if err != nil {
+		return nil, err
+	}
+	if i.found == nil {
+		return nil, fmt.Errorf("%w: the time %v of the module's clock", ErrNotInCapture, at)
+	}
+	i.found.Decisions = i.decisions
+	return i.found, nil
+}
+
+// inspector follows a replay for InspectAt.
+type inspector struct {
+	at, span  time.Duration
+	found     *StateAt
+	decisions []Decision
+	wireIDs   map[admission.RequestID]string
+}
+
+func (i *inspector) onAnnotation(_ capture.Position, r *capture.Record) error {
+	if r.Kind == capture.KindRequestNames {
+		i.wireIDs[r.ID] = r.Text
+	}
+	return nil
+}
+
+func (i *inspector) beforeEvent(at capture.Position, event *capture.Record, module *admission.Instance) error {
+	if i.found == nil && event.At >= i.at {
+		i.found = &StateAt{At: event.At, Unix: at.Segment.UnixTime(event.At), State: module.Inspect()}
+		i.found.Queued, i.found.Running = module.Queue()
+	}
+	return nil
+}
+
+func (i *inspector) afterEvent(_ capture.Position, event *capture.Record, actions []capture.Record, _ *admission.Instance) error {
+	if event.At > i.at+i.span {
+		return capture.ErrStop
+	}
+	for n := range actions {
+		a := &actions[n]
+		if a.At >= i.at-i.span && isDecision(a.Kind) && len(i.decisions) < maxDecisions {
+			i.decisions = append(i.decisions, Decision{a.At, a.ID, i.wireIDs[a.ID], stepText(a)})
+		}
+	}
+	return nil
+}
+
+// isDecision returns whether an action decides what becomes of a request.
+func isDecision(k capture.Kind) bool {
+	switch k {
+	case capture.KindRun, capture.KindReject, capture.KindFail, capture.KindReplayResult:
+		return true
+	}
+	return false
+}
+
+// Locate returns the segments of the run of the server that was active at a Unix time, and the time of its module's clock
+// then.
+func Locate(segments []*capture.Segment, unix time.Time) ([]*capture.Segment, time.Duration, error) {
+	for _, s := range slices.Backward(segments) {
+		if !unix.Before(s.Meta.UnixTime) {
+			return SegmentsOfRun(segments, s.Meta.Run), s.ModuleTime(unix), nil
+		}
+	}
+	return nil, 0, fmt.Errorf("%w: %v is before its first segment", ErrNotInCapture, unix.UTC().Format(time.RFC3339))
+}
+
+// SegmentsOfRun returns the segments of one run of the server; "" is the run of the last segment.
+func SegmentsOfRun(segments []*capture.Segment, run string) []*capture.Segment {
+	if run == "" && len(segments) > 0 {
+		run = segments[len(segments)-1].Meta.Run
+	}
+	var ofRun []*capture.Segment
+	for _, s := range segments {
+		if s.Meta.Run == run {
+			ofRun = append(ofRun, s)
+		}
+	}
+	return ofRun
+}
--- /dev/null
+++ b/internal/replay/summary.go
@@ -0,0 +1,131 @@
+package replay
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"tillerusher/admission"
+	"tillerusher/internal/capture"
+)
+
+// Summary counts how a group of attempts ended. Times are in milliseconds.
+type Summary struct {
+	Class     string  `json:"class"`
+	Tenant    string  `json:"tenant"`
+	Attempts  int     `json:"tries"`
+	Retries   int     `json:"retries"`
+	Served    int     `json:"served"`
+	Replayed  int     `json:"reused"`  // of those served
+	OnTime    int     `json:"on_time"` // of those served
+	Rejected  int     `json:"refused"`
+	Failed    int     `json:"failed"`
+	Other     int     `json:"other"` // cancelled, errored or open
+	P50       float64 `json:"p50_ms"`
+	P99       float64 `json:"p99_ms"` // of those served, from their arrival at the machine
+	QueuedP99 float64 `json:"held_p99_ms"`
+}
+
+// allGroups is the class and the tenant of the summary of all attempts.
+const allGroups = "all"
+
+// Summarize returns a summary of all attempts, followed by those of each class and tenant in the order of the settings.
+func Summarize(attempts []*Attempt, meta capture.Meta, classes []admission.Class) []Summary {
+	type group struct{ class, tenant int }
+	all, byGroup := newSummaryBuilder(allGroups, allGroups), map[group]*summaryBuilder{}
+	var groups []group
+	for _, a := range attempts {
+		g := group{a.Class, a.Tenant}
+		if byGroup[g] == nil {
+			byGroup[g] = newSummaryBuilder(nameOf(meta.Classes, a.Class), nameOf(meta.Tenants, a.Tenant))
+			groups = append(groups, g)
+		}
+		byGroup[g].add(a, classes)
+		all.add(a, classes)
+	}
+	slices.SortFunc(groups, func(a, b group) int {
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.tenant, b.tenant))
+	})
+	summaries := []Summary{all.build()}
+	for _, g := range groups {
+		summaries = append(summaries, byGroup[g].build())
+	}
+	return summaries
+}
+
+const (
+	// maxLatency is the longest latency that is told apart, and latencyDigits the precision in decimal digits.
+	maxLatency    = 10 * time.Minute
+	latencyDigits = 3
+)
+
+// summaryBuilder collects what a summary is computed from.
+type summaryBuilder struct {
+	summary         Summary
+	latency, queued *hdrhistogram.Histogram // microseconds
+}
+
+func newSummaryBuilder(class, tenant string) *summaryBuilder {
+	newHistogram := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
+	}
+	return &summaryBuilder{summary: Summary{Class: class, Tenant: tenant}, latency: newHistogram(), queued: newHistogram()}
+}
+
+// microseconds returns a duration within the range of the histograms.
+func microseconds(d time.Duration) int64 {
+	return min(max(d.Microseconds(), 1), maxLatency.Microseconds())
+}
+
+func (b *summaryBuilder) add(a *Attempt, classes []admission.Class) {
+	s := &b.summary
+	s.Attempts++
+	if a.Retry {
+		s.Retries++
+	}
+	if a.RunStart > 0 {
+		b.queued.RecordValue(microseconds(a.RunStart - a.ReadAt))
+	}
+	switch a.Status {
+	case StatusServed, StatusReplayed:
+		s.Served++
+		if a.Status == StatusReplayed {
+			s.Replayed++
+		}
+		if a.OnTime(classes) {
+			s.OnTime++
+		}
+		b.latency.RecordValue(microseconds(a.EndAt - a.ArrivedAt))
+	case StatusRejected:
+		s.Rejected++
+	case StatusFailed:
+		s.Failed++
+	default:
+		s.Other++
+	}
+}
+
+// build returns the summary with its percentiles.
+func (b *summaryBuilder) build() Summary {
+	milliseconds := func(h *hdrhistogram.Histogram, percentile float64) float64 {
+		return float64(h.ValueAtQuantile(percentile)) / 1000
+	}
+	s := b.summary
+	s.P50, s.P99 = milliseconds(b.latency, 50), milliseconds(b.latency, 99)
+	s.QueuedP99 = milliseconds(b.queued, 99)
+	return s
+}
+
+// nameOf returns the name of a class or tenant. A number without a name is written as such, where any has a name.
+func nameOf(names []string, i int) string {
+	if i >= 0 && i < len(names) {
+		return names[i]
+	}
+	if len(names) == 0 {
+		return ""
+	}
+	return strconv.Itoa(i)
+}
--- a/internal/replay/trace_text.go
+++ b/internal/replay/trace_text.go
@@ -8,166 +8,190 @@
 	"tillerusher/admission"
 )
 
-// clockTime is how times of day are written.
-const clockTime = "15:04:05.000"
+// timeOfDay is the layout of times of day.
+const timeOfDay = "15:04:05.000"
 
-// ms writes a duration in whole milliseconds.
-func ms(d time.Duration) string { return d.Round(time.Millisecond).String() }
+// maxNamedRequests is how many requests a line names.
+const maxNamedRequests = 10
 
-// Lines tells a story in sentences, a line each.
-func (s *RequestTrace) Lines() []string {
-	who := fmt.Sprintf("#%d", s.ID)
-	if s.WireID != "" {
-		who = s.WireID + " (#" + fmt.Sprint(s.ID) + ")"
-	}
-	what := s.Class
-	if s.Tenant != "" {
-		what += " of " + s.Tenant
-	}
-	if s.Request.IsRetry {
-		what += ", a further try"
-	}
-	lines := []string{fmt.Sprintf("%s, %s, was read at %s UTC (%v of the module's clock), %s after it reached the machine.", who,
-		what, s.Unix.UTC().Format(clockTime), s.ReadAt.Round(time.Millisecond), ms(s.Request.QueueingDelay))}
-	lines = append(lines, s.ended()...)
-	if s.AdmissionCheck != nil {
+// Lines returns the trace as text, a line each.
+func (t *RequestTrace) Lines() []string {
+	lines := []string{t.arrivalLine(), t.endLine()}
+	if t.AdmissionCheck != nil {
 		lines = append(lines, "When it was read:")
-		lines = append(lines, indent(weighed(s.AdmissionCheck, s.ReadAt, s.StateOnRead))...)
+		lines = append(lines, indent(describeCheck(t.AdmissionCheck, t.ReadAt, t.StateOnRead))...)
 	}
-	if s.StateAtEnd != nil {
-		lines = append(lines, fmt.Sprintf("When it ended, %s later:", ms(s.EndAt-s.ReadAt)))
-		lines = append(lines, indent(judged(s.DecisionAtEnd, s.EndAt, s.StateAtEnd))...)
+	if t.StateAtEnd != nil {
+		lines = append(lines, fmt.Sprintf("When it ended, %s later:", milliseconds(t.EndAt-t.ReadAt)))
+		lines = append(lines, indent(describeDecision(t.DecisionAtEnd, t.EndAt, t.StateAtEnd))...)
 	}
-	if len(s.Steps) > 0 {
+	if len(t.Steps) > 0 {
 		lines = append(lines, "Step by step:")
-		for _, step := range s.Steps {
-			lines = append(lines, fmt.Sprintf("  %s  +%s  %s", step.Unix.UTC().Format(clockTime), ms(step.At-s.ReadAt), step.Text))
+		for _, step := range t.Steps {
+			clock, sinceRead := step.Unix.UTC().Format(timeOfDay), milliseconds(step.At-t.ReadAt)
+			lines = append(lines, fmt.Sprintf("  %s  +%s  %s", clock, sinceRead, step.Text))
 		}
 	}
 	return lines
 }
 
-// ended says how and why the request ended.
-func (s *RequestTrace) ended() []string {
-	after := ms(s.EndAt - s.ReadAt)
-	switch s.Status {
-	case StatusRejected, StatusFailed:
-		word := "refused"
-		if s.Status == StatusFailed {
-			word = "answered as failed"
-		}
-		if s.EndedOnRead && s.AdmissionCheck != nil {
-			return []string{fmt.Sprintf("It was %s at once: %s.", word, s.AdmissionCheck.Reason)}
-		}
-		if s.DecisionAtEnd != nil && s.DecisionAtEnd.Reason != admission.Admitted {
-			return []string{fmt.Sprintf("It was %s after %s while it was %s: %s.", word, after, s.DecisionAtEnd.Phase, s.DecisionAtEnd.Reason)}
-		}
-		return []string{fmt.Sprintf("It was %s after %s.", word, after)}
-	case StatusServed, StatusReplayed:
-		text := "It was served by its own run after " + after
-		if s.Status == StatusReplayed {
-			text = "It was served by the run of another try after " + after
-		}
-		if s.Lateness > 0 {
-			return []string{text + ", " + ms(s.Lateness) + " later than its aim."}
-		}
-		return []string{text + ", in time."}
-	case StatusCancelled:
-		return []string{"Its caller went away after " + after + "."}
-	case StatusErrored:
-		return []string{"Its run ended without a result after " + after + "."}
+// arrivalLine says which request this is and when it came.
+func (t *RequestTrace) arrivalLine() string {
+	id := fmt.Sprintf("#%d", t.ID)
+	if t.WireID != "" {
+		id = fmt.Sprintf("%s (#%d)", t.WireID, t.ID)
 	}
-	return []string{"No answer to it is in the capture."}
+	kind := t.Class
+	if t.Tenant != "" {
+		kind += " of " + t.Tenant
+	}
+	if t.Request.IsRetry {
+		kind += ", a further try"
+	}
+	return fmt.Sprintf("%s, %s, was read at %s UTC (%v of the module's clock), %s after it reached the machine.", id, kind,
+		t.Unix.UTC().Format(timeOfDay), t.ReadAt.Round(time.Millisecond), milliseconds(t.Request.QueueingDelay))
 }
 
-func indent(lines []string) []string {
-	for i := range lines {
-		lines[i] = "  " + lines[i]
+// endLine says how and why the request ended.
+func (t *RequestTrace) endLine() string {
+	after := milliseconds(t.EndAt - t.ReadAt)
+	switch t.Status {
+	case StatusRejected:
+		return t.rejectionLine("refused", after)
+	case StatusFailed:
+		return t.rejectionLine("answered as failed", after)
+	case StatusServed:
+		return t.servedLine("It was served by its own run after " + after)
+	case StatusReplayed:
+		return t.servedLine("It was served by the run of another try after " + after)
+	case StatusCancelled:
+		return "Its caller went away after " + after + "."
+	case StatusErrored:
+		return "Its run ended without a result after " + after + "."
 	}
-	return lines
+	return "No answer to it is in the capture."
 }
 
-// weighed says how an arrival looked.
-func weighed(w *admission.AdmissionCheck, now time.Duration, known *admission.Inspection) []string {
-	lines := []string{fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", w.ImpulseSize, ms(now-w.LastArrival), w.Rate)}
-	if w.Threshold > 0 {
-		lines[0] += fmt.Sprintf(" over a threshold of %.1f/s: %.2f times it", w.Threshold, w.RateRatio)
+func (t *RequestTrace) rejectionLine(how, after string) string {
+	if t.EndedOnRead && t.AdmissionCheck != nil {
+		return fmt.Sprintf("It was %s at once: %s.", how, t.AdmissionCheck.Reason)
 	}
-	if w.Coalesced {
-		lines = append(lines, "it repeats a known try and is answered by what becomes of that")
+	if d := t.DecisionAtEnd; d != nil && d.Reason != admission.Admitted {
+		return fmt.Sprintf("It was %s after %s while it was %s: %s.", how, after, d.Phase, d.Reason)
 	}
-	lines = append(lines,
-		fmt.Sprintf("predicted wait %s; it could wait %s and still meet its aim; its answer was due in %s", ms(w.PredictedWait),
-			ms(w.Slack), ms(w.Deadline-now)))
-	lines = append(lines, DescribeState(known)...)
-	return append(lines, stood(w.QueuedAhead, w.Running)...)
+	return fmt.Sprintf("It was %s after %s.", how, after)
 }
 
-// judged says how a request looked that was held or ran.
-func judged(j *admission.QueueDecision, now time.Duration, known *admission.Inspection) []string {
-	var lines []string
-	if j != nil {
-		lines = append(lines, fmt.Sprintf("%s; a run of it was expected to take %s; its aim was %s, its due time %s", j.Phase,
-			ms(j.ExpectedRunTime), relative(j.ObjectiveDeadline-now), relative(j.Deadline-now)))
+func (t *RequestTrace) servedLine(text string) string {
+	if t.Lateness > 0 {
+		return fmt.Sprintf("%s, %s later than its aim.", text, milliseconds(t.Lateness))
 	}
-	lines = append(lines, DescribeState(known)...)
-	if j != nil {
-		lines = append(lines, stood(j.QueuedAhead, j.Running)...)
+	return text + ", in time."
+}
+
+func indent(lines []string) []string {
+	for i := range lines {
+		lines[i] = "  " + lines[i]
 	}
 	return lines
 }
 
-// relative says when something is from now.
-func relative(d time.Duration) string {
-	if d < 0 {
-		return ms(-d) + " ago"
+// describeCheck describes an arrival in the module's state then.
+func describeCheck(check *admission.AdmissionCheck, now time.Duration, state *admission.Inspection) []string {
+	rate := fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", check.ImpulseSize, milliseconds(now-check.LastArrival),
+		check.Rate)
+	if check.Threshold > 0 {
+		rate += fmt.Sprintf(" over a threshold of %.1f/s: %.2f times it", check.Threshold, check.RateRatio)
+	}
+	lines := []string{rate}
+	if check.Coalesced {
+		lines = append(lines, "it repeats a known try and is answered by what becomes of that")
 	}
-	return "in " + ms(d)
+	lines = append(lines, fmt.Sprintf("predicted wait %s; it could wait %s and still meet its aim; its answer was due in %s",
+		milliseconds(check.PredictedWait), milliseconds(check.Slack), milliseconds(check.Deadline-now)))
+	lines = append(lines, DescribeState(state)...)
+	return append(lines, describeRequestsAhead(check.QueuedAhead, check.Running)...)
 }
 
-// DescribeState says what the module knew.
-func DescribeState(i *admission.Inspection) []string {
-	flags := ""
-	for _, f := range []struct {
-		is   bool
-		text string
-	}{{i.Saturated, "cores full"}, {i.Overloaded, "pressed"}, {i.Stalled, "stalled"}, {i.Draining, "draining"}, {i.RetryStorm, "a storm of tries"}} {
-		if f.is {
-			flags += ", " + f.text
-		}
-	}
+// describeDecision describes a request that was queued or ran, in the module's state then. decision is nil where the module
+// no longer knew the request.
+func describeDecision(decision *admission.QueueDecision, now time.Duration, state *admission.Inspection) []string {
+	if decision == nil {
+		return DescribeState(state)
+	}
+	lines := []string{fmt.Sprintf("%s; a run of it was expected to take %s; its aim was %s, its due time %s", decision.Phase,
+		milliseconds(decision.ExpectedRunTime), relativeTime(decision.ObjectiveDeadline-now), relativeTime(decision.Deadline-now))}
+	lines = append(lines, DescribeState(state)...)
+	return append(lines, describeRequestsAhead(decision.QueuedAhead, decision.Running)...)
+}
+
+// DescribeState describes what the module knew, a line each.
+func DescribeState(state *admission.Inspection) []string {
 	lines := []string{
-		fmt.Sprintf("held %d, running %d of a limit of %.1f (at most %.1f), at calls %d%s", i.Queued, i.Running, i.ConcurrencyLimit, i.MaxConcurrency,
-			i.Calling, flags),
+		fmt.Sprintf("held %d, running %d of a limit of %.1f (at most %.1f), at calls %d%s", state.Queued, state.Running,
+			state.ConcurrencyLimit, state.MaxConcurrency, state.Calling, describeConditions(state)),
 		fmt.Sprintf("gauges: busy %.2f, runnable %g; memory %.0f of %.0f kB, %d keys; further tries %.0f %% of arrivals, unread for %s",
-			i.Utilization, i.Runnable, i.MemoryKB, i.MaxMemoryKB, i.Keys, 100*i.RetryShare, ms(i.ReadDelay))}
-	for n, c := range i.Classes {
-		if c.Samples > 0 {
-			lines = append(lines, fmt.Sprintf("class %d: a run takes %s of a core, %s in all (%d runs); held %d within their slices, %d over",
-				n, ms(c.CoreTime), ms(c.WallTime), c.Samples, c.QueuedWithinQuota, c.QueuedOverQuota))
+			state.Utilization, state.Runnable, state.MemoryKB, state.MaxMemoryKB, state.Keys, 100*state.RetryShare,
+			milliseconds(state.ReadDelay)),
+	}
+	for i, class := range state.Classes {
+		if class.Samples == 0 {
+			continue
 		}
+		lines = append(lines, fmt.Sprintf(
+			"class %d: a run takes %s of a core, %s in all (%d runs); held %d within their slices, %d over", i,
+			milliseconds(class.CoreTime), milliseconds(class.WallTime), class.Samples, class.QueuedWithinQuota, class.QueuedOverQuota))
 	}
 	return lines
 }
 
-// mostNamed is how many requests a line names.
-const mostNamed = 10
+// describeConditions lists the conditions that hold, each after a comma.
+func describeConditions(state *admission.Inspection) string {
+	conditions := []struct {
+		holds bool
+		text  string
+	}{
+		{state.Saturated, "cores full"},
+		{state.Overloaded, "pressed"},
+		{state.Stalled, "stalled"},
+		{state.Draining, "draining"},
+		{state.RetryStorm, "a storm of tries"},
+	}
+	var list strings.Builder
+	for _, c := range conditions {
+		if c.holds {
+			list.WriteString(", " + c.text)
+		}
+	}
+	return list.String()
+}
 
-// stood names the requests that stood before one.
-func stood(held, cores []admission.RequestID) []string {
-	return []string{"before it in the hold: " + numbers(held), "on the cores: " + numbers(cores)}
+// describeRequestsAhead names the requests that came before one.
+func describeRequestsAhead(queued, running []admission.RequestID) []string {
+	return []string{"before it in the hold: " + formatIDs(queued), "on the cores: " + formatIDs(running)}
 }
 
-func numbers(ids []admission.RequestID) string {
+func formatIDs(ids []admission.RequestID) string {
 	if len(ids) == 0 {
 		return "none"
 	}
-	var b strings.Builder
-	for _, id := range ids[:min(len(ids), mostNamed)] {
-		fmt.Fprintf(&b, "#%d ", id)
+	var list strings.Builder
+	for _, id := range ids[:min(len(ids), maxNamedRequests)] {
+		fmt.Fprintf(&list, "#%d ", id)
 	}
-	if n := len(ids) - mostNamed; n > 0 {
-		fmt.Fprintf(&b, "and %d more", n)
+	if more := len(ids) - maxNamedRequests; more > 0 {
+		fmt.Fprintf(&list, "and %d more", more)
 	}
-	return strings.TrimSpace(b.String())
+	return strings.TrimSpace(list.String())
 }
+
+// relativeTime formats a time as seen from now.
+func relativeTime(fromNow time.Duration) string {
+	if fromNow < 0 {
+		return milliseconds(-fromNow) + " ago"
+	}
+	return "in " + milliseconds(fromNow)
+}
+
+// milliseconds formats a duration, rounded to milliseconds.
+func milliseconds(d time.Duration) string { return d.Round(time.Millisecond).String() }
