--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -67,28 +67,28 @@
 		return nil, err
 	}
 	defer target.kill()
-	l := &loadTest{config: config, target: target, checker: invariant.New(fake.IdempotencyWindow),
+	test := &loadTest{config: config, target: target, checker: invariant.New(fake.IdempotencyWindow),
 		rng: rand.New(rand.NewPCG(config.Seed, 0)), latencies: newLatencies()}
-	l.result.Seed = config.Seed
-	target.interpreter.OnRun(func(command fake.RunCommand) { l.checker.RecordRun(command.ID) })
+	test.result.Seed = config.Seed
+	target.interpreter.OnRun(func(command fake.RunCommand) { test.checker.RecordRun(command.ID) })
 	for range config.Gateways {
-		l.gateways = append(l.gateways, newGateway(l))
+		test.gateways = append(test.gateways, newGateway(test))
 	}
-	l.begin = time.Now()
+	test.begin = time.Now()
 	done := make(chan struct{})
 	defer close(done)
-	go watchPauses(l.checker.ExcusePause, done)
-	err = l.sendAll(ctx)
-	if l.restarted != nil {
-		err = errors.Join(err, <-l.restarted)
+	go watchPauses(test.checker.ExcusePause, done)
+	err = test.sendAll(ctx)
+	if test.restarted != nil {
+		err = errors.Join(err, <-test.restarted)
 	}
 	if err == nil {
-		err = l.drain()
+		err = test.drain()
 	}
 	if err != nil {
 		return nil, err
 	}
-	return l.summarize(), nil
+	return test.summarize(), nil
 }
 
 // sendAll sends all first attempts, and the retries and repeats that come meanwhile.
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -23,8 +23,8 @@
 )
 
 // statusAfter returns the status of an attempt that has not ended, after a record of it, and whether that is its end.
-func statusAfter(status EndStatus, r *capture.Record) (after EndStatus, hasEnded bool) {
-	switch r.Kind {
+func statusAfter(status EndStatus, record *capture.Record) (after EndStatus, hasEnded bool) {
+	switch record.Kind {
 	case capture.KindReject:
 		return StatusRejected, true
 	case capture.KindFail:
@@ -35,7 +35,7 @@
 		return StatusReplayed, false
 	case capture.KindRunFinished:
 		switch {
-		case r.Outcome != admission.OK:
+		case record.Outcome != admission.OK:
 			return StatusErrored, true
 		case status == StatusReplayed:
 			return StatusReplayed, true
@@ -138,40 +138,40 @@
 }
 
 // record takes an event or an action. wireID is that of a request's event.
-func (t *attemptTracker) record(r *capture.Record, wireID string) {
-	t.advance(r.At)
-	if r.Kind == capture.KindRequest {
-		t.add(r, wireID)
+func (t *attemptTracker) record(record *capture.Record, wireID string) {
+	t.advance(record.At)
+	if record.Kind == capture.KindRequest {
+		t.add(record, wireID)
 		return
 	}
-	a := t.byID[r.ID]
-	if a == nil || r.ID == 0 {
+	attempt := t.byID[record.ID]
+	if attempt == nil || record.ID == 0 {
 		return
 	}
-	if a.EndAt == 0 {
+	if attempt.EndAt == 0 {
 		var hasEnded bool
-		a.Status, hasEnded = statusAfter(a.Status, r)
+		attempt.Status, hasEnded = statusAfter(attempt.Status, record)
 		if hasEnded {
-			a.EndAt = r.At
+			attempt.EndAt = record.At
 		}
 	}
-	switch r.Kind {
+	switch record.Kind {
 	case capture.KindRun:
-		a.RunStart = r.At
+		attempt.RunStart = record.At
 		t.running++
-		t.runStarts[r.ID] = t.virtualClock
+		t.runStarts[record.ID] = t.virtualClock
 	case capture.KindRunFinished:
-		t.finishRun(a, r.At)
-		delete(t.byID, r.ID) // nothing more can happen to it
+		t.finishRun(attempt, record.At)
+		delete(t.byID, record.ID) // nothing more can happen to it
 	}
 }
 
 // add begins an attempt.
-func (t *attemptTracker) add(r *capture.Record, wireID string) {
-	a := &Attempt{ID: r.ID, WireID: wireID, Class: r.Request.Class, Tenant: r.Request.Tenant, Retry: r.Request.IsRetry,
-		ArrivedAt: r.At - r.Request.QueueingDelay, ReadAt: r.At, Status: StatusOpen}
+func (t *attemptTracker) add(request *capture.Record, wireID string) {
+	a := &Attempt{ID: request.ID, WireID: wireID, Class: request.Request.Class, Tenant: request.Request.Tenant, Retry: request.Request.IsRetry,
+		ArrivedAt: request.At - request.Request.QueueingDelay, ReadAt: request.At, Status: StatusOpen}
 	t.attempts = append(t.attempts, a)
-	t.byID[r.ID] = a
+	t.byID[request.ID] = a
 }
 
 // finishRun ends the attempt's run, if it has one.
--- a/internal/replay/comparison.go
+++ b/internal/replay/comparison.go
@@ -30,7 +30,7 @@
 
 // Compare compares two simulations of the same attempts.
 func Compare(before, after []*Attempt, meta capture.Meta, classes []admission.Class) Comparison {
-	c := Comparison{
+	comparison := Comparison{
 		Changes: []StatusChange{}, // not nil, for JSON
 		Before:  Summarize(before, meta, classes),
 		After:   Summarize(after, meta, classes),
@@ -41,10 +41,10 @@
 	}
 	for _, old := range before {
 		if a := byID[old.ID]; a != nil && a.Status != old.Status {
-			c.Changes = append(c.Changes, StatusChange{old.ID, old.WireID, old.ReadAt, old.Status, a.Status})
+			comparison.Changes = append(comparison.Changes, StatusChange{old.ID, old.WireID, old.ReadAt, old.Status, a.Status})
 		}
 	}
-	return c
+	return comparison
 }
 
 // attemptsHeader is the first line of a file of attempts. It identifies the capture.
@@ -57,8 +57,8 @@
 const attemptsVersion = 1
 
 // WriteAttempts writes a simulation, so that another build's can be compared with it: JSON, one object a line.
-func WriteAttempts(w io.Writer, meta capture.Meta, attempts []*Attempt) error {
-	buf := bufio.NewWriter(w)
+func WriteAttempts(writer io.Writer, meta capture.Meta, attempts []*Attempt) error {
+	buf := bufio.NewWriter(writer)
 	encoder := json.NewEncoder(buf)
 	if err := encoder.Encode(attemptsHeader{meta.Run, meta.ModuleTime, attemptsVersion}); err != nil {
 		return err
@@ -72,8 +72,8 @@
 }
 
 // ReadAttempts reads what WriteAttempts wrote of the same capture.
-func ReadAttempts(r io.Reader, meta capture.Meta) ([]*Attempt, error) {
-	decoder := json.NewDecoder(bufio.NewReader(r))
+func ReadAttempts(reader io.Reader, meta capture.Meta) ([]*Attempt, error) {
+	decoder := json.NewDecoder(bufio.NewReader(reader))
 	var header attemptsHeader
 	if err := decoder.Decode(&header); err != nil {
 		return nil, fmt.Errorf("replay: no modelled replay: %w", err)
--- a/internal/replay/record_text.go
+++ b/internal/replay/record_text.go
@@ -20,45 +20,45 @@
 }
 
 // FormatRecord returns a record as a line of text.
-func FormatRecord(r *capture.Record) string {
-	if r == nil {
+func FormatRecord(record *capture.Record) string {
+	if record == nil {
 		return "nothing"
 	}
-	switch r.Kind {
+	switch record.Kind {
 	case capture.KindRequest:
-		return formatRequest(r.Request)
+		return formatRequest(record.Request)
 	case capture.KindRunFinished, capture.KindCallFinished:
-		return fmt.Sprintf("%v %d %s", r.Kind, r.ID, formatOutcome(r.Outcome))
+		return fmt.Sprintf("%v %d %s", record.Kind, record.ID, formatOutcome(record.Outcome))
 	case capture.KindDrain, capture.KindCloseIdleConnections:
-		return fmt.Sprintf("%v %v", r.Kind, r.Duration)
+		return fmt.Sprintf("%v %v", record.Kind, record.Duration)
 	case capture.KindTimer:
-		return fmt.Sprintf("timer busy=%g runnable=%g", r.Gauges.Utilization, r.Gauges.Runnable)
+		return fmt.Sprintf("timer busy=%g runnable=%g", record.Gauges.Utilization, record.Gauges.Runnable)
 	case capture.KindReject:
-		text := fmt.Sprintf("refuse %d, stay away %v", r.ID, r.Duration)
-		if r.Flag {
+		text := fmt.Sprintf("refuse %d, stay away %v", record.ID, record.Duration)
+		if record.Flag {
 			text += ", try nowhere else"
 		}
 		return text
 	case capture.KindCall, capture.KindKeepKey:
-		return fmt.Sprintf("%v %d %v", r.Kind, r.ID, r.Duration)
+		return fmt.Sprintf("%v %d %v", record.Kind, record.ID, record.Duration)
 	case capture.KindAdvertiseLoad:
-		return fmt.Sprintf("say %g", r.Value)
+		return fmt.Sprintf("say %g", record.Value)
 	case capture.KindSetHealth:
-		return fmt.Sprintf("health good=%t from-store=%t", r.Flag, r.FromStore)
+		return fmt.Sprintf("health good=%t from-store=%t", record.Flag, record.FromStore)
 	case capture.KindSetTimer:
-		return fmt.Sprintf("after %v", r.Duration)
+		return fmt.Sprintf("after %v", record.Duration)
 	case capture.KindLog, capture.KindAnnotation:
-		return fmt.Sprintf("%v %q", r.Kind, r.Text)
+		return fmt.Sprintf("%v %q", record.Kind, record.Text)
 	case capture.KindRequestNames:
-		text := fmt.Sprintf("names %d Request-Id=%s", r.ID, r.Text)
-		if r.Key != "" {
-			text += " key=" + r.Key
+		text := fmt.Sprintf("names %d Request-Id=%s", record.ID, record.Text)
+		if record.Key != "" {
+			text += " key=" + record.Key
 		}
 		return text
 	case capture.KindSettle:
 		return "settle"
 	}
-	return fmt.Sprintf("%v %d", r.Kind, r.ID)
+	return fmt.Sprintf("%v %d", record.Kind, record.ID)
 }
 
 func formatRequest(r admission.Request) string {
@@ -74,13 +74,13 @@
 }
 
 // stepText returns a record of a request as a step of its trace.
-func stepText(r *capture.Record) string {
-	switch r.Kind {
+func stepText(record *capture.Record) string {
+	switch record.Kind {
 	case capture.KindRun:
 		return "was run"
 	case capture.KindReject:
-		text := fmt.Sprintf("was refused, to stay away for %v", r.Duration.Round(time.Millisecond))
-		if r.Flag {
+		text := fmt.Sprintf("was refused, to stay away for %v", record.Duration.Round(time.Millisecond))
+		if record.Flag {
 			text += " and try no other server"
 		}
 		return text
@@ -89,7 +89,7 @@
 	case capture.KindCancel:
 		return "its caller went away"
 	case capture.KindKeepKey:
-		return fmt.Sprintf("its key was kept for %v", r.Duration.Round(time.Millisecond))
+		return fmt.Sprintf("its key was kept for %v", record.Duration.Round(time.Millisecond))
 	case capture.KindReleaseKey:
 		return "its key was given up"
 	case capture.KindReplayResult:
@@ -98,7 +98,7 @@
 		return "its run was stopped"
 	case capture.KindRunFinished:
 		lastOutcome := len(outcomeTexts) - 1
-		return "ended: " + outcomeTexts[min(int(r.Outcome), lastOutcome)]
+		return "ended: " + outcomeTexts[min(int(record.Outcome), lastOutcome)]
 	}
-	return FormatRecord(r)
+	return FormatRecord(record)
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -79,18 +79,18 @@
 
 // Run replays the segments in their order. It goes on from one segment to the next where no record is missing between them,
 // and begins from a segment's own snapshot elsewhere, or at every segment where fresh is set.
-func Run(segments []*capture.Segment, fresh bool, v Visitor) (*Result, error) {
-	r := &replayer{visitor: v}
+func Run(segments []*capture.Segment, fresh bool, visitor Visitor) (*Result, error) {
+	r := &replayer{visitor: visitor}
 	var previous *capture.Segment
-	for _, s := range segments {
-		err := r.replaySegment(s, previous, fresh)
+	for _, segment := range segments {
+		err := r.replaySegment(segment, previous, fresh)
 		if errors.Is(err, errDiffers) || errors.Is(err, capture.ErrStop) {
 			return &r.result, nil
 		}
 		if err != nil {
-			return &r.result, fmt.Errorf("%s: %w", s.Path, err)
+			return &r.result, fmt.Errorf("%s: %w", segment.Path, err)
 		}
-		previous = s
+		previous = segment
 	}
 	return &r.result, nil
 }
@@ -101,7 +101,7 @@
 	result   Result
 	module   *admission.Instance // nil where its state is not known
 	recorder ActionRecorder
-	snapshot []byte // a buffer
+	snapshot []byte // attempt buffer
 
 	isComparing bool           // an event was delivered, whose actions are being compared
 	event       capture.Record // that event
@@ -110,23 +110,23 @@
 }
 
 // replaySegment replays one segment.
-func (r *replayer) replaySegment(s, previous *capture.Segment, fresh bool) error {
+func (r *replayer) replaySegment(segment, previous *capture.Segment, fresh bool) error {
 	r.result.Segments++
-	continues := r.module != nil && s.IsContinuationOf(previous)
-	if continues && s.Snapshot != nil {
-		if err := r.compareSnapshot(s); err != nil {
+	continues := r.module != nil && segment.IsContinuationOf(previous)
+	if continues && segment.Snapshot != nil {
+		if err := r.compareSnapshot(segment); err != nil {
 			return err
 		}
 	}
 	if !continues || fresh {
-		if err := r.restore(s); err != nil {
+		if err := r.restore(segment); err != nil {
 			return err
 		}
 	}
-	if err := r.replayRecords(s); err != nil {
+	if err := r.replayRecords(segment); err != nil {
 		return err
 	}
-	if s.Complete {
+	if segment.Complete {
 		return r.finishEvent()
 	}
 	r.isComparing = false // the last event's actions may not all have been recorded
@@ -134,10 +134,10 @@
 }
 
 // compareSnapshot compares the state that the replay has reached with the segment's snapshot.
-func (r *replayer) compareSnapshot(s *capture.Segment) error {
+func (r *replayer) compareSnapshot(segment *capture.Segment) error {
 	r.snapshot = r.module.Snapshot(r.snapshot[:0])
-	if !bytes.Equal(r.snapshot, s.Snapshot) {
-		r.result.FirstDifference = &Difference{Segment: s.Path, RecordNumber: s.Meta.FirstRecord, StateDiffers: true,
+	if !bytes.Equal(r.snapshot, segment.Snapshot) {
+		r.result.FirstDifference = &Difference{Segment: segment.Path, RecordNumber: segment.Meta.FirstRecord, StateDiffers: true,
 			StateBefore: r.module.Inspect()}
 		return errDiffers
 	}
@@ -146,13 +146,13 @@
 }
 
 // restore takes the state at a segment's start.
-func (r *replayer) restore(s *capture.Segment) error {
+func (r *replayer) restore(segment *capture.Segment) error {
 	r.module, r.isComparing = nil, false
 	r.result.Restarts++
-	if s.Snapshot == nil {
+	if segment.Snapshot == nil {
 		return nil // it is damaged, and the segment's events are skipped
 	}
-	module, err := admission.Restore(s.Snapshot, &r.recorder)
+	module, err := admission.Restore(segment.Snapshot, &r.recorder)
 	if err != nil {
 		return err
 	}
@@ -161,10 +161,10 @@
 }
 
 // replayRecords replays the records of a segment.
-func (r *replayer) replayRecords(s *capture.Segment) error {
-	last := s.Meta.ModuleTime
+func (r *replayer) replayRecords(segment *capture.Segment) error {
+	last := segment.Meta.ModuleTime
 	var recordErr error // kept, since ForEach returns nil where it is stopped by capture.ErrStop
-	err := s.ForEach(func(at capture.Position, record *capture.Record) error {
+	err := segment.ForEach(func(at capture.Position, record *capture.Record) error {
 		if at.AfterDamage {
 			r.module, r.isComparing = nil, false // what is missing may have changed anything
 		}
@@ -172,7 +172,7 @@
 		recordErr = r.replayRecord(at, record)
 		return recordErr
 	})
-	r.result.Duration += last - s.Meta.ModuleTime
+	r.result.Duration += last - segment.Meta.ModuleTime
 	if err != nil {
 		return err
 	}
@@ -248,33 +248,33 @@
 // reportDifference sets the result's difference. recorded is nil where no further action was recorded.
 func (r *replayer) reportDifference(recorded *capture.Record) error {
 	event := r.event
-	d := &Difference{Segment: r.eventAt.Segment.Path, RecordNumber: r.eventAt.Number, Event: &event}
+	difference := &Difference{Segment: r.eventAt.Segment.Path, RecordNumber: r.eventAt.Number, Event: &event}
 	if recorded != nil {
 		copied := *recorded
-		d.Recorded = &copied
+		difference.Recorded = &copied
 	}
 	if r.compared < len(r.recorder.Actions) {
 		replayed := r.recorder.Actions[r.compared]
-		d.Replayed = &replayed
+		difference.Replayed = &replayed
 	}
-	d.StateBefore = r.inspectBeforeEvent()
-	r.result.FirstDifference = d
+	difference.StateBefore = r.inspectBeforeEvent()
+	r.result.FirstDifference = difference
 	return errDiffers
 }
 
 // inspectBeforeEvent replays the segment again, up to the event that differs, and returns the module's state there.
 func (r *replayer) inspectBeforeEvent() (state admission.Inspection) {
-	again := replayer{}
-	if again.restore(r.eventAt.Segment) != nil || again.module == nil {
+	second := replayer{}
+	if second.restore(r.eventAt.Segment) != nil || second.module == nil {
 		return state
 	}
 	r.eventAt.Segment.ForEach(func(at capture.Position, record *capture.Record) error {
 		if at.Number == r.eventAt.Number {
-			state = again.module.Inspect()
+			state = second.module.Inspect()
 			return capture.ErrStop
 		}
 		if record.Kind.IsEvent() {
-			Deliver(again.module, record)
+			Deliver(second.module, record)
 		}
 		return nil
 	})
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -17,49 +17,67 @@
 	"tillerusher/internal/capture"
 )
 
-// shelf is a folder in memory.
-type shelf struct {
+// memoryDir is a capture directory in memory.
+type memoryDir struct {
 	mu    sync.Mutex
 	files map[string]*bytes.Buffer
 }
 
-type shelved struct {
-	s *shelf
-	b *bytes.Buffer
+// memoryFile is a file of it that is being written.
+type memoryFile struct {
+	dir     *memoryDir
+	content *bytes.Buffer
 }
 
-func (f shelved) Write(p []byte) (int, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	return f.b.Write(p)
+func (f memoryFile) Write(p []byte) (int, error) {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	return f.content.Write(p)
 }
 
-func (f shelved) Close() error { return nil }
+func (f memoryFile) Close() error { return nil }
 
-func (s *shelf) Create(name string) (io.WriteCloser, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.files[name] = &bytes.Buffer{}
-	return shelved{s, s.files[name]}, nil
+func (d *memoryDir) Create(name string) (io.WriteCloser, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.files[name] = &bytes.Buffer{}
+	return memoryFile{d, d.files[name]}, nil
 }
 
-func (s *shelf) List() (map[string]int64, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (d *memoryDir) List() (map[string]int64, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	sizes := map[string]int64{}
-	for name, b := range s.files {
-		sizes[name] = int64(b.Len())
+	for name, content := range d.files {
+		sizes[name] = int64(content.Len())
 	}
 	return sizes, nil
 }
 
-func (s *shelf) Remove(name string) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.files, name)
+func (d *memoryDir) Remove(name string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.files, name)
 	return nil
 }
 
+// segments parses all files.
+func (d *memoryDir) segments(t interface{ Fatal(...any) }) []*capture.Segment {
+	var segments []*capture.Segment
+	for i := range len(d.files) {
+		content := d.files[fmt.Sprintf("%010d.capture", i+1)]
+		if content == nil {
+			t.Fatal("a segment is missing")
+		}
+		segment, err := capture.Parse(content.Bytes())
+		if err != nil {
+			t.Fatal(err)
+		}
+		segments = append(segments, segment)
+	}
+	return segments
+}
+
 func testSettings() admission.Settings {
 	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 10000, KeyKB: 50,
 		RunningMemoryFactor: 16, MaxConcurrencyFactor: 8, MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second, HasDeadlines: true,
@@ -71,11 +89,11 @@
 		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
-// draw makes up a stream of events, legal or not, for a module behind a tap.
-func draw(t *rapid.T, e admission.Events) {
+// drawEvents passes a random sequence of events, legal or not, to a module behind a tap.
+func drawEvents(t *rapid.T, module admission.Events) {
 	now, last := time.Duration(0), admission.RequestID(0)
 	for range rapid.IntRange(1, 60).Draw(t, "rounds") {
-		// The clock stands, goes on, or jumps by minutes.
+		// The clock stands still, advances, or jumps by minutes.
 		now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 7 * time.Millisecond, 90 * time.Millisecond,
 			3 * time.Minute}).Draw(t, "wait")
 		for range rapid.IntRange(1, 6).Draw(t, "events") {
@@ -83,50 +101,50 @@
 			outcome := admission.Outcome(rapid.IntRange(0, int(admission.NotStarted)).Draw(t, "outcome"))
 			switch rapid.IntRange(0, 12).Draw(t, "kind") {
 			case 0:
-				e.Cancel(now, id)
+				module.Cancel(now, id)
 			case 1, 2, 3:
-				e.RunFinished(now, id, outcome)
+				module.RunFinished(now, id, outcome)
 			case 4:
-				e.CallRequested(now, id)
+				module.CallRequested(now, id)
 			case 5:
-				e.CallFinished(now, id, outcome, time.Duration(id)*time.Millisecond)
+				module.CallFinished(now, id, outcome, time.Duration(id)*time.Millisecond)
 			case 6:
-				e.Timer(now, 0, admission.Gauges{Utilization: rapid.Float64Range(-1, 1).Draw(t, "busy"),
+				module.Timer(now, 0, admission.Gauges{Utilization: rapid.Float64Range(-1, 1).Draw(t, "busy"),
 					Runnable: float64(rapid.IntRange(-1, 5).Draw(t, "runnable"))})
 			case 7:
 				if last > 40 {
-					e.Drain(now, 3*time.Second)
+					module.Drain(now, 3*time.Second)
 				}
 			default:
 				last++
-				e.Request(now, admission.Request{ID: last, Class: rapid.IntRange(0, 2).Draw(t, "class"),
+				module.Request(now, admission.Request{ID: last, Class: rapid.IntRange(0, 2).Draw(t, "class"),
 					Tenant: int(last % 2), Caller: int(last % 3), ResourceID: uint64(id), IsRetry: id%3 == 0, RetryOf: id,
 					QueueingDelay: time.Duration(id) * time.Millisecond, RemainingTime: time.Second, SizeKB: 24.5})
 			}
 		}
-		e.Settle(now)
+		module.Settle(now)
 	}
 }
 
-// TestRandomStreams records any stream of events and replays it: the module must decide by its events alone, from
-// every segment's state too.
-func TestRandomStreams(t *testing.T) {
+// TestRandomEventsReplayTheSame records random events and replays them: what the module decides must depend on its events
+// alone, also from every segment's snapshot.
+func TestRandomEventsReplayTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dir := &shelf{files: map[string]*bytes.Buffer{}}
-		cfg := capture.DefaultConfig()
-		cfg.SegmentAge = time.Duration(rapid.IntRange(1, 200).Draw(t, "age")) * time.Millisecond
-		rec, err := capture.NewRecorder(dir, cfg, capture.Meta{Server: "n3"}, time.Now, func(err error) { t.Error(err) })
+		dir := &memoryDir{files: map[string]*bytes.Buffer{}}
+		config := capture.DefaultConfig()
+		config.SegmentAge = time.Duration(rapid.IntRange(1, 200).Draw(t, "age")) * time.Millisecond
+		recorder, err := capture.NewRecorder(dir, config, capture.Meta{Server: "n3"}, time.Now, func(err error) { t.Error(err) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		tap := capture.NewTap(rec, &ActionRecorder{})
-		m, err := admission.New(testSettings(), tap)
+		tap := capture.NewTap(recorder, &ActionRecorder{})
+		module, err := admission.New(testSettings(), tap)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tap.Attach(m, 0)
-		draw(t, tap)
-		rec.Close(time.Minute)
+		tap.Attach(module, 0)
+		drawEvents(t, tap)
+		recorder.Close(time.Minute)
 		segments := dir.segments(t)
 		for _, fresh := range []bool{false, true} {
 			r, err := Run(segments, fresh, Visitor{})
@@ -138,55 +156,38 @@
 			}
 		}
 		from := time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond
-		piece, err := Cut(segments, Span{from, from + time.Duration(rapid.IntRange(0, 500).Draw(t, "for"))*time.Millisecond})
+		excerpt, err := Cut(segments, Span{from, from + time.Duration(rapid.IntRange(0, 500).Draw(t, "for"))*time.Millisecond})
 		if errors.Is(err, ErrEmptySpan) {
 			return
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := piece.Replay(nil)
+		again, err := excerpt.Replay(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(again.Records, piece.Records) {
+		if !reflect.DeepEqual(again.Records, excerpt.Records) {
 			t.Fatal("a piece replays to other decisions")
 		}
 	})
 }
 
-// segments reads what is on the shelf.
-func (s *shelf) segments(t interface{ Fatal(...any) }) []*capture.Segment {
-	var list []*capture.Segment
-	for i := range len(s.files) {
-		b := s.files[fmt.Sprintf("%010d.capture", i+1)]
-		if b == nil {
-			t.Fatal("a segment is missing")
-		}
-		seg, err := capture.Parse(b.Bytes())
-		if err != nil {
-			t.Fatal(err)
-		}
-		list = append(list, seg)
-	}
-	return list
-}
-
-// TestDifference has a record that was tampered with found at its event, with what the module knew before it.
-func TestDifference(t *testing.T) {
-	segments := []*capture.Segment{storm(t)}
-	piece, err := LoadExcerpt(segments[0])
+// TestTamperedRecordIsFound expects a difference at the event of a record that was changed, with the state before it.
+func TestTamperedRecordIsFound(t *testing.T) {
+	segments := []*capture.Segment{stormSegment(t)}
+	excerpt, err := LoadExcerpt(segments[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range piece.Records {
-		if r := &piece.Records[i]; r.Kind == capture.KindReject {
+	for i := range excerpt.Records {
+		if r := &excerpt.Records[i]; r.Kind == capture.KindReject {
 			r.Kind = capture.KindFail
 			break
 		}
 	}
 	path := t.TempDir() + "/x.capture"
-	if err := piece.Write(path, "tampered with"); err != nil {
+	if err := excerpt.Write(path, "tampered with"); err != nil {
 		t.Fatal(err)
 	}
 	bad, err := capture.ReadSegment(path)
@@ -194,17 +195,18 @@
 		t.Fatal(err)
 	}
 	r, err := Run([]*capture.Segment{bad}, false, Visitor{})
-	if err != nil || r.FirstDifference == nil || r.FirstDifference.Recorded.Kind != capture.KindFail || r.FirstDifference.Replayed.Kind != capture.KindReject ||
-		r.FirstDifference.StateBefore.Queued == 0 || r.FirstDifference.Event == nil {
-		t.Errorf("%v, %v", err, r.FirstDifference)
+	d := r.FirstDifference
+	if err != nil || d == nil || d.Recorded.Kind != capture.KindFail || d.Replayed.Kind != capture.KindReject ||
+		d.StateBefore.Queued == 0 || d.Event == nil {
+		t.Errorf("%v, %v", err, d)
 	}
-	if err := piece.Write(path, "again"); err == nil {
+	if err := excerpt.Write(path, "again"); err == nil {
 		t.Error("a file was overwritten")
 	}
 }
 
-// storm is a committed capture of a whole storm: overload, lost links, a reload and a drain.
-func storm(t testing.TB) *capture.Segment {
+// stormSegment reads the committed capture of a load test with overload, lost links, a reload and a drain.
+func stormSegment(t testing.TB) *capture.Segment {
 	t.Helper()
 	s, err := capture.ReadSegment("testdata/storm.capture")
 	if err != nil {
@@ -213,51 +215,51 @@
 	return s
 }
 
-// TestExplain tells why requests of a real storm were refused, and of what was served.
-func TestExplain(t *testing.T) {
-	segments := []*capture.Segment{storm(t)}
-	outcomes, err := RecordedAttempts(segments, 2)
+// TestExplainRequestsOfStorm explains requests with every end status in the capture of a load test.
+func TestExplainRequestsOfStorm(t *testing.T) {
+	segments := []*capture.Segment{stormSegment(t)}
+	attempts, err := RecordedAttempts(segments, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := map[EndStatus]int{}
-	for _, o := range outcomes {
-		if seen[o.Status]++; seen[o.Status] > 2 {
+	counts := map[EndStatus]int{}
+	for _, a := range attempts {
+		if counts[a.Status]++; counts[a.Status] > 2 {
 			continue
 		}
-		stories, err := Explain(segments, o.WireID)
-		if err != nil || len(stories) != 1 || stories[0].Status != o.Status || stories[0].AdmissionCheck == nil {
-			t.Fatalf("%+v: %v, %+v", o, err, stories)
+		traces, err := Explain(segments, a.WireID)
+		if err != nil || len(traces) != 1 || traces[0].Status != a.Status || traces[0].AdmissionCheck == nil {
+			t.Fatalf("%+v: %v, %+v", a, err, traces)
 		}
-		s := stories[0]
-		words := strings.Join(s.Lines(), "\n")
-		if !strings.Contains(words, o.WireID) || !strings.Contains(words, "before it in the hold") {
-			t.Errorf("told: %s", words)
+		trace := traces[0]
+		text := strings.Join(trace.Lines(), "\n")
+		if !strings.Contains(text, a.WireID) || !strings.Contains(text, "before it in the hold") {
+			t.Errorf("told: %s", text)
 		}
-		if o.Status == StatusRejected && s.EndedOnRead && s.AdmissionCheck.Reason == admission.Admitted {
-			t.Errorf("%s was refused as it was read, and no reason is told", o.WireID)
+		if a.Status == StatusRejected && trace.EndedOnRead && trace.AdmissionCheck.Reason == admission.Admitted {
+			t.Errorf("%s was refused as it was read, and no reason is told", a.WireID)
 		}
 	}
-	if seen[StatusRejected] == 0 || seen[StatusServed] == 0 {
-		t.Errorf("the storm has %v", seen)
+	if counts[StatusRejected] == 0 || counts[StatusServed] == 0 {
+		t.Errorf("the storm has %v", counts)
 	}
 	if _, err := Explain(segments, "0123456789abcdef"); !errors.Is(err, ErrNotInCapture) {
 		t.Errorf("of an unknown request: %v", err)
 	}
-	m, err := InspectAt(segments, segments[0].Meta.ModuleTime+time.Second, 50*time.Millisecond)
-	if err != nil || m.State.Now == 0 || len(m.Decisions) == 0 {
-		t.Errorf("of a moment: %v, %+v", err, m)
+	state, err := InspectAt(segments, segments[0].Meta.ModuleTime+time.Second, 50*time.Millisecond)
+	if err != nil || state.State.Now == 0 || len(state.Decisions) == 0 {
+		t.Errorf("of a moment: %v, %+v", err, state)
 	}
 }
 
-// TestModel has a replay that changes nothing come near what was recorded, and more cores serve more.
-func TestModel(t *testing.T) {
-	segments := []*capture.Segment{storm(t)}
+// TestSimulate expects a simulation without changes to come near what was recorded, and one with more cores to serve more.
+func TestSimulate(t *testing.T) {
+	segments := []*capture.Segment{stormSegment(t)}
 	recorded, err := RecordedAttempts(segments, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	base, set, err := Simulate(segments, nil)
+	base, settings, err := Simulate(segments, nil)
 	if err != nil || len(base) != len(recorded) {
 		t.Fatalf("%v, %d of %d outcomes", err, len(base), len(recorded))
 	}
@@ -266,25 +268,25 @@
 		t.Error("two modelled replays differ")
 	}
 	served := func(list []*Attempt) float64 {
-		return float64(Summarize(list, segments[0].Meta, set.Classes)[0].Served) / float64(len(list))
+		return float64(Summarize(list, segments[0].Meta, settings.Classes)[0].Served) / float64(len(list))
 	}
-	if d := served(base) - served(recorded); d > 0.1 || d < -0.1 {
+	if difference := served(base) - served(recorded); difference > 0.1 || difference < -0.1 {
 		t.Errorf("modelled %.3f, recorded %.3f", served(base), served(recorded))
 	}
-	four, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"cores", "8"}}, segments[0].Meta))
-	if err != nil || served(four) <= served(base) {
-		t.Errorf("8 cores serve %.3f, 2 serve %.3f: %v", served(four), served(base), err)
+	eightCores, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"cores", "8"}}, segments[0].Meta))
+	if err != nil || served(eightCores) <= served(base) {
+		t.Errorf("8 cores serve %.3f, 2 serve %.3f: %v", served(eightCores), served(base), err)
 	}
-	c := Compare(base, four, segments[0].Meta, set.Classes)
-	if len(c.Changes) == 0 {
+	comparison := Compare(base, eightCores, segments[0].Meta, settings.Classes)
+	if len(comparison.Changes) == 0 {
 		t.Error("no request ends otherwise")
 	}
 	var file bytes.Buffer
 	if err := WriteAttempts(&file, segments[0].Meta, base); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadAttempts(&file, segments[0].Meta)
-	if err != nil || !reflect.DeepEqual(back, base) {
+	read, err := ReadAttempts(&file, segments[0].Meta)
+	if err != nil || !reflect.DeepEqual(read, base) {
 		t.Errorf("outcomes do not come back: %v", err)
 	}
 	if _, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"quota.nowhere", "8"}}, segments[0].Meta)); err == nil {
@@ -292,24 +294,24 @@
 	}
 }
 
-// TestCutAndShrink cuts around one refusal, shrinks it, and replays both.
+// TestCutAndShrink cuts around one rejection, shrinks the capture to it, and replays both.
 func TestCutAndShrink(t *testing.T) {
-	segments := []*capture.Segment{storm(t)}
-	outcomes, err := RecordedAttempts(segments, 2)
+	segments := []*capture.Segment{stormSegment(t)}
+	attempts, err := RecordedAttempts(segments, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var last *Attempt
-	for _, o := range outcomes {
-		if o.Status == StatusRejected {
-			last = o
+	for _, a := range attempts {
+		if a.Status == StatusRejected {
+			last = a
 		}
 	}
-	stories, err := Explain(segments, last.WireID)
+	traces, err := Explain(segments, last.WireID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	piece, err := Cut(segments, SpanOf(stories))
+	excerpt, err := Cut(segments, SpanOf(traces))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -318,16 +320,16 @@
 		t.Fatal(err)
 	}
 	whole, err := LoadExcerpt(segments[0])
-	if err != nil || len(piece.Records) >= len(whole.Records) {
-		t.Fatalf("%v: the cut has %d of %d records", err, len(piece.Records), len(whole.Records))
+	if err != nil || len(excerpt.Records) >= len(whole.Records) {
+		t.Fatalf("%v: the cut has %d of %d records", err, len(excerpt.Records), len(whole.Records))
 	}
 	small, _, err := Shrink(whole, predicate)
 	if err != nil || len(small.Records) >= len(whole.Records)/2 {
 		t.Fatalf("%v: %d of %d records are left", err, len(small.Records), len(whole.Records))
 	}
-	for name, p := range map[string]*Excerpt{"cut": piece, "small": small} {
+	for name, e := range map[string]*Excerpt{"cut": excerpt, "small": small} {
 		path := t.TempDir() + "/" + name + ".capture"
-		if err := p.Write(path, name); err != nil {
+		if err := e.Write(path, name); err != nil {
 			t.Fatal(err)
 		}
 		s, err := capture.ReadSegment(path)
--- a/internal/replay/replaytest/replaytest.go
+++ b/internal/replay/replaytest/replaytest.go
@@ -1,4 +1,4 @@
-// Package replaytest makes captures ordinary tests, with one line each.
+// Package replaytest turns captures into ordinary tests, one line each.
 package replaytest
 
 import (
@@ -8,47 +8,47 @@
 	"tillerusher/internal/replay"
 )
 
-// AssertSameDecisions fails where the module decides otherwise than the capture says, from one end to the other or from any
-// segment's snapshot.
+// AssertSameDecisions fails the test where the module decides otherwise than was recorded, when the capture is replayed as a
+// whole or from each segment's snapshot. It returns the result of the latter.
 func AssertSameDecisions(t *testing.T, path string) *replay.Result {
 	t.Helper()
 	segments := open(t, path)
-	var last *replay.Result
+	var result *replay.Result
 	for _, fresh := range []bool{false, true} {
-		r, err := replay.Run(segments, fresh, replay.Visitor{})
+		var err error
+		result, err = replay.Run(segments, fresh, replay.Visitor{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.FirstDifference != nil {
-			t.Fatalf("%v", r.FirstDifference)
+		if result.FirstDifference != nil {
+			t.Fatalf("%v", result.FirstDifference)
 		}
-		last = r
 	}
-	return last
+	return result
 }
 
-// AssertNeverMatches fails where the predicate (see replay.ParsePredicate) holds when the capture's events are fed to the module,
-// whatever the recorded decisions were: what once went wrong must not come back.
+// AssertNeverMatches fails the test where the predicate (see replay.ParsePredicate) holds when the module gets the capture's
+// events, whatever the recorded decisions were: a failure that was captured once must not come back.
 func AssertNeverMatches(t *testing.T, path, predicate string) {
 	t.Helper()
-	make, err := replay.ParsePredicate(predicate)
+	newPredicate, err := replay.ParsePredicate(predicate)
 	if err != nil {
 		t.Fatal(err)
 	}
-	piece, err := replay.Join(open(t, path), replay.Span{})
+	excerpt, err := replay.Join(open(t, path), replay.Span{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := make()
-	if _, err := piece.Replay(seen); err != nil {
+	observer := newPredicate()
+	if _, err := excerpt.Replay(observer); err != nil {
 		t.Fatal(err)
 	}
-	if seen.Matched() {
+	if observer.Matched() {
 		t.Errorf("%s: %s holds again", path, predicate)
 	}
 }
 
-// open reads a capture that must be whole.
+// open reads a capture, which must not be damaged.
 func open(t *testing.T, path string) []*capture.Segment {
 	t.Helper()
 	segments, bad, err := capture.Open(path)
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -90,29 +90,29 @@
 }
 
 // collect reads the records of a segment.
-func (c *traceCollector) collect(s *capture.Segment) error {
+func (c *traceCollector) collect(segment *capture.Segment) error {
 	names := map[admission.RequestID]capture.Record{} // of requests that come next
-	return s.ForEach(func(at capture.Position, r *capture.Record) error {
-		if r.Kind.IsEvent() {
-			c.event = eventRef{s, at.Number}
+	return segment.ForEach(func(at capture.Position, record *capture.Record) error {
+		if record.Kind.IsEvent() {
+			c.event = eventRef{segment, at.Number}
 		}
-		switch r.Kind {
+		switch record.Kind {
 		case capture.KindRequestNames:
-			if c.matches(r) {
-				names[r.ID] = *r
+			if c.matches(record) {
+				names[record.ID] = *record
 			}
 			return nil
 		case capture.KindRequest:
-			name, isNamed := names[r.ID]
-			if r.ID == c.number || isNamed {
-				c.begin(s, r, name)
+			name, isNamed := names[record.ID]
+			if record.ID == c.number || isNamed {
+				c.begin(segment, record, name)
 				return nil
 			}
 		case capture.KindSettle, capture.KindTimer:
 			return nil
 		}
-		if trace := c.byRequest[requestRef{s.Meta.Run, r.ID}]; trace != nil && r.ID != 0 {
-			trace.addStep(s, r, c.event)
+		if trace := c.byRequest[requestRef{segment.Meta.Run, record.ID}]; trace != nil && record.ID != 0 {
+			trace.addStep(segment, record, c.event)
 		}
 		return nil
 	})
@@ -124,32 +124,32 @@
 }
 
 // begin begins a trace with the request's event. name is the record of its names, or empty.
-func (c *traceCollector) begin(s *capture.Segment, r *capture.Record, name capture.Record) {
+func (c *traceCollector) begin(segment *capture.Segment, request *capture.Record, name capture.Record) {
 	trace := &RequestTrace{
-		ID:        r.ID,
+		ID:        request.ID,
 		WireID:    name.Text,
 		Key:       name.Key,
-		Class:     nameOf(s.Meta.Classes, r.Request.Class),
-		Tenant:    nameOf(s.Meta.Tenants, r.Request.Tenant),
-		Request:   r.Request,
-		ReadAt:    r.At,
-		Unix:      s.UnixTime(r.At),
+		Class:     nameOf(segment.Meta.Classes, request.Request.Class),
+		Tenant:    nameOf(segment.Meta.Tenants, request.Request.Tenant),
+		Request:   request.Request,
+		ReadAt:    request.At,
+		Unix:      segment.UnixTime(request.At),
 		Status:    StatusOpen,
 		readEvent: c.event,
 	}
 	c.traces = append(c.traces, trace)
-	c.byRequest[requestRef{s.Meta.Run, r.ID}] = trace
+	c.byRequest[requestRef{segment.Meta.Run, request.ID}] = trace
 }
 
 // addStep adds what a record says of the request.
-func (t *RequestTrace) addStep(s *capture.Segment, r *capture.Record, event eventRef) {
-	t.Steps = append(t.Steps, Step{r.At, s.UnixTime(r.At), stepText(r)})
+func (t *RequestTrace) addStep(segment *capture.Segment, record *capture.Record, event eventRef) {
+	t.Steps = append(t.Steps, Step{record.At, segment.UnixTime(record.At), stepText(record)})
 	if t.hasEnded {
 		return
 	}
-	t.Status, t.hasEnded = statusAfter(t.Status, r)
+	t.Status, t.hasEnded = statusAfter(t.Status, record)
 	if t.hasEnded {
-		t.EndAt, t.endEvent, t.EndedOnRead = r.At, event, event == t.readEvent
+		t.EndAt, t.endEvent, t.EndedOnRead = record.At, event, event == t.readEvent
 	}
 }
 
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -14,18 +14,18 @@
 // Shrink drops events as long as the predicate holds, by the delta-debugging algorithm ddmin (Zeller and Hildebrandt,
 // Simplifying and Isolating Failure-Inducing Input, 2002). All events of a request are dropped at once. The result has this
 // program's own actions; replays is how often the excerpt was replayed.
-func Shrink(e *Excerpt, newPredicate func() Predicate) (small *Excerpt, replays int, err error) {
-	s := shrinker{excerpt: e, newPredicate: newPredicate}
-	if ok, err := s.holds(e); err != nil {
+func Shrink(excerpt *Excerpt, newPredicate func() Predicate) (small *Excerpt, replays int, err error) {
+	s := shrinker{excerpt: excerpt, newPredicate: newPredicate}
+	if ok, err := s.holds(excerpt); err != nil {
 		return nil, s.replays, err
 	} else if !ok {
 		return nil, s.replays, ErrNotMatched
 	}
-	units, err := s.minimize(unitsOf(e))
+	units, err := s.minimize(unitsOf(excerpt))
 	if err != nil {
 		return nil, s.replays, err
 	}
-	small, err = e.only(units).Replay(nil)
+	small, err = excerpt.only(units).Replay(nil)
 	return small, s.replays, err
 }
 
@@ -88,12 +88,12 @@
 }
 
 // unitOf returns the unit that a record belongs to, and false for the end of a round and for actions.
-func unitOf(index int, r *capture.Record) (unit, bool) {
+func unitOf(index int, record *capture.Record) (unit, bool) {
 	switch {
-	case r.Kind == capture.KindSettle || r.Kind.IsAction():
+	case record.Kind == capture.KindSettle || record.Kind.IsAction():
 		return unit{}, false
-	case r.ID != 0:
-		return unit{id: r.ID}, true
+	case record.ID != 0:
+		return unit{id: record.ID}, true
 	}
 	return unit{index: index}, true
 }
--- a/internal/replay/simulated_cores.go
+++ b/internal/replay/simulated_cores.go
@@ -85,29 +85,29 @@
 
 // newCoreTimes computes the core times of recorded attempts. A class without runs has the mean of all.
 func newCoreTimes(recorded []*Attempt, classes int) coreTimes {
-	t := coreTimes{byID: map[admission.RequestID]time.Duration{}, classMean: make([]time.Duration, classes)}
+	times := coreTimes{byID: map[admission.RequestID]time.Duration{}, classMean: make([]time.Duration, classes)}
 	counts := make([]int, classes)
 	total, count := time.Duration(0), 0
-	for _, a := range recorded {
-		if a.RunEnd == 0 || a.Class >= classes || a.Status == StatusErrored {
+	for _, attempt := range recorded {
+		if attempt.RunEnd == 0 || attempt.Class >= classes || attempt.Status == StatusErrored {
 			continue
 		}
-		t.byID[a.ID] = a.CoreTime
-		t.classMean[a.Class] += a.CoreTime
-		counts[a.Class]++
-		total += a.CoreTime
+		times.byID[attempt.ID] = attempt.CoreTime
+		times.classMean[attempt.Class] += attempt.CoreTime
+		counts[attempt.Class]++
+		total += attempt.CoreTime
 		count++
 	}
-	for class := range t.classMean {
+	for class := range times.classMean {
 		switch {
 		case counts[class] > 0:
-			t.classMean[class] /= time.Duration(counts[class])
+			times.classMean[class] /= time.Duration(counts[class])
 		case count > 0:
-			t.classMean[class] = total / time.Duration(count)
+			times.classMean[class] = total / time.Duration(count)
 		}
 	}
-	t.mean = total / time.Duration(max(count, 1))
-	return t
+	times.mean = total / time.Duration(max(count, 1))
+	return times
 }
 
 // of returns the core time of a run; request is its record, or nil for one from before the recording.
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -80,31 +80,31 @@
 	return min(max(d.Microseconds(), 1), maxLatency.Microseconds())
 }
 
-func (b *summaryBuilder) add(a *Attempt, classes []admission.Class) {
-	s := &b.summary
-	s.Attempts++
-	if a.Retry {
-		s.Retries++
+func (b *summaryBuilder) add(attempt *Attempt, classes []admission.Class) {
+	summary := &b.summary
+	summary.Attempts++
+	if attempt.Retry {
+		summary.Retries++
 	}
-	if a.RunStart > 0 {
-		b.queued.RecordValue(microseconds(a.RunStart - a.ReadAt))
+	if attempt.RunStart > 0 {
+		b.queued.RecordValue(microseconds(attempt.RunStart - attempt.ReadAt))
 	}
-	switch a.Status {
+	switch attempt.Status {
 	case StatusServed, StatusReplayed:
-		s.Served++
-		if a.Status == StatusReplayed {
-			s.Replayed++
+		summary.Served++
+		if attempt.Status == StatusReplayed {
+			summary.Replayed++
 		}
-		if a.OnTime(classes) {
-			s.OnTime++
+		if attempt.OnTime(classes) {
+			summary.OnTime++
 		}
-		b.latency.RecordValue(microseconds(a.EndAt - a.ArrivedAt))
+		b.latency.RecordValue(microseconds(attempt.EndAt - attempt.ArrivedAt))
 	case StatusRejected:
-		s.Rejected++
+		summary.Rejected++
 	case StatusFailed:
-		s.Failed++
+		summary.Failed++
 	default:
-		s.Other++
+		summary.Other++
 	}
 }
 
--- a/internal/retrysim/retrysim.go
+++ b/internal/retrysim/retrysim.go
@@ -57,16 +57,16 @@
 }
 
 // Run runs a simulation and returns its complete intervals.
-func Run(c Config) ([]Sample, error) {
-	s := &simulation{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0))}
-	p, err := pool.New(poolConfig(c), s.rng, 0)
+func Run(config Config) ([]Sample, error) {
+	s := &simulation{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0))}
+	p, err := pool.New(poolConfig(config), s.rng, 0)
 	if err != nil {
 		return nil, err
 	}
 	s.pool = p
 	var samples []Sample
 	intervalEnd := sampleInterval
-	for now := time.Duration(0); now < c.Duration; now += s.nextWait() {
+	for now := time.Duration(0); now < config.Duration; now += s.nextWait() {
 		for now >= intervalEnd {
 			samples = append(samples, s.takeSample(intervalEnd))
 			intervalEnd += sampleInterval
