--- a/internal/loadtest/saturation.go
+++ b/internal/loadtest/saturation.go
@@ -71,9 +71,12 @@
 	errs      []error
 }
 
-// runRound runs one round with a daemon that is started with the arguments, and with an additional caller if there is one.
-// It returns the target as well, whose daemon has ended.
-func runRound(config SaturationConfig, args []string, additional func(t *target, end time.Time) error) (*Throughput, *target, error) {
+// additionalCaller loads a target beside the connections of a round, until the end.
+type additionalCaller func(t *target, end time.Time) error
+
+// runRound runs one round with a daemon that is started with the arguments. The additional caller may be nil. It returns the
+// target as well, whose daemon has ended.
+func runRound(config SaturationConfig, args []string, additional additionalCaller) (*Throughput, *target, error) {
 	targetConfig := Defaults()
 	targetConfig.Daemon, targetConfig.Args, targetConfig.PinnedCore = config.Daemon, args, config.PinnedCore
 	t, err := startTarget(targetConfig)
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -166,12 +166,21 @@
 	}
 }
 
-// add begins an attempt.
-func (t *attemptTracker) add(request *capture.Record, wireID string) {
-	a := &Attempt{ID: request.ID, WireID: wireID, Class: request.Request.Class, Tenant: request.Request.Tenant, Retry: request.Request.IsRetry,
-		ArrivedAt: request.At - request.Request.QueueingDelay, ReadAt: request.At, Status: StatusOpen}
+// add begins an attempt with the event that brought it.
+func (t *attemptTracker) add(event *capture.Record, wireID string) {
+	request := event.Request
+	a := &Attempt{
+		ID:        event.ID,
+		WireID:    wireID,
+		Class:     request.Class,
+		Tenant:    request.Tenant,
+		Retry:     request.IsRetry,
+		ArrivedAt: event.At - request.QueueingDelay,
+		ReadAt:    event.At,
+		Status:    StatusOpen,
+	}
 	t.attempts = append(t.attempts, a)
-	t.byID[request.ID] = a
+	t.byID[event.ID] = a
 }
 
 // finishRun ends the attempt's run, if it has one.
--- a/internal/replay/excerpt.go
+++ b/internal/replay/excerpt.go
@@ -41,7 +41,8 @@
 	case err != nil:
 		return nil, err
 	case result.FirstDifference != nil:
-		return nil, fmt.Errorf("replay: this program decides otherwise before the span ends, use --redecide: %v", result.FirstDifference)
+		return nil, fmt.Errorf("replay: this program decides otherwise before the span ends, use --redecide: %v",
+			result.FirstDifference)
 	case c.excerpt == nil || len(c.excerpt.Records) == 0:
 		return nil, ErrEmptySpan
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -79,14 +79,20 @@
 }
 
 func testSettings() admission.Settings {
-	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 10000, KeyKB: 50,
-		RunningMemoryFactor: 16, MaxConcurrencyFactor: 8, MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second, HasDeadlines: true,
+	safe := admission.Class{LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Weight: 1, SkippedCallWeight: 0.5}
+	idempotent := admission.Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2,
+		Effect: admission.IdempotentByKey, KeyWindow: 5 * time.Second}
+	nonIdempotent := admission.Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2,
+		Effect: admission.NonIdempotent}
+	return admission.Settings{
+		Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond,
+		MemoryKB: 10000, KeyKB: 50, RunningMemoryFactor: 16, MaxConcurrencyFactor: 8,
+		MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second, HasDeadlines: true,
 		DrainGracePeriod: 300 * time.Millisecond, StopMode: admission.StopDiscard, Downstream: admission.DependencyTier,
 		ResultFreshness: time.Second, Feedback: admission.FeedbackCredit,
-		Classes: []admission.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Weight: 1, SkippedCallWeight: 0.5},
-			{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2, Effect: admission.IdempotentByKey, KeyWindow: 5 * time.Second},
-			{LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 2, Effect: admission.NonIdempotent}},
-		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
+		Classes: []admission.Class{safe, idempotent, nonIdempotent},
+		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}},
+	}
 }
 
 // drawEvents passes a random sequence of events, legal or not, to a module behind a tap.
@@ -341,7 +347,8 @@
 			t.Errorf("%s: %v, %+v", name, err, r)
 		}
 	}
-	if _, _, err := Shrink(whole, func() Predicate { return &StuckBacklog{MinDuration: time.Hour} }); !errors.Is(err, ErrNotMatched) {
+	newNeverMatching := func() Predicate { return &StuckBacklog{MinDuration: time.Hour} }
+	if _, _, err := Shrink(whole, newNeverMatching); !errors.Is(err, ErrNotMatched) {
 		t.Errorf("a predicate that never holds: %v", err)
 	}
 }
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -123,22 +123,22 @@
 	return strings.EqualFold(names.Text, c.name) || names.Key != "" && strings.EqualFold(names.Key, c.name) || names.ID == c.number
 }
 
-// begin begins a trace with the request's event. name is the record of its names, or empty.
-func (c *traceCollector) begin(segment *capture.Segment, request *capture.Record, name capture.Record) {
+// begin begins a trace with the event that brought the request. name is the record of its names, or empty.
+func (c *traceCollector) begin(segment *capture.Segment, event *capture.Record, name capture.Record) {
 	trace := &RequestTrace{
-		ID:        request.ID,
+		ID:        event.ID,
 		WireID:    name.Text,
 		Key:       name.Key,
-		Class:     nameOf(segment.Meta.Classes, request.Request.Class),
-		Tenant:    nameOf(segment.Meta.Tenants, request.Request.Tenant),
-		Request:   request.Request,
-		ReadAt:    request.At,
-		Unix:      segment.UnixTime(request.At),
+		Class:     nameOf(segment.Meta.Classes, event.Request.Class),
+		Tenant:    nameOf(segment.Meta.Tenants, event.Request.Tenant),
+		Request:   event.Request,
+		ReadAt:    event.At,
+		Unix:      segment.UnixTime(event.At),
 		Status:    StatusOpen,
 		readEvent: c.event,
 	}
 	c.traces = append(c.traces, trace)
-	c.byRequest[requestRef{segment.Meta.Run, request.ID}] = trace
+	c.byRequest[requestRef{segment.Meta.Run, event.ID}] = trace
 }
 
 // addStep adds what a record says of the request.
