--- /dev/null
+++ b/internal/loadtest/loadtest.go
@@ -0,0 +1,347 @@
+package loadtest
+
+import (
+	"container/heap"
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"sync"
+	"syscall"
+	"time"
+
+	"tillerusher/internal/arrival"
+	"tillerusher/internal/fake"
+	"tillerusher/internal/invariant"
+)
+
+const (
+	// answerTolerance is how much later than its deadline an answer may be seen here.
+	answerTolerance = 150 * time.Millisecond
+	// drainTime is how long attempts go on after SIGTERM, well within the drain grace period of the settings.
+	drainTime = 120 * time.Millisecond
+	// maxRepeatDelay bounds the time after which a served request with a key is sent again.
+	maxRepeatDelay = 2 * time.Second
+	// defaultBackOffMS is the back-off before a retry where the answer names none.
+	defaultBackOffMS = 50
+	// secondTenantShare is the share of the requests that come from secondTenant.
+	secondTenantShare = 0.3
+	// linkCutParts is the number of equal parts of the load between which the link is cut.
+	linkCutParts = 4
+)
+
+// The tenants of fake.SiteSettings.
+const (
+	firstTenant  = "central"
+	secondTenant = "northern"
+)
+
+// loadTest is a load test that is under way. One goroutine sends; each connection has one that reads.
+type loadTest struct {
+	config      Config
+	target      *target
+	checker     *invariant.Checker
+	gateways    []*gateway
+	nextGateway int            // of the sending goroutine
+	readers     sync.WaitGroup // of the connections
+	begin       time.Time
+	restarted   chan error // has one error or nil after a restart; nil until one begins
+
+	mu             sync.Mutex // guards all that follows
+	rng            *rand.Rand
+	queue          attemptQueue // retries and repeats that are to be sent
+	isDraining     bool         // no further attempts are queued
+	result         Result
+	latencies      latencies
+	servedRequests int
+}
+
+// Run runs a load test to its end, or until the context ends it sooner. The daemon is drained either way.
+func Run(ctx context.Context, config Config) (*Result, error) {
+	if err := config.Validate(); err != nil {
+		return nil, err
+	}
+	target, err := startTarget(config)
+	if err != nil {
+		return nil, err
+	}
+	defer target.kill()
+	test := &loadTest{config: config, target: target, checker: invariant.New(fake.IdempotencyWindow),
+		rng: rand.New(rand.NewPCG(config.Seed, 0)), latencies: newLatencies()}
+	test.result.Seed = config.Seed
+	target.interpreter.OnRun(func(command fake.RunCommand) { test.checker.RecordRun(command.ID) })
+	for range config.Gateways {
+		test.gateways = append(test.gateways, newGateway(test))
+	}
+	test.begin = time.Now()
+	done := make(chan struct{})
+	defer close(done)
+	go watchPauses(test.checker.ExcusePause, done)
+	err = test.sendAll(ctx)
+	if test.restarted != nil {
+		err = errors.Join(err, <-test.restarted)
+	}
+	if err == nil {
+		err = test.drain()
+	}
+	if err != nil {
+		return nil, err
+	}
+	return test.summarize(), nil
+}
+
+// sendAll sends all first attempts, and the retries and repeats that come meanwhile.
+func (l *loadTest) sendAll(ctx context.Context) error {
+	arrivals, err := arrival.New(*l.config.arrivals(), newArrivalRand(l.config.Seed))
+	if err != nil {
+		return fmt.Errorf("storm: %w", err)
+	}
+	for n := range l.config.Requests {
+		at, more := arrivals.Next()
+		if !more {
+			return nil
+		}
+		intended := l.begin.Add(at)
+		l.mu.Lock()
+		first := l.newRequest(n, intended)
+		l.mu.Unlock()
+		l.sendQueuedUntil(intended)
+		if ctx.Err() != nil {
+			return nil
+		}
+		l.send(first)
+		if l.config.Progress != nil {
+			l.config.Progress(n+1, l.config.Requests)
+		}
+		if err := l.causeIncident(n); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// causeIncident causes the incidents that are configured to follow the first attempt of the n-th request.
+func (l *loadTest) causeIncident(n int) error {
+	isHalfWay := n == l.config.Requests/2
+	isLast := n+1 >= l.config.Requests
+	if l.config.CutLink && (n+1)%max(l.config.Requests/linkCutParts, 1) == 0 && !isLast {
+		l.target.interpreter.CutLink()
+	}
+	if l.config.Reload && isHalfWay {
+		return l.target.reload()
+	}
+	if l.config.Restart && isHalfWay {
+		l.mu.Lock()
+		l.result.RestartSeconds = time.Since(l.begin).Seconds()
+		l.mu.Unlock()
+		l.restarted = make(chan error, 1)
+		go func() { l.restarted <- l.target.restart(l.config) }() // requests go on meanwhile
+	}
+	return nil
+}
+
+// sendQueuedUntil sends the queued attempts that are meant to be sent before the end, and waits for that.
+func (l *loadTest) sendQueuedUntil(end time.Time) {
+	for {
+		l.mu.Lock()
+		var next *attempt
+		if len(l.queue) > 0 && !l.queue[0].intended.After(end) {
+			next = heap.Pop(&l.queue).(*attempt)
+		}
+		l.mu.Unlock()
+		if next == nil {
+			time.Sleep(time.Until(end))
+			return
+		}
+		time.Sleep(time.Until(next.intended))
+		l.send(next)
+	}
+}
+
+// newRequest returns the first attempt of a new request. The caller holds the lock.
+func (l *loadTest) newRequest(n int, intended time.Time) *attempt {
+	r := &request{tenant: firstTenant, firstIntended: intended}
+	if l.config.Restart {
+		l.seriesPoint(intended).Requests++
+	}
+	if l.rng.Float64() < secondTenantShare {
+		r.tenant = secondTenant
+	}
+	if l.rng.Float64() < l.config.IdempotentShare {
+		r.key = fmt.Sprintf("%016x%016x", l.rng.Uint64(), n)
+	}
+	work := time.Duration(l.rng.ExpFloat64() * float64(l.config.MeanWork))
+	r.body = fake.WorkBody(strconv.Itoa(n), work)
+	return l.newAttempt(r, intended)
+}
+
+// newAttempt returns the next attempt of a request. The caller holds the lock.
+func (l *loadTest) newAttempt(r *request, intended time.Time) *attempt {
+	r.attempts++
+	return &attempt{id: fmt.Sprintf("%016x", l.rng.Uint64()), request: r, number: r.attempts, intended: intended}
+}
+
+// seriesPoint returns the point that a time belongs to. The caller holds the lock.
+func (l *loadTest) seriesPoint(at time.Time) *SeriesPoint {
+	n := max(int(at.Sub(l.begin)/SeriesStep), 0)
+	for len(l.result.Series) <= n {
+		l.result.Series = append(l.result.Series, SeriesPoint{})
+	}
+	return &l.result.Series[n]
+}
+
+// send writes an attempt to the next connection with room.
+func (l *loadTest) send(a *attempt) {
+	for range l.gateways {
+		l.nextGateway = (l.nextGateway + 1) % len(l.gateways)
+		if l.gateways[l.nextGateway].send(a) {
+			l.mu.Lock()
+			l.result.Attempts++
+			if a.number == 1 {
+				l.result.Requests++
+			}
+			l.mu.Unlock()
+			return
+		}
+	}
+	l.mu.Lock()
+	l.result.Unsent++
+	l.mu.Unlock()
+}
+
+// encode returns an attempt as it is written to a connection.
+func (l *loadTest) encode(a *attempt, id uint16) []byte {
+	r := fake.NewAttempt(a.id, a.request.key, a.received, a.request.body)
+	r.Headers["Account"] = a.request.tenant
+	if a.number > 1 {
+		r.Headers["Attempt-Again"] = "1"
+	}
+	return r.Encode(id)
+}
+
+// recordSent tells the checker of an attempt.
+func (l *loadTest) recordSent(a *attempt) {
+	hasKey := a.request.key != ""
+	l.checker.RecordSent(invariant.Attempt{
+		ID:           a.id,
+		Key:          a.request.key,
+		AtMostOnce:   hasKey,
+		ExpectedBody: string(fake.WorkResult(a.request.body)),
+		Received:     a.received,
+		Deadline:     a.received.Add(fake.Deadline(hasKey) + answerTolerance),
+	})
+}
+
+// handleResponse takes a response, and queues a repeat or a retry where one follows.
+func (l *loadTest) handleResponse(a *attempt, response fake.Response, now time.Time) {
+	outcome := response.Outcome()
+	l.checker.RecordAnswer(a.id, outcome, string(response.Body), now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch outcome {
+	case invariant.Served:
+		l.result.Served++
+		l.handleServed(a.request, now)
+	case invariant.Rejected:
+		l.result.Rejected++
+		l.handleRejected(a.request, response, now)
+	default:
+		l.result.Failed++
+	}
+}
+
+// handleServed counts a request that was served, and queues a repeat of one with a key at random. The caller holds the lock.
+func (l *loadTest) handleServed(r *request, now time.Time) {
+	if !r.wasServed {
+		r.wasServed = true
+		l.servedRequests++
+		if l.config.Restart {
+			l.seriesPoint(r.firstIntended).Served++
+		}
+		l.latencies.record(now.Sub(r.firstIntended))
+	}
+	if r.key != "" && l.rng.Float64() < l.config.RepeatShare && !l.isDraining {
+		l.result.Repeats++
+		wait := time.Duration(l.rng.Float64() * float64(maxRepeatDelay))
+		heap.Push(&l.queue, l.newAttempt(r, now.Add(wait)))
+	}
+}
+
+// handleRejected queues a retry after the advised back-off, with jitter, unless the request has had all its attempts or the
+// answer says that no retry will do. The caller holds the lock.
+func (l *loadTest) handleRejected(r *request, response fake.Response, now time.Time) {
+	if r.attempts >= l.config.MaxAttempts || response.Header.Get("Final-Refusal") != "" || l.isDraining {
+		return
+	}
+	backOffMS, err := strconv.Atoi(response.Header.Get("Back-Off-Ms"))
+	if err != nil {
+		backOffMS = defaultBackOffMS
+	}
+	wait := time.Duration(float64(backOffMS)*(1+l.rng.Float64())) * time.Millisecond
+	heap.Push(&l.queue, l.newAttempt(r, now.Add(wait)))
+}
+
+// handleLost counts an attempt whose connection ended before its answer.
+func (l *loadTest) handleLost(a *attempt) {
+	if l.config.Restart {
+		l.checker.RecordLost(a.id) // a daemon that was killed owes no answer
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.result.Lost++
+}
+
+// drain has the daemon stop under load, and waits for all answers and for its end.
+func (l *loadTest) drain() error {
+	if err := l.target.process.Signal(syscall.SIGTERM); err != nil {
+		return fmt.Errorf("storm: %w", err)
+	}
+	l.mu.Lock()
+	l.isDraining = true
+	for i := range l.config.DrainRequests {
+		at := time.Now().Add(drainTime * time.Duration(i) / time.Duration(l.config.DrainRequests))
+		heap.Push(&l.queue, l.newRequest(l.config.Requests+i, at))
+	}
+	l.mu.Unlock()
+	l.sendQueuedUntil(time.Now().Add(drainTime))
+	if err := l.waitForExit(); err != nil {
+		return err
+	}
+	for _, g := range l.gateways {
+		g.close()
+	}
+	l.readers.Wait()
+	return nil
+}
+
+// waitForExit waits for the daemon's end and records its exit status and what it used.
+func (l *loadTest) waitForExit() error {
+	state, err := l.target.wait()
+	if err != nil {
+		return err
+	}
+	l.result.ExitStatus = state.ExitCode()
+	l.result.DaemonCPUSeconds = cpuTime(state).Seconds()
+	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+		l.result.DaemonPeakKB = usage.Maxrss
+	}
+	return nil
+}
+
+// summarize completes the result after the daemon has ended.
+func (l *loadTest) summarize() *Result {
+	r := &l.result
+	r.Seconds = time.Since(l.begin).Seconds()
+	r.Rate = float64(r.Served+r.Rejected+r.Failed) / r.Seconds
+	r.ServedShare = float64(l.servedRequests) / float64(max(r.Requests, 1))
+	r.P50, r.P99, r.P999 = l.latencies.percentiles()
+	r.LinkCount = l.target.interpreter.LinkCount()
+	allDeadlinesPassed := time.Now().Add(fake.ReserveDeadline + time.Second)
+	r.Violations = l.checker.Violations(allDeadlinesPassed)
+	if r.ExitStatus != 0 {
+		r.Violations = append(r.Violations, fmt.Sprintf("the daemon ended with status %d", r.ExitStatus))
+	}
+	r.Counters, r.Capture = l.target.log.Last("counters", nil), l.target.log.Last("capture", nil)
+	return r
+}
--- /dev/null
+++ b/internal/retrysim/retrysim.go
@@ -0,0 +1,127 @@
+// Package retrysim simulates a retry storm on the decisions of a pool in virtual time. It shows without sockets what a retry
+// budget is for: with it the load on the members stays near what is offered, without it retries multiply the load.
+package retrysim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"tillerusher/internal/pool"
+)
+
+// Config is a simulation of an outage in which members fail a share of their attempts.
+type Config struct {
+	Members                int
+	RequestRate            float64       // requests per second
+	Duration               time.Duration // of the simulation
+	OutageStart, OutageEnd time.Duration
+	FailureShare           float64 // share of the attempts that fail in the outage
+	BudgetShare            float64 // retries per first attempt that the budget allows; 0 is no budget
+	Seed                   uint64
+}
+
+// Defaults returns an outage of ten seconds in which every member fails 30 % of its attempts.
+func Defaults() Config {
+	return Config{
+		Members:      5,
+		RequestRate:  1000,
+		Duration:     30 * time.Second,
+		OutageStart:  10 * time.Second,
+		OutageEnd:    20 * time.Second,
+		FailureShare: 0.3,
+		BudgetShare:  0.15,
+		Seed:         1,
+	}
+}
+
+// Sample is what came in one interval of the simulation.
+type Sample struct {
+	EndSeconds  float64 `json:"at"`     // the end of the interval
+	LoadFactor  float64 `json:"load"`   // attempts over requests
+	ServedShare float64 `json:"served"` // of the requests
+}
+
+const (
+	sampleInterval  = 500 * time.Millisecond
+	attemptDuration = time.Millisecond // as the pool is told
+)
+
+// simulation is a simulation that is under way.
+type simulation struct {
+	config Config
+	rng    *rand.Rand
+	pool   *pool.Pool
+
+	requests, attempts, served int // of the current interval
+}
+
+// Run runs a simulation and returns its complete intervals.
+func Run(config Config) ([]Sample, error) {
+	s := &simulation{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0))}
+	p, err := pool.New(poolConfig(config), s.rng, 0)
+	if err != nil {
+		return nil, err
+	}
+	s.pool = p
+	var samples []Sample
+	intervalEnd := sampleInterval
+	for now := time.Duration(0); now < config.Duration; now += s.nextWait() {
+		for now >= intervalEnd {
+			samples = append(samples, s.takeSample(intervalEnd))
+			intervalEnd += sampleInterval
+		}
+		s.simulateRequest(now)
+	}
+	return samples, nil
+}
+
+// poolConfig returns a pool that ejects no member, since all fail alike and none stands out.
+func poolConfig(c Config) pool.Config {
+	config := pool.DefaultConfig()
+	config.Name, config.RetryRatio, config.MinRetriesPerSecond = "storm", c.BudgetShare, 0
+	config.EjectionErrorRate, config.EjectionLatencyFactor = 0, 0
+	for i := range c.Members {
+		member := pool.DefaultMember(fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1))
+		member.MaxFails = 0
+		config.Members = append(config.Members, member)
+	}
+	return config
+}
+
+// nextWait draws the time until the next request.
+func (s *simulation) nextWait() time.Duration {
+	return time.Duration(s.rng.ExpFloat64() / s.config.RequestRate * float64(time.Second))
+}
+
+// takeSample returns the interval that ends, and begins the next.
+func (s *simulation) takeSample(end time.Duration) Sample {
+	requests := float64(max(s.requests, 1))
+	sample := Sample{end.Seconds(), float64(s.attempts) / requests, float64(s.served) / requests}
+	s.requests, s.attempts, s.served = 0, 0, 0
+	return sample
+}
+
+// simulateRequest makes attempts of one request until one succeeds or the pool allows no further one. Attempts take no
+// virtual time.
+func (s *simulation) simulateRequest(now time.Duration) {
+	s.requests++
+	request := &pool.Request{}
+	for {
+		addr, ok := s.pool.Pick(request, now)
+		if !ok {
+			return
+		}
+		s.attempts++
+		isOutage := now >= s.config.OutageStart && now < s.config.OutageEnd
+		if !isOutage || s.rng.Float64() >= s.config.FailureShare {
+			s.pool.Finish(addr, pool.Succeeded, attemptDuration, now)
+			s.served++
+			return
+		}
+		s.pool.Finish(addr, pool.Failed, attemptDuration, now)
+		if s.pool.DecideRetry(request, pool.Failure{Condition: pool.ConnectionError}, pool.DefaultRetryOn, now) != pool.Retry {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/servertest/server.go
@@ -0,0 +1,186 @@
+package servertest
+
+import (
+	"fmt"
+	"maps"
+	"net"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"tillerusher/internal/daemon"
+	"tillerusher/internal/fake"
+)
+
+// serverName and serverSeed identify the server towards the platform; memoryMB is its memory limit.
+const (
+	serverName = "n3"
+	serverSeed = "8c1f30d27a5be964"
+	memoryMB   = 192
+)
+
+// Server is a running server process with the interpreter and the load report service that it talks to. It ends with its
+// test.
+type Server struct {
+	*Interpreter
+	Addr       string
+	ConfigPath string
+	Process    *os.Process
+
+	t       testing.TB
+	process *daemon.Process
+	config  map[string]any
+	reports *net.UDPConn
+	log     daemon.Log
+}
+
+// Start starts the program with an interpreter. The program is a line for the shell, as it is on the platform. change may edit
+// the configuration, and may be nil.
+func Start(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
+	t.Helper()
+	return start(t, program, it, change, serverName)
+}
+
+// StartWithConfigName is Start with no name in the environment, so that the configuration's name counts.
+func StartWithConfigName(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
+	t.Helper()
+	return start(t, program, it, change, "")
+}
+
+func start(t testing.TB, program string, it *Interpreter, change func(config map[string]any), name string) *Server {
+	t.Helper()
+	s := &Server{Interpreter: it, Addr: FreeAddr(t), t: t, reports: NewReportListener(t)}
+	endpoints := daemon.Endpoints{Listen: s.Addr, Interpreter: it.Addr(), LoadReport: s.reports.LocalAddr().String()}
+	s.config = daemon.NewConfig(serverName, endpoints, memoryMB, fake.SiteSettings)
+	s.config["seed"] = serverSeed
+	if change != nil {
+		change(s.config)
+	}
+	s.ConfigPath = filepath.Join(t.TempDir(), "config.json")
+	s.Configure(func(map[string]any) {})
+	process, err := daemon.Start(daemon.Command{Program: "/bin/sh", Args: []string{"-c", program}, Core: daemon.AnyCore,
+		Env: []string{"RELAY_NAME=" + name, "RELAY_LISTEN=" + s.Addr, "RELAY_CONFIG=" + s.ConfigPath}}, &s.log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.process, s.Process = process, process.OS()
+	t.Cleanup(func() {
+		process.Kill()
+		if t.Failed() {
+			t.Logf("log of the node:\n%s", s.Log())
+		}
+	})
+	return s
+}
+
+// Log returns what the server has logged so far.
+func (s *Server) Log() string { return s.log.String() }
+
+// Configure replaces the configuration file by an edited copy of the configuration that the server was started with.
+func (s *Server) Configure(edit func(config map[string]any)) {
+	s.t.Helper()
+	config := maps.Clone(s.config)
+	edit(config)
+	if err := daemon.ConfigFile(s.ConfigPath).Write(config); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// Signal sends the process a signal.
+func (s *Server) Signal(signal syscall.Signal) {
+	s.t.Helper()
+	if err := s.process.Signal(signal); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// WaitExit waits for the end of the process and returns its exit status.
+func (s *Server) WaitExit() int {
+	s.t.Helper()
+	state, err := s.process.Wait(WaitTimeout)
+	if err != nil {
+		s.t.Fatal("the process did not end")
+		return -1
+	}
+	return state.ExitCode()
+}
+
+// WaitHealthy waits until the server passes a health check.
+func (s *Server) WaitHealthy() {
+	s.t.Helper()
+	WaitFor(s.t, "a healthy node", func() bool {
+		g := Dial(s.t, s.Addr)
+		defer g.Close()
+		g.Write(fake.NewHealthCheck(false).Encode(1))
+		return g.WaitResponse(1).Status == 200
+	})
+}
+
+// Counter returns a counter of the newest line of counters in the log, or -1 before the first.
+func (s *Server) Counter(name string) int {
+	isNumber := func(e daemon.Entry) bool {
+		_, ok := e[name].(float64)
+		return ok
+	}
+	if entry := s.log.Last("counters", isNumber); entry != nil {
+		return int(entry[name].(float64))
+	}
+	return -1
+}
+
+// WaitCounter has the server log its counters until the counter has the value.
+func (s *Server) WaitCounter(name string, want int) {
+	s.t.Helper()
+	WaitFor(s.t, fmt.Sprintf("counter %s to be %d", name, want), func() bool {
+		s.Signal(syscall.SIGUSR1)
+		return s.Counter(name) == want
+	})
+}
+
+// WaitReport waits for the next load report.
+func (s *Server) WaitReport() string {
+	s.t.Helper()
+	return ReadReport(s.t, s.reports)
+}
+
+// CloseReportListener closes the load report service, and returns its address.
+func (s *Server) CloseReportListener() *net.UDPAddr {
+	addr := s.reports.LocalAddr().(*net.UDPAddr)
+	s.reports.Close()
+	return addr
+}
+
+// FreeAddr returns a loopback address that nothing listens at.
+func FreeAddr(t testing.TB) string {
+	t.Helper()
+	addr, err := fake.FreeAddr()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+// NewReportListener opens a load report service on loopback. It is closed with the test.
+func NewReportListener(t testing.TB) *net.UDPConn {
+	t.Helper()
+	reports, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { reports.Close() })
+	return reports
+}
+
+// ReadReport waits for the next report to a load report service.
+func ReadReport(t testing.TB, reports *net.UDPConn) string {
+	t.Helper()
+	buf := make([]byte, 256)
+	reports.SetReadDeadline(time.Now().Add(WaitTimeout))
+	size, err := reports.Read(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(buf[:size])
+}
