--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -11,31 +11,31 @@
 // TestGradient has the library's limiter go by the virtual clock: where four cores are shared by all that runs, its limit
 // settles near what keeps them busy, whatever the wall clock says, and no permit is lost.
 func TestGradient(t *testing.T) {
-	s := admission.Settings{Cores: 4, MaxConcurrencyFactor: 1000, MemoryKB: 1e9, RunningMemoryFactor: 1,
+	settings := admission.Settings{Cores: 4, MaxConcurrencyFactor: 1000, MemoryKB: 1e9, RunningMemoryFactor: 1,
 		Classes: []admission.Class{{LatencyObjective: time.Second, Deadline: time.Hour}}}
-	e, err := Gradient(s, admission.NoActions{})
+	events, err := Gradient(settings, admission.NoActions{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := e.(*base)
-	g := b.policy.(*gradient)
+	h := events.(*host)
+	g := h.policy.(*gradient)
 	now, id, limits := time.Duration(0), admission.RequestID(0), map[int]int{}
 	var runs []admission.RequestID // each ends a core's 10 ms after the one before
 	for range 40_000 {
-		for len(b.hold) < 4 {
+		for len(h.queue) < 4 {
 			id++
-			b.Request(now, admission.Request{ID: id, SizeKB: 1})
+			h.Request(now, admission.Request{ID: id, SizeKB: 1})
 		}
-		b.Settle(now)
+		h.Settle(now)
 		runs = runs[:0]
-		for _, r := range b.all {
+		for _, r := range h.requests {
 			if r.running {
 				runs = append(runs, r.ID)
 			}
 		}
 		slices.Sort(runs)
 		now += 10 * time.Millisecond / time.Duration(min(len(runs), 4))
-		b.RunFinished(now, runs[0], admission.OK)
+		h.RunFinished(now, runs[0], admission.OK)
 		limits[g.limiter.Limit()]++
 	}
 	limit := g.limiter.Limit()
@@ -44,19 +44,19 @@
 		t.Errorf("the limit is %d, and took %d values", limit, len(limits))
 	}
 	for _, id := range runs[1:] {
-		b.RunFinished(now, id, admission.OK)
+		h.RunFinished(now, id, admission.OK)
 	}
-	for _, r := range b.all {
-		b.Cancel(now, r.ID)
+	for _, r := range h.requests {
+		h.Cancel(now, r.ID)
 	}
 	if n := g.limiter.Inflight(); n != 0 {
 		t.Errorf("%d permits are not handed back", n)
 	}
 }
 
-// TestSetNamesWhatIsMissing has a field that the library no longer has be an error, not a silent wall clock.
-func TestSetNamesWhatIsMissing(t *testing.T) {
-	if set(&struct{ a int }{}, "b", 1) == nil || set(&struct{ a int }{}, "a", "text") == nil {
+// TestSetPrivateFieldErrors has a field that the library no longer has be an error, not a silent wall clock.
+func TestSetPrivateFieldErrors(t *testing.T) {
+	if setPrivateField(&struct{ a int }{}, "b", 1) == nil || setPrivateField(&struct{ a int }{}, "a", "text") == nil {
 		t.Error("a field that is not there can be set")
 	}
 }
--- a/internal/baseline/codel.go
+++ b/internal/baseline/codel.go
@@ -14,56 +14,56 @@
 
 // codel turns away what waited too long, and runs the newest first while a line stands.
 type codel struct {
-	*base
-	run   int
-	empty time.Duration // when no line stood last
+	*host
+	runLimit  int
+	lastEmpty time.Duration // when no line stood last
 }
 
 // CoDel is controlled delay with an adaptive LIFO: three requests for every two cores run.
 func CoDel(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newBase(s, a)
-	b.policy = &codel{base: b, run: max(s.Cores*3/2, 1)}
+	b := newHost(s, a)
+	b.policy = &codel{host: b, runLimit: max(s.Cores*3/2, 1)}
 	return b, nil
 }
 
-func (c *codel) admit(*request) verdict { return hold }
+func (c *codel) admit(*request) verdict { return verdictQueue }
 
-// stands tells whether a line has stood for an interval.
-func (c *codel) stands() bool { return c.now-c.empty > codelInterval }
+// hasStandingQueue tells whether a line has stood for an interval.
+func (c *codel) hasStandingQueue() bool { return c.now-c.lastEmpty > codelInterval }
 
-func (c *codel) next() *request {
-	if len(c.hold) <= 1 && c.running < c.run {
-		c.empty = c.now
+func (c *codel) nextToRun() *request {
+	if len(c.queue) <= 1 && c.running < c.runLimit {
+		c.lastEmpty = c.now
 	}
-	c.drop()
-	if c.running >= c.run || len(c.hold) == 0 {
+	c.rejectExpired()
+	if c.running >= c.runLimit || len(c.queue) == 0 {
 		return nil
 	}
-	if c.stands() {
-		return c.hold[len(c.hold)-1]
+	if c.hasStandingQueue() {
+		return c.queue[len(c.queue)-1]
 	}
-	return c.hold[0]
+	return c.queue[0]
 }
 
-// drop turns away what waited too long.
-func (c *codel) drop() {
+// rejectExpired turns away what waited too long.
+func (c *codel) rejectExpired() {
 	limit := codelInterval
-	if c.stands() {
+	if c.hasStandingQueue() {
 		limit = codelTarget
 	}
-	for i := 0; i < len(c.hold); {
-		if r := c.hold[i]; c.now-r.came > limit+r.QueueingDelay {
-			c.turnAway(r)
+	for i := 0; i < len(c.queue); {
+		if r := c.queue[i]; c.now-r.arrivedAt > limit+r.QueueingDelay {
+			c.reject(r)
 		} else {
 			i++
 		}
 	}
 }
 
-func (c *codel) ended(*request, bool) {}
-func (c *codel) look(admission.Gauges) {
-	if len(c.hold) == 0 {
-		c.empty = c.now
+func (c *codel) runEnded(*request, bool) {}
+func (c *codel) poll(admission.Gauges) {
+	if len(c.queue) == 0 {
+		c.lastEmpty = c.now
 	}
-	c.drop()
+	c.rejectExpired()
 }
--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -14,10 +14,10 @@
 // gradient runs as many requests as the adaptive limiter of failsafe-go lets it, and turns the others away once a short
 // line stands.
 type gradient struct {
-	*base
-	limiter adaptivelimiter.AdaptiveLimiter[any]
-	clock   *virtual
-	wait    int
+	*host
+	limiter    adaptivelimiter.AdaptiveLimiter[any]
+	clock      *virtualClock
+	queueLimit int
 }
 
 // Gradient is the adaptive concurrency limit of failsafe-go (github.com/failsafe-go/failsafe-go/adaptivelimiter), the
@@ -25,11 +25,11 @@
 // its permits are given this package's clock; that reaches into fields that are not exported, and fails with an error
 // where another version of the library has other ones.
 func Gradient(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newBase(s, a)
-	g := &gradient{base: b, clock: &virtual{}, wait: 4 * s.Cores}
+	b := newHost(s, a)
+	g := &gradient{host: b, clock: &virtualClock{}, queueLimit: 4 * s.Cores}
 	g.limiter = adaptivelimiter.NewBuilder[any]().WithLimits(1, uint(max(200*s.Cores, 2)), uint(s.Cores)).
 		WithRecentWindow(500*time.Millisecond, 2*time.Second, 20).Build()
-	if err := set(g.limiter, "nextUpdateTime", epoch); err != nil {
+	if err := setPrivateField(g.limiter, "nextUpdateTime", epoch); err != nil {
 		return nil, err
 	}
 	b.policy = g
@@ -39,14 +39,14 @@
 // epoch is the wall time at which the virtual clock begins.
 var epoch = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// virtual is a clock as the limiter wants one.
-type virtual struct{ now time.Duration }
+// virtualClock is a clock as the limiter wants one.
+type virtualClock struct{ now time.Duration }
 
 // Now is the time.
-func (v *virtual) Now() time.Time { return epoch.Add(v.now) }
+func (v *virtualClock) Now() time.Time { return epoch.Add(v.now) }
 
-// set gives a field of a value of the library another content.
-func set(of any, field string, to any) error {
+// settings gives a field of a value of the library another content.
+func setPrivateField(of any, field string, to any) error {
 	v := reflect.Indirect(reflect.ValueOf(of))
 	f := v.FieldByName(field)
 	if !f.IsValid() || !reflect.TypeOf(to).AssignableTo(f.Type()) {
@@ -57,22 +57,22 @@
 }
 
 func (g *gradient) admit(*request) verdict {
-	if len(g.hold) >= g.wait {
-		return refuse
+	if len(g.queue) >= g.queueLimit {
+		return verdictReject
 	}
-	return hold
+	return verdictQueue
 }
 
-func (g *gradient) next() *request {
+func (g *gradient) nextToRun() *request {
 	g.clock.now = g.now
 	permit, ok := g.limiter.TryAcquirePermit()
 	if !ok {
 		return nil
 	}
-	if set(permit, "clock", g.clock) != nil || set(permit, "startTime", g.clock.Now()) != nil {
+	if setPrivateField(permit, "clock", g.clock) != nil || setPrivateField(permit, "startTime", g.clock.Now()) != nil {
 		return nil // New would have found it: TestGradient holds the library to it
 	}
-	r := g.first()
+	r := g.oldest()
 	if r.permit != nil { // the base could not run it the last time
 		r.permit.(adaptivelimiter.Permit).Drop()
 	}
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (g *gradient) ended(r *request, ok bool) {
+func (g *gradient) runEnded(r *request, ok bool) {
 	g.clock.now = g.now
 	permit, held := r.permit.(adaptivelimiter.Permit)
 	switch {
@@ -92,4 +92,4 @@
 	}
 }
 
-func (g *gradient) look(admission.Gauges) {}
+func (g *gradient) poll(admission.Gauges) {}
--- a/internal/baseline/host.go
+++ b/internal/baseline/host.go
@@ -11,80 +11,80 @@
 type policy interface {
 	// admit decides on a request that was read.
 	admit(r *request) verdict
-	// next is the held request that runs next, or nil where none should run now.
-	next() *request
-	// ended hears of the end of a run.
-	ended(r *request, ok bool)
-	// look is called ten times a second with the gauges.
-	look(g admission.Gauges)
+	// nextToRun is the held request that runs next, or nil where none should run now.
+	nextToRun() *request
+	// runEnded hears of the end of a run.
+	runEnded(r *request, ok bool)
+	// poll is called ten times a second with the gauges.
+	poll(g admission.Gauges)
 }
 
-// dueToken is that of a timer for one request that is due soon.
-const dueToken = 1
+// deadlineToken is that of a timer for one request that is due soon.
+const deadlineToken = 1
 
 // verdict is what becomes of a request that was read.
 type verdict uint8
 
 const (
-	hold   verdict = iota
-	refuse         // it is turned away
+	verdictQueue  verdict = iota
+	verdictReject         // it is turned away
 )
 
 // request is one that a peer knows of.
 type request struct {
 	admission.Request
-	came    time.Duration // when it reached the machine
-	due     time.Duration
-	began   time.Duration // when it was run
-	running bool
-	over    bool
-	permit  any // of a policy's own limiter
+	arrivedAt time.Duration // when it reached the machine
+	deadline  time.Duration
+	startedAt time.Duration // when it was run
+	running   bool
+	finished  bool
+	permit    any // of a policy's own limiter
 }
 
 // pollInterval is the time between two readings of the gauges, and margin how long before its due time a request is answered.
 const (
-	pollInterval = 100 * time.Millisecond
-	margin       = 10 * time.Millisecond
-	// crowdPart and memoryPart are what is used of what a server survives.
-	crowdPart, memoryPart = 0.75, 0.92
-	// stayAway is the advice that goes with refusals, where the settings allow any.
-	stayAway = 250 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
+	deadlineMargin = 10 * time.Millisecond
+	// concurrencyShare and memoryShare are what is used of what a server survives.
+	concurrencyShare, memoryShare = 0.75, 0.92
+	// retryAfter is the advice that goes with refusals, where the settings allow any.
+	retryAfter = 250 * time.Millisecond
 )
 
-// base implements admission.Events round a policy.
-type base struct {
-	set    admission.Settings
-	do     admission.Actions
-	policy policy
+// host implements admission.Events round a policy.
+type host struct {
+	settings admission.Settings
+	actions  admission.Actions
+	policy   policy
 
-	now, start time.Duration
-	begun      bool
-	hold       []*request // in the order of reading
-	all        map[admission.RequestID]*request
-	running    int
-	kb         float64
-	keys       []kept // soonest to go first
-	notice     time.Duration
-	stopAt     time.Duration
-	draining   bool
+	now, startedAt time.Duration
+	started        bool
+	queue          []*request // in the order of reading
+	requests       map[admission.RequestID]*request
+	running        int
+	memoryKB       float64
+	keys           []keptKey // soonest to go first
+	drainedAt      time.Duration
+	stopAt         time.Duration
+	draining       bool
 }
 
-// kept is a key that is remembered.
-type kept struct {
+// keptKey is a key that is remembered.
+type keptKey struct {
 	id    admission.RequestID
 	until time.Duration
 }
 
-func newBase(s admission.Settings, a admission.Actions) *base {
-	return &base{set: s, do: a, all: map[admission.RequestID]*request{}}
+func newHost(s admission.Settings, a admission.Actions) *host {
+	return &host{settings: s, actions: a, requests: map[admission.RequestID]*request{}}
 }
 
-// tick takes over the time.
-func (b *base) tick(now time.Duration) {
-	if !b.begun {
-		b.begun, b.start = true, now
-		b.do.SetHealth(true, true)
-		b.do.SetTimer(pollInterval, 0)
+// advance takes over the time.
+func (b *host) advance(now time.Duration) {
+	if !b.started {
+		b.started, b.startedAt = true, now
+		b.actions.SetHealth(true, true)
+		b.actions.SetTimer(pollInterval, 0)
 	}
 	b.now = max(b.now, now)
 	i := 0
@@ -94,183 +94,183 @@
 	b.keys = b.keys[i:]
 }
 
-// room tells whether the memory takes so much more.
-func (b *base) room(kb float64) bool {
-	return b.kb+kb+float64(len(b.keys))*b.set.KeyKB <= memoryPart*b.set.MemoryKB
+// hasMemoryFor tells whether the memory takes so much more.
+func (b *host) hasMemoryFor(kb float64) bool {
+	return b.memoryKB+kb+float64(len(b.keys))*b.settings.KeyKB <= memoryShare*b.settings.MemoryKB
 }
 
-// crowd is how many requests may run, assuming the slowest warm-up that is allowed.
-func (b *base) crowd() int {
+// maxRunning is how many requests may run, assuming the slowest warm-up that is allowed.
+func (b *host) maxRunning() int {
 	share := 1.0
-	if b.set.WarmingUp && b.set.WarmUpTime > 0 {
-		share = min(1, b.set.InitialCapacity+(1-b.set.InitialCapacity)*float64(b.now-b.start)/float64(b.set.WarmUpTime))
+	if b.settings.WarmingUp && b.settings.WarmUpTime > 0 {
+		share = min(1, b.settings.InitialCapacity+(1-b.settings.InitialCapacity)*float64(b.now-b.startedAt)/float64(b.settings.WarmUpTime))
 	}
-	return max(int(crowdPart*float64(b.set.Cores)*(1+(b.set.MaxConcurrencyFactor-1)*share)), 1)
+	return max(int(concurrencyShare*float64(b.settings.Cores)*(1+(b.settings.MaxConcurrencyFactor-1)*share)), 1)
 }
 
 // Request implements admission.Events.
-func (b *base) Request(now time.Duration, q admission.Request) {
-	b.tick(now)
-	class := b.set.Classes[q.Class]
-	r := &request{Request: q, came: now - q.QueueingDelay}
-	r.due = r.came + class.Deadline
+func (b *host) Request(now time.Duration, q admission.Request) {
+	b.advance(now)
+	class := b.settings.Classes[q.Class]
+	r := &request{Request: q, arrivedAt: now - q.QueueingDelay}
+	r.deadline = r.arrivedAt + class.Deadline
 	if b.draining {
-		r.due = min(r.due, b.stopAt-margin)
+		r.deadline = min(r.deadline, b.stopAt-deadlineMargin)
 	}
-	b.all[q.ID] = r
-	b.kb += q.SizeKB
-	if r.due <= now { // it lay unread for too long
-		b.forget(r)
-		b.do.Fail(q.ID)
+	b.requests[q.ID] = r
+	b.memoryKB += q.SizeKB
+	if r.deadline <= now { // it lay unread for too long
+		b.remove(r)
+		b.actions.Fail(q.ID)
 		return
 	}
-	if left := r.due - margin - now; left < 2*pollInterval { // sooner than the next look
-		b.do.SetTimer(max(left, time.Millisecond), dueToken)
+	if left := r.deadline - deadlineMargin - now; left < 2*pollInterval { // sooner than the next look
+		b.actions.SetTimer(max(left, time.Millisecond), deadlineToken)
 	}
 	if q.RetryOf != 0 {
-		b.do.ReplayResult(q.ID)
+		b.actions.ReplayResult(q.ID)
 		return
 	}
 	keyKB := 0.0
 	if class.Effect == admission.IdempotentByKey {
-		keyKB = b.set.KeyKB
+		keyKB = b.settings.KeyKB
 	}
-	late := b.draining && r.came > b.notice+b.set.DrainGracePeriod
-	if late || !b.room(keyKB) || b.policy.admit(r) == refuse {
-		b.turnAway(r)
+	late := b.draining && r.arrivedAt > b.drainedAt+b.settings.DrainGracePeriod
+	if late || !b.hasMemoryFor(keyKB) || b.policy.admit(r) == verdictReject {
+		b.reject(r)
 		return
 	}
 	if class.Effect == admission.IdempotentByKey {
-		until := r.came + class.KeyWindow
-		b.do.KeepKey(q.ID, until-now)
-		b.keys = append(b.keys, kept{q.ID, until})
+		until := r.arrivedAt + class.KeyWindow
+		b.actions.KeepKey(q.ID, until-now)
+		b.keys = append(b.keys, keptKey{q.ID, until})
 	}
-	b.hold = append(b.hold, r)
+	b.queue = append(b.queue, r)
 }
 
-// turnAway refuses a request that never ran.
-func (b *base) turnAway(r *request) {
-	if b.set.Classes[r.Class].Effect == admission.IdempotentByKey {
-		if i := slices.IndexFunc(b.keys, func(k kept) bool { return k.id == r.ID }); i >= 0 {
+// reject refuses a request that never ran.
+func (b *host) reject(r *request) {
+	if b.settings.Classes[r.Class].Effect == admission.IdempotentByKey {
+		if i := slices.IndexFunc(b.keys, func(k keptKey) bool { return k.id == r.ID }); i >= 0 {
 			b.keys = slices.Delete(b.keys, i, i+1)
-			b.do.ReleaseKey(r.ID)
+			b.actions.ReleaseKey(r.ID)
 		}
 	}
-	b.forget(r)
-	b.do.Reject(r.ID, min(stayAway, b.set.MaxRetryAfter), false)
+	b.remove(r)
+	b.actions.Reject(r.ID, min(retryAfter, b.settings.MaxRetryAfter), false)
 }
 
-// forget takes a request that is over out of all lists.
-func (b *base) forget(r *request) {
-	if r.over {
+// remove takes a request that is over out of all lists.
+func (b *host) remove(r *request) {
+	if r.finished {
 		return
 	}
-	r.over = true
+	r.finished = true
 	if r.running {
 		b.running--
-		b.kb -= r.SizeKB * b.set.RunningMemoryFactor
+		b.memoryKB -= r.SizeKB * b.settings.RunningMemoryFactor
 	} else {
-		b.kb -= r.SizeKB
-		if i := slices.Index(b.hold, r); i >= 0 {
-			b.hold = slices.Delete(b.hold, i, i+1)
+		b.memoryKB -= r.SizeKB
+		if i := slices.Index(b.queue, r); i >= 0 {
+			b.queue = slices.Delete(b.queue, i, i+1)
 		}
 		if r.permit != nil { // it was chosen, and could not be run
-			b.policy.ended(r, false)
+			b.policy.runEnded(r, false)
 		}
 	}
-	delete(b.all, r.ID)
+	delete(b.requests, r.ID)
 }
 
 // Settle implements admission.Events: it runs what the policy wants to run.
-func (b *base) Settle(now time.Duration) {
-	b.tick(now)
-	for len(b.hold) > 0 && b.running < b.crowd() {
-		r := b.policy.next()
-		if r == nil || !b.room(r.SizeKB*(b.set.RunningMemoryFactor-1)) {
+func (b *host) Settle(now time.Duration) {
+	b.advance(now)
+	for len(b.queue) > 0 && b.running < b.maxRunning() {
+		r := b.policy.nextToRun()
+		if r == nil || !b.hasMemoryFor(r.SizeKB*(b.settings.RunningMemoryFactor-1)) {
 			return
 		}
-		b.hold = slices.Delete(b.hold, slices.Index(b.hold, r), slices.Index(b.hold, r)+1)
-		if b.draining && r.came > b.notice+b.set.DrainGracePeriod {
-			b.turnAway(r)
+		b.queue = slices.Delete(b.queue, slices.Index(b.queue, r), slices.Index(b.queue, r)+1)
+		if b.draining && r.arrivedAt > b.drainedAt+b.settings.DrainGracePeriod {
+			b.reject(r)
 			continue
 		}
-		b.kb += r.SizeKB * (b.set.RunningMemoryFactor - 1)
+		b.memoryKB += r.SizeKB * (b.settings.RunningMemoryFactor - 1)
 		b.running++
-		r.running, r.began = true, b.now
-		b.do.Run(r.ID)
+		r.running, r.startedAt = true, b.now
+		b.actions.Run(r.ID)
 	}
 }
 
 // Done implements admission.Events.
-func (b *base) RunFinished(now time.Duration, id admission.RequestID, o admission.Outcome) {
-	b.tick(now)
-	r := b.all[id]
+func (b *host) RunFinished(now time.Duration, id admission.RequestID, o admission.Outcome) {
+	b.advance(now)
+	r := b.requests[id]
 	if r == nil {
 		return
 	}
 	ran := r.running
-	b.forget(r)
+	b.remove(r)
 	if ran {
-		b.policy.ended(r, o == admission.OK)
+		b.policy.runEnded(r, o == admission.OK)
 	}
 }
 
 // Gone implements admission.Events.
-func (b *base) Cancel(now time.Duration, id admission.RequestID) {
-	b.tick(now)
-	if r := b.all[id]; r != nil && !r.running {
-		b.forget(r)
+func (b *host) Cancel(now time.Duration, id admission.RequestID) {
+	b.advance(now)
+	if r := b.requests[id]; r != nil && !r.running {
+		b.remove(r)
 	}
 }
 
 // Drain implements admission.Events.
-func (b *base) Drain(now, left time.Duration) {
-	b.tick(now)
-	b.draining, b.notice, b.stopAt = true, now, now+left
-	for _, r := range b.all { // in any order: each stands by itself
-		r.due = min(r.due, b.stopAt-margin)
+func (b *host) Drain(now, left time.Duration) {
+	b.advance(now)
+	b.draining, b.drainedAt, b.stopAt = true, now, now+left
+	for _, r := range b.requests { // in any order: each stands by itself
+		r.deadline = min(r.deadline, b.stopAt-deadlineMargin)
 	}
-	b.do.SetHealth(false, true)
+	b.actions.SetHealth(false, true)
 }
 
 // Timer implements admission.Events.
-func (b *base) Timer(now time.Duration, token uint32, g admission.Gauges) {
-	b.tick(now)
-	if token != dueToken {
-		b.policy.look(g)
-		b.do.SetTimer(pollInterval, 0)
+func (b *host) Timer(now time.Duration, token uint32, g admission.Gauges) {
+	b.advance(now)
+	if token != deadlineToken {
+		b.policy.poll(g)
+		b.actions.SetTimer(pollInterval, 0)
 	}
 	var due []*request
-	for _, r := range b.all {
-		if r.due-margin <= b.now+pollInterval {
+	for _, r := range b.requests {
+		if r.deadline-deadlineMargin <= b.now+pollInterval {
 			due = append(due, r)
 		}
 	}
 	slices.SortFunc(due, func(x, y *request) int { return int(x.ID) - int(y.ID) })
 	for _, r := range due {
 		if r.running { // its answer is owed, though its work goes on
-			b.do.Fail(r.ID)
-			if b.set.StopMode != admission.StopNone && b.set.Classes[r.Class].Effect == admission.Safe {
-				b.do.Stop(r.ID)
+			b.actions.Fail(r.ID)
+			if b.settings.StopMode != admission.StopNone && b.settings.Classes[r.Class].Effect == admission.Safe {
+				b.actions.Stop(r.ID)
 			}
-			r.due = 1 << 62
+			r.deadline = 1 << 62
 			continue
 		}
-		b.forget(r)
-		b.do.Fail(r.ID)
+		b.remove(r)
+		b.actions.Fail(r.ID)
 	}
 }
 
 // Blocked implements admission.Events: nothing is called.
-func (b *base) CallRequested(time.Duration, admission.RequestID) {}
+func (b *host) CallRequested(time.Duration, admission.RequestID) {}
 
 // Called implements admission.Events.
-func (b *base) CallFinished(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
+func (b *host) CallFinished(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
 
-// first is the held request that came first.
-func (b *base) first() *request {
-	if len(b.hold) == 0 {
+// oldest is the held request that came first.
+func (b *host) oldest() *request {
+	if len(b.queue) == 0 {
 		return nil
 	}
-	return b.hold[0]
+	return b.queue[0]
 }
--- a/internal/baseline/weight_priority.go
+++ b/internal/baseline/weight_priority.go
@@ -6,65 +6,65 @@
 	"tillerusher/admission"
 )
 
-// worth runs the worthiest first and turns the least worthy away when the line is too long for its aims.
-type worth struct {
-	*base
-	times []float64 // learned seconds of a run, by class
+// weightPriority runs the worthiest first and turns the least worthy away when the line is too long for its aims.
+type weightPriority struct {
+	*host
+	runSeconds []float64 // learned seconds of a run, by class
 }
 
 // WeightPriority goes by the worth of classes: the line is in the order of worth for the time of a run, and what would wait beyond
 // its aim behind those before it is turned away.
 func WeightPriority(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newBase(s, a)
-	b.policy = &worth{base: b, times: make([]float64, len(s.Classes))}
+	b := newHost(s, a)
+	b.policy = &weightPriority{host: b, runSeconds: make([]float64, len(s.Classes))}
 	return b, nil
 }
 
-// value is what a class brings for the time that it takes.
-func (w *worth) value(class int) float64 {
-	return w.set.Classes[class].Weight / max(w.times[class], 1e-3)
+// weightPerSecond is what a class brings for the time that it takes.
+func (w *weightPriority) weightPerSecond(class int) float64 {
+	return w.settings.Classes[class].Weight / max(w.runSeconds[class], 1e-3)
 }
 
-func (w *worth) admit(r *request) verdict {
+func (w *weightPriority) admit(r *request) verdict {
 	wait := 0.0
-	for _, h := range w.hold {
-		if w.value(h.Class) >= w.value(r.Class) {
-			wait += w.times[h.Class]
+	for _, h := range w.queue {
+		if w.weightPerSecond(h.Class) >= w.weightPerSecond(r.Class) {
+			wait += w.runSeconds[h.Class]
 		}
 	}
-	if wait/float64(w.set.Cores) > (w.set.Classes[r.Class].LatencyObjective - r.QueueingDelay).Seconds() {
-		return refuse
+	if wait/float64(w.settings.Cores) > (w.settings.Classes[r.Class].LatencyObjective - r.QueueingDelay).Seconds() {
+		return verdictReject
 	}
-	return hold
+	return verdictQueue
 }
 
-func (w *worth) next() *request {
-	if w.running >= w.set.Cores*3/2 {
+func (w *weightPriority) nextToRun() *request {
+	if w.running >= w.settings.Cores*3/2 {
 		return nil
 	}
-	best := w.hold[0]
-	for _, r := range w.hold[1:] {
-		if w.value(r.Class) > w.value(best.Class) {
+	best := w.queue[0]
+	for _, r := range w.queue[1:] {
+		if w.weightPerSecond(r.Class) > w.weightPerSecond(best.Class) {
 			best = r
 		}
 	}
 	return best
 }
 
-// learnPart is the weight of one run in the learned time of its class.
-const learnPart = 1.0 / 12
+// runTimeSmoothing is the weight of one run in the learned time of its class.
+const runTimeSmoothing = 1.0 / 12
 
-func (w *worth) ended(r *request, ok bool) {
-	if took := (w.now - r.began).Seconds() * min(1, float64(w.set.Cores)/float64(w.running+1)); ok {
-		w.times[r.Class] += (took - w.times[r.Class]) * learnPart
+func (w *weightPriority) runEnded(r *request, ok bool) {
+	if took := (w.now - r.startedAt).Seconds() * min(1, float64(w.settings.Cores)/float64(w.running+1)); ok {
+		w.runSeconds[r.Class] += (took - w.runSeconds[r.Class]) * runTimeSmoothing
 	}
 }
 
-// look turns away what is past its aim.
-func (w *worth) look(admission.Gauges) {
-	for i := 0; i < len(w.hold); {
-		if r := w.hold[i]; w.now-r.came > w.set.Classes[r.Class].LatencyObjective+time.Duration(float64(time.Second)*w.times[r.Class]) {
-			w.turnAway(r)
+// poll turns away what is past its aim.
+func (w *weightPriority) poll(admission.Gauges) {
+	for i := 0; i < len(w.queue); {
+		if r := w.queue[i]; w.now-r.arrivedAt > w.settings.Classes[r.Class].LatencyObjective+time.Duration(float64(time.Second)*w.runSeconds[r.Class]) {
+			w.reject(r)
 		} else {
 			i++
 		}
--- a/internal/calibration/calibration.go
+++ b/internal/calibration/calibration.go
@@ -45,12 +45,12 @@
 	}
 }
 
-// rate is the world's first tries a second.
-func (w Case) rate() float64 { return w.Load * float64(w.Cores) / w.MeanWork.Seconds() }
+// requestRate is the world's first tries a second.
+func (w Case) requestRate() float64 { return w.Load * float64(w.Cores) / w.MeanWork.Seconds() }
 
-// arrivals are the world's.
-func (w Case) arrivals() arrival.Config {
-	return arrival.Config{Kind: w.ArrivalKind, Rate: w.rate(), BurstFactor: 1.8, BurstFraction: 0.2, MeanBurst: 2 * time.Second}
+// arrivalConfig are the world's.
+func (w Case) arrivalConfig() arrival.Config {
+	return arrival.Config{Kind: w.ArrivalKind, Rate: w.requestRate(), BurstFactor: 1.8, BurstFraction: 0.2, MeanBurst: 2 * time.Second}
 }
 
 // Metrics are what is compared.
@@ -71,19 +71,19 @@
 
 // The bounds within which the two should agree.
 const (
-	shareApart   = 0.03
-	latencyApart = 0.15
+	maxShareDifference  = 0.03
+	maxLatencyDeviation = 0.15
 )
 
-// hop is what a request takes on loopback beside its run: four times through sockets.
-const hop = 600 * time.Microsecond
+// loopbackDelay is what a request takes on loopback beside its run: four times through sockets.
+const loopbackDelay = 600 * time.Microsecond
 
-// turn is what a core of the interpreter stands idle between the end of a run and the command for the next: in a storm at
+// interpreterIdle is what a core of the interpreter stands idle between the end of a run and the command for the next: in a storm at
 // one and a half times what the cores can do, with runs of 20 ms, their gauge reads 0.989.
-const turn = 220 * time.Microsecond
+const interpreterIdle = 220 * time.Microsecond
 
-// world is the world as the model has it.
-func (w Case) world(span time.Duration) clustersim.Config {
+// clusterConfig is the world as the model has it.
+func (w Case) clusterConfig(span time.Duration) clustersim.Config {
 	m := clustersim.DefaultConfig()
 	m.Name, m.Duration = w.Name, span
 	s := &m.Servers
@@ -91,12 +91,12 @@
 	s.MemoryKB, s.KeyKB, s.RunningMemoryFactor, s.RequestKB = 40000, 50, 16, [2]float64{24.5, 24.5}
 	s.DrainGracePeriod, s.MaxRetryAfter, s.BacklogPerCore = 300*time.Millisecond, time.Second, 1<<16
 	for i := range m.Classes {
-		m.Classes[i].MeanWork, m.Classes[i].Distribution = w.MeanWork+turn, clustersim.Exponential
+		m.Classes[i].MeanWork, m.Classes[i].Distribution = w.MeanWork+interpreterIdle, clustersim.Exponential
 	}
 	m.Classes[0].Share, m.Classes[1].Share = 1-w.KeyedShare, w.KeyedShare
 	m.Tenants = []clustersim.Tenant{{Name: "central", Share: 0.7, Quota: 55}, {Name: "northern", Share: 0.3, Quota: 26}}
 	m.Gateways = []clustersim.GatewayConfig{{Count: 3, Share: 1, Balancing: clustersim.RoundRobin, Retry: clustersim.RetryBackoff, MaxAttempts: w.MaxAttempts, ResendShare: w.ResendShare, NoClientTimeout: true}}
-	m.NetworkDelay, m.EndpointListDelay, m.Arrival, m.Skew = hop/2, 0, w.arrivals(), 0
+	m.NetworkDelay, m.EndpointListDelay, m.Arrival, m.Skew = loopbackDelay/2, 0, w.arrivalConfig(), 0
 	return m
 }
 
@@ -122,8 +122,8 @@
 				slots <- struct{}{}
 				defer func() { <-slots }()
 				p := &all[i][seed]
-				if p.real, p.err = w.real(ctx, daemon, span, uint64(seed+1)); p.err == nil {
-					p.model, p.err = w.model(ctx, span, uint64(seed+1))
+				if p.real, p.err = w.measureDaemon(ctx, daemon, span, uint64(seed+1)); p.err == nil {
+					p.model, p.err = w.simulate(ctx, span, uint64(seed+1))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -141,26 +141,26 @@
 			if p.err != nil {
 				return nil, p.err
 			}
-			rows[i].Daemon.add(p.real, seeds)
-			rows[i].Simulated.add(p.model, seeds)
+			rows[i].Daemon.addShare(p.real, seeds)
+			rows[i].Simulated.addShare(p.model, seeds)
 		}
-		rows[i].Deviation = rows[i].miss()
+		rows[i].Deviation = rows[i].describeDeviation()
 	}
 	return rows, nil
 }
 
-// add adds a part of a mean.
-func (f *Metrics) add(g Metrics, of int) {
+// addShare adds a part of a mean.
+func (f *Metrics) addShare(g Metrics, of int) {
 	n := float64(of)
 	f.ServedShare, f.P50, f.P99, f.AttemptsPerRequest = f.ServedShare+g.ServedShare/n, f.P50+g.P50/n, f.P99+g.P99/n, f.AttemptsPerRequest+g.AttemptsPerRequest/n
 }
 
-// real plays a world over loopback.
-func (w Case) real(ctx context.Context, daemon string, span time.Duration, seed uint64) (Metrics, error) {
+// measureDaemon plays a world over loopback.
+func (w Case) measureDaemon(ctx context.Context, daemon string, span time.Duration, seed uint64) (Metrics, error) {
 	c := loadtest.Defaults()
-	c.Daemon, c.Args, c.Requests, c.Rate, c.Seed = daemon, []string{"serve"}, int(span.Seconds()*w.rate()), w.rate(), seed
+	c.Daemon, c.Args, c.Requests, c.Rate, c.Seed = daemon, []string{"serve"}, int(span.Seconds()*w.requestRate()), w.requestRate(), seed
 	c.IdempotentShare, c.RepeatShare, c.MaxAttempts, c.InterpreterCores, c.MeanWork = w.KeyedShare, w.ResendShare, w.MaxAttempts, w.Cores, w.MeanWork
-	c.CutLink, c.Reload, c.DrainRequests, c.Arrival = false, false, 0, w.arrivals()
+	c.CutLink, c.Reload, c.DrainRequests, c.Arrival = false, false, 0, w.arrivalConfig()
 	r, err := loadtest.Run(ctx, c)
 	if err != nil {
 		return Metrics{}, err
@@ -171,10 +171,10 @@
 	return Metrics{r.ServedShare, r.P50, r.P99, float64(r.Attempts) / float64(max(r.Requests, 1))}, nil
 }
 
-// model plays a world in virtual time, with the arrivals of the storm of that seed.
-func (w Case) model(ctx context.Context, span time.Duration, seed uint64) (Metrics, error) {
-	m := w.world(span)
-	times, err := loadtest.ArrivalTimes(w.arrivals(), seed, int(span.Seconds()*w.rate()))
+// simulate plays a world in virtual time, with the arrivals of the storm of that seed.
+func (w Case) simulate(ctx context.Context, span time.Duration, seed uint64) (Metrics, error) {
+	m := w.clusterConfig(span)
+	times, err := loadtest.ArrivalTimes(w.arrivalConfig(), seed, int(span.Seconds()*w.requestRate()))
 	if err != nil {
 		return Metrics{}, err
 	}
@@ -188,17 +188,17 @@
 	return Metrics{float64(r.Served) / n, r.P50, r.P99, float64(r.Attempts-r.Resends) / n}, nil
 }
 
-// miss names what lies too far apart.
-func (r *Comparison) miss() string {
+// describeDeviation names what lies too far apart.
+func (r *Comparison) describeDeviation() string {
 	text := ""
-	if d := r.Simulated.ServedShare - r.Daemon.ServedShare; math.Abs(d) > shareApart {
+	if d := r.Simulated.ServedShare - r.Daemon.ServedShare; math.Abs(d) > maxShareDifference {
 		text += fmt.Sprintf(" share %+.3f", d)
 	}
 	for _, q := range []struct {
 		name        string
 		real, model float64
 	}{{"p50", r.Daemon.P50, r.Simulated.P50}, {"p99", r.Daemon.P99, r.Simulated.P99}} {
-		if d := q.model/q.real - 1; math.Abs(d) > latencyApart {
+		if d := q.model/q.real - 1; math.Abs(d) > maxLatencyDeviation {
 			text += fmt.Sprintf(" %s %+.0f %%", q.name, 100*d)
 		}
 	}
--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -13,238 +13,238 @@
 	RuleLost      Rule = "lost"      // no request goes without one final answer in its time
 	RuleDuplicate Rule = "duplicate" // a keyed request runs once in its window, and is not turned away after it ran
 	RuleDrain     Rule = "drain"     // nothing runs that came after the grace, and all is answered before the end
-	RuleCrash     Rule = "fall-over" // memory and cores bear what they are given
+	RuleCrash     Rule = "fall-over" // exceedsMemory and cores bear what they are given
 )
 
-// breachesKept is how many breaches are told in words.
-const breachesKept = 20
+// maxViolationMessages is how many breaches are told in words.
+const maxViolationMessages = 20
 
-// observer checks the rules from outside: it is told what happens and keeps its own account of it, in its own structures.
-type observer struct {
-	world    *Config
-	tries    map[uint64]*sighting
-	servers  []watched
-	open     int // tries that arrived and are owed an answer
-	broken   map[Rule]int
-	breaches []string
+// checker checks the rules from outside: it is told what happens and keeps its own account of it, in its own structures.
+type ruleChecker struct {
+	config       *Config
+	attempts     map[uint64]*checkedAttempt
+	servers      []checkedServer
+	openAttempts int // attempts that arrived and are owed an answer
+	violations   map[Rule]int
+	messages     []string
 }
 
-// sighting is what is known of one try.
-type sighting struct {
-	key      uint64
-	keyed    bool
-	window   time.Duration
-	deadline time.Duration
-	readAt   time.Duration
-	sizeKB   float64
-	server   int
-	came     time.Duration
-	excused  time.Duration // of the server, when it came
-	here     bool
-	read     bool
-	running  bool
-	ran      bool
-	answered bool
+// checkedAttempt is what is known of one try.
+type checkedAttempt struct {
+	key          uint64
+	keyed        bool
+	window       time.Duration
+	deadline     time.Duration
+	readAt       time.Duration
+	sizeKB       float64
+	server       int
+	arrivedAt    time.Duration
+	pausedBefore time.Duration // attempt the server, when it came
+	arrived      bool
+	read         bool
+	running      bool
+	ran          bool
+	answered     bool
 }
 
-// watched is what is known of a server's process.
-type watched struct {
-	kb       float64                  // held and running
-	keys     []time.Duration          // until when each is kept, soonest first but for a few
-	keyOf    map[uint64]time.Duration // by try
-	ran      map[uint64]time.Duration // by key: when the try that ran came
-	tries    map[uint64]bool          // that are here and not over
-	graceEnd time.Duration            // 0 before the notice to leave
-	leaving  bool
-	excused  time.Duration // for which the machine stood still
+// checkedServer is what is known of a server's process.
+type checkedServer struct {
+	memoryKB        float64                  // stateQueued and running
+	keyExpiries     []time.Duration          // feedbackUntil when each is kept, soonest first but for a few
+	expiryByAttempt map[uint64]time.Duration // by try
+	lastRunArrival  map[uint64]time.Duration // by key: when the try that ran came
+	attempts        map[uint64]bool          // that are here and not over
+	graceEnd        time.Duration            // 0 before the notice to leave
+	draining        bool
+	pausedTime      time.Duration // for which the machine stood still
 }
 
-func newObserver(w *Config) *observer {
-	return &observer{world: w, tries: map[uint64]*sighting{}, servers: make([]watched, w.Servers.Count), broken: map[Rule]int{}}
+func newRuleChecker(w *Config) *ruleChecker {
+	return &ruleChecker{config: w, attempts: map[uint64]*checkedAttempt{}, servers: make([]checkedServer, w.Servers.Count), violations: map[Rule]int{}}
 }
 
-func (o *observer) breach(r Rule, format string, args ...any) {
-	o.broken[r]++
-	if len(o.breaches) < breachesKept {
-		o.breaches = append(o.breaches, string(r)+": "+fmt.Sprintf(format, args...))
+func (o *ruleChecker) recordViolation(r Rule, format string, args ...any) {
+	o.violations[r]++
+	if len(o.messages) < maxViolationMessages {
+		o.messages = append(o.messages, string(r)+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (o *observer) began(server int) {
-	o.servers[server] = watched{keyOf: map[uint64]time.Duration{}, ran: map[uint64]time.Duration{}, tries: map[uint64]bool{},
-		excused: o.servers[server].excused}
+func (o *ruleChecker) serverStarted(server int) {
+	o.servers[server] = checkedServer{expiryByAttempt: map[uint64]time.Duration{}, lastRunArrival: map[uint64]time.Duration{}, attempts: map[uint64]bool{},
+		pausedTime: o.servers[server].pausedTime}
 }
 
-func (o *observer) sent(try, key uint64, c *Class, sizeKB float64) {
-	o.tries[try] = &sighting{key: key, keyed: c.IdempotentByKey, window: c.KeyWindow, deadline: c.Deadline, sizeKB: sizeKB}
+func (o *ruleChecker) attemptSent(try, key uint64, c *Class, sizeKB float64) {
+	o.attempts[try] = &checkedAttempt{key: key, keyed: c.IdempotentByKey, window: c.KeyWindow, deadline: c.Deadline, sizeKB: sizeKB}
 }
 
-func (o *observer) arrived(try uint64, server int, now time.Duration) {
-	t, s := o.tries[try], &o.servers[server]
-	t.server, t.came, t.here, t.excused = server, now, true, s.excused
-	s.tries[try] = true
-	o.open++
+func (o *ruleChecker) attemptArrived(try uint64, server int, now time.Duration) {
+	t, s := o.attempts[try], &o.servers[server]
+	t.server, t.arrivedAt, t.arrived, t.pausedBefore = server, now, true, s.pausedTime
+	s.attempts[try] = true
+	o.openAttempts++
 }
 
-func (o *observer) wasRead(try uint64, now time.Duration) {
-	t := o.tries[try]
+func (o *ruleChecker) attemptRead(try uint64, now time.Duration) {
+	t := o.attempts[try]
 	t.read, t.readAt = true, now
-	o.servers[t.server].kb += t.sizeKB
+	o.servers[t.server].memoryKB += t.sizeKB
 }
 
-// answered hears of every answer, those that tell that nothing was taken in included.
-func (o *observer) answered(try uint64, k kind, now time.Duration) {
-	t := o.tries[try]
+// attemptAnswered hears of every answer, those that tell that nothing was taken in included.
+func (o *ruleChecker) attemptAnswered(try uint64, k outcome, now time.Duration) {
+	t := o.attempts[try]
 	switch {
 	case t == nil:
-		o.breach(RuleLost, "try %d is answered after its end, at %v", try, now)
+		o.recordViolation(RuleLost, "try %d is answered after its end, at %v", try, now)
 		return
 	case t.answered:
-		o.breach(RuleLost, "try %d is answered twice, at %v", try, now)
+		o.recordViolation(RuleLost, "try %d is answered twice, at %v", try, now)
 		return
 	}
 	t.answered = true
-	if !t.here {
-		delete(o.tries, try)
+	if !t.arrived {
+		delete(o.attempts, try)
 		return
 	}
-	o.open--
+	o.openAttempts--
 	s := &o.servers[t.server]
-	if due := max(t.came+t.deadline, t.readAt) + o.world.Servers.ResponseTolerance + s.excused - t.excused; k != broken && now > due {
-		o.breach(RuleLost, "try %d is answered at %v, %v late", try, now, now-due)
+	if due := max(t.arrivedAt+t.deadline, t.readAt) + o.config.Servers.ResponseTolerance + s.pausedTime - t.pausedBefore; k != outcomeConnectionLost && now > due {
+		o.recordViolation(RuleLost, "try %d is answered at %v, %v late", try, now, now-due)
 	}
-	if k == refused && t.keyed && t.ran {
-		o.breach(RuleDuplicate, "try %d ran and is turned away at %v", try, now)
+	if k == outcomeRejected && t.keyed && t.ran {
+		o.recordViolation(RuleDuplicate, "try %d ran and is turned away at %v", try, now)
 	}
 	if !t.running {
-		o.over(try, t)
+		o.forget(try, t)
 	}
 }
 
-// over forgets a try that is answered and does not run.
-func (o *observer) over(try uint64, t *sighting) {
+// finished forgets a try that is answered and does not run.
+func (o *ruleChecker) forget(try uint64, t *checkedAttempt) {
 	s := &o.servers[t.server]
 	if t.read {
-		s.kb -= t.sizeKB
+		s.memoryKB -= t.sizeKB
 	}
-	delete(s.tries, try)
-	delete(o.tries, try)
+	delete(s.attempts, try)
+	delete(o.attempts, try)
 }
 
-func (o *observer) ran(try uint64, server int, now time.Duration) {
-	t, s := o.tries[try], &o.servers[server]
+func (o *ruleChecker) runStarted(try uint64, server int, now time.Duration) {
+	t, s := o.attempts[try], &o.servers[server]
 	if t == nil {
-		o.breach(RuleLost, "try %d runs after its end, at %v", try, now)
+		o.recordViolation(RuleLost, "try %d runs after its end, at %v", try, now)
 		return
 	}
 	if t.keyed {
-		if came, ok := s.ran[t.key]; ok && t.came < came+t.window {
-			o.breach(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", t.key, server, now, t.came-came)
+		if came, ok := s.lastRunArrival[t.key]; ok && t.arrivedAt < came+t.window {
+			o.recordViolation(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", t.key, server, now, t.arrivedAt-came)
 		}
-		s.ran[t.key] = t.came
+		s.lastRunArrival[t.key] = t.arrivedAt
 	}
-	if s.leaving && t.came > s.graceEnd {
-		o.breach(RuleDrain, "try %d came %v after the grace and runs", try, t.came-s.graceEnd)
+	if s.draining && t.arrivedAt > s.graceEnd {
+		o.recordViolation(RuleDrain, "try %d came %v after the grace and runs", try, t.arrivedAt-s.graceEnd)
 	}
 	t.running, t.ran = true, true
-	s.kb += t.sizeKB * (o.world.Servers.RunningMemoryFactor - 1)
+	s.memoryKB += t.sizeKB * (o.config.Servers.RunningMemoryFactor - 1)
 }
 
-func (o *observer) ended(try uint64, server int) {
-	t := o.tries[try]
+func (o *ruleChecker) runEnded(try uint64, server int) {
+	t := o.attempts[try]
 	if t == nil {
 		return
 	}
 	t.running = false
-	o.servers[server].kb -= t.sizeKB * (o.world.Servers.RunningMemoryFactor - 1)
+	o.servers[server].memoryKB -= t.sizeKB * (o.config.Servers.RunningMemoryFactor - 1)
 	if t.answered {
-		o.over(try, t)
+		o.forget(try, t)
 	}
 }
 
-func (o *observer) kept(server int, try uint64, until time.Duration) {
+func (o *ruleChecker) keyKept(server int, try uint64, until time.Duration) {
 	s := &o.servers[server]
-	if _, again := s.keyOf[try]; !again {
-		s.keys = append(s.keys, until)
+	if _, again := s.expiryByAttempt[try]; !again {
+		s.keyExpiries = append(s.keyExpiries, until)
 	}
-	s.keyOf[try] = until
+	s.expiryByAttempt[try] = until
 }
 
-func (o *observer) forgot(server int, try uint64) {
+func (o *ruleChecker) keyReleased(server int, try uint64) {
 	s := &o.servers[server]
-	until, ok := s.keyOf[try]
+	until, ok := s.expiryByAttempt[try]
 	if !ok {
 		return
 	}
-	delete(s.keyOf, try)
-	for i := len(s.keys) - 1; i >= 0; i-- {
-		if s.keys[i] == until {
-			s.keys = append(s.keys[:i], s.keys[i+1:]...)
+	delete(s.expiryByAttempt, try)
+	for i := len(s.keyExpiries) - 1; i >= 0; i-- {
+		if s.keyExpiries[i] == until {
+			s.keyExpiries = append(s.keyExpiries[:i], s.keyExpiries[i+1:]...)
 			return
 		}
 	}
 }
 
-// memory tells whether a server needs more than it has, which breaks a rule.
-func (o *observer) memory(server int, now time.Duration) bool {
+// exceedsMemory tells whether a server needs more than it has, which breaks a rule.
+func (o *ruleChecker) exceedsMemory(server int, now time.Duration) bool {
 	s := &o.servers[server]
-	for len(s.keys) > 0 && s.keys[0] < now {
-		s.keys = s.keys[1:]
+	for len(s.keyExpiries) > 0 && s.keyExpiries[0] < now {
+		s.keyExpiries = s.keyExpiries[1:]
 	}
-	if len(s.keyOf) > 2*len(s.keys)+1000 {
-		for try, until := range s.keyOf { // in any order: what is left does not depend on it
+	if len(s.expiryByAttempt) > 2*len(s.keyExpiries)+1000 {
+		for try, until := range s.expiryByAttempt { // in any order: what is left does not depend on it
 			if until < now {
-				delete(s.keyOf, try)
+				delete(s.expiryByAttempt, try)
 			}
 		}
 	}
-	need := s.kb + float64(len(s.keys))*o.world.Servers.KeyKB
-	if need <= o.world.Servers.MemoryKB {
+	need := s.memoryKB + float64(len(s.keyExpiries))*o.config.Servers.KeyKB
+	if need <= o.config.Servers.MemoryKB {
 		return false
 	}
-	o.fell(server, now, fmt.Sprintf("a need of %.0f KB of %.0f", need, o.world.Servers.MemoryKB))
+	o.serverCrashed(server, now, fmt.Sprintf("a need of %.0f KB of %.0f", need, o.config.Servers.MemoryKB))
 	return true
 }
 
-func (o *observer) fell(server int, now time.Duration, cause string) {
-	o.breach(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
+func (o *ruleChecker) serverCrashed(server int, now time.Duration, cause string) {
+	o.recordViolation(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
 }
 
-func (o *observer) drained(server int, graceEnd time.Duration) {
+func (o *ruleChecker) drainStarted(server int, graceEnd time.Duration) {
 	s := &o.servers[server]
-	s.leaving, s.graceEnd = true, graceEnd
+	s.draining, s.graceEnd = true, graceEnd
 }
 
-func (o *observer) paused(server int, d time.Duration) { o.servers[server].excused += d }
+func (o *ruleChecker) machinePaused(server int, d time.Duration) { o.servers[server].pausedTime += d }
 
-// died hears of the end of a process. One that leaves owes nothing that it has read by then; one that is killed is
+// serverStopped hears of the end of a process. One that leaves owes nothing that it has read by then; one that is killed is
 // excused, and what lay unread was never taken in.
-func (o *observer) died(server int, now time.Duration, killed bool) {
+func (o *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
 	s, owed := &o.servers[server], 0
-	for try := range s.tries { // only counted, so that the order does not matter
-		t := o.tries[try]
+	for try := range s.attempts { // only counted, so that the order does not matter
+		t := o.attempts[try]
 		if t.read && !t.answered && !killed {
 			owed++
 		}
 		t.running = false
 		if t.answered {
-			delete(o.tries, try)
+			delete(o.attempts, try)
 		} else {
 			t.read = false // its memory is gone with the process
 		}
 	}
 	if owed > 0 {
-		o.breach(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, owed)
+		o.recordViolation(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, owed)
 	}
-	s.kb, s.tries = 0, map[uint64]bool{}
+	s.memoryKB, s.attempts = 0, map[uint64]bool{}
 }
 
-// finish looks for what was never answered.
-func (o *observer) finish(now time.Duration) {
-	for range o.open {
-		o.broken[RuleLost]++
+// finishRun looks for what was never answered.
+func (o *ruleChecker) finish(now time.Duration) {
+	for range o.openAttempts {
+		o.violations[RuleLost]++
 	}
-	if o.open > 0 {
-		o.breaches = append(o.breaches, fmt.Sprintf("%s: %d tries were not answered by the end at %v", RuleLost, o.open, now))
+	if o.openAttempts > 0 {
+		o.messages = append(o.messages, fmt.Sprintf("%s: %d tries were not answered by the end at %v", RuleLost, o.openAttempts, now))
 	}
 }
--- a/internal/clustersim/config.go
+++ b/internal/clustersim/config.go
@@ -20,7 +20,7 @@
 	Arrival  arrival.Config
 
 	ResourceCount int     `json:"Subjects"` // distinct ones
-	Skew          float64 // of their popularity: the exponent of a Zipf distribution, over 1; 0 is none
+	Skew          float64 // attempt their popularity: the exponent of a Zipf distribution, over 1; 0 is none
 
 	NetworkDelay      time.Duration `json:"Delay"`     // mean of a message's way through the network
 	EndpointListDelay time.Duration `json:"ListDelay"` // how late gateways learn of the list of servers
@@ -38,28 +38,28 @@
 	SpeedCV              float64       // how servers differ in it
 	ThrashFactor         float64       `json:"Thrash"`   // how much less the cores get done for each run a core over ThrashThreshold
 	ThrashThreshold      float64       `json:"ThrashAt"` //
-	ReadCost             float64       `json:"Read"`     // work of reading a request, over the mean work of all requests
-	MemoryKB             float64       // of held and running requests and keys
-	KeyKB                float64       // of a key
-	RequestKB            [2]float64    `json:"HoldKB"`      // of a held request, least and most
-	RunningMemoryFactor  float64       `json:"RunFactor"`   // of a running one over that
+	ReadCost             float64       `json:"Read"`     // completeJobs of reading a request, over the mean work of all requests
+	MemoryKB             float64       // attempt held and running requests and keys
+	KeyKB                float64       // attempt a key
+	RequestKB            [2]float64    `json:"HoldKB"`      // attempt a held request, least and most
+	RunningMemoryFactor  float64       `json:"RunFactor"`   // attempt a running one over that
 	InitialCapacity      float64       `json:"ColdShare"`   // speed of a fresh server over its full speed
-	WarmUpTime           time.Duration `json:"ColdFor"`     // until it is warm
-	MaxConcurrencyFactor float64       `json:"CrowdFactor"` // running requests a core that a warm server survives
+	WarmUpTime           time.Duration `json:"ColdFor"`     // feedbackUntil it is warm
+	MaxConcurrencyFactor float64       `json:"CrowdFactor"` // stateRunning requests a core that a warm server survives
 	ConcurrencyWindow    time.Duration `json:"CrowdOver"`   // in the mean of this time
 	DrainGracePeriod     time.Duration `json:"DrainGrace"`
 	DrainTimeout         time.Duration `json:"Stop"`    // from the notice to leave to the end
-	RestartDelay         time.Duration `json:"Restart"` // of a server that fell over
+	RestartDelay         time.Duration `json:"Restart"` // attempt a server that fell over
 	BacklogPerCore       int           `json:"Unread"`  // requests a core that may lie unread; more get no connection
 	Tick                 time.Duration
 	FeedbackTTL          time.Duration `json:"Heeded"`     // for which a gateway goes by a level that it was told
-	MaxRetryAfter        time.Duration `json:"RetryAfter"` // longest advice that is honoured; 0 is none
+	MaxRetryAfter        time.Duration `json:"RetryAfter"` // maxLatency advice that is honoured; 0 is none
 	ResponseTolerance    time.Duration `json:"Slack"`      // how late an answer may be
 	HealthCheckInterval  time.Duration `json:"CheckEvery"` // health checks by gateways that go by them
 	CallerIdleTimeout    time.Duration `json:"CallerIdle"`
-	OverQuotaWeight      float64       `json:"OverWorth"` // of a request beyond its tenant's share
+	OverQuotaWeight      float64       `json:"OverWorth"` // attempt a request beyond its tenant's share
 	Feedback             Feedback
-	CannotStopRuns       bool `json:"NoStop"`     // running work can't be stopped
+	CannotStopRuns       bool `json:"NoStop"`     // stateRunning work can't be stopped
 	OmitRunnableGauge    bool `json:"NoRunnable"` // the gauge of what wants a core at this moment is not told
 }
 
@@ -74,8 +74,8 @@
 	FeedbackNone   Feedback = "none"   // no value is told
 )
 
-// module is the feedback as the module's settings name it.
-func (f Feedback) module() (admission.Feedback, bool) {
+// admissionFeedback is the feedback as the module's settings name it.
+func (f Feedback) admissionFeedback() (admission.Feedback, bool) {
 	switch f {
 	case "", FeedbackLevel:
 		return admission.FeedbackLevel, true
@@ -97,7 +97,7 @@
 	Constant    Distribution = "constant"
 	Exponential Distribution = "exponential"
 	LogNormal   Distribution = "lognormal"
-	Pareto      Distribution = "pareto" // of a tail so heavy that no mean describes it; CV is its exponent then
+	Pareto      Distribution = "pareto" // attempt a tail so heavy that no mean describes it; CV is its exponent then
 )
 
 // Class is a kind of request.
@@ -116,13 +116,13 @@
 	KeyWindow        time.Duration `json:"Window"`
 }
 
-// once tells whether a request of the class must not run a second time.
-func (c *Class) once() bool { return c.IdempotentByKey || c.NonIdempotent }
+// mustRunOnce tells whether a request of the class must not run a second time.
+func (c *Class) mustRunOnce() bool { return c.IdempotentByKey || c.NonIdempotent }
 
 // Tenant is one who shares the fleet.
 type Tenant struct {
 	Name  string
-	Share float64 // of the requests
+	Share float64 // attempt the requests
 	Quota float64 // requests a second that count in full, over the fleet; 0 is any number
 }
 
@@ -146,20 +146,20 @@
 // The ways to try again.
 const (
 	RetryNever     RetryPolicy = "never"
-	RetryUnbounded RetryPolicy = "unbounded" // at once, elsewhere, as often as Tries allows
+	RetryUnbounded RetryPolicy = "unbounded" // createdAt once, elsewhere, as often as Tries allows
 	RetryBudgeted  RetryPolicy = "budgeted"  // likewise, for a part of the requests
 	RetryOnTimeout RetryPolicy = "hasty"     // likewise, and it waits for an answer for a part of the aim only
 	RetryHedged    RetryPolicy = "copies"    // a second copy of a safe request that is slow
-	RetryBackoff   RetryPolicy = "patient"   // at the time that the server advised, with as much again drawn on top
+	RetryBackoff   RetryPolicy = "patient"   // createdAt the time that the server advised, with as much again drawn on top
 )
 
 // GatewayConfig is a kind of gateway and its habits.
 type GatewayConfig struct {
 	Count                int             `json:"N"`
-	Share                float64         // of the requests, of all of this kind together
+	Share                float64         // attempt the requests, of all of this kind together
 	Balancing            BalancingPolicy `json:"Choice"`
 	Retry                RetryPolicy     `json:"Again"`
-	MaxAttempts          int             `json:"Tries"`   // of one request
+	MaxAttempts          int             `json:"Tries"`   // attempt one request
 	RetryBudget          float64         `json:"Budget"`  // Budgeted: further tries for each first one
 	AttemptTimeoutFactor float64         `json:"Wait"`    // Hasty, Copies: part of the aim after which it tries again
 	HonorsFeedback       bool            `json:"Heeds"`   // it does as servers tell: levels, times to stay away, the wish that no other be tried
@@ -207,15 +207,15 @@
 	return float64(w.Servers.Count*w.Servers.Cores) * w.Servers.Speed / (w.meanWork() * (1 + w.Servers.ReadCost))
 }
 
-// quotaPart is the part of what the fleet can do that the tenants' quotas come to.
-const quotaPart = 0.8
+// quotaShareOfCapacity is the part of what the fleet can do that the tenants' quotas come to.
+const quotaShareOfCapacity = 0.8
 
 // SetLoad sets the rate of arrivals to a part of what the fleet can do, and the tenants' quotas to their shares of that.
 func (w *Config) SetLoad(part float64) {
 	capacity := w.Capacity()
 	w.Arrival.Rate = part * capacity
 	for i := range w.Tenants {
-		w.Tenants[i].Quota = quotaPart * w.Tenants[i].Share * capacity
+		w.Tenants[i].Quota = quotaShareOfCapacity * w.Tenants[i].Share * capacity
 	}
 }
 
@@ -244,7 +244,7 @@
 	case w.NetworkDelay < 0 || w.EndpointListDelay < 0:
 		return bad("a delay below 0")
 	}
-	if _, ok := s.Feedback.module(); !ok {
+	if _, ok := s.Feedback.admissionFeedback(); !ok {
 		return bad("no feedback is called %q", s.Feedback)
 	}
 	for _, c := range w.Classes {
@@ -262,12 +262,12 @@
 		}
 	}
 	for _, g := range w.Gateways {
-		if err := g.check(s.Count); err != nil {
+		if err := g.validate(s.Count); err != nil {
 			return bad("%w", err)
 		}
 	}
 	for _, i := range w.Incidents {
-		if err := i.check(); err != nil {
+		if err := i.validate(); err != nil {
 			return bad("%w", err)
 		}
 	}
@@ -278,15 +278,15 @@
 	return nil
 }
 
-// mostScanned is how many servers a gateway may look at for each choice.
-const mostScanned = 256
+// maxScannedServers is how many servers a gateway may look at for each choice.
+const maxScannedServers = 256
 
-func (g *GatewayConfig) check(servers int) error {
+func (g *GatewayConfig) validate(servers int) error {
 	switch g.Balancing {
 	case RoundRobin, PowerOfTwo, ResourceHash, Random:
 	case LeastRequest, LowestLatency, WeightedRandom:
-		if n := g.SubsetSize; n == 0 && servers > mostScanned || n > mostScanned {
-			return fmt.Errorf("gateways that choose by %s look at all their servers: want a subset of at most %d", g.Balancing, mostScanned)
+		if n := g.SubsetSize; n == 0 && servers > maxScannedServers || n > maxScannedServers {
+			return fmt.Errorf("gateways that choose by %s look at all their servers: want a subset of at most %d", g.Balancing, maxScannedServers)
 		}
 	default:
 		return fmt.Errorf("no choice is called %q", g.Balancing)
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -10,58 +10,58 @@
 // fleet is how many servers and gateways the deployments of this file have. A world plays a part of the servers only: each
 // of them gets what it would get in the whole fleet, and its settings name the whole.
 const (
-	fleetServers  = 300
-	fleetGateways = 150
-	playedServers = 6
+	fleetServers     = 300
+	fleetGateways    = 150
+	simulatedServers = 6
 )
 
-// fairShare is the part of its fair share that each class must get. The operators' standing test asks for half of what a
+// minFairShare is the part of its fair share that each class must get. The operators' standing test asks for half of what a
 // policy serves that sees the true state late.
-const fairShare = 0.5
+const minFairShare = 0.5
 
-// kindOf is a class whose requests meet their aim on an idle server: their work varies little, and the aim is long beside it.
-func kindOf(name string, share float64, work, aim time.Duration, worth float64) Class {
+// testClass is a class whose requests meet their aim on an idle server: their work varies little, and the aim is long beside it.
+func testClass(name string, share float64, work, aim time.Duration, worth float64) Class {
 	return Class{Name: name, Share: share, MeanWork: work, Distribution: LogNormal, CV: 0.4, LatencyObjective: aim, Deadline: 5 * aim / 2, Weight: worth}
 }
 
-func keyedFor(c Class, window time.Duration) Class {
+func withKeyWindow(c Class, window time.Duration) Class {
 	c.IdempotentByKey, c.KeyWindow = true, window
 	return c
 }
 
-func unsafeOf(c Class) Class {
+func withoutIdempotency(c Class) Class {
 	c.NonIdempotent = true
 	return c
 }
 
-func lateWorth(c Class, worth float64) Class {
+func withLateWeight(c Class, worth float64) Class {
 	c.LateWeight = worth
 	return c
 }
 
 // Mixes of classes, by what sets them apart.
-func aimsTenfold() []Class {
-	return []Class{kindOf("quick", 0.4, 80*ms, 600*ms, 1), kindOf("slow", 0.6, 500*ms, 6000*ms, 1)}
+func objectivesTenfold() []Class {
+	return []Class{testClass("quick", 0.4, 80*ms, 600*ms, 1), testClass("slow", 0.6, 500*ms, 6000*ms, 1)}
 }
 
-func worthTwentyfold() []Class {
-	return []Class{kindOf("cheap", 0.5, 80*ms, 600*ms, 1), kindOf("middle", 0.3, 250*ms, 2000*ms, 4),
-		keyedFor(lateWorth(kindOf("rich", 0.2, 600*ms, 6000*ms, 20), 0.2), 30*time.Second)}
+func weightsTwentyfold() []Class {
+	return []Class{testClass("cheap", 0.5, 80*ms, 600*ms, 1), testClass("middle", 0.3, 250*ms, 2000*ms, 4),
+		withKeyWindow(withLateWeight(testClass("rich", 0.2, 600*ms, 6000*ms, 20), 0.2), 30*time.Second)}
 }
 
-func richAndUnsafe() []Class {
-	return []Class{unsafeOf(kindOf("rich", 0.2, 80*ms, 700*ms, 20)), kindOf("cheap", 0.4, 600*ms, 6000*ms, 1),
-		kindOf("middle", 0.4, 300*ms, 1800*ms, 4)}
+func heavyAndNonIdempotent() []Class {
+	return []Class{withoutIdempotency(testClass("rich", 0.2, 80*ms, 700*ms, 20)), testClass("cheap", 0.4, 600*ms, 6000*ms, 1),
+		testClass("middle", 0.4, 300*ms, 1800*ms, 4)}
 }
 
-func rareAndTight() []Class {
-	return []Class{kindOf("rare", 0.06, 150*ms, 900*ms, 1), kindOf("bulk", 0.94, 300*ms, 4000*ms, 1)}
+func rareWithShortObjective() []Class {
+	return []Class{testClass("rare", 0.06, 150*ms, 900*ms, 1), testClass("bulk", 0.94, 300*ms, 4000*ms, 1)}
 }
 
 func fiveClasses() []Class {
-	return []Class{kindOf("a", 0.2, 100*ms, 800*ms, 1), kindOf("b", 0.2, 200*ms, 1600*ms, 2),
-		keyedFor(kindOf("c", 0.2, 300*ms, 2400*ms, 4), 20*time.Second), kindOf("d", 0.2, 400*ms, 3200*ms, 8),
-		lateWorth(kindOf("e", 0.2, 500*ms, 4000*ms, 20), 1)}
+	return []Class{testClass("a", 0.2, 100*ms, 800*ms, 1), testClass("b", 0.2, 200*ms, 1600*ms, 2),
+		withKeyWindow(testClass("c", 0.2, 300*ms, 2400*ms, 4), 20*time.Second), testClass("d", 0.2, 400*ms, 3200*ms, 8),
+		withLateWeight(testClass("e", 0.2, 500*ms, 4000*ms, 20), 1)}
 }
 
 // equalTenants are so many with one share each.
@@ -82,85 +82,85 @@
 	name    string
 	classes []Class
 	tenants []Tenant
-	load    float64 // of what the fleet can do; 0 is 1.25
+	load    float64 // attempt what the fleet can do; 0 is 1.25
 	change  func(w *Config)
 }
 
 func deployments() []deployment {
 	return []deployment{
-		{name: "aims ten times apart, no tenants", classes: aimsTenfold()},
-		{name: "aims ten times apart, four tenants", classes: aimsTenfold(), tenants: equalTenants(4)},
-		{name: "aims ten times apart, forty tenants", classes: aimsTenfold(), tenants: equalTenants(40)},
-		{name: "aims ten times apart, very unequal tenants", classes: aimsTenfold(), tenants: unequalTenants()},
-		{name: "worth twenty times apart, no tenants", classes: worthTwentyfold()},
-		{name: "worth twenty times apart, four tenants", classes: worthTwentyfold(), tenants: equalTenants(4)},
-		{name: "a rich class that must run once", classes: richAndUnsafe()},
-		{name: "a rare class with a short aim", classes: rareAndTight()},
-		{name: "a rare class with a short aim, forty tenants", classes: rareAndTight(), tenants: equalTenants(40)},
+		{name: "aims ten times apart, no tenants", classes: objectivesTenfold()},
+		{name: "aims ten times apart, four tenants", classes: objectivesTenfold(), tenants: equalTenants(4)},
+		{name: "aims ten times apart, forty tenants", classes: objectivesTenfold(), tenants: equalTenants(40)},
+		{name: "aims ten times apart, very unequal tenants", classes: objectivesTenfold(), tenants: unequalTenants()},
+		{name: "worth twenty times apart, no tenants", classes: weightsTwentyfold()},
+		{name: "worth twenty times apart, four tenants", classes: weightsTwentyfold(), tenants: equalTenants(4)},
+		{name: "a rich class that must run once", classes: heavyAndNonIdempotent()},
+		{name: "a rare class with a short aim", classes: rareWithShortObjective()},
+		{name: "a rare class with a short aim, forty tenants", classes: rareWithShortObjective(), tenants: equalTenants(40)},
 		{name: "five classes, no tenants", classes: fiveClasses()},
 		{name: "five classes, very unequal tenants", classes: fiveClasses(), tenants: unequalTenants()},
 		{name: "five classes at nine tenths", classes: fiveClasses(), load: 0.9},
-		{name: "no value is told", classes: aimsTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackNone }},
-		{name: "credit is told", classes: aimsTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackCredit }},
-		{name: "a weight is told", classes: aimsTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackWeight }},
-		{name: "no gauge of what wants a core", classes: aimsTenfold(), change: func(w *Config) { w.Servers.OmitRunnableGauge = true }},
-		{name: "work can't be stopped", classes: aimsTenfold(), change: func(w *Config) { w.Servers.CannotStopRuns = true }},
-		{name: "ten servers and five gateways", classes: aimsTenfold(), change: func(w *Config) {
+		{name: "no value is told", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackNone }},
+		{name: "credit is told", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackCredit }},
+		{name: "a weight is told", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackWeight }},
+		{name: "no gauge of what wants a core", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.OmitRunnableGauge = true }},
+		{name: "work can't be stopped", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.CannotStopRuns = true }},
+		{name: "ten servers and five gateways", classes: objectivesTenfold(), change: func(w *Config) {
 			w.Servers.Count, w.Servers.InitialEndpoints, w.Gateways[0].Count, w.Gateways[1].Count = 10, 10, 3, 2
 		}},
-		{name: "sixty servers and thirty gateways", classes: aimsTenfold(), change: func(w *Config) {
+		{name: "sixty servers and thirty gateways", classes: objectivesTenfold(), change: func(w *Config) {
 			w.Servers.InitialEndpoints, w.Gateways[0].Count, w.Gateways[1].Count = 60, 15, 15
 		}},
-		{name: "three gateways", classes: aimsTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 2, 1 }},
-		{name: "six hundred gateways", classes: aimsTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 300, 300 }},
-		{name: "gateways try no server again", classes: aimsTenfold(), change: func(w *Config) {
+		{name: "three gateways", classes: objectivesTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 2, 1 }},
+		{name: "six hundred gateways", classes: objectivesTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 300, 300 }},
+		{name: "gateways try no server again", classes: objectivesTenfold(), change: func(w *Config) {
 			w.Gateways[0].Retry, w.Gateways[1].Retry = RetryNever, RetryNever
 		}},
-		{name: "gateways that heed nothing", classes: aimsTenfold(), load: 1.1, change: func(w *Config) {
+		{name: "gateways that heed nothing", classes: objectivesTenfold(), load: 1.1, change: func(w *Config) {
 			w.Servers.MaxRetryAfter, w.Gateways[0].HonorsFeedback, w.Gateways[1].HonorsFeedback = 0, false, false
 		}},
-		{name: "thirty-two cores", classes: aimsTenfold(), change: func(w *Config) {
+		{name: "thirty-two cores", classes: objectivesTenfold(), change: func(w *Config) {
 			w.Servers.MemoryKB *= 32 / float64(w.Servers.Cores)
 			w.Servers.Cores, w.Servers.Count = 32, 2
 		}},
-		{name: "little memory, much of it for keys", classes: worthTwentyfold(), change: func(w *Config) {
+		{name: "little memory, much of it for keys", classes: weightsTwentyfold(), change: func(w *Config) {
 			keyed := w.Capacity() / float64(w.Servers.Count) * w.Classes[2].Share * w.Classes[2].KeyWindow.Seconds()
 			w.Servers.MemoryKB = 10 * float64(w.Servers.Cores) * w.Servers.RunningMemoryFactor * w.Servers.RequestKB[1]
 			w.Servers.KeyKB = 0.4 * w.Servers.MemoryKB / keyed
 		}},
-		{name: "half of the servers die and come back cold", classes: aimsTenfold(), load: 0.9, change: func(w *Config) {
+		{name: "half of the servers die and come back cold", classes: objectivesTenfold(), load: 0.9, change: func(w *Config) {
 			w.Servers.InitialCapacity, w.Servers.WarmUpTime = 0.2, 10*time.Second
 			w.Incidents = []Incident{{Kind: ServerCrash, Start: 3 * time.Second, Duration: 4 * time.Second, ServerShare: 0.5}}
 		}},
-		{name: "slow for a while", classes: aimsTenfold(), load: 0.9, change: func(w *Config) {
+		{name: "slow for a while", classes: objectivesTenfold(), load: 0.9, change: func(w *Config) {
 			w.Incidents = []Incident{{Kind: SlowServers, Start: 3 * time.Second, Duration: 5 * time.Second, ServerShare: 0.5, Magnitude: 8}}
 		}},
-		{name: "a release", classes: worthTwentyfold(), load: 0.9, change: func(w *Config) {
+		{name: "a release", classes: weightsTwentyfold(), load: 0.9, change: func(w *Config) {
 			w.Incidents = []Incident{{Kind: RollingDeploy, Start: 3 * time.Second, Duration: 10 * time.Second, ServerShare: 0.98, Magnitude: 0.2}}
 		}},
 	}
 }
 
-// world is the deployment in a part of its fleet.
-func (d *deployment) world() Config {
-	w := DefaultConfig()
-	w.Name, w.Duration = d.name, 30*time.Second
-	w.Classes, w.Tenants = d.classes, d.tenants
-	w.Servers.Count, w.Servers.InitialEndpoints = playedServers, fleetServers
-	w.Gateways = []GatewayConfig{{Count: fleetGateways / 2, Share: 0.5, Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true},
+// config is the deployment in a part of its fleet.
+func (d *deployment) config() Config {
+	config := DefaultConfig()
+	config.Name, config.Duration = d.name, 30*time.Second
+	config.Classes, config.Tenants = d.classes, d.tenants
+	config.Servers.Count, config.Servers.InitialEndpoints = simulatedServers, fleetServers
+	config.Gateways = []GatewayConfig{{Count: fleetGateways / 2, Share: 0.5, Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true},
 		{Count: fleetGateways / 2, Share: 0.5, Balancing: PowerOfTwo, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true}}
 	if d.change != nil {
-		d.change(&w)
+		d.change(&config)
 	}
 	load := d.load
 	if load == 0 {
 		load = 1.25
 	}
-	w.SetLoad(load)
-	for i := range w.Tenants {
-		w.Tenants[i].Quota *= float64(w.Servers.InitialEndpoints) / float64(w.Servers.Count)
+	config.SetLoad(load)
+	for i := range config.Tenants {
+		config.Tenants[i].Quota *= float64(config.Servers.InitialEndpoints) / float64(config.Servers.Count)
 	}
-	return w
+	return config
 }
 
 // TestNoClassStarves plays deployments of 300 servers and 150 gateways: in an overload, and after a fault, each class is
@@ -168,14 +168,14 @@
 func TestNoClassStarves(t *testing.T) {
 	for _, d := range deployments() {
 		t.Run(d.name, func(t *testing.T) {
-			r := play(t, d.world(), AdmissionModule, 1)
+			r := mustRun(t, d.config(), AdmissionModule, 1)
 			if len(r.ViolationMessages) > 0 {
 				t.Errorf("rules broken: %v", r.ViolationMessages)
 			}
 			possible := min(1, 1/r.Load)
 			for _, c := range r.Classes {
 				t.Logf("%s: served %.3f, the fleet can serve %.3f of all", c.Name, c.GoodputShare, possible)
-				if c.GoodputShare < fairShare*possible {
+				if c.GoodputShare < minFairShare*possible {
 					t.Errorf("class %s is hardly served: %.3f of it, where the fleet can serve %.3f of all", c.Name, c.GoodputShare, possible)
 				}
 			}
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -19,7 +19,7 @@
 	MachinePause       IncidentKind = "pause"   // a part of the machines stand still altogether
 	RollingDeploy      IncidentKind = "deploy"  // a part of the servers are replaced one batch after the other, of Size of the fleet each
 	EndpointListFreeze IncidentKind = "freeze"  // the list of servers stands still
-	FailingRuns        IncidentKind = "failing" // of a part of the servers, a part Size of the runs end with an error
+	FailingRuns        IncidentKind = "failing" // attempt a part of the servers, a part Size of the runs end with an error
 )
 
 // IncidentKinds are all kinds of incident.
@@ -35,7 +35,7 @@
 	Kind        IncidentKind  `json:"What"`
 	Start       time.Duration `json:"From"`
 	Duration    time.Duration `json:"For"`
-	ServerShare float64       `json:"Part"` // of the servers
+	ServerShare float64       `json:"Part"` // attempt the servers
 	Magnitude   float64       `json:"Size"`
 	RampTime    time.Duration `json:"Rise"`
 }
@@ -52,7 +52,7 @@
 	return text
 }
 
-func (i *Incident) check() error {
+func (i *Incident) validate() error {
 	switch {
 	case !i.IsKnown():
 		return fmt.Errorf("no incident is called %q, want one of %v", i.Kind, IncidentKinds())
@@ -67,110 +67,112 @@
 	return nil
 }
 
-// trouble is an incident under way.
-type trouble struct {
+// activeIncident is an incident under way.
+type activeIncident struct {
 	*Incident
-	sim     *sim
-	n       int
+	sim     *simulation
+	index   int
 	servers []*server
 }
 
-func newTrouble(s *sim, n int, i *Incident) *trouble { return &trouble{Incident: i, sim: s, n: n} }
+func newActiveIncident(s *simulation, n int, i *Incident) *activeIncident {
+	return &activeIncident{Incident: i, sim: s, index: n}
+}
 
-// begin has it strike.
-func (t *trouble) begin() {
-	rng := stream(t.sim.seed, "incident", t.n)
+// start has it strike.
+func (t *activeIncident) begin() {
+	rng := newRandom(t.sim.seed, "incident", t.index)
 	switch t.Kind {
 	case RateJump:
 		return // the arrivals jump by themselves
 	case HalfOutage:
 		for _, s := range t.sim.servers {
-			if s.n%2 == 1 {
+			if s.index%2 == 1 {
 				t.servers = append(t.servers, s)
 			}
 		}
 	case ServerCrash:
-		t.servers = t.sim.drawServers(rng, t.ServerShare, func(s *server) bool { return s.up })
+		t.servers = t.sim.drawServers(rng, t.ServerShare, func(s *server) bool { return s.isUp })
 	default:
 		t.servers = t.sim.drawServers(rng, t.ServerShare, nil)
 	}
-	t.sim.queue.set(t.sim.now+t.Duration, t.sim, incidentEnds, t)
+	t.sim.events.schedule(t.sim.now+t.Duration, t.sim, eventIncidentEnd, t)
 	if t.Kind == RollingDeploy {
 		rng.Shuffle(len(t.servers), func(i, j int) { t.servers[i], t.servers[j] = t.servers[j], t.servers[i] })
-		t.step()
+		t.deployNextBatch()
 		return
 	}
 	for _, s := range t.servers {
-		t.strike(s)
+		t.applyTo(s)
 	}
 	if t.Kind == EndpointListFreeze {
 		t.sim.frozen++
 	}
 }
 
-// strike has it strike one server.
-func (t *trouble) strike(s *server) {
+// applyTo has it strike one server.
+func (t *activeIncident) applyTo(s *server) {
 	s.advance()
 	switch t.Kind {
 	case ServerCrash, HalfOutage:
-		s.die(true)
+		s.terminate(true)
 	case SlowServers:
-		s.slow = max(s.slow, 1) * t.Magnitude
+		s.slowdown = max(s.slowdown, 1) * t.Magnitude
 	case HungWork:
-		s.stuck++
+		s.hangs++
 	case FailingRuns:
-		s.failing = t.Magnitude
+		s.failureShare = t.Magnitude
 	case MachinePause:
-		s.pause()
+		s.pauseMachine()
 		return
 	}
-	s.setSpeed()
-	s.look()
+	s.updateSpeed()
+	s.rescheduleCores()
 }
 
-// step replaces one batch of a deploy and has the next follow.
-func (t *trouble) step() {
+// deployNextBatch replaces one batch of a deploy and has the next follow.
+func (t *activeIncident) deployNextBatch() {
 	batch := max(int(t.Magnitude*float64(len(t.sim.servers))+0.5), 1)
 	steps := (int(t.ServerShare*float64(len(t.sim.servers))+0.5) + batch - 1) / batch
 	for range batch {
 		if len(t.servers) == 0 {
 			return
 		}
-		t.servers[0].drain()
+		t.servers[0].beginDrain()
 		t.servers = t.servers[1:]
 	}
 	if len(t.servers) > 0 {
-		t.sim.queue.set(t.sim.now+t.Duration/time.Duration(max(steps, 1)), t.sim, incidentStep, t)
+		t.sim.events.schedule(t.sim.now+t.Duration/time.Duration(max(steps, 1)), t.sim, eventDeployStep, t)
 	}
 }
 
-// end has it be over.
-func (t *trouble) end() {
+// finishRun has it be over.
+func (t *activeIncident) end() {
 	for _, s := range t.servers {
 		s.advance()
 		switch t.Kind {
 		case ServerCrash, HalfOutage:
-			if !s.up {
-				t.sim.queue.set(t.sim.now, s, comesUp, nil)
+			if !s.isUp {
+				t.sim.events.schedule(t.sim.now, s, eventStart, nil)
 			}
 		case SlowServers:
-			s.slow /= t.Magnitude
+			s.slowdown /= t.Magnitude
 		case HungWork:
-			s.stuck--
+			s.hangs--
 		case FailingRuns:
-			s.failing = 0
+			s.failureShare = 0
 		case MachinePause:
-			s.goOn()
+			s.resumeMachine()
 			continue
 		case RollingDeploy:
 			continue
 		}
-		if s.up {
-			s.setSpeed()
-			s.look()
+		if s.isUp {
+			s.updateSpeed()
+			s.rescheduleCores()
 		}
 	}
 	if t.Kind == EndpointListFreeze {
-		t.sim.thaw()
+		t.sim.unfreezeEndpoints()
 	}
 }
--- a/internal/clustersim/queueing_theory_test.go
+++ b/internal/clustersim/queueing_theory_test.go
@@ -13,44 +13,44 @@
 	"tillerusher/internal/baseline"
 )
 
-// bare is a world in which nothing but arrivals and cores counts: what theory knows of it holds exactly.
-func bare(servers, cores int, work time.Duration, dist Distribution, cv, load float64, span time.Duration) Config {
-	w := Config{Name: "bare", Duration: span,
+// bareConfig is a world in which nothing but arrivals and cores counts: what theory knows of it holds exactly.
+func bareConfig(servers, cores int, work time.Duration, distribution Distribution, cv, load float64, duration time.Duration) Config {
+	config := Config{Name: "bare", Duration: duration,
 		Servers: ServerConfig{Count: servers, Cores: cores, Speed: 1, MemoryKB: 1e12, RequestKB: [2]float64{1, 1}, RunningMemoryFactor: 1, InitialCapacity: 1,
 			MaxConcurrencyFactor: 1e9, ConcurrencyWindow: time.Hour, BacklogPerCore: 1 << 20, Tick: time.Millisecond, HealthCheckInterval: time.Second},
-		Classes:       []Class{{Name: "c", Share: 1, MeanWork: work, Distribution: dist, CV: cv, LatencyObjective: 10 * time.Hour, Deadline: 20 * time.Hour, Weight: 1}},
+		Classes:       []Class{{Name: "c", Share: 1, MeanWork: work, Distribution: distribution, CV: cv, LatencyObjective: 10 * time.Hour, Deadline: 20 * time.Hour, Weight: 1}},
 		Gateways:      []GatewayConfig{{Count: 1, Share: 1, Balancing: RoundRobin, Retry: RetryNever, MaxAttempts: 1}},
 		Arrival:       arrival.Config{Kind: arrival.Poisson},
 		ResourceCount: 1}
-	w.Arrival.Rate = load * float64(servers*cores) / work.Seconds()
-	return w
+	config.Arrival.Rate = load * float64(servers*cores) / work.Seconds()
+	return config
 }
 
-// means plays worlds of several seeds and returns the mean time in them with the half width of its interval at 99 %
+// meanLatency plays worlds of several seeds and returns the mean time in them with the half width of its interval at 99 %
 // (Student's t over the seeds).
-func means(t *testing.T, w Config, p PolicyFactory, seeds int) (mean, half float64) {
+func meanLatency(t *testing.T, config Config, policy PolicyFactory, seeds int) (mean, halfWidth float64) {
 	t.Helper()
-	var all []float64
+	var latencies []float64
 	for seed := range seeds {
-		r, err := Run(context.Background(), w, p, uint64(seed+1))
+		r, err := Run(context.Background(), config, policy, uint64(seed+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r.Served != r.Requests || len(r.ViolationMessages) > 0 {
 			t.Fatalf("%d of %d served, %v", r.Served, r.Requests, r.ViolationMessages)
 		}
-		all = append(all, r.meanSeconds())
+		latencies = append(latencies, r.meanSeconds())
 	}
 	sum := 0.0
-	for _, m := range all {
+	for _, m := range latencies {
 		sum += m
 	}
-	mean = sum / float64(len(all))
+	mean = sum / float64(len(latencies))
 	squares := 0.0
-	for _, m := range all {
+	for _, m := range latencies {
 		squares += (m - mean) * (m - mean)
 	}
-	n := float64(len(all))
+	n := float64(len(latencies))
 	quantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.995)
 	return mean, quantile * math.Sqrt(squares/(n-1)/n)
 }
@@ -65,12 +65,12 @@
 	return b / (1 - rho*(1-b))
 }
 
-// scale is how much longer the worlds of theory are played than in CI; docs/design/model.md has what 20 showed.
-var scale = flag.Float64("scale", 1, "how much longer the worlds of theory are played")
+// durationScale is how much longer the worlds of theory are played than in CI; docs/design/model.md has what 20 showed.
+var durationScale = flag.Float64("scale", 1, "how much longer the worlds of theory are played")
 
-// TestTheory holds the model against formulas that are exact: it must come within 1 % of each, or within the interval of
+// TestQueueingTheory holds the model against formulas that are exact: it must come within 1 % of each, or within the interval of
 // its own play where that is wider.
-func TestTheory(t *testing.T) {
+func TestQueueingTheory(t *testing.T) {
 	const work = 100 * time.Millisecond
 	s := work.Seconds()
 	for _, c := range []struct {
@@ -79,42 +79,42 @@
 		policy PolicyFactory
 		want   float64
 	}{
-		{"M/M/1 by Erlang", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.BoundedQueue(1, -1), s / (1 - 0.7)},
-		{"M/M/6 by Erlang C", bare(1, 6, work, Exponential, 1, 0.85, 4*time.Hour), baseline.BoundedQueue(1, -1),
+		{"M/M/1 by Erlang", bareConfig(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.BoundedQueue(1, -1), s / (1 - 0.7)},
+		{"M/M/6 by Erlang C", bareConfig(1, 6, work, Exponential, 1, 0.85, 4*time.Hour), baseline.BoundedQueue(1, -1),
 			s + erlangC(6, 6*0.85)*s/(6*(1-0.85))},
-		{"M/D/1 by Pollaczek and Khinchine", bare(1, 1, work, Constant, 0, 0.8, 8*time.Hour), baseline.BoundedQueue(1, -1),
+		{"M/D/1 by Pollaczek and Khinchine", bareConfig(1, 1, work, Constant, 0, 0.8, 8*time.Hour), baseline.BoundedQueue(1, -1),
 			s + 0.8*s/(2*(1-0.8))},
-		{"M/G/1 by Pollaczek and Khinchine", bare(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), baseline.BoundedQueue(1, -1),
+		{"M/G/1 by Pollaczek and Khinchine", bareConfig(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), baseline.BoundedQueue(1, -1),
 			s + 0.6*s*(1+1.2*1.2)/(2*(1-0.6))},
-		{"M/M/1-PS", bare(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.NoLimit, s / (1 - 0.7)},
-		{"M/G/1-PS, which work's spread does not change", bare(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
+		{"M/M/1-PS", bareConfig(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.NoLimit, s / (1 - 0.7)},
+		{"M/G/1-PS, which work's spread does not change", bareConfig(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
 	} {
-		c.world.Duration = time.Duration(float64(c.world.Duration) / 20 * *scale)
-		mean, half := means(t, c.world, c.policy, 12)
+		c.world.Duration = time.Duration(float64(c.world.Duration) / 20 * *durationScale)
+		mean, halfWidth := meanLatency(t, c.world, c.policy, 12)
 		off := math.Abs(mean-c.want) / c.want
-		t.Logf("%-48s %.5f s +- %.5f, the formula %.5f, %.2f %% off", c.name, mean, half, c.want, 100*off)
-		if off > max(0.01, half/c.want) {
+		t.Logf("%-48s %.5f s +- %.5f, the formula %.5f, %.2f %% off", c.name, mean, halfWidth, c.want, 100*off)
+		if off > max(0.01, halfWidth/c.want) {
 			t.Errorf("%s: %.5f s, the formula says %.5f", c.name, mean, c.want)
 		}
 	}
 }
 
-// TestTwoChoices holds the fleet under gateways that choose of two against the limit for many servers (Mitzenmacher, 1996):
+// TestPowerOfTwo holds the fleet under gateways that choose of two against the limit for many servers (Mitzenmacher, 1996):
 // the mean time is the sum of rho^(2^i-2).
-func TestTwoChoices(t *testing.T) {
+func TestPowerOfTwo(t *testing.T) {
 	const work = 100 * time.Millisecond
 	for _, rho := range []float64{0.5, 0.7} {
-		w := bare(500, 1, work, Exponential, 1, rho, time.Duration(float64(12*time.Second)**scale))
-		w.Gateways[0].Balancing = PowerOfTwo
+		config := bareConfig(500, 1, work, Exponential, 1, rho, time.Duration(float64(12*time.Second)**durationScale))
+		config.Gateways[0].Balancing = PowerOfTwo
 		want, term := 0.0, 1.0
 		for i := 1; term > 1e-12; i++ {
 			term = math.Pow(rho, math.Pow(2, float64(i))-2)
 			want += term * work.Seconds()
 		}
-		mean, half := means(t, w, baseline.BoundedQueue(1, -1), 4)
+		mean, halfWidth := meanLatency(t, config, baseline.BoundedQueue(1, -1), 4)
 		off := math.Abs(mean-want) / want
-		t.Logf("load %.1f: %.5f s +- %.5f, the limit %.5f, %.2f %% off", rho, mean, half, want, 100*off)
-		if off > max(0.02, half/want) { // it starts empty
+		t.Logf("load %.1f: %.5f s +- %.5f, the limit %.5f, %.2f %% off", rho, mean, halfWidth, want, 100*off)
+		if off > max(0.02, halfWidth/want) { // it starts empty
 			t.Errorf("load %.1f: %.5f s, the limit %.5f", rho, mean, want)
 		}
 	}
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -10,98 +10,98 @@
 
 // The events of a server.
 const (
-	arrives  uint8 = iota // a try, ref is the *visit
-	coresDue              // a job is done, or may be
-	timerDue              // the module's
-	deferred              // what an action led to, ref is a func()
-	watches               // the crowd on its cores
-	warms                 // its speed has changed
-	comesUp               // a process starts
-	leaves                // its listener closes
-	stops                 // its process is ended
+	eventAttemptArrival   uint8 = iota // a try, ref is the *visit
+	eventCoresDue                      // a job is done, or may be
+	eventModuleTimer                   // the module's
+	eventDeferred                      // kind an action led to, ref is a func()
+	eventConcurrencyCheck              // the crowd on its cores
+	eventWarmUp                        // its speed has changed
+	eventStart                         // a process starts
+	eventListenerClose                 // its listener closes
+	eventStop                          // its process is ended
 )
 
-// entry is what a server remembers under a key.
-type entry struct {
-	holder   *visit // that the module keeps, until then
-	until    time.Duration
-	ran      *visit // that was run, whose arrivals until then must not be run again
-	ranUntil time.Duration
+// keyEntry is what a server remembers under a key.
+type keyEntry struct {
+	holder       *attempt // that the module keeps, until then
+	heldUntil    time.Duration
+	lastRun      *attempt // that was run, whose arrivals until then must not be run again
+	lastRunUntil time.Duration
 }
 
 // server is one catalogue server: what it has to offer its module, and what its module has it do.
 type server struct {
-	sim   *sim
-	n     int
-	full  float64 // speed of its cores when warm
-	slow  float64 // how many times slower it is for the time being
-	stuck int     // incidents under which its work stands still
-	still int     // incidents under which the whole machine does
-
-	up       bool
-	life     int
-	module   admission.Events
-	started  time.Duration
-	cold     bool
-	draining bool
-	closed   bool // it takes no connections
-
-	cores    cores
-	coresAt  *event
-	unread   []*visit
-	reading  int
-	visits   map[admission.RequestID]*visit
-	lastID   admission.RequestID
-	keys     map[uint64]*entry
-	holders  map[admission.RequestID]uint64 // the keys that tries hold
-	swept    time.Duration
-	touched  bool
-	value    float64 // what callers read
-	told     bool    // it has set that value
-	healthy  bool
-	runTime  float64       // running requests times seconds, since the start
-	runTimes []float64     // the same at each look
-	failing  float64       // part of its runs that end with an error
-	pausedAt time.Duration // since when the machine stands still
-	waiting  []*event      // that came meanwhile
-}
-
-// begin starts a process.
-func (s *server) begin(cold bool) {
-	w := &s.sim.world
-	s.life++
-	s.up, s.cold, s.draining, s.closed, s.started = true, cold, false, false, s.sim.now
-	s.cores = cores{n: float64(w.Servers.Cores), thrash: w.Servers.ThrashFactor, thrashAt: w.Servers.ThrashThreshold, last: s.sim.now}
-	s.visits, s.keys, s.holders = map[admission.RequestID]*visit{}, map[uint64]*entry{}, map[admission.RequestID]uint64{}
-	s.unread, s.reading, s.runTime, s.runTimes = nil, 0, 0, nil
-	s.value, s.told, s.healthy = 0, false, true
-	s.setSpeed()
+	sim       *simulation
+	index     int
+	fullSpeed float64 // speed of its cores when warm
+	slowdown  float64 // how many times slower it is for the time being
+	hangs     int     // incidents under which its work stands still
+	pauses    int     // incidents under which the whole machine does
+
+	isUp           bool
+	generation     int
+	module         admission.Events
+	startedAt      time.Duration
+	startedCold    bool
+	draining       bool
+	listenerClosed bool // it takes no connections
+
+	cores             cores
+	coresEvent        *event
+	unread            []*attempt
+	reading           int
+	attempts          map[admission.RequestID]*attempt
+	lastID            admission.RequestID
+	keys              map[uint64]*keyEntry
+	heldKeys          map[admission.RequestID]uint64 // the keys that tries hold
+	keysSweptAt       time.Duration
+	isUnsettled       bool
+	feedback          float64 // kind callers read
+	hasFeedback       bool    // it has set that value
+	healthy           bool
+	runSeconds        float64       // stateRunning requests times seconds, since the start
+	runSecondsSamples []float64     // the same at each look
+	failureShare      float64       // part of its runs that end with an error
+	pausedAt          time.Duration // since when the machine stands still
+	pausedEvents      []*event      // that came meanwhile
+}
+
+// start starts a process.
+func (s *server) start(cold bool) {
+	w := &s.sim.config
+	s.generation++
+	s.isUp, s.startedCold, s.draining, s.listenerClosed, s.startedAt = true, cold, false, false, s.sim.now
+	s.cores = cores{count: float64(w.Servers.Cores), thrashFactor: w.Servers.ThrashFactor, thrashThreshold: w.Servers.ThrashThreshold, updatedAt: s.sim.now}
+	s.attempts, s.keys, s.heldKeys = map[admission.RequestID]*attempt{}, map[uint64]*keyEntry{}, map[admission.RequestID]uint64{}
+	s.unread, s.reading, s.runSeconds, s.runSecondsSamples = nil, 0, 0, nil
+	s.feedback, s.hasFeedback, s.healthy = 0, false, true
+	s.updateSpeed()
 	if cold && w.Servers.WarmUpTime > 0 {
-		s.later(w.Servers.WarmUpTime/40, warms, nil)
+		s.schedule(w.Servers.WarmUpTime/40, eventWarmUp, nil)
 	}
 	if w.Servers.MaxConcurrencyFactor > 0 {
-		s.later(w.Servers.ConcurrencyWindow/watchParts, watches, nil)
+		s.schedule(w.Servers.ConcurrencyWindow/concurrencySamples, eventConcurrencyCheck, nil)
 	}
-	set := w.settings()
+	set := w.admissionSettings()
 	set.WarmingUp = cold
-	module, err := s.sim.policy(set, s)
+	module, err := s.sim.newModule(set, s)
 	if err != nil {
 		s.sim.fail(err)
 		return
 	}
 	s.module = module
-	s.touch()
-	s.sim.list(s, true)
-	s.sim.observer.began(s.n)
+	s.markUnsettled()
+	s.sim.announceEndpoint(s, true)
+	s.sim.checker.serverStarted(s.index)
 }
 
-// settings is what a module is told of the world.
-func (w *Config) settings() admission.Settings {
+// admissionSettings is what a module is told of the world.
+func (w *Config) admissionSettings() admission.Settings {
 	s := &w.Servers
 	set := admission.Settings{Servers: s.Count, Cores: s.Cores, Tick: s.Tick, InitialCapacity: s.InitialCapacity, WarmUpTime: s.WarmUpTime,
 		MemoryKB: s.MemoryKB, KeyKB: s.KeyKB, RunningMemoryFactor: s.RunningMemoryFactor, MaxConcurrencyFactor: s.MaxConcurrencyFactor, DrainGracePeriod: s.DrainGracePeriod,
 		StopMode: admission.StopDiscard, MaxRetryAfter: s.MaxRetryAfter, CallerIdleTimeout: s.CallerIdleTimeout}
-	set.Feedback, _ = s.Feedback.module()
+	set.Feedback, _ = s.Feedback.admissionFeedback()
 	if s.CannotStopRuns {
 		set.StopMode = admission.StopNone
 	}
@@ -127,433 +127,433 @@
 	return set
 }
 
-// later has an event come to this process.
-func (s *server) later(wait time.Duration, what uint8, ref any) {
-	e := s.sim.queue.set(s.sim.now+max(wait, 0), s, what, ref)
-	e.n = uint32(s.life)
+// retryEvent has an event come to this process.
+func (s *server) schedule(wait time.Duration, what uint8, ref any) {
+	e := s.sim.events.schedule(s.sim.now+max(wait, 0), s, what, ref)
+	e.generation = uint32(s.generation)
 }
 
-// touch has the module settle at the end of this instant.
-func (s *server) touch() {
-	if !s.touched {
-		s.touched = true
-		s.sim.touched = append(s.sim.touched, s)
+// markUnsettled has the module settle at the end of this instant.
+func (s *server) markUnsettled() {
+	if !s.isUnsettled {
+		s.isUnsettled = true
+		s.sim.unsettled = append(s.sim.unsettled, s)
 	}
 }
 
 // settle ends an instant.
 func (s *server) settle() {
-	s.touched = false
-	if s.up && s.still == 0 {
+	s.isUnsettled = false
+	if s.isUp && s.pauses == 0 {
 		s.module.Settle(s.sim.now)
-		s.look()
+		s.rescheduleCores()
 	}
 }
 
-// look sets when the cores are next due.
-func (s *server) look() {
-	at, ok := s.cores.next()
+// rescheduleCores sets when the cores are next due.
+func (s *server) rescheduleCores() {
+	at, ok := s.cores.nextFinish()
 	switch {
-	case !ok || !s.up || s.still > 0:
-		s.sim.queue.drop(s.coresAt)
-	case s.coresAt == nil:
-		s.coresAt = s.sim.queue.set(at, s, coresDue, nil)
-	case s.coresAt.pos < 0 || s.coresAt.at != at:
-		s.sim.queue.put(s.coresAt, at)
+	case !ok || !s.isUp || s.pauses > 0:
+		s.sim.events.cancel(s.coresEvent)
+	case s.coresEvent == nil:
+		s.coresEvent = s.sim.events.schedule(at, s, eventCoresDue, nil)
+	case s.coresEvent.index < 0 || s.coresEvent.at != at:
+		s.sim.events.reschedule(s.coresEvent, at)
 	}
 }
 
 // advance brings the cores up to now.
 func (s *server) advance() {
-	s.runTime += float64(s.cores.runs) * max(s.sim.now-s.cores.last, 0).Seconds()
+	s.runSeconds += float64(s.cores.runCount) * max(s.sim.now-s.cores.updatedAt, 0).Seconds()
 	s.cores.advance(s.sim.now)
 }
 
 // handle implements handler.
 func (s *server) handle(e *event) {
-	if s.still > 0 && e.what != comesUp {
-		s.waiting = append(s.waiting, s.sim.copyOf(e)) // the machine takes it in when it goes on
+	if s.pauses > 0 && e.kind != eventStart {
+		s.pausedEvents = append(s.pausedEvents, s.sim.cloneEvent(e)) // the machine takes it in when it goes on
 		return
 	}
-	mine := int(e.n) == s.life && s.up
-	switch e.what {
-	case arrives:
-		s.arrive(e.ref.(*visit))
-	case coresDue:
-		if s.up {
-			s.work()
+	mine := int(e.generation) == s.generation && s.isUp
+	switch e.kind {
+	case eventAttemptArrival:
+		s.acceptAttempt(e.payload.(*attempt))
+	case eventCoresDue:
+		if s.isUp {
+			s.completeJobs()
 		}
-	case timerDue:
+	case eventModuleTimer:
 		if mine {
 			s.advance()
-			s.module.Timer(s.sim.now, uint32(e.ref.(token)), s.gauges())
-			s.touch()
+			s.module.Timer(s.sim.now, uint32(e.payload.(timerToken)), s.gauges())
+			s.markUnsettled()
 		}
-	case deferred:
+	case eventDeferred:
 		if mine {
-			e.ref.(func())()
+			e.payload.(func())()
 		}
-	case watches:
+	case eventConcurrencyCheck:
 		if mine {
-			s.watch()
+			s.checkConcurrency()
 		}
-	case warms:
+	case eventWarmUp:
 		if mine {
 			s.advance()
-			if s.setSpeed(); s.sim.now-s.started < s.sim.world.Servers.WarmUpTime {
-				s.later(s.sim.world.Servers.WarmUpTime/40, warms, nil)
+			if s.updateSpeed(); s.sim.now-s.startedAt < s.sim.config.Servers.WarmUpTime {
+				s.schedule(s.sim.config.Servers.WarmUpTime/40, eventWarmUp, nil)
 			}
-			s.look()
+			s.rescheduleCores()
 		}
-	case comesUp:
-		if !s.up {
-			s.begin(true)
+	case eventStart:
+		if !s.isUp {
+			s.start(true)
 		}
-	case leaves:
+	case eventListenerClose:
 		if mine {
-			s.closed = true
-			s.goIfDone()
+			s.listenerClosed = true
+			s.stopIfDrained()
 		}
-	case stops:
+	case eventStop:
 		if mine {
-			s.die(false)
-			s.sim.queue.set(s.sim.now, s, comesUp, nil) // its successor
+			s.terminate(false)
+			s.sim.events.schedule(s.sim.now, s, eventStart, nil) // its successor
 		}
 	}
 }
 
 // gauges are the readings of the server, as far as its site tells them.
 func (s *server) gauges() admission.Gauges {
-	g := admission.Gauges{Utilization: s.cores.busy, Runnable: float64(len(s.cores.jobs))}
-	if s.sim.world.Servers.OmitRunnableGauge {
+	g := admission.Gauges{Utilization: s.cores.utilization, Runnable: float64(len(s.cores.jobs))}
+	if s.sim.config.Servers.OmitRunnableGauge {
 		g.Runnable = -1
 	}
 	return g
 }
 
-// token is that of a timer.
-type token uint32
+// timerToken is that of a timer.
+type timerToken uint32
 
-// warmth is the part of its full speed that a process has by the time since its start.
-func (s *server) warmth() float64 {
-	w := &s.sim.world.Servers
-	if !s.cold || w.WarmUpTime == 0 {
+// warmUpShare is the part of its full speed that a process has by the time since its start.
+func (s *server) warmUpShare() float64 {
+	w := &s.sim.config.Servers
+	if !s.startedCold || w.WarmUpTime == 0 {
 		return 1
 	}
-	return min(1, w.InitialCapacity+(1-w.InitialCapacity)*float64(s.sim.now-s.started)/float64(w.WarmUpTime))
+	return min(1, w.InitialCapacity+(1-w.InitialCapacity)*float64(s.sim.now-s.startedAt)/float64(w.WarmUpTime))
 }
 
-// setSpeed sets the speed of the cores by how warm and how slow the server is.
-func (s *server) setSpeed() {
-	s.cores.speed = s.full * s.warmth() / max(s.slow, 1)
-	if s.stuck > 0 {
+// updateSpeed sets the speed of the cores by how warm and how slow the server is.
+func (s *server) updateSpeed() {
+	s.cores.speed = s.fullSpeed * s.warmUpShare() / max(s.slowdown, 1)
+	if s.hangs > 0 {
 		s.cores.speed = 0
 	}
 }
 
-// arrive takes in a try that reached the machine.
-func (s *server) arrive(v *visit) {
-	w := &s.sim.world.Servers
-	if !s.up || s.closed || v.life != s.life || len(s.unread) >= w.BacklogPerCore*w.Cores {
-		s.sim.answer(v, unreachable, 0, false)
+// acceptAttempt takes in a try that reached the machine.
+func (s *server) acceptAttempt(v *attempt) {
+	w := &s.sim.config.Servers
+	if !s.isUp || s.listenerClosed || v.generation != s.generation || len(s.unread) >= w.BacklogPerCore*w.Cores {
+		s.sim.deliverResult(v, outcomeUnreachable, 0, false)
 		return
 	}
-	v.arrived = s.sim.now
-	s.sim.observer.arrived(v.n, s.n, s.sim.now)
+	v.arrivedAt = s.sim.now
+	s.sim.checker.attemptArrived(v.number, s.index, s.sim.now)
 	s.unread = append(s.unread, v)
 	s.advance()
-	s.read()
-	s.look()
+	s.startReading()
+	s.rescheduleCores()
 }
 
-// read begins to read what lies unread, one request a core.
-func (s *server) read() {
-	for s.reading < s.sim.world.Servers.Cores && len(s.unread) > 0 {
+// startReading begins to read what lies unread, one request a core.
+func (s *server) startReading() {
+	for s.reading < s.sim.config.Servers.Cores && len(s.unread) > 0 {
 		v := s.unread[0]
 		s.unread[0] = nil
 		s.unread = s.unread[1:]
 		if s.sim.readWork == 0 {
-			s.request(v)
+			s.submitRequest(v)
 			continue
 		}
 		s.reading++
-		s.cores.add(&job{of: v, read: true}, s.sim.readWork)
+		s.cores.add(&job{attempt: v, isRead: true}, s.sim.readWork)
 	}
 }
 
-// work ends the jobs that are done.
-func (s *server) work() {
+// completeJobs ends the jobs that are done.
+func (s *server) completeJobs() {
 	s.advance()
-	for j := s.cores.done(); j != nil; j = s.cores.done() {
-		s.cores.take(j)
-		if j.read {
+	for j := s.cores.firstFinished(); j != nil; j = s.cores.firstFinished() {
+		s.cores.remove(j)
+		if j.isRead {
 			s.reading--
-			s.request(j.of)
-			s.read()
+			s.submitRequest(j.attempt)
+			s.startReading()
 		} else {
-			s.finish(j.of)
+			s.finishRun(j.attempt)
 		}
 	}
-	s.look()
+	s.rescheduleCores()
 }
 
-// request tells the module of a request that was read.
-func (s *server) request(v *visit) {
+// submitRequest tells the module of a request that was read.
+func (s *server) submitRequest(v *attempt) {
 	s.lastID++
-	v.id, v.state = s.lastID, held
-	s.visits[v.id] = v
-	s.sim.observer.wasRead(v.n, s.sim.now)
-	class := &s.sim.world.Classes[v.req.class]
-	q := admission.Request{ID: v.id, Class: v.req.class, Tenant: v.req.tenant, Caller: v.req.gateway.n, QueueingDelay: s.sim.now - v.arrived,
-		IsRetry: v.again, SizeKB: v.req.sizeKB}
+	v.id, v.state = s.lastID, stateQueued
+	s.attempts[v.id] = v
+	s.sim.checker.attemptRead(v.number, s.sim.now)
+	class := &s.sim.config.Classes[v.request.class]
+	q := admission.Request{ID: v.id, Class: v.request.class, Tenant: v.request.tenant, Caller: v.request.gateway.index, QueueingDelay: s.sim.now - v.arrivedAt,
+		IsRetry: v.isRetry, SizeKB: v.request.sizeKB}
 	if class.IdempotentByKey {
-		if v.repeats = s.find(v); v.repeats != nil {
-			q.RetryOf = v.repeats.id
+		if v.original = s.findOriginal(v); v.original != nil {
+			q.RetryOf = v.original.id
 		}
 	} else {
-		q.ResourceID = v.req.subject
+		q.ResourceID = v.request.resourceID
 	}
 	v.readAt = s.sim.now
-	if m, ok := s.module.(weigher); ok && s.sim.world.RecordRejectReasons {
-		v.reason = m.CheckAdmission(s.sim.now, q).Reason
+	if m, ok := s.module.(admissionChecker); ok && s.sim.config.RecordRejectReasons {
+		v.rejectReason = m.CheckAdmission(s.sim.now, q).Reason
 	}
 	s.module.Request(s.sim.now, q)
-	s.touch()
+	s.markUnsettled()
 	s.checkMemory()
 }
 
-// weigher is a module that can say why it would turn an arrival away.
-type weigher interface {
+// admissionChecker is a module that can say why it would turn an arrival away.
+type admissionChecker interface {
 	CheckAdmission(now time.Duration, q admission.Request) admission.AdmissionCheck
 }
 
-// find is the try that a new arrival repeats, or nil.
-func (s *server) find(v *visit) *visit {
-	if s.sim.now-s.swept > time.Second {
-		s.sweep()
+// findOriginal is the try that a new arrival repeats, or nil.
+func (s *server) findOriginal(v *attempt) *attempt {
+	if s.sim.now-s.keysSweptAt > time.Second {
+		s.sweepKeys()
 	}
-	e := s.keys[v.req.key]
+	e := s.keys[v.request.key]
 	switch {
 	case e == nil:
 		return nil
-	case e.holder != nil && v.arrived <= e.until:
+	case e.holder != nil && v.arrivedAt <= e.heldUntil:
 		return e.holder
-	case e.ran != nil && v.arrived <= e.ranUntil:
-		return e.ran
+	case e.lastRun != nil && v.arrivedAt <= e.lastRunUntil:
+		return e.lastRun
 	}
 	return nil
 }
 
-// sweep forgets entries that ran out.
-func (s *server) sweep() {
-	s.swept = s.sim.now
+// sweepKeys forgets entries that ran out.
+func (s *server) sweepKeys() {
+	s.keysSweptAt = s.sim.now
 	for k, e := range s.keys { // in any order: what is left does not depend on it
-		if (e.holder == nil || s.sim.now > e.until) && (e.ran == nil || s.sim.now > e.ranUntil) {
+		if (e.holder == nil || s.sim.now > e.heldUntil) && (e.lastRun == nil || s.sim.now > e.lastRunUntil) {
 			if e.holder != nil {
-				delete(s.holders, e.holder.id)
+				delete(s.heldKeys, e.holder.id)
 			}
 			delete(s.keys, k)
 		}
 	}
 }
 
-// finish ends a run that came to its end.
-func (s *server) finish(v *visit) {
+// finishRun ends a run that came to its end.
+func (s *server) finishRun(v *attempt) {
 	v.job = nil
-	s.sim.observer.ended(v.n, s.n)
+	s.sim.checker.runEnded(v.number, s.index)
 	outcome := admission.OK
-	if s.failing > 0 && s.sim.faults.Float64() < s.failing {
+	if s.failureShare > 0 && s.sim.faultRandom.Float64() < s.failureShare {
 		outcome = admission.Failed
 	}
-	s.end(v, outcome)
+	s.completeRun(v, outcome)
 }
 
-// end tells the gateway and the module how a run ended, and then those that waited for it.
-func (s *server) end(v *visit, o admission.Outcome) {
-	v.state, v.ok = ended, o == admission.OK
-	if v.ok {
-		s.answer(v, served, 0, false)
+// finishRun tells the gateway and the module how a run ended, and then those that waited for it.
+func (s *server) completeRun(v *attempt, o admission.Outcome) {
+	v.state, v.succeeded = stateEnded, o == admission.OK
+	if v.succeeded {
+		s.respond(v, outcomeServed, 0, false)
 	} else {
-		s.answer(v, failed, 0, false)
+		s.respond(v, outcomeFailed, 0, false)
 	}
 	s.module.RunFinished(s.sim.now, v.id, o)
-	for _, w := range v.waiters {
-		s.echo(w, v.ok)
+	for _, w := range v.followers {
+		s.replayOutcome(w, v.succeeded)
 	}
-	v.waiters = nil
-	s.drop(v)
-	s.touch()
-	s.goIfDone()
+	v.followers = nil
+	s.forgetIfDone(v)
+	s.markUnsettled()
+	s.stopIfDrained()
 }
 
-// echo answers a repeat with the outcome of the try that ran.
-func (s *server) echo(v *visit, ok bool) {
+// replayOutcome answers a repeat with the outcome of the try that ran.
+func (s *server) replayOutcome(v *attempt, ok bool) {
 	if v.answered {
 		return
 	}
-	outcome, kind := admission.Failed, failed
+	outcome, kind := admission.Failed, outcomeFailed
 	if ok {
-		outcome, kind = admission.OK, served
+		outcome, kind = admission.OK, outcomeServed
 	}
-	v.state = ended
-	s.answer(v, kind, 0, false)
+	v.state = stateEnded
+	s.respond(v, kind, 0, false)
 	s.module.RunFinished(s.sim.now, v.id, outcome)
-	s.drop(v)
-	s.touch()
+	s.forgetIfDone(v)
+	s.markUnsettled()
 }
 
-// drop forgets a try that is answered and does not run.
-func (s *server) drop(v *visit) {
-	if v.answered && v.state != running {
-		delete(s.visits, v.id)
+// cancel forgets a try that is answered and does not run.
+func (s *server) forgetIfDone(v *attempt) {
+	if v.answered && v.state != stateRunning {
+		delete(s.attempts, v.id)
 	}
 }
 
-// answer sends a try's final answer.
-func (s *server) answer(v *visit, k kind, stayAway time.Duration, last bool) {
+// deliverResult sends a try's final answer.
+func (s *server) respond(v *attempt, k outcome, stayAway time.Duration, last bool) {
 	if v.answered {
 		return
 	}
 	v.answered = true
-	s.sim.answer(v, k, stayAway, last)
+	s.sim.deliverResult(v, k, stayAway, last)
 }
 
 // Run implements admission.Actions.
 func (s *server) Run(id admission.RequestID) {
-	v := s.visits[id]
-	if v == nil || v.answered || v.state != held {
+	v := s.attempts[id]
+	if v == nil || v.answered || v.state != stateQueued {
 		return
 	}
-	if class := &s.sim.world.Classes[v.req.class]; class.IdempotentByKey {
-		e := s.key(v.req.key)
-		if e.ran != nil && e.ran != v && v.arrived <= e.ranUntil {
+	if class := &s.sim.config.Classes[v.request.class]; class.IdempotentByKey {
+		e := s.ensureKey(v.request.key)
+		if e.lastRun != nil && e.lastRun != v && v.arrivedAt <= e.lastRunUntil {
 			s.sim.result.PreventedReruns++ // as the server prevents it, whatever the module says
-			v.state = ended
-			s.answer(v, failed, 0, false)
-			s.later(0, deferred, func() { s.module.RunFinished(s.sim.now, id, admission.Failed); s.touch() })
+			v.state = stateEnded
+			s.respond(v, outcomeFailed, 0, false)
+			s.schedule(0, eventDeferred, func() { s.module.RunFinished(s.sim.now, id, admission.Failed); s.markUnsettled() })
 			return
 		}
-		e.ran, e.ranUntil = v, v.arrived+class.KeyWindow
+		e.lastRun, e.lastRunUntil = v, v.arrivedAt+class.KeyWindow
 	}
 	s.advance()
-	v.state = running
-	s.sim.observer.ran(v.n, s.n, s.sim.now)
-	v.job = &job{of: v}
-	s.cores.add(v.job, v.req.work)
+	v.state = stateRunning
+	s.sim.checker.runStarted(v.number, s.index, s.sim.now)
+	v.job = &job{attempt: v}
+	s.cores.add(v.job, v.request.work)
 	s.checkMemory()
 }
 
-// key is the entry of a key, made where there is none.
-func (s *server) key(k uint64) *entry {
+// ensureKey is the entry of a key, made where there is none.
+func (s *server) ensureKey(k uint64) *keyEntry {
 	e := s.keys[k]
 	if e == nil {
-		e = &entry{}
+		e = &keyEntry{}
 		s.keys[k] = e
 	}
 	return e
 }
 
-// leave takes a held try out of the hold.
-func (s *server) leave(v *visit) {
-	if v.state == held || v.state == awaiting {
-		v.state = ended
+// dequeue takes a held try out of the hold.
+func (s *server) dequeue(v *attempt) {
+	if v.state == stateQueued || v.state == stateFollowing {
+		v.state = stateEnded
 	}
 }
 
 // Refuse implements admission.Actions.
 func (s *server) Reject(id admission.RequestID, stayAway time.Duration, last bool) {
-	if v := s.visits[id]; v != nil && !v.answered {
-		if s.sim.world.RecordRejectReasons {
-			s.sim.result.RejectReasons[v.why(s.sim.now)]++
+	if v := s.attempts[id]; v != nil && !v.answered {
+		if s.sim.config.RecordRejectReasons {
+			s.sim.result.RejectReasons[v.rejectReasonText(s.sim.now)]++
 		}
-		s.answer(v, refused, stayAway, last)
-		s.leave(v)
-		s.drop(v)
-		s.goIfDone()
+		s.respond(v, outcomeRejected, stayAway, last)
+		s.dequeue(v)
+		s.forgetIfDone(v)
+		s.stopIfDrained()
 	}
 }
 
 // Fail implements admission.Actions.
 func (s *server) Fail(id admission.RequestID) {
-	if v := s.visits[id]; v != nil && !v.answered {
-		s.answer(v, failed, 0, false)
-		s.leave(v)
-		s.drop(v)
-		s.goIfDone()
+	if v := s.attempts[id]; v != nil && !v.answered {
+		s.respond(v, outcomeFailed, 0, false)
+		s.dequeue(v)
+		s.forgetIfDone(v)
+		s.stopIfDrained()
 	}
 }
 
 // Halt implements admission.Actions: what runs is stopped, and its work is lost.
 func (s *server) Stop(id admission.RequestID) {
-	v := s.visits[id]
-	if v == nil || v.state != running || v.job == nil {
+	v := s.attempts[id]
+	if v == nil || v.state != stateRunning || v.job == nil {
 		return
 	}
 	s.advance()
-	s.cores.take(v.job)
+	s.cores.remove(v.job)
 	v.job = nil
-	s.sim.observer.ended(v.n, s.n)
-	s.later(0, deferred, func() { s.end(v, admission.Cancelled) })
+	s.sim.checker.runEnded(v.number, s.index)
+	s.schedule(0, eventDeferred, func() { s.completeRun(v, admission.Cancelled) })
 }
 
 // Keep implements admission.Actions.
 func (s *server) KeepKey(id admission.RequestID, lifetime time.Duration) {
-	v := s.visits[id]
-	if v == nil || v.req.key == 0 {
+	v := s.attempts[id]
+	if v == nil || v.request.key == 0 {
 		return
 	}
-	e := s.key(v.req.key)
+	e := s.ensureKey(v.request.key)
 	if e.holder != nil {
-		delete(s.holders, e.holder.id)
+		delete(s.heldKeys, e.holder.id)
 	}
-	e.holder, e.until = v, s.sim.now+lifetime
-	s.holders[id] = v.req.key
-	s.sim.observer.kept(s.n, v.n, e.until)
+	e.holder, e.heldUntil = v, s.sim.now+lifetime
+	s.heldKeys[id] = v.request.key
+	s.sim.checker.keyKept(s.index, v.number, e.heldUntil)
 	s.checkMemory()
 }
 
 // Forget implements admission.Actions.
 func (s *server) ReleaseKey(id admission.RequestID) {
-	k, ok := s.holders[id]
+	k, ok := s.heldKeys[id]
 	if !ok {
 		return
 	}
-	delete(s.holders, id)
+	delete(s.heldKeys, id)
 	e := s.keys[k]
-	s.sim.observer.forgot(s.n, e.holder.n)
-	if e.holder = nil; e.ran == nil {
+	s.sim.checker.keyReleased(s.index, e.holder.number)
+	if e.holder = nil; e.lastRun == nil {
 		delete(s.keys, k)
 	}
 }
 
 // Reuse implements admission.Actions.
 func (s *server) ReplayResult(id admission.RequestID) {
-	v := s.visits[id]
-	if v == nil || v.answered || v.repeats == nil {
+	v := s.attempts[id]
+	if v == nil || v.answered || v.original == nil {
 		return
 	}
-	source := v.repeats
-	if e := s.keys[v.req.key]; e != nil && e.ran != nil {
-		source = e.ran
+	source := v.original
+	if e := s.keys[v.request.key]; e != nil && e.lastRun != nil {
+		source = e.lastRun
 	}
-	if source.state == running || source.state == held {
-		v.state = awaiting
-		source.waiters = append(source.waiters, v)
+	if source.state == stateRunning || source.state == stateQueued {
+		v.state = stateFollowing
+		source.followers = append(source.followers, v)
 		return
 	}
-	v.state = awaiting
-	s.later(0, deferred, func() { s.echo(v, source.ok) })
+	v.state = stateFollowing
+	s.schedule(0, eventDeferred, func() { s.replayOutcome(v, source.succeeded) })
 }
 
 // Say implements admission.Actions.
-func (s *server) AdvertiseLoad(value float64) { s.value, s.told = value, true }
+func (s *server) AdvertiseLoad(value float64) { s.feedback, s.hasFeedback = value, true }
 
 // Health implements admission.Actions.
 func (s *server) SetHealth(good, _ bool) { s.healthy = good }
 
 // RecoverySeconds implements admission.Actions.
 func (s *server) SetTimer(wait time.Duration, t uint32) {
-	s.later(max(wait, time.Microsecond), timerDue, token(t))
+	s.schedule(max(wait, time.Microsecond), eventModuleTimer, timerToken(t))
 }
 
 // CloseIdle implements admission.Actions: connections are not modelled.
@@ -570,114 +570,114 @@
 
 // checkMemory has a server that needs more memory than it has fall over.
 func (s *server) checkMemory() {
-	if s.sim.observer.memory(s.n, s.sim.now) {
-		life := s.life
-		s.later(0, deferred, func() {
-			if s.life == life {
-				s.fallOver()
+	if s.sim.checker.exceedsMemory(s.index, s.sim.now) {
+		life := s.generation
+		s.schedule(0, eventDeferred, func() {
+			if s.generation == life {
+				s.crash()
 			}
 		})
 	}
 }
 
-// watchParts is how often the crowd is looked at in the time over which it is averaged.
-const watchParts = 6
+// concurrencySamples is how often the crowd is looked at in the time over which it is averaged.
+const concurrencySamples = 6
 
-// watch has a server fall over whose cores were crowded for too long.
-func (s *server) watch() {
-	w := &s.sim.world.Servers
+// checkConcurrency has a server fall over whose cores were crowded for too long.
+func (s *server) checkConcurrency() {
+	w := &s.sim.config.Servers
 	s.advance()
-	if s.runTimes = append(s.runTimes, s.runTime); len(s.runTimes) > watchParts {
-		mean := (s.runTime - s.runTimes[len(s.runTimes)-1-watchParts]) / w.ConcurrencyWindow.Seconds()
-		s.runTimes = s.runTimes[1:]
-		if mean > (1+(w.MaxConcurrencyFactor-1)*s.warmth())*float64(w.Cores) {
-			s.sim.observer.fell(s.n, s.sim.now, "a crowd on its cores")
-			s.fallOver()
+	if s.runSecondsSamples = append(s.runSecondsSamples, s.runSeconds); len(s.runSecondsSamples) > concurrencySamples {
+		mean := (s.runSeconds - s.runSecondsSamples[len(s.runSecondsSamples)-1-concurrencySamples]) / w.ConcurrencyWindow.Seconds()
+		s.runSecondsSamples = s.runSecondsSamples[1:]
+		if mean > (1+(w.MaxConcurrencyFactor-1)*s.warmUpShare())*float64(w.Cores) {
+			s.sim.checker.serverCrashed(s.index, s.sim.now, "a crowd on its cores")
+			s.crash()
 			return
 		}
 	}
-	s.later(w.ConcurrencyWindow/watchParts, watches, nil)
+	s.schedule(w.ConcurrencyWindow/concurrencySamples, eventConcurrencyCheck, nil)
 }
 
-// fallOver ends the process, which starts again after a while.
-func (s *server) fallOver() {
+// crash ends the process, which starts again after a while.
+func (s *server) crash() {
 	s.sim.result.Crashes++
-	s.die(true)
-	s.sim.queue.set(s.sim.now+s.sim.world.Servers.RestartDelay, s, comesUp, nil)
+	s.terminate(true)
+	s.sim.events.schedule(s.sim.now+s.sim.config.Servers.RestartDelay, s, eventStart, nil)
 }
 
-// die ends the process with all that it has.
-func (s *server) die(killed bool) {
-	if !s.up {
+// terminate ends the process with all that it has.
+func (s *server) terminate(killed bool) {
+	if !s.isUp {
 		return
 	}
-	s.up = false
+	s.isUp = false
 	s.advance()
-	s.sim.result.WorkDone += s.cores.worked
-	s.sim.queue.drop(s.coresAt)
-	lost := append([]*visit(nil), s.unread...)
+	s.sim.result.WorkDone += s.cores.workDone
+	s.sim.events.cancel(s.coresEvent)
+	lost := append([]*attempt(nil), s.unread...)
 	for _, j := range s.cores.jobs {
-		if j.read {
-			lost = append(lost, j.of)
+		if j.isRead {
+			lost = append(lost, j.attempt)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.visits)) { // in the order of reading, whatever the map's is
-		lost = append(lost, s.visits[id])
+	for _, id := range slices.Sorted(maps.Keys(s.attempts)) { // in the order of reading, whatever the map's is
+		lost = append(lost, s.attempts[id])
 	}
-	s.sim.observer.died(s.n, s.sim.now, killed)
+	s.sim.checker.serverStopped(s.index, s.sim.now, killed)
 	for _, v := range lost {
 		if !v.answered {
 			v.answered = true
-			s.sim.answer(v, broken, 0, false)
+			s.sim.deliverResult(v, outcomeConnectionLost, 0, false)
 		}
 	}
-	s.cores.jobs, s.visits, s.unread = nil, nil, nil
-	s.sim.list(s, false)
+	s.cores.jobs, s.attempts, s.unread = nil, nil, nil
+	s.sim.announceEndpoint(s, false)
 }
 
-// drain has the process leave.
-func (s *server) drain() {
-	if !s.up || s.draining {
+// beginDrain has the process leave.
+func (s *server) beginDrain() {
+	if !s.isUp || s.draining {
 		return
 	}
-	w := &s.sim.world.Servers
+	w := &s.sim.config.Servers
 	s.draining = true
-	s.sim.list(s, false)
-	s.sim.observer.drained(s.n, s.sim.now+w.DrainGracePeriod)
+	s.sim.announceEndpoint(s, false)
+	s.sim.checker.drainStarted(s.index, s.sim.now+w.DrainGracePeriod)
 	s.module.Drain(s.sim.now, w.DrainTimeout)
-	s.touch()
-	s.later(w.DrainGracePeriod, leaves, nil)
-	s.later(w.DrainTimeout, stops, nil)
+	s.markUnsettled()
+	s.schedule(w.DrainGracePeriod, eventListenerClose, nil)
+	s.schedule(w.DrainTimeout, eventStop, nil)
 }
 
-// goIfDone ends a process that leaves and has nothing left to do.
-func (s *server) goIfDone() {
-	if s.draining && s.closed && len(s.visits) == 0 && len(s.unread) == 0 && s.reading == 0 {
-		s.later(0, stops, nil)
+// stopIfDrained ends a process that leaves and has nothing left to do.
+func (s *server) stopIfDrained() {
+	if s.draining && s.listenerClosed && len(s.attempts) == 0 && len(s.unread) == 0 && s.reading == 0 {
+		s.schedule(0, eventStop, nil)
 	}
 }
 
-// pause has the whole machine stand still, and goOn ends that.
-func (s *server) pause() {
-	if s.still++; s.still == 1 && s.up {
+// pauseMachine has the whole machine stand still, and resumeMachine ends that.
+func (s *server) pauseMachine() {
+	if s.pauses++; s.pauses == 1 && s.isUp {
 		s.advance()
 		s.pausedAt = s.sim.now
-		s.sim.queue.drop(s.coresAt)
+		s.sim.events.cancel(s.coresEvent)
 	}
 }
 
-func (s *server) goOn() {
-	if s.still--; s.still > 0 {
+func (s *server) resumeMachine() {
+	if s.pauses--; s.pauses > 0 {
 		return
 	}
-	s.sim.observer.paused(s.n, s.sim.now-s.pausedAt)
-	s.cores.last = s.sim.now // nothing was done meanwhile
-	waiting := s.waiting
-	s.waiting = nil
+	s.sim.checker.machinePaused(s.index, s.sim.now-s.pausedAt)
+	s.cores.updatedAt = s.sim.now // nothing was done meanwhile
+	waiting := s.pausedEvents
+	s.pausedEvents = nil
 	for _, e := range waiting {
 		s.handle(e)
 	}
-	if s.up {
-		s.look()
+	if s.isUp {
+		s.rescheduleCores()
 	}
 }
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -19,60 +19,60 @@
 	return admission.New(s, a)
 }
 
-// kind is how a try ended.
-type kind uint8
+// outcome is how a try ended.
+type outcome uint8
 
 const (
-	served kind = iota
-	refused
-	failed
-	broken      // its server died
-	unreachable // its server took no connection: nothing ran
-	lateAnswer  // no answer came in the time that the gateway waits
-	kinds
+	outcomeServed outcome = iota
+	outcomeRejected
+	outcomeFailed
+	outcomeConnectionLost // its server died
+	outcomeUnreachable    // its server took no connection: nothing ran
+	outcomeTimedOut       // no answer came in the time that the gateway waits
+	outcomeCount
 )
 
-// kindWords say the kinds.
-var kindWords = [kinds]string{"served", "refused", "failed", "connection lost", "not reached", "no answer in time"}
+// outcomeNames say the kinds.
+var outcomeNames = [outcomeCount]string{"served", "refused", "failed", "connection lost", "not reached", "no answer in time"}
 
-// sim is a run under way.
-type sim struct {
-	world    Config
-	seed     uint64
-	policy   PolicyFactory
-	now      time.Duration
-	queue    queue
-	servers  []*server
-	gateways []*gateway
-	clients  *clients
-	arrivals arrival.Process
-	observer *observer
-	result   *Result
-	touched  []*server
-	readWork float64
-	tries    uint64
-	err      error
+// simulation is a run under way.
+type simulation struct {
+	config    Config
+	seed      uint64
+	newModule PolicyFactory
+	now       time.Duration
+	events    eventQueue
+	servers   []*server
+	gateways  []*gateway
+	source    *requestSource
+	arrivals  arrival.Process
+	checker   *ruleChecker
+	result    *Result
+	unsettled []*server
+	readWork  float64
+	attempts  uint64
+	err       error
 
-	network *rand.Rand
-	faults  *rand.Rand
-	listed  []bool // as gateways know it
-	frozen  int    // incidents under which the list stands still
-	pending []listing
+	networkRandom *rand.Rand
+	faultRandom   *rand.Rand
+	listed        []bool // as gateways know it
+	frozen        int    // incidents under which the list stands still
+	pending       []endpointChange
 }
 
-// listing is a change of the list that gateways have not heard of.
-type listing struct {
-	server int
-	listed bool
+// endpointChange is a change of the list that gateways have not heard of.
+type endpointChange struct {
+	server  int
+	present bool
 }
 
 // The events of a run itself.
 const (
-	firstTry uint8 = iota
-	listChanges
-	incidentBegins
-	incidentEnds
-	incidentStep
+	eventRequestArrival uint8 = iota
+	eventEndpointChange
+	eventIncidentBegin
+	eventIncidentEnd
+	eventDeployStep
 )
 
 // Run plays a world to its end. The same world, policy and seed give the same result. The error is for a world that
@@ -81,9 +81,9 @@
 	if err := w.Validate(); err != nil {
 		return nil, err
 	}
-	s := &sim{world: w, seed: seed, policy: p, observer: newObserver(&w), network: stream(seed, "network", 0), faults: stream(seed, "faults", 0),
+	s := &simulation{config: w, seed: seed, newModule: p, checker: newRuleChecker(&w), networkRandom: newRandom(seed, "network", 0), faultRandom: newRandom(seed, "faults", 0),
 		readWork: w.Servers.ReadCost * w.meanWork()}
-	s.result = newResult(&s.world, seed)
+	s.result = newResult(&s.config, seed)
 	arrivals := w.Arrival
 	for _, i := range w.Incidents {
 		if i.Kind == RateJump {
@@ -91,7 +91,7 @@
 		}
 	}
 	var err error
-	if s.arrivals, err = arrival.New(arrivals, stream(seed, "arrivals", 0)); err != nil {
+	if s.arrivals, err = arrival.New(arrivals, newRandom(seed, "arrivals", 0)); err != nil {
 		return nil, err
 	}
 	s.populate()
@@ -111,63 +111,63 @@
 }
 
 // fail ends the run.
-func (s *sim) fail(err error) {
+func (s *simulation) fail(err error) {
 	if s.err == nil {
 		s.err = err
 	}
 }
 
 // populate makes servers and gateways, and what is known to come.
-func (s *sim) populate() {
-	speeds := stream(s.seed, "speeds", 0)
-	n := s.world.Servers.Count
+func (s *simulation) populate() {
+	speeds := newRandom(s.seed, "speeds", 0)
+	n := s.config.Servers.Count
 	s.listed = make([]bool, n)
 	for i := range n {
-		speed := s.world.Servers.Speed * (1 + s.world.Servers.SpeedCV*min(max(speeds.NormFloat64(), -2.5), 2.5))
-		s.servers = append(s.servers, &server{sim: s, n: i, full: max(speed, s.world.Servers.Speed/10)})
+		speed := s.config.Servers.Speed * (1 + s.config.Servers.SpeedCV*min(max(speeds.NormFloat64(), -2.5), 2.5))
+		s.servers = append(s.servers, &server{sim: s, index: i, fullSpeed: max(speed, s.config.Servers.Speed/10)})
 	}
 	for _, srv := range s.servers {
-		srv.begin(false)
-		s.listed[srv.n] = true // they stood there before
+		srv.start(false)
+		s.listed[srv.index] = true // they stood there before
 	}
 	s.pending = nil
-	for k := range s.world.Gateways {
-		for range s.world.Gateways[k].Count {
-			s.gateways = append(s.gateways, newGateway(s, len(s.gateways), &s.world.Gateways[k]))
+	for k := range s.config.Gateways {
+		for range s.config.Gateways[k].Count {
+			s.gateways = append(s.gateways, newGateway(s, len(s.gateways), &s.config.Gateways[k]))
 		}
 	}
-	s.clients = newClients(s)
-	for i := range s.world.Incidents {
-		incident := &s.world.Incidents[i]
-		s.queue.set(incident.Start, s, incidentBegins, newTrouble(s, i, incident))
+	s.source = newRequestSource(s)
+	for i := range s.config.Incidents {
+		incident := &s.config.Incidents[i]
+		s.events.schedule(incident.Start, s, eventIncidentBegin, newActiveIncident(s, i, incident))
 	}
 	s.settleAll()
-	s.nextFirst()
+	s.scheduleNextRequest()
 }
 
-// nextFirst has the next first try come.
-func (s *sim) nextFirst() {
-	if at, ok := s.arrivals.Next(); ok && at < s.world.Duration {
-		s.queue.set(at, s, firstTry, nil)
+// scheduleNextRequest has the next first try come.
+func (s *simulation) scheduleNextRequest() {
+	if at, ok := s.arrivals.Next(); ok && at < s.config.Duration {
+		s.events.schedule(at, s, eventRequestArrival, nil)
 	}
 }
 
-// step has the next event happen; it returns false at the end of the run.
-func (s *sim) step() bool {
-	e := s.queue.next()
+// deployNextBatch has the next event happen; it returns false at the end of the run.
+func (s *simulation) step() bool {
+	e := s.events.pop()
 	if e == nil {
 		return false
 	}
-	if e.at > s.world.Duration && s.observer.open == 0 && s.result.open == 0 {
-		return false // all that came has its end: only the modules' own timers are left
+	if e.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
+		return false // latencies that came has its end: only the modules' own timers are left
 	}
 	s.now = e.at
 	s.result.Events++
-	e.to.handle(e)
-	if e.what != coresDue || !isServer(e.to) {
-		s.queue.recycle(e)
+	e.target.handle(e)
+	if e.kind != eventCoresDue || !isServer(e.target) {
+		s.events.release(e)
 	}
-	if len(s.touched) > 0 && (len(s.queue.heap) == 0 || s.queue.heap[0].at > s.now) {
+	if len(s.unsettled) > 0 && (len(s.events.heap) == 0 || s.events.heap[0].at > s.now) {
 		s.settleAll()
 	}
 	return true
@@ -175,74 +175,74 @@
 
 func isServer(h handler) bool { _, ok := h.(*server); return ok }
 
-// copyOf is an event that outlasts its handling.
-func (s *sim) copyOf(e *event) *event {
+// cloneEvent is an event that outlasts its handling.
+func (s *simulation) cloneEvent(e *event) *event {
 	c := *e
 	return &c
 }
 
 // settleAll has the servers that something happened to settle, in the order in which it did.
-func (s *sim) settleAll() {
-	for i := 0; i < len(s.touched); i++ {
-		s.touched[i].settle()
+func (s *simulation) settleAll() {
+	for i := 0; i < len(s.unsettled); i++ {
+		s.unsettled[i].settle()
 	}
-	s.touched = s.touched[:0]
+	s.unsettled = s.unsettled[:0]
 }
 
 // handle implements handler.
-func (s *sim) handle(e *event) {
-	switch e.what {
-	case firstTry:
-		r := s.clients.next()
-		s.result.asked(r)
-		r.gateway.first(r)
-		s.nextFirst()
-	case listChanges:
-		l := e.ref.(listing)
+func (s *simulation) handle(e *event) {
+	switch e.kind {
+	case eventRequestArrival:
+		r := s.source.next()
+		s.result.recordOffered(r)
+		r.gateway.accept(r)
+		s.scheduleNextRequest()
+	case eventEndpointChange:
+		l := e.payload.(endpointChange)
 		if s.frozen > 0 {
 			s.pending = append(s.pending, l)
 		} else {
-			s.listed[l.server] = l.listed
+			s.listed[l.server] = l.present
 		}
-	case incidentBegins:
-		e.ref.(*trouble).begin()
-	case incidentEnds:
-		e.ref.(*trouble).end()
-	case incidentStep:
-		e.ref.(*trouble).step()
+	case eventIncidentBegin:
+		e.payload.(*activeIncident).begin()
+	case eventIncidentEnd:
+		e.payload.(*activeIncident).end()
+	case eventDeployStep:
+		e.payload.(*activeIncident).deployNextBatch()
 	}
 }
 
-// list has gateways learn of a server that came or went, when the list reaches them.
-func (s *sim) list(srv *server, listed bool) {
-	s.queue.set(s.now+s.world.EndpointListDelay, s, listChanges, listing{srv.n, listed})
+// announceEndpoint has gateways learn of a server that came or went, when the list reaches them.
+func (s *simulation) announceEndpoint(srv *server, listed bool) {
+	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, endpointChange{srv.index, listed})
 }
 
-// thaw lets gateways learn what happened while the list stood still.
-func (s *sim) thaw() {
+// unfreezeEndpoints lets gateways learn what happened while the list stood still.
+func (s *simulation) unfreezeEndpoints() {
 	if s.frozen--; s.frozen > 0 {
 		return
 	}
 	for _, l := range s.pending {
-		s.listed[l.server] = l.listed
+		s.listed[l.server] = l.present
 	}
 	s.pending = nil
 }
 
-// way is how long a message takes through the network: half of the mean at least, and the rest by chance.
-func (s *sim) way() time.Duration {
-	d := float64(s.world.NetworkDelay)
-	return time.Duration(d/2 + s.network.ExpFloat64()*d/2)
+// networkDelay is how long a message takes through the network: half of the mean at least, and the rest by chance.
+func (s *simulation) networkDelay() time.Duration {
+	d := float64(s.config.NetworkDelay)
+	return time.Duration(d/2 + s.networkRandom.ExpFloat64()*d/2)
 }
 
-// answer sends what became of a try to its gateway.
-func (s *sim) answer(v *visit, k kind, stayAway time.Duration, last bool) {
-	s.observer.answered(v.n, k, s.now)
-	s.queue.set(s.now+s.way(), v.req.gateway, hears, &answer{visit: v, kind: k, stayAway: stayAway, last: last, value: v.server.value, told: v.server.told})
+// deliverResult sends what became of a try to its gateway.
+func (s *simulation) deliverResult(v *attempt, k outcome, stayAway time.Duration, last bool) {
+	s.checker.attemptAnswered(v.number, k, s.now)
+	s.events.schedule(s.now+s.networkDelay(), v.request.gateway, eventAttemptResult, &attemptResult{attempt: v, outcome: k, retryAfter: stayAway, noRetry: last, feedback: v.server.feedback, hasFeedback: v.server.hasFeedback})
 }
 
 // drawServers draws a part of the fleet, in the order of their numbers.
-func (s *sim) drawServers(rng *rand.Rand, part float64, among func(*server) bool) []*server {
+func (s *simulation) drawServers(rng *rand.Rand, part float64, among func(*server) bool) []*server {
 	var list []*server
 	for _, srv := range s.servers {
 		if among == nil || among(srv) {
@@ -251,17 +251,17 @@
 	}
 	rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	list = list[:min(int(part*float64(len(s.servers))+0.5), len(list))]
-	slices.SortFunc(list, func(a, b *server) int { return cmp.Compare(a.n, b.n) })
+	slices.SortFunc(list, func(a, b *server) int { return cmp.Compare(a.index, b.index) })
 	return list
 }
 
-// finish puts the result together.
-func (s *sim) finish() {
+// finishRun puts the result together.
+func (s *simulation) finish() {
 	for _, srv := range s.servers {
-		if srv.up {
+		if srv.isUp {
 			srv.advance()
-			s.result.WorkDone += srv.cores.worked
+			s.result.WorkDone += srv.cores.workDone
 		}
 	}
-	s.result.finish(s)
+	s.result.finalize(s)
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -13,20 +13,20 @@
 
 // Group is a mean over runs with its confidence interval.
 type Group struct {
-	Policy             string   `json:"policy"`
-	Label              string   `json:"of"` // a value of the variable, a kind of day, or all
-	X                  float64  `json:"x"`
-	Runs               int      `json:"runs"`
-	Infeasible         int      `json:"failed"` // worlds that were not feasible
-	Mean               float64  `json:"mean"`
-	Lower              float64  `json:"low"` // of the interval at 95 %
-	Upper              float64  `json:"high"`
-	RunsWithViolations int      `json:"broken"` // runs that broke a rule
-	Measure            string   `json:"measure"`
-	Values             []values `json:"-"`
+	Policy             string     `json:"policy"`
+	Label              string     `json:"of"` // a value of the variable, a kind of day, or all
+	X                  float64    `json:"x"`
+	Runs               int        `json:"runs"`
+	Infeasible         int        `json:"failed"` // worlds that were not feasible
+	Mean               float64    `json:"mean"`
+	Lower              float64    `json:"low"` // of the interval at 95 %
+	Upper              float64    `json:"high"`
+	RunsWithViolations int        `json:"broken"` // runs that broke a rule
+	Measure            string     `json:"measure"`
+	Values             []runValue `json:"-"`
 }
 
-type values struct {
+type runValue struct {
 	key   string
 	value float64
 }
@@ -58,8 +58,8 @@
 	return mean, stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
 }
 
-// dayKind is the kind in a day's name.
-func dayKind(day string) string {
+// workloadKind is the kind in a day's name.
+func workloadKind(day string) string {
 	for i := len(day) - 1; i >= 0; i-- {
 		if day[i] == '-' {
 			return day[:i]
@@ -77,7 +77,7 @@
 		of, x := "all", 0.0
 		switch {
 		case by == "day":
-			of = dayKind(row.Workload)
+			of = workloadKind(row.Workload)
 		case by != "":
 			v, ok := row.Values[by]
 			if !ok {
@@ -106,7 +106,7 @@
 		if len(row.Violations) > 0 {
 			g.RunsWithViolations++
 		}
-		g.Values = append(g.Values, values{fmt.Sprint(row.Point, "/", row.Seed), v})
+		g.Values = append(g.Values, runValue{fmt.Sprint(row.Point, "/", row.Seed), v})
 	}
 	if !found {
 		return nil, fmt.Errorf("experiment: no run has the measure %q", measure)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,13 +13,13 @@
 	"testing"
 )
 
-// small is an experiment of short runs.
-const small = `(name small)
+// smallExperiment is an experiment of short runs.
+const smallExperiment = `(name small)
 (world (for 3s) (servers (n 2) (cores 2)) (load 0.8))
 (policies module line) (seeds 2)
 (sweep (how grid) (vary load 0.5 1.1 3) (vary slow.part 0 0.5 2))`
 
-func parse(t testing.TB, text string) *Experiment {
+func mustParse(t testing.TB, text string) *Experiment {
 	t.Helper()
 	e, err := Parse("f", []byte(text))
 	if err != nil {
@@ -28,7 +28,7 @@
 	return e
 }
 
-func playTo(t testing.TB, e *Experiment, path string, workers int) []byte {
+func runTo(t testing.TB, e *Experiment, path string, workers int) []byte {
 	t.Helper()
 	if err := Run(context.Background(), e, path, workers, nil); err != nil {
 		t.Fatal(err)
@@ -43,8 +43,8 @@
 // TestResume cuts a run off anywhere, also in the middle of a line, and has it go on: the file is the same in the end, on
 // any number of workers.
 func TestResume(t *testing.T) {
-	e, dir := parse(t, small), t.TempDir()
-	want := playTo(t, e, filepath.Join(dir, "whole"), 1)
+	e, dir := mustParse(t, smallExperiment), t.TempDir()
+	want := runTo(t, e, filepath.Join(dir, "whole"), 1)
 	if lines := bytes.Count(want, []byte{'\n'}); lines != 1+3*2*2*2 {
 		t.Fatalf("%d lines", lines)
 	}
@@ -56,11 +56,11 @@
 		if err := os.WriteFile(path, want[:rng.IntN(len(want)+1)], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := playTo(t, e, path, 1+rng.IntN(8)); !bytes.Equal(got, want) {
+		if got := runTo(t, e, path, 1+rng.IntN(8)); !bytes.Equal(got, want) {
 			t.Errorf("cut %d: the file is another", i)
 		}
 	}
-	other := parse(t, strings.Replace(small, "1.1", "1.2", 1))
+	other := mustParse(t, strings.Replace(smallExperiment, "1.1", "1.2", 1))
 	if err := Run(context.Background(), other, filepath.Join(dir, "whole"), 1, nil); !errors.Is(err, ErrPlanMismatch) {
 		t.Errorf("the results of another plan: %v", err)
 	}
@@ -73,17 +73,17 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("stopped: %v", err)
 	}
-	if got := playTo(t, e, filepath.Join(dir, "stopped"), 3); !bytes.Equal(got, want) {
+	if got := runTo(t, e, filepath.Join(dir, "stopped"), 3); !bytes.Equal(got, want) {
 		t.Error("a run that was stopped leaves another file")
 	}
 }
 
-// TestNotFeasible has a world that can't be played be named, and the others go on.
-func TestNotFeasible(t *testing.T) {
-	e := parse(t, `(world (for 2s) (servers (n 2) (cores 1)) (load 0.5)) (seeds 1)
+// TestInfeasible has a world that can't be played be named, and the others go on.
+func TestInfeasible(t *testing.T) {
+	e := mustParse(t, `(world (for 2s) (servers (n 2) (cores 1)) (load 0.5)) (seeds 1)
 (sweep (vary skew 0.5 1.5 2))`)
 	path := filepath.Join(t.TempDir(), "r")
-	playTo(t, e, path, 2)
+	runTo(t, e, path, 2)
 	r, err := ReadResults(path)
 	if err != nil || len(r.Rows) != 2 {
 		t.Fatalf("%v, %+v", err, r)
@@ -124,9 +124,9 @@
 func TestSweeps(t *testing.T) {
 	for how, count := range map[string]int{"grid": 12, "random": 40, "latin": 40} {
 		text := fmt.Sprintf("(sweep (how %s) (count 40) (vary load 0.5 1 4) (vary jump.size 1 3 3))", how)
-		e := parse(t, text)
-		points, err := e.Sweep.points()
-		again, _ := parse(t, text).Sweep.points()
+		e := mustParse(t, text)
+		points, err := e.Sweep.drawPoints()
+		again, _ := mustParse(t, text).Sweep.drawPoints()
 		if err != nil || len(points) != count || !reflect.DeepEqual(points, again) {
 			t.Fatalf("%s: %d points, %v", how, len(points), err)
 		}
@@ -143,31 +143,31 @@
 	}
 }
 
-// TestHunt finds where a policy does badly, and the same place again.
-func TestHunt(t *testing.T) {
-	e := parse(t, `(world (for 3s) (servers (n 2) (cores 2))) (seeds 2) (sweep (vary load 0.3 1.5) (vary tries 1 4))`)
-	h := Exploration{Policy: "nolimit", Measure: "share", Rounds: 4, PointsPerRound: 10, Seed: 3}
-	finds, err := e.Explore(context.Background(), h, nil)
-	if err != nil || len(finds) != 40 {
-		t.Fatalf("%d finds, %v", len(finds), err)
-	}
-	if finds[0].Values["load"] < 1 || finds[0].Score >= finds[39].Score {
-		t.Errorf("the worst is %+v, the best %+v", finds[0], finds[39])
-	}
-	again, _ := e.Explore(context.Background(), h, nil)
-	if !reflect.DeepEqual(again, finds) {
+// TestExplore finds where a policy does badly, and the same place again.
+func TestExplore(t *testing.T) {
+	experiment := mustParse(t, `(world (for 3s) (servers (n 2) (cores 2))) (seeds 2) (sweep (vary load 0.3 1.5) (vary tries 1 4))`)
+	exploration := Exploration{Policy: "nolimit", Measure: "share", Rounds: 4, PointsPerRound: 10, Seed: 3}
+	candidates, err := experiment.Explore(context.Background(), exploration, nil)
+	if err != nil || len(candidates) != 40 {
+		t.Fatalf("%d finds, %v", len(candidates), err)
+	}
+	if candidates[0].Values["load"] < 1 || candidates[0].Score >= candidates[39].Score {
+		t.Errorf("the worst is %+v, the best %+v", candidates[0], candidates[39])
+	}
+	again, _ := experiment.Explore(context.Background(), exploration, nil)
+	if !reflect.DeepEqual(again, candidates) {
 		t.Error("the same hunt finds other points")
 	}
-	text := e.FormatCandidate("found", "(world (for 3s) (servers (n 2) (cores 2)))", finds[0], []string{"module", "nolimit"})
-	back := parse(t, text)
+	text := experiment.FormatCandidate("found", "(world (for 3s) (servers (n 2) (cores 2)))", candidates[0], []string{"module", "nolimit"})
+	back := mustParse(t, text)
 	jobs, err := back.Plan()
-	if err != nil || len(jobs) != 4 || jobs[0].Values["load"] != finds[0].Values["load"] {
+	if err != nil || len(jobs) != 4 || jobs[0].Values["load"] != candidates[0].Values["load"] {
 		t.Errorf("%v: the case\n%s", err, text)
 	}
 }
 
-// TestBroken has each broken sample told with its place and what was expected.
-func TestBroken(t *testing.T) {
+// TestParseErrors has each broken sample told with its place and what was expected.
+func TestParseErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"(wurld)":                             "f:1:1: found (wurld ...), want",
 		"(policies best)":                     "f:1:11: found best, want a policy of [module",
@@ -199,7 +199,7 @@
 
 // FuzzParse reads any text without a panic.
 func FuzzParse(f *testing.F) {
-	f.Add(small)
+	f.Add(smallExperiment)
 	f.Add("(days (count 3) (kinds storm)) (world (day rough) (number 3) (incident pause (part 0.1)))")
 	f.Fuzz(func(t *testing.T, text string) {
 		if e, err := Parse("f", []byte(text)); err == nil && len(e.Sweep.Variables) < 3 && e.Sweep.Count < 100 && e.Workloads.Count < 10 && e.Seeds < 10 {
--- a/internal/experiment/explore.go
+++ b/internal/experiment/explore.go
@@ -20,7 +20,7 @@
 	BaselinePolicy string // where given, what counts is how far the policy stays under this one
 	Measure        string // of which little is bad
 	Rounds         int
-	PointsPerRound int // points a round
+	PointsPerRound int // drawPoints a round
 	Seed           uint64
 	Workers        int
 }
@@ -32,8 +32,8 @@
 	Error  string             `json:"error,omitempty"`
 }
 
-// elite is the part of a round that the next one is drawn round.
-const elite = 0.2
+// eliteShare is the part of a round that the next one is drawn round.
+const eliteShare = 0.2
 
 // Explore looks for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a normal
 // distribution within the ranges and fits it to those that did worst. The same hunt finds the same points. It returns all
@@ -60,7 +60,7 @@
 				points[k] = append(points[k], min(max(x, v.Min), v.Max))
 			}
 		}
-		finds, err := e.score(ctx, h, points)
+		finds, err := e.scorePoints(ctx, h, points)
 		if err != nil {
 			return nil, err
 		}
@@ -69,7 +69,7 @@
 			order[i] = i
 		}
 		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(finds[a].Score, finds[b].Score) })
-		few := order[:max(int(elite*float64(len(order))), 2)]
+		few := order[:max(int(eliteShare*float64(len(order))), 2)]
 		for i := range mean {
 			var xs []float64
 			for _, k := range few {
@@ -90,8 +90,8 @@
 	return all, nil
 }
 
-// score plays points with all seeds and both policies.
-func (e *Experiment) score(ctx context.Context, h Exploration, points [][]float64) ([]Candidate, error) {
+// scorePoints plays points with all seeds and both policies.
+func (e *Experiment) scorePoints(ctx context.Context, h Exploration, points [][]float64) ([]Candidate, error) {
 	policies := []string{h.Policy}
 	if h.BaselinePolicy != "" {
 		policies = append(policies, h.BaselinePolicy)
@@ -102,16 +102,16 @@
 		w := e.Config
 		finds[k].Values = map[string]float64{}
 		for i, v := range e.Sweep.Variables {
-			v.set(&w, p[i])
+			v.apply(&w, p[i])
 			finds[k].Values[v.Name] = p[i]
 		}
 		for _, policy := range policies {
 			for seed := range e.Seeds {
-				jobs = append(jobs, Job{Point: k, Policy: policy, Seed: seed + 1, world: w})
+				jobs = append(jobs, Job{Point: k, Policy: policy, Seed: seed + 1, config: w})
 			}
 		}
 	}
-	err := spread(ctx, jobs, 0, h.Workers, func(r Row) error {
+	err := runInOrder(ctx, jobs, 0, h.Workers, func(r Row) error {
 		f := &finds[r.Point]
 		switch v, ok := r.Measures[h.Measure]; {
 		case r.Error != "":
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -46,7 +46,7 @@
 	Name     string
 	Min, Max float64
 	Steps    int // of a grid
-	set      func(*clustersim.Config, float64)
+	apply    func(*clustersim.Config, float64)
 }
 
 // ConfigForm is the form of the file that says what its world is, as text, or "" where it has none.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return read(path, forms)
+	return readExperiment(path, forms)
 }
 
 // Parse reads an experiment from one text without includes.
@@ -67,16 +67,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return read(file, forms)
+	return readExperiment(file, forms)
 }
 
-func read(file string, forms []sexp.Node) (*Experiment, error) {
+func readExperiment(file string, forms []sexp.Node) (*Experiment, error) {
 	e := &Experiment{Name: filepath.Base(file), Config: clustersim.DefaultConfig(), Policies: []string{"module"}, Seeds: 5, Sweep: Sweep{Method: "grid", Seed: 1}}
 	seeds := 5
 	err := sexp.ReadForms(forms, map[string]func(sexp.Node) error{
 		"name":     sexp.Text(&e.Name),
-		"world":    func(n sexp.Node) error { e.configForm = n.Source(); return readWorld(n.Args(), &e.Config) },
-		"days":     func(n sexp.Node) error { return readDays(n, &e.Workloads) },
+		"world":    func(n sexp.Node) error { e.configForm = n.Source(); return readConfig(n.Args(), &e.Config) },
+		"days":     func(n sexp.Node) error { return readWorkloads(n, &e.Workloads) },
 		"policies": func(n sexp.Node) error { return readPolicies(n, &e.Policies) },
 		"seeds":    sexp.Int(&seeds, 1, 1_000_000),
 		"sweep":    func(n sexp.Node) error { return readSweep(n, &e.Sweep) },
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func readDays(n sexp.Node, to *WorkloadRange) error {
+func readWorkloads(n sexp.Node, to *WorkloadRange) error {
 	from := 1
 	err := sexp.ReadForms(n.Args(), map[string]func(sexp.Node) error{
 		"count": sexp.Int(&to.Count, 1, 100_000),
@@ -164,7 +164,7 @@
 	if v.Name, err = n.WordAt(1, "what is varied"); err != nil {
 		return v, err
 	}
-	if v.set, err = setter(v.Name); err != nil {
+	if v.apply, err = findSetter(v.Name); err != nil {
 		return v, sexp.Errorf(n.Pos, "%v", err)
 	}
 	rest := n.ItemsFrom(2)
@@ -184,9 +184,9 @@
 	return v, nil
 }
 
-// readWorld reads the forms of a world over what is there. A day of the brief is the base of the others, wherever it
+// readConfig reads the forms of a world over what is there. A day of the brief is the base of the others, wherever it
 // stands among them.
-func readWorld(forms []sexp.Node, w *clustersim.Config) error {
+func readConfig(forms []sexp.Node, w *clustersim.Config) error {
 	day, number := "", 1
 	base := map[string]func(sexp.Node) error{"day": sexp.Text(&day), "number": sexp.Int(&number, 0, math.MaxInt32)}
 	for _, f := range forms {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -20,7 +20,7 @@
 	Workload string             `json:"Day"` // or the day
 	Policy   string
 	Seed     uint64
-	world    clustersim.Config
+	config   clustersim.Config
 }
 
 // Plan is all runs in their order: by point, then by policy, then by seed.
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	points, err := e.Sweep.points()
+	points, err := e.Sweep.drawPoints()
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 			at := w
 			named := map[string]float64{}
 			for i, v := range e.Sweep.Variables {
-				v.set(&at, values[i])
+				v.apply(&at, values[i])
 				named[v.Name] = values[i]
 			}
 			day := ""
@@ -54,7 +54,7 @@
 			}
 			for _, p := range e.Policies {
 				for seed := range e.Seeds {
-					jobs = append(jobs, Job{Point: point, Values: named, Workload: day, Policy: p, Seed: seed + 1, world: at})
+					jobs = append(jobs, Job{Point: point, Values: named, Workload: day, Policy: p, Seed: seed + 1, config: at})
 				}
 			}
 			point++
@@ -63,16 +63,16 @@
 	return jobs, nil
 }
 
-// mostPoints bounds a grid.
-const mostPoints = 1_000_000
+// maxGridPoints bounds a grid.
+const maxGridPoints = 1_000_000
 
-// points are the values of all variables at each point, in the order of the variables.
-func (s *Sweep) points() ([][]float64, error) {
+// drawPoints are the values of all variables at each point, in the order of the variables.
+func (s *Sweep) drawPoints() ([][]float64, error) {
 	if len(s.Variables) == 0 {
 		return [][]float64{nil}, nil
 	}
 	if s.Method == "grid" {
-		return s.grid()
+		return s.gridPoints()
 	}
 	bounds := make([]r1.Interval, len(s.Variables))
 	for i, v := range s.Variables {
@@ -96,12 +96,12 @@
 	return list, nil
 }
 
-// grid is all combinations, the last variable going round first.
-func (s *Sweep) grid() ([][]float64, error) {
+// gridPoints is all combinations, the last variable going round first.
+func (s *Sweep) gridPoints() ([][]float64, error) {
 	list := [][]float64{nil}
 	for _, v := range s.Variables {
-		if len(list)*v.Steps > mostPoints {
-			return nil, fmt.Errorf("experiment: the grid has over %d points", mostPoints)
+		if len(list)*v.Steps > maxGridPoints {
+			return nil, fmt.Errorf("experiment: the grid has over %d points", maxGridPoints)
 		}
 		var next [][]float64
 		for _, before := range list {
@@ -124,5 +124,5 @@
 	if err != nil {
 		return clustersim.Config{}, err
 	}
-	return jobs[0].world, nil
+	return jobs[0].config, nil
 }
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -21,12 +21,12 @@
 
 func policyFactories() map[string]clustersim.PolicyFactory {
 	return map[string]clustersim.PolicyFactory{"module": clustersim.AdmissionModule, "line": baseline.BoundedQueue(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel,
-		"gradient": baseline.Gradient, "worth": baseline.WeightPriority, "remembering": remembering()}
+		"gradient": baseline.Gradient, "worth": baseline.WeightPriority, "remembering": newPersistentModule()}
 }
 
-// remembering is the module on servers whose folders survive: a process that starts is told what one before it learned. It
+// newPersistentModule is the module on servers whose folders survive: a process that starts is told what one before it learned. It
 // is made anew for each run, which one goroutine plays.
-func remembering() clustersim.PolicyFactory {
+func newPersistentModule() clustersim.PolicyFactory {
 	var before []*admission.Instance
 	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
 		in, err := admission.New(s, a)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -39,23 +39,23 @@
 // ErrPlanMismatch says that a results file is of another experiment.
 var ErrPlanMismatch = errors.New("experiment: the results are of another plan")
 
-// planSum tells plans apart.
-func planSum(jobs []Job) (string, error) {
+// planChecksum tells plans apart.
+func planChecksum(jobs []Job) (string, error) {
 	h := fnv.New64a()
 	e := json.NewEncoder(h)
 	for i := range jobs {
 		if err := e.Encode(struct {
 			Job
 			World clustersim.Config
-		}{jobs[i], jobs[i].world}); err != nil {
+		}{jobs[i], jobs[i].config}); err != nil {
 			return "", fmt.Errorf("experiment: %w", err)
 		}
 	}
 	return fmt.Sprintf("%016x", h.Sum64()), nil
 }
 
-// measures are the figures of a result by the names that plots and comparisons go by.
-func measures(r *clustersim.Result) map[string]float64 {
+// measuresOf are the figures of a result by the names that plots and comparisons go by.
+func measuresOf(r *clustersim.Result) map[string]float64 {
 	m := map[string]float64{"g": r.Score, "share": r.GoodputShare, "worst10": r.WorstWindowShare, "worst-class": r.WorstClassShare, "worst-tenant": r.WorstTenantShare,
 		"waste": r.WastedWork, "late": r.LateShare, "p50": r.P50, "p99": r.P99, "p999": r.P999, "load": r.Load, "requests": float64(r.Requests),
 		"tries": float64(r.Attempts) / float64(max(r.Requests, 1)), "fell": float64(r.Crashes), "events": float64(r.Events)}
@@ -74,14 +74,14 @@
 	return m
 }
 
-// play makes one run. A world that is not feasible is named in its row, and the others go on.
-func (j *Job) play(ctx context.Context, run int) (Row, error) {
+// run makes one run. A world that is not feasible is named in its row, and the others go on.
+func (j *Job) run(ctx context.Context, run int) (Row, error) {
 	row := Row{Index: run, Point: j.Point, Values: j.Values, Workload: j.Workload, Policy: j.Policy, Seed: j.Seed}
 	p, err := LookupPolicy(j.Policy)
 	if err != nil {
 		return row, err
 	}
-	r, err := clustersim.Run(ctx, j.world, p, j.Seed)
+	r, err := clustersim.Run(ctx, j.config, p, j.Seed)
 	switch {
 	case ctx.Err() != nil:
 		return row, ctx.Err()
@@ -89,7 +89,7 @@
 		row.Error = err.Error()
 		return row, nil
 	}
-	row.Measures = measures(r)
+	row.Measures = measuresOf(r)
 	for rule, n := range r.Violations {
 		if row.Violations == nil {
 			row.Violations = map[string]int{}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	f, done, err := open(e, jobs, path)
+	f, done, err := openResults(e, jobs, path)
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 	if progress != nil {
 		progress(done, len(jobs))
 	}
-	return spread(ctx, jobs, done, workers, func(row Row) error {
+	return runInOrder(ctx, jobs, done, workers, func(row Row) error {
 		line, err := json.Marshal(row)
 		if err == nil {
 			_, err = f.Write(append(line, '\n'))
@@ -133,9 +133,9 @@
 	})
 }
 
-// open opens a results file at the end of its last whole row, and tells how many rows it has.
-func open(e *Experiment, jobs []Job, path string) (*os.File, int, error) {
-	sum, err := planSum(jobs)
+// openResults opens a results file at the end of its last whole row, and tells how many rows it has.
+func openResults(e *Experiment, jobs []Job, path string) (*os.File, int, error) {
+	sum, err := planChecksum(jobs)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -178,8 +178,8 @@
 	return f, rows, nil
 }
 
-// spread plays jobs from one on over workers, and hands on their rows in order.
-func spread(ctx context.Context, jobs []Job, from, workers int, write func(Row) error) error {
+// runInOrder plays jobs from one on over workers, and hands on their rows in order.
+func runInOrder(ctx context.Context, jobs []Job, from, workers int, write func(Row) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type outcome struct {
@@ -199,7 +199,7 @@
 		go func() {
 			defer all.Done()
 			for i := range next {
-				row, err := jobs[i].play(ctx, i)
+				row, err := jobs[i].run(ctx, i)
 				results[i] <- outcome{row, err}
 			}
 		}()
--- a/internal/experiment/variables.go
+++ b/internal/experiment/variables.go
@@ -11,9 +11,9 @@
 	"tillerusher/internal/clustersim"
 )
 
-// variables are what of a world can be varied, by name. Those of incidents are KIND.part, KIND.size and KIND.for, and make
+// variableSetters are what of a world can be varied, by name. Those of incidents are KIND.part, KIND.size and KIND.for, and make
 // the incident where the world has none of the kind.
-func variables() map[string]func(*clustersim.Config, float64) {
+func variableSetters() map[string]func(*clustersim.Config, float64) {
 	whole := func(v float64) int { return int(math.Round(v)) }
 	seconds := func(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 	gateways := func(set func(*clustersim.GatewayConfig, float64)) func(*clustersim.Config, float64) {
@@ -64,16 +64,16 @@
 	}
 }
 
-// setter is what varies a variable.
-func setter(name string) (func(*clustersim.Config, float64), error) {
-	if set, ok := variables()[name]; ok {
+// findSetter is what varies a variable.
+func findSetter(name string) (func(*clustersim.Config, float64), error) {
+	if set, ok := variableSetters()[name]; ok {
 		return set, nil
 	}
 	kind, field, _ := strings.Cut(name, ".")
 	example := clustersim.Incident{Kind: clustersim.IncidentKind(kind), Start: time.Second, Duration: time.Second, ServerShare: 0.1, Magnitude: 1}
 	if !slices.Contains([]string{"part", "size", "for", "from"}, field) || !example.IsKnown() {
 		return nil, fmt.Errorf("nothing is called %q that could be varied, want one of %s, or KIND.part, KIND.size, KIND.for or KIND.from of an incident",
-			name, strings.Join(slices.Sorted(maps.Keys(variables())), ", "))
+			name, strings.Join(slices.Sorted(maps.Keys(variableSetters())), ", "))
 	}
 	return func(w *clustersim.Config, v float64) {
 		i := slices.IndexFunc(w.Incidents, func(i clustersim.Incident) bool { return string(i.Kind) == kind })
