--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Rule is one of the four that hold whatever a server decides.
+// Rule is one of the invariants that hold whatever a server's policy decides.
 type Rule string
 
 // The rules.
 const (
-	RuleLost      Rule = "lost"      // no request goes without one final answer in its time
-	RuleDuplicate Rule = "duplicate" // a keyed request runs once in its window, and is not turned away after it ran
-	RuleDrain     Rule = "drain"     // nothing runs that came after the grace, and all is answered before the end
-	RuleCrash     Rule = "fall-over" // exceedsMemory and cores bear what they are given
+	RuleLost      Rule = "lost"      // each request gets exactly one final response, in time
+	RuleDuplicate Rule = "duplicate" // a keyed request runs once within its window, and is not rejected after it ran
+	RuleDrain     Rule = "drain"     // nothing runs that arrived after the grace period, and all is answered before the end
+	RuleCrash     Rule = "fall-over" // memory and cores are not overloaded until the server crashes
 )
 
-// maxViolationMessages is how many breaches are told in words.
+// maxViolationMessages is the number of violations that are described. All are counted.
 const maxViolationMessages = 20
 
-// checker checks the rules from outside: it is told what happens and keeps its own account of it, in its own structures.
+// ruleChecker checks the rules from outside: it is notified of what happens and keeps its own account, which shares no
+// state with the servers that it checks.
 type ruleChecker struct {
 	config       *Config
-	attempts     map[uint64]*checkedAttempt
+	attempts     map[uint64]*checkedAttempt // by number
 	servers      []checkedServer
-	openAttempts int // attempts that arrived and are owed an answer
+	openAttempts int // that arrived and have no response
 	violations   map[Rule]int
 	messages     []string
 }
 
-// checkedAttempt is what is known of one try.
+// checkedAttempt is the checker's account of an attempt.
 type checkedAttempt struct {
 	key          uint64
-	keyed        bool
-	window       time.Duration
+	isKeyed      bool
+	window       time.Duration // of the key
 	deadline     time.Duration
-	readAt       time.Duration
 	sizeKB       float64
 	server       int
 	arrivedAt    time.Duration
-	pausedBefore time.Duration // attempt the server, when it came
+	pausedBefore time.Duration // checkedServer.pausedTime at the arrival
+	readAt       time.Duration
 	arrived      bool
 	read         bool
 	running      bool
@@ -47,136 +48,166 @@
 	answered     bool
 }
 
-// checkedServer is what is known of a server's process.
+// checkedServer is the checker's account of a server's process.
 type checkedServer struct {
-	memoryKB        float64                  // stateQueued and running
-	keyExpiries     []time.Duration          // feedbackUntil when each is kept, soonest first but for a few
-	expiryByAttempt map[uint64]time.Duration // by try
-	lastRunArrival  map[uint64]time.Duration // by key: when the try that ran came
-	attempts        map[uint64]bool          // that are here and not over
-	graceEnd        time.Duration            // 0 before the notice to leave
+	memoryKB        float64                  // of queued and running requests
+	keyExpiries     []time.Duration          // ascending but for a few
+	expiryByAttempt map[uint64]time.Duration // of kept keys
+	lastRunArrival  map[uint64]time.Duration // by key: arrival of the attempt that ran
+	attempts        map[uint64]bool          // that the process has and that have not ended
+	graceEnd        time.Duration            // if draining
 	draining        bool
-	pausedTime      time.Duration // for which the machine stood still
+	pausedTime      time.Duration // for which the machine stood still; it survives the process
 }
 
-func newRuleChecker(w *Config) *ruleChecker {
-	return &ruleChecker{config: w, attempts: map[uint64]*checkedAttempt{}, servers: make([]checkedServer, w.Servers.Count), violations: map[Rule]int{}}
+func newRuleChecker(c *Config) *ruleChecker {
+	return &ruleChecker{
+		config:     c,
+		attempts:   map[uint64]*checkedAttempt{},
+		servers:    make([]checkedServer, c.Servers.Count),
+		violations: map[Rule]int{},
+	}
 }
 
-func (o *ruleChecker) recordViolation(r Rule, format string, args ...any) {
-	o.violations[r]++
-	if len(o.messages) < maxViolationMessages {
-		o.messages = append(o.messages, string(r)+": "+fmt.Sprintf(format, args...))
+// recordViolation counts a violation and describes it if there are not too many.
+func (c *ruleChecker) recordViolation(r Rule, format string, args ...any) {
+	c.violations[r]++
+	if len(c.messages) < maxViolationMessages {
+		c.messages = append(c.messages, string(r)+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (o *ruleChecker) serverStarted(server int) {
-	o.servers[server] = checkedServer{expiryByAttempt: map[uint64]time.Duration{}, lastRunArrival: map[uint64]time.Duration{}, attempts: map[uint64]bool{},
-		pausedTime: o.servers[server].pausedTime}
+// serverStarted is called when a process starts.
+func (c *ruleChecker) serverStarted(server int) {
+	c.servers[server] = checkedServer{
+		expiryByAttempt: map[uint64]time.Duration{},
+		lastRunArrival:  map[uint64]time.Duration{},
+		attempts:        map[uint64]bool{},
+		pausedTime:      c.servers[server].pausedTime,
+	}
 }
 
-func (o *ruleChecker) attemptSent(try, key uint64, c *Class, sizeKB float64) {
-	o.attempts[try] = &checkedAttempt{key: key, keyed: c.IdempotentByKey, window: c.KeyWindow, deadline: c.Deadline, sizeKB: sizeKB}
+// attemptSent is called when a gateway sends an attempt.
+func (c *ruleChecker) attemptSent(number, key uint64, class *Class, sizeKB float64) {
+	c.attempts[number] = &checkedAttempt{
+		key:      key,
+		isKeyed:  class.IdempotentByKey,
+		window:   class.KeyWindow,
+		deadline: class.Deadline,
+		sizeKB:   sizeKB,
+	}
 }
 
-func (o *ruleChecker) attemptArrived(try uint64, server int, now time.Duration) {
-	t, s := o.attempts[try], &o.servers[server]
-	t.server, t.arrivedAt, t.arrived, t.pausedBefore = server, now, true, s.pausedTime
-	s.attempts[try] = true
-	o.openAttempts++
+// attemptArrived is called when a server accepts an attempt.
+func (c *ruleChecker) attemptArrived(number uint64, server int, now time.Duration) {
+	a, s := c.attempts[number], &c.servers[server]
+	a.server, a.arrivedAt, a.arrived, a.pausedBefore = server, now, true, s.pausedTime
+	s.attempts[number] = true
+	c.openAttempts++
 }
 
-func (o *ruleChecker) attemptRead(try uint64, now time.Duration) {
-	t := o.attempts[try]
-	t.read, t.readAt = true, now
-	o.servers[t.server].memoryKB += t.sizeKB
+// attemptRead is called when a server has read an attempt's request.
+func (c *ruleChecker) attemptRead(number uint64, now time.Duration) {
+	a := c.attempts[number]
+	a.read, a.readAt = true, now
+	c.servers[a.server].memoryKB += a.sizeKB
 }
 
-// attemptAnswered hears of every answer, those that tell that nothing was taken in included.
-func (o *ruleChecker) attemptAnswered(try uint64, k outcome, now time.Duration) {
-	t := o.attempts[try]
+// attemptAnswered is called for every result of an attempt, including refused connections.
+func (c *ruleChecker) attemptAnswered(number uint64, o outcome, now time.Duration) {
+	checked := c.attempts[number]
 	switch {
-	case t == nil:
-		o.recordViolation(RuleLost, "try %d is answered after its end, at %v", try, now)
+	case checked == nil:
+		c.recordViolation(RuleLost, "try %d is answered after its end, at %v", number, now)
 		return
-	case t.answered:
-		o.recordViolation(RuleLost, "try %d is answered twice, at %v", try, now)
+	case checked.answered:
+		c.recordViolation(RuleLost, "try %d is answered twice, at %v", number, now)
 		return
 	}
-	t.answered = true
-	if !t.arrived {
-		delete(o.attempts, try)
+	checked.answered = true
+	if !checked.arrived {
+		delete(c.attempts, number)
 		return
 	}
-	o.openAttempts--
-	s := &o.servers[t.server]
-	if due := max(t.arrivedAt+t.deadline, t.readAt) + o.config.Servers.ResponseTolerance + s.pausedTime - t.pausedBefore; k != outcomeConnectionLost && now > due {
-		o.recordViolation(RuleLost, "try %d is answered at %v, %v late", try, now, now-due)
+	c.openAttempts--
+	if latest := c.latestResponse(checked); o != outcomeConnectionLost && now > latest {
+		c.recordViolation(RuleLost, "try %d is answered at %v, %v late", number, now, now-latest)
 	}
-	if k == outcomeRejected && t.keyed && t.ran {
-		o.recordViolation(RuleDuplicate, "try %d ran and is turned away at %v", try, now)
+	if o == outcomeRejected && checked.isKeyed && checked.ran {
+		c.recordViolation(RuleDuplicate, "try %d ran and is turned away at %v", number, now)
 	}
-	if !t.running {
-		o.forget(try, t)
+	if !checked.running {
+		c.release(number, checked)
 	}
 }
 
-// finished forgets a try that is answered and does not run.
-func (o *ruleChecker) forget(try uint64, t *checkedAttempt) {
-	s := &o.servers[t.server]
-	if t.read {
-		s.memoryKB -= t.sizeKB
+// latestResponse is the time until which an attempt must be answered. What is read after its deadline can't be answered
+// sooner, and the time for which the machine was paused doesn't count.
+func (c *ruleChecker) latestResponse(a *checkedAttempt) time.Duration {
+	deadline := max(a.arrivedAt+a.deadline, a.readAt)
+	return deadline + c.config.Servers.ResponseTolerance + c.servers[a.server].pausedTime - a.pausedBefore
+}
+
+// release removes an attempt that is answered and does not run.
+func (c *ruleChecker) release(number uint64, a *checkedAttempt) {
+	s := &c.servers[a.server]
+	if a.read {
+		s.memoryKB -= a.sizeKB
 	}
-	delete(s.attempts, try)
-	delete(o.attempts, try)
+	delete(s.attempts, number)
+	delete(c.attempts, number)
 }
 
-func (o *ruleChecker) runStarted(try uint64, server int, now time.Duration) {
-	t, s := o.attempts[try], &o.servers[server]
-	if t == nil {
-		o.recordViolation(RuleLost, "try %d runs after its end, at %v", try, now)
+// runStarted is called when an attempt starts to run.
+func (c *ruleChecker) runStarted(number uint64, server int, now time.Duration) {
+	checked, s := c.attempts[number], &c.servers[server]
+	if checked == nil {
+		c.recordViolation(RuleLost, "try %d runs after its end, at %v", number, now)
 		return
 	}
-	if t.keyed {
-		if came, ok := s.lastRunArrival[t.key]; ok && t.arrivedAt < came+t.window {
-			o.recordViolation(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", t.key, server, now, t.arrivedAt-came)
+	if checked.isKeyed {
+		if first, ok := s.lastRunArrival[checked.key]; ok && checked.arrivedAt < first+checked.window {
+			c.recordViolation(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", checked.key, server, now, checked.arrivedAt-first)
 		}
-		s.lastRunArrival[t.key] = t.arrivedAt
+		s.lastRunArrival[checked.key] = checked.arrivedAt
 	}
-	if s.draining && t.arrivedAt > s.graceEnd {
-		o.recordViolation(RuleDrain, "try %d came %v after the grace and runs", try, t.arrivedAt-s.graceEnd)
+	if s.draining && checked.arrivedAt > s.graceEnd {
+		c.recordViolation(RuleDrain, "try %d came %v after the grace and runs", number, checked.arrivedAt-s.graceEnd)
 	}
-	t.running, t.ran = true, true
-	s.memoryKB += t.sizeKB * (o.config.Servers.RunningMemoryFactor - 1)
+	checked.running, checked.ran = true, true
+	s.memoryKB += checked.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
 }
 
-func (o *ruleChecker) runEnded(try uint64, server int) {
-	t := o.attempts[try]
-	if t == nil {
+// runEnded is called when a run ends or is stopped.
+func (c *ruleChecker) runEnded(number uint64, server int) {
+	a := c.attempts[number]
+	if a == nil {
 		return
 	}
-	t.running = false
-	o.servers[server].memoryKB -= t.sizeKB * (o.config.Servers.RunningMemoryFactor - 1)
-	if t.answered {
-		o.forget(try, t)
+	a.running = false
+	c.servers[server].memoryKB -= a.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
+	if a.answered {
+		c.release(number, a)
 	}
 }
 
-func (o *ruleChecker) keyKept(server int, try uint64, until time.Duration) {
-	s := &o.servers[server]
-	if _, again := s.expiryByAttempt[try]; !again {
+// keyKept is called when a server keeps an attempt's key, or keeps it for longer.
+func (c *ruleChecker) keyKept(server int, number uint64, until time.Duration) {
+	s := &c.servers[server]
+	if _, isKept := s.expiryByAttempt[number]; !isKept {
 		s.keyExpiries = append(s.keyExpiries, until)
 	}
-	s.expiryByAttempt[try] = until
+	s.expiryByAttempt[number] = until
 }
 
-func (o *ruleChecker) keyReleased(server int, try uint64) {
-	s := &o.servers[server]
-	until, ok := s.expiryByAttempt[try]
+// keyReleased is called when a server releases an attempt's key.
+func (c *ruleChecker) keyReleased(server int, number uint64) {
+	s := &c.servers[server]
+	until, ok := s.expiryByAttempt[number]
 	if !ok {
 		return
 	}
-	delete(s.expiryByAttempt, try)
+	delete(s.expiryByAttempt, number)
 	for i := len(s.keyExpiries) - 1; i >= 0; i-- {
 		if s.keyExpiries[i] == until {
 			s.keyExpiries = append(s.keyExpiries[:i], s.keyExpiries[i+1:]...)
@@ -185,66 +216,77 @@
 	}
 }
 
-// exceedsMemory tells whether a server needs more than it has, which breaks a rule.
-func (o *ruleChecker) exceedsMemory(server int, now time.Duration) bool {
-	s := &o.servers[server]
+// expiredKeysKept is how many attempts with expired keys are remembered at least before they are removed.
+const expiredKeysKept = 1000
+
+// removeExpiredKeys removes the keys that expired before now.
+func (s *checkedServer) removeExpiredKeys(now time.Duration) {
 	for len(s.keyExpiries) > 0 && s.keyExpiries[0] < now {
 		s.keyExpiries = s.keyExpiries[1:]
 	}
-	if len(s.expiryByAttempt) > 2*len(s.keyExpiries)+1000 {
-		for try, until := range s.expiryByAttempt { // in any order: what is left does not depend on it
-			if until < now {
-				delete(s.expiryByAttempt, try)
-			}
+	if len(s.expiryByAttempt) <= 2*len(s.keyExpiries)+expiredKeysKept {
+		return
+	}
+	for number, until := range s.expiryByAttempt { // the order of the map does not matter
+		if until < now {
+			delete(s.expiryByAttempt, number)
 		}
 	}
-	need := s.memoryKB + float64(len(s.keyExpiries))*o.config.Servers.KeyKB
-	if need <= o.config.Servers.MemoryKB {
+}
+
+// exceedsMemory reports whether a server needs more memory than it has, which violates a rule.
+func (c *ruleChecker) exceedsMemory(server int, now time.Duration) bool {
+	s := &c.servers[server]
+	s.removeExpiredKeys(now)
+	need := s.memoryKB + float64(len(s.keyExpiries))*c.config.Servers.KeyKB
+	if need <= c.config.Servers.MemoryKB {
 		return false
 	}
-	o.serverCrashed(server, now, fmt.Sprintf("a need of %.0f KB of %.0f", need, o.config.Servers.MemoryKB))
+	c.serverCrashed(server, now, fmt.Sprintf("a need of %.0f KB of %.0f", need, c.config.Servers.MemoryKB))
 	return true
 }
 
-func (o *ruleChecker) serverCrashed(server int, now time.Duration, cause string) {
-	o.recordViolation(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
+// serverCrashed is called when a server crashes by its own load.
+func (c *ruleChecker) serverCrashed(server int, now time.Duration, cause string) {
+	c.recordViolation(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
 }
 
-func (o *ruleChecker) drainStarted(server int, graceEnd time.Duration) {
-	s := &o.servers[server]
+// drainStarted is called when a process begins to drain.
+func (c *ruleChecker) drainStarted(server int, graceEnd time.Duration) {
+	s := &c.servers[server]
 	s.draining, s.graceEnd = true, graceEnd
 }
 
-func (o *ruleChecker) machinePaused(server int, d time.Duration) { o.servers[server].pausedTime += d }
+// machinePaused is called after a machine was paused.
+func (c *ruleChecker) machinePaused(server int, d time.Duration) { c.servers[server].pausedTime += d }
 
-// serverStopped hears of the end of a process. One that leaves owes nothing that it has read by then; one that is killed is
-// excused, and what lay unread was never taken in.
-func (o *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
-	s, owed := &o.servers[server], 0
-	for try := range s.attempts { // only counted, so that the order does not matter
-		t := o.attempts[try]
-		if t.read && !t.answered && !killed {
-			owed++
+// serverStopped is called when a process ends. A drained process must have answered all that it has read. One that is
+// killed has an excuse, and unread requests were never accepted.
+func (c *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
+	s, unanswered := &c.servers[server], 0
+	for number := range s.attempts { // the order of the map does not matter: they are only counted
+		a := c.attempts[number]
+		if a.read && !a.answered && !killed {
+			unanswered++
 		}
-		t.running = false
-		if t.answered {
-			delete(o.attempts, try)
+		a.running = false
+		if a.answered {
+			delete(c.attempts, number)
 		} else {
-			t.read = false // its memory is gone with the process
+			a.read = false // its memory is freed with the process
 		}
 	}
-	if owed > 0 {
-		o.recordViolation(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, owed)
+	if unanswered > 0 {
+		c.recordViolation(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, unanswered)
 	}
 	s.memoryKB, s.attempts = 0, map[uint64]bool{}
 }
 
-// finishRun looks for what was never answered.
-func (o *ruleChecker) finish(now time.Duration) {
-	for range o.openAttempts {
-		o.violations[RuleLost]++
-	}
-	if o.openAttempts > 0 {
-		o.messages = append(o.messages, fmt.Sprintf("%s: %d tries were not answered by the end at %v", RuleLost, o.openAttempts, now))
+// finish records the attempts that were never answered.
+func (c *ruleChecker) finish(now time.Duration) {
+	if c.openAttempts <= 0 {
+		return
 	}
+	c.violations[RuleLost] += c.openAttempts
+	c.messages = append(c.messages, fmt.Sprintf("%s: %d tries were not answered by the end at %v", RuleLost, c.openAttempts, now))
 }
--- /dev/null
+++ b/internal/clustersim/checker_test.go
@@ -0,0 +1,54 @@
+package clustersim
+
+import (
+	"testing"
+	"time"
+)
+
+// TestRuleChecker checks that each kind of violation is detected.
+func TestRuleChecker(t *testing.T) {
+	config := DefaultConfig()
+	config.Servers.Count = 1
+	class := &config.Classes[1]
+	for rule, violate := range map[Rule]func(checker *ruleChecker){
+		RuleLost: func(checker *ruleChecker) { checker.attemptAnswered(1, outcomeServed, class.Deadline+time.Second) },
+		RuleDuplicate: func(checker *ruleChecker) {
+			checker.runStarted(1, 0, 1)
+			checker.runEnded(1, 0)
+			checker.attemptAnswered(1, outcomeRejected, 2)
+		},
+		RuleDrain: func(checker *ruleChecker) {
+			checker.drainStarted(0, 0)
+			checker.serverStopped(0, 1, false)
+		},
+		RuleCrash: func(checker *ruleChecker) {
+			config.Servers.MemoryKB = 1
+			checker.exceedsMemory(0, 1)
+			config.Servers.MemoryKB = 1e6
+		},
+	} {
+		checker := newRuleChecker(&config)
+		checker.serverStarted(0)
+		checker.attemptSent(1, 7, class, 10)
+		checker.attemptArrived(1, 0, 0)
+		checker.attemptRead(1, 0)
+		if violate(checker); checker.violations[rule] == 0 {
+			t.Errorf("%s: not seen", rule)
+		}
+	}
+	checker := newRuleChecker(&config)
+	checker.serverStarted(0)
+	for n := range uint64(2) {
+		checker.attemptSent(n, 7, class, 10)
+		checker.attemptArrived(n, 0, 0)
+		checker.attemptRead(n, 0)
+		checker.runStarted(n, 0, 1)
+	}
+	if checker.violations[RuleDuplicate] == 0 {
+		t.Error("a second run of one key is not seen")
+	}
+	checker.finish(time.Hour)
+	if checker.violations[RuleLost] == 0 {
+		t.Error("what is never answered is not seen")
+	}
+}
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -14,17 +14,22 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"tillerusher/internal/baseline"
 )
 
-// allPolicies are all that a server may decide by.
+// allPolicies returns the module and the policies to compare it with.
 func allPolicies() map[string]PolicyFactory {
-	return map[string]PolicyFactory{"module": AdmissionModule, "line": baseline.BoundedQueue(2, 4), "nolimit": baseline.NoLimit, "codel": baseline.CoDel, "worth": baseline.WeightPriority,
-		"gradient": baseline.Gradient}
+	return map[string]PolicyFactory{
+		"module":   AdmissionModule,
+		"line":     baseline.BoundedQueue(2, 4),
+		"nolimit":  baseline.NoLimit,
+		"codel":    baseline.CoDel,
+		"worth":    baseline.WeightPriority,
+		"gradient": baseline.Gradient,
+	}
 }
 
+// mustRun simulates a configuration and fails the test on an error.
 func mustRun(t testing.TB, config Config, policy PolicyFactory, seed uint64) *Result {
 	t.Helper()
 	r, err := Run(context.Background(), config, policy, seed)
@@ -34,10 +39,10 @@
 	return r
 }
 
-// seeds is how many days TestDeterminism and TestRules play of each kind; docs/design/model.md has what 50 showed.
+// seeds is the number of workloads of each kind in TestDeterminism and TestRules; docs/design/model.md has the result of 50.
 var seeds = flag.Int("seeds", 2, "how many days of each kind are played")
 
-// TestDeterminism plays days of all kinds twice, with one processor and with four: the results are the same to the byte.
+// TestDeterminism runs workloads of all kinds twice, with one processor and with four: the results are the same to the byte.
 func TestDeterminism(t *testing.T) {
 	text := func(config Config, policy PolicyFactory, seed uint64, procs int) []byte {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
@@ -60,7 +65,7 @@
 	}
 }
 
-// TestRules has the module keep all rules on days of all kinds, checked from outside.
+// TestRules checks that the module keeps all rules under workloads of all kinds.
 func TestRules(t *testing.T) {
 	for _, kind := range WorkloadKinds() {
 		for n := range uint64(*seeds) {
@@ -71,7 +76,8 @@
 	}
 }
 
-// TestIndependentRandomNumbers has one cause of chance not shift the others: another habit of gateways leaves first tries as they were.
+// TestIndependentRandomNumbers checks that causes of randomness do not shift each other: with other gateways, clients make the
+// same requests.
 func TestIndependentRandomNumbers(t *testing.T) {
 	config := DefaultConfig()
 	config.Duration = 10 * time.Second
@@ -88,7 +94,7 @@
 	}
 }
 
-// TestRejectReasons tells each refusal's reason, and asking for it changes nothing.
+// TestRejectReasons checks that each rejection has a reason and that recording reasons doesn't change the run.
 func TestRejectReasons(t *testing.T) {
 	config := GenerateConfig(WorkloadStorm, 3)
 	config.Duration = 20 * time.Second
@@ -107,8 +113,8 @@
 	}
 }
 
-// TestIncidents has each kind of incident strike and be over: the share sinks or stays, all that is owed is answered, and
-// the fleet is as before in the end.
+// TestIncidents checks that each kind of incident has an effect and ends: the goodput share sinks, no rule is violated, and
+// the cluster recovers.
 func TestIncidents(t *testing.T) {
 	for _, kind := range IncidentKinds() {
 		config := DefaultConfig()
@@ -146,8 +152,8 @@
 	}
 }
 
-// TestMetastable has gateways that try again without end keep a fleet without limits down though the jump that tipped it is
-// long over, and the module bring it back.
+// TestMetastable checks that retries keep a cluster without limits overloaded long after the trigger is gone, and that the
+// module lets it recover.
 func TestMetastable(t *testing.T) {
 	config := DefaultConfig()
 	config.Duration = 60 * time.Second
@@ -162,7 +168,8 @@
 	}
 }
 
-// TestFeedback has a gateway read each kind of value as PROTOCOL and WIRE say, and a world of each kind keep the rules.
+// TestFeedback checks that a gateway reads each kind of feedback as PROTOCOL and WIRE say, and that a cluster with each kind
+// keeps the rules.
 func TestFeedback(t *testing.T) {
 	for _, c := range []struct {
 		feedback Feedback
@@ -179,7 +186,7 @@
 		config := DefaultConfig()
 		config.Servers.Feedback = c.feedback
 		gw := &gateway{sim: &simulation{config: config}, feedbackRandom: newRandom(1, "heed", 0)}
-		if got := gw.passesFeedback(&serverView{openAttempts: c.open, feedback: c.value}, &request{rank: c.rank}); got != c.want {
+		if got := gw.passesFeedback(&serverView{openAttempts: c.open, load: c.value}, &request{priority: c.rank}); got != c.want {
 			t.Errorf("%q: with the value %v and %d open, a request of rank %v is wanted: %v", c.feedback, c.value, c.open, c.rank, got)
 		}
 	}
@@ -194,13 +201,13 @@
 	}
 }
 
-// TestNonIdempotent has requests of a class without keys that must run once only: a gateway tries none of them again that may have run.
+// TestNonIdempotent checks that gateways do not retry a non-idempotent request that may have run.
 func TestNonIdempotent(t *testing.T) {
 	config := DefaultConfig()
 	config.Duration = 10 * time.Second
 	config.Classes = []Class{{Name: "gate-open", Share: 1, MeanWork: 200 * time.Millisecond, LatencyObjective: time.Second, Deadline: 3 * time.Second,
 		Weight: 1, Distribution: Constant, NonIdempotent: true}}
-	config.SetLoad(0.2) // nothing is refused, which would be tried again
+	config.SetLoad(0.2) // nothing is rejected, since rejections are retried
 	config.Incidents = []Incident{{Kind: FailingRuns, Start: time.Second, Duration: 8 * time.Second, ServerShare: 1, Magnitude: 0.5}}
 	r := mustRun(t, config, AdmissionModule, 1)
 	if r.AttemptOutcomes[outcomeNames[outcomeFailed]] == 0 {
@@ -211,7 +218,7 @@
 	}
 }
 
-// TestNoServers has clients of a fleet without servers be told so, at once.
+// TestNoServers checks that requests to a cluster without servers end at once.
 func TestNoServers(t *testing.T) {
 	config := DefaultConfig()
 	config.Duration, config.Servers.Count, config.Arrival.Rate = 3*time.Second, 0, 100
@@ -221,7 +228,7 @@
 	}
 }
 
-// TestParetoWork plays work of a Pareto distribution whose variance has no bound.
+// TestParetoWork runs a workload of a Pareto distribution with infinite variance.
 func TestParetoWork(t *testing.T) {
 	config := DefaultConfig()
 	config.Duration = 20 * time.Second
@@ -234,7 +241,7 @@
 	}
 }
 
-// TestValidate names what makes no sense in a world.
+// TestValidate checks that configurations that make no sense are rejected, and that Run returns the context's error.
 func TestValidate(t *testing.T) {
 	for name, change := range map[string]func(config *Config){
 		"length": func(config *Config) { config.Duration = 0 }, "cores": func(config *Config) { config.Servers.Cores = 0 }, "speed": func(config *Config) { config.Servers.Speed = math.NaN() },
@@ -259,91 +266,7 @@
 	}
 }
 
-// TestEventQueue compares the queue with a sorted list.
-func TestEventQueue(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var q eventQueue
-		var waiting []*event
-		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at"))
-			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
-			case what < 3 || len(waiting) == 0:
-				waiting = append(waiting, q.schedule(at, nil, 0, nil))
-			case what == 3:
-				q.reschedule(waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "moved")], at)
-			case what == 4:
-				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "dropped")
-				q.cancel(waiting[i])
-				q.cancel(waiting[i])
-				waiting = slices.Delete(waiting, i, i+1)
-			default:
-				i := 0
-				for k, e := range waiting {
-					if before(e, waiting[i]) {
-						i = k
-					}
-				}
-				if got := q.pop(); got != waiting[i] {
-					t.Fatalf("%v comes next, want %v", got.at, waiting[i].at)
-				}
-				waiting = slices.Delete(waiting, i, i+1)
-			}
-		}
-		if len(q.heap) != len(waiting) {
-			t.Fatalf("%d wait, want %d", len(q.heap), len(waiting))
-		}
-	})
-}
-
-// TestRuleChecker has the observer see each kind of breach: one that can't fail checks nothing.
-func TestRuleChecker(t *testing.T) {
-	config := DefaultConfig()
-	config.Servers.Count = 1
-	class := &config.Classes[1]
-	for rule, violate := range map[Rule]func(checker *ruleChecker){
-		RuleLost: func(checker *ruleChecker) { checker.attemptAnswered(1, outcomeServed, class.Deadline+time.Second) },
-		RuleDuplicate: func(checker *ruleChecker) {
-			checker.runStarted(1, 0, 1)
-			checker.runEnded(1, 0)
-			checker.attemptAnswered(1, outcomeRejected, 2)
-		},
-		RuleDrain: func(checker *ruleChecker) {
-			checker.drainStarted(0, 0)
-			checker.serverStopped(0, 1, false)
-		},
-		RuleCrash: func(checker *ruleChecker) {
-			config.Servers.MemoryKB = 1
-			checker.exceedsMemory(0, 1)
-			config.Servers.MemoryKB = 1e6
-		},
-	} {
-		checker := newRuleChecker(&config)
-		checker.serverStarted(0)
-		checker.attemptSent(1, 7, class, 10)
-		checker.attemptArrived(1, 0, 0)
-		checker.attemptRead(1, 0)
-		if violate(checker); checker.violations[rule] == 0 {
-			t.Errorf("%s: not seen", rule)
-		}
-	}
-	checker := newRuleChecker(&config)
-	checker.serverStarted(0)
-	for n := range uint64(2) {
-		checker.attemptSent(n, 7, class, 10)
-		checker.attemptArrived(n, 0, 0)
-		checker.attemptRead(n, 0)
-		checker.runStarted(n, 0, 1)
-	}
-	if checker.violations[RuleDuplicate] == 0 {
-		t.Error("a second run of one key is not seen")
-	}
-	checker.finish(time.Hour)
-	if checker.violations[RuleLost] == 0 {
-		t.Error("what is never answered is not seen")
-	}
-}
-
-// BenchmarkFleet plays fleets of all sizes at one load: what a request costs should not grow with them.
+// BenchmarkFleet runs clusters of all sizes at one load. The cost of a request should not grow with the size.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/clustersim/cores.go
+++ b/internal/clustersim/cores.go
@@ -10,20 +10,36 @@
 type job struct {
 	attempt       *attempt
 	isRead        bool
-	finishService float64 // attempt the service that each job has had, when it is done
+	finishService float64 // value of cores.service at which the job is done
 	seq           uint64
-	heapIndex     int // in the heap; -1 while it is not on the cores
+	heapIndex     int // -1 while it is not on the cores
 }
 
-// jobHeap is a heap by the service at which they are done.
+// jobHeap orders jobs by the service at which they are done.
 type jobHeap []*job
 
+// Len implements heap.Interface.
 func (h jobHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface. Of jobs that are done at once the one that was added first comes first.
 func (h jobHeap) Less(i, j int) bool {
 	return h[i].finishService < h[j].finishService || h[i].finishService == h[j].finishService && h[i].seq < h[j].seq
 }
-func (h jobHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
-func (h *jobHeap) Push(x any)   { j := x.(*job); j.heapIndex = len(*h); *h = append(*h, j) }
+
+// Swap implements heap.Interface.
+func (h jobHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+// Push implements heap.Interface.
+func (h *jobHeap) Push(x any) {
+	j := x.(*job)
+	j.heapIndex = len(*h)
+	*h = append(*h, j)
+}
+
+// Pop implements heap.Interface.
 func (h *jobHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
@@ -33,60 +49,65 @@
 	return j
 }
 
-// cores are those of one server, shared evenly by all jobs (egalitarian processor sharing, at most one core a job). Past a
-// number of runs a core they get less done in total.
+// cores are the cores of one server, shared evenly by all jobs: egalitarian processor sharing with at most one core per
+// job. Above a number of runs per core they get less done in total.
+//
+// Since all jobs progress at one rate, it is enough to integrate that rate over time: a job is done when the integral, called
+// service, has grown by the job's work.
 type cores struct {
 	count           float64
-	thrashFactor    float64 // how much less, for each run a core over thrashThreshold
+	thrashFactor    float64 // loss of efficiency for each run per core above thrashThreshold
 	thrashThreshold float64
-	speed           float64 // attempt each core now; 0 while all stands still
+	speed           float64 // of each core now; 0 while all work stands still
 
 	jobs      jobHeap
-	runCount  int     // jobHeap that are runs
-	service   float64 // seconds of work that each job on the cores has had since the start
+	runCount  int     // jobs that are runs
+	service   float64 // seconds of work that a job on the cores got since the start
 	updatedAt time.Duration
 	seq       uint64
 
-	utilization float64 // part of the cores, averaged over half a second
-	workDone    float64 // core seconds at full speed that jobs have had, in all
+	utilization float64 // exponential moving average over utilizationWindow
+	workDone    float64 // seconds of work that all jobs together got
 }
 
-// utilizationWindow is the time over which the gauge of the cores averages.
-const utilizationWindow = 500 * time.Millisecond
+const (
+	utilizationWindow = 500 * time.Millisecond
+	serviceTolerance  = 1e-10 // rounding error of service, in seconds of work
+)
 
-// rate is the seconds of work that each job gets in a second.
+// rate is the seconds of work that each job gets per second.
 func (c *cores) rate() float64 {
-	k := float64(len(c.jobs))
-	if k == 0 || c.speed == 0 {
+	n := float64(len(c.jobs))
+	if n == 0 || c.speed == 0 {
 		return 0
 	}
-	return c.speed * min(1, c.count/k) * c.efficiency()
+	return c.speed * min(1, c.count/n) * c.efficiency()
 }
 
-// efficiency is what crowding leaves of the cores.
+// efficiency is the part of the cores' speed that thrashing leaves.
 func (c *cores) efficiency() float64 {
-	over := float64(c.runCount)/c.count - c.thrashThreshold
-	if over <= 0 || c.thrashFactor == 0 {
+	excess := float64(c.runCount)/c.count - c.thrashThreshold
+	if excess <= 0 || c.thrashFactor == 0 {
 		return 1
 	}
-	return 1 / (1 + c.thrashFactor*over)
+	return 1 / (1 + c.thrashFactor*excess)
 }
 
-// advance gives jobs their service up to now.
+// advance accounts for the time up to now. It must be called before jobs or the speed change.
 func (c *cores) advance(now time.Duration) {
-	since := (now - c.updatedAt).Seconds()
-	if since <= 0 {
+	elapsed := (now - c.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	r := c.rate()
-	c.service += r * since
-	c.workDone += r * since * float64(len(c.jobs))
-	keep := math.Exp(-since / utilizationWindow.Seconds())
-	c.utilization = c.utilization*keep + (1-keep)*min(1, float64(len(c.jobs))/c.count)
+	rate := c.rate()
+	c.service += rate * elapsed
+	c.workDone += rate * elapsed * float64(len(c.jobs))
+	decay := math.Exp(-elapsed / utilizationWindow.Seconds())
+	c.utilization = c.utilization*decay + (1-decay)*min(1, float64(len(c.jobs))/c.count)
 	c.updatedAt = now
 }
 
-// add puts a job on the cores.
+// add starts a job of so many seconds of work.
 func (c *cores) add(j *job, work float64) {
 	j.finishService = c.service + work
 	j.seq = c.seq
@@ -97,32 +118,30 @@
 	}
 }
 
-// remove takes a job off the cores and returns the work that it still lacked.
-func (c *cores) remove(j *job) float64 {
-	left := j.finishService - c.service
+// remove takes a job off the cores, whether it is done or not.
+func (c *cores) remove(j *job) {
 	heap.Remove(&c.jobs, j.heapIndex)
 	if !j.isRead {
 		c.runCount--
 	}
 	if len(c.jobs) == 0 {
-		c.service = 0 // so that figures stay exact over long runs
+		c.service = 0 // keeps the sum exact over long runs
 	}
-	return left
 }
 
-// retryOrComplete is when the first job is done, if nothing changes.
-func (c *cores) nextFinish() (time.Duration, bool) {
-	r := c.rate()
-	if r == 0 {
+// nextFinish is the time at which the first job is done if nothing changes; ok is false if that never happens.
+func (c *cores) nextFinish() (at time.Duration, ok bool) {
+	rate := c.rate()
+	if rate == 0 {
 		return 0, false
 	}
-	wait := max(c.jobs[0].finishService-c.service, 0) / r
-	return c.updatedAt + time.Duration(math.Ceil(wait*1e9)), true
+	wait := max(c.jobs[0].finishService-c.service, 0) / rate
+	return c.updatedAt + time.Duration(math.Ceil(wait*float64(time.Second))), true
 }
 
-// firstFinished is the first job if it is done by now, or nil.
+// firstFinished returns the first job that is done by now, or nil.
 func (c *cores) firstFinished() *job {
-	if len(c.jobs) > 0 && c.jobs[0].finishService <= c.service+1e-10 {
+	if len(c.jobs) > 0 && c.jobs[0].finishService <= c.service+serviceTolerance {
 		return c.jobs[0]
 	}
 	return nil
--- a/internal/clustersim/event.go
+++ b/internal/clustersim/event.go
@@ -2,36 +2,69 @@
 
 import "time"
 
-// handler has something happen.
-type handler interface {
+// eventHandler receives events when they are due.
+type eventHandler interface {
 	handle(e *event)
 }
 
-// event is one thing to come. It may be moved and taken back while it waits.
+// eventKind says what an event means to its target.
+type eventKind uint8
+
+// The kinds of event, by target.
+const (
+	// Of the simulation itself.
+	eventRequestArrival eventKind = iota
+	eventEndpointChange           // payload endpointChange
+	eventIncidentBegin            // payload *activeIncident
+	eventIncidentEnd              // payload *activeIncident
+	eventDeployStep               // payload *activeIncident
+
+	// Of a gateway.
+	eventAttemptResult  // payload *attemptResult
+	eventClientDeadline // payload *request
+	eventAttemptTimeout // payload *attempt
+	eventRetry          // payload *request
+	eventHealthCheck
+	eventResend // payload *request
+
+	// Of a server.
+	eventAttemptArrival // payload *attempt
+	eventJobsDone       // a job may be done
+	eventModuleTimer    // payload timerToken
+	eventDeferred       // payload func()
+	eventConcurrencyCheck
+	eventWarmUp // the speed of a server that warms up has changed
+	eventStart
+	eventListenerClose
+	eventStop
+)
+
+// event is something that happens at a time. It can be moved and canceled while it waits.
 type event struct {
 	at         time.Duration
-	seq        uint64 // attempt two at one instant the one that was set first happens first
-	index      int    // in the queue; -1 while it does not wait
-	target     handler
-	kind       uint8 // target the handler
-	payload    any   // likewise
-	generation uint32
+	seq        uint64 // breaks ties: what was scheduled first happens first
+	index      int    // in the queue's heap; -1 while it does not wait
+	target     eventHandler
+	kind       eventKind
+	payload    any
+	generation uint32 // of the server's process that the event is for
 }
 
-// events is an indexed heap of events in the order of time. Four children a node keep it shallow.
+// eventQueue is an indexed d-ary heap of events in the order of time.
 type eventQueue struct {
 	heap []*event
 	seq  uint64
 	free []*event
 }
 
+// heapArity is the number of children of a node. Four keep the heap shallow.
 const heapArity = 4
 
-// before tells which of two events comes first.
+// before reports whether a happens before b.
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// schedule has a new event wait.
-func (q *eventQueue) schedule(at time.Duration, to handler, what uint8, ref any) *event {
+// schedule adds a new event.
+func (q *eventQueue) schedule(at time.Duration, target eventHandler, kind eventKind, payload any) *event {
 	var e *event
 	if n := len(q.free); n > 0 {
 		e = q.free[n-1]
@@ -39,12 +72,12 @@
 	} else {
 		e = &event{}
 	}
-	*e = event{target: to, kind: what, payload: ref, index: -1}
+	*e = event{target: target, kind: kind, payload: payload, index: -1}
 	q.reschedule(e, at)
 	return e
 }
 
-// reschedule has an event wait for another time, whether it waits or not.
+// reschedule moves an event to another time, or adds it again if it does not wait.
 func (q *eventQueue) reschedule(e *event, at time.Duration) {
 	e.at = at
 	e.seq = q.seq
@@ -60,7 +93,7 @@
 	}
 }
 
-// cancel takes an event back; nil and one that does not wait are left alone. It is not used again by the queue.
+// cancel removes an event; nil and an event that does not wait are ignored. The queue does not reuse the event.
 func (q *eventQueue) cancel(e *event) {
 	if e == nil || e.index < 0 {
 		return
@@ -75,7 +108,7 @@
 	}
 }
 
-// retryOrComplete takes out the first event, or returns nil.
+// pop removes and returns the first event, or nil.
 func (q *eventQueue) pop() *event {
 	if len(q.heap) == 0 {
 		return nil
@@ -85,7 +118,12 @@
 	return e
 }
 
-// release hands back an event that nothing points to any more.
+// hasEventAt reports whether another event is due at the time or earlier.
+func (q *eventQueue) hasEventAt(now time.Duration) bool {
+	return len(q.heap) > 0 && q.heap[0].at <= now
+}
+
+// release hands back an event that nothing refers to any more, so that it is reused.
 func (q *eventQueue) release(e *event) {
 	e.payload = nil
 	q.free = append(q.free, e)
@@ -111,9 +149,9 @@
 func (q *eventQueue) down(i int) {
 	for {
 		least := i
-		for c := heapArity*i + 1; c <= heapArity*i+heapArity && c < len(q.heap); c++ {
-			if before(q.heap[c], q.heap[least]) {
-				least = c
+		for child := heapArity*i + 1; child <= heapArity*i+heapArity && child < len(q.heap); child++ {
+			if before(q.heap[child], q.heap[least]) {
+				least = child
 			}
 		}
 		if least == i {
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -7,19 +7,20 @@
 
 const ms = time.Millisecond
 
-// fleet is how many servers and gateways the deployments of this file have. A world plays a part of the servers only: each
-// of them gets what it would get in the whole fleet, and its settings name the whole.
+// The size of the deployments in this file. Only a part of the servers is simulated: each of them gets the load that it
+// would get in the whole fleet, and its settings name the whole.
 const (
 	fleetServers     = 300
 	fleetGateways    = 150
 	simulatedServers = 6
 )
 
-// minFairShare is the part of its fair share that each class must get. The operators' standing test asks for half of what a
-// policy serves that sees the true state late.
+// minFairShare is the part of its fair share that each class must get. The operators' standing test requires half of what a
+// policy serves that sees the true state with a delay.
 const minFairShare = 0.5
 
-// testClass is a class whose requests meet their aim on an idle server: their work varies little, and the aim is long beside it.
+// testClass returns a class whose requests meet their objective on an idle server: their work varies little, and the objective
+// is long compared with it.
 func testClass(name string, share float64, work, aim time.Duration, worth float64) Class {
 	return Class{Name: name, Share: share, MeanWork: work, Distribution: LogNormal, CV: 0.4, LatencyObjective: aim, Deadline: 5 * aim / 2, Weight: worth}
 }
@@ -64,7 +65,7 @@
 		withLateWeight(testClass("e", 0.2, 500*ms, 4000*ms, 20), 1)}
 }
 
-// equalTenants are so many with one share each.
+// equalTenants returns tenants of equal shares.
 func equalTenants(n int) []Tenant {
 	tenants := make([]Tenant, n)
 	for i := range tenants {
@@ -77,12 +78,12 @@
 	return []Tenant{{Name: "large", Share: 0.9}, {Name: "small", Share: 0.06}, {Name: "smaller", Share: 0.04}}
 }
 
-// deployment is one row of settings under which no class may starve.
+// deployment is a configuration under which no class may starve.
 type deployment struct {
 	name    string
 	classes []Class
 	tenants []Tenant
-	load    float64 // attempt what the fleet can do; 0 is 1.25
+	load    float64 // relative to the capacity; 0 means 1.25
 	change  func(w *Config)
 }
 
@@ -141,7 +142,7 @@
 	}
 }
 
-// config is the deployment in a part of its fleet.
+// config returns the deployment's configuration with the simulated part of its servers.
 func (d *deployment) config() Config {
 	config := DefaultConfig()
 	config.Name, config.Duration = d.name, 30*time.Second
@@ -163,8 +164,8 @@
 	return config
 }
 
-// TestNoClassStarves plays deployments of 300 servers and 150 gateways: in an overload, and after a fault, each class is
-// served half at least of the part that the fleet can serve of all.
+// TestNoClassStarves checks that in an overload and after a fault each class is served at least half of the part that the
+// cluster can serve of all requests.
 func TestNoClassStarves(t *testing.T) {
 	for _, d := range deployments() {
 		t.Run(d.name, func(t *testing.T) {
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
@@ -11,36 +12,36 @@
 
 // The kinds of incident.
 const (
-	RateJump           IncidentKind = "jump"    // the rate is Size times the usual, rising and falling over Rise
-	ServerCrash        IncidentKind = "death"   // a part of the servers die at once and come back cold at the end
-	HalfOutage         IncidentKind = "half"    // every second server does: one half of the data centre
-	SlowServers        IncidentKind = "slow"    // a part of the servers are Size times slower
-	HungWork           IncidentKind = "hang"    // the work of a part of the servers stands still, not their reading of the network
-	MachinePause       IncidentKind = "pause"   // a part of the machines stand still altogether
-	RollingDeploy      IncidentKind = "deploy"  // a part of the servers are replaced one batch after the other, of Size of the fleet each
-	EndpointListFreeze IncidentKind = "freeze"  // the list of servers stands still
-	FailingRuns        IncidentKind = "failing" // attempt a part of the servers, a part Size of the runs end with an error
+	RateJump           IncidentKind = "jump"    // the arrival rate is multiplied by Magnitude, with ramps of RampTime
+	ServerCrash        IncidentKind = "death"   // servers crash at once and start cold at the end
+	HalfOutage         IncidentKind = "half"    // like ServerCrash for every second server: one half of the data center
+	SlowServers        IncidentKind = "slow"    // servers are slower by the factor Magnitude
+	HungWork           IncidentKind = "hang"    // work on servers makes no progress, but they accept requests
+	MachinePause       IncidentKind = "pause"   // machines stand still altogether
+	RollingDeploy      IncidentKind = "deploy"  // servers are replaced in batches of Magnitude, a share of all servers
+	EndpointListFreeze IncidentKind = "freeze"  // the endpoint list doesn't change
+	FailingRuns        IncidentKind = "failing" // the share Magnitude of the runs on servers ends with an error
 )
 
-// IncidentKinds are all kinds of incident.
+// IncidentKinds returns all kinds of incident.
 func IncidentKinds() []IncidentKind {
 	return []IncidentKind{RateJump, ServerCrash, HalfOutage, SlowServers, HungWork, MachinePause, RollingDeploy, EndpointListFreeze, FailingRuns}
 }
 
-// IsKnown tells whether the incident is of a kind that there is.
-func (i Incident) IsKnown() bool { return slices.Contains(IncidentKinds(), i.Kind) }
-
-// Incident is something that goes wrong for a while.
+// Incident is a fault of a limited duration.
 type Incident struct {
 	Kind        IncidentKind  `json:"What"`
 	Start       time.Duration `json:"From"`
 	Duration    time.Duration `json:"For"`
-	ServerShare float64       `json:"Part"` // attempt the servers
-	Magnitude   float64       `json:"Size"`
+	ServerShare float64       `json:"Part"` // share of the servers that it affects
+	Magnitude   float64       `json:"Size"` // its meaning depends on the kind
 	RampTime    time.Duration `json:"Rise"`
 }
 
-// String tells an incident in a few words.
+// IsKnown reports whether the incident is of a kind that there is.
+func (i Incident) IsKnown() bool { return slices.Contains(IncidentKinds(), i.Kind) }
+
+// String describes the incident in a few words.
 func (i Incident) String() string {
 	text := fmt.Sprintf("%s at %v for %v", i.Kind, i.Start.Round(10*time.Millisecond), i.Duration.Round(10*time.Millisecond))
 	if i.ServerShare > 0 {
@@ -60,68 +61,87 @@
 		return fmt.Errorf("incident %v: a time below 0", i)
 	case i.ServerShare < 0 || i.ServerShare > 1:
 		return fmt.Errorf("incident %v: a part of %v, want 0 to 1", i, i.ServerShare)
-	case i.Kind == SlowServers && i.Magnitude < 1, i.Kind == RollingDeploy && !(i.Magnitude > 0), i.Kind == RateJump && i.Magnitude < 0,
-		i.Kind == FailingRuns && (i.Magnitude < 0 || i.Magnitude > 1):
+	case !i.hasValidMagnitude():
 		return fmt.Errorf("incident %v: a size of %v makes no sense", i, i.Magnitude)
 	}
 	return nil
 }
 
-// activeIncident is an incident under way.
+func (i *Incident) hasValidMagnitude() bool {
+	switch i.Kind {
+	case SlowServers:
+		return !(i.Magnitude < 1)
+	case RollingDeploy:
+		return i.Magnitude > 0
+	case RateJump:
+		return !(i.Magnitude < 0)
+	case FailingRuns:
+		return !(i.Magnitude < 0 || i.Magnitude > 1)
+	}
+	return true
+}
+
+// activeIncident is an incident of a run.
 type activeIncident struct {
 	*Incident
 	sim     *simulation
 	index   int
-	servers []*server
+	servers []*server // affected, or still to be replaced by a deploy
 }
 
-func newActiveIncident(s *simulation, n int, i *Incident) *activeIncident {
-	return &activeIncident{Incident: i, sim: s, index: n}
+func newActiveIncident(s *simulation, index int, i *Incident) *activeIncident {
+	return &activeIncident{Incident: i, sim: s, index: index}
 }
 
-// start has it strike.
-func (t *activeIncident) begin() {
-	rng := newRandom(t.sim.seed, "incident", t.index)
-	switch t.Kind {
-	case RateJump:
-		return // the arrivals jump by themselves
+// begin starts the incident.
+func (i *activeIncident) begin() {
+	if i.Kind == RateJump {
+		return // the arrival process has it
+	}
+	rng := newRandom(i.sim.seed, "incident", i.index)
+	i.chooseServers(rng)
+	i.sim.events.schedule(i.sim.now+i.Duration, i.sim, eventIncidentEnd, i)
+	if i.Kind == RollingDeploy {
+		rng.Shuffle(len(i.servers), func(a, b int) { i.servers[a], i.servers[b] = i.servers[b], i.servers[a] })
+		i.deployNextBatch()
+		return
+	}
+	for _, s := range i.servers {
+		i.applyTo(s)
+	}
+	if i.Kind == EndpointListFreeze {
+		i.sim.endpoints.freeze()
+	}
+}
+
+// chooseServers chooses the servers that are affected.
+func (i *activeIncident) chooseServers(rng *rand.Rand) {
+	switch i.Kind {
 	case HalfOutage:
-		for _, s := range t.sim.servers {
+		for _, s := range i.sim.servers {
 			if s.index%2 == 1 {
-				t.servers = append(t.servers, s)
+				i.servers = append(i.servers, s)
 			}
 		}
 	case ServerCrash:
-		t.servers = t.sim.drawServers(rng, t.ServerShare, func(s *server) bool { return s.isUp })
+		i.servers = i.sim.drawServers(rng, i.ServerShare, func(s *server) bool { return s.isUp })
 	default:
-		t.servers = t.sim.drawServers(rng, t.ServerShare, nil)
-	}
-	t.sim.events.schedule(t.sim.now+t.Duration, t.sim, eventIncidentEnd, t)
-	if t.Kind == RollingDeploy {
-		rng.Shuffle(len(t.servers), func(i, j int) { t.servers[i], t.servers[j] = t.servers[j], t.servers[i] })
-		t.deployNextBatch()
-		return
-	}
-	for _, s := range t.servers {
-		t.applyTo(s)
-	}
-	if t.Kind == EndpointListFreeze {
-		t.sim.frozen++
+		i.servers = i.sim.drawServers(rng, i.ServerShare, nil)
 	}
 }
 
-// applyTo has it strike one server.
-func (t *activeIncident) applyTo(s *server) {
+// applyTo applies the fault to a server.
+func (i *activeIncident) applyTo(s *server) {
 	s.advance()
-	switch t.Kind {
+	switch i.Kind {
 	case ServerCrash, HalfOutage:
 		s.terminate(true)
 	case SlowServers:
-		s.slowdown = max(s.slowdown, 1) * t.Magnitude
+		s.slowdown = max(s.slowdown, 1) * i.Magnitude
 	case HungWork:
 		s.hangs++
 	case FailingRuns:
-		s.failureShare = t.Magnitude
+		s.failureShare = i.Magnitude
 	case MachinePause:
 		s.pauseMachine()
 		return
@@ -130,49 +150,56 @@
 	s.rescheduleCores()
 }
 
-// deployNextBatch replaces one batch of a deploy and has the next follow.
-func (t *activeIncident) deployNextBatch() {
-	batch := max(int(t.Magnitude*float64(len(t.sim.servers))+0.5), 1)
-	steps := (int(t.ServerShare*float64(len(t.sim.servers))+0.5) + batch - 1) / batch
-	for range batch {
-		if len(t.servers) == 0 {
+// deployNextBatch drains a batch of a deploy and schedules the next.
+func (i *activeIncident) deployNextBatch() {
+	total := len(i.sim.servers)
+	batchSize := max(roundShare(i.Magnitude, total), 1)
+	batches := (roundShare(i.ServerShare, total) + batchSize - 1) / batchSize
+	for range batchSize {
+		if len(i.servers) == 0 {
 			return
 		}
-		t.servers[0].beginDrain()
-		t.servers = t.servers[1:]
+		i.servers[0].beginDrain()
+		i.servers = i.servers[1:]
 	}
-	if len(t.servers) > 0 {
-		t.sim.events.schedule(t.sim.now+t.Duration/time.Duration(max(steps, 1)), t.sim, eventDeployStep, t)
+	if len(i.servers) > 0 {
+		interval := i.Duration / time.Duration(max(batches, 1))
+		i.sim.events.schedule(i.sim.now+interval, i.sim, eventDeployStep, i)
 	}
 }
 
-// finishRun has it be over.
-func (t *activeIncident) end() {
-	for _, s := range t.servers {
-		s.advance()
-		switch t.Kind {
-		case ServerCrash, HalfOutage:
-			if !s.isUp {
-				t.sim.events.schedule(t.sim.now, s, eventStart, nil)
-			}
-		case SlowServers:
-			s.slowdown /= t.Magnitude
-		case HungWork:
-			s.hangs--
-		case FailingRuns:
-			s.failureShare = 0
-		case MachinePause:
-			s.resumeMachine()
-			continue
-		case RollingDeploy:
-			continue
-		}
-		if s.isUp {
-			s.updateSpeed()
-			s.rescheduleCores()
+// end ends the incident.
+func (i *activeIncident) end() {
+	for _, s := range i.servers {
+		i.removeFrom(s)
+	}
+	if i.Kind == EndpointListFreeze {
+		i.sim.endpoints.unfreeze()
+	}
+}
+
+// removeFrom removes the fault from a server.
+func (i *activeIncident) removeFrom(s *server) {
+	s.advance()
+	switch i.Kind {
+	case ServerCrash, HalfOutage:
+		if !s.isUp {
+			i.sim.events.schedule(i.sim.now, s, eventStart, nil)
 		}
+	case SlowServers:
+		s.slowdown /= i.Magnitude
+	case HungWork:
+		s.hangs--
+	case FailingRuns:
+		s.failureShare = 0
+	case MachinePause:
+		s.resumeMachine()
+		return
+	case RollingDeploy:
+		return
 	}
-	if t.Kind == EndpointListFreeze {
-		t.sim.unfreezeEndpoints()
+	if s.isUp {
+		s.updateSpeed()
+		s.rescheduleCores()
 	}
 }
--- /dev/null
+++ b/internal/clustersim/keys.go
@@ -0,0 +1,102 @@
+package clustersim
+
+import (
+	"time"
+
+	"tillerusher/admission"
+)
+
+// keySweepInterval is the least time between two searches for expired keys.
+const keySweepInterval = time.Second
+
+// keyEntry is what a server remembers under an idempotency key.
+type keyEntry struct {
+	holder       *attempt // that the module keeps the key for, until holderUntil
+	holderUntil  time.Duration
+	lastRun      *attempt // that ran; attempts that arrive until lastRunUntil must not run again
+	lastRunUntil time.Duration
+}
+
+// isExpired reports whether nothing of the entry is valid any more.
+func (e *keyEntry) isExpired(now time.Duration) bool {
+	return (e.holder == nil || now > e.holderUntil) && (e.lastRun == nil || now > e.lastRunUntil)
+}
+
+// keyTable is a server's table of idempotency keys.
+type keyTable struct {
+	entries map[uint64]*keyEntry
+	held    map[admission.RequestID]uint64 // the keys that attempts hold
+	sweptAt time.Duration
+}
+
+// reset empties the table.
+func (t *keyTable) reset() {
+	t.entries = map[uint64]*keyEntry{}
+	t.held = map[admission.RequestID]uint64{}
+}
+
+// entry returns the entry of a key, which it creates if there is none.
+func (t *keyTable) entry(key uint64) *keyEntry {
+	e := t.entries[key]
+	if e == nil {
+		e = &keyEntry{}
+		t.entries[key] = e
+	}
+	return e
+}
+
+// findOriginal returns the attempt that one with the same key, which arrived at the given time, repeats, or nil.
+func (t *keyTable) findOriginal(key uint64, arrivedAt time.Duration) *attempt {
+	e := t.entries[key]
+	switch {
+	case e == nil:
+		return nil
+	case e.holder != nil && arrivedAt <= e.holderUntil:
+		return e.holder
+	case e.lastRun != nil && arrivedAt <= e.lastRunUntil:
+		return e.lastRun
+	}
+	return nil
+}
+
+// hold keeps an attempt's key for it in place of the attempt that held the key before.
+func (t *keyTable) hold(a *attempt, until time.Duration) {
+	e := t.entry(a.request.key)
+	if e.holder != nil {
+		delete(t.held, e.holder.id)
+	}
+	e.holder, e.holderUntil = a, until
+	t.held[a.id] = a.request.key
+}
+
+// release releases the key that an attempt holds, and returns the attempt, or nil if it holds none.
+func (t *keyTable) release(id admission.RequestID) *attempt {
+	key, ok := t.held[id]
+	if !ok {
+		return nil
+	}
+	delete(t.held, id)
+	e := t.entries[key]
+	holder := e.holder
+	if e.holder = nil; e.lastRun == nil {
+		delete(t.entries, key)
+	}
+	return holder
+}
+
+// sweepPeriodically removes expired entries, at most once in keySweepInterval.
+func (t *keyTable) sweepPeriodically(now time.Duration) {
+	if now-t.sweptAt <= keySweepInterval {
+		return
+	}
+	t.sweptAt = now
+	for key, e := range t.entries { // the order of the map does not matter: each entry stands by itself
+		if !e.isExpired(now) {
+			continue
+		}
+		if e.holder != nil {
+			delete(t.held, e.holder.id)
+		}
+		delete(t.entries, key)
+	}
+}
--- a/internal/clustersim/queueing_theory_test.go
+++ b/internal/clustersim/queueing_theory_test.go
@@ -13,11 +13,19 @@
 	"tillerusher/internal/baseline"
 )
 
-// bareConfig is a world in which nothing but arrivals and cores counts: what theory knows of it holds exactly.
+// bareConfig returns a cluster in which nothing but arrivals and cores matters, so that queueing theory holds exactly.
 func bareConfig(servers, cores int, work time.Duration, distribution Distribution, cv, load float64, duration time.Duration) Config {
 	config := Config{Name: "bare", Duration: duration,
-		Servers: ServerConfig{Count: servers, Cores: cores, Speed: 1, MemoryKB: 1e12, RequestKB: [2]float64{1, 1}, RunningMemoryFactor: 1, InitialCapacity: 1,
-			MaxConcurrencyFactor: 1e9, ConcurrencyWindow: time.Hour, BacklogPerCore: 1 << 20, Tick: time.Millisecond, HealthCheckInterval: time.Second},
+		Servers: ServerConfig{
+			Count:               servers,
+			CoreConfig:          CoreConfig{Cores: cores, Speed: 1},
+			MemoryConfig:        MemoryConfig{MemoryKB: 1e12, RequestKB: [2]float64{1, 1}, RunningMemoryFactor: 1},
+			WarmUpConfig:        WarmUpConfig{InitialCapacity: 1},
+			ConcurrencyConfig:   ConcurrencyConfig{MaxConcurrencyFactor: 1e9, ConcurrencyWindow: time.Hour},
+			BacklogPerCore:      1 << 20,
+			Tick:                time.Millisecond,
+			HealthCheckInterval: time.Second,
+		},
 		Classes:       []Class{{Name: "c", Share: 1, MeanWork: work, Distribution: distribution, CV: cv, LatencyObjective: 10 * time.Hour, Deadline: 20 * time.Hour, Weight: 1}},
 		Gateways:      []GatewayConfig{{Count: 1, Share: 1, Balancing: RoundRobin, Retry: RetryNever, MaxAttempts: 1}},
 		Arrival:       arrival.Config{Kind: arrival.Poisson},
@@ -26,8 +34,8 @@
 	return config
 }
 
-// meanLatency plays worlds of several seeds and returns the mean time in them with the half width of its interval at 99 %
-// (Student's t over the seeds).
+// meanLatency returns the mean latency over several seeds and the half width of its interval at 99 % (Student's t over the
+// seeds).
 func meanLatency(t *testing.T, config Config, policy PolicyFactory, seeds int) (mean, halfWidth float64) {
 	t.Helper()
 	var latencies []float64
@@ -65,11 +73,11 @@
 	return b / (1 - rho*(1-b))
 }
 
-// durationScale is how much longer the worlds of theory are played than in CI; docs/design/model.md has what 20 showed.
+// durationScale lengthens the runs that are compared with theory; docs/design/model.md has the result of 20.
 var durationScale = flag.Float64("scale", 1, "how much longer the worlds of theory are played")
 
-// TestQueueingTheory holds the model against formulas that are exact: it must come within 1 % of each, or within the interval of
-// its own play where that is wider.
+// TestQueueingTheory compares the simulation with exact formulas: it must come within 1 % of each, or within the interval of
+// its own mean if that is wider.
 func TestQueueingTheory(t *testing.T) {
 	const work = 100 * time.Millisecond
 	s := work.Seconds()
@@ -99,8 +107,8 @@
 	}
 }
 
-// TestPowerOfTwo holds the fleet under gateways that choose of two against the limit for many servers (Mitzenmacher, 1996):
-// the mean time is the sum of rho^(2^i-2).
+// TestPowerOfTwo compares balancing by the power of two choices with the limit for many servers (Mitzenmacher, 1996): the mean
+// latency is the sum of rho^(2^i-2).
 func TestPowerOfTwo(t *testing.T) {
 	const work = 100 * time.Millisecond
 	for _, rho := range []float64{0.5, 0.7} {
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -7,22 +7,83 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency is the longest latency that is told apart.
+// maxLatency is the longest latency that is recorded; longer ones count as this long.
 const maxLatency = 5 * time.Minute
 
-// SecondStats is what came in one second of a run. Asked and what was earned count by the arrival of first tries, all else by
-// when it happened.
+// latencyDigits is the number of significant decimal digits of recorded latencies.
+const latencyDigits = 3
+
+// Result is the outcome of a run. Weights and work are those of the requests; shares are relative to all requests.
+type Result struct {
+	ConfigName string  `json:"world"`
+	Seed       uint64  `json:"seed"`
+	Servers    int     `json:"servers"`
+	Seconds    float64 `json:"seconds"` // virtual time until the last response
+	Events     uint64  `json:"events"`
+
+	Requests        int            `json:"requests"`
+	Served          int            `json:"served"` // within the objective or late
+	WithinObjective int            `json:"in_time"`
+	Attempts        int            `json:"tries"`
+	Retries         int            `json:"again"`
+	Resends         int            `json:"repeats"` // served requests that clients sent again
+	AttemptOutcomes map[string]int `json:"answers"`
+	Unserved        map[string]int `json:"unserved"`          // requests by the outcome of the last attempt
+	RejectReasons   map[string]int `json:"reasons,omitempty"` // with Config.RecordRejectReasons
+
+	GoodputShare     float64 `json:"share"`     // of the offered weight, served within the objective
+	WorstWindowShare float64 `json:"worst_10s"` // goodput share of the worst ten seconds
+	WorstClassShare  float64 `json:"worst_class"`
+	WorstTenantShare float64 `json:"worst_tenant"`
+	WastedWork       float64 `json:"waste"` // work for which no client got a response, relative to the offered work
+	LateShare        float64 `json:"late"`  // of the offered weight, unserved and ended after the objective
+	Score            float64 `json:"g"`     // the operators' score
+
+	P50  float64 `json:"p50_ms"` // of the served requests
+	P99  float64 `json:"p99_ms"`
+	P999 float64 `json:"p999_ms"`
+
+	Load     float64 `json:"load"`   // offered work relative to the capacity of the cluster
+	WorkDone float64 `json:"worked"` // core seconds
+	Crashes  int     `json:"fell"`
+	LogLines int     `json:"remarks"` // that modules logged
+
+	PreventedReruns   int          `json:"prevented"` // second runs of a key that servers prevented
+	Violations        map[Rule]int `json:"broken"`
+	ViolationMessages []string     `json:"breaches"` // the first of them
+
+	Classes  []GroupResult `json:"classes"`
+	Tenants  []GroupResult `json:"tenants"`
+	Timeline []SecondStats `json:"timeline"`
+	Recovery Recovery      `json:"recovery"`
+
+	tally
+}
+
+// tally holds what a run counts for the figures that finalize computes.
+type tally struct {
+	config        *Config
+	openRequests  int
+	latency       *hdrhistogram.Histogram // microseconds, of the served requests
+	servedWork    float64                 // core seconds of served requests, with reading
+	readWork      float64                 // core seconds of reading a request
+	lateWeight    float64
+	servedSeconds float64 // sum of the latencies of served requests
+}
+
+// SecondStats are the figures of one second of a run. Offered and earned weight count in the second in which the request
+// arrived, all else when it happened.
 type SecondStats struct {
-	OfferedWeight float64 `json:"asked"`   // worth
-	GoodputWeight float64 `json:"earned"`  // weight of what was served within its aim
-	OfferedWork   float64 `json:"work"`    // core seconds asked for
-	Attempts      int     `json:"tries"`   // createdAt servers
-	Served        int     `json:"served"`  // answers of each kind
-	Rejected      int     `json:"refused"` //
-	Failed        int     `json:"failed"`  // failed, lost, not reached or too late
+	OfferedWeight float64 `json:"asked"`
+	GoodputWeight float64 `json:"earned"` // of what was served within its objective, and the late weight of the rest
+	OfferedWork   float64 `json:"work"`   // core seconds
+	Attempts      int     `json:"tries"`  // that ended
+	Served        int     `json:"served"`
+	Rejected      int     `json:"refused"`
+	Failed        int     `json:"failed"` // with any other outcome
 }
 
-// ServerShare is what a class or a tenant got.
+// GroupResult is the result of a class or of a tenant.
 type GroupResult struct {
 	Name          string  `json:"name"`
 	Requests      int     `json:"requests"`
@@ -34,149 +95,112 @@
 	latency       *hdrhistogram.Histogram
 }
 
-// Result is what came of a run.
-type Result struct {
-	ConfigName       string         `json:"world"`
-	Seed             uint64         `json:"seed"`
-	Servers          int            `json:"servers"`
-	Seconds          float64        `json:"seconds"` // virtual, to the last answer
-	Events           uint64         `json:"events"`
-	Requests         int            `json:"requests"`
-	Served           int            `json:"served"` // requests, in their aim or not
-	WithinObjective  int            `json:"in_time"`
-	Attempts         int            `json:"tries"`
-	Retries          int            `json:"again"`   // further tries that gateways made
-	Resends          int            `json:"repeats"` // attempt what was served
-	AttemptOutcomes  map[string]int `json:"answers"` // attempts by how they ended
-	Unserved         map[string]int `json:"unserved"`
-	RejectReasons    map[string]int `json:"reasons,omitempty"` // refusals of servers, where they are told
-	GoodputShare     float64        `json:"share"`             // attempt the worth asked for, served within its aim
-	WorstWindowShare float64        `json:"worst_10s"`
-	WorstClassShare  float64        `json:"worst_class"`
-	WorstTenantShare float64        `json:"worst_tenant"`
-	WastedWork       float64        `json:"waste"` // completeJobs for what no client got an answer of, over the work asked for
-	LateShare        float64        `json:"late"`  // weight that was not served though its aim had passed
-	Score            float64        `json:"g"`     // the operators' score
-	P50              float64        `json:"p50_ms"`
-	P99              float64        `json:"p99_ms"`
-	P999             float64        `json:"p999_ms"`
-	Load             float64        `json:"load"` // completeJobs asked for over what the fleet can do
-	WorkDone         float64        `json:"worked"`
-	Crashes          int            `json:"fell"`
-	LogLines         int            `json:"remarks"` // lines that modules logged
-
-	PreventedReruns   int           `json:"prevented"` // secondAt runs that the servers prevented
-	Violations        map[Rule]int  `json:"broken"`
-	ViolationMessages []string      `json:"breaches"`
-	Classes           []GroupResult `json:"classes"`
-	Tenants           []GroupResult `json:"tenants"`
-	Timeline          []SecondStats `json:"timeline"`
-	Recovery          Recovery      `json:"recovery"`
-
-	config       *Config
-	openRequests int // requests
-	latency      *hdrhistogram.Histogram
-	usefulWork   float64 // core seconds of what clients got an answer of, reading included
-
-	readWork      float64
-	lateWeight    float64
-	servedSeconds float64 // seconds, of all served requests
-}
-
 func newLatencyHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatency.Microseconds(), 3)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
 }
 
-func newResult(w *Config, seed uint64) *Result {
-	r := &Result{ConfigName: w.Name, Seed: seed, Servers: w.Servers.Count, AttemptOutcomes: map[string]int{}, Unserved: map[string]int{}, RejectReasons: map[string]int{}, config: w,
-		latency: newLatencyHistogram(), readWork: w.Servers.ReadCost * w.meanWork(), Timeline: make([]SecondStats, int(math.Ceil(w.Duration.Seconds())))}
-	for _, c := range w.Classes {
-		r.Classes = append(r.Classes, GroupResult{Name: c.Name, latency: newLatencyHistogram()})
+func newResult(config *Config, seed uint64) *Result {
+	result := &Result{
+		ConfigName:      config.Name,
+		Seed:            seed,
+		Servers:         config.Servers.Count,
+		AttemptOutcomes: map[string]int{},
+		Unserved:        map[string]int{},
+		RejectReasons:   map[string]int{},
+		Timeline:        make([]SecondStats, int(math.Ceil(config.Duration.Seconds()))),
+		tally: tally{
+			config:   config,
+			latency:  newLatencyHistogram(),
+			readWork: config.Servers.ReadCost * config.meanWork(),
+		},
+	}
+	for i := range config.Classes {
+		result.Classes = append(result.Classes, GroupResult{Name: config.Classes[i].Name, latency: newLatencyHistogram()})
 	}
-	for _, t := range w.Tenants {
-		r.Tenants = append(r.Tenants, GroupResult{Name: t.Name, latency: newLatencyHistogram()})
+	for _, t := range config.Tenants {
+		result.Tenants = append(result.Tenants, GroupResult{Name: t.Name, latency: newLatencyHistogram()})
 	}
-	return r
+	return result
 }
 
-// secondAt is that of a time, the last one for what comes behind it.
+// secondAt returns the statistics of the second at a time. What happens after the run's duration counts in the last one.
 func (r *Result) secondAt(at time.Duration) *SecondStats {
 	return &r.Timeline[min(int(at/time.Second), len(r.Timeline)-1)]
 }
 
-// groupsOf are those that a request belongs to.
+// groupsOf returns the class and the tenant of a request.
 func (r *Result) groupsOf(q *request) []*GroupResult {
-	list := []*GroupResult{&r.Classes[q.class]}
+	groups := []*GroupResult{&r.Classes[q.class]}
 	if len(r.Tenants) > 0 {
-		list = append(list, &r.Tenants[q.tenant])
+		groups = append(groups, &r.Tenants[q.tenant])
 	}
-	return list
+	return groups
 }
 
-// recordOffered counts a first try.
+// recordOffered counts a new request.
 func (r *Result) recordOffered(q *request) {
 	r.Requests++
 	r.openRequests++
-	s := r.secondAt(q.createdAt)
-	s.OfferedWeight += q.weight
-	s.OfferedWork += q.work
-	for _, p := range r.groupsOf(q) {
-		p.Requests++
-		p.OfferedWeight += q.weight
+	second := r.secondAt(q.createdAt)
+	second.OfferedWeight += q.weight
+	second.OfferedWork += q.work
+	for _, g := range r.groupsOf(q) {
+		g.Requests++
+		g.OfferedWeight += q.weight
 	}
 }
 
-// resultKnown counts how a try ended.
-func (r *Result) recordAttempt(a *attemptResult, now time.Duration) {
-	r.AttemptOutcomes[outcomeNames[a.outcome]]++
-	s := r.secondAt(now)
-	s.Attempts++
-	switch a.outcome {
+// recordAttempt counts the result of an attempt.
+func (r *Result) recordAttempt(result *attemptResult, now time.Duration) {
+	r.AttemptOutcomes[result.outcome.String()]++
+	second := r.secondAt(now)
+	second.Attempts++
+	switch result.outcome {
 	case outcomeServed:
-		s.Served++
+		second.Served++
 	case outcomeRejected:
-		s.Rejected++
+		second.Rejected++
 	default:
-		s.Failed++
+		second.Failed++
 	}
 }
 
-// outcomeServed counts a request that was served.
+// recordServed counts a request that was served.
 func (r *Result) recordServed(q *request, now time.Duration) {
 	if q.isResend {
 		return
 	}
-	c, took := &r.config.Classes[q.class], now-q.createdAt
+	class, latency := &r.config.Classes[q.class], now-q.createdAt
 	r.Served++
 	earned := q.weight
-	if took > c.LatencyObjective {
-		earned *= c.LateWeight
+	if latency > class.LatencyObjective {
+		earned *= class.LateWeight
 	} else {
 		r.WithinObjective++
 	}
-	r.usefulWork += q.work + r.readWork
+	r.servedWork += q.work + r.readWork
 	r.secondAt(q.createdAt).GoodputWeight += earned
-	us := min(max(took.Microseconds(), 1), maxLatency.Microseconds())
-	r.latency.RecordValue(us)
-	r.servedSeconds += took.Seconds()
-	for _, p := range r.groupsOf(q) {
-		p.GoodputWeight += earned
-		p.latency.RecordValue(us)
+	microseconds := min(max(latency.Microseconds(), 1), maxLatency.Microseconds())
+	r.latency.RecordValue(microseconds)
+	r.servedSeconds += latency.Seconds()
+	for _, g := range r.groupsOf(q) {
+		g.GoodputWeight += earned
+		g.latency.RecordValue(microseconds)
 	}
 }
 
-// recordUnserved counts a request that was not.
+// recordUnserved counts a request that was not served.
 func (r *Result) recordUnserved(q *request, why outcome, now time.Duration) {
 	if q.isResend {
 		return
 	}
-	r.Unserved[outcomeNames[why]]++
+	r.Unserved[why.String()]++
 	if now-q.createdAt > r.config.Classes[q.class].LatencyObjective {
 		r.lateWeight += q.weight
 	}
 }
 
-// The weights of the operators' score, and what costs points of it.
+// The weights and penalties of the operators' score.
 const (
 	scoreWeightTotal       = 0.6
 	scoreWeightWorstWindow = 0.1
@@ -184,36 +208,47 @@
 	scoreWeightWorstTenant = 0.1
 	scorePenaltyWaste      = 0.051
 	scorePenaltyLate       = 0.03
-	worstWindowSeconds     = 10 // seconds
 )
 
-// finishRun computes what follows from the counts.
-func (r *Result) finalize(s *simulation) {
-	r.Seconds = s.now.Seconds()
-	s.checker.finish(s.now)
-	r.Violations, r.ViolationMessages = s.checker.violations, s.checker.messages
-	asked, earned, work := 0.0, 0.0, 0.0
-	for _, sec := range r.Timeline {
-		asked, earned, work = asked+sec.OfferedWeight, earned+sec.GoodputWeight, work+sec.OfferedWork
+// worstWindowSeconds is the length of the window of Result.WorstWindowShare.
+const worstWindowSeconds = 10
+
+// finalize computes the figures that follow from the counts.
+func (r *Result) finalize(sim *simulation) {
+	r.Seconds = sim.now.Seconds()
+	sim.checker.finish(sim.now)
+	r.Violations, r.ViolationMessages = sim.checker.violations, sim.checker.messages
+	offered, earned, work := 0.0, 0.0, 0.0
+	for i := range r.Timeline {
+		second := &r.Timeline[i]
+		offered += second.OfferedWeight
+		earned += second.GoodputWeight
+		work += second.OfferedWork
 	}
-	r.GoodputShare = ratio(earned, asked)
+	r.GoodputShare = ratio(earned, offered)
 	r.WorstWindowShare = r.findWorstWindow()
 	r.WorstClassShare, r.WorstTenantShare = finalizeGroups(r.Classes), finalizeGroups(r.Tenants)
 	if len(r.Tenants) == 0 {
 		r.WorstTenantShare = r.GoodputShare
 	}
-	r.WastedWork = max(ratio(r.WorkDone-r.usefulWork, work), 0)
-	r.LateShare = ratio(r.lateWeight, asked)
-	r.Score = scoreWeightTotal*r.GoodputShare + scoreWeightWorstWindow*r.WorstWindowShare + scoreWeightWorstClass*r.WorstClassShare + scoreWeightWorstTenant*r.WorstTenantShare - scorePenaltyWaste*min(r.WastedWork, 1) -
-		scorePenaltyLate*r.LateShare
+	r.WastedWork = max(ratio(r.WorkDone-r.servedWork, work), 0)
+	r.LateShare = ratio(r.lateWeight, offered)
+	r.Score = r.score()
 	r.P50, r.P99, r.P999 = quantiles(r.latency)
-	if capacity := s.config.Capacity(); capacity > 0 {
-		r.Load = work / s.config.meanWork() / s.config.Duration.Seconds() / capacity
+	if capacity := sim.config.Capacity(); capacity > 0 {
+		r.Load = work / sim.config.meanWork() / sim.config.Duration.Seconds() / capacity
 	}
 	r.Recovery = r.detectRecovery()
 }
 
-// finished is a part, all of nothing being all.
+// score computes the operators' score.
+func (r *Result) score() float64 {
+	return scoreWeightTotal*r.GoodputShare + scoreWeightWorstWindow*r.WorstWindowShare +
+		scoreWeightWorstClass*r.WorstClassShare + scoreWeightWorstTenant*r.WorstTenantShare -
+		scorePenaltyWaste*min(r.WastedWork, 1) - scorePenaltyLate*r.LateShare
+}
+
+// ratio is a/b, or 1 if b is 0: all of nothing was served.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 1
@@ -221,94 +256,52 @@
 	return a / b
 }
 
-// findWorstWindow is the share of the worst ten seconds.
+// goodputShare is the goodput share of the seconds from one on, up to another one, which is excluded.
+func (r *Result) goodputShare(from, to int) float64 {
+	offered, earned := 0.0, 0.0
+	for i := from; i < to; i++ {
+		offered += r.Timeline[i].OfferedWeight
+		earned += r.Timeline[i].GoodputWeight
+	}
+	return ratio(earned, offered)
+}
+
+// findWorstWindow returns the goodput share of the worst window.
 func (r *Result) findWorstWindow() float64 {
 	worst := 1.0
-	for i := range r.Timeline {
-		end := min(i+worstWindowSeconds, len(r.Timeline))
-		asked, earned := 0.0, 0.0
-		for _, s := range r.Timeline[i:end] {
-			asked, earned = asked+s.OfferedWeight, earned+s.GoodputWeight
-		}
-		if worst = min(worst, ratio(earned, asked)); end == len(r.Timeline) {
+	for from := range r.Timeline {
+		to := min(from+worstWindowSeconds, len(r.Timeline))
+		if worst = min(worst, r.goodputShare(from, to)); to == len(r.Timeline) {
 			break
 		}
 	}
 	return worst
 }
 
-// groupsOf fills in the figures of classes or tenants, and returns the least share.
-func finalizeGroups(list []GroupResult) float64 {
+// finalizeGroups computes the figures of classes or tenants and returns the smallest goodput share.
+func finalizeGroups(groups []GroupResult) float64 {
 	least := 1.0
-	for i := range list {
-		p := &list[i]
-		p.GoodputShare = ratio(p.GoodputWeight, p.OfferedWeight)
-		p.P50, p.P99, _ = quantiles(p.latency)
-		least = min(least, p.GoodputShare)
+	for i := range groups {
+		g := &groups[i]
+		g.GoodputShare = ratio(g.GoodputWeight, g.OfferedWeight)
+		g.P50, g.P99, _ = quantiles(g.latency)
+		least = min(least, g.GoodputShare)
 	}
 	return least
 }
 
-// quantiles are those of a histogram in milliseconds.
-func quantiles(h *hdrhistogram.Histogram) (p50, p99, p999 float64) {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return at(50), at(99), at(99.9)
+// quantileMillis returns a quantile, in percent, of a histogram in microseconds.
+func quantileMillis(h *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// Quantile is a latency of the served requests in milliseconds; q is in percent.
-func (r *Result) Quantile(q float64) float64 { return float64(r.latency.ValueAtQuantile(q)) / 1000 }
-
-// Recovery says whether a fleet came back after its incidents were over.
-type Recovery struct {
-	HadIncidents    bool    `json:"incidents"` // there were any
-	ShareBefore     float64 `json:"before"`    // share before the first
-	Recovered       bool    `json:"recovered"`
-	RecoverySeconds float64 `json:"after_s"` // seconds from the end of the last to the recovery
-	ShareAfter      float64 `json:"left"`    // share from the end of the last on
+// quantiles returns the common quantiles of a histogram in milliseconds.
+func quantiles(h *hdrhistogram.Histogram) (p50, p99, p999 float64) {
+	return quantileMillis(h, 50), quantileMillis(h, 99), quantileMillis(h, 99.9)
 }
 
-// The figures of the detector.
-const (
-	recoveryWindowSeconds = 5    // seconds over which shares are compared
-	recoveredShare        = 0.95 // attempt the share before
-)
-
-// detectRecovery finds the first second behind the last incident from which every stretch keeps most of the share before the
-// first one. An overload that stays though its trigger is gone shows as a fleet that never recovers.
-func (r *Result) detectRecovery() Recovery {
-	first, last := math.Inf(1), 0.0
-	for _, i := range r.config.Incidents {
-		first, last = min(first, i.Start.Seconds()), max(last, (i.Start+i.Duration).Seconds())
-	}
-	if math.IsInf(first, 1) {
-		return Recovery{}
-	}
-	share := func(from, to int) float64 {
-		asked, earned := 0.0, 0.0
-		for _, s := range r.Timeline[from:to] {
-			asked, earned = asked+s.OfferedWeight, earned+s.GoodputWeight
-		}
-		return ratio(earned, asked)
-	}
-	v, n := Recovery{HadIncidents: true, ShareBefore: 1}, len(r.Timeline)
-	if i := min(int(first), n); i > 0 {
-		v.ShareBefore = share(0, i)
-	}
-	end := min(int(math.Ceil(last)), n)
-	v.ShareAfter = share(end, n)
-	at := -1
-	for i := n - recoveryWindowSeconds; i >= end; i-- {
-		if share(i, i+recoveryWindowSeconds) < recoveredShare*v.ShareBefore {
-			break
-		}
-		at = i
-	}
-	if at >= 0 {
-		v.Recovered, v.RecoverySeconds = true, float64(at)-last
-		v.RecoverySeconds = max(v.RecoverySeconds, 0)
-	}
-	return v
-}
+// Quantile returns a latency of the served requests in milliseconds; the quantile is in percent.
+func (r *Result) Quantile(percent float64) float64 { return quantileMillis(r.latency, percent) }
 
-// meanSeconds is the mean time to the answer of the served requests, to the nanosecond.
+// meanSeconds is the mean latency of the served requests, not rounded as those of the histogram are.
 func (r *Result) meanSeconds() float64 { return r.servedSeconds / float64(max(r.Served, 1)) }
--- /dev/null
+++ b/internal/clustersim/server_actions.go
@@ -0,0 +1,148 @@
+package clustersim
+
+import (
+	"time"
+
+	"tillerusher/admission"
+)
+
+// minTimerDelay is the shortest delay of a module's timer.
+const minTimerDelay = time.Microsecond
+
+// openAttempt returns the attempt of a request that has no response yet, or nil.
+func (s *server) openAttempt(id admission.RequestID) *attempt {
+	if a := s.attempts[id]; a != nil && !a.answered {
+		return a
+	}
+	return nil
+}
+
+// Run implements admission.Actions.
+func (s *server) Run(id admission.RequestID) {
+	a := s.openAttempt(id)
+	if a == nil || a.state != stateQueued {
+		return
+	}
+	if class := &s.sim.config.Classes[a.request.class]; class.IdempotentByKey {
+		if !s.claimKey(a, class) {
+			return
+		}
+	}
+	s.advance()
+	a.state = stateRunning
+	s.sim.checker.runStarted(a.number, s.index, s.sim.now)
+	a.job = &job{attempt: a}
+	s.cores.add(a.job, a.request.work)
+	s.checkMemory()
+}
+
+// claimKey records that an attempt runs under its key. If another one ran under it before, the attempt fails instead: the
+// server prevents second runs whatever the module decides.
+func (s *server) claimKey(a *attempt, class *Class) bool {
+	e := s.keys.entry(a.request.key)
+	if e.lastRun != nil && e.lastRun != a && a.arrivedAt <= e.lastRunUntil {
+		s.sim.result.PreventedReruns++
+		a.state = stateEnded
+		s.respond(a, outcomeFailed, retryAdvice{})
+		s.deferCall(func() {
+			s.module.RunFinished(s.sim.now, a.id, admission.Failed)
+			s.markUnsettled()
+		})
+		return false
+	}
+	e.lastRun, e.lastRunUntil = a, a.arrivedAt+class.KeyWindow
+	return true
+}
+
+// Reject implements admission.Actions.
+func (s *server) Reject(id admission.RequestID, retryAfter time.Duration, noRetry bool) {
+	a := s.openAttempt(id)
+	if a == nil {
+		return
+	}
+	if s.sim.config.RecordRejectReasons {
+		s.sim.result.RejectReasons[a.rejectReasonText(s.sim.now)]++
+	}
+	s.completeWithoutRun(a, outcomeRejected, retryAdvice{retryAfter, noRetry})
+}
+
+// Fail implements admission.Actions.
+func (s *server) Fail(id admission.RequestID) {
+	if a := s.openAttempt(id); a != nil {
+		s.completeWithoutRun(a, outcomeFailed, retryAdvice{})
+	}
+}
+
+// Stop implements admission.Actions. The work of a stopped run is lost.
+func (s *server) Stop(id admission.RequestID) {
+	a := s.attempts[id]
+	if a == nil || a.state != stateRunning || a.job == nil {
+		return
+	}
+	s.advance()
+	s.cores.remove(a.job)
+	a.job = nil
+	s.sim.checker.runEnded(a.number, s.index)
+	s.deferCall(func() { s.completeRun(a, admission.Cancelled) })
+}
+
+// KeepKey implements admission.Actions.
+func (s *server) KeepKey(id admission.RequestID, lifetime time.Duration) {
+	a := s.attempts[id]
+	if a == nil || a.request.key == 0 {
+		return
+	}
+	until := s.sim.now + lifetime
+	s.keys.hold(a, until)
+	s.sim.checker.keyKept(s.index, a.number, until)
+	s.checkMemory()
+}
+
+// ReleaseKey implements admission.Actions.
+func (s *server) ReleaseKey(id admission.RequestID) {
+	if holder := s.keys.release(id); holder != nil {
+		s.sim.checker.keyReleased(s.index, holder.number)
+	}
+}
+
+// ReplayResult implements admission.Actions. If the original has not ended, the attempt follows it.
+func (s *server) ReplayResult(id admission.RequestID) {
+	a := s.openAttempt(id)
+	if a == nil || a.original == nil {
+		return
+	}
+	source := a.original
+	if e := s.keys.entries[a.request.key]; e != nil && e.lastRun != nil {
+		source = e.lastRun
+	}
+	isOpen := source.state == stateRunning || source.state == stateQueued
+	a.state = stateFollowing
+	if isOpen {
+		source.followers = append(source.followers, a)
+		return
+	}
+	s.deferCall(func() { s.replayOutcome(a, source.succeeded) })
+}
+
+// AdvertiseLoad implements admission.Actions.
+func (s *server) AdvertiseLoad(value float64) { s.load = advertisedLoad{value: value, isSet: true} }
+
+// SetHealth implements admission.Actions.
+func (s *server) SetHealth(healthy, _ bool) { s.reportsHealthy = healthy }
+
+// SetTimer implements admission.Actions.
+func (s *server) SetTimer(wait time.Duration, token uint32) {
+	s.schedule(max(wait, minTimerDelay), eventModuleTimer, timerToken(token))
+}
+
+// CloseIdleConnections implements admission.Actions. Connections are not simulated.
+func (s *server) CloseIdleConnections(time.Duration) {}
+
+// Call implements admission.Actions. Downstream calls are not simulated.
+func (s *server) Call(admission.RequestID, time.Duration) {}
+
+// SkipCall implements admission.Actions.
+func (s *server) SkipCall(admission.RequestID) {}
+
+// Log implements admission.Actions.
+func (s *server) Log(string) { s.sim.result.LogLines++ }
--- /dev/null
+++ b/internal/clustersim/server_requests.go
@@ -0,0 +1,163 @@
+package clustersim
+
+import (
+	"time"
+
+	"tillerusher/admission"
+)
+
+// admissionChecker is a module that can say how it would decide on an arrival.
+type admissionChecker interface {
+	CheckAdmission(now time.Duration, r admission.Request) admission.AdmissionCheck
+}
+
+// acceptAttempt accepts an attempt that reached the machine, or refuses the connection.
+func (s *server) acceptAttempt(a *attempt) {
+	config := &s.sim.config.Servers
+	isBacklogFull := len(s.backlog) >= config.BacklogPerCore*config.Cores
+	if !s.isUp || s.listenerClosed || a.generation != s.generation || isBacklogFull {
+		s.sim.deliverResult(a, outcomeUnreachable, retryAdvice{})
+		return
+	}
+	a.arrivedAt = s.sim.now
+	s.sim.checker.attemptArrived(a.number, s.index, s.sim.now)
+	s.backlog = append(s.backlog, a)
+	s.advance()
+	s.startReading()
+	s.rescheduleCores()
+}
+
+// startReading starts to read requests of the backlog, at most one per core at a time.
+func (s *server) startReading() {
+	for s.reading < s.sim.config.Servers.Cores && len(s.backlog) > 0 {
+		a := s.backlog[0]
+		s.backlog[0] = nil
+		s.backlog = s.backlog[1:]
+		if s.sim.readWork == 0 {
+			s.submitRequest(a)
+			continue
+		}
+		s.reading++
+		s.cores.add(&job{attempt: a, isRead: true}, s.sim.readWork)
+	}
+}
+
+// completeJobs ends the jobs that are done.
+func (s *server) completeJobs() {
+	s.advance()
+	for j := s.cores.firstFinished(); j != nil; j = s.cores.firstFinished() {
+		s.cores.remove(j)
+		if j.isRead {
+			s.reading--
+			s.submitRequest(j.attempt)
+			s.startReading()
+		} else {
+			s.finishRun(j.attempt)
+		}
+	}
+	s.rescheduleCores()
+}
+
+// submitRequest passes a request that was read to the module.
+func (s *server) submitRequest(a *attempt) {
+	now := s.sim.now
+	s.lastID++
+	a.id, a.state = s.lastID, stateQueued
+	s.attempts[a.id] = a
+	s.sim.checker.attemptRead(a.number, now)
+	req := admission.Request{
+		ID:            a.id,
+		Class:         a.request.class,
+		Tenant:        a.request.tenant,
+		Caller:        a.request.gateway.index,
+		QueueingDelay: now - a.arrivedAt,
+		IsRetry:       a.isRetry,
+		SizeKB:        a.request.sizeKB,
+	}
+	if s.sim.config.Classes[a.request.class].IdempotentByKey {
+		s.keys.sweepPeriodically(now)
+		if a.original = s.keys.findOriginal(a.request.key, a.arrivedAt); a.original != nil {
+			req.RetryOf = a.original.id
+		}
+	} else {
+		req.ResourceID = a.request.resourceID
+	}
+	a.readAt = now
+	if module, ok := s.module.(admissionChecker); ok && s.sim.config.RecordRejectReasons {
+		a.rejectReason = module.CheckAdmission(now, req).Reason
+	}
+	s.module.Request(now, req)
+	s.markUnsettled()
+	s.checkMemory()
+}
+
+// finishRun ends a run whose work is done.
+func (s *server) finishRun(a *attempt) {
+	a.job = nil
+	s.sim.checker.runEnded(a.number, s.index)
+	o := admission.OK
+	if s.failureShare > 0 && s.sim.faultRandom.Float64() < s.failureShare {
+		o = admission.Failed
+	}
+	s.completeRun(a, o)
+}
+
+// completeRun tells the gateway and the module how a run ended, and answers the attempts that followed it.
+func (s *server) completeRun(a *attempt, o admission.Outcome) {
+	a.state, a.succeeded = stateEnded, o == admission.OK
+	if a.succeeded {
+		s.respond(a, outcomeServed, retryAdvice{})
+	} else {
+		s.respond(a, outcomeFailed, retryAdvice{})
+	}
+	s.module.RunFinished(s.sim.now, a.id, o)
+	for _, follower := range a.followers {
+		s.replayOutcome(follower, a.succeeded)
+	}
+	a.followers = nil
+	s.releaseIfDone(a)
+	s.markUnsettled()
+	s.stopIfDrained()
+}
+
+// replayOutcome answers a repeat with the outcome of the attempt that ran.
+func (s *server) replayOutcome(a *attempt, succeeded bool) {
+	if a.answered {
+		return
+	}
+	moduleOutcome, gatewayOutcome := admission.Failed, outcomeFailed
+	if succeeded {
+		moduleOutcome, gatewayOutcome = admission.OK, outcomeServed
+	}
+	a.state = stateEnded
+	s.respond(a, gatewayOutcome, retryAdvice{})
+	s.module.RunFinished(s.sim.now, a.id, moduleOutcome)
+	s.releaseIfDone(a)
+	s.markUnsettled()
+}
+
+// respond sends the final response of an attempt, once.
+func (s *server) respond(a *attempt, o outcome, advice retryAdvice) {
+	if a.answered {
+		return
+	}
+	a.answered = true
+	s.sim.deliverResult(a, o, advice)
+}
+
+// releaseIfDone removes an attempt that is answered and does not run.
+func (s *server) releaseIfDone(a *attempt) {
+	if a.answered && a.state != stateRunning {
+		delete(s.attempts, a.id)
+	}
+}
+
+// completeWithoutRun answers an attempt that does not run, or that runs on without its caller.
+func (s *server) completeWithoutRun(a *attempt, o outcome, advice retryAdvice) {
+	s.respond(a, o, advice)
+	if a.state == stateQueued || a.state == stateFollowing {
+		a.state = stateEnded
+	}
+	s.releaseIfDone(a)
+	s.stopIfDrained()
+}
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -11,126 +11,107 @@
 	"tillerusher/internal/arrival"
 )
 
-// PolicyFactory makes what a server decides by: admission.New, or one to compare it with.
+// PolicyFactory creates what a server decides by: the admission module or a policy to compare it with. It is called for
+// each process that starts.
 type PolicyFactory func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
-// AdmissionModule is the real decision module.
+// AdmissionModule is the PolicyFactory of the real decision module.
 func AdmissionModule(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	return admission.New(s, a)
 }
 
-// outcome is how a try ended.
-type outcome uint8
+// cancelCheckInterval is the number of events between two checks of the context.
+const cancelCheckInterval = 8192
 
-const (
-	outcomeServed outcome = iota
-	outcomeRejected
-	outcomeFailed
-	outcomeConnectionLost // its server died
-	outcomeUnreachable    // its server took no connection: nothing ran
-	outcomeTimedOut       // no answer came in the time that the gateway waits
-	outcomeCount
-)
-
-// outcomeNames say the kinds.
-var outcomeNames = [outcomeCount]string{"served", "refused", "failed", "connection lost", "not reached", "no answer in time"}
-
-// simulation is a run under way.
+// simulation is the state of a run. One goroutine owns it and all that it refers to.
 type simulation struct {
 	config    Config
 	seed      uint64
 	newModule PolicyFactory
+	err       error // ends the run
+
 	now       time.Duration
 	events    eventQueue
 	servers   []*server
 	gateways  []*gateway
+	unsettled []*server // on which something happened at this instant, in that order
+	endpoints endpointList
 	source    *requestSource
 	arrivals  arrival.Process
-	checker   *ruleChecker
-	result    *Result
-	unsettled []*server
-	readWork  float64
-	attempts  uint64
-	err       error
+	readWork  float64 // seconds of work to read a request
+	attempts  uint64  // number of the last attempt
 
 	networkRandom *rand.Rand
 	faultRandom   *rand.Rand
-	listed        []bool // as gateways know it
-	frozen        int    // incidents under which the list stands still
-	pending       []endpointChange
-}
 
-// endpointChange is a change of the list that gateways have not heard of.
-type endpointChange struct {
-	server  int
-	present bool
+	checker *ruleChecker
+	result  *Result
 }
 
-// The events of a run itself.
-const (
-	eventRequestArrival uint8 = iota
-	eventEndpointChange
-	eventIncidentBegin
-	eventIncidentEnd
-	eventDeployStep
-)
-
-// Run plays a world to its end. The same world, policy and seed give the same result. The error is for a world that
-// makes no sense, a policy that can't serve it, or the context's end.
-func Run(ctx context.Context, w Config, p PolicyFactory, seed uint64) (*Result, error) {
-	if err := w.Validate(); err != nil {
+// Run simulates a configuration to its end. The same configuration, policy and seed give the same result. It returns an
+// error if the configuration makes no sense, if the policy can't be created, or if the context ends.
+func Run(ctx context.Context, config Config, newModule PolicyFactory, seed uint64) (*Result, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	s := &simulation{config: w, seed: seed, newModule: p, checker: newRuleChecker(&w), networkRandom: newRandom(seed, "network", 0), faultRandom: newRandom(seed, "faults", 0),
-		readWork: w.Servers.ReadCost * w.meanWork()}
-	s.result = newResult(&s.config, seed)
-	arrivals := w.Arrival
-	for _, i := range w.Incidents {
-		if i.Kind == RateJump {
-			arrivals.Surges = append(slices.Clone(arrivals.Surges), arrival.Surge{Start: i.Start, Duration: i.Duration, Factor: i.Magnitude, RampUp: i.RampTime, RampDown: i.RampTime})
-		}
+	sim := &simulation{
+		config:        config,
+		seed:          seed,
+		newModule:     newModule,
+		checker:       newRuleChecker(&config),
+		networkRandom: newRandom(seed, "network", 0),
+		faultRandom:   newRandom(seed, "faults", 0),
+		readWork:      config.Servers.ReadCost * config.meanWork(),
 	}
+	sim.result = newResult(&sim.config, seed)
 	var err error
-	if s.arrivals, err = arrival.New(arrivals, newRandom(seed, "arrivals", 0)); err != nil {
+	if sim.arrivals, err = arrival.New(config.arrivalConfig(), newRandom(seed, "arrivals", 0)); err != nil {
+		return nil, err
+	}
+	sim.populate()
+	if err := sim.playEvents(ctx); err != nil {
 		return nil, err
 	}
-	s.populate()
+	sim.finish()
+	return sim.result, nil
+}
+
+// arrivalConfig is the configuration of arrivals with the surges of incidents.
+func (c *Config) arrivalConfig() arrival.Config {
+	config := c.Arrival
+	for _, i := range c.Incidents {
+		if i.Kind != RateJump {
+			continue
+		}
+		surge := arrival.Surge{Start: i.Start, Duration: i.Duration, Factor: i.Magnitude, RampUp: i.RampTime, RampDown: i.RampTime}
+		config.Surges = append(slices.Clone(config.Surges), surge)
+	}
+	return config
+}
+
+// playEvents handles events until the run is over.
+func (s *simulation) playEvents(ctx context.Context) error {
 	for n := uint64(0); s.err == nil; n++ {
-		if n%8192 == 0 && ctx.Err() != nil {
-			return nil, ctx.Err()
+		if n%cancelCheckInterval == 0 && ctx.Err() != nil {
+			return ctx.Err()
 		}
 		if !s.step() {
 			break
 		}
 	}
-	if s.err != nil {
-		return nil, s.err
-	}
-	s.finish()
-	return s.result, nil
+	return s.err
 }
 
-// fail ends the run.
+// fail ends the run with its first error.
 func (s *simulation) fail(err error) {
 	if s.err == nil {
 		s.err = err
 	}
 }
 
-// populate makes servers and gateways, and what is known to come.
+// populate creates servers and gateways and schedules what is known in advance.
 func (s *simulation) populate() {
-	speeds := newRandom(s.seed, "speeds", 0)
-	n := s.config.Servers.Count
-	s.listed = make([]bool, n)
-	for i := range n {
-		speed := s.config.Servers.Speed * (1 + s.config.Servers.SpeedCV*min(max(speeds.NormFloat64(), -2.5), 2.5))
-		s.servers = append(s.servers, &server{sim: s, index: i, fullSpeed: max(speed, s.config.Servers.Speed/10)})
-	}
-	for _, srv := range s.servers {
-		srv.start(false)
-		s.listed[srv.index] = true // they stood there before
-	}
-	s.pending = nil
+	s.startServers()
 	for k := range s.config.Gateways {
 		for range s.config.Gateways[k].Count {
 			s.gateways = append(s.gateways, newGateway(s, len(s.gateways), &s.config.Gateways[k]))
@@ -145,65 +126,73 @@
 	s.scheduleNextRequest()
 }
 
-// scheduleNextRequest has the next first try come.
+const (
+	maxSpeedDeviation = 2.5 // standard deviations at which the speed of a server is cut off
+	minSpeedDivisor   = 10  // no server is slower than the mean speed divided by this
+)
+
+// startServers creates the servers. They are warm and in the endpoint list, as if they had run for long.
+func (s *simulation) startServers() {
+	speedRandom := newRandom(s.seed, "speeds", 0)
+	config := &s.config.Servers
+	s.endpoints.present = make([]bool, config.Count)
+	for i := range config.Count {
+		deviation := min(max(speedRandom.NormFloat64(), -maxSpeedDeviation), maxSpeedDeviation)
+		speed := config.Speed * (1 + config.SpeedCV*deviation)
+		s.servers = append(s.servers, newServer(s, i, max(speed, config.Speed/minSpeedDivisor)))
+	}
+	for _, srv := range s.servers {
+		srv.start(false)
+		s.endpoints.present[srv.index] = true
+	}
+}
+
+// scheduleNextRequest schedules the next request of a client, if one arrives within the run's duration.
 func (s *simulation) scheduleNextRequest() {
 	if at, ok := s.arrivals.Next(); ok && at < s.config.Duration {
 		s.events.schedule(at, s, eventRequestArrival, nil)
 	}
 }
 
-// deployNextBatch has the next event happen; it returns false at the end of the run.
+// step handles the next event and reports whether there was one that counts.
 func (s *simulation) step() bool {
 	e := s.events.pop()
 	if e == nil {
 		return false
 	}
 	if e.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
-		return false // latencies that came has its end: only the modules' own timers are left
+		return false // all requests have ended: only the modules' own timers are left
 	}
 	s.now = e.at
 	s.result.Events++
 	e.target.handle(e)
-	if e.kind != eventCoresDue || !isServer(e.target) {
+	if e.kind != eventJobsDone { // a server keeps that event and schedules it again
 		s.events.release(e)
 	}
-	if len(s.unsettled) > 0 && (len(s.events.heap) == 0 || s.events.heap[0].at > s.now) {
+	if len(s.unsettled) > 0 && !s.events.hasEventAt(s.now) {
 		s.settleAll()
 	}
 	return true
 }
 
-func isServer(h handler) bool { _, ok := h.(*server); return ok }
-
-// cloneEvent is an event that outlasts its handling.
-func (s *simulation) cloneEvent(e *event) *event {
-	c := *e
-	return &c
-}
-
-// settleAll has the servers that something happened to settle, in the order in which it did.
+// settleAll ends an instant for the servers on which something happened, in the order in which it did.
 func (s *simulation) settleAll() {
-	for i := 0; i < len(s.unsettled); i++ {
+	for i := 0; i < len(s.unsettled); i++ { // settling a server may add others
 		s.unsettled[i].settle()
 	}
 	s.unsettled = s.unsettled[:0]
 }
 
-// handle implements handler.
+// handle implements eventHandler.
 func (s *simulation) handle(e *event) {
 	switch e.kind {
 	case eventRequestArrival:
-		r := s.source.next()
+		r := s.source.nextRequest()
 		s.result.recordOffered(r)
 		r.gateway.accept(r)
 		s.scheduleNextRequest()
 	case eventEndpointChange:
-		l := e.payload.(endpointChange)
-		if s.frozen > 0 {
-			s.pending = append(s.pending, l)
-		} else {
-			s.listed[l.server] = l.present
-		}
+		s.endpoints.apply(e.payload.(endpointChange))
 	case eventIncidentBegin:
 		e.payload.(*activeIncident).begin()
 	case eventIncidentEnd:
@@ -213,49 +202,47 @@
 	}
 }
 
-// announceEndpoint has gateways learn of a server that came or went, when the list reaches them.
-func (s *simulation) announceEndpoint(srv *server, listed bool) {
-	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, endpointChange{srv.index, listed})
+// announceEndpoint adds a server to the endpoint list or removes it; gateways see that after the list's delay.
+func (s *simulation) announceEndpoint(srv *server, present bool) {
+	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, endpointChange{srv.index, present})
 }
 
-// unfreezeEndpoints lets gateways learn what happened while the list stood still.
-func (s *simulation) unfreezeEndpoints() {
-	if s.frozen--; s.frozen > 0 {
-		return
-	}
-	for _, l := range s.pending {
-		s.listed[l.server] = l.present
-	}
-	s.pending = nil
-}
-
-// networkDelay is how long a message takes through the network: half of the mean at least, and the rest by chance.
+// networkDelay draws the time that a message takes: half of the mean at least, and the rest distributed exponentially.
 func (s *simulation) networkDelay() time.Duration {
-	d := float64(s.config.NetworkDelay)
-	return time.Duration(d/2 + s.networkRandom.ExpFloat64()*d/2)
+	mean := float64(s.config.NetworkDelay)
+	return time.Duration(mean/2 + s.networkRandom.ExpFloat64()*mean/2)
 }
 
-// deliverResult sends what became of a try to its gateway.
-func (s *simulation) deliverResult(v *attempt, k outcome, stayAway time.Duration, last bool) {
-	s.checker.attemptAnswered(v.number, k, s.now)
-	s.events.schedule(s.now+s.networkDelay(), v.request.gateway, eventAttemptResult, &attemptResult{attempt: v, outcome: k, retryAfter: stayAway, noRetry: last, feedback: v.server.feedback, hasFeedback: v.server.hasFeedback})
+// deliverResult sends the result of an attempt to its gateway.
+func (s *simulation) deliverResult(a *attempt, o outcome, advice retryAdvice) {
+	s.checker.attemptAnswered(a.number, o, s.now)
+	s.events.schedule(s.now+s.networkDelay(), a.request.gateway, eventAttemptResult, &attemptResult{
+		attempt: a,
+		outcome: o,
+		advice:  advice,
+		load:    a.server.load,
+	})
 }
 
-// drawServers draws a part of the fleet, in the order of their numbers.
-func (s *simulation) drawServers(rng *rand.Rand, part float64, among func(*server) bool) []*server {
-	var list []*server
+// drawServers draws a share of all servers among those for which the filter holds, all of them if it is nil. They are
+// returned in the order of their indices.
+func (s *simulation) drawServers(rng *rand.Rand, share float64, filter func(*server) bool) []*server {
+	var candidates []*server
 	for _, srv := range s.servers {
-		if among == nil || among(srv) {
-			list = append(list, srv)
+		if filter == nil || filter(srv) {
+			candidates = append(candidates, srv)
 		}
 	}
-	rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	list = list[:min(int(part*float64(len(s.servers))+0.5), len(list))]
-	slices.SortFunc(list, func(a, b *server) int { return cmp.Compare(a.index, b.index) })
-	return list
+	rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	drawn := candidates[:min(roundShare(share, len(s.servers)), len(candidates))]
+	slices.SortFunc(drawn, func(a, b *server) int { return cmp.Compare(a.index, b.index) })
+	return drawn
 }
 
-// finishRun puts the result together.
+// roundShare is a share of n, rounded to the nearest whole number.
+func roundShare(share float64, n int) int { return int(share*float64(n) + 0.5) }
+
+// finish completes the result.
 func (s *simulation) finish() {
 	for _, srv := range s.servers {
 		if srv.isUp {
@@ -265,3 +252,39 @@
 	}
 	s.result.finalize(s)
 }
+
+// endpointList is the list of servers as gateways see it.
+type endpointList struct {
+	present []bool // by server
+	freezes int    // incidents under which the list doesn't change
+	pending []endpointChange
+}
+
+// endpointChange is a server that was added to the endpoint list or removed from it.
+type endpointChange struct {
+	server  int
+	present bool
+}
+
+// apply changes the list, or keeps the change until the list is no longer frozen.
+func (l *endpointList) apply(c endpointChange) {
+	if l.freezes > 0 {
+		l.pending = append(l.pending, c)
+		return
+	}
+	l.present[c.server] = c.present
+}
+
+// freeze stops changes of the list. Each call needs one of unfreeze.
+func (l *endpointList) freeze() { l.freezes++ }
+
+// unfreeze applies the changes that came while the list was frozen.
+func (l *endpointList) unfreeze() {
+	if l.freezes--; l.freezes > 0 {
+		return
+	}
+	for _, c := range l.pending {
+		l.present[c.server] = c.present
+	}
+	l.pending = nil
+}
--- a/internal/clustersim/workload.go
+++ b/internal/clustersim/workload.go
@@ -8,93 +8,160 @@
 	"tillerusher/internal/arrival"
 )
 
-// WorkloadKind is a kind of day of the operators' brief.
+// WorkloadKind is one of the kinds of workload in the operators' brief, who call them days.
 type WorkloadKind string
 
-// The kinds of day.
+// The kinds of workload.
 const (
-	WorkloadQuiet    WorkloadKind = "quiet"    // a third of what the cores can do, and nothing goes wrong
-	WorkloadRough    WorkloadKind = "rough"    // isUp to two thirds, and one to three incidents of the record
-	WorkloadOverload WorkloadKind = "overload" // 0.9 to 1.1 of what the cores can do
+	WorkloadQuiet    WorkloadKind = "quiet"    // a third of the capacity, no incidents
+	WorkloadRough    WorkloadKind = "rough"    // up to two thirds of the capacity, and one to three recorded incidents
+	WorkloadOverload WorkloadKind = "overload" // 0.9 to 1.1 of the capacity
 	WorkloadBig      WorkloadKind = "big"      // more servers and gateways, and incidents
 	WorkloadStorm    WorkloadKind = "storm"    // overload and incidents at once
 )
 
-// WorkloadKinds are all kinds of day.
+// WorkloadKinds returns all kinds of workload.
 func WorkloadKinds() []WorkloadKind {
 	return []WorkloadKind{WorkloadQuiet, WorkloadRough, WorkloadOverload, WorkloadBig, WorkloadStorm}
 }
 
-// drawUniform draws a figure of a range.
-func drawUniform(rng *rand.Rand, from, to float64) float64 { return from + (to-from)*rng.Float64() }
+// hasIncidents reports whether workloads of the kind have incidents.
+func (k WorkloadKind) hasIncidents() bool {
+	return k == WorkloadRough || k == WorkloadBig || k == WorkloadStorm
+}
 
-// drawDuration draws a time of a range in seconds.
-func drawDuration(rng *rand.Rand, from, to float64) time.Duration {
-	return time.Duration(drawUniform(rng, from, to) * float64(time.Second))
+// loadRange is the range of the load, relative to the capacity of the cluster.
+func (k WorkloadKind) loadRange() (low, high float64) {
+	switch k {
+	case WorkloadQuiet:
+		return 0.25, 0.35
+	case WorkloadRough:
+		return 0.52, 0.66
+	case WorkloadOverload:
+		return 0.9, 1.1
+	case WorkloadBig:
+		return 0.62, 0.7
+	case WorkloadStorm:
+		return 0.8, 1
+	}
+	return 0, 0
 }
 
-// GenerateConfig draws a day of a kind from the ranges of the operators' brief. The same number gives the same day.
-func GenerateConfig(kind WorkloadKind, n uint64) Config {
-	rng := newRandom(n, "day "+string(kind), 0)
-	w := DefaultConfig()
-	w.Name = fmt.Sprintf("%s-%d", kind, n)
-	w.Duration = drawDuration(rng, 45, 55)
-	s := &w.Servers
-	s.Count = 11 + rng.IntN(4)
-	gateways := 3 + rng.IntN(3)
+// drawUniform draws a number of a range.
+func drawUniform(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
+
+// drawDuration draws a duration of a range in seconds.
+func drawDuration(rng *rand.Rand, low, high float64) time.Duration {
+	return time.Duration(drawUniform(rng, low, high) * float64(time.Second))
+}
+
+// GenerateConfig draws a configuration for a kind of workload from the ranges in the operators' brief. The same number gives
+// the same configuration; the order of the draws is part of that.
+func GenerateConfig(kind WorkloadKind, number uint64) Config {
+	rng := newRandom(number, "day "+string(kind), 0)
+	config := DefaultConfig()
+	config.Name = fmt.Sprintf("%s-%d", kind, number)
+	config.Duration = drawDuration(rng, 45, 55)
+	gateways := config.drawClusterSize(rng, kind)
+	config.Servers.draw(rng)
+	config.drawClasses(rng)
+	config.ResourceCount, config.Skew = 4700+rng.IntN(24300), drawUniform(rng, 1.01, 1.2)
+	config.NetworkDelay, config.EndpointListDelay = drawDuration(rng, 0.0014, 0.0026), drawDuration(rng, 1.3, 4.6)
+	config.drawGateways(rng, gateways)
+	low, high := kind.loadRange()
+	config.SetLoad(drawUniform(rng, low, high))
+	for i := range config.Tenants {
+		config.Tenants[i].Quota *= drawUniform(rng, 0.64, 0.92) / quotaShareOfCapacity
+	}
+	config.drawKeySize(rng)
+	config.drawArrival(rng)
+	if kind.hasIncidents() {
+		for range 1 + rng.IntN(3) {
+			config.Incidents = append(config.Incidents, config.drawIncident(rng))
+		}
+	}
+	return config
+}
+
+// drawClusterSize draws the number of servers and returns that of gateways.
+func (c *Config) drawClusterSize(rng *rand.Rand, kind WorkloadKind) (gateways int) {
+	c.Servers.Count = 11 + rng.IntN(4)
+	gateways = 3 + rng.IntN(3)
 	if kind == WorkloadBig {
-		s.Count, gateways = 14+rng.IntN(7), 3+rng.IntN(5)
+		c.Servers.Count = 14 + rng.IntN(7)
+		gateways = 3 + rng.IntN(5)
 	}
-	s.Speed, s.SpeedCV = drawUniform(rng, 0.85, 1.1), drawUniform(rng, 0.05, 0.25)
-	s.ThrashFactor, s.ThrashThreshold = drawUniform(rng, 0.6, 0.8), drawUniform(rng, 1.2, 1.5)
+	return gateways
+}
+
+// draw draws what a server can do.
+func (s *ServerConfig) draw(rng *rand.Rand) {
+	s.Speed = drawUniform(rng, 0.85, 1.1)
+	s.SpeedCV = drawUniform(rng, 0.05, 0.25)
+	s.ThrashFactor = drawUniform(rng, 0.6, 0.8)
+	s.ThrashThreshold = drawUniform(rng, 1.2, 1.5)
 	s.ReadCost = drawUniform(rng, 0.22, 0.28)
-	s.InitialCapacity, s.WarmUpTime = drawUniform(rng, 0.22, 0.48), drawDuration(rng, 5.5, 16)
+	s.InitialCapacity = drawUniform(rng, 0.22, 0.48)
+	s.WarmUpTime = drawDuration(rng, 5.5, 16)
 	s.MemoryKB = drawUniform(rng, 13, 24) * float64(s.Cores) * s.RunningMemoryFactor * (s.RequestKB[0] + s.RequestKB[1]) / 2
-	lookup, reserve := &w.Classes[0], &w.Classes[1]
-	lookup.MeanWork, lookup.CV = drawDuration(rng, 0.18, 0.31), drawUniform(rng, 0.46, 1.1)
-	reserve.MeanWork, reserve.CV = drawDuration(rng, 0.3, 0.52), drawUniform(rng, 0.51, 1.2)
-	w.ResourceCount, w.Skew = 4700+rng.IntN(24300), drawUniform(rng, 1.01, 1.2)
-	w.NetworkDelay, w.EndpointListDelay = drawDuration(rng, 0.0014, 0.0026), drawDuration(rng, 1.3, 4.6)
-	w.drawGateways(rng, gateways)
-	load := map[WorkloadKind][2]float64{WorkloadQuiet: {0.25, 0.35}, WorkloadRough: {0.52, 0.66}, WorkloadOverload: {0.9, 1.1}, WorkloadBig: {0.62, 0.7}, WorkloadStorm: {0.8, 1}}[kind]
-	w.SetLoad(drawUniform(rng, load[0], load[1]))
-	for i := range w.Tenants {
-		w.Tenants[i].Quota *= drawUniform(rng, 0.64, 0.92) / quotaShareOfCapacity
-	}
-	// IncidentKind all keys of a window need is 15 to 33 % of the memory at full load.
-	keys := w.Capacity() / float64(s.Count) * reserve.Share * reserve.KeyWindow.Seconds()
+}
+
+// drawClasses draws the work of the two default classes.
+func (c *Config) drawClasses(rng *rand.Rand) {
+	lookup, reserve := &c.Classes[0], &c.Classes[1]
+	lookup.MeanWork = drawDuration(rng, 0.18, 0.31)
+	lookup.CV = drawUniform(rng, 0.46, 1.1)
+	reserve.MeanWork = drawDuration(rng, 0.3, 0.52)
+	reserve.CV = drawUniform(rng, 0.51, 1.2)
+}
+
+// drawKeySize draws the size of a key so that all keys of a window take 15 to 33 % of the memory at full load.
+func (c *Config) drawKeySize(rng *rand.Rand) {
+	s, reserve := &c.Servers, &c.Classes[1]
+	keys := c.Capacity() / float64(s.Count) * reserve.Share * reserve.KeyWindow.Seconds()
 	s.KeyKB = drawUniform(rng, 0.15, 0.33) * s.MemoryKB / keys
+}
+
+// drawArrival draws the shape of the arrivals: bursts or a slow swing.
+func (c *Config) drawArrival(rng *rand.Rand) {
+	a := &c.Arrival
 	if rng.IntN(2) == 0 {
-		w.Arrival.Kind, w.Arrival.BurstFactor, w.Arrival.BurstFraction, w.Arrival.MeanBurst = arrival.Bursty, drawUniform(rng, 1.2, 1.6), 0.2, drawDuration(rng, 1, 4)
-	} else {
-		w.Arrival.Kind, w.Arrival.Amplitude, w.Arrival.Period = arrival.Diurnal, drawUniform(rng, 0.14, 0.3), 2*w.Duration
+		a.Kind, a.BurstFactor, a.BurstFraction, a.MeanBurst = arrival.Bursty, drawUniform(rng, 1.2, 1.6), 0.2, drawDuration(rng, 1, 4)
+		return
 	}
-	if kind == WorkloadRough || kind == WorkloadBig || kind == WorkloadStorm {
-		for range 1 + rng.IntN(3) {
-			w.Incidents = append(w.Incidents, w.drawIncident(rng))
-		}
+	a.Kind, a.Amplitude, a.Period = arrival.Diurnal, drawUniform(rng, 0.14, 0.3), 2*c.Duration
+}
+
+// gatewayKinds are the kinds of gateway that the operators know of.
+func gatewayKinds() []GatewayConfig {
+	return []GatewayConfig{
+		{Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4},
+		{Balancing: ResourceHash, Retry: RetryUnbounded, MaxAttempts: 4},
+		{Balancing: LeastRequest, Retry: RetryBudgeted, RetryBudget: 0.2, MaxAttempts: 3},
+		{Balancing: PowerOfTwo, Retry: RetryOnTimeout, MaxAttempts: 3, AttemptTimeoutFactor: 0.7},
+		{Balancing: LowestLatency, Retry: RetryBudgeted, RetryBudget: 0.2, MaxAttempts: 3},
 	}
-	return w
 }
 
-// drawGateways draws one or two habits of gateways.
-func (w *Config) drawGateways(rng *rand.Rand, gateways int) {
-	kinds := []GatewayConfig{{Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4}, {Balancing: ResourceHash, Retry: RetryUnbounded, MaxAttempts: 4},
-		{Balancing: LeastRequest, Retry: RetryBudgeted, RetryBudget: 0.2, MaxAttempts: 3}, {Balancing: PowerOfTwo, Retry: RetryOnTimeout, MaxAttempts: 3, AttemptTimeoutFactor: 0.7},
-		{Balancing: LowestLatency, Retry: RetryBudgeted, RetryBudget: 0.2, MaxAttempts: 3}}
-	w.Gateways = nil
+// honorShare is the probability that a second kind of gateway honors feedback; the first always does.
+const honorShare = 0.8
+
+// drawGateways draws one or two kinds of gateway and spreads the requests evenly over them.
+func (c *Config) drawGateways(rng *rand.Rand, gateways int) {
+	kinds := gatewayKinds()
+	c.Gateways = nil
 	n := 1 + rng.IntN(2)
 	for i := range n {
 		g := kinds[rng.IntN(len(kinds))]
 		g.Count, g.Share = max(gateways/n, 1), 1/float64(n)
-		g.HonorsFeedback = i == 0 || rng.Float64() < 0.8 // 80 to 100 % of the gateways heed what they are told
-		w.Gateways = append(w.Gateways, g)
+		g.HonorsFeedback = i == 0 || rng.Float64() < honorShare
+		c.Gateways = append(c.Gateways, g)
 	}
 }
 
-// drawIncident draws one of the record.
-func (w *Config) drawIncident(rng *rand.Rand) Incident {
-	i := Incident{Start: drawDuration(rng, 5, w.Duration.Seconds()*0.6)}
+// drawIncident draws an incident of the operators' record.
+func (c *Config) drawIncident(rng *rand.Rand) Incident {
+	i := Incident{Start: drawDuration(rng, 5, c.Duration.Seconds()*0.6)}
 	switch rng.IntN(4) {
 	case 0:
 		i.Kind, i.Duration, i.Magnitude, i.RampTime = RateJump, drawDuration(rng, 3.8, 9.2), drawUniform(rng, 1.3, 1.6), time.Second
