--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -8,8 +8,8 @@
 	"tillerusher/admission"
 )
 
-// TestGradient has the library's limiter go by the virtual clock: where four cores are shared by all that runs, its limit
-// settles near what keeps them busy, whatever the wall clock says, and no permit is lost.
+// TestGradient checks that the library's limiter uses the virtual clock: with four cores that all runs share, its limit settles
+// near the number of cores, whatever the wall clock says, and no permit is lost.
 func TestGradient(t *testing.T) {
 	settings := admission.Settings{Cores: 4, MaxConcurrencyFactor: 1000, MemoryKB: 1e9, RunningMemoryFactor: 1,
 		Classes: []admission.Class{{LatencyObjective: time.Second, Deadline: time.Hour}}}
@@ -20,7 +20,7 @@
 	h := events.(*host)
 	g := h.policy.(*gradient)
 	now, id, limits := time.Duration(0), admission.RequestID(0), map[int]int{}
-	var runs []admission.RequestID // each ends a core's 10 ms after the one before
+	var runs []admission.RequestID // one of them ends after each 10 ms of core time
 	for range 40_000 {
 		for len(h.queue) < 4 {
 			id++
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestSetPrivateFieldErrors has a field that the library no longer has be an error, not a silent wall clock.
+// TestSetPrivateFieldErrors checks that a field that the library no longer has is an error: the limiter would silently use the
+// wall clock.
 func TestSetPrivateFieldErrors(t *testing.T) {
 	if setPrivateField(&struct{ a int }{}, "b", 1) == nil || setPrivateField(&struct{ a int }{}, "a", "text") == nil {
 		t.Error("a field that is not there can be set")
--- a/internal/baseline/bounded_queue.go
+++ b/internal/baseline/bounded_queue.go
@@ -2,35 +2,38 @@
 
 import "tillerusher/admission"
 
-// boundedQueue is a plain pool: so many run, so many more wait in the order of reading, all others are turned away.
+// boundedQueue is a plain worker pool: a limited number of requests runs, a limited number waits in the order of reading,
+// and all others are rejected.
 type boundedQueue struct {
 	*host
-	runLimit, queueLimit int
+	runLimit   int
+	queueLimit int // negative means unlimited
 }
 
-// BoundedQueue is a plain pool with a line of a length: each core runs and keeps waiting so many. A negative wait is any number.
-func BoundedQueue(run, wait int) func(admission.Settings, admission.Actions) (admission.Events, error) {
+// BoundedQueue returns a worker pool with a bounded queue. Both limits are per core; a negative queuePerCore means a queue
+// without a limit.
+func BoundedQueue(runPerCore, queuePerCore int) func(admission.Settings, admission.Actions) (admission.Events, error) {
 	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
-		b := newHost(s, a)
-		l := &boundedQueue{b, run * s.Cores, wait * s.Cores}
-		b.policy = l
-		return b, nil
+		h := newHost(s, a)
+		h.policy = &boundedQueue{host: h, runLimit: runPerCore * s.Cores, queueLimit: queuePerCore * s.Cores}
+		return h, nil
 	}
 }
 
-func (l *boundedQueue) admit(*request) verdict {
-	if l.queueLimit >= 0 && l.running+len(l.queue) >= l.runLimit+l.queueLimit {
+func (b *boundedQueue) admit(*request) verdict {
+	if b.queueLimit >= 0 && b.running+len(b.queue) >= b.runLimit+b.queueLimit {
 		return verdictReject
 	}
 	return verdictQueue
 }
 
-func (l *boundedQueue) nextToRun() *request {
-	if l.running >= l.runLimit {
+func (b *boundedQueue) nextToRun() *request {
+	if b.running >= b.runLimit {
 		return nil
 	}
-	return l.oldest()
+	return b.oldest()
 }
 
-func (l *boundedQueue) runEnded(*request, bool) {}
-func (l *boundedQueue) poll(admission.Gauges)   {}
+func (b *boundedQueue) runEnded(*request, bool) {}
+
+func (b *boundedQueue) poll(admission.Gauges) {}
--- a/internal/baseline/codel.go
+++ b/internal/baseline/codel.go
@@ -6,29 +6,29 @@
 	"tillerusher/admission"
 )
 
-// The figures of CoDel with an adaptive LIFO, as Facebook uses them (Maurer, "Fail at Scale", ACM Queue 13(8), 2015).
+// Parameters of CoDel with an adaptive LIFO as Facebook uses them (Maurer, "Fail at Scale", ACM Queue 13(8), 2015).
 const (
-	codelTarget   = 5 * time.Millisecond   // a wait while a line stands
-	codelInterval = 100 * time.Millisecond // a wait otherwise, and how long a line must stand
+	codelTarget   = 5 * time.Millisecond   // queueing delay that is allowed while a queue stands
+	codelInterval = 100 * time.Millisecond // queueing delay otherwise, and how long a queue must not have been empty to stand
 )
 
-// codel turns away what waited too long, and runs the newest first while a line stands.
+// codel rejects requests that waited for too long, and runs the newest first while a queue stands.
 type codel struct {
 	*host
 	runLimit  int
-	lastEmpty time.Duration // when no line stood last
+	lastEmpty time.Duration // when the queue was empty last
 }
 
-// CoDel is controlled delay with an adaptive LIFO: three requests for every two cores run.
+// CoDel is controlled delay with an adaptive LIFO. It runs three requests per two cores.
 func CoDel(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newHost(s, a)
-	b.policy = &codel{host: b, runLimit: max(s.Cores*3/2, 1)}
-	return b, nil
+	h := newHost(s, a)
+	h.policy = &codel{host: h, runLimit: max(s.Cores*3/2, 1)}
+	return h, nil
 }
 
 func (c *codel) admit(*request) verdict { return verdictQueue }
 
-// hasStandingQueue tells whether a line has stood for an interval.
+// hasStandingQueue reports whether the queue has not been empty for an interval.
 func (c *codel) hasStandingQueue() bool { return c.now-c.lastEmpty > codelInterval }
 
 func (c *codel) nextToRun() *request {
@@ -45,7 +45,7 @@
 	return c.queue[0]
 }
 
-// rejectExpired turns away what waited too long.
+// rejectExpired rejects requests that waited for too long.
 func (c *codel) rejectExpired() {
 	limit := codelInterval
 	if c.hasStandingQueue() {
@@ -53,7 +53,7 @@
 	}
 	for i := 0; i < len(c.queue); {
 		if r := c.queue[i]; c.now-r.arrivedAt > limit+r.QueueingDelay {
-			c.reject(r)
+			c.reject(r) // which removes it from the queue
 		} else {
 			i++
 		}
@@ -61,6 +61,7 @@
 }
 
 func (c *codel) runEnded(*request, bool) {}
+
 func (c *codel) poll(admission.Gauges) {
 	if len(c.queue) == 0 {
 		c.lastEmpty = c.now
--- a/internal/baseline/doc.go
+++ b/internal/baseline/doc.go
@@ -1,4 +1,7 @@
-// Package peer has policies to compare the decision module with: each stands in its place behind the module's own
-// interface. They share the guards that the rules need (answers by the due time, keys, memory, the crowd on the cores, the
-// grace of a drain), so that what differs is how each admits, orders and limits.
+// Package baseline has policies to compare the admission module with. Each implements admission.Events and can take the
+// module's place in a simulated server.
+//
+// A host implements what all of them need to keep the rules: responses by the deadline, idempotency keys, the limits of
+// memory and concurrency, and draining. A policy only decides how requests are admitted, ordered and limited, so that this is
+// all that differs between two runs.
 package baseline
--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -11,8 +11,17 @@
 	"tillerusher/admission"
 )
 
-// gradient runs as many requests as the adaptive limiter of failsafe-go lets it, and turns the others away once a short
-// line stands.
+// Parameters of the adaptive limiter.
+const (
+	gradientQueuePerCore = 4
+	gradientMinLimit     = 1
+	gradientMaxPerCore   = 200
+	gradientMinWindow    = 500 * time.Millisecond
+	gradientMaxWindow    = 2 * time.Second
+	gradientMinSamples   = 20
+)
+
+// gradient runs as many requests as an adaptive limiter allows. Its queue is short.
 type gradient struct {
 	*host
 	limiter    adaptivelimiter.AdaptiveLimiter[any]
@@ -21,19 +30,22 @@
 }
 
 // Gradient is the adaptive concurrency limit of failsafe-go (github.com/failsafe-go/failsafe-go/adaptivelimiter), the
-// library itself, with a line of four requests a core before it. The limiter reads the wall clock and offers no other, so
-// its permits are given this package's clock; that reaches into fields that are not exported, and fails with an error
-// where another version of the library has other ones.
+// library itself, behind a queue of four requests per core.
+//
+// The limiter reads the wall clock and accepts no other, so its permits are given this package's clock. That writes to
+// unexported fields of the library, and returns an error if a later version has other ones.
 func Gradient(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newHost(s, a)
-	g := &gradient{host: b, clock: &virtualClock{}, queueLimit: 4 * s.Cores}
-	g.limiter = adaptivelimiter.NewBuilder[any]().WithLimits(1, uint(max(200*s.Cores, 2)), uint(s.Cores)).
-		WithRecentWindow(500*time.Millisecond, 2*time.Second, 20).Build()
+	h := newHost(s, a)
+	g := &gradient{host: h, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * s.Cores}
+	g.limiter = adaptivelimiter.NewBuilder[any]().
+		WithLimits(gradientMinLimit, uint(max(gradientMaxPerCore*s.Cores, 2)), uint(s.Cores)).
+		WithRecentWindow(gradientMinWindow, gradientMaxWindow, gradientMinSamples).
+		Build()
 	if err := setPrivateField(g.limiter, "nextUpdateTime", epoch); err != nil {
 		return nil, err
 	}
-	b.policy = g
-	return b, nil
+	h.policy = g
+	return h, nil
 }
 
 // epoch is the wall time at which the virtual clock begins.
@@ -42,17 +54,17 @@
 // virtualClock is a clock as the limiter wants one.
 type virtualClock struct{ now time.Duration }
 
-// Now is the time.
-func (v *virtualClock) Now() time.Time { return epoch.Add(v.now) }
+// Now returns the virtual time.
+func (c *virtualClock) Now() time.Time { return epoch.Add(c.now) }
 
-// settings gives a field of a value of the library another content.
-func setPrivateField(of any, field string, to any) error {
+// setPrivateField sets an unexported field of a struct of the library.
+func setPrivateField(of any, name string, value any) error {
 	v := reflect.Indirect(reflect.ValueOf(of))
-	f := v.FieldByName(field)
-	if !f.IsValid() || !reflect.TypeOf(to).AssignableTo(f.Type()) {
-		return fmt.Errorf("peer: %T has no field %s that takes a %T", of, field, to)
+	field := v.FieldByName(name)
+	if !field.IsValid() || !reflect.TypeOf(value).AssignableTo(field.Type()) {
+		return fmt.Errorf("peer: %T has no field %s that takes a %T", of, name, value)
 	}
-	reflect.NewAt(f.Type(), unsafe.Pointer(f.UnsafeAddr())).Elem().Set(reflect.ValueOf(to))
+	reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem().Set(reflect.ValueOf(value))
 	return nil
 }
 
@@ -70,22 +82,22 @@
 		return nil
 	}
 	if setPrivateField(permit, "clock", g.clock) != nil || setPrivateField(permit, "startTime", g.clock.Now()) != nil {
-		return nil // New would have found it: TestGradient holds the library to it
+		return nil // TestGradient fails if the library no longer has these fields
 	}
 	r := g.oldest()
-	if r.permit != nil { // the base could not run it the last time
+	if r.permit != nil { // the host could not run the request the last time
 		r.permit.(adaptivelimiter.Permit).Drop()
 	}
 	r.permit = permit
 	return r
 }
 
-func (g *gradient) runEnded(r *request, ok bool) {
+func (g *gradient) runEnded(r *request, succeeded bool) {
 	g.clock.now = g.now
-	permit, held := r.permit.(adaptivelimiter.Permit)
+	permit, ok := r.permit.(adaptivelimiter.Permit)
 	switch {
-	case !held:
-	case ok:
+	case !ok:
+	case succeeded:
 		permit.Record()
 	default:
 		permit.Drop()
--- a/internal/baseline/host.go
+++ b/internal/baseline/host.go
@@ -7,69 +7,75 @@
 	"tillerusher/admission"
 )
 
-// policy is what a peer decides by itself.
+// policy is the part of a baseline that differs from the others.
 type policy interface {
 	// admit decides on a request that was read.
 	admit(r *request) verdict
-	// nextToRun is the held request that runs next, or nil where none should run now.
+	// nextToRun returns the queued request that runs next, or nil if none should run now. The queue is not empty.
 	nextToRun() *request
-	// runEnded hears of the end of a run.
-	runEnded(r *request, ok bool)
-	// poll is called ten times a second with the gauges.
+	// runEnded is called when a run ends, and when a request ends that nextToRun has returned but that could not run.
+	runEnded(r *request, succeeded bool)
+	// poll is called every pollInterval with the gauges.
 	poll(g admission.Gauges)
 }
 
-// deadlineToken is that of a timer for one request that is due soon.
-const deadlineToken = 1
-
-// verdict is what becomes of a request that was read.
+// verdict is the decision on a request that was read.
 type verdict uint8
 
 const (
-	verdictQueue  verdict = iota
-	verdictReject         // it is turned away
+	verdictQueue verdict = iota
+	verdictReject
 )
 
-// request is one that a peer knows of.
+// Tokens of timers.
+const (
+	pollToken     = 0
+	deadlineToken = 1 // the deadline of one request is near
+)
+
+const (
+	pollInterval     = 100 * time.Millisecond // between two readings of the gauges
+	deadlineMargin   = 10 * time.Millisecond  // by which a response comes before the deadline
+	minTimerDelay    = time.Millisecond
+	concurrencyShare = 0.75                   // of the concurrency that a server survives, that is used
+	memoryShare      = 0.92                   // of the memory, that is used
+	retryAfter       = 250 * time.Millisecond // sent with rejections, if the settings allow any
+	noDeadline       = 1 << 62                // of a request that has been answered and still runs
+)
+
+// request is a request that the host knows of.
 type request struct {
 	admission.Request
-	arrivedAt time.Duration // when it reached the machine
+	arrivedAt time.Duration // at the machine
 	deadline  time.Duration
-	startedAt time.Duration // when it was run
+	startedAt time.Duration // of its run
 	running   bool
 	finished  bool
 	permit    any // of a policy's own limiter
 }
 
-// pollInterval is the time between two readings of the gauges, and margin how long before its due time a request is answered.
-const (
-	pollInterval   = 100 * time.Millisecond
-	deadlineMargin = 10 * time.Millisecond
-	// concurrencyShare and memoryShare are what is used of what a server survives.
-	concurrencyShare, memoryShare = 0.75, 0.92
-	// retryAfter is the advice that goes with refusals, where the settings allow any.
-	retryAfter = 250 * time.Millisecond
-)
-
-// host implements admission.Events round a policy.
+// host implements admission.Events around a policy.
 type host struct {
 	settings admission.Settings
 	actions  admission.Actions
 	policy   policy
 
-	now, startedAt time.Duration
-	started        bool
-	queue          []*request // in the order of reading
-	requests       map[admission.RequestID]*request
-	running        int
-	memoryKB       float64
-	keys           []keptKey // soonest to go first
-	drainedAt      time.Duration
-	stopAt         time.Duration
-	draining       bool
+	now       time.Duration
+	started   bool // the first event has come, at startedAt
+	startedAt time.Duration
+
+	queue    []*request // in the order of reading
+	requests map[admission.RequestID]*request
+	running  int
+	memoryKB float64   // of queued and running requests
+	keptKeys []keptKey // by expiry, the next first
+
+	draining  bool
+	drainedAt time.Duration // when the drain began
+	stopAt    time.Duration // when the process ends
 }
 
-// keptKey is a key that is remembered.
+// keptKey is an idempotency key that the server remembers.
 type keptKey struct {
 	id    admission.RequestID
 	until time.Duration
@@ -79,198 +85,223 @@
 	return &host{settings: s, actions: a, requests: map[admission.RequestID]*request{}}
 }
 
-// advance takes over the time.
-func (b *host) advance(now time.Duration) {
-	if !b.started {
-		b.started, b.startedAt = true, now
-		b.actions.SetHealth(true, true)
-		b.actions.SetTimer(pollInterval, 0)
+// advance sets the time. It never goes back.
+func (h *host) advance(now time.Duration) {
+	if !h.started {
+		h.started, h.startedAt = true, now
+		h.actions.SetHealth(true, true)
+		h.actions.SetTimer(pollInterval, pollToken)
 	}
-	b.now = max(b.now, now)
-	i := 0
-	for i < len(b.keys) && b.keys[i].until < b.now {
-		i++
+	h.now = max(h.now, now)
+	expired := 0
+	for expired < len(h.keptKeys) && h.keptKeys[expired].until < h.now {
+		expired++
 	}
-	b.keys = b.keys[i:]
+	h.keptKeys = h.keptKeys[expired:]
 }
 
-// hasMemoryFor tells whether the memory takes so much more.
-func (b *host) hasMemoryFor(kb float64) bool {
-	return b.memoryKB+kb+float64(len(b.keys))*b.settings.KeyKB <= memoryShare*b.settings.MemoryKB
+// hasMemoryFor reports whether there is memory for so much more.
+func (h *host) hasMemoryFor(kb float64) bool {
+	return h.memoryKB+kb+float64(len(h.keptKeys))*h.settings.KeyKB <= memoryShare*h.settings.MemoryKB
 }
 
-// maxRunning is how many requests may run, assuming the slowest warm-up that is allowed.
-func (b *host) maxRunning() int {
-	share := 1.0
-	if b.settings.WarmingUp && b.settings.WarmUpTime > 0 {
-		share = min(1, b.settings.InitialCapacity+(1-b.settings.InitialCapacity)*float64(b.now-b.startedAt)/float64(b.settings.WarmUpTime))
+// maxRunning is the number of requests that may run. It assumes the slowest warm-up that the settings allow.
+func (h *host) maxRunning() int {
+	warmUpShare := 1.0
+	if s := &h.settings; s.WarmingUp && s.WarmUpTime > 0 {
+		warmUpShare = min(1, s.InitialCapacity+(1-s.InitialCapacity)*float64(h.now-h.startedAt)/float64(s.WarmUpTime))
 	}
-	return max(int(concurrencyShare*float64(b.settings.Cores)*(1+(b.settings.MaxConcurrencyFactor-1)*share)), 1)
+	return max(int(concurrencyShare*float64(h.settings.Cores)*(1+(h.settings.MaxConcurrencyFactor-1)*warmUpShare)), 1)
+}
+
+// isKeyed reports whether requests of a class are idempotent by a key.
+func (h *host) isKeyed(class int) bool {
+	return h.settings.Classes[class].Effect == admission.IdempotentByKey
+}
+
+// isAfterGrace reports whether a request arrived after the grace period of a drain.
+func (h *host) isAfterGrace(r *request) bool {
+	return h.draining && r.arrivedAt > h.drainedAt+h.settings.DrainGracePeriod
 }
 
 // Request implements admission.Events.
-func (b *host) Request(now time.Duration, q admission.Request) {
-	b.advance(now)
-	class := b.settings.Classes[q.Class]
-	r := &request{Request: q, arrivedAt: now - q.QueueingDelay}
-	r.deadline = r.arrivedAt + class.Deadline
-	if b.draining {
-		r.deadline = min(r.deadline, b.stopAt-deadlineMargin)
-	}
-	b.requests[q.ID] = r
-	b.memoryKB += q.SizeKB
-	if r.deadline <= now { // it lay unread for too long
-		b.remove(r)
-		b.actions.Fail(q.ID)
+func (h *host) Request(now time.Duration, q admission.Request) {
+	h.advance(now)
+	r := h.addRequest(now, q)
+	if r.deadline <= now { // it was unread for too long
+		h.remove(r)
+		h.actions.Fail(q.ID)
 		return
 	}
-	if left := r.deadline - deadlineMargin - now; left < 2*pollInterval { // sooner than the next look
-		b.actions.SetTimer(max(left, time.Millisecond), deadlineToken)
+	if left := r.deadline - deadlineMargin - now; left < 2*pollInterval { // sooner than poll would see it
+		h.actions.SetTimer(max(left, minTimerDelay), deadlineToken)
 	}
 	if q.RetryOf != 0 {
-		b.actions.ReplayResult(q.ID)
+		h.actions.ReplayResult(q.ID)
 		return
 	}
 	keyKB := 0.0
-	if class.Effect == admission.IdempotentByKey {
-		keyKB = b.settings.KeyKB
+	if h.isKeyed(q.Class) {
+		keyKB = h.settings.KeyKB
 	}
-	late := b.draining && r.arrivedAt > b.drainedAt+b.settings.DrainGracePeriod
-	if late || !b.hasMemoryFor(keyKB) || b.policy.admit(r) == verdictReject {
-		b.reject(r)
+	if h.isAfterGrace(r) || !h.hasMemoryFor(keyKB) || h.policy.admit(r) == verdictReject {
+		h.reject(r)
 		return
 	}
-	if class.Effect == admission.IdempotentByKey {
-		until := r.arrivedAt + class.KeyWindow
-		b.actions.KeepKey(q.ID, until-now)
-		b.keys = append(b.keys, keptKey{q.ID, until})
+	if h.isKeyed(q.Class) {
+		until := r.arrivedAt + h.settings.Classes[q.Class].KeyWindow
+		h.actions.KeepKey(q.ID, until-now)
+		h.keptKeys = append(h.keptKeys, keptKey{q.ID, until})
+	}
+	h.queue = append(h.queue, r)
+}
+
+// addRequest registers a request with its deadline and memory.
+func (h *host) addRequest(now time.Duration, q admission.Request) *request {
+	r := &request{Request: q, arrivedAt: now - q.QueueingDelay}
+	r.deadline = r.arrivedAt + h.settings.Classes[q.Class].Deadline
+	if h.draining {
+		r.deadline = min(r.deadline, h.stopAt-deadlineMargin)
 	}
-	b.queue = append(b.queue, r)
+	h.requests[q.ID] = r
+	h.memoryKB += q.SizeKB
+	return r
 }
 
-// reject refuses a request that never ran.
-func (b *host) reject(r *request) {
-	if b.settings.Classes[r.Class].Effect == admission.IdempotentByKey {
-		if i := slices.IndexFunc(b.keys, func(k keptKey) bool { return k.id == r.ID }); i >= 0 {
-			b.keys = slices.Delete(b.keys, i, i+1)
-			b.actions.ReleaseKey(r.ID)
+// reject rejects a request that has not run.
+func (h *host) reject(r *request) {
+	if h.isKeyed(r.Class) {
+		if i := slices.IndexFunc(h.keptKeys, func(k keptKey) bool { return k.id == r.ID }); i >= 0 {
+			h.keptKeys = slices.Delete(h.keptKeys, i, i+1)
+			h.actions.ReleaseKey(r.ID)
 		}
 	}
-	b.remove(r)
-	b.actions.Reject(r.ID, min(retryAfter, b.settings.MaxRetryAfter), false)
+	h.remove(r)
+	h.actions.Reject(r.ID, min(retryAfter, h.settings.MaxRetryAfter), false)
 }
 
-// remove takes a request that is over out of all lists.
-func (b *host) remove(r *request) {
+// remove removes a finished request from all lists.
+func (h *host) remove(r *request) {
 	if r.finished {
 		return
 	}
 	r.finished = true
+	delete(h.requests, r.ID)
 	if r.running {
-		b.running--
-		b.memoryKB -= r.SizeKB * b.settings.RunningMemoryFactor
-	} else {
-		b.memoryKB -= r.SizeKB
-		if i := slices.Index(b.queue, r); i >= 0 {
-			b.queue = slices.Delete(b.queue, i, i+1)
-		}
-		if r.permit != nil { // it was chosen, and could not be run
-			b.policy.runEnded(r, false)
-		}
+		h.running--
+		h.memoryKB -= r.SizeKB * h.settings.RunningMemoryFactor
+		return
+	}
+	h.memoryKB -= r.SizeKB
+	if i := slices.Index(h.queue, r); i >= 0 {
+		h.queue = slices.Delete(h.queue, i, i+1)
+	}
+	if r.permit != nil { // nextToRun returned it, and it could not run
+		h.policy.runEnded(r, false)
 	}
-	delete(b.requests, r.ID)
 }
 
-// Settle implements admission.Events: it runs what the policy wants to run.
-func (b *host) Settle(now time.Duration) {
-	b.advance(now)
-	for len(b.queue) > 0 && b.running < b.maxRunning() {
-		r := b.policy.nextToRun()
-		if r == nil || !b.hasMemoryFor(r.SizeKB*(b.settings.RunningMemoryFactor-1)) {
+// Settle implements admission.Events. It starts what the policy wants to run.
+func (h *host) Settle(now time.Duration) {
+	h.advance(now)
+	for len(h.queue) > 0 && h.running < h.maxRunning() {
+		r := h.policy.nextToRun()
+		if r == nil || !h.hasMemoryFor(r.SizeKB*(h.settings.RunningMemoryFactor-1)) {
 			return
 		}
-		b.queue = slices.Delete(b.queue, slices.Index(b.queue, r), slices.Index(b.queue, r)+1)
-		if b.draining && r.arrivedAt > b.drainedAt+b.settings.DrainGracePeriod {
-			b.reject(r)
+		i := slices.Index(h.queue, r)
+		h.queue = slices.Delete(h.queue, i, i+1)
+		if h.isAfterGrace(r) {
+			h.reject(r)
 			continue
 		}
-		b.memoryKB += r.SizeKB * (b.settings.RunningMemoryFactor - 1)
-		b.running++
-		r.running, r.startedAt = true, b.now
-		b.actions.Run(r.ID)
+		h.memoryKB += r.SizeKB * (h.settings.RunningMemoryFactor - 1)
+		h.running++
+		r.running, r.startedAt = true, h.now
+		h.actions.Run(r.ID)
 	}
 }
 
-// Done implements admission.Events.
-func (b *host) RunFinished(now time.Duration, id admission.RequestID, o admission.Outcome) {
-	b.advance(now)
-	r := b.requests[id]
+// RunFinished implements admission.Events.
+func (h *host) RunFinished(now time.Duration, id admission.RequestID, o admission.Outcome) {
+	h.advance(now)
+	r := h.requests[id]
 	if r == nil {
 		return
 	}
 	ran := r.running
-	b.remove(r)
+	h.remove(r)
 	if ran {
-		b.policy.runEnded(r, o == admission.OK)
+		h.policy.runEnded(r, o == admission.OK)
 	}
 }
 
-// Gone implements admission.Events.
-func (b *host) Cancel(now time.Duration, id admission.RequestID) {
-	b.advance(now)
-	if r := b.requests[id]; r != nil && !r.running {
-		b.remove(r)
+// Cancel implements admission.Events.
+func (h *host) Cancel(now time.Duration, id admission.RequestID) {
+	h.advance(now)
+	if r := h.requests[id]; r != nil && !r.running {
+		h.remove(r)
 	}
 }
 
 // Drain implements admission.Events.
-func (b *host) Drain(now, left time.Duration) {
-	b.advance(now)
-	b.draining, b.drainedAt, b.stopAt = true, now, now+left
-	for _, r := range b.requests { // in any order: each stands by itself
-		r.deadline = min(r.deadline, b.stopAt-deadlineMargin)
+func (h *host) Drain(now, left time.Duration) {
+	h.advance(now)
+	h.draining, h.drainedAt, h.stopAt = true, now, now+left
+	for _, r := range h.requests { // the order of the map does not matter
+		r.deadline = min(r.deadline, h.stopAt-deadlineMargin)
 	}
-	b.actions.SetHealth(false, true)
+	h.actions.SetHealth(false, true)
 }
 
 // Timer implements admission.Events.
-func (b *host) Timer(now time.Duration, token uint32, g admission.Gauges) {
-	b.advance(now)
+func (h *host) Timer(now time.Duration, token uint32, g admission.Gauges) {
+	h.advance(now)
 	if token != deadlineToken {
-		b.policy.poll(g)
-		b.actions.SetTimer(pollInterval, 0)
+		h.policy.poll(g)
+		h.actions.SetTimer(pollInterval, pollToken)
 	}
-	var due []*request
-	for _, r := range b.requests {
-		if r.deadline-deadlineMargin <= b.now+pollInterval {
-			due = append(due, r)
+	for _, r := range h.nearDeadline() {
+		if r.running {
+			h.failRunning(r)
+			continue
 		}
+		h.remove(r)
+		h.actions.Fail(r.ID)
 	}
-	slices.SortFunc(due, func(x, y *request) int { return int(x.ID) - int(y.ID) })
-	for _, r := range due {
-		if r.running { // its answer is owed, though its work goes on
-			b.actions.Fail(r.ID)
-			if b.settings.StopMode != admission.StopNone && b.settings.Classes[r.Class].Effect == admission.Safe {
-				b.actions.Stop(r.ID)
-			}
-			r.deadline = 1 << 62
-			continue
+}
+
+// nearDeadline returns the requests that must be answered before the next poll, by ID.
+func (h *host) nearDeadline() []*request {
+	var near []*request
+	for _, r := range h.requests {
+		if r.deadline-deadlineMargin <= h.now+pollInterval {
+			near = append(near, r)
 		}
-		b.remove(r)
-		b.actions.Fail(r.ID)
 	}
+	slices.SortFunc(near, func(a, b *request) int { return int(a.ID) - int(b.ID) })
+	return near
+}
+
+// failRunning answers a request whose run goes on, or is stopped if that is safe.
+func (h *host) failRunning(r *request) {
+	h.actions.Fail(r.ID)
+	if h.settings.StopMode != admission.StopNone && h.settings.Classes[r.Class].Effect == admission.Safe {
+		h.actions.Stop(r.ID)
+	}
+	r.deadline = noDeadline
 }
 
-// Blocked implements admission.Events: nothing is called.
-func (b *host) CallRequested(time.Duration, admission.RequestID) {}
+// CallRequested implements admission.Events. Downstream calls are not simulated.
+func (h *host) CallRequested(time.Duration, admission.RequestID) {}
 
-// Called implements admission.Events.
-func (b *host) CallFinished(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
+// CallFinished implements admission.Events.
+func (h *host) CallFinished(time.Duration, admission.RequestID, admission.Outcome, time.Duration) {}
 
-// oldest is the held request that came first.
-func (b *host) oldest() *request {
-	if len(b.queue) == 0 {
+// oldest returns the queued request that was read first, or nil.
+func (h *host) oldest() *request {
+	if len(h.queue) == 0 {
 		return nil
 	}
-	return b.queue[0]
+	return h.queue[0]
 }
--- a/internal/baseline/no_limit.go
+++ b/internal/baseline/no_limit.go
@@ -2,17 +2,20 @@
 
 import "tillerusher/admission"
 
-// noLimit runs whatever the guards let it run, at once.
+// noLimit runs whatever the host allows, at once.
 type noLimit struct{ *host }
 
-// NoLimit runs all at once and turns nothing away but for want of memory.
+// NoLimit runs each request at once and rejects none but for lack of memory.
 func NoLimit(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newHost(s, a)
-	b.policy = noLimit{b}
-	return b, nil
+	h := newHost(s, a)
+	h.policy = noLimit{h}
+	return h, nil
 }
 
-func (noLimit) admit(*request) verdict  { return verdictQueue }
-func (p noLimit) nextToRun() *request   { return p.oldest() }
-func (noLimit) runEnded(*request, bool) {}
-func (noLimit) poll(admission.Gauges)   {}
+func (n noLimit) admit(*request) verdict { return verdictQueue }
+
+func (n noLimit) nextToRun() *request { return n.oldest() }
+
+func (n noLimit) runEnded(*request, bool) {}
+
+func (n noLimit) poll(admission.Gauges) {}
--- a/internal/baseline/weight_priority.go
+++ b/internal/baseline/weight_priority.go
@@ -6,33 +6,40 @@
 	"tillerusher/admission"
 )
 
-// weightPriority runs the worthiest first and turns the least worthy away when the line is too long for its aims.
+const (
+	runTimeSmoothing = 1.0 / 12 // weight of one run in the learned run time of its class
+	minRunSeconds    = 1e-3     // run time that is assumed at least, before any is learned
+)
+
+// weightPriority runs the requests of the highest weight per second of run time first, and rejects those that would miss
+// their objective behind them.
 type weightPriority struct {
 	*host
-	runSeconds []float64 // learned seconds of a run, by class
+	runSeconds []float64 // learned, by class
 }
 
-// WeightPriority goes by the worth of classes: the line is in the order of worth for the time of a run, and what would wait beyond
-// its aim behind those before it is turned away.
+// WeightPriority orders the queue by the weight of a class per second of run time. A request is rejected if it would wait
+// beyond its latency objective behind those before it.
 func WeightPriority(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	b := newHost(s, a)
-	b.policy = &weightPriority{host: b, runSeconds: make([]float64, len(s.Classes))}
-	return b, nil
+	h := newHost(s, a)
+	h.policy = &weightPriority{host: h, runSeconds: make([]float64, len(s.Classes))}
+	return h, nil
 }
 
-// weightPerSecond is what a class brings for the time that it takes.
+// weightPerSecond is the weight that a class earns per second of run time.
 func (w *weightPriority) weightPerSecond(class int) float64 {
-	return w.settings.Classes[class].Weight / max(w.runSeconds[class], 1e-3)
+	return w.settings.Classes[class].Weight / max(w.runSeconds[class], minRunSeconds)
 }
 
 func (w *weightPriority) admit(r *request) verdict {
 	wait := 0.0
-	for _, h := range w.queue {
-		if w.weightPerSecond(h.Class) >= w.weightPerSecond(r.Class) {
-			wait += w.runSeconds[h.Class]
+	for _, queued := range w.queue {
+		if w.weightPerSecond(queued.Class) >= w.weightPerSecond(r.Class) {
+			wait += w.runSeconds[queued.Class]
 		}
 	}
-	if wait/float64(w.settings.Cores) > (w.settings.Classes[r.Class].LatencyObjective - r.QueueingDelay).Seconds() {
+	left := w.settings.Classes[r.Class].LatencyObjective - r.QueueingDelay
+	if wait/float64(w.settings.Cores) > left.Seconds() {
 		return verdictReject
 	}
 	return verdictQueue
@@ -51,20 +58,23 @@
 	return best
 }
 
-// runTimeSmoothing is the weight of one run in the learned time of its class.
-const runTimeSmoothing = 1.0 / 12
-
-func (w *weightPriority) runEnded(r *request, ok bool) {
-	if took := (w.now - r.startedAt).Seconds() * min(1, float64(w.settings.Cores)/float64(w.running+1)); ok {
-		w.runSeconds[r.Class] += (took - w.runSeconds[r.Class]) * runTimeSmoothing
+// runEnded learns the time that the run would have taken on a core of its own.
+func (w *weightPriority) runEnded(r *request, succeeded bool) {
+	if !succeeded {
+		return
 	}
+	elapsed := (w.now - r.startedAt).Seconds()
+	coreSeconds := elapsed * min(1, float64(w.settings.Cores)/float64(w.running+1))
+	w.runSeconds[r.Class] += (coreSeconds - w.runSeconds[r.Class]) * runTimeSmoothing
 }
 
-// poll turns away what is past its aim.
+// poll rejects what has missed its objective.
 func (w *weightPriority) poll(admission.Gauges) {
 	for i := 0; i < len(w.queue); {
-		if r := w.queue[i]; w.now-r.arrivedAt > w.settings.Classes[r.Class].LatencyObjective+time.Duration(float64(time.Second)*w.runSeconds[r.Class]) {
-			w.reject(r)
+		r := w.queue[i]
+		runTime := time.Duration(float64(time.Second) * w.runSeconds[r.Class])
+		if w.now-r.arrivedAt > w.settings.Classes[r.Class].LatencyObjective+runTime {
+			w.reject(r) // which removes it from the queue
 		} else {
 			i++
 		}
