--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -19,6 +19,7 @@
 (policies module line) (seeds 2)
 (sweep (how grid) (vary load 0.5 1.1 3) (vary slow.part 0 0.5 2))`
 
+// mustParse parses an experiment and fails the test on an error.
 func mustParse(t testing.TB, text string) *Experiment {
 	t.Helper()
 	e, err := Parse("f", []byte(text))
@@ -28,6 +29,7 @@
 	return e
 }
 
+// runTo runs an experiment into a file and returns the file's content.
 func runTo(t testing.TB, e *Experiment, path string, workers int) []byte {
 	t.Helper()
 	if err := Run(context.Background(), e, path, workers, nil); err != nil {
@@ -40,8 +42,8 @@
 	return text
 }
 
-// TestResume cuts a run off anywhere, also in the middle of a line, and has it go on: the file is the same in the end, on
-// any number of workers.
+// TestResume interrupts a run anywhere, also in the middle of a line, and resumes it: the file is the same in the end, with any
+// number of workers.
 func TestResume(t *testing.T) {
 	e, dir := mustParse(t, smallExperiment), t.TempDir()
 	want := runTo(t, e, filepath.Join(dir, "whole"), 1)
@@ -78,7 +80,24 @@
 	}
 }
 
-// TestInfeasible has a world that can't be played be named, and the others go on.
+// TestPlanChecksum pins the checksum of plans: results files that were written before must still be recognized.
+func TestPlanChecksum(t *testing.T) {
+	for text, want := range map[string]string{
+		smallExperiment: "d1469f2f01c5b17d",
+		`(days (count 2) (from 3)) (policies module codel) (seeds 1)
+(sweep (how grid) (vary jump.size 1 2 2) (vary tries 1 4 2))`: "0f1c2a63635c390d",
+	} {
+		jobs, err := mustParse(t, text).Plan()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := planChecksum(jobs); got != want || err != nil {
+			t.Errorf("checksum %s, %v, want %s of\n%s", got, err, want, text)
+		}
+	}
+}
+
+// TestInfeasible checks that a configuration that is not feasible is reported in its row, and that the others are run.
 func TestInfeasible(t *testing.T) {
 	e := mustParse(t, `(world (for 2s) (servers (n 2) (cores 1)) (load 0.5)) (seeds 1)
 (sweep (vary skew 0.5 1.5 2))`)
@@ -93,7 +112,7 @@
 	}
 }
 
-// TestCompare sees a difference where there is one, and says that there is none where a policy is compared with itself.
+// TestCompare checks that a difference is found if there is one, and none if a policy is compared with itself.
 func TestCompare(t *testing.T) {
 	r := &Results{}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -120,7 +139,7 @@
 	}
 }
 
-// TestSweeps has each way of a sweep cover its ranges, and the same seed draw the same points.
+// TestSweeps checks that each method covers the ranges, and that the same seed draws the same points.
 func TestSweeps(t *testing.T) {
 	for how, count := range map[string]int{"grid": 12, "random": 40, "latin": 40} {
 		text := fmt.Sprintf("(sweep (how %s) (count 40) (vary load 0.5 1 4) (vary jump.size 1 3 3))", how)
@@ -143,7 +162,7 @@
 	}
 }
 
-// TestExplore finds where a policy does badly, and the same place again.
+// TestExplore checks that an exploration finds where a policy does badly, and that it can be repeated.
 func TestExplore(t *testing.T) {
 	experiment := mustParse(t, `(world (for 3s) (servers (n 2) (cores 2))) (seeds 2) (sweep (vary load 0.3 1.5) (vary tries 1 4))`)
 	exploration := Exploration{Policy: "nolimit", Measure: "share", Rounds: 4, PointsPerRound: 10, Seed: 3}
@@ -166,7 +185,7 @@
 	}
 }
 
-// TestParseErrors has each broken sample told with its place and what was expected.
+// TestParseErrors checks that errors name the place and what was expected.
 func TestParseErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"(wurld)":                             "f:1:1: found (wurld ...), want",
--- a/internal/experiment/explore.go
+++ b/internal/experiment/explore.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -14,130 +15,169 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Exploration is a search for the points of a sweep's ranges at which a policy does worst.
+// Exploration is a search in the ranges of a sweep for the points at which a policy does worst.
 type Exploration struct {
 	Policy         string
-	BaselinePolicy string // where given, what counts is how far the policy stays under this one
+	BaselinePolicy string // if set, points count by how far the policy stays below this one
 	Measure        string // of which little is bad
 	Rounds         int
-	PointsPerRound int // drawPoints a round
+	PointsPerRound int
 	Seed           uint64
-	Workers        int
+	Workers        int // 0 means one per core
 }
 
-// Candidate is a point of a hunt.
+// Candidate is a point that an exploration has tried.
 type Candidate struct {
 	Values map[string]float64 `json:"values"`
-	Score  float64            `json:"score"` // the measure's mean over the seeds, less that of the other policy
+	Score  float64            `json:"score"` // the measure's mean over the seeds, minus that of the baseline policy
 	Error  string             `json:"error,omitempty"`
 }
 
-// eliteShare is the part of a round that the next one is drawn round.
-const eliteShare = 0.2
+// errNothingVaried is returned for an exploration without ranges.
+var errNothingVaried = errors.New("experiment: a hunt needs (sweep (vary ...)): the ranges in which to look")
 
-// Explore looks for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a normal
-// distribution within the ranges and fits it to those that did worst. The same hunt finds the same points. It returns all
-// points, the worst first; progress hears of the rounds.
-func (e *Experiment) Explore(ctx context.Context, h Exploration, progress func(done, of int)) ([]Candidate, error) {
+const (
+	eliteShare        = 0.2 // of the points of a round, to which the next round is fitted
+	minElite          = 2
+	minStdDev         = 1e-12 // keeps a distribution from collapsing to a point
+	explorationStream = 7     // second seed of the random numbers
+)
+
+// Explore searches for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a
+// normal distribution within the ranges and fits it to those that did worst. The same exploration finds the same points. It
+// returns all points, the worst first, and calls progress after each round if it is not nil.
+func (e *Experiment) Explore(ctx context.Context, x Exploration, progress func(done, of int)) ([]Candidate, error) {
 	if len(e.Sweep.Variables) == 0 {
-		return nil, fmt.Errorf("experiment: a hunt needs (sweep (vary ...)): the ranges in which to look")
+		return nil, errNothingVaried
 	}
-	if h.Workers <= 0 {
-		h.Workers = runtime.GOMAXPROCS(0)
-	}
-	rng := rand.New(rand.NewPCG(h.Seed, 7))
-	n := len(e.Sweep.Variables)
-	mean, spread := make([]float64, n), make([]float64, n)
-	for i, v := range e.Sweep.Variables {
-		mean[i], spread[i] = (v.Min+v.Max)/2, (v.Max-v.Min)/2
+	if x.Workers <= 0 {
+		x.Workers = runtime.GOMAXPROCS(0)
 	}
+	proposal := newProposal(e.Sweep.Variables, x.Seed)
 	var all []Candidate
-	for round := range h.Rounds {
-		points := make([][]float64, h.PointsPerRound)
-		for k := range points {
-			for i, v := range e.Sweep.Variables {
-				x := distuv.Normal{Mu: mean[i], Sigma: math.Max(spread[i], 1e-12), Src: rng}.Rand()
-				points[k] = append(points[k], min(max(x, v.Min), v.Max))
-			}
-		}
-		finds, err := e.scorePoints(ctx, h, points)
+	for round := range x.Rounds {
+		points := proposal.draw(x.PointsPerRound)
+		candidates, err := e.scorePoints(ctx, x, points)
 		if err != nil {
 			return nil, err
 		}
-		order := make([]int, len(finds))
-		for i := range order {
-			order[i] = i
+		proposal.fit(points, candidates)
+		all = append(all, candidates...)
+		if progress != nil {
+			progress(round+1, x.Rounds)
 		}
-		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(finds[a].Score, finds[b].Score) })
-		few := order[:max(int(eliteShare*float64(len(order))), 2)]
-		for i := range mean {
-			var xs []float64
-			for _, k := range few {
-				if finds[k].Error == "" {
-					xs = append(xs, points[k][i])
-				}
-			}
-			if len(xs) > 1 {
-				mean[i], spread[i] = stat.MeanStdDev(xs, nil)
+	}
+	slices.SortStableFunc(all, compareScores)
+	return all, nil
+}
+
+// compareScores orders candidates by their scores, the worst first.
+func compareScores(a, b Candidate) int { return cmp.Compare(a.Score, b.Score) }
+
+// proposal is the distribution from which an exploration draws points: independent normal distributions, cut off at the
+// ranges of the variables.
+type proposal struct {
+	variables []Variable
+	mean      []float64
+	stdDev    []float64
+	rng       *rand.Rand
+}
+
+// newProposal returns the distribution of the first round, which covers the ranges.
+func newProposal(variables []Variable, seed uint64) *proposal {
+	p := &proposal{
+		variables: variables,
+		mean:      make([]float64, len(variables)),
+		stdDev:    make([]float64, len(variables)),
+		rng:       rand.New(rand.NewPCG(seed, explorationStream)),
+	}
+	for i, v := range variables {
+		p.mean[i] = (v.Min + v.Max) / 2
+		p.stdDev[i] = (v.Max - v.Min) / 2
+	}
+	return p
+}
+
+// draw draws points.
+func (p *proposal) draw(n int) [][]float64 {
+	points := make([][]float64, n)
+	for k := range points {
+		for i, v := range p.variables {
+			normal := distuv.Normal{Mu: p.mean[i], Sigma: math.Max(p.stdDev[i], minStdDev), Src: p.rng}
+			points[k] = append(points[k], min(max(normal.Rand(), v.Min), v.Max))
+		}
+	}
+	return points
+}
+
+// fit fits the distribution to the worst of the points.
+func (p *proposal) fit(points [][]float64, candidates []Candidate) {
+	order := make([]int, len(candidates))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortStableFunc(order, func(a, b int) int { return compareScores(candidates[a], candidates[b]) })
+	elite := order[:max(int(eliteShare*float64(len(order))), minElite)]
+	for i := range p.mean {
+		var values []float64
+		for _, k := range elite {
+			if candidates[k].Error == "" {
+				values = append(values, points[k][i])
 			}
 		}
-		all = append(all, finds...)
-		if progress != nil {
-			progress(round+1, h.Rounds)
+		if len(values) > 1 {
+			p.mean[i], p.stdDev[i] = stat.MeanStdDev(values, nil)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Candidate) int { return cmp.Compare(a.Score, b.Score) })
-	return all, nil
 }
 
-// scorePoints plays points with all seeds and both policies.
-func (e *Experiment) scorePoints(ctx context.Context, h Exploration, points [][]float64) ([]Candidate, error) {
-	policies := []string{h.Policy}
-	if h.BaselinePolicy != "" {
-		policies = append(policies, h.BaselinePolicy)
+// scorePoints runs points with all seeds and with both policies.
+func (e *Experiment) scorePoints(ctx context.Context, x Exploration, points [][]float64) ([]Candidate, error) {
+	policies := []string{x.Policy}
+	if x.BaselinePolicy != "" {
+		policies = append(policies, x.BaselinePolicy)
 	}
 	var jobs []Job
-	finds := make([]Candidate, len(points))
-	for k, p := range points {
-		w := e.Config
-		finds[k].Values = map[string]float64{}
-		for i, v := range e.Sweep.Variables {
-			v.apply(&w, p[i])
-			finds[k].Values[v.Name] = p[i]
-		}
+	candidates := make([]Candidate, len(points))
+	for k, point := range points {
+		config := e.Config
+		candidates[k].Values = e.Sweep.apply(&config, point)
 		for _, policy := range policies {
 			for seed := range e.Seeds {
-				jobs = append(jobs, Job{Point: k, Policy: policy, Seed: seed + 1, config: w})
+				jobs = append(jobs, Job{Point: k, Policy: policy, Seed: seed + 1, config: config})
 			}
 		}
 	}
-	err := runInOrder(ctx, jobs, 0, h.Workers, func(r Row) error {
-		f := &finds[r.Point]
-		switch v, ok := r.Measures[h.Measure]; {
+	err := runInOrder(ctx, jobs, 0, x.Workers, func(r Row) error {
+		c := &candidates[r.Point]
+		value, ok := r.Measures[x.Measure]
+		switch {
 		case r.Error != "":
-			f.Error, f.Score = r.Error, math.MaxFloat64
+			c.Error, c.Score = r.Error, math.MaxFloat64 // an infeasible point is none of the worst
 		case !ok:
-			return fmt.Errorf("experiment: no run has the measure %q", h.Measure)
-		case r.Policy == h.Policy:
-			f.Score += v / float64(e.Seeds)
+			return fmt.Errorf("experiment: no run has the measure %q", x.Measure)
+		case r.Policy == x.Policy:
+			c.Score += value / float64(e.Seeds)
 		default:
-			f.Score -= v / float64(e.Seeds)
+			c.Score -= value / float64(e.Seeds)
 		}
 		return nil
 	})
-	return finds, err
+	return candidates, err
 }
 
-// FormatCandidate writes a find as an experiment of its own, over the world that it was found in.
-func (e *Experiment) FormatCandidate(name, base string, f Candidate, policies []string) string {
+// FormatCandidate writes a candidate as an experiment of its own. The configuration is the form that it was found with, see
+// ConfigForm.
+func (e *Experiment) FormatCandidate(name, configForm string, c Candidate, policies []string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "; Found by a hunt: score %.4f.\n(name %s)\n", f.Score, name)
-	if base != "" {
-		fmt.Fprintf(&b, "%s\n", base)
+	fmt.Fprintf(&b, "; Found by a hunt: score %.4f.\n(name %s)\n", c.Score, name)
+	if configForm != "" {
+		fmt.Fprintf(&b, "%s\n", configForm)
 	}
 	fmt.Fprintf(&b, "(policies %s)\n(seeds %d)\n(sweep (how grid)", strings.Join(policies, " "), e.Seeds)
 	for _, v := range e.Sweep.Variables {
-		fmt.Fprintf(&b, "\n  (vary %s %v %v 1)", v.Name, f.Values[v.Name], f.Values[v.Name])
+		value := c.Values[v.Name]
+		fmt.Fprintf(&b, "\n  (vary %s %v %v 1)", v.Name, value, value)
 	}
 	b.WriteString(")\n")
 	return b.String()
--- /dev/null
+++ b/internal/experiment/groups.go
@@ -0,0 +1,161 @@
+package experiment
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// Group is the mean of a measure over the runs of a policy, with its confidence interval.
+type Group struct {
+	Policy             string  `json:"policy"`
+	Label              string  `json:"of"` // a value of the variable, a kind of workload, or "all"
+	X                  float64 `json:"x"`  // the value of the variable
+	Runs               int     `json:"runs"`
+	Infeasible         int     `json:"failed"` // runs whose configuration was rejected
+	Mean               float64 `json:"mean"`
+	Lower              float64 `json:"low"` // of the interval at 95 %
+	Upper              float64 `json:"high"`
+	RunsWithViolations int     `json:"broken"`
+	Measure            string  `json:"measure"`
+
+	values []runValue
+}
+
+// runValue is the measure of one run.
+type runValue struct {
+	pair  pairKey
+	value float64
+}
+
+// pairKey identifies the runs of different policies that are compared with each other.
+type pairKey struct {
+	point int
+	seed  uint64
+}
+
+// ByWorkload groups results by the kind of workload, where the name of a variable is expected.
+const ByWorkload = "day"
+
+// labelAll is the label of a group of all runs.
+const labelAll = "all"
+
+// resamples is the number of resamples of a bootstrap.
+const resamples = 5000
+
+// Bounds of the interval at 95 %.
+const (
+	lowerQuantile = 0.025
+	upperQuantile = 0.975
+)
+
+// ConfidenceInterval returns the mean of values and its interval at 95 % by the percentile bootstrap (Efron and Tibshirani,
+// 1993). The same values give the same interval.
+func ConfidenceInterval(values []float64) (mean, lower, upper float64) {
+	n := len(values)
+	if n == 0 {
+		return math.NaN(), math.NaN(), math.NaN()
+	}
+	mean = stat.Mean(values, nil)
+	if n == 1 {
+		return mean, math.Inf(-1), math.Inf(1)
+	}
+	rng := rand.New(rand.NewPCG(uint64(n), 0))
+	means := make([]float64, resamples)
+	for i := range means {
+		sum := 0.0
+		for range n {
+			sum += values[rng.IntN(n)]
+		}
+		means[i] = sum / float64(n)
+	}
+	slices.Sort(means)
+	lower = stat.Quantile(lowerQuantile, stat.Empirical, means, nil)
+	upper = stat.Quantile(upperQuantile, stat.Empirical, means, nil)
+	return mean, lower, upper
+}
+
+// Groups returns the means of a measure by policy and by a variable, by the kind of workload, or of all runs if by is empty.
+func (r *Results) Groups(measure, by string) ([]Group, error) {
+	type groupKey struct{ policy, label string }
+	index := map[groupKey]int{}
+	var groups []Group
+	found := false
+	for i := range r.Rows {
+		row := &r.Rows[i]
+		label, x, err := row.labelBy(by)
+		if err != nil {
+			return nil, err
+		}
+		key := groupKey{row.Policy, label}
+		at, ok := index[key]
+		if !ok {
+			at = len(groups)
+			index[key] = at
+			groups = append(groups, Group{Policy: row.Policy, Label: label, X: x, Measure: measure})
+		}
+		if groups[at].add(row) {
+			found = true
+		}
+	}
+	if !found {
+		return nil, fmt.Errorf("experiment: no run has the measure %q", measure)
+	}
+	for i := range groups {
+		groups[i].computeMean()
+	}
+	return groups, nil
+}
+
+// labelBy returns the label of the group that a row belongs to, and the value of the variable.
+func (r *Row) labelBy(by string) (label string, x float64, err error) {
+	switch by {
+	case "":
+		return labelAll, 0, nil
+	case ByWorkload:
+		return workloadKind(r.Workload), 0, nil
+	}
+	v, ok := r.Values[by]
+	if !ok {
+		return "", 0, fmt.Errorf("experiment: %q was not varied", by)
+	}
+	return fmt.Sprintf("%.4g", v), v, nil
+}
+
+// workloadKind is the kind in the name of a generated workload, which ends with a hyphen and a number.
+func workloadKind(name string) string {
+	if i := strings.LastIndexByte(name, '-'); i >= 0 {
+		return name[:i]
+	}
+	return name
+}
+
+// add adds a row to the group and reports whether it has the measure.
+func (g *Group) add(row *Row) bool {
+	if row.Error != "" {
+		g.Infeasible++
+		return false
+	}
+	v, ok := row.Measures[g.Measure]
+	if !ok {
+		return false
+	}
+	g.Runs++
+	if len(row.Violations) > 0 {
+		g.RunsWithViolations++
+	}
+	g.values = append(g.values, runValue{pairKey{row.Point, row.Seed}, v})
+	return true
+}
+
+func (g *Group) computeMean() {
+	values := make([]float64, len(g.values))
+	for i, v := range g.values {
+		values[i] = v.value
+	}
+	g.Mean, g.Lower, g.Upper = ConfidenceInterval(values)
+}
--- /dev/null
+++ b/internal/experiment/parse_config.go
@@ -0,0 +1,245 @@
+package experiment
+
+import (
+	"maps"
+	"math"
+	"time"
+
+	"tillerusher/internal/arrival"
+	"tillerusher/internal/capture"
+	"tillerusher/internal/clustersim"
+	"tillerusher/internal/sexp"
+)
+
+// day is the longest time that a file may give.
+const day = 24 * time.Hour
+
+// readConfig reads the forms of a configuration and changes what they give. A generated workload is the base of the other
+// forms, wherever it stands among them.
+func readConfig(forms []sexp.Node, config *clustersim.Config) error {
+	kind, number := "", firstWorkload
+	base := fields{"day": sexp.Text(&kind), "number": sexp.Int(&number, 0, math.MaxInt32)}
+	for _, form := range forms {
+		read := base[form.Name()]
+		if read == nil {
+			continue
+		}
+		if err := read(form); err != nil {
+			return err
+		}
+		if form.Name() == "day" && !isWorkloadKind(clustersim.WorkloadKind(kind)) {
+			return sexp.Errorf(form.Pos, "no kind of day is called %q, want one of %v", kind, clustersim.WorkloadKinds())
+		}
+	}
+	if kind != "" {
+		*config = clustersim.GenerateConfig(clustersim.WorkloadKind(kind), uint64(number))
+	}
+	return readConfigForms(forms, base, config)
+}
+
+// readConfigForms reads all forms of a configuration; those of the base have been read before and are read again, so that
+// one that is given twice is an error. Lists that are not given stay as they are, and the load stays relative to the
+// capacity.
+func readConfigForms(forms []sexp.Node, base fields, config *clustersim.Config) error {
+	load := config.Arrival.Rate / config.Capacity()
+	changed := *config
+	changed.Classes, changed.Tenants, changed.Gateways, changed.Incidents = nil, nil, nil, nil
+	once := fields{
+		"name":       sexp.Text(&changed.Name),
+		"for":        sexp.Duration(&changed.Duration, time.Second, day),
+		"load":       sexp.Number(&load, 0.001, 100),
+		"delay":      sexp.Duration(&changed.NetworkDelay, 0, time.Minute),
+		"list-delay": sexp.Duration(&changed.EndpointListDelay, 0, time.Hour),
+		"subjects":   sexp.Int(&changed.ResourceCount, 1, 100_000_000),
+		"skew":       sexp.Number(&changed.Skew, 0, 10),
+		"servers":    func(n sexp.Node) error { return readServers(n, &changed.Servers) },
+		"arrivals":   func(n sexp.Node) error { return readArrivals(n, &changed.Arrival) },
+	}
+	maps.Copy(once, base)
+	err := sexp.ReadForms(forms, once, fields{
+		"class":    func(n sexp.Node) error { return readClass(n, &changed.Classes) },
+		"tenant":   func(n sexp.Node) error { return readTenant(n, &changed.Tenants) },
+		"gateways": func(n sexp.Node) error { return readGateways(n, &changed.Gateways) },
+		"incident": func(n sexp.Node) error { return readIncident(n, &changed.Incidents) },
+	})
+	if err != nil {
+		return err
+	}
+	keepIfNil(&changed.Classes, config.Classes)
+	keepIfNil(&changed.Tenants, config.Tenants)
+	keepIfNil(&changed.Gateways, config.Gateways)
+	keepIfNil(&changed.Incidents, config.Incidents)
+	changed.SetLoad(load)
+	*config = changed
+	return nil
+}
+
+// keepIfNil sets a list that was not given to that of the base.
+func keepIfNil[T any](list *[]T, base []T) {
+	if *list == nil {
+		*list = base
+	}
+}
+
+func readServers(n sexp.Node, s *clustersim.ServerConfig) error {
+	return sexp.ReadFields(n.Args(), fields{
+		"n":            sexp.Int(&s.Count, 0, 100_000),
+		"cores":        sexp.Int(&s.Cores, 1, 1024),
+		"speed":        sexp.Number(&s.Speed, 0.001, 1000),
+		"speed-spread": sexp.Number(&s.SpeedCV, 0, 0.4),
+		"thrash":       sexp.Number(&s.ThrashFactor, 0, 100),
+		"thrash-at":    sexp.Number(&s.ThrashThreshold, 0, 1000),
+		"read":         sexp.Number(&s.ReadCost, 0, 10),
+		"memory-kb":    sexp.Number(&s.MemoryKB, 1, 1e12),
+		"key-kb":       sexp.Number(&s.KeyKB, 0, 1e6),
+		"hold-kb":      func(form sexp.Node) error { return readRequestKB(form, &s.RequestKB) },
+		"run-factor":   sexp.Number(&s.RunningMemoryFactor, 1, 1000),
+		"cold-share":   sexp.Number(&s.InitialCapacity, 0.001, 1),
+		"cold-for":     sexp.Duration(&s.WarmUpTime, 0, time.Hour),
+		"crowd-factor": sexp.Number(&s.MaxConcurrencyFactor, 1, 1e6),
+		"drain-grace":  sexp.Duration(&s.DrainGracePeriod, 0, time.Minute),
+		"stop":         sexp.Duration(&s.DrainTimeout, time.Millisecond, time.Hour),
+		"restart":      sexp.Duration(&s.RestartDelay, 0, time.Hour),
+		"unread":       sexp.Int(&s.BacklogPerCore, 1, 1_000_000),
+		"retry-after":  sexp.Duration(&s.MaxRetryAfter, 0, time.Hour),
+		"heeded":       sexp.Duration(&s.FeedbackTTL, 0, time.Hour),
+		"over-worth":   sexp.Number(&s.OverQuotaWeight, 0, 1),
+	})
+}
+
+// readRequestKB reads (hold-kb LEAST MOST).
+func readRequestKB(form sexp.Node, to *[2]float64) error {
+	args := form.Args()
+	if len(args) != len(to) {
+		return sexp.Errorf(form.Pos, "want (hold-kb LEAST MOST)")
+	}
+	for i, arg := range args {
+		v, err := arg.Float()
+		if err != nil {
+			return err
+		}
+		to[i] = v
+	}
+	return nil
+}
+
+// readArrivals reads (arrivals ...). A capture replaces the kind.
+func readArrivals(n sexp.Node, a *arrival.Config) error {
+	kind, path := string(a.Kind), ""
+	err := sexp.ReadFields(n.Args(), fields{
+		"kind":    sexp.OneOf(&kind, string(arrival.Poisson), string(arrival.Bursty), string(arrival.Diurnal)),
+		"burst":   sexp.Number(&a.BurstFactor, 1, 1000),
+		"part":    sexp.Number(&a.BurstFraction, 0.001, 0.999),
+		"stay":    sexp.Duration(&a.MeanBurst, time.Millisecond, time.Hour),
+		"capture": sexp.Text(&path),
+		"factor":  sexp.Number(&a.Speed, 0.001, 1000),
+		"swing":   sexp.Number(&a.Amplitude, 0, 1),
+		"day":     sexp.Duration(&a.Period, time.Second, day),
+	})
+	a.Kind = arrival.Kind(kind)
+	if err != nil || path == "" {
+		return err
+	}
+	a.Kind = arrival.Replay
+	if a.Times, err = capture.ReadArrivals(path); err != nil {
+		return sexp.Errorf(n.Pos, "%v", err)
+	}
+	return nil
+}
+
+// readClass reads (class NAME ...).
+func readClass(n sexp.Node, to *[]clustersim.Class) (err error) {
+	c := clustersim.Class{
+		Share:            1,
+		MeanWork:         100 * time.Millisecond,
+		Distribution:     clustersim.LogNormal,
+		CV:               1,
+		LatencyObjective: time.Second,
+		Deadline:         4 * time.Second,
+		Weight:           1,
+	}
+	if c.Name, err = n.WordAt(1, "the name of a class"); err != nil {
+		return err
+	}
+	distribution := string(c.Distribution)
+	err = sexp.ReadFields(n.ItemsFrom(2), fields{
+		"share": sexp.Number(&c.Share, 0, 1e6),
+		"work":  sexp.Duration(&c.MeanWork, time.Microsecond, time.Hour),
+		"dist": sexp.OneOf(&distribution, string(clustersim.Constant), string(clustersim.Exponential), string(clustersim.LogNormal),
+			string(clustersim.Pareto)),
+		"spread":     sexp.Number(&c.CV, 0, 100),
+		"aim":        sexp.Duration(&c.LatencyObjective, time.Millisecond, day),
+		"deadline":   sexp.Duration(&c.Deadline, time.Millisecond, day),
+		"worth":      sexp.Number(&c.Weight, 0, 1e6),
+		"late-worth": sexp.Number(&c.LateWeight, 0, 1),
+		"window":     sexp.Duration(&c.KeyWindow, 0, day),
+	})
+	c.Distribution = clustersim.Distribution(distribution)
+	c.IdempotentByKey = c.KeyWindow > 0
+	*to = append(*to, c)
+	return err
+}
+
+// readTenant reads (tenant NAME ...).
+func readTenant(n sexp.Node, to *[]clustersim.Tenant) (err error) {
+	t := clustersim.Tenant{}
+	if t.Name, err = n.WordAt(1, "the name of a tenant"); err != nil {
+		return err
+	}
+	err = sexp.ReadFields(n.ItemsFrom(2), fields{"share": sexp.Number(&t.Share, 0, 1e6)})
+	*to = append(*to, t)
+	return err
+}
+
+// The words of a choice between two.
+const (
+	wordYes = "yes"
+	wordNo  = "no"
+)
+
+// readGateways reads (gateways ...).
+func readGateways(n sexp.Node, to *[]clustersim.GatewayConfig) error {
+	g := clustersim.GatewayConfig{Count: 1, Share: 1, MaxAttempts: 3, RetryBudget: 0.2}
+	balancing, retry := string(clustersim.RoundRobin), string(clustersim.RetryBudgeted)
+	honorsFeedback, usesHealthChecks := wordYes, wordNo
+	err := sexp.ReadFields(n.Args(), fields{
+		"n":     sexp.Int(&g.Count, 1, 10_000),
+		"share": sexp.Number(&g.Share, 0, 1e6),
+		"tries": sexp.Int(&g.MaxAttempts, 1, 1000),
+		"choice": sexp.OneOf(&balancing, string(clustersim.RoundRobin), string(clustersim.LeastRequest), string(clustersim.PowerOfTwo),
+			string(clustersim.ResourceHash), string(clustersim.LowestLatency), string(clustersim.WeightedRandom), string(clustersim.Random)),
+		"again": sexp.OneOf(&retry, string(clustersim.RetryNever), string(clustersim.RetryUnbounded), string(clustersim.RetryBudgeted),
+			string(clustersim.RetryOnTimeout), string(clustersim.RetryHedged), string(clustersim.RetryBackoff)),
+		"budget":  sexp.Number(&g.RetryBudget, 0, 100),
+		"wait":    sexp.Number(&g.AttemptTimeoutFactor, 0, 100),
+		"heeds":   sexp.OneOf(&honorsFeedback, wordYes, wordNo),
+		"subset":  sexp.Int(&g.SubsetSize, 0, 100_000),
+		"checked": sexp.OneOf(&usesHealthChecks, wordYes, wordNo),
+		"repeats": sexp.Number(&g.ResendShare, 0, 1),
+	})
+	g.Balancing, g.Retry = clustersim.BalancingPolicy(balancing), clustersim.RetryPolicy(retry)
+	g.HonorsFeedback, g.UsesHealthChecks = honorsFeedback == wordYes, usesHealthChecks == wordYes
+	*to = append(*to, g)
+	return err
+}
+
+// readIncident reads (incident KIND ...).
+func readIncident(n sexp.Node, to *[]clustersim.Incident) error {
+	kind, err := n.WordAt(1, "a kind of incident")
+	if err != nil {
+		return err
+	}
+	i := clustersim.Incident{Kind: clustersim.IncidentKind(kind), Start: 10 * time.Second, Duration: 10 * time.Second, Magnitude: 1}
+	if !i.IsKnown() {
+		return sexp.Errorf(n.Pos, "no incident is called %q, want one of %v", kind, clustersim.IncidentKinds())
+	}
+	err = sexp.ReadFields(n.ItemsFrom(2), fields{
+		"from": sexp.Duration(&i.Start, 0, day),
+		"for":  sexp.Duration(&i.Duration, 0, day),
+		"rise": sexp.Duration(&i.RampTime, 0, day),
+		"part": sexp.Number(&i.ServerShare, 0, 1),
+		"size": sexp.Number(&i.Magnitude, 0, 1e6),
+	})
+	*to = append(*to, i)
+	return err
+}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,128 +1,172 @@
 package experiment
 
 import (
+	"encoding/json"
 	"fmt"
+	"hash/fnv"
 	"math/rand/v2"
+	"slices"
 
+	"gonum.org/v1/gonum/mat"
 	"gonum.org/v1/gonum/spatial/r1"
 	"gonum.org/v1/gonum/stat/distmv"
 	"gonum.org/v1/gonum/stat/samplemv"
 
-	"gonum.org/v1/gonum/mat"
-
 	"tillerusher/internal/clustersim"
 )
 
-// Job is one run of an experiment.
+// Job is one run of a plan. Its JSON encoding is part of the plan's checksum, see planChecksum.
 type Job struct {
-	Point    int                // of the plan
-	Values   map[string]float64 // what is varied there
-	Workload string             `json:"Day"` // or the day
+	Point    int                // index of the point
+	Values   map[string]float64 // of the variables at the point
+	Workload string             `json:"Day"` // name of the generated workload, if there is one
 	Policy   string
 	Seed     uint64
 	config   clustersim.Config
 }
 
-// Plan is all runs in their order: by point, then by policy, then by seed.
+// Plan returns all runs in their order: by point, then by policy, then by seed.
 func (e *Experiment) Plan() ([]Job, error) {
-	var jobs []Job
-	worlds := []clustersim.Config{e.Config}
-	if e.Workloads.Count > 0 {
-		worlds = nil
-		for _, kind := range e.Workloads.Kinds {
-			for n := range e.Workloads.Count {
-				worlds = append(worlds, clustersim.GenerateConfig(kind, e.Workloads.From+uint64(n)))
-			}
-		}
-	}
 	points, err := e.Sweep.drawPoints()
 	if err != nil {
 		return nil, err
 	}
+	var jobs []Job
 	point := 0
-	for _, w := range worlds {
+	for _, base := range e.baseConfigs() {
 		for _, values := range points {
-			at := w
-			named := map[string]float64{}
-			for i, v := range e.Sweep.Variables {
-				v.apply(&at, values[i])
-				named[v.Name] = values[i]
-			}
-			day := ""
+			job := Job{Point: point, config: base}
+			job.Values = e.Sweep.apply(&job.config, values)
 			if e.Workloads.Count > 0 {
-				day = w.Name
-			}
-			for _, p := range e.Policies {
-				for seed := range e.Seeds {
-					jobs = append(jobs, Job{Point: point, Values: named, Workload: day, Policy: p, Seed: seed + 1, config: at})
-				}
+				job.Workload = base.Name
 			}
+			jobs = append(jobs, e.withPoliciesAndSeeds(job)...)
 			point++
 		}
 	}
 	return jobs, nil
 }
 
-// maxGridPoints bounds a grid.
-const maxGridPoints = 1_000_000
+// baseConfigs returns the configurations to which the sweep is applied.
+func (e *Experiment) baseConfigs() []clustersim.Config {
+	if e.Workloads.Count == 0 {
+		return []clustersim.Config{e.Config}
+	}
+	var configs []clustersim.Config
+	for _, kind := range e.Workloads.Kinds {
+		for n := range e.Workloads.Count {
+			configs = append(configs, clustersim.GenerateConfig(kind, e.Workloads.From+uint64(n)))
+		}
+	}
+	return configs
+}
+
+// withPoliciesAndSeeds returns the runs of a point with each policy and seed.
+func (e *Experiment) withPoliciesAndSeeds(job Job) []Job {
+	var jobs []Job
+	for _, policy := range e.Policies {
+		for seed := range e.Seeds {
+			job.Policy, job.Seed = policy, seed+1
+			jobs = append(jobs, job)
+		}
+	}
+	return jobs
+}
+
+// FirstConfig returns the configuration of the plan's first run.
+func (e *Experiment) FirstConfig() (clustersim.Config, error) {
+	jobs, err := e.Plan()
+	if err != nil {
+		return clustersim.Config{}, err
+	}
+	return jobs[0].config, nil
+}
+
+// planChecksum returns a checksum over all jobs and their configurations. It stands in the first line of results files, so
+// the JSON encoding of these types must not change.
+func planChecksum(jobs []Job) (string, error) {
+	hash := fnv.New64a()
+	encoder := json.NewEncoder(hash)
+	for i := range jobs {
+		planned := struct {
+			Job
+			Config clustersim.Config `json:"World"`
+		}{jobs[i], jobs[i].config}
+		if err := encoder.Encode(planned); err != nil {
+			return "", fmt.Errorf("experiment: %w", err)
+		}
+	}
+	return fmt.Sprintf("%016x", hash.Sum64()), nil
+}
 
-// drawPoints are the values of all variables at each point, in the order of the variables.
+const (
+	maxGridPoints = 1_000_000
+	sweepStream   = 1     // second seed of the random numbers
+	minRange      = 1e-12 // a uniform distribution of one value has no width
+)
+
+// apply sets the variables of a configuration and returns their values by name.
+func (s *Sweep) apply(c *clustersim.Config, point []float64) map[string]float64 {
+	values := map[string]float64{}
+	for i, v := range s.Variables {
+		v.apply(c, point[i])
+		values[v.Name] = point[i]
+	}
+	return values
+}
+
+// drawPoints returns the points of the sweep: the values of all variables in the order of the variables.
 func (s *Sweep) drawPoints() ([][]float64, error) {
 	if len(s.Variables) == 0 {
 		return [][]float64{nil}, nil
 	}
-	if s.Method == "grid" {
+	if s.Method == Grid {
 		return s.gridPoints()
 	}
 	bounds := make([]r1.Interval, len(s.Variables))
 	for i, v := range s.Variables {
 		bounds[i] = r1.Interval{Min: v.Min, Max: v.Max}
 		if v.Min == v.Max {
-			bounds[i].Max = v.Max + 1e-12 // a distribution of one value has no width
+			bounds[i].Max = v.Max + minRange
 		}
 	}
-	src := rand.NewPCG(s.Seed, 1)
-	cube := distmv.NewUniform(bounds, src)
+	source := rand.NewPCG(s.Seed, sweepStream)
+	uniform := distmv.NewUniform(bounds, source)
 	batch := mat.NewDense(s.Count, len(s.Variables), nil)
-	if s.Method == "latin" {
-		samplemv.LatinHypercube{Q: cube, Src: src}.Sample(batch)
+	if s.Method == LatinHypercube {
+		samplemv.LatinHypercube{Q: uniform, Src: source}.Sample(batch)
 	} else {
-		samplemv.IID{Dist: cube}.Sample(batch)
+		samplemv.IID{Dist: uniform}.Sample(batch)
 	}
-	list := make([][]float64, s.Count)
-	for i := range list {
-		list[i] = append([]float64(nil), batch.RawRowView(i)...)
+	points := make([][]float64, s.Count)
+	for i := range points {
+		points[i] = slices.Clone(batch.RawRowView(i))
 	}
-	return list, nil
+	return points, nil
 }
 
-// gridPoints is all combinations, the last variable going round first.
+// gridPoints returns all combinations of the variables' steps; the last variable changes first.
 func (s *Sweep) gridPoints() ([][]float64, error) {
-	list := [][]float64{nil}
+	points := [][]float64{nil}
 	for _, v := range s.Variables {
-		if len(list)*v.Steps > maxGridPoints {
+		if len(points)*v.Steps > maxGridPoints {
 			return nil, fmt.Errorf("experiment: the grid has over %d points", maxGridPoints)
 		}
-		var next [][]float64
-		for _, before := range list {
+		var extended [][]float64
+		for _, point := range points {
 			for i := range v.Steps {
-				x := v.Min
-				if v.Steps > 1 {
-					x += (v.Max - v.Min) * float64(i) / float64(v.Steps-1)
-				}
-				next = append(next, append(append([]float64(nil), before...), x))
+				extended = append(extended, append(slices.Clone(point), v.step(i)))
 			}
 		}
-		list = next
+		points = extended
 	}
-	return list, nil
+	return points, nil
 }
 
-// FirstConfig is the world of the plan's first point.
-func (e *Experiment) FirstConfig() (clustersim.Config, error) {
-	jobs, err := e.Plan()
-	if err != nil {
-		return clustersim.Config{}, err
+// step returns the value of a step on a grid.
+func (v *Variable) step(i int) float64 {
+	if v.Steps == 1 {
+		return v.Min
 	}
-	return jobs[0].config, nil
+	return v.Min + (v.Max-v.Min)*float64(i)/float64(v.Steps-1)
 }
--- a/internal/experiment/variables.go
+++ b/internal/experiment/variables.go
@@ -11,88 +11,119 @@
 	"tillerusher/internal/clustersim"
 )
 
-// variableSetters are what of a world can be varied, by name. Those of incidents are KIND.part, KIND.size and KIND.for, and make
-// the incident where the world has none of the kind.
-func variableSetters() map[string]func(*clustersim.Config, float64) {
-	whole := func(v float64) int { return int(math.Round(v)) }
-	seconds := func(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
-	gateways := func(set func(*clustersim.GatewayConfig, float64)) func(*clustersim.Config, float64) {
-		return func(w *clustersim.Config, v float64) {
-			for i := range w.Gateways {
-				set(&w.Gateways[i], v)
-			}
+// applyFunc sets a variable of a configuration.
+type applyFunc func(*clustersim.Config, float64)
+
+func toInt(v float64) int { return int(math.Round(v)) }
+
+func toSeconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
+
+// applyToGateways sets a variable of all kinds of gateway.
+func applyToGateways(apply func(*clustersim.GatewayConfig, float64)) applyFunc {
+	return func(c *clustersim.Config, v float64) {
+		for i := range c.Gateways {
+			apply(&c.Gateways[i], v)
 		}
 	}
-	return map[string]func(*clustersim.Config, float64){
-		"load": func(w *clustersim.Config, v float64) { w.SetLoad(v) },
-		"servers": func(w *clustersim.Config, v float64) {
-			load := w.Arrival.Rate / w.Capacity()
-			w.Servers.Count = whole(v)
-			w.SetLoad(load)
-		},
-		"cores": func(w *clustersim.Config, v float64) {
-			load := w.Arrival.Rate / w.Capacity()
-			w.Servers.Cores = whole(v)
-			w.SetLoad(load)
-		},
-		"speed-spread": func(w *clustersim.Config, v float64) { w.Servers.SpeedCV = v },
-		"thrash":       func(w *clustersim.Config, v float64) { w.Servers.ThrashFactor = v },
-		"thrash-at":    func(w *clustersim.Config, v float64) { w.Servers.ThrashThreshold = v },
-		"read":         func(w *clustersim.Config, v float64) { w.Servers.ReadCost = v },
-		"cold-share":   func(w *clustersim.Config, v float64) { w.Servers.InitialCapacity = v },
-		"cold-for":     func(w *clustersim.Config, v float64) { w.Servers.WarmUpTime = seconds(v) },
-		"retry-after":  func(w *clustersim.Config, v float64) { w.Servers.MaxRetryAfter = seconds(v) },
-		"list-delay":   func(w *clustersim.Config, v float64) { w.EndpointListDelay = seconds(v) },
-		"delay":        func(w *clustersim.Config, v float64) { w.NetworkDelay = seconds(v) },
-		"skew":         func(w *clustersim.Config, v float64) { w.Skew = v },
-		"tries":        gateways(func(g *clustersim.GatewayConfig, v float64) { g.MaxAttempts = whole(v) }),
-		"budget":       gateways(func(g *clustersim.GatewayConfig, v float64) { g.RetryBudget = v }),
-		"work-spread": func(w *clustersim.Config, v float64) {
-			for i := range w.Classes {
-				w.Classes[i].CV = v
-			}
-		},
-		"keyed": func(w *clustersim.Config, v float64) {
-			for i := range w.Classes {
-				if w.Classes[i].IdempotentByKey {
-					w.Classes[i].Share = v
-				} else {
-					w.Classes[i].Share = 1 - v
-				}
-			}
-		},
+}
+
+// keepingLoad sets a variable that changes the capacity, and keeps the load relative to it.
+func keepingLoad(apply applyFunc) applyFunc {
+	return func(c *clustersim.Config, v float64) {
+		load := c.Arrival.Rate / c.Capacity()
+		apply(c, v)
+		c.SetLoad(load)
+	}
+}
+
+// setWorkSpread sets the coefficient of variation of all classes.
+func setWorkSpread(c *clustersim.Config, v float64) {
+	for i := range c.Classes {
+		c.Classes[i].CV = v
+	}
+}
+
+// setKeyedShare sets the share of keyed classes, and of the others to the rest.
+func setKeyedShare(c *clustersim.Config, v float64) {
+	for i := range c.Classes {
+		if c.Classes[i].IdempotentByKey {
+			c.Classes[i].Share = v
+		} else {
+			c.Classes[i].Share = 1 - v
+		}
 	}
 }
 
-// findSetter is what varies a variable.
-func findSetter(name string) (func(*clustersim.Config, float64), error) {
-	if set, ok := variableSetters()[name]; ok {
-		return set, nil
+// applyFuncs are the variables of a configuration by the names that files use. Those of incidents are not among them, see
+// findIncidentVariable.
+func applyFuncs() map[string]applyFunc {
+	return map[string]applyFunc{
+		"load":         func(c *clustersim.Config, v float64) { c.SetLoad(v) },
+		"servers":      keepingLoad(func(c *clustersim.Config, v float64) { c.Servers.Count = toInt(v) }),
+		"cores":        keepingLoad(func(c *clustersim.Config, v float64) { c.Servers.Cores = toInt(v) }),
+		"speed-spread": func(c *clustersim.Config, v float64) { c.Servers.SpeedCV = v },
+		"thrash":       func(c *clustersim.Config, v float64) { c.Servers.ThrashFactor = v },
+		"thrash-at":    func(c *clustersim.Config, v float64) { c.Servers.ThrashThreshold = v },
+		"read":         func(c *clustersim.Config, v float64) { c.Servers.ReadCost = v },
+		"cold-share":   func(c *clustersim.Config, v float64) { c.Servers.InitialCapacity = v },
+		"cold-for":     func(c *clustersim.Config, v float64) { c.Servers.WarmUpTime = toSeconds(v) },
+		"retry-after":  func(c *clustersim.Config, v float64) { c.Servers.MaxRetryAfter = toSeconds(v) },
+		"list-delay":   func(c *clustersim.Config, v float64) { c.EndpointListDelay = toSeconds(v) },
+		"delay":        func(c *clustersim.Config, v float64) { c.NetworkDelay = toSeconds(v) },
+		"skew":         func(c *clustersim.Config, v float64) { c.Skew = v },
+		"tries":        applyToGateways(func(g *clustersim.GatewayConfig, v float64) { g.MaxAttempts = toInt(v) }),
+		"budget":       applyToGateways(func(g *clustersim.GatewayConfig, v float64) { g.RetryBudget = v }),
+		"work-spread":  setWorkSpread,
+		"keyed":        setKeyedShare,
 	}
+}
+
+// incidentFields are the variables of incidents by the names that files use after the kind and a dot.
+var incidentFields = map[string]func(*clustersim.Incident, float64){
+	"part": func(i *clustersim.Incident, v float64) { i.ServerShare = v },
+	"size": func(i *clustersim.Incident, v float64) { i.Magnitude = v },
+	"for":  func(i *clustersim.Incident, v float64) { i.Duration = toSeconds(v) },
+	"from": func(i *clustersim.Incident, v float64) { i.Start = toSeconds(v) },
+}
+
+// findVariable returns the function that sets a variable.
+func findVariable(name string) (applyFunc, error) {
+	variables := applyFuncs()
+	if apply, ok := variables[name]; ok {
+		return apply, nil
+	}
+	if apply, ok := findIncidentVariable(name); ok {
+		return apply, nil
+	}
+	return nil, fmt.Errorf("nothing is called %q that could be varied, want one of %s, or KIND.part, KIND.size, KIND.for or KIND.from of an incident",
+		name, strings.Join(slices.Sorted(maps.Keys(variables)), ", "))
+}
+
+// Values of an incident that a variable adds, as far as it does not set them.
+const (
+	addedServerShare = 0.1
+	addedMagnitude   = 1
+	addedTimeDivisor = 4 // it starts after a quarter of the run and lasts for another
+)
+
+// findIncidentVariable returns the function that sets a variable KIND.FIELD of the first incident of the kind. It adds the
+// incident to a configuration that has none of the kind.
+func findIncidentVariable(name string) (apply applyFunc, ok bool) {
 	kind, field, _ := strings.Cut(name, ".")
-	example := clustersim.Incident{Kind: clustersim.IncidentKind(kind), Start: time.Second, Duration: time.Second, ServerShare: 0.1, Magnitude: 1}
-	if !slices.Contains([]string{"part", "size", "for", "from"}, field) || !example.IsKnown() {
-		return nil, fmt.Errorf("nothing is called %q that could be varied, want one of %s, or KIND.part, KIND.size, KIND.for or KIND.from of an incident",
-			name, strings.Join(slices.Sorted(maps.Keys(variableSetters())), ", "))
+	added := clustersim.Incident{Kind: clustersim.IncidentKind(kind), ServerShare: addedServerShare, Magnitude: addedMagnitude}
+	set := incidentFields[field]
+	if set == nil || !added.IsKnown() {
+		return nil, false
 	}
-	return func(w *clustersim.Config, v float64) {
-		i := slices.IndexFunc(w.Incidents, func(i clustersim.Incident) bool { return string(i.Kind) == kind })
+	return func(c *clustersim.Config, v float64) {
+		c.Incidents = slices.Clone(c.Incidents) // other configurations of the plan share the slice
+		i := slices.IndexFunc(c.Incidents, func(i clustersim.Incident) bool { return i.Kind == added.Kind })
 		if i < 0 {
-			example.Start, example.Duration = w.Duration/4, w.Duration/4
-			w.Incidents = append(slices.Clone(w.Incidents), example)
-			i = len(w.Incidents) - 1
-		} else {
-			w.Incidents = slices.Clone(w.Incidents)
-		}
-		switch at := &w.Incidents[i]; field {
-		case "part":
-			at.ServerShare = v
-		case "size":
-			at.Magnitude = v
-		case "for":
-			at.Duration = time.Duration(v * float64(time.Second))
-		case "from":
-			at.Start = time.Duration(v * float64(time.Second))
+			incident := added
+			incident.Start, incident.Duration = c.Duration/addedTimeDivisor, c.Duration/addedTimeDivisor
+			c.Incidents = append(c.Incidents, incident)
+			i = len(c.Incidents) - 1
 		}
-	}, nil
+		set(&c.Incidents[i], v)
+	}, true
 }
