--- /dev/null
+++ b/internal/calibration/cases.go
@@ -0,0 +1,116 @@
+package calibration
+
+import (
+	"time"
+
+	"tillerusher/internal/arrival"
+	"tillerusher/internal/clustersim"
+)
+
+// Case is a workload that both the daemon and the simulation can run.
+type Case struct {
+	Name        string
+	Load        float64 // relative to the capacity of the interpreter
+	MeanWork    time.Duration
+	Cores       int
+	KeyedShare  float64
+	ResendShare float64
+	MaxAttempts int
+	ArrivalKind arrival.Kind
+}
+
+// Cases returns twelve cases, from a low load to overload.
+func Cases() []Case {
+	const ms = time.Millisecond
+	return []Case{
+		{"calm", 0.3, 20 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
+		{"calm, long runs", 0.3, 60 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
+		{"half", 0.5, 20 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
+		{"half, in bursts", 0.5, 20 * ms, 2, 0.1, 0.1, 3, arrival.Bursty},
+		{"busy", 0.7, 20 * ms, 2, 0.1, 0.1, 3, arrival.Poisson},
+		{"busy, reads only", 0.8, 20 * ms, 2, 0, 0, 3, arrival.Poisson},
+		{"busy, long runs", 0.8, 60 * ms, 2, 0.05, 0.1, 3, arrival.Poisson},
+		{"full", 0.95, 20 * ms, 2, 0, 0, 3, arrival.Poisson},
+		{"full, one try", 1, 20 * ms, 2, 0, 0, 1, arrival.Poisson},
+		{"over", 1.2, 20 * ms, 2, 0, 0, 3, arrival.Poisson},
+		{"over, one try", 1.5, 20 * ms, 2, 0, 0, 1, arrival.Poisson},
+		{"far over", 2, 20 * ms, 2, 0, 0, 3, arrival.Poisson},
+	}
+}
+
+// requestRate is the number of new requests per second.
+func (c Case) requestRate() float64 { return c.Load * float64(c.Cores) / c.MeanWork.Seconds() }
+
+// requestCount is the number of requests in a run of a duration.
+func (c Case) requestCount(duration time.Duration) int {
+	return int(duration.Seconds() * c.requestRate())
+}
+
+// arrivalConfig is the arrival process of both.
+func (c Case) arrivalConfig() arrival.Config {
+	return arrival.Config{
+		Kind:          c.ArrivalKind,
+		Rate:          c.requestRate(),
+		BurstFactor:   1.8,
+		BurstFraction: 0.2,
+		MeanBurst:     2 * time.Second,
+	}
+}
+
+const (
+	// loopbackDelay is what a request takes on loopback in addition to its run, which passes sockets four times.
+	loopbackDelay = 600 * time.Microsecond
+
+	// interpreterIdle is the time for which a core of the interpreter is idle between the end of a run and the command for
+	// the next. It was measured in a load test at one and a half times the capacity with runs of 20 ms, in which the
+	// interpreter's utilization was 0.989.
+	interpreterIdle = 220 * time.Microsecond
+)
+
+// clusterConfig is the case for the simulation: one server with the settings of a load test.
+func (c Case) clusterConfig(duration time.Duration) clustersim.Config {
+	config := clustersim.DefaultConfig()
+	config.Name = c.Name
+	config.Duration = duration
+	config.NetworkDelay = loopbackDelay / 2
+	config.EndpointListDelay = 0
+	config.Skew = 0
+	config.Arrival = c.arrivalConfig()
+	c.setServers(&config.Servers)
+	for i := range config.Classes {
+		config.Classes[i].MeanWork = c.MeanWork + interpreterIdle
+		config.Classes[i].Distribution = clustersim.Exponential
+	}
+	config.Classes[0].Share, config.Classes[1].Share = 1-c.KeyedShare, c.KeyedShare
+	config.Tenants = []clustersim.Tenant{
+		{Name: "central", Share: 0.7, Quota: 55},
+		{Name: "northern", Share: 0.3, Quota: 26},
+	}
+	config.Gateways = []clustersim.GatewayConfig{{
+		Count:           3,
+		Share:           1,
+		Balancing:       clustersim.RoundRobin,
+		Retry:           clustersim.RetryBackoff,
+		MaxAttempts:     c.MaxAttempts,
+		ResendShare:     c.ResendShare,
+		NoClientTimeout: true,
+	}}
+	return config
+}
+
+// setServers sets the server of a load test, which is told of two servers. Reading costs nothing, and cores don't thrash.
+func (c Case) setServers(s *clustersim.ServerConfig) {
+	s.Count = 1
+	s.InitialEndpoints = 2
+	s.Cores = c.Cores
+	s.SpeedCV = 0
+	s.ThrashFactor = 0
+	s.ReadCost = 0
+	s.MemoryKB = 40000
+	s.KeyKB = 50
+	s.RunningMemoryFactor = 16
+	s.RequestKB = [2]float64{24.5, 24.5}
+	s.DrainGracePeriod = 300 * time.Millisecond
+	s.MaxRetryAfter = time.Second
+	s.BacklogPerCore = 1 << 16
+}
