--- a/internal/nginx/diagnostic.go
+++ b/internal/nginx/diagnostic.go
@@ -16,11 +16,11 @@
 	Unsafe                          // requests may go where they must not: do not go on without a look
 )
 
-// severityWords are the words for severities.
-var severityWords = [...]string{"harmless", "changes behaviour", "unsafe"}
+// severityNames are the words for severities.
+var severityNames = [...]string{"harmless", "changes behaviour", "unsafe"}
 
 // String is the severity's word.
-func (s Severity) String() string { return severityWords[s] }
+func (s Severity) String() string { return severityNames[s] }
 
 // MarshalText writes the severity's word.
 func (s Severity) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("%v: %s: %v: %s", r.Pos, r.Directive, r.Severity, r.Reason)
 }
 
-// left says of directives that are known and not carried over what that means. docs/nginx.md has the same table.
-var left = map[string]struct {
+// unsupported says of directives that are known and not carried over what that means. docs/nginx.md has the same table.
+var unsupported = map[string]struct {
 	severity Severity
 	reason   string
 }{
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -22,118 +22,118 @@
 // Import turns a configuration into a description, and names all that is not carried over. The error is for what
 // can't be read at all.
 func Import(list []*Directive) (*routeconfig.Config, []Diagnostic, error) {
-	m := &importer{d: &routeconfig.Config{Capacity: routeconfig.DefaultCapacity, Classes: []routeconfig.Class{{Name: className, LatencyObjective: time.Second,
-		Deadline: time.Minute, Effect: routeconfig.EffectByMethod, Weight: 1}}}, upstreams: map[string]*upstream{}, used: map[string]bool{},
-		pools: map[string]string{}, goes: map[*routeconfig.Location]goes{}}
+	m := &importer{config: &routeconfig.Config{Capacity: routeconfig.DefaultCapacity, Classes: []routeconfig.Class{{Name: className, LatencyObjective: time.Second,
+		Deadline: time.Minute, Effect: routeconfig.EffectByMethod, Weight: 1}}}, upstreams: map[string]*upstream{}, usedNames: map[string]bool{},
+		poolNames: map[string]string{}, passedTo: map[*routeconfig.Location]namedTarget{}}
 	http := list
 	for _, d := range list {
 		if d.Name == "http" {
 			http = d.Block
 			for _, other := range list {
 				if other != d {
-					m.leave(other)
+					m.reportUnsupported(other)
 				}
 			}
 			break
 		}
 	}
-	if err := m.http(http); err != nil {
-		return nil, m.remarks, err
+	if err := m.importHTTP(http); err != nil {
+		return nil, m.diagnostics, err
 	}
-	return m.d, m.remarks, nil
+	return m.config, m.diagnostics, nil
 }
 
 // importer is an import under way.
 type importer struct {
-	d         *routeconfig.Config
-	remarks   []Diagnostic
-	upstreams map[string]*upstream
-	used      map[string]bool   // names of pools
-	pools     map[string]string // names by what makes a pool of its own
-	goes      map[*routeconfig.Location]goes
+	config      *routeconfig.Config
+	diagnostics []Diagnostic
+	upstreams   map[string]*upstream
+	usedNames   map[string]bool   // names of pools
+	poolNames   map[string]string // names by what makes a pool of its own
+	passedTo    map[*routeconfig.Location]namedTarget
 }
 
-// upstream is an upstream block.
+// importUpstream is an upstream block.
 type upstream struct {
-	at        sexp.Pos
-	cfg       pool.Config
-	hashKey   string
-	keepalive int
+	pos          sexp.Pos
+	config       pool.Config
+	hashKey      string
+	maxIdleConns int
 }
 
-// note names something.
-func (m *importer) note(d *Directive, s Severity, format string, args ...any) {
-	m.remarks = append(m.remarks, Diagnostic{d.Pos, d.String(), s, fmt.Sprintf(format, args...)})
+// report names something.
+func (m *importer) report(d *Directive, s Severity, format string, args ...any) {
+	m.diagnostics = append(m.diagnostics, Diagnostic{d.Pos, d.String(), s, fmt.Sprintf(format, args...)})
 }
 
-// leave names a directive that is not carried over.
-func (m *importer) leave(d *Directive) {
-	if l, ok := left[d.Name]; ok {
-		m.note(d, l.severity, "%s", l.reason)
+// reportUnsupported names a directive that is not carried over.
+func (m *importer) reportUnsupported(d *Directive) {
+	if l, ok := unsupported[d.Name]; ok {
+		m.report(d, l.severity, "%s", l.reason)
 		return
 	}
-	m.note(d, ChangesBehavior, "the importer does not know it")
+	m.report(d, ChangesBehavior, "the importer does not know it")
 }
 
-// scope is what a level inherits to those within it.
-type scope struct {
-	merge     bool
-	fallbacks []routeconfig.Fallback
-	passing   map[string]passing // by protocol: fastcgi and scgi have directives of their own
+// levelSettings is what a level inherits to those within it.
+type levelSettings struct {
+	mergeSlashes bool
+	fallbacks    []routeconfig.Fallback
+	byProtocol   map[string]protocolSettings // tryFiles protocol: fastcgi and scgi have directives of their own
 }
 
-// passing is what a level inherits of how requests are passed on by one protocol.
-type passing struct {
-	params    []routeconfig.Param
-	next      pool.RetryCondition
-	tries     int
-	tryFor    time.Duration
-	connect   time.Duration
-	read      time.Duration
-	send      time.Duration
-	intercept bool
+// byProtocol is what a level inherits of how requests are passed on by one protocol.
+type protocolSettings struct {
+	params          []routeconfig.Param
+	retryOn         pool.RetryCondition
+	maxAttempts     int
+	retryTimeout    time.Duration
+	connectTimeout  time.Duration
+	readTimeout     time.Duration
+	sendTimeout     time.Duration
+	interceptErrors bool
 }
 
 // protocols are those that members may speak.
 var protocols = []string{"fastcgi", "scgi"}
 
-// outermost is what holds where nothing is said.
-func outermost() scope {
-	s := scope{merge: true, passing: map[string]passing{}}
+// defaultSettings is what holds where nothing is said.
+func defaultSettings() levelSettings {
+	s := levelSettings{mergeSlashes: true, byProtocol: map[string]protocolSettings{}}
 	for _, protocol := range protocols {
-		s.passing[protocol] = passing{next: pool.DefaultRetryOn, connect: time.Minute, read: time.Minute, send: time.Minute}
+		s.byProtocol[protocol] = protocolSettings{retryOn: pool.DefaultRetryOn, connectTimeout: time.Minute, readTimeout: time.Minute, sendTimeout: time.Minute}
 	}
 	return s
 }
 
-// http imports the http block, or a file that has its contents only.
-func (m *importer) http(list []*Directive) error {
+// importHTTP imports the http block, or a file that has its contents only.
+func (m *importer) importHTTP(list []*Directive) error {
 	for _, d := range list {
 		if d.Name == "upstream" {
-			if err := m.upstream(d); err != nil {
+			if err := m.importUpstream(d); err != nil {
 				return err
 			}
 		}
 	}
-	base, err := m.inherit(outermost(), list)
+	base, err := m.inherit(defaultSettings(), list)
 	if err != nil {
 		return err
 	}
 	for _, d := range list {
 		switch {
 		case d.Name == "server":
-			if err := m.server(d, base); err != nil {
+			if err := m.importServer(d, base); err != nil {
 				return err
 			}
-		case d.Name != "upstream" && !inherited(d.Name):
-			m.leave(d)
+		case d.Name != "upstream" && !isInherited(d.Name):
+			m.reportUnsupported(d)
 		}
 	}
 	return nil
 }
 
-// protocolOf takes the protocol off a directive's name.
-func protocolOf(name string) (protocol, rest string) {
+// cutProtocol takes the protocol off a directive's name.
+func cutProtocol(name string) (protocol, rest string) {
 	protocol, rest, _ = strings.Cut(name, "_")
 	if !slices.Contains(protocols, protocol) {
 		return "", name
@@ -141,9 +141,9 @@
 	return protocol, rest
 }
 
-// inherited tells whether a level takes the directive from that around it.
-func inherited(name string) bool {
-	switch protocol, rest := protocolOf(name); rest {
+// isInherited tells whether a level takes the directive from that around it.
+func isInherited(name string) bool {
+	switch protocol, rest := cutProtocol(name); rest {
 	case "merge_slashes", "error_page":
 		return protocol == ""
 	case "param", "next_upstream", "next_upstream_tries", "next_upstream_timeout", "connect_timeout", "read_timeout",
@@ -154,50 +154,50 @@
 }
 
 // inherit is the scope of a level: the one around it with the level's own directives.
-func (m *importer) inherit(outer scope, list []*Directive) (scope, error) {
-	s := scope{merge: outer.merge, passing: maps.Clone(outer.passing)}
+func (m *importer) inherit(outer levelSettings, list []*Directive) (levelSettings, error) {
+	s := levelSettings{mergeSlashes: outer.mergeSlashes, byProtocol: maps.Clone(outer.byProtocol)}
 	params, pages := map[string][]routeconfig.Param{}, false
 	for _, d := range list {
-		if !inherited(d.Name) {
+		if !isInherited(d.Name) {
 			continue
 		}
-		protocol, name := protocolOf(d.Name)
-		p := s.passing[protocol]
+		protocol, name := cutProtocol(d.Name)
+		p := s.byProtocol[protocol]
 		var err error
 		switch name {
 		case "merge_slashes":
-			s.merge, err = onOff(d)
+			s.mergeSlashes, err = parseOnOff(d)
 		case "error_page":
 			pages = true
-			err = m.errorPage(&s, d)
+			err = m.importErrorPage(&s, d)
 		case "intercept_errors":
-			p.intercept, err = onOff(d)
+			p.interceptErrors, err = parseOnOff(d)
 		case "param":
-			params[protocol], err = m.param(params[protocol], d)
+			params[protocol], err = m.importParam(params[protocol], d)
 		case "next_upstream":
-			p.next, err = m.conditions(d)
+			p.retryOn, err = m.conditions(d)
 		case "next_upstream_tries":
-			p.tries, err = count(d)
+			p.maxAttempts, err = parseCount(d)
 		case "next_upstream_timeout":
-			p.tryFor, err = span(d)
+			p.retryTimeout, err = parseDuration(d)
 		case "connect_timeout":
-			p.connect, err = span(d)
+			p.connectTimeout, err = parseDuration(d)
 		case "read_timeout":
-			p.read, err = span(d)
+			p.readTimeout, err = parseDuration(d)
 		case "send_timeout":
-			p.send, err = span(d)
+			p.sendTimeout, err = parseDuration(d)
 		}
 		if err != nil {
 			return s, err
 		}
 		if protocol != "" {
-			s.passing[protocol] = p
+			s.byProtocol[protocol] = p
 		}
 	}
 	for protocol, own := range params { // a level with params of its own takes none from around it
-		p := s.passing[protocol]
+		p := s.byProtocol[protocol]
 		p.params = own
-		s.passing[protocol] = p
+		s.byProtocol[protocol] = p
 	}
 	if !pages { // likewise
 		s.fallbacks = outer.fallbacks
@@ -205,7 +205,7 @@
 	return s, nil
 }
 
-func onOff(d *Directive) (bool, error) {
+func parseOnOff(d *Directive) (bool, error) {
 	switch d.Arg(0) {
 	case "on":
 		return true, nil
@@ -215,7 +215,7 @@
 	return false, sexp.Errorf(d.Pos, "found %q in %s, want on or off", d.Arg(0), d.Name)
 }
 
-func count(d *Directive) (int, error) {
+func parseCount(d *Directive) (int, error) {
 	n, err := strconv.Atoi(d.Arg(0))
 	if err != nil || n < 0 {
 		return 0, sexp.Errorf(d.Pos, "found %q in %s, want a number", d.Arg(0), d.Name)
@@ -223,7 +223,7 @@
 	return n, nil
 }
 
-func span(d *Directive) (time.Duration, error) {
+func parseDuration(d *Directive) (time.Duration, error) {
 	t, err := ParseDuration(d.Arg(0))
 	if err != nil {
 		return 0, sexp.Errorf(d.Pos, "found %q in %s, want a time", d.Arg(0), d.Name)
@@ -270,8 +270,8 @@
 	return total, nil
 }
 
-// param takes a parameter for members. Those whose values need variables are named.
-func (m *importer) param(list []routeconfig.Param, d *Directive) ([]routeconfig.Param, error) {
+// importParam takes a parameter for members. Those whose values need variables are named.
+func (m *importer) importParam(list []routeconfig.Param, d *Directive) ([]routeconfig.Param, error) {
 	if len(d.Args) < 2 || len(d.Args) > 3 {
 		return nil, sexp.Errorf(d.Pos, "%s has %d arguments, want a name and a value", d.Name, len(d.Args))
 	}
@@ -280,7 +280,7 @@
 	}
 	if strings.Contains(d.Arg(1), "$") {
 		if !gatewayParams[d.Arg(0)] {
-			m.note(d, ChangesBehavior, "its value is made of variables, which are not computed")
+			m.report(d, ChangesBehavior, "its value is made of variables, which are not computed")
 		}
 		return list, nil
 	}
@@ -304,8 +304,8 @@
 	return all, nil
 }
 
-// errorPage takes a fallback to a named location; other targets are named.
-func (m *importer) errorPage(s *scope, d *Directive) error {
+// importErrorPage takes a fallback to a named location; other targets are named.
+func (m *importer) importErrorPage(s *levelSettings, d *Directive) error {
 	texts := d.ArgTexts()
 	if len(texts) < 2 {
 		return sexp.Errorf(d.Pos, "error_page has %d arguments, want statuses and a target", len(texts))
@@ -313,7 +313,7 @@
 	target, texts := texts[len(texts)-1], texts[:len(texts)-1]
 	name, ok := strings.CutPrefix(target, "@")
 	if !ok || strings.Contains(name, "$") {
-		m.note(d, ChangesBehavior, "only named locations take over for statuses")
+		m.report(d, ChangesBehavior, "only named locations take over for statuses")
 		return nil
 	}
 	f := routeconfig.Fallback{Location: name, ResponseStatus: routeconfig.KeepStatus}
@@ -341,49 +341,49 @@
 	return nil
 }
 
-// upstream reads an upstream block.
-func (m *importer) upstream(d *Directive) error {
+// importUpstream reads an upstream block.
+func (m *importer) importUpstream(d *Directive) error {
 	name := d.Arg(0)
 	if len(d.Args) != 1 || !d.HasBlock {
 		return sexp.Errorf(d.Pos, "want upstream NAME {...}")
 	}
 	if before := m.upstreams[name]; before != nil {
-		return sexp.Errorf(d.Pos, "upstream %s is defined twice, first at %v", name, before.at)
+		return sexp.Errorf(d.Pos, "upstream %s is defined twice, first at %v", name, before.pos)
 	}
-	u := &upstream{at: d.Pos, cfg: pool.DefaultConfig()}
-	u.cfg.Name = name
+	u := &upstream{pos: d.Pos, config: pool.DefaultConfig()}
+	u.config.Name = name
 	for _, s := range d.Block {
-		if err := m.upstreamLine(u, s); err != nil {
+		if err := m.importUpstreamDirective(u, s); err != nil {
 			return err
 		}
 	}
-	if len(u.cfg.Members) == 0 {
+	if len(u.config.Members) == 0 {
 		return sexp.Errorf(d.Pos, "upstream %s has no servers that can be carried over", name)
 	}
 	m.upstreams[name] = u
 	return nil
 }
 
-// upstreamLine reads one directive of an upstream block.
-func (m *importer) upstreamLine(u *upstream, d *Directive) (err error) {
+// importUpstreamDirective reads one directive of an upstream block.
+func (m *importer) importUpstreamDirective(u *upstream, d *Directive) (err error) {
 	switch d.Name {
 	case "server":
-		return m.member(u, d)
+		return m.importMember(u, d)
 	case "least_conn":
-		u.cfg.BalancingPolicy = pool.LeastConn
+		u.config.BalancingPolicy = pool.LeastConn
 	case "ip_hash":
-		u.cfg.BalancingPolicy = pool.IPHash
+		u.config.BalancingPolicy = pool.IPHash
 	case "random":
-		u.cfg.BalancingPolicy = pool.RandomTwo
+		u.config.BalancingPolicy = pool.RandomTwo
 		if d.Arg(0) != "two" {
-			m.note(d, ChangesBehavior, "two members are drawn, and the one with fewer connections is taken")
+			m.report(d, ChangesBehavior, "two members are drawn, and the one with fewer connections is taken")
 		} else if t := d.Arg(1); t != "" && t != "least_conn" {
-			m.note(d, ChangesBehavior, "the one with fewer connections is taken")
+			m.report(d, ChangesBehavior, "the one with fewer connections is taken")
 		}
 	case "hash":
-		u.cfg.BalancingPolicy = pool.Hash
+		u.config.BalancingPolicy = pool.Hash
 		if d.Arg(1) == "consistent" {
-			u.cfg.BalancingPolicy = pool.HashConsistent
+			u.config.BalancingPolicy = pool.HashConsistent
 		}
 		keys := map[string]string{"$request_uri": "uri", "$uri": "path", "$args": "query", "$host": "host",
 			"$remote_addr": "client", "$binary_remote_addr": "client"}
@@ -392,25 +392,25 @@
 			key, ok = "header:"+strings.ReplaceAll(name, "_", "-"), true
 		}
 		if !ok {
-			m.note(d, ChangesBehavior, "the key %s is not known: the path is taken", d.Arg(0))
+			m.report(d, ChangesBehavior, "the key %s is not known: the path is taken", d.Arg(0))
 			key = "path"
 		}
 		u.hashKey = key
 	case "keepalive":
-		u.keepalive, err = count(d)
+		u.maxIdleConns, err = parseCount(d)
 	case "keepalive_requests", "keepalive_timeout", "keepalive_time":
-		m.note(d, Harmless, "members' connections are kept as long as they stand")
+		m.report(d, Harmless, "members' connections are kept as long as they stand")
 	default:
-		m.leave(d)
+		m.reportUnsupported(d)
 	}
 	return err
 }
 
-// member reads a server of an upstream.
-func (m *importer) member(u *upstream, d *Directive) (err error) {
-	addr, ok := address(d.Arg(0))
+// importMember reads a server of an upstream.
+func (m *importer) importMember(u *upstream, d *Directive) (err error) {
+	addr, ok := memberAddress(d.Arg(0))
 	if !ok {
-		m.note(d, Unsafe, "members are reached by IP address and port: it is left out")
+		m.report(d, Unsafe, "members are reached by IP address and port: it is left out")
 		return nil
 	}
 	mem := pool.DefaultMember(addr)
@@ -442,7 +442,7 @@
 		case "down":
 			mem.Down = true
 		case "resolve", "service", "route", "drain":
-			m.note(d, ChangesBehavior, "%s is not carried over", name)
+			m.report(d, ChangesBehavior, "%s is not carried over", name)
 		default:
 			return sexp.Errorf(w.Pos, "found %q, want weight, max_conns, max_fails, fail_timeout, slow_start, backup or down", w.Text)
 		}
@@ -450,12 +450,12 @@
 			return err
 		}
 	}
-	u.cfg.Members = append(u.cfg.Members, mem)
+	u.config.Members = append(u.config.Members, mem)
 	return nil
 }
 
-// address is a member's address, where it needs no look-up.
-func address(text string) (string, bool) {
+// memberAddress is a member's address, where it needs no look-up.
+func memberAddress(text string) (string, bool) {
 	if _, err := netip.ParseAddrPort(text); err == nil {
 		return text, true
 	}
@@ -469,39 +469,39 @@
 	return "", false
 }
 
-// server imports a server.
-func (m *importer) server(d *Directive, outer scope) error {
+// importServer imports a server.
+func (m *importer) importServer(d *Directive, outer levelSettings) error {
 	s := routeconfig.Server{Pos: d.Pos}
 	inner, err := m.inherit(outer, d.Block)
 	if err != nil {
 		return err
 	}
-	s.MergeSlashes = inner.merge
-	flow := rewriting{list: &s.Rewrites}
+	s.MergeSlashes = inner.mergeSlashes
+	flow := rewriteContext{rewrites: &s.Rewrites}
 	for _, l := range d.Block {
 		var err error
 		switch {
 		case l.Name == "listen":
-			err = m.listen(&s, l)
+			err = m.importListen(&s, l)
 		case l.Name == "server_name":
 			s.Names = append(s.Names, l.ArgTexts()...)
 		case l.Name == "location":
 			var loc *routeconfig.Location
-			if loc, err = m.location(l, inner); loc != nil {
+			if loc, err = m.importLocation(l, inner); loc != nil {
 				s.Locations = append(s.Locations, loc)
 			}
 		case l.Name == "rewrite":
-			err = m.rewrite(&flow, l)
+			err = m.importRewrite(&flow, l)
 		case l.Name == "return":
-			m.note(l, Unsafe, "a return for a whole server is not carried over: put it into location /")
-		case !inherited(l.Name):
-			m.leave(l)
+			m.report(l, Unsafe, "a return for a whole server is not carried over: put it into location /")
+		case !isInherited(l.Name):
+			m.reportUnsupported(l)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	m.passNames(&s)
+	m.resolveNamedTargets(&s)
 	if len(inner.fallbacks) > 0 && !slices.ContainsFunc(s.Locations, func(l *routeconfig.Location) bool {
 		return l.Pattern == "/" && (l.Kind == route.Prefix || l.Kind == route.PrefixNoRegex)
 	}) { // what no location takes is a 404, for which the server may have a fallback
@@ -510,13 +510,13 @@
 	if len(s.Listen) == 0 {
 		s.Listen = []routeconfig.Listen{{Addr: netip.MustParseAddrPort("0.0.0.0:80")}}
 	}
-	m.fallOnly(d, &s)
-	m.d.Servers = append(m.d.Servers, s)
+	m.dropUnknownFallbacks(d, &s)
+	m.config.Servers = append(m.config.Servers, s)
 	return nil
 }
 
-// listen reads where a server is reached.
-func (m *importer) listen(s *routeconfig.Server, d *Directive) error {
+// importListen reads where a server is reached.
+func (m *importer) importListen(s *routeconfig.Server, d *Directive) error {
 	text := d.Arg(0)
 	if _, err := strconv.Atoi(text); err == nil {
 		text = "0.0.0.0:" + text
@@ -527,7 +527,7 @@
 	}
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		m.note(d, ChangesBehavior, "only addresses and ports are listened at")
+		m.report(d, ChangesBehavior, "only addresses and ports are listened at")
 		return nil
 	}
 	l := routeconfig.Listen{Addr: addr}
@@ -536,19 +536,19 @@
 		case "default_server", "default":
 			l.Default = true
 		case "ssl", "http2", "quic":
-			m.note(d, ChangesBehavior, "the gateway ends TLS and HTTP: %s is left out", w.Text)
+			m.report(d, ChangesBehavior, "the gateway ends TLS and HTTP: %s is left out", w.Text)
 		default:
-			m.note(d, Harmless, "%s is about nginx's own socket", w.Text)
+			m.report(d, Harmless, "%s is about nginx's own socket", w.Text)
 		}
 	}
 	s.Listen = append(s.Listen, l)
 	return nil
 }
 
-// location imports a location and what is nested in it.
-func (m *importer) location(d *Directive, outer scope) (*routeconfig.Location, error) {
+// importLocation imports a location and what is nested in it.
+func (m *importer) importLocation(d *Directive, outer levelSettings) (*routeconfig.Location, error) {
 	l := &routeconfig.Location{Pos: d.Pos, InterceptErrors: true}
-	if err := pattern(l, d); err != nil {
+	if err := parsePattern(l, d); err != nil {
 		return nil, err
 	}
 	s, err := m.inherit(outer, d.Block)
@@ -556,40 +556,40 @@
 		return nil, err
 	}
 	l.Fallbacks = s.fallbacks
-	flow := rewriting{list: &l.Rewrites, in: l}
+	flow := rewriteContext{rewrites: &l.Rewrites, location: l}
 	var files *Directive
 	for _, c := range d.Block {
 		var err error
 		switch {
 		case c.Name == "fastcgi_pass", c.Name == "scgi_pass":
-			err = m.pass(l, c, s)
+			err = m.importPass(l, c, s)
 		case c.Name == "rewrite":
-			err = m.rewrite(&flow, c)
+			err = m.importRewrite(&flow, c)
 		case c.Name == "return":
-			err = m.answer(l, c)
-			flow.over = true
+			err = m.importReturn(l, c)
+			flow.afterReturn = true
 		case c.Name == "try_files":
 			files = c
 		case c.Name == "location":
 			var inner *routeconfig.Location
-			if inner, err = m.location(c, s); inner != nil {
+			if inner, err = m.importLocation(c, s); inner != nil {
 				l.Locations = append(l.Locations, inner)
 			}
-		case !inherited(c.Name):
-			m.leave(c)
+		case !isInherited(c.Name):
+			m.reportUnsupported(c)
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
 	if files != nil {
-		m.tryFiles(l, files)
+		m.importTryFiles(l, files)
 	}
 	return l, nil
 }
 
-// pattern reads a location's modifier and pattern, which may stand in one word.
-func pattern(l *routeconfig.Location, d *Directive) error {
+// parsePattern reads a location's modifier and pattern, which may stand in one word.
+func parsePattern(l *routeconfig.Location, d *Directive) error {
 	kinds := map[string]route.Kind{"=": route.Exact, "~": route.Regex, "~*": route.RegexIgnoreCase, "^~": route.PrefixNoRegex}
 	args := d.ArgTexts()
 	switch len(args) {
@@ -616,8 +616,8 @@
 	return sexp.Errorf(d.Pos, "location has %d arguments, want a pattern with or without a modifier", len(args))
 }
 
-// answer reads a return.
-func (m *importer) answer(l *routeconfig.Location, d *Directive) error {
+// importReturn reads a return.
+func (m *importer) importReturn(l *routeconfig.Location, d *Directive) error {
 	text, value := d.Arg(0), d.Arg(1)
 	status, err := strconv.Atoi(text)
 	if err != nil && len(d.Args) == 1 {
@@ -627,7 +627,7 @@
 		return sexp.Errorf(d.Pos, "found %q in return, want a status", text)
 	}
 	if strings.Contains(value, "$") {
-		m.note(d, Unsafe, "its text is made of variables, which are not computed")
+		m.report(d, Unsafe, "its text is made of variables, which are not computed")
 		return nil
 	}
 	if l.ReturnStatus == 0 { // the first one counts
@@ -636,45 +636,45 @@
 	return nil
 }
 
-// pass sends a location's requests to a pool.
-func (m *importer) pass(l *routeconfig.Location, d *Directive, s scope) error {
+// importPass sends a location's requests to a pool.
+func (m *importer) importPass(l *routeconfig.Location, d *Directive, s levelSettings) error {
 	target := d.Arg(0)
 	if strings.Contains(target, "$") {
-		m.note(d, Unsafe, "the pool is named through a variable")
+		m.report(d, Unsafe, "the pool is named through a variable")
 		return nil
 	}
 	u := m.upstreams[target]
 	if u == nil {
-		addr, ok := address(target)
+		addr, ok := memberAddress(target)
 		if !ok {
 			return sexp.Errorf(d.Pos, "upstream %s is not defined, and names are not looked up", target)
 		}
-		u = &upstream{at: d.Pos, cfg: pool.DefaultConfig()}
-		u.cfg.Name, u.cfg.Members = target, []pool.Member{pool.DefaultMember(addr)}
+		u = &upstream{pos: d.Pos, config: pool.DefaultConfig()}
+		u.config.Name, u.config.Members = target, []pool.Member{pool.DefaultMember(addr)}
 	}
-	protocol, _ := protocolOf(d.Name)
-	by := s.passing[protocol]
-	p := routeconfig.Pool{Config: u.cfg, HashKey: u.hashKey, Protocol: protocol, RetryOn: by.next, MaxIdleConns: u.keepalive,
-		ConnectTimeout: by.connect, ReadTimeout: by.read, SendTimeout: by.send, Pos: d.Pos}
-	p.MaxAttempts, p.RetryTimeout = by.tries, by.tryFor
+	protocol, _ := cutProtocol(d.Name)
+	by := s.byProtocol[protocol]
+	p := routeconfig.Pool{Config: u.config, HashKey: u.hashKey, Protocol: protocol, RetryOn: by.retryOn, MaxIdleConns: u.maxIdleConns,
+		ConnectTimeout: by.connectTimeout, ReadTimeout: by.readTimeout, SendTimeout: by.sendTimeout, Pos: d.Pos}
+	p.MaxAttempts, p.RetryTimeout = by.maxAttempts, by.retryTimeout
 	key := fmt.Sprint(target, p.Protocol, p.RetryOn, p.MaxAttempts, p.RetryTimeout, p.ConnectTimeout, p.ReadTimeout, p.SendTimeout)
-	name, known := m.pools[key]
+	name, known := m.poolNames[key]
 	if !known {
 		name = target
-		for n := 2; m.used[name]; n++ {
+		for n := 2; m.usedNames[name]; n++ {
 			name = fmt.Sprintf("%s-%d", target, n)
 		}
 		if name != target {
-			m.note(d, ChangesBehavior, "the pool %s has settings of its own and its state is kept apart from %s's", name, target)
+			m.report(d, ChangesBehavior, "the pool %s has settings of its own and its state is kept apart from %s's", name, target)
 		}
-		m.pools[key], m.used[name] = name, true
+		m.poolNames[key], m.usedNames[name] = name, true
 		p.Name = name
 		if err := p.Validate(); err != nil {
-			return sexp.Errorf(u.at, "%v", err)
+			return sexp.Errorf(u.pos, "%v", err)
 		}
-		m.d.Pools = append(m.d.Pools, p)
+		m.config.Pools = append(m.config.Pools, p)
 	}
 	l.Pool, l.Class, l.Params = name, className, by.params
-	l.InterceptErrors = by.intercept || len(l.Fallbacks) == 0 // which has no meaning without any
+	l.InterceptErrors = by.interceptErrors || len(l.Fallbacks) == 0 // which has no meaning without any
 	return nil
 }
--- a/internal/nginx/lexer.go
+++ b/internal/nginx/lexer.go
@@ -18,11 +18,11 @@
 type tokenKind uint8
 
 const (
-	word tokenKind = iota
-	open
-	shut
-	semicolon
-	end
+	tokenWord tokenKind = iota
+	tokenOpen
+	tokenClose
+	tokenSemicolon
+	tokenEOF
 )
 
 // names of tokens in messages.
@@ -38,27 +38,27 @@
 
 // lexer takes a file apart.
 type lexer struct {
-	text string
-	at   sexp.Pos
+	rest string
+	pos  sexp.Pos
 }
 
-// step goes behind the next character.
-func (l *lexer) step() rune {
-	r, n := utf8.DecodeRuneInString(l.text)
-	l.text = l.text[n:]
-	l.at.Advance(r)
+// advance goes behind the next character.
+func (l *lexer) advance() rune {
+	r, n := utf8.DecodeRuneInString(l.rest)
+	l.rest = l.rest[n:]
+	l.pos.Advance(r)
 	return r
 }
 
-// blank goes behind spaces and comments.
-func (l *lexer) blank() {
-	for l.text != "" {
-		switch l.text[0] {
+// skipSpace goes behind spaces and comments.
+func (l *lexer) skipSpace() {
+	for l.rest != "" {
+		switch l.rest[0] {
 		case ' ', '\t', '\r', '\n':
-			l.step()
+			l.advance()
 		case '#':
-			for l.text != "" && l.text[0] != '\n' {
-				l.step()
+			for l.rest != "" && l.rest[0] != '\n' {
+				l.advance()
 			}
 		default:
 			return
@@ -66,63 +66,63 @@
 	}
 }
 
-// next is the next token.
+// retryOn is the next token.
 func (l *lexer) next() (token, error) {
-	l.blank()
-	t := token{Word: Word{Pos: l.at}}
-	if l.text == "" {
-		t.kind = end
+	l.skipSpace()
+	t := token{Word: Word{Pos: l.pos}}
+	if l.rest == "" {
+		t.kind = tokenEOF
 		return t, nil
 	}
-	switch l.text[0] {
+	switch l.rest[0] {
 	case '{':
-		t.kind = open
+		t.kind = tokenOpen
 	case '}':
-		t.kind = shut
+		t.kind = tokenClose
 	case ';':
-		t.kind = semicolon
+		t.kind = tokenSemicolon
 	case '"', '\'':
 		t.Quoted = true
-		return t, l.quoted(&t)
+		return t, l.readQuoted(&t)
 	default:
-		return t, l.bare(&t)
+		return t, l.readBare(&t)
 	}
-	l.step()
+	l.advance()
 	return t, nil
 }
 
-// quoted reads a word in quotes. What follows its end must not touch it.
-func (l *lexer) quoted(t *token) error {
-	quote := l.step()
+// readQuoted reads a word in quotes. What follows its end must not touch it.
+func (l *lexer) readQuoted(t *token) error {
+	quote := l.advance()
 	var b strings.Builder
 	for {
-		if l.text == "" {
+		if l.rest == "" {
 			return sexp.Errorf(t.Pos, "found the end of the file, want the %c that ends this word", quote)
 		}
-		switch r := l.step(); r {
+		switch r := l.advance(); r {
 		case quote:
 			t.Text = b.String()
-			if l.text != "" && !strings.ContainsRune(" \t\r\n;{)", rune(l.text[0])) {
-				r, _ := utf8.DecodeRuneInString(l.text)
-				return sexp.Errorf(l.at, "found %q behind a quoted word, want a space, \";\" or \"{\"", r)
+			if l.rest != "" && !strings.ContainsRune(" \t\r\n;{)", rune(l.rest[0])) {
+				r, _ := utf8.DecodeRuneInString(l.rest)
+				return sexp.Errorf(l.pos, "found %q behind a quoted word, want a space, \";\" or \"{\"", r)
 			}
 			return nil
 		case '\\':
-			l.escape(&b)
+			l.readEscape(&b)
 		default:
 			b.WriteRune(r)
 		}
 	}
 }
 
-// escape resolves what stands behind a backslash as nginx does: quotes and the backslash lose it, t, r and n become
+// readEscape resolves what stands behind a backslash as nginx does: quotes and the backslash lose it, t, r and n become
 // what they stand for, and anything else keeps it.
-func (l *lexer) escape(b *strings.Builder) {
-	if l.text == "" {
+func (l *lexer) readEscape(b *strings.Builder) {
+	if l.rest == "" {
 		b.WriteByte('\\')
 		return
 	}
-	switch r := l.step(); r {
+	switch r := l.advance(); r {
 	case '"', '\'', '\\':
 		b.WriteRune(r)
 	case 't':
@@ -137,30 +137,30 @@
 	}
 }
 
-// bare reads a word without quotes. "${" begins a variable whose brace does not open a block.
-func (l *lexer) bare(t *token) error {
+// readBare reads a word without quotes. "${" begins a variable whose brace does not open a block.
+func (l *lexer) readBare(t *token) error {
 	var b strings.Builder
-	for l.text != "" {
-		switch c := l.text[0]; {
+	for l.rest != "" {
+		switch c := l.rest[0]; {
 		case c == '\\':
-			l.step()
-			l.escape(&b)
+			l.advance()
+			l.readEscape(&b)
 			continue
-		case strings.HasPrefix(l.text, "${"):
-			at := l.at
-			i := strings.IndexByte(l.text, '}')
-			if i < 0 || strings.ContainsAny(l.text[:i], " \t\r\n;") {
+		case strings.HasPrefix(l.rest, "${"):
+			at := l.pos
+			i := strings.IndexByte(l.rest, '}')
+			if i < 0 || strings.ContainsAny(l.rest[:i], " \t\r\n;") {
 				return sexp.Errorf(at, "found ${ without the } that ends the variable")
 			}
 			for range i + 1 {
-				b.WriteRune(l.step())
+				b.WriteRune(l.advance())
 			}
 			continue
 		case strings.IndexByte(" \t\r\n;{", c) >= 0:
 			t.Text = b.String()
 			return nil
 		}
-		b.WriteRune(l.step())
+		b.WriteRune(l.advance())
 	}
 	t.Text = b.String()
 	return nil
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -170,7 +170,7 @@
 
 // TestNothingIsDropped has every directive that is read be carried, inherited, a block or named.
 func TestNothingIsDropped(t *testing.T) {
-	for name := range left {
+	for name := range unsupported {
 		text := fmt.Sprintf("upstream u { server 10.0.0.1; } server { location / { %s x; fastcgi_pass u; } }", name)
 		_, remarks, err := load(t, text)
 		if err != nil || len(remarks) != 1 || remarks[0].Pos.Column != 55 {
@@ -253,7 +253,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, l := range left {
+	for name, l := range unsupported {
 		if row := fmt.Sprintf("| `%s` | %v | %s |", name, l.severity, l.reason); !strings.Contains(string(page), row) {
 			t.Errorf("docs/nginx.md has no row %s", row)
 		}
--- a/internal/nginx/parser.go
+++ b/internal/nginx/parser.go
@@ -60,7 +60,7 @@
 // file, as nginx's are to that of its configuration.
 func Parse(files FileReader, name string) ([]*Directive, error) {
 	p := &parser{files: files, root: path.Dir(filepath.ToSlash(name))}
-	return p.file(name, sexp.Pos{}, nil)
+	return p.parseFile(name, sexp.Pos{}, nil)
 }
 
 // parser reads files.
@@ -69,8 +69,8 @@
 	root  string
 }
 
-// file reads one file; chain is the files that led to it.
-func (p *parser) file(name string, from sexp.Pos, chain []string) ([]*Directive, error) {
+// parseFile reads one file; chain is the files that led to it.
+func (p *parser) parseFile(name string, from sexp.Pos, chain []string) ([]*Directive, error) {
 	clean := path.Clean(filepath.ToSlash(name))
 	if slices.Contains(chain, clean) {
 		return nil, sexp.Errorf(from, "the includes go round: %s", strings.Join(append(chain, clean), " -> "))
@@ -85,13 +85,13 @@
 		}
 		return nil, sexp.Errorf(from, "include %s: %v", name, err)
 	}
-	l := &lexer{text: string(text), at: sexp.Pos{File: name, Line: 1, Column: 1}}
-	list, err := p.block(l, sexp.Pos{}, append(slices.Clone(chain), clean), 0)
+	l := &lexer{rest: string(text), pos: sexp.Pos{File: name, Line: 1, Column: 1}}
+	list, err := p.parseBlock(l, sexp.Pos{}, append(slices.Clone(chain), clean), 0)
 	return list, err
 }
 
-// block reads directives up to the brace that closes the block opened at the place, or to the end of the file.
-func (p *parser) block(l *lexer, opened sexp.Pos, chain []string, depth int) ([]*Directive, error) {
+// parseBlock reads directives up to the brace that closes the block opened at the place, or to the end of the file.
+func (p *parser) parseBlock(l *lexer, opened sexp.Pos, chain []string, depth int) ([]*Directive, error) {
 	list := []*Directive{}
 	if depth > maxDepth {
 		return nil, sexp.Errorf(opened, "blocks stand over %d deep in each other", maxDepth)
@@ -102,16 +102,16 @@
 			return nil, err
 		}
 		switch {
-		case t.kind == end && opened.File == "":
+		case t.kind == tokenEOF && opened.File == "":
 			return list, nil
-		case t.kind == end:
+		case t.kind == tokenEOF:
 			return nil, sexp.Errorf(opened, "found the end of the file, want the \"}\" of this block")
-		case t.kind == shut && opened.File != "":
+		case t.kind == tokenClose && opened.File != "":
 			return list, nil
-		case t.kind != word:
+		case t.kind != tokenWord:
 			return nil, sexp.Errorf(t.Pos, "found %v, want a directive", t.kind)
 		}
-		d, err := p.directive(l, t, chain, depth)
+		d, err := p.parseDirective(l, t, chain, depth)
 		if err != nil {
 			return nil, err
 		}
@@ -127,8 +127,8 @@
 	}
 }
 
-// directive reads the rest of one.
-func (p *parser) directive(l *lexer, name token, chain []string, depth int) (*Directive, error) {
+// parseDirective reads the rest of one.
+func (p *parser) parseDirective(l *lexer, name token, chain []string, depth int) (*Directive, error) {
 	d := &Directive{Pos: name.Pos, Name: name.Text}
 	for {
 		t, err := l.next()
@@ -136,13 +136,13 @@
 			return nil, err
 		}
 		switch t.kind {
-		case word:
+		case tokenWord:
 			d.Args = append(d.Args, t.Word)
-		case semicolon:
+		case tokenSemicolon:
 			return d, nil
-		case open:
+		case tokenOpen:
 			d.HasBlock = true
-			d.Block, err = p.block(l, t.Pos, chain, depth+1)
+			d.Block, err = p.parseBlock(l, t.Pos, chain, depth+1)
 			return d, err
 		default:
 			return nil, sexp.Errorf(t.Pos, "found %v, want the \";\" or \"{\" of %s", t.kind, d.Name)
@@ -169,7 +169,7 @@
 	}
 	var list []*Directive
 	for _, name := range names {
-		included, err := p.file(name, d.Pos, chain)
+		included, err := p.parseFile(name, d.Pos, chain)
 		if err != nil {
 			return nil, err
 		}
@@ -181,12 +181,12 @@
 // FSReader reads the files of a file system, such as os.DirFS("/"), by names from its root.
 type FSReader struct{ fs.FS }
 
-// inside is a name as the file system wants it.
-func inside(name string) string { return strings.TrimPrefix(path.Clean(name), "/") }
+// relativeToRoot is a name as the file system wants it.
+func relativeToRoot(name string) string { return strings.TrimPrefix(path.Clean(name), "/") }
 
 // Read implements Reader.
 func (d FSReader) Read(name string) ([]byte, error) {
-	b, err := fs.ReadFile(d.FS, inside(name))
+	b, err := fs.ReadFile(d.FS, relativeToRoot(name))
 	var pe *fs.PathError
 	if errors.As(err, &pe) {
 		return nil, fmt.Errorf("%s: %w", name, pe.Err)
@@ -196,7 +196,7 @@
 
 // Glob implements Reader.
 func (d FSReader) Glob(pattern string) ([]string, error) {
-	names, err := fs.Glob(d.FS, inside(pattern))
+	names, err := fs.Glob(d.FS, relativeToRoot(pattern))
 	for i := range names {
 		if path.IsAbs(pattern) {
 			names[i] = "/" + names[i]
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -10,18 +10,18 @@
 	"tillerusher/internal/sexp"
 )
 
-// rewriting is what a level's rewrites come to so far.
-type rewriting struct {
-	list *[]routeconfig.Rewrite
-	in   *routeconfig.Location // nil in a server
-	over bool                  // a return stands before: what follows is never reached
+// rewriteContext is what a level's rewrites come to so far.
+type rewriteContext struct {
+	rewrites    *[]routeconfig.Rewrite
+	location    *routeconfig.Location // nil in a server
+	afterReturn bool                  // a return stands before: what follows is never reached
 }
 
-// variable finds what a rewrite's target may not hold: a variable that is no group.
-var variable = regexp.MustCompile(`\$([^1-9]|$)`)
+// otherVariable finds what a rewrite's target may not hold: a variable that is no group.
+var otherVariable = regexp.MustCompile(`\$([^1-9]|$)`)
 
-// rewrite takes a rewrite whose target needs no variables but the groups of its regex.
-func (m *importer) rewrite(r *rewriting, d *Directive) error {
+// importRewrite takes a rewrite whose target needs no variables but the groups of its regex.
+func (m *importer) importRewrite(r *rewriteContext, d *Directive) error {
 	flag, err := route.FlagNone, error(nil)
 	if len(d.Args) == 3 {
 		flag, err = routeconfig.ParseRewriteFlag(d.Arg(2))
@@ -31,22 +31,22 @@
 	}
 	regex, to := d.Arg(0), d.Arg(1)
 	switch {
-	case r.over:
-		m.note(d, Harmless, "a return stands before it, so it is never reached")
+	case r.afterReturn:
+		m.report(d, Harmless, "a return stands before it, so it is never reached")
 		return nil
-	case r.in != nil && r.in.Kind == route.Named:
-		m.note(d, Unsafe, "the path is not changed in a named location")
+	case r.location != nil && r.location.Kind == route.Named:
+		m.report(d, Unsafe, "the path is not changed in a named location")
 		return nil
-	case variable.MatchString(to):
-		m.note(d, Unsafe, "the path is not changed: its target is made of variables")
+	case otherVariable.MatchString(to):
+		m.report(d, Unsafe, "the path is not changed: its target is made of variables")
 		return nil
 	case to == "":
-		m.note(d, Unsafe, "the path is not changed: its target is empty")
+		m.report(d, Unsafe, "the path is not changed: its target is empty")
 		return nil
 	}
 	re, err := regexp.Compile(regex)
 	if err != nil {
-		m.note(d, Unsafe, "the path is not changed: its regex is not one of RE2")
+		m.report(d, Unsafe, "the path is not changed: its regex is not one of RE2")
 		return nil
 	}
 	for _, group := range regexp.MustCompile(`\$[1-9]`).FindAllString(to, -1) {
@@ -54,40 +54,40 @@
 			return sexp.Errorf(d.Pos, "found %s in rewrite %s, whose regex has %d groups", group, regex, re.NumSubexp())
 		}
 	}
-	*r.list = append(*r.list, routeconfig.Rewrite{Pattern: regex, Replacement: to, Flag: flag, Pos: d.Pos})
+	*r.rewrites = append(*r.rewrites, routeconfig.Rewrite{Pattern: regex, Replacement: to, Flag: flag, Pos: d.Pos})
 	return nil
 }
 
-// goes is the named location that a location's requests go to, and the directive that says so.
-type goes struct {
-	name string
-	by   *Directive
+// passedTo is the named location that a location's requests go to, and the directive that says so.
+type namedTarget struct {
+	name     string
+	tryFiles *Directive
 }
 
-// tryFiles takes what try_files leaves where no files are: its last argument. A location that passes to a pool keeps it.
-func (m *importer) tryFiles(l *routeconfig.Location, d *Directive) {
+// importTryFiles takes what try_files leaves where no files are: its last argument. A location that passes to a pool keeps it.
+func (m *importer) importTryFiles(l *routeconfig.Location, d *Directive) {
 	last := d.Arg(len(d.Args) - 1)
 	name, named := strings.CutPrefix(last, "@")
 	status, isStatus := strings.CutPrefix(last, "=")
 	code, err := strconv.Atoi(status)
 	switch {
 	case l.Pool != "" && (named || isStatus):
-		m.note(d, ChangesBehavior, "no files are looked for: all requests go to the pool")
+		m.report(d, ChangesBehavior, "no files are looked for: all requests go to the pool")
 	case l.Pool != "":
-		m.note(d, Unsafe, "no files are looked for, and its last address is not gone to")
+		m.report(d, Unsafe, "no files are looked for, and its last address is not gone to")
 	case named && l.ReturnStatus == 0:
-		m.goes[l] = goes{name, d}
-		m.note(d, ChangesBehavior, "no files are looked for: all requests go to @%s", name)
+		m.passedTo[l] = namedTarget{name, d}
+		m.report(d, ChangesBehavior, "no files are looked for: all requests go to @%s", name)
 	case isStatus && err == nil && code >= 100 && code <= 599 && l.ReturnStatus == 0:
 		l.ReturnStatus = code
-		m.note(d, ChangesBehavior, "no files are looked for: all requests are answered with %d", code)
+		m.report(d, ChangesBehavior, "no files are looked for: all requests are answered with %d", code)
 	default:
-		m.note(d, Unsafe, "no files are looked for")
+		m.report(d, Unsafe, "no files are looked for")
 	}
 }
 
-// passNames has locations that go to a named one do what that does.
-func (m *importer) passNames(s *routeconfig.Server) {
+// resolveNamedTargets has locations that go to a named one do what that does.
+func (m *importer) resolveNamedTargets(s *routeconfig.Server) {
 	named := map[string]*routeconfig.Location{}
 	for _, l := range s.Locations {
 		if l.Kind == route.Named {
@@ -98,13 +98,13 @@
 	each = func(list []*routeconfig.Location) {
 		for _, l := range list {
 			each(l.Locations)
-			g, ok := m.goes[l]
+			g, ok := m.passedTo[l]
 			if !ok {
 				continue
 			}
 			to := named[g.name]
 			if to == nil {
-				m.note(g.by, Unsafe, "its server has no location @%s", g.name)
+				m.report(g.tryFiles, Unsafe, "its server has no location @%s", g.name)
 				continue
 			}
 			l.Pool, l.Class, l.ReturnStatus, l.ReturnText = to.Pool, to.Class, to.ReturnStatus, to.ReturnText
@@ -114,9 +114,9 @@
 	each(s.Locations)
 }
 
-// fallOnly takes away the fallbacks to named locations that a server does not have: error_page may stand around servers
+// dropUnknownFallbacks takes away the fallbacks to named locations that a server does not have: error_page may stand around servers
 // of which only some have them.
-func (m *importer) fallOnly(d *Directive, s *routeconfig.Server) {
+func (m *importer) dropUnknownFallbacks(d *Directive, s *routeconfig.Server) {
 	has, told := map[string]bool{}, map[string]bool{}
 	for _, l := range s.Locations {
 		if l.Kind == route.Named {
@@ -134,7 +134,7 @@
 					kept = append(kept, f)
 				case !told[f.Location]:
 					told[f.Location] = true
-					m.note(d, ChangesBehavior, "error_page leads to @%s, which this server does not have: the status is answered", f.Location)
+					m.report(d, ChangesBehavior, "error_page leads to @%s, which this server does not have: the status is answered", f.Location)
 				}
 			}
 			if l.Fallbacks = kept; len(kept) == 0 {
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -18,27 +18,27 @@
 	RandomTwo
 )
 
-// methodNames are the words for methods in the settings.
-var methodNames = [...]string{"round-robin", "least-conn", "ip-hash", "hash", "hash-consistent", "random-two"}
+// balancingPolicyNames are the words for methods in the settings.
+var balancingPolicyNames = [...]string{"round-robin", "least-conn", "ip-hash", "hash", "hash-consistent", "random-two"}
 
 // String is the method's word.
-func (m BalancingPolicy) String() string { return methodNames[m] }
+func (m BalancingPolicy) String() string { return balancingPolicyNames[m] }
 
 // ParseBalancingPolicy reads a method's word.
 func ParseBalancingPolicy(word string) (BalancingPolicy, error) {
-	for m, name := range methodNames {
+	for m, name := range balancingPolicyNames {
 		if name == word {
 			return BalancingPolicy(m), nil
 		}
 	}
-	return 0, fmt.Errorf("no method is called %q, want one of %v", word, methodNames)
+	return 0, fmt.Errorf("no method is called %q, want one of %v", word, balancingPolicyNames)
 }
 
 // Member is one server of a pool.
 type Member struct {
 	Addr        string        // which names it, too: a member that stays over a reload is known by it
-	Weight      int           // at least 1
-	MaxConns    int           // tries that it may have at once; 0 is any number
+	Weight      int           // updatedAt least 1
+	MaxConns    int           // attempts that it may have at once; 0 is any number
 	MaxFails    int           // failures within FailTimeout after which it is left out for as long; 0 is never
 	FailTimeout time.Duration //
 	SlowStart   time.Duration // in which a member that comes back grows to its weight; 0 is at once
@@ -60,7 +60,7 @@
 
 	EjectionLatencyFactor float64       `json:"EjectFactor"` // a member is ejected at so many times the others' median latency; 0 is never
 	EjectionErrorRate     float64       `json:"EjectErrors"` // or when so large a part of its last tries failed; 0 is never
-	EjectionMinAttempts   int           `json:"EjectAfter"`  // tries that have to be seen before
+	EjectionMinAttempts   int           `json:"EjectAfter"`  // attempts that have to be seen before
 	BaseEjectionTime      time.Duration `json:"EjectFor"`    // the first time; twice as long each further time in a row
 	MaxEjectedRatio       float64       `json:"EjectMost"`   // part of the members that may be out at once
 	PanicThreshold        float64       `json:"PanicUnder"`  // part of the members in below which all are used, ejected or not
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -174,8 +174,8 @@
 func earliest(pools []*Pool, addr string) time.Duration {
 	first := time.Duration(math.MaxInt64)
 	for _, p := range pools {
-		if m := p.member(addr); m.fails >= m.MaxFails {
-			first = min(first, m.checked+m.FailTimeout)
+		if m := p.findMember(addr); m.fails >= m.MaxFails {
+			first = min(first, m.lastChecked+m.FailTimeout)
 		}
 	}
 	return first
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -11,62 +11,62 @@
 	FirstAttempt time.Duration
 	Attempts     int
 
-	tried map[*member]bool
-	hash  uint32
-	again int // hashes tried
+	attempted map[*member]bool
+	hash      uint32
+	rehashes  int // hashes tried
 }
 
-// member is a Member and what is known of it.
+// findMember is a Member and what is known of it.
 type member struct {
 	Member
-	index     int // in the configuration
-	conns     int
-	effective int // weight less what failures took
-	current   int // smooth round robin
+	index           int // in the configuration
+	inFlight        int
+	effectiveWeight int // weight less what failures took
+	currentWeight   int // smooth round robin
 
-	fails             int
-	accessed, checked time.Duration // of the last failure, and of the last choice after one
-	failed            bool          // accessed and checked were ever set
-	upSince           time.Duration // since when it is in, for its slow start
-	slow              bool          // it is in its slow start, or will be when its time out is over
-	credit            float64       // slow: turns that it may take
-	counted           uint64        // slow: choices of the pool up to which credit was given
-	grown             float64       // slow: its part of its weight at that time
-	probing           bool          // the one try that may show that it is back is under way
+	fails                    int
+	lastFailure, lastChecked time.Duration // of the last failure, and of the last choice after one
+	hasFailed                bool          // lastFailure and checked were ever set
+	rampStart                time.Duration // since when it is in, for its slow start
+	slowStarting             bool          // it is in its slow start, or will be when its time out is over
+	turnCredit               float64       // slow: turns that it may take
+	creditedPicks            uint64        // slow: choices of the pool up to which credit was given
+	creditedShare            float64       // slow: its part of its weight at that time
+	probing                  bool          // the one try that may show that it is back is under way
 
-	seen                       window // of its last tries
-	ejected                    time.Duration
-	out                        bool // ejected until then
-	times                      int  // ejected in a row
-	tries, failures, ejections uint64
+	recent                        attemptWindow // of its last tries
+	ejectedUntil                  time.Duration
+	isEjected                     bool // ejectedUntil until then
+	consecutiveEjections          int  // ejectedUntil in a row
+	attempts, failures, ejections uint64
 
-	stands standing // in the ranking, with its place in the heap there
-	place  int
-	turn   uint64        // of the ranking, when it was last chosen
-	due    time.Duration // from when it may be probed, where it stands waiting
+	standing  standing // in the ranking, with its place in the heap there
+	heapIndex int
+	lastTurn  uint64        // of the ranking, when it was last chosen
+	probeAt   time.Duration // from when it may be probed, where it stands waiting
 
-	left bool // no longer in the configuration: it only has its tries ended
+	isRemoved bool // no longer in the configuration: it only has its tries ended
 }
 
 // Pool chooses members. It is not safe for concurrent use.
 type Pool struct {
-	cfg      Config
-	rng      *rand.Rand
-	members  []*member // of the configuration, backups last
-	primary  int       // of them, those that are no backups
-	byAddr   map[string]*member
-	draining map[string]*member // left, with tries open
-	ring     []point
-	even     bool     // round robin over primary members of one weight, without bounds
-	rotating bool     // all of them can be had: they are chosen in turn
-	turn     int      // whose turn it is
-	sum      []int    // of the weights up to each primary member, for the hash methods
-	ejected  int      // members
-	failing  int      // members with as many failures as they may have
-	ranks    *ranking // of a large pool by least_conn, or nil
-	picks    uint64   // choices so far
-	budget   budget
-	changes  []StateChange
+	cfg       Config
+	rng       *rand.Rand
+	members   []*member // of the configuration, backups last
+	primaries int       // of them, those that are no backups
+	byAddr    map[string]*member
+	draining  map[string]*member // left, with tries open
+	ring      []ringPoint
+	even      bool     // round robin over primary members of one weight, without bounds
+	rotating  bool     // all of them can be had: they are chosen in turn
+	turn      int      // whose turn it is
+	sum       []int    // of the weights up to each primary member, for the hash methods
+	ejected   int      // members
+	failing   int      // members with as many failures as they may have
+	ranks     *ranking // of a large pool by least_conn, or nil
+	picks     uint64   // choices so far
+	budget    retryBudget
+	changes   []StateChange
 }
 
 // StateChange is a change of a member's state, for the log.
@@ -93,9 +93,9 @@
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
-	p.settle()
+	p.stopRotation()
 	old := p.byAddr
-	p.cfg, p.byAddr, p.members, p.primary = cfg, make(map[string]*member, len(cfg.Members)), nil, 0
+	p.cfg, p.byAddr, p.members, p.primaries = cfg, make(map[string]*member, len(cfg.Members)), nil, 0
 	for _, backups := range []bool{false, true} {
 		for i, c := range cfg.Members {
 			if c.Backup != backups {
@@ -107,18 +107,18 @@
 				delete(p.draining, c.Addr)
 			}
 			if m == nil {
-				m = &member{Member: c, effective: c.Weight}
+				m = &member{Member: c, effectiveWeight: c.Weight}
 				if len(old) > 0 { // a pool that starts has no one to lean on
-					p.startSlowly(m, now)
+					p.beginSlowStart(m, now)
 				}
-				p.note(now, c.Addr, "joined", "the configuration")
+				p.recordChange(now, c.Addr, "joined", "the configuration")
 			}
-			m.Member, m.index, m.left = c, i, false
-			m.effective = min(m.effective, c.Weight)
+			m.Member, m.index, m.isRemoved = c, i, false
+			m.effectiveWeight = min(m.effectiveWeight, c.Weight)
 			p.byAddr[c.Addr] = m
 			p.members = append(p.members, m)
 			if !backups {
-				p.primary++
+				p.primaries++
 			}
 		}
 	}
@@ -126,29 +126,29 @@
 		if p.byAddr[addr] != nil {
 			continue
 		}
-		m.left = true
-		p.note(now, addr, "left", "the configuration")
-		if m.conns > 0 {
+		m.isRemoved = true
+		p.recordChange(now, addr, "left", "the configuration")
+		if m.inFlight > 0 {
 			p.draining[addr] = m
 		}
 	}
 	p.ejected, p.failing = 0, 0
 	for _, m := range p.members {
-		if m.out {
+		if m.isEjected {
 			p.ejected++
 		}
 		if m.MaxFails > 0 && m.fails >= m.MaxFails {
 			p.failing++
 		}
 	}
-	p.prepare()
+	p.prepareChoices()
 	p.rankAll()
 	p.budget.configure(cfg)
 	return nil
 }
 
-// note keeps a change for the log.
-func (p *Pool) note(now time.Duration, addr, what, cause string) {
+// recordChange keeps a change for the log.
+func (p *Pool) recordChange(now time.Duration, addr, what, cause string) {
 	p.changes = append(p.changes, StateChange{At: now, Addr: addr, State: what, Cause: cause})
 }
 
@@ -159,19 +159,19 @@
 	return c
 }
 
-// alone tells whether the pool has one member only, which is never left out.
-func (p *Pool) alone() bool { return len(p.members) == 1 }
+// hasSingleMember tells whether the pool has one member only, which is never left out.
+func (p *Pool) hasSingleMember() bool { return len(p.members) == 1 }
 
-// usable tells whether a member may be chosen.
-func (p *Pool) usable(m *member, r *Request, now time.Duration, panicking bool) bool {
+// isUsable tells whether a member may be chosen.
+func (p *Pool) isUsable(m *member, r *Request, now time.Duration, panicking bool) bool {
 	switch {
-	case m.Down, r.tried[m], m.MaxConns > 0 && m.conns >= m.MaxConns:
+	case m.Down, r.attempted[m], m.MaxConns > 0 && m.inFlight >= m.MaxConns:
 		return false
-	case p.alone():
+	case p.hasSingleMember():
 		return true
-	case m.MaxFails > 0 && m.fails >= m.MaxFails && (now-m.checked <= m.FailTimeout || m.probing):
+	case m.MaxFails > 0 && m.fails >= m.MaxFails && (now-m.lastChecked <= m.FailTimeout || m.probing):
 		return false
-	case m.out && !panicking && (now < m.ejected || m.probing):
+	case m.isEjected && !panicking && (now < m.ejectedUntil || m.probing):
 		return false
 	}
 	return true
@@ -179,58 +179,58 @@
 
 // Pick chooses the member for the next try and counts it as open there; false where none can be had.
 func (p *Pool) Pick(r *Request, now time.Duration) (addr string, ok bool) {
-	m := p.pick(r, now)
+	m := p.selectMember(r, now)
 	if m == nil {
 		return "", false
 	}
-	if r.tried == nil {
-		r.tried = map[*member]bool{}
+	if r.attempted == nil {
+		r.attempted = map[*member]bool{}
 		r.FirstAttempt = now
-		p.budget.first(now)
+		p.budget.countFirstAttempt(now)
 	}
 	p.picks++
-	if m.slow {
-		m.credit--
+	if m.slowStarting {
+		m.turnCredit--
 	}
-	r.tried[m] = true
+	r.attempted[m] = true
 	r.Attempts++
-	m.conns++
-	m.tries++
-	if now-m.checked > m.FailTimeout {
-		m.checked = now
+	m.inFlight++
+	m.attempts++
+	if now-m.lastChecked > m.FailTimeout {
+		m.lastChecked = now
 	}
-	if back := m.MaxFails > 0 && m.fails >= m.MaxFails || m.out; back && !p.alone() {
+	if back := m.MaxFails > 0 && m.fails >= m.MaxFails || m.isEjected; back && !p.hasSingleMember() {
 		m.probing = true
-		p.note(now, m.Addr, "probing", "its time out is over")
+		p.recordChange(now, m.Addr, "probing", "its time out is over")
 	}
-	p.rank(m)
+	p.updateRank(m)
 	return m.Addr, true
 }
 
-// pick chooses a member.
-func (p *Pool) pick(r *Request, now time.Duration) *member {
+// selectMember chooses a member.
+func (p *Pool) selectMember(r *Request, now time.Duration) *member {
 	if p.rotating {
-		return p.next(r)
+		return p.nextInRotation(r)
 	}
-	panicking := p.panicking()
-	usable := func(m *member) bool { return p.usable(m, r, now, panicking) }
+	panicking := p.isPanicking()
+	usable := func(m *member) bool { return p.isUsable(m, r, now, panicking) }
 	held := false // one that could be had was passed over for its slow start
-	m := p.choose(p.members[:p.primary], r, now, func(m *member) bool {
+	m := p.choose(p.members[:p.primaries], r, now, func(m *member) bool {
 		if !usable(m) {
 			return false
 		}
-		back := p.holdsBack(m, now)
+		back := p.isHeldBack(m, now)
 		held = held || back
 		return !back
 	})
 	if m == nil && held {
-		m = p.choose(p.members[:p.primary], r, now, usable) // there is no other
+		m = p.choose(p.members[:p.primaries], r, now, usable) // there is no other
 	}
 	if m != nil {
 		return m
 	}
-	if p.primary < len(p.members) {
-		return p.choose(p.members[p.primary:], r, now, usable)
+	if p.primaries < len(p.members) {
+		return p.choose(p.members[p.primaries:], r, now, usable)
 	}
 	return nil
 }
@@ -239,17 +239,17 @@
 func (p *Pool) choose(from []*member, r *Request, now time.Duration, usable func(*member) bool) *member {
 	switch p.cfg.BalancingPolicy {
 	case LeastConn:
-		return p.leastConn(from, now, usable)
+		return p.chooseLeastConn(from, now, usable)
 	case IPHash:
-		return p.ipHash(r, usable)
+		return p.chooseByIPHash(r, usable)
 	case Hash:
-		return p.plainHash(r, usable)
+		return p.chooseByHash(r, usable)
 	case HashConsistent:
-		return p.consistent(r, usable)
+		return p.chooseOnRing(r, usable)
 	case RandomTwo:
-		return p.randomTwo(from, usable)
+		return p.chooseRandomTwo(from, usable)
 	}
-	return p.roundRobin(from, usable)
+	return p.chooseRoundRobin(from, usable)
 }
 
 // Outcome is how a try at a member ended.
@@ -264,94 +264,94 @@
 
 // Finish ends a try at a member; took is how long it lasted.
 func (p *Pool) Finish(addr string, o Outcome, took, now time.Duration) {
-	m := p.member(addr)
+	m := p.findMember(addr)
 	if m == nil {
 		return
 	}
-	m.conns--
+	m.inFlight--
 	probed := m.probing
 	m.probing = false
-	if m.left {
-		if m.conns == 0 {
+	if m.isRemoved {
+		if m.inFlight == 0 {
 			delete(p.draining, addr)
-			p.note(now, addr, "gone", "its last try has ended")
+			p.recordChange(now, addr, "gone", "its last try has ended")
 		}
 		return
 	}
 	switch o {
 	case Failed:
-		p.fail(m, now)
+		p.countFailure(m, now)
 	case Succeeded:
-		p.succeed(m, now, probed)
+		p.clearFailures(m, now, probed)
 	default:
-		p.rank(m)
+		p.updateRank(m)
 		return
 	}
-	if p.watch(m, o == Failed, took, now) && probed {
-		m.times = 0
+	if p.detectOutlier(m, o == Failed, took, now) && probed {
+		m.consecutiveEjections = 0
 	}
-	p.rank(m)
+	p.updateRank(m)
 }
 
-// fail counts a failure as nginx does.
-func (p *Pool) fail(m *member, now time.Duration) {
-	p.settle()
+// countFailure counts a failure as nginx does.
+func (p *Pool) countFailure(m *member, now time.Duration) {
+	p.stopRotation()
 	before := m.MaxFails > 0 && m.fails >= m.MaxFails
 	m.fails++
 	m.failures++
-	m.accessed, m.checked, m.failed = now, now, true
+	m.lastFailure, m.lastChecked, m.hasFailed = now, now, true
 	if m.MaxFails > 0 {
-		m.effective = max(m.effective-m.Weight/m.MaxFails, 0)
+		m.effectiveWeight = max(m.effectiveWeight-m.Weight/m.MaxFails, 0)
 	}
 	if out := m.MaxFails > 0 && m.fails >= m.MaxFails; out && !before {
 		p.failing++
-		p.startSlowly(m, now+m.FailTimeout)
-		p.note(now, m.Addr, "out", "its failures")
+		p.beginSlowStart(m, now+m.FailTimeout)
+		p.recordChange(now, m.Addr, "out", "its failures")
 	}
 }
 
-// succeed forgets failures as nginx does: those before the last time out.
-func (p *Pool) succeed(m *member, now time.Duration, probed bool) {
-	if !m.failed || m.accessed >= m.checked && !probed {
+// clearFailures forgets failures as nginx does: those before the last time out.
+func (p *Pool) clearFailures(m *member, now time.Duration, probed bool) {
+	if !m.hasFailed || m.lastFailure >= m.lastChecked && !probed {
 		return
 	}
 	if m.MaxFails > 0 && m.fails >= m.MaxFails {
 		p.failing--
-		p.note(now, m.Addr, "in", "a try went well")
-		p.startSlowly(m, now)
+		p.recordChange(now, m.Addr, "in", "a try went well")
+		p.beginSlowStart(m, now)
 	}
 	m.fails = 0
 }
 
-// slowPart is how much of its growing part a member in its slow start gets: many processes send to it, each by a count
+// slowStartShare is how much of its growing part a member in its slow start gets: many processes send to it, each by a count
 // of its own, and the sum of what they send at any moment scatters round the mean.
-const slowPart = 0.85
+const slowStartShare = 0.85
 
-// startSlowly has a member grow to its weight from a time on, which may be the end of its time out. Processes begin their
+// beginSlowStart has a member grow to its weight from a time on, which may be the end of its time out. Processes begin their
 // counts at random, or the first turns of all of them would come at once; and each gives up half a turn, as the first
 // ones count most: next to nothing may come then.
-func (p *Pool) startSlowly(m *member, from time.Duration) {
-	m.upSince, m.slow = from, m.SlowStart > 0
-	if m.slow {
-		m.credit, m.counted, m.grown = p.rng.Float64()-0.5, p.picks, 0
+func (p *Pool) beginSlowStart(m *member, from time.Duration) {
+	m.rampStart, m.slowStarting = from, m.SlowStart > 0
+	if m.slowStarting {
+		m.turnCredit, m.creditedPicks, m.creditedShare = p.rng.Float64()-0.5, p.picks, 0
 	}
 }
 
-// holdsBack tells whether a member in its slow start has no turn yet. Weights are whole numbers, so one of weight 1
+// isHeldBack tells whether a member in its slow start has no turn yet. Weights are whole numbers, so one of weight 1
 // could not grow to it; and by least_conn, with nothing open, it would get all that comes until it has as much as the
 // others, from each process that sends to it. So it takes no more turns than its part of those that the pool gave.
-func (p *Pool) holdsBack(m *member, now time.Duration) bool {
-	if m.slow && now-m.upSince >= m.SlowStart {
-		m.slow = false
+func (p *Pool) isHeldBack(m *member, now time.Duration) bool {
+	if m.slowStarting && now-m.rampStart >= m.SlowStart {
+		m.slowStarting = false
 	}
-	if !m.slow || m.Backup {
+	if !m.slowStarting || m.Backup {
 		return false
 	}
-	grown := float64(max(now-m.upSince, 0)) / float64(m.SlowStart)
-	turns := float64(p.picks-m.counted) * float64(m.Weight) / float64(p.sum[p.primary-1])
-	m.credit = min(m.credit+slowPart*turns*(m.grown+grown)/2, 1)
-	m.counted, m.grown = p.picks, grown
-	return m.credit < 1
+	grown := float64(max(now-m.rampStart, 0)) / float64(m.SlowStart)
+	turns := float64(p.picks-m.creditedPicks) * float64(m.Weight) / float64(p.sum[p.primaries-1])
+	m.turnCredit = min(m.turnCredit+slowStartShare*turns*(m.creditedShare+grown)/2, 1)
+	m.creditedPicks, m.creditedShare = p.picks, grown
+	return m.turnCredit < 1
 }
 
 // MemberStatus is how a member is.
@@ -366,22 +366,22 @@
 func (p *Pool) MemberStatuses() []MemberStatus {
 	list := make([]MemberStatus, 0, len(p.members))
 	for _, m := range p.members {
-		failed := m.MaxFails > 0 && m.fails >= m.MaxFails && !p.alone()
-		list = append(list, MemberStatus{m.Addr, m.conns, m.out || failed || m.Down, m.tries, m.failures, m.ejections})
+		failed := m.MaxFails > 0 && m.fails >= m.MaxFails && !p.hasSingleMember()
+		list = append(list, MemberStatus{m.Addr, m.inFlight, m.isEjected || failed || m.Down, m.attempts, m.failures, m.ejections})
 	}
 	return list
 }
 
 // InFlight is how many tries a member has.
 func (p *Pool) InFlight(addr string) int {
-	if m := p.member(addr); m != nil {
-		return m.conns
+	if m := p.findMember(addr); m != nil {
+		return m.inFlight
 	}
 	return 0
 }
 
-// member is the member with the address, though it may have left, or nil.
-func (p *Pool) member(addr string) *member {
+// findMember is the member with the address, though it may have left, or nil.
+func (p *Pool) findMember(addr string) *member {
 	if m := p.byAddr[addr]; m != nil {
 		return m
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -33,7 +33,7 @@
 	return p
 }
 
-// pick chooses for a new request.
+// selectMember chooses for a new request.
 func pick(p *Pool, key string, now time.Duration) string {
 	addr, _ := p.Pick(&Request{HashKey: []byte(key)}, now)
 	return addr
@@ -331,8 +331,8 @@
 	for range 2000 {
 		step(true)
 	}
-	if !p.byAddr[slow].out || p.ejected != 3 {
-		t.Errorf("%d are ejected, the slow one %t; want 3 of 10 with it", p.ejected, p.byAddr[slow].out)
+	if !p.byAddr[slow].isEjected || p.ejected != 3 {
+		t.Errorf("%d are ejected, the slow one %t; want 3 of 10 with it", p.ejected, p.byAddr[slow].isEjected)
 	}
 	for range 60_000 {
 		step(false)
--- a/internal/pool/ranking_test.go
+++ b/internal/pool/ranking_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := DefaultConfig()
 		c.Name, c.BalancingPolicy, c.EjectionMinAttempts, c.MaxEjectedRatio = "p", LeastConn, 4, 0.6
-		size := rapid.IntRange(leastMany, 2*leastMany).Draw(t, "size")
+		size := rapid.IntRange(rankingMinMembers, 2*rankingMinMembers).Draw(t, "size")
 		draw := func() {
 			c.Members = nil
 			for i := range size {
@@ -27,7 +27,7 @@
 					c.Members = append(c.Members, m)
 				}
 			}
-			for len(c.Members) < leastMany { // else it is no large pool
+			for len(c.Members) < rankingMinMembers { // else it is no large pool
 				m := DefaultMember(fmt.Sprintf("10.0.1.%d:80", len(c.Members)))
 				c.Members = append(c.Members, m)
 			}
@@ -55,9 +55,9 @@
 				r := &Request{}
 				for range rapid.IntRange(1, 3).Draw(t, "tries") {
 					before := map[*member]member{}
-					panicking := p.panicking()
+					panicking := p.isPanicking()
 					for _, m := range p.members {
-						if p.usable(m, r, now, panicking) {
+						if p.isUsable(m, r, now, panicking) {
 							before[m] = *m
 						}
 					}
@@ -74,10 +74,10 @@
 						t.Fatalf("%s is chosen and can't be had", addr)
 					}
 					for _, m := range before {
-						probe := m.out || m.MaxFails > 0 && m.fails >= m.MaxFails
-						if inFull := !m.slow || now-m.upSince >= m.SlowStart; !probe && inFull && m.effective >= m.Weight && compareLoad(&m, &chosen) < 0 {
-							t.Fatalf("%s is chosen with %d open for %d, %s has %d for %d", addr, chosen.conns, chosen.Weight,
-								m.Addr, m.conns, m.Weight)
+						probe := m.isEjected || m.MaxFails > 0 && m.fails >= m.MaxFails
+						if inFull := !m.slowStarting || now-m.rampStart >= m.SlowStart; !probe && inFull && m.effectiveWeight >= m.Weight && compareLoad(&m, &chosen) < 0 {
+							t.Fatalf("%s is chosen with %d open for %d, %s has %d for %d", addr, chosen.inFlight, chosen.Weight,
+								m.Addr, m.inFlight, m.Weight)
 						}
 					}
 				}
@@ -118,7 +118,7 @@
 		c.Members[0].SlowStart = 10 * time.Second
 	}, weights...)
 	slow := p.members[0]
-	slow.slow, slow.upSince = true, 0
+	slow.slowStarting, slow.rampStart = true, 0
 	turns := func(now time.Duration) (n int) {
 		for range 100_000 {
 			addr := pick(p, "", now)
--- a/internal/pool/retry.go
+++ b/internal/pool/retry.go
@@ -35,13 +35,13 @@
 	BudgetExhausted                        // the pool's budget for further tries is used up
 )
 
-// verdictTexts say the verdicts.
-var verdictTexts = [...]string{"goes to another member", "the failure calls for no further try",
+// retryDecisionTexts say the verdicts.
+var retryDecisionTexts = [...]string{"goes to another member", "the failure calls for no further try",
 	"it may have run and must not run twice", "its tries are used up", "its time for further tries is over",
 	"the budget for further tries is used up"}
 
 // String says the verdict.
-func (v RetryDecision) String() string { return verdictTexts[v] }
+func (v RetryDecision) String() string { return retryDecisionTexts[v] }
 
 // Failure is how a try failed.
 type Failure struct {
@@ -68,37 +68,37 @@
 	return Retry
 }
 
-// budget is a bucket of tokens: each first try adds a part of one, each further try takes one, and no more than a few
+// retryBudget is a bucket of tokens: each first try adds a part of one, each further try takes one, and no more than a few
 // are kept. So tries made again can't multiply an outage, at its start as little as later: over any n requests they are
 // at most the share of n, the tokens kept, and those that come by time alone for pools that are seldom used. A budget
 // over a window, as Finagle's is, was tried first: it let a whole window's tries go in the first second of an outage.
-type budget struct {
-	share, least, burst float64
-	tokens              float64
-	at                  time.Duration
+type retryBudget struct {
+	ratio, minPerSecond, burst float64
+	tokens                     float64
+	updatedAt                  time.Duration
 }
 
 // configure takes over the figures of a configuration.
-func (b *budget) configure(c Config) {
+func (b *retryBudget) configure(c Config) {
 	if b.burst == 0 {
 		b.tokens = c.RetryBurst // a new pool's bucket is full
 	}
-	b.share, b.least, b.burst = c.RetryRatio, c.MinRetriesPerSecond, c.RetryBurst
+	b.ratio, b.minPerSecond, b.burst = c.RetryRatio, c.MinRetriesPerSecond, c.RetryBurst
 }
 
 // add puts tokens into the bucket, with those that came by time.
-func (b *budget) add(tokens float64, now time.Duration) {
-	tokens += b.least * max(now-b.at, 0).Seconds()
-	b.at = max(b.at, now)
+func (b *retryBudget) add(tokens float64, now time.Duration) {
+	tokens += b.minPerSecond * max(now-b.updatedAt, 0).Seconds()
+	b.updatedAt = max(b.updatedAt, now)
 	b.tokens = min(b.tokens+tokens, b.burst)
 }
 
-// first counts a first try.
-func (b *budget) first(now time.Duration) { b.add(b.share, now) }
+// countFirstAttempt counts a first try.
+func (b *retryBudget) countFirstAttempt(now time.Duration) { b.add(b.ratio, now) }
 
 // take counts a further try where the budget allows it.
-func (b *budget) take(now time.Duration) bool {
-	if b.share == 0 {
+func (b *retryBudget) take(now time.Duration) bool {
+	if b.ratio == 0 {
 		return true
 	}
 	b.add(0, now)
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -29,10 +29,10 @@
 	Value                 any    // what it stands for; the table only hands it on
 	Source                string `json:"At"` // where it was defined, for messages
 
-	re     *regexp.Regexp
+	regex  *regexp.Regexp
 	parent *Location
 	tree   *node
-	order  []*Location // regexes in the order of the file
+	order  []*Location // byRegex in the order of the file
 }
 
 // Modifier is the pattern's modifier as nginx writes it.
@@ -53,14 +53,14 @@
 
 // node is a place in a radix tree of patterns.
 type node struct {
-	label     string  // on the edge to it
-	children  []*node // by the first byte of their labels, in order
-	exact     *Location
-	inclusive *Location
+	label    string  // on the edge to it
+	children []*node // by the first byte of their labels, in order
+	exact    *Location
+	prefix   *Location
 }
 
-// child is the place among the children of the one that begins with the byte, or where it belongs.
-func (n *node) child(c byte) (int, bool) {
+// findChild is the place among the children of the one that begins with the byte, or where it belongs.
+func (n *node) findChild(c byte) (int, bool) {
 	low, high := 0, len(n.children)
 	for low < high {
 		mid := int(uint(low+high) >> 1)
@@ -76,7 +76,7 @@
 // insert returns the node of a pattern, made where there is none.
 func (n *node) insert(pattern string) *node {
 	for pattern != "" {
-		i, ok := n.child(pattern[0])
+		i, ok := n.findChild(pattern[0])
 		if !ok {
 			leaf := &node{label: pattern}
 			n.children = append(n.children, nil)
@@ -100,59 +100,59 @@
 	return n
 }
 
-// found is how a search among prefixes ended.
-type found uint8
+// match is how a search among prefixes ended.
+type match uint8
 
 const (
-	none     found = iota
-	longest        // a prefix
-	final          // an exact one: nothing else is looked at
-	redirect       // the path lacks only the slash that the location ends with
+	noMatch       match = iota
+	prefixMatch         // a prefix
+	finalMatch          // an exact one: nothing else is looked at
+	redirectMatch       // the path lacks only the slash that the location ends with
 )
 
-// static looks for the exact location or the longest prefix.
-func (n *node) static(path string) (*Location, found) {
-	best, how := n.inclusive, none
+// find looks for the exact location or the longest prefix.
+func (n *node) find(path string) (*Location, match) {
+	best, how := n.prefix, noMatch
 	if best != nil {
-		how = longest
+		how = prefixMatch
 	}
 	for {
 		if path == "" {
 			if n.exact != nil {
-				return n.exact, final
+				return n.exact, finalMatch
 			}
-			if n.inclusive == nil {
-				if i, ok := n.child('/'); ok && n.children[i].label == "/" {
-					if l := n.children[i].slash(); l != nil {
-						return l, redirect
+			if n.prefix == nil {
+				if i, ok := n.findChild('/'); ok && n.children[i].label == "/" {
+					if l := n.children[i].redirectTarget(); l != nil {
+						return l, redirectMatch
 					}
 				}
 			}
 			return best, how
 		}
-		i, ok := n.child(path[0])
+		i, ok := n.findChild(path[0])
 		if !ok {
 			return best, how
 		}
 		c := n.children[i]
 		if !strings.HasPrefix(path, c.label) {
 			if c.label == path+"/" {
-				if l := c.slash(); l != nil {
-					return l, redirect
+				if l := c.redirectTarget(); l != nil {
+					return l, redirectMatch
 				}
 			}
 			return best, how
 		}
 		n, path = c, path[len(c.label):]
-		if n.inclusive != nil {
-			best, how = n.inclusive, longest
+		if n.prefix != nil {
+			best, how = n.prefix, prefixMatch
 		}
 	}
 }
 
-// slash is the location to which the path without the last slash is redirected, or nil.
-func (n *node) slash() *Location {
-	for _, l := range []*Location{n.exact, n.inclusive} {
+// redirectTarget is the location to which the path without the last slash is redirected, or nil.
+func (n *node) redirectTarget() *Location {
+	for _, l := range []*Location{n.exact, n.prefix} {
 		if l != nil && l.RedirectTrailingSlash {
 			return l
 		}
@@ -165,10 +165,10 @@
 	tree = &node{}
 	for _, l := range list {
 		l.parent = parent
-		if err := l.check(); err != nil {
+		if err := l.validate(); err != nil {
 			return nil, nil, err
 		}
-		if err := compileAll(l.Rewrites); err != nil {
+		if err := compileRewrites(l.Rewrites); err != nil {
 			return nil, nil, err
 		}
 		switch l.Kind {
@@ -177,13 +177,13 @@
 			if l.Kind == RegexIgnoreCase {
 				text = "(?i)" + text
 			}
-			if l.re, err = regexp.Compile(text); err != nil {
+			if l.regex, err = regexp.Compile(text); err != nil {
 				return nil, nil, fmt.Errorf("%s: location %v: not a regex of RE2: %w", l.Source, l, err)
 			}
 			order = append(order, l)
 		case Prefix, PrefixNoRegex, Exact:
 			n := tree.insert(l.Pattern)
-			place := &n.inclusive
+			place := &n.prefix
 			if l.Kind == Exact {
 				place = &n.exact
 			}
@@ -199,8 +199,8 @@
 	return tree, order, nil
 }
 
-// check tells what of a location can't stand where it does.
-func (l *Location) check() error {
+// validate tells what of a location can't stand where it does.
+func (l *Location) validate() error {
 	p := l.parent
 	switch {
 	case l.Pattern == "":
@@ -251,22 +251,22 @@
 }
 
 // search looks through one level and what is nested in it.
-func search(tree *node, order []*Location, path string, t tracer) (*Location, found) {
-	l, how := tree.static(path)
+func search(tree *node, order []*Location, path string, t tracer) (*Location, match) {
+	l, how := tree.find(path)
 	noRegex := false
 	switch how {
-	case final:
+	case finalMatch:
 		t.step(l, "is the path exactly")
-		return l, final
-	case redirect:
+		return l, finalMatch
+	case redirectMatch:
 		t.step(l, "is the path but for its last slash: a redirect")
-		return l, redirect
-	case longest:
+		return l, redirectMatch
+	case prefixMatch:
 		t.step(l, "is the longest prefix")
 		noRegex = l.Kind == PrefixNoRegex
 		inner, innerHow := search(l.tree, l.order, path, t)
 		if inner != nil {
-			if innerHow != longest {
+			if innerHow != prefixMatch {
 				return inner, innerHow
 			}
 			l, how = inner, innerHow
@@ -277,15 +277,15 @@
 		return l, how
 	}
 	for _, r := range order {
-		if !r.re.MatchString(path) {
+		if !r.regex.MatchString(path) {
 			t.step(r, "does not match")
 			continue
 		}
 		t.step(r, "is the first regex that matches")
 		if inner, _ := search(r.tree, r.order, path, t); inner != nil {
-			return inner, final
+			return inner, finalMatch
 		}
-		return r, final
+		return r, finalMatch
 	}
 	return l, how
 }
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -18,7 +18,7 @@
 	if raw == "" || raw[0] != '/' {
 		return "", ErrInvalidPath
 	}
-	if plain(raw) {
+	if isNormalized(raw) {
 		return raw, nil
 	}
 	out := make([]byte, 0, len(raw))
@@ -29,7 +29,7 @@
 			if i+2 > len(raw) || !isHex(raw[i]) || !isHex(raw[i+1]) {
 				return "", ErrInvalidPath
 			}
-			c = unhex(raw[i])<<4 | unhex(raw[i+1])
+			c = fromHex(raw[i])<<4 | fromHex(raw[i+1])
 			i += 2
 			if c == 0 {
 				return "", ErrInvalidPath
@@ -44,11 +44,11 @@
 			return "", ErrInvalidPath
 		}
 	}
-	return endSegment(out)
+	return closeLastSegment(out)
 }
 
-// plain tells whether nothing in the path needs to be changed.
-func plain(raw string) bool {
+// isNormalized tells whether nothing in the path needs to be changed.
+func isNormalized(raw string) bool {
 	for i := 0; i < len(raw); i++ {
 		switch {
 		case raw[i] == '%' || raw[i] == 0:
@@ -62,26 +62,26 @@
 
 // closeSegment adds a slash behind what is there: "." goes, ".." takes the segment before it along.
 func closeSegment(out []byte, merge bool) ([]byte, bool) {
-	start := lastSlash(out)
+	start := lastSegment(out)
 	switch segment := string(out[start:]); {
 	case segment == "." && start > 0:
 		return out[:start], true
 	case segment == ".." && start > 0:
-		return parent(out, start)
+		return dropSegment(out, start)
 	case merge && segment == "" && start > 0:
 		return out, true
 	}
 	return append(out, '/'), true
 }
 
-// endSegment resolves the last segment of a path.
-func endSegment(out []byte) (string, error) {
-	start := lastSlash(out)
+// closeLastSegment resolves the last segment of a path.
+func closeLastSegment(out []byte) (string, error) {
+	start := lastSegment(out)
 	switch string(out[start:]) {
 	case ".":
 		out = out[:start]
 	case "..":
-		up, ok := parent(out, start)
+		up, ok := dropSegment(out, start)
 		if !ok {
 			return "", ErrInvalidPath
 		}
@@ -90,8 +90,8 @@
 	return string(out), nil
 }
 
-// lastSlash is the place behind the last slash.
-func lastSlash(out []byte) int {
+// lastSegment is the place behind the last slash.
+func lastSegment(out []byte) int {
 	for i := len(out); i > 0; i-- {
 		if out[i-1] == '/' {
 			return i
@@ -100,19 +100,19 @@
 	return 0
 }
 
-// parent is the path up to the slash before the segment that ends before start; above the root there is none.
-func parent(out []byte, start int) ([]byte, bool) {
+// dropSegment is the path up to the slash before the segment that ends before start; above the root there is none.
+func dropSegment(out []byte, start int) ([]byte, bool) {
 	if start <= 1 {
 		return out, false
 	}
-	return out[:lastSlash(out[:start-1])], true
+	return out[:lastSegment(out[:start-1])], true
 }
 
 func isHex(c byte) bool {
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-func unhex(c byte) byte {
+func fromHex(c byte) byte {
 	switch {
 	case c >= 'a':
 		return c - 'a' + 10
--- a/internal/route/rewrite.go
+++ b/internal/route/rewrite.go
@@ -25,22 +25,22 @@
 	Flag        RewriteFlag
 	Source      string `json:"At"` // where it was defined, for messages
 
-	re *regexp.Regexp
+	regex *regexp.Regexp
 }
 
-// away tells whether callers are sent elsewhere, by the flag or by the target.
-func (w *Rewrite) away() bool {
-	return w.external() || w.Flag == FlagRedirect || w.Flag == FlagPermanent
+// redirects tells whether callers are sent elsewhere, by the flag or by the target.
+func (w *Rewrite) redirects() bool {
+	return w.isAbsolute() || w.Flag == FlagRedirect || w.Flag == FlagPermanent
 }
 
-// external tells whether callers are sent to another place whatever the flag says.
-func (w *Rewrite) external() bool {
+// isAbsolute tells whether callers are sent to another place whatever the flag says.
+func (w *Rewrite) isAbsolute() bool {
 	return strings.HasPrefix(w.Replacement, "http://") || strings.HasPrefix(w.Replacement, "https://")
 }
 
 // compile checks a rewrite.
 func (w *Rewrite) compile() (err error) {
-	if w.re, err = regexp.Compile(w.Pattern); err != nil {
+	if w.regex, err = regexp.Compile(w.Pattern); err != nil {
 		return fmt.Errorf("%s: rewrite %s: not a regex of RE2: %w", w.Source, w.Pattern, err)
 	}
 	for i := 0; i < len(w.Replacement); i++ {
@@ -50,7 +50,7 @@
 		if i+1 == len(w.Replacement) || w.Replacement[i+1] < '1' || w.Replacement[i+1] > '9' {
 			return fmt.Errorf("%s: rewrite to %s: only $1 to $9 can stand in it", w.Source, w.Replacement)
 		}
-		if group := int(w.Replacement[i+1] - '0'); group > w.re.NumSubexp() {
+		if group := int(w.Replacement[i+1] - '0'); group > w.regex.NumSubexp() {
 			return fmt.Errorf("%s: rewrite to %s: %s has no group %d", w.Source, w.Replacement, w.Pattern, group)
 		}
 	}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// compileAll checks a list of rewrites.
-func compileAll(list []*Rewrite) error {
+// compileRewrites checks a list of rewrites.
+func compileRewrites(list []*Rewrite) error {
 	for _, w := range list {
 		if err := w.compile(); err != nil {
 			return err
@@ -75,28 +75,28 @@
 
 // apply returns what a rewrite makes of a request, where its regex matches.
 func (w *Rewrite) apply(from target) (to target, matched bool) {
-	groups := w.re.FindStringSubmatchIndex(from.path)
+	groups := w.regex.FindStringSubmatchIndex(from.path)
 	if groups == nil {
 		return from, false
 	}
-	away := w.away()
+	away := w.redirects()
 	text, addQuery := strings.CutSuffix(w.Replacement, "?")
 	addQuery = !addQuery
 	path, query, hasQuery := strings.Cut(text, "?")
-	to = target{expand(path, from.path, groups, away), from.query}
+	to = target{expandGroups(path, from.path, groups, away), from.query}
 	switch {
 	case hasQuery && addQuery && from.query != "":
-		to.query = expand(query, from.path, groups, true) + "&" + from.query
+		to.query = expandGroups(query, from.path, groups, true) + "&" + from.query
 	case hasQuery:
-		to.query = expand(query, from.path, groups, true)
+		to.query = expandGroups(query, from.path, groups, true)
 	case !addQuery:
 		to.query = ""
 	}
 	return to, true
 }
 
-// expand puts what groups matched into a text.
-func expand(text, path string, groups []int, escape bool) string {
+// expandGroups puts what groups matched into a text.
+func expandGroups(text, path string, groups []int, escape bool) string {
 	var b strings.Builder
 	for i := 0; i < len(text); i++ {
 		if text[i] != '$' {
@@ -110,15 +110,15 @@
 		}
 		part := path[groups[group]:groups[group+1]]
 		if escape {
-			part = escaped(part)
+			part = escapeURL(part)
 		}
 		b.WriteString(part)
 	}
 	return b.String()
 }
 
-// escaped writes a decoded part of a path as it can stand in an address.
-func escaped(part string) string {
+// escapeURL writes a decoded part of a path as it can stand in an address.
+func escapeURL(part string) string {
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
 	for i := 0; i < len(part); i++ {
@@ -141,8 +141,8 @@
 	StoppedByBreak bool   // a rewrite broke off: of the location only its pool counts
 }
 
-// maxChanges is how often a path may be changed before rewrites are taken to go round, as in nginx.
-const maxChanges = 10
+// maxRewriteCycles is how often a path may be changed before rewrites are taken to go round, as in nginx.
+const maxRewriteCycles = 10
 
 // Resolve finds the location of a path as it was sent, with the rewrites of the server and of the locations on the way.
 // The error is ErrInvalidPath.
@@ -162,68 +162,68 @@
 	}
 	asked := target{path, query}
 	at := asked
-	if o, _ := s.rewrite(s.Rewrites, &at, nil, t); o.Status != 0 {
+	if o, _ := s.applyRewrites(s.Rewrites, &at, nil, t); o.Status != 0 {
 		return o, nil
 	}
-	for range maxChanges + 1 {
+	for range maxRewriteCycles + 1 {
 		l, how := search(s.tree, s.order, at.path, t)
-		o := Resolution{Match: Match{Server: s, Location: l, Path: at.path, RedirectTrailingSlash: how == redirect}, Query: at.query, Rewritten: at != asked}
+		o := Resolution{Match: Match{Server: s, Location: l, Path: at.path, RedirectTrailingSlash: how == redirectMatch}, Query: at.query, Rewritten: at != asked}
 		if l == nil || o.RedirectTrailingSlash || len(l.Rewrites) == 0 {
 			return o, nil
 		}
-		sent, next := s.rewrite(l.Rewrites, &at, l, t)
+		sent, next := s.applyRewrites(l.Rewrites, &at, l, t)
 		switch {
 		case sent.Status != 0:
 			return sent, nil
-		case next != searchAgain:
-			o.Path, o.Query, o.Rewritten, o.StoppedByBreak = at.path, at.query, at != asked, next == settled
+		case next != rewriteSearchAgain:
+			o.Path, o.Query, o.Rewritten, o.StoppedByBreak = at.path, at.query, at != asked, next == rewriteBreak
 			return o, nil
 		}
 	}
 	return Resolution{Match: Match{Server: s, Path: at.path}, Query: at.query, Status: 500}, nil
 }
 
-// next is what follows a list of rewrites.
-type next uint8
+// rewriteEffect is what follows a list of rewrites.
+type rewriteEffect uint8
 
 const (
-	unchanged next = iota
-	searchAgain
-	settled
+	rewriteNone rewriteEffect = iota
+	rewriteSearchAgain
+	rewriteBreak
 )
 
-// rewrite applies a list in order.
-func (s *Server) rewrite(list []*Rewrite, at *target, l *Location, t tracer) (Resolution, next) {
-	then := unchanged
+// applyRewrites applies a list in order.
+func (s *Server) applyRewrites(list []*Rewrite, at *target, l *Location, t tracer) (Resolution, rewriteEffect) {
+	then := rewriteNone
 	for _, w := range list {
 		to, matched := w.apply(*at)
 		if !matched {
 			t.rewrite(w, l, "does not match")
 			continue
 		}
-		if w.away() {
+		if w.redirects() {
 			t.rewrite(w, l, "sends the caller away")
 			o := Resolution{Match: Match{Server: s, Path: at.path}, Query: at.query, Status: 302, RedirectURL: to.path}
 			if w.Flag == FlagPermanent {
 				o.Status = 301
 			}
-			if !w.external() && strings.HasPrefix(o.RedirectURL, "//") {
+			if !w.isAbsolute() && strings.HasPrefix(o.RedirectURL, "//") {
 				o.RedirectURL = "/" + strings.TrimLeft(o.RedirectURL, "/") // a second slash would name another host
 			}
 			if to.query != "" {
 				o.RedirectURL += "?" + to.query
 			}
-			return o, unchanged
+			return o, rewriteNone
 		}
 		*at = to
 		t.rewrite(w, l, "makes it "+to.path)
 		switch w.Flag {
 		case FlagBreak:
-			return Resolution{}, settled
+			return Resolution{}, rewriteBreak
 		case FlagLast:
-			return Resolution{}, searchAgain
+			return Resolution{}, rewriteSearchAgain
 		}
-		then = searchAgain
+		then = rewriteSearchAgain
 	}
 	return Resolution{}, then
 }
--- a/internal/route/routemodel/rewrite.go
+++ b/internal/route/routemodel/rewrite.go
@@ -20,7 +20,7 @@
 // Resolve follows the manual: the server's rewrites once, then the location is looked for and its own rewrites are
 // applied, until none of them changes the path; ten changes are the most.
 func Resolve(server []Rewrite, of map[string][]Rewrite, list []Location, path, query string) Result {
-	r, _ := rewrite(server, Result{Path: path, Query: query})
+	r, _ := applyAll(server, Result{Path: path, Query: query})
 	if r.Target != "" {
 		return r
 	}
@@ -31,7 +31,7 @@
 		if strings.HasPrefix(name, "301 ") {
 			own = nil
 		}
-		next, changed := rewrite(own, r)
+		next, changed := applyAll(own, r)
 		switch {
 		case next.Target != "":
 			return next
@@ -44,8 +44,8 @@
 	return Result{Target: "500", Path: r.Path, Query: r.Query}
 }
 
-// rewrite applies directives in order.
-func rewrite(list []Rewrite, r Result) (Result, bool) {
+// applyAll applies directives in order.
+func applyAll(list []Rewrite, r Result) (Result, bool) {
 	changed := false
 	for _, w := range list {
 		groups := regexp.MustCompile(w.Regex).FindStringSubmatch(r.Path)
@@ -63,7 +63,7 @@
 			for i := len(groups) - 1; i > 0; i-- {
 				g := groups[i]
 				if escape {
-					g = escapes(g)
+					g = escapeURL(g)
 				}
 				text = strings.ReplaceAll(text, fmt.Sprint("$", i), strings.ReplaceAll(g, "$", "\x01"))
 			}
@@ -102,8 +102,8 @@
 	return r, changed
 }
 
-// escapes writes a part of a path for an address.
-func escapes(text string) string {
+// escapeURL writes a part of a path for an address.
+func escapeURL(text string) string {
 	out := ""
 	for _, c := range []byte(text) {
 		if strings.ContainsRune("%?#&+\"<>", rune(c)) || c <= 32 || c >= 127 {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -27,38 +27,38 @@
 	Default bool // it answers for names that none of this place has
 }
 
-// place is all servers that listen at one address.
-type place struct {
-	exact     map[string]*Server
-	leading   map[string]*Server // *.suffix by ".suffix"
-	trailing  map[string]*Server // prefix.* by "prefix."
-	regexes   []serverRegex
-	byDefault *Server
-	declared  bool // byDefault was named so
+// virtualHosts is all servers that listen at one address.
+type virtualHosts struct {
+	exact              map[string]*Server
+	bySuffix           map[string]*Server // *.suffix by ".suffix"
+	byPrefix           map[string]*Server // prefix.* by "prefix."
+	byRegex            []regexName
+	defaultServer      *Server
+	hasExplicitDefault bool // defaultServer was named so
 }
 
-type serverRegex struct {
+type regexName struct {
 	re     *regexp.Regexp
 	server *Server
 }
 
 // Table finds the server and the location of a request. It is not changed once it is built.
 type Table struct {
-	places map[netip.AddrPort]*place
+	hosts map[netip.AddrPort]*virtualHosts
 }
 
 // New builds a table, or tells the first thing that makes no sense.
 func New(servers []*Server) (*Table, error) {
-	t := &Table{places: map[netip.AddrPort]*place{}}
+	t := &Table{hosts: map[netip.AddrPort]*virtualHosts{}}
 	for _, s := range servers {
 		var err error
 		if s.tree, s.order, err = level(s.Locations, nil); err != nil {
 			return nil, err
 		}
-		if err := s.nameLocations(); err != nil {
+		if err := s.indexNamed(); err != nil {
 			return nil, err
 		}
-		if err := compileAll(s.Rewrites); err != nil {
+		if err := compileRewrites(s.Rewrites); err != nil {
 			return nil, err
 		}
 		for _, l := range s.Listen {
@@ -70,8 +70,8 @@
 	return t, nil
 }
 
-// nameLocations finds the named locations.
-func (s *Server) nameLocations() error {
+// indexNamed finds the named locations.
+func (s *Server) indexNamed() error {
 	s.named = map[string]*Location{}
 	for _, l := range s.Locations {
 		if l.Kind != Named {
@@ -90,33 +90,33 @@
 
 // add has a server answer at an address.
 func (t *Table) add(s *Server, l Listen) error {
-	p := t.places[l.Addr]
+	p := t.hosts[l.Addr]
 	if p == nil {
-		p = &place{exact: map[string]*Server{}, leading: map[string]*Server{}, trailing: map[string]*Server{}}
-		t.places[l.Addr] = p
+		p = &virtualHosts{exact: map[string]*Server{}, bySuffix: map[string]*Server{}, byPrefix: map[string]*Server{}}
+		t.hosts[l.Addr] = p
 	}
-	if l.Default && p.declared {
-		return fmt.Errorf("%s: a second default server for %v, first at %s", s.Source, l.Addr, p.byDefault.Source)
+	if l.Default && p.hasExplicitDefault {
+		return fmt.Errorf("%s: a second default server for %v, first at %s", s.Source, l.Addr, p.defaultServer.Source)
 	}
-	if p.byDefault == nil || l.Default {
-		p.byDefault, p.declared = s, l.Default
+	if p.defaultServer == nil || l.Default {
+		p.defaultServer, p.hasExplicitDefault = s, l.Default
 	}
 	for _, name := range s.Names {
-		if err := p.name(s, name); err != nil {
+		if err := p.addName(s, name); err != nil {
 			return fmt.Errorf("%s: %w", s.Source, err)
 		}
 	}
 	return nil
 }
 
-// name files a server under one of its names. Of two servers with one name the first keeps it, as in nginx.
-func (p *place) name(s *Server, name string) error {
+// addName files a server under one of its names. Of two servers with one name the first keeps it, as in nginx.
+func (p *virtualHosts) addName(s *Server, name string) error {
 	if text, ok := strings.CutPrefix(name, "~"); ok {
 		re, err := regexp.Compile("(?i)" + text)
 		if err != nil {
 			return fmt.Errorf("server name %q: not a regex of RE2: %w", name, err)
 		}
-		p.regexes = append(p.regexes, serverRegex{re, s})
+		p.byRegex = append(p.byRegex, regexName{re, s})
 		return nil
 	}
 	name = strings.ToLower(name)
@@ -128,13 +128,13 @@
 	switch star := strings.Count(name, "*"); {
 	case star == 0 && strings.HasPrefix(name, "."):
 		first(p.exact, name[1:])
-		first(p.leading, name)
+		first(p.bySuffix, name)
 	case star == 0:
 		first(p.exact, name)
 	case star == 1 && strings.HasPrefix(name, "*.") && len(name) > 2:
-		first(p.leading, name[1:])
+		first(p.bySuffix, name[1:])
 	case star == 1 && strings.HasSuffix(name, ".*") && len(name) > 2:
-		first(p.trailing, name[:len(name)-1])
+		first(p.byPrefix, name[:len(name)-1])
 	default:
 		return fmt.Errorf("server name %q: a star stands only for all before the first or behind the last dot", name)
 	}
@@ -143,30 +143,30 @@
 
 // find is the server for a host name: the exact name, the longest name that begins with a star, the longest that ends
 // with one, the first regex, and else the default.
-func (p *place) find(host string) (*Server, string) {
+func (p *virtualHosts) find(host string) (*Server, string) {
 	if s := p.exact[host]; s != nil {
 		return s, "the exact name " + host
 	}
-	for i := 0; i < len(host); i++ { // longest first
+	for i := 0; i < len(host); i++ { // prefixMatch first
 		if host[i] == '.' {
-			if s := p.leading[host[i:]]; s != nil && i > 0 {
+			if s := p.bySuffix[host[i:]]; s != nil && i > 0 {
 				return s, "the name *" + host[i:]
 			}
 		}
 	}
 	for i := len(host) - 1; i > 0; i-- {
 		if host[i] == '.' && i < len(host)-1 {
-			if s := p.trailing[host[:i+1]]; s != nil {
+			if s := p.byPrefix[host[:i+1]]; s != nil {
 				return s, "the name " + host[:i+1] + "*"
 			}
 		}
 	}
-	for _, r := range p.regexes {
+	for _, r := range p.byRegex {
 		if r.re.MatchString(host) {
 			return r.server, "the regex " + r.re.String()[len("(?i)"):]
 		}
 	}
-	return p.byDefault, "the default server"
+	return p.defaultServer, "the default server"
 }
 
 // hostName takes the port and a last dot off a Host and folds its case.
@@ -186,7 +186,7 @@
 func (t *Table) FindServer(at netip.AddrPort, host string) (*Server, string) {
 	anyAddr := netip.AddrPortFrom(netip.IPv4Unspecified(), at.Port())
 	for _, a := range []netip.AddrPort{at, anyAddr, netip.AddrPortFrom(netip.IPv4Unspecified(), 0)} {
-		if p := t.places[a]; p != nil {
+		if p := t.hosts[a]; p != nil {
 			return p.find(hostName(host))
 		}
 	}
--- a/internal/routeconfig/format.go
+++ b/internal/routeconfig/format.go
@@ -11,24 +11,24 @@
 	"tillerusher/internal/sexp"
 )
 
-// writer puts forms together, two spaces for each level.
-type writer struct {
+// formatter puts forms together, two spaces for each level.
+type formatter struct {
 	strings.Builder
 	depth int
 }
 
-// form writes a form of words in one line.
-func (w *writer) form(words ...string) {
+// line writes a form of words in one line.
+func (w *formatter) line(words ...string) {
 	fmt.Fprintf(w, "%s(%s)\n", strings.Repeat("  ", w.depth), strings.Join(words, " "))
 }
 
 // open begins a form of several lines, and shut ends it.
-func (w *writer) open(words ...string) {
+func (w *formatter) open(words ...string) {
 	fmt.Fprintf(w, "%s(%s\n", strings.Repeat("  ", w.depth), strings.Join(words, " "))
 	w.depth++
 }
 
-func (w *writer) shut() {
+func (w *formatter) close() {
 	w.depth--
 	text := strings.TrimSuffix(w.String(), "\n")
 	w.Reset()
@@ -43,42 +43,42 @@
 		parts = append(parts, fmt.Sprintf("(capacity %d)\n", d.Capacity))
 	}
 	for i := range d.Classes {
-		w := &writer{}
-		d.Classes[i].write(w)
+		w := &formatter{}
+		d.Classes[i].format(w)
 		parts = append(parts, w.String())
 	}
 	for i := range d.Pools {
-		w := &writer{}
-		d.Pools[i].write(w)
+		w := &formatter{}
+		d.Pools[i].format(w)
 		parts = append(parts, w.String())
 	}
 	for i := range d.Servers {
-		w := &writer{}
-		d.Servers[i].write(w)
+		w := &formatter{}
+		d.Servers[i].format(w)
 		parts = append(parts, w.String())
 	}
 	return strings.Join(parts, "\n")
 }
 
-func (c *Class) write(w *writer) {
-	words := []string{"class", sexp.Quote(c.Name), form("aim", duration(c.LatencyObjective)), form("deadline", duration(c.Deadline)),
-		form("effect", c.Effect)}
+func (c *Class) format(w *formatter) {
+	words := []string{"class", sexp.Quote(c.Name), inline("aim", formatDuration(c.LatencyObjective)), inline("deadline", formatDuration(c.Deadline)),
+		inline("effect", c.Effect)}
 	if c.KeyWindow > 0 {
-		words = append(words, form("window", duration(c.KeyWindow)))
+		words = append(words, inline("window", formatDuration(c.KeyWindow)))
 	}
 	if c.Weight != 1 {
-		words = append(words, form("worth", number(c.Weight)))
+		words = append(words, inline("worth", formatNumber(c.Weight)))
 	}
-	w.form(words...)
+	w.line(words...)
 }
 
-// form is a form as a word of another.
-func form(words ...string) string { return "(" + strings.Join(words, " ") + ")" }
+// line is a form as a word of another.
+func inline(words ...string) string { return "(" + strings.Join(words, " ") + ")" }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// duration writes a time in the largest unit of which it is a whole number.
-func duration(d time.Duration) string {
+// formatDuration writes a time in the largest unit of which it is a whole number.
+func formatDuration(d time.Duration) string {
 	for _, u := range []struct {
 		name string
 		of   time.Duration
@@ -90,53 +90,53 @@
 	return strconv.FormatInt(int64(d/time.Microsecond), 10) + "us"
 }
 
-func (p *Pool) write(w *writer) {
+func (p *Pool) format(w *formatter) {
 	def := defaultPool()
 	w.open("pool", sexp.Quote(p.Name))
 	if p.BalancingPolicy != def.BalancingPolicy {
-		w.form("method", p.BalancingPolicy.String())
+		w.line("method", p.BalancingPolicy.String())
 	}
 	if p.HashKey != "" {
-		w.form("key", sexp.Quote(p.HashKey))
+		w.line("key", sexp.Quote(p.HashKey))
 	}
 	if p.Protocol != def.Protocol {
-		w.form("protocol", p.Protocol)
+		w.line("protocol", p.Protocol)
 	}
 	for _, m := range p.Members {
-		w.form(memberWords(m)...)
+		w.line(memberWords(m)...)
 	}
 	if p.MaxAttempts != 0 {
-		w.form("tries", strconv.Itoa(p.MaxAttempts))
+		w.line("tries", strconv.Itoa(p.MaxAttempts))
 	}
 	if p.RetryTimeout != 0 {
-		w.form("try-for", duration(p.RetryTimeout))
+		w.line("try-for", formatDuration(p.RetryTimeout))
 	}
 	if p.RetryOn != def.RetryOn {
-		w.form(append([]string{"next"}, conditions(p.RetryOn)...)...)
+		w.line(append([]string{"next"}, formatRetryConditions(p.RetryOn)...)...)
 	}
 	if p.MaxIdleConns != 0 {
-		w.form("keepalive", strconv.Itoa(p.MaxIdleConns))
+		w.line("keepalive", strconv.Itoa(p.MaxIdleConns))
 	}
 	for _, t := range []struct {
 		name    string
 		is, def time.Duration
 	}{{"connect", p.ConnectTimeout, def.ConnectTimeout}, {"read", p.ReadTimeout, def.ReadTimeout}, {"send", p.SendTimeout, def.SendTimeout}} {
 		if t.is != t.def {
-			w.form(t.name, duration(t.is))
+			w.line(t.name, formatDuration(t.is))
 		}
 	}
 	if p.RetryRatio != def.RetryRatio || p.MinRetriesPerSecond != def.MinRetriesPerSecond || p.RetryBurst != def.RetryBurst {
-		w.form("budget", form("share", number(p.RetryRatio)), form("least", number(p.MinRetriesPerSecond)),
-			form("burst", number(p.RetryBurst)))
+		w.line("budget", inline("share", formatNumber(p.RetryRatio)), inline("least", formatNumber(p.MinRetriesPerSecond)),
+			inline("burst", formatNumber(p.RetryBurst)))
 	}
 	if p.EjectionLatencyFactor != def.EjectionLatencyFactor || p.EjectionErrorRate != def.EjectionErrorRate || p.EjectionMinAttempts != def.EjectionMinAttempts ||
 		p.BaseEjectionTime != def.BaseEjectionTime || p.MaxEjectedRatio != def.MaxEjectedRatio || p.PanicThreshold != def.PanicThreshold {
-		w.form("eject", form("factor", number(p.EjectionLatencyFactor)), form("errors", number(p.EjectionErrorRate)),
-			form("after", strconv.Itoa(p.EjectionMinAttempts)), form("for", duration(p.BaseEjectionTime)), form("most", number(p.MaxEjectedRatio)),
-			form("panic-under", number(p.PanicThreshold)))
+		w.line("eject", inline("factor", formatNumber(p.EjectionLatencyFactor)), inline("errors", formatNumber(p.EjectionErrorRate)),
+			inline("after", strconv.Itoa(p.EjectionMinAttempts)), inline("for", formatDuration(p.BaseEjectionTime)), inline("most", formatNumber(p.MaxEjectedRatio)),
+			inline("panic-under", formatNumber(p.PanicThreshold)))
 	}
-	writeParams(w, p.Params)
-	w.shut()
+	formatParams(w, p.Params)
+	w.close()
 }
 
 func memberWords(m pool.Member) []string {
@@ -144,14 +144,14 @@
 	words := []string{"member", sexp.Quote(m.Addr)}
 	add := func(differs bool, name, value string) {
 		if differs {
-			words = append(words, form(name, value))
+			words = append(words, inline(name, value))
 		}
 	}
 	add(m.Weight != def.Weight, "weight", strconv.Itoa(m.Weight))
 	add(m.MaxConns != def.MaxConns, "max-conns", strconv.Itoa(m.MaxConns))
 	add(m.MaxFails != def.MaxFails, "max-fails", strconv.Itoa(m.MaxFails))
-	add(m.FailTimeout != def.FailTimeout, "fail-timeout", duration(m.FailTimeout))
-	add(m.SlowStart != def.SlowStart, "slow-start", duration(m.SlowStart))
+	add(m.FailTimeout != def.FailTimeout, "fail-timeout", formatDuration(m.FailTimeout))
+	add(m.SlowStart != def.SlowStart, "slow-start", formatDuration(m.SlowStart))
 	if m.Backup {
 		words = append(words, "(backup)")
 	}
@@ -161,10 +161,10 @@
 	return words
 }
 
-// conditions are the words of a set of conditions.
-func conditions(all pool.RetryCondition) []string {
+// formatRetryConditions are the words of a set of conditions.
+func formatRetryConditions(all pool.RetryCondition) []string {
 	var words []string
-	for _, c := range conditionWords {
+	for _, c := range retryConditions {
 		if all&c.is != 0 {
 			words = append(words, c.word)
 		}
@@ -175,62 +175,62 @@
 	return words
 }
 
-func writeParams(w *writer, params []Param) {
+func formatParams(w *formatter, params []Param) {
 	for _, p := range params {
-		w.form("param", sexp.Quote(p.Name), sexp.Quote(p.Value))
+		w.line("param", sexp.Quote(p.Name), sexp.Quote(p.Value))
 	}
 }
 
-func writeRewrites(w *writer, list []Rewrite) {
+func formatRewrites(w *formatter, list []Rewrite) {
 	for _, r := range list {
 		words := []string{"rewrite", sexp.Quote(r.Pattern), sexp.Quote(r.Replacement)}
 		if r.Flag != route.FlagNone {
-			words = append(words, flagWords[r.Flag])
+			words = append(words, flagNames[r.Flag])
 		}
-		w.form(words...)
+		w.line(words...)
 	}
 }
 
-func (s *Server) write(w *writer) {
+func (s *Server) format(w *formatter) {
 	w.open("server")
 	for _, l := range s.Listen {
 		words := []string{"listen", sexp.Quote(l.Addr.String())}
 		if l.Default {
 			words = append(words, "default")
 		}
-		w.form(words...)
+		w.line(words...)
 	}
 	if len(s.Names) > 0 {
 		words := []string{"name"}
 		for _, n := range s.Names {
 			words = append(words, sexp.Quote(n))
 		}
-		w.form(words...)
+		w.line(words...)
 	}
 	if !s.MergeSlashes {
-		w.form("merge-slashes", "no")
+		w.line("merge-slashes", "no")
 	}
-	writeRewrites(w, s.Rewrites)
+	formatRewrites(w, s.Rewrites)
 	for _, l := range s.Locations {
-		l.write(w)
+		l.format(w)
 	}
-	w.shut()
+	w.close()
 }
 
-func (l *Location) write(w *writer) {
-	w.open("location", kindWords[l.Kind], sexp.Quote(l.Pattern))
+func (l *Location) format(w *formatter) {
+	w.open("location", kindNames[l.Kind], sexp.Quote(l.Pattern))
 	if l.Pool != "" {
-		w.form("pool", sexp.Quote(l.Pool))
+		w.line("pool", sexp.Quote(l.Pool))
 	}
 	if l.Class != "" {
-		w.form("class", sexp.Quote(l.Class))
+		w.line("class", sexp.Quote(l.Class))
 	}
 	if l.ReturnStatus != 0 {
 		words := []string{"return", strconv.Itoa(l.ReturnStatus)}
 		if l.ReturnText != "" {
 			words = append(words, sexp.Quote(l.ReturnText))
 		}
-		w.form(words...)
+		w.line(words...)
 	}
 	for _, f := range l.Fallbacks {
 		words := []string{"fallback", sexp.Quote(f.Location)}
@@ -242,17 +242,17 @@
 		case KeepStatus:
 			words = append(words, "(status same)")
 		default:
-			words = append(words, form("status", strconv.Itoa(f.ResponseStatus)))
+			words = append(words, inline("status", strconv.Itoa(f.ResponseStatus)))
 		}
-		w.form(words...)
+		w.line(words...)
 	}
 	if !l.InterceptErrors {
-		w.form("intercept", "no")
+		w.line("intercept", "no")
 	}
-	writeRewrites(w, l.Rewrites)
-	writeParams(w, l.Params)
+	formatRewrites(w, l.Rewrites)
+	formatParams(w, l.Params)
 	for _, inner := range l.Locations {
-		inner.write(w)
+		inner.format(w)
 	}
-	w.shut()
+	w.close()
 }
--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return read(forms)
+	return parseConfig(forms)
 }
 
 // Parse reads a description from one text without includes.
@@ -31,25 +31,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return read(forms)
+	return parseConfig(forms)
 }
 
-// read reads the forms of a description.
-func read(forms []sexp.Node) (*Config, error) {
+// parseConfig reads the forms of a description.
+func parseConfig(forms []sexp.Node) (*Config, error) {
 	d := &Config{Capacity: DefaultCapacity}
 	err := sexp.ReadForms(forms, map[string]func(sexp.Node) error{"capacity": sexp.Int(&d.Capacity, 1, 1e6)}, map[string]func(sexp.Node) error{
 		"class": func(n sexp.Node) error {
-			c, err := readClass(n)
+			c, err := parseClass(n)
 			d.Classes = append(d.Classes, c)
 			return err
 		},
 		"pool": func(n sexp.Node) error {
-			p, err := readPool(n)
+			p, err := parsePool(n)
 			d.Pools = append(d.Pools, p)
 			return err
 		},
 		"server": func(n sexp.Node) error {
-			s, err := readServer(n)
+			s, err := parseServer(n)
 			d.Servers = append(d.Servers, s)
 			return err
 		},
@@ -57,14 +57,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := d.check(); err != nil {
+	if err := d.validate(); err != nil {
 		return nil, err
 	}
 	_, err = d.BuildTable()
 	return d, err
 }
 
-func readClass(n sexp.Node) (c Class, err error) {
+func parseClass(n sexp.Node) (c Class, err error) {
 	c = Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Effect: EffectSafe, Weight: 1, Pos: n.Pos}
 	if c.Name, err = n.WordAt(1, "the name of a class"); err != nil {
 		return c, err
@@ -91,7 +91,7 @@
 	return Pool{Config: pool.DefaultConfig(), Protocol: "fastcgi", RetryOn: pool.DefaultRetryOn, ConnectTimeout: time.Minute, ReadTimeout: time.Minute, SendTimeout: time.Minute}
 }
 
-func readPool(n sexp.Node) (p Pool, err error) {
+func parsePool(n sexp.Node) (p Pool, err error) {
 	p = defaultPool()
 	p.Pos = n.Pos
 	if p.Name, err = n.WordAt(1, "the name of a pool"); err != nil {
@@ -119,7 +119,7 @@
 		"protocol":  sexp.OneOf(&p.Protocol, "fastcgi", "scgi"),
 		"tries":     sexp.Int(&p.MaxAttempts, 0, 1000),
 		"try-for":   sexp.Duration(&p.RetryTimeout, 0, time.Hour),
-		"next":      func(form sexp.Node) (err error) { p.RetryOn, err = readConditions(form); return err },
+		"next":      func(form sexp.Node) (err error) { p.RetryOn, err = parseRetryConditions(form); return err },
 		"keepalive": sexp.Int(&p.MaxIdleConns, 0, 1e5),
 		"connect":   sexp.Duration(&p.ConnectTimeout, time.Millisecond, time.Hour),
 		"read":      sexp.Duration(&p.ReadTimeout, time.Millisecond, time.Hour),
@@ -128,11 +128,11 @@
 		"eject":     eject,
 	}, map[string]func(sexp.Node) error{
 		"member": func(form sexp.Node) error {
-			m, err := readMember(form)
+			m, err := parseMember(form)
 			p.Members = append(p.Members, m)
 			return err
 		},
-		"param": func(form sexp.Node) error { return readParam(form, &p.Params) },
+		"param": func(form sexp.Node) error { return parseParam(form, &p.Params) },
 	})
 	if err != nil {
 		return p, err
@@ -155,7 +155,7 @@
 // hashKeys are what of a request a hash may go by.
 var hashKeys = []string{"uri", "path", "query", "host", "client"}
 
-func readMember(n sexp.Node) (m pool.Member, err error) {
+func parseMember(n sexp.Node) (m pool.Member, err error) {
 	addr, err := n.WordAt(1, "a member's address")
 	if err != nil {
 		return m, err
@@ -176,7 +176,7 @@
 		"slow-start": sexp.Duration(&m.SlowStart, 0, 24*time.Hour), "backup": flag(&m.Backup), "down": flag(&m.Down)})
 }
 
-func readParam(n sexp.Node, to *[]Param) error {
+func parseParam(n sexp.Node, to *[]Param) error {
 	args := n.Args()
 	if len(args) != 2 || args[0].Kind == sexp.List || args[1].Kind == sexp.List {
 		return sexp.Errorf(n.Pos, "want (param NAME VALUE)")
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// conditionWords are the conditions in the words of the settings, which are nginx's.
-var conditionWords = []struct {
+// retryConditions are the conditions in the words of the settings, which are nginx's.
+var retryConditions = []struct {
 	word string
 	is   pool.RetryCondition
 }{{"error", pool.ConnectionError}, {"timeout", pool.Timeout}, {"invalid_header", pool.InvalidHeader}, {"http_500", pool.HTTP500},
@@ -195,7 +195,7 @@
 
 // ParseRetryCondition reads a condition's word; "off" is none.
 func ParseRetryCondition(word string) (pool.RetryCondition, error) {
-	for _, c := range conditionWords {
+	for _, c := range retryConditions {
 		if c.word == word {
 			return c.is, nil
 		}
@@ -206,7 +206,7 @@
 	return 0, fmt.Errorf("no condition is called %q", word)
 }
 
-func readConditions(n sexp.Node) (all pool.RetryCondition, err error) {
+func parseRetryConditions(n sexp.Node) (all pool.RetryCondition, err error) {
 	for _, a := range n.Args() {
 		c, err := ParseRetryCondition(a.Text)
 		if err != nil || a.Kind == sexp.List {
@@ -217,7 +217,7 @@
 	return all, nil
 }
 
-func readServer(n sexp.Node) (s Server, err error) {
+func parseServer(n sexp.Node) (s Server, err error) {
 	s = Server{MergeSlashes: true, Pos: n.Pos}
 	merge := "yes"
 	err = sexp.ReadForms(n.Args(), map[string]func(sexp.Node) error{
@@ -232,14 +232,14 @@
 			return nil
 		},
 	}, map[string]func(sexp.Node) error{
-		"rewrite": func(form sexp.Node) error { return readRewrite(form, &s.Rewrites) },
+		"rewrite": func(form sexp.Node) error { return parseRewrite(form, &s.Rewrites) },
 		"listen": func(form sexp.Node) error {
-			l, err := readListen(form)
+			l, err := parseListen(form)
 			s.Listen = append(s.Listen, l)
 			return err
 		},
 		"location": func(form sexp.Node) error {
-			l, err := readLocation(form)
+			l, err := parseLocation(form)
 			s.Locations = append(s.Locations, l)
 			return err
 		},
@@ -248,7 +248,7 @@
 	return s, err
 }
 
-func readListen(n sexp.Node) (l Listen, err error) {
+func parseListen(n sexp.Node) (l Listen, err error) {
 	text, err := n.WordAt(1, "an address and a port")
 	if err != nil {
 		return l, err
@@ -265,19 +265,19 @@
 	return l, nil
 }
 
-// kindWords are the kinds of location in the words of the settings.
-var kindWords = []string{route.Prefix: "prefix", route.PrefixNoRegex: "prefix-only", route.Exact: "exact", route.Regex: "regex",
+// kindNames are the kinds of location in the words of the settings.
+var kindNames = []string{route.Prefix: "prefix", route.PrefixNoRegex: "prefix-only", route.Exact: "exact", route.Regex: "regex",
 	route.RegexIgnoreCase: "regex-fold", route.Named: "named"}
 
-func readLocation(n sexp.Node) (*Location, error) {
+func parseLocation(n sexp.Node) (*Location, error) {
 	l, intercept := &Location{Pos: n.Pos}, "yes"
 	kind, err := n.WordAt(1, "a kind of location")
 	if err != nil {
 		return l, err
 	}
-	i := slices.Index(kindWords, kind)
+	i := slices.Index(kindNames, kind)
 	if i < 0 {
-		return l, sexp.Errorf(n.Pos, "found %s in (location ...), want %s", kind, strings.Join(kindWords, ", "))
+		return l, sexp.Errorf(n.Pos, "found %s in (location ...), want %s", kind, strings.Join(kindNames, ", "))
 	}
 	l.Kind = route.Kind(i)
 	if l.Pattern, err = n.WordAt(2, "the location's pattern"); err != nil {
@@ -287,15 +287,15 @@
 		"pool":  sexp.Text(&l.Pool),
 		"class": sexp.Text(&l.Class),
 		"return": func(form sexp.Node) error {
-			return readReturn(form, l)
+			return parseReturn(form, l)
 		},
 		"intercept": sexp.OneOf(&intercept, "yes", "no"),
 	}, map[string]func(sexp.Node) error{
-		"fallback": func(form sexp.Node) error { return readFallback(form, l) },
-		"rewrite":  func(form sexp.Node) error { return readRewrite(form, &l.Rewrites) },
-		"param":    func(form sexp.Node) error { return readParam(form, &l.Params) },
+		"fallback": func(form sexp.Node) error { return parseFallback(form, l) },
+		"rewrite":  func(form sexp.Node) error { return parseRewrite(form, &l.Rewrites) },
+		"param":    func(form sexp.Node) error { return parseParam(form, &l.Params) },
 		"location": func(form sexp.Node) error {
-			inner, err := readLocation(form)
+			inner, err := parseLocation(form)
 			l.Locations = append(l.Locations, inner)
 			return err
 		},
@@ -307,7 +307,7 @@
 	return l, err
 }
 
-func readReturn(n sexp.Node, l *Location) error {
+func parseReturn(n sexp.Node, l *Location) error {
 	word, err := n.WordAt(1, "a status")
 	if err != nil {
 		return err
@@ -324,8 +324,8 @@
 	return nil
 }
 
-// readFallback reads (fallback NAME STATUS ... [(status own|same|N)]).
-func readFallback(n sexp.Node, l *Location) (err error) {
+// parseFallback reads (fallback NAME STATUS ... [(status own|same|N)]).
+func parseFallback(n sexp.Node, l *Location) (err error) {
 	f := Fallback{}
 	if f.Location, err = n.WordAt(1, "the name of a location"); err != nil {
 		return err
@@ -359,20 +359,20 @@
 	return nil
 }
 
-// flagWords are the flags of rewrites in the words of the settings, which are nginx's.
-var flagWords = []string{route.FlagNone: "onward", route.FlagLast: "last", route.FlagBreak: "break", route.FlagRedirect: "redirect",
+// flagNames are the flags of rewrites in the words of the settings, which are nginx's.
+var flagNames = []string{route.FlagNone: "onward", route.FlagLast: "last", route.FlagBreak: "break", route.FlagRedirect: "redirect",
 	route.FlagPermanent: "permanent"}
 
 // ParseRewriteFlag reads the flag of a rewrite.
 func ParseRewriteFlag(word string) (route.RewriteFlag, error) {
-	if i := slices.Index(flagWords, word); i >= 0 {
+	if i := slices.Index(flagNames, word); i >= 0 {
 		return route.RewriteFlag(i), nil
 	}
-	return 0, fmt.Errorf("no flag is called %q, want %s", word, strings.Join(flagWords, ", "))
+	return 0, fmt.Errorf("no flag is called %q, want %s", word, strings.Join(flagNames, ", "))
 }
 
-// readRewrite reads (rewrite REGEX TO [FLAG]).
-func readRewrite(n sexp.Node, to *[]Rewrite) (err error) {
+// parseRewrite reads (rewrite REGEX TO [FLAG]).
+func parseRewrite(n sexp.Node, to *[]Rewrite) (err error) {
 	w := Rewrite{Pos: n.Pos}
 	if w.Pattern, err = n.WordAt(1, "a regex"); err != nil {
 		return err
--- a/internal/routeconfig/validate.go
+++ b/internal/routeconfig/validate.go
@@ -7,8 +7,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// check looks for names that are given twice or stand for nothing.
-func (d *Config) check() error {
+// validate looks for names that are given twice or stand for nothing.
+func (d *Config) validate() error {
 	pools, classes := map[string]sexp.Pos{}, map[string]sexp.Pos{}
 	for _, p := range d.Pools {
 		if at, twice := pools[p.Name]; twice {
@@ -33,7 +33,7 @@
 			}
 		}
 		for _, l := range s.Locations {
-			if err := l.refers(pools, classes, named); err != nil {
+			if err := l.validateReferences(pools, classes, named); err != nil {
 				return err
 			}
 		}
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// refers checks that what a location names is there.
-func (l *Location) refers(pools, classes map[string]sexp.Pos, named []string) error {
+// validateReferences checks that what a location names is there.
+func (l *Location) validateReferences(pools, classes map[string]sexp.Pos, named []string) error {
 	if l.Pool != "" {
 		if _, ok := pools[l.Pool]; !ok {
 			return sexp.Errorf(l.Pos, "location %s goes to the pool %s, which is not defined", l.Pattern, l.Pool)
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, inner := range l.Locations {
-		if err := inner.refers(pools, classes, named); err != nil {
+		if err := inner.validateReferences(pools, classes, named); err != nil {
 			return err
 		}
 	}
@@ -68,7 +68,7 @@
 func (d *Config) BuildTable() (*route.Table, error) {
 	var servers []*route.Server
 	for _, s := range d.Servers {
-		rs := &route.Server{Names: s.Names, MergeSlashes: s.MergeSlashes, Rewrites: rewrites(s.Rewrites), Locations: located(s.Locations), Source: s.Pos.String()}
+		rs := &route.Server{Names: s.Names, MergeSlashes: s.MergeSlashes, Rewrites: tableRewrites(s.Rewrites), Locations: tableLocations(s.Locations), Source: s.Pos.String()}
 		for _, l := range s.Listen {
 			rs.Listen = append(rs.Listen, route.Listen{Addr: l.Addr, Default: l.Default})
 		}
@@ -77,8 +77,8 @@
 	return route.New(servers)
 }
 
-// rewrites turns rewrites into the table's.
-func rewrites(list []Rewrite) []*route.Rewrite {
+// tableRewrites turns rewrites into the table's.
+func tableRewrites(list []Rewrite) []*route.Rewrite {
 	var out []*route.Rewrite
 	for _, w := range list {
 		out = append(out, &route.Rewrite{Pattern: w.Pattern, Replacement: w.Replacement, Flag: w.Flag, Source: w.Pos.String()})
@@ -86,13 +86,13 @@
 	return out
 }
 
-// located turns locations into the table's.
-func located(list []*Location) []*route.Location {
+// tableLocations turns locations into the table's.
+func tableLocations(list []*Location) []*route.Location {
 	var out []*route.Location
 	for _, l := range list {
 		passes := l.Pool != "" && (l.Kind == route.Prefix || l.Kind == route.PrefixNoRegex)
 		out = append(out, &route.Location{Kind: l.Kind, Pattern: l.Pattern, Value: l, Source: l.Pos.String(),
-			Rewrites: rewrites(l.Rewrites), RedirectTrailingSlash: passes && l.Pattern[len(l.Pattern)-1] == '/', Locations: located(l.Locations)})
+			Rewrites: tableRewrites(l.Rewrites), RedirectTrailingSlash: passes && l.Pattern[len(l.Pattern)-1] == '/', Locations: tableLocations(l.Locations)})
 	}
 	return out
 }
