--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -5,111 +5,143 @@
 	"time"
 )
 
-// BalancingPolicy is how a member is chosen.
-type BalancingPolicy uint8
-
-// The methods.
-const (
-	RoundRobin BalancingPolicy = iota
-	LeastConn
-	IPHash
-	Hash
-	HashConsistent
-	RandomTwo
-)
-
-// balancingPolicyNames are the words for methods in the settings.
-var balancingPolicyNames = [...]string{"round-robin", "least-conn", "ip-hash", "hash", "hash-consistent", "random-two"}
-
-// String is the method's word.
-func (m BalancingPolicy) String() string { return balancingPolicyNames[m] }
-
-// ParseBalancingPolicy reads a method's word.
-func ParseBalancingPolicy(word string) (BalancingPolicy, error) {
-	for m, name := range balancingPolicyNames {
-		if name == word {
-			return BalancingPolicy(m), nil
-		}
-	}
-	return 0, fmt.Errorf("no method is called %q, want one of %v", word, balancingPolicyNames)
-}
-
-// Member is one server of a pool.
+// Member is the configuration of one server of a pool.
 type Member struct {
-	Addr        string        // which names it, too: a member that stays over a reload is known by it
-	Weight      int           // updatedAt least 1
-	MaxConns    int           // attempts that it may have at once; 0 is any number
-	MaxFails    int           // failures within FailTimeout after which it is left out for as long; 0 is never
-	FailTimeout time.Duration //
+	Addr        string        // identifies the member: one that stays over a reload is found by it
+	Weight      int           // at least 1
+	MaxConns    int           // attempts in flight at once; 0 is no limit
+	MaxFails    int           // failures within FailTimeout after which it gets no attempts for as long; 0 is never
+	FailTimeout time.Duration // both the time in which failures count and the time out after them
 	SlowStart   time.Duration // in which a member that comes back grows to its weight; 0 is at once
-	Backup      bool          // only while no other can be had
-	Down        bool          // not at all
+	Backup      bool          // used only while no other member is available
+	Down        bool          // never used
 }
 
-// Config is what a pool is told.
+// Config is the configuration of a pool.
 type Config struct {
 	Name            string
-	BalancingPolicy BalancingPolicy `json:"Method"`
+	BalancingPolicy BalancingPolicy
 	Members         []Member
+	RetryPolicy
+	OutlierDetection
+}
 
-	MaxAttempts         int           `json:"Tries"`       // of one request, the first included; 0 is any number
-	RetryTimeout        time.Duration `json:"TryFor"`      // no further try is begun later than this after the first; 0 is no bound
-	RetryRatio          float64       `json:"BudgetShare"` // further tries for each first one; 0 is no budget
-	MinRetriesPerSecond float64       `json:"BudgetLeast"` // further tries a second that are allowed in any case
-	RetryBurst          float64       `json:"BudgetBurst"` // further tries that may come at once
+// RetryPolicy bounds the attempts of one request and, by a budget, the retries of all requests.
+type RetryPolicy struct {
+	MaxAttempts         int           // of one request, the first included; 0 is no limit
+	RetryTimeout        time.Duration // after the first attempt no retry begins later than this; 0 is no limit
+	RetryRatio          float64       // retries that each first attempt adds to the budget; 0 is no budget
+	MinRetriesPerSecond float64       // retries that the budget gains by time alone
+	RetryBurst          float64       // retries that the budget holds at most
+}
 
-	EjectionLatencyFactor float64       `json:"EjectFactor"` // a member is ejected at so many times the others' median latency; 0 is never
-	EjectionErrorRate     float64       `json:"EjectErrors"` // or when so large a part of its last tries failed; 0 is never
-	EjectionMinAttempts   int           `json:"EjectAfter"`  // attempts that have to be seen before
-	BaseEjectionTime      time.Duration `json:"EjectFor"`    // the first time; twice as long each further time in a row
-	MaxEjectedRatio       float64       `json:"EjectMost"`   // part of the members that may be out at once
-	PanicThreshold        float64       `json:"PanicUnder"`  // part of the members in below which all are used, ejected or not
+// OutlierDetection says when a member is ejected and how many may be.
+type OutlierDetection struct {
+	EjectionLatencyFactor float64       // median latency over that of the others at which a member is ejected; 0 is never
+	EjectionErrorRate     float64       // share of its recent attempts that failed at which it is ejected; 0 is never
+	EjectionMinAttempts   int           // attempts of a member before it is judged
+	BaseEjectionTime      time.Duration // of the first ejection; each one in a row takes twice as long
+	MaxEjectedRatio       float64       // share of the members that may be ejected at once
+	PanicThreshold        float64       // share of available members below which ejections are ignored
 }
 
-// DefaultConfig are nginx's, and a budget and ejection that only a broken pool meets.
+// DefaultConfig returns nginx's defaults, with a retry budget and outlier detection that only a pool with faulty members
+// notices.
 func DefaultConfig() Config {
-	return Config{RetryRatio: 0.15, MinRetriesPerSecond: 1, RetryBurst: 10, EjectionLatencyFactor: 5, EjectionErrorRate: 0.5,
-		EjectionMinAttempts: 20, BaseEjectionTime: 5 * time.Second, MaxEjectedRatio: 0.3, PanicThreshold: 0.5}
+	return Config{
+		RetryPolicy: RetryPolicy{
+			RetryRatio:          0.15,
+			MinRetriesPerSecond: 1,
+			RetryBurst:          10,
+		},
+		OutlierDetection: OutlierDetection{
+			EjectionLatencyFactor: 5,
+			EjectionErrorRate:     0.5,
+			EjectionMinAttempts:   20,
+			BaseEjectionTime:      5 * time.Second,
+			MaxEjectedRatio:       0.3,
+			PanicThreshold:        0.5,
+		},
+	}
 }
 
-// DefaultMember is a member with nginx's defaults.
+// DefaultMember returns a member with nginx's defaults.
 func DefaultMember(addr string) Member {
 	return Member{Addr: addr, Weight: 1, MaxFails: 1, FailTimeout: 10 * time.Second}
 }
 
-// maxWeight bounds weights, so that their sum over the most members fits.
+// maxWeight bounds weights so that the sum over a pool's members can't overflow.
 const maxWeight = 1 << 31
 
-// Validate names the first thing that makes no sense.
+// ConfigError is a setting of a pool that is missing or out of range.
+type ConfigError struct {
+	Pool   string // the pool's name
+	Member string // the member's address; empty for a setting of the pool itself
+	text   string
+}
+
+// Error implements error.
+func (e *ConfigError) Error() string { return e.text }
+
+// Validate returns a *ConfigError for the first setting that is missing or out of range.
 func (c *Config) Validate() error {
 	if len(c.Members) == 0 {
-		return fmt.Errorf("pool %s has no members", c.Name)
+		return c.errorf("", "pool %s has no members", c.Name)
 	}
-	seen := map[string]bool{}
-	primary := false
+	configured := map[string]bool{}
+	hasPrimary := false
 	for _, m := range c.Members {
-		switch {
-		case m.Addr == "":
-			return fmt.Errorf("pool %s has a member without an address", c.Name)
-		case seen[m.Addr]:
-			return fmt.Errorf("pool %s has the member %s twice", c.Name, m.Addr)
-		case m.Weight < 1 || m.Weight > maxWeight:
-			return fmt.Errorf("pool %s: member %s has the weight %d, want 1 to %d", c.Name, m.Addr, m.Weight, maxWeight)
-		case m.MaxConns < 0 || m.MaxFails < 0 || m.FailTimeout < 0 || m.SlowStart < 0:
-			return fmt.Errorf("pool %s: member %s has a figure below 0", c.Name, m.Addr)
-		case m.Backup && (c.BalancingPolicy == IPHash || c.BalancingPolicy == Hash || c.BalancingPolicy == HashConsistent || c.BalancingPolicy == RandomTwo):
-			return fmt.Errorf("pool %s: member %s is a backup, which the method %v does not know", c.Name, m.Addr, c.BalancingPolicy)
+		if configured[m.Addr] {
+			return c.errorf(m.Addr, "pool %s has the member %s twice", c.Name, m.Addr)
+		}
+		if err := c.validateMember(m); err != nil {
+			return err
 		}
-		seen[m.Addr] = true
-		primary = primary || !m.Backup
+		configured[m.Addr] = true
+		hasPrimary = hasPrimary || !m.Backup
+	}
+	switch {
+	case !hasPrimary:
+		return c.errorf("", "pool %s has only backups", c.Name)
+	case !c.RetryPolicy.isValid():
+		return c.errorf("", "pool %s: tries and budgets can't be below 0, nor a burst below 1", c.Name)
+	case isOutsideShare(c.MaxEjectedRatio) || isOutsideShare(c.PanicThreshold):
+		return c.errorf("", "pool %s: parts of members are 0 to 1", c.Name)
 	}
+	return nil
+}
+
+// validateMember checks the settings of one member by themselves.
+func (c *Config) validateMember(m Member) error {
 	switch {
-	case !primary:
-		return fmt.Errorf("pool %s has only backups", c.Name)
-	case c.MaxAttempts < 0 || c.RetryTimeout < 0 || c.RetryRatio < 0 || c.MinRetriesPerSecond < 0 || c.RetryRatio > 0 && c.RetryBurst < 1:
-		return fmt.Errorf("pool %s: tries and budgets can't be below 0, nor a burst below 1", c.Name)
-	case c.MaxEjectedRatio < 0 || c.MaxEjectedRatio > 1 || c.PanicThreshold < 0 || c.PanicThreshold > 1:
-		return fmt.Errorf("pool %s: parts of members are 0 to 1", c.Name)
+	case m.Addr == "":
+		return c.errorf("", "pool %s has a member without an address", c.Name)
+	case m.Weight < 1 || m.Weight > maxWeight:
+		return c.errorf(m.Addr, "pool %s: member %s has the weight %d, want 1 to %d", c.Name, m.Addr, m.Weight, maxWeight)
+	case m.MaxConns < 0 || m.MaxFails < 0 || m.FailTimeout < 0 || m.SlowStart < 0:
+		return c.errorf(m.Addr, "pool %s: member %s has a figure below 0", c.Name, m.Addr)
+	case m.Backup && c.BalancingPolicy.rejectsBackups():
+		return c.errorf(m.Addr, "pool %s: member %s is a backup, which the method %v does not know", c.Name, m.Addr,
+			c.BalancingPolicy)
 	}
 	return nil
 }
+
+// isValid reports whether all limits are in range.
+func (r *RetryPolicy) isValid() bool {
+	if r.MaxAttempts < 0 || r.RetryTimeout < 0 || r.RetryRatio < 0 || r.MinRetriesPerSecond < 0 {
+		return false
+	}
+	if hasBudget := r.RetryRatio > 0; hasBudget && r.RetryBurst < 1 {
+		return false
+	}
+	return true
+}
+
+// isOutsideShare reports whether a figure can't be a share of a whole.
+func isOutsideShare(v float64) bool { return v < 0 || v > 1 }
+
+// errorf returns a *ConfigError about a member of the pool, or about the pool itself if the address is empty.
+func (c *Config) errorf(member, format string, args ...any) error {
+	return &ConfigError{Pool: c.Name, Member: member, text: fmt.Sprintf(format, args...)}
+}
--- /dev/null
+++ b/internal/pool/leastconn.go
@@ -0,0 +1,73 @@
+package pool
+
+import (
+	"cmp"
+	"time"
+)
+
+// compareLoad compares the attempts in flight at two members in proportion to their weights.
+func compareLoad(a, b *member) int { return cmp.Compare(a.inFlight*b.Weight, b.inFlight*a.Weight) }
+
+// chooseLeastConn returns the member with the fewest attempts in flight for its weight, and goes by smooth round robin
+// among equals.
+func (p *Pool) chooseLeastConn(candidates []*member, now time.Duration, usable func(*member) bool) *member {
+	if p.ranks != nil && candidates[0] == p.members[0] {
+		return p.chooseRanked(now, usable)
+	}
+	var best *member
+	hasEqual := false
+	for _, m := range candidates {
+		if !usable(m) {
+			continue
+		}
+		if best == nil {
+			best = m
+			continue
+		}
+		switch order := compareLoad(m, best); {
+		case order < 0:
+			best = m
+			hasEqual = false
+		case order == 0:
+			hasEqual = true
+		}
+	}
+	if !hasEqual {
+		return best
+	}
+	least := best
+	return p.chooseRoundRobin(candidates, func(m *member) bool {
+		return usable(m) && compareLoad(m, least) == 0
+	})
+}
+
+// chooseRandomTwo returns the less loaded of two members that are drawn by weight.
+func (p *Pool) chooseRandomTwo(candidates []*member, usable func(*member) bool) *member {
+	first := p.drawByWeight(usable, nil)
+	if first == nil {
+		return p.chooseRoundRobin(candidates, usable)
+	}
+	second := p.drawByWeight(usable, first)
+	if second == nil {
+		return p.chooseRoundRobin(candidates, usable)
+	}
+	if compareLoad(second, first) < 0 {
+		return second
+	}
+	return first
+}
+
+// maxDraws is how often a policy that may come upon unusable members tries for a usable one, before it falls back to
+// round robin; nginx has the same limit.
+const maxDraws = 20
+
+// drawByWeight draws a usable primary member other than the excluded one.
+func (p *Pool) drawByWeight(usable func(*member) bool, excluded *member) *member {
+	for range maxDraws {
+		m := p.memberAtWeight(p.rng.IntN(p.hashing.totalWeight()))
+		if m != excluded && usable(m) {
+			return m
+		}
+	}
+	return nil
+}
--- a/internal/pool/outlier.go
+++ b/internal/pool/outlier.go
@@ -6,103 +6,136 @@
 	"time"
 )
 
-// windowSize is how many of its last tries a member is judged by.
+// windowSize is how many of its recent attempts a member is judged by.
 const windowSize = 32
 
-// attemptWindow is a member's last tries.
+// medianInterval is how many attempts of a member lie between two comparisons of medians, which cost a sort each.
+const medianInterval = windowSize / 4
+
+// minErrorRateFactor is how many times the others' error rate a member's must be for an ejection: where all fail alike,
+// no member is an outlier.
+const minErrorRateFactor = 2
+
+// maxCompared bounds how many members one is compared with.
+const maxCompared = 64
+
+// maxEjectionDoublings bounds how often the time of an ejection is doubled.
+const maxEjectionDoublings = 5
+
+// attemptWindow holds a member's recent attempts.
 type attemptWindow struct {
 	took   [windowSize]time.Duration
 	failed [windowSize]bool
-	total  int // of all tries
+	total  int // attempts since the window was last cleared, also those that it no longer holds
 }
 
+// add counts an attempt.
 func (w *attemptWindow) add(failed bool, took time.Duration) {
-	w.took[w.total%windowSize], w.failed[w.total%windowSize] = took, failed
+	w.took[w.total%windowSize] = took
+	w.failed[w.total%windowSize] = failed
 	w.total++
 }
 
-// size is how many tries are in the window.
+// size returns how many attempts the window holds.
 func (w *attemptWindow) size() int { return min(w.total, windowSize) }
 
-// errorRate is the part of them that failed.
+// errorRate returns the share of the attempts that failed.
 func (w *attemptWindow) errorRate() float64 {
-	failed := 0
-	for _, f := range w.failed[:w.size()] {
-		if f {
-			failed++
+	failures := 0
+	for _, failed := range w.failed[:w.size()] {
+		if failed {
+			failures++
 		}
 	}
-	return float64(failed) / float64(max(w.size(), 1))
+	return float64(failures) / float64(max(w.size(), 1))
 }
 
-// medianLatency is the middle of how long they took.
+// medianLatency returns the median of how long the attempts took, 0 for an empty window.
 func (w *attemptWindow) medianLatency() time.Duration {
 	if w.total == 0 {
 		return 0
 	}
-	list := w.took
-	slices.Sort(list[:w.size()])
-	return list[w.size()/2]
+	sorted := w.took
+	slices.Sort(sorted[:w.size()])
+	return sorted[w.size()/2]
+}
+
+// outlierState is a member's part in outlier detection.
+type outlierState struct {
+	recent               attemptWindow
+	isEjected            bool // until a probe at or after ejectedUntil succeeds
+	ejectedUntil         time.Duration
+	consecutiveEjections int
 }
 
-// detectOutlier judges a member by its last tries, and tells whether it is as the others are. A probing try that goes well
-// brings it back with an empty window; one that does not keeps it out for twice as long.
+// detectOutlier adds an attempt to a member's window, and ejects the member if that makes it an outlier or ends its
+// ejection if the attempt was a successful probe. It returns false where the member is found to be an outlier, also where
+// no further member may be ejected.
 func (p *Pool) detectOutlier(m *member, failed bool, took, now time.Duration) bool {
 	m.recent.add(failed, took)
 	if m.isEjected && now >= m.ejectedUntil {
-		if failed {
-			p.eject(m, now, "its probing try failed")
-			return false
-		}
-		m.isEjected, m.recent = false, attemptWindow{}
-		p.ejected--
-		p.stopRotation()
-		p.beginSlowStart(m, now)
-		p.recordChange(now, m.Addr, "in", "its probing try went well")
-		return true
+		return p.finishEjection(m, failed, now)
 	}
 	if m.isEjected || m.recent.total < p.cfg.EjectionMinAttempts || p.hasSingleMember() {
 		return true
 	}
-	if e := m.recent.errorRate(); p.cfg.EjectionErrorRate > 0 && e >= p.cfg.EjectionErrorRate && e > 2*p.medianOfOthers(m, (*attemptWindow).errorRate) {
-		p.eject(m, now, fmt.Sprintf("%.0f %% of its tries failed", 100*e))
+	if rate := m.recent.errorRate(); p.isErrorOutlier(m, rate) {
+		p.eject(m, now, fmt.Sprintf("%.0f %% of its tries failed", 100*rate))
 		return false
 	}
-	if m.recent.total%(windowSize/4) != 0 || p.cfg.EjectionLatencyFactor == 0 {
-		return true // medians are looked at now and then only
+	if m.recent.total%medianInterval != 0 || p.cfg.EjectionLatencyFactor == 0 {
+		return true
 	}
-	mine := m.recent.medianLatency()
-	theirs := time.Duration(p.medianOfOthers(m, func(w *attemptWindow) float64 { return float64(w.medianLatency()) }))
-	if theirs > 0 && float64(mine) > p.cfg.EjectionLatencyFactor*float64(theirs) {
-		p.eject(m, now, fmt.Sprintf("it takes %v where others take %v", mine, theirs))
+	own := m.recent.medianLatency()
+	others := time.Duration(p.medianOfOthers(m, func(w *attemptWindow) float64 { return float64(w.medianLatency()) }))
+	if others > 0 && float64(own) > p.cfg.EjectionLatencyFactor*float64(others) {
+		p.eject(m, now, fmt.Sprintf("it takes %v where others take %v", own, others))
 		return false
 	}
 	return true
 }
 
-// maxCompared bounds how many members one is compared with.
-const maxCompared = 64
+// finishEjection takes a member back whose time is over after a successful attempt, or ejects it again after a failed one.
+func (p *Pool) finishEjection(m *member, failed bool, now time.Duration) bool {
+	if failed {
+		p.eject(m, now, "its probing try failed")
+		return false
+	}
+	m.isEjected = false
+	m.recent = attemptWindow{}
+	p.ejected--
+	p.stopRotation()
+	p.beginSlowStart(m, now)
+	p.recordChange(now, m.Addr, memberIn, "its probing try went well")
+	return true
+}
+
+// isErrorOutlier reports whether a member's error rate is too high, and far over that of the others.
+func (p *Pool) isErrorOutlier(m *member, rate float64) bool {
+	return p.cfg.EjectionErrorRate > 0 && rate >= p.cfg.EjectionErrorRate &&
+		rate > minErrorRateFactor*p.medianOfOthers(m, (*attemptWindow).errorRate)
+}
 
-// medianOfOthers is the median of a figure over the members in that have been seen enough.
-func (p *Pool) medianOfOthers(than *member, figure func(*attemptWindow) float64) float64 {
-	var list []float64
+// medianOfOthers returns the median of a figure over the members that are not ejected and have had attempts, or 0 if
+// there are none. Of a large pool it takes every n-th member.
+func (p *Pool) medianOfOthers(excluded *member, figure func(*attemptWindow) float64) float64 {
+	var figures []float64
 	step := max(len(p.members)/maxCompared, 1)
 	for i := 0; i < len(p.members); i += step {
-		if m := p.members[i]; m != than && !m.isEjected && m.recent.total > 0 {
-			list = append(list, figure(&m.recent))
+		m := p.members[i]
+		if m != excluded && !m.isEjected && m.recent.total > 0 {
+			figures = append(figures, figure(&m.recent))
 		}
 	}
-	if len(list) == 0 {
+	if len(figures) == 0 {
 		return 0
 	}
-	slices.Sort(list)
-	return list[len(list)/2]
+	slices.Sort(figures)
+	return figures[len(figures)/2]
 }
 
-// maxEjectionDoublings bounds how often the time of an ejection is doubled.
-const maxEjectionDoublings = 5
-
-// eject takes a member out for a while, unless too many are out.
+// eject takes a member out for a while, unless it is in and no further one may be taken out. A member that is ejected
+// already, whose probe failed, stays out for longer.
 func (p *Pool) eject(m *member, now time.Duration, cause string) {
 	if !m.isEjected {
 		if float64(p.ejected+1) > p.cfg.MaxEjectedRatio*float64(len(p.members)) {
@@ -111,17 +144,18 @@
 		p.ejected++
 	}
 	p.stopRotation()
-	m.isEjected, m.recent = true, attemptWindow{}
+	m.isEjected = true
+	m.recent = attemptWindow{}
 	m.ejectedUntil = now + p.cfg.BaseEjectionTime<<min(m.consecutiveEjections, maxEjectionDoublings)
 	p.beginSlowStart(m, m.ejectedUntil)
 	m.consecutiveEjections++
 	m.ejections++
-	p.recordChange(now, m.Addr, "ejected", cause)
+	p.recordChange(now, m.Addr, memberEjected, cause)
 }
 
-// isPanicking tells whether so few members are in that ejections are passed over: a load that was shared by all would
-// bring down the few.
+// isPanicking reports whether so few members are available that ejections are ignored: the load that all members share
+// would overload the few.
 func (p *Pool) isPanicking() bool {
-	in := len(p.members) - p.ejected - p.failing
-	return p.cfg.PanicThreshold > 0 && float64(in) < p.cfg.PanicThreshold*float64(len(p.members))
+	available := len(p.members) - p.ejected - p.failing
+	return p.cfg.PanicThreshold > 0 && float64(available) < p.cfg.PanicThreshold*float64(len(p.members))
 }
--- a/internal/pool/ranking.go
+++ b/internal/pool/ranking.go
@@ -1,49 +1,98 @@
 package pool
 
 import (
-	"cmp"
 	"container/heap"
 	"time"
 )
 
-// rankingMinMembers is how many primary members a pool by least_conn has at least before they are kept in order. nginx looks at
-// all members for each choice, and among equals goes by smooth round robin; small pools do just that here. In a large one
-// that is a millisecond a choice, so its members stand in a heap, and among equals it is the turn of the one that was
-// chosen longest ago: the same balance, at a cost that grows with the logarithm of the pool.
+// rankingMinMembers is how many primary members a pool by LeastConn has at least before they are kept in order. nginx
+// looks at all members for each choice and goes by smooth round robin among equals; small pools do the same here. In a
+// large pool that takes a millisecond a choice, so its members are kept in a heap, and among equals the one that was
+// chosen longest ago is next: the same balance, at a cost that grows with the logarithm of the pool.
 const rankingMinMembers = 64
 
-// ranking keeps the members of a large pool in order of their load. Those that can't be had now are apart: the ones at
-// which a probing try may come later stand by the time of that, all others in neither heap until their state changes.
+// ranking keeps the primary members of a large pool in order of their load. Members that are unavailable now are not in
+// byLoad: those that a later time makes available for a probe are in byProbeTime, and all others in neither heap until
+// their state changes.
 type ranking struct {
-	in      loadHeap
-	waiting probeHeap
-	panic   bool   // ejections were passed over when the members were ranked
-	turns   uint64 // choices so far
+	byLoad      loadHeap
+	byProbeTime probeHeap
+	panicking   bool   // ejections were ignored when the members were ranked
+	turns       uint64 // choices so far
 }
 
-// loadHeap is a heap of members by open tries for their weight, and by turns among equals.
+// rankState is a member's place in the ranking.
+type rankState struct {
+	standing  standing
+	heapIndex int
+	lastTurn  uint64        // ranking.turns when it was last chosen
+	probeAt   time.Duration // of a waiting member: from when it may be probed
+}
+
+// standing says which heap of the ranking a member is in.
+type standing uint8
+
+// The standings.
+const (
+	unranked standing = iota // in neither heap: unavailable, and time alone does not change that
+	ranked                   // in byLoad: available
+	waiting                  // in byProbeTime: available from probeAt on for a single probing attempt
+)
+
+// loadHeap orders members by attempts in flight for the weight, and equals by their last turns.
 type loadHeap []*member
 
+// Len implements heap.Interface.
 func (h loadHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h loadHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	if c := compareLoad(a, b); c != 0 {
-		return c < 0
+	if order := compareLoad(a, b); order != 0 {
+		return order < 0
 	}
 	return a.lastTurn < b.lastTurn
 }
-func (h loadHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
-func (h *loadHeap) Push(x any)   { m := x.(*member); m.heapIndex = len(*h); *h = append(*h, m) }
-func (h *loadHeap) Pop() any     { return popMember((*[]*member)(h)) }
 
-// probeHeap is a heap of members by the time from which they may be probed.
+// Swap implements heap.Interface.
+func (h loadHeap) Swap(i, j int) { swapMembers(h, i, j) }
+
+// Push implements heap.Interface.
+func (h *loadHeap) Push(x any) { pushMember((*[]*member)(h), x.(*member)) }
+
+// Pop implements heap.Interface.
+func (h *loadHeap) Pop() any { return popMember((*[]*member)(h)) }
+
+// probeHeap orders members by the time from which they may be probed.
 type probeHeap []*member
 
-func (h probeHeap) Len() int           { return len(h) }
+// Len implements heap.Interface.
+func (h probeHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h probeHeap) Less(i, j int) bool { return h[i].probeAt < h[j].probeAt }
-func (h probeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
-func (h *probeHeap) Push(x any)        { m := x.(*member); m.heapIndex = len(*h); *h = append(*h, m) }
-func (h *probeHeap) Pop() any          { return popMember((*[]*member)(h)) }
+
+// Swap implements heap.Interface.
+func (h probeHeap) Swap(i, j int) { swapMembers(h, i, j) }
+
+// Push implements heap.Interface.
+func (h *probeHeap) Push(x any) { pushMember((*[]*member)(h), x.(*member)) }
+
+// Pop implements heap.Interface.
+func (h *probeHeap) Pop() any { return popMember((*[]*member)(h)) }
+
+// swapMembers swaps two members of a heap.
+func swapMembers(h []*member, i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex = i
+	h[j].heapIndex = j
+}
+
+// pushMember appends a member to a heap's list.
+func pushMember(list *[]*member, m *member) {
+	m.heapIndex = len(*list)
+	*list = append(*list, m)
+}
 
 // popMember takes the last member off a heap's list.
 func popMember(list *[]*member) *member {
@@ -54,136 +103,135 @@
 	return m
 }
 
-// compareLoad compares open tries for the weight.
-func compareLoad(a, b *member) int { return cmp.Compare(a.inFlight*b.Weight, b.inFlight*a.Weight) }
-
-// updateStanding is where a member stands in a ranking.
-type standing uint8
-
-// The standings.
-const (
-	unranked standing = iota // it can't be had, and time alone does not change that
-	ranked                   // it can be had
-	waiting                  // it can be had from its due time on, for one probing try
-)
-
-// updateStanding tells where a member belongs.
+// updateStanding returns the standing that a member's state calls for, and sets probeAt of a waiting one.
 func (m *member) updateStanding(panicking bool) standing {
-	failing := m.MaxFails > 0 && m.fails >= m.MaxFails
-	out := m.isEjected && !panicking
+	isFailing := m.hasTooManyFails()
+	isOut := m.isEjected && !panicking
 	switch {
-	case m.Down, m.MaxConns > 0 && m.inFlight >= m.MaxConns, (failing || out) && m.probing:
+	case m.Down, m.isAtMaxConns(), (isFailing || isOut) && m.probing:
 		return unranked
-	case !failing && !out:
+	case !isFailing && !isOut:
 		return ranked
 	}
 	m.probeAt = 0
-	if failing {
-		m.probeAt = m.lastChecked + m.FailTimeout + 1
+	if isFailing {
+		m.probeAt = m.lastChecked + m.FailTimeout + 1 // isUsable wants more than FailTimeout to have passed
 	}
-	if out {
+	if isOut {
 		m.probeAt = max(m.probeAt, m.ejectedUntil)
 	}
 	return waiting
 }
 
-// rankAll ranks the primary members anew.
+// rankAll ranks the primary members anew, or drops the ranking of a pool that needs none.
 func (p *Pool) rankAll() {
 	p.ranks = nil
 	if p.cfg.BalancingPolicy != LeastConn || p.primaries < rankingMinMembers {
 		return
 	}
-	p.ranks = &ranking{panic: p.isPanicking()}
-	for _, m := range p.members[:p.primaries] {
+	p.ranks = &ranking{panicking: p.isPanicking()}
+	for _, m := range p.primaryMembers() {
 		m.standing = unranked
 		p.updateRank(m)
 	}
 }
 
-// updateRank puts a member where it belongs after its state has changed.
+// updateRank moves a member to where it belongs after its state has changed.
 func (p *Pool) updateRank(m *member) {
 	if p.ranks == nil || m.isRemoved || m.Backup {
 		return
 	}
-	to := m.updateStanding(p.ranks.panic)
-	if to == m.standing {
-		switch to {
-		case ranked:
-			heap.Fix(&p.ranks.in, m.heapIndex)
-		case waiting:
-			heap.Fix(&p.ranks.waiting, m.heapIndex)
+	next := m.updateStanding(p.ranks.panicking)
+	if next == m.standing {
+		if h := p.ranks.heapOf(next); h != nil {
+			heap.Fix(h, m.heapIndex)
 		}
 		return
 	}
-	switch m.standing {
-	case ranked:
-		heap.Remove(&p.ranks.in, m.heapIndex)
-	case waiting:
-		heap.Remove(&p.ranks.waiting, m.heapIndex)
+	if h := p.ranks.heapOf(m.standing); h != nil {
+		heap.Remove(h, m.heapIndex)
+	}
+	m.standing = next
+	if h := p.ranks.heapOf(next); h != nil {
+		heap.Push(h, m)
 	}
-	m.standing = to
-	switch to {
+}
+
+// heapOf returns the heap of a standing's members, or nil for unranked ones.
+func (r *ranking) heapOf(s standing) heap.Interface {
+	switch s {
 	case ranked:
-		heap.Push(&p.ranks.in, m)
+		return &r.byLoad
 	case waiting:
-		heap.Push(&p.ranks.waiting, m)
+		return &r.byProbeTime
 	}
+	return nil
 }
 
-// chooseRanked is the member with the fewest open tries for its weight, from the ranking.
+// chooseRanked returns the member with the fewest attempts in flight for its weight; a waiting one that may be probed
+// comes before ranked ones of the same load.
 func (p *Pool) chooseRanked(now time.Duration, usable func(*member) bool) *member {
-	if p.isPanicking() != p.ranks.panic {
-		p.rankAll() // ejections count again, or no longer
+	if p.isPanicking() != p.ranks.panicking {
+		p.rankAll() // ejections began or ceased to be ignored
 	}
 	best := p.firstByLoad(usable)
 	if m := p.firstToProbe(now, usable); m != nil && (best == nil || compareLoad(m, best) <= 0) {
 		best = m
 	}
 	if best != nil {
-		p.ranks.turns++
-		best.lastTurn = p.ranks.turns
+		p.ranks.takeTurn(best)
 	}
 	return best
 }
 
-// firstByLoad is the first member in the order that the request has not been to, but one that does not have its full
-// weight after failures gives up its turn by chance, so that it gets its part of them.
+// takeTurn puts a member behind all others of its load.
+func (r *ranking) takeTurn(m *member) {
+	r.turns++
+	m.lastTurn = r.turns
+}
+
+// firstByLoad returns the first usable ranked member. One whose weight failures have lowered gives up its turn by chance,
+// so that it gets requests by its effective weight; each time it does, that weight grows.
 func (p *Pool) firstByLoad(usable func(*member) bool) *member {
-	var passed []*member // taken out of the order for this choice
+	var unusable []*member // taken out of the heap for this choice
 	var best *member
-	for skips := 0; len(p.ranks.in) > 0 && best == nil; {
-		m := p.ranks.in[0]
+	for skips := 0; len(p.ranks.byLoad) > 0 && best == nil; {
+		m := p.ranks.byLoad[0]
 		switch {
 		case !usable(m):
-			passed = append(passed, heap.Pop(&p.ranks.in).(*member))
-		case m.effectiveWeight < m.Weight && skips < maxDraws && p.rng.Float64()*float64(m.Weight) >= float64(m.effectiveWeight):
+			unusable = append(unusable, heap.Pop(&p.ranks.byLoad).(*member))
+		case m.effectiveWeight < m.Weight && skips < maxDraws && p.drawSkip(m):
 			skips++
 			m.effectiveWeight++
-			p.ranks.turns++
-			m.lastTurn = p.ranks.turns
-			heap.Fix(&p.ranks.in, 0)
+			p.ranks.takeTurn(m)
+			heap.Fix(&p.ranks.byLoad, 0)
 		default:
 			best = m
 		}
 	}
-	for _, m := range passed {
-		heap.Push(&p.ranks.in, m)
+	for _, m := range unusable {
+		heap.Push(&p.ranks.byLoad, m)
 	}
 	return best
 }
 
-// firstToProbe is the member that may be probed for the longest time of those that the request has not been to.
+// drawSkip reports, by chance, whether a member of lowered weight gives up its turn.
+func (p *Pool) drawSkip(m *member) bool {
+	return p.rng.Float64()*float64(m.Weight) >= float64(m.effectiveWeight)
+}
+
+// firstToProbe returns the usable member that may be probed since the earliest time, or nil.
 func (p *Pool) firstToProbe(now time.Duration, usable func(*member) bool) (best *member) {
-	var passed []*member
-	for len(p.ranks.waiting) > 0 && p.ranks.waiting[0].probeAt <= now && best == nil {
-		if m := p.ranks.waiting[0]; usable(m) {
+	var unusable []*member
+	for len(p.ranks.byProbeTime) > 0 && p.ranks.byProbeTime[0].probeAt <= now && best == nil {
+		if m := p.ranks.byProbeTime[0]; usable(m) {
 			best = m
 		} else {
-			passed = append(passed, heap.Pop(&p.ranks.waiting).(*member))
+			unusable = append(unusable, heap.Pop(&p.ranks.byProbeTime).(*member))
 		}
 	}
-	for _, m := range passed {
-		heap.Push(&p.ranks.waiting, m)
+	for _, m := range unusable {
+		heap.Push(&p.ranks.byProbeTime, m)
 	}
 	return best
 }
--- a/internal/pool/retry.go
+++ b/internal/pool/retry.go
@@ -2,65 +2,75 @@
 
 import "time"
 
-// RetryCondition is how a try failed, in nginx's terms (the directive fastcgi_next_upstream).
+// RetryCondition is how an attempt failed, as a set of bits: nginx's conditions (the directive fastcgi_next_upstream)
+// and Rejection.
 type RetryCondition uint16
 
 // The conditions.
 const (
 	ConnectionError RetryCondition = 1 << iota // no connection, or it broke
 	Timeout                                    // no connection or no answer in time
-	InvalidHeader                              // an answer that makes no sense
+	InvalidHeader                              // an answer that can't be read
 	HTTP500
 	HTTP503
 	HTTP403
 	HTTP404
 	HTTP429
-	NonIdempotent // also requests that must not run twice may go on
-	Rejection     // the member said that it did not run it
+	NonIdempotent // only in sets of conditions: non-idempotent requests may be retried, too
+	Rejection     // the member said that it did not process the request; it is always retried
 )
 
-// DefaultRetryOn are the conditions under which a request goes on to another member, by nginx's default.
+// DefaultRetryOn are the conditions under which a request is retried by nginx's default.
 const DefaultRetryOn = ConnectionError | Timeout
 
-// RetryDecision is what becomes of a request whose try failed.
+// RetryDecision is what becomes of a request whose attempt failed.
 type RetryDecision uint8
 
-// The verdicts.
+// The decisions: Retry, or why there is no retry.
 const (
 	Retry             RetryDecision = iota // it goes to another member
-	NotRetryable                           // the failure is its end: the condition does not call for another try
-	MayHaveRun                             // it may have run, and must not run twice
-	AttemptsExhausted                      // its tries are used up
-	RetryTimeExceeded                      // its time for further tries is over
-	BudgetExhausted                        // the pool's budget for further tries is used up
+	NotRetryable                           // the condition calls for no retry
+	MayHaveRun                             // it is non-idempotent, and the member may have run it
+	AttemptsExhausted                      // it had RetryPolicy.MaxAttempts
+	RetryTimeExceeded                      // RetryPolicy.RetryTimeout is over
+	BudgetExhausted                        // the pool's retry budget is empty
 )
 
-// retryDecisionTexts say the verdicts.
-var retryDecisionTexts = [...]string{"goes to another member", "the failure calls for no further try",
-	"it may have run and must not run twice", "its tries are used up", "its time for further tries is over",
-	"the budget for further tries is used up"}
+// retryDecisionTexts describe the decisions for operators.
+var retryDecisionTexts = [...]string{
+	Retry:             "goes to another member",
+	NotRetryable:      "the failure calls for no further try",
+	MayHaveRun:        "it may have run and must not run twice",
+	AttemptsExhausted: "its tries are used up",
+	RetryTimeExceeded: "its time for further tries is over",
+	BudgetExhausted:   "the budget for further tries is used up",
+}
 
-// String says the verdict.
-func (v RetryDecision) String() string { return retryDecisionTexts[v] }
+// String describes the decision for operators.
+func (d RetryDecision) String() string { return retryDecisionTexts[d] }
 
-// Failure is how a try failed.
+// Failure is a failed attempt.
 type Failure struct {
 	Condition     RetryCondition
 	Sent          bool // any of the request may have reached the member
 	NonIdempotent bool // the request must not run twice
 }
 
-// DecideRetry decides whether a request whose try failed goes to another member, and takes it from the budget where it does.
-// On is the set of conditions under which requests of its route go on.
-func (p *Pool) DecideRetry(r *Request, f Failure, on RetryCondition, now time.Duration) RetryDecision {
+// DecideRetry decides whether a request whose attempt failed goes to another member, and takes the retry from the budget
+// if it does. retryOn is the set of conditions under which requests of the route are retried.
+//
+// A non-idempotent request of which anything was sent is never retried, not even with NonIdempotent in retryOn: unless the
+// member rejected it, a retry could run it twice.
+func (p *Pool) DecideRetry(request *Request, failure Failure, retryOn RetryCondition, now time.Duration) RetryDecision {
+	isRejected := failure.Condition == Rejection
 	switch {
-	case f.NonIdempotent && f.Sent && f.Condition != Rejection:
-		return MayHaveRun // whatever the route says: a second run would break the rule
-	case f.Condition&on == 0 && f.Condition != Rejection:
+	case failure.NonIdempotent && failure.Sent && !isRejected:
+		return MayHaveRun
+	case failure.Condition&retryOn == 0 && !isRejected:
 		return NotRetryable
-	case p.cfg.MaxAttempts > 0 && r.Attempts >= p.cfg.MaxAttempts:
+	case p.cfg.MaxAttempts > 0 && request.Attempts >= p.cfg.MaxAttempts:
 		return AttemptsExhausted
-	case p.cfg.RetryTimeout > 0 && now-r.FirstAttempt >= p.cfg.RetryTimeout:
+	case p.cfg.RetryTimeout > 0 && now-request.FirstAttempt >= p.cfg.RetryTimeout:
 		return RetryTimeExceeded
 	case !p.budget.take(now):
 		return BudgetExhausted
@@ -68,48 +78,7 @@
 	return Retry
 }
 
-// retryBudget is a bucket of tokens: each first try adds a part of one, each further try takes one, and no more than a few
-// are kept. So tries made again can't multiply an outage, at its start as little as later: over any n requests they are
-// at most the share of n, the tokens kept, and those that come by time alone for pools that are seldom used. A budget
-// over a window, as Finagle's is, was tried first: it let a whole window's tries go in the first second of an outage.
-type retryBudget struct {
-	ratio, minPerSecond, burst float64
-	tokens                     float64
-	updatedAt                  time.Duration
-}
-
-// configure takes over the figures of a configuration.
-func (b *retryBudget) configure(c Config) {
-	if b.burst == 0 {
-		b.tokens = c.RetryBurst // a new pool's bucket is full
-	}
-	b.ratio, b.minPerSecond, b.burst = c.RetryRatio, c.MinRetriesPerSecond, c.RetryBurst
-}
-
-// add puts tokens into the bucket, with those that came by time.
-func (b *retryBudget) add(tokens float64, now time.Duration) {
-	tokens += b.minPerSecond * max(now-b.updatedAt, 0).Seconds()
-	b.updatedAt = max(b.updatedAt, now)
-	b.tokens = min(b.tokens+tokens, b.burst)
-}
-
-// countFirstAttempt counts a first try.
-func (b *retryBudget) countFirstAttempt(now time.Duration) { b.add(b.ratio, now) }
-
-// take counts a further try where the budget allows it.
-func (b *retryBudget) take(now time.Duration) bool {
-	if b.ratio == 0 {
-		return true
-	}
-	b.add(0, now)
-	if b.tokens < 1 {
-		return false
-	}
-	b.tokens--
-	return true
-}
-
-// AvailableRetries is how many further tries could be made at once now.
+// AvailableRetries returns how many retries the budget allows at once now.
 func (p *Pool) AvailableRetries(now time.Duration) float64 {
 	p.budget.add(0, now)
 	return p.budget.tokens
