--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// The pieces that random configurations and paths are made of: few, so that they meet.
+// The pieces that random configurations and paths are made of: few, so that they match each other often.
 var (
 	pathPieces  = []string{"/", "a", "b", "ab", ".", "..", "//", "%2e", "%2F", "%61", ".php", "A", "%00", "%zz", "?x", "#y"}
 	textPieces  = []string{"/", "a", "b", "ab", "/a/", "/b/", ".php"}
@@ -21,16 +21,16 @@
 	serverNames = []string{"a.x", "x", "*.x", "*.a.x", ".x", "a.*", "a.x.*", "b.*", "~^a", "~x$"}
 )
 
-// drawLocations makes up the locations of one level.
-func drawLocations(t *rapid.T, parent string, regex bool, depth int, names *int) []routemodel.Location {
+// drawLocations draws the locations of one level. count is how many there are so far, by which they are named.
+func drawLocations(t *rapid.T, parent string, inRegex bool, depth int, count *int) []routemodel.Location {
 	var list []routemodel.Location
-	seen := map[string]bool{}
+	drawn := map[string]bool{}
 	for range rapid.IntRange(0, 5).Draw(t, "locations") {
 		l := routemodel.Location{Modifier: rapid.SampledFrom([]string{"", "", "^~", "=", "~", "~*"}).Draw(t, "modifier")}
 		if l.Modifier == "~" || l.Modifier == "~*" {
 			l.Pattern = rapid.SampledFrom(regexPieces).Draw(t, "regex")
 		} else {
-			if regex {
+			if inRegex {
 				continue // nginx compares with the regex's text: hardly any prefix can stand there
 			}
 			l.Pattern = parent
@@ -41,30 +41,30 @@
 				l.Pattern += rapid.SampledFrom(textPieces).Draw(t, "piece")
 			}
 			key := strings.TrimPrefix(l.Modifier, "^~") + l.Pattern
-			if seen[key] {
+			if drawn[key] {
 				continue
 			}
-			seen[key] = true
+			drawn[key] = true
 		}
-		*names++
-		l.Name = fmt.Sprint("l", *names)
+		*count++
+		l.Name = fmt.Sprint("l", *count)
 		l.PassesToPool = rapid.Bool().Draw(t, "pass")
 		if depth > 0 && l.Modifier != "=" {
 			isRegex := l.Modifier == "~" || l.Modifier == "~*"
-			l.Locations = drawLocations(t, l.Pattern, isRegex, depth-1, names)
+			l.Locations = drawLocations(t, l.Pattern, isRegex, depth-1, count)
 		}
 		list = append(list, l)
 	}
 	return list
 }
 
-// build turns a model's locations into the table's.
-func build(list []routemodel.Location) []*Location {
+// buildLocations turns a model's locations into a table's.
+func buildLocations(list []routemodel.Location) []*Location {
 	kinds := map[string]Kind{"": Prefix, "^~": PrefixNoRegex, "=": Exact, "~": Regex, "~*": RegexIgnoreCase}
 	var out []*Location
 	for _, l := range list {
 		kind := kinds[l.Modifier]
-		out = append(out, &Location{Kind: kind, Pattern: l.Pattern, Value: l.Name, Locations: build(l.Locations), Source: l.Name,
+		out = append(out, &Location{Kind: kind, Pattern: l.Pattern, Value: l.Name, Locations: buildLocations(l.Locations), Source: l.Name,
 			RedirectTrailingSlash: l.PassesToPool && strings.HasSuffix(l.Pattern, "/") && (kind == Prefix || kind == PrefixNoRegex)})
 	}
 	return out
@@ -89,7 +89,7 @@
 				names[i] = append(names[i], rapid.SampledFrom(serverNames).Draw(t, "name"))
 			}
 			servers = append(servers, &Server{Listen: []Listen{{Addr: at}}, Names: names[i], MergeSlashes: merge,
-				Locations: build(list), Source: fmt.Sprint("s", i)})
+				Locations: buildLocations(list), Source: fmt.Sprint("s", i)})
 		}
 		table, err := New(servers)
 		if err != nil {
--- a/internal/route/rewrite_test.go
+++ b/internal/route/rewrite_test.go
@@ -17,8 +17,8 @@
 	rewriteFlags   = map[string]RewriteFlag{"": FlagNone, "last": FlagLast, "break": FlagBreak, "redirect": FlagRedirect, "permanent": FlagPermanent}
 )
 
-// drawRewrites makes up a few rewrites, for the table and for the model.
-func drawRewrites(t *rapid.T) (ours []*Rewrite, theirs []routemodel.Rewrite) {
+// drawRewrites draws a few rewrites, for the table and for the model.
+func drawRewrites(t *rapid.T) (rewrites []*Rewrite, modelRewrites []routemodel.Rewrite) {
 	for range rapid.IntRange(0, 2).Draw(t, "rewrites") {
 		w := routemodel.Rewrite{Regex: rapid.SampledFrom(rewriteRegexes).Draw(t, "from"),
 			Replacement: rapid.SampledFrom(rewriteTargets).Draw(t, "to"), Flag: rapid.SampledFrom([]string{"", "last", "break",
@@ -27,29 +27,29 @@
 		if r.compile() != nil {
 			continue // its target has groups that the regex has not
 		}
-		ours, theirs = append(ours, r), append(theirs, w)
+		rewrites, modelRewrites = append(rewrites, r), append(modelRewrites, w)
 	}
-	return ours, theirs
+	return rewrites, modelRewrites
 }
 
 // TestResolveModel compares rewrites with the model on random configurations, paths and queries.
 func TestResolveModel(t *testing.T) {
-	pairs, sent, round := 0, 0, 0
+	pairs, redirects, cycles := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		count := 0
 		list := drawLocations(t, "", false, 1, &count)
-		s := &Server{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, MergeSlashes: true, Locations: build(list), Source: "s"}
+		s := &Server{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, MergeSlashes: true, Locations: buildLocations(list), Source: "s"}
 		var server []routemodel.Rewrite
 		s.Rewrites, server = drawRewrites(t)
-		of := map[string][]routemodel.Rewrite{}
-		var each func(list []*Location)
-		each = func(list []*Location) {
+		rewritesOf := map[string][]routemodel.Rewrite{}
+		var addRewrites func(list []*Location)
+		addRewrites = func(list []*Location) {
 			for _, l := range list {
-				l.Rewrites, of[l.Value.(string)] = drawRewrites(t)
-				each(l.Locations)
+				l.Rewrites, rewritesOf[l.Value.(string)] = drawRewrites(t)
+				addRewrites(l.Locations)
 			}
 		}
-		each(s.Locations)
+		addRewrites(s.Locations)
 		if _, err := New([]*Server{s}); err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 				raw += rapid.SampledFrom([]string{"a", "b", "/", "/b/", ".php", "old/", "%20", "%3F", "x"}).Draw(t, "piece")
 			}
 			query := rapid.SampledFrom([]string{"", "k=v"}).Draw(t, "query")
-			o, err := s.Resolve(raw, query)
+			r, err := s.Resolve(raw, query)
 			path, ok := routemodel.NormalizePath(raw, true)
 			if ok != (err == nil) {
 				t.Fatalf("%s: %v", raw, err)
@@ -68,35 +68,35 @@
 			if !ok {
 				continue
 			}
-			got := routemodel.Result{Path: o.Path, Query: o.Query, StoppedByBreak: o.StoppedByBreak}
+			got := routemodel.Result{Path: r.Path, Query: r.Query, StoppedByBreak: r.StoppedByBreak}
 			switch {
-			case o.RedirectURL != "":
-				got = routemodel.Result{Target: fmt.Sprint(o.Status, " ", o.RedirectURL)}
-				sent++
-			case o.Status != 0:
-				got.Target = fmt.Sprint(o.Status)
-				round++
-			case o.Location != nil:
-				got.Target = o.Location.Value.(string)
-				if o.RedirectTrailingSlash {
+			case r.RedirectURL != "":
+				got = routemodel.Result{Target: fmt.Sprint(r.Status, " ", r.RedirectURL)}
+				redirects++
+			case r.Status != 0:
+				got.Target = fmt.Sprint(r.Status)
+				cycles++
+			case r.Location != nil:
+				got.Target = r.Location.Value.(string)
+				if r.RedirectTrailingSlash {
 					got.Target = "301 " + got.Target
 				}
 			}
-			if want := routemodel.Resolve(server, of, list, path, query); got != want {
-				t.Fatalf("%s?%s: %+v, the manual says %+v\nserver %+v\nlocations %+v\nrewrites %+v", raw, query, got, want, server, list, of)
+			if want := routemodel.Resolve(server, rewritesOf, list, path, query); got != want {
+				t.Fatalf("%s?%s: %+v, the manual says %+v\nserver %+v\nlocations %+v\nrewrites %+v", raw, query, got, want, server, list, rewritesOf)
 			}
 		}
 	})
-	t.Logf("%d pairs, %d sent away, %d in rounds", pairs, sent, round)
+	t.Logf("%d pairs, %d redirected, %d in circles", pairs, redirects, cycles)
 }
 
-// TestRewriteNamesNoOtherHost has no group turn a path into the name of another host.
-func TestRewriteNamesNoOtherHost(t *testing.T) {
+// TestRewriteKeepsHost has no group turn a path into the name of another host.
+func TestRewriteKeepsHost(t *testing.T) {
 	s := &Server{Listen: []Listen{{}}, Rewrites: []*Rewrite{{Pattern: "^(.*)/$", Replacement: "$1", Flag: FlagPermanent}}}
 	if _, err := New([]*Server{s}); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := s.Resolve("//evil.example/", ""); err != nil || o.RedirectURL != "/evil.example" {
-		t.Errorf("sent to %q, %v", o.RedirectURL, err)
+	if r, err := s.Resolve("//evil.example/", ""); err != nil || r.RedirectURL != "/evil.example" {
+		t.Errorf("sent to %q, %v", r.RedirectURL, err)
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// TestOrder has the cases in which the order of matching changes the meaning.
-func TestOrder(t *testing.T) {
+// TestMatchOrder has the cases in which the order of matching matters.
+func TestMatchOrder(t *testing.T) {
 	list := []*Location{
 		{Kind: Regex, Pattern: `\.gif$`, Value: "gif above"},
 		{Kind: PrefixNoRegex, Pattern: "/images/", Value: "images"},
@@ -54,23 +54,23 @@
 	}
 }
 
-// TestBroken names what makes no sense, with its place.
-func TestBroken(t *testing.T) {
-	loc := func(kind Kind, pattern string, inner ...*Location) *Location {
+// TestConfigErrors has each invalid description reported with its source.
+func TestConfigErrors(t *testing.T) {
+	location := func(kind Kind, pattern string, inner ...*Location) *Location {
 		return &Location{Kind: kind, Pattern: pattern, Locations: inner, Source: "f:" + pattern}
 	}
-	at := []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80"), Default: true}}
+	listen := []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80"), Default: true}}
 	for want, servers := range map[string][]*Server{
-		"is defined twice, first at f:/a":          {{Locations: []*Location{loc(Prefix, "/a"), loc(PrefixNoRegex, "/a")}}},
-		"f:(?=a): location ~ (?=a): not a regex":   {{Locations: []*Location{loc(Regex, "(?=a)")}}},
-		"is outside location /b":                   {{Locations: []*Location{loc(Prefix, "/b", loc(Prefix, "/a"))}}},
-		"can't stand in location = /a":             {{Locations: []*Location{loc(Exact, "/a", loc(Prefix, "/a/b"))}}},
-		"location @x can only stand in a server":   {{Locations: []*Location{loc(Prefix, "/", loc(Named, "x"))}}},
-		"location /a is outside location ~ b":      {{Locations: []*Location{loc(Regex, "b", loc(Prefix, "/a"))}}},
-		"without a pattern":                        {{Locations: []*Location{loc(Prefix, "")}}},
-		"a second default server for 127.0.0.1:80": {{Listen: at}, {Listen: at}},
-		"server name \"a*b\"":                      {{Listen: at, Names: []string{"a*b"}}},
-		"server name \"~(\": not a regex":          {{Listen: at, Names: []string{"~("}}},
+		"is defined twice, first at f:/a":          {{Locations: []*Location{location(Prefix, "/a"), location(PrefixNoRegex, "/a")}}},
+		"f:(?=a): location ~ (?=a): not a regex":   {{Locations: []*Location{location(Regex, "(?=a)")}}},
+		"is outside location /b":                   {{Locations: []*Location{location(Prefix, "/b", location(Prefix, "/a"))}}},
+		"can't stand in location = /a":             {{Locations: []*Location{location(Exact, "/a", location(Prefix, "/a/b"))}}},
+		"location @x can only stand in a server":   {{Locations: []*Location{location(Prefix, "/", location(Named, "x"))}}},
+		"location /a is outside location ~ b":      {{Locations: []*Location{location(Regex, "b", location(Prefix, "/a"))}}},
+		"without a pattern":                        {{Locations: []*Location{location(Prefix, "")}}},
+		"a second default server for 127.0.0.1:80": {{Listen: listen}, {Listen: listen}},
+		"server name \"a*b\"":                      {{Listen: listen, Names: []string{"a*b"}}},
+		"server name \"~(\": not a regex":          {{Listen: listen, Names: []string{"~("}}},
 	} {
 		if _, err := New(servers); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want %q", err, want)
@@ -78,8 +78,8 @@
 	}
 }
 
-// FuzzNormalise never panics, and what it returns stays as it is when it is normalised again.
-func FuzzNormalise(f *testing.F) {
+// FuzzNormalizePath never panics and agrees with the model.
+func FuzzNormalizePath(f *testing.F) {
 	for _, raw := range []string{"/", "/a/../b", "//a//", "/%2e%2e/", "/.", "/a/.."} {
 		f.Add(raw)
 	}
@@ -94,8 +94,8 @@
 	})
 }
 
-// BenchmarkFind is a match among so many locations.
-func BenchmarkFind(b *testing.B) {
+// BenchmarkResolve looks up a path among many locations.
+func BenchmarkResolve(b *testing.B) {
 	for _, n := range []int{10, 1_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var list []*Location
--- a/internal/route/routemodel/model.go
+++ b/internal/route/routemodel/model.go
@@ -1,5 +1,6 @@
-// Package routemodel is nginx's documented choice of servers and locations, written from the manual with lists and loops
-// of its own: the checker of internal/route and of what is imported. It shares no code and no data structures with them.
+// Package routemodel is a reference model of how nginx chooses servers and locations and applies rewrites, written from
+// the manual for clarity instead of speed. Tests compare internal/route and imported configurations with it, so it shares
+// no code and no data structures with them.
 package routemodel
 
 import (
@@ -8,156 +9,205 @@
 	"strings"
 )
 
-// Location is one location block as it is written.
+// Location is a location block as it is written.
 type Location struct {
-	Modifier     string // "", "^~", "=", "~", "~*"
+	Modifier     string // "", "^~", "=", "~" or "~*"
 	Pattern      string
-	PassesToPool bool // it passes to a pool, so a missing slash is redirected
+	PassesToPool bool // so that a path without the slash at the location's end is redirected
 	Locations    []Location
 	Name         string
 }
 
-// NormalizePath normalises as the manual says: decode, resolve, merge.
-func NormalizePath(raw string, merge bool) (string, bool) {
+// isRegex reports whether the pattern is a regex.
+func (l Location) isRegex() bool { return l.Modifier == "~" || l.Modifier == "~*" }
+
+// isPrefix reports whether the pattern is a prefix.
+func (l Location) isPrefix() bool { return l.Modifier == "" || l.Modifier == "^~" }
+
+// matches reports whether a regex location matches a path.
+func (l Location) matches(path string) bool {
+	regex := l.Pattern
+	if l.Modifier == "~*" {
+		regex = "(?i)" + regex
+	}
+	return regexp.MustCompile(regex).MatchString(path)
+}
+
+// NormalizePath normalizes as the manual says: decode, merge slashes, resolve dot segments. It returns false for a path
+// that can't be.
+func NormalizePath(raw string, mergeSlashes bool) (string, bool) {
 	raw, _, _ = strings.Cut(raw, "?")
 	raw, _, _ = strings.Cut(raw, "#")
 	if !strings.HasPrefix(raw, "/") {
 		return "", false
 	}
+	decoded, ok := decode(raw)
+	if !ok {
+		return "", false
+	}
+	if mergeSlashes {
+		for strings.Contains(decoded, "//") {
+			decoded = strings.ReplaceAll(decoded, "//", "/")
+		}
+	}
+	return resolveDots(decoded)
+}
+
+// decode replaces each %XX by its byte, which must not be zero.
+func decode(raw string) (string, bool) {
 	decoded := ""
 	for i := 0; i < len(raw); i++ {
 		if raw[i] != '%' {
 			decoded += raw[i : i+1]
 			continue
 		}
-		var n int
 		if i+3 > len(raw) {
 			return "", false
 		}
-		if _, err := fmt.Sscanf(strings.ToLower(raw[i+1:i+3]), "%02x", &n); err != nil || n == 0 || strings.Trim(raw[i+1:i+3], "0123456789abcdefABCDEF") != "" {
+		digits := raw[i+1 : i+3]
+		var value int
+		_, err := fmt.Sscanf(strings.ToLower(digits), "%02x", &value)
+		if err != nil || value == 0 || strings.Trim(digits, "0123456789abcdefABCDEF") != "" {
 			return "", false
 		}
-		decoded += string([]byte{byte(n)})
-		i += 2
-	}
-	if merge {
-		for strings.Contains(decoded, "//") {
-			decoded = strings.ReplaceAll(decoded, "//", "/")
-		}
+		decoded += string([]byte{byte(value)})
+		i += len(digits)
 	}
+	return decoded, true
+}
+
+// resolveDots resolves the segments "." and "..", which must not lead above the root.
+func resolveDots(path string) (string, bool) {
 	kept := []string{}
-	segments := strings.Split(decoded[1:], "/")
-	for i, s := range segments {
-		last := i == len(segments)-1
+	segments := strings.Split(path[1:], "/")
+	for i, segment := range segments {
+		isLast := i == len(segments)-1
 		switch {
-		case s == ".":
-		case s == ".." && len(kept) == 0:
+		case segment == ".":
+		case segment == ".." && len(kept) == 0:
 			return "", false
-		case s == "..":
+		case segment == "..":
 			kept = kept[:len(kept)-1]
 		default:
-			kept = append(kept, s)
+			kept = append(kept, segment)
 			continue
 		}
-		if last {
+		if isLast {
 			kept = append(kept, "") // a dot segment at the end leaves a slash
 		}
 	}
 	return "/" + strings.Join(kept, "/"), true
 }
 
-// FindLocation is the name of the location for a path, with "301 " before it for a redirect, or "".
-func FindLocation(list []Location, path string) (name string, exact bool) {
-	for _, l := range list {
+// FindLocation returns the name of the location for a path, with "301 " before it for a redirect to the path with a
+// slash at its end, or "". It reports whether the match is final: regexes of the level around it are not tried.
+func FindLocation(locations []Location, path string) (name string, final bool) {
+	for _, l := range locations {
 		if l.Modifier == "=" && l.Pattern == path {
 			return l.Name, true
 		}
 	}
-	longest := -1
-	for i, l := range list {
-		if (l.Modifier == "" || l.Modifier == "^~") && strings.HasPrefix(path, l.Pattern) &&
-			(longest < 0 || len(l.Pattern) > len(list[longest].Pattern)) {
-			longest = i
-		}
-	}
-	// Without an own location for the path, the one that only has a slash more redirects to itself.
-	if longest < 0 || list[longest].Pattern != path {
-		for _, l := range list {
-			if l.Modifier != "~" && l.Modifier != "~*" && l.Pattern == path+"/" {
-				if l.PassesToPool && l.Modifier != "=" {
-					return "301 " + l.Name, true
-				}
-			}
+	longest := findLongestPrefix(locations, path)
+	if longest < 0 || locations[longest].Pattern != path {
+		if name := findSlashRedirect(locations, path); name != "" {
+			return name, true
 		}
 	}
 	if longest >= 0 {
-		name = list[longest].Name
-		if inner, stop := FindLocation(list[longest].Locations, path); inner != "" {
-			if name = inner; stop {
+		prefix := locations[longest]
+		name = prefix.Name
+		if nested, nestedFinal := FindLocation(prefix.Locations, path); nested != "" {
+			name = nested
+			if nestedFinal {
 				return name, true
 			}
 		}
-		if list[longest].Modifier == "^~" {
+		if prefix.Modifier == "^~" {
 			return name, false
 		}
 	}
-	for _, l := range list {
-		if l.Modifier != "~" && l.Modifier != "~*" {
+	for _, l := range locations {
+		if !l.isRegex() || !l.matches(path) {
 			continue
 		}
-		text := l.Pattern
-		if l.Modifier == "~*" {
-			text = "(?i)" + text
-		}
-		if regexp.MustCompile(text).MatchString(path) {
-			if inner, _ := FindLocation(l.Locations, path); inner != "" {
-				return strings.TrimPrefix(inner, "301 "), true
-			}
-			return l.Name, true
+		if nested, _ := FindLocation(l.Locations, path); nested != "" {
+			return strings.TrimPrefix(nested, "301 "), true
 		}
+		return l.Name, true
 	}
 	return name, false
 }
 
-// FindServer is the name of the server for a host, among lists of names; the first is the default.
-func FindServer(names [][]string, host string) int {
-	host = strings.ToLower(strings.TrimSuffix(host, "."))
-	for i, list := range names {
-		for _, n := range list {
-			if n == host || strings.HasPrefix(n, ".") && n[1:] == host {
-				return i
-			}
+// findLongestPrefix returns the index of the longest prefix location of a path, or -1.
+func findLongestPrefix(locations []Location, path string) int {
+	longest := -1
+	for i, l := range locations {
+		if l.isPrefix() && strings.HasPrefix(path, l.Pattern) &&
+			(longest < 0 || len(l.Pattern) > len(locations[longest].Pattern)) {
+			longest = i
 		}
 	}
-	best, length := -1, 0
-	for i, list := range names {
-		for _, n := range list {
-			suffix := strings.TrimPrefix(n, "*")
-			if (strings.HasPrefix(n, "*.") || strings.HasPrefix(n, ".")) && strings.HasSuffix(host, suffix) && len(host) > len(suffix) &&
-				len(suffix) > length {
-				best, length = i, len(suffix)
-			}
+	return longest
+}
+
+// findSlashRedirect returns "301 " and the name of the location that is the path with a slash at its end, or "".
+func findSlashRedirect(locations []Location, path string) string {
+	for _, l := range locations {
+		if l.isPrefix() && l.Pattern == path+"/" && l.PassesToPool {
+			return "301 " + l.Name
 		}
 	}
-	if best >= 0 {
-		return best
+	return ""
+}
+
+// FindServer returns the index of the server for a host among lists of names; the first is the default.
+func FindServer(names [][]string, host string) int {
+	host = strings.ToLower(strings.TrimSuffix(host, "."))
+	exact := findName(names, func(name string) int {
+		return length(name == host || strings.HasPrefix(name, ".") && name[1:] == host, 1)
+	})
+	if exact >= 0 {
+		return exact
 	}
-	for i, list := range names {
-		for _, n := range list {
-			if prefix, ok := strings.CutSuffix(n, "*"); ok && strings.HasPrefix(host, prefix) && len(host) > len(prefix) && len(prefix) > length {
-				best, length = i, len(prefix)
-			}
-		}
+	longestSuffix := findName(names, func(name string) int {
+		suffix := strings.TrimPrefix(name, "*")
+		hasStar := strings.HasPrefix(name, "*.") || strings.HasPrefix(name, ".")
+		return length(hasStar && strings.HasSuffix(host, suffix) && len(host) > len(suffix), len(suffix))
+	})
+	if longestSuffix >= 0 {
+		return longestSuffix
 	}
-	if best >= 0 {
-		return best
+	longestPrefix := findName(names, func(name string) int {
+		prefix, hasStar := strings.CutSuffix(name, "*")
+		return length(hasStar && strings.HasPrefix(host, prefix) && len(host) > len(prefix), len(prefix))
+	})
+	if longestPrefix >= 0 {
+		return longestPrefix
 	}
+	regex := findName(names, func(name string) int {
+		regex, isRegex := strings.CutPrefix(name, "~")
+		return length(isRegex && regexp.MustCompile(regex).MatchString(host), 1)
+	})
+	return max(regex, 0)
+}
+
+// findName returns the index of the first list with the longest match, or -1 if no name has one.
+func findName(names [][]string, matchLength func(name string) int) int {
+	best, longest := -1, 0
 	for i, list := range names {
-		for _, n := range list {
-			if text, ok := strings.CutPrefix(n, "~"); ok && regexp.MustCompile(text).MatchString(host) {
-				return i
+		for _, name := range list {
+			if n := matchLength(name); n > longest {
+				best, longest = i, n
 			}
 		}
 	}
+	return best
+}
+
+// length returns the length of a match, or 0 if there is none.
+func length(matches bool, n int) int {
+	if matches {
+		return n
+	}
 	return 0
 }
--- a/internal/route/routemodel/rewrite.go
+++ b/internal/route/routemodel/rewrite.go
@@ -6,32 +6,44 @@
 	"strings"
 )
 
-// Rewrite is one rewrite directive as it is written, with groups as its only variables.
-type Rewrite struct{ Regex, Replacement, Flag string }
+// Rewrite is a rewrite directive as it is written. Groups are the only variables of its replacement.
+type Rewrite struct {
+	Regex       string
+	Replacement string
+	Flag        string // "", "last", "break", "redirect" or "permanent"
+}
+
+// redirects reports whether clients are redirected.
+func (w Rewrite) redirects() bool {
+	return w.Flag == "redirect" || w.Flag == "permanent" || strings.HasPrefix(w.Replacement, "http")
+}
 
-// Result is where a request ends: at a location, or with an address to which its caller is sent.
+// Result is where a request ends: at a location, or with a URL to which its client is redirected.
 type Result struct {
-	Target         string // of the location, as Find has it; or "302 ADDRESS", "301 ADDRESS", "500"
+	Target         string // a location's name, as FindLocation has it, or "302 URL", "301 URL" or "500"
 	Path           string
 	Query          string
 	StoppedByBreak bool // nothing else of the location's rewrites and returns counts
 }
 
-// Resolve follows the manual: the server's rewrites once, then the location is looked for and its own rewrites are
-// applied, until none of them changes the path; ten changes are the most.
-func Resolve(server []Rewrite, of map[string][]Rewrite, list []Location, path, query string) Result {
-	r, _ := applyAll(server, Result{Path: path, Query: query})
-	if r.Target != "" {
-		return r
+// maxCycles is how often the location is searched again at most.
+const maxCycles = 10
+
+// Resolve follows the manual: the server's rewrites are applied once, then the location is searched and its own rewrites
+// are applied, until none of them changes the path. rewritesOf holds the rewrites of each location by its name.
+func Resolve(server []Rewrite, rewritesOf map[string][]Rewrite, locations []Location, path, query string) Result {
+	current, _ := applyAll(server, Result{Path: path, Query: query})
+	if current.Target != "" {
+		return current
 	}
-	r.StoppedByBreak = false
-	for changes := 0; changes <= 10; changes++ {
-		name, _ := FindLocation(list, r.Path)
-		own := of[name]
+	current.StoppedByBreak = false
+	for range maxCycles + 1 {
+		name, _ := FindLocation(locations, current.Path)
+		own := rewritesOf[name]
 		if strings.HasPrefix(name, "301 ") {
 			own = nil
 		}
-		next, changed := applyAll(own, r)
+		next, changed := applyAll(own, current)
 		switch {
 		case next.Target != "":
 			return next
@@ -39,70 +51,84 @@
 			next.Target = name
 			return next
 		}
-		r = next
+		current = next
 	}
-	return Result{Target: "500", Path: r.Path, Query: r.Query}
+	return Result{Target: "500", Path: current.Path, Query: current.Query}
 }
 
-// applyAll applies directives in order.
-func applyAll(list []Rewrite, r Result) (Result, bool) {
+// applyAll applies rewrites in order and reports whether one of them changed the path.
+func applyAll(rewrites []Rewrite, result Result) (Result, bool) {
 	changed := false
-	for _, w := range list {
-		groups := regexp.MustCompile(w.Regex).FindStringSubmatch(r.Path)
+	for _, w := range rewrites {
+		groups := regexp.MustCompile(w.Regex).FindStringSubmatch(result.Path)
 		if groups == nil {
 			continue
 		}
-		away := w.Flag == "redirect" || w.Flag == "permanent" || strings.HasPrefix(w.Replacement, "http")
-		old := r.Query
-		to := w.Replacement
-		if strings.HasSuffix(to, "?") { // the old query is left out
-			to, old = to[:len(to)-1], ""
-		}
-		parts := strings.SplitN(to, "?", 2)
-		fill := func(text string, escape bool) string {
-			for i := len(groups) - 1; i > 0; i-- {
-				g := groups[i]
-				if escape {
-					g = escapeURL(g)
-				}
-				text = strings.ReplaceAll(text, fmt.Sprint("$", i), strings.ReplaceAll(g, "$", "\x01"))
-			}
-			return strings.ReplaceAll(text, "\x01", "$")
-		}
-		r.Path, r.Query = fill(parts[0], away), old
-		if len(parts) == 2 {
-			r.Query = strings.TrimSuffix(fill(parts[1], true)+"&"+old, "&")
-			if old == "" {
-				r.Query = fill(parts[1], true)
-			}
-		}
-		if away {
-			code := "302 "
-			if w.Flag == "permanent" {
-				code = "301 "
-			}
-			address := r.Path
-			if !strings.HasPrefix(w.Replacement, "http") && strings.HasPrefix(address, "//") {
-				address = "/" + strings.TrimLeft(address, "/")
-			}
-			if r.Query != "" {
-				address += "?" + r.Query
-			}
-			return Result{Target: code + address}, false
+		result.Path, result.Query = w.replace(groups, result.Query)
+		if w.redirects() {
+			return Result{Target: w.redirect(result.Path, result.Query)}, false
 		}
 		changed = true
 		switch w.Flag {
 		case "break":
-			r.StoppedByBreak = true
-			return r, true
+			result.StoppedByBreak = true
+			return result, true
 		case "last":
-			return r, true
+			return result, true
+		}
+	}
+	return result, changed
+}
+
+// replace returns the path and the query that the replacement gives.
+func (w Rewrite) replace(groups []string, oldQuery string) (path, query string) {
+	replacement := w.Replacement
+	if strings.HasSuffix(replacement, "?") { // the old query is dropped
+		replacement = replacement[:len(replacement)-1]
+		oldQuery = ""
+	}
+	parts := strings.SplitN(replacement, "?", 2)
+	path = expand(parts[0], groups, w.redirects())
+	if len(parts) == 1 {
+		return path, oldQuery
+	}
+	query = expand(parts[1], groups, true)
+	if oldQuery != "" {
+		query = strings.TrimSuffix(query+"&"+oldQuery, "&")
+	}
+	return path, query
+}
+
+// redirect returns the status and the URL of a redirect.
+func (w Rewrite) redirect(path, query string) string {
+	status := "302 "
+	if w.Flag == "permanent" {
+		status = "301 "
+	}
+	url := path
+	if !strings.HasPrefix(w.Replacement, "http") && strings.HasPrefix(url, "//") {
+		url = "/" + strings.TrimLeft(url, "/") // it would name another host
+	}
+	if query != "" {
+		url += "?" + query
+	}
+	return status + url
+}
+
+// expand puts what groups matched in place of $1 to $9.
+func expand(text string, groups []string, escape bool) string {
+	const dollar = "\x01" // stands for a $ that a group matched until all are expanded
+	for i := len(groups) - 1; i > 0; i-- {
+		group := groups[i]
+		if escape {
+			group = escapeURL(group)
 		}
+		text = strings.ReplaceAll(text, fmt.Sprint("$", i), strings.ReplaceAll(group, "$", dollar))
 	}
-	return r, changed
+	return strings.ReplaceAll(text, dollar, "$")
 }
 
-// escapeURL writes a part of a path for an address.
+// escapeURL writes a part of a path as it can stand in a URL.
 func escapeURL(text string) string {
 	out := ""
 	for _, c := range []byte(text) {
