--- a/internal/nginx/doc.go
+++ b/internal/nginx/doc.go
@@ -1,7 +1,7 @@
-// Package nginx reads nginx configurations, as far as they describe servers, locations and upstreams, and turns them
-// into this project's description of routes and pools. What is not carried over is named with its place, the reason
-// and how much it matters; nothing is dropped without a word.
+// Package nginx reads nginx configurations, as far as they describe servers, locations and upstreams, and imports them as
+// configurations of the router. What is not imported is reported as a Diagnostic with its position, the reason and how
+// much it matters; nothing is dropped silently.
 //
-// The syntax is that of nginx's own reader (the manual's "Beginner's Guide" and the behaviour of directives in the
-// reference): words, quotes, escapes, comments and blocks; includes with globs.
+// The syntax is that of nginx's own parser (the manual's "Beginner's Guide" and the reference of directives): words,
+// quotes, escapes, comments, blocks, and includes with globs.
 package nginx
--- a/internal/nginx/lexer.go
+++ b/internal/nginx/lexer.go
@@ -7,16 +7,17 @@
 	"tillerusher/internal/sexp"
 )
 
-// Word is one argument of a directive.
+// Word is an argument of a directive.
 type Word struct {
 	Pos    sexp.Pos
-	Text   string // with quotes taken off and escapes resolved
+	Text   string // without quotes, escapes resolved
 	Quoted bool   // it stood in quotes
 }
 
-// tokenKind says what a token is.
+// tokenKind is the kind of a token.
 type tokenKind uint8
 
+// The kinds of token.
 const (
 	tokenWord tokenKind = iota
 	tokenOpen
@@ -25,32 +26,42 @@
 	tokenEOF
 )
 
-// names of tokens in messages.
-var tokenNames = [...]string{"a word", `"{"`, `"}"`, `";"`, "the end of the file"}
+// tokenNames are the kinds of token in messages.
+var tokenNames = [...]string{
+	tokenWord:      "a word",
+	tokenOpen:      `"{"`,
+	tokenClose:     `"}"`,
+	tokenSemicolon: `";"`,
+	tokenEOF:       "the end of the file",
+}
 
+// String returns the kind as messages have it.
 func (k tokenKind) String() string { return tokenNames[k] }
 
-// token is one piece of a file.
+// token is a token of a file.
 type token struct {
 	kind tokenKind
-	Word
+	Word // its text is empty unless kind is tokenWord
 }
 
-// lexer takes a file apart.
+// space are the characters that separate words.
+const space = " \t\r\n"
+
+// lexer splits a file into tokens.
 type lexer struct {
-	rest string
-	pos  sexp.Pos
+	rest string   // the text that is not read yet
+	pos  sexp.Pos // of rest
 }
 
-// advance goes behind the next character.
+// advance reads the next character.
 func (l *lexer) advance() rune {
-	r, n := utf8.DecodeRuneInString(l.rest)
-	l.rest = l.rest[n:]
+	r, size := utf8.DecodeRuneInString(l.rest)
+	l.rest = l.rest[size:]
 	l.pos.Advance(r)
 	return r
 }
 
-// skipSpace goes behind spaces and comments.
+// skipSpace reads spaces and comments.
 func (l *lexer) skipSpace() {
 	for l.rest != "" {
 		switch l.rest[0] {
@@ -66,102 +77,108 @@
 	}
 }
 
-// retryOn is the next token.
+// next reads the next token.
 func (l *lexer) next() (token, error) {
 	l.skipSpace()
-	t := token{Word: Word{Pos: l.pos}}
+	next := token{Word: Word{Pos: l.pos}}
 	if l.rest == "" {
-		t.kind = tokenEOF
-		return t, nil
+		next.kind = tokenEOF
+		return next, nil
 	}
 	switch l.rest[0] {
 	case '{':
-		t.kind = tokenOpen
+		next.kind = tokenOpen
 	case '}':
-		t.kind = tokenClose
+		next.kind = tokenClose
 	case ';':
-		t.kind = tokenSemicolon
+		next.kind = tokenSemicolon
 	case '"', '\'':
-		t.Quoted = true
-		return t, l.readQuoted(&t)
+		next.Quoted = true
+		return next, l.readQuoted(&next)
 	default:
-		return t, l.readBare(&t)
+		return next, l.readBare(&next)
 	}
 	l.advance()
-	return t, nil
+	return next, nil
 }
 
-// readQuoted reads a word in quotes. What follows its end must not touch it.
-func (l *lexer) readQuoted(t *token) error {
+// readQuoted reads a word in quotes. A space, a semicolon, an opening brace or a closing parenthesis has to follow it.
+func (l *lexer) readQuoted(word *token) error {
 	quote := l.advance()
-	var b strings.Builder
+	var text strings.Builder
 	for {
 		if l.rest == "" {
-			return sexp.Errorf(t.Pos, "found the end of the file, want the %c that ends this word", quote)
+			return sexp.Errorf(word.Pos, "found the end of the file, want the %c that ends this word", quote)
 		}
 		switch r := l.advance(); r {
 		case quote:
-			t.Text = b.String()
-			if l.rest != "" && !strings.ContainsRune(" \t\r\n;{)", rune(l.rest[0])) {
+			word.Text = text.String()
+			if l.rest != "" && !strings.ContainsRune(space+";{)", rune(l.rest[0])) {
 				r, _ := utf8.DecodeRuneInString(l.rest)
 				return sexp.Errorf(l.pos, "found %q behind a quoted word, want a space, \";\" or \"{\"", r)
 			}
 			return nil
 		case '\\':
-			l.readEscape(&b)
+			l.readEscape(&text)
 		default:
-			b.WriteRune(r)
+			text.WriteRune(r)
 		}
 	}
 }
 
-// readEscape resolves what stands behind a backslash as nginx does: quotes and the backslash lose it, t, r and n become
-// what they stand for, and anything else keeps it.
-func (l *lexer) readEscape(b *strings.Builder) {
+// readEscape resolves what follows a backslash as nginx does: before quotes and backslashes it is dropped, \t, \r and \n
+// become the characters that they stand for, and before anything else it stays.
+func (l *lexer) readEscape(text *strings.Builder) {
 	if l.rest == "" {
-		b.WriteByte('\\')
+		text.WriteByte('\\')
 		return
 	}
 	switch r := l.advance(); r {
 	case '"', '\'', '\\':
-		b.WriteRune(r)
+		text.WriteRune(r)
 	case 't':
-		b.WriteByte('\t')
+		text.WriteByte('\t')
 	case 'r':
-		b.WriteByte('\r')
+		text.WriteByte('\r')
 	case 'n':
-		b.WriteByte('\n')
+		text.WriteByte('\n')
 	default:
-		b.WriteByte('\\')
-		b.WriteRune(r)
+		text.WriteByte('\\')
+		text.WriteRune(r)
 	}
 }
 
-// readBare reads a word without quotes. "${" begins a variable whose brace does not open a block.
-func (l *lexer) readBare(t *token) error {
-	var b strings.Builder
+// readBare reads a word without quotes.
+func (l *lexer) readBare(word *token) error {
+	var text strings.Builder
 	for l.rest != "" {
 		switch c := l.rest[0]; {
 		case c == '\\':
 			l.advance()
-			l.readEscape(&b)
-			continue
+			l.readEscape(&text)
 		case strings.HasPrefix(l.rest, "${"):
-			at := l.pos
-			i := strings.IndexByte(l.rest, '}')
-			if i < 0 || strings.ContainsAny(l.rest[:i], " \t\r\n;") {
-				return sexp.Errorf(at, "found ${ without the } that ends the variable")
-			}
-			for range i + 1 {
-				b.WriteRune(l.advance())
+			if err := l.readVariable(&text); err != nil {
+				return err
 			}
-			continue
-		case strings.IndexByte(" \t\r\n;{", c) >= 0:
-			t.Text = b.String()
+		case strings.IndexByte(space+";{", c) >= 0:
+			word.Text = text.String()
 			return nil
+		default:
+			text.WriteRune(l.advance())
 		}
-		b.WriteRune(l.advance())
 	}
-	t.Text = b.String()
+	word.Text = text.String()
+	return nil
+}
+
+// readVariable reads ${NAME}, whose braces are no block's.
+func (l *lexer) readVariable(text *strings.Builder) error {
+	end := strings.IndexByte(l.rest, '}')
+	if end < 0 || strings.ContainsAny(l.rest[:end], space+";") {
+		return sexp.Errorf(l.pos, "found ${ without the } that ends the variable")
+	}
+	for range end + 1 {
+		text.WriteRune(l.advance())
+	}
 	return nil
 }
--- /dev/null
+++ b/internal/nginx/location.go
@@ -0,0 +1,229 @@
+package nginx
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"tillerusher/internal/pool"
+	"tillerusher/internal/route"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/sexp"
+)
+
+// importLocation imports a location block and what is nested in it.
+func (im *importer) importLocation(directive *Directive, outer levelSettings) (*routeconfig.Location, error) {
+	location := &routeconfig.Location{InterceptErrors: true, Pos: directive.Pos}
+	if err := parsePattern(location, directive); err != nil {
+		return nil, err
+	}
+	settings, err := im.inherit(outer, directive.Block)
+	if err != nil {
+		return nil, err
+	}
+	location.Fallbacks = settings.fallbacks
+	rewrites := rewriteContext{rewrites: &location.Rewrites, location: location}
+	var tryFiles *Directive // imported last: what it means depends on the other directives
+	for _, inner := range directive.Block {
+		if inner.Name == "try_files" {
+			tryFiles = inner
+			continue
+		}
+		if err := im.importLocationDirective(location, inner, settings, &rewrites); err != nil {
+			return nil, err
+		}
+	}
+	if tryFiles != nil {
+		im.importTryFiles(location, tryFiles)
+	}
+	return location, nil
+}
+
+// importLocationDirective imports a directive of a location block.
+func (im *importer) importLocationDirective(location *routeconfig.Location, directive *Directive, settings levelSettings,
+	rewrites *rewriteContext) error {
+	switch {
+	case directive.Name == "fastcgi_pass", directive.Name == "scgi_pass":
+		return im.importPass(location, directive, settings)
+	case directive.Name == "rewrite":
+		return im.importRewrite(rewrites, directive)
+	case directive.Name == "return":
+		rewrites.afterReturn = true
+		return im.importReturn(location, directive)
+	case directive.Name == "location":
+		nested, err := im.importLocation(directive, settings)
+		if err != nil {
+			return err
+		}
+		location.Locations = append(location.Locations, nested)
+	case !isInherited(directive.Name):
+		im.reportUnsupported(directive)
+	}
+	return nil
+}
+
+// modifiers are the modifiers of patterns. One comes before those that it begins with.
+var modifiers = []struct {
+	text string
+	kind route.Kind
+}{
+	{"=", route.Exact},
+	{"~*", route.RegexIgnoreCase},
+	{"~", route.Regex},
+	{"^~", route.PrefixNoRegex},
+}
+
+// parsePattern reads a location's modifier and pattern, which may stand in one word.
+func parsePattern(location *routeconfig.Location, directive *Directive) error {
+	args := directive.ArgTexts()
+	switch len(args) {
+	case 1:
+		parseModifiedPattern(location, args[0])
+		return nil
+	case 2:
+		for _, m := range modifiers {
+			if args[0] == m.text {
+				location.Kind, location.Pattern = m.kind, args[1]
+				return nil
+			}
+		}
+		return directive.errorf("found %q in location, want =, ~, ~* or ^~", args[0])
+	}
+	return directive.errorf("location has %d arguments, want a pattern with or without a modifier", len(args))
+}
+
+// parseModifiedPattern reads a pattern in one word with its modifier, if it has one.
+func parseModifiedPattern(location *routeconfig.Location, word string) {
+	for _, m := range modifiers {
+		if pattern, ok := strings.CutPrefix(word, m.text); ok {
+			location.Kind, location.Pattern = m.kind, pattern
+			return
+		}
+	}
+	if name, ok := strings.CutPrefix(word, "@"); ok {
+		location.Kind, location.Pattern = route.Named, name
+		return
+	}
+	location.Pattern = word
+}
+
+// statusFound is the status of return with a URL alone.
+const statusFound = 302
+
+// importReturn reads return STATUS [TEXT] and return URL. The first one of a location counts.
+func (im *importer) importReturn(location *routeconfig.Location, directive *Directive) error {
+	first, text := directive.Arg(0), directive.Arg(1)
+	status, err := strconv.Atoi(first)
+	if err != nil && len(directive.Args) == 1 {
+		status, text, err = statusFound, first, nil
+	}
+	if err != nil || status < minStatus || status > maxStatus {
+		return directive.errorf("found %q in return, want a status", first)
+	}
+	if strings.Contains(text, "$") {
+		im.report(directive, Unsafe, "its text is made of variables, which are not computed")
+		return nil
+	}
+	if location.ReturnStatus == 0 {
+		location.ReturnStatus, location.ReturnText = status, text
+	}
+	return nil
+}
+
+// poolKey is what makes a pool of its own: nginx has timeouts and retries by location, the router has them by pool.
+type poolKey struct {
+	upstream       string
+	protocol       string
+	retryOn        pool.RetryCondition
+	maxAttempts    int
+	retryTimeout   time.Duration
+	connectTimeout time.Duration
+	readTimeout    time.Duration
+	sendTimeout    time.Duration
+}
+
+// importPass reads fastcgi_pass and scgi_pass, which send a location's requests to a pool.
+func (im *importer) importPass(location *routeconfig.Location, directive *Directive, outer levelSettings) error {
+	target := directive.Arg(0)
+	if strings.Contains(target, "$") {
+		im.report(directive, Unsafe, "the pool is named through a variable")
+		return nil
+	}
+	upstream, err := im.findUpstream(target, directive)
+	if err != nil {
+		return err
+	}
+	protocol, _ := cutProtocol(directive.Name)
+	settings := outer.byProtocol[protocol]
+	key := poolKey{
+		upstream:       target,
+		protocol:       protocol,
+		retryOn:        settings.retryOn,
+		maxAttempts:    settings.maxAttempts,
+		retryTimeout:   settings.retryTimeout,
+		connectTimeout: settings.connectTimeout,
+		readTimeout:    settings.readTimeout,
+		sendTimeout:    settings.sendTimeout,
+	}
+	name, ok := im.poolNames[key]
+	if !ok {
+		if name, err = im.addPool(key, upstream, directive); err != nil {
+			return err
+		}
+	}
+	location.Pool = name
+	location.Class = className
+	location.Params = settings.params
+	location.InterceptErrors = settings.interceptErrors || len(location.Fallbacks) == 0 // without fallbacks it means nothing
+	return nil
+}
+
+// findUpstream returns the upstream of a target, or one for the address that the target is.
+func (im *importer) findUpstream(target string, directive *Directive) (*upstreamBlock, error) {
+	if upstream := im.upstreams[target]; upstream != nil {
+		return upstream, nil
+	}
+	addr, ok := memberAddress(target)
+	if !ok {
+		return nil, directive.errorf("upstream %s is not defined, and names are not looked up", target)
+	}
+	upstream := &upstreamBlock{pos: directive.Pos, config: pool.DefaultConfig()}
+	upstream.config.Name = target
+	upstream.config.Members = []pool.Member{pool.DefaultMember(addr)}
+	return upstream, nil
+}
+
+// addPool adds the pool of an upstream with the settings of a key and returns its name, with a number behind it if the
+// upstream has a pool with other settings.
+func (im *importer) addPool(key poolKey, upstream *upstreamBlock, directive *Directive) (string, error) {
+	name := key.upstream
+	for n := 2; im.usedNames[name]; n++ {
+		name = fmt.Sprintf("%s-%d", key.upstream, n)
+	}
+	if name != key.upstream {
+		im.report(directive, ChangesBehavior,
+			"the pool %s has settings of its own and its state is kept apart from %s's", name, key.upstream)
+	}
+	im.poolNames[key] = name
+	im.usedNames[name] = true
+	added := routeconfig.Pool{
+		Config:         upstream.config,
+		HashKey:        upstream.hashKey,
+		Protocol:       key.protocol,
+		RetryOn:        key.retryOn,
+		MaxIdleConns:   upstream.maxIdleConns,
+		ConnectTimeout: key.connectTimeout,
+		ReadTimeout:    key.readTimeout,
+		SendTimeout:    key.sendTimeout,
+		Pos:            directive.Pos,
+	}
+	added.Name = name
+	added.MaxAttempts = key.maxAttempts
+	added.RetryTimeout = key.retryTimeout
+	if err := added.Validate(); err != nil {
+		return "", sexp.Errorf(upstream.pos, "%v", err)
+	}
+	im.config.Pools = append(im.config.Pools, added)
+	return name, nil
+}
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -14,27 +14,27 @@
 	"tillerusher/internal/sexp"
 )
 
-// files is a folder in memory.
-func files(texts ...string) FSReader {
-	m := fstest.MapFS{}
-	for i := 0; i < len(texts); i += 2 {
-		m[texts[i]] = &fstest.MapFile{Data: []byte(texts[i+1])}
+// newFiles returns files in memory, given their names and texts in turn.
+func newFiles(namesAndTexts ...string) FSReader {
+	files := fstest.MapFS{}
+	for i := 0; i < len(namesAndTexts); i += 2 {
+		files[namesAndTexts[i]] = &fstest.MapFile{Data: []byte(namesAndTexts[i+1])}
 	}
-	return FSReader{m}
+	return FSReader{files}
 }
 
-// load imports one text.
-func load(t testing.TB, text string) (*routeconfig.Config, []Diagnostic, error) {
+// importText imports a configuration of one file.
+func importText(t testing.TB, text string) (*routeconfig.Config, []Diagnostic, error) {
 	t.Helper()
-	list, err := Parse(files("nginx.conf", text), "nginx.conf")
+	directives, err := Parse(newFiles("nginx.conf", text), "nginx.conf")
 	if err != nil {
 		return nil, nil, err
 	}
-	return Import(list)
+	return Import(directives)
 }
 
-// TestBroken has each broken sample told with its place and what was expected.
-func TestBroken(t *testing.T) {
+// TestErrors has each invalid configuration reported with its position and what was expected.
+func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"http {":    "nginx.conf:1:6: found the end of the file, want the \"}\" of this block",
 		"}":         "nginx.conf:1:1: found \"}\", want a directive",
@@ -55,49 +55,49 @@
 		"include a b;":                                                       "include has 2 arguments, want one",
 		"include nowhere.conf;":                                              "nginx.conf:1:1: include nowhere.conf",
 	} {
-		_, _, err := load(t, text)
+		_, _, err := importText(t, text)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// TestIncludes reads globs in order, and names a cycle by its chain.
+// TestIncludes reads globs in order, and reports a cycle by its chain.
 func TestIncludes(t *testing.T) {
-	fsys := files("etc/nginx.conf", "http { include conf.d/*.conf; include more; }",
+	files := newFiles("etc/nginx.conf", "http { include conf.d/*.conf; include more; }",
 		"etc/conf.d/b.conf", "upstream b { server 10.0.0.2; }", "etc/conf.d/a.conf", "upstream a { server 10.0.0.1; }",
 		"etc/more", "server { listen 81; location / { fastcgi_pass a; } include deep/x; }",
 		"etc/deep/x", "location /x { fastcgi_pass b; }")
-	list, err := Parse(fsys, "etc/nginx.conf")
+	directives, err := Parse(files, "etc/nginx.conf")
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := []string{}
-	for _, d := range list[0].Block {
+	for _, d := range directives[0].Block {
 		names = append(names, d.String())
 	}
 	if !slices.Equal(names, []string{"upstream a {...}", "upstream b {...}", "server {...}"}) {
 		t.Errorf("read %q", names)
 	}
-	if d, _, err := Import(list); err != nil || len(d.Pools) != 2 || len(d.Servers[0].Locations) != 2 ||
-		d.Servers[0].Locations[1].Pos.File != "etc/deep/x" {
-		t.Errorf("%v, %+v", err, d)
+	if c, _, err := Import(directives); err != nil || len(c.Pools) != 2 || len(c.Servers[0].Locations) != 2 ||
+		c.Servers[0].Locations[1].Pos.File != "etc/deep/x" {
+		t.Errorf("%v, %+v", err, c)
 	}
-	_, err = Parse(files("a", "include b;", "b", "\n  include c;", "c", "include a;"), "a")
-	var place *sexp.Error
-	if !errors.As(err, &place) || place.Pos.File != "c" || place.Message != "the includes go round: a -> b -> c -> a" {
+	_, err = Parse(newFiles("a", "include b;", "b", "\n  include c;", "c", "include a;"), "a")
+	var cycle *sexp.Error
+	if !errors.As(err, &cycle) || cycle.Pos.File != "c" || cycle.Message != "the includes go round: a -> b -> c -> a" {
 		t.Errorf("a cycle: %v", err)
 	}
 }
 
 // TestWords reads quotes, escapes, variables and comments as nginx does.
 func TestWords(t *testing.T) {
-	list, err := Parse(files("f", "a \"b c\" 'd\\'e' f\\;g ${h}i $j \"\" # k;\n \"l;\" m\\n;"), "f")
+	directives, err := Parse(newFiles("f", "a \"b c\" 'd\\'e' f\\;g ${h}i $j \"\" # k;\n \"l;\" m\\n;"), "f")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"b c", "d'e", "f\\;g", "${h}i", "$j", "", "l;", "m\n"}
-	if got := list[0].ArgTexts(); !slices.Equal(got, want) || list[0].Args[6].Pos.Line != 2 {
+	if got := directives[0].ArgTexts(); !slices.Equal(got, want) || directives[0].Args[6].Pos.Line != 2 {
 		t.Errorf("read %q, want %q", got, want)
 	}
 }
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestImport carries over what it should, and names all else with its severity.
+// TestImport imports what it should, and reports all else with its severity.
 func TestImport(t *testing.T) {
-	d, remarks, err := load(t, `worker_processes 4;
+	c, diagnostics, err := importText(t, `worker_processes 4;
 http {
   fastcgi_read_timeout 5s;
   fastcgi_param A 1;
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := d.Format()
+	text := c.Format()
 	for _, want := range []string{"(pool stock\n  (method least-conn)\n  (member 10.0.0.1:9000 (weight 3) (max-fails 2) (fail-timeout 5s))\n  (member 10.0.0.2:9000 (backup))\n  (keepalive 8)\n  (read 5s))",
 		"(method hash-consistent)\n  (key uri)", "(next error http_503)", "(listen 0.0.0.0:8080 default)",
 		"(name a.example *.b.example)", "(location prefix-only /fit/", "(location regex \\.php$",
@@ -147,17 +147,17 @@
 		}
 	}
 	got := map[string]Severity{}
-	for _, r := range remarks {
-		got[strings.Fields(r.Directive)[0]+fmt.Sprint(r.Pos.Line)] = r.Severity
+	for _, d := range diagnostics {
+		got[strings.Fields(d.Directive)[0]+fmt.Sprint(d.Pos.Line)] = d.Severity
 	}
-	for what, severity := range map[string]Severity{"worker_processes1": Harmless, "zone5": Harmless, "fastcgi_param12": Harmless,
+	for directive, severity := range map[string]Severity{"worker_processes1": Harmless, "zone5": Harmless, "fastcgi_param12": Harmless,
 		"if16": Unsafe, "fastcgi_pass16": Unsafe, "access_log17": Harmless, "frobnicate18": ChangesBehavior} {
-		if s, ok := got[what]; what != "fastcgi_param12" && (!ok || s != severity) {
-			t.Errorf("%s: %v, %t", what, s, ok)
+		if s, ok := got[directive]; directive != "fastcgi_param12" && (!ok || s != severity) {
+			t.Errorf("%s: %v, %t", directive, s, ok)
 		}
 	}
-	if _, named := got["fastcgi_param12"]; !named {
-		t.Error("a parameter made of variables is dropped without a word")
+	if _, isReported := got["fastcgi_param12"]; !isReported {
+		t.Error("a parameter made of variables is dropped silently")
 	}
 	again, err := routeconfig.Parse("again", []byte(text))
 	if err != nil {
@@ -168,18 +168,18 @@
 	}
 }
 
-// TestNothingIsDropped has every directive that is read be carried, inherited, a block or named.
-func TestNothingIsDropped(t *testing.T) {
+// TestUnsupportedIsReported has each unsupported directive reported once, with its position.
+func TestUnsupportedIsReported(t *testing.T) {
 	for name := range unsupported {
 		text := fmt.Sprintf("upstream u { server 10.0.0.1; } server { location / { %s x; fastcgi_pass u; } }", name)
-		_, remarks, err := load(t, text)
-		if err != nil || len(remarks) != 1 || remarks[0].Pos.Column != 55 {
-			t.Errorf("%s: %v, %v", name, remarks, err)
+		_, diagnostics, err := importText(t, text)
+		if err != nil || len(diagnostics) != 1 || diagnostics[0].Pos.Column != 55 {
+			t.Errorf("%s: %v, %v", name, diagnostics, err)
 		}
 	}
 }
 
-// TestRewrites carries plain rewrites and names the others.
+// TestRewrites imports rewrites without variables and reports the others.
 func TestRewrites(t *testing.T) {
 	for line, want := range map[string]string{
 		"rewrite ^/a/(.*)$ /b/$1 last;":             "(rewrite \"^/a/(.*)$\" /b/$1 last)",
@@ -205,16 +205,16 @@
 		"scgi_param A 1; scgi_pass u;":              "(param A 1)",
 		"fastcgi_param A 1; scgi_pass u;":           "(class imported))\n  (location named f",
 	} {
-		d, remarks, err := load(t, "upstream u { server 10.0.0.1; } server { location / { "+line+" } location @f { fastcgi_pass u; } }")
+		c, diagnostics, err := importText(t, "upstream u { server 10.0.0.1; } server { location / { "+line+" } location @f { fastcgi_pass u; } }")
 		got := ""
 		if err != nil {
 			got = err.Error()
 		} else {
-			got = d.Format()
-			for _, r := range remarks {
-				got += r.String() + "\n"
+			got = c.Format()
+			for _, d := range diagnostics {
+				got += d.String() + "\n"
 			}
-			if _, err := routeconfig.Parse("again", []byte(d.Format())); err != nil {
+			if _, err := routeconfig.Parse("again", []byte(c.Format())); err != nil {
 				t.Errorf("%s: what is imported can't be read: %v\n%s", line, err, got)
 			}
 		}
@@ -222,39 +222,39 @@
 			t.Errorf("%s: no %q in\n%s", line, want, got)
 		}
 	}
-	d, remarks, err := load(t, "server { location @f { rewrite ^ /x; } }")
-	if err != nil || len(remarks) != 1 || remarks[0].Severity != Unsafe || len(d.Servers[0].Locations[0].Rewrites) != 0 {
-		t.Errorf("%v, %v", remarks, err)
+	c, diagnostics, err := importText(t, "server { location @f { rewrite ^ /x; } }")
+	if err != nil || len(diagnostics) != 1 || diagnostics[0].Severity != Unsafe || len(c.Servers[0].Locations[0].Rewrites) != 0 {
+		t.Errorf("%v, %v", diagnostics, err)
 	}
 }
 
-// FuzzImport reads any text without a panic, and what it imports can be read again.
+// FuzzImport imports any text without a panic, and what it imports can be parsed.
 func FuzzImport(f *testing.F) {
 	f.Add("http { upstream a { server 10.0.0.1; } server { location / { fastcgi_pass a; } } }")
 	f.Add("include *; a 'b")
 	f.Add("location")
 	f.Fuzz(func(t *testing.T, text string) {
-		d, _, err := load(t, text)
-		if err != nil || d == nil {
+		c, _, err := importText(t, text)
+		if err != nil || c == nil {
 			return
 		}
-		if _, err := routeconfig.Parse("again", []byte(d.Format())); err != nil {
-			// Directive the table turns away, such as regexes that RE2 can't carry, is told when the description is read.
+		if _, err := routeconfig.Parse("again", []byte(c.Format())); err != nil {
+			// What the table rejects, such as regexes that RE2 does not have, is reported when the configuration is read.
 			if !strings.Contains(err.Error(), ":") {
-				t.Errorf("error without its place: %v", err)
+				t.Errorf("error without its position: %v", err)
 			}
 		}
 	})
 }
 
-// TestTable holds the page for operators to the importer's own table.
-func TestTable(t *testing.T) {
+// TestOperatorsPage compares the operators' page with the table of unsupported directives.
+func TestOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/nginx.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, l := range unsupported {
-		if row := fmt.Sprintf("| `%s` | %v | %s |", name, l.severity, l.reason); !strings.Contains(string(page), row) {
+	for name, u := range unsupported {
+		if row := fmt.Sprintf("| `%s` | %v | %s |", name, u.severity, u.reason); !strings.Contains(string(page), row) {
 			t.Errorf("docs/nginx.md has no row %s", row)
 		}
 	}
--- a/internal/nginx/parser.go
+++ b/internal/nginx/parser.go
@@ -1,9 +1,6 @@
 package nginx
 
 import (
-	"errors"
-	"fmt"
-	"io/fs"
 	"path"
 	"path/filepath"
 	"slices"
@@ -12,16 +9,16 @@
 	"tillerusher/internal/sexp"
 )
 
-// Directive is one directive with its block.
+// Directive is a directive with its block.
 type Directive struct {
 	Pos      sexp.Pos
 	Name     string
 	Args     []Word
-	Block    []*Directive // nil where it has none
-	HasBlock bool         // it has a block, though that may be empty
+	Block    []*Directive
+	HasBlock bool // also true for an empty block
 }
 
-// Arg is the text of an argument, or "".
+// Arg returns the text of an argument, or "" if there are not as many.
 func (d *Directive) Arg(i int) string {
 	if i < len(d.Args) {
 		return d.Args[i].Text
@@ -29,16 +26,16 @@
 	return ""
 }
 
-// ArgTexts are the arguments' texts.
+// ArgTexts returns the texts of all arguments.
 func (d *Directive) ArgTexts() []string {
-	list := make([]string, len(d.Args))
-	for i, a := range d.Args {
-		list[i] = a.Text
+	texts := make([]string, len(d.Args))
+	for i, arg := range d.Args {
+		texts[i] = arg.Text
 	}
-	return list
+	return texts
 }
 
-// String is the directive in one line.
+// String returns the directive in one line, without what its block holds.
 func (d *Directive) String() string {
 	text := strings.Join(append([]string{d.Name}, d.ArgTexts()...), " ")
 	if d.HasBlock {
@@ -47,17 +44,16 @@
 	return text
 }
 
-// maxDepth bounds blocks and includes in each other.
-const maxDepth = 64
-
-// FileReader reads the text of files and lists those that a pattern stands for; tests have one in memory.
-type FileReader interface {
-	Read(name string) ([]byte, error)
-	Glob(pattern string) ([]string, error)
+// errorf returns an error at the position of a directive.
+func (d *Directive) errorf(format string, args ...any) error {
+	return sexp.Errorf(d.Pos, format, args...)
 }
 
-// Parse reads a file and all that it includes. Names of included files are relative to the directory of the first
-// file, as nginx's are to that of its configuration.
+// maxDepth bounds how deep blocks and includes are nested.
+const maxDepth = 64
+
+// Parse reads a file and all that it includes. Names of included files are relative to the directory of the first file,
+// as nginx's are to that of its configuration.
 func Parse(files FileReader, name string) ([]*Directive, error) {
 	p := &parser{files: files, root: path.Dir(filepath.ToSlash(name))}
 	return p.parseFile(name, sexp.Pos{}, nil)
@@ -66,10 +62,10 @@
 // parser reads files.
 type parser struct {
 	files FileReader
-	root  string
+	root  string // the directory that names of included files are relative to
 }
 
-// parseFile reads one file; chain is the files that led to it.
+// parseFile reads one file. from is where it is included, and chain are the files on the way there.
 func (p *parser) parseFile(name string, from sexp.Pos, chain []string) ([]*Directive, error) {
 	clean := path.Clean(filepath.ToSlash(name))
 	if slices.Contains(chain, clean) {
@@ -85,122 +81,96 @@
 		}
 		return nil, sexp.Errorf(from, "include %s: %v", name, err)
 	}
-	l := &lexer{rest: string(text), pos: sexp.Pos{File: name, Line: 1, Column: 1}}
-	list, err := p.parseBlock(l, sexp.Pos{}, append(slices.Clone(chain), clean), 0)
-	return list, err
+	tokens := &lexer{rest: string(text), pos: sexp.Pos{File: name, Line: 1, Column: 1}}
+	return p.parseBlock(tokens, sexp.Pos{}, append(slices.Clone(chain), clean), 0)
 }
 
-// parseBlock reads directives up to the brace that closes the block opened at the place, or to the end of the file.
-func (p *parser) parseBlock(l *lexer, opened sexp.Pos, chain []string, depth int) ([]*Directive, error) {
-	list := []*Directive{}
+// parseBlock reads directives up to the brace that closes the block, or up to the end of the file if opened, the position
+// of the opening brace, is empty.
+func (p *parser) parseBlock(tokens *lexer, opened sexp.Pos, chain []string, depth int) ([]*Directive, error) {
 	if depth > maxDepth {
 		return nil, sexp.Errorf(opened, "blocks stand over %d deep in each other", maxDepth)
 	}
+	directives := []*Directive{}
+	isFile := opened.File == ""
 	for {
-		t, err := l.next()
+		next, err := tokens.next()
 		if err != nil {
 			return nil, err
 		}
 		switch {
-		case t.kind == tokenEOF && opened.File == "":
-			return list, nil
-		case t.kind == tokenEOF:
+		case next.kind == tokenEOF && isFile:
+			return directives, nil
+		case next.kind == tokenEOF:
 			return nil, sexp.Errorf(opened, "found the end of the file, want the \"}\" of this block")
-		case t.kind == tokenClose && opened.File != "":
-			return list, nil
-		case t.kind != tokenWord:
-			return nil, sexp.Errorf(t.Pos, "found %v, want a directive", t.kind)
+		case next.kind == tokenClose && !isFile:
+			return directives, nil
+		case next.kind != tokenWord:
+			return nil, sexp.Errorf(next.Pos, "found %v, want a directive", next.kind)
 		}
-		d, err := p.parseDirective(l, t, chain, depth)
+		directive, err := p.parseDirective(tokens, next, chain, depth)
 		if err != nil {
 			return nil, err
 		}
-		if d.Name != "include" {
-			list = append(list, d)
+		if directive.Name != "include" {
+			directives = append(directives, directive)
 			continue
 		}
-		included, err := p.include(d, chain)
+		included, err := p.include(directive, chain)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, included...)
+		directives = append(directives, included...)
 	}
 }
 
-// parseDirective reads the rest of one.
-func (p *parser) parseDirective(l *lexer, name token, chain []string, depth int) (*Directive, error) {
-	d := &Directive{Pos: name.Pos, Name: name.Text}
+// parseDirective reads the rest of a directive, behind its name.
+func (p *parser) parseDirective(tokens *lexer, name token, chain []string, depth int) (*Directive, error) {
+	directive := &Directive{Pos: name.Pos, Name: name.Text}
 	for {
-		t, err := l.next()
+		next, err := tokens.next()
 		if err != nil {
 			return nil, err
 		}
-		switch t.kind {
+		switch next.kind {
 		case tokenWord:
-			d.Args = append(d.Args, t.Word)
+			directive.Args = append(directive.Args, next.Word)
 		case tokenSemicolon:
-			return d, nil
+			return directive, nil
 		case tokenOpen:
-			d.HasBlock = true
-			d.Block, err = p.parseBlock(l, t.Pos, chain, depth+1)
-			return d, err
+			directive.HasBlock = true
+			directive.Block, err = p.parseBlock(tokens, next.Pos, chain, depth+1)
+			return directive, err
 		default:
-			return nil, sexp.Errorf(t.Pos, "found %v, want the \";\" or \"{\" of %s", t.kind, d.Name)
+			return nil, sexp.Errorf(next.Pos, "found %v, want the \";\" or \"{\" of %s", next.kind, directive.Name)
 		}
 	}
 }
 
-// include reads the files that an include stands for. A pattern may stand for none, a name must be there.
-func (p *parser) include(d *Directive, chain []string) ([]*Directive, error) {
-	if len(d.Args) != 1 || d.HasBlock {
-		return nil, sexp.Errorf(d.Pos, "include has %d arguments, want one", len(d.Args))
+// include reads the files of an include. A pattern may match none; a name without stars must be there.
+func (p *parser) include(directive *Directive, chain []string) ([]*Directive, error) {
+	if len(directive.Args) != 1 || directive.HasBlock {
+		return nil, sexp.Errorf(directive.Pos, "include has %d arguments, want one", len(directive.Args))
 	}
-	name := d.Arg(0)
-	if !path.IsAbs(name) {
-		name = path.Join(p.root, name)
+	pattern := directive.Arg(0)
+	if !path.IsAbs(pattern) {
+		pattern = path.Join(p.root, pattern)
 	}
-	names := []string{name}
-	if strings.ContainsAny(name, "*?[") {
+	names := []string{pattern}
+	if strings.ContainsAny(pattern, "*?[") {
 		var err error
-		if names, err = p.files.Glob(name); err != nil {
-			return nil, sexp.Errorf(d.Pos, "include %s: %v", d.Arg(0), err)
+		if names, err = p.files.Glob(pattern); err != nil {
+			return nil, sexp.Errorf(directive.Pos, "include %s: %v", directive.Arg(0), err)
 		}
 		slices.Sort(names)
 	}
-	var list []*Directive
+	var directives []*Directive
 	for _, name := range names {
-		included, err := p.parseFile(name, d.Pos, chain)
+		included, err := p.parseFile(name, directive.Pos, chain)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, included...)
-	}
-	return list, nil
-}
-
-// FSReader reads the files of a file system, such as os.DirFS("/"), by names from its root.
-type FSReader struct{ fs.FS }
-
-// relativeToRoot is a name as the file system wants it.
-func relativeToRoot(name string) string { return strings.TrimPrefix(path.Clean(name), "/") }
-
-// Read implements Reader.
-func (d FSReader) Read(name string) ([]byte, error) {
-	b, err := fs.ReadFile(d.FS, relativeToRoot(name))
-	var pe *fs.PathError
-	if errors.As(err, &pe) {
-		return nil, fmt.Errorf("%s: %w", name, pe.Err)
-	}
-	return b, err
-}
-
-// Glob implements Reader.
-func (d FSReader) Glob(pattern string) ([]string, error) {
-	names, err := fs.Glob(d.FS, relativeToRoot(pattern))
-	for i := range names {
-		if path.IsAbs(pattern) {
-			names[i] = "/" + names[i]
-		}
+		directives = append(directives, included...)
 	}
-	return names, err
+	return directives, nil
 }
--- /dev/null
+++ b/internal/nginx/settings.go
@@ -0,0 +1,232 @@
+package nginx
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"tillerusher/internal/pool"
+	"tillerusher/internal/routeconfig"
+	"tillerusher/internal/sexp"
+)
+
+// levelSettings are what a level (http, server or location) passes on to the levels in it.
+type levelSettings struct {
+	mergeSlashes bool
+	fallbacks    []routeconfig.Fallback
+	byProtocol   map[string]protocolSettings // FastCGI and SCGI have directives of their own
+}
+
+// protocolSettings are how requests are passed on by one protocol.
+type protocolSettings struct {
+	params          []routeconfig.Param
+	retryOn         pool.RetryCondition
+	maxAttempts     int
+	retryTimeout    time.Duration
+	connectTimeout  time.Duration
+	readTimeout     time.Duration
+	sendTimeout     time.Duration
+	interceptErrors bool
+}
+
+// protocols are those that members may speak; their names are the prefixes of nginx's directives.
+var protocols = []string{routeconfig.ProtocolFastCGI, routeconfig.ProtocolSCGI}
+
+// defaultSettings returns nginx's defaults.
+func defaultSettings() levelSettings {
+	s := levelSettings{mergeSlashes: true, byProtocol: map[string]protocolSettings{}}
+	for _, protocol := range protocols {
+		s.byProtocol[protocol] = protocolSettings{
+			retryOn:        pool.DefaultRetryOn,
+			connectTimeout: time.Minute,
+			readTimeout:    time.Minute,
+			sendTimeout:    time.Minute,
+		}
+	}
+	return s
+}
+
+// cutProtocol splits a directive's name into the protocol that it begins with, or "", and the rest.
+func cutProtocol(name string) (protocol, rest string) {
+	protocol, rest, _ = strings.Cut(name, "_")
+	if !slices.Contains(protocols, protocol) {
+		return "", name
+	}
+	return protocol, rest
+}
+
+// isInherited reports whether inherit reads a directive.
+func isInherited(name string) bool {
+	switch protocol, rest := cutProtocol(name); rest {
+	case "merge_slashes", "error_page":
+		return protocol == ""
+	case "param", "next_upstream", "next_upstream_tries", "next_upstream_timeout", "connect_timeout", "read_timeout",
+		"send_timeout", "intercept_errors":
+		return protocol != ""
+	}
+	return false
+}
+
+// inherit returns the settings of a level: those of the level around it, changed by its own directives. As in nginx, a
+// level with parameters or error pages of its own inherits none of them.
+func (im *importer) inherit(outer levelSettings, directives []*Directive) (levelSettings, error) {
+	level := levelSettings{mergeSlashes: outer.mergeSlashes, byProtocol: maps.Clone(outer.byProtocol)}
+	ownParams := map[string][]routeconfig.Param{} // by protocol; not nil for one that has any directive
+	hasErrorPages := false
+	for _, directive := range directives {
+		if !isInherited(directive.Name) {
+			continue
+		}
+		protocol, name := cutProtocol(directive.Name)
+		var err error
+		switch name {
+		case "merge_slashes":
+			level.mergeSlashes, err = directive.parseOnOff()
+		case "error_page":
+			hasErrorPages = true
+			err = im.importErrorPage(&level, directive)
+		case "param":
+			ownParams[protocol], err = im.importParam(ownParams[protocol], directive)
+		default:
+			settings := level.byProtocol[protocol]
+			err = settings.apply(name, directive)
+			level.byProtocol[protocol] = settings
+		}
+		if err != nil {
+			return level, err
+		}
+	}
+	for protocol, params := range ownParams {
+		settings := level.byProtocol[protocol]
+		settings.params = params
+		level.byProtocol[protocol] = settings
+	}
+	if !hasErrorPages {
+		level.fallbacks = outer.fallbacks
+	}
+	return level, nil
+}
+
+// apply changes one setting. The name is that of the directive without the protocol.
+func (s *protocolSettings) apply(name string, directive *Directive) (err error) {
+	switch name {
+	case "intercept_errors":
+		s.interceptErrors, err = directive.parseOnOff()
+	case "next_upstream":
+		s.retryOn, err = directive.parseRetryConditions()
+	case "next_upstream_tries":
+		s.maxAttempts, err = directive.parseCount()
+	case "next_upstream_timeout":
+		s.retryTimeout, err = directive.parseDuration()
+	case "connect_timeout":
+		s.connectTimeout, err = directive.parseDuration()
+	case "read_timeout":
+		s.readTimeout, err = directive.parseDuration()
+	case "send_timeout":
+		s.sendTimeout, err = directive.parseDuration()
+	}
+	return err
+}
+
+// importParam adds a parameter for members, unless its value is made of variables.
+func (im *importer) importParam(params []routeconfig.Param, directive *Directive) ([]routeconfig.Param, error) {
+	if len(directive.Args) < 2 || len(directive.Args) > 3 {
+		return nil, directive.errorf("%s has %d arguments, want a name and a value", directive.Name, len(directive.Args))
+	}
+	if params == nil {
+		params = []routeconfig.Param{}
+	}
+	name, value := directive.Arg(0), directive.Arg(1)
+	if strings.Contains(value, "$") {
+		if !gatewayParams[name] {
+			im.report(directive, ChangesBehavior, "its value is made of variables, which are not computed")
+		}
+		return params, nil
+	}
+	return append(params, routeconfig.Param{Name: name, Value: value}), nil
+}
+
+// gatewayParams are the parameters that members get from the gateway's request in any case, as nginx's fastcgi_params
+// sets them.
+var gatewayParams = map[string]bool{
+	"QUERY_STRING":    true,
+	"REQUEST_METHOD":  true,
+	"CONTENT_TYPE":    true,
+	"CONTENT_LENGTH":  true,
+	"SCRIPT_NAME":     true,
+	"REQUEST_URI":     true,
+	"DOCUMENT_URI":    true,
+	"SERVER_PROTOCOL": true,
+	"REMOTE_ADDR":     true,
+	"REMOTE_PORT":     true,
+	"SERVER_ADDR":     true,
+	"SERVER_PORT":     true,
+	"SERVER_NAME":     true,
+	"REQUEST_SCHEME":  true,
+	"HTTPS":           true,
+}
+
+// The statuses that error_page and return may have.
+const (
+	minStatus      = 100
+	minErrorStatus = 300
+	maxStatus      = 599
+)
+
+// parseStatus reads a status that is no smaller than the least one.
+func parseStatus(text string, least int) (status int, ok bool) {
+	status, err := strconv.Atoi(text)
+	return status, err == nil && status >= least && status <= maxStatus
+}
+
+// importErrorPage adds a fallback to a named location; other targets are reported.
+func (im *importer) importErrorPage(level *levelSettings, directive *Directive) error {
+	args := directive.ArgTexts()
+	if len(args) < 2 {
+		return directive.errorf("error_page has %d arguments, want statuses and a target", len(args))
+	}
+	target, args := args[len(args)-1], args[:len(args)-1]
+	name, isNamed := strings.CutPrefix(target, "@")
+	if !isNamed || strings.Contains(name, "$") {
+		im.report(directive, ChangesBehavior, "only named locations take over for statuses")
+		return nil
+	}
+	fallback := routeconfig.Fallback{Location: name, ResponseStatus: routeconfig.KeepStatus}
+	if response, ok := strings.CutPrefix(args[len(args)-1], "="); ok {
+		args = args[:len(args)-1]
+		fallback.ResponseStatus = routeconfig.OwnStatus
+		if response != "" {
+			status, ok := parseStatus(response, minStatus)
+			if !ok {
+				return directive.errorf("found \"=%s\" in error_page, want = and a status", response)
+			}
+			fallback.ResponseStatus = status
+		}
+	}
+	for _, arg := range args {
+		status, ok := parseStatus(arg, minErrorStatus)
+		if !ok {
+			return directive.errorf("found %q in error_page, want a status of 300 to 599", arg)
+		}
+		fallback.Statuses = append(fallback.Statuses, status)
+	}
+	if len(fallback.Statuses) == 0 {
+		return directive.errorf("error_page has no status")
+	}
+	level.fallbacks = append(level.fallbacks, fallback)
+	return nil
+}
+
+// parseRetryConditions reads the arguments of next_upstream.
+func (d *Directive) parseRetryConditions() (set pool.RetryCondition, err error) {
+	for _, arg := range d.Args {
+		condition, err := routeconfig.ParseRetryCondition(arg.Text)
+		if err != nil {
+			return 0, sexp.Errorf(arg.Pos, "found %q in %s, want a condition such as error or http_503", arg.Text, d.Name)
+		}
+		set |= condition
+	}
+	return set, nil
+}
--- a/internal/pool/outlier.go
+++ b/internal/pool/outlier.go
@@ -95,7 +95,8 @@
 	return true
 }
 
-// finishEjection takes a member back whose time is over after a successful attempt, or ejects it again after a failed one.
+// finishEjection takes a member whose ejection time is over back after a successful attempt, or ejects it again after a
+// failed one.
 func (p *Pool) finishEjection(m *member, failed bool, now time.Duration) bool {
 	if failed {
 		p.eject(m, now, "its probing try failed")
--- a/internal/pool/retry.go
+++ b/internal/pool/retry.go
@@ -59,8 +59,8 @@
 // DecideRetry decides whether a request whose attempt failed goes to another member, and takes the retry from the budget
 // if it does. retryOn is the set of conditions under which requests of the route are retried.
 //
-// A non-idempotent request of which anything was sent is never retried, not even with NonIdempotent in retryOn: unless the
-// member rejected it, a retry could run it twice.
+// A non-idempotent request of which anything was sent is never retried, not even with NonIdempotent in retryOn: a retry
+// could run it twice, unless the member rejected it.
 func (p *Pool) DecideRetry(request *Request, failure Failure, retryOn RetryCondition, now time.Duration) RetryDecision {
 	isRejected := failure.Condition == Rejection
 	switch {
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -8,9 +8,10 @@
 // ErrInvalidPath is a path that can't be normalized: the request is answered as a bad one.
 var ErrInvalidPath = errors.New("route: the path makes no sense")
 
-// NormalizePath turns a path as it was sent into the one that locations are matched against: %XX is decoded, "." and ".."
-// are resolved, and adjacent slashes are merged if mergeSlashes is set. What follows a "?" or "#" is cut off. The error is
-// ErrInvalidPath for a path that does not begin with a slash, leads above the root, or has an incomplete or a zero escape.
+// NormalizePath turns a path as it was sent into the one that locations are matched against: %XX is decoded, "." and
+// ".." are resolved, and adjacent slashes are merged if mergeSlashes is set. What follows a "?" or "#" is cut off. The
+// error is ErrInvalidPath for a path that does not begin with a slash, leads above the root, or has an incomplete or a
+// zero escape.
 func NormalizePath(raw string, mergeSlashes bool) (string, error) {
 	if end := strings.IndexAny(raw, "?#"); end >= 0 {
 		raw = raw[:end]
--- a/internal/route/resolve.go
+++ b/internal/route/resolve.go
@@ -129,7 +129,8 @@
 		resolution.Status = statusMovedPermanently
 	}
 	if !rewrite.isAbsolute() && strings.HasPrefix(resolution.RedirectURL, "//") {
-		resolution.RedirectURL = "/" + strings.TrimLeft(resolution.RedirectURL, "/") // with two slashes it would name another host
+		// With two slashes it would name another host.
+		resolution.RedirectURL = "/" + strings.TrimLeft(resolution.RedirectURL, "/")
 	}
 	if to.query != "" {
 		resolution.RedirectURL += "?" + to.query
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -79,7 +79,8 @@
 		t.hosts[listen.Addr] = hosts
 	}
 	if listen.Default && hosts.hasExplicitDefault {
-		return configErrorf(server.Source, "a second default server for %v, first at %s", listen.Addr, hosts.defaultServer.Source)
+		first := hosts.defaultServer.Source
+		return configErrorf(server.Source, "a second default server for %v, first at %s", listen.Addr, first)
 	}
 	if hosts.defaultServer == nil || listen.Default {
 		hosts.defaultServer = server
--- a/internal/routeconfig/config.go
+++ b/internal/routeconfig/config.go
@@ -9,101 +9,123 @@
 	"tillerusher/internal/sexp"
 )
 
-// Config is all that a server that routes is told.
+// Config is the whole configuration of a router.
 type Config struct {
-	Capacity int // requests that members may have at once: it takes the place of the interpreter's cores
+	Capacity int // requests that members may have in flight; it takes the place of the interpreter's cores
 	Classes  []Class
 	Pools    []Pool
 	Servers  []Server
 }
 
-// Class is a kind of request: what the decision module goes by.
+// DefaultCapacity is the capacity if none is configured.
+const DefaultCapacity = 64
+
+// Class is a kind of request, by which the admission module decides.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration `json:"Aim"` // an answer within it is worth in full
-	Deadline         time.Duration // a caller waits no longer
-	Effect           string        // one of the effects below
-	KeyWindow        time.Duration `json:"Window"` // of a keyed one
-	Weight           float64       `json:"Worth"`
-	Pos              sexp.Pos      `json:"At"`
+	LatencyObjective time.Duration // an answer within it has the full weight
+	Deadline         time.Duration // no caller waits longer
+	Effect           Effect
+	KeyWindow        time.Duration // how long the keys of an idempotent-by-key class are kept
+	Weight           float64
+	Pos              sexp.Pos
 }
 
-// The effects of a class. EffectByMethod takes reads (RFC 9110, section 9.2.1) as safe and all else as unsafe.
+// Effect says whether a request may run twice. Its values are the words of the configuration.
+type Effect string
+
+// The effects.
 const (
-	EffectSafe            = "safe"
-	EffectIdempotentByKey = "keyed"
-	EffectNonIdempotent   = "unsafe"
-	EffectByMethod        = "by-method"
+	EffectSafe            Effect = "safe"
+	EffectIdempotentByKey Effect = "keyed"
+	EffectNonIdempotent   Effect = "unsafe"
+	EffectByMethod        Effect = "by-method" // as EffectSafe for safe methods (RFC 9110, 9.2.1), else non-idempotent
 )
 
-// DefaultCapacity is the capacity where none is told.
-const DefaultCapacity = 64
-
-// Pool is a pool and how its members are spoken to.
+// Pool is an upstream pool and how its members are spoken to.
 type Pool struct {
 	pool.Config
-	HashKey        string              // for the hash methods: what of a request, as uri, path, query, host, client or header:NAME
-	Protocol       string              // fastcgi or scgi
-	RetryOn        pool.RetryCondition `json:"Next"`
-	MaxIdleConns   int                 `json:"Keepalive"` // idle connections that are kept
-	ConnectTimeout time.Duration       `json:"Connect"`   // longest time to connect
-	ReadTimeout    time.Duration       `json:"Read"`      // longest time between two reads of an answer
-	SendTimeout    time.Duration       `json:"Send"`      // longest time between two writes of a request
-	Params         []Param             // further parameters for members
-	Pos            sexp.Pos            `json:"At"`
+	HashKey        string // a HashBy constant, or HashByHeaderPrefix and a name; empty unless the policy needs a key
+	Protocol       string // ProtocolFastCGI or ProtocolSCGI
+	RetryOn        pool.RetryCondition
+	MaxIdleConns   int
+	ConnectTimeout time.Duration
+	ReadTimeout    time.Duration // between two reads of an answer
+	SendTimeout    time.Duration // between two writes of a request
+	Params         []Param       // parameters that members get with each request
+	Pos            sexp.Pos
 }
 
-// Param is a parameter that members get.
+// The protocols of members.
+const (
+	ProtocolFastCGI = "fastcgi"
+	ProtocolSCGI    = "scgi"
+)
+
+// What of a request a pool hashes by.
+const (
+	HashByURI          = "uri"
+	HashByPath         = "path"
+	HashByQuery        = "query"
+	HashByHost         = "host"
+	HashByClient       = "client"
+	HashByHeaderPrefix = "header:" // a field's name follows
+)
+
+// Param is a parameter that members get with each request.
 type Param struct{ Name, Value string }
 
-// Server is one server.
+// Server is a virtual server.
 type Server struct {
 	Listen       []Listen
 	Names        []string
-	MergeSlashes bool `json:"Merge"`
+	MergeSlashes bool
 	Rewrites     []Rewrite
 	Locations    []*Location
-	Pos          sexp.Pos `json:"At"`
+	Pos          sexp.Pos
 }
 
-// Listen is where a server is reached.
+// Listen is an address of a server.
 type Listen struct {
 	Addr    netip.AddrPort
-	Default bool
-}
-
-// Fallback is a named location that takes over for statuses: those of answers that no member made, and where the location
-// intercepts them those of members' answers too.
-type Fallback struct {
-	Location       string `json:"Name"`
-	Statuses       []int  `json:"On"`
-	ResponseStatus int    `json:"As"` // the status of the answer in the end: 0 is the fallback's own, Same the one that led to it
+	Default bool // the server takes requests for names that no server at this address has
 }
 
-// KeepStatus has an answer keep the status that led to a fallback.
-const KeepStatus = -1
-
-// Rewrite changes paths, or sends callers elsewhere.
-type Rewrite struct {
-	Pattern     string
-	Replacement string `json:"To"`
-	Flag        route.RewriteFlag
-	Pos         sexp.Pos `json:"At"`
-}
-
-// Location is one location and what becomes of its requests: at most one of Pool and Status is set, none where only the
-// locations in it count.
+// Location is a location and what becomes of its requests. At most one of Pool and ReturnStatus is set, and neither if
+// only the nested locations count.
 type Location struct {
 	Kind            route.Kind
 	Pattern         string
 	Pool            string
 	Class           string
-	ReturnStatus    int    `json:"Status"` // answered at once
-	ReturnText      string `json:"Text"`   // body, or the address of a redirect
+	ReturnStatus    int    // of an answer without a member
+	ReturnText      string // its body, or the URL of a redirect
 	Fallbacks       []Fallback
-	InterceptErrors bool `json:"Intercept"` // the statuses of members' own answers count for Fallbacks too
+	InterceptErrors bool // Fallbacks count for the statuses of members' answers, too
 	Rewrites        []Rewrite
 	Params          []Param
 	Locations       []*Location
-	Pos             sexp.Pos `json:"At"`
+	Pos             sexp.Pos
 }
+
+// Rewrite changes paths or redirects clients.
+type Rewrite struct {
+	Pattern     string
+	Replacement string
+	Flag        route.RewriteFlag
+	Pos         sexp.Pos
+}
+
+// Fallback is a named location that takes over for statuses: of answers that no member made, and if the location
+// intercepts errors, of members' answers.
+type Fallback struct {
+	Location       string // its name
+	Statuses       []int
+	ResponseStatus int // OwnStatus, KeepStatus or a status
+}
+
+// The values of Fallback.ResponseStatus that are no status.
+const (
+	OwnStatus  = 0  // the answer has the fallback's own status
+	KeepStatus = -1 // the answer has the status that led to the fallback
+)
--- a/internal/routeconfig/config_test.go
+++ b/internal/routeconfig/config_test.go
@@ -17,8 +17,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// TestBroken has each broken sample told with its place and what was expected.
-func TestBroken(t *testing.T) {
+// TestParseErrors has each invalid configuration reported with its position and what was expected.
+func TestParseErrors(t *testing.T) {
 	const good = "(class c) (pool p (member 10.0.0.1:1)) "
 	for text, want := range map[string]string{
 		"(poool p)":                  "f:1:1: found (poool ...), want capacity, class, pool, server",
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestIncludes reads globs in order, relative to the file that they stand in, and names a cycle by its chain.
+// TestIncludes reads globs in order, relative to the file that has the include, and reports a cycle by its chain.
 func TestIncludes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -83,9 +83,9 @@
 	write("pools/b.sexp", "(pool b (member 10.0.0.2:1))")
 	write("pools/a.sexp", "(pool a (member 10.0.0.1:1))")
 	write("more.sexp", "(class c)")
-	d, err := Load(main)
-	if err != nil || len(d.Pools) != 2 || d.Pools[0].Name != "a" || len(d.Classes) != 1 {
-		t.Errorf("%v, %+v", err, d)
+	c, err := Load(main)
+	if err != nil || len(c.Pools) != 2 || c.Pools[0].Name != "a" || len(c.Classes) != 1 {
+		t.Errorf("%v, %+v", err, c)
 	}
 	write("more.sexp", "\n(include pools/../main.sexp)")
 	if _, err := Load(main); err == nil || !strings.Contains(err.Error(), "more.sexp:2:1: the includes go round: ") {
@@ -97,112 +97,169 @@
 	}
 }
 
-// draw makes up a description.
-func draw(t *rapid.T) *Config {
-	word := func(what string) string {
-		return rapid.SampledFrom([]string{"a", "stock", "with space", "quo\"te", "semi;colon", "back\\slash", "(paren)", "ä"}).Draw(t, what)
-	}
-	spans := func(what string) time.Duration {
-		return time.Duration(rapid.IntRange(1, 100_000).Draw(t, what)) * time.Millisecond
-	}
-	d := &Config{Capacity: rapid.SampledFrom([]int{1, DefaultCapacity, 500}).Draw(t, "capacity")}
-	c := Class{Name: word("class"), LatencyObjective: spans("aim"), Effect: rapid.SampledFrom([]string{EffectSafe, EffectNonIdempotent, EffectByMethod, EffectIdempotentByKey}).Draw(t, "effect"),
-		Weight: float64(rapid.IntRange(0, 7).Draw(t, "worth")) / 4}
-	c.Deadline = c.LatencyObjective + spans("deadline")
+// drawWord draws a word, some of which have to be quoted.
+func drawWord(t *rapid.T, label string) string {
+	words := []string{"a", "stock", "with space", "quo\"te", "semi;colon", "back\\slash", "(paren)", "ä"}
+	return rapid.SampledFrom(words).Draw(t, label)
+}
+
+// drawDuration draws a time.
+func drawDuration(t *rapid.T, label string) time.Duration {
+	return time.Duration(rapid.IntRange(1, 100_000).Draw(t, label)) * time.Millisecond
+}
+
+// drawConfig draws a configuration with one class, one pool and one server.
+func drawConfig(t *rapid.T) *Config {
+	class := drawClass(t)
+	pool := drawPool(t)
+	return &Config{
+		Capacity: rapid.SampledFrom([]int{1, DefaultCapacity, 500}).Draw(t, "capacity"),
+		Classes:  []Class{class},
+		Pools:    []Pool{pool},
+		Servers:  []Server{drawServer(t, pool.Name, class.Name)},
+	}
+}
+
+// drawClass draws a class.
+func drawClass(t *rapid.T) Class {
+	effects := []Effect{EffectSafe, EffectNonIdempotent, EffectByMethod, EffectIdempotentByKey}
+	c := Class{
+		Name:             drawWord(t, "class"),
+		LatencyObjective: drawDuration(t, "aim"),
+		Effect:           rapid.SampledFrom(effects).Draw(t, "effect"),
+		Weight:           float64(rapid.IntRange(0, 7).Draw(t, "worth")) / 4,
+	}
+	c.Deadline = c.LatencyObjective + drawDuration(t, "deadline")
 	if c.Effect == EffectIdempotentByKey {
-		c.KeyWindow = spans("window")
+		c.KeyWindow = drawDuration(t, "window")
 	}
-	d.Classes = []Class{c}
+	return c
+}
+
+// drawPool draws a pool.
+func drawPool(t *rapid.T) Pool {
 	p := defaultPool()
-	p.Name = word("pool")
+	p.Name = drawWord(t, "pool")
 	p.BalancingPolicy = pool.BalancingPolicy(rapid.IntRange(0, int(pool.RandomTwo)).Draw(t, "method"))
 	if p.BalancingPolicy == pool.Hash || p.BalancingPolicy == pool.HashConsistent {
 		p.HashKey = rapid.SampledFrom(append([]string{"header:X-Shop"}, hashKeys...)).Draw(t, "key")
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "members") {
 		m := pool.DefaultMember(fmt.Sprintf("10.0.0.%d:90", i))
-		m.Weight, m.MaxConns, m.MaxFails = 1+rapid.IntRange(0, 9).Draw(t, "weight"), rapid.IntRange(0, 9).Draw(t, "conns"), rapid.IntRange(0, 3).Draw(t, "fails")
-		m.FailTimeout, m.SlowStart, m.Down = spans("timeout"), spans("slow"), rapid.Bool().Draw(t, "down")
-		m.Backup = i > 0 && (p.BalancingPolicy == pool.RoundRobin || p.BalancingPolicy == pool.LeastConn) && rapid.Bool().Draw(t, "backup")
+		m.Weight = 1 + rapid.IntRange(0, 9).Draw(t, "weight")
+		m.MaxConns = rapid.IntRange(0, 9).Draw(t, "conns")
+		m.MaxFails = rapid.IntRange(0, 3).Draw(t, "fails")
+		m.FailTimeout = drawDuration(t, "timeout")
+		m.SlowStart = drawDuration(t, "slow")
+		m.Down = rapid.Bool().Draw(t, "down")
+		allowsBackup := p.BalancingPolicy == pool.RoundRobin || p.BalancingPolicy == pool.LeastConn
+		m.Backup = i > 0 && allowsBackup && rapid.Bool().Draw(t, "backup")
 		p.Members = append(p.Members, m)
 	}
 	p.RetryOn = pool.RetryCondition(rapid.IntRange(0, int(pool.NonIdempotent)*2-1).Draw(t, "next"))
-	p.MaxAttempts, p.MaxIdleConns, p.ReadTimeout = rapid.IntRange(0, 5).Draw(t, "tries"), rapid.IntRange(0, 5).Draw(t, "keepalive"), spans("read")
-	p.RetryRatio, p.EjectionLatencyFactor = float64(rapid.IntRange(0, 8).Draw(t, "share"))/8, float64(rapid.IntRange(0, 9).Draw(t, "factor"))
-	d.Pools = []Pool{p}
-	l := &Location{Kind: route.Kind(rapid.IntRange(0, int(route.RegexIgnoreCase)).Draw(t, "kind")), Pattern: "/" + rapid.SampledFrom([]string{"", "a", "a/", "b c"}).Draw(t, "pattern"),
-		Pool: p.Name, Class: c.Name, Params: []Param{{word("name"), word("value")}}, InterceptErrors: true}
-	s := Server{Listen: []Listen{{Default: rapid.Bool().Draw(t, "default")}}, Names: []string{"a.example", "*.b"}, MergeSlashes: rapid.Bool().Draw(t, "merge"),
-		Locations: []*Location{l, {Kind: route.Named, Pattern: "fall", ReturnStatus: 503, ReturnText: word("text"), InterceptErrors: true}}}
+	p.MaxAttempts = rapid.IntRange(0, 5).Draw(t, "tries")
+	p.MaxIdleConns = rapid.IntRange(0, 5).Draw(t, "keepalive")
+	p.ReadTimeout = drawDuration(t, "read")
+	p.RetryRatio = float64(rapid.IntRange(0, 8).Draw(t, "share")) / 8
+	p.EjectionLatencyFactor = float64(rapid.IntRange(0, 9).Draw(t, "factor"))
+	return p
+}
+
+// drawServer draws a server with a location that goes to the pool and a named one.
+func drawServer(t *rapid.T, poolName, className string) Server {
+	l := &Location{
+		Kind:            route.Kind(rapid.IntRange(0, int(route.RegexIgnoreCase)).Draw(t, "kind")),
+		Pattern:         "/" + rapid.SampledFrom([]string{"", "a", "a/", "b c"}).Draw(t, "pattern"),
+		Pool:            poolName,
+		Class:           className,
+		Params:          []Param{{drawWord(t, "name"), drawWord(t, "value")}},
+		InterceptErrors: true,
+	}
+	named := &Location{
+		Kind:            route.Named,
+		Pattern:         "fall",
+		ReturnStatus:    503,
+		ReturnText:      drawWord(t, "text"),
+		InterceptErrors: true,
+	}
+	s := Server{
+		Listen:       []Listen{{Addr: netip.MustParseAddrPort("10.1.1.1:80"), Default: rapid.Bool().Draw(t, "default")}},
+		Names:        []string{"a.example", "*.b"},
+		MergeSlashes: rapid.Bool().Draw(t, "merge"),
+		Locations:    []*Location{l, named},
+	}
 	if rapid.Bool().Draw(t, "falls") {
 		for range rapid.IntRange(1, 3).Draw(t, "fallbacks") {
-			l.Fallbacks = append(l.Fallbacks, Fallback{"fall", []int{500, 502}, rapid.SampledFrom([]int{0, KeepStatus, 200}).Draw(t, "as")})
+			status := rapid.SampledFrom([]int{OwnStatus, KeepStatus, 200}).Draw(t, "as")
+			l.Fallbacks = append(l.Fallbacks, Fallback{"fall", []int{500, 502}, status})
 		}
 		l.InterceptErrors = rapid.Bool().Draw(t, "intercept")
 	}
 	if rapid.Bool().Draw(t, "rewrites") {
-		l.Rewrites = []Rewrite{{Pattern: "^/(.*)$", Replacement: "/x/$1", Flag: route.RewriteFlag(rapid.IntRange(0, 4).Draw(t, "flag"))}}
-		s.Rewrites = []Rewrite{{Pattern: "a b", Replacement: word("to"), Flag: route.FlagLast}}
+		flag := route.RewriteFlag(rapid.IntRange(0, 4).Draw(t, "flag"))
+		l.Rewrites = []Rewrite{{Pattern: "^/(.*)$", Replacement: "/x/$1", Flag: flag}}
+		s.Rewrites = []Rewrite{{Pattern: "a b", Replacement: drawWord(t, "to"), Flag: route.FlagLast}}
 	}
-	s.Listen[0].Addr = netip.MustParseAddrPort("10.1.1.1:80")
-	d.Servers = []Server{s}
-	return d
+	return s
 }
 
-// places takes the places off a description, which another text has elsewhere.
-func places(d *Config) {
-	for i := range d.Classes {
-		d.Classes[i].Pos = sexp.Pos{}
-	}
-	for i := range d.Pools {
-		d.Pools[i].Pos = sexp.Pos{}
-	}
-	for i := range d.Servers {
-		d.Servers[i].Pos = sexp.Pos{}
-		for w := range d.Servers[i].Rewrites {
-			d.Servers[i].Rewrites[w].Pos = sexp.Pos{}
-		}
-		for _, l := range d.Servers[i].Locations {
+// clearPositions removes the positions from a configuration, which differ between two texts.
+func clearPositions(c *Config) {
+	for i := range c.Classes {
+		c.Classes[i].Pos = sexp.Pos{}
+	}
+	for i := range c.Pools {
+		c.Pools[i].Pos = sexp.Pos{}
+	}
+	for i := range c.Servers {
+		c.Servers[i].Pos = sexp.Pos{}
+		clearRewritePositions(c.Servers[i].Rewrites)
+		for _, l := range c.Servers[i].Locations {
 			l.Pos = sexp.Pos{}
-			for w := range l.Rewrites {
-				l.Rewrites[w].Pos = sexp.Pos{}
-			}
+			clearRewritePositions(l.Rewrites)
 		}
 	}
 }
 
-// TestCanonical writes descriptions and reads them again: they are the same, and so is their text.
-func TestCanonical(t *testing.T) {
+// clearRewritePositions removes the positions from rewrites.
+func clearRewritePositions(rewrites []Rewrite) {
+	for i := range rewrites {
+		rewrites[i].Pos = sexp.Pos{}
+	}
+}
+
+// TestCanonicalForm formats configurations and parses them again: they are the same, and so is their text.
+func TestCanonicalForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t)
-		text := d.Format()
-		back, err := Parse("f", []byte(text))
+		c := drawConfig(t)
+		text := c.Format()
+		parsed, err := Parse("f", []byte(text))
 		if err != nil {
 			t.Fatalf("%v in\n%s", err, text)
 		}
-		if again := back.Format(); again != text {
+		if again := parsed.Format(); again != text {
 			t.Fatalf("the text is another:\n%s\n%s", text, again)
 		}
-		places(back)
-		if !reflect.DeepEqual(back, d) {
-			t.Fatalf("the description is another:\n%+v\n%+v\n%s", d, back, text)
+		clearPositions(parsed)
+		if !reflect.DeepEqual(parsed, c) {
+			t.Fatalf("the description is another:\n%+v\n%+v\n%s", c, parsed, text)
 		}
 	})
 }
 
-// FuzzParse reads any text without a panic, and what it reads has one canonical form.
+// FuzzParse parses any text without a panic, and what it parses has one canonical form.
 func FuzzParse(f *testing.F) {
 	f.Add("(class c) (pool p (member 10.0.0.1:1)) (server (listen 1.2.3.4:5) (location prefix / (pool p) (class c)))")
 	f.Add("(capacity 3) (pool p (method hash) (key uri) (member [::1]:1 (weight 3)))")
 	f.Add("(server (listen 1.2.3.4:5) (location regex \"(\" (return 200)))")
 	f.Fuzz(func(t *testing.T, text string) {
-		d, err := Parse("f", []byte(text))
+		c, err := Parse("f", []byte(text))
 		if err != nil {
 			return
 		}
-		back, err := Parse("f", []byte(d.Format()))
-		if err != nil || back.Format() != d.Format() {
-			t.Errorf("%v: the canonical form of %q is not one:\n%s", err, text, d.Format())
+		parsed, err := Parse("f", []byte(c.Format()))
+		if err != nil || parsed.Format() != c.Format() {
+			t.Errorf("%v: the canonical form of %q is not one:\n%s", err, text, c.Format())
 		}
 	})
 }
