--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -7,42 +7,48 @@
 
 // Member is the configuration of one server of a pool.
 type Member struct {
-	Addr        string        // identifies the member: one that stays over a reload is found by it
-	Weight      int           // at least 1
-	MaxConns    int           // attempts in flight at once; 0 is no limit
-	MaxFails    int           // failures within FailTimeout after which it gets no attempts for as long; 0 is never
-	FailTimeout time.Duration // both the time in which failures count and the time out after them
-	SlowStart   time.Duration // in which a member that comes back grows to its weight; 0 is at once
-	Backup      bool          // used only while no other member is available
-	Down        bool          // never used
+	// Addr identifies the member: one that stays over a reload is found by it.
+	Addr     string `json:"Addr"`
+	Weight   int    `json:"Weight"`   // at least 1
+	MaxConns int    `json:"MaxConns"` // attempts in flight at once; 0 is no limit
+	// MaxFails is the number of failures within FailTimeout after which the member gets no attempts for as long; 0 is
+	// never.
+	MaxFails    int           `json:"MaxFails"`
+	FailTimeout time.Duration `json:"FailTimeout"`
+	SlowStart   time.Duration `json:"SlowStart"` // in which a member that comes back grows to its weight; 0 is at once
+	Backup      bool          `json:"Backup"`    // used only while no other member is available
+	Down        bool          `json:"Down"`      // never used
 }
 
-// Config is the configuration of a pool.
+// Config is the configuration of a pool. Its JSON keys, here and in the types that it consists of, are part of the output
+// of `config show --json`.
 type Config struct {
-	Name            string
-	BalancingPolicy BalancingPolicy
-	Members         []Member
+	Name            string          `json:"Name"`
+	BalancingPolicy BalancingPolicy `json:"Method"`
+	Members         []Member        `json:"Members"`
 	RetryPolicy
 	OutlierDetection
 }
 
 // RetryPolicy bounds the attempts of one request and, by a budget, the retries of all requests.
 type RetryPolicy struct {
-	MaxAttempts         int           // of one request, the first included; 0 is no limit
-	RetryTimeout        time.Duration // after the first attempt no retry begins later than this; 0 is no limit
-	RetryRatio          float64       // retries that each first attempt adds to the budget; 0 is no budget
-	MinRetriesPerSecond float64       // retries that the budget gains by time alone
-	RetryBurst          float64       // retries that the budget holds at most
+	MaxAttempts         int           `json:"Tries"`       // of one request, the first included; 0 is no limit
+	RetryTimeout        time.Duration `json:"TryFor"`      // from the first attempt to the last retry's begin; 0 is no limit
+	RetryRatio          float64       `json:"BudgetShare"` // retries that a first attempt adds to the budget; 0 is no budget
+	MinRetriesPerSecond float64       `json:"BudgetLeast"` // retries that the budget gains by time alone
+	RetryBurst          float64       `json:"BudgetBurst"` // retries that the budget holds at most
 }
 
 // OutlierDetection says when a member is ejected and how many may be.
 type OutlierDetection struct {
-	EjectionLatencyFactor float64       // median latency over that of the others at which a member is ejected; 0 is never
-	EjectionErrorRate     float64       // share of its recent attempts that failed at which it is ejected; 0 is never
-	EjectionMinAttempts   int           // attempts of a member before it is judged
-	BaseEjectionTime      time.Duration // of the first ejection; each one in a row takes twice as long
-	MaxEjectedRatio       float64       // share of the members that may be ejected at once
-	PanicThreshold        float64       // share of available members below which ejections are ignored
+	// EjectionLatencyFactor is how many times the others' median latency a member's must be for an ejection; 0 is never.
+	EjectionLatencyFactor float64 `json:"EjectFactor"`
+	// EjectionErrorRate is the share of its recent attempts that must have failed for an ejection; 0 is never.
+	EjectionErrorRate   float64       `json:"EjectErrors"`
+	EjectionMinAttempts int           `json:"EjectAfter"` // attempts of a member before it is judged
+	BaseEjectionTime    time.Duration `json:"EjectFor"`   // of the first ejection; each one in a row takes twice as long
+	MaxEjectedRatio     float64       `json:"EjectMost"`  // share of the members that may be ejected at once
+	PanicThreshold      float64       `json:"PanicUnder"` // share of available members below which ejections are ignored
 }
 
 // DefaultConfig returns nginx's defaults, with a retry budget and outlier detection that only a pool with faulty members
--- a/internal/routeconfig/config_test.go
+++ b/internal/routeconfig/config_test.go
@@ -1,6 +1,7 @@
 package routeconfig
 
 import (
+	"encoding/json"
 	"fmt"
 	"net/netip"
 	"os"
@@ -97,6 +98,27 @@
 	}
 }
 
+// TestJSON compares the JSON of a configuration with what `config show --json` printed before fields were renamed: other
+// programs read its keys.
+func TestJSON(t *testing.T) {
+	text, err := os.ReadFile("testdata/full.sexp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/full.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Parse("full.sexp", text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.Marshal(c)
+	if err != nil || string(got)+"\n" != string(want) {
+		t.Errorf("%v: %s, want %s", err, got, want)
+	}
+}
+
 // drawWord draws a word, some of which have to be quoted.
 func drawWord(t *rapid.T, label string) string {
 	words := []string{"a", "stock", "with space", "quo\"te", "semi;colon", "back\\slash", "(paren)", "ä"}
