--- /dev/null
+++ b/internal/pool/ranking_test.go
@@ -0,0 +1,142 @@
+package pool
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestRanking compares the choices of a large pool by LeastConn with a scan of all members, through failures, ejections,
+// slow starts, limits and reloads: the member is usable, and none of full weight has less load.
+func TestRanking(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c := DefaultConfig()
+		c.Name, c.BalancingPolicy, c.EjectionMinAttempts, c.MaxEjectedRatio = "p", LeastConn, 4, 0.6
+		size := rapid.IntRange(rankingMinMembers, 2*rankingMinMembers).Draw(t, "size")
+		drawMembers := func() {
+			c.Members = nil
+			for i := range size {
+				m := DefaultMember(fmt.Sprintf("10.0.0.%d:80", i))
+				m.Weight, m.MaxConns = rapid.IntRange(1, 3).Draw(t, "weight"), rapid.IntRange(0, 2).Draw(t, "most")
+				m.SlowStart = time.Duration(rapid.IntRange(0, 3).Draw(t, "slow")) * time.Second
+				m.FailTimeout, m.MaxFails = time.Second, rapid.IntRange(0, 2).Draw(t, "fails")
+				if rapid.IntRange(0, 9).Draw(t, "in") > 0 || len(c.Members) == 0 {
+					c.Members = append(c.Members, m)
+				}
+			}
+			for len(c.Members) < rankingMinMembers { // fewer would not be ranked
+				m := DefaultMember(fmt.Sprintf("10.0.1.%d:80", len(c.Members)))
+				c.Members = append(c.Members, m)
+			}
+		}
+		drawMembers()
+		p, err := New(c, newRand(rapid.Uint64().Draw(t, "seed")), 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		now := time.Duration(0)
+		var inFlight []string // the member of each attempt
+		for range rapid.IntRange(50, 400).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "wait")) * time.Millisecond
+			switch action := rapid.IntRange(0, 99).Draw(t, "what"); {
+			case action == 0:
+				drawMembers()
+				if err := p.Update(c, now); err != nil {
+					t.Fatal(err)
+				}
+			case action < 45 && len(inFlight) > 0:
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
+				outcome := Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
+				p.Finish(inFlight[i], outcome, time.Duration(rapid.IntRange(1, 50).Draw(t, "took"))*time.Millisecond, now)
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
+			default:
+				r := &Request{}
+				for range rapid.IntRange(1, 3).Draw(t, "tries") {
+					usable := map[*member]member{} // as they were before the choice
+					panicking := p.isPanicking()
+					for _, m := range p.members {
+						if p.isUsable(m, r, now, panicking) {
+							usable[m] = *m
+						}
+					}
+					addr, ok := p.Pick(r, now)
+					if ok != (len(usable) > 0) {
+						t.Fatalf("chosen %t, %d are usable", ok, len(usable))
+					}
+					if !ok {
+						break
+					}
+					inFlight = append(inFlight, addr)
+					chosen, wasUsable := usable[p.byAddr[addr]]
+					if !wasUsable {
+						t.Fatalf("%s is chosen and not usable", addr)
+					}
+					for _, m := range usable {
+						isProbe := m.isEjected || m.MaxFails > 0 && m.fails >= m.MaxFails
+						isFull := !m.slowStarting || now-m.rampStart >= m.SlowStart
+						if !isProbe && isFull && m.effectiveWeight >= m.Weight && compareLoad(&m, &chosen) < 0 {
+							t.Fatalf("%s is chosen with %d in flight for %d, %s has %d for %d", addr, chosen.inFlight,
+								chosen.Weight, m.Addr, m.inFlight, m.Weight)
+						}
+					}
+				}
+			}
+		}
+	})
+}
+
+// TestRankingBalance has 10^6 choices in a large pool of several weights fall on each member by its weight.
+func TestRankingBalance(t *testing.T) {
+	const n, picks = 300, 1_000_000
+	weights, total := make([]int, n), 0
+	for i := range weights {
+		weights[i] = 1 + i%4
+		total += weights[i]
+	}
+	p := newPool(t, LeastConn, disableEjection, weights...)
+	counts := map[string]int{}
+	for range picks {
+		counts[pick(p, "", 0)]++ // none ends: what is in flight is what was chosen
+	}
+	for i, m := range p.members {
+		want := float64(picks) * float64(weights[i]) / float64(total)
+		if off := math.Abs(float64(counts[m.Addr]) - want); off > 2 {
+			t.Fatalf("member of weight %d was chosen %d times, want %.1f", weights[i], counts[m.Addr], want)
+		}
+	}
+}
+
+// TestRankingSlowStart gives a member of a large pool that comes back its share of the turns and no more.
+func TestRankingSlowStart(t *testing.T) {
+	weights := make([]int, 100)
+	for i := range weights {
+		weights[i] = 10
+	}
+	p := newPool(t, LeastConn, func(c *Config) {
+		disableEjection(c)
+		c.Members[0].SlowStart = 10 * time.Second
+	}, weights...)
+	newcomer := p.members[0]
+	newcomer.slowStarting, newcomer.rampStart = true, 0
+	countTurns := func(now time.Duration) (n int) {
+		for range 100_000 {
+			addr := pick(p, "", now)
+			if addr == newcomer.Addr {
+				n++
+			}
+			p.Finish(addr, Succeeded, time.Millisecond, now)
+		}
+		return n
+	}
+	for _, c := range []struct {
+		now      time.Duration
+		min, max int
+	}{{time.Second, 50, 150}, {5 * time.Second, 400, 600}, {20 * time.Second, 1000, 1000}} {
+		if n := countTurns(c.now); n < c.min || n > c.max {
+			t.Errorf("after %v: %d of 1,000 turns, want %d to %d", c.now, n, c.min, c.max)
+		}
+	}
+}
