--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -141,7 +141,7 @@
 			p := newPrinter(cmd)
 			ctx, cancel := context.WithTimeout(cmd.Context(), length)
 			defer cancel()
-			h, err := scenario.Explore(ctx, first, seeds, most, parallel, progressOf("seeds", seeds))
+			h, err := scenario.Explore(ctx, scenario.ExploreConfig{FirstSeed: first, Seeds: seeds, MaxFindings: most, Parallel: parallel, Progress: progressOf("seeds", seeds)})
 			if err != nil {
 				return err
 			}
--- /dev/null
+++ b/internal/scenario/conn.go
@@ -0,0 +1,138 @@
+package scenario
+
+import (
+	"io"
+	"time"
+
+	"tillerusher/internal/fake"
+	"tillerusher/internal/simnet"
+)
+
+const (
+	// maxRequestsPerConn is how many requests a gateway has in flight on one connection. Their FastCGI ids are 1 to it.
+	maxRequestsPerConn = 32
+	// redialDelay is how long a gateway waits before it replaces a connection that ended.
+	redialDelay = 100 * time.Millisecond
+	// maxReadDelay is how long after it was sent a request has surely been read by a server that runs.
+	maxReadDelay = 100 * time.Millisecond
+	// slowReadSize and slowReadInterval are how a gateway reads slowly.
+	slowReadSize     = 1
+	slowReadInterval = time.Second
+)
+
+// conn is a gateway's connection to a server. It is dialed again whenever it ends.
+type conn struct {
+	gateway     *gateway
+	node        *node
+	stream      *simnet.Stream
+	reader      fake.ResponseReader
+	isConnected bool
+	readsSlowly bool // so slowly that the time of an answer says nothing about the server
+	inFlight    map[uint16]*attempt
+	freeIDs     []uint16 // the last one is taken next
+}
+
+// dial connects, and forgets everything of the last connection.
+func (c *conn) dial() {
+	c.reader = fake.ResponseReader{}
+	c.readsSlowly = false
+	c.inFlight = map[uint16]*attempt{}
+	c.freeIDs = nil
+	for id := uint16(maxRequestsPerConn); id > 0; id-- {
+		c.freeIDs = append(c.freeIDs, id)
+	}
+	c.stream = c.gateway.runner.sim.Dial(c.gateway.addr, c.node.addr(), c)
+}
+
+// canSend reports whether a request can be sent now.
+func (c *conn) canSend() bool { return c.isConnected && !c.readsSlowly && len(c.freeIDs) > 0 }
+
+// send writes an attempt and returns its FastCGI id.
+func (c *conn) send(a *attempt) (id uint16) {
+	last := len(c.freeIDs) - 1
+	id = c.freeIDs[last]
+	c.freeIDs = c.freeIDs[:last]
+	c.inFlight[id] = a
+	req := a.request
+	message := fake.NewAttempt(a.id, req.key, c.gateway.runner.sim.Now(), req.body)
+	message.Headers["Account"] = req.tenant
+	if req.attempts > 1 {
+		message.Headers["Attempt-Again"] = "1"
+	}
+	c.stream.Write(message.Encode(id))
+	return id
+}
+
+// Connected implements simnet.StreamHandler.
+func (c *conn) Connected() { c.isConnected = true }
+
+// Data implements simnet.StreamHandler.
+func (c *conn) Data(p []byte) {
+	r := c.gateway.runner
+	answers, err := c.reader.Feed(p)
+	if err != nil {
+		r.recordViolation("%s sent what is no record: %v", c.node.name(), err)
+		c.stream.Reset()
+		c.Closed(err)
+		return
+	}
+	for _, answer := range answers {
+		a := c.inFlight[answer.ID]
+		if a == nil {
+			r.recordViolation("%s answered request %d, which is not open", c.node.name(), answer.ID)
+			continue
+		}
+		delete(c.inFlight, answer.ID)
+		c.freeIDs = append(c.freeIDs, answer.ID)
+		arrivedAt := r.sim.Now()
+		if c.readsSlowly {
+			arrivedAt = startTime // before any deadline
+		}
+		c.gateway.handleAnswer(a, answer, arrivedAt)
+	}
+}
+
+// Closed implements simnet.StreamHandler.
+func (c *conn) Closed(err error) {
+	c.isConnected = false
+	r := c.gateway.runner
+	for id := uint16(1); id <= maxRequestsPerConn; id++ {
+		a := c.inFlight[id]
+		if a == nil {
+			continue
+		}
+		if err == io.EOF && c.isDroppedByServer(a) {
+			r.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), a.id, r.sim.Elapsed()-a.sentAt)
+		}
+		c.gateway.handleLoss(a)
+	}
+	clear(c.inFlight)
+	if !r.isFinished {
+		r.sim.After(redialDelay, c.dial)
+	}
+}
+
+// isDroppedByServer reports whether a server that runs ended a connection without answering an attempt that it has surely read.
+func (c *conn) isDroppedByServer(a *attempt) bool {
+	n := c.node
+	now := c.gateway.runner.sim.Elapsed()
+	isRunning := !n.isKilled && a.incarnation == n.incarnation
+	return isRunning && !c.readsSlowly && now-a.sentAt > maxReadDelay && now-n.pausedUntil > maxReadDelay
+}
+
+// startSlowReads throttles the connection from now on. The callers of its requests give up.
+func (c *conn) startSlowReads() {
+	c.readsSlowly = true
+	for id := uint16(1); id <= maxRequestsPerConn; id++ {
+		if a := c.inFlight[id]; a != nil {
+			c.gateway.runner.checker.RecordLost(a.id)
+		}
+	}
+	c.stream.ThrottleReads(slowReadSize, slowReadInterval)
+}
+
+// reset breaks the connection.
+func (c *conn) reset() {
+	c.stream.Reset()
+	c.Closed(errReset)
+}
--- a/internal/scenario/counters.go
+++ b/internal/scenario/counters.go
@@ -4,7 +4,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// counterLog is a log that keeps the server's last counters, and nothing else.
+// countersMessage is the message with which a server logs its counters.
+const countersMessage = "counters"
+
+// counterLog is a log that keeps the server's latest counters and drops everything else.
 type counterLog struct{ latest map[string]uint64 }
 
 // Enabled implements zapcore.Core.
@@ -14,19 +17,19 @@
 func (c *counterLog) With([]zapcore.Field) zapcore.Core { return c }
 
 // Check implements zapcore.Core.
-func (c *counterLog) Check(e zapcore.Entry, to *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if e.Message == "counters" {
-		return to.AddCore(e, c)
+func (c *counterLog) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if entry.Message == countersMessage {
+		return checked.AddCore(entry, c)
 	}
-	return to
+	return checked
 }
 
 // Write implements zapcore.Core.
 func (c *counterLog) Write(_ zapcore.Entry, fields []zapcore.Field) error {
 	c.latest = map[string]uint64{}
-	for _, f := range fields {
-		if f.Type == zapcore.Uint64Type {
-			c.latest[f.Key] = uint64(f.Integer)
+	for _, field := range fields {
+		if field.Type == zapcore.Uint64Type {
+			c.latest[field.Key] = uint64(field.Integer)
 		}
 	}
 	return nil
@@ -35,9 +38,14 @@
 // Sync implements zapcore.Core.
 func (*counterLog) Sync() error { return nil }
 
-// totals tells whether all that a server that has ended took in was served, refused, failed, turned away as invalid, answered by a
-// route, or lost with its connection.
+// totals returns how many requests a server took in and how many it accounted for: served, rejected, failed, lost with their
+// connection, invalid, or answered by a route. They are equal once a server has ended.
 func (c *counterLog) totals() (in, out uint64, isLogged bool) {
-	l := c.latest
-	return l["requests"], l["served"] + l["refused"] + l["failed"] + l["lost"] + l["invalid"] + l["direct"], l != nil
+	if c.latest == nil {
+		return 0, 0, false
+	}
+	for _, outcome := range []string{"served", "refused", "failed", "lost", "invalid", "direct"} {
+		out += c.latest[outcome]
+	}
+	return c.latest["requests"], out, true
 }
--- a/internal/scenario/library.go
+++ b/internal/scenario/library.go
@@ -8,12 +8,15 @@
 	"strings"
 )
 
+// fileExtension is what the name of a scenario's file ends in.
+const fileExtension = ".sexp"
+
 //go:embed scenarios/*.sexp
 var libraryFiles embed.FS
 
-// Library are the scenarios that ship with the kit, by name.
+// Library returns the built-in scenarios, in the order of their files' names.
 func Library() ([]*Scenario, error) {
-	files, err := fs.Glob(libraryFiles, "scenarios/*.sexp")
+	files, err := fs.Glob(libraryFiles, "scenarios/*"+fileExtension)
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
@@ -32,9 +35,9 @@
 	return list, nil
 }
 
-// Find is the scenario of a name in the library, or in a file where the name is one of a file.
+// Find returns the built-in scenario of a name, or the scenario of a file if the name ends in .sexp.
 func Find(name string) (*Scenario, error) {
-	if strings.HasSuffix(name, ".sexp") {
+	if strings.HasSuffix(name, fileExtension) {
 		return Load(name)
 	}
 	list, err := Library()
@@ -46,5 +49,5 @@
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("rehearsal: no scenario %q; `cataloguectl rehearse list` names them, and a file ends in .sexp", name)
+	return nil, fmt.Errorf("rehearsal: no scenario %q; `cataloguectl scenario list` names them, and a file ends in .sexp", name)
 }
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -13,39 +13,55 @@
 	"tillerusher/server"
 )
 
-// What each server has, and the grace between SIGTERM and SIGKILL.
+// The resources of each server.
 const (
+	serverCores       = 1
 	serverMemoryMB    = 64
 	serverDescriptors = 384
-	stopTimeout       = 3200 * time.Millisecond
 )
 
-// node is a server with its interpreter, over any number of lives of both.
+const (
+	// stopTimeout is the time between SIGTERM and SIGKILL.
+	stopTimeout = 3200 * time.Millisecond
+	// exitPollInterval is how often it is checked whether a draining server has exited.
+	exitPollInterval = 10 * time.Millisecond
+)
+
+// node is a server with its interpreter, over any number of restarts of both.
 type node struct {
-	run                   *runner
-	number                int
-	host, interpreterHost netip.Addr
-	process               *simnet.Process
-	server                *server.Server
-	interpreter           *fake.Interpreter
-	slowdown              float64
-	incarnation           int
-	isKilled              bool           // it was killed in this life
-	latestLink            *simnet.Stream // of the links
-	counters              *counterLog
-	addressChanges        uint16 // how often the interpreter moved between its two addresses
-	isDraining            bool
-	drainStartedAt        time.Duration // when it was told to leave
-	pausedUntil           time.Duration // until when its machine stood still
-	startedAt             time.Duration // in this life
-	runs                  int           // in all lives
+	runner          *runner
+	number          int
+	host            netip.Addr
+	interpreterHost netip.Addr
+
+	interpreter    *fake.Interpreter
+	slowdown       float64        // by which the interpreter multiplies the time of a run
+	latestLink     *simnet.Stream // from the server to the interpreter
+	addressChanges uint16         // of the interpreter, between its two ports
+	runs           int            // in all incarnations
+
+	// Of the current incarnation of the server.
+	incarnation    int // from 1
+	process        *simnet.Process
+	server         *server.Server // nil before it listens and when it has gone
+	counters       *counterLog
+	startedAt      time.Duration
+	isKilled       bool
+	isDraining     bool
+	drainStartedAt time.Duration
+	pausedUntil    time.Duration
 }
 
 func newNode(r *runner, number int) *node {
-	n := &node{run: r, number: number, slowdown: 1, host: netip.AddrFrom4([4]byte{10, 1, byte(number >> 8), byte(number)}),
-		interpreterHost: netip.AddrFrom4([4]byte{10, 2, byte(number >> 8), byte(number)})}
+	n := &node{
+		runner:          r,
+		number:          number,
+		slowdown:        1,
+		host:            hostAddr(serverNet, number),
+		interpreterHost: hostAddr(interpreterNet, number),
+	}
 	n.startInterpreter()
-	for range 2 {
+	for range interpreterPorts {
 		r.sim.Listen(n.interpreterAddr(), n.acceptLink)
 		n.addressChanges++
 	}
@@ -53,128 +69,172 @@
 	return n
 }
 
-func (n *node) addr() netip.AddrPort { return netip.AddrPortFrom(n.host, 9000) }
-func (n *node) interpreterAddr() netip.AddrPort {
-	return netip.AddrPortFrom(n.interpreterHost, 9100+n.addressChanges%2)
-}
+// name returns the server's name in load reports.
 func (n *node) name() string { return fmt.Sprint("n", n.number) }
 
-// startInterpreter has a new interpreter take the links that come from now on.
-func (n *node) startInterpreter() {
-	it := fake.NewInterpreterWithClock(n.run.sim)
-	it.SimulateWork(n.run.scenario.Cores, func(a fake.RunCommand) time.Duration {
-		return time.Duration(float64(fake.ParseWork(a)) * n.slowdown)
-	})
-	it.OnRun(func(a fake.RunCommand) {
-		n.runs++
-		n.run.recordRun(a.ID)
-	})
-	if n.run.coldRestarts && n.incarnation > 0 {
-		it.MarkCold()
-	}
-	n.interpreter = it
-}
+// addr returns where the server listens.
+func (n *node) addr() netip.AddrPort { return netip.AddrPortFrom(n.host, serverPort) }
 
-// acceptLink is a server's connection to the interpreter.
-type link struct {
-	peer   *fake.Link
-	stream *simnet.Stream
+// interpreterAddr returns where the interpreter is now.
+func (n *node) interpreterAddr() netip.AddrPort {
+	return netip.AddrPortFrom(n.interpreterHost, interpreterPort+n.addressChanges%interpreterPorts)
 }
 
-func (n *node) acceptLink(s *simnet.Stream) simnet.StreamHandler {
-	n.latestLink = s
-	return &link{n.interpreter.Attach(s), s}
+// config returns the server's configuration.
+func (n *node) config() *config.Config {
+	return &config.Config{
+		Name:        n.name(),
+		Listen:      n.addr(),
+		Interpreter: n.interpreterAddr(),
+		LoadReports: loadReportAddr,
+		StopTimeout: stopTimeout,
+		Settings:    n.runner.site,
+		Limits:      config.Limits{Cores: serverCores, MemoryMB: serverMemoryMB, Sockets: serverDescriptors},
+	}
 }
 
-// Connected implements simos.Actor.
-func (l *link) Connected() {}
-
-// Data implements simos.Actor.
-func (l *link) Data(p []byte) {
-	if !l.peer.Feed(p) {
-		l.stream.Close()
+// startInterpreter replaces the interpreter for links that are made from now on.
+func (n *node) startInterpreter() {
+	interpreter := fake.NewInterpreterWithClock(n.runner.sim)
+	interpreter.SimulateWork(n.runner.scenario.Cores, func(c fake.RunCommand) time.Duration {
+		return time.Duration(float64(fake.ParseWork(c)) * n.slowdown)
+	})
+	interpreter.OnRun(func(c fake.RunCommand) {
+		n.runs++
+		n.runner.recordRun(c.ID)
+	})
+	if n.runner.coldRestarts && n.incarnation > 0 {
+		interpreter.MarkCold()
 	}
+	n.interpreter = interpreter
 }
 
-// Closed implements simos.Actor.
-func (l *link) Closed(error) {}
-
-// start starts the server's program, unless it runs already.
+// start starts the server, unless it runs.
 func (n *node) start() {
 	if n.process != nil {
-		if ended, _ := n.process.Exited(); !ended {
+		if hasExited, _ := n.process.Exited(); !hasExited {
 			return
 		}
 	}
 	n.incarnation++
-	n.startedAt = n.run.sim.Elapsed()
-	n.isDraining, n.isKilled, n.counters = false, false, &counterLog{}
-	n.process = n.run.sim.Start(n.name(), n.host, n.run.scenario.MaxOpenFiles, func(p *simnet.Process) error {
-		s, err := server.NewOnSystem(p, n.config(), zap.New(n.counters))
-		if err != nil {
-			return err
-		}
-		n.server = s
-		return s.Run()
-	})
+	n.startedAt = n.runner.sim.Elapsed()
+	n.isDraining = false
+	n.isKilled = false
+	n.counters = &counterLog{}
+	n.process = n.runner.sim.Start(n.name(), n.host, n.runner.scenario.MaxOpenFiles, n.serve)
 }
 
-func (n *node) config() *config.Config {
-	return &config.Config{Name: n.name(), Listen: n.addr(), Interpreter: n.interpreterAddr(), LoadReports: loadReportAddr, StopTimeout: stopTimeout, Settings: n.run.site,
-		Limits: config.Limits{Cores: 1, MemoryMB: serverMemoryMB, Sockets: serverDescriptors}}
+// serve is the server's main function.
+func (n *node) serve(p *simnet.Process) error {
+	s, err := server.NewOnSystem(p, n.config(), zap.New(n.counters))
+	if err != nil {
+		return err
+	}
+	n.server = s
+	return s.Run()
 }
 
-// kill ends server and interpreter at once; another interpreter is there for the next server.
+// reload moves the interpreter to its other port and has the server reload its configuration, as on SIGHUP.
+func (n *node) reload() {
+	if n.server != nil {
+		n.addressChanges++
+		n.server.Reload(n.config())
+	}
+}
+
+// kill ends the server and its interpreter at once, and replaces the interpreter.
 func (n *node) kill() {
 	n.isKilled = true
 	n.process.Kill()
 	n.server = nil
 	n.interpreter.Close()
 	n.startInterpreter()
-	n.run.markDown(n)
+	n.runner.markDown(n)
 }
 
-// drain tells the server to drain, and kills it where it does not end in time.
+// drain has the server drain, as on SIGTERM, and kills it if it does not exit in time. onExit, which may be nil, is called once it
+// has exited.
 func (n *node) drain(onExit func()) {
 	if n.server == nil || n.isDraining {
 		return
 	}
-	n.isDraining, n.drainStartedAt = true, n.run.sim.Elapsed()
+	n.isDraining = true
+	n.drainStartedAt = n.runner.sim.Elapsed()
 	n.server.Drain()
-	life := n.incarnation
-	n.run.sim.After(stopTimeout, func() {
-		if ended, _ := n.process.Exited(); ended || n.incarnation != life {
-			return
-		}
-		if n.pausedUntil < n.drainStartedAt { // a machine that stands still can't help it
-			n.run.recordViolation("%s was told to leave at %v and did not end before it was killed", n.name(), n.drainStartedAt)
-		}
-		n.isKilled = true
-		n.process.Kill()
-	})
-	var look func()
-	look = func() {
-		ended, err := n.process.Exited()
-		switch {
-		case n.incarnation != life:
-		case !ended:
-			n.run.sim.After(10*time.Millisecond, look)
-		default:
-			if err != nil {
-				n.run.recordViolation("%s ended with %v", n.name(), err)
-			}
-			if left := n.process.OpenDescriptors(); left > 0 {
-				n.run.recordViolation("%s ended with %d descriptors open", n.name(), left)
-			}
-			if in, out, told := n.counters.totals(); err == nil && !n.isKilled && (!told || in != out) {
-				n.run.recordViolation("%s took %d requests in, and %d were served, refused, failed, invalid or lost with their connection", n.name(), in, out)
-			}
-			n.server = nil
-			n.run.markDown(n)
-			if onExit != nil {
-				onExit()
-			}
-		}
+	incarnation := n.incarnation
+	n.runner.sim.After(stopTimeout, func() { n.killOverdue(incarnation) })
+	n.awaitExit(incarnation, onExit)
+}
+
+// killOverdue kills the server if it has not exited within stopTimeout, which is a violation unless its machine was paused.
+func (n *node) killOverdue(incarnation int) {
+	if hasExited, _ := n.process.Exited(); hasExited || n.incarnation != incarnation {
+		return
+	}
+	if n.pausedUntil < n.drainStartedAt {
+		n.runner.recordViolation("%s was told to leave at %v and did not end before it was killed", n.name(), n.drainStartedAt)
+	}
+	n.isKilled = true
+	n.process.Kill()
+}
+
+// awaitExit polls until the incarnation has exited.
+func (n *node) awaitExit(incarnation int, onExit func()) {
+	if n.incarnation != incarnation {
+		return
+	}
+	hasExited, err := n.process.Exited()
+	if !hasExited {
+		n.runner.sim.After(exitPollInterval, func() { n.awaitExit(incarnation, onExit) })
+		return
+	}
+	n.checkExit(err)
+	n.server = nil
+	n.runner.markDown(n)
+	if onExit != nil {
+		onExit()
 	}
-	look()
 }
+
+// checkExit checks what a server that drained has left behind.
+func (n *node) checkExit(err error) {
+	if err != nil {
+		n.runner.recordViolation("%s ended with %v", n.name(), err)
+	}
+	if open := n.process.OpenDescriptors(); open > 0 {
+		n.runner.recordViolation("%s ended with %d descriptors open", n.name(), open)
+	}
+	if err != nil || n.isKilled {
+		return
+	}
+	in, out, isLogged := n.counters.totals()
+	if !isLogged || in != out {
+		n.runner.recordViolation("%s took %d requests in, and %d were served, refused, failed, invalid or lost with their connection",
+			n.name(), in, out)
+	}
+}
+
+// link is a server's connection to the interpreter, as the interpreter sees it.
+type link struct {
+	interpreter *fake.Link
+	stream      *simnet.Stream
+}
+
+// acceptLink accepts a server's connection to the interpreter.
+func (n *node) acceptLink(s *simnet.Stream) simnet.StreamHandler {
+	n.latestLink = s
+	return &link{interpreter: n.interpreter.Attach(s), stream: s}
+}
+
+// Connected implements simnet.StreamHandler.
+func (l *link) Connected() {}
+
+// Data implements simnet.StreamHandler.
+func (l *link) Data(p []byte) {
+	if !l.interpreter.Feed(p) {
+		l.stream.Close()
+	}
+}
+
+// Closed implements simnet.StreamHandler.
+func (l *link) Closed(error) {}
--- a/internal/scenario/probe.go
+++ b/internal/scenario/probe.go
@@ -3,73 +3,81 @@
 import (
 	"fmt"
 	"io"
-	"net/netip"
+	"net/http"
 
 	"tillerusher/internal/fake"
 	"tillerusher/internal/simnet"
 )
 
-// startProbes asks a server for a lookup and a reservation after the day, on a connection of its own: a server that is left alone
-// and has its interpreter serves both.
+// probesPerServer is how many requests a probe sends: a lookup and a reservation.
+const probesPerServer = 2
+
+// probe sends a lookup and a reservation to a server after the load, on a connection of its own. A server that is idle and has its
+// interpreter must serve both.
 type probe struct {
-	run         *runner
+	runner      *runner
 	node        *node
 	stream      *simnet.Stream
 	reader      fake.ResponseReader
 	servedCount int
-	log         []string
+	log         []string // what arrived, for the violation's text
 }
 
-// startProbes asks every server that runs.
-func (r *runner) startProbes() (list []*probe) {
+// startProbes probes every server that runs and has not been paused since the load ended.
+func (r *runner) startProbes() []*probe {
+	var probes []*probe
 	for _, n := range r.nodes {
-		if ended, _ := n.process.Exited(); !ended && !n.isDraining && r.sim.Elapsed()-n.pausedUntil > r.scenario.Cooldown {
-			p := &probe{run: r, node: n}
-			p.stream = r.sim.Dial(netip.AddrFrom4([4]byte{10, 5, 0, 1}), n.addr(), p)
-			list = append(list, p)
+		hasExited, _ := n.process.Exited()
+		isRested := r.sim.Elapsed()-n.pausedUntil > r.scenario.Cooldown
+		if hasExited || n.isDraining || !isRested {
+			continue
 		}
+		p := &probe{runner: r, node: n}
+		p.stream = r.sim.Dial(probeHost, n.addr(), p)
+		probes = append(probes, p)
 	}
-	return list
+	return probes
 }
 
-// Connected implements simos.Actor.
+// Connected implements simnet.StreamHandler.
 func (p *probe) Connected() {
-	for _, keyed := range []bool{false, true} {
-		p.run.attempts++
-		id, key, stream := fmt.Sprintf("%016x", p.run.attempts), "", uint16(1)
-		if keyed {
-			key, stream = fmt.Sprintf("%032x", p.run.attempts), 2
-		}
-		p.run.probeIDs[id] = true
-		p.stream.Write(fake.NewAttempt(id, key, p.run.sim.Now(), fake.WorkBody("probe", 0)).Encode(stream))
-	}
+	p.send(1, "")
+	p.send(2, fmt.Sprintf("%032x", p.runner.attempts+1))
+}
+
+// send sends a request with a FastCGI id and an idempotency key, which may be empty.
+func (p *probe) send(streamID uint16, key string) {
+	id := p.runner.nextAttemptID()
+	p.runner.probeIDs[id] = true
+	message := fake.NewAttempt(id, key, p.runner.sim.Now(), fake.WorkBody("probe", 0))
+	p.stream.Write(message.Encode(streamID))
 }
 
-// Data implements simos.Actor.
-func (p *probe) Data(b []byte) {
-	answers, err := p.reader.Feed(b)
+// Data implements simnet.StreamHandler.
+func (p *probe) Data(data []byte) {
+	answers, err := p.reader.Feed(data)
 	if err != nil {
 		p.log = append(p.log, err.Error())
 	}
-	for _, a := range answers {
-		if a.Status == 200 {
+	for _, answer := range answers {
+		if answer.Status == http.StatusOK {
 			p.servedCount++
 		}
-		p.log = append(p.log, fmt.Sprintf("status %d to %d", a.Status, a.ID))
+		p.log = append(p.log, fmt.Sprintf("status %d to %d", answer.Status, answer.ID))
 	}
 }
 
-// Closed implements simos.Actor.
+// Closed implements simnet.StreamHandler.
 func (p *probe) Closed(err error) {
 	if err != io.EOF {
 		p.log = append(p.log, err.Error())
 	}
 }
 
-// verify says whether both were served.
+// verify checks that both requests were served.
 func (p *probe) verify() {
-	if p.servedCount != 2 {
-		p.run.recordViolation("%s, left alone after the day, served %d of 2 probes: %v", p.node.name(), p.servedCount, p.log)
+	if p.servedCount != probesPerServer {
+		p.runner.recordViolation("%s, left alone after the day, served %d of 2 probes: %v", p.node.name(), p.servedCount, p.log)
 	}
 	p.stream.Close()
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -8,12 +8,16 @@
 	"time"
 )
 
-// TestSameSeed plays a day with every kind of incident twice, on one processor and on four: the reports are the same, byte for byte, and no rule is broken.
+// TestSameSeed runs a scenario with every kind of incident twice, on one processor and on four: the reports are the same, byte
+// for byte, and no rule is violated.
 func TestSameSeed(t *testing.T) {
 	s := Defaults()
 	s.Name, s.Duration, s.Rate = "all", 12*time.Second, 900
-	for n, kind := range []IncidentKind{SlowInterpreter, Partition, ConfigReload, LoadSpike, MachinePause, SlowReaders, ConnectionResets, MalformedInput, ConnectionFlood, Crash, Restart} {
-		s.Incidents = append(s.Incidents, Incident{Kind: kind, At: time.Duration(n) * time.Second, Duration: time.Second, Server: n%3 + 1, Factor: 2})
+	kinds := []IncidentKind{SlowInterpreter, Partition, ConfigReload, LoadSpike, MachinePause, SlowReaders, ConnectionResets,
+		MalformedInput, ConnectionFlood, Crash, Restart}
+	for n, kind := range kinds {
+		at := time.Duration(n) * time.Second
+		s.Incidents = append(s.Incidents, Incident{Kind: kind, At: at, Duration: time.Second, Server: n%3 + 1, Factor: 2})
 	}
 	var texts [2]string
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
@@ -39,7 +43,7 @@
 	}
 }
 
-// TestLibrary plays the scenarios that ship with the kit, the largest left out: no rule is broken, and what each expects holds.
+// TestLibrary runs the built-in scenarios, the largest left out: no rule is violated, and what each expects holds.
 func TestLibrary(t *testing.T) {
 	list, err := Library()
 	if err != nil {
@@ -65,24 +69,24 @@
 	}
 }
 
-// TestHunt plays days that seeds draw; `cataloguectl rehearse hunt` plays many more.
-func TestHunt(t *testing.T) {
+// TestExplore runs scenarios that seeds generate; `cataloguectl scenario explore` runs many more.
+func TestExplore(t *testing.T) {
 	first := rand.Uint64() >> 1
 	t.Logf("from seed %d", first)
-	h, err := Explore(t.Context(), first, 40, 1, 2, nil)
+	e, err := Explore(t.Context(), ExploreConfig{FirstSeed: first, Seeds: 40, MaxFindings: 1, Parallel: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range h.Findings {
-		t.Errorf("seed %d: %v, %d unanswered; again: cataloguectl rehearse replay %d", f.Seed, f.Report.Violations, f.Report.Unanswered, f.Seed)
+	for _, f := range e.Findings {
+		t.Errorf("seed %d: %v, %d unanswered; again: cataloguectl scenario replay %d", f.Seed, f.Report.Violations, f.Report.Unanswered, f.Seed)
 	}
-	if h.Seeds == 0 || h.Served == 0 || h.Simulation.Kills == 0 || h.Simulation.Resets == 0 {
-		t.Errorf("nothing happened: %+v", h)
+	if e.Seeds == 0 || e.Served == 0 || e.Simulation.Kills == 0 || e.Simulation.Resets == 0 {
+		t.Errorf("nothing happened: %+v", e)
 	}
 }
 
-// TestFirstAfterIdling has a lookup come to a server that had nothing to do for a while, shortly before its next look at the
-// gauges: the time that nothing ran for counted as time without progress, and the run was stopped for a stall.
+// TestFirstAfterIdling has a lookup arrive at a server that was idle for a while, shortly before its next reading of the
+// gauges: the idle time counted as time without progress, and the run was stopped for a stall.
 func TestFirstAfterIdling(t *testing.T) {
 	s := Generate(262)
 	s.Cooldown = time.Second
@@ -92,8 +96,8 @@
 	}
 }
 
-// TestLostAfterAnswer has a connection break whose requests wait for each other: the end of one answered another, which was then
-// counted as lost as well, and told to the module as gone.
+// TestLostAfterAnswer breaks a connection whose requests wait for each other: the end of one answered another, which was then
+// counted as lost as well, and reported to the module as cancelled.
 func TestLostAfterAnswer(t *testing.T) {
 	r, err := Run(Generate(346), 346)
 	if err != nil || r.HasViolations() {
@@ -101,7 +105,29 @@
 	}
 }
 
-// FuzzParse reads any text as a scenario: it is taken or named, and what is taken can be played.
+// TestScenarioText pins the text and the JSON that `cataloguectl scenario shrink` prints: their names are not those of the fields.
+func TestScenarioText(t *testing.T) {
+	s := Defaults()
+	s.Name, s.Purpose, s.Cooldown, s.MaxOpenFiles = "x", "y", 28*time.Second, 384
+	s.Incidents = []Incident{{At: time.Second, Duration: 500 * time.Millisecond, Kind: LinkLoss, Server: 2, Factor: 1.5}, {Kind: Crash}}
+	const text = "{Name:x Teaches:y Length:20s Calm:28s Servers:3 Cores:2 Work:4ms Rate:600 Keyed:0.2 Gateways:4 Tries:3 Heeds:1 Pause:100ms " +
+		"Repeats:0.05 Hedges:0 Aborts:0 Files:384 Net:{Delay:50µs Jitter:150µs Partial:0.05 Lost:0.01 Doubled:0.01} " +
+		"Incidents:[{At:1s For:500ms Kind:cut Server:2 Times:1.5 Apart:0s} {At:0s For:0s Kind:death Server:0 Times:0 Apart:0s}] " +
+		"Expect:{Share:0 Recovered:0s}}"
+	if got := s.String(); got != text {
+		t.Errorf("text %s\nwant %s", got, text)
+	}
+	const encoded = `{"Name":"x","Teaches":"y","Length":20000000000,"Calm":28000000000,"Servers":3,"Cores":2,"Work":4000000,"Rate":600,` +
+		`"Keyed":0.2,"Gateways":4,"Tries":3,"Heeds":1,"Pause":100000000,"Repeats":0.05,"Hedges":0,"Aborts":0,"Files":384,` +
+		`"Net":{"Delay":50000,"Jitter":150000,"Partial":0.05,"Lost":0.01,"Doubled":0.01},` +
+		`"Incidents":[{"At":1000000000,"For":500000000,"Kind":"cut","Server":2,"Times":1.5,"Apart":0},` +
+		`{"At":0,"For":0,"Kind":"death","Server":0,"Times":0,"Apart":0}],"Expect":{"Share":0,"Recovered":0}}`
+	if got, err := json.Marshal(s); err != nil || string(got) != encoded {
+		t.Errorf("JSON %s, %v\nwant %s", got, err, encoded)
+	}
+}
+
+// FuzzParse reads any text as a scenario: it is accepted or the error names what is wrong, and what is accepted can be run.
 func FuzzParse(f *testing.F) {
 	f.Add("(name x) (servers 2) (incident death (at 1s) (server 2))")
 	f.Add("(name x) (incident fire)")
--- /dev/null
+++ b/internal/scenario/shrink.go
@@ -0,0 +1,93 @@
+package scenario
+
+import (
+	"slices"
+	"time"
+)
+
+// The load and the length below which Shrink reduces no further.
+const (
+	minShrunkRate     = 2
+	minShrunkDuration = 2 * time.Second
+)
+
+// Shrink reduces a scenario for as long as it still violates a rule with the seed: it takes away incidents, servers, gateways,
+// attempts, network faults, load and time. The result is a local minimum.
+func Shrink(s *Scenario, seed uint64) (*Scenario, error) {
+	smallest := s.clone()
+	for {
+		smaller, err := findViolation(smallerVariants(smallest), seed)
+		if err != nil {
+			return nil, err
+		}
+		if smaller == nil {
+			return smallest, nil
+		}
+		smallest = smaller
+	}
+}
+
+// findViolation returns the first scenario of a list that violates a rule with the seed, or nil.
+func findViolation(list []*Scenario, seed uint64) (*Scenario, error) {
+	for _, s := range list {
+		report, err := Run(s, seed)
+		if err != nil {
+			return nil, err
+		}
+		if report.HasViolations() {
+			return s, nil
+		}
+	}
+	return nil, nil
+}
+
+// clone returns a copy with incidents of its own.
+func (s *Scenario) clone() *Scenario {
+	c := *s
+	c.Incidents = slices.Clone(s.Incidents)
+	return &c
+}
+
+// smallerVariants returns the scenarios that are one step smaller than s.
+func smallerVariants(s *Scenario) []*Scenario {
+	var list []*Scenario
+	add := func(change func(c *Scenario)) {
+		c := s.clone()
+		change(c)
+		list = append(list, c)
+	}
+	for n := range s.Incidents {
+		add(func(c *Scenario) { c.Incidents = slices.Delete(c.Incidents, n, n+1) })
+	}
+	if s.Servers > 1 {
+		add((*Scenario).useOneServer)
+	}
+	if s.Gateways > 1 {
+		add(func(c *Scenario) { c.Gateways = 1 })
+	}
+	if s.MaxAttempts > 1 {
+		add(func(c *Scenario) { c.MaxAttempts-- })
+	}
+	if s.Network.PartialIO+s.Network.DatagramLoss+s.Network.DatagramDuplication > 0 {
+		add(func(c *Scenario) {
+			c.Network.PartialIO = 0
+			c.Network.DatagramLoss = 0
+			c.Network.DatagramDuplication = 0
+		})
+	}
+	if s.Rate > minShrunkRate {
+		add(func(c *Scenario) { c.Rate /= 2 })
+	}
+	if s.Duration > minShrunkDuration {
+		add(func(c *Scenario) { c.Duration -= time.Second })
+	}
+	return list
+}
+
+// useOneServer removes all servers but one, to which all incidents move.
+func (s *Scenario) useOneServer() {
+	s.Servers = 1
+	for n := range s.Incidents {
+		s.Incidents[n].Server = min(s.Incidents[n].Server, 1)
+	}
+}
