--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -10,14 +10,24 @@
 	"tillerusher/internal/replay"
 )
 
-func captureCommand() *cobra.Command {
-	c := &cobra.Command{Use: "capture", Short: "Look into captures, check and cut them",
-		Long: "A capture is a directory of segments, or one of them, as `catalogue-server serve --capture DIR` writes it."}
-	c.AddCommand(infoCommand(), verifyCommand(), catCommand(), statsCommand(), cutCommand(), shrinkCommand())
-	return c
+func newCaptureCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:   "capture",
+		Short: "Inspect, check and cut captures",
+		Long:  "A capture is a directory of segments, or one of them, as `catalogue-server serve --capture DIR` writes it.",
+	}
+	cmd.AddCommand(
+		newCaptureInfoCommand(),
+		newCaptureVerifyCommand(),
+		newCaptureCatCommand(),
+		newCaptureStatsCommand(),
+		newCaptureCutCommand(),
+		newCaptureShrinkCommand(),
+	)
+	return cmd
 }
 
-// segmentInfo is what is told of a segment.
+// segmentInfo is the JSON of a segment.
 type segmentInfo struct {
 	Path     string           `json:"path"`
 	Bytes    int64            `json:"bytes"`
@@ -26,44 +36,35 @@
 	Records  uint64           `json:"records"`
 	Until    time.Duration    `json:"until"` // the module's clock at its last record
 	Complete bool             `json:"complete"`
-	State    bool             `json:"state"` // its snapshot can be read
+	State    bool             `json:"state"` // whether its snapshot can be read
 	Damage   []capture.Damage `json:"damage,omitempty"`
 }
 
-func describe(s *capture.Segment) (segmentInfo, error) {
-	i := segmentInfo{Path: s.Path, Bytes: s.Size, Raw: s.UncompressedBytes, Meta: s.Meta, Until: s.Meta.ModuleTime, Complete: s.Complete,
-		State: s.Snapshot != nil, Damage: s.Damage}
-	err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
-		i.Records++
-		i.Until = max(i.Until, r.At)
+// describeSegment reads all records of a segment.
+func describeSegment(segment *capture.Segment) (segmentInfo, error) {
+	info := segmentInfo{
+		Path:     segment.Path,
+		Bytes:    segment.Size,
+		Raw:      segment.UncompressedBytes,
+		Meta:     segment.Meta,
+		Until:    segment.Meta.ModuleTime,
+		Complete: segment.Complete,
+		State:    segment.Snapshot != nil,
+		Damage:   segment.Damage,
+	}
+	err := segment.ForEach(func(_ capture.Position, record *capture.Record) error {
+		info.Records++
+		info.Until = max(info.Until, record.At)
 		return nil
 	})
-	return i, err
+	return info, err
 }
 
-func infoCommand() *cobra.Command {
-	return &cobra.Command{Use: "info CAPTURE...", Short: "Say what is in captures, a line for each segment",
-		Example: "  cataloguectl capture info /var/lib/tillerusher/capture\n  cataloguectl capture info --json 0000000007.capture",
-		Args:    cobra.MinimumNArgs(1),
-		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
-			for _, s := range segments {
-				i, err := describe(s)
-				if err != nil {
-					return inputError{err}
-				}
-				p.line("%s  %s  %s to %s  %d records  %d B, %.1f B/record  %s", i.Path, i.Meta.Server,
-					s.UnixTime(i.Meta.ModuleTime).UTC().Format("2006-01-02 15:04:05.000"), s.UnixTime(i.Until).UTC().Format("15:04:05.000"),
-					i.Records, i.Bytes, float64(i.Bytes)/float64(max(i.Records, 1)), condition(i))
-				if err := p.object(i); err != nil {
-					return err
-				}
-			}
-			return nil
-		})}
-}
+// isFlawed reports whether anything of the segment is damaged or missing.
+func (i segmentInfo) isFlawed() bool { return len(i.Damage) > 0 || !i.State || i.Meta.Gap != nil }
 
-// condition says in words how whole a segment is.
-func condition(i segmentInfo) string {
+// condition describes how complete the segment is.
+func (i segmentInfo) condition() string {
 	text := "whole"
 	if !i.Complete {
 		text = "not ended in order"
@@ -71,8 +72,8 @@
 	if !i.State {
 		text += ", its state is lost"
 	}
-	if g := i.Meta.Gap; g != nil {
-		text += fmt.Sprintf(", %d records are missing before it: %s", g.Records, g.Cause)
+	if gap := i.Meta.Gap; gap != nil {
+		text += fmt.Sprintf(", %d records are missing before it: %s", gap.Records, gap.Cause)
 	}
 	for _, d := range i.Damage {
 		text += "; " + d.String()
@@ -80,65 +81,117 @@
 	return text
 }
 
-func verifyCommand() *cobra.Command {
-	return &cobra.Command{Use: "verify CAPTURE...", Short: "Check captures for damage and gaps",
-		Long:    "verify reads every block of captures and names what is damaged or missing." + statuses,
+func newCaptureInfoCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "info CAPTURE...",
+		Short:   "Describe captures, one line for each segment",
+		Example: "  cataloguectl capture info /var/lib/tillerusher/capture\n  cataloguectl capture info --json 0000000007.capture",
+		Args:    cobra.MinimumNArgs(1),
+		RunE:    withCaptures(printSegments),
+	}
+}
+
+// printSegments prints one line for each segment.
+func printSegments(out printer, segments []*capture.Segment, _ int) error {
+	for _, segment := range segments {
+		info, err := describeSegment(segment)
+		if err != nil {
+			return inputError{err}
+		}
+		from := segment.UnixTime(info.Meta.ModuleTime).UTC().Format("2006-01-02 15:04:05.000")
+		to := segment.UnixTime(info.Until).UTC().Format("15:04:05.000")
+		bytesPerRecord := float64(info.Bytes) / float64(max(info.Records, 1))
+		out.linef("%s  %s  %s to %s  %d records  %d B, %.1f B/record  %s", info.Path, info.Meta.Server, from, to, info.Records, info.Bytes,
+			bytesPerRecord, info.condition())
+		if err := out.encode(info); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func newCaptureVerifyCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "verify CAPTURE...",
+		Short:   "Check captures for damage and gaps",
+		Long:    "verify reads every block of captures and names what is damaged or missing." + statusHelp,
 		Example: "  cataloguectl capture verify /var/lib/tillerusher/capture && echo sound",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: onCaptures(func(p printer, segments []*capture.Segment, unreadable int) error {
-			flaws := unreadable
-			for _, s := range segments {
-				i, err := describe(s)
-				if err != nil {
-					return inputError{err}
-				}
-				if len(i.Damage) > 0 || !i.State || i.Meta.Gap != nil {
-					flaws++
-					p.line("%s: %s", i.Path, condition(i))
-				}
-				if err := p.object(i); err != nil {
-					return err
-				}
-			}
-			p.line("%d segments, %d with flaws", len(segments)+unreadable, flaws)
-			return found(flaws > 0)
-		})}
+		RunE:    withCaptures(verifySegments),
+	}
+}
+
+// verifySegments prints the segments that are damaged or incomplete.
+func verifySegments(out printer, segments []*capture.Segment, unreadable int) error {
+	flawed := unreadable
+	for _, segment := range segments {
+		info, err := describeSegment(segment)
+		if err != nil {
+			return inputError{err}
+		}
+		if info.isFlawed() {
+			flawed++
+			out.linef("%s: %s", info.Path, info.condition())
+		}
+		if err := out.encode(info); err != nil {
+			return err
+		}
+	}
+	out.linef("%d segments, %d with flaws", len(segments)+unreadable, flawed)
+	return foundIf(flawed > 0)
 }
 
-func catCommand() *cobra.Command {
-	var from, to time.Duration
-	var only []string
-	c := &cobra.Command{Use: "cat CAPTURE...", Short: "Print records, one a line",
+// captureCatOptions are the flags of capture cat.
+type captureCatOptions struct {
+	from  time.Duration
+	to    time.Duration // 0 is the end
+	kinds []string      // none is all
+}
+
+func newCaptureCatCommand() *cobra.Command {
+	var opts captureCatOptions
+	cmd := &cobra.Command{
+		Use:     "cat CAPTURE...",
+		Short:   "Print records, one a line",
 		Example: "  cataloguectl capture cat DIR --from 2m --to 2m10s\n  cataloguectl capture cat --json --kind refuse,fail DIR",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
-			wanted := map[string]bool{}
-			for _, k := range only {
-				if _, err := capture.ParseKind(k); err != nil {
-					return err
-				}
-				wanted[k] = true
-			}
-			for _, s := range segments {
-				err := s.ForEach(func(at capture.Position, r *capture.Record) error {
-					if r.At < from || to > 0 && r.At > to || len(wanted) > 0 && !wanted[r.Kind.String()] {
-						return nil
-					}
-					indent := ""
-					if !r.Kind.IsEvent() {
-						indent = "  "
-					}
-					p.line("%8d %12v %s%s", at.Number, r.At, indent, replay.FormatRecord(r))
-					return p.object(r)
-				})
-				if err != nil {
-					return err
-				}
+		RunE:    withCaptures(opts.run),
+	}
+	cmd.Flags().DurationVar(&opts.from, "from", 0, "first time of the module's clock")
+	cmd.Flags().DurationVar(&opts.to, "to", 0, "last time of the module's clock; 0 is the end")
+	cmd.Flags().StringSliceVar(&opts.kinds, "kind", nil, "kinds of record, such as refuse")
+	return cmd
+}
+
+func (o *captureCatOptions) run(out printer, segments []*capture.Segment, _ int) error {
+	isWanted := map[string]bool{}
+	for _, kind := range o.kinds {
+		if _, err := capture.ParseKind(kind); err != nil {
+			return err
+		}
+		isWanted[kind] = true
+	}
+	for _, segment := range segments {
+		err := segment.ForEach(func(at capture.Position, record *capture.Record) error {
+			isOutside := record.At < o.from || o.to > 0 && record.At > o.to
+			if isOutside || len(isWanted) > 0 && !isWanted[record.Kind.String()] {
+				return nil
 			}
-			return nil
-		})}
-	c.Flags().DurationVar(&from, "from", 0, "first time of the module's clock")
-	c.Flags().DurationVar(&to, "to", 0, "last time of the module's clock; 0 is the end")
-	c.Flags().StringSliceVar(&only, "kind", nil, "kinds of record, such as refuse")
-	return c
+			return printRecord(out, at, record)
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// printRecord prints a record. Actions are indented below the events that caused them.
+func printRecord(out printer, at capture.Position, record *capture.Record) error {
+	indent := ""
+	if !record.Kind.IsEvent() {
+		indent = "  "
+	}
+	out.linef("%8d %12v %s%s", at.Number, record.At, indent, replay.FormatRecord(record))
+	return out.encode(record)
 }
--- /dev/null
+++ b/cmd/cataloguectl/load_cost.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"errors"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"tillerusher/internal/loadtest"
+)
+
+// loadCostOptions are the flags of load cost.
+type loadCostOptions struct {
+	config loadtest.SaturationConfig
+}
+
+func newLoadCostCommand() *cobra.Command {
+	opts := loadCostOptions{loadtest.SaturationConfig{Gateways: 8, OpenRequests: 8, RoundDuration: 3 * time.Second, Rounds: 5, PinnedCore: 0}}
+	cmd := &cobra.Command{
+		Use:   "cost",
+		Short: "Measure what capturing costs a daemon on one core",
+		Long: "cost saturates a daemon on one core, with the capture on and off in turn, and prints the median of the ratios." +
+			statusHelp,
+		Example: "  cataloguectl load cost --rounds 10 --for 5s",
+		Args:    cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
+	}
+	addDaemonFlag(cmd, &opts.config.Daemon)
+	addSaturationFlags(cmd, &opts.config, "connections", "pairs of rounds")
+	return cmd
+}
+
+func (o *loadCostOptions) run(cmd *cobra.Command) error {
+	out := newPrinter(cmd)
+	if !isValidSaturation(&o.config) {
+		return errors.New("rounds, gateways and time must be more than 0, open requests 1 to 32")
+	}
+	if err := findDaemon(&o.config.Daemon); err != nil {
+		return err
+	}
+	o.config.Progress = newProgress("requests", 2*o.config.Rounds)
+	result, err := loadtest.MeasureCaptureCost(cmd.Context(), o.config)
+	if err != nil {
+		return inputError{err}
+	}
+	printCaptureCost(out, o.config.Rounds, result)
+	return out.encode(result)
+}
+
+// addSaturationFlags adds the flags of a measurement at full load, with the help of two that mean something else in each.
+func addSaturationFlags(cmd *cobra.Command, c *loadtest.SaturationConfig, gatewaysHelp, roundsHelp string) {
+	flags := cmd.Flags()
+	flags.IntVar(&c.Gateways, "gateways", c.Gateways, gatewaysHelp)
+	flags.IntVar(&c.OpenRequests, "open", c.OpenRequests, "requests that each connection keeps in flight")
+	flags.DurationVar(&c.RoundDuration, "for", c.RoundDuration, "length of each round")
+	flags.IntVar(&c.Rounds, "rounds", c.Rounds, roundsHelp)
+	addPinFlag(cmd, &c.PinnedCore)
+}
+
+// maxOpenRequests is how many requests the daemon takes on one connection.
+const maxOpenRequests = 32
+
+// isValidSaturation reports whether a measurement at full load can be made.
+func isValidSaturation(c *loadtest.SaturationConfig) bool {
+	return c.Rounds >= 1 && c.Gateways >= 1 && c.OpenRequests >= 1 && c.OpenRequests <= maxOpenRequests && c.RoundDuration > 0
+}
+
+// printCaptureCost prints the rounds and the median ratios.
+func printCaptureCost(out printer, pairs int, result *loadtest.CaptureCost) {
+	for _, round := range result.Rounds {
+		out.linef("capture %-5t  %8.0f answers/s  p50 %7.3f ms  p99 %7.3f ms  p99.9 %7.3f ms  %6.2f us of CPU  %.0f records lost",
+			round.Capturing, round.Rate, round.P50, round.P99, round.P999, round.CPUMicros, round.LostRecords)
+	}
+	out.linef("on over off, median of %d pairs: answers/s %.3f, p50 %.3f, p99 %.3f, p99.9 %.3f, CPU an answer %.3f", pairs,
+		result.Ratio["rate"], result.Ratio["p50"], result.Ratio["p99"], result.Ratio["p999"], result.Ratio["cpu"])
+}
--- a/cmd/cataloguectl/main.go
+++ b/cmd/cataloguectl/main.go
@@ -1,5 +1,9 @@
-// Command cataloguectl is the operators' command line beside the daemon: captures and their replay, storms on loopback, routes
-// and their import, fleets in virtual time, and what servers keep over restarts.
+// Command cataloguectl is the operators' command line beside the daemon. It inspects and replays captures, checks and imports route
+// configurations, load-tests a daemon on loopback, runs scenarios and simulations in virtual time, and inspects the state that
+// servers keep over restarts.
+//
+// A command's function builds the cobra command; its run method does the work, and print functions write the result as text, or the
+// printer as JSON.
 package main
 
 import (
@@ -14,53 +18,75 @@
 // The exit statuses, which scripts may rely on.
 const (
 	statusOK      = 0
-	statusFound   = 1 // the command did its work and found what it looks for: damage, a difference, a broken rule
+	statusFound   = 1 // the command did its work and found what it looks for: damage, a difference, a violated rule
 	statusUsage   = 2 // wrong arguments
-	statusNoInput = 3 // what it should read is not there or is none
+	statusNoInput = 3 // what it should read is missing or can't be read
 )
 
-// errFound ends a command that did its work with statusFound; what was found is printed already.
+const statusHelp = `
+Exit status: 0 all is well, 1 the command found damage, a difference or a broken rule, 2 wrong arguments,
+3 there is nothing to read.`
+
+// errFound ends a command that did its work with statusFound. What was found is printed already.
 var errFound = errors.New("found")
 
-// inputError is one that the input is to blame for.
+// inputError is an error whose cause is the input. It ends a command with statusNoInput.
 type inputError struct{ error }
 
+// Unwrap returns the cause.
 func (e inputError) Unwrap() error { return e.error }
 
-const statuses = `
-Exit status: 0 all is well, 1 the command found damage, a difference or a broken rule, 2 wrong arguments,
-3 there is nothing to read.`
-
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // execute runs one command line and returns its exit status.
 func execute(args []string, stdout, stderr io.Writer) int {
-	root := &cobra.Command{Use: "cataloguectl", Short: "Look into, replay and rehearse catalogue servers",
-		Long:         "cataloguectl looks into what a catalogue server recorded, replays it, and lets storms loose on one.\n" + statuses,
-		SilenceUsage: true, SilenceErrors: true}
-	root.PersistentFlags().Bool("json", false, "print JSON, one object a line where there are many")
-	root.AddCommand(captureCommand(), replayCommand(), explainCommand(), configCommand(), importCommand(), poolCommand(), stormCommand(), modelCommand(), stateCommand(), rehearseCommand())
+	root := newRootCommand()
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
-	return status(root.Execute(), root)
+	return exitStatus(root.Execute(), root.ErrOrStderr())
+}
+
+// newRootCommand builds the command tree. Commands that were renamed keep their old names as aliases, for scripts.
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:           "cataloguectl",
+		Short:         "Inspect, replay, test and simulate catalogue servers",
+		Long:          "cataloguectl inspects what a catalogue server recorded and keeps, replays it, and tests and simulates servers.\n" + statusHelp,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.PersistentFlags().Bool("json", false, "print JSON, one object a line where there are many")
+	root.AddCommand(
+		newCaptureCommand(),
+		newReplayCommand(),
+		newExplainCommand(),
+		newConfigCommand(),
+		newImportCommand(),
+		newRetriesCommand(),
+		newLoadCommand(),
+		newSimulateCommand(),
+		newStateCommand(),
+		newScenarioCommand(),
+	)
+	return root
 }
 
-// status tells an error and turns it into an exit status.
-func status(err error, root *cobra.Command) int {
+// exitStatus prints an error, unless it was printed already, and returns the exit status that it stands for.
+func exitStatus(err error, stderr io.Writer) int {
 	var input inputError
-	var served errServed
+	var served serverExitError
 	switch {
 	case err == nil:
 		return statusOK
 	case errors.Is(err, errFound):
 		return statusFound
 	case errors.As(err, &served):
-		return served.status // it said why
+		return served.status // the server printed the reason
 	case errors.As(err, &input):
-		fmt.Fprintln(root.ErrOrStderr(), err)
+		fmt.Fprintln(stderr, err)
 		return statusNoInput
 	}
-	fmt.Fprintf(root.ErrOrStderr(), "%v; see cataloguectl --help\n", err)
+	fmt.Fprintf(stderr, "%v; see cataloguectl --help\n", err)
 	return statusUsage
 }
--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -112,6 +112,17 @@
 		{"model hold --seeds 0", 2, "must be at least"},
 		{"state info /nowhere", 3, "the folder has no store"},
 		{"storm --daemon /nowhere", 3, "/nowhere"},
+		{"scenario list", 0, "rolling-deploy"},
+		{"scenario replay 1", 0, "drawn, seed 1"},
+		{"scenario explore --seeds 2", 0, "2 days"},
+		{"simulate run --day quiet --policy module,line", 0, "line in quiet-1 (seed 1)"},
+		{"simulate search testdata/small.sexp --rounds 1 --size 4 --cases 1", 0, "score 0."},
+		{"simulate calibrate --seeds 0", 2, "must be at least"},
+		{"retries simulate", 0, "with the budget"},
+		{"pool storm --fails 2", 2, "fails 0 to 1"},
+		{"load --rate 0", 2, "a rate of 0"},
+		{"load cost --rounds 0", 2, "more than 0"},
+		{"storm cost --rounds 0", 2, "more than 0"},
 		{"sepia", 2, "unknown command"},
 	} {
 		status, stdout, stderr := call(t, strings.Fields(c.args)...)
@@ -141,14 +152,14 @@
 	}
 }
 
-// TestStorm lets a small storm loose on the daemon and replays what it captured.
-func TestStorm(t *testing.T) {
+// TestLoad runs a small load test of the daemon and replays what it captured.
+func TestLoad(t *testing.T) {
 	dir := t.TempDir()
 	daemon := filepath.Join(dir, "catalogue-server")
 	if out, err := exec.Command("go", "build", "-o", daemon, "../catalogue-server").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	args := []string{"storm", "--daemon", daemon, "--requests", "400", "--capture", filepath.Join(dir, "c"), "--json"}
+	args := []string{"load", "--daemon", daemon, "--requests", "400", "--capture", filepath.Join(dir, "c"), "--json"}
 	status, stdout, stderr := call(t, args...)
 	var r struct {
 		Served, Refused, Failed, Lost, Tries, Exit int
--- a/cmd/cataloguectl/output.go
+++ b/cmd/cataloguectl/output.go
@@ -6,85 +6,59 @@
 	"fmt"
 	"io"
 	"os"
+	"strconv"
 
 	"github.com/spf13/cobra"
-
-	"tillerusher/internal/capture"
 )
 
-// printer writes what a command has to say, as text or JSON.
+// printer writes a command's result, as text or as JSON.
 type printer struct {
-	cmd  *cobra.Command
-	json bool
+	cmd    *cobra.Command
+	asJSON bool
 }
 
+// newPrinter returns the printer that the command's flags ask for.
 func newPrinter(cmd *cobra.Command) printer {
 	asJSON, err := cmd.Flags().GetBool("json")
-	return printer{cmd, err == nil && asJSON}
+	return printer{cmd: cmd, asJSON: err == nil && asJSON}
 }
 
-// line prints text where no JSON is wanted.
-func (p printer) line(format string, args ...any) {
-	if !p.json {
+// linef prints a line of text, unless JSON is wanted.
+func (p printer) linef(format string, args ...any) {
+	if !p.asJSON {
 		fmt.Fprintf(p.cmd.OutOrStdout(), format+"\n", args...)
 	}
 }
 
-// text prints text as it is where no JSON is wanted.
+// text prints text as it is, unless JSON is wanted.
 func (p printer) text(s string) {
-	if !p.json {
+	if !p.asJSON {
 		fmt.Fprint(p.cmd.OutOrStdout(), s)
 	}
 }
 
-// object prints JSON where it is wanted.
-func (p printer) object(v any) error {
-	if !p.json {
+// encode prints a value as one line of JSON, if JSON is wanted.
+func (p printer) encode(v any) error {
+	if !p.asJSON {
 		return nil
 	}
 	return json.NewEncoder(p.cmd.OutOrStdout()).Encode(v)
 }
 
-// open reads captures and names the files that can't be read.
-func open(p printer, paths []string) ([]*capture.Segment, int, error) {
-	var segments []*capture.Segment
-	unreadable := 0
-	for _, path := range paths {
-		s, bad, err := capture.Open(path)
-		if err != nil {
-			return nil, 0, inputError{err}
-		}
-		segments = append(segments, s...)
-		unreadable += len(bad)
-		for _, b := range bad {
-			fmt.Fprintf(p.cmd.ErrOrStderr(), "%s: left out: %v\n", b.Path, b.Err)
-		}
-	}
-	return segments, unreadable, nil
-}
-
-// onCaptures is what a command does whose arguments are all captures; unreadable is how many of their files were left
-// out.
-func onCaptures(run func(p printer, segments []*capture.Segment, unreadable int) error) func(*cobra.Command, []string) error {
-	return func(cmd *cobra.Command, args []string) error {
-		p := newPrinter(cmd)
-		segments, unreadable, err := open(p, args)
-		if err != nil {
-			return err
-		}
-		return run(p, segments, unreadable)
-	}
+// warnf prints a line on standard error.
+func (p printer) warnf(format string, args ...any) {
+	fmt.Fprintf(p.cmd.ErrOrStderr(), format+"\n", args...)
 }
 
-// found is errFound where the condition holds.
-func found(is bool) error {
-	if is {
+// foundIf returns errFound if the condition holds.
+func foundIf(isFound bool) error {
+	if isFound {
 		return errFound
 	}
 	return nil
 }
 
-// writeFile makes a file and writes it.
+// writeFile creates a file and writes it.
 func writeFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -93,10 +67,13 @@
 	return errors.Join(write(f), f.Close())
 }
 
-// create is writeFile for a file that the command's input names.
-func create(path string, write func(io.Writer) error) error {
+// writeOutput is writeFile for a path from the command line: if that fails, the input is wrong.
+func writeOutput(path string, write func(io.Writer) error) error {
 	if err := writeFile(path, write); err != nil {
 		return inputError{err}
 	}
 	return nil
 }
+
+// formatFixed formats a figure of a table with a number of decimals.
+func formatFixed(v float64, decimals int) string { return strconv.FormatFloat(v, 'f', decimals, 64) }
--- a/cmd/cataloguectl/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -14,144 +14,183 @@
 	"tillerusher/internal/replay"
 )
 
-// replayFlags are those of cataloguectl replay.
-type replayFlags struct {
-	fresh          bool
-	set            []string
-	write, against string
+// replayOptions are the flags of replay.
+type replayOptions struct {
+	fresh   bool
+	changes []string // of settings
+	write   string
+	against string
 }
 
-func replayCommand() *cobra.Command {
-	var f replayFlags
-	c := &cobra.Command{Use: "replay CAPTURE...", Short: "Feed captures to the decision module and compare every action",
+func newReplayCommand() *cobra.Command {
+	var opts replayOptions
+	cmd := &cobra.Command{
+		Use:   "replay CAPTURE...",
+		Short: "Replay captures to the decision module and compare every action",
 		Long: "replay feeds what was recorded to this program's decision module, in virtual time and as fast as the machine\n" +
 			"can, and compares every action with the recorded one.\n\n" +
-			"With --set, --write or --against it asks what would have been instead: arrivals come as they were recorded, runs\n" +
-			"take the time that they were recorded to take, and callers do not react to other answers. --set changes settings\n" +
-			"(cores=4, quota.northern=40, aim.part-lookup=1s; a wrong one tells which there are), --write keeps this build's\n" +
-			"outcome in a file, and --against compares this build with such a file of another one." + statuses,
-		Example: "  cataloguectl replay /var/lib/tillerusher/capture\n  cataloguectl replay --fresh DIR   # from every segment's snapshot\n" +
+			"With --set, --write or --against it simulates what would have happened instead: requests arrive as recorded, runs\n" +
+			"take as long as recorded, and callers do not react to other answers. --set changes settings\n" +
+			"(cores=4, quota.northern=40, aim.part-lookup=1s; a wrong one tells which there are), --write writes this build's\n" +
+			"outcomes to a file, and --against compares this build with such a file of another one." + statusHelp,
+		Example: "  cataloguectl replay /var/lib/tillerusher/capture\n" +
+			"  cataloguectl replay --fresh DIR   # from every segment's snapshot\n" +
 			"  cataloguectl replay DIR --set quota.northern=40\n" +
 			"  old/cataloguectl replay DIR --write old.json; new/cataloguectl replay DIR --against old.json",
 		Args: cobra.MinimumNArgs(1),
-		RunE: onCaptures(func(p printer, segments []*capture.Segment, _ int) error {
-			if len(f.set) > 0 || f.write != "" || f.against != "" {
-				return f.whatIf(p, replay.SegmentsOfRun(segments, ""))
-			}
-			return f.same(p, segments)
-		})}
-	c.Flags().BoolVar(&f.fresh, "fresh", false, "begin each segment from its own snapshot")
-	c.Flags().StringArrayVar(&f.set, "set", nil, "NAME=VALUE of a setting to be changed; may be given again")
-	c.Flags().StringVar(&f.write, "write", "", "file for the outcome of every request")
-	c.Flags().StringVar(&f.against, "against", "", "file that another build wrote with --write")
-	return c
+		RunE: withCaptures(opts.run),
+	}
+	cmd.Flags().BoolVar(&opts.fresh, "fresh", false, "begin each segment from its own snapshot")
+	cmd.Flags().StringArrayVar(&opts.changes, "set", nil, "NAME=VALUE of a setting to be changed; may be given again")
+	cmd.Flags().StringVar(&opts.write, "write", "", "file for the outcome of every request")
+	cmd.Flags().StringVar(&opts.against, "against", "", "file that another build wrote with --write")
+	return cmd
+}
+
+func (o *replayOptions) run(out printer, segments []*capture.Segment, _ int) error {
+	if len(o.changes) > 0 || o.write != "" || o.against != "" {
+		return o.simulate(out, replay.SegmentsOfRun(segments, ""))
+	}
+	return o.verify(out, segments)
 }
 
-// same replays and compares every action.
-func (f *replayFlags) same(p printer, segments []*capture.Segment) error {
-	begun := time.Now()
-	r, err := replay.Run(segments, f.fresh, replay.Visitor{})
+// verify replays captures and compares every action with the recorded one.
+func (o *replayOptions) verify(out printer, segments []*capture.Segment) error {
+	startedAt := time.Now()
+	result, err := replay.Run(segments, o.fresh, replay.Visitor{})
 	if err != nil {
 		return inputError{err}
 	}
-	took := time.Since(begun)
-	p.line("%d segments, %d records, %d events, %d actions: %d requests, %d runs, %d refused, %d failed", r.Segments,
-		r.Records, r.Events, r.Actions, r.Requests, r.Runs, r.Rejected, r.Failed)
-	p.line("%v of the server's time in %v: %.0f events/s, %.0f times as fast", r.Duration.Round(time.Millisecond),
-		took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), r.Duration.Seconds()/took.Seconds())
+	printReplay(out, result, time.Since(startedAt))
+	damaged := printDamage(out, segments)
+	if result.Skipped > 0 {
+		out.linef("%d events behind damaged parts were skipped", result.Skipped)
+	}
+	printDifference(out, result.FirstDifference)
+	if err := out.encode(result); err != nil {
+		return err
+	}
+	return foundIf(result.FirstDifference != nil || damaged > 0)
+}
+
+// printReplay prints what was replayed and how fast.
+func printReplay(out printer, result *replay.Result, took time.Duration) {
+	out.linef("%d segments, %d records, %d events, %d actions: %d requests, %d runs, %d refused, %d failed", result.Segments,
+		result.Records, result.Events, result.Actions, result.Requests, result.Runs, result.Rejected, result.Failed)
+	out.linef("%v of the server's time in %v: %.0f events/s, %.0f times as fast", result.Duration.Round(time.Millisecond),
+		took.Round(time.Millisecond), float64(result.Events)/took.Seconds(), result.Duration.Seconds()/took.Seconds())
+}
+
+// printDamage prints the damaged parts of segments and returns how many there are.
+func printDamage(out printer, segments []*capture.Segment) int {
 	damaged := 0
 	for _, s := range segments {
 		for _, d := range s.Damage {
 			damaged++
-			p.line("%s: %v", s.Path, d)
+			out.linef("%s: %v", s.Path, d)
 		}
 	}
-	if r.Skipped > 0 {
-		p.line("%d events behind damaged parts were skipped", r.Skipped)
+	return damaged
+}
+
+// printDifference prints the first action that differs from the recorded one, with the module's state before it.
+func printDifference(out printer, d *replay.Difference) {
+	if d == nil {
+		out.linef("every decision that was replayed is the recorded one")
+		return
 	}
-	if r.FirstDifference != nil {
-		p.line("the decisions differ: %v", r.FirstDifference)
-		p.line("before it:")
-		for _, line := range replay.DescribeState(&r.FirstDifference.StateBefore) {
-			p.line("  %s", line)
-		}
-	} else {
-		p.line("every decision that was replayed is the recorded one")
+	out.linef("the decisions differ: %v", d)
+	out.linef("before it:")
+	for _, line := range replay.DescribeState(&d.StateBefore) {
+		out.linef("  %s", line)
 	}
-	if err := p.object(r); err != nil {
-		return err
-	}
-	return found(r.FirstDifference != nil || damaged > 0)
 }
 
-// whatIf models what would have been.
-func (f *replayFlags) whatIf(p printer, segments []*capture.Segment) error {
-	m := segments[0].Meta
-	set, err := replay.ParseSettingChanges(f.set)
+// simulate replays the recorded arrivals with changed settings or another build, and compares the outcomes of requests.
+func (o *replayOptions) simulate(out printer, segments []*capture.Segment) error {
+	meta := segments[0].Meta
+	changes, err := replay.ParseSettingChanges(o.changes)
 	if err != nil {
 		return err
 	}
-	after, now, err := replay.Simulate(segments, replay.ApplySettingChanges(set, m))
+	after, settings, err := replay.Simulate(segments, replay.ApplySettingChanges(changes, meta))
 	if errors.Is(err, replay.ErrNoState) {
 		return inputError{err}
-	} else if err != nil {
+	}
+	if err != nil {
 		return err
 	}
-	before, err := f.before(segments, m)
+	before, err := o.baseline(segments, meta)
 	if err != nil {
 		return err
 	}
-	if f.write != "" {
-		if err := writeOutcomes(f.write, m, after); err != nil {
+	if o.write != "" {
+		if err := writeAttempts(o.write, meta, after); err != nil {
 			return err
 		}
 	}
 	if before == nil {
-		p.line("%d outcomes are in %s", len(after), f.write)
+		out.linef("%d outcomes are in %s", len(after), o.write)
 		return nil
 	}
-	c := replay.Compare(before, after, m, now.Classes)
-	for _, d := range c.Changes {
-		p.line("%12v  %s (#%d)  %s, now %s", d.At.Round(time.Millisecond), d.WireID, d.ID, d.From, d.To)
+	comparison := replay.Compare(before, after, meta, settings.Classes)
+	printComparison(out, comparison, len(before))
+	return out.encode(comparison)
+}
+
+// baseline returns the outcomes to compare with: the other build's, or this one's without changes. Without either it is nil.
+func (o *replayOptions) baseline(segments []*capture.Segment, meta capture.Meta) ([]*replay.Attempt, error) {
+	if o.against != "" {
+		return readAttempts(o.against, meta)
 	}
-	p.line("%d of %d tries end otherwise", len(c.Changes), len(before))
-	p.line("%-16s %-12s %7s  %15s  %15s  %15s  %15s", "class", "tenant", "tries", "served", "on time", "refused", "failed")
-	for i := range min(len(c.Before), len(c.After)) {
-		b, a := c.Before[i], c.After[i]
-		p.line("%-16s %-12s %7d  %15s  %15s  %15s  %15s", a.Class, a.Tenant, a.Attempts, fromTo(b.Served, a.Served),
-			fromTo(b.OnTime, a.OnTime), fromTo(b.Rejected, a.Rejected), fromTo(b.Failed, a.Failed))
+	if len(o.changes) == 0 {
+		return nil, nil
 	}
-	return p.object(c)
+	unchanged := func(*admission.Settings) error { return nil }
+	attempts, _, err := replay.Simulate(segments, unchanged)
+	return attempts, err
 }
 
-// before is what the replay is compared with: the other build's, or this one's without changes, or nothing.
-func (f *replayFlags) before(segments []*capture.Segment, m capture.Meta) ([]*replay.Attempt, error) {
-	if f.against == "" {
-		if len(f.set) == 0 {
-			return nil, nil
-		}
-		outcomes, _, err := replay.Simulate(segments, func(*admission.Settings) error { return nil })
-		return outcomes, err
+// printComparison prints the attempts whose outcome changed, and the counts by class and tenant.
+func printComparison(out printer, comparison replay.Comparison, attempts int) {
+	for _, change := range comparison.Changes {
+		out.linef("%12v  %s (#%d)  %s, now %s", change.At.Round(time.Millisecond), change.WireID, change.ID, change.From, change.To)
+	}
+	out.linef("%d of %d tries end otherwise", len(comparison.Changes), attempts)
+	out.linef("%-16s %-12s %7s  %15s  %15s  %15s  %15s", "class", "tenant", "tries", "served", "on time", "refused", "failed")
+	for n := range min(len(comparison.Before), len(comparison.After)) {
+		before, after := comparison.Before[n], comparison.After[n]
+		out.linef("%-16s %-12s %7d  %15s  %15s  %15s  %15s", after.Class, after.Tenant, after.Attempts,
+			formatChange(before.Served, after.Served),
+			formatChange(before.OnTime, after.OnTime),
+			formatChange(before.Rejected, after.Rejected),
+			formatChange(before.Failed, after.Failed))
+	}
+}
+
+// formatChange formats a count that may have changed.
+func formatChange(before, after int) string {
+	if before == after {
+		return fmt.Sprint(after)
 	}
-	file, err := os.Open(f.against)
+	return fmt.Sprintf("%d -> %d", before, after)
+}
+
+// readAttempts reads outcomes that another build wrote of the same capture.
+func readAttempts(path string, meta capture.Meta) ([]*replay.Attempt, error) {
+	f, err := os.Open(path)
 	if err != nil {
 		return nil, inputError{err}
 	}
-	defer file.Close()
-	outcomes, err := replay.ReadAttempts(file, m)
+	defer f.Close()
+	attempts, err := replay.ReadAttempts(f, meta)
 	if err != nil {
-		return nil, inputError{fmt.Errorf("%s: %w", f.against, err)}
+		return nil, inputError{fmt.Errorf("%s: %w", path, err)}
 	}
-	return outcomes, nil
+	return attempts, nil
 }
 
-func writeOutcomes(path string, m capture.Meta, outcomes []*replay.Attempt) error {
-	return writeFile(path, func(w io.Writer) error { return replay.WriteAttempts(w, m, outcomes) })
-}
-
-func fromTo(from, to int) string {
-	if from == to {
-		return fmt.Sprint(to)
-	}
-	return fmt.Sprintf("%d -> %d", from, to)
+// writeAttempts writes outcomes for another build.
+func writeAttempts(path string, meta capture.Meta, attempts []*replay.Attempt) error {
+	return writeFile(path, func(w io.Writer) error { return replay.WriteAttempts(w, meta, attempts) })
 }
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -11,61 +11,105 @@
 	"tillerusher/internal/retrysim"
 )
 
-func poolCommand() *cobra.Command {
-	c := &cobra.Command{Use: "pool", Short: "Play bad moments to the decisions of a pool"}
-	cfg := retrysim.Defaults()
-	var out string
-	storm := &cobra.Command{Use: "storm", Short: "Play a retry storm with and without the budget for further tries",
-		Long: "storm has every member fail a part of its tries for a while, in virtual time, and tells the load on the members\n" +
-			"over what is offered, with the budget and without." + statuses,
-		Example: "  cataloguectl pool storm --fails 0.3 --output storm.svg", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if cfg.Members < 1 || !(cfg.RequestRate > 0) || cfg.FailureShare < 0 || cfg.FailureShare > 1 || cfg.BudgetShare <= 0 {
-				return errors.New("members and rate must be more than 0, fails 0 to 1, share more than 0")
-			}
-			return playPool(newPrinter(cmd), cfg, out)
-		}}
-	f := storm.Flags()
-	f.IntVar(&cfg.Members, "members", cfg.Members, "members of the pool")
-	f.Float64Var(&cfg.RequestRate, "rate", cfg.RequestRate, "requests a second")
-	f.Float64Var(&cfg.FailureShare, "fails", cfg.FailureShare, "part of the tries that fail in the outage")
-	f.Float64Var(&cfg.BudgetShare, "share", cfg.BudgetShare, "further tries over first ones that the budget allows")
-	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all that is drawn")
-	f.StringVar(&out, "output", "", "file for a picture (SVG)")
-	c.AddCommand(storm)
-	return c
+// maxLoadFactor is drawn in the chart: a retry budget should keep the load below it.
+const maxLoadFactor = 1.2
+
+func newRetriesCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:     "retries",
+		Aliases: []string{"pool"},
+		Short:   "Simulate the retries of a pool of servers",
+	}
+	cmd.AddCommand(newRetriesSimulateCommand())
+	return cmd
 }
 
-// playPool plays the storm twice, prints both and draws them.
-func playPool(p printer, cfg retrysim.Config, out string) error {
-	chart := report.Chart{Title: fmt.Sprintf("%.0f %% of all tries fail", 100*cfg.FailureShare), XLabel: "seconds", YLabel: "load on the members over what is offered",
-		From: cfg.OutageStart.Seconds(), To: cfg.OutageEnd.Seconds(), Threshold: 1.2}
+// retriesOptions are the flags of retries simulate.
+type retriesOptions struct {
+	config  retrysim.Config
+	picture string
+}
+
+func newRetriesSimulateCommand() *cobra.Command {
+	opts := retriesOptions{config: retrysim.Defaults()}
+	cmd := &cobra.Command{
+		Use:     "simulate",
+		Aliases: []string{"storm"},
+		Short:   "Simulate a retry storm with and without the retry budget",
+		Long: "simulate has every member fail a share of its attempts for a while, in virtual time, and prints the load on the\n" +
+			"members relative to the offered load, with the retry budget and without." + statusHelp,
+		Example: "  cataloguectl retries simulate --fails 0.3 --output storm.svg",
+		Args:    cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(newPrinter(cmd)) },
+	}
+	flags := cmd.Flags()
+	flags.IntVar(&opts.config.Members, "members", opts.config.Members, "members of the pool")
+	flags.Float64Var(&opts.config.RequestRate, "rate", opts.config.RequestRate, "requests a second")
+	flags.Float64Var(&opts.config.FailureShare, "fails", opts.config.FailureShare, "share of the attempts that fail in the outage")
+	flags.Float64Var(&opts.config.BudgetShare, "share", opts.config.BudgetShare, "retries that the budget allows, as a share of first attempts")
+	flags.Uint64Var(&opts.config.Seed, "seed", opts.config.Seed, "seed of all random numbers")
+	flags.StringVar(&opts.picture, "output", "", "file for a picture (SVG)")
+	return cmd
+}
+
+// run simulates the outage with the budget and without, prints both and draws them.
+func (o *retriesOptions) run(out printer) error {
+	cfg := o.config
+	if cfg.Members < 1 || !(cfg.RequestRate > 0) || cfg.FailureShare < 0 || cfg.FailureShare > 1 || cfg.BudgetShare <= 0 {
+		return errors.New("members and rate must be more than 0, fails 0 to 1, share more than 0")
+	}
+	withoutBudget := cfg
+	withoutBudget.BudgetShare = 0
+	chart := report.Chart{
+		Title:     fmt.Sprintf("%.0f %% of all tries fail", 100*cfg.FailureShare),
+		XLabel:    "seconds",
+		YLabel:    "load on the members over what is offered",
+		Shaded:    []report.Span{{From: cfg.OutageStart.Seconds(), To: cfg.OutageEnd.Seconds()}},
+		Threshold: maxLoadFactor,
+	}
 	result := map[string][]retrysim.Sample{}
-	for _, with := range []bool{true, false} {
-		c, name := cfg, "with the budget"
-		if !with {
-			c.BudgetShare, name = 0, "without"
-		}
-		points, err := retrysim.Run(c)
+	for _, variant := range []struct {
+		name   string
+		config retrysim.Config
+	}{
+		{"with the budget", cfg},
+		{"without", withoutBudget},
+	} {
+		samples, err := retrysim.Run(variant.config)
 		if err != nil {
 			return err
 		}
-		result[name] = points
-		line := report.Series{Name: name}
-		load, served, n := 0.0, 0.0, 0.0
-		for _, at := range points {
-			line.Points = append(line.Points, [2]float64{at.EndSeconds, at.LoadFactor})
-			if end := time.Duration(at.EndSeconds * float64(time.Second)); end > cfg.OutageStart && end <= cfg.OutageEnd {
-				load, served, n = load+at.LoadFactor, served+at.ServedShare, n+1
-			}
-		}
-		chart.Series = append(chart.Series, line)
-		p.line("%-16s in the outage: load %.3f of what is offered, %.3f of the requests served", name, load/n, served/n)
+		result[variant.name] = samples
+		chart.Series = append(chart.Series, loadSeries(variant.name, samples))
+		printOutage(out, variant.name, samples, cfg)
 	}
-	if out != "" {
-		if err := create(out, chart.SVG); err != nil {
+	if o.picture != "" {
+		if err := writeOutput(o.picture, chart.SVG); err != nil {
 			return err
 		}
 	}
-	return p.object(result)
+	return out.encode(result)
+}
+
+// loadSeries returns the load over time.
+func loadSeries(name string, samples []retrysim.Sample) report.Series {
+	series := report.Series{Name: name}
+	for _, s := range samples {
+		series.Points = append(series.Points, report.Point{X: s.EndSeconds, Y: s.LoadFactor})
+	}
+	return series
+}
+
+// printOutage prints the means over the samples of the outage.
+func printOutage(out printer, name string, samples []retrysim.Sample, cfg retrysim.Config) {
+	load, served, count := 0.0, 0.0, 0.0
+	for _, s := range samples {
+		end := time.Duration(s.EndSeconds * float64(time.Second))
+		if end > cfg.OutageStart && end <= cfg.OutageEnd {
+			load += s.LoadFactor
+			served += s.ServedShare
+			count++
+		}
+	}
+	out.linef("%-16s in the outage: load %.3f of what is offered, %.3f of the requests served", name, load/count, served/count)
 }
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -5,172 +5,198 @@
 	"fmt"
 	"runtime"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"tillerusher/internal/report"
 	"tillerusher/internal/scenario"
 )
 
-func rehearseCommand() *cobra.Command {
-	c := &cobra.Command{Use: "rehearse", Short: "Play bad days through the real server on a simulated system",
-		Long: "rehearse plays a day through the real server, its loop and its sessions included, on an operating system and a network\n" +
-			"that are simulated, in virtual time. The same seed gives the same report." + statuses}
-	c.AddCommand(rehearseListCommand(), rehearseRunCommand(), rehearseHuntCommand(), rehearseReplayCommand(), rehearseShrinkCommand())
-	return c
+// newScenarioCommand builds the commands on scenarios. Its alias and those below it are the verbs of earlier versions.
+func newScenarioCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:     "scenario",
+		Aliases: []string{"rehearse"},
+		Short:   "Run incidents through the real server on a simulated system",
+		Long: "scenario runs a load and incidents through the real server, with its event loop and its connections, on a simulated\n" +
+			"operating system and network, in virtual time. The same seed gives the same report." + statusHelp,
+	}
+	cmd.AddCommand(
+		newScenarioListCommand(),
+		newScenarioRunCommand(),
+		newScenarioExploreCommand(),
+		newScenarioReplayCommand(),
+		newScenarioShrinkCommand(),
+	)
+	return cmd
 }
 
-func rehearseListCommand() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "Name the scenarios that ship with the kit", Args: cobra.NoArgs, Long: "list names each scenario and what it teaches." + statuses,
+func newScenarioListCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "list",
+		Short: "List the built-in scenarios",
+		Long:  "list prints the name of each scenario and what it shows." + statusHelp,
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p := newPrinter(cmd)
-			list, err := scenario.Library()
+			out := newPrinter(cmd)
+			scenarios, err := scenario.Library()
 			if err != nil {
 				return err
 			}
-			for _, s := range list {
-				p.line("%-20s %s", s.Name, s.Purpose)
-				if err := p.object(map[string]string{"name": s.Name, "teaches": s.Purpose}); err != nil {
+			for _, s := range scenarios {
+				out.linef("%-20s %s", s.Name, s.Purpose)
+				if err := out.encode(map[string]string{"name": s.Name, "teaches": s.Purpose}); err != nil {
 					return err
 				}
 			}
 			return nil
-		}}
+		},
+	}
 }
 
-// printDay prints a day's report.
-func printDay(p printer, r *scenario.Report) {
-	p.line("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", r.Scenario, r.Seed, r.Requests, r.Attempts, r.ServedShare, r.P50, r.P99)
-	p.line("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", r.Served, r.Rejected, r.Failed,
-		r.Lost, r.Unsent, r.Unanswered, r.Runs)
-	var b strings.Builder
-	for _, s := range r.Seconds {
-		part := float64(s.Served) / float64(max(s.Requests, 1))
-		b.WriteRune([]rune(" .:-=+*#%@")[min(int(part*10), 9)])
-	}
-	p.line("share by second, blank is under 0.1 and @ from 0.9: |%s|", b.String())
-	for _, breach := range r.Violations {
-		p.line("broken rule: %s", breach)
-	}
-	if n := r.ViolationCount - len(r.Violations); n > 0 {
-		p.line("and %d more", n)
-	}
-	for _, m := range r.UnmetExpectations {
-		p.line("not as expected: %s", m)
-	}
+// scenarioRunOptions are the flags of scenario run.
+type scenarioRunOptions struct {
+	seed uint64
+	page string
 }
 
-func rehearseRunCommand() *cobra.Command {
-	seed, page := uint64(1), ""
-	cmd := &cobra.Command{Use: "run NAME", Short: "Play a scenario", Args: cobra.ExactArgs(1),
-		Long:    "run plays a scenario of the library, or of a file that ends in .sexp. Exit status 1 where a rule is broken or what was\nexpected does not hold." + statuses,
-		Example: "  cataloguectl rehearse run rolling-deploy --seed 7\n  cataloguectl rehearse run friday.sexp --page friday.html",
+func newScenarioRunCommand() *cobra.Command {
+	opts := scenarioRunOptions{seed: 1}
+	cmd := &cobra.Command{
+		Use:   "run NAME",
+		Short: "Run a scenario",
+		Long: "run runs a built-in scenario, or that of a file that ends in .sexp. The exit status is 1 if a rule is broken or an\n" +
+			"expectation is not met." + statusHelp,
+		Example: "  cataloguectl scenario run rolling-deploy --seed 7\n  cataloguectl scenario run friday.sexp --page friday.html",
+		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Find(args[0])
 			if err != nil {
 				return inputError{err}
 			}
-			return playDay(newPrinter(cmd), s, seed, fmt.Sprintf("cataloguectl rehearse run %s --seed %d", args[0], seed), page)
-		}}
-	cmd.Flags().StringVar(&page, "page", "", "file for a page (HTML) with the figures and a picture of the day")
-	cmd.Flags().Uint64Var(&seed, "seed", seed, "seed of all that is drawn")
+			repeat := fmt.Sprintf("cataloguectl scenario run %s --seed %d", args[0], opts.seed)
+			return runScenario(newPrinter(cmd), s, opts.seed, repeat, opts.page)
+		},
+	}
+	cmd.Flags().StringVar(&opts.page, "page", "", "file for a page (HTML) with the figures and charts over time")
+	cmd.Flags().Uint64Var(&opts.seed, "seed", opts.seed, "seed of all random numbers")
 	return cmd
 }
 
-// playDay plays a day, prints it, and says how to play it again where something is wrong.
-func playDay(p printer, s *scenario.Scenario, seed uint64, again, page string) error {
-	r, err := scenario.Run(s, seed)
+// runScenario runs a scenario and prints its report, with the command that repeats it if something is wrong. A page is written unless
+// its path is empty.
+func runScenario(out printer, spec *scenario.Scenario, seed uint64, repeat, pagePath string) error {
+	result, err := scenario.Run(spec, seed)
 	if err != nil {
 		return err
 	}
-	if page != "" {
-		if err := writeFile(page, dayPage(s, r).HTML); err != nil {
+	if pagePath != "" {
+		if err := writeFile(pagePath, newScenarioPage(spec, result).HTML); err != nil {
 			return err
 		}
 	}
-	printDay(p, r)
-	bad := r.HasViolations() || len(r.UnmetExpectations) > 0
-	if bad {
-		p.line("again: %s", again)
+	printReport(out, result)
+	isBad := result.HasViolations() || len(result.UnmetExpectations) > 0
+	if isBad {
+		out.linef("again: %s", repeat)
 	}
-	if err := p.object(r); err != nil {
+	if err := out.encode(result); err != nil {
 		return err
 	}
-	return found(bad)
+	return foundIf(isBad)
 }
 
-// dayPage is the page of a day.
-func dayPage(s *scenario.Scenario, r *scenario.Report) report.Page {
-	share := report.Series{Name: "share of requests served"}
-	load := report.Series{Name: "requests"}
-	for n, second := range r.Seconds {
-		share.Points = append(share.Points, [2]float64{float64(n), float64(second.Served) / float64(max(second.Requests, 1))})
-		load.Points = append(load.Points, [2]float64{float64(n), float64(second.Requests)})
-	}
-	var shades [][2]float64
-	incidents := report.Section{Title: "Incidents", Head: []string{"what", "at", "for", "server"}}
-	for _, i := range s.Incidents {
-		shades = append(shades, [2]float64{i.At.Seconds(), (i.At + i.Duration).Seconds()})
-		where := "all"
-		if i.Server > 0 {
-			where = strconv.Itoa(i.Server)
-		}
-		incidents.Rows = append(incidents.Rows, []string{string(i.Kind), i.At.String(), i.Duration.String(), where})
-	}
-	row := func(name string, n int) []string { return []string{name, strconv.Itoa(n)} }
-	sums := report.Section{Title: "Result", Head: []string{"what", "figure"}, Rows: [][]string{row("requests", r.Requests), {"share served", fmt.Sprintf("%.3f", r.ServedShare)},
-		{"p50", fmt.Sprintf("%.1f ms", r.P50)}, {"p99", fmt.Sprintf("%.1f ms", r.P99)}, {"recovered after", fmt.Sprintf("%.0f s", r.RecoverySeconds)}, row("tries", r.Attempts),
-		row("refused", r.Rejected), row("failed", r.Failed), row("lost with their connection", r.Lost), row("not sent", r.Unsent),
-		row("unanswered", r.Unanswered), row("broken rules", r.ViolationCount), row("expectations that do not hold", len(r.UnmetExpectations))},
-		Charts: []report.Chart{{Title: "Share served", XLabel: "seconds", YLabel: "share", Series: []report.Series{share}, Shades: shades},
-			{Title: "Load", XLabel: "seconds", YLabel: "requests a second", Series: []report.Series{load}, Shades: shades}}}
-	for _, text := range append(append([]string(nil), r.Violations...), r.UnmetExpectations...) {
-		sums.Text += text + ". "
-	}
-	return report.Page{Title: s.Name + ", seed " + strconv.FormatUint(r.Seed, 10), Lead: s.Purpose, Sections: []report.Section{sums, incidents}}
+// printReport prints a scenario's report.
+func printReport(out printer, result *scenario.Report) {
+	out.linef("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", result.Scenario, result.Seed, result.Requests,
+		result.Attempts, result.ServedShare, result.P50, result.P99)
+	out.linef("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", result.Served,
+		result.Rejected, result.Failed, result.Lost, result.Unsent, result.Unanswered, result.Runs)
+	out.linef("share by second, blank is under 0.1 and @ from 0.9: |%s|", sparkline(result.Seconds))
+	for _, violation := range result.Violations {
+		out.linef("broken rule: %s", violation)
+	}
+	if unnamed := result.ViolationCount - len(result.Violations); unnamed > 0 {
+		out.linef("and %d more", unnamed)
+	}
+	for _, expectation := range result.UnmetExpectations {
+		out.linef("not as expected: %s", expectation)
+	}
 }
 
-func rehearseHuntCommand() *cobra.Command {
-	first, seeds, most, parallel, length := uint64(1), 1_000_000_000, 5, runtime.GOMAXPROCS(0), time.Minute
-	cmd := &cobra.Command{Use: "hunt", Short: "Play days that seeds draw until a rule breaks", Args: cobra.NoArgs,
-		Long:    "hunt plays short days whose fleet, load, network faults and incidents are drawn by a seed, one seed after the other, and\nnames those that break a rule, with the command that plays them again." + statuses,
-		Example: "  cataloguectl rehearse hunt --for 10m\n  cataloguectl rehearse hunt --first 1 --seeds 1000",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			p := newPrinter(cmd)
-			ctx, cancel := context.WithTimeout(cmd.Context(), length)
-			defer cancel()
-			h, err := scenario.Explore(ctx, scenario.ExploreConfig{FirstSeed: first, Seeds: seeds, MaxFindings: most, Parallel: parallel, Progress: progressOf("seeds", seeds)})
-			if err != nil {
-				return err
-			}
-			p.line("%d days: %d requests, %d tries, %d runs; served %d, refused %d, failed %d, lost with their connection %d", h.Seeds, h.Requests, h.Attempts,
-				h.Runs, h.Served, h.Rejected, h.Failed, h.Lost)
-			p.line("faults: %+v", h.Simulation)
-			for _, f := range h.Findings {
-				what := fmt.Sprintf("%d tries unanswered", f.Report.Unanswered)
-				if len(f.Report.Violations) > 0 {
-					what = f.Report.Violations[0]
-				}
-				p.line("seed %d: %s\n  again: cataloguectl rehearse replay %d", f.Seed, what, f.Seed)
-			}
-			if err := p.object(h); err != nil {
-				return err
-			}
-			return found(len(h.Findings) > 0)
-		}}
-	f := cmd.Flags()
-	f.Uint64Var(&first, "first", first, "the first seed")
-	f.IntVar(&seeds, "seeds", seeds, "how many")
-	f.DurationVar(&length, "for", length, "how long at the most")
-	f.IntVar(&most, "most", most, "how many findings end it")
-	f.IntVar(&parallel, "parallel", parallel, "days at a time")
+// sparkline draws the served share of each second as one character.
+func sparkline(seconds []scenario.SecondStats) string {
+	const shades = " .:-=+*#%@"
+	line := make([]byte, len(seconds))
+	for n, second := range seconds {
+		share := float64(second.Served) / float64(max(second.Requests, 1))
+		line[n] = shades[min(int(share*10), 9)]
+	}
+	return string(line)
+}
+
+// scenarioExploreOptions are the flags of scenario explore.
+type scenarioExploreOptions struct {
+	config   scenario.ExploreConfig
+	duration time.Duration
+}
+
+func newScenarioExploreCommand() *cobra.Command {
+	opts := scenarioExploreOptions{
+		config:   scenario.ExploreConfig{FirstSeed: 1, Seeds: 1_000_000_000, MaxFindings: 5, Parallel: runtime.GOMAXPROCS(0)},
+		duration: time.Minute,
+	}
+	cmd := &cobra.Command{
+		Use:     "explore",
+		Aliases: []string{"hunt"},
+		Short:   "Run generated scenarios until a rule breaks",
+		Long: "explore runs short scenarios whose cluster, load, network faults and incidents are generated from a seed, one seed after\n" +
+			"the other, and prints those that break a rule, with the command that repeats them." + statusHelp,
+		Example: "  cataloguectl scenario explore --for 10m\n  cataloguectl scenario explore --first 1 --seeds 1000",
+		Args:    cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
+	}
+	flags := cmd.Flags()
+	flags.Uint64Var(&opts.config.FirstSeed, "first", opts.config.FirstSeed, "the first seed")
+	flags.IntVar(&opts.config.Seeds, "seeds", opts.config.Seeds, "how many seeds")
+	flags.DurationVar(&opts.duration, "for", opts.duration, "how long at the most")
+	flags.IntVar(&opts.config.MaxFindings, "most", opts.config.MaxFindings, "how many findings end it")
+	flags.IntVar(&opts.config.Parallel, "parallel", opts.config.Parallel, "scenarios at a time")
 	return cmd
 }
 
-// seedArg reads a seed.
-func seedArg(text string) (uint64, error) {
+func (o *scenarioExploreOptions) run(cmd *cobra.Command) error {
+	ctx, cancel := context.WithTimeout(cmd.Context(), o.duration)
+	defer cancel()
+	o.config.Progress = newProgress("seeds", o.config.Seeds)
+	result, err := scenario.Explore(ctx, o.config)
+	if err != nil {
+		return err
+	}
+	out := newPrinter(cmd)
+	printExploration(out, result)
+	if err := out.encode(result); err != nil {
+		return err
+	}
+	return foundIf(len(result.Findings) > 0)
+}
+
+// printExploration prints the sums and the findings of an exploration.
+func printExploration(out printer, e *scenario.Exploration) {
+	out.linef("%d days: %d requests, %d tries, %d runs; served %d, refused %d, failed %d, lost with their connection %d", e.Seeds,
+		e.Requests, e.Attempts, e.Runs, e.Served, e.Rejected, e.Failed, e.Lost)
+	out.linef("faults: %+v", e.Simulation)
+	for _, finding := range e.Findings {
+		what := fmt.Sprintf("%d tries unanswered", finding.Report.Unanswered)
+		if len(finding.Report.Violations) > 0 {
+			what = finding.Report.Violations[0]
+		}
+		out.linef("seed %d: %s\n  again: cataloguectl scenario replay %d", finding.Seed, what, finding.Seed)
+	}
+}
+
+// parseSeed reads a seed.
+func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("found %q, want a seed: a whole number", text)
@@ -178,27 +204,34 @@
 	return seed, nil
 }
 
-func rehearseReplayCommand() *cobra.Command {
-	return &cobra.Command{Use: "replay SEED", Short: "Play a day that a hunt drew again", Args: cobra.ExactArgs(1),
-		Long: "replay plays the day that a seed of hunt draws." + statuses, Example: "  cataloguectl rehearse replay 4711",
+func newScenarioReplayCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "replay SEED",
+		Short:   "Run a scenario of explore again",
+		Long:    "replay runs the scenario that explore generates from a seed." + statusHelp,
+		Example: "  cataloguectl scenario replay 4711",
+		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			seed, err := seedArg(args[0])
+			seed, err := parseSeed(args[0])
 			if err != nil {
 				return err
 			}
-			return playDay(newPrinter(cmd), scenario.Generate(seed), seed, "cataloguectl rehearse replay "+args[0], "")
-		}}
+			return runScenario(newPrinter(cmd), scenario.Generate(seed), seed, "cataloguectl scenario replay "+args[0], "")
+		},
+	}
 }
 
-func rehearseShrinkCommand() *cobra.Command {
-	return &cobra.Command{Use: "shrink SEED", Short: "Find the smallest day that still breaks a rule", Args: cobra.ExactArgs(1),
-		Long: "shrink takes away from the day that a seed of hunt draws what it can, as long as a rule still breaks." + statuses,
+func newScenarioShrinkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "shrink SEED",
+		Short: "Find the smallest scenario that still breaks a rule",
+		Long:  "shrink reduces the scenario that explore generates from a seed for as long as a rule still breaks." + statusHelp,
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			seed, err := seedArg(args[0])
+			seed, err := parseSeed(args[0])
 			if err != nil {
 				return err
 			}
-			p := newPrinter(cmd)
 			s, err := scenario.Shrink(scenario.Generate(seed), seed)
 			if err != nil {
 				return err
@@ -207,8 +240,10 @@
 			if err != nil {
 				return err
 			}
-			p.line("%+v", *s)
-			printDay(p, r)
-			return p.object(s)
-		}}
+			out := newPrinter(cmd)
+			out.linef("%v", s)
+			printReport(out, r)
+			return out.encode(s)
+		},
+	}
 }
--- /dev/null
+++ b/cmd/cataloguectl/simulate_results.go
@@ -0,0 +1,217 @@
+package main
+
+import (
+	"cmp"
+	"encoding/csv"
+	"io"
+	"path/filepath"
+	"slices"
+	"strconv"
+
+	"github.com/spf13/cobra"
+
+	"tillerusher/internal/experiment"
+	"tillerusher/internal/report"
+)
+
+// byHelp is the help of the flag that groups results.
+const byHelp = "what to group by: a variable, or day for the kinds of workload"
+
+// withResults adapts a function to a command whose argument is a file of results.
+func withResults(run func(out printer, results *experiment.Results) error) func(*cobra.Command, []string) error {
+	return func(cmd *cobra.Command, args []string) error {
+		results, err := experiment.ReadResults(args[0])
+		if err != nil {
+			return inputError{err}
+		}
+		return run(newPrinter(cmd), results)
+	}
+}
+
+// simulateShowOptions are the flags of simulate show.
+type simulateShowOptions struct {
+	measures []string
+	by       string
+}
+
+func newSimulateShowCommand() *cobra.Command {
+	var opts simulateShowOptions
+	cmd := &cobra.Command{
+		Use:     "show RESULTS",
+		Short:   "Print means of measures with their confidence intervals",
+		Long:    "show prints the mean of measures by policy, with the 95 % confidence interval by the bootstrap." + statusHelp,
+		Example: "  cataloguectl simulate show days.results --by day --measure g,share,p99",
+		Args:    cobra.ExactArgs(1),
+		RunE:    withResults(opts.run),
+	}
+	cmd.Flags().StringSliceVar(&opts.measures, "measure", []string{"g"}, "measures")
+	cmd.Flags().StringVar(&opts.by, "by", "", byHelp)
+	return cmd
+}
+
+func (o *simulateShowOptions) run(out printer, results *experiment.Results) error {
+	for _, measure := range o.measures {
+		groups, err := results.Groups(measure, o.by)
+		if err != nil {
+			return inputError{err}
+		}
+		for _, g := range groups {
+			out.linef("%-12s %-10s %-10s %10.4f  %10.4f to %.4f  %d runs, %d broke rules, %d not feasible", g.Measure, g.Label, g.Policy,
+				g.Mean, g.Lower, g.Upper, g.Runs, g.RunsWithViolations, g.Infeasible)
+			if err := out.encode(g); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// simulateCompareOptions are the flags of simulate compare.
+type simulateCompareOptions struct {
+	measures  []string
+	by        string
+	policy    string
+	baseline  string
+	worstRuns int
+}
+
+func newSimulateCompareCommand() *cobra.Command {
+	var opts simulateCompareOptions
+	cmd := &cobra.Command{
+		Use:   "compare RESULTS",
+		Short: "Compare two policies in pairs of equal points and seeds",
+		Long: "compare prints the difference of two policies in runs of the same point and seed, with the 95 % confidence interval by\n" +
+			"the bootstrap over the pairs, and says so if it is not significant." + statusHelp,
+		Example: "  cataloguectl simulate compare days.results --by day --b codel\n" +
+			"  cataloguectl simulate compare days.results --b codel --worst 10",
+		Args: cobra.ExactArgs(1),
+		RunE: withResults(opts.run),
+	}
+	flags := cmd.Flags()
+	flags.StringSliceVar(&opts.measures, "measure", []string{"g"}, "measures")
+	flags.StringVar(&opts.by, "by", "", byHelp)
+	flags.StringVar(&opts.policy, "a", "module", "the policy")
+	flags.StringVar(&opts.baseline, "b", "codel", "the policy to compare it with")
+	flags.IntVar(&opts.worstRuns, "worst", 0, "print the runs in which the first policy does worst, and what they have in common")
+	return cmd
+}
+
+func (o *simulateCompareOptions) run(out printer, results *experiment.Results) error {
+	for _, measure := range o.measures {
+		differences, err := results.Compare(measure, o.by, o.policy, o.baseline)
+		if err != nil {
+			return inputError{err}
+		}
+		for _, d := range differences {
+			out.linef("%v", d)
+			if err := out.encode(d); err != nil {
+				return err
+			}
+		}
+	}
+	if o.worstRuns == 0 {
+		return nil
+	}
+	return o.printWorst(out, results)
+}
+
+// worstRuns is the JSON of the runs in which a policy does worst.
+type worstRuns struct {
+	Worst  []experiment.Row       `json:"worst"`
+	Common []experiment.Deviation `json:"common"`
+}
+
+// printWorst prints the runs in which the policy does worst by the first measure.
+func (o *simulateCompareOptions) printWorst(out printer, results *experiment.Results) error {
+	measure := o.measures[0]
+	rows, common := results.WorstRuns(o.policy, measure, o.worstRuns)
+	for _, row := range rows {
+		out.linef("worst for %s: %s %.4f in point %d %s, seed %d", o.policy, measure, row.Measures[measure], row.Point, row.Workload, row.Seed)
+	}
+	for _, d := range common {
+		out.linef("there %s is %.4g, %.4g in all: %+.1f spreads", d.Name, d.WorstMean, d.OverallMean, d.StdDevs)
+	}
+	return out.encode(worstRuns{rows, common})
+}
+
+// simulatePlotOptions are the flags of simulate plot.
+type simulatePlotOptions struct {
+	measure  string
+	variable string
+	output   string
+}
+
+func newSimulatePlotCommand() *cobra.Command {
+	var opts simulatePlotOptions
+	cmd := &cobra.Command{
+		Use:   "plot RESULTS",
+		Short: "Plot a measure over a variable, with confidence intervals",
+		Long: "plot draws the mean of a measure for each policy over a variable, with its 95 % confidence interval: as a picture (.svg),\n" +
+			"a page with the figures (.html) or a table (.csv), by the file's extension." + statusHelp,
+		Example: "  cataloguectl simulate plot load.results --x load --measure g --output load.svg",
+		Args:    cobra.ExactArgs(1),
+		RunE:    withResults(opts.run),
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&opts.measure, "measure", "g", "measure on the Y axis")
+	flags.StringVar(&opts.variable, "x", "load", "variable on the X axis")
+	flags.StringVarP(&opts.output, "output", "o", "plot.svg", "file: .svg, .html or .csv")
+	return cmd
+}
+
+func (o *simulatePlotOptions) run(out printer, results *experiment.Results) error {
+	groups, err := results.Groups(o.measure, o.variable)
+	if err != nil {
+		return inputError{err}
+	}
+	slices.SortStableFunc(groups, func(a, b experiment.Group) int { return cmp.Compare(a.X, b.X) })
+	section := o.plot(results.Experiment, groups)
+	chart := section.Charts[0]
+	err = writeOutput(o.output, func(w io.Writer) error {
+		switch filepath.Ext(o.output) {
+		case ".html":
+			return report.Page{Title: results.Experiment, Sections: []report.Section{section}}.HTML(w)
+		case ".csv":
+			return csv.NewWriter(w).WriteAll(append([][]string{section.Header}, section.Rows...))
+		}
+		return chart.SVG(w)
+	})
+	if err != nil {
+		return err
+	}
+	out.linef("%s: %d policies, %d groups", o.output, len(chart.Series), len(groups))
+	return out.encode(groups)
+}
+
+// plot returns a section with a table of the groups and a chart with a series for each policy. Groups without runs have a series,
+// but no point.
+func (o *simulatePlotOptions) plot(title string, groups []experiment.Group) report.Section {
+	chart := report.Chart{Title: title, XLabel: o.variable, YLabel: o.measure}
+	section := report.Section{Title: o.measure, Header: []string{"policy", o.variable, "mean", "low", "high", "runs"}}
+	seriesOf := map[string]int{} // index by policy
+	for _, g := range groups {
+		n, ok := seriesOf[g.Policy]
+		if !ok {
+			n = len(chart.Series)
+			seriesOf[g.Policy] = n
+			chart.Series = append(chart.Series, report.Series{Name: g.Policy})
+		}
+		if g.Runs == 0 {
+			continue
+		}
+		series := &chart.Series[n]
+		series.Points = append(series.Points, report.Point{X: g.X, Y: g.Mean})
+		series.Low = append(series.Low, g.Lower)
+		series.High = append(series.High, g.Upper)
+		section.Rows = append(section.Rows, []string{
+			g.Policy,
+			g.Label,
+			formatFixed(g.Mean, 3),
+			formatFixed(g.Lower, 3),
+			formatFixed(g.Upper, 3),
+			strconv.Itoa(g.Runs),
+		})
+	}
+	section.Charts = []report.Chart{chart}
+	return section
+}
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -10,204 +10,196 @@
 	"tillerusher/internal/store"
 )
 
-func stateCommand() *cobra.Command {
-	c := &cobra.Command{Use: "state", Short: "Look into what a server keeps over restarts, check and mend it",
-		Long: "state looks into the folder of `catalogue-server serve --state DIR`; docs/state.md says what is in it. A folder that a server\n" +
-			"uses can't be opened: stop the server, or copy the folder." + statuses}
-	c.AddCommand(stateInfoCommand(), stateVerifyCommand(), stateDumpCommand(), stateRepairCommand(), stateExpireCommand(), stateServeCommand(), stateCostCommand(), stateRecoveryCommand())
-	return c
-}
-
-// kept is a record as it is printed.
-type kept struct {
-	Class  string    `json:"class"`
-	Key    string    `json:"key"`
-	State  string    `json:"state"`
-	Stamp  time.Time `json:"received"`
-	Until  time.Time `json:"until"`
-	Status int       `json:"status,omitempty"`
-	Bytes  int       `json:"bytes"`
-	Error  string    `json:"error,omitempty"`
+func newStateCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:   "state",
+		Short: "Inspect, check and repair what a server keeps over restarts",
+		Long: "state inspects the directory of `catalogue-server serve --state DIR`; docs/state.md says what is in it. A directory that\n" +
+			"a server uses can't be opened: stop the server, or copy the directory." + statusHelp,
+	}
+	cmd.AddCommand(
+		newStateInfoCommand(),
+		newStateVerifyCommand(),
+		newStateDumpCommand(),
+		newStateRepairCommand(),
+		newStateExpireCommand(),
+		newStateServeCommand(),
+		newStateCostCommand(),
+		newStateRecoveryCommand(),
+	)
+	return cmd
 }
 
-// eachRecord reads all records of a folder; those that can't be read are handed on with their error.
-func eachRecord(s *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
+// forEachRecord reads all records of a store. Those that can't be decoded are visited with their error.
+func forEachRecord(s *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
 	return s.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
 		e, err := idempotency.DecodeEntry(string(name), value)
 		return visit(string(name), e, len(value), err)
 	})
 }
 
-// onState is what a command does with a folder.
-func onState(readOnly bool, do func(p printer, s *store.Store) error) func(*cobra.Command, []string) error {
+// The modes in which withStore opens a directory.
+const (
+	readOnly  = true
+	writeable = false
+)
+
+// withStore adapts a function to a command whose argument is a state directory.
+func withStore(isReadOnly bool, run func(out printer, s *store.Store) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) (err error) {
-		s, err := store.Open(store.Config{Dir: args[0], ReadOnly: readOnly})
+		s, err := store.Open(store.Config{Dir: args[0], ReadOnly: isReadOnly})
 		if err != nil {
 			return inputError{err}
 		}
 		defer func() {
-			if other := s.Close(); err == nil && other != nil {
-				err = inputError{other}
+			if closeErr := s.Close(); err == nil && closeErr != nil {
+				err = inputError{closeErr}
 			}
 		}()
-		return do(newPrinter(cmd), s)
+		return run(newPrinter(cmd), s)
 	}
 }
 
-func stateInfoCommand() *cobra.Command {
-	return &cobra.Command{Use: "info DIR", Short: "Say whose a folder is and how much it keeps",
-		Long: "info says whose a folder is, since when, how many records it has by state, and how many ran out." + statuses,
-		Args: cobra.ExactArgs(1), Example: "  cataloguectl state info /var/lib/tillerusher/state",
-		RunE: onState(true, func(p printer, s *store.Store) error {
-			id, now := s.Identity(), time.Now()
-			states, over, unread, bytes := map[string]int{}, 0, 0, 0
-			err := eachRecord(s, func(_ string, e idempotency.Entry, size int, err error) error {
-				bytes += size
-				switch {
-				case err != nil:
-					unread++
-				case now.After(e.ExpiresAt):
-					over++
-				default:
-					states[e.State.String()]++
-				}
-				return nil
-			})
-			if err != nil {
-				return inputError{err}
-			}
-			p.line("the folder of %s, format version %d, made %s", id.Server, id.Version, id.CreatedAt.Format(time.RFC3339))
-			p.line("site: %s", id.SiteHash)
-			p.line("in their window: %d done, %d intents, %d whose answers were given up; %d ran out, %d can't be read; %d bytes of records, %d on the disk",
-				states["done"], states["intent"], states["answer given up"], over, unread, bytes, s.Size())
-			return p.object(struct {
-				Server  string         `json:"server"`
-				Version int            `json:"version"`
-				Site    string         `json:"site"`
-				Made    time.Time      `json:"made"`
-				States  map[string]int `json:"states"`
-				RanOut  int            `json:"ran_out"`
-				Unread  int            `json:"unread"`
-				Bytes   int            `json:"bytes"`
-				Disk    int64          `json:"disk"`
-			}{id.Server, id.Version, id.SiteHash, id.CreatedAt, states, over, unread, bytes, s.Size()})
-		})}
-}
-
-func stateVerifyCommand() *cobra.Command {
-	return &cobra.Command{Use: "verify DIR", Short: "Read everything in a folder and name what is damaged",
-		Long: "verify reads every record with its checksum, and names those that can't be read: exit status 1 if there are any." + statuses,
-		Args: cobra.ExactArgs(1),
-		RunE: onState(true, func(p printer, s *store.Store) error {
-			whole, bad := 0, []string{}
-			err := eachRecord(s, func(_ string, _ idempotency.Entry, _ int, err error) error {
-				if err != nil {
-					bad = append(bad, err.Error())
-				} else {
-					whole++
-				}
-				return nil
-			})
-			if errors.Is(err, store.ErrCorrupt) {
-				bad = append(bad, err.Error())
-			} else if err != nil {
-				return inputError{err}
-			}
-			for _, b := range bad {
-				p.line("%s", b)
-			}
-			p.line("%d records are whole, %d are not", whole, len(bad))
-			if err := p.object(struct {
-				Whole int      `json:"whole"`
-				Bad   []string `json:"bad"`
-			}{whole, bad}); err != nil {
-				return err
-			}
-			return found(len(bad) > 0)
-		})}
+func newStateInfoCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "info DIR",
+		Short:   "Print whose a directory is and how much it keeps",
+		Long:    "info prints whose a directory is, since when, how many records it has by state, and how many have expired." + statusHelp,
+		Example: "  cataloguectl state info /var/lib/tillerusher/state",
+		Args:    cobra.ExactArgs(1),
+		RunE:    withStore(readOnly, printStateInfo),
+	}
 }
 
-func stateDumpCommand() *cobra.Command {
-	return &cobra.Command{Use: "dump DIR", Short: "Print all records, one a line",
-		Long: "dump prints the class, the key, the state, when the try that ran was received, until when it must not run again, and the\n" +
-			"size of its answer, in the order of classes and keys." + statuses,
-		Args: cobra.ExactArgs(1), Example: "  cataloguectl state dump /var/lib/tillerusher/state --json",
-		RunE: onState(true, func(p printer, s *store.Store) error {
-			err := eachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
-				k := kept{Class: e.Key.Class, Key: e.Key.Key, State: e.State.String(), Stamp: e.ReceivedAt.UTC(), Until: e.ExpiresAt.UTC(), Status: e.Response.Status,
-					Bytes: len(e.Response.Body)}
-				if err != nil {
-					k = kept{Key: name, Error: err.Error()}
-				}
-				p.line("%s %s %s received %s, until %s, %d bytes %s", k.Class, k.Key, k.State, k.Stamp.Format(time.RFC3339Nano),
-					k.Until.Format(time.RFC3339Nano), k.Bytes, k.Error)
-				return p.object(k)
-			})
-			if err != nil {
-				return inputError{err}
-			}
-			return nil
-		})}
+// stateInfo is the JSON of a directory.
+type stateInfo struct {
+	Server  string         `json:"server"`
+	Version int            `json:"version"`
+	Site    string         `json:"site"`
+	Made    time.Time      `json:"made"`
+	States  map[string]int `json:"states"` // records by state
+	RanOut  int            `json:"ran_out"`
+	Unread  int            `json:"unread"`
+	Bytes   int            `json:"bytes"`
+	Disk    int64          `json:"disk"`
 }
 
-// removed writes the removal of records and waits for it.
-func removed(s *store.Store, names []string) error {
-	if len(names) == 0 {
+// printStateInfo prints what is in a directory.
+func printStateInfo(out printer, s *store.Store) error {
+	id := s.Identity()
+	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteHash, Made: id.CreatedAt, States: map[string]int{}}
+	now := time.Now()
+	err := forEachRecord(s, func(_ string, e idempotency.Entry, size int, err error) error {
+		info.Bytes += size
+		switch {
+		case err != nil:
+			info.Unread++
+		case now.After(e.ExpiresAt):
+			info.RanOut++
+		default:
+			info.States[e.State.String()]++
+		}
 		return nil
+	})
+	if err != nil {
+		return inputError{err}
 	}
-	var changes []store.Change
-	for _, name := range names {
-		changes = append(changes, store.Change{Name: name})
+	info.Disk = s.Size()
+	out.linef("the folder of %s, format version %d, made %s", info.Server, info.Version, info.Made.Format(time.RFC3339))
+	out.linef("site: %s", info.Site)
+	out.linef("in their window: %d done, %d intents, %d whose answers were given up; %d ran out, %d can't be read; "+
+		"%d bytes of records, %d on the disk", info.States["done"], info.States["intent"], info.States["answer given up"], info.RanOut,
+		info.Unread, info.Bytes, info.Disk)
+	return out.encode(info)
+}
+
+func newStateVerifyCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "verify DIR",
+		Short: "Read everything in a directory and name what is damaged",
+		Long:  "verify reads every record with its checksum, and names those that can't be read: exit status 1 if there are any." + statusHelp,
+		Args:  cobra.ExactArgs(1),
+		RunE:  withStore(readOnly, verifyState),
 	}
-	done := make(chan error, 1)
-	if err := s.Write(changes, func(err error) { done <- err }); err != nil {
+}
+
+// stateVerification is the JSON of a verification.
+type stateVerification struct {
+	Whole int      `json:"whole"`
+	Bad   []string `json:"bad"` // errors
+}
+
+// verifyState prints the records that can't be read.
+func verifyState(out printer, s *store.Store) error {
+	result := stateVerification{Bad: []string{}}
+	err := forEachRecord(s, func(_ string, _ idempotency.Entry, _ int, err error) error {
+		if err != nil {
+			result.Bad = append(result.Bad, err.Error())
+		} else {
+			result.Whole++
+		}
+		return nil
+	})
+	if errors.Is(err, store.ErrCorrupt) {
+		result.Bad = append(result.Bad, err.Error())
+	} else if err != nil {
 		return inputError{err}
 	}
-	if err := <-done; err != nil {
-		return inputError{err}
+	for _, text := range result.Bad {
+		out.linef("%s", text)
 	}
-	return nil
+	out.linef("%d records are whole, %d are not", result.Whole, len(result.Bad))
+	if err := out.encode(result); err != nil {
+		return err
+	}
+	return foundIf(len(result.Bad) > 0)
 }
 
-// stateRemove is a command that removes the records that a condition names, and rewrites the folder.
-func stateRemove(use, short, long, word string, when func(e idempotency.Entry, err error, now time.Time) bool) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Long: long + statuses, Args: cobra.ExactArgs(1),
-		RunE: onState(false, func(p printer, s *store.Store) error {
-			var names []string
-			now := time.Now()
-			err := eachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
-				if when(e, err, now) {
-					names = append(names, name)
-					if err != nil {
-						p.line("%v", err)
-					}
-				}
-				return nil
-			})
-			if err != nil {
-				return inputError{err}
-			}
-			if err := removed(s, names); err != nil {
-				return err
-			}
-			if err := s.CompactAll(); err != nil {
-				return inputError{err}
-			}
-			p.line("%d records %s", len(names), word)
-			return p.object(struct {
-				Removed int `json:"removed"`
-			}{len(names)})
-		})}
+func newStateDumpCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "dump DIR",
+		Short: "Print all records, one a line",
+		Long: "dump prints the class, the key, the state, when the attempt that ran was received, until when it must not run again, and\n" +
+			"the size of its answer, in the order of classes and keys." + statusHelp,
+		Example: "  cataloguectl state dump /var/lib/tillerusher/state --json",
+		Args:    cobra.ExactArgs(1),
+		RunE:    withStore(readOnly, dumpState),
+	}
 }
 
-func stateRepairCommand() *cobra.Command {
-	return stateRemove("repair DIR", "Remove records that can't be read", "repair removes the records that verify names. Repeats of their requests may "+
-		"run again: that is why a server\nleaves them in place and says so, and does not do this by itself.", "that could not be read are removed",
-		func(_ idempotency.Entry, err error, _ time.Time) bool { return err != nil })
+// dumpedRecord is the JSON of a record. One that can't be read has its name as key and an error.
+type dumpedRecord struct {
+	Class    string    `json:"class"`
+	Key      string    `json:"key"`
+	State    string    `json:"state"`
+	Received time.Time `json:"received"`
+	Until    time.Time `json:"until"`
+	Status   int       `json:"status,omitempty"`
+	Bytes    int       `json:"bytes"`
+	Error    string    `json:"error,omitempty"`
 }
 
-func stateExpireCommand() *cobra.Command {
-	return stateRemove("expire DIR", "Remove records whose window has passed", "expire removes what no repeat can ask for any more; a server does so by "+
-		"itself, a second after it ran out.", "whose window has passed are removed",
-		func(e idempotency.Entry, err error, now time.Time) bool { return err == nil && now.After(e.ExpiresAt) })
+// dumpState prints all records.
+func dumpState(out printer, s *store.Store) error {
+	err := forEachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
+		r := dumpedRecord{
+			Class:    e.Key.Class,
+			Key:      e.Key.Key,
+			State:    e.State.String(),
+			Received: e.ReceivedAt.UTC(),
+			Until:    e.ExpiresAt.UTC(),
+			Status:   e.Response.Status,
+			Bytes:    len(e.Response.Body),
+		}
+		if err != nil {
+			r = dumpedRecord{Key: name, Error: err.Error()}
+		}
+		out.linef("%s %s %s received %s, until %s, %d bytes %s", r.Class, r.Key, r.State, r.Received.Format(time.RFC3339Nano),
+			r.Until.Format(time.RFC3339Nano), r.Bytes, r.Error)
+		return out.encode(r)
+	})
+	if err != nil {
+		return inputError{err}
+	}
+	return nil
 }
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -1,4 +1,3 @@
-// Package report draws what was measured.
 package report
 
 import (
@@ -13,92 +12,145 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
+// The size and the line widths of a picture.
+const (
+	chartWidth      = 16 * vg.Centimeter
+	chartHeight     = 9 * vg.Centimeter
+	legendPadding   = 4 // points
+	legendWidth     = 14
+	seriesWidth     = 1.5
+	thresholdDash   = 3
+	spanOverlap     = 1.05 // a shaded span is so much higher than the highest point
+	thresholdGray   = 90
+	spanShadingGray = 235
+)
+
+// palette is distinguishable for color-blind readers (Okabe and Ito, "Color universal design", 2008).
+var palette = [...]color.RGBA{
+	{0, 114, 178, 255},
+	{213, 94, 0, 255},
+	{0, 158, 115, 255},
+	{204, 121, 167, 255},
+	{230, 159, 0, 255},
+	{86, 180, 233, 255},
+}
+
+// Point is one measured point.
+type Point struct{ X, Y float64 }
+
+// Span is a stretch of the X axis.
+type Span struct{ From, To float64 }
+
 // Series is one curve.
 type Series struct {
 	Name   string
-	Points [][2]float64
-	Low    []float64 // of an interval round each point, with High; nil is none
+	Points []Point
+	Low    []float64 // of the interval around each point, with High; nil draws no intervals
 	High   []float64
 }
 
-// Chart is curves over a common axis, with a stretch of it shaded.
+// Chart draws series over a common axis.
 type Chart struct {
-	Title, XLabel, YLabel string
-	Series                []Series
-	From, To              float64 // shaded, where From is under To
-	Shades                [][2]float64
-	Threshold             float64 // renderedSection across, where it is not 0
+	Title     string
+	XLabel    string
+	YLabel    string
+	Series    []Series
+	Shaded    []Span  // for example incidents
+	Threshold float64 // drawn across unless it is 0
 }
 
-// errorBarSeries is a line with how far each point may be off.
-type errorBarSeries struct {
-	plotter.XYs
-	line Series
-}
-
-// YError implements plotter.YErrorer.
-func (i errorBarSeries) YError(n int) (low, high float64) {
-	y := i.line.Points[n][1]
-	return y - i.line.Low[n], i.line.High[n] - y
-}
-
-// palette is told apart by people who see colours differently (Okabe and Ito, 2008).
-var palette = [...]color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255}, {86, 180, 233, 255}}
-
-// SVG draws the chart.
+// SVG draws the chart as an SVG document.
 func (c Chart) SVG(w io.Writer) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
-	p.Legend.Top, p.Legend.Padding, p.Legend.ThumbnailWidth = true, vg.Points(4), vg.Points(14)
-	most := 0.0
-	for _, l := range c.Series {
-		for _, at := range l.Points {
-			most = max(most, at[1])
+	figure := plot.New()
+	figure.Title.Text = c.Title
+	figure.X.Label.Text = c.XLabel
+	figure.Y.Label.Text = c.YLabel
+	figure.Legend.Top = true
+	figure.Legend.Padding = vg.Points(legendPadding)
+	figure.Legend.ThumbnailWidth = vg.Points(legendWidth)
+	if err := c.addShading(figure); err != nil {
+		return err
+	}
+	for n, series := range c.Series {
+		if err := series.addTo(figure, palette[n%len(palette)]); err != nil {
+			return fmt.Errorf("report: %s: %w", series.Name, err)
 		}
 	}
-	shades := c.Shades
-	if c.From < c.To {
-		shades = append([][2]float64{{c.From, c.To}}, shades...)
+	if c.Threshold != 0 {
+		threshold := plotter.NewFunction(func(float64) float64 { return c.Threshold })
+		threshold.Dashes = []vg.Length{vg.Points(thresholdDash), vg.Points(thresholdDash)}
+		threshold.Color = color.Gray{Y: thresholdGray}
+		figure.Add(threshold)
+	}
+	figure.Y.Min = 0
+	canvas := vgsvg.New(chartWidth, chartHeight)
+	figure.Draw(draw.New(canvas))
+	if _, err := canvas.WriteTo(w); err != nil {
+		return fmt.Errorf("report: %w", err)
 	}
-	for _, s := range shades {
-		shade, err := plotter.NewPolygon(plotter.XYs{{X: s[0]}, {X: s[0], Y: most * 1.05}, {X: s[1], Y: most * 1.05}, {X: s[1]}})
+	return nil
+}
+
+// addShading adds the shaded spans, behind the series.
+func (c Chart) addShading(figure *plot.Plot) error {
+	top := c.highest() * spanOverlap
+	for _, span := range c.Shaded {
+		corners := plotter.XYs{{X: span.From}, {X: span.From, Y: top}, {X: span.To, Y: top}, {X: span.To}}
+		shade, err := plotter.NewPolygon(corners)
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
-		shade.Color, shade.LineStyle.Width = color.RGBA{235, 235, 235, 255}, 0
-		p.Add(shade)
+		shade.Color = color.RGBA{spanShadingGray, spanShadingGray, spanShadingGray, 255}
+		shade.LineStyle.Width = 0
+		figure.Add(shade)
 	}
-	for i, l := range c.Series {
-		xys := make(plotter.XYs, len(l.Points))
-		for n, at := range l.Points {
-			xys[n].X, xys[n].Y = at[0], at[1]
-		}
-		line, err := plotter.NewLine(xys)
-		if err != nil {
-			return fmt.Errorf("report: %s: %w", l.Name, err)
-		}
-		line.Color, line.Width = palette[i%len(palette)], vg.Points(1.5)
-		if l.Low != nil {
-			bars, err := plotter.NewYErrorBars(errorBarSeries{xys, l})
-			if err != nil {
-				return fmt.Errorf("report: %s: %w", l.Name, err)
-			}
-			bars.Color = line.Color
-			p.Add(bars)
+	return nil
+}
+
+// highest returns the largest Y of all series, at least 0.
+func (c Chart) highest() float64 {
+	highest := 0.0
+	for _, series := range c.Series {
+		for _, point := range series.Points {
+			highest = max(highest, point.Y)
 		}
-		p.Add(line)
-		p.Legend.Add(l.Name, line)
 	}
-	if c.Threshold != 0 {
-		limit := plotter.NewFunction(func(float64) float64 { return c.Threshold })
-		limit.Dashes, limit.Color = []vg.Length{vg.Points(3), vg.Points(3)}, color.Gray{Y: 90}
-		p.Add(limit)
+	return highest
+}
+
+// addTo adds the curve, its intervals and its entry in the legend.
+func (s Series) addTo(figure *plot.Plot, lineColor color.Color) error {
+	xys := make(plotter.XYs, len(s.Points))
+	for n, point := range s.Points {
+		xys[n] = plotter.XY(point)
 	}
-	p.Y.Min = 0
-	canvas := vgsvg.New(16*vg.Centimeter, 9*vg.Centimeter)
-	p.Draw(draw.New(canvas))
-	if _, err := canvas.WriteTo(w); err != nil {
-		return fmt.Errorf("report: %w", err)
+	line, err := plotter.NewLine(xys)
+	if err != nil {
+		return err
 	}
+	line.Color = lineColor
+	line.Width = vg.Points(seriesWidth)
+	if s.Low != nil {
+		bars, err := plotter.NewYErrorBars(errorBars{xys, s})
+		if err != nil {
+			return err
+		}
+		bars.Color = lineColor
+		figure.Add(bars)
+	}
+	figure.Add(line)
+	figure.Legend.Add(s.Name, line)
 	return nil
 }
+
+// errorBars is a series with its intervals.
+type errorBars struct {
+	plotter.XYs
+	series Series
+}
+
+// YError implements plotter.YErrorer.
+func (b errorBars) YError(n int) (low, high float64) {
+	y := b.series.Points[n].Y
+	return y - b.series.Low[n], b.series.High[n] - y
+}
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -1,3 +1,4 @@
+// Package report renders measurements for people: charts as SVG, and pages of tables and charts as one HTML file.
 package report
 
 import (
@@ -7,37 +8,44 @@
 	"io"
 )
 
-// Page is a report in one file: its pictures are inside it.
+// Page is a report in one HTML file that holds its pictures.
 type Page struct {
 	Title    string
-	Lead     string
+	Intro    string
 	Sections []Section
 }
 
-// Section is a part of a page.
+// Section is a part of a page: a text, a table and charts, each of which may be missing.
 type Section struct {
 	Title  string
 	Text   string
-	Head   []string // of the table
+	Header []string // of the table
 	Rows   [][]string
 	Charts []Chart
 }
 
-const pageTemplate = `<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}
 td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}</style></head><body>
-<h1>{{.Title}}</h1><p>{{.Lead}}</p>
+<h1>{{.Title}}</h1><p>{{.Intro}}</p>
 {{range .Sections}}<h2>{{.Title}}</h2>{{with .Text}}<p>{{.}}</p>{{end}}
-{{if .Head}}<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>
+{{if .Header}}<table><tr>{{range .Header}}<th>{{.}}</th>{{end}}</tr>
 {{range .Rows}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>
 {{end}}</table>{{end}}
 {{range .Pictures}}<figure>{{.}}</figure>
 {{end}}{{end}}</body></html>
-`
+`))
 
-// renderedSection is a section with its pictures made.
+// pageData is what the template reads.
+type pageData struct {
+	Title    string
+	Intro    string
+	Sections []renderedSection
+}
+
+// renderedSection is a section with its charts drawn.
 type renderedSection struct {
 	Section
 	Pictures []template.HTML
@@ -45,31 +53,38 @@
 
 // HTML writes the page.
 func (p Page) HTML(w io.Writer) error {
-	t, err := template.New("page").Parse(pageTemplate)
-	if err != nil {
-		return fmt.Errorf("report: %w", err)
-	}
-	data := struct {
-		Title, Lead string
-		Sections    []renderedSection
-	}{Title: p.Title, Lead: p.Lead}
-	for _, s := range p.Sections {
-		d := renderedSection{Section: s}
-		for _, c := range s.Charts {
-			var b bytes.Buffer
-			if err := c.SVG(&b); err != nil {
-				return err
-			}
-			svg := b.Bytes()
-			if i := bytes.Index(svg, []byte("<svg")); i >= 0 {
-				svg = svg[i:] // without the prolog, which a page can't hold
-			}
-			d.Pictures = append(d.Pictures, template.HTML(svg))
+	data := pageData{Title: p.Title, Intro: p.Intro}
+	for _, section := range p.Sections {
+		rendered, err := section.render()
+		if err != nil {
+			return err
 		}
-		data.Sections = append(data.Sections, d)
+		data.Sections = append(data.Sections, rendered)
 	}
-	if err := t.Execute(w, data); err != nil {
+	if err := pageTemplate.Execute(w, data); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
 }
+
+// render draws the section's charts.
+func (s Section) render() (renderedSection, error) {
+	rendered := renderedSection{Section: s}
+	for _, chart := range s.Charts {
+		var buf bytes.Buffer
+		if err := chart.SVG(&buf); err != nil {
+			return renderedSection{}, err
+		}
+		picture := withoutProlog(buf.Bytes())
+		rendered.Pictures = append(rendered.Pictures, template.HTML(picture))
+	}
+	return rendered, nil
+}
+
+// withoutProlog strips the XML declaration, which HTML can't contain, from an SVG document.
+func withoutProlog(svg []byte) []byte {
+	if n := bytes.Index(svg, []byte("<svg")); n >= 0 {
+		return svg[n:]
+	}
+	return svg
+}
--- a/internal/report/page_test.go
+++ b/internal/report/page_test.go
@@ -9,8 +9,8 @@
 // TestPage has a page carry its tables and pictures inside it, and no text be taken for markup.
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
-	p := Page{Title: "a <b>", Sections: []Section{{Title: "s", Head: []string{"x"}, Rows: [][]string{{"1 < 2"}},
-		Charts: []Chart{{Title: "c", Shades: [][2]float64{{1, 2}}, Series: []Series{{Name: "l", Points: [][2]float64{{0, 1}, {3, 2}},
+	p := Page{Title: "a <b>", Sections: []Section{{Title: "s", Header: []string{"x"}, Rows: [][]string{{"1 < 2"}},
+		Charts: []Chart{{Title: "c", Shaded: []Span{{1, 2}}, Series: []Series{{Name: "l", Points: []Point{{0, 1}, {3, 2}},
 			Low: []float64{0.5, 1}, High: []float64{1.5, 3}}}}}}}}
 	if err := p.HTML(&b); err != nil {
 		t.Fatal(err)
