--- a/cmd/cataloguectl/load.go
+++ b/cmd/cataloguectl/load.go
@@ -56,7 +56,8 @@
 	flags.StringVar(&o.settings, "settings", "", "file of operators' settings for the daemon")
 	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "requests, retries left out")
 	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
-	flags.StringVar(&o.arrivalKind, "arrivals", string(arrival.Poisson), "arrival process: poisson, bursty, diurnal, or replay of --arrivals-of")
+	flags.StringVar(&o.arrivalKind, "arrivals", string(arrival.Poisson),
+		"arrival process: poisson, bursty, diurnal, or replay of --arrivals-of")
 	flags.StringVar(&o.arrivalsOf, "arrivals-of", "", "capture whose arrivals are replayed")
 	flags.Float64Var(&cfg.Arrival.Speed, "arrivals-factor", 1, "how many times as fast")
 	flags.IntVar(&cfg.Gateways, "gateways", cfg.Gateways, "connections, each of up to 32 requests in flight")
@@ -134,8 +135,10 @@
 
 // printLoad prints the summary of a load test.
 func printLoad(out printer, result *loadtest.Result) {
-	out.linef("%d requests in %d tries over %.1f s (seed %d), %.0f tries answered a second", result.Requests, result.Attempts, result.Seconds, result.Seed, result.Rate)
-	out.linef("served %d, refused %d, failed %d, connection lost %d, no room to send %d", result.Served, result.Rejected, result.Failed, result.Lost, result.Unsent)
+	out.linef("%d requests in %d tries over %.1f s (seed %d), %.0f tries answered a second", result.Requests, result.Attempts, result.Seconds,
+		result.Seed, result.Rate)
+	out.linef("served %d, refused %d, failed %d, connection lost %d, no room to send %d", result.Served, result.Rejected, result.Failed,
+		result.Lost, result.Unsent)
 	out.linef("share of requests served %.3f; %d repeats; %d interpreter links", result.ServedShare, result.Repeats, result.LinkCount)
 	out.linef("latency of the served: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms", result.P50, result.P99, result.P999)
 	out.linef("daemon: exit status %d, %.2f s of CPU, peak memory %d kB", result.ExitStatus, result.DaemonCPUSeconds, result.DaemonPeakKB)
--- a/cmd/cataloguectl/main.go
+++ b/cmd/cataloguectl/main.go
@@ -50,9 +50,10 @@
 // newRootCommand builds the command tree. Commands that were renamed keep their old names as aliases, for scripts.
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use:           "cataloguectl",
-		Short:         "Inspect, replay, test and simulate catalogue servers",
-		Long:          "cataloguectl inspects what a catalogue server recorded and keeps, replays it, and tests and simulates servers.\n" + statusHelp,
+		Use:   "cataloguectl",
+		Short: "Inspect, replay, test and simulate catalogue servers",
+		Long: "cataloguectl inspects what a catalogue server recorded and keeps, replays it, and tests and simulates servers.\n" +
+			statusHelp,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -46,7 +46,8 @@
 	flags.IntVar(&opts.config.Members, "members", opts.config.Members, "members of the pool")
 	flags.Float64Var(&opts.config.RequestRate, "rate", opts.config.RequestRate, "requests a second")
 	flags.Float64Var(&opts.config.FailureShare, "fails", opts.config.FailureShare, "share of the attempts that fail in the outage")
-	flags.Float64Var(&opts.config.BudgetShare, "share", opts.config.BudgetShare, "retries that the budget allows, as a share of first attempts")
+	flags.Float64Var(&opts.config.BudgetShare, "share", opts.config.BudgetShare,
+		"retries that the budget allows, as a share of first attempts")
 	flags.Uint64Var(&opts.config.Seed, "seed", opts.config.Seed, "seed of all random numbers")
 	flags.StringVar(&opts.picture, "output", "", "file for a picture (SVG)")
 	return cmd
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -108,8 +108,8 @@
 
 // printReport prints a scenario's report.
 func printReport(out printer, result *scenario.Report) {
-	out.linef("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", result.Scenario, result.Seed, result.Requests,
-		result.Attempts, result.ServedShare, result.P50, result.P99)
+	out.linef("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", result.Scenario, result.Seed,
+		result.Requests, result.Attempts, result.ServedShare, result.P50, result.P99)
 	out.linef("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", result.Served,
 		result.Rejected, result.Failed, result.Lost, result.Unsent, result.Unanswered, result.Runs)
 	out.linef("share by second, blank is under 0.1 and @ from 0.9: |%s|", sparkline(result.Seconds))
--- a/cmd/cataloguectl/simulate_run.go
+++ b/cmd/cataloguectl/simulate_run.go
@@ -145,8 +145,8 @@
 
 // printSimulation prints the summary of a simulation.
 func printSimulation(out printer, policy string, result *clustersim.Result) {
-	out.linef("%s in %s (seed %d): %d servers, %d requests in %.0f s, load %.2f", policy, result.ConfigName, result.Seed, result.Servers, result.Requests,
-		result.Seconds, result.Load)
+	out.linef("%s in %s (seed %d): %d servers, %d requests in %.0f s, load %.2f", policy, result.ConfigName, result.Seed,
+		result.Servers, result.Requests, result.Seconds, result.Load)
 	out.linef("  share %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f, waste %.3f, score %.4f", result.GoodputShare,
 		result.WorstWindowShare, result.WorstClassShare, result.WorstTenantShare, result.WastedWork, result.Score)
 	out.linef("  latency of the served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms", result.P50, result.P99, result.P999)
--- a/cmd/cataloguectl/simulate_search.go
+++ b/cmd/cataloguectl/simulate_search.go
@@ -52,13 +52,13 @@
 			return err
 		}
 	}
-	e, err := experiment.Load(path)
+	exp, err := experiment.Load(path)
 	if err != nil {
 		return inputError{err}
 	}
 	ctx, stop := interruptible(cmd)
 	defer stop()
-	candidates, err := e.Explore(ctx, o.search, newProgress("rounds", o.search.Rounds))
+	candidates, err := exp.Explore(ctx, o.search, newProgress("rounds", o.search.Rounds))
 	if err != nil {
 		return inputError{err}
 	}
@@ -68,7 +68,7 @@
 		if err := out.encode(candidate); err != nil {
 			return err
 		}
-		if err := o.writeCase(e, n+1, candidate); err != nil {
+		if err := o.writeCase(exp, n+1, candidate); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // writeCase writes a point as an experiment, if a directory is given.
-func (o *simulateSearchOptions) writeCase(e *experiment.Experiment, number int, candidate experiment.Candidate) error {
+func (o *simulateSearchOptions) writeCase(exp *experiment.Experiment, number int, candidate experiment.Candidate) error {
 	if o.dir == "" {
 		return nil
 	}
@@ -85,7 +85,7 @@
 		policies = append(policies, o.search.BaselinePolicy)
 	}
 	name := fmt.Sprintf("worst-%d", number)
-	text := e.FormatCandidate(name, e.ConfigForm(), candidate, policies)
+	text := exp.FormatCandidate(name, exp.ConfigForm(), candidate, policies)
 	return writeOutput(filepath.Join(o.dir, name+".sexp"), func(w io.Writer) error {
 		_, err := io.WriteString(w, text)
 		return err
--- a/cmd/cataloguectl/simulate_sweep.go
+++ b/cmd/cataloguectl/simulate_sweep.go
@@ -35,7 +35,7 @@
 }
 
 func (o *simulateSweepOptions) run(cmd *cobra.Command, path string) error {
-	e, err := experiment.Load(path)
+	exp, err := experiment.Load(path)
 	if err != nil {
 		return inputError{err}
 	}
@@ -43,13 +43,13 @@
 	if output == "" {
 		output = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)) + resultsExtension
 	}
-	plan, err := e.Plan()
+	plan, err := exp.Plan()
 	if err != nil {
 		return inputError{err}
 	}
 	ctx, stop := interruptible(cmd)
 	defer stop()
-	if err := experiment.Run(ctx, e, output, o.workers, newProgress("runs", len(plan))); err != nil {
+	if err := experiment.Run(ctx, exp, output, o.workers, newProgress("runs", len(plan))); err != nil {
 		return inputError{err}
 	}
 	results, err := experiment.ReadResults(output)
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -31,8 +31,8 @@
 }
 
 // forEachRecord reads all records of a store. Those that can't be decoded are visited with their error.
-func forEachRecord(s *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
-	return s.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
+func forEachRecord(db *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
+	return db.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
 		e, err := idempotency.DecodeEntry(string(name), value)
 		return visit(string(name), e, len(value), err)
 	})
@@ -45,18 +45,18 @@
 )
 
 // withStore adapts a function to a command whose argument is a state directory.
-func withStore(isReadOnly bool, run func(out printer, s *store.Store) error) func(*cobra.Command, []string) error {
+func withStore(isReadOnly bool, run func(out printer, db *store.Store) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) (err error) {
-		s, err := store.Open(store.Config{Dir: args[0], ReadOnly: isReadOnly})
+		db, err := store.Open(store.Config{Dir: args[0], ReadOnly: isReadOnly})
 		if err != nil {
 			return inputError{err}
 		}
 		defer func() {
-			if closeErr := s.Close(); err == nil && closeErr != nil {
+			if closeErr := db.Close(); err == nil && closeErr != nil {
 				err = inputError{closeErr}
 			}
 		}()
-		return run(newPrinter(cmd), s)
+		return run(newPrinter(cmd), db)
 	}
 }
 
@@ -85,11 +85,11 @@
 }
 
 // printStateInfo prints what is in a directory.
-func printStateInfo(out printer, s *store.Store) error {
-	id := s.Identity()
+func printStateInfo(out printer, db *store.Store) error {
+	id := db.Identity()
 	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteHash, Made: id.CreatedAt, States: map[string]int{}}
 	now := time.Now()
-	err := forEachRecord(s, func(_ string, e idempotency.Entry, size int, err error) error {
+	err := forEachRecord(db, func(_ string, e idempotency.Entry, size int, err error) error {
 		info.Bytes += size
 		switch {
 		case err != nil:
@@ -104,7 +104,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	info.Disk = s.Size()
+	info.Disk = db.Size()
 	out.linef("the folder of %s, format version %d, made %s", info.Server, info.Version, info.Made.Format(time.RFC3339))
 	out.linef("site: %s", info.Site)
 	out.linef("in their window: %d done, %d intents, %d whose answers were given up; %d ran out, %d can't be read; "+
@@ -130,9 +130,9 @@
 }
 
 // verifyState prints the records that can't be read.
-func verifyState(out printer, s *store.Store) error {
+func verifyState(out printer, db *store.Store) error {
 	result := stateVerification{Bad: []string{}}
-	err := forEachRecord(s, func(_ string, _ idempotency.Entry, _ int, err error) error {
+	err := forEachRecord(db, func(_ string, _ idempotency.Entry, _ int, err error) error {
 		if err != nil {
 			result.Bad = append(result.Bad, err.Error())
 		} else {
@@ -180,8 +180,8 @@
 }
 
 // dumpState prints all records.
-func dumpState(out printer, s *store.Store) error {
-	err := forEachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
+func dumpState(out printer, db *store.Store) error {
+	err := forEachRecord(db, func(name string, e idempotency.Entry, _ int, err error) error {
 		r := dumpedRecord{
 			Class:    e.Key.Class,
 			Key:      e.Key.Key,
--- a/cmd/cataloguectl/state_remove.go
+++ b/cmd/cataloguectl/state_remove.go
@@ -45,10 +45,10 @@
 }
 
 // run removes the records and compacts the store, so that nothing of them is left on the disk.
-func (r recordRemoval) run(out printer, s *store.Store) error {
+func (r recordRemoval) run(out printer, db *store.Store) error {
 	var names []string
 	now := time.Now()
-	err := forEachRecord(s, func(name string, e idempotency.Entry, _ int, err error) error {
+	err := forEachRecord(db, func(name string, e idempotency.Entry, _ int, err error) error {
 		if !r.matches(e, err, now) {
 			return nil
 		}
@@ -61,10 +61,10 @@
 	if err != nil {
 		return inputError{err}
 	}
-	if err := removeRecords(s, names); err != nil {
+	if err := removeRecords(db, names); err != nil {
 		return inputError{err}
 	}
-	if err := s.CompactAll(); err != nil {
+	if err := db.CompactAll(); err != nil {
 		return inputError{err}
 	}
 	out.linef("%d records %s", len(names), r.summary)
@@ -72,7 +72,7 @@
 }
 
 // removeRecords removes records and waits until that is durable.
-func removeRecords(s *store.Store, names []string) error {
+func removeRecords(db *store.Store, names []string) error {
 	if len(names) == 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 		changes = append(changes, store.Change{Name: name})
 	}
 	written := make(chan error, 1)
-	if err := s.Write(changes, func(err error) { written <- err }); err != nil {
+	if err := db.Write(changes, func(err error) { written <- err }); err != nil {
 		return err
 	}
 	return <-written
--- a/internal/scenario/conn.go
+++ b/internal/scenario/conn.go
@@ -67,11 +67,11 @@
 func (c *conn) Connected() { c.isConnected = true }
 
 // Data implements simnet.StreamHandler.
-func (c *conn) Data(p []byte) {
-	r := c.gateway.runner
-	answers, err := c.reader.Feed(p)
+func (c *conn) Data(data []byte) {
+	run := c.gateway.runner
+	answers, err := c.reader.Feed(data)
 	if err != nil {
-		r.recordViolation("%s sent what is no record: %v", c.node.name(), err)
+		run.recordViolation("%s sent what is no record: %v", c.node.name(), err)
 		c.stream.Reset()
 		c.Closed(err)
 		return
@@ -79,12 +79,12 @@
 	for _, answer := range answers {
 		a := c.inFlight[answer.ID]
 		if a == nil {
-			r.recordViolation("%s answered request %d, which is not open", c.node.name(), answer.ID)
+			run.recordViolation("%s answered request %d, which is not open", c.node.name(), answer.ID)
 			continue
 		}
 		delete(c.inFlight, answer.ID)
 		c.freeIDs = append(c.freeIDs, answer.ID)
-		arrivedAt := r.sim.Now()
+		arrivedAt := run.sim.Now()
 		if c.readsSlowly {
 			arrivedAt = startTime // before any deadline
 		}
@@ -95,20 +95,20 @@
 // Closed implements simnet.StreamHandler.
 func (c *conn) Closed(err error) {
 	c.isConnected = false
-	r := c.gateway.runner
+	run := c.gateway.runner
 	for id := uint16(1); id <= maxRequestsPerConn; id++ {
 		a := c.inFlight[id]
 		if a == nil {
 			continue
 		}
 		if err == io.EOF && c.isDroppedByServer(a) {
-			r.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), a.id, r.sim.Elapsed()-a.sentAt)
+			run.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), a.id, run.sim.Elapsed()-a.sentAt)
 		}
 		c.gateway.handleLoss(a)
 	}
 	clear(c.inFlight)
-	if !r.isFinished {
-		r.sim.After(redialDelay, c.dial)
+	if !run.isFinished {
+		run.sim.After(redialDelay, c.dial)
 	}
 }
 
--- a/internal/scenario/explore.go
+++ b/internal/scenario/explore.go
@@ -101,17 +101,17 @@
 }
 
 // add adds a report.
-func (e *Exploration) add(seed uint64, r *Report) {
+func (e *Exploration) add(seed uint64, report *Report) {
 	e.Seeds++
-	e.Requests += r.Requests
-	e.Attempts += r.Attempts
-	e.Runs += r.Runs
-	e.Served += r.Served
-	e.Rejected += r.Rejected
-	e.Failed += r.Failed
-	e.Lost += r.Lost
-	e.Simulation.Add(r.Simulation)
-	if r.HasViolations() {
-		e.Findings = append(e.Findings, Finding{seed, r})
+	e.Requests += report.Requests
+	e.Attempts += report.Attempts
+	e.Runs += report.Runs
+	e.Served += report.Served
+	e.Rejected += report.Rejected
+	e.Failed += report.Failed
+	e.Lost += report.Lost
+	e.Simulation.Add(report.Simulation)
+	if report.HasViolations() {
+		e.Findings = append(e.Findings, Finding{seed, report})
 	}
 }
--- a/internal/scenario/gateway.go
+++ b/internal/scenario/gateway.go
@@ -151,7 +151,7 @@
 		}
 	default:
 		g.runner.report.Failed++
-		if !req.hasKey() { // with a key it is not known whether it ran, and the caller is told so
+		if !req.hasKey() { // with a key it is not known whether it ran, and the answer says so
 			g.retry(req, g.runner.scenario.RetryDelay)
 		}
 	}
--- a/internal/scenario/generate.go
+++ b/internal/scenario/generate.go
@@ -24,27 +24,27 @@
 // that: a change makes every known seed another scenario.
 func Generate(seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, generatorStream))
-	s := Defaults()
-	s.Name = "drawn"
-	s.Duration = time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
-	s.Servers = 1 + rng.IntN(2)
-	s.Gateways = 1 + rng.IntN(3)
-	s.MaxAttempts = 1 + rng.IntN(4)
-	s.Rate = 50 + 500*rng.Float64()
-	s.IdempotentShare = rng.Float64()
-	s.RetryAfterShare = float64(rng.IntN(2))
-	s.MeanRunTime = time.Duration(1+rng.IntN(20)) * time.Millisecond
-	s.Network = generateNetwork(rng)
-	s.DuplicateShare = rng.Float64() * 0.5
-	s.HedgeShare = rng.Float64() * 0.2
-	s.AbortShare = rng.Float64() * 0.05
+	scenario := Defaults()
+	scenario.Name = "drawn"
+	scenario.Duration = time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
+	scenario.Servers = 1 + rng.IntN(2)
+	scenario.Gateways = 1 + rng.IntN(3)
+	scenario.MaxAttempts = 1 + rng.IntN(4)
+	scenario.Rate = 50 + 500*rng.Float64()
+	scenario.IdempotentShare = rng.Float64()
+	scenario.RetryAfterShare = float64(rng.IntN(2))
+	scenario.MeanRunTime = time.Duration(1+rng.IntN(20)) * time.Millisecond
+	scenario.Network = generateNetwork(rng)
+	scenario.DuplicateShare = rng.Float64() * 0.5
+	scenario.HedgeShare = rng.Float64() * 0.2
+	scenario.AbortShare = rng.Float64() * 0.05
 	if rng.IntN(3) == 0 {
-		s.MaxOpenFiles = minGeneratedFiles + rng.IntN(generatedFilesSpan)
+		scenario.MaxOpenFiles = minGeneratedFiles + rng.IntN(generatedFilesSpan)
 	}
 	for range 1 + rng.IntN(6) {
-		s.Incidents = append(s.Incidents, generateIncident(rng, &s))
+		scenario.Incidents = append(scenario.Incidents, generateIncident(rng, &scenario))
 	}
-	return &s
+	return &scenario
 }
 
 // generateNetwork draws the network's behavior.
@@ -59,12 +59,12 @@
 }
 
 // generateIncident draws an incident of a scenario.
-func generateIncident(rng *rand.Rand, s *Scenario) Incident {
+func generateIncident(rng *rand.Rand, scenario *Scenario) Incident {
 	return Incident{
 		Kind:     generatedKinds[rng.IntN(len(generatedKinds))],
-		At:       time.Duration(rng.Int64N(int64(s.Duration))),
+		At:       time.Duration(rng.Int64N(int64(scenario.Duration))),
 		Duration: time.Duration(rng.Int64N(int64(1500 * time.Millisecond))),
-		Server:   rng.IntN(s.Servers + 1),
+		Server:   rng.IntN(scenario.Servers + 1),
 		Factor:   0.5 + 4*rng.Float64(),
 	}
 }
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -39,24 +39,24 @@
 	if err != nil {
 		return nil, err
 	}
-	s := Defaults()
+	scenario := Defaults()
 	repeated := fieldParsers{"incident": func(form sexp.Node) error {
 		incident, err := parseIncident(form)
-		s.Incidents = append(s.Incidents, incident)
+		scenario.Incidents = append(scenario.Incidents, incident)
 		return err
 	}}
-	if err := sexp.ReadForms(forms, s.formParsers(), repeated); err != nil {
+	if err := sexp.ReadForms(forms, scenario.formParsers(), repeated); err != nil {
 		return nil, err
 	}
-	if s.Name == "" {
+	if scenario.Name == "" {
 		return nil, fmt.Errorf("%s: a scenario without (name ...)", file)
 	}
-	for _, incident := range s.Incidents {
-		if incident.Server > s.Servers {
-			return nil, fmt.Errorf("%s: an incident at server %d of %d", file, incident.Server, s.Servers)
+	for _, incident := range scenario.Incidents {
+		if incident.Server > scenario.Servers {
+			return nil, fmt.Errorf("%s: an incident at server %d of %d", file, incident.Server, scenario.Servers)
 		}
 	}
-	return &s, nil
+	return &scenario, nil
 }
 
 // formParsers returns the parsers of the forms that a file may hold once.
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -127,13 +127,13 @@
 
 // recoverySeconds returns how long after the end of the last incident the served share was back to recoveredShare of the share
 // before the first incident.
-func recoverySeconds(s *Scenario, seconds []SecondStats) float64 {
-	if len(s.Incidents) == 0 {
+func recoverySeconds(scenario *Scenario, seconds []SecondStats) float64 {
+	if len(scenario.Incidents) == 0 {
 		return 0
 	}
-	first := s.Duration
+	first := scenario.Duration
 	last := time.Duration(0)
-	for _, incident := range s.Incidents {
+	for _, incident := range scenario.Incidents {
 		first = min(first, incident.At)
 		last = max(last, incident.end())
 	}
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -59,8 +59,8 @@
 }
 
 // Run runs a scenario. The same seed gives the same report.
-func Run(s *Scenario, seed uint64) (*Report, error) {
-	r, err := newRunner(s, seed)
+func Run(scenario *Scenario, seed uint64) (*Report, error) {
+	r, err := newRunner(scenario, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +68,13 @@
 }
 
 // newRunner builds the cluster and its callers, and schedules the load and the incidents.
-func newRunner(s *Scenario, seed uint64) (*runner, error) {
+func newRunner(scenario *Scenario, seed uint64) (*runner, error) {
 	site, err := settings.Parse([]byte(fake.SiteSettings))
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
 	r := &runner{
-		scenario:   s,
+		scenario:   scenario,
 		site:       site,
 		sim:        simnet.New(seed, startTime),
 		rng:        rand.New(rand.NewPCG(seed, trafficStream)),
@@ -84,19 +84,19 @@
 		loadFactor: 1,
 		checker:    invariant.New(fake.IdempotencyWindow),
 		latency:    hdrhistogram.New(1, maxLatency.Microseconds(), 3),
-		report:     &Report{Scenario: s.Name, Seed: seed},
+		report:     &Report{Scenario: scenario.Name, Seed: seed},
 	}
-	r.sim.Network = s.Network
+	r.sim.Network = scenario.Network
 	r.sim.HandleDatagrams(loadReportAddr, r.handleLoadReport)
-	for n := range s.Servers {
+	for n := range scenario.Servers {
 		r.nodes = append(r.nodes, newNode(r, n+1))
 	}
-	for n := range s.Gateways {
+	for n := range scenario.Gateways {
 		rng := rand.New(rand.NewPCG(seed, trafficStream+1+uint64(n)))
-		honorsRetryAfter := float64(n) < s.RetryAfterShare*float64(s.Gateways)
+		honorsRetryAfter := float64(n) < scenario.RetryAfterShare*float64(scenario.Gateways)
 		r.gateways = append(r.gateways, newGateway(r, n+1, honorsRetryAfter, rng))
 	}
-	for _, incident := range s.Incidents {
+	for _, incident := range scenario.Incidents {
 		r.scheduleIncident(incident)
 	}
 	r.sim.After(startupTime, r.generateRequest)
@@ -139,7 +139,7 @@
 	r.report.addViolation(r.sim.Elapsed(), fmt.Sprintf(format, args...))
 }
 
-// recordRun notes that an interpreter was told to run an attempt.
+// recordRun notes that an interpreter was commanded to run an attempt.
 func (r *runner) recordRun(id string) {
 	r.report.Runs++
 	if !r.probeIDs[id] {
--- a/internal/scenario/shrink.go
+++ b/internal/scenario/shrink.go
@@ -13,8 +13,8 @@
 
 // Shrink reduces a scenario for as long as it still violates a rule with the seed: it takes away incidents, servers, gateways,
 // attempts, network faults, load and time. The result is a local minimum.
-func Shrink(s *Scenario, seed uint64) (*Scenario, error) {
-	smallest := s.clone()
+func Shrink(scenario *Scenario, seed uint64) (*Scenario, error) {
+	smallest := scenario.clone()
 	for {
 		smaller, err := findViolation(smallerVariants(smallest), seed)
 		if err != nil {
@@ -49,36 +49,36 @@
 }
 
 // smallerVariants returns the scenarios that are one step smaller than s.
-func smallerVariants(s *Scenario) []*Scenario {
+func smallerVariants(scenario *Scenario) []*Scenario {
 	var list []*Scenario
 	add := func(change func(c *Scenario)) {
-		c := s.clone()
+		c := scenario.clone()
 		change(c)
 		list = append(list, c)
 	}
-	for n := range s.Incidents {
+	for n := range scenario.Incidents {
 		add(func(c *Scenario) { c.Incidents = slices.Delete(c.Incidents, n, n+1) })
 	}
-	if s.Servers > 1 {
+	if scenario.Servers > 1 {
 		add((*Scenario).useOneServer)
 	}
-	if s.Gateways > 1 {
+	if scenario.Gateways > 1 {
 		add(func(c *Scenario) { c.Gateways = 1 })
 	}
-	if s.MaxAttempts > 1 {
+	if scenario.MaxAttempts > 1 {
 		add(func(c *Scenario) { c.MaxAttempts-- })
 	}
-	if s.Network.PartialIO+s.Network.DatagramLoss+s.Network.DatagramDuplication > 0 {
+	if scenario.Network.PartialIO+scenario.Network.DatagramLoss+scenario.Network.DatagramDuplication > 0 {
 		add(func(c *Scenario) {
 			c.Network.PartialIO = 0
 			c.Network.DatagramLoss = 0
 			c.Network.DatagramDuplication = 0
 		})
 	}
-	if s.Rate > minShrunkRate {
+	if scenario.Rate > minShrunkRate {
 		add(func(c *Scenario) { c.Rate /= 2 })
 	}
-	if s.Duration > minShrunkDuration {
+	if scenario.Duration > minShrunkDuration {
 		add(func(c *Scenario) { c.Duration -= time.Second })
 	}
 	return list
--- a/internal/simnet/socket.go
+++ b/internal/simnet/socket.go
@@ -54,7 +54,7 @@
 	unreadByPeer int // bytes sent that the peer has not read
 
 	// Of a handler's socket.
-	isNotified  bool // the handler was told that it is connected
+	isNotified  bool // the handler's Connected was called
 	readsPaused bool
 	readSize    int // bytes that the handler reads at a time; 0 is all
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// deliverNext delivers the first segment in flight to the peer, or tries again later across a partition.
+// deliverNext delivers the first segment in flight to the peer, or sends it again later across a partition.
 func (sk *socket) deliverNext() {
 	sim := sk.sim
 	if !sim.isReachable(sk.local.Addr(), sk.remote.Addr()) {
