--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// testdata are captures of real storms.
+// testdata holds captures of real load tests.
 const testdata = "../../internal/replay/testdata/"
 
-// call runs the command line as the program does.
+// call runs a command line as the program does.
 func call(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	var out, err bytes.Buffer
 	return execute(args, &out, &err), out.String(), err.String()
 }
 
-// damaged is a copy of a capture with a bit flipped in its middle, and one cut off.
+// damaged writes a copy of a capture with a bit flipped in its middle, and one that is truncated.
 func damaged(t *testing.T) (flipped, cut string) {
 	t.Helper()
 	b, err := os.ReadFile(testdata + "storm.capture")
@@ -39,7 +39,7 @@
 	return flipped, cut
 }
 
-// TestStatuses has each command end with the status that its help tells.
+// TestStatuses checks the exit status of each command, and the output that goes with it. Old verbs stand beside new ones.
 func TestStatuses(t *testing.T) {
 	flipped, cut := damaged(t)
 	storm, out := testdata+"storm.capture", filepath.Join(t.TempDir(), "x.capture")
@@ -135,7 +135,7 @@
 	}
 }
 
-// TestJSON has every command print JSON and nothing else where that is wanted.
+// TestJSON checks that commands print JSON and nothing else with --json.
 func TestJSON(t *testing.T) {
 	storm := testdata + "storm.capture"
 	for _, args := range []string{"capture info", "capture verify", "capture cat --kind refuse", "capture stats", "replay",
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/store"
 )
 
-// TestState has the commands on folders say what is there, find what is damaged and remove only what they say.
+// TestState checks that the commands on state directories print what is there, find what is damaged and remove only what they say.
 func TestState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	s, err := store.Open(store.Config{Dir: dir, Server: "n3", SiteHash: "stock-reserve 18s"})
--- a/internal/report/page_test.go
+++ b/internal/report/page_test.go
@@ -6,12 +6,19 @@
 	"testing"
 )
 
-// TestPage has a page carry its tables and pictures inside it, and no text be taken for markup.
+// TestPage checks that a page contains its tables and pictures, and that no text is taken for markup.
 func TestPage(t *testing.T) {
+	series := Series{Name: "l", Points: []Point{{0, 1}, {3, 2}}, Low: []float64{0.5, 1}, High: []float64{1.5, 3}}
+	p := Page{
+		Title: "a <b>",
+		Sections: []Section{{
+			Title:  "s",
+			Header: []string{"x"},
+			Rows:   [][]string{{"1 < 2"}},
+			Charts: []Chart{{Title: "c", Shaded: []Span{{1, 2}}, Series: []Series{series}}},
+		}},
+	}
 	var b bytes.Buffer
-	p := Page{Title: "a <b>", Sections: []Section{{Title: "s", Header: []string{"x"}, Rows: [][]string{{"1 < 2"}},
-		Charts: []Chart{{Title: "c", Shaded: []Span{{1, 2}}, Series: []Series{{Name: "l", Points: []Point{{0, 1}, {3, 2}},
-			Low: []float64{0.5, 1}, High: []float64{1.5, 3}}}}}}}}
 	if err := p.HTML(&b); err != nil {
 		t.Fatal(err)
 	}
