--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -96,15 +96,15 @@
 	}
 	configured := map[string]bool{}
 	hasPrimary := false
-	for _, m := range c.Members {
-		if configured[m.Addr] {
-			return c.errorf(m.Addr, "pool %s has the member %s twice", c.Name, m.Addr)
+	for _, member := range c.Members {
+		if configured[member.Addr] {
+			return c.errorf(member.Addr, "pool %s has the member %s twice", c.Name, member.Addr)
 		}
-		if err := c.validateMember(m); err != nil {
+		if err := c.validateMember(member); err != nil {
 			return err
 		}
-		configured[m.Addr] = true
-		hasPrimary = hasPrimary || !m.Backup
+		configured[member.Addr] = true
+		hasPrimary = hasPrimary || !member.Backup
 	}
 	switch {
 	case !hasPrimary:
@@ -118,16 +118,17 @@
 }
 
 // validateMember checks the settings of one member by themselves.
-func (c *Config) validateMember(m Member) error {
+func (c *Config) validateMember(member Member) error {
 	switch {
-	case m.Addr == "":
+	case member.Addr == "":
 		return c.errorf("", "pool %s has a member without an address", c.Name)
-	case m.Weight < 1 || m.Weight > maxWeight:
-		return c.errorf(m.Addr, "pool %s: member %s has the weight %d, want 1 to %d", c.Name, m.Addr, m.Weight, maxWeight)
-	case m.MaxConns < 0 || m.MaxFails < 0 || m.FailTimeout < 0 || m.SlowStart < 0:
-		return c.errorf(m.Addr, "pool %s: member %s has a figure below 0", c.Name, m.Addr)
-	case m.Backup && c.BalancingPolicy.rejectsBackups():
-		return c.errorf(m.Addr, "pool %s: member %s is a backup, which the method %v does not know", c.Name, m.Addr,
+	case member.Weight < 1 || member.Weight > maxWeight:
+		return c.errorf(member.Addr, "pool %s: member %s has the weight %d, want 1 to %d", c.Name, member.Addr,
+			member.Weight, maxWeight)
+	case member.MaxConns < 0 || member.MaxFails < 0 || member.FailTimeout < 0 || member.SlowStart < 0:
+		return c.errorf(member.Addr, "pool %s: member %s has a figure below 0", c.Name, member.Addr)
+	case member.Backup && c.BalancingPolicy.rejectsBackups():
+		return c.errorf(member.Addr, "pool %s: member %s is a backup, which the method %v does not know", c.Name, member.Addr,
 			c.BalancingPolicy)
 	}
 	return nil
--- a/internal/pool/failures.go
+++ b/internal/pool/failures.go
@@ -14,37 +14,37 @@
 }
 
 // hasTooManyFails reports whether the member failed as often as it may.
-func (m *member) hasTooManyFails() bool { return m.MaxFails > 0 && m.fails >= m.MaxFails }
+func (m *poolMember) hasTooManyFails() bool { return m.MaxFails > 0 && m.fails >= m.MaxFails }
 
 // countFailure counts a failed attempt as nginx does, and takes the member out once it has too many.
-func (p *Pool) countFailure(m *member, now time.Duration) {
+func (p *Pool) countFailure(member *poolMember, now time.Duration) {
 	p.stopRotation()
-	wasOut := m.hasTooManyFails()
-	m.fails++
-	m.failures++
-	m.lastFailure = now
-	m.lastChecked = now
-	m.hasFailed = true
-	if m.MaxFails > 0 {
-		m.effectiveWeight = max(m.effectiveWeight-m.Weight/m.MaxFails, 0)
+	wasOut := member.hasTooManyFails()
+	member.fails++
+	member.failures++
+	member.lastFailure = now
+	member.lastChecked = now
+	member.hasFailed = true
+	if member.MaxFails > 0 {
+		member.effectiveWeight = max(member.effectiveWeight-member.Weight/member.MaxFails, 0)
 	}
-	if m.hasTooManyFails() && !wasOut {
+	if member.hasTooManyFails() && !wasOut {
 		p.failing++
-		p.beginSlowStart(m, now+m.FailTimeout)
-		p.recordChange(now, m.Addr, memberOut, "its failures")
+		p.beginSlowStart(member, now+member.FailTimeout)
+		p.recordChange(now, member.Addr, memberOut, "its failures")
 	}
 }
 
 // clearFailures forgets failures after a successful attempt as nginx does: only those before the last time out, or all
 // if the attempt was a probe.
-func (p *Pool) clearFailures(m *member, now time.Duration, wasProbe bool) {
-	if !m.hasFailed || m.lastFailure >= m.lastChecked && !wasProbe {
+func (p *Pool) clearFailures(member *poolMember, now time.Duration, wasProbe bool) {
+	if !member.hasFailed || member.lastFailure >= member.lastChecked && !wasProbe {
 		return
 	}
-	if m.hasTooManyFails() {
+	if member.hasTooManyFails() {
 		p.failing--
-		p.recordChange(now, m.Addr, memberIn, "a try went well")
-		p.beginSlowStart(m, now)
+		p.recordChange(now, member.Addr, memberIn, "a try went well")
+		p.beginSlowStart(member, now)
 	}
-	m.fails = 0
+	member.fails = 0
 }
--- a/internal/pool/hash.go
+++ b/internal/pool/hash.go
@@ -18,14 +18,14 @@
 // ringPoint is one of a member's points on the ring of the consistent hash.
 type ringPoint struct {
 	hash   uint32
-	member *member
+	member *poolMember
 }
 
 // totalWeight returns the sum of the primary members' weights.
 func (h *hashTables) totalWeight() int { return h.weightSums[len(h.weightSums)-1] }
 
 // memberAtWeight returns the primary member in whose part of the sum of all weights a number falls.
-func (p *Pool) memberAtWeight(n int) *member {
+func (p *Pool) memberAtWeight(n int) *poolMember {
 	return p.members[sort.SearchInts(p.hashing.weightSums, n+1)]
 }
 
@@ -34,8 +34,8 @@
 	p.rotation.isPossible = p.canRotate()
 	p.hashing.weightSums = p.hashing.weightSums[:0]
 	total := 0
-	for _, m := range p.primaryMembers() {
-		total += m.Weight
+	for _, member := range p.primaryMembers() {
+		total += member.Weight
 		p.hashing.weightSums = append(p.hashing.weightSums, total)
 	}
 	p.hashing.ring = nil
@@ -54,7 +54,7 @@
 )
 
 // chooseByIPHash is nginx's ip_hash. It rehashes if the member is unusable.
-func (p *Pool) chooseByIPHash(request *Request, usable func(*member) bool) *member {
+func (p *Pool) chooseByIPHash(request *Request, usable func(*poolMember) bool) *poolMember {
 	key := request.HashKey
 	if len(key) == net.IPv4len {
 		key = key[:ipHashBytesIPv4]
@@ -64,8 +64,8 @@
 		for _, b := range key {
 			hash = (hash*ipHashMultiplier + uint32(b)) % ipHashModulus
 		}
-		if m := p.memberAtWeight(int(hash) % p.hashing.totalWeight()); usable(m) {
-			return m
+		if member := p.memberAtWeight(int(hash) % p.hashing.totalWeight()); usable(member) {
+			return member
 		}
 	}
 	return p.chooseRoundRobin(p.primaryMembers(), usable)
@@ -73,7 +73,7 @@
 
 // chooseByHash is nginx's hash without consistent. It rehashes if the member is unusable, with the count of rehashes
 // before the key; a retry goes on where the attempt before stopped.
-func (p *Pool) chooseByHash(request *Request, usable func(*member) bool) *member {
+func (p *Pool) chooseByHash(request *Request, usable func(*poolMember) bool) *poolMember {
 	for range maxDraws {
 		key := request.HashKey
 		if request.rehashes > 0 {
@@ -81,8 +81,8 @@
 		}
 		request.hash += (crc32.ChecksumIEEE(key) >> 16) & 0x7fff
 		request.rehashes++
-		if m := p.memberAtWeight(int(request.hash) % p.hashing.totalWeight()); usable(m) {
-			return m
+		if member := p.memberAtWeight(int(request.hash) % p.hashing.totalWeight()); usable(member) {
+			return member
 		}
 	}
 	return p.chooseRoundRobin(p.primaryMembers(), usable)
@@ -95,12 +95,12 @@
 const maxRingPoints = 4 << 20
 
 // newRing returns the points of all members in order, each hash once: of equal ones the first member's stays.
-func newRing(members []*member, totalWeight int) []ringPoint {
+func newRing(members []*poolMember, totalWeight int) []ringPoint {
 	var ring []ringPoint
 	scale := min(1, float64(maxRingPoints)/(float64(totalWeight)*pointsPerWeight))
-	for _, m := range members {
-		points := max(int(float64(m.Weight)*pointsPerWeight*scale), 1)
-		ring = m.appendRingPoints(ring, points)
+	for _, member := range members {
+		points := max(int(float64(member.Weight)*pointsPerWeight*scale), 1)
+		ring = member.appendRingPoints(ring, points)
 	}
 	slices.SortStableFunc(ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 	return slices.CompactFunc(ring, func(a, b ringPoint) bool { return a.hash == b.hash })
@@ -108,7 +108,7 @@
 
 // appendRingPoints adds points of a member as nginx and Cache::Memcached::Fast compute them: the CRC-32 of the host, a
 // zero byte, the port and the hash of the point before.
-func (m *member) appendRingPoints(ring []ringPoint, points int) []ringPoint {
+func (m *poolMember) appendRingPoints(ring []ringPoint, points int) []ringPoint {
 	host, port, err := net.SplitHostPort(m.Addr)
 	if err != nil {
 		host, port = m.Addr, ""
@@ -125,23 +125,23 @@
 }
 
 // chooseOnRing is nginx's hash consistent: the member of the first point at or behind the key's hash that is usable.
-func (p *Pool) chooseOnRing(request *Request, usable func(*member) bool) *member {
+func (p *Pool) chooseOnRing(request *Request, usable func(*poolMember) bool) *poolMember {
 	ring := p.hashing.ring
 	hash := crc32.ChecksumIEEE(request.HashKey)
 	start := sort.Search(len(ring), func(i int) bool { return ring[i].hash >= hash })
-	var unusable map[*member]bool // made only if the first member is one
+	var unusable map[*poolMember]bool // made only if the first member is one
 	for i := range ring {
-		m := ring[(start+i)%len(ring)].member
-		if unusable[m] {
+		member := ring[(start+i)%len(ring)].member
+		if unusable[member] {
 			continue
 		}
-		if usable(m) {
-			return m
+		if usable(member) {
+			return member
 		}
 		if unusable == nil {
-			unusable = map[*member]bool{}
+			unusable = map[*poolMember]bool{}
 		}
-		unusable[m] = true
+		unusable[member] = true
 		if len(unusable) == p.primaries {
 			break
 		}
--- a/internal/pool/leastconn.go
+++ b/internal/pool/leastconn.go
@@ -6,27 +6,27 @@
 )
 
 // compareLoad compares the attempts in flight at two members in proportion to their weights.
-func compareLoad(a, b *member) int { return cmp.Compare(a.inFlight*b.Weight, b.inFlight*a.Weight) }
+func compareLoad(a, b *poolMember) int { return cmp.Compare(a.inFlight*b.Weight, b.inFlight*a.Weight) }
 
 // chooseLeastConn returns the member with the fewest attempts in flight for its weight, and goes by smooth round robin
 // among equals.
-func (p *Pool) chooseLeastConn(candidates []*member, now time.Duration, usable func(*member) bool) *member {
+func (p *Pool) chooseLeastConn(candidates []*poolMember, now time.Duration, usable func(*poolMember) bool) *poolMember {
 	if p.ranks != nil && candidates[0] == p.members[0] {
 		return p.chooseRanked(now, usable)
 	}
-	var best *member
+	var best *poolMember
 	hasEqual := false
-	for _, m := range candidates {
-		if !usable(m) {
+	for _, member := range candidates {
+		if !usable(member) {
 			continue
 		}
 		if best == nil {
-			best = m
+			best = member
 			continue
 		}
-		switch order := compareLoad(m, best); {
+		switch order := compareLoad(member, best); {
 		case order < 0:
-			best = m
+			best = member
 			hasEqual = false
 		case order == 0:
 			hasEqual = true
@@ -36,13 +36,13 @@
 		return best
 	}
 	least := best
-	return p.chooseRoundRobin(candidates, func(m *member) bool {
-		return usable(m) && compareLoad(m, least) == 0
+	return p.chooseRoundRobin(candidates, func(member *poolMember) bool {
+		return usable(member) && compareLoad(member, least) == 0
 	})
 }
 
 // chooseRandomTwo returns the less loaded of two members that are drawn by weight.
-func (p *Pool) chooseRandomTwo(candidates []*member, usable func(*member) bool) *member {
+func (p *Pool) chooseRandomTwo(candidates []*poolMember, usable func(*poolMember) bool) *poolMember {
 	first := p.drawByWeight(usable, nil)
 	if first == nil {
 		return p.chooseRoundRobin(candidates, usable)
@@ -62,11 +62,11 @@
 const maxDraws = 20
 
 // drawByWeight draws a usable primary member other than the excluded one.
-func (p *Pool) drawByWeight(usable func(*member) bool, excluded *member) *member {
+func (p *Pool) drawByWeight(usable func(*poolMember) bool, excluded *poolMember) *poolMember {
 	for range maxDraws {
-		m := p.memberAtWeight(p.rng.IntN(p.hashing.totalWeight()))
-		if m != excluded && usable(m) {
-			return m
+		member := p.memberAtWeight(p.rng.IntN(p.hashing.totalWeight()))
+		if member != excluded && usable(member) {
+			return member
 		}
 	}
 	return nil
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// member is a configured Member with its runtime state, split by the file that maintains it.
-type member struct {
+// poolMember is a configured Member with its runtime state, split by the file that maintains it.
+type poolMember struct {
 	Member
 	index     int  // its position in Config.Members
 	inFlight  int  // attempts
@@ -23,7 +23,7 @@
 }
 
 // isAtMaxConns reports whether the member has as many attempts in flight as it may have.
-func (m *member) isAtMaxConns() bool { return m.MaxConns > 0 && m.inFlight >= m.MaxConns }
+func (m *poolMember) isAtMaxConns() bool { return m.MaxConns > 0 && m.inFlight >= m.MaxConns }
 
 // memberState is what a StateChange tells of a member.
 type memberState uint8
@@ -87,15 +87,15 @@
 // backups.
 func (p *Pool) MemberStatuses() []MemberStatus {
 	statuses := make([]MemberStatus, 0, len(p.members))
-	for _, m := range p.members {
-		isTimedOut := m.hasTooManyFails() && !p.hasSingleMember()
+	for _, member := range p.members {
+		isTimedOut := member.hasTooManyFails() && !p.hasSingleMember()
 		statuses = append(statuses, MemberStatus{
-			Addr:        m.Addr,
-			InFlight:    m.inFlight,
-			Unavailable: m.isEjected || isTimedOut || m.Down,
-			Attempts:    m.attempts,
-			Failures:    m.failures,
-			Ejections:   m.ejections,
+			Addr:        member.Addr,
+			InFlight:    member.inFlight,
+			Unavailable: member.isEjected || isTimedOut || member.Down,
+			Attempts:    member.attempts,
+			Failures:    member.failures,
+			Ejections:   member.ejections,
 		})
 	}
 	return statuses
@@ -103,16 +103,16 @@
 
 // InFlight returns how many attempts a member has in flight, also one that has left the configuration.
 func (p *Pool) InFlight(addr string) int {
-	if m := p.findMember(addr); m != nil {
-		return m.inFlight
+	if member := p.findMember(addr); member != nil {
+		return member.inFlight
 	}
 	return 0
 }
 
 // findMember returns the member with the address, also one that has left the configuration, or nil.
-func (p *Pool) findMember(addr string) *member {
-	if m := p.byAddr[addr]; m != nil {
-		return m
+func (p *Pool) findMember(addr string) *poolMember {
+	if member := p.byAddr[addr]; member != nil {
+		return member
 	}
 	return p.draining[addr]
 }
--- a/internal/pool/outlier.go
+++ b/internal/pool/outlier.go
@@ -71,25 +71,25 @@
 // detectOutlier adds an attempt to a member's window, and ejects the member if that makes it an outlier or ends its
 // ejection if the attempt was a successful probe. It returns false where the member is found to be an outlier, also where
 // no further member may be ejected.
-func (p *Pool) detectOutlier(m *member, failed bool, took, now time.Duration) bool {
-	m.recent.add(failed, took)
-	if m.isEjected && now >= m.ejectedUntil {
-		return p.finishEjection(m, failed, now)
+func (p *Pool) detectOutlier(member *poolMember, failed bool, took, now time.Duration) bool {
+	member.recent.add(failed, took)
+	if member.isEjected && now >= member.ejectedUntil {
+		return p.finishEjection(member, failed, now)
 	}
-	if m.isEjected || m.recent.total < p.cfg.EjectionMinAttempts || p.hasSingleMember() {
+	if member.isEjected || member.recent.total < p.cfg.EjectionMinAttempts || p.hasSingleMember() {
 		return true
 	}
-	if rate := m.recent.errorRate(); p.isErrorOutlier(m, rate) {
-		p.eject(m, now, fmt.Sprintf("%.0f %% of its tries failed", 100*rate))
+	if rate := member.recent.errorRate(); p.isErrorOutlier(member, rate) {
+		p.eject(member, now, fmt.Sprintf("%.0f %% of its tries failed", 100*rate))
 		return false
 	}
-	if m.recent.total%medianInterval != 0 || p.cfg.EjectionLatencyFactor == 0 {
+	if member.recent.total%medianInterval != 0 || p.cfg.EjectionLatencyFactor == 0 {
 		return true
 	}
-	own := m.recent.medianLatency()
-	others := time.Duration(p.medianOfOthers(m, func(w *attemptWindow) float64 { return float64(w.medianLatency()) }))
+	own := member.recent.medianLatency()
+	others := time.Duration(p.medianOfOthers(member, func(w *attemptWindow) float64 { return float64(w.medianLatency()) }))
 	if others > 0 && float64(own) > p.cfg.EjectionLatencyFactor*float64(others) {
-		p.eject(m, now, fmt.Sprintf("it takes %v where others take %v", own, others))
+		p.eject(member, now, fmt.Sprintf("it takes %v where others take %v", own, others))
 		return false
 	}
 	return true
@@ -97,35 +97,35 @@
 
 // finishEjection takes a member whose ejection time is over back after a successful attempt, or ejects it again after a
 // failed one.
-func (p *Pool) finishEjection(m *member, failed bool, now time.Duration) bool {
+func (p *Pool) finishEjection(member *poolMember, failed bool, now time.Duration) bool {
 	if failed {
-		p.eject(m, now, "its probing try failed")
+		p.eject(member, now, "its probing try failed")
 		return false
 	}
-	m.isEjected = false
-	m.recent = attemptWindow{}
+	member.isEjected = false
+	member.recent = attemptWindow{}
 	p.ejected--
 	p.stopRotation()
-	p.beginSlowStart(m, now)
-	p.recordChange(now, m.Addr, memberIn, "its probing try went well")
+	p.beginSlowStart(member, now)
+	p.recordChange(now, member.Addr, memberIn, "its probing try went well")
 	return true
 }
 
 // isErrorOutlier reports whether a member's error rate is too high, and far over that of the others.
-func (p *Pool) isErrorOutlier(m *member, rate float64) bool {
+func (p *Pool) isErrorOutlier(member *poolMember, rate float64) bool {
 	return p.cfg.EjectionErrorRate > 0 && rate >= p.cfg.EjectionErrorRate &&
-		rate > minErrorRateFactor*p.medianOfOthers(m, (*attemptWindow).errorRate)
+		rate > minErrorRateFactor*p.medianOfOthers(member, (*attemptWindow).errorRate)
 }
 
 // medianOfOthers returns the median of a figure over the members that are not ejected and have had attempts, or 0 if
 // there are none. Of a large pool it takes every n-th member.
-func (p *Pool) medianOfOthers(excluded *member, figure func(*attemptWindow) float64) float64 {
+func (p *Pool) medianOfOthers(excluded *poolMember, figure func(*attemptWindow) float64) float64 {
 	var figures []float64
 	step := max(len(p.members)/maxCompared, 1)
 	for i := 0; i < len(p.members); i += step {
-		m := p.members[i]
-		if m != excluded && !m.isEjected && m.recent.total > 0 {
-			figures = append(figures, figure(&m.recent))
+		member := p.members[i]
+		if member != excluded && !member.isEjected && member.recent.total > 0 {
+			figures = append(figures, figure(&member.recent))
 		}
 	}
 	if len(figures) == 0 {
@@ -137,21 +137,21 @@
 
 // eject takes a member out for a while, unless it is in and no further one may be taken out. A member that is ejected
 // already, whose probe failed, stays out for longer.
-func (p *Pool) eject(m *member, now time.Duration, cause string) {
-	if !m.isEjected {
+func (p *Pool) eject(member *poolMember, now time.Duration, cause string) {
+	if !member.isEjected {
 		if float64(p.ejected+1) > p.cfg.MaxEjectedRatio*float64(len(p.members)) {
 			return
 		}
 		p.ejected++
 	}
 	p.stopRotation()
-	m.isEjected = true
-	m.recent = attemptWindow{}
-	m.ejectedUntil = now + p.cfg.BaseEjectionTime<<min(m.consecutiveEjections, maxEjectionDoublings)
-	p.beginSlowStart(m, m.ejectedUntil)
-	m.consecutiveEjections++
-	m.ejections++
-	p.recordChange(now, m.Addr, memberEjected, cause)
+	member.isEjected = true
+	member.recent = attemptWindow{}
+	member.ejectedUntil = now + p.cfg.BaseEjectionTime<<min(member.consecutiveEjections, maxEjectionDoublings)
+	p.beginSlowStart(member, member.ejectedUntil)
+	member.consecutiveEjections++
+	member.ejections++
+	p.recordChange(now, member.Addr, memberEjected, cause)
 }
 
 // isPanicking reports whether so few members are available that ejections are ignored: the load that all members share
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -9,64 +9,64 @@
 	FirstAttempt time.Duration // when Pick first found a member
 	Attempts     int
 
-	attempted map[*member]bool // nil before the first attempt
-	hash      uint32           // of policy Hash, which adds up the hashes of all rehashes
+	attempted map[*poolMember]bool // nil before the first attempt
+	hash      uint32               // of policy Hash, which adds up the hashes of all rehashes
 	rehashes  int
 }
 
 // Pick chooses the member for the request's next attempt and counts the attempt as in flight there, until Finish. It
 // returns false if no member is available.
 func (p *Pool) Pick(request *Request, now time.Duration) (addr string, ok bool) {
-	m := p.selectMember(request, now)
-	if m == nil {
+	member := p.selectMember(request, now)
+	if member == nil {
 		return "", false
 	}
 	if request.attempted == nil {
-		request.attempted = map[*member]bool{}
+		request.attempted = map[*poolMember]bool{}
 		request.FirstAttempt = now
 		p.budget.countFirstAttempt(now)
 	}
 	p.picks++
-	if m.slowStarting {
-		m.turnCredit--
+	if member.slowStarting {
+		member.turnCredit--
 	}
-	request.attempted[m] = true
+	request.attempted[member] = true
 	request.Attempts++
-	m.inFlight++
-	m.attempts++
-	if now-m.lastChecked > m.FailTimeout {
-		m.lastChecked = now
+	member.inFlight++
+	member.attempts++
+	if now-member.lastChecked > member.FailTimeout {
+		member.lastChecked = now
 	}
-	if isOut := m.hasTooManyFails() || m.isEjected; isOut && !p.hasSingleMember() {
-		m.probing = true
-		p.recordChange(now, m.Addr, memberProbing, "its time out is over")
+	if isOut := member.hasTooManyFails() || member.isEjected; isOut && !p.hasSingleMember() {
+		member.probing = true
+		p.recordChange(now, member.Addr, memberProbing, "its time out is over")
 	}
-	p.updateRank(m)
-	return m.Addr, true
+	p.updateRank(member)
+	return member.Addr, true
 }
 
 // selectMember chooses a member by the policy: a primary one whose slow start does not hold it back, else one that it
 // does, else a backup.
-func (p *Pool) selectMember(request *Request, now time.Duration) *member {
+func (p *Pool) selectMember(request *Request, now time.Duration) *poolMember {
 	if p.rotation.isActive {
 		return p.nextInRotation(request)
 	}
 	panicking := p.isPanicking()
-	usable := func(m *member) bool { return p.isUsable(m, request, now, panicking) }
+	usable := func(member *poolMember) bool { return p.isUsable(member, request, now, panicking) }
 	anyHeldBack := false
-	m := p.choose(p.primaryMembers(), request, now, func(m *member) bool {
-		if !usable(m) {
+	member := p.choose(p.primaryMembers(), request, now, func(member *poolMember) bool {
+		if !usable(member) {
 			return false
 		}
-		heldBack := p.isHeldBack(m, now)
+		heldBack := p.isHeldBack(member, now)
 		anyHeldBack = anyHeldBack || heldBack
 		return !heldBack
 	})
-	if m == nil && anyHeldBack {
-		m = p.choose(p.primaryMembers(), request, now, usable)
+	if member == nil && anyHeldBack {
+		member = p.choose(p.primaryMembers(), request, now, usable)
 	}
-	if m != nil {
-		return m
+	if member != nil {
+		return member
 	}
 	if p.primaries < len(p.members) {
 		return p.choose(p.members[p.primaries:], request, now, usable)
@@ -75,22 +75,23 @@
 }
 
 // isUsable reports whether a request may go to a member now.
-func (p *Pool) isUsable(m *member, request *Request, now time.Duration, panicking bool) bool {
+func (p *Pool) isUsable(member *poolMember, request *Request, now time.Duration, panicking bool) bool {
 	switch {
-	case m.Down, request.attempted[m], m.isAtMaxConns():
+	case member.Down, request.attempted[member], member.isAtMaxConns():
 		return false
 	case p.hasSingleMember():
 		return true
-	case m.hasTooManyFails() && (now-m.lastChecked <= m.FailTimeout || m.probing):
+	case member.hasTooManyFails() && (now-member.lastChecked <= member.FailTimeout || member.probing):
 		return false
-	case m.isEjected && !panicking && (now < m.ejectedUntil || m.probing):
+	case member.isEjected && !panicking && (now < member.ejectedUntil || member.probing):
 		return false
 	}
 	return true
 }
 
 // choose applies the balancing policy to a list of candidates, which are the primary members or the backups.
-func (p *Pool) choose(candidates []*member, request *Request, now time.Duration, usable func(*member) bool) *member {
+func (p *Pool) choose(candidates []*poolMember, request *Request, now time.Duration,
+	usable func(*poolMember) bool) *poolMember {
 	switch p.cfg.BalancingPolicy {
 	case LeastConn:
 		return p.chooseLeastConn(candidates, now, usable)
@@ -118,15 +119,15 @@
 
 // Finish ends an attempt at a member; took is how long it lasted.
 func (p *Pool) Finish(addr string, outcome Outcome, took, now time.Duration) {
-	m := p.findMember(addr)
-	if m == nil {
+	member := p.findMember(addr)
+	if member == nil {
 		return
 	}
-	m.inFlight--
-	wasProbe := m.probing
-	m.probing = false
-	if m.isRemoved {
-		if m.inFlight == 0 {
+	member.inFlight--
+	wasProbe := member.probing
+	member.probing = false
+	if member.isRemoved {
+		if member.inFlight == 0 {
 			delete(p.draining, addr)
 			p.recordChange(now, addr, memberReleased, "its last try has ended")
 		}
@@ -134,15 +135,15 @@
 	}
 	switch outcome {
 	case Failed:
-		p.countFailure(m, now)
+		p.countFailure(member, now)
 	case Succeeded:
-		p.clearFailures(m, now, wasProbe)
+		p.clearFailures(member, now, wasProbe)
 	default:
-		p.updateRank(m)
+		p.updateRank(member)
 		return
 	}
-	if p.detectOutlier(m, outcome == Failed, took, now) && wasProbe {
-		m.consecutiveEjections = 0
+	if p.detectOutlier(member, outcome == Failed, took, now) && wasProbe {
+		member.consecutiveEjections = 0
 	}
-	p.updateRank(m)
+	p.updateRank(member)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -9,13 +9,13 @@
 type Pool struct {
 	cfg       Config
 	rng       *rand.Rand
-	members   []*member // those of the configuration, backups last
-	primaries int       // how many of members, from the first, are no backups
-	byAddr    map[string]*member
-	draining  map[string]*member // members that left the configuration with attempts in flight
-	ejected   int                // how many of members are ejected
-	failing   int                // how many of members have too many failures
-	picks     uint64             // successful calls of Pick
+	members   []*poolMember // those of the configuration, backups last
+	primaries int           // how many of members, from the first, are no backups
+	byAddr    map[string]*poolMember
+	draining  map[string]*poolMember // members that left the configuration with attempts in flight
+	ejected   int                    // how many of members are ejected
+	failing   int                    // how many of members have too many failures
+	picks     uint64                 // successful calls of Pick
 	changes   []StateChange
 
 	rotation rotation
@@ -26,7 +26,7 @@
 
 // New returns a pool that draws random numbers from rng.
 func New(cfg Config, rng *rand.Rand, now time.Duration) (*Pool, error) {
-	p := &Pool{rng: rng, byAddr: map[string]*member{}, draining: map[string]*member{}}
+	p := &Pool{rng: rng, byAddr: map[string]*poolMember{}, draining: map[string]*poolMember{}}
 	if err := p.Update(cfg, now); err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 	p.stopRotation()
 	old := p.byAddr
 	p.cfg = cfg
-	p.byAddr = make(map[string]*member, len(cfg.Members))
+	p.byAddr = make(map[string]*poolMember, len(cfg.Members))
 	p.members = nil
 	p.primaries = 0
 	for _, backups := range []bool{false, true} {
@@ -62,41 +62,41 @@
 }
 
 // addMember adds a member of the new configuration, with its old state where it has one.
-func (p *Pool) addMember(config Member, index int, old map[string]*member, now time.Duration) {
-	m := old[config.Addr]
-	if m == nil {
-		m = p.draining[config.Addr]
+func (p *Pool) addMember(config Member, index int, old map[string]*poolMember, now time.Duration) {
+	member := old[config.Addr]
+	if member == nil {
+		member = p.draining[config.Addr]
 		delete(p.draining, config.Addr)
 	}
-	if m == nil {
-		m = &member{Member: config}
-		m.effectiveWeight = config.Weight
+	if member == nil {
+		member = &poolMember{Member: config}
+		member.effectiveWeight = config.Weight
 		if len(old) > 0 { // in a pool that starts, no other member could take a new one's share
-			p.beginSlowStart(m, now)
+			p.beginSlowStart(member, now)
 		}
 		p.recordChange(now, config.Addr, memberJoined, "the configuration")
 	}
-	m.Member = config
-	m.index = index
-	m.isRemoved = false
-	m.effectiveWeight = min(m.effectiveWeight, config.Weight)
-	p.byAddr[config.Addr] = m
-	p.members = append(p.members, m)
+	member.Member = config
+	member.index = index
+	member.isRemoved = false
+	member.effectiveWeight = min(member.effectiveWeight, config.Weight)
+	p.byAddr[config.Addr] = member
+	p.members = append(p.members, member)
 	if !config.Backup {
 		p.primaries++
 	}
 }
 
 // releaseRemoved marks the members that are no longer configured and keeps those with attempts in flight.
-func (p *Pool) releaseRemoved(old map[string]*member, now time.Duration) {
-	for addr, m := range old {
+func (p *Pool) releaseRemoved(old map[string]*poolMember, now time.Duration) {
+	for addr, member := range old {
 		if p.byAddr[addr] != nil {
 			continue
 		}
-		m.isRemoved = true
+		member.isRemoved = true
 		p.recordChange(now, addr, memberLeft, "the configuration")
-		if m.inFlight > 0 {
-			p.draining[addr] = m
+		if member.inFlight > 0 {
+			p.draining[addr] = member
 		}
 	}
 }
@@ -104,11 +104,11 @@
 // countUnavailable counts ejected and failing members anew: a configuration may add, remove or change them.
 func (p *Pool) countUnavailable() {
 	p.ejected, p.failing = 0, 0
-	for _, m := range p.members {
-		if m.isEjected {
+	for _, member := range p.members {
+		if member.isEjected {
 			p.ejected++
 		}
-		if m.hasTooManyFails() {
+		if member.hasTooManyFails() {
 			p.failing++
 		}
 	}
@@ -118,4 +118,4 @@
 func (p *Pool) hasSingleMember() bool { return len(p.members) == 1 }
 
 // primaryMembers returns the members that are no backups.
-func (p *Pool) primaryMembers() []*member { return p.members[:p.primaries] }
+func (p *Pool) primaryMembers() []*poolMember { return p.members[:p.primaries] }
--- a/internal/pool/ranking.go
+++ b/internal/pool/ranking.go
@@ -40,7 +40,7 @@
 )
 
 // loadHeap orders members by attempts in flight for the weight, and equals by their last turns.
-type loadHeap []*member
+type loadHeap []*poolMember
 
 // Len implements heap.Interface.
 func (h loadHeap) Len() int { return len(h) }
@@ -58,13 +58,13 @@
 func (h loadHeap) Swap(i, j int) { swapMembers(h, i, j) }
 
 // Push implements heap.Interface.
-func (h *loadHeap) Push(x any) { pushMember((*[]*member)(h), x.(*member)) }
+func (h *loadHeap) Push(x any) { pushMember((*[]*poolMember)(h), x.(*poolMember)) }
 
 // Pop implements heap.Interface.
-func (h *loadHeap) Pop() any { return popMember((*[]*member)(h)) }
+func (h *loadHeap) Pop() any { return popMember((*[]*poolMember)(h)) }
 
 // probeHeap orders members by the time from which they may be probed.
-type probeHeap []*member
+type probeHeap []*poolMember
 
 // Len implements heap.Interface.
 func (h probeHeap) Len() int { return len(h) }
@@ -76,35 +76,35 @@
 func (h probeHeap) Swap(i, j int) { swapMembers(h, i, j) }
 
 // Push implements heap.Interface.
-func (h *probeHeap) Push(x any) { pushMember((*[]*member)(h), x.(*member)) }
+func (h *probeHeap) Push(x any) { pushMember((*[]*poolMember)(h), x.(*poolMember)) }
 
 // Pop implements heap.Interface.
-func (h *probeHeap) Pop() any { return popMember((*[]*member)(h)) }
+func (h *probeHeap) Pop() any { return popMember((*[]*poolMember)(h)) }
 
 // swapMembers swaps two members of a heap.
-func swapMembers(h []*member, i, j int) {
+func swapMembers(h []*poolMember, i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex = i
 	h[j].heapIndex = j
 }
 
 // pushMember appends a member to a heap's list.
-func pushMember(list *[]*member, m *member) {
-	m.heapIndex = len(*list)
-	*list = append(*list, m)
+func pushMember(list *[]*poolMember, member *poolMember) {
+	member.heapIndex = len(*list)
+	*list = append(*list, member)
 }
 
 // popMember takes the last member off a heap's list.
-func popMember(list *[]*member) *member {
+func popMember(list *[]*poolMember) *poolMember {
 	old := *list
-	m := old[len(old)-1]
+	member := old[len(old)-1]
 	old[len(old)-1] = nil
 	*list = old[:len(old)-1]
-	return m
+	return member
 }
 
 // updateStanding returns the standing that a member's state calls for, and sets probeAt of a waiting one.
-func (m *member) updateStanding(panicking bool) standing {
+func (m *poolMember) updateStanding(panicking bool) standing {
 	isFailing := m.hasTooManyFails()
 	isOut := m.isEjected && !panicking
 	switch {
@@ -130,30 +130,30 @@
 		return
 	}
 	p.ranks = &ranking{panicking: p.isPanicking()}
-	for _, m := range p.primaryMembers() {
-		m.standing = unranked
-		p.updateRank(m)
+	for _, member := range p.primaryMembers() {
+		member.standing = unranked
+		p.updateRank(member)
 	}
 }
 
 // updateRank moves a member to where it belongs after its state has changed.
-func (p *Pool) updateRank(m *member) {
-	if p.ranks == nil || m.isRemoved || m.Backup {
+func (p *Pool) updateRank(member *poolMember) {
+	if p.ranks == nil || member.isRemoved || member.Backup {
 		return
 	}
-	next := m.updateStanding(p.ranks.panicking)
-	if next == m.standing {
+	next := member.updateStanding(p.ranks.panicking)
+	if next == member.standing {
 		if h := p.ranks.heapOf(next); h != nil {
-			heap.Fix(h, m.heapIndex)
+			heap.Fix(h, member.heapIndex)
 		}
 		return
 	}
-	if h := p.ranks.heapOf(m.standing); h != nil {
-		heap.Remove(h, m.heapIndex)
+	if h := p.ranks.heapOf(member.standing); h != nil {
+		heap.Remove(h, member.heapIndex)
 	}
-	m.standing = next
+	member.standing = next
 	if h := p.ranks.heapOf(next); h != nil {
-		heap.Push(h, m)
+		heap.Push(h, member)
 	}
 }
 
@@ -170,13 +170,13 @@
 
 // chooseRanked returns the member with the fewest attempts in flight for its weight; a waiting one that may be probed
 // comes before ranked ones of the same load.
-func (p *Pool) chooseRanked(now time.Duration, usable func(*member) bool) *member {
+func (p *Pool) chooseRanked(now time.Duration, usable func(*poolMember) bool) *poolMember {
 	if p.isPanicking() != p.ranks.panicking {
 		p.rankAll() // ejections began or ceased to be ignored
 	}
 	best := p.firstByLoad(usable)
-	if m := p.firstToProbe(now, usable); m != nil && (best == nil || compareLoad(m, best) <= 0) {
-		best = m
+	if member := p.firstToProbe(now, usable); member != nil && (best == nil || compareLoad(member, best) <= 0) {
+		best = member
 	}
 	if best != nil {
 		p.ranks.takeTurn(best)
@@ -185,53 +185,53 @@
 }
 
 // takeTurn puts a member behind all others of its load.
-func (r *ranking) takeTurn(m *member) {
+func (r *ranking) takeTurn(member *poolMember) {
 	r.turns++
-	m.lastTurn = r.turns
+	member.lastTurn = r.turns
 }
 
 // firstByLoad returns the first usable ranked member. One whose weight failures have lowered gives up its turn by chance,
 // so that it gets requests by its effective weight; each time it does, that weight grows.
-func (p *Pool) firstByLoad(usable func(*member) bool) *member {
-	var unusable []*member // taken out of the heap for this choice
-	var best *member
+func (p *Pool) firstByLoad(usable func(*poolMember) bool) *poolMember {
+	var unusable []*poolMember // taken out of the heap for this choice
+	var best *poolMember
 	for skips := 0; len(p.ranks.byLoad) > 0 && best == nil; {
-		m := p.ranks.byLoad[0]
+		member := p.ranks.byLoad[0]
 		switch {
-		case !usable(m):
-			unusable = append(unusable, heap.Pop(&p.ranks.byLoad).(*member))
-		case m.effectiveWeight < m.Weight && skips < maxDraws && p.drawSkip(m):
+		case !usable(member):
+			unusable = append(unusable, heap.Pop(&p.ranks.byLoad).(*poolMember))
+		case member.effectiveWeight < member.Weight && skips < maxDraws && p.drawSkip(member):
 			skips++
-			m.effectiveWeight++
-			p.ranks.takeTurn(m)
+			member.effectiveWeight++
+			p.ranks.takeTurn(member)
 			heap.Fix(&p.ranks.byLoad, 0)
 		default:
-			best = m
+			best = member
 		}
 	}
-	for _, m := range unusable {
-		heap.Push(&p.ranks.byLoad, m)
+	for _, member := range unusable {
+		heap.Push(&p.ranks.byLoad, member)
 	}
 	return best
 }
 
 // drawSkip reports, by chance, whether a member of lowered weight gives up its turn.
-func (p *Pool) drawSkip(m *member) bool {
-	return p.rng.Float64()*float64(m.Weight) >= float64(m.effectiveWeight)
+func (p *Pool) drawSkip(member *poolMember) bool {
+	return p.rng.Float64()*float64(member.Weight) >= float64(member.effectiveWeight)
 }
 
 // firstToProbe returns the usable member that may be probed since the earliest time, or nil.
-func (p *Pool) firstToProbe(now time.Duration, usable func(*member) bool) (best *member) {
-	var unusable []*member
+func (p *Pool) firstToProbe(now time.Duration, usable func(*poolMember) bool) (best *poolMember) {
+	var unusable []*poolMember
 	for len(p.ranks.byProbeTime) > 0 && p.ranks.byProbeTime[0].probeAt <= now && best == nil {
-		if m := p.ranks.byProbeTime[0]; usable(m) {
-			best = m
+		if member := p.ranks.byProbeTime[0]; usable(member) {
+			best = member
 		} else {
-			unusable = append(unusable, heap.Pop(&p.ranks.byProbeTime).(*member))
+			unusable = append(unusable, heap.Pop(&p.ranks.byProbeTime).(*poolMember))
 		}
 	}
-	for _, m := range unusable {
-		heap.Push(&p.ranks.byProbeTime, m)
+	for _, member := range unusable {
+		heap.Push(&p.ranks.byProbeTime, member)
 	}
 	return best
 }
--- a/internal/pool/ranking_test.go
+++ b/internal/pool/ranking_test.go
@@ -55,7 +55,7 @@
 			default:
 				r := &Request{}
 				for range rapid.IntRange(1, 3).Draw(t, "tries") {
-					usable := map[*member]member{} // as they were before the choice
+					usable := map[*poolMember]poolMember{} // as they were before the choice
 					panicking := p.isPanicking()
 					for _, m := range p.members {
 						if p.isUsable(m, r, now, panicking) {
--- a/internal/pool/roundrobin.go
+++ b/internal/pool/roundrobin.go
@@ -8,23 +8,23 @@
 
 // chooseRoundRobin is nginx's smooth weighted round robin: each usable member gains its weight, the one that has the most
 // is chosen and pays the sum of all.
-func (p *Pool) chooseRoundRobin(candidates []*member, usable func(*member) bool) *member {
-	var best *member
+func (p *Pool) chooseRoundRobin(candidates []*poolMember, usable func(*poolMember) bool) *poolMember {
+	var best *poolMember
 	total := 0
 	allInFull := true // each candidate is usable with its full weight
-	for _, m := range candidates {
-		if !usable(m) {
+	for _, member := range candidates {
+		if !usable(member) {
 			allInFull = false
 			continue
 		}
-		allInFull = allInFull && m.effectiveWeight == m.Weight && !m.slowStarting
-		m.currentWeight += m.effectiveWeight
-		total += m.effectiveWeight
-		if m.effectiveWeight < m.Weight {
-			m.effectiveWeight++
+		allInFull = allInFull && member.effectiveWeight == member.Weight && !member.slowStarting
+		member.currentWeight += member.effectiveWeight
+		total += member.effectiveWeight
+		if member.effectiveWeight < member.Weight {
+			member.effectiveWeight++
 		}
-		if best == nil || m.currentWeight > best.currentWeight {
-			best = m
+		if best == nil || member.currentWeight > best.currentWeight {
+			best = member
 		}
 	}
 	if best != nil {
@@ -49,8 +49,8 @@
 	if p.cfg.BalancingPolicy != RoundRobin {
 		return false
 	}
-	for _, m := range p.primaryMembers() {
-		if m.Weight != p.members[0].Weight || m.Down || m.MaxConns != 0 {
+	for _, member := range p.primaryMembers() {
+		if member.Weight != p.members[0].Weight || member.Down || member.MaxConns != 0 {
 			return false
 		}
 	}
@@ -58,13 +58,13 @@
 }
 
 // startRotation goes over to a rotation, which goes on behind the member that was chosen last.
-func (p *Pool) startRotation(last *member) {
+func (p *Pool) startRotation(last *poolMember) {
 	p.rotation.isActive = true
-	for i, m := range p.primaryMembers() {
-		if m == last {
+	for i, member := range p.primaryMembers() {
+		if member == last {
 			p.rotation.next = (i + 1) % p.primaries
 		}
-		m.currentWeight = 0
+		member.currentWeight = 0
 	}
 }
 
@@ -75,21 +75,21 @@
 		return
 	}
 	p.rotation.isActive = false
-	for i, m := range p.primaryMembers() {
-		m.currentWeight = p.rotation.next * m.Weight
+	for i, member := range p.primaryMembers() {
+		member.currentWeight = p.rotation.next * member.Weight
 		if i < p.rotation.next {
-			m.currentWeight -= p.primaries * m.Weight
+			member.currentWeight -= p.primaries * member.Weight
 		}
 	}
 }
 
 // nextInRotation returns the member whose turn it is, past those that the request has been to.
-func (p *Pool) nextInRotation(request *Request) *member {
+func (p *Pool) nextInRotation(request *Request) *poolMember {
 	for range p.primaries {
-		m := p.members[p.rotation.next]
+		member := p.members[p.rotation.next]
 		p.rotation.next = (p.rotation.next + 1) % p.primaries
-		if !request.attempted[m] {
-			return m
+		if !request.attempted[member] {
+			return member
 		}
 	}
 	return nil
--- a/internal/pool/slowstart.go
+++ b/internal/pool/slowstart.go
@@ -23,29 +23,29 @@
 //
 // The first credit is drawn at random, or the first turns of all processes would come at once. Half a turn is taken off
 // it because the first turns count most: hardly any may come then.
-func (p *Pool) beginSlowStart(m *member, from time.Duration) {
-	m.rampStart = from
-	m.slowStarting = m.SlowStart > 0
-	if !m.slowStarting {
+func (p *Pool) beginSlowStart(member *poolMember, from time.Duration) {
+	member.rampStart = from
+	member.slowStarting = member.SlowStart > 0
+	if !member.slowStarting {
 		return
 	}
-	m.turnCredit = p.rng.Float64() - 0.5
-	m.creditedPicks = p.picks
-	m.creditedShare = 0
+	member.turnCredit = p.rng.Float64() - 0.5
+	member.creditedPicks = p.picks
+	member.creditedShare = 0
 }
 
 // isHeldBack adds the credit that a member in its slow start has earned, and reports whether it has none for a turn yet.
-func (p *Pool) isHeldBack(m *member, now time.Duration) bool {
-	if m.slowStarting && now-m.rampStart >= m.SlowStart {
-		m.slowStarting = false
+func (p *Pool) isHeldBack(member *poolMember, now time.Duration) bool {
+	if member.slowStarting && now-member.rampStart >= member.SlowStart {
+		member.slowStarting = false
 	}
-	if !m.slowStarting || m.Backup {
+	if !member.slowStarting || member.Backup {
 		return false
 	}
-	share := float64(max(now-m.rampStart, 0)) / float64(m.SlowStart)
-	fairTurns := float64(p.picks-m.creditedPicks) * float64(m.Weight) / float64(p.hashing.totalWeight())
-	m.turnCredit = min(m.turnCredit+slowStartShare*fairTurns*(m.creditedShare+share)/2, 1)
-	m.creditedPicks = p.picks
-	m.creditedShare = share
-	return m.turnCredit < 1
+	share := float64(max(now-member.rampStart, 0)) / float64(member.SlowStart)
+	fairTurns := float64(p.picks-member.creditedPicks) * float64(member.Weight) / float64(p.hashing.totalWeight())
+	member.turnCredit = min(member.turnCredit+slowStartShare*fairTurns*(member.creditedShare+share)/2, 1)
+	member.creditedPicks = p.picks
+	member.creditedShare = share
+	return member.turnCredit < 1
 }
--- a/internal/routeconfig/format.go
+++ b/internal/routeconfig/format.go
@@ -36,7 +36,7 @@
 
 // format writes a class.
 func (c *Class) format(out *formatter) {
-	words := []string{
+	items := []string{
 		"class",
 		sexp.Quote(c.Name),
 		inline("aim", formatDuration(c.LatencyObjective)),
@@ -44,12 +44,12 @@
 		inline("effect", string(c.Effect)),
 	}
 	if c.KeyWindow > 0 {
-		words = append(words, inline("window", formatDuration(c.KeyWindow)))
+		items = append(items, inline("window", formatDuration(c.KeyWindow)))
 	}
 	if c.Weight != 1 {
-		words = append(words, inline("worth", formatNumber(c.Weight)))
+		items = append(items, inline("worth", formatNumber(c.Weight)))
 	}
-	out.line(words...)
+	out.line(items...)
 }
 
 // formatter writes forms, each level of them indented by two spaces more.
@@ -62,13 +62,13 @@
 const indent = "  "
 
 // line writes a form in one line.
-func (f *formatter) line(words ...string) {
-	fmt.Fprintf(f, "%s%s\n", strings.Repeat(indent, f.depth), inline(words...))
+func (f *formatter) line(items ...string) {
+	fmt.Fprintf(f, "%s%s\n", strings.Repeat(indent, f.depth), inline(items...))
 }
 
 // open begins a form of several lines.
-func (f *formatter) open(words ...string) {
-	fmt.Fprintf(f, "%s(%s\n", strings.Repeat(indent, f.depth), strings.Join(words, " "))
+func (f *formatter) open(items ...string) {
+	fmt.Fprintf(f, "%s(%s\n", strings.Repeat(indent, f.depth), strings.Join(items, " "))
 	f.depth++
 }
 
@@ -81,7 +81,7 @@
 }
 
 // inline returns a form as a word of another one.
-func inline(words ...string) string { return "(" + strings.Join(words, " ") + ")" }
+func inline(items ...string) string { return "(" + strings.Join(items, " ") + ")" }
 
 // formatNumber writes a number.
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
--- a/internal/routeconfig/format_pool.go
+++ b/internal/routeconfig/format_pool.go
@@ -86,10 +86,10 @@
 // formatMember writes a member.
 func formatMember(out *formatter, member pool.Member) {
 	defaults := pool.DefaultMember(member.Addr)
-	words := []string{"member", sexp.Quote(member.Addr)}
+	items := []string{"member", sexp.Quote(member.Addr)}
 	add := func(differs bool, name, value string) {
 		if differs {
-			words = append(words, inline(name, value))
+			items = append(items, inline(name, value))
 		}
 	}
 	add(member.Weight != defaults.Weight, "weight", strconv.Itoa(member.Weight))
@@ -98,10 +98,10 @@
 	add(member.FailTimeout != defaults.FailTimeout, "fail-timeout", formatDuration(member.FailTimeout))
 	add(member.SlowStart != defaults.SlowStart, "slow-start", formatDuration(member.SlowStart))
 	if member.Backup {
-		words = append(words, inline("backup"))
+		items = append(items, inline("backup"))
 	}
 	if member.Down {
-		words = append(words, inline("down"))
+		items = append(items, inline("down"))
 	}
-	out.line(words...)
+	out.line(items...)
 }
--- a/internal/routeconfig/format_server.go
+++ b/internal/routeconfig/format_server.go
@@ -11,18 +11,18 @@
 func (s *Server) format(out *formatter) {
 	out.open("server")
 	for _, l := range s.Listen {
-		words := []string{"listen", sexp.Quote(l.Addr.String())}
+		items := []string{"listen", sexp.Quote(l.Addr.String())}
 		if l.Default {
-			words = append(words, wordDefault)
+			items = append(items, wordDefault)
 		}
-		out.line(words...)
+		out.line(items...)
 	}
 	if len(s.Names) > 0 {
-		words := []string{"name"}
+		items := []string{"name"}
 		for _, name := range s.Names {
-			words = append(words, sexp.Quote(name))
+			items = append(items, sexp.Quote(name))
 		}
-		out.line(words...)
+		out.line(items...)
 	}
 	if !s.MergeSlashes {
 		out.line("merge-slashes", wordNo)
@@ -37,11 +37,11 @@
 // formatRewrites writes rewrites.
 func formatRewrites(out *formatter, rewrites []Rewrite) {
 	for _, w := range rewrites {
-		words := []string{"rewrite", sexp.Quote(w.Pattern), sexp.Quote(w.Replacement)}
+		items := []string{"rewrite", sexp.Quote(w.Pattern), sexp.Quote(w.Replacement)}
 		if w.Flag != route.FlagNone {
-			words = append(words, flagNames[w.Flag])
+			items = append(items, flagNames[w.Flag])
 		}
-		out.line(words...)
+		out.line(items...)
 	}
 }
 
@@ -55,11 +55,11 @@
 		out.line("class", sexp.Quote(l.Class))
 	}
 	if l.ReturnStatus != 0 {
-		words := []string{"return", strconv.Itoa(l.ReturnStatus)}
+		items := []string{"return", strconv.Itoa(l.ReturnStatus)}
 		if l.ReturnText != "" {
-			words = append(words, sexp.Quote(l.ReturnText))
+			items = append(items, sexp.Quote(l.ReturnText))
 		}
-		out.line(words...)
+		out.line(items...)
 	}
 	for _, fallback := range l.Fallbacks {
 		fallback.format(out)
@@ -77,16 +77,16 @@
 
 // format writes a fallback.
 func (b *Fallback) format(out *formatter) {
-	words := []string{"fallback", sexp.Quote(b.Location)}
+	items := []string{"fallback", sexp.Quote(b.Location)}
 	for _, status := range b.Statuses {
-		words = append(words, strconv.Itoa(status))
+		items = append(items, strconv.Itoa(status))
 	}
 	switch b.ResponseStatus {
 	case OwnStatus:
 	case KeepStatus:
-		words = append(words, inline("status", wordKeepStatus))
+		items = append(items, inline("status", wordKeepStatus))
 	default:
-		words = append(words, inline("status", strconv.Itoa(b.ResponseStatus)))
+		items = append(items, inline("status", strconv.Itoa(b.ResponseStatus)))
 	}
-	out.line(words...)
+	out.line(items...)
 }
