--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -18,7 +18,7 @@
 		in.queue.requests = append(in.queue.requests, &request{objectiveDeadline: time.Hour, deadline: time.Hour})
 		in.adjustConcurrencyLimit()
 	}
-	// WarmingUp at a quarter of the speed: 2 cores x (1 + 5/4) x 0.75.
+	// Warming up at a quarter of the speed: 2 cores x (1 + 5/4) x 0.75.
 	if in.limiter.limit > 3.376 {
 		t.Errorf("cold limit %v is over the maximum concurrency", in.limiter.limit)
 	}
--- a/server/clock.go
+++ b/server/clock.go
@@ -12,7 +12,7 @@
 // newClock starts at zero.
 func newClock(now time.Time) clock { return clock{origin: now.Round(0), last: now} }
 
-// parseRequest takes a reading of the system's clocks, which time.Now makes of both at once.
+// read takes a reading of the system's clocks, which time.Now makes of both at once.
 func (c *clock) read(now time.Time) time.Duration {
 	unix := now.Round(0).Sub(c.origin)
 	c.now = max(unix, c.now+max(now.Sub(c.last), 0))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -27,7 +27,7 @@
 	return site
 }
 
-// runAfterIntent starts a server with an interpreter, which serves when it returns, and drains it with the test.
+// startServer starts a server with an interpreter, which serves when it returns, and drains it with the test.
 func startServer(t *testing.T) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	return startServerAt(t, testSite(t))
