--- a/server/idempotency_table_test.go
+++ b/server/idempotency_table_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// listen is a moment of the Unix clock.
+// at is a moment of the Unix clock.
 func at(d time.Duration) time.Time { return time.UnixMilli(0).Add(d) }
 
 const window = 18 * time.Second
