--- a/internal/calibration/cases.go
+++ b/internal/calibration/cases.go
@@ -98,7 +98,7 @@
 	return config
 }
 
-// setServers sets the server of a load test, which is told of two servers. Reading costs nothing, and cores don't thrash.
+// setServers sets the server of a load test, whose settings name two servers. Reading costs nothing, and cores don't thrash.
 func (c Case) setServers(s *clustersim.ServerConfig) {
 	s.Count = 1
 	s.InitialEndpoints = 2
--- a/internal/clustersim/config.go
+++ b/internal/clustersim/config.go
@@ -14,7 +14,7 @@
 // keeping its old key in the tag.
 type Config struct {
 	Name     string
-	Duration time.Duration `json:"For"` // time in which new requests arrive; open ones are then played to their end
+	Duration time.Duration `json:"For"` // time in which new requests arrive; a run ends with the last of them
 	Servers  ServerConfig
 	Classes  []Class
 	Tenants  []Tenant
@@ -51,7 +51,7 @@
 	OverQuotaWeight     float64       `json:"OverWorth"` // factor on the weight of a request beyond its tenant's quota
 	Feedback            Feedback
 	CannotStopRuns      bool `json:"NoStop"`     // started work runs to its end
-	OmitRunnableGauge   bool `json:"NoRunnable"` // the module is not told how much work waits for a core
+	OmitRunnableGauge   bool `json:"NoRunnable"` // the module does not get the gauge of work that wants a core
 }
 
 // CoreConfig describes the cores of a server.
--- a/internal/clustersim/doc.go
+++ b/internal/clustersim/doc.go
@@ -2,7 +2,7 @@
 // gateways with balancing and retry policies, clients, and incidents. Each server decides by the real admission module or by
 // a policy to compare it with.
 //
-// A Config describes the cluster and its workload; Run plays it and returns a Result. The package opens no socket and reads
+// A Config describes the cluster and its workload; Run simulates it and returns a Result. The package opens no socket and reads
 // no clock. One goroutine makes a run from one seed, and the result is the same to the byte on any machine of one
 // architecture. Each cause of randomness has random numbers of its own (newRandom), so that a change in one place does not
 // shift the draws of all others.
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -21,8 +21,8 @@
 
 // testClass returns a class whose requests meet their objective on an idle server: their work varies little, and the objective
 // is long compared with it.
-func testClass(name string, share float64, work, aim time.Duration, worth float64) Class {
-	return Class{Name: name, Share: share, MeanWork: work, Distribution: LogNormal, CV: 0.4, LatencyObjective: aim, Deadline: 5 * aim / 2, Weight: worth}
+func testClass(name string, share float64, work, objective time.Duration, weight float64) Class {
+	return Class{Name: name, Share: share, MeanWork: work, Distribution: LogNormal, CV: 0.4, LatencyObjective: objective, Deadline: 5 * objective / 2, Weight: weight}
 }
 
 func withKeyWindow(c Class, window time.Duration) Class {
@@ -35,8 +35,8 @@
 	return c
 }
 
-func withLateWeight(c Class, worth float64) Class {
-	c.LateWeight = worth
+func withLateWeight(c Class, lateWeight float64) Class {
+	c.LateWeight = lateWeight
 	return c
 }
 
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -146,11 +146,7 @@
 	r := *served
 	r.createdAt = g.sim.now
 	r.isResend = true
-	r.finished = false
-	r.openAttempts = 0
-	r.attempts = 1
-	r.attemptedServers = nil
-	r.retryEvent = nil
+	r.requestProgress = requestProgress{attempts: 1, stickyServer: served.stickyServer}
 	g.sim.result.Resends++
 	g.sim.result.openRequests++
 	g.setClientDeadline(&r)
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -13,7 +13,7 @@
 // The kinds of incident.
 const (
 	RateJump           IncidentKind = "jump"    // the arrival rate is multiplied by Magnitude, with ramps of RampTime
-	ServerCrash        IncidentKind = "death"   // servers crash at once and start cold at the end
+	ServerCrash        IncidentKind = "death"   // servers crash at once and start again at the end
 	HalfOutage         IncidentKind = "half"    // like ServerCrash for every second server: one half of the data center
 	SlowServers        IncidentKind = "slow"    // servers are slower by the factor Magnitude
 	HungWork           IncidentKind = "hang"    // work on servers makes no progress, but they accept requests
--- a/internal/clustersim/queueing_theory_test.go
+++ b/internal/clustersim/queueing_theory_test.go
@@ -83,7 +83,7 @@
 	s := work.Seconds()
 	for _, c := range []struct {
 		name   string
-		world  Config
+		config Config
 		policy PolicyFactory
 		want   float64
 	}{
@@ -97,8 +97,8 @@
 		{"M/M/1-PS", bareConfig(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.NoLimit, s / (1 - 0.7)},
 		{"M/G/1-PS, which work's spread does not change", bareConfig(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
 	} {
-		c.world.Duration = time.Duration(float64(c.world.Duration) / 20 * *durationScale)
-		mean, halfWidth := meanLatency(t, c.world, c.policy, 12)
+		c.config.Duration = time.Duration(float64(c.config.Duration) / 20 * *durationScale)
+		mean, halfWidth := meanLatency(t, c.config, c.policy, 12)
 		off := math.Abs(mean-c.want) / c.want
 		t.Logf("%-48s %.5f s +- %.5f, the formula %.5f, %.2f %% off", c.name, mean, halfWidth, c.want, 100*off)
 		if off > max(0.01, halfWidth/c.want) {
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -19,8 +19,12 @@
 	weight     float64 // earned by a response within the objective
 	createdAt  time.Duration
 	isResend   bool // the client has been served and sends again; it only counts that nothing runs twice
+	gateway    *gateway
+	requestProgress
+}
 
-	gateway          *gateway
+// requestProgress is what a gateway has done for a request.
+type requestProgress struct {
 	attemptedServers []int // in order
 	attempts         int
 	openAttempts     int
@@ -38,19 +42,22 @@
 	generation   int // of the server's process when the attempt was sent
 	isRetry      bool
 	sentAt       time.Duration
-	arrivedAt    time.Duration
 	resultKnown  bool   // to the gateway
 	timeoutEvent *event // when the gateway sends another attempt meanwhile
+	attemptHandling
+}
 
-	// What the server knows.
+// attemptHandling is what a server knows of an attempt.
+type attemptHandling struct {
 	id           admission.RequestID
+	arrivedAt    time.Duration
+	readAt       time.Duration
 	state        attemptState
 	job          *job
 	answered     bool
-	succeeded    bool       // it ran to its end
-	original     *attempt   // that this one repeats
-	followers    []*attempt // repeats that wait for the end of this one
-	readAt       time.Duration
+	succeeded    bool             // it ran to its end
+	original     *attempt         // that this one repeats
+	followers    []*attempt       // repeats that wait for the end of this one
 	rejectReason admission.Reason // for which the module would reject it when it is read
 }
 
--- a/internal/clustersim/request_source.go
+++ b/internal/clustersim/request_source.go
@@ -93,10 +93,10 @@
 	config := &s.sim.config
 	s.count++
 	req := &request{
-		number:       s.count,
-		createdAt:    s.sim.now,
-		stickyServer: -1,
-		class:        pickWeighted(s.classRandom, s.classShares),
+		number:          s.count,
+		createdAt:       s.sim.now,
+		class:           pickWeighted(s.classRandom, s.classShares),
+		requestProgress: requestProgress{stickyServer: -1},
 	}
 	class := &config.Classes[req.class]
 	req.priority = (float64(s.priorityBands[req.class]) + s.classRandom.Float64()) / float64(len(s.priorityBands))
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -13,14 +13,34 @@
 // latencyDigits is the number of significant decimal digits of recorded latencies.
 const latencyDigits = 3
 
-// Result is the outcome of a run. Weights and work are those of the requests; shares are relative to all requests.
+// Result is the outcome of a run. Its JSON keys and their order are read by the operators' tools.
 type Result struct {
+	RunInfo
+	RequestCounts
+	GoodputSummary
+	LatencySummary
+	ClusterSummary
+	RuleSummary
+
+	Classes  []GroupResult `json:"classes"`
+	Tenants  []GroupResult `json:"tenants"`
+	Timeline []SecondStats `json:"timeline"`
+	Recovery Recovery      `json:"recovery"`
+
+	tally
+}
+
+// RunInfo says what was run, and how long.
+type RunInfo struct {
 	ConfigName string  `json:"world"`
 	Seed       uint64  `json:"seed"`
 	Servers    int     `json:"servers"`
 	Seconds    float64 `json:"seconds"` // virtual time until the last response
 	Events     uint64  `json:"events"`
+}
 
+// RequestCounts are the numbers of requests and attempts.
+type RequestCounts struct {
 	Requests        int            `json:"requests"`
 	Served          int            `json:"served"` // within the objective or late
 	WithinObjective int            `json:"in_time"`
@@ -30,34 +50,40 @@
 	AttemptOutcomes map[string]int `json:"answers"`
 	Unserved        map[string]int `json:"unserved"`          // requests by the outcome of the last attempt
 	RejectReasons   map[string]int `json:"reasons,omitempty"` // with Config.RecordRejectReasons
+}
 
-	GoodputShare     float64 `json:"share"`     // of the offered weight, served within the objective
+// GoodputSummary holds the goodput, which is the weight of the requests that were served within their objectives, and what it
+// cost. Shares are relative to the offered weight.
+type GoodputSummary struct {
+	GoodputShare     float64 `json:"share"`
 	WorstWindowShare float64 `json:"worst_10s"` // goodput share of the worst ten seconds
 	WorstClassShare  float64 `json:"worst_class"`
 	WorstTenantShare float64 `json:"worst_tenant"`
 	WastedWork       float64 `json:"waste"` // work for which no client got a response, relative to the offered work
-	LateShare        float64 `json:"late"`  // of the offered weight, unserved and ended after the objective
+	LateShare        float64 `json:"late"`  // weight of unserved requests that ended after their objectives
 	Score            float64 `json:"g"`     // the operators' score
+}
 
-	P50  float64 `json:"p50_ms"` // of the served requests
+// LatencySummary holds quantiles of the latency of served requests, in milliseconds.
+type LatencySummary struct {
+	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
 	P999 float64 `json:"p999_ms"`
+}
 
+// ClusterSummary holds figures of the servers.
+type ClusterSummary struct {
 	Load     float64 `json:"load"`   // offered work relative to the capacity of the cluster
 	WorkDone float64 `json:"worked"` // core seconds
 	Crashes  int     `json:"fell"`
 	LogLines int     `json:"remarks"` // that modules logged
+}
 
+// RuleSummary holds what the rule checker found.
+type RuleSummary struct {
 	PreventedReruns   int          `json:"prevented"` // second runs of a key that servers prevented
 	Violations        map[Rule]int `json:"broken"`
 	ViolationMessages []string     `json:"breaches"` // the first of them
-
-	Classes  []GroupResult `json:"classes"`
-	Tenants  []GroupResult `json:"tenants"`
-	Timeline []SecondStats `json:"timeline"`
-	Recovery Recovery      `json:"recovery"`
-
-	tally
 }
 
 // tally holds what a run counts for the figures that finalize computes.
@@ -101,13 +127,13 @@
 
 func newResult(config *Config, seed uint64) *Result {
 	result := &Result{
-		ConfigName:      config.Name,
-		Seed:            seed,
-		Servers:         config.Servers.Count,
-		AttemptOutcomes: map[string]int{},
-		Unserved:        map[string]int{},
-		RejectReasons:   map[string]int{},
-		Timeline:        make([]SecondStats, int(math.Ceil(config.Duration.Seconds()))),
+		RunInfo: RunInfo{ConfigName: config.Name, Seed: seed, Servers: config.Servers.Count},
+		RequestCounts: RequestCounts{
+			AttemptOutcomes: map[string]int{},
+			Unserved:        map[string]int{},
+			RejectReasons:   map[string]int{},
+		},
+		Timeline: make([]SecondStats, int(math.Ceil(config.Duration.Seconds()))),
 		tally: tally{
 			config:   config,
 			latency:  newLatencyHistogram(),
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -60,7 +60,7 @@
 	return &server{sim: s, index: index, machine: machine{fullSpeed: fullSpeed}}
 }
 
-// start starts a process, cold or as warm as one that has run for long.
+// start starts a process, either with a warm-up or as fast as one that has run for long.
 func (s *server) start(cold bool) {
 	config := &s.sim.config.Servers
 	s.generation++
