--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"strconv"
 	"strings"
-	"time"
 
 	"tillerusher/internal/pool"
 	"tillerusher/internal/route"
@@ -114,11 +113,11 @@
 // importReturn reads return STATUS [TEXT] and return URL. The first one of a location counts.
 func (im *importer) importReturn(location *routeconfig.Location, directive *Directive) error {
 	first, text := directive.Arg(0), directive.Arg(1)
-	status, err := strconv.Atoi(first)
-	if err != nil && len(directive.Args) == 1 {
-		status, text, err = statusFound, first, nil
+	status, isStatus := routeconfig.ParseStatus(first, routeconfig.MinStatus)
+	if _, err := strconv.Atoi(first); err != nil && len(directive.Args) == 1 {
+		status, text, isStatus = statusFound, first, true
 	}
-	if err != nil || status < minStatus || status > maxStatus {
+	if !isStatus {
 		return directive.errorf("found %q in return, want a status", first)
 	}
 	if strings.Contains(text, "$") {
@@ -131,16 +130,11 @@
 	return nil
 }
 
-// poolKey is what makes a pool of its own: nginx has timeouts and retries by location, the router has them by pool.
+// poolKey is what makes a pool of its own.
 type poolKey struct {
-	upstream       string
-	protocol       string
-	retryOn        pool.RetryCondition
-	maxAttempts    int
-	retryTimeout   time.Duration
-	connectTimeout time.Duration
-	readTimeout    time.Duration
-	sendTimeout    time.Duration
+	upstream string
+	protocol string
+	poolSettings
 }
 
 // importPass reads fastcgi_pass and scgi_pass, which send a location's requests to a pool.
@@ -156,16 +150,7 @@
 	}
 	protocol, _ := cutProtocol(directive.Name)
 	settings := outer.byProtocol[protocol]
-	key := poolKey{
-		upstream:       target,
-		protocol:       protocol,
-		retryOn:        settings.retryOn,
-		maxAttempts:    settings.maxAttempts,
-		retryTimeout:   settings.retryTimeout,
-		connectTimeout: settings.connectTimeout,
-		readTimeout:    settings.readTimeout,
-		sendTimeout:    settings.sendTimeout,
-	}
+	key := poolKey{target, protocol, settings.poolSettings}
 	name, ok := im.poolNames[key]
 	if !ok {
 		if name, err = im.addPool(key, upstream, directive); err != nil {
--- a/internal/nginx/named.go
+++ b/internal/nginx/named.go
@@ -19,7 +19,7 @@
 	last := directive.Arg(len(directive.Args) - 1)
 	name, isNamed := strings.CutPrefix(last, "@")
 	statusText, hasStatus := strings.CutPrefix(last, "=")
-	status, isStatus := parseStatus(statusText, minStatus)
+	status, isStatus := routeconfig.ParseStatus(statusText, routeconfig.MinStatus)
 	switch {
 	case location.Pool != "" && (isNamed || hasStatus):
 		im.report(directive, ChangesBehavior, "no files are looked for: all requests go to the pool")
--- a/internal/nginx/settings.go
+++ b/internal/nginx/settings.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"strconv"
 	"strings"
 	"time"
 
@@ -21,16 +20,22 @@
 
 // protocolSettings are how requests are passed on by one protocol.
 type protocolSettings struct {
+	poolSettings
 	params          []routeconfig.Param
-	retryOn         pool.RetryCondition
-	maxAttempts     int
-	retryTimeout    time.Duration
-	connectTimeout  time.Duration
-	readTimeout     time.Duration
-	sendTimeout     time.Duration
 	interceptErrors bool
 }
 
+// poolSettings are what nginx has by location and the router has by pool. They are comparable: locations whose settings
+// are the same share a pool.
+type poolSettings struct {
+	retryOn        pool.RetryCondition
+	maxAttempts    int
+	retryTimeout   time.Duration
+	connectTimeout time.Duration
+	readTimeout    time.Duration
+	sendTimeout    time.Duration
+}
+
 // protocols are those that members may speak; their names are the prefixes of nginx's directives.
 var protocols = []string{routeconfig.ProtocolFastCGI, routeconfig.ProtocolSCGI}
 
@@ -38,12 +43,12 @@
 func defaultSettings() levelSettings {
 	s := levelSettings{mergeSlashes: true, byProtocol: map[string]protocolSettings{}}
 	for _, protocol := range protocols {
-		s.byProtocol[protocol] = protocolSettings{
+		s.byProtocol[protocol] = protocolSettings{poolSettings: poolSettings{
 			retryOn:        pool.DefaultRetryOn,
 			connectTimeout: time.Minute,
 			readTimeout:    time.Minute,
 			sendTimeout:    time.Minute,
-		}
+		}}
 	}
 	return s
 }
@@ -168,19 +173,6 @@
 	"HTTPS":           true,
 }
 
-// The statuses that error_page and return may have.
-const (
-	minStatus      = 100
-	minErrorStatus = 300
-	maxStatus      = 599
-)
-
-// parseStatus reads a status that is no smaller than the least one.
-func parseStatus(text string, least int) (status int, ok bool) {
-	status, err := strconv.Atoi(text)
-	return status, err == nil && status >= least && status <= maxStatus
-}
-
 // importErrorPage adds a fallback to a named location; other targets are reported.
 func (im *importer) importErrorPage(level *levelSettings, directive *Directive) error {
 	args := directive.ArgTexts()
@@ -198,7 +190,7 @@
 		args = args[:len(args)-1]
 		fallback.ResponseStatus = routeconfig.OwnStatus
 		if response != "" {
-			status, ok := parseStatus(response, minStatus)
+			status, ok := routeconfig.ParseStatus(response, routeconfig.MinStatus)
 			if !ok {
 				return directive.errorf("found \"=%s\" in error_page, want = and a status", response)
 			}
@@ -206,7 +198,7 @@
 		}
 	}
 	for _, arg := range args {
-		status, ok := parseStatus(arg, minErrorStatus)
+		status, ok := routeconfig.ParseStatus(arg, routeconfig.MinFallbackStatus)
 		if !ok {
 			return directive.errorf("found %q in error_page, want a status of 300 to 599", arg)
 		}
--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -9,7 +9,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// Load reads a configuration and all files that it includes.
+// Load reads a configuration and all files that it includes. An error has its file and position: it is a *sexp.Error, or a
+// *route.ConfigError for patterns that can't be used, unless the file can't be read.
 func Load(path string) (*Config, error) {
 	forms, err := sexp.ParseFiles(path, os.ReadFile, filepath.Glob)
 	if err != nil {
@@ -18,7 +19,7 @@
 	return parseConfig(forms)
 }
 
-// Parse reads a configuration from one text without includes. The file's name is for messages.
+// Parse reads a configuration from one text without includes. The file's name is for messages. Errors are those of Load.
 func Parse(file string, text []byte) (*Config, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
@@ -127,13 +128,13 @@
 
 // The range of statuses, and the first one that a fallback may take over for.
 const (
-	minStatus         = 100
-	minFallbackStatus = 300
+	MinStatus         = 100
+	MinFallbackStatus = 300
 	maxStatus         = 599
 )
 
-// parseStatus reads a status that is no smaller than the least one.
-func parseStatus(text string, least int) (status int, ok bool) {
+// ParseStatus reads a status that is no smaller than the least one.
+func ParseStatus(text string, least int) (status int, ok bool) {
 	status, err := strconv.Atoi(text)
 	return status, err == nil && status >= least && status <= maxStatus
 }
--- a/internal/routeconfig/parse_server.go
+++ b/internal/routeconfig/parse_server.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	status, ok := parseStatus(word, minStatus)
+	status, ok := ParseStatus(word, MinStatus)
 	if !ok {
 		return sexp.Errorf(n.Pos, "found %s in (return ...), want a status of 100 to 599", word)
 	}
@@ -166,7 +166,7 @@
 				}
 				continue
 			}
-			status, ok := parseStatus(arg.Text, minFallbackStatus)
+			status, ok := ParseStatus(arg.Text, MinFallbackStatus)
 			if !ok || arg.Kind != sexp.Atom {
 				return sexp.Errorf(arg.Pos, "found %v, want a status of 300 to 599", arg)
 			}
@@ -198,7 +198,7 @@
 	case wordKeepStatus:
 		return KeepStatus, nil
 	}
-	status, ok := parseStatus(word, minStatus)
+	status, ok := ParseStatus(word, MinStatus)
 	if !ok {
 		return 0, sexp.Errorf(n.Pos, "found %s in (status ...), want own, same or a status of 100 to 599", word)
 	}
