--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"strings"
@@ -72,9 +73,14 @@
 		"server name \"a*b\"":                      {{Listen: listen, Names: []string{"a*b"}}},
 		"server name \"~(\": not a regex":          {{Listen: listen, Names: []string{"~("}}},
 	} {
-		if _, err := New(servers); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := New(servers)
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want %q", err, want)
 		}
+		var configError *ConfigError
+		if !errors.As(err, &configError) {
+			t.Errorf("error %v is no ConfigError", err)
+		}
 	}
 }
 
