--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -34,18 +34,18 @@
 //
 // The limiter reads the wall clock and accepts no other, so its permits are given this package's clock. That writes to
 // unexported fields of the library, and returns an error if a later version has other ones.
-func Gradient(s admission.Settings, a admission.Actions) (admission.Events, error) {
-	h := newHost(s, a)
-	g := &gradient{host: h, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * s.Cores}
+func Gradient(settings admission.Settings, actions admission.Actions) (admission.Events, error) {
+	policyHost := newHost(settings, actions)
+	g := &gradient{host: policyHost, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * settings.Cores}
 	g.limiter = adaptivelimiter.NewBuilder[any]().
-		WithLimits(gradientMinLimit, uint(max(gradientMaxPerCore*s.Cores, 2)), uint(s.Cores)).
+		WithLimits(gradientMinLimit, uint(max(gradientMaxPerCore*settings.Cores, 2)), uint(settings.Cores)).
 		WithRecentWindow(gradientMinWindow, gradientMaxWindow, gradientMinSamples).
 		Build()
 	if err := setPrivateField(g.limiter, "nextUpdateTime", epoch); err != nil {
 		return nil, err
 	}
-	h.policy = g
-	return h, nil
+	policyHost.policy = g
+	return policyHost, nil
 }
 
 // epoch is the wall time at which the virtual clock begins.
--- a/internal/calibration/cases.go
+++ b/internal/calibration/cases.go
@@ -99,18 +99,18 @@
 }
 
 // setServers sets the server of a load test, whose settings name two servers. Reading costs nothing, and cores don't thrash.
-func (c Case) setServers(s *clustersim.ServerConfig) {
-	s.Count = 1
-	s.InitialEndpoints = 2
-	s.Cores = c.Cores
-	s.SpeedCV = 0
-	s.ThrashFactor = 0
-	s.ReadCost = 0
-	s.MemoryKB = 40000
-	s.KeyKB = 50
-	s.RunningMemoryFactor = 16
-	s.RequestKB = [2]float64{24.5, 24.5}
-	s.DrainGracePeriod = 300 * time.Millisecond
-	s.MaxRetryAfter = time.Second
-	s.BacklogPerCore = 1 << 16
+func (c Case) setServers(servers *clustersim.ServerConfig) {
+	servers.Count = 1
+	servers.InitialEndpoints = 2
+	servers.Cores = c.Cores
+	servers.SpeedCV = 0
+	servers.ThrashFactor = 0
+	servers.ReadCost = 0
+	servers.MemoryKB = 40000
+	servers.KeyKB = 50
+	servers.RunningMemoryFactor = 16
+	servers.RequestKB = [2]float64{24.5, 24.5}
+	servers.DrainGracePeriod = 300 * time.Millisecond
+	servers.MaxRetryAfter = time.Second
+	servers.BacklogPerCore = 1 << 16
 }
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -217,10 +217,11 @@
 
 // handleResult takes in the result of an attempt.
 func (g *gateway) handleResult(result *attemptResult) {
-	a, r := result.attempt, result.attempt.request
-	a.resultKnown = true
-	g.sim.events.cancel(a.timeoutEvent)
-	a.timeoutEvent = nil
+	done := result.attempt
+	r := done.request
+	done.resultKnown = true
+	g.sim.events.cancel(done.timeoutEvent)
+	done.timeoutEvent = nil
 	r.openAttempts--
 	g.sim.result.recordAttempt(result, g.sim.now)
 	g.updateView(result)
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -131,23 +131,23 @@
 }
 
 // applyTo applies the fault to a server.
-func (i *activeIncident) applyTo(s *server) {
-	s.advance()
+func (i *activeIncident) applyTo(srv *server) {
+	srv.advance()
 	switch i.Kind {
 	case ServerCrash, HalfOutage:
-		s.terminate(true)
+		srv.terminate(true)
 	case SlowServers:
-		s.slowdown = max(s.slowdown, 1) * i.Magnitude
+		srv.slowdown = max(srv.slowdown, 1) * i.Magnitude
 	case HungWork:
-		s.hangs++
+		srv.hangs++
 	case FailingRuns:
-		s.failureShare = i.Magnitude
+		srv.failureShare = i.Magnitude
 	case MachinePause:
-		s.pauseMachine()
+		srv.pauseMachine()
 		return
 	}
-	s.updateSpeed()
-	s.rescheduleCores()
+	srv.updateSpeed()
+	srv.rescheduleCores()
 }
 
 // deployNextBatch drains a batch of a deploy and schedules the next.
@@ -179,27 +179,27 @@
 }
 
 // removeFrom removes the fault from a server.
-func (i *activeIncident) removeFrom(s *server) {
-	s.advance()
+func (i *activeIncident) removeFrom(srv *server) {
+	srv.advance()
 	switch i.Kind {
 	case ServerCrash, HalfOutage:
-		if !s.isUp {
-			i.sim.events.schedule(i.sim.now, s, eventStart, nil)
+		if !srv.isUp {
+			i.sim.events.schedule(i.sim.now, srv, eventStart, nil)
 		}
 	case SlowServers:
-		s.slowdown /= i.Magnitude
+		srv.slowdown /= i.Magnitude
 	case HungWork:
-		s.hangs--
+		srv.hangs--
 	case FailingRuns:
-		s.failureShare = 0
+		srv.failureShare = 0
 	case MachinePause:
-		s.resumeMachine()
+		srv.resumeMachine()
 		return
 	case RollingDeploy:
 		return
 	}
-	if s.isUp {
-		s.updateSpeed()
-		s.rescheduleCores()
+	if srv.isUp {
+		srv.updateSpeed()
+		srv.rescheduleCores()
 	}
 }
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -34,7 +34,7 @@
 	retryEvent       *event // when the next attempt starts
 }
 
-// attempt is one try of a request at a server.
+// attempt is one transmission of a request to a server.
 type attempt struct {
 	number       uint64 // over the whole run
 	request      *request
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -155,24 +155,24 @@
 }
 
 // groupsOf returns the class and the tenant of a request.
-func (r *Result) groupsOf(q *request) []*GroupResult {
-	groups := []*GroupResult{&r.Classes[q.class]}
+func (r *Result) groupsOf(req *request) []*GroupResult {
+	groups := []*GroupResult{&r.Classes[req.class]}
 	if len(r.Tenants) > 0 {
-		groups = append(groups, &r.Tenants[q.tenant])
+		groups = append(groups, &r.Tenants[req.tenant])
 	}
 	return groups
 }
 
 // recordOffered counts a new request.
-func (r *Result) recordOffered(q *request) {
+func (r *Result) recordOffered(req *request) {
 	r.Requests++
 	r.openRequests++
-	second := r.secondAt(q.createdAt)
-	second.OfferedWeight += q.weight
-	second.OfferedWork += q.work
-	for _, g := range r.groupsOf(q) {
+	second := r.secondAt(req.createdAt)
+	second.OfferedWeight += req.weight
+	second.OfferedWork += req.work
+	for _, g := range r.groupsOf(req) {
 		g.Requests++
-		g.OfferedWeight += q.weight
+		g.OfferedWeight += req.weight
 	}
 }
 
@@ -192,37 +192,37 @@
 }
 
 // recordServed counts a request that was served.
-func (r *Result) recordServed(q *request, now time.Duration) {
-	if q.isResend {
+func (r *Result) recordServed(req *request, now time.Duration) {
+	if req.isResend {
 		return
 	}
-	class, latency := &r.config.Classes[q.class], now-q.createdAt
+	class, latency := &r.config.Classes[req.class], now-req.createdAt
 	r.Served++
-	earned := q.weight
+	earned := req.weight
 	if latency > class.LatencyObjective {
 		earned *= class.LateWeight
 	} else {
 		r.WithinObjective++
 	}
-	r.servedWork += q.work + r.readWork
-	r.secondAt(q.createdAt).GoodputWeight += earned
+	r.servedWork += req.work + r.readWork
+	r.secondAt(req.createdAt).GoodputWeight += earned
 	microseconds := min(max(latency.Microseconds(), 1), maxLatency.Microseconds())
 	r.latency.RecordValue(microseconds)
 	r.servedSeconds += latency.Seconds()
-	for _, g := range r.groupsOf(q) {
+	for _, g := range r.groupsOf(req) {
 		g.GoodputWeight += earned
 		g.latency.RecordValue(microseconds)
 	}
 }
 
 // recordUnserved counts a request that was not served.
-func (r *Result) recordUnserved(q *request, why outcome, now time.Duration) {
-	if q.isResend {
+func (r *Result) recordUnserved(req *request, why outcome, now time.Duration) {
+	if req.isResend {
 		return
 	}
 	r.Unserved[why.String()]++
-	if now-q.createdAt > r.config.Classes[q.class].LatencyObjective {
-		r.lateWeight += q.weight
+	if now-req.createdAt > r.config.Classes[req.class].LatencyObjective {
+		r.lateWeight += req.weight
 	}
 }
 
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -59,32 +59,32 @@
 }
 
 // submitRequest passes a request that was read to the module.
-func (s *server) submitRequest(a *attempt) {
+func (s *server) submitRequest(arrived *attempt) {
 	now := s.sim.now
 	s.lastID++
-	a.id, a.state = s.lastID, stateQueued
-	s.attempts[a.id] = a
-	s.sim.checker.attemptRead(a.number, now)
+	arrived.id, arrived.state = s.lastID, stateQueued
+	s.attempts[arrived.id] = arrived
+	s.sim.checker.attemptRead(arrived.number, now)
 	req := admission.Request{
-		ID:            a.id,
-		Class:         a.request.class,
-		Tenant:        a.request.tenant,
-		Caller:        a.request.gateway.index,
-		QueueingDelay: now - a.arrivedAt,
-		IsRetry:       a.isRetry,
-		SizeKB:        a.request.sizeKB,
+		ID:            arrived.id,
+		Class:         arrived.request.class,
+		Tenant:        arrived.request.tenant,
+		Caller:        arrived.request.gateway.index,
+		QueueingDelay: now - arrived.arrivedAt,
+		IsRetry:       arrived.isRetry,
+		SizeKB:        arrived.request.sizeKB,
 	}
-	if s.sim.config.Classes[a.request.class].IdempotentByKey {
+	if s.sim.config.Classes[arrived.request.class].IdempotentByKey {
 		s.keys.sweepPeriodically(now)
-		if a.original = s.keys.findOriginal(a.request.key, a.arrivedAt); a.original != nil {
-			req.RetryOf = a.original.id
+		if arrived.original = s.keys.findOriginal(arrived.request.key, arrived.arrivedAt); arrived.original != nil {
+			req.RetryOf = arrived.original.id
 		}
 	} else {
-		req.ResourceID = a.request.resourceID
+		req.ResourceID = arrived.request.resourceID
 	}
-	a.readAt = now
+	arrived.readAt = now
 	if module, ok := s.module.(admissionChecker); ok && s.sim.config.RecordRejectReasons {
-		a.rejectReason = module.CheckAdmission(now, req).Reason
+		arrived.rejectReason = module.CheckAdmission(now, req).Reason
 	}
 	s.module.Request(now, req)
 	s.markUnsettled()
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -66,13 +66,13 @@
 }
 
 // compute sets the figures from the pairs of runs in two groups.
-func (d *Difference) compute(a, b *Group) {
+func (d *Difference) compute(groupA, groupB *Group) {
 	valuesB := map[pairKey]float64{}
-	for _, v := range b.values {
+	for _, v := range groupB.values {
 		valuesB[v.pair] = v.value
 	}
 	var differences []float64
-	for _, v := range a.values {
+	for _, v := range groupA.values {
 		other, ok := valuesB[v.pair]
 		if !ok {
 			continue
--- a/internal/experiment/explore.go
+++ b/internal/experiment/explore.go
@@ -46,25 +46,25 @@
 // Explore searches for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a
 // normal distribution within the ranges and fits it to those that did worst. The same exploration finds the same points. It
 // returns all points, the worst first, and calls progress after each round if it is not nil.
-func (e *Experiment) Explore(ctx context.Context, x Exploration, progress func(done, of int)) ([]Candidate, error) {
+func (e *Experiment) Explore(ctx context.Context, exploration Exploration, progress func(done, of int)) ([]Candidate, error) {
 	if len(e.Sweep.Variables) == 0 {
 		return nil, errNothingVaried
 	}
-	if x.Workers <= 0 {
-		x.Workers = runtime.GOMAXPROCS(0)
+	if exploration.Workers <= 0 {
+		exploration.Workers = runtime.GOMAXPROCS(0)
 	}
-	proposal := newProposal(e.Sweep.Variables, x.Seed)
+	proposal := newProposal(e.Sweep.Variables, exploration.Seed)
 	var all []Candidate
-	for round := range x.Rounds {
-		points := proposal.draw(x.PointsPerRound)
-		candidates, err := e.scorePoints(ctx, x, points)
+	for round := range exploration.Rounds {
+		points := proposal.draw(exploration.PointsPerRound)
+		candidates, err := e.scorePoints(ctx, exploration, points)
 		if err != nil {
 			return nil, err
 		}
 		proposal.fit(points, candidates)
 		all = append(all, candidates...)
 		if progress != nil {
-			progress(round+1, x.Rounds)
+			progress(round+1, exploration.Rounds)
 		}
 	}
 	slices.SortStableFunc(all, compareScores)
@@ -132,10 +132,10 @@
 }
 
 // scorePoints runs points with all seeds and with both policies.
-func (e *Experiment) scorePoints(ctx context.Context, x Exploration, points [][]float64) ([]Candidate, error) {
-	policies := []string{x.Policy}
-	if x.BaselinePolicy != "" {
-		policies = append(policies, x.BaselinePolicy)
+func (e *Experiment) scorePoints(ctx context.Context, exploration Exploration, points [][]float64) ([]Candidate, error) {
+	policies := []string{exploration.Policy}
+	if exploration.BaselinePolicy != "" {
+		policies = append(policies, exploration.BaselinePolicy)
 	}
 	var jobs []Job
 	candidates := make([]Candidate, len(points))
@@ -148,15 +148,15 @@
 			}
 		}
 	}
-	err := runInOrder(ctx, jobs, 0, x.Workers, func(r Row) error {
+	err := runInOrder(ctx, jobs, 0, exploration.Workers, func(r Row) error {
 		c := &candidates[r.Point]
-		value, ok := r.Measures[x.Measure]
+		value, ok := r.Measures[exploration.Measure]
 		switch {
 		case r.Error != "":
 			c.Error, c.Score = r.Error, math.MaxFloat64 // an infeasible point is none of the worst
 		case !ok:
-			return fmt.Errorf("experiment: no run has the measure %q", x.Measure)
-		case r.Policy == x.Policy:
+			return fmt.Errorf("experiment: no run has the measure %q", exploration.Measure)
+		case r.Policy == exploration.Policy:
 			c.Score += value / float64(e.Seeds)
 		default:
 			c.Score -= value / float64(e.Seeds)
@@ -168,15 +168,15 @@
 
 // FormatCandidate writes a candidate as an experiment of its own. The configuration is the form that it was found with, see
 // ConfigForm.
-func (e *Experiment) FormatCandidate(name, configForm string, c Candidate, policies []string) string {
+func (e *Experiment) FormatCandidate(name, configForm string, candidate Candidate, policies []string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "; Found by a hunt: score %.4f.\n(name %s)\n", c.Score, name)
+	fmt.Fprintf(&b, "; Found by a hunt: score %.4f.\n(name %s)\n", candidate.Score, name)
 	if configForm != "" {
 		fmt.Fprintf(&b, "%s\n", configForm)
 	}
 	fmt.Fprintf(&b, "(policies %s)\n(seeds %d)\n(sweep (how grid)", strings.Join(policies, " "), e.Seeds)
 	for _, v := range e.Sweep.Variables {
-		value := c.Values[v.Name]
+		value := candidate.Values[v.Name]
 		fmt.Fprintf(&b, "\n  (vary %s %v %v 1)", v.Name, value, value)
 	}
 	b.WriteString(")\n")
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -27,7 +27,7 @@
 )
 
 func readExperiment(file string, forms []sexp.Node) (*Experiment, error) {
-	e := &Experiment{
+	experiment := &Experiment{
 		Name:     filepath.Base(file),
 		Config:   clustersim.DefaultConfig(),
 		Policies: []string{modulePolicy},
@@ -35,28 +35,28 @@
 	}
 	seeds := defaultSeeds
 	readWorld := func(n sexp.Node) error {
-		e.configForm = n.Source()
-		return readConfig(n.Args(), &e.Config)
+		experiment.configForm = n.Source()
+		return readConfig(n.Args(), &experiment.Config)
 	}
 	err := sexp.ReadForms(forms, fields{
-		"name":     sexp.Text(&e.Name),
+		"name":     sexp.Text(&experiment.Name),
 		"world":    readWorld,
-		"days":     func(n sexp.Node) error { return readWorkloads(n, &e.Workloads) },
-		"policies": func(n sexp.Node) error { return readPolicies(n, &e.Policies) },
+		"days":     func(n sexp.Node) error { return readWorkloads(n, &experiment.Workloads) },
+		"policies": func(n sexp.Node) error { return readPolicies(n, &experiment.Policies) },
 		"seeds":    sexp.Int(&seeds, 1, maxSeeds),
-		"sweep":    func(n sexp.Node) error { return readSweep(n, &e.Sweep) },
+		"sweep":    func(n sexp.Node) error { return readSweep(n, &experiment.Sweep) },
 	}, nil)
 	if err != nil {
 		return nil, err
 	}
-	e.Seeds = uint64(seeds)
-	if e.Config.Name == clustersim.DefaultConfig().Name {
-		e.Config.Name = e.Name
+	experiment.Seeds = uint64(seeds)
+	if experiment.Config.Name == clustersim.DefaultConfig().Name {
+		experiment.Config.Name = experiment.Name
 	}
-	if e.Workloads.Count > 0 && len(e.Sweep.Variables) > 0 && e.Sweep.Method != Grid {
+	if experiment.Workloads.Count > 0 && len(experiment.Sweep.Variables) > 0 && experiment.Sweep.Method != Grid {
 		return nil, sexp.Errorf(forms[0].Pos, "days go with a grid or no sweep at all")
 	}
-	return e, nil
+	return experiment, nil
 }
 
 // readPolicies reads (policies NAME ...).
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -81,29 +81,29 @@
 	}
 }
 
-func readServers(n sexp.Node, s *clustersim.ServerConfig) error {
+func readServers(n sexp.Node, servers *clustersim.ServerConfig) error {
 	return sexp.ReadFields(n.Args(), fields{
-		"n":            sexp.Int(&s.Count, 0, 100_000),
-		"cores":        sexp.Int(&s.Cores, 1, 1024),
-		"speed":        sexp.Number(&s.Speed, 0.001, 1000),
-		"speed-spread": sexp.Number(&s.SpeedCV, 0, 0.4),
-		"thrash":       sexp.Number(&s.ThrashFactor, 0, 100),
-		"thrash-at":    sexp.Number(&s.ThrashThreshold, 0, 1000),
-		"read":         sexp.Number(&s.ReadCost, 0, 10),
-		"memory-kb":    sexp.Number(&s.MemoryKB, 1, 1e12),
-		"key-kb":       sexp.Number(&s.KeyKB, 0, 1e6),
-		"hold-kb":      func(form sexp.Node) error { return readRequestKB(form, &s.RequestKB) },
-		"run-factor":   sexp.Number(&s.RunningMemoryFactor, 1, 1000),
-		"cold-share":   sexp.Number(&s.InitialCapacity, 0.001, 1),
-		"cold-for":     sexp.Duration(&s.WarmUpTime, 0, time.Hour),
-		"crowd-factor": sexp.Number(&s.MaxConcurrencyFactor, 1, 1e6),
-		"drain-grace":  sexp.Duration(&s.DrainGracePeriod, 0, time.Minute),
-		"stop":         sexp.Duration(&s.DrainTimeout, time.Millisecond, time.Hour),
-		"restart":      sexp.Duration(&s.RestartDelay, 0, time.Hour),
-		"unread":       sexp.Int(&s.BacklogPerCore, 1, 1_000_000),
-		"retry-after":  sexp.Duration(&s.MaxRetryAfter, 0, time.Hour),
-		"heeded":       sexp.Duration(&s.FeedbackTTL, 0, time.Hour),
-		"over-worth":   sexp.Number(&s.OverQuotaWeight, 0, 1),
+		"n":            sexp.Int(&servers.Count, 0, 100_000),
+		"cores":        sexp.Int(&servers.Cores, 1, 1024),
+		"speed":        sexp.Number(&servers.Speed, 0.001, 1000),
+		"speed-spread": sexp.Number(&servers.SpeedCV, 0, 0.4),
+		"thrash":       sexp.Number(&servers.ThrashFactor, 0, 100),
+		"thrash-at":    sexp.Number(&servers.ThrashThreshold, 0, 1000),
+		"read":         sexp.Number(&servers.ReadCost, 0, 10),
+		"memory-kb":    sexp.Number(&servers.MemoryKB, 1, 1e12),
+		"key-kb":       sexp.Number(&servers.KeyKB, 0, 1e6),
+		"hold-kb":      func(form sexp.Node) error { return readRequestKB(form, &servers.RequestKB) },
+		"run-factor":   sexp.Number(&servers.RunningMemoryFactor, 1, 1000),
+		"cold-share":   sexp.Number(&servers.InitialCapacity, 0.001, 1),
+		"cold-for":     sexp.Duration(&servers.WarmUpTime, 0, time.Hour),
+		"crowd-factor": sexp.Number(&servers.MaxConcurrencyFactor, 1, 1e6),
+		"drain-grace":  sexp.Duration(&servers.DrainGracePeriod, 0, time.Minute),
+		"stop":         sexp.Duration(&servers.DrainTimeout, time.Millisecond, time.Hour),
+		"restart":      sexp.Duration(&servers.RestartDelay, 0, time.Hour),
+		"unread":       sexp.Int(&servers.BacklogPerCore, 1, 1_000_000),
+		"retry-after":  sexp.Duration(&servers.MaxRetryAfter, 0, time.Hour),
+		"heeded":       sexp.Duration(&servers.FeedbackTTL, 0, time.Hour),
+		"over-worth":   sexp.Number(&servers.OverQuotaWeight, 0, 1),
 	})
 }
 
@@ -124,24 +124,24 @@
 }
 
 // readArrivals reads (arrivals ...). A capture replaces the kind.
-func readArrivals(n sexp.Node, a *arrival.Config) error {
-	kind, path := string(a.Kind), ""
+func readArrivals(n sexp.Node, arrivals *arrival.Config) error {
+	kind, path := string(arrivals.Kind), ""
 	err := sexp.ReadFields(n.Args(), fields{
 		"kind":    sexp.OneOf(&kind, string(arrival.Poisson), string(arrival.Bursty), string(arrival.Diurnal)),
-		"burst":   sexp.Number(&a.BurstFactor, 1, 1000),
-		"part":    sexp.Number(&a.BurstFraction, 0.001, 0.999),
-		"stay":    sexp.Duration(&a.MeanBurst, time.Millisecond, time.Hour),
+		"burst":   sexp.Number(&arrivals.BurstFactor, 1, 1000),
+		"part":    sexp.Number(&arrivals.BurstFraction, 0.001, 0.999),
+		"stay":    sexp.Duration(&arrivals.MeanBurst, time.Millisecond, time.Hour),
 		"capture": sexp.Text(&path),
-		"factor":  sexp.Number(&a.Speed, 0.001, 1000),
-		"swing":   sexp.Number(&a.Amplitude, 0, 1),
-		"day":     sexp.Duration(&a.Period, time.Second, day),
+		"factor":  sexp.Number(&arrivals.Speed, 0.001, 1000),
+		"swing":   sexp.Number(&arrivals.Amplitude, 0, 1),
+		"day":     sexp.Duration(&arrivals.Period, time.Second, day),
 	})
-	a.Kind = arrival.Kind(kind)
+	arrivals.Kind = arrival.Kind(kind)
 	if err != nil || path == "" {
 		return err
 	}
-	a.Kind = arrival.Replay
-	if a.Times, err = capture.ReadArrivals(path); err != nil {
+	arrivals.Kind = arrival.Replay
+	if arrivals.Times, err = capture.ReadArrivals(path); err != nil {
 		return sexp.Errorf(n.Pos, "%v", err)
 	}
 	return nil
@@ -149,7 +149,7 @@
 
 // readClass reads (class NAME ...).
 func readClass(n sexp.Node, to *[]clustersim.Class) (err error) {
-	c := clustersim.Class{
+	class := clustersim.Class{
 		Share:            1,
 		MeanWork:         100 * time.Millisecond,
 		Distribution:     clustersim.LogNormal,
@@ -158,25 +158,25 @@
 		Deadline:         4 * time.Second,
 		Weight:           1,
 	}
-	if c.Name, err = n.WordAt(1, "the name of a class"); err != nil {
+	if class.Name, err = n.WordAt(1, "the name of a class"); err != nil {
 		return err
 	}
-	distribution := string(c.Distribution)
+	distribution := string(class.Distribution)
 	err = sexp.ReadFields(n.ItemsFrom(2), fields{
-		"share": sexp.Number(&c.Share, 0, 1e6),
-		"work":  sexp.Duration(&c.MeanWork, time.Microsecond, time.Hour),
+		"share": sexp.Number(&class.Share, 0, 1e6),
+		"work":  sexp.Duration(&class.MeanWork, time.Microsecond, time.Hour),
 		"dist": sexp.OneOf(&distribution, string(clustersim.Constant), string(clustersim.Exponential), string(clustersim.LogNormal),
 			string(clustersim.Pareto)),
-		"spread":     sexp.Number(&c.CV, 0, 100),
-		"aim":        sexp.Duration(&c.LatencyObjective, time.Millisecond, day),
-		"deadline":   sexp.Duration(&c.Deadline, time.Millisecond, day),
-		"worth":      sexp.Number(&c.Weight, 0, 1e6),
-		"late-worth": sexp.Number(&c.LateWeight, 0, 1),
-		"window":     sexp.Duration(&c.KeyWindow, 0, day),
+		"spread":     sexp.Number(&class.CV, 0, 100),
+		"aim":        sexp.Duration(&class.LatencyObjective, time.Millisecond, day),
+		"deadline":   sexp.Duration(&class.Deadline, time.Millisecond, day),
+		"worth":      sexp.Number(&class.Weight, 0, 1e6),
+		"late-worth": sexp.Number(&class.LateWeight, 0, 1),
+		"window":     sexp.Duration(&class.KeyWindow, 0, day),
 	})
-	c.Distribution = clustersim.Distribution(distribution)
-	c.IdempotentByKey = c.KeyWindow > 0
-	*to = append(*to, c)
+	class.Distribution = clustersim.Distribution(distribution)
+	class.IdempotentByKey = class.KeyWindow > 0
+	*to = append(*to, class)
 	return err
 }
 
@@ -199,27 +199,27 @@
 
 // readGateways reads (gateways ...).
 func readGateways(n sexp.Node, to *[]clustersim.GatewayConfig) error {
-	g := clustersim.GatewayConfig{Count: 1, Share: 1, MaxAttempts: 3, RetryBudget: 0.2}
+	gateways := clustersim.GatewayConfig{Count: 1, Share: 1, MaxAttempts: 3, RetryBudget: 0.2}
 	balancing, retry := string(clustersim.RoundRobin), string(clustersim.RetryBudgeted)
 	honorsFeedback, usesHealthChecks := wordYes, wordNo
 	err := sexp.ReadFields(n.Args(), fields{
-		"n":     sexp.Int(&g.Count, 1, 10_000),
-		"share": sexp.Number(&g.Share, 0, 1e6),
-		"tries": sexp.Int(&g.MaxAttempts, 1, 1000),
+		"n":     sexp.Int(&gateways.Count, 1, 10_000),
+		"share": sexp.Number(&gateways.Share, 0, 1e6),
+		"tries": sexp.Int(&gateways.MaxAttempts, 1, 1000),
 		"choice": sexp.OneOf(&balancing, string(clustersim.RoundRobin), string(clustersim.LeastRequest), string(clustersim.PowerOfTwo),
 			string(clustersim.ResourceHash), string(clustersim.LowestLatency), string(clustersim.WeightedRandom), string(clustersim.Random)),
 		"again": sexp.OneOf(&retry, string(clustersim.RetryNever), string(clustersim.RetryUnbounded), string(clustersim.RetryBudgeted),
 			string(clustersim.RetryOnTimeout), string(clustersim.RetryHedged), string(clustersim.RetryBackoff)),
-		"budget":  sexp.Number(&g.RetryBudget, 0, 100),
-		"wait":    sexp.Number(&g.AttemptTimeoutFactor, 0, 100),
+		"budget":  sexp.Number(&gateways.RetryBudget, 0, 100),
+		"wait":    sexp.Number(&gateways.AttemptTimeoutFactor, 0, 100),
 		"heeds":   sexp.OneOf(&honorsFeedback, wordYes, wordNo),
-		"subset":  sexp.Int(&g.SubsetSize, 0, 100_000),
+		"subset":  sexp.Int(&gateways.SubsetSize, 0, 100_000),
 		"checked": sexp.OneOf(&usesHealthChecks, wordYes, wordNo),
-		"repeats": sexp.Number(&g.ResendShare, 0, 1),
+		"repeats": sexp.Number(&gateways.ResendShare, 0, 1),
 	})
-	g.Balancing, g.Retry = clustersim.BalancingPolicy(balancing), clustersim.RetryPolicy(retry)
-	g.HonorsFeedback, g.UsesHealthChecks = honorsFeedback == wordYes, usesHealthChecks == wordYes
-	*to = append(*to, g)
+	gateways.Balancing, gateways.Retry = clustersim.BalancingPolicy(balancing), clustersim.RetryPolicy(retry)
+	gateways.HonorsFeedback, gateways.UsesHealthChecks = honorsFeedback == wordYes, usesHealthChecks == wordYes
+	*to = append(*to, gateways)
 	return err
 }
 
@@ -229,17 +229,17 @@
 	if err != nil {
 		return err
 	}
-	i := clustersim.Incident{Kind: clustersim.IncidentKind(kind), Start: 10 * time.Second, Duration: 10 * time.Second, Magnitude: 1}
-	if !i.IsKnown() {
+	incident := clustersim.Incident{Kind: clustersim.IncidentKind(kind), Start: 10 * time.Second, Duration: 10 * time.Second, Magnitude: 1}
+	if !incident.IsKnown() {
 		return sexp.Errorf(n.Pos, "no incident is called %q, want one of %v", kind, clustersim.IncidentKinds())
 	}
 	err = sexp.ReadFields(n.ItemsFrom(2), fields{
-		"from": sexp.Duration(&i.Start, 0, day),
-		"for":  sexp.Duration(&i.Duration, 0, day),
-		"rise": sexp.Duration(&i.RampTime, 0, day),
-		"part": sexp.Number(&i.ServerShare, 0, 1),
-		"size": sexp.Number(&i.Magnitude, 0, 1e6),
+		"from": sexp.Duration(&incident.Start, 0, day),
+		"for":  sexp.Duration(&incident.Duration, 0, day),
+		"rise": sexp.Duration(&incident.RampTime, 0, day),
+		"part": sexp.Number(&incident.ServerShare, 0, 1),
+		"size": sexp.Number(&incident.Magnitude, 0, 1e6),
 	})
-	*to = append(*to, i)
+	*to = append(*to, incident)
 	return err
 }
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -44,12 +44,12 @@
 const resultsMode = 0o644
 
 // openResults opens or creates a results file, removes a last line that was cut off, and returns the number of its rows.
-func openResults(e *Experiment, jobs []Job, path string) (file *os.File, rows int, err error) {
+func openResults(experiment *Experiment, jobs []Job, path string) (file *os.File, rows int, err error) {
 	checksum, err := planChecksum(jobs)
 	if err != nil {
 		return nil, 0, err
 	}
-	firstLine, err := json.Marshal(header{e.Name, checksum, len(jobs)})
+	firstLine, err := json.Marshal(header{experiment.Name, checksum, len(jobs)})
 	if err != nil {
 		return nil, 0, fmt.Errorf("experiment: %w", err)
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -11,36 +11,36 @@
 )
 
 // measuresOf returns the figures of a result by the names that results files, plots and comparisons use.
-func measuresOf(r *clustersim.Result) map[string]float64 {
+func measuresOf(result *clustersim.Result) map[string]float64 {
 	measures := map[string]float64{
-		"g":            r.Score,
-		"share":        r.GoodputShare,
-		"worst10":      r.WorstWindowShare,
-		"worst-class":  r.WorstClassShare,
-		"worst-tenant": r.WorstTenantShare,
-		"waste":        r.WastedWork,
-		"late":         r.LateShare,
-		"p50":          r.P50,
-		"p99":          r.P99,
-		"p999":         r.P999,
-		"load":         r.Load,
-		"requests":     float64(r.Requests),
-		"tries":        float64(r.Attempts) / float64(max(r.Requests, 1)),
-		"fell":         float64(r.Crashes),
-		"events":       float64(r.Events),
+		"g":            result.Score,
+		"share":        result.GoodputShare,
+		"worst10":      result.WorstWindowShare,
+		"worst-class":  result.WorstClassShare,
+		"worst-tenant": result.WorstTenantShare,
+		"waste":        result.WastedWork,
+		"late":         result.LateShare,
+		"p50":          result.P50,
+		"p99":          result.P99,
+		"p999":         result.P999,
+		"load":         result.Load,
+		"requests":     float64(result.Requests),
+		"tries":        float64(result.Attempts) / float64(max(result.Requests, 1)),
+		"fell":         float64(result.Crashes),
+		"events":       float64(result.Events),
 	}
-	if r.Recovery.HadIncidents {
+	if result.Recovery.HadIncidents {
 		measures["recovered"] = 0
-		measures["recovered-after"] = r.Recovery.RecoverySeconds
-		measures["left"] = r.Recovery.ShareAfter
-		if r.Recovery.Recovered {
+		measures["recovered-after"] = result.Recovery.RecoverySeconds
+		measures["left"] = result.Recovery.ShareAfter
+		if result.Recovery.Recovered {
 			measures["recovered"] = 1
 		}
 	}
-	for _, c := range r.Classes {
+	for _, c := range result.Classes {
 		measures["class "+c.Name] = c.GoodputShare
 	}
-	for _, t := range r.Tenants {
+	for _, t := range result.Tenants {
 		measures["tenant "+t.Name] = t.GoodputShare
 	}
 	return measures
@@ -75,12 +75,12 @@
 // Run runs an experiment into a results file, with a number of workers (0 means one per core). If the file holds a part of
 // the same plan, Run resumes after that. Rows are written in the order of the plan, so that an interrupted run that is
 // resumed leaves the same file. Progress, if it is not nil, is called with the number of runs that are done.
-func Run(ctx context.Context, e *Experiment, path string, workers int, progress func(done, of int)) error {
-	jobs, err := e.Plan()
+func Run(ctx context.Context, experiment *Experiment, path string, workers int, progress func(done, of int)) error {
+	jobs, err := experiment.Plan()
 	if err != nil {
 		return err
 	}
-	file, done, err := openResults(e, jobs, path)
+	file, done, err := openResults(experiment, jobs, path)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/variables.go
+++ b/internal/experiment/variables.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// keepingLoad sets a variable that changes the capacity, and keeps the load relative to it.
-func keepingLoad(apply applyFunc) applyFunc {
+// atConstantLoad sets a variable that changes the capacity, and keeps the load relative to it.
+func atConstantLoad(apply applyFunc) applyFunc {
 	return func(c *clustersim.Config, v float64) {
 		load := c.Arrival.Rate / c.Capacity()
 		apply(c, v)
@@ -59,8 +59,8 @@
 func applyFuncs() map[string]applyFunc {
 	return map[string]applyFunc{
 		"load":         func(c *clustersim.Config, v float64) { c.SetLoad(v) },
-		"servers":      keepingLoad(func(c *clustersim.Config, v float64) { c.Servers.Count = toInt(v) }),
-		"cores":        keepingLoad(func(c *clustersim.Config, v float64) { c.Servers.Cores = toInt(v) }),
+		"servers":      atConstantLoad(func(c *clustersim.Config, v float64) { c.Servers.Count = toInt(v) }),
+		"cores":        atConstantLoad(func(c *clustersim.Config, v float64) { c.Servers.Cores = toInt(v) }),
 		"speed-spread": func(c *clustersim.Config, v float64) { c.Servers.SpeedCV = v },
 		"thrash":       func(c *clustersim.Config, v float64) { c.Servers.ThrashFactor = v },
 		"thrash-at":    func(c *clustersim.Config, v float64) { c.Servers.ThrashThreshold = v },
