--- /dev/null
+++ b/cmd/cataloguectl/scenario.go
@@ -0,0 +1,249 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"strconv"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"tillerusher/internal/scenario"
+)
+
+// newScenarioCommand builds the commands on scenarios. Its alias and those below it are the verbs of earlier versions.
+func newScenarioCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:     "scenario",
+		Aliases: []string{"rehearse"},
+		Short:   "Run incidents through the real server on a simulated system",
+		Long: "scenario runs a load and incidents through the real server, with its event loop and its connections, on a simulated\n" +
+			"operating system and network, in virtual time. The same seed gives the same report." + statusHelp,
+	}
+	cmd.AddCommand(
+		newScenarioListCommand(),
+		newScenarioRunCommand(),
+		newScenarioExploreCommand(),
+		newScenarioReplayCommand(),
+		newScenarioShrinkCommand(),
+	)
+	return cmd
+}
+
+func newScenarioListCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "list",
+		Short: "List the built-in scenarios",
+		Long:  "list prints the name of each scenario and what it shows." + statusHelp,
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			out := newPrinter(cmd)
+			scenarios, err := scenario.Library()
+			if err != nil {
+				return err
+			}
+			for _, s := range scenarios {
+				out.linef("%-20s %s", s.Name, s.Purpose)
+				if err := out.encode(map[string]string{"name": s.Name, "teaches": s.Purpose}); err != nil {
+					return err
+				}
+			}
+			return nil
+		},
+	}
+}
+
+// scenarioRunOptions are the flags of scenario run.
+type scenarioRunOptions struct {
+	seed uint64
+	page string
+}
+
+func newScenarioRunCommand() *cobra.Command {
+	opts := scenarioRunOptions{seed: 1}
+	cmd := &cobra.Command{
+		Use:   "run NAME",
+		Short: "Run a scenario",
+		Long: "run runs a built-in scenario, or that of a file that ends in .sexp. The exit status is 1 if a rule is broken or an\n" +
+			"expectation is not met." + statusHelp,
+		Example: "  cataloguectl scenario run rolling-deploy --seed 7\n  cataloguectl scenario run friday.sexp --page friday.html",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			s, err := scenario.Find(args[0])
+			if err != nil {
+				return inputError{err}
+			}
+			repeat := fmt.Sprintf("cataloguectl scenario run %s --seed %d", args[0], opts.seed)
+			return runScenario(newPrinter(cmd), s, opts.seed, repeat, opts.page)
+		},
+	}
+	cmd.Flags().StringVar(&opts.page, "page", "", "file for a page (HTML) with the figures and charts over time")
+	cmd.Flags().Uint64Var(&opts.seed, "seed", opts.seed, "seed of all random numbers")
+	return cmd
+}
+
+// runScenario runs a scenario and prints its report, with the command that repeats it if something is wrong. A page is written unless
+// its path is empty.
+func runScenario(out printer, spec *scenario.Scenario, seed uint64, repeat, pagePath string) error {
+	result, err := scenario.Run(spec, seed)
+	if err != nil {
+		return err
+	}
+	if pagePath != "" {
+		if err := writeFile(pagePath, newScenarioPage(spec, result).HTML); err != nil {
+			return err
+		}
+	}
+	printReport(out, result)
+	isBad := result.HasViolations() || len(result.UnmetExpectations) > 0
+	if isBad {
+		out.linef("again: %s", repeat)
+	}
+	if err := out.encode(result); err != nil {
+		return err
+	}
+	return foundIf(isBad)
+}
+
+// printReport prints a scenario's report.
+func printReport(out printer, result *scenario.Report) {
+	out.linef("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", result.Scenario, result.Seed,
+		result.Requests, result.Attempts, result.ServedShare, result.P50, result.P99)
+	out.linef("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", result.Served,
+		result.Rejected, result.Failed, result.Lost, result.Unsent, result.Unanswered, result.Runs)
+	out.linef("share by second, blank is under 0.1 and @ from 0.9: |%s|", sparkline(result.Seconds))
+	for _, violation := range result.Violations {
+		out.linef("broken rule: %s", violation)
+	}
+	if unnamed := result.ViolationCount - len(result.Violations); unnamed > 0 {
+		out.linef("and %d more", unnamed)
+	}
+	for _, expectation := range result.UnmetExpectations {
+		out.linef("not as expected: %s", expectation)
+	}
+}
+
+// sparkline draws the served share of each second as one character.
+func sparkline(seconds []scenario.SecondStats) string {
+	const shades = " .:-=+*#%@"
+	line := make([]byte, len(seconds))
+	for n, second := range seconds {
+		share := float64(second.Served) / float64(max(second.Requests, 1))
+		line[n] = shades[min(int(share*10), 9)]
+	}
+	return string(line)
+}
+
+// scenarioExploreOptions are the flags of scenario explore.
+type scenarioExploreOptions struct {
+	config   scenario.ExploreConfig
+	duration time.Duration
+}
+
+func newScenarioExploreCommand() *cobra.Command {
+	opts := scenarioExploreOptions{
+		config:   scenario.ExploreConfig{FirstSeed: 1, Seeds: 1_000_000_000, MaxFindings: 5, Parallel: runtime.GOMAXPROCS(0)},
+		duration: time.Minute,
+	}
+	cmd := &cobra.Command{
+		Use:     "explore",
+		Aliases: []string{"hunt"},
+		Short:   "Run generated scenarios until a rule breaks",
+		Long: "explore runs short scenarios whose cluster, load, network faults and incidents are generated from a seed, one seed after\n" +
+			"the other, and prints those that break a rule, with the command that repeats them." + statusHelp,
+		Example: "  cataloguectl scenario explore --for 10m\n  cataloguectl scenario explore --first 1 --seeds 1000",
+		Args:    cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
+	}
+	flags := cmd.Flags()
+	flags.Uint64Var(&opts.config.FirstSeed, "first", opts.config.FirstSeed, "the first seed")
+	flags.IntVar(&opts.config.Seeds, "seeds", opts.config.Seeds, "how many seeds")
+	flags.DurationVar(&opts.duration, "for", opts.duration, "how long at the most")
+	flags.IntVar(&opts.config.MaxFindings, "most", opts.config.MaxFindings, "how many findings end it")
+	flags.IntVar(&opts.config.Parallel, "parallel", opts.config.Parallel, "scenarios at a time")
+	return cmd
+}
+
+func (o *scenarioExploreOptions) run(cmd *cobra.Command) error {
+	ctx, cancel := context.WithTimeout(cmd.Context(), o.duration)
+	defer cancel()
+	o.config.Progress = newProgress("seeds", o.config.Seeds)
+	result, err := scenario.Explore(ctx, o.config)
+	if err != nil {
+		return err
+	}
+	out := newPrinter(cmd)
+	printExploration(out, result)
+	if err := out.encode(result); err != nil {
+		return err
+	}
+	return foundIf(len(result.Findings) > 0)
+}
+
+// printExploration prints the sums and the findings of an exploration.
+func printExploration(out printer, e *scenario.Exploration) {
+	out.linef("%d days: %d requests, %d tries, %d runs; served %d, refused %d, failed %d, lost with their connection %d", e.Seeds,
+		e.Requests, e.Attempts, e.Runs, e.Served, e.Rejected, e.Failed, e.Lost)
+	out.linef("faults: %+v", e.Simulation)
+	for _, finding := range e.Findings {
+		what := fmt.Sprintf("%d tries unanswered", finding.Report.Unanswered)
+		if len(finding.Report.Violations) > 0 {
+			what = finding.Report.Violations[0]
+		}
+		out.linef("seed %d: %s\n  again: cataloguectl scenario replay %d", finding.Seed, what, finding.Seed)
+	}
+}
+
+// parseSeed reads a seed.
+func parseSeed(text string) (uint64, error) {
+	seed, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("found %q, want a seed: a whole number", text)
+	}
+	return seed, nil
+}
+
+func newScenarioReplayCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "replay SEED",
+		Short:   "Run a scenario of explore again",
+		Long:    "replay runs the scenario that explore generates from a seed." + statusHelp,
+		Example: "  cataloguectl scenario replay 4711",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			seed, err := parseSeed(args[0])
+			if err != nil {
+				return err
+			}
+			return runScenario(newPrinter(cmd), scenario.Generate(seed), seed, "cataloguectl scenario replay "+args[0], "")
+		},
+	}
+}
+
+func newScenarioShrinkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "shrink SEED",
+		Short: "Find the smallest scenario that still breaks a rule",
+		Long:  "shrink reduces the scenario that explore generates from a seed for as long as a rule still breaks." + statusHelp,
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			seed, err := parseSeed(args[0])
+			if err != nil {
+				return err
+			}
+			s, err := scenario.Shrink(scenario.Generate(seed), seed)
+			if err != nil {
+				return err
+			}
+			r, err := scenario.Run(s, seed)
+			if err != nil {
+				return err
+			}
+			out := newPrinter(cmd)
+			out.linef("%v", s)
+			printReport(out, r)
+			return out.encode(s)
+		},
+	}
+}
--- /dev/null
+++ b/cmd/cataloguectl/simulate.go
@@ -0,0 +1,25 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+)
+
+func newSimulateCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:     "simulate",
+		Aliases: []string{"model"},
+		Short:   "Simulate clusters in virtual time, and compare policies",
+		Long: "simulate runs clusters of catalogue servers in virtual time, with the real decision module or with other policies, and\n" +
+			"runs experiments on them; docs/experiments.md goes through one." + statusHelp,
+	}
+	cmd.AddCommand(
+		newSimulateRunCommand(),
+		newSimulateSweepCommand(),
+		newSimulateShowCommand(),
+		newSimulateCompareCommand(),
+		newSimulatePlotCommand(),
+		newSimulateSearchCommand(),
+		newSimulateCalibrateCommand(),
+	)
+	return cmd
+}
--- /dev/null
+++ b/internal/experiment/parse.go
@@ -0,0 +1,163 @@
+package experiment
+
+import (
+	"math"
+	"path/filepath"
+	"slices"
+
+	"tillerusher/internal/clustersim"
+	"tillerusher/internal/sexp"
+)
+
+// fields are functions that read forms, by the names of the forms.
+type fields = map[string]func(sexp.Node) error
+
+// Limits of what a file may ask for.
+const (
+	maxSeeds        = 1_000_000
+	maxWorkloads    = 100_000 // of each kind
+	maxSweepPoints  = 1_000_000
+	maxSteps        = 10_000
+	defaultSeeds    = 5
+	defaultSteps    = 5
+	defaultStream   = 1 // seed of a sweep
+	firstWorkload   = 1
+	minVariableArgs = 2 // FROM and TO
+	maxVariableArgs = 3 // and STEPS
+)
+
+func readExperiment(file string, forms []sexp.Node) (*Experiment, error) {
+	experiment := &Experiment{
+		Name:     filepath.Base(file),
+		Config:   clustersim.DefaultConfig(),
+		Policies: []string{modulePolicy},
+		Sweep:    Sweep{Method: Grid, Seed: defaultStream},
+	}
+	seeds := defaultSeeds
+	readWorld := func(n sexp.Node) error {
+		experiment.configForm = n.Source()
+		return readConfig(n.Args(), &experiment.Config)
+	}
+	err := sexp.ReadForms(forms, fields{
+		"name":     sexp.Text(&experiment.Name),
+		"world":    readWorld,
+		"days":     func(n sexp.Node) error { return readWorkloads(n, &experiment.Workloads) },
+		"policies": func(n sexp.Node) error { return readPolicies(n, &experiment.Policies) },
+		"seeds":    sexp.Int(&seeds, 1, maxSeeds),
+		"sweep":    func(n sexp.Node) error { return readSweep(n, &experiment.Sweep) },
+	}, nil)
+	if err != nil {
+		return nil, err
+	}
+	experiment.Seeds = uint64(seeds)
+	if experiment.Config.Name == clustersim.DefaultConfig().Name {
+		experiment.Config.Name = experiment.Name
+	}
+	if experiment.Workloads.Count > 0 && len(experiment.Sweep.Variables) > 0 && experiment.Sweep.Method != Grid {
+		return nil, sexp.Errorf(forms[0].Pos, "days go with a grid or no sweep at all")
+	}
+	return experiment, nil
+}
+
+// readPolicies reads (policies NAME ...).
+func readPolicies(n sexp.Node, to *[]string) error {
+	*to = nil
+	for _, arg := range n.Args() {
+		if _, err := LookupPolicy(arg.Text); err != nil || arg.Kind == sexp.List {
+			return sexp.Errorf(arg.Pos, "found %v, want a policy of %v", arg, PolicyNames())
+		}
+		if slices.Contains(*to, arg.Text) {
+			return sexp.Errorf(arg.Pos, "policy %s is given twice", arg.Text)
+		}
+		*to = append(*to, arg.Text)
+	}
+	if len(*to) == 0 {
+		return sexp.Errorf(n.Pos, "(policies ...) has none, want some of %v", PolicyNames())
+	}
+	return nil
+}
+
+// readWorkloads reads (days (count N) (from N) (kinds KIND ...)).
+func readWorkloads(n sexp.Node, to *WorkloadRange) error {
+	from := firstWorkload
+	err := sexp.ReadForms(n.Args(), fields{
+		"count": sexp.Int(&to.Count, 1, maxWorkloads),
+		"from":  sexp.Int(&from, 0, math.MaxInt32),
+		"kinds": func(kinds sexp.Node) error { return readWorkloadKinds(kinds, &to.Kinds) },
+	}, nil)
+	if err == nil && to.Count == 0 {
+		err = sexp.Errorf(n.Pos, "(days ...) without (count N)")
+	}
+	if to.From = uint64(from); len(to.Kinds) == 0 {
+		to.Kinds = clustersim.WorkloadKinds()
+	}
+	return err
+}
+
+// readWorkloadKinds reads (kinds KIND ...).
+func readWorkloadKinds(n sexp.Node, to *[]clustersim.WorkloadKind) error {
+	for _, arg := range n.Args() {
+		kind := clustersim.WorkloadKind(arg.Text)
+		if !isWorkloadKind(kind) {
+			return sexp.Errorf(arg.Pos, "found %v, want a kind of day of %v", arg, clustersim.WorkloadKinds())
+		}
+		*to = append(*to, kind)
+	}
+	return nil
+}
+
+func isWorkloadKind(kind clustersim.WorkloadKind) bool {
+	return slices.Contains(clustersim.WorkloadKinds(), kind)
+}
+
+// readSweep reads (sweep (how METHOD) (count N) (seed N) (vary ...) ...).
+func readSweep(n sexp.Node, to *Sweep) error {
+	method, seed := string(to.Method), defaultStream
+	err := sexp.ReadForms(n.Args(), fields{
+		"how":   sexp.OneOf(&method, string(Grid), string(RandomPoints), string(LatinHypercube)),
+		"count": sexp.Int(&to.Count, 1, maxSweepPoints),
+		"seed":  sexp.Int(&seed, 0, math.MaxInt32),
+	}, fields{
+		"vary": func(form sexp.Node) error {
+			v, err := readVariable(form)
+			to.Variables = append(to.Variables, v)
+			return err
+		},
+	})
+	to.Method, to.Seed = SweepMethod(method), uint64(seed)
+	switch {
+	case err != nil:
+		return err
+	case len(to.Variables) == 0:
+		return sexp.Errorf(n.Pos, "(sweep ...) varies nothing, want (vary NAME FROM TO)")
+	case to.Method != Grid && to.Count == 0:
+		return sexp.Errorf(n.Pos, "(sweep ...) by %s needs (count N)", to.Method)
+	}
+	return nil
+}
+
+// readVariable reads (vary NAME FROM TO [STEPS]).
+func readVariable(n sexp.Node) (v Variable, err error) {
+	if v.Name, err = n.WordAt(1, "what is varied"); err != nil {
+		return v, err
+	}
+	if v.apply, err = findVariable(v.Name); err != nil {
+		return v, sexp.Errorf(n.Pos, "%v", err)
+	}
+	args := n.ItemsFrom(2)
+	if len(args) < minVariableArgs || len(args) > maxVariableArgs {
+		return v, sexp.Errorf(n.Pos, "want (vary NAME FROM TO) or (vary NAME FROM TO STEPS)")
+	}
+	numbers := [maxVariableArgs]float64{0, 0, defaultSteps}
+	for i, arg := range args {
+		if numbers[i], err = arg.Float(); err != nil {
+			return v, err
+		}
+	}
+	steps := numbers[2]
+	v.Min, v.Max, v.Steps = numbers[0], numbers[1], int(steps)
+	if v.Max < v.Min || v.Steps < 1 || v.Steps > maxSteps || float64(v.Steps) != steps {
+		return v, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them", v.Name, v.Min, v.Max, steps)
+	}
+	return v, nil
+}
--- /dev/null
+++ b/internal/loadreport/reporter.go
@@ -0,0 +1,48 @@
+// Package loadreport tells the platform's announce service whether this server accepts requests, one UDP datagram a
+// report. It belongs to the event loop's goroutine.
+package loadreport
+
+import (
+	"fmt"
+	"net/netip"
+
+	"tillerusher/internal/eventloop"
+)
+
+// reportFormat is the content of a datagram: the server's name, and whether it accepts requests.
+const reportFormat = "announce %s %t"
+
+// Reporter sends reports for one server. A report is not acknowledged, and one that can't be sent is not repeated: the
+// next is due soon.
+type Reporter struct {
+	system eventloop.System
+	fd     int
+	name   string
+}
+
+// New returns a reporter to the service at the address.
+func New(system eventloop.System, to netip.AddrPort, name string) (*Reporter, error) {
+	fd, err := system.NewDatagramSocket(to)
+	if err != nil {
+		return nil, fmt.Errorf("announce: %w", err)
+	}
+	if err := system.Connect(fd, to); err != nil {
+		system.Close(fd)
+		return nil, fmt.Errorf("announce: %w", err)
+	}
+	return &Reporter{system: system, fd: fd, name: name}, nil
+}
+
+// Report sends one report. A connected socket reports by an error of this write that nobody received the report before,
+// and sends nothing then, though the service may be back: the report is written once more, and the error is returned.
+func (r *Reporter) Report(accepting bool) error {
+	report := fmt.Appendf(nil, reportFormat, r.name, accepting)
+	if _, err := r.system.Write(r.fd, report); err != nil {
+		r.system.Write(r.fd, report) // if this fails, too, the next report is due soon
+		return fmt.Errorf("announce: %w", err)
+	}
+	return nil
+}
+
+// Close closes the socket.
+func (r *Reporter) Close() { r.system.Close(r.fd) }
--- /dev/null
+++ b/internal/replay/request_trace.go
@@ -0,0 +1,199 @@
+package replay
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"tillerusher/admission"
+	"tillerusher/internal/capture"
+)
+
+// ErrNotInCapture is returned where a capture has nothing of what was asked for.
+var ErrNotInCapture = errors.New("replay: not in the capture")
+
+// Step is one thing that happened to a request.
+type Step struct {
+	At   time.Duration `json:"at"`
+	Unix time.Time     `json:"unix"`
+	Text string        `json:"text"`
+}
+
+// RequestTrace is what became of one attempt, and what the module knew when it decided. Times are by the module's clock
+// where nothing else is said.
+type RequestTrace struct {
+	ID                admission.RequestID       `json:"id"`
+	WireID            string                    `json:"request_id,omitempty"`
+	Key               string                    `json:"key,omitempty"`
+	Class             string                    `json:"class"`
+	Tenant            string                    `json:"tenant,omitempty"`
+	Request           admission.Request         `json:"asked"`
+	ReadAt            time.Duration             `json:"at"`
+	Unix              time.Time                 `json:"unix"`               // when it was read
+	AdmissionCheck    *admission.AdmissionCheck `json:"weighing,omitempty"` // nil where the module's state is not known
+	StateOnRead       *admission.Inspection     `json:"known,omitempty"`
+	Steps             []Step                    `json:"steps"`
+	Status            EndStatus                 `json:"ending"`
+	EndAt             time.Duration             `json:"end_at"`
+	EndedOnRead       bool                      `json:"on_read"`             // it was answered by the event that brought it
+	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // where it was answered later
+	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // where it was answered later
+	Lateness          time.Duration             `json:"late,omitempty"`      // time after its objective at which it was served
+	ObjectiveDeadline time.Duration             `json:"aim_at,omitempty"`
+
+	hasEnded  bool
+	readEvent eventRef
+	endEvent  eventRef
+}
+
+// eventRef identifies an event's record.
+type eventRef struct {
+	segment *capture.Segment
+	number  uint64
+}
+
+// requestRef identifies a request over several runs of the server.
+type requestRef struct {
+	run string
+	id  admission.RequestID
+}
+
+// Explain returns the traces of all attempts with the Request-Id or the idempotency key, or of the request with the module's
+// number where name is #NUMBER.
+func Explain(segments []*capture.Segment, name string) ([]*RequestTrace, error) {
+	c := traceCollector{name: name, byRequest: map[requestRef]*RequestTrace{}}
+	if text, ok := strings.CutPrefix(name, "#"); ok {
+		if _, err := fmt.Sscanf(text, "%d", &c.number); err != nil {
+			return nil, fmt.Errorf("replay: %q is no number of a request", name)
+		}
+	}
+	for _, s := range segments {
+		if err := c.collect(s); err != nil {
+			return nil, err
+		}
+	}
+	if len(c.traces) == 0 {
+		return nil, fmt.Errorf("%w: %s", ErrNotInCapture, name)
+	}
+	return c.traces, addDecisions(segments, c.traces)
+}
+
+// traceCollector collects the traces of requests from a capture's records.
+type traceCollector struct {
+	name   string              // Request-Id or idempotency key
+	number admission.RequestID // 0 is none
+
+	traces    []*RequestTrace
+	byRequest map[requestRef]*RequestTrace
+	event     eventRef // the last event, whose actions follow
+}
+
+// collect reads the records of a segment.
+func (c *traceCollector) collect(segment *capture.Segment) error {
+	names := map[admission.RequestID]capture.Record{} // of requests that come next
+	return segment.ForEach(func(at capture.Position, record *capture.Record) error {
+		if record.Kind.IsEvent() {
+			c.event = eventRef{segment, at.Number}
+		}
+		switch record.Kind {
+		case capture.KindRequestNames:
+			if c.matches(record) {
+				names[record.ID] = *record
+			}
+			return nil
+		case capture.KindRequest:
+			name, isNamed := names[record.ID]
+			if record.ID == c.number || isNamed {
+				c.begin(segment, record, name)
+				return nil
+			}
+		case capture.KindSettle, capture.KindTimer:
+			return nil
+		}
+		if trace := c.byRequest[requestRef{segment.Meta.Run, record.ID}]; trace != nil && record.ID != 0 {
+			trace.addStep(segment, record, c.event)
+		}
+		return nil
+	})
+}
+
+// matches returns whether the names of a request are what was asked for.
+func (c *traceCollector) matches(names *capture.Record) bool {
+	return strings.EqualFold(names.Text, c.name) || names.Key != "" && strings.EqualFold(names.Key, c.name) || names.ID == c.number
+}
+
+// begin begins a trace with the event that brought the request. name is the record of its names, or empty.
+func (c *traceCollector) begin(segment *capture.Segment, event *capture.Record, name capture.Record) {
+	trace := &RequestTrace{
+		ID:        event.ID,
+		WireID:    name.Text,
+		Key:       name.Key,
+		Class:     nameOf(segment.Meta.Classes, event.Request.Class),
+		Tenant:    nameOf(segment.Meta.Tenants, event.Request.Tenant),
+		Request:   event.Request,
+		ReadAt:    event.At,
+		Unix:      segment.UnixTime(event.At),
+		Status:    StatusOpen,
+		readEvent: c.event,
+	}
+	c.traces = append(c.traces, trace)
+	c.byRequest[requestRef{segment.Meta.Run, event.ID}] = trace
+}
+
+// addStep adds what a record says of the request.
+func (t *RequestTrace) addStep(segment *capture.Segment, record *capture.Record, event eventRef) {
+	t.Steps = append(t.Steps, Step{record.At, segment.UnixTime(record.At), stepText(record)})
+	if t.hasEnded {
+		return
+	}
+	t.Status, t.hasEnded = statusAfter(t.Status, record)
+	if t.hasEnded {
+		t.EndAt, t.endEvent, t.EndedOnRead = record.At, event, event == t.readEvent
+	}
+}
+
+// addDecisions replays the capture and adds what the module knew when it decided on the requests.
+func addDecisions(segments []*capture.Segment, traces []*RequestTrace) error {
+	readBy, endedBy := map[eventRef][]*RequestTrace{}, map[eventRef][]*RequestTrace{}
+	for _, t := range traces {
+		readBy[t.readEvent] = append(readBy[t.readEvent], t)
+		if t.hasEnded && !t.EndedOnRead {
+			endedBy[t.endEvent] = append(endedBy[t.endEvent], t)
+		}
+	}
+	inspect := func(at capture.Position, event *capture.Record, module *admission.Instance) error {
+		ref := eventRef{at.Segment, at.Number}
+		for _, t := range readBy[ref] {
+			t.inspectOnRead(event.At, module)
+		}
+		for _, t := range endedBy[ref] {
+			t.inspectAtEnd(event.At, module)
+		}
+		return nil
+	}
+	_, err := Run(segments, false, Visitor{BeforeEvent: inspect})
+	for _, t := range traces {
+		wasServed := t.hasEnded && (t.Status == StatusServed || t.Status == StatusReplayed)
+		if wasServed && t.ObjectiveDeadline > 0 {
+			t.Lateness = max(t.EndAt-t.ObjectiveDeadline, 0)
+		}
+	}
+	return err
+}
+
+// inspectOnRead takes the module's state before the event that brought the request.
+func (t *RequestTrace) inspectOnRead(now time.Duration, module *admission.Instance) {
+	check, state := module.CheckAdmission(now, t.Request), module.Inspect()
+	t.AdmissionCheck, t.StateOnRead = &check, &state
+	t.ObjectiveDeadline = check.ObjectiveDeadline
+}
+
+// inspectAtEnd takes the module's state before the event that ended the request.
+func (t *RequestTrace) inspectAtEnd(now time.Duration, module *admission.Instance) {
+	state := module.Inspect()
+	t.StateAtEnd = &state
+	if decision, ok := module.InspectRequest(now, t.ID); ok {
+		t.DecisionAtEnd, t.ObjectiveDeadline = &decision, decision.ObjectiveDeadline
+	}
+}
--- /dev/null
+++ b/internal/replay/simulation.go
@@ -0,0 +1,249 @@
+package replay
+
+import (
+	"errors"
+	"math"
+	"time"
+
+	"tillerusher/admission"
+	"tillerusher/internal/capture"
+)
+
+// ErrNoState is returned where a capture has no state to begin from.
+var ErrNoState = errors.New("replay: the first segment has no readable state")
+
+// Simulate passes what was recorded of one run of the server to a module that may decide otherwise, and returns what becomes
+// of each attempt and the module's settings. Arrivals, callers that leave and drains come as they were recorded. Runs take
+// the core time that they were recorded to take, or the mean of their class where they were not run; the cores are shared
+// evenly, and the gauges follow from that. Callers do not react to other answers: retries come as they were recorded, no
+// more and no fewer. change alters the settings, and may be nil.
+func Simulate(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Attempt, admission.Settings, error) {
+	if len(segments) == 0 || segments[0].Snapshot == nil {
+		return nil, admission.Settings{}, ErrNoState
+	}
+	s := &simulation{now: segments[0].Meta.ModuleTime}
+	recordedModule, err := admission.Restore(segments[0].Snapshot, s)
+	if err != nil {
+		return nil, admission.Settings{}, err
+	}
+	s.module, err = admission.RestoreWith(segments[0].Snapshot, s, change)
+	if err != nil {
+		return nil, admission.Settings{}, err
+	}
+	settings := s.module.Settings()
+	recorded, err := RecordedAttempts(segments, recordedModule.Settings().Cores)
+	if err != nil {
+		return nil, settings, err
+	}
+	s.coreTimes = newCoreTimes(recorded, len(settings.Classes))
+	s.cores = simulatedCores{count: settings.Cores}
+	s.tracker = newAttemptTracker(settings.Cores)
+	s.resume()
+	if err := s.queueRecorded(segments); err != nil {
+		return nil, settings, err
+	}
+	s.run()
+	return s.tracker.attempts, settings, nil
+}
+
+// simulation is a simulation that is under way. It implements admission.Actions.
+type simulation struct {
+	admission.NoActions // for the actions without effect here
+
+	module    *admission.Instance
+	now       time.Duration // by the module's clock
+	end       time.Duration // of the recording
+	cores     simulatedCores
+	coreTimes coreTimes
+	tracker   *attemptTracker
+	events    eventQueue       // that come at a time
+	followUps []capture.Record // events that actions led to, which come at once
+
+	requests  map[admission.RequestID]*capture.Record       // that were passed to the module
+	hasResult map[admission.RequestID]bool                  // requests whose run made a result
+	waiting   map[admission.RequestID][]admission.RequestID // coalesced requests, by the one whose run they wait for
+}
+
+// resume continues what the state at the start has in flight: its runs, which take the mean core time, and its timer.
+func (s *simulation) resume() {
+	_, running := s.module.Queue()
+	for _, id := range running {
+		s.cores.start(id, s.coreTimes.mean)
+	}
+	s.events.push(s.now, capture.Record{Kind: capture.KindTimer}, "")
+}
+
+// queueRecorded queues the recorded events that do not depend on decisions.
+func (s *simulation) queueRecorded(segments []*capture.Segment) error {
+	s.waiting = map[admission.RequestID][]admission.RequestID{}
+	s.requests, s.hasResult = map[admission.RequestID]*capture.Record{}, map[admission.RequestID]bool{}
+	names := map[admission.RequestID]string{}
+	for _, segment := range segments {
+		err := segment.ForEach(func(_ capture.Position, r *capture.Record) error {
+			s.end = max(s.end, r.At)
+			switch r.Kind {
+			case capture.KindRequestNames:
+				names[r.ID] = r.Text
+			case capture.KindRequest, capture.KindCancel, capture.KindDrain:
+				s.events.push(r.At, *r, names[r.ID])
+				delete(names, r.ID)
+			}
+			return nil
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// run goes from event to event until the recording's end. What is open then stays open.
+func (s *simulation) run() {
+	s.module.Settle(s.now)
+	for {
+		nextEvent := s.events.nextTime()
+		run, runEnd := s.nextRunEnd()
+		if min(nextEvent, runEnd) > s.end {
+			return
+		}
+		if run != nil && runEnd <= nextEvent {
+			s.advance(runEnd)
+			s.finishRun(run.id)
+		} else {
+			s.deliverNext()
+		}
+		s.deliverFollowUps()
+		s.module.Settle(s.now)
+	}
+}
+
+// nextRunEnd returns the run that ends next, and when.
+func (s *simulation) nextRunEnd() (*simulatedRun, time.Duration) {
+	run, wait := s.cores.next()
+	if run == nil {
+		return nil, math.MaxInt64
+	}
+	return run, s.now + wait
+}
+
+// advance moves the clock forward, and the runs with it.
+func (s *simulation) advance(to time.Duration) {
+	if to > s.now {
+		s.cores.advance(to - s.now)
+		s.now = to
+	}
+}
+
+// deliverNext passes the next queued event to the module.
+func (s *simulation) deliverNext() {
+	next := s.events.pop()
+	s.advance(next.at)
+	next.event.At = max(next.at, s.now)
+	if next.event.Kind == capture.KindTimer {
+		next.event.Gauges = admission.Gauges{Utilization: s.cores.utilization, Runnable: float64(len(s.cores.runs))}
+	}
+	s.deliver(next.event, next.wireID)
+}
+
+// deliverFollowUps passes the events to the module that its actions led to, and those that follow from these.
+func (s *simulation) deliverFollowUps() {
+	for len(s.followUps) > 0 {
+		event := s.followUps[0]
+		s.followUps = s.followUps[1:]
+		event.At = s.now
+		s.deliver(event, "")
+	}
+}
+
+// deliver passes an event to the module.
+func (s *simulation) deliver(event capture.Record, wireID string) {
+	if event.Kind == capture.KindRequest {
+		request := event
+		s.requests[event.ID] = &request
+	}
+	s.tracker.record(&event, wireID)
+	Deliver(s.module, &event)
+}
+
+// finishRun ends a run, and answers the requests that wait for it.
+func (s *simulation) finishRun(id admission.RequestID) {
+	s.cores.remove(id)
+	s.hasResult[id] = true
+	s.deliver(capture.Record{Kind: capture.KindRunFinished, At: s.now, ID: id, Outcome: admission.OK}, "")
+	s.releaseWaiting(id, admission.OK)
+}
+
+// releaseWaiting answers the requests that waited for a run.
+func (s *simulation) releaseWaiting(id admission.RequestID, outcome admission.Outcome) {
+	for _, waiting := range s.waiting[id] {
+		s.followUp(capture.KindRunFinished, waiting, outcome)
+	}
+	delete(s.waiting, id)
+}
+
+// followUp adds an event that comes at once.
+func (s *simulation) followUp(kind capture.Kind, id admission.RequestID, outcome admission.Outcome) {
+	s.followUps = append(s.followUps, capture.Record{Kind: kind, ID: id, Outcome: outcome})
+}
+
+// track records an action.
+func (s *simulation) track(kind capture.Kind, id admission.RequestID) {
+	s.tracker.record(&capture.Record{Kind: kind, At: s.now, ID: id}, "")
+}
+
+// Run implements admission.Actions.
+func (s *simulation) Run(id admission.RequestID) {
+	s.track(capture.KindRun, id)
+	s.cores.start(id, s.coreTimes.of(id, s.requests[id]))
+}
+
+// Reject implements admission.Actions.
+func (s *simulation) Reject(id admission.RequestID, _ time.Duration, _ bool) {
+	s.track(capture.KindReject, id)
+}
+
+// Fail implements admission.Actions.
+func (s *simulation) Fail(id admission.RequestID) { s.track(capture.KindFail, id) }
+
+// Stop implements admission.Actions.
+func (s *simulation) Stop(id admission.RequestID) {
+	if s.cores.remove(id) {
+		s.followUp(capture.KindRunFinished, id, admission.Cancelled)
+		s.releaseWaiting(id, admission.Failed)
+	}
+}
+
+// ReplayResult implements admission.Actions.
+func (s *simulation) ReplayResult(id admission.RequestID) {
+	s.track(capture.KindReplayResult, id)
+	source := s.resultSource(id)
+	switch {
+	case s.cores.has(source):
+		s.waiting[source] = append(s.waiting[source], id)
+	case s.hasResult[source] || s.requests[source] == nil: // attempt run before the recording is taken to have succeeded
+		s.followUp(capture.KindRunFinished, id, admission.OK)
+	default:
+		s.followUp(capture.KindRunFinished, id, admission.Failed)
+	}
+}
+
+// resultSource follows the chain of earlier attempts to the one that runs or has a result.
+func (s *simulation) resultSource(id admission.RequestID) admission.RequestID {
+	for {
+		r := s.requests[id]
+		if r == nil || r.Request.RetryOf == 0 || s.hasResult[id] || s.cores.has(id) {
+			return id
+		}
+		id = r.Request.RetryOf
+	}
+}
+
+// SetTimer implements admission.Actions.
+func (s *simulation) SetTimer(wait time.Duration, token uint32) {
+	s.events.push(s.now+wait, capture.Record{Kind: capture.KindTimer, Token: token}, "")
+}
+
+// Call implements admission.Actions. Calls succeed at once.
+func (s *simulation) Call(id admission.RequestID, _ time.Duration) {
+	s.followUp(capture.KindCallFinished, id, admission.OK)
+}
--- /dev/null
+++ b/server/capture.go
@@ -0,0 +1,103 @@
+package server
+
+import (
+	"fmt"
+
+	"go.uber.org/zap"
+
+	"tillerusher/admission"
+	"tillerusher/internal/capture"
+)
+
+// captureCloseTimeout is how long the end of a server waits for the disk: with it, a drain that ends late still ends
+// before the process would be killed.
+const captureCloseTimeout = stopMargin / 4
+
+// captureState records what the module is told and decides. Both fields are nil where nothing is recorded, and tap
+// until the module starts.
+type captureState struct {
+	recorder *capture.Recorder
+	tap      *capture.Tap
+}
+
+// openCapture starts recording, where the configuration says so.
+func (s *Server) openCapture() error {
+	if s.cfg.Capture == nil {
+		return nil
+	}
+	files, err := capture.OpenDirectory(s.cfg.Capture.Directory)
+	if err != nil {
+		return err
+	}
+	meta := capture.Meta{Server: s.cfg.Name, Classes: s.site.ClassNames, Tenants: s.site.TenantNames}
+	logError := func(err error) { s.log.Warn("capture not written", zap.Error(err)) }
+	s.capture.recorder, err = capture.NewRecorder(files, s.cfg.Capture.Config, meta, s.loop.Now, logError)
+	if err != nil {
+		return err
+	}
+	s.log.Info("capturing", zap.String("directory", s.cfg.Capture.Directory))
+	return nil
+}
+
+// newModule starts the decision module, behind a tap where what it is told and decides is recorded.
+func (s *Server) newModule(set admission.Settings) (admission.Events, error) {
+	if s.capture.recorder == nil {
+		instance, err := s.newInstance(set, actions{s})
+		if err != nil {
+			return nil, err
+		}
+		return instance, nil
+	}
+	tap := capture.NewTap(s.capture.recorder, actions{s})
+	instance, err := s.newInstance(set, tap)
+	if err != nil {
+		return nil, err
+	}
+	tap.Attach(instance, s.eventTime())
+	s.capture.tap = tap
+	return tap, nil
+}
+
+// newInstance returns a module that knows the run times that an earlier process measured.
+func (s *Server) newInstance(set admission.Settings, act admission.Actions) (*admission.Instance, error) {
+	instance, err := admission.New(set, act)
+	if err != nil {
+		return nil, err
+	}
+	s.module.instance = instance
+	if s.durable != nil {
+		s.durable.restoreRunTimes(instance) // before the first state that is recorded
+	}
+	return instance, nil
+}
+
+// Annotate notes in the capture what the module is not told.
+func (s *Server) Annotate(format string, args ...any) {
+	if s.capture.tap != nil {
+		s.capture.tap.Annotate(fmt.Sprintf(format, args...))
+	}
+}
+
+// closeCapture has the rest of the capture written.
+func (s *Server) closeCapture() {
+	if s.capture.recorder != nil && !s.capture.recorder.Close(captureCloseTimeout) {
+		s.log.Warn("capture not written", zap.String("error", "the disk did not take the end in time"))
+	}
+}
+
+// logCaptureCounters logs what became of the recording.
+func (s *Server) logCaptureCounters() {
+	if s.capture.recorder == nil {
+		return
+	}
+	c := s.capture.recorder.Counters()
+	s.logCounterLine("capture", nil, []Counter{
+		{"records", c.Records},
+		{"lost", c.Dropped},
+		{"gaps", c.Gaps},
+		{"segments", c.Segments},
+		{"bytes", c.WrittenBytes},
+		{"raw", c.UncompressedBytes},
+		{"errors", c.DiskErrors},
+	})
+}
--- /dev/null
+++ b/server/gateway_conn.go
@@ -0,0 +1,195 @@
+package server
+
+import (
+	"container/list"
+	"time"
+
+	"go.uber.org/zap"
+
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/gateway"
+)
+
+// gatewayConn is one connection of a gateway, with the requests that are open on it.
+type gatewayConn struct {
+	server   *Server
+	element  *list.Element // in connTable
+	conn     *eventloop.Conn
+	session  gateway.Session
+	attempts map[gateway.StreamID]*attempt // owed an answer
+	// healthChecks are the deep health checks under way.
+	healthChecks map[gateway.StreamID]bool
+	// incompleteSince is when a request began that has not come whole; zero means that there is none.
+	incompleteSince time.Time
+	validRequests   uint64 // that came whole and made sense
+}
+
+// accept takes in a new connection, while descriptors are left for everything else.
+func (s *Server) accept(c *eventloop.Conn) eventloop.ConnHandler {
+	if !s.conns.makeRoom() {
+		return nil
+	}
+	g := &gatewayConn{
+		server:          s,
+		conn:            c,
+		attempts:        map[gateway.StreamID]*attempt{},
+		healthChecks:    map[gateway.StreamID]bool{},
+		incompleteSince: s.loop.Now(),
+	}
+	g.session = s.conns.protocol(c, g)
+	s.conns.add(g)
+	return g
+}
+
+// acceptError hears of a connection that could not be accepted.
+func (s *Server) acceptError(err error) {
+	s.conns.counters.acceptErrors++
+	s.log.Warn("accept failed", zap.Error(err))
+}
+
+// Connected implements eventloop.ConnHandler. It is never called: gateways dial, not the server.
+func (g *gatewayConn) Connected(*eventloop.Conn) {}
+
+// Data implements eventloop.ConnHandler.
+func (g *gatewayConn) Data(_ *eventloop.Conn, p []byte) {
+	validBefore := g.validRequests
+	if g.session.Feed(p) != nil {
+		g.server.conns.counters.protocolErrors++
+		g.closeAfterFlush()
+		return
+	}
+	switch {
+	case g.validRequests > 0 && !g.session.HasPartialInput():
+		g.incompleteSince = time.Time{}
+	case g.incompleteSince.IsZero() || g.validRequests != validBefore:
+		g.incompleteSince = g.server.loop.Now()
+	}
+	g.closeIfFinished()
+}
+
+// closeAfterFlush ends this side of a connection from which no more requests are taken; answers that are on their way
+// still go out.
+func (g *gatewayConn) closeAfterFlush() {
+	g.abandonRequests()
+	g.conn.CloseAfterFlush()
+}
+
+// close closes a connection now.
+func (g *gatewayConn) close() {
+	g.conn.Close()
+	g.remove()
+}
+
+// closeIfFinished closes a connection that the gateway did not want kept, once its answer is sent.
+func (g *gatewayConn) closeIfFinished() {
+	if g.session.ShouldClose() {
+		g.conn.CloseAfterFlush()
+	}
+}
+
+// Closed implements eventloop.ConnHandler.
+func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.remove() }
+
+// remove forgets a connection that is closed.
+func (g *gatewayConn) remove() {
+	g.server.conns.remove(g)
+	g.abandonRequests()
+}
+
+// abandonRequests forgets the open requests of a connection: nobody waits for their answers any more.
+func (g *gatewayConn) abandonRequests() {
+	s := g.server
+	g.session.Close()
+	for _, a := range inArrivalOrder(g.attempts) {
+		if a.isAnswered {
+			continue // the module answered it when it heard of the end of one before it
+		}
+		s.counters.requestsLost++
+		a.isAnswered = true
+		s.module.events.Cancel(s.eventTime(), a.id)
+		s.forget(a)
+	}
+	clear(g.attempts)
+	clear(g.healthChecks)
+}
+
+// RequestReceived implements gateway.Handler.
+func (g *gatewayConn) RequestReceived(_ gateway.Session, stream gateway.StreamID, r gateway.Request) {
+	g.server.handleRequest(g, stream, r)
+}
+
+// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol owes it an end.
+func (g *gatewayConn) RequestAborted(_ gateway.Session, stream gateway.StreamID) {
+	s := g.server
+	s.counters.aborted++
+	if g.healthChecks[stream] {
+		delete(g.healthChecks, stream)
+		g.respond(stream, gateway.Response{Status: statusInternalError})
+		return
+	}
+	a := g.attempts[stream]
+	if a == nil {
+		return
+	}
+	s.answerFailed(a)
+	s.module.events.Cancel(s.eventTime(), a.id)
+	s.forget(a)
+}
+
+// RequestInvalid implements gateway.Handler.
+func (g *gatewayConn) RequestInvalid(_ gateway.Session, stream gateway.StreamID, reason gateway.RejectReason) {
+	g.RequestRejected(reason)
+	r := gateway.Response{Status: statusBadRequest, Overloaded: reason == gateway.TooManyRequests}
+	if reason == gateway.TooLarge {
+		r.Status = statusTooLarge
+	}
+	g.respond(stream, r)
+}
+
+// RequestRejected implements gateway.Handler.
+func (g *gatewayConn) RequestRejected(reason gateway.RejectReason) {
+	c := &g.server.counters
+	switch reason {
+	case gateway.TooLarge:
+		c.tooLarge++
+	case gateway.TooManyRequests:
+		c.tooMany++
+	case gateway.UnsupportedRole:
+		c.badRole++
+	default:
+		c.malformed++
+	}
+}
+
+// respond sends an answer, with the advertised load that callers read.
+func (g *gatewayConn) respond(stream gateway.StreamID, r gateway.Response) {
+	if load := g.server.load.advertised; load != "" && !r.Overloaded {
+		r.Headers = append(r.Headers, gateway.Field{Name: "Server-Hint", Value: load})
+	}
+	g.session.Respond(stream, r)
+	g.closeIfFinished()
+}
+
+// hasOpenRequests returns whether requests of the connection are owed an answer.
+func (g *gatewayConn) hasOpenRequests() bool { return len(g.attempts)+len(g.healthChecks) > 0 }
+
+// isIdle returns whether nothing is under way on the connection: no request is open, and none has come in part, as
+// gateways may write slowly.
+func (g *gatewayConn) isIdle() bool {
+	return g.session.OpenRequests() == 0 && !g.session.HasPartialInput()
+}
+
+// isOverdue returns whether a connection has not sent a whole request in time.
+func (g *gatewayConn) isOverdue(now time.Time) bool {
+	return !g.conn.IsClosing() && !g.incompleteSince.IsZero() && now.Sub(g.incompleteSince) >= requestTimeout &&
+		!g.hasOpenRequests()
+}
+
+// idleAllowance is how long a connection may carry nothing, where others may for a time: one that is closed right after
+// the accept would only be made again.
+func (g *gatewayConn) idleAllowance(idle time.Duration) time.Duration {
+	if g.validRequests == 0 {
+		return max(idle, newConnGrace)
+	}
+	return idle
+}
