--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -16,21 +16,21 @@
 type rateFunc func(t time.Duration) float64
 
 // New returns a process that draws its random numbers from rng.
-func New(c Config, rng *rand.Rand) (Process, error) {
-	if err := c.Validate(); err != nil {
+func New(config Config, rng *rand.Rand) (Process, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	switch c.Kind {
+	switch config.Kind {
 	case Replay:
-		return &recordedArrivals{times: c.Times, speed: max(c.Speed, 0)}, nil
+		return &recordedArrivals{times: config.Times, speed: max(config.Speed, 0)}, nil
 	case Bursty:
-		bursts := &modulatedRate{config: c, rng: rng}
-		return newThinned(c, rng, c.Rate*c.BurstFactor, bursts.rate), nil
+		bursts := &modulatedRate{config: config, rng: rng}
+		return newThinned(config, rng, config.Rate*config.BurstFactor, bursts.rate), nil
 	case Diurnal:
-		return newThinned(c, rng, c.Rate*(1+c.Amplitude), c.diurnalRate), nil
+		return newThinned(config, rng, config.Rate*(1+config.Amplitude), config.diurnalRate), nil
 	}
-	constant := func(time.Duration) float64 { return c.Rate }
-	return newThinned(c, rng, c.Rate, constant), nil
+	constant := func(time.Duration) float64 { return config.Rate }
+	return newThinned(config, rng, config.Rate, constant), nil
 }
 
 // diurnalRate is the rate of a Diurnal process.
@@ -48,11 +48,11 @@
 }
 
 // newThinned returns the process; maxRate is the maximum of rate.
-func newThinned(c Config, rng *rand.Rand, maxRate float64, rate rateFunc) *thinned {
-	for _, s := range c.Surges {
+func newThinned(config Config, rng *rand.Rand, maxRate float64, rate rateFunc) *thinned {
+	for _, s := range config.Surges {
 		maxRate *= max(s.Factor, 1)
 	}
-	return &thinned{rng: rng, maxRate: maxRate, rate: rate, surges: c.Surges}
+	return &thinned{rng: rng, maxRate: maxRate, rate: rate, surges: config.Surges}
 }
 
 // Next implements Process.
@@ -81,23 +81,23 @@
 
 // rate is the rateFunc.
 func (m *modulatedRate) rate(t time.Duration) float64 {
-	c := &m.config
+	config := &m.config
 	if !m.started {
 		m.started = true
-		m.inBurst = m.rng.Float64() >= c.BurstFraction // the loop below enters the other state
+		m.inBurst = m.rng.Float64() >= config.BurstFraction // the loop below enters the other state
 	}
 	for t >= m.stateEnd {
 		m.inBurst = !m.inBurst
-		mean := float64(c.MeanBurst)
+		mean := float64(config.MeanBurst)
 		if !m.inBurst {
-			mean *= (1 - c.BurstFraction) / c.BurstFraction
+			mean *= (1 - config.BurstFraction) / config.BurstFraction
 		}
 		m.stateEnd += max(time.Duration(m.rng.ExpFloat64()*mean), 1)
 	}
 	if m.inBurst {
-		return c.Rate * c.BurstFactor
+		return config.Rate * config.BurstFactor
 	}
-	return c.Rate * (1 - c.BurstFactor*c.BurstFraction) / (1 - c.BurstFraction)
+	return config.Rate * (1 - config.BurstFactor*config.BurstFraction) / (1 - config.BurstFraction)
 }
 
 // recordedArrivals is a Replay process.
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -91,18 +91,18 @@
 }
 
 // appendBlock compresses the content and adds it as a block. The sizes in the header are set from the content.
-func appendBlock(b []byte, h blockHeader, content []byte) []byte {
-	start := len(b)
-	b = append(b, make([]byte, blockHeaderSize)...)
+func appendBlock(dst []byte, header blockHeader, content []byte) []byte {
+	start := len(dst)
+	dst = append(dst, make([]byte, blockHeaderSize)...)
 	maxStored := snappy.MaxEncodedLen(len(content))
-	if cap(b)-len(b) < maxStored {
-		b = append(make([]byte, 0, len(b)+maxStored), b...)
+	if cap(dst)-len(dst) < maxStored {
+		dst = append(make([]byte, 0, len(dst)+maxStored), dst...)
 	}
-	stored := snappy.Encode(b[len(b):len(b)+maxStored], content)
-	b = b[:len(b)+len(stored)]
-	h.storedSize, h.rawSize = len(stored), len(content)
-	h.write(b[start:], stored)
-	return b
+	stored := snappy.Encode(dst[len(dst):len(dst)+maxStored], content)
+	dst = dst[:len(dst)+len(stored)]
+	header.storedSize, header.rawSize = len(stored), len(content)
+	header.write(dst[start:], stored)
+	return dst
 }
 
 // write sets the bytes of a header.
@@ -120,28 +120,28 @@
 }
 
 // readBlockHeader reads the header at the start of the bytes; ok is false where there is no intact one.
-func readBlockHeader(b []byte) (h blockHeader, ok bool) {
-	if len(b) < blockHeaderSize || !bytes.Equal(b[:len(blockMarker)], blockMarker[:]) {
+func readBlockHeader(block []byte) (header blockHeader, ok bool) {
+	if len(block) < blockHeaderSize || !bytes.Equal(block[:len(blockMarker)], blockMarker[:]) {
 		return blockHeader{}, false
 	}
 	order := binary.LittleEndian
-	if crc32.Checksum(b[:headerChecksumAt], castagnoli) != order.Uint32(b[headerChecksumAt:]) {
+	if crc32.Checksum(block[:headerChecksumAt], castagnoli) != order.Uint32(block[headerChecksumAt:]) {
 		return blockHeader{}, false
 	}
-	h = blockHeader{
-		kind:        blockKind(b[headerKindAt]),
-		storedSize:  int(order.Uint32(b[headerStoredSizeAt:])),
-		rawSize:     int(order.Uint32(b[headerRawSizeAt:])),
-		firstRecord: order.Uint64(b[headerFirstRecordAt:]),
-		baseTime:    time.Duration(order.Uint64(b[headerBaseTimeAt:])),
-		unixTime:    time.Unix(0, int64(order.Uint64(b[headerUnixTimeAt:]))),
+	header = blockHeader{
+		kind:        blockKind(block[headerKindAt]),
+		storedSize:  int(order.Uint32(block[headerStoredSizeAt:])),
+		rawSize:     int(order.Uint32(block[headerRawSizeAt:])),
+		firstRecord: order.Uint64(block[headerFirstRecordAt:]),
+		baseTime:    time.Duration(order.Uint64(block[headerBaseTimeAt:])),
+		unixTime:    time.Unix(0, int64(order.Uint64(block[headerUnixTimeAt:]))),
 	}
-	return h, h.rawSize <= maxRawSize && h.storedSize <= s2.MaxEncodedLen(h.rawSize)
+	return header, header.rawSize <= maxRawSize && header.storedSize <= s2.MaxEncodedLen(header.rawSize)
 }
 
 // readBlockContent checks and decompresses the content of the block that begins the bytes.
-func readBlockContent(h blockHeader, block []byte) ([]byte, error) {
-	stored := block[blockHeaderSize:h.size()]
+func readBlockContent(header blockHeader, block []byte) ([]byte, error) {
+	stored := block[blockHeaderSize:header.size()]
 	if crc32.Checksum(stored, castagnoli) != binary.LittleEndian.Uint32(block[headerStoredChecksumAt:]) {
 		return nil, errChecksum
 	}
@@ -149,8 +149,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(content) != h.rawSize {
-		return nil, fmt.Errorf("%d bytes instead of %d", len(content), h.rawSize)
+	if len(content) != header.rawSize {
+		return nil, fmt.Errorf("%d bytes instead of %d", len(content), header.rawSize)
 	}
 	return content, nil
 }
--- a/internal/capture/decode.go
+++ b/internal/capture/decode.go
@@ -25,101 +25,101 @@
 }
 
 // next decodes one record.
-func (d *decoder) next(r *Record) error {
-	*r = Record{Kind: Kind(d.byte())}
+func (d *decoder) next(record *Record) error {
+	*record = Record{Kind: Kind(d.byte())}
 	switch {
-	case r.Kind.IsEvent():
+	case record.Kind.IsEvent():
 		d.lastEvent += d.duration()
-		r.At = d.lastEvent
-		d.event(r)
-	case r.Kind.IsAction():
-		r.At = d.lastEvent
-		d.action(r)
+		record.At = d.lastEvent
+		d.event(record)
+	case record.Kind.IsAction():
+		record.At = d.lastEvent
+		d.action(record)
 	default:
-		r.At = d.lastEvent
-		d.note(r)
+		record.At = d.lastEvent
+		d.note(record)
 	}
 	if d.isMalformed {
-		return fmt.Errorf("%w: %v", errBadRecord, r.Kind)
+		return fmt.Errorf("%w: %v", errBadRecord, record.Kind)
 	}
 	return nil
 }
 
 // event decodes the fields of an event.
-func (d *decoder) event(r *Record) {
-	switch r.Kind {
+func (d *decoder) event(record *Record) {
+	switch record.Kind {
 	case KindRequest:
-		d.request(&r.Request)
-		r.ID = r.Request.ID
+		d.request(&record.Request)
+		record.ID = record.Request.ID
 	case KindCancel, KindCallRequested:
-		r.ID = d.id()
+		record.ID = d.id()
 	case KindRunFinished:
-		r.ID = d.id()
-		r.Outcome = admission.Outcome(d.byte())
+		record.ID = d.id()
+		record.Outcome = admission.Outcome(d.byte())
 	case KindCallFinished:
-		r.ID = d.id()
-		r.Outcome = admission.Outcome(d.byte())
-		r.Duration = d.duration()
+		record.ID = d.id()
+		record.Outcome = admission.Outcome(d.byte())
+		record.Duration = d.duration()
 	case KindDrain:
-		r.Duration = d.duration()
+		record.Duration = d.duration()
 	case KindTimer:
-		r.Token = uint32(d.uvarint())
-		r.Gauges.Utilization = d.float()
-		r.Gauges.Runnable = d.float()
+		record.Token = uint32(d.uvarint())
+		record.Gauges.Utilization = d.float()
+		record.Gauges.Runnable = d.float()
 	}
 }
 
 // request decodes the fields of a request.
-func (d *decoder) request(q *admission.Request) {
-	q.ID = d.id()
-	q.Class = int(d.varint())
-	q.Tenant = int(d.varint())
-	q.Caller = int(d.varint())
-	q.ResourceID = d.uvarint()
-	q.QueueingDelay = d.duration()
-	q.RemainingTime = d.duration()
-	q.IsRetry = d.bool()
-	q.RetryOf = d.id()
-	q.SizeKB = d.float()
-	q.Work = d.duration()
+func (d *decoder) request(request *admission.Request) {
+	request.ID = d.id()
+	request.Class = int(d.varint())
+	request.Tenant = int(d.varint())
+	request.Caller = int(d.varint())
+	request.ResourceID = d.uvarint()
+	request.QueueingDelay = d.duration()
+	request.RemainingTime = d.duration()
+	request.IsRetry = d.bool()
+	request.RetryOf = d.id()
+	request.SizeKB = d.float()
+	request.Work = d.duration()
 }
 
 // action decodes the fields of an action.
-func (d *decoder) action(r *Record) {
-	switch r.Kind {
+func (d *decoder) action(record *Record) {
+	switch record.Kind {
 	case KindRun, KindFail, KindSkipCall, KindStop, KindReleaseKey, KindReplayResult:
-		r.ID = d.id()
+		record.ID = d.id()
 	case KindReject:
-		r.ID = d.id()
-		r.Duration = d.duration()
-		r.Flag = d.bool()
+		record.ID = d.id()
+		record.Duration = d.duration()
+		record.Flag = d.bool()
 	case KindCall, KindKeepKey:
-		r.ID = d.id()
-		r.Duration = d.duration()
+		record.ID = d.id()
+		record.Duration = d.duration()
 	case KindAdvertiseLoad:
-		r.Value = d.float()
+		record.Value = d.float()
 	case KindSetHealth:
-		r.Flag = d.bool()
-		r.FromStore = d.bool()
+		record.Flag = d.bool()
+		record.FromStore = d.bool()
 	case KindCloseIdleConnections:
-		r.Duration = d.duration()
+		record.Duration = d.duration()
 	case KindSetTimer:
-		r.Duration = d.duration()
-		r.Token = uint32(d.uvarint())
+		record.Duration = d.duration()
+		record.Token = uint32(d.uvarint())
 	case KindLog:
-		r.Text = d.text()
+		record.Text = d.text()
 	}
 }
 
 // note decodes the fields of a note; a kind that is none either is unknown.
-func (d *decoder) note(r *Record) {
-	switch r.Kind {
+func (d *decoder) note(record *Record) {
+	switch record.Kind {
 	case KindRequestNames:
-		r.ID = d.id()
-		r.Text = d.hex()
-		r.Key = d.hex()
+		record.ID = d.id()
+		record.Text = d.hex()
+		record.Key = d.hex()
 	case KindAnnotation:
-		r.Text = d.text()
+		record.Text = d.text()
 	default:
 		d.isMalformed = true
 	}
@@ -179,9 +179,9 @@
 		d.isMalformed = true
 		return ""
 	}
-	b := d.take(int(length))
+	content := d.take(int(length))
 	if isHex {
-		return hex.EncodeToString(b)
+		return hex.EncodeToString(content)
 	}
-	return string(b)
+	return string(content)
 }
--- a/internal/capture/encode.go
+++ b/internal/capture/encode.go
@@ -16,91 +16,91 @@
 
 // appendRecord adds the bytes of a record. Times are stored as the difference to lastEvent, the time of the event before,
 // which becomes that of this one.
-func appendRecord(b []byte, lastEvent *time.Duration, r *Record) []byte {
-	b = append(b, byte(r.Kind))
-	if r.Kind.IsEvent() {
-		b = appendInt(b, int64(r.At-*lastEvent))
-		*lastEvent = r.At
-		return appendEvent(b, r)
+func appendRecord(dst []byte, lastEvent *time.Duration, record *Record) []byte {
+	dst = append(dst, byte(record.Kind))
+	if record.Kind.IsEvent() {
+		dst = appendInt(dst, int64(record.At-*lastEvent))
+		*lastEvent = record.At
+		return appendEvent(dst, record)
 	}
-	if r.Kind.IsAction() {
-		return appendAction(b, r)
+	if record.Kind.IsAction() {
+		return appendAction(dst, record)
 	}
-	return appendNote(b, r)
+	return appendNote(dst, record)
 }
 
 // appendEvent adds the fields of an event.
-func appendEvent(b []byte, r *Record) []byte {
-	switch r.Kind {
+func appendEvent(dst []byte, record *Record) []byte {
+	switch record.Kind {
 	case KindRequest:
-		return appendRequest(b, &r.Request)
+		return appendRequest(dst, &record.Request)
 	case KindCancel, KindCallRequested:
-		return appendID(b, r.ID)
+		return appendID(dst, record.ID)
 	case KindRunFinished:
-		return append(appendID(b, r.ID), byte(r.Outcome))
+		return append(appendID(dst, record.ID), byte(record.Outcome))
 	case KindCallFinished:
-		b = append(appendID(b, r.ID), byte(r.Outcome))
-		return appendInt(b, int64(r.Duration))
+		dst = append(appendID(dst, record.ID), byte(record.Outcome))
+		return appendInt(dst, int64(record.Duration))
 	case KindDrain:
-		return appendInt(b, int64(r.Duration))
+		return appendInt(dst, int64(record.Duration))
 	case KindTimer:
-		b = appendUint(b, uint64(r.Token))
-		b = appendFloat(b, r.Gauges.Utilization)
-		return appendFloat(b, r.Gauges.Runnable)
+		dst = appendUint(dst, uint64(record.Token))
+		dst = appendFloat(dst, record.Gauges.Utilization)
+		return appendFloat(dst, record.Gauges.Runnable)
 	}
-	return b
+	return dst
 }
 
 // appendRequest adds the fields of a request.
-func appendRequest(b []byte, q *admission.Request) []byte {
-	b = appendID(b, q.ID)
-	b = appendInt(b, int64(q.Class))
-	b = appendInt(b, int64(q.Tenant))
-	b = appendInt(b, int64(q.Caller))
-	b = appendUint(b, q.ResourceID)
-	b = appendInt(b, int64(q.QueueingDelay))
-	b = appendInt(b, int64(q.RemainingTime))
-	b = appendBool(b, q.IsRetry)
-	b = appendID(b, q.RetryOf)
-	b = appendFloat(b, q.SizeKB)
-	return appendInt(b, int64(q.Work))
+func appendRequest(dst []byte, request *admission.Request) []byte {
+	dst = appendID(dst, request.ID)
+	dst = appendInt(dst, int64(request.Class))
+	dst = appendInt(dst, int64(request.Tenant))
+	dst = appendInt(dst, int64(request.Caller))
+	dst = appendUint(dst, request.ResourceID)
+	dst = appendInt(dst, int64(request.QueueingDelay))
+	dst = appendInt(dst, int64(request.RemainingTime))
+	dst = appendBool(dst, request.IsRetry)
+	dst = appendID(dst, request.RetryOf)
+	dst = appendFloat(dst, request.SizeKB)
+	return appendInt(dst, int64(request.Work))
 }
 
 // appendAction adds the fields of an action.
-func appendAction(b []byte, r *Record) []byte {
-	switch r.Kind {
+func appendAction(dst []byte, record *Record) []byte {
+	switch record.Kind {
 	case KindRun, KindFail, KindSkipCall, KindStop, KindReleaseKey, KindReplayResult:
-		return appendID(b, r.ID)
+		return appendID(dst, record.ID)
 	case KindReject:
-		b = appendInt(appendID(b, r.ID), int64(r.Duration))
-		return appendBool(b, r.Flag)
+		dst = appendInt(appendID(dst, record.ID), int64(record.Duration))
+		return appendBool(dst, record.Flag)
 	case KindCall, KindKeepKey:
-		return appendInt(appendID(b, r.ID), int64(r.Duration))
+		return appendInt(appendID(dst, record.ID), int64(record.Duration))
 	case KindAdvertiseLoad:
-		return appendFloat(b, r.Value)
+		return appendFloat(dst, record.Value)
 	case KindSetHealth:
-		return appendBool(appendBool(b, r.Flag), r.FromStore)
+		return appendBool(appendBool(dst, record.Flag), record.FromStore)
 	case KindCloseIdleConnections:
-		return appendInt(b, int64(r.Duration))
+		return appendInt(dst, int64(record.Duration))
 	case KindSetTimer:
-		b = appendInt(b, int64(r.Duration))
-		return appendUint(b, uint64(r.Token))
+		dst = appendInt(dst, int64(record.Duration))
+		return appendUint(dst, uint64(record.Token))
 	case KindLog:
-		return appendText(b, r.Text)
+		return appendText(dst, record.Text)
 	}
-	return b
+	return dst
 }
 
 // appendNote adds the fields of a note.
-func appendNote(b []byte, r *Record) []byte {
-	switch r.Kind {
+func appendNote(dst []byte, record *Record) []byte {
+	switch record.Kind {
 	case KindRequestNames:
-		b = appendID(b, r.ID)
-		return appendHex(appendHex(b, r.Text), r.Key)
+		dst = appendID(dst, record.ID)
+		return appendHex(appendHex(dst, record.Text), record.Key)
 	case KindAnnotation:
-		return appendText(b, r.Text)
+		return appendText(dst, record.Text)
 	}
-	return b
+	return dst
 }
 
 func appendID(b []byte, id admission.RequestID) []byte { return appendUint(b, uint64(id)) }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -75,7 +75,7 @@
 	}
 	blockSize := config.blockSize()
 	blocks := config.BufferBytes / blockSize
-	r := &Recorder{
+	recorder := &Recorder{
 		config:        config,
 		meta:          meta,
 		unixTime:      unixTime,
@@ -85,19 +85,19 @@
 		blockSize:     blockSize,
 	}
 	for range blocks {
-		r.freeBlocks <- &buffer{data: make([]byte, 0, blockSize), freeList: r.freeBlocks}
+		recorder.freeBlocks <- &buffer{data: make([]byte, 0, blockSize), freeList: recorder.freeBlocks}
 	}
-	r.freeSnapshots <- &buffer{freeList: r.freeSnapshots}
-	r.meta.Run = strconv.FormatInt(unixTime().UnixNano(), 36)
-	r.meta.Arch = runtime.GOARCH
-	go r.writer.run()
-	return r, nil
+	recorder.freeSnapshots <- &buffer{freeList: recorder.freeSnapshots}
+	recorder.meta.Run = strconv.FormatInt(unixTime().UnixNano(), 36)
+	recorder.meta.Arch = runtime.GOARCH
+	go recorder.writer.run()
+	return recorder, nil
 }
 
 // add records one event, action or note.
-func (r *Recorder) add(rec *Record) {
+func (r *Recorder) add(record *Record) {
 	if r.current != nil && len(r.current.data)+maxRecordSize > r.blockSize && !r.nextBlock() {
-		r.beginGap(causeSlowDisk, rec.At)
+		r.beginGap(causeSlowDisk, record.At)
 	}
 	if r.current == nil {
 		r.counters.Dropped++
@@ -106,7 +106,7 @@
 		}
 		return
 	}
-	r.current.data = appendRecord(r.current.data, &r.lastEvent, rec)
+	r.current.data = appendRecord(r.current.data, &r.lastEvent, record)
 	r.current.records++
 	r.counters.Records++
 }
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -48,14 +48,14 @@
 }
 
 // forEach calls visit with the block's records; a record is valid until visit returns.
-func (b *Block) forEach(visit func(r *Record) error) error {
-	d := decoder{rest: b.content, lastEvent: b.BaseTime}
-	var r Record
-	for len(d.rest) > 0 {
-		if err := d.next(&r); err != nil {
+func (b *Block) forEach(visit func(record *Record) error) error {
+	records := decoder{rest: b.content, lastEvent: b.BaseTime}
+	var record Record
+	for len(records.rest) > 0 {
+		if err := records.next(&record); err != nil {
 			return err
 		}
-		if err := visit(&r); err != nil {
+		if err := visit(&record); err != nil {
 			return err
 		}
 	}
--- a/internal/capture/segment_write.go
+++ b/internal/capture/segment_write.go
@@ -16,14 +16,14 @@
 
 // WriteSegment writes a segment that is made from another: its meta, its snapshot, and the records that forEach passes to its
 // function. The file must not exist; after an error none is left.
-func WriteSegment(path string, m Meta, snapshot []byte, forEach func(add func(*Record)) error) error {
-	text, err := json.Marshal(m)
+func WriteSegment(path string, meta Meta, snapshot []byte, forEach func(add func(*Record)) error) error {
+	text, err := json.Marshal(meta)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	segment := appendBlock(appendPreamble(nil), m.header(blockMeta), text)
-	segment = appendBlock(segment, m.header(blockSnapshot), snapshot)
-	records := blockBuilder{meta: &m, segment: segment, header: m.header(blockRecords), lastEvent: m.ModuleTime, nextRecord: m.FirstRecord}
+	segment := appendBlock(appendPreamble(nil), meta.header(blockMeta), text)
+	segment = appendBlock(segment, meta.header(blockSnapshot), snapshot)
+	records := blockBuilder{meta: &meta, segment: segment, header: meta.header(blockRecords), lastEvent: meta.ModuleTime, nextRecord: meta.FirstRecord}
 	if err := forEach(records.add); err != nil {
 		return err
 	}
@@ -70,20 +70,20 @@
 
 // createExclusively writes a file under a temporary name and links it, so that it is there whole or not at all.
 func createExclusively(path string, content []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".capture-*")
+	file, err := os.CreateTemp(filepath.Dir(path), ".capture-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
-	_, err = f.Write(content)
+	defer os.Remove(file.Name())
+	_, err = file.Write(content)
 	if err == nil {
-		err = f.Chmod(segmentMode)
+		err = file.Chmod(segmentMode)
 	}
-	if closeErr := f.Close(); err == nil {
+	if closeErr := file.Close(); err == nil {
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Link(f.Name(), path) // fails where the file exists
+		err = os.Link(file.Name(), path) // fails where the file exists
 	}
 	return err
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -64,20 +64,20 @@
 }
 
 // write writes one block, as the first of a new segment where it has a meta.
-func (w *writer) write(b *buffer) error {
-	if b.meta != nil {
+func (w *writer) write(block *buffer) error {
+	if block.meta != nil {
 		w.closeSegment()
-		if err := w.openSegment(b.meta, int64(len(b.data))); err != nil {
+		if err := w.openSegment(block.meta, int64(len(block.data))); err != nil {
 			return err
 		}
 	}
 	if w.file == nil {
-		w.droppedRecords.Add(b.records) // nothing can be replayed before the next segment's snapshot
+		w.droppedRecords.Add(block.records) // nothing can be replayed before the next segment's snapshot
 		return nil
 	}
-	w.rawBytes.Add(uint64(len(b.data)))
-	if err := w.writeBlock(b.header, b.data); err != nil {
-		w.droppedRecords.Add(b.records)
+	w.rawBytes.Add(uint64(len(block.data)))
+	if err := w.writeBlock(block.header, block.data); err != nil {
+		w.droppedRecords.Add(block.records)
 		return err
 	}
 	return nil
@@ -101,8 +101,8 @@
 }
 
 // openSegment begins a segment, after removing old ones to make space for it and a snapshot of so many bytes.
-func (w *writer) openSegment(m *Meta, snapshotBytes int64) error {
-	w.currentSegment = m.Segment
+func (w *writer) openSegment(meta *Meta, snapshotBytes int64) error {
+	w.currentSegment = meta.Segment
 	sizes, numbers, err := listSegments(w.directory)
 	if err != nil {
 		return err
@@ -117,16 +117,16 @@
 		return err
 	}
 	w.segmentBytes.Store(0)
-	w.segmentNumber.Store(int64(m.Segment))
+	w.segmentNumber.Store(int64(meta.Segment))
 	w.segments.Add(1)
-	text, err := json.Marshal(m)
+	text, err := json.Marshal(meta)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
 	if err := w.writeBytes(appendPreamble(nil)); err != nil {
 		return err
 	}
-	return w.writeBlock(m.header(blockMeta), text)
+	return w.writeBlock(meta.header(blockMeta), text)
 }
 
 // createFile creates a file under the next number that no file has.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -92,27 +92,27 @@
 // readCaptureConfig reads (capture ...). The bounds here only catch slips of the unit; capture.Config.Validate has the
 // others.
 func readCaptureConfig(form sexp.Node) (*CaptureConfig, error) {
-	c := &CaptureConfig{Config: capture.DefaultConfig()}
-	bufferBytes := int64(c.BufferBytes)
+	config := &CaptureConfig{Config: capture.DefaultConfig()}
+	bufferBytes := int64(config.BufferBytes)
 	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
-		"directory": sexp.Text(&c.Directory),
-		"segment":   sexp.Bytes(&c.SegmentBytes, 1, math.MaxInt32),
-		"age":       sexp.Duration(&c.SegmentAge, time.Second, 24*time.Hour),
-		"keep":      sexp.Bytes(&c.MaxBytes, 1, 1<<50),
+		"directory": sexp.Text(&config.Directory),
+		"segment":   sexp.Bytes(&config.SegmentBytes, 1, math.MaxInt32),
+		"age":       sexp.Duration(&config.SegmentAge, time.Second, 24*time.Hour),
+		"keep":      sexp.Bytes(&config.MaxBytes, 1, 1<<50),
 		"memory":    sexp.Bytes(&bufferBytes, 1, 1<<30),
-		"flush":     sexp.Duration(&c.FlushInterval, time.Millisecond, time.Minute),
+		"flush":     sexp.Duration(&config.FlushInterval, time.Millisecond, time.Minute),
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.BufferBytes = int(bufferBytes)
-	if c.Directory == "" {
+	config.BufferBytes = int(bufferBytes)
+	if config.Directory == "" {
 		return nil, errNoDirectory(form)
 	}
-	if err := c.Validate(); err != nil {
+	if err := config.Validate(); err != nil {
 		return nil, sexp.Errorf(form.Pos, "%v", err)
 	}
-	return c, nil
+	return config, nil
 }
 
 // errNoDirectory reports a form that has to name a directory.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -52,21 +52,21 @@
 	if listen != "" {
 		file.Listen, listenField = listen, envListen
 	}
-	c := &Config{Name: file.Name, StopTimeout: time.Duration(file.StopMS * float64(time.Millisecond))}
+	config := &Config{Name: file.Name, StopTimeout: time.Duration(file.StopMS * float64(time.Millisecond))}
 	if err := checkName(nameField, file.Name); err != nil {
 		return nil, err
 	}
-	if err := c.parseAddresses(&file, listenField); err != nil {
+	if err := config.parseAddresses(&file, listenField); err != nil {
 		return nil, err
 	}
 	if err := file.checkNumbers(); err != nil {
 		return nil, err
 	}
-	c.Limits = Limits{Cores: file.Limits.Cores, MemoryMB: int(file.Limits.MemoryMB), Sockets: int(file.Limits.Sockets)}
-	if err := c.parseSettings(file.Settings); err != nil {
+	config.Limits = Limits{Cores: file.Limits.Cores, MemoryMB: int(file.Limits.MemoryMB), Sockets: int(file.Limits.Sockets)}
+	if err := config.parseSettings(file.Settings); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return config, nil
 }
 
 // checkName rejects names that cannot stand as one word in a load report.
--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -54,16 +54,16 @@
 }
 
 // Wrap gives a file layer the faults. Operations that write wait during a stall.
-func Wrap(fsys vfs.FS, p Profile) vfs.FS {
+func Wrap(fsys vfs.FS, profile Profile) vfs.FS {
 	start := time.Now()
 	return errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
 		if op.OpKind() != errorfs.OpKindWrite {
 			return nil
 		}
-		if wait := p.remainingStall(time.Since(start)); wait > 0 {
+		if wait := profile.remainingStall(time.Since(start)); wait > 0 {
 			time.Sleep(wait)
 		}
-		if allocatesSpace(op) && p.isFull() {
+		if allocatesSpace(op) && profile.isFull() {
 			return syscall.ENOSPC
 		}
 		return nil
--- a/internal/idempotency/codec.go
+++ b/internal/idempotency/codec.go
@@ -65,23 +65,23 @@
 	if err != nil {
 		return Entry{}, err
 	}
-	e := Entry{Key: key, State: State(body[entryStateAt])}
-	if e.State < Intent || e.State > Evicted {
-		return Entry{}, fmt.Errorf("%w: %s: state %d", ErrBadRecord, quotedName, e.State)
+	entry := Entry{Key: key, State: State(body[entryStateAt])}
+	if entry.State < Intent || entry.State > Evicted {
+		return Entry{}, fmt.Errorf("%w: %s: state %d", ErrBadRecord, quotedName, entry.State)
 	}
-	e.ReceivedAt = decodeTime(body[entryReceivedAt:])
-	e.ExpiresAt = decodeTime(body[entryExpiresAt:])
-	e.BodyHash = binary.BigEndian.Uint64(body[entryBodyHashAt:])
-	r := reader{rest: body[entryResponseAt:]}
-	e.Response.Status = int(r.length())
-	for n := r.length(); n > 0 && !r.isMalformed; n-- {
-		e.Response.Header = append(e.Response.Header, HeaderField{string(r.bytes()), string(r.bytes())})
+	entry.ReceivedAt = decodeTime(body[entryReceivedAt:])
+	entry.ExpiresAt = decodeTime(body[entryExpiresAt:])
+	entry.BodyHash = binary.BigEndian.Uint64(body[entryBodyHashAt:])
+	fields := reader{rest: body[entryResponseAt:]}
+	entry.Response.Status = int(fields.length())
+	for n := fields.length(); n > 0 && !fields.isMalformed; n-- {
+		entry.Response.Header = append(entry.Response.Header, HeaderField{string(fields.bytes()), string(fields.bytes())})
 	}
-	e.Response.Body = append([]byte{}, r.bytes()...)
-	if !r.isAtEnd() {
+	entry.Response.Body = append([]byte{}, fields.bytes()...)
+	if !fields.isAtEnd() {
 		return Entry{}, fmt.Errorf("%w: %s: its answer is cut short or goes on behind its end", ErrBadRecord, quotedName)
 	}
-	return e, nil
+	return entry, nil
 }
 
 // decodeTime reads Unix nanoseconds.
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -76,19 +76,19 @@
 
 // Complete records the response of a run, to be replayed to retries, and returns the changes to write.
 func (t *Table) Complete(key Key, response Response) []Change {
-	e := t.entries[key]
-	if e == nil {
+	entry := t.entries[key]
+	if entry == nil {
 		return nil
 	}
-	t.dequeueFromEviction(e)
-	e.replaced = nil
-	e.State, e.Response = Completed, response
-	t.updateSize(e)
-	t.enqueueForEviction(e)
+	t.dequeueFromEviction(entry)
+	entry.replaced = nil
+	entry.State, entry.Response = Completed, response
+	t.updateSize(entry)
+	t.enqueueForEviction(entry)
 	t.Counters.Completed++
 	changes := t.evictToFit()
-	if e.State == Completed { // a response larger than the limit is evicted at once, and its change is among those
-		changes = append(changes, Change{key.RecordName(), e.Encode()})
+	if entry.State == Completed { // a response larger than the limit is evicted at once, and its change is among those
+		changes = append(changes, Change{key.RecordName(), entry.Encode()})
 	}
 	return changes
 }
--- a/internal/maintenance/scheduler.go
+++ b/internal/maintenance/scheduler.go
@@ -26,18 +26,18 @@
 
 // New returns a scheduler of the tasks.
 func New(budget Budget, now time.Duration, tasks ...Task) (*Scheduler, error) {
-	s := &Scheduler{budget: budget, refilledAt: now}
-	s.timeLeft, s.bytesLeft = s.capacity()
+	scheduler := &Scheduler{budget: budget, refilledAt: now}
+	scheduler.timeLeft, scheduler.bytesLeft = scheduler.capacity()
 	names := map[string]bool{}
 	for _, task := range tasks {
 		if err := task.validate(names); err != nil {
 			return nil, err
 		}
 		names[task.Name] = true
-		s.tasks = append(s.tasks, &taskState{Task: task, lastEnd: now})
+		scheduler.tasks = append(scheduler.tasks, &taskState{Task: task, lastEnd: now})
 	}
-	slices.SortStableFunc(s.tasks, func(a, b *taskState) int { return -cmp.Compare(a.Priority, b.Priority) })
-	return s, nil
+	slices.SortStableFunc(scheduler.tasks, func(a, b *taskState) int { return -cmp.Compare(a.Priority, b.Priority) })
+	return scheduler, nil
 }
 
 // capacity returns the sizes of the token buckets.
--- a/internal/sexp/quantity.go
+++ b/internal/sexp/quantity.go
@@ -63,15 +63,15 @@
 	digits := strings.TrimRightFunc(value.Text, isLetter)
 	unitName := value.Text[len(digits):]
 	i := slices.IndexFunc(q.units, func(u unit) bool { return u.name == unitName })
-	v, err := strconv.ParseFloat(digits, 64)
+	number, err := strconv.ParseFloat(digits, 64)
 	if err != nil || i < 0 || value.Kind != Atom || strings.Trim(digits, "0123456789.") != "" {
 		return 0, Errorf(value.Pos, "found %v in (%s ...), want %s", value, form.Name(), q.wanted)
 	}
-	v = math.Round(v * q.units[i].factor)
-	if v < minimum || v > maximum {
+	number = math.Round(number * q.units[i].factor)
+	if number < minimum || number > maximum {
 		return 0, Errorf(value.Pos, "found %v in (%s ...), want %s to %s", value, form.Name(), q.format(minimum), q.format(maximum))
 	}
-	return v, nil
+	return number, nil
 }
 
 // isLetter tells whether a character may stand in the name of a unit.
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -48,32 +48,32 @@
 func (lockedByStore) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 // openEngine opens the database of a directory that is locked.
-func openEngine(c Config) (*engine, error) {
-	e := &engine{failed: make(chan struct{})}
+func openEngine(config Config) (*engine, error) {
+	opened := &engine{failed: make(chan struct{})}
 	cache := pebble.NewCache(cacheBytes)
 	defer cache.Unref()
-	options := e.options(c, cache)
+	options := opened.options(config, cache)
 	var db *pebble.DB
-	err := e.runAbandonable(func() (err error) {
-		db, err = pebble.Open(c.Dir, options)
+	err := opened.runAbandonable(func() (err error) {
+		db, err = pebble.Open(config.Dir, options)
 		return err
 	})
 	if err != nil {
-		e.detach()
-		return nil, openError(c.Dir, err)
+		opened.detach()
+		return nil, openError(config.Dir, err)
 	}
-	e.db = db
-	return e, nil
+	opened.db = db
+	return opened, nil
 }
 
 // options returns those of Pebble.
-func (e *engine) options(c Config, cache *pebble.Cache) *pebble.Options {
-	disk := errorfs.Wrap(c.FS, errorfs.InjectorFunc(e.checkAttached))
+func (e *engine) options(config Config, cache *pebble.Cache) *pebble.Options {
+	disk := errorfs.Wrap(config.FS, errorfs.InjectorFunc(e.checkAttached))
 	return &pebble.Options{
 		FS:                          lockedByStore{disk},
 		Logger:                      e,
-		ReadOnly:                    c.ReadOnly,
-		ErrorIfNotExists:            c.ReadOnly,
+		ReadOnly:                    config.ReadOnly,
+		ErrorIfNotExists:            config.ReadOnly,
 		Cache:                       cache,
 		MaxOpenFiles:                openFiles,
 		MemTableSize:                memTableBytes,
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -45,45 +45,45 @@
 const openRetryInterval = 20 * time.Millisecond
 
 // Open opens a directory. It creates one that does not exist, unless it is opened read only.
-func Open(c Config) (*Store, error) {
-	if c.FS == nil {
-		c.FS = vfs.Default
+func Open(config Config) (*Store, error) {
+	if config.FS == nil {
+		config.FS = vfs.Default
 	}
-	if err := prepareDirectory(c); err != nil {
+	if err := prepareDirectory(config); err != nil {
 		return nil, err
 	}
-	lock, err := c.FS.Lock(c.FS.PathJoin(c.Dir, lockName))
+	lock, err := config.FS.Lock(config.FS.PathJoin(config.Dir, lockName))
 	if err != nil {
-		return nil, openError(c.Dir, err)
+		return nil, openError(config.Dir, err)
 	}
-	s := &Store{config: c, lock: lock}
-	if err := s.openDatabase(); err != nil {
+	opened := &Store{config: config, lock: lock}
+	if err := opened.openDatabase(); err != nil {
 		lock.Close()
 		return nil, err
 	}
-	if !c.ReadOnly {
-		s.writer = startWriter(s)
+	if !config.ReadOnly {
+		opened.writer = startWriter(opened)
 	}
-	return s, nil
+	return opened, nil
 }
 
 // prepareDirectory makes sure that there is a directory to lock.
-func prepareDirectory(c Config) error {
-	if c.ReadOnly {
-		if !hasStore(c) {
-			return fmt.Errorf("%s: %w", c.Dir, ErrNoStore)
+func prepareDirectory(config Config) error {
+	if config.ReadOnly {
+		if !hasStore(config) {
+			return fmt.Errorf("%s: %w", config.Dir, ErrNoStore)
 		}
 		return nil
 	}
-	if err := c.FS.MkdirAll(c.Dir, 0o755); err != nil {
-		return openError(c.Dir, err)
+	if err := config.FS.MkdirAll(config.Dir, 0o755); err != nil {
+		return openError(config.Dir, err)
 	}
 	return nil
 }
 
 // hasStore tells whether a directory has a store.
-func hasStore(c Config) bool {
-	names, err := c.FS.List(c.Dir)
+func hasStore(config Config) bool {
+	names, err := config.FS.List(config.Dir)
 	return err == nil && slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, manifestPrefix) })
 }
 
@@ -102,10 +102,10 @@
 
 // OpenWait is Open, but waits for another process that uses the directory until the context ends: the process before this one
 // may still drain. It calls waiting once before it waits.
-func OpenWait(ctx context.Context, c Config, waiting func()) (*Store, error) {
-	s, err := Open(c)
+func OpenWait(ctx context.Context, config Config, waiting func()) (*Store, error) {
+	opened, err := Open(config)
 	if !errors.Is(err, ErrInUse) {
-		return s, err
+		return opened, err
 	}
 	waiting()
 	retry := time.NewTicker(openRetryInterval)
@@ -115,10 +115,10 @@
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w, still at the end of the wait", err)
 		case <-retry.C:
-			s, err = Open(c)
+			opened, err = Open(config)
 		}
 	}
-	return s, err
+	return opened, err
 }
 
 // Identity returns whose the directory is.
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -156,27 +156,27 @@
 
 // writeBatch writes a batch's changes atomically.
 func writeBatch(db *pebble.DB, batch []writeRequest) error {
-	b := db.NewBatch()
+	dbBatch := db.NewBatch()
 	for _, request := range batch {
 		for _, c := range request.changes {
-			if err := addChange(b, c); err != nil {
+			if err := addChange(dbBatch, c); err != nil {
 				return err
 			}
 		}
 	}
-	if err := b.Commit(pebble.Sync); err != nil {
+	if err := dbBatch.Commit(pebble.Sync); err != nil {
 		return err
 	}
-	return b.Close()
+	return dbBatch.Close()
 }
 
 // addChange adds one change to a batch.
-func addChange(b *pebble.Batch, c Change) error {
+func addChange(batch *pebble.Batch, c Change) error {
 	key := recordKey(c.Name)
 	if c.Value == nil {
-		return b.Delete(key, nil)
+		return batch.Delete(key, nil)
 	}
-	return b.Set(key, c.Value, nil)
+	return batch.Set(key, c.Value, nil)
 }
 
 // stop ends the writing once everything pending is written, or the disk stalls for too long.
