--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	out.linef("At %s UTC (%v of the module's clock):", state.Unix.UTC().Format("15:04:05.000"), state.At.Round(time.Millisecond))
+	out.linef("At %s UTC (%v of the module's clock):", state.UnixTime.UTC().Format("15:04:05.000"), state.At.Round(time.Millisecond))
 	for _, line := range replay.DescribeState(&state.State) {
 		out.linef("  %s", line)
 	}
--- a/cmd/cataloguectl/load.go
+++ b/cmd/cataloguectl/load.go
@@ -22,7 +22,7 @@
 }
 
 func newLoadCommand() *cobra.Command {
-	opts := loadOptions{config: loadtest.Defaults()}
+	opts := loadOptions{config: loadtest.DefaultConfig()}
 	opts.config.Arrival = arrival.Config{
 		BurstFactor:   2,
 		BurstFraction: 0.2,
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -31,7 +31,7 @@
 }
 
 func newRetriesSimulateCommand() *cobra.Command {
-	opts := retriesOptions{config: retrysim.Defaults()}
+	opts := retriesOptions{config: retrysim.DefaultConfig()}
 	cmd := &cobra.Command{
 		Use:     "simulate",
 		Aliases: []string{"storm"},
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -87,7 +87,7 @@
 // printStateInfo prints what is in a directory.
 func printStateInfo(out printer, db *store.Store) error {
 	id := db.Identity()
-	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteHash, Made: id.CreatedAt, States: map[string]int{}}
+	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteFingerprint, Made: id.CreatedAt, States: map[string]int{}}
 	now := time.Now()
 	err := forEachRecord(db, func(_ string, e idempotency.Entry, size int, err error) error {
 		info.Bytes += size
--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -15,7 +15,7 @@
 }
 
 func newStateRecoveryCommand() *cobra.Command {
-	opts := stateRecoveryOptions{config: loadtest.RecoveryConfig{Config: loadtest.Defaults(), Pairs: 20, Parallel: 2}}
+	opts := stateRecoveryOptions{config: loadtest.RecoveryConfig{Config: loadtest.DefaultConfig(), Pairs: 20, Parallel: 2}}
 	opts.config.Requests = 12000
 	opts.config.DrainRequests = 0
 	cmd := &cobra.Command{
--- a/cmd/cataloguectl/state_serve.go
+++ b/cmd/cataloguectl/state_serve.go
@@ -71,6 +71,6 @@
 
 // openStore opens the server's store over the faulty disk.
 func (o *stateServeOptions) openStore(ctx context.Context, d cli.StateDirectory) (server.DurableStore, error) {
-	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteHash: d.Site, FS: faultfs.Wrap(vfs.Default, o.faults)}
+	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.Site, FS: faultfs.Wrap(vfs.Default, o.faults)}
 	return store.OpenWait(ctx, cfg, d.OnWait)
 }
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -13,7 +13,7 @@
 // TestState checks that the commands on state directories print what is there, find what is damaged and remove only what they say.
 func TestState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, err := store.Open(store.Config{Dir: dir, Server: "n3", SiteHash: "stock-reserve 18s"})
+	s, err := store.Open(store.Config{Dir: dir, Server: "n3", SiteFingerprint: "stock-reserve 18s"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/calibration/compare.go
+++ b/internal/calibration/compare.go
@@ -102,7 +102,7 @@
 
 // measureDaemon runs the case over loopback.
 func (c Case) measureDaemon(ctx context.Context, daemon string, duration time.Duration, seed uint64) (Metrics, error) {
-	config := loadtest.Defaults()
+	config := loadtest.DefaultConfig()
 	config.Daemon = daemon
 	config.Args = []string{"serve"}
 	config.Seed = seed
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -48,8 +48,8 @@
 	minMemoryMB = 16
 )
 
-// Defaults returns a load test of half a minute that asks for half as much again as the interpreter can do.
-func Defaults() Config {
+// DefaultConfig returns a load test of half a minute that asks for half as much again as the interpreter can do.
+func DefaultConfig() Config {
 	return Config{
 		Requests: 20000, Rate: 800, Gateways: 32,
 		IdempotentShare: 0.3, RepeatShare: 0.1, MaxAttempts: 3, Seed: 1,
--- a/internal/loadtest/saturation.go
+++ b/internal/loadtest/saturation.go
@@ -77,7 +77,7 @@
 // runRound runs one round with a daemon that is started with the arguments. The additional caller may be nil. It returns the
 // target as well, whose daemon has ended.
 func runRound(config SaturationConfig, args []string, additional additionalCaller) (*Throughput, *target, error) {
-	targetConfig := Defaults()
+	targetConfig := DefaultConfig()
 	targetConfig.Daemon, targetConfig.Args, targetConfig.PinnedCore = config.Daemon, args, config.PinnedCore
 	t, err := startTarget(targetConfig)
 	if err != nil {
--- a/internal/replay/state_at.go
+++ b/internal/replay/state_at.go
@@ -12,7 +12,7 @@
 // StateAt is what the module knew at a time, and what it decided around it.
 type StateAt struct {
 	At        time.Duration         `json:"at"`
-	Unix      time.Time             `json:"unix"`
+	UnixTime      time.Time             `json:"unix"`
 	State     admission.Inspection  `json:"known"`
 	Queued    []admission.RequestID `json:"held"`
 	Running   []admission.RequestID `json:"on_cores"`
@@ -62,7 +62,7 @@
 
 func (i *inspector) beforeEvent(at capture.Position, event *capture.Record, module *admission.Instance) error {
 	if i.found == nil && event.At >= i.at {
-		i.found = &StateAt{At: event.At, Unix: at.Segment.UnixTime(event.At), State: module.Inspect()}
+		i.found = &StateAt{At: event.At, UnixTime: at.Segment.UnixTime(event.At), State: module.Inspect()}
 		i.found.Queued, i.found.Running = module.Queue()
 	}
 	return nil
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -83,7 +83,7 @@
 func (b *summaryBuilder) add(attempt *Attempt, classes []admission.Class) {
 	summary := &b.summary
 	summary.Attempts++
-	if attempt.Retry {
+	if attempt.IsRetry {
 		summary.Retries++
 	}
 	if attempt.RunStart > 0 {
--- a/internal/replay/trace_text.go
+++ b/internal/replay/trace_text.go
@@ -28,7 +28,7 @@
 	if len(t.Steps) > 0 {
 		lines = append(lines, "Step by step:")
 		for _, step := range t.Steps {
-			clock, sinceRead := step.Unix.UTC().Format(timeOfDay), milliseconds(step.At-t.ReadAt)
+			clock, sinceRead := step.UnixTime.UTC().Format(timeOfDay), milliseconds(step.At-t.ReadAt)
 			lines = append(lines, fmt.Sprintf("  %s  +%s  %s", clock, sinceRead, step.Text))
 		}
 	}
@@ -49,7 +49,7 @@
 		kind += ", a further try"
 	}
 	return fmt.Sprintf("%s, %s, was read at %s UTC (%v of the module's clock), %s after it reached the machine.", id, kind,
-		t.Unix.UTC().Format(timeOfDay), t.ReadAt.Round(time.Millisecond), milliseconds(t.Request.QueueingDelay))
+		t.UnixTime.UTC().Format(timeOfDay), t.ReadAt.Round(time.Millisecond), milliseconds(t.Request.QueueingDelay))
 }
 
 // endLine says how and why the request ended.
--- a/internal/retrysim/retrysim.go
+++ b/internal/retrysim/retrysim.go
@@ -21,8 +21,8 @@
 	Seed                   uint64
 }
 
-// Defaults returns an outage of ten seconds in which every member fails 30 % of its attempts.
-func Defaults() Config {
+// DefaultConfig returns an outage of ten seconds in which every member fails 30 % of its attempts.
+func DefaultConfig() Config {
 	return Config{
 		Members:      5,
 		RequestRate:  1000,
--- a/internal/retrysim/retrysim_test.go
+++ b/internal/retrysim/retrysim_test.go
@@ -21,7 +21,7 @@
 // TestRetryBudgetBoundsLoad keeps the load on the members under 1.2 of what is offered with the budget, and expects the same
 // samples of the same seed.
 func TestRetryBudgetBoundsLoad(t *testing.T) {
-	c := Defaults()
+	c := DefaultConfig()
 	with, err := Run(c)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -32,7 +32,7 @@
 // fillStore writes so many entries, a thousand with each request, and compacts the store as an idle server does.
 func fillStore(b *testing.B, dir string, n int) {
 	b.Helper()
-	s, err := Open(Config{Dir: dir, Server: "n3", SiteHash: "s"})
+	s, err := Open(Config{Dir: dir, Server: "n3", SiteFingerprint: "s"})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 // readStore opens a store, reads its records, of which there must be n, and returns the bytes that it takes.
 func readStore(b *testing.B, dir string, n int) (size int64) {
 	b.Helper()
-	s, err := Open(Config{Dir: dir, Server: "n3", SiteHash: "s"})
+	s, err := Open(Config{Dir: dir, Server: "n3", SiteFingerprint: "s"})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 func BenchmarkSyncs(b *testing.B) {
 	for _, rate := range []int{1, 50, 500, 5000} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
-			s, err := Open(Config{Dir: b.TempDir(), Server: "n3", SiteHash: "s"})
+			s, err := Open(Config{Dir: b.TempDir(), Server: "n3", SiteFingerprint: "s"})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -23,7 +23,7 @@
 type Identity struct {
 	Version  int    `json:"version"`
 	Server   string `json:"server"`
-	SiteHash string `json:"site"` // what the site's settings say of classes with keys and their windows
+	SiteFingerprint string `json:"site"` // what the site's settings say of classes with keys and their windows
 	// Secret keys the hashes of request bodies, so that no sender can foresee one.
 	Secret    []byte    `json:"secret"`
 	CreatedAt time.Time `json:"made"`
@@ -78,7 +78,7 @@
 	if want.Server != "" && id.Server != want.Server {
 		return fmt.Errorf("%s: %w: it is %s's, not %s's", dir, ErrForeign, id.Server, want.Server)
 	}
-	if want.SiteHash != "" && id.SiteHash != want.SiteHash {
+	if want.SiteFingerprint != "" && id.SiteFingerprint != want.SiteFingerprint {
 		return fmt.Errorf("%s: %w: its classes and windows are those of another site", dir, ErrForeign)
 	}
 	return nil
@@ -96,7 +96,7 @@
 	s.identity = Identity{
 		Version:   Version,
 		Server:    s.config.Server,
-		SiteHash:  s.config.SiteHash,
+		SiteFingerprint:  s.config.SiteFingerprint,
 		Secret:    secret,
 		CreatedAt: time.Now().UTC(),
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,7 +17,7 @@
 type Config struct {
 	Dir      string
 	Server   string // whose the directory must be; "" is any
-	SiteHash string // of which site the directory must be; "" is any
+	SiteFingerprint string // of which site the directory must be; "" is any
 	Machine  string // on which it is open
 	ReadOnly bool
 	FS       vfs.FS // nil is the disk
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,7 @@
 var powerCuts = flag.Int("cuts", 150, "how many power cuts are played")
 
 // config is that of the tests' directory.
-func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteHash: "s", FS: fsys} }
+func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteFingerprint: "s", FS: fsys} }
 
 // open opens the directory of the tests.
 func open(t testing.TB, fsys vfs.FS) *Store {
@@ -324,7 +324,7 @@
 	for _, c := range []struct {
 		change func(c *Config)
 		want   error
-	}{{func(c *Config) { c.Server = "n4" }, ErrForeign}, {func(c *Config) { c.SiteHash = "t" }, ErrForeign},
+	}{{func(c *Config) { c.Server = "n4" }, ErrForeign}, {func(c *Config) { c.SiteFingerprint = "t" }, ErrForeign},
 		{func(c *Config) { c.Dir, c.ReadOnly = "nowhere", true }, ErrNoStore}} {
 		with := config(fsys)
 		c.change(&with)
