--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -51,7 +51,7 @@
 	WireID    string              `json:"request_id,omitempty"`
 	Class     int                 `json:"class"`
 	Tenant    int                 `json:"tenant"`
-	IsRetry     bool                `json:"retry,omitempty"`
+	IsRetry   bool                `json:"retry,omitempty"`
 	ArrivedAt time.Duration       `json:"arrived"` // at the machine
 	ReadAt    time.Duration       `json:"read"`
 	RunStart  time.Duration       `json:"run_at,omitempty"` // 0: it was not run
@@ -174,7 +174,7 @@
 		WireID:    wireID,
 		Class:     request.Class,
 		Tenant:    request.Tenant,
-		IsRetry:     request.IsRetry,
+		IsRetry:   request.IsRetry,
 		ArrivedAt: event.At - request.QueueingDelay,
 		ReadAt:    event.At,
 		Status:    StatusOpen,
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -15,9 +15,9 @@
 
 // Step is one thing that happened to a request.
 type Step struct {
-	At   time.Duration `json:"at"`
+	At       time.Duration `json:"at"`
 	UnixTime time.Time     `json:"unix"`
-	Text string        `json:"text"`
+	Text     string        `json:"text"`
 }
 
 // RequestTrace is what became of one attempt, and what the module knew when it decided. Times are by the module's clock
@@ -30,7 +30,7 @@
 	Tenant            string                    `json:"tenant,omitempty"`
 	Request           admission.Request         `json:"asked"`
 	ReadAt            time.Duration             `json:"at"`
-	UnixTime              time.Time                 `json:"unix"`               // when it was read
+	UnixTime          time.Time                 `json:"unix"`               // when it was read
 	AdmissionCheck    *admission.AdmissionCheck `json:"weighing,omitempty"` // nil where the module's state is not known
 	StateOnRead       *admission.Inspection     `json:"known,omitempty"`
 	Steps             []Step                    `json:"steps"`
@@ -133,7 +133,7 @@
 		Tenant:    nameOf(segment.Meta.Tenants, event.Request.Tenant),
 		Request:   event.Request,
 		ReadAt:    event.At,
-		UnixTime:      segment.UnixTime(event.At),
+		UnixTime:  segment.UnixTime(event.At),
 		Status:    StatusOpen,
 		readEvent: c.event,
 	}
--- a/internal/replay/state_at.go
+++ b/internal/replay/state_at.go
@@ -12,7 +12,7 @@
 // StateAt is what the module knew at a time, and what it decided around it.
 type StateAt struct {
 	At        time.Duration         `json:"at"`
-	UnixTime      time.Time             `json:"unix"`
+	UnixTime  time.Time             `json:"unix"`
 	State     admission.Inspection  `json:"known"`
 	Queued    []admission.RequestID `json:"held"`
 	Running   []admission.RequestID `json:"on_cores"`
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -21,8 +21,8 @@
 
 // Identity says whose a directory is.
 type Identity struct {
-	Version  int    `json:"version"`
-	Server   string `json:"server"`
+	Version         int    `json:"version"`
+	Server          string `json:"server"`
 	SiteFingerprint string `json:"site"` // what the site's settings say of classes with keys and their windows
 	// Secret keys the hashes of request bodies, so that no sender can foresee one.
 	Secret    []byte    `json:"secret"`
@@ -94,11 +94,11 @@
 		return err
 	}
 	s.identity = Identity{
-		Version:   Version,
-		Server:    s.config.Server,
-		SiteFingerprint:  s.config.SiteFingerprint,
-		Secret:    secret,
-		CreatedAt: time.Now().UTC(),
+		Version:         Version,
+		Server:          s.config.Server,
+		SiteFingerprint: s.config.SiteFingerprint,
+		Secret:          secret,
+		CreatedAt:       time.Now().UTC(),
 	}
 	text, err := json.Marshal(s.identity)
 	if err == nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,12 +15,12 @@
 
 // Config is how a directory is opened.
 type Config struct {
-	Dir      string
-	Server   string // whose the directory must be; "" is any
+	Dir             string
+	Server          string // whose the directory must be; "" is any
 	SiteFingerprint string // of which site the directory must be; "" is any
-	Machine  string // on which it is open
-	ReadOnly bool
-	FS       vfs.FS // nil is the disk
+	Machine         string // on which it is open
+	ReadOnly        bool
+	FS              vfs.FS // nil is the disk
 }
 
 // Store is an open directory. Its methods may be called from any goroutine.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,9 @@
 var powerCuts = flag.Int("cuts", 150, "how many power cuts are played")
 
 // config is that of the tests' directory.
-func config(fsys vfs.FS) Config { return Config{Dir: "/state", Server: "n3", SiteFingerprint: "s", FS: fsys} }
+func config(fsys vfs.FS) Config {
+	return Config{Dir: "/state", Server: "n3", SiteFingerprint: "s", FS: fsys}
+}
 
 // open opens the directory of the tests.
 func open(t testing.TB, fsys vfs.FS) *Store {
