--- a/server/request_parser.go
+++ b/server/request_parser.go
@@ -16,16 +16,11 @@
 type Request struct {
 	// RequestID names the attempt to the backend, in hexadecimal.
 	RequestID string
-	// HasOwnID says that this process made the RequestID, so that it can't be that of another attempt.
-	HasOwnID bool
 	// Class is the index of the request's class among those of the site.
 	Class int
-	// AtMostOnce says that the request must not run twice.
-	AtMostOnce bool
 	// Key tells retries from other requests, together with the class, where HasKey is set: by it they are answered
 	// from the first attempt's run.
-	Key    string
-	HasKey bool
+	Key string
 	// BodyHash is that of the body, where attempts with one key must agree in it.
 	BodyHash uint64
 	// ReceivedAt is when the gateway received the request, by the Unix clock, and ArrivedAt the same by the
@@ -35,6 +30,11 @@
 	Body       []byte
 	// Runner starts the request's run.
 	Runner Runner
+	HasKey bool
+	// AtMostOnce says that the request must not run twice.
+	AtMostOnce bool
+	// HasOwnID says that this process made the RequestID, so that it can't be that of another attempt.
+	HasOwnID bool
 }
 
 // ParsedRequest is the outcome of parsing: a Response that answers the request at once, or all else.
