--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -158,7 +158,7 @@
 // RequestFinished implements forward.Handler.
 func (b *backend) RequestFinished(requestID string, outcome forward.Outcome, response gateway.Response) {
 	q := b.inFlight[requestID]
-	if q == nil || b.tryFallback(q, outcome, response.Status) {
+	if q == nil || b.runFallback(q, outcome, response.Status) {
 		return
 	}
 	switch outcome {
@@ -172,9 +172,9 @@
 	}
 }
 
-// tryFallback has the location's fallback take over for how a request ended, and returns false where there is none. A
+// runFallback has the location's fallback take over for how a request ended, and returns false where there is none. A
 // request that must not run twice and may have run goes to no second pool.
-func (b *backend) tryFallback(q *routedRequest, outcome forward.Outcome, status int) bool {
+func (b *backend) runFallback(q *routedRequest, outcome forward.Outcome, status int) bool {
 	before := *q
 	if outcome == forward.Responded && !q.location.InterceptErrors || !q.takeFallback(status) {
 		return false
--- a/internal/router/parse.go
+++ b/internal/router/parse.go
@@ -38,16 +38,16 @@
 }
 
 // resolve returns the route of a request, or the answer of a route that leads to no pool.
-func (b *backend) resolve(r gateway.Request) (*routedRequest, *gateway.Response) {
-	virtualServer, _ := b.table.FindServer(b.localAddress(r), r.Headers["host"])
+func (b *backend) resolve(request gateway.Request) (*routedRequest, *gateway.Response) {
+	virtualServer, _ := b.table.FindServer(b.localAddress(request), request.Headers["host"])
 	if virtualServer == nil {
 		return nil, &gateway.Response{Status: statusNotFound}
 	}
-	requestedPath := r.Path
-	if r.URI != "" {
-		requestedPath = r.URI // SCRIPT_NAME may have been changed on its way
+	requestedPath := request.Path
+	if request.URI != "" {
+		requestedPath = request.URI // SCRIPT_NAME may have been changed on its way
 	}
-	resolution, err := virtualServer.Resolve(requestedPath, r.Query)
+	resolution, err := virtualServer.Resolve(requestedPath, request.Query)
 	if err != nil {
 		return nil, &gateway.Response{Status: statusBadRequest}
 	}
@@ -56,7 +56,7 @@
 	}
 	routed := &routedRequest{
 		backend:       b,
-		request:       r,
+		request:       request,
 		server:        virtualServer,
 		location:      resolution.Location.Value.(*routeconfig.Location),
 		requestedPath: requestedPath,
@@ -102,33 +102,33 @@
 
 // parseAttempt reads what the module has to know of a request. Gateways may send the platform's fields, but need not.
 func (b *backend) parseAttempt(routed *routedRequest, now time.Duration) (server.ParsedRequest, error) {
-	r := routed.request
-	f := server.NewFieldReader(r.Headers)
+	request := routed.request
+	fields := server.NewFieldReader(request.Headers)
 	class := b.classes[routed.location.Class]
 	b.lastRequestID++
 	parsed := server.ParsedRequest{Request: server.Request{
 		RequestID: fmt.Sprintf("%016x", b.lastRequestID),
 		HasOwnID:  true,
-		Body:      r.Body,
+		Body:      request.Body,
 		Runner:    routed,
 	}}
-	parsed.Class, parsed.AtMostOnce = class.forMethod(r.Method)
+	parsed.Class, parsed.AtMostOnce = class.forMethod(request.Method)
 	unixNow := b.server.Loop().Now().Round(0)
 	parsed.ReceivedAt = unixNow
-	if r.Headers["received-at"] != "" {
-		parsed.ReceivedAt = f.ReceivedAt(unixNow)
+	if request.Headers["received-at"] != "" {
+		parsed.ReceivedAt = fields.ReceivedAt(unixNow)
 	}
 	parsed.Admission = admission.Request{
 		Class:   parsed.Class,
-		IsRetry: r.Headers["attempt-again"] == "1",
-		Caller:  int(f.Number("Sent-By", 0, server.MaxSender, 0)),
-		SizeKB:  1 + float64(len(r.Body))/1024,
+		IsRetry: request.Headers["attempt-again"] == "1",
+		Caller:  int(fields.Number("Sent-By", 0, server.MaxSender, 0)),
+		SizeKB:  1 + float64(len(request.Body))/1024,
 	}
 	if class.hasKey {
-		parsed.HasKey, parsed.Key = true, f.Required("Once-Key")
-		parsed.BodyHash = b.server.HashBody(r.Body)
+		parsed.HasKey, parsed.Key = true, fields.Required("Once-Key")
+		parsed.BodyHash = b.server.HashBody(request.Body)
 	}
-	if err := f.Err(); err != nil {
+	if err := fields.Err(); err != nil {
 		return server.ParsedRequest{}, err
 	}
 	parsed.Admission.QueueingDelay = max(unixNow.Sub(parsed.ReceivedAt), 0)
--- a/internal/router/routed_request.go
+++ b/internal/router/routed_request.go
@@ -109,17 +109,17 @@
 
 // returnResponse is the answer of a location that has one of its own.
 func returnResponse(location *routeconfig.Location) *gateway.Response {
-	r := &gateway.Response{Status: location.ReturnStatus}
+	response := &gateway.Response{Status: location.ReturnStatus}
 	isRedirect := location.ReturnStatus >= 300 && location.ReturnStatus < 400
 	switch {
 	case location.ReturnText == "":
 	case isRedirect:
-		r.Headers = []gateway.Field{{Name: "Location", Value: location.ReturnText}}
+		response.Headers = []gateway.Field{{Name: "Location", Value: location.ReturnText}}
 	default:
-		r.Headers = []gateway.Field{{Name: "Content-Type", Value: "text/plain"}}
-		r.Body = []byte(location.ReturnText)
+		response.Headers = []gateway.Field{{Name: "Content-Type", Value: "text/plain"}}
+		response.Body = []byte(location.ReturnText)
 	}
-	return r
+	return response
 }
 
 // hashKey is what the hash methods of the location's pool choose a member by.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -60,19 +60,19 @@
 		TotalBytes:   server.RequestMemory(cfg.MemoryMB),
 		KeepParams:   true,
 	}
-	r := &Router{log: log}
+	created := &Router{log: log}
 	var err error
-	r.Server, err = server.NewWithParts(system, serverConfig(cfg, site), log, server.Parts{
+	created.Server, err = server.NewWithParts(system, serverConfig(cfg, site), log, server.Parts{
 		Limits: limits,
 		New: func(s *server.Server) (server.RequestParser, server.Backend) {
-			r.backend = newBackend(s, cfg, classes, log)
-			return r.backend, r.backend
+			created.backend = newBackend(s, cfg, classes, log)
+			return created.backend, created.backend
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return r, nil
+	return created, nil
 }
 
 // errNoRoutes says that a configuration can be read but not served.
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -38,7 +38,7 @@
 
 // serverConfig returns the configuration of the core.
 func serverConfig(cfg *Config, site *settings.Site) *server.Config {
-	c := &server.Config{
+	core := &server.Config{
 		Name:        cfg.Name,
 		Listen:      cfg.Listen,
 		StopTimeout: cfg.StopTimeout,
@@ -46,9 +46,9 @@
 		Settings:    site,
 	}
 	if cfg.Operator != nil {
-		c.Capture = cfg.Operator.Capture
+		core.Capture = cfg.Operator.Capture
 	}
-	return c
+	return core
 }
 
 // siteSettings returns the settings of the module, and where the classes of the routes are among its classes. The
--- a/server/actions.go
+++ b/server/actions.go
@@ -71,7 +71,7 @@
 func (ac actions) cancelRun(a *attempt) {
 	a.isStopRequested = a.isIntentPending
 	ac.withdraw(a)
-	ac.forget(a)
+	ac.removeIfDone(a)
 }
 
 // withdraw takes back a run that the backend has not begun, and returns whether it did.
--- a/server/capture.go
+++ b/server/capture.go
@@ -90,14 +90,14 @@
 	if s.capture.recorder == nil {
 		return
 	}
-	c := s.capture.recorder.Counters()
+	recorded := s.capture.recorder.Counters()
 	s.logCounterLine("capture", nil, []Counter{
-		{"records", c.Records},
-		{"lost", c.Dropped},
-		{"gaps", c.Gaps},
-		{"segments", c.Segments},
-		{"bytes", c.WrittenBytes},
-		{"raw", c.UncompressedBytes},
-		{"errors", c.DiskErrors},
+		{"records", recorded.Records},
+		{"lost", recorded.Dropped},
+		{"gaps", recorded.Gaps},
+		{"segments", recorded.Segments},
+		{"bytes", recorded.WrittenBytes},
+		{"raw", recorded.UncompressedBytes},
+		{"errors", recorded.DiskErrors},
 	})
 }
--- a/server/conns.go
+++ b/server/conns.go
@@ -122,8 +122,8 @@
 	t.scheduleIdleScan()
 }
 
-// makeRoom evicts a connection for a new one, if need be, and returns whether there is room.
-func (t *connTable) makeRoom() bool {
+// ensureCapacity evicts a connection for a new one, if need be, and returns whether there is room.
+func (t *connTable) ensureCapacity() bool {
 	if t.len() < t.max || t.evict() {
 		return true
 	}
@@ -131,24 +131,24 @@
 	return false
 }
 
-// evictionRank orders connections by how little is lost with them.
-type evictionRank uint8
+// evictionPriority orders connections by how little is lost with them.
+type evictionPriority uint8
 
 const (
-	rankKeep    evictionRank = iota // it must stay
-	rankIdle                        // it served its gateway and is idle
-	rankSilent                      // it has sent no whole request for a while
-	rankClosing                     // this side has ended it
+	priorityKeep    evictionPriority = iota // it must stay
+	priorityIdle                            // it served its gateway and is idle
+	prioritySilent                          // it has sent no whole request for a while
+	priorityClosing                         // this side has ended it
 )
 
-// evictionScan is what a look at all connections found.
+// evictionScan is what one scan of all connections found.
 type evictionScan struct {
-	now         time.Time
-	candidate   *gatewayConn // of the highest rank, the one that was active least lately
-	rank        evictionRank // of the candidate
-	silent      int          // connections that never sent a whole request
-	oldest      *gatewayConn // of the silent ones for which no bytes wait unread
-	firstUnread *gatewayConn // of the silent ones for which bytes wait unread
+	now          time.Time
+	candidate    *gatewayConn     // of the highest priority, the one that was active least lately
+	priority     evictionPriority // of the candidate
+	silent       int              // connections that never sent a whole request
+	oldest       *gatewayConn     // of the silent ones for which no bytes wait unread
+	firstPending *gatewayConn     // of the silent ones for which bytes wait unread
 }
 
 // evict closes a connection for a new one and returns whether it could. Callers that connect in their hundreds and stay
@@ -162,9 +162,9 @@
 		scan.add(g)
 	}
 	evicted := scan.candidate
-	if scan.rank < rankSilent && 2*scan.silent >= t.len() {
-		evicted = cmp.Or(scan.oldest, scan.firstUnread)
-	} else if evicted == nil || scan.rank == rankIdle && !evicted.conn.IsIdle(minIdleBeforeEviction) {
+	if scan.priority < prioritySilent && 2*scan.silent >= t.len() {
+		evicted = cmp.Or(scan.oldest, scan.firstPending)
+	} else if evicted == nil || scan.priority == priorityIdle && !evicted.conn.IsIdle(minIdleBeforeEviction) {
 		return false
 	}
 	t.counters.evicted++
@@ -178,11 +178,11 @@
 	if isSilent && e.addSilent(g) {
 		return
 	}
-	rank := e.rankOf(g)
-	isBetter := rank > e.rank ||
-		rank == e.rank && rank > rankKeep && g.conn.LastActivity().Before(e.candidate.conn.LastActivity())
-	if isBetter && (rank == rankClosing || !g.conn.HasPendingInput()) {
-		e.candidate, e.rank = g, rank
+	priority := e.priorityOf(g)
+	isBetter := priority > e.priority ||
+		priority == e.priority && priority > priorityKeep && g.conn.LastActivity().Before(e.candidate.conn.LastActivity())
+	if isBetter && (priority == priorityClosing || !g.conn.HasPendingInput()) {
+		e.candidate, e.priority = g, priority
 	}
 }
 
@@ -194,23 +194,23 @@
 		return false
 	}
 	if g.conn.HasPendingInput() {
-		e.firstUnread = cmp.Or(e.firstUnread, g)
+		e.firstPending = cmp.Or(e.firstPending, g)
 		return true
 	}
 	e.oldest = g
 	return false
 }
 
-// rankOf returns the rank of a connection.
-func (e *evictionScan) rankOf(g *gatewayConn) evictionRank {
+// priorityOf returns the priority of a connection.
+func (e *evictionScan) priorityOf(g *gatewayConn) evictionPriority {
 	switch {
 	case g.conn.IsClosing():
-		return rankClosing
+		return priorityClosing
 	case g.validRequests == 0 && e.now.Sub(g.incompleteSince) >= newConnGrace:
-		return rankSilent
+		return prioritySilent
 	case g.validRequests > 0 && g.isIdle() && e.now.Sub(g.conn.LastActivity()) >= minIdleBeforeEviction:
-		return rankIdle
+		return priorityIdle
 	default:
-		return rankKeep
+		return priorityKeep
 	}
 }
--- a/server/counters.go
+++ b/server/counters.go
@@ -71,7 +71,7 @@
 // Counters returns the server's and the backend's counters by their names in the log. It belongs to the loop's
 // goroutine.
 func (s *Server) Counters() []Counter {
-	conns, c := &s.conns.counters, &s.counters
+	conns, requests := &s.conns.counters, &s.counters
 	return append([]Counter{
 		{"connections", uint64(s.conns.len())},
 		{"open", uint64(len(s.attempts.byID))},
@@ -85,35 +85,35 @@
 		{"idle_closed", conns.idleClosed},
 		{"unfinished", conns.timeouts},
 		{"broken", conns.protocolErrors},
-		{"lost", c.requestsLost},
-		{"requests", c.requests},
-		{"retries", c.retries},
-		{"repeats", c.coalesced},
-		{"aborted", c.aborted},
-		{"malformed", c.malformed},
-		{"too_large", c.tooLarge},
-		{"too_many", c.tooMany},
-		{"bad_role", c.badRole},
-		{"invalid", c.invalid},
-		{"served", c.served},
-		{"refused", c.rejected},
-		{"failed", c.failed},
-		{"reused", c.replayed},
+		{"lost", requests.requestsLost},
+		{"requests", requests.requests},
+		{"retries", requests.retries},
+		{"repeats", requests.coalesced},
+		{"aborted", requests.aborted},
+		{"malformed", requests.malformed},
+		{"too_large", requests.tooLarge},
+		{"too_many", requests.tooMany},
+		{"bad_role", requests.badRole},
+		{"invalid", requests.invalid},
+		{"served", requests.served},
+		{"refused", requests.rejected},
+		{"failed", requests.failed},
+		{"reused", requests.replayed},
 		{"checks", s.health.checks},
 		{"checks_bad", s.health.failed},
-		{"direct", c.directAnswers},
-		{"runs", c.runsStarted},
-		{"ended", c.runsFinished},
-		{"errored", c.runsFailed},
-		{"stopped", c.runsStopped},
-		{"moot", c.runsNotStarted},
-		{"calls", c.calls},
-		{"ran_twice", c.secondRunsPrevented},
-		{"refused_ran", c.rejectionsPrevented},
-		{"results_dropped", c.resultsEvicted},
+		{"direct", requests.directAnswers},
+		{"runs", requests.runsStarted},
+		{"ended", requests.runsFinished},
+		{"errored", requests.runsFailed},
+		{"stopped", requests.runsStopped},
+		{"moot", requests.runsNotStarted},
+		{"calls", requests.calls},
+		{"ran_twice", requests.secondRunsPrevented},
+		{"refused_ran", requests.rejectionsPrevented},
+		{"results_dropped", requests.resultsEvicted},
 		{"reports", s.load.reports},
 		{"report_errors", s.load.errors},
-		{"reloads", c.reloads},
+		{"reloads", requests.reloads},
 	}, s.backend.Counters()...)
 }
 
@@ -162,15 +162,15 @@
 }
 
 // inspectionFields are what the module knows of a class at this moment, and why requests were rejected since the start.
-func inspectionFields(c *admission.ClassInspection) []zap.Field {
+func inspectionFields(class *admission.ClassInspection) []zap.Field {
 	fields := []zap.Field{
-		zap.Bool("starved", c.Starved),
-		zap.Int("queued", c.QueuedWithinQuota+c.QueuedOverQuota),
-		zap.Int("learned_runs", c.Samples),
-		zap.Int64("core_ms", c.CoreTime.Round(time.Millisecond).Milliseconds()),
-		zap.Int64("wall_ms", c.WallTime.Round(time.Millisecond).Milliseconds()),
+		zap.Bool("starved", class.Starved),
+		zap.Int("queued", class.QueuedWithinQuota+class.QueuedOverQuota),
+		zap.Int("learned_runs", class.Samples),
+		zap.Int64("core_ms", class.CoreTime.Round(time.Millisecond).Milliseconds()),
+		zap.Int64("wall_ms", class.WallTime.Round(time.Millisecond).Milliseconds()),
 	}
-	for reason, n := range c.Rejections {
+	for reason, n := range class.Rejections {
 		if n > 0 {
 			fields = append(fields, zap.Uint64(rejectionNames[admission.Reason(reason)], n))
 		}
--- a/server/durable.go
+++ b/server/durable.go
@@ -127,21 +127,21 @@
 }
 
 // restoreAttempt makes one request known again, as an attempt that is answered and over.
-func (d *durableResults) restoreAttempt(class int, e idempotency.Entry) {
+func (d *durableResults) restoreAttempt(class int, entry idempotency.Entry) {
 	d.recovered++
 	request := Request{
 		Class:      class,
 		AtMostOnce: true,
-		Key:        e.Key.Key,
+		Key:        entry.Key.Key,
 		HasKey:     true,
-		BodyHash:   e.BodyHash,
-		ReceivedAt: e.ReceivedAt,
+		BodyHash:   entry.BodyHash,
+		ReceivedAt: entry.ReceivedAt,
 	}
 	a := &attempt{Request: request, id: d.server.attempts.nextID(), isAnswered: true, state: runFailed}
-	d.server.keys.restoreRun(a, e.ReceivedAt.Add(d.window(class)))
-	if e.State == idempotency.Completed {
+	d.server.keys.restoreRun(a, entry.ReceivedAt.Add(d.window(class)))
+	if entry.State == idempotency.Completed {
 		a.state = runSucceeded
-		d.server.keys.storeResult(a, responseOf(e.Response))
+		d.server.keys.storeResult(a, responseOf(entry.Response))
 	}
 }
 
@@ -283,27 +283,27 @@
 
 // counters implements durability.
 func (d *durableResults) counters() []Counter {
-	c, k := &d.table.Counters, d.store.Stats()
+	table, store := &d.table.Counters, d.store.Stats()
 	keys, bytes := d.table.Size()
 	return []Counter{
 		{"state_keys", uint64(keys)},
 		{"state_bytes", uint64(bytes)},
 		{"state_mode", uint64(d.table.DiskState())},
-		{"intents", c.Intents},
-		{"results_kept", c.Completed},
-		{"keys_freed", c.Aborted},
-		{"keys_expired", c.Expired},
-		{"answers_given_up", c.Evicted},
-		{"turned_away_no_room", c.RejectedFull},
-		{"turned_away_no_disk", c.RejectedDisk},
-		{"write_failures", c.WriteFailures},
-		{"disk_recoveries", c.Recoveries},
+		{"intents", table.Intents},
+		{"results_kept", table.Completed},
+		{"keys_freed", table.Aborted},
+		{"keys_expired", table.Expired},
+		{"answers_given_up", table.Evicted},
+		{"turned_away_no_room", table.RejectedFull},
+		{"turned_away_no_disk", table.RejectedDisk},
+		{"write_failures", table.WriteFailures},
+		{"disk_recoveries", table.Recoveries},
 		{"unprotected", d.unprotected},
 		{"recovered", d.recovered},
 		{"records_unread", d.unreadable},
-		{"syncs", k.Syncs},
-		{"changes", k.Changes},
-		{"reopened", k.Reopens},
+		{"syncs", store.Syncs},
+		{"changes", store.Changes},
+		{"reopened", store.Reopens},
 	}
 }
 
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -25,18 +25,18 @@
 }
 
 // accept takes in a new connection, while descriptors are left for everything else.
-func (s *Server) accept(c *eventloop.Conn) eventloop.ConnHandler {
-	if !s.conns.makeRoom() {
+func (s *Server) accept(conn *eventloop.Conn) eventloop.ConnHandler {
+	if !s.conns.ensureCapacity() {
 		return nil
 	}
 	g := &gatewayConn{
 		server:          s,
-		conn:            c,
+		conn:            conn,
 		attempts:        map[gateway.StreamID]*attempt{},
 		healthChecks:    map[gateway.StreamID]bool{},
 		incompleteSince: s.loop.Now(),
 	}
-	g.session = s.conns.protocol(c, g)
+	g.session = s.conns.protocol(conn, g)
 	s.conns.add(g)
 	return g
 }
@@ -107,7 +107,7 @@
 		s.counters.requestsLost++
 		a.isAnswered = true
 		s.module.events.Cancel(s.eventTime(), a.id)
-		s.forget(a)
+		s.removeIfDone(a)
 	}
 	clear(g.attempts)
 	clear(g.healthChecks)
@@ -133,7 +133,7 @@
 	}
 	s.answerFailed(a)
 	s.module.events.Cancel(s.eventTime(), a.id)
-	s.forget(a)
+	s.removeIfDone(a)
 }
 
 // RequestInvalid implements gateway.Handler.
--- a/server/health.go
+++ b/server/health.go
@@ -19,20 +19,20 @@
 
 // checkHealth answers a health check: from the module's setting, or, where the gateway asks for a deep check and the
 // setting alone may not answer it, by whether the backend gets work done.
-func (s *Server) checkHealth(g *gatewayConn, stream gateway.StreamID, r gateway.Request) {
+func (s *Server) checkHealth(conn *gatewayConn, stream gateway.StreamID, request gateway.Request) {
 	s.health.checks++
-	g.validRequests++
-	query, _ := url.ParseQuery(r.Query) // what can't be parsed asks for nothing
+	conn.validRequests++
+	query, _ := url.ParseQuery(request.Query) // what can't be parsed asks for nothing
 	isDeep := query.Get("full") == "1"
 	if !isDeep || s.health.isFixed || !s.health.isHealthy {
-		s.answerHealthCheck(g, stream, s.health.isHealthy)
+		s.answerHealthCheck(conn, stream, s.health.isHealthy)
 		return
 	}
-	g.healthChecks[stream] = true
+	conn.healthChecks[stream] = true
 	s.backend.CheckHealth(s.loop.Now(), func(ok bool) {
-		if g.healthChecks[stream] {
-			delete(g.healthChecks, stream)
-			s.answerHealthCheck(g, stream, ok && s.health.isHealthy)
+		if conn.healthChecks[stream] {
+			delete(conn.healthChecks, stream)
+			s.answerHealthCheck(conn, stream, ok && s.health.isHealthy)
 		}
 	})
 }
--- a/server/idempotency_table.go
+++ b/server/idempotency_table.go
@@ -31,8 +31,8 @@
 	previousRunUntil time.Time
 }
 
-// forgetPreviousRun forgets the run before the last.
-func (e *keyEntry) forgetPreviousRun() {
+// dropPreviousRun forgets the run before the last.
+func (e *keyEntry) dropPreviousRun() {
 	if e.previousRun != nil {
 		e.previousRun.isExpired, e.previousRun = true, nil
 	}
@@ -151,7 +151,7 @@
 		return false
 	}
 	if e.lastRun != nil && e.lastRun != a {
-		e.forgetPreviousRun()
+		e.dropPreviousRun()
 		e.previousRun, e.previousRunUntil = e.lastRun, e.lastRunUntil
 	}
 	e.lastRun, e.lastRunUntil = a, a.ReceivedAt.Add(window)
@@ -222,7 +222,7 @@
 			t.clearHolder(e)
 		}
 		if e.previousRun != nil && unix.After(e.previousRunUntil.Add(slack)) {
-			e.forgetPreviousRun()
+			e.dropPreviousRun()
 		}
 		if e.lastRun != nil && unix.After(e.lastRunUntil.Add(slack)) {
 			e.lastRun.isExpired, e.lastRun = true, nil
--- a/server/interpreter_backend.go
+++ b/server/interpreter_backend.go
@@ -88,8 +88,8 @@
 }
 
 // runOutcome translates the outcome of a run.
-func runOutcome(o interpreter.Outcome) RunOutcome {
-	switch o {
+func runOutcome(outcome interpreter.Outcome) RunOutcome {
+	switch outcome {
 	case interpreter.OutcomeOK:
 		return RunSucceeded
 	case interpreter.OutcomeStopped:
--- a/server/module.go
+++ b/server/module.go
@@ -32,7 +32,7 @@
 
 // settle ends a round of the loop. It returns true where the module's actions caused events, which the next round
 // reports.
-func (s *Server) settle() (again bool) {
+func (s *Server) settle() (hasEvents bool) {
 	s.runDeferredEvents()
 	if s.module.needsSettle && s.module.events != nil {
 		s.module.needsSettle = false
--- a/server/request_parser.go
+++ b/server/request_parser.go
@@ -176,18 +176,18 @@
 }
 
 // Parse implements RequestParser.
-func (p *catalogueParser) Parse(r gateway.Request, now time.Duration) (ParsedRequest, error) {
-	f := NewFieldReader(r.Headers)
+func (p *catalogueParser) Parse(request gateway.Request, now time.Duration) (ParsedRequest, error) {
+	fields := NewFieldReader(request.Headers)
 	unixNow := p.server.loop.Now().Round(0)
-	parsed := ParsedRequest{Request: Request{Class: p.class(f, r), Body: r.Body, Runner: p.runner}}
-	parsed.RequestID = f.Hex("Request-Id", requestIDDigits)
-	parsed.ReceivedAt = f.ReceivedAt(unixNow)
-	parsed.Admission = p.admissionRequest(f, r, parsed.Class)
-	budget, hasBudget := p.budget(f, r)
-	p.tenant(f, &parsed.Admission)
-	p.key(f, r, &parsed)
-	if f.err != nil {
-		return ParsedRequest{}, f.err
+	parsed := ParsedRequest{Request: Request{Class: p.class(fields, request), Body: request.Body, Runner: p.runner}}
+	parsed.RequestID = fields.Hex("Request-Id", requestIDDigits)
+	parsed.ReceivedAt = fields.ReceivedAt(unixNow)
+	parsed.Admission = p.admissionRequest(fields, request, parsed.Class)
+	budget, hasBudget := p.budget(fields, request)
+	p.tenant(fields, &parsed.Admission)
+	p.key(fields, request, &parsed)
+	if fields.err != nil {
+		return ParsedRequest{}, fields.err
 	}
 	// The time that a request lay unread counts: its caller waits since Received-At.
 	waited := max(unixNow.Sub(parsed.ReceivedAt), 0)
@@ -200,76 +200,76 @@
 }
 
 // class returns the index of the class that the path names.
-func (p *catalogueParser) class(f *FieldReader, r gateway.Request) int {
-	class, isKnown := p.classIndex[strings.TrimPrefix(r.Path, classPathPrefix)]
-	if !isKnown || !strings.HasPrefix(r.Path, classPathPrefix) {
-		f.Reject("SCRIPT_NAME", r.Path, classPathPrefix+" and a class of the site")
+func (p *catalogueParser) class(fields *FieldReader, request gateway.Request) int {
+	class, isKnown := p.classIndex[strings.TrimPrefix(request.Path, classPathPrefix)]
+	if !isKnown || !strings.HasPrefix(request.Path, classPathPrefix) {
+		fields.Reject("SCRIPT_NAME", request.Path, classPathPrefix+" and a class of the site")
 	}
-	if r.Method != "POST" {
-		f.Reject("REQUEST_METHOD", r.Method, "POST")
+	if request.Method != "POST" {
+		fields.Reject("REQUEST_METHOD", request.Method, "POST")
 	}
 	return class
 }
 
 // admissionRequest returns what the module is told of a request.
-func (p *catalogueParser) admissionRequest(f *FieldReader, r gateway.Request, class int) admission.Request {
-	retry := r.Headers["attempt-again"]
+func (p *catalogueParser) admissionRequest(fields *FieldReader, request gateway.Request, class int) admission.Request {
+	retry := request.Headers["attempt-again"]
 	if retry != "" && retry != "1" {
-		f.Reject("Attempt-Again", retry, "1 or nothing")
+		fields.Reject("Attempt-Again", retry, "1 or nothing")
 	}
 	q := admission.Request{
 		Class:   class,
 		IsRetry: retry == "1",
-		Caller:  int(f.Number("Sent-By", 0, MaxSender, 0)),
-		Work:    milliseconds(f.Number("Work-Estimate", 0, maxWorkEstimateMS, 0)),
-		SizeKB:  f.Number("Footprint-Kb", minFootprintKB, maxFootprintKB),
+		Caller:  int(fields.Number("Sent-By", 0, MaxSender, 0)),
+		Work:    milliseconds(fields.Number("Work-Estimate", 0, maxWorkEstimateMS, 0)),
+		SizeKB:  fields.Number("Footprint-Kb", minFootprintKB, maxFootprintKB),
 	}
-	f.Number("Priority-Rank", 0, 1, 0) // not used, but one that makes no sense is no gateway's
+	fields.Number("Priority-Rank", 0, 1, 0) // not used, but one that makes no sense is no gateway's
 	return q
 }
 
 // budget returns how long after Received-At the caller waits, at sites where gateways tell it. The field is no field
 // of a request elsewhere.
-func (p *catalogueParser) budget(f *FieldReader, r gateway.Request) (budget time.Duration, ok bool) {
-	if !p.site.Admission.HasDeadlines || r.Headers["budget-ms"] == "" {
+func (p *catalogueParser) budget(fields *FieldReader, request gateway.Request) (budget time.Duration, ok bool) {
+	if !p.site.Admission.HasDeadlines || request.Headers["budget-ms"] == "" {
 		return 0, false
 	}
-	return milliseconds(f.Number("Budget-Ms", 0, maxBudgetMS)), true
+	return milliseconds(fields.Number("Budget-Ms", 0, maxBudgetMS)), true
 }
 
 // tenant reads the tenant, at sites that have any.
-func (p *catalogueParser) tenant(f *FieldReader, q *admission.Request) {
+func (p *catalogueParser) tenant(fields *FieldReader, q *admission.Request) {
 	if len(p.tenantIndex) == 0 {
 		return
 	}
-	account := f.Required("Account")
+	account := fields.Required("Account")
 	tenant, isKnown := p.tenantIndex[account]
 	if !isKnown {
-		f.Reject("Account", account, "a tenant of the site")
+		fields.Reject("Account", account, "a tenant of the site")
 	}
 	q.Tenant = tenant
 }
 
 // key reads what tells retries of a request, or reads of one resource, from others.
-func (p *catalogueParser) key(f *FieldReader, r gateway.Request, parsed *ParsedRequest) {
+func (p *catalogueParser) key(fields *FieldReader, request gateway.Request, parsed *ParsedRequest) {
 	set := &p.site.Admission
 	switch effect := set.Classes[parsed.Class].Effect; {
 	case effect == admission.IdempotentByKey:
 		parsed.HasKey, parsed.AtMostOnce = true, true
-		parsed.Key = strings.ToLower(f.Hex("Once-Key", idempotencyKeyDigits))
-		parsed.BodyHash = p.server.HashBody(r.Body)
+		parsed.Key = strings.ToLower(fields.Hex("Once-Key", idempotencyKeyDigits))
+		parsed.BodyHash = p.server.HashBody(request.Body)
 	case effect == admission.NonIdempotent:
 		parsed.AtMostOnce = true
-	case r.Headers["resource-key"] != "":
-		resource, err := strconv.ParseUint(r.Headers["resource-key"], 16, 64)
+	case request.Headers["resource-key"] != "":
+		resource, err := strconv.ParseUint(request.Headers["resource-key"], 16, 64)
 		if err != nil {
-			f.Reject("Resource-Key", r.Headers["resource-key"], "a hexadecimal number")
+			fields.Reject("Resource-Key", request.Headers["resource-key"], "a hexadecimal number")
 		}
 		parsed.Admission.ResourceID = resource
 		if set.ResultFreshness > 0 && resource != 0 {
 			// Reads of one resource that ask for different things have different answers.
 			parsed.HasKey = true
-			parsed.Key = fmt.Sprintf("%x %x", resource, p.server.HashBody(r.Body))
+			parsed.Key = fmt.Sprintf("%x %x", resource, p.server.HashBody(request.Body))
 		}
 	}
 }
--- a/server/requests.go
+++ b/server/requests.go
@@ -20,36 +20,36 @@
 
 // handleRequest takes in a whole request: a health check, one that is answered at once, or one that becomes an attempt
 // which the module decides on.
-func (s *Server) handleRequest(g *gatewayConn, stream gateway.StreamID, r gateway.Request) {
-	if r.Path == healthPath {
-		s.checkHealth(g, stream, r)
+func (s *Server) handleRequest(conn *gatewayConn, stream gateway.StreamID, request gateway.Request) {
+	if request.Path == healthPath {
+		s.checkHealth(conn, stream, request)
 		return
 	}
 	s.counters.requests++
 	now := s.eventTime()
-	parsed, err := s.parser.Parse(r, now)
+	parsed, err := s.parser.Parse(request, now)
 	switch {
 	case err != nil:
-		s.answerInvalid(g, stream, err)
+		s.answerInvalid(conn, stream, err)
 		return
 	case parsed.Response != nil:
-		g.validRequests++
+		conn.validRequests++
 		s.counters.directAnswers++
-		g.respond(stream, *parsed.Response)
+		conn.respond(stream, *parsed.Response)
 		return
 	case s.module.events == nil: // nothing can run yet
-		g.validRequests++
-		s.rejectEarly(g, stream)
+		conn.validRequests++
+		s.rejectEarly(conn, stream)
 		return
 	}
-	a := &attempt{Request: parsed.Request, conn: g, stream: stream}
+	a := &attempt{Request: parsed.Request, conn: conn, stream: stream}
 	if err := s.identify(a, now); err != nil {
-		s.answerInvalid(g, stream, err)
+		s.answerInvalid(conn, stream, err)
 		return
 	}
-	g.validRequests++
+	conn.validRequests++
 	if s.durable != nil && s.durable.rejects(a) {
-		s.rejectEarly(g, stream)
+		s.rejectEarly(conn, stream)
 		return
 	}
 	s.admit(a, parsed.Admission, now)
@@ -86,15 +86,15 @@
 }
 
 // admit has the module decide on an attempt.
-func (s *Server) admit(a *attempt, q admission.Request, now time.Duration) {
+func (s *Server) admit(a *attempt, request admission.Request, now time.Duration) {
 	a.id = s.attempts.nextID()
-	q.ID = a.id
-	if q.IsRetry {
+	request.ID = a.id
+	if request.IsRetry {
 		s.counters.retries++
 	}
 	if a.retryOf != nil {
 		s.counters.coalesced++
-		q.RetryOf = a.retryOf.id
+		request.RetryOf = a.retryOf.id
 	}
 	s.classCounters[a.Class].requests++
 	s.attempts.add(a)
@@ -102,7 +102,7 @@
 	if s.capture.tap != nil {
 		s.capture.tap.NameRequest(a.id, a.RequestID, a.Key)
 	}
-	s.module.events.Request(now, q)
+	s.module.events.Request(now, request)
 }
 
 // HashBody returns the hash of a body by which attempts with one idempotency key must agree.
@@ -128,7 +128,7 @@
 }
 
 // answer gives an attempt its only answer.
-func (s *Server) answer(a *attempt, r gateway.Response) {
+func (s *Server) answer(a *attempt, response gateway.Response) {
 	if a.isAnswered {
 		return
 	}
@@ -136,17 +136,17 @@
 	delete(a.conn.attempts, a.stream)
 	class := &s.classCounters[a.Class]
 	switch {
-	case r.Status == statusUnavailable:
+	case response.Status == statusUnavailable:
 		s.counters.rejected++
 		class.rejected++
-	case r.Status < statusInternalError: // servers behind a router may answer with any status
+	case response.Status < statusInternalError: // servers behind a router may answer with any status
 		s.counters.served++
 		class.served++
 	default:
 		s.counters.failed++
 		class.failed++
 	}
-	a.conn.respond(a.stream, r)
+	a.conn.respond(a.stream, response)
 }
 
 // answerFailed answers an attempt of which it is not known whether it ran.
@@ -154,9 +154,9 @@
 	s.answer(a, gateway.Response{Status: statusInternalError})
 }
 
-// forget drops an attempt that is answered and does not run. Its key may be remembered for long, so it must not hold
+// removeIfDone drops an attempt that is answered and does not run. Its key may be remembered for long, so it must not hold
 // on to the connection, the body and the route.
-func (s *Server) forget(a *attempt) {
+func (s *Server) removeIfDone(a *attempt) {
 	if a.isAnswered && a.state != runInFlight {
 		s.attempts.remove(a)
 		a.Body, a.conn, a.Runner = nil, nil, nil
--- a/server/runs.go
+++ b/server/runs.go
@@ -63,7 +63,7 @@
 	for _, retry := range waiters {
 		s.answerRetry(retry, a.state == runSucceeded, result)
 	}
-	s.forget(a)
+	s.removeIfDone(a)
 }
 
 // releaseKey has the key of an attempt be free for the request that it belongs to: nothing ran.
@@ -97,7 +97,7 @@
 		s.answerFailed(retry)
 	}
 	s.module.events.RunFinished(s.eventTime(), retry.id, outcome)
-	s.forget(retry)
+	s.removeIfDone(retry)
 }
 
 // callRequested ends a request whose run came to a call of what lies below. Requests may make such calls at some sites,
