--- a/cmd/catalogue-server/capture_test.go
+++ b/cmd/catalogue-server/capture_test.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// replayed replays what a node recorded, from one end to the other and from each segment's state.
-func replayed(t *testing.T, dir string) *replay.Result {
+// replayCapture replays what a server recorded, from one end to the other and from each segment's state.
+func replayCapture(t *testing.T, dir string) *replay.Result {
 	t.Helper()
 	segments, bad, err := capture.Open(dir)
 	if err != nil || len(bad) > 0 {
@@ -30,8 +30,8 @@
 	return result
 }
 
-// TestCapture records a server that serves, repeats, refuses, loses its link, is reloaded and drained, and replays
-// that.
+// TestCapture records a server that serves, replays results, rejects, loses its link, is reloaded and drained, and
+// replays that.
 func TestCapture(t *testing.T) {
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
@@ -61,7 +61,7 @@
 	if code := n.WaitExit(); code != 0 {
 		t.Errorf("exit status %d", code)
 	}
-	r := replayed(t, dir)
+	r := replayCapture(t, dir)
 	if r.Requests != 4 || r.Runs != 3 || r.Rejected+r.Failed != 1 {
 		t.Errorf("replayed %+v", r)
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestArguments has wrong ones told in one line.
+// TestArguments has wrong arguments reported in one line.
 func TestArguments(t *testing.T) {
 	it := servertest.NewInterpreter(t)
 	for args, want := range map[string]string{"sreve": "want serve", "--sepia": "not defined",
--- a/cmd/catalogue-server/deps_test.go
+++ b/cmd/catalogue-server/deps_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestDaemonStaysSmall keeps the kit and its libraries out of the daemon.
-func TestDaemonStaysSmall(t *testing.T) {
+// TestDependencies keeps the operators' kit, routing and their libraries out of the daemon.
+func TestDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/catalogue-server/descriptors_test.go
+++ b/cmd/catalogue-server/descriptors_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestFullTable has idle callers take all the descriptors that gateways may have while the announce service is down and
-// the link to the interpreter breaks: the link is made anew, requests that were under way are answered, reports come as
-// soon as the service is back, and as soon as a new configuration names another one.
+// the link to the interpreter breaks: the link is made again, open requests are answered, reports arrive as soon as the
+// service is back, and as soon as a new configuration names another one.
 func TestFullTable(t *testing.T) {
 	it := servertest.NewInterpreter(t)
 	n := servertest.Start(t, program, it, func(c map[string]any) {
--- a/cmd/catalogue-server/kill_test.go
+++ b/cmd/catalogue-server/kill_test.go
@@ -17,8 +17,8 @@
 // kills is how often TestKills kills a server; docs/design/capture.md has the figures of 200.
 var kills = flag.Int("kills", 4, "how often TestKills kills a server")
 
-// TestKills kills recorded servers with SIGKILL at random points of a load: each capture is read up to its last whole
-// block, starts anew in the same directory overwrite nothing, and the same decisions come out.
+// TestKills kills recording servers with SIGKILL at random points of a load: each capture is read up to its last whole
+// block, a start in the same directory overwrites nothing, and the replay makes the same decisions.
 func TestKills(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -35,7 +35,7 @@
 		ended := make(chan bool)
 		go func() {
 			defer close(ended)
-			flood(n.Addr, &answers)
+			sendContinuously(n.Addr, &answers)
 		}()
 		servertest.WaitFor(t, "answers", func() bool { return answers.Load() >= most })
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // anywhere between two of them
@@ -71,8 +71,8 @@
 		torn, unanswered)
 }
 
-// flood keeps requests of all kinds open on one connection until that ends.
-func flood(addr string, answers *atomic.Int64) {
+// sendContinuously keeps requests of all kinds open on one connection until that ends.
+func sendContinuously(addr string, answers *atomic.Int64) {
 	g, err := fake.Dial(addr)
 	if err != nil {
 		return
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -22,7 +22,7 @@
 // program starts the built command by the line of the deploy file, which the tests start as the platform does.
 var program string
 
-// kit is the operators' kit, which plays servers with sick disks.
+// kit is cataloguectl, which runs servers with faulty disks.
 var kit string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
@@ -54,8 +54,8 @@
 	return m.Run()
 }
 
-// start starts a node whose interpreter is up, and waits until it serves.
-func start(t *testing.T, prepare func(it *servertest.Interpreter)) *servertest.Server {
+// startServer starts a server whose interpreter is up, and waits until it serves.
+func startServer(t *testing.T, prepare func(it *servertest.Interpreter)) *servertest.Server {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
 	if prepare != nil {
@@ -66,11 +66,12 @@
 	return n
 }
 
-func prompt(it *servertest.Interpreter) { it.FinishImmediately() }
+// finishImmediately has an interpreter finish its runs at once.
+func finishImmediately(it *servertest.Interpreter) { it.FinishImmediately() }
 
-// TestServe has requests of both classes served, with any bytes, and looks at what goes along.
+// TestServe has requests of both classes served, with any bytes, and looks at what is sent along.
 func TestServe(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	if got := n.WaitReport(); got != "announce n3 true" {
 		t.Errorf("report %q", got)
 	}
@@ -87,7 +88,7 @@
 			t.Errorf("the body reached the interpreter as %q", run.Body)
 		}
 	}
-	// The module sets the value that callers read at its first look at the gauges.
+	// The module advertises the load from its first reading of the gauges on.
 	servertest.WaitFor(t, "the hint on an answer", func() bool {
 		g.Write(fake.NewLookup("").Encode(1))
 		return g.WaitResponse(1).Header.Get("Server-Hint") != ""
@@ -104,10 +105,10 @@
 	}
 }
 
-// TestRepeats sends two tries of one request at once and a third after it was served: it runs once, and all
-// are answered by that run.
-func TestRepeats(t *testing.T) {
-	n := start(t, nil)
+// TestRetries sends two attempts of one request at once and a third after it was served: it runs once, and all are
+// answered by that run.
+func TestRetries(t *testing.T) {
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	first, second := fake.NewReserve(7, "x"), fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1")
 	g.Write(append(first.Encode(1), second.Encode(2)...))
@@ -120,7 +121,7 @@
 	other := servertest.Dial(t, n.Addr)
 	other.Write(fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1").Encode(1))
 	if a := other.WaitResponse(1); a.Status != 200 || string(a.Body) != "done" {
-		t.Errorf("answer to the later try %+v", a)
+		t.Errorf("answer to the later attempt %+v", a)
 	}
 	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
@@ -128,9 +129,10 @@
 	n.WaitCounter("reused", 2)
 }
 
-// TestClassesAreCounted has one request of a class served and one of another refused: the counters of each class tell so, and why.
+// TestClassesAreCounted has one request of a class served and one of another rejected: the counters of each class show
+// it, and why.
 func TestClassesAreCounted(t *testing.T) {
-	n := start(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
+	n := startServer(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
 	runs := n.WaitRuns(2)
@@ -165,10 +167,10 @@
 	}
 }
 
-// TestRefusedFreesKey has a keyed request turned away from the hold as its time runs out: it never ran, so a
-// further try of it counts as new and is run.
-func TestRefusedFreesKey(t *testing.T) {
-	n := start(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
+// TestRejectionFreesKey has a queued request with an idempotency key rejected as its deadline nears: it never ran, so a
+// retry counts as new and is run.
+func TestRejectionFreesKey(t *testing.T) {
+	n := startServer(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
 	runs := n.WaitRuns(2)
@@ -184,13 +186,13 @@
 	}
 	n.EndRun(n.WaitRuns(3)[2].ID, "OK", []byte("new"))
 	if a := g.WaitResponse(4); a.Status != 200 || string(a.Body) != "new" {
-		t.Errorf("answer to the further try %+v", a)
+		t.Errorf("answer to the retry %+v", a)
 	}
 }
 
-// TestFailedRun answers a request whose run failed, and never runs another try of it.
+// TestFailedRun answers a request whose run failed, and never runs a retry of it.
 func TestFailedRun(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewReserve(7, "x").Encode(1))
 	n.EndRun(n.WaitRuns(1)[0].ID, "ERROR", nil)
@@ -199,17 +201,17 @@
 	}
 	g.Write(fake.NewReserve(7, "x").Encode(2))
 	if a := g.WaitResponse(2); a.Status != 500 || a.ProtocolStatus != 0 {
-		t.Errorf("answer to the second try %+v", a)
+		t.Errorf("answer to the second attempt %+v", a)
 	}
 	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
 
-// TestLinkLost loses the link while a request runs, which ends meanwhile: the notice is read on the next link,
-// and nothing runs twice.
+// TestLinkLost loses the link while a request runs, which ends meanwhile: the notice is read on the next link, and
+// nothing runs twice.
 func TestLinkLost(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	first := n.WaitRuns(1)[0].ID
@@ -234,10 +236,10 @@
 	}
 }
 
-// TestCallerLost closes a connection with a request that runs: the server goes on, and a further try gets the
-// result of that run.
+// TestCallerLost closes a connection with a request that runs: the server goes on, and a retry gets the result of that
+// run.
 func TestCallerLost(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	run := n.WaitRuns(1)[0].ID
@@ -254,9 +256,9 @@
 	}
 }
 
-// TestDue fails a request whose run does not end in time, counted from its arrival at the machine.
-func TestDue(t *testing.T) {
-	n := start(t, nil)
+// TestDeadline fails a request whose run does not end in time, counted from its arrival at the machine.
+func TestDeadline(t *testing.T) {
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	const unread = 3300 * time.Millisecond // of 3.7 s
 	sent := time.Now()
@@ -277,10 +279,10 @@
 	}
 }
 
-// TestDrain leaves with one request under way: it is answered, what comes after the grace is not run, and the
+// TestDrain drains with one open request: it is answered, what arrives after the grace period is not run, and the
 // process ends by itself before it would be killed.
 func TestDrain(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	n.WaitReport()
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewLookup("").Encode(1))
@@ -310,9 +312,9 @@
 	}
 }
 
-// TestDrainStuck leaves with a run that never ends: its request is failed and the process goes.
+// TestDrainStuck drains with a run that never ends: its request fails and the process ends.
 func TestDrainStuck(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	n.WaitRuns(1)
@@ -326,9 +328,9 @@
 	}
 }
 
-// TestBadInput answers what can be answered, closes only what is broken, and counts both.
+// TestBadInput answers what can be answered, closes only broken connections, and counts both.
 func TestBadInput(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	g := servertest.Dial(t, n.Addr)
 	good := fake.NewReserve(1, "x")
 	for what, c := range map[string]struct {
@@ -380,10 +382,10 @@
 	n.WaitCounter("broken", 1)
 }
 
-// TestBorrowed sends a request that was served again under its id, and with its key and another body: neither
-// gets the result, and the copies of a request that was turned away are not taken for further tries.
+// TestBorrowed sends a request that was served again under its ID, and with its key and another body: neither gets the
+// result, and the copies of a rejected request are not taken for retries.
 func TestBorrowed(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	g := servertest.Dial(t, n.Addr)
 	r := fake.NewReserve(1, "x")
 	g.Write(r.Encode(1))
@@ -406,10 +408,10 @@
 	n.WaitCounter("requests", 5)
 }
 
-// TestUnknownFreesKey has the interpreter turn away a request that no gateway can have sent: nothing ran, so the
-// request that its key belongs to is served.
+// TestUnknownFreesKey has the interpreter reject a request that no gateway can have sent: nothing ran, so the request
+// that its key belongs to is served.
 func TestUnknownFreesKey(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	g := servertest.Dial(t, n.Addr)
 	stray := fake.NewReserve(1, "x")
 	n.RejectRun(stray.ID())
@@ -423,9 +425,9 @@
 	}
 }
 
-// TestTooMany fills a connection: what is over its limit gets the protocol's own answer.
+// TestTooMany opens too many requests on a connection: those over its limit get the protocol's own answer.
 func TestTooMany(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	for id := range uint16(33) {
 		g.Write(fake.NewLookup("").Encode(id + 1))
@@ -436,9 +438,9 @@
 	n.WaitCounter("too_many", 1)
 }
 
-// TestAbort ends a request that its gateway gave up, once.
+// TestAbort ends a request that its gateway aborted, once.
 func TestAbort(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewLookup("").Encode(1))
 	run := n.WaitRuns(1)[0].ID
@@ -454,7 +456,7 @@
 	}
 }
 
-// TestNotYetUp has an interpreter that comes up late: checks fail until then, and nothing is announced.
+// TestNotYetUp has an interpreter that comes up late: health checks fail until then, and nothing is announced.
 func TestNotYetUp(t *testing.T) {
 	it := servertest.NewInterpreter(t)
 	it.MarkDown()
@@ -474,9 +476,9 @@
 	}
 }
 
-// TestDescriptorsOut takes all descriptors away: callers are turned away at once, and let in again later.
+// TestDescriptorsOut takes all descriptors away: callers are rejected at once, and accepted again later.
 func TestDescriptorsOut(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	n.WaitCounter("connections", 0)
 	used, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.Process.Pid))
 	if err != nil {
@@ -503,7 +505,7 @@
 	if err := unix.Prlimit(n.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
 		t.Fatal(err)
 	}
-	// One that came while none was free may still be turned away; the next ones are served.
+	// One that came while none was free may still be rejected; the next ones are served.
 	servertest.WaitFor(t, "a caller to be served", func() bool {
 		g := servertest.Dial(t, n.Addr)
 		if g.Gateway.Write(fake.NewLookup("").Encode(1)) != nil {
@@ -514,8 +516,8 @@
 	})
 }
 
-// below is a change of what requests call while they run.
-func below(what string) func(c map[string]any) {
+// withDownstream changes what requests call while they run.
+func withDownstream(what string) func(c map[string]any) {
 	return func(c map[string]any) {
 		c["settings"] = map[string]any{"servers": 2, "family-info": map[string]any{"below": what}}
 	}
@@ -530,7 +532,7 @@
 		"limits.memory_mb":    func(c map[string]any) { c["limits"] = map[string]any{"cores": 1, "sockets": 1024} },
 		"servers":             func(c map[string]any) { c["settings"] = map[string]any{} },
 		"Cores":               func(c map[string]any) { c["settings"] = map[string]any{"servers": 2} },
-		"family-info.below":   below("sideways"),
+		"family-info.below":   withDownstream("sideways"),
 		"address already in ": nil,
 	} {
 		if change == nil {
--- a/cmd/catalogue-server/rude_test.go
+++ b/cmd/catalogue-server/misbehaving_callers_test.go
@@ -10,10 +10,10 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestUnfinished has callers that are silent or stop half way, next to a gateway that pauses: they are closed
+// TestIncompleteRequests has callers that are silent or stop half way, next to a gateway that pauses: they are closed
 // within 3 s, and it is not.
-func TestUnfinished(t *testing.T) {
-	n := start(t, prompt)
+func TestIncompleteRequests(t *testing.T) {
+	n := startServer(t, finishImmediately)
 	sound := servertest.Dial(t, n.Addr)
 	whole := fake.NewLookup("x").Encode(1)
 	sound.Write(whole[:40])
@@ -43,10 +43,10 @@
 	}
 }
 
-// TestEndless sends a body without end at full speed: it is answered at once, the answer arrives, and the
-// connection ends without the body being read whole.
+// TestEndless sends a body without end at full speed: it is answered at once, the answer arrives, and the connection
+// ends without the body being read whole.
 func TestEndless(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	g := servertest.Dial(t, n.Addr)
 	r := fake.NewLookup("")
 	g.Write(fake.EncodeBeginRequest(1, 1, true), fake.EncodeRecord(fake.Params, 1, r.EncodeParams(), 0), fake.EncodeRecord(fake.Params, 1, nil, 0))
@@ -58,9 +58,9 @@
 	n.WaitCounter("broken", 1)
 }
 
-// TestCrowd has hundreds connect and stay silent, or ask once and stay, where descriptors are few: gateways still
-// get in and are served, and one that was there before is left alone.
-func TestCrowd(t *testing.T) {
+// TestEviction has hundreds of callers connect and stay silent, or send one request and stay, where descriptors are
+// few: gateways still connect and are served, and one that was connected before is left alone.
+func TestEviction(t *testing.T) {
 	it := servertest.NewInterpreter(t)
 	it.FinishImmediately()
 	n := servertest.Start(t, program, it, func(c map[string]any) {
--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -12,9 +12,9 @@
 )
 
 // TestReload moves the interpreter and the announce service while a request runs and another is asked for: runs,
-// notices and keys go on at the new addresses, twice in a row, and the old ones are left.
+// notices and keys go on at the new addresses, twice in a row, and the old ones are not used any more.
 func TestReload(t *testing.T) {
-	n := start(t, nil)
+	n := startServer(t, nil)
 	g := servertest.Dial(t, n.Addr)
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	first := n.WaitRuns(1)[0].ID
@@ -48,12 +48,12 @@
 
 // TestReloadBad keeps the whole of the old configuration where the new one is wrong, and names the field.
 func TestReloadBad(t *testing.T) {
-	n := start(t, prompt)
+	n := startServer(t, finishImmediately)
 	addr := n.Addr
 	for field, edit := range map[string]func(c map[string]any){
 		"stop_ms":           func(c map[string]any) { c["stop_ms"] = "soon" },
 		"announce":          func(c map[string]any) { c["announce"] = "nowhere" },
-		"family-info.below": below("sideways"),
+		"family-info.below": withDownstream("sideways"),
 	} {
 		n.Configure(func(c map[string]any) {
 			c["vm"] = "127.0.0.1:9"
@@ -82,8 +82,8 @@
 	n.WaitCounter("reloads", 0)
 }
 
-// TestReloadAnyTime sends SIGHUP at moments at which nothing can be done with it: before the interpreter is up,
-// while the link is being made anew, and during a drain.
+// TestReloadAnyTime sends SIGHUP when nothing can be done with it: before the interpreter is up, while the link is
+// down, and during a drain.
 func TestReloadAnyTime(t *testing.T) {
 	it := servertest.NewInterpreter(t)
 	it.MarkDown()
--- a/cmd/catalogue-server/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -20,19 +20,19 @@
 // stateKills is how often TestStateKills kills a server; docs/design/state.md has the figures of 2,000.
 var stateKills = flag.Int("statekills", 6, "how often TestStateKills kills a server")
 
-// slips sends keyed requests, most of them for few keys, and tells the observer.
-type slips struct {
+// keyedLoad sends requests with an idempotency key, most of them for few keys, and records them with the checker.
+type keyedLoad struct {
 	observer *invariant.Checker
 	rng      *rand.Rand
 	keys     int // that there are so far
 
 	mu     sync.Mutex
 	counts map[invariant.Outcome]int
-	killed int // tries that were open when the server died
+	killed int // attempts that were open when the server died
 }
 
-// next makes one try.
-func (s *slips) next() (fake.Request, invariant.Attempt) {
+// next returns one attempt.
+func (s *keyedLoad) next() (fake.Request, invariant.Attempt) {
 	n := s.rng.IntN(s.keys + 1)
 	switch {
 	case n == s.keys:
@@ -46,8 +46,8 @@
 	return r, invariant.Attempt{ID: r.ID(), Key: r.Headers["Once-Key"], AtMostOnce: true, ExpectedBody: "[" + body + "]", Received: now, Deadline: now.Add(fake.ReserveDeadline + 5*time.Second)}
 }
 
-// load keeps so many tries open on one connection until it ends, and returns how many were answered.
-func (s *slips) load(t *testing.T, addr string, answered func()) {
+// load keeps so many attempts open on one connection until it ends, and returns how many were answered.
+func (s *keyedLoad) load(t *testing.T, addr string, answered func()) {
 	g, err := fake.Dial(addr)
 	if err != nil {
 		return
@@ -57,9 +57,9 @@
 	send := func(stream uint16) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		r, try := s.next()
-		s.observer.RecordSent(try)
-		open[stream] = try.ID
+		r, sent := s.next()
+		s.observer.RecordSent(sent)
+		open[stream] = sent.ID
 		return g.Write(r.Encode(stream)) == nil
 	}
 	defer func() {
@@ -99,15 +99,16 @@
 	}
 }
 
-// TestStateKills kills a server that keeps its state, with SIGKILL at random points while slips repeat, and starts it again
-// on its folder: no key runs twice in its window, checked at the interpreter, and every repeat is answered or failed.
+// TestStateKills kills a server that keeps its state, with SIGKILL at random points while requests are retried, and
+// starts it again on its directory: no key runs twice in its window, checked at the interpreter, and every retry is
+// answered or failed.
 func TestStateKills(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
 	it.FinishImmediately()
-	s := &slips{observer: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Outcome]int{}}
+	s := &keyedLoad{observer: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Outcome]int{}}
 	it.OnRun(func(a fake.RunCommand) { s.observer.RecordRun(a.ID) })
 	recovered := 0
 	for range *stateKills {
@@ -138,8 +139,8 @@
 	}
 }
 
-// TestStateRestart has a repeat get the stored answer after an orderly restart and after a kill, one whose run had no end an
-// honest failure, and one that never came be run.
+// TestStateRestart has a retry get the stored answer after an orderly restart and after a kill, one whose run had no
+// end fail, and one whose request never arrived run.
 func TestStateRestart(t *testing.T) {
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
@@ -188,8 +189,8 @@
 	}
 }
 
-// TestStateFullDisk has the disk of a real server be full for a while, again and again: keyed requests are refused meanwhile,
-// lookups served, and keyed ones taken again by itself.
+// TestStateFullDisk has the disk of a real server be full for a while, again and again: requests with an idempotency
+// key are rejected meanwhile, lookups served, and both served again without help.
 func TestStateFullDisk(t *testing.T) {
 	full := filepath.Join(t.TempDir(), "full")
 	it := servertest.NewInterpreter(t)
@@ -238,8 +239,8 @@
 	}
 }
 
-// TestStateRelease has a successor start while the process before it drains on the same folder: it waits, and answers
-// repeats of what the drain finished.
+// TestStateRelease has a successor start while the process before it drains on the same directory: it waits, and
+// answers retries of what the drain finished.
 func TestStateRelease(t *testing.T) {
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
@@ -273,7 +274,7 @@
 	}
 }
 
-// TestStateFolders has folders that are not this server's, or not to be used, told in one line.
+// TestStateFolders has directories that belong to another server, or can't be used, reported in one line.
 func TestStateFolders(t *testing.T) {
 	dir := t.TempDir()
 	it := servertest.NewInterpreter(t)
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -31,7 +31,7 @@
 	return append(b, fake.EncodeRecord(fake.Stdin, id, nil, 0)...)
 }
 
-// BenchmarkHop sets requests straight to a responder of net/http/fcgi that does nothing beside those that come there
+// BenchmarkHop compares requests sent directly to a responder of net/http/fcgi that does nothing with those that go
 // through the router, 16 at a time.
 func BenchmarkHop(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,7 +92,7 @@
 	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99us")
 }
 
-// BenchmarkOpenRequest is the heap that a request takes which is open at a member that has not answered.
+// BenchmarkOpenRequest measures the heap of a request that is open at a member which has not answered.
 func BenchmarkOpenRequest(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // its connections wait in the kernel: nothing is taken here
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// heap is what is in use after a collection.
+// heap returns the heap in use after a collection.
 func heap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/router/corpus_test.go
+++ b/internal/router/corpus_test.go
@@ -14,38 +14,38 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// original is the reading of a configuration: what its own directives say, by the model of the manual.
-type original struct {
+// nginxConfig is what a configuration's own directives say, by the model of nginx's manual.
+type nginxConfig struct {
 	names   [][]string
 	servers [][]routemodel.Location
-	before  [][]routemodel.Rewrite // values the servers
+	before  [][]routemodel.Rewrite // of the servers
 	merge   []bool
-	none    []*originalDoes          // values the servers, for what none of their locations takes
-	does    map[string]*originalDoes // by location
+	none    []*nginxLocation          // of the servers, for what none of their locations takes
+	does    map[string]*nginxLocation // by location
 }
 
-// originalDoes is what a location does, read from its directives and those around it.
-type originalDoes struct {
+// nginxLocation is what a location does, read from its directives and those around it.
+type nginxLocation struct {
 	pool      string // or ""
-	status    string // values its return, or ""
+	status    string // of its return, or ""
 	text      bool   // the return has a text of its own
 	rewrites  []routemodel.Rewrite
 	pages     [][]string // error_page
 	intercept bool
 	files     string // the last argument of try_files
-	named     map[string]*originalDoes
+	named     map[string]*nginxLocation
 }
 
-// around is what a block inherits.
-type around struct {
+// blockContext is what a block inherits.
+type blockContext struct {
 	pages     [][]string
 	intercept map[string]bool // by protocol
-	named     map[string]*originalDoes
+	named     map[string]*nginxLocation
 }
 
-// in is what holds in a block.
-func (a around) in(block []*nginx.Directive) around {
-	own := around{pages: nil, intercept: map[string]bool{}, named: a.named}
+// enter returns what holds in a block.
+func (a blockContext) enter(block []*nginx.Directive) blockContext {
+	own := blockContext{pages: nil, intercept: map[string]bool{}, named: a.named}
 	for k, v := range a.intercept {
 		own.intercept[k] = v
 	}
@@ -63,13 +63,13 @@
 	return own
 }
 
-// readOriginal reads the directives of a configuration.
-func readOriginal(list []*nginx.Directive) *original {
-	o := &original{does: map[string]*originalDoes{}}
+// readNginxConfig reads the directives of a configuration.
+func readNginxConfig(list []*nginx.Directive) *nginxConfig {
+	o := &nginxConfig{does: map[string]*nginxLocation{}}
 	if len(list) > 0 && list[len(list)-1].Name == "http" {
 		list = list[len(list)-1].Block
 	}
-	base := around{}.in(list)
+	base := blockContext{}.enter(list)
 	for _, d := range list {
 		if d.Name != "server" {
 			continue
@@ -86,22 +86,22 @@
 			}
 		}
 		o.names, o.merge, o.before = append(o.names, names), append(o.merge, merge), append(o.before, before)
-		here := base.in(d.Block)
-		here.named = map[string]*originalDoes{}
+		here := base.enter(d.Block)
+		here.named = map[string]*nginxLocation{}
 		o.servers = append(o.servers, o.locations(d.Block, here))
-		o.none = append(o.none, &originalDoes{pages: here.pages, named: here.named})
+		o.none = append(o.none, &nginxLocation{pages: here.pages, named: here.named})
 	}
 	return o
 }
 
 // locations reads the location blocks of a block.
-func (o *original) locations(block []*nginx.Directive, outer around) []routemodel.Location {
+func (o *nginxConfig) locations(block []*nginx.Directive, outer blockContext) []routemodel.Location {
 	var list []routemodel.Location
 	for _, d := range block {
 		if d.Name != "location" {
 			continue
 		}
-		here := outer.in(d.Block)
+		here := outer.enter(d.Block)
 		l := routemodel.Location{Pattern: d.Arg(0), Name: fmt.Sprint(d.Pos), Locations: o.locations(d.Block, here)}
 		if len(d.Args) == 2 {
 			l.Modifier, l.Pattern = d.Arg(0), d.Arg(1)
@@ -112,7 +112,7 @@
 				}
 			}
 		}
-		does := &originalDoes{pages: here.pages, named: here.named}
+		does := &nginxLocation{pages: here.pages, named: here.named}
 		returned := false
 		for _, c := range d.Block {
 			switch c.Name {
@@ -140,7 +140,7 @@
 	return list
 }
 
-// memberStatus is with which status members of the corpus answer for a path.
+// memberStatus is the status with which members of the corpus answer for a path.
 func memberStatus(path string) int {
 	for suffix, status := range map[string]int{".gone": 404, ".broken": 500, ".busy": 503} {
 		if strings.HasSuffix(path, suffix) {
@@ -151,7 +151,7 @@
 }
 
 // expect is where a request belongs, with the status of its answer.
-func (o *original) expect(host, raw string) string {
+func (o *nginxConfig) expect(host, raw string) string {
 	i := routemodel.FindServer(o.names, host)
 	path, ok := routemodel.NormalizePath(raw, o.merge[i])
 	if !ok {
@@ -181,7 +181,7 @@
 }
 
 // expect is the member that answers a location's request, and the status.
-func (d *originalDoes) expect(path string, settled, mayFall bool) string {
+func (d *nginxLocation) expect(path string, settled, mayFall bool) string {
 	status, member, falls := "404", "", mayFall
 	switch {
 	case d.status != "" && !settled:
@@ -220,8 +220,8 @@
 	corpusHosts = []string{"shop.example", "www.shop.example", "api.other.example", "unknown"}
 )
 
-// TestCorpus sends the same requests through the original reading and the imported one of each configuration of the
-// corpus, over loopback: they must reach the same pools.
+// TestCorpus sends the same requests to a router with the imported form of each configuration of the corpus, over
+// loopback: they must reach the pools that the original form says.
 func TestCorpus(t *testing.T) {
 	names, err := filepath.Glob("testdata/corpus/*.conf")
 	if err != nil || len(names) < 40 {
@@ -261,7 +261,7 @@
 					d.Servers[i].Listen[l].Addr = netip.MustParseAddrPort("0.0.0.0:0")
 				}
 			}
-			o := readOriginal(list)
+			o := readNginxConfig(list)
 			_, g := startRouter(t, d)
 			for _, host := range corpusHosts {
 				for _, path := range corpusPaths {
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -15,8 +15,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// storms is how often TestRandomFaults is played; docs/design/routes.md has what 100 showed.
-var storms = flag.Int("storms", 2, "how often TestRandomFaults is played")
+// rounds is how often TestRandomFaults is played; docs/design/routes.md has what 100 showed.
+var rounds = flag.Int("storms", 2, "how often TestRandomFaults is played")
 
 // faultRoutes are those of TestRandomFaults: time limits are short, so that silent members are met often.
 const faultRoutes = `(capacity 16)
@@ -32,13 +32,13 @@
   (location named sorry (return 503)))
 (pool spare SPARE (read 80ms) (connect 80ms))`
 
-// TestRandomFaults has members die, slow down, send nonsense and come back, and pools reloaded, at random under a mixed
-// load: nothing is lost, answered twice or run twice.
+// TestRandomFaults has members die, slow down, send malformed answers and come back, and pools reloaded, at random
+// under a mixed load: nothing is lost, answered twice or run twice.
 func TestRandomFaults(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	totals := map[invariant.Outcome]int{}
-	for run := range *storms {
+	for run := range *rounds {
 		start, protocol := startMember, "" // by turns
 		if run%2 == 1 {
 			start, protocol = startSCGIMember, "(protocol scgi)"
@@ -47,8 +47,8 @@
 			playFaults(t, rand.New(rand.NewPCG(seed, uint64(run))), totals, start, protocol)
 		})
 	}
-	t.Logf("%d storms: %d served, %d refused, %d failed", *storms, totals[invariant.Served], totals[invariant.Rejected], totals[invariant.Failed])
-	if totals[invariant.Served] < 100**storms {
+	t.Logf("%d storms: %d served, %d refused, %d failed", *rounds, totals[invariant.Served], totals[invariant.Rejected], totals[invariant.Failed])
+	if totals[invariant.Served] < 100**rounds {
 		t.Error("the storms were none")
 	}
 }
@@ -101,13 +101,13 @@
 	}
 }
 
-// incidents is how many faults and reloads there are in one play.
-const incidents = 60
+// faultsPerRound is how many faults and reloads there are in one play.
+const faultsPerRound = 60
 
 // injectFaults changes members and routes under the callers' load.
 func injectFaults(rng *rand.Rand, r *Router, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Config) {
 	down := map[*fake.Member]bool{}
-	for range incidents {
+	for range faultsPerRound {
 		time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
 		m := all[rng.IntN(len(all))]
 		switch rng.IntN(6) {
@@ -139,19 +139,19 @@
 	open := map[uint16]string{}
 	send := func(stream uint16, n int) {
 		id := fmt.Sprintf("%d-%d", caller, n)
-		try := invariant.Attempt{ID: id, Received: time.Now(), Deadline: time.Now().Add(4*time.Second + 500*time.Millisecond)}
+		sent := invariant.Attempt{ID: id, Received: time.Now(), Deadline: time.Now().Add(4*time.Second + 500*time.Millisecond)}
 		r := newRequest("/r", "")
 		switch rng.IntN(4) {
 		case 0:
-			r, try.AtMostOnce = newRequest("/w", "w"+id), true
+			r, sent.AtMostOnce = newRequest("/w", "w"+id), true
 		case 2:
-			r, try.AtMostOnce = newRequest("/kept", "k"+id), true
+			r, sent.AtMostOnce = newRequest("/kept", "k"+id), true
 		case 1:
-			try.Key, try.AtMostOnce = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
-			r = newRequest("/book", "of "+try.Key).WithHeader("Once-Key", try.Key)
+			sent.Key, sent.AtMostOnce = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
+			r = newRequest("/book", "of "+sent.Key).WithHeader("Once-Key", sent.Key)
 		}
-		try.ExpectedBody = r.Path + " " + string(r.Body)
-		checker.RecordSent(try)
+		sent.ExpectedBody = r.Path + " " + string(r.Body)
+		checker.RecordSent(sent)
 		open[stream] = id
 		g.Write(r.WithHeader("X-Try", id).Encode(stream))
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/servertest/interleave"
 )
 
-// TestRoute has requests reach the members in turn, with their parameters, and answers of the table's own.
+// TestRoute has requests reach the members in turn, with their parameters, and the routes' own answers sent.
 func TestRoute(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestRouteFailures has reads go on to the other member whatever the first does, and writes never once they may have run.
+// TestRouteFailures has reads retried at the other member whatever the first does, and writes never once they may have
+// run.
 func TestRouteFailures(t *testing.T) {
 	t.Run("fastcgi", func(t *testing.T) { testRouteFailures(t, startMember, "") })
 	t.Run("scgi", func(t *testing.T) { testRouteFailures(t, startSCGIMember, "(protocol scgi)") })
@@ -115,12 +116,12 @@
 	}
 }
 
-// TestRouteSend has a member that reads nothing given up after the time limit for sending, not the longer one for its
+// TestRouteSend has a member that reads nothing given up after the timeout for sending, not the longer one for its
 // answer.
 func TestRouteSend(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	a.SetBehavior(fake.NotReading, 0)
-	a.Stop() // what it listens with was made before it was deaf
+	a.Stop() // its listener was made before the behavior was set
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -134,12 +135,12 @@
 		}
 	}
 	if timeouts := counter(t, r, "member_timeouts"); timeouts != 1 {
-		t.Errorf("%d tries timed out, want one", timeouts)
+		t.Errorf("%d attempts timed out, want one", timeouts)
 	}
 }
 
-// TestRouteUnavailable has a member's 503 passed on for a read, and told as a failure of what must not run twice: gateways
-// take a 503 as the word that nothing ran.
+// TestRouteUnavailable has a member's 503 passed on for a read, and turned into a failure for a request that must not
+// run twice: gateways take a 503 to mean that nothing ran.
 func TestRouteUnavailable(t *testing.T) {
 	a, b := startSCGIMember(t, "a"), startSCGIMember(t, "b")
 	a.SetBehavior(fake.Overloaded, 0)
@@ -153,8 +154,8 @@
 	}
 }
 
-// TestRouteFallback has named locations take over for statuses, once, with the status that is wanted, and never run a second
-// time what must not.
+// TestRouteFallback has named locations take over for statuses, once, with the status that is configured, and never run
+// a request again that must not run twice.
 func TestRouteFallback(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	_, g := startRouter(t, parseRoutes(t, `(capacity 8)
@@ -206,7 +207,7 @@
 	expect("the one that may have run", newRequest("/book", "w").WithHeader("Once-Key", "k1"), "502")
 }
 
-// TestRouteRewrite has members see the path that a rewrite made, and what was asked for beside it.
+// TestRouteRewrite has members get the rewritten path, and what the caller sent beside it.
 func TestRouteRewrite(t *testing.T) {
 	a := startMember(t, "a")
 	_, g := startRouter(t, parseRoutes(t, `(class web)
@@ -227,7 +228,7 @@
 	}
 }
 
-// TestRouteDead has a dead member passed over, and all dead answered.
+// TestRouteDead has a dead member skipped, and requests answered when all are dead.
 func TestRouteDead(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
@@ -245,7 +246,7 @@
 	}
 }
 
-// TestRouteKeyed has a repeat answered by the run of the first.
+// TestRouteKeyed has a retry answered by the run of the first attempt.
 func TestRouteKeyed(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
@@ -265,8 +266,9 @@
 	}
 }
 
-// TestCrossMemberEnd has a member end its idle connections, as one that restarts does, while the word of it lies unread and a
-// request that must not run twice comes: it goes by a new connection, and is not given up as one that may have run.
+// TestCrossMemberEnd has a member end its idle connections, as one that restarts does, between the poll that reported a
+// request that must not run twice and the read of it, so that the end of the connection is not known yet: the request
+// goes by a new connection, and is not given up as one that may have run.
 func TestCrossMemberEnd(t *testing.T) {
 	a := startMember(t, "a")
 	system := interleave.New()
@@ -291,7 +293,7 @@
 	}
 }
 
-// TestReload has members come and go while requests are open: those that left end what they have.
+// TestReload has members come and go while requests are open: those that left finish what they have.
 func TestReload(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	r, g := startRouter(t, parseRoutes(t, strings.Replace(twoMembers, "(member @B)", "", 1), a, b))
--- a/server/actions_test.go
+++ b/server/actions_test.go
@@ -23,8 +23,8 @@
 func (q *recordingSession) ShouldClose() bool     { return false }
 func (q *recordingSession) HasPartialInput() bool { return false }
 
-// guarded is a server without sockets that has taken in keyed tries of one request.
-func newGuardedServer(t *testing.T, tries int) (actions, *recordingSession) {
+// newGuardedServer returns a server without sockets that has taken in attempts of one request with an idempotency key.
+func newGuardedServer(t *testing.T, attempts int) (actions, *recordingSession) {
 	t.Helper()
 	l, err := eventloop.New(eventloop.Kernel{}, 5*time.Millisecond, 1<<20)
 	if err != nil {
@@ -46,7 +46,7 @@
 	backend.client = &interpreter.Client{Link: interpreter.NewLink(backend)}
 	s.backend = backend
 	g := &gatewayConn{server: s, session: session, attempts: map[gateway.StreamID]*attempt{}}
-	for i := range tries {
+	for i := range attempts {
 		r := keyedAttempt(i+1, "k", time.Duration(i)*time.Second)
 		r.conn, r.stream, r.RequestID, r.Runner = g, gateway.StreamID(i+1), string(rune('a'+i)), backend
 		s.attempts.add(r)
@@ -55,7 +55,7 @@
 	return actions{s}, session
 }
 
-// TestSecondRunPrevented has a decision to run another try of a request that ran: the rule stands above it.
+// TestSecondRunPrevented runs two attempts of one request, as the module might decide: the second does not run.
 func TestSecondRunPrevented(t *testing.T) {
 	a, session := newGuardedServer(t, 2)
 	a.Run(1)
@@ -65,12 +65,12 @@
 	}
 	a.Run(1) // it runs already
 	if a.backend.OpenRuns() != 1 || a.counters.secondRunsPrevented != 1 {
-		t.Error("a second command to run the same try had an effect")
+		t.Error("a second command to run the same attempt had an effect")
 	}
 }
 
-// TestRefusalAfterRunPrevented has decisions to refuse a try that runs, and a further try of its request.
-func TestRefusalAfterRunPrevented(t *testing.T) {
+// TestRejectionAfterRunPrevented rejects an attempt that runs, and a retry of it: both fail instead.
+func TestRejectionAfterRunPrevented(t *testing.T) {
 	a, session := newGuardedServer(t, 3)
 	a.Reject(3, time.Second, false)
 	a.Run(1)
--- a/server/calls_test.go
+++ b/server/calls_test.go
@@ -9,10 +9,10 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestCallsBelow serves a site whose requests call what lies below. No page says how such a call is made, so a run
-// that comes to one is given up: its request is answered at once, refused only where it has no effect, and its end is
-// awaited. Requests that make no call are served as ever.
-func TestCallsBelow(t *testing.T) {
+// TestCallRequested serves a site whose requests call a downstream service. The platform does not say how such a call
+// is made, so a run that comes to one is given up: its request is answered at once, rejected only where it has no
+// effect, and the end of the run is awaited. Requests that make no call are served as at any site.
+func TestCallRequested(t *testing.T) {
 	for _, below := range []admission.Dependency{admission.DependencyTier, admission.DependencyShared} {
 		t.Run(fmt.Sprint(below), func(t *testing.T) {
 			site := testSite(t)
@@ -43,7 +43,7 @@
 			}
 			onLoop(s, func() {
 				if s.counters.calls != 2 || len(s.attempts.byID) != 0 || s.backend.OpenRuns() != 0 {
-					t.Errorf("%d calls, %d tries, %d runs; want 2, 0, 0", s.counters.calls, len(s.attempts.byID), s.backend.OpenRuns())
+					t.Errorf("%d calls, %d attempts, %d runs; want 2, 0, 0", s.counters.calls, len(s.attempts.byID), s.backend.OpenRuns())
 				}
 			})
 		})
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestClock follows the Unix clock, and goes on at the pace of the monotonic one where that is set back. Times
-// without a monotonic reading stand in for a clock that is set.
+// TestClock follows the Unix clock, and goes on at the pace of the monotonic one where the Unix clock is set back.
+// Times without a monotonic reading stand for a clock that is set.
 func TestClock(t *testing.T) {
 	start := time.Now()
 	c := newClock(start)
--- a/server/deadlines_test.go
+++ b/server/deadlines_test.go
@@ -9,9 +9,9 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestBudget has gateways tell how long they wait: a request is answered when that is over, although its class has an
-// hour, and one whose time went by unread is not run. The time counts from Received-At.
-func TestBudget(t *testing.T) {
+// TestRequestDeadlines has gateways send how long they wait: a request is answered when that is over, although its
+// class has an hour, and one whose time passed before it was read is not run. The time counts from Received-At.
+func TestRequestDeadlines(t *testing.T) {
 	site := testSite(t)
 	site.Admission.HasDeadlines = true
 	site.Admission.Classes[0].Deadline = time.Hour
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestBudgetUntold has the field mean nothing where the site passes no deadlines.
-func TestBudgetUntold(t *testing.T) {
+// TestRequestDeadlinesOff has the field mean nothing at a site without request deadlines.
+func TestRequestDeadlinesOff(t *testing.T) {
 	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	g.Write(fake.NewLookup("x").WithHeader("Budget-Ms", "soon").Encode(1))
--- a/server/durable_test.go
+++ b/server/durable_test.go
@@ -16,17 +16,17 @@
 	"tillerusher/internal/servertest"
 )
 
-// keeper is a folder that tests make slow and sick.
-type keeper struct {
-	mu      sync.Mutex
-	records map[string][]byte
-	held    bool // writes wait until they are let go
-	fails   error
-	waiting []func()
-	closed  bool
+// fakeStore is a store that tests make slow and faulty.
+type fakeStore struct {
+	mu        sync.Mutex
+	records   map[string][]byte
+	isBlocked bool // writes wait
+	fails     error
+	waiting   []func()
+	closed    bool
 }
 
-func (k *keeper) Write(changes []idempotency.Change, done func(error)) error {
+func (k *fakeStore) Write(changes []idempotency.Change, done func(error)) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	write := func() {
@@ -46,7 +46,7 @@
 			done(err)
 		}
 	}
-	if k.held {
+	if k.isBlocked {
 		k.waiting = append(k.waiting, write)
 		return nil
 	}
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// set changes how it does; what waits is let go where it is not held any more.
-func (k *keeper) set(held bool, fails error) {
+// set changes the store's behavior. Blocked writes go on where it is not blocked any more.
+func (k *fakeStore) set(held bool, fails error) {
 	k.mu.Lock()
-	k.held, k.fails = held, fails
+	k.isBlocked, k.fails = held, fails
 	waiting := k.waiting
 	if k.waiting = nil; held {
 		k.waiting = waiting
@@ -69,7 +69,7 @@
 	}
 }
 
-func (k *keeper) ForEach(prefix string, visit func(name, value []byte) error) error {
+func (k *fakeStore) ForEach(prefix string, visit func(name, value []byte) error) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name, value := range k.records {
@@ -82,25 +82,25 @@
 	return nil
 }
 
-func (k *keeper) Get(name string) ([]byte, error) {
+func (k *fakeStore) Get(name string) ([]byte, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.records[name], nil
 }
 
-func (k *keeper) Secret() []byte                { return []byte("secret") }
-func (k *keeper) Machine() string               { return "m" }
-func (k *keeper) Stats() idempotency.StoreStats { return idempotency.StoreStats{} }
-func (k *keeper) Compact() (int64, error)       { return 0, nil }
-func (k *keeper) Close() error {
+func (k *fakeStore) Secret() []byte                { return []byte("secret") }
+func (k *fakeStore) Machine() string               { return "m" }
+func (k *fakeStore) Stats() idempotency.StoreStats { return idempotency.StoreStats{} }
+func (k *fakeStore) Compact() (int64, error)       { return 0, nil }
+func (k *fakeStore) Close() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.closed = true
 	return nil
 }
 
-// has tells whether a record of a state is there.
-func (k *keeper) has(state idempotency.State) bool {
+// has returns whether there is a record in a state.
+func (k *fakeStore) has(state idempotency.State) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name, value := range k.records {
@@ -111,8 +111,8 @@
 	return false
 }
 
-// keepServer starts a server that keeps its state.
-func keepServer(t *testing.T, k *keeper, limits idempotency.Limits) (*Server, *servertest.Interpreter, *servertest.Gateway) {
+// startDurableServer starts a server that keeps its state.
+func startDurableServer(t *testing.T, k *fakeStore, limits idempotency.Limits) (*Server, *servertest.Interpreter, *servertest.Gateway) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)), Interpreter: netip.MustParseAddrPort(it.Addr()),
@@ -136,13 +136,13 @@
 	return s, it, g
 }
 
-var roomy = idempotency.Limits{MaxKeys: 100, MaxBytes: 1 << 20}
+var largeLimits = idempotency.Limits{MaxKeys: 100, MaxBytes: 1 << 20}
 
-// TestSlowDisk has a disk that stands still hold up keyed runs and nothing else: no run is asked for before its intent is
-// down, and lookups are served meanwhile.
+// TestSlowDisk has a disk that does not respond delay runs with an idempotency key and nothing else: no run is asked
+// for before its intent is written, and lookups are served meanwhile.
 func TestSlowDisk(t *testing.T) {
-	k := &keeper{records: map[string][]byte{}, held: true}
-	_, it, g := keepServer(t, k, roomy)
+	k := &fakeStore{records: map[string][]byte{}, isBlocked: true}
+	_, it, g := startDurableServer(t, k, largeLimits)
 	it.FinishImmediately()
 	g.Write(fake.NewReserve(1, "b").Encode(1))
 	for i := range 20 {
@@ -163,10 +163,11 @@
 	servertest.WaitFor(t, "the result", func() bool { return k.has(idempotency.Completed) })
 }
 
-// TestSickDisk has keyed requests refused while writes fail, lookups served, and keyed ones taken again once it is well.
-func TestSickDisk(t *testing.T) {
-	k := &keeper{records: map[string][]byte{}, fails: errors.New("no space left on device")}
-	s, it, g := keepServer(t, k, roomy)
+// TestFailingDisk has requests with an idempotency key rejected while writes fail, lookups served, and both served once
+// the disk works again.
+func TestFailingDisk(t *testing.T) {
+	k := &fakeStore{records: map[string][]byte{}, fails: errors.New("no space left on device")}
+	s, it, g := startDurableServer(t, k, largeLimits)
 	it.FinishImmediately()
 	ask := func(number int) fake.Response {
 		g.Write(fake.NewReserve(number, "b").Encode(1))
@@ -196,10 +197,10 @@
 	}
 }
 
-// TestNoRoomForKeys has keyed requests beyond the bound refused, not run without protection, and repeats answered.
-func TestNoRoomForKeys(t *testing.T) {
-	k := &keeper{records: map[string][]byte{}}
-	_, it, g := keepServer(t, k, idempotency.Limits{MaxKeys: 3, MaxBytes: 1 << 20})
+// TestTooManyKeys has requests over the limit of keys rejected, not run without protection, and retries answered.
+func TestTooManyKeys(t *testing.T) {
+	k := &fakeStore{records: map[string][]byte{}}
+	_, it, g := startDurableServer(t, k, idempotency.Limits{MaxKeys: 3, MaxBytes: 1 << 20})
 	it.FinishImmediately()
 	statuses := map[int]int{}
 	for n := range 6 {
@@ -215,10 +216,10 @@
 	}
 }
 
-// TestDrainWithIntents answers what waits for a disk that stands still before a drained server ends.
+// TestDrainWithIntents answers requests that wait for a disk that does not respond before a drained server ends.
 func TestDrainWithIntents(t *testing.T) {
-	k := &keeper{records: map[string][]byte{}, held: true}
-	s, it, g := keepServer(t, k, roomy)
+	k := &fakeStore{records: map[string][]byte{}, isBlocked: true}
+	s, it, g := startDurableServer(t, k, largeLimits)
 	g.Write(fake.NewReserve(1, "b").Encode(1))
 	servertest.WaitFor(t, "the intent", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return len(k.waiting) == 1 })
 	s.Drain()
@@ -230,18 +231,18 @@
 	}
 }
 
-// TestBodiesOverRestarts has a key with another body rejected after a restart, too.
-func TestBodiesOverRestarts(t *testing.T) {
-	k := &keeper{records: map[string][]byte{}}
+// TestBodyHashesOverRestarts has a key with another body rejected after a restart, too.
+func TestBodyHashesOverRestarts(t *testing.T) {
+	k := &fakeStore{records: map[string][]byte{}}
 	t.Run("before", func(t *testing.T) {
-		_, it, g := keepServer(t, k, roomy)
+		_, it, g := startDurableServer(t, k, largeLimits)
 		it.FinishImmediately()
 		g.Write(fake.NewReserve(1, "b").Encode(1))
 		g.WaitResponse(1)
 		servertest.WaitFor(t, "the result", func() bool { return k.has(idempotency.Completed) })
 	})
 	k.closed = false
-	_, it, g := keepServer(t, k, roomy)
+	_, it, g := startDurableServer(t, k, largeLimits)
 	for body, want := range map[string]int{"b": 200, "other": 400} {
 		g.Write(fake.NewReserve(1, body).Encode(1))
 		if a := g.WaitResponse(1); a.Status != want {
--- a/server/fragments_test.go
+++ b/server/fragments_test.go
@@ -12,8 +12,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// forms are legal ways of writing one request under a number, each in records of its own.
-func forms(r fake.Request, id uint16) map[string][]byte {
+// encodings are legal encodings of one request on a stream, each in records of its own.
+func encodings(r fake.Request, id uint16) map[string][]byte {
 	params := r.EncodeParams()
 	begin := fake.EncodeBeginRequest(id, 1, true)
 	record := func(kind byte, content []byte, padding byte) []byte {
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestPieces writes requests in every legal form, each cut in two at every byte with the server reading in between, and
-// one in pieces of a byte: all of them are run with the body as it was sent, and answered.
-func TestPieces(t *testing.T) {
+// TestFragmentedRequests writes requests in every encoding, each cut in two at every byte with the server reading in
+// between, and one byte by byte: all are run with the body as it was sent, and answered.
+func TestFragmentedRequests(t *testing.T) {
 	s, it := startServer(t)
 	it.FinishImmediately()
 	n := uint16(0)
@@ -72,7 +72,7 @@
 		t.Helper()
 		n++
 		body := fmt.Sprintf("body %d", n)
-		for i, p := range pieces(forms(fake.NewLookup(body), n)[what]) {
+		for i, p := range pieces(encodings(fake.NewLookup(body), n)[what]) {
 			if i > 0 {
 				waitRound(s)
 			}
@@ -89,11 +89,11 @@
 			return
 		}
 	}
-	for what := range forms(fake.NewLookup("body"), 1) {
+	for what := range encodings(fake.NewLookup("body"), 1) {
 		t.Run(strings.ReplaceAll(what, " ", "-"), func(t *testing.T) {
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			whole := forms(fake.NewLookup("body 10000"), 10000)[what]
-			stride := max(len(whole)/400, 1) // forms of many records are long, and repeat themselves
+			whole := encodings(fake.NewLookup("body 10000"), 10000)[what]
+			stride := max(len(whole)/400, 1) // encodings of many records are long, and repeat themselves
 			for cut := 1; cut < len(whole)-40; cut += stride {
 				ask(g, what, func(b []byte) [][]byte {
 					at := min(cut, len(b)-1)
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestPiecesOfNotices cuts what the interpreter says at every byte, in every form that JSON has for it: all of it is
+// TestFragmentedNotices cuts the interpreter's notices at every byte, in every form that JSON has for them: all are
 // understood, and no request waits.
-func TestPiecesOfNotices(t *testing.T) {
+func TestFragmentedNotices(t *testing.T) {
 	for what, notice := range map[string]string{
 		"plain":           `{"op":"VALUE","seq":%d,"id":"a1","end":"OK","ms":1.5,"body":"eA=="}` + "\n",
 		"another order":   `{"body":"eA==","ms":2,"end":"OK","id":"a1","seq":%d,"op":"VALUE"}` + "\n",
@@ -123,7 +123,7 @@
 	} {
 		t.Run(strings.ReplaceAll(what, " ", "-"), func(t *testing.T) {
 			for cut := range len(notice) {
-				e := &endings{}
+				e := &runCounter{}
 				link := interpreter.NewLink(e)
 				link.Connected(func(p []byte) {}, time.Now())
 				say := func(text string) {
@@ -146,16 +146,16 @@
 	}
 }
 
-// endings counts the ends of runs.
-type endings struct {
+// runCounter counts the ends of runs.
+type runCounter struct {
 	ended  int
 	result string
 }
 
-func (e *endings) InterpreterStarted(bool, time.Duration) {}
-func (e *endings) CallRequested(string)                   {}
-func (e *endings) ReportError(string, error)              {}
-func (e *endings) RunFinished(_ string, end interpreter.Outcome, result []byte) {
+func (e *runCounter) InterpreterStarted(bool, time.Duration) {}
+func (e *runCounter) CallRequested(string)                   {}
+func (e *runCounter) ReportError(string, error)              {}
+func (e *runCounter) RunFinished(_ string, end interpreter.Outcome, result []byte) {
 	if e.ended++; end == interpreter.OutcomeOK {
 		e.result = string(result)
 	}
--- a/server/idempotency_table_test.go
+++ b/server/idempotency_table_test.go
@@ -10,6 +10,7 @@
 	"tillerusher/internal/gateway"
 )
 
+// keyedAttempt returns an attempt with an idempotency key that arrived at a time.
 func keyedAttempt(id int, key string, arrived time.Duration) *attempt {
 	return &attempt{
 		id:      admission.RequestID(id),
@@ -17,40 +18,40 @@
 	}
 }
 
-// listen is a moment of the Unix clock.
+// at is a time of the Unix clock.
 func at(d time.Duration) time.Time { return time.UnixMilli(0).Add(d) }
 
 const window = 18 * time.Second
 
-// TestKeysFind covers who is found under a key: the holder while it is kept, then the try that was run, for
-// arrivals within the time only, whenever they are read.
-func TestKeysFind(t *testing.T) {
+// TestIdempotencyTableFindOriginal covers who is found under a key: the holder while it is kept, then the attempt that
+// was run, for arrivals within the time only, whenever they are read.
+func TestIdempotencyTableFindOriginal(t *testing.T) {
 	k := newIdempotencyTable(1<<20, 0)
 	a := keyedAttempt(1, "k", time.Second)
 	k.hold(a, 10*time.Second)
 	if k.findOriginal(keyedAttempt(99, "k", 10*time.Second), 0) != a || k.findOriginal(&attempt{Request: Request{Class: 0, Key: "k"}}, 0) != nil || k.findOriginal(keyedAttempt(99, "j", 0), 0) != nil {
-		t.Error("a kept try is found by its key and class alone")
+		t.Error("a kept attempt is found by its key and class alone")
 	}
 	if k.findOriginal(keyedAttempt(99, "k", 10*time.Second+1), 0) != nil {
 		t.Error("an entry that ran out was found")
 	}
 	if !k.claim(a, window) || k.findOriginal(keyedAttempt(99, "k", 19*time.Second), 0) != a || k.findOriginal(keyedAttempt(99, "k", 19*time.Second+1), 0) != nil {
-		t.Error("a try that was run is found until its window is over")
+		t.Error("an attempt that was run is found until its window is over")
 	}
 	if k.claim(keyedAttempt(2, "k", 19*time.Second), window) {
 		t.Error("a second run within the window was allowed")
 	}
 	if !k.hasRun(keyedAttempt(2, "k", 19*time.Second)) || k.hasRun(keyedAttempt(3, "k", 19*time.Second+1)) || k.hasRun(keyedAttempt(4, "j", 0)) {
-		t.Error("a run stands for the tries of its request within the window, and for no others")
+		t.Error("a run stands for the attempts of its request within the window, and for no others")
 	}
 	if !k.claim(keyedAttempt(3, "k", 19*time.Second+1), window) {
 		t.Error("a run after the window was not allowed")
 	}
 }
 
-// TestKeysClockSetBack has the Unix clock set back by a minute after a run, while the module's goes on: the
+// TestIdempotencyTableClockSetBack has the Unix clock set back by a minute after a run, while the module's goes on: the
 // window is one of the Unix clock.
-func TestKeysClockSetBack(t *testing.T) {
+func TestIdempotencyTableClockSetBack(t *testing.T) {
 	k := newIdempotencyTable(1<<20, 0)
 	a := keyedAttempt(1, "k", time.Hour)
 	k.claim(a, window)
@@ -62,9 +63,9 @@
 	}
 }
 
-// TestKeysForget gives a key free that its holder never used, and keeps one that was run. The holder may have
+// TestIdempotencyTableRelease releases a key whose holder never ran, and keeps one that was run. The holder may have
 // been answered before: then no other table knows it.
-func TestKeysForget(t *testing.T) {
+func TestIdempotencyTableRelease(t *testing.T) {
 	k := newIdempotencyTable(1<<20, 0)
 	a, b := keyedAttempt(1, "k", 0), keyedAttempt(2, "k", 0)
 	a.isAnswered = true
@@ -74,7 +75,7 @@
 		t.Error("a forgotten key was found")
 	}
 	k.hold(a, time.Minute)
-	k.hold(b, time.Minute) // the entry goes to the newer try
+	k.hold(b, time.Minute) // the entry goes to the newer attempt
 	k.release(a.id)
 	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != b {
 		t.Error("the key was taken from another holder")
@@ -82,22 +83,22 @@
 	k.claim(b, window)
 	k.release(b.id)
 	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != b || k.claim(keyedAttempt(3, "k", 0), window) {
-		t.Error("a try that was run was forgotten")
+		t.Error("an attempt that was run was forgotten")
 	}
 }
 
-// TestKeysResults gives up the oldest results over the limit, but not what they were the results of.
-func TestKeysResults(t *testing.T) {
+// TestIdempotencyTableEvictsResults evicts the oldest results over the limit, but still knows that their requests ran.
+func TestIdempotencyTableEvictsResults(t *testing.T) {
 	k := newIdempotencyTable(25, 0)
-	tries := map[string]*attempt{}
+	attempts := map[string]*attempt{}
 	for i, key := range []string{"a", "b", "c"} {
 		r := keyedAttempt(i+1, key, time.Duration(i)*time.Second)
-		tries[key] = r
+		attempts[key] = r
 		k.hold(r, window)
 		k.claim(r, window)
 		k.storeResult(r, gateway.Response{Body: make([]byte, 10)})
 	}
-	if tries["a"].hasResult || !tries["b"].hasResult || !tries["c"].hasResult || k.resultBytes != 20 || k.evicted != 1 {
+	if attempts["a"].hasResult || !attempts["b"].hasResult || !attempts["c"].hasResult || k.resultBytes != 20 || k.evicted != 1 {
 		t.Errorf("%d bytes kept, %d dropped", k.resultBytes, k.evicted)
 	}
 	if k.claim(keyedAttempt(9, "a", 0), window) {
@@ -118,9 +119,9 @@
 	}
 }
 
-// TestKeyUsedAnew has a key used again after its window, for a run that turns out not to have happened: late tries of the run
-// before it are still known.
-func TestKeyUsedAnew(t *testing.T) {
+// TestIdempotencyTableUnclaim uses a key again after its window, for a run that turns out not to have happened: late
+// retries of the run before it are still known.
+func TestIdempotencyTableUnclaim(t *testing.T) {
 	k := newIdempotencyTable(1000, 0)
 	first, anew, late := keyedAttempt(1, "a", 0), keyedAttempt(2, "a", window+time.Second), keyedAttempt(3, "a", window-time.Second)
 	if !k.claim(first, window) || !k.claim(anew, window) {
@@ -128,7 +129,7 @@
 	}
 	k.unclaim(anew)
 	if k.claim(late, window) {
-		t.Error("a late try ran again")
+		t.Error("a late attempt ran again")
 	}
 	k.claim(anew, window)
 	k.expire(2*window, at(2*window), 0)
@@ -137,29 +138,29 @@
 	}
 }
 
-// TestKeysModel makes sure with random steps that no request is run twice within its window, and that the
-// table holds nothing for ever.
-func TestKeysModel(t *testing.T) {
+// TestIdempotencyTableModel makes random steps: no request is run twice within its window, and the table holds nothing
+// for ever.
+func TestIdempotencyTableModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := newIdempotencyTable(200, 0)
 		now, ids := time.Duration(0), 0
 		ran := map[string]time.Duration{} // arrival of the latest run
-		var tries []*attempt
+		var attempts []*attempt
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				ids++
-				tries = append(tries, keyedAttempt(ids, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), now))
-				k.hold(tries[len(tries)-1], now+window)
+				attempts = append(attempts, keyedAttempt(ids, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), now))
+				k.hold(attempts[len(attempts)-1], now+window)
 			},
 			"run": func(t *rapid.T) {
-				if len(tries) == 0 {
+				if len(attempts) == 0 {
 					t.Skip()
 				}
-				r := rapid.SampledFrom(tries).Draw(t, "try")
+				r := rapid.SampledFrom(attempts).Draw(t, "try")
 				last, before := ran[r.Key]
 				allowed := k.claim(r, window)
 				if again := r.state != runPending; before && !again && (r.ArrivedAt <= last+window) == allowed {
-					t.Fatalf("run of a try that arrived %v after the last that ran: %t", r.ArrivedAt-last, allowed)
+					t.Fatalf("run of an attempt that arrived %v after the last that ran: %t", r.ArrivedAt-last, allowed)
 				}
 				if allowed && r.state == runPending {
 					ran[r.Key] = r.ArrivedAt
@@ -168,14 +169,14 @@
 				}
 			},
 			"forget": func(t *rapid.T) {
-				if len(tries) > 0 {
-					k.release(rapid.SampledFrom(tries).Draw(t, "try").id)
+				if len(attempts) > 0 {
+					k.release(rapid.SampledFrom(attempts).Draw(t, "try").id)
 				}
 			},
 			"pass": func(t *rapid.T) {
 				now += time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "time"))
 				k.expire(now, at(now), 0)
-				tries = nil // older tries are answered long since
+				attempts = nil // older attempts are answered long since
 			},
 			"": func(t *rapid.T) {
 				if k.resultBytes > 200 || len(k.entries) > 2 || len(k.holders) > 2 {
--- a/server/interleave_test.go
+++ b/server/interleave_test.go
@@ -21,7 +21,7 @@
 // Each test here has one thing come between two others, in an order of its own making: docs/design/crossings.md has
 // the list, and what is ruled out by reading.
 
-// ends waits for the end of a connection, and fails where it was reset instead, or brought anything more.
+// waitCleanEnd waits for the end of a connection, and fails where it was reset instead, or carried anything more.
 func waitCleanEnd(t *testing.T, g *servertest.Gateway) {
 	t.Helper()
 	if a, err := g.TryResponse(0); !errors.Is(err, io.EOF) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// beforeEnd has something done just before the server ends its side of a connection, by whatever call.
+// beforeEnd calls a function just before the server ends its side of a connection, by whatever system call.
 func beforeEnd(system *interleave.System, of net.Conn, do func()) <-chan bool {
 	done := make(chan bool)
 	system.BeforeCall(func(call interleave.Syscall, fd int) bool {
@@ -43,14 +43,14 @@
 	return done
 }
 
-// waitRound waits until the server has taken in all that was written to it before.
+// waitRound waits until the server has read all that was written to it before.
 func waitRound(s *Server) {
 	for range 2 { // what is posted may be called in the round that began before
 		onLoop(s, func() {})
 	}
 }
 
-// TestCrossIdleClose has a request, or half of one, come in the very moment in which a resting connection is closed:
+// TestCrossIdleClose has a request, or half of one, arrive at the very moment at which an idle connection is closed:
 // the gateway reads the answer that it had not read yet, then a clean end and no reset, and the request is not run.
 func TestCrossIdleClose(t *testing.T) {
 	whole := fake.NewLookup("crosses").Encode(2)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestCrossSlowWriter has the first bytes of a request be there as connections are closed that have rested: it comes whole
-// and is answered.
+// TestCrossSlowWriter has the first bytes of a request arrive as idle connections are closed: it arrives whole and is
+// answered.
 func TestCrossSlowWriter(t *testing.T) {
 	s, it := startServer(t)
 	it.FinishImmediately()
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestCrossUnfinished has the rest of a request come as the connection is closed for being late with it.
+// TestCrossUnfinished has the rest of a request arrive as the connection is closed because it took too long.
 func TestCrossUnfinished(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestCrossExit has a request come as a drained server ends its connections, by either way out: after the last one has
-// rested, and when its time is up.
+// TestCrossExit has a request arrive as a drained server ends its connections, by either way: after the last one was
+// idle, and when the stop timeout is over.
 func TestCrossExit(t *testing.T) {
 	for what, end := range map[string]func(s *Server){"resting": (*Server).drain, "time up": (*Server).stopNow,
 		"not yet up": (*Server).drain} {
@@ -154,7 +154,8 @@
 	}
 }
 
-// TestCrossRoom has a gateway's first request lie unread as a newcomer needs room: silent callers go before it.
+// TestCrossRoom has a gateway's first request lie unread as a connection is evicted for a new one: silent ones go
+// before it.
 func TestCrossRoom(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
@@ -179,8 +180,8 @@
 	}
 }
 
-// TestCrossListener has a caller come with a request just before the last look for callers: it is taken in and
-// answered. One that comes after that, as the listener closes, is not let in, and nothing of it is run.
+// TestCrossListener has a caller connect with a request just before the last accept: it is answered. One that connects
+// after that, as the listener closes, is not accepted, and nothing of it is run.
 func TestCrossListener(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
@@ -224,8 +225,8 @@
 	return err == nil && listens == 1
 }
 
-// TestCrossDrain has requests read after the notice: those that came within the grace are run, as the notice and the
-// request in one round are, whichever is first; later ones are refused at once.
+// TestCrossDrain has requests read after the drain notice: those that arrived within the grace period are run, as are
+// the notice and a request in one round, in either order; later ones are rejected at once.
 func TestCrossDrain(t *testing.T) {
 	site := testSite(t)
 	site.Admission.DrainGracePeriod = 500 * time.Millisecond
@@ -259,8 +260,8 @@
 	waitCleanEnd(t, g)
 }
 
-// TestCrossReloadDrain has a new configuration and the notice to leave in one round, in either order, while a run is
-// under way and its end lies unread on the old link: the end is read on the new one, answered once, and the server goes.
+// TestCrossReloadDrain has a new configuration and the drain notice in one round, in either order, while a run is in
+// flight and its end lies unread on the old link: the end is read on the new one, answered once, and the server ends.
 func TestCrossReloadDrain(t *testing.T) {
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
@@ -293,8 +294,8 @@
 	}
 }
 
-// TestCrossLink has the link replaced while the end of a run lies unread on it, while a command is written but not read,
-// and while the gauges are asked for: each run begins once, ends once and is answered once.
+// TestCrossLink has the link replaced while the end of a run lies unread on it, while a command is written but not
+// read, and while the gauges are asked for: each run begins once, ends once and is answered once.
 func TestCrossLink(t *testing.T) {
 	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
@@ -336,8 +337,8 @@
 	}
 }
 
-// TestCrossLinkDown has a keyed request be due while the link is down, so that the interpreter never heard of its run: a
-// further try is run once the link stands, as the first never was.
+// TestCrossLinkDown has a request with an idempotency key reach its deadline while the link is down, so that the
+// interpreter never heard of its run: a retry is run once the link is up, as the first attempt never ran.
 func TestCrossLinkDown(t *testing.T) {
 	site := testSite(t)
 	site.Admission.Classes[1].Deadline = 300 * time.Millisecond
@@ -362,7 +363,7 @@
 	runs := it.WaitRuns(1)
 	it.EndRun(runs[0].ID, "OK", []byte("result"))
 	if a := g.WaitResponse(2); len(runs) != 1 || a.Status != 200 && a.Status != 500 { // 500 where the machine is slow
-		t.Errorf("a further try: %+v, runs %v", a, runs)
+		t.Errorf("a retry: %+v, runs %v", a, runs)
 	}
 }
 
@@ -414,8 +415,8 @@
 	}
 }
 
-// TestCrossRepeat has a further try of a keyed request be read in one round with the end of the first, whichever epoll
-// tells first, and with its failure, and then once more: it is answered from the one run there is.
+// TestCrossRepeat has a retry of a request with an idempotency key read in one round with the end of the first attempt,
+// whichever epoll reports first, and with its failure, and then once more: it is answered from the only run.
 func TestCrossRepeat(t *testing.T) {
 	for _, end := range []string{"OK", "ERROR"} {
 		t.Run(end, func(t *testing.T) {
@@ -437,7 +438,7 @@
 				want := map[string]int{"OK": 200, "ERROR": 500}[end]
 				for g, id := range map[*servertest.Gateway]uint16{first: 1, second: 2} {
 					if a := g.WaitResponse(id); a.Status != want || end == "OK" && string(a.Body) != "result" {
-						t.Errorf("request %d, try %d: %+v", n, id, a)
+						t.Errorf("request %d, attempt %d: %+v", n, id, a)
 					}
 				}
 			}
@@ -448,8 +449,8 @@
 	}
 }
 
-// TestCrossWindow has further tries come at the edge of the window, by their Received-At: up to the 50 ms that limits on
-// sockets are longer none is run.
+// TestCrossWindow has retries arrive at the end of the window, by their Received-At: up to the 50 ms that time limits
+// on sockets are longer none is run.
 func TestCrossWindow(t *testing.T) {
 	site := testSite(t)
 	window := 700 * time.Millisecond
@@ -457,13 +458,13 @@
 	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	received := time.Now().Truncate(time.Millisecond)
-	try := func(n int, after time.Duration) []byte {
+	encodeAttempt := func(n int, after time.Duration) []byte {
 		return fake.NewReserve(1, "x").WithHeader("Received-At", strconv.FormatInt(received.Add(after).UnixMilli(), 10)).Encode(uint16(n))
 	}
-	g.Write(try(1, 0))
+	g.Write(encodeAttempt(1, 0))
 	it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("result"))
 	for n, after := range []time.Duration{0, window - time.Millisecond, window, window + time.Millisecond, window + 50*time.Millisecond} {
-		g.Write(try(n+2, after))
+		g.Write(encodeAttempt(n+2, after))
 		if a := g.WaitResponse(uint16(n + 2)); a.Status != 200 || string(a.Body) != "result" {
 			t.Errorf("%v after the first: %+v", after, a)
 		}
@@ -473,8 +474,8 @@
 	}
 }
 
-// TestCrossDrainRepeat has a further try come after the notice while the first runs, and one after the end of it: both
-// have its result, and nothing is run again.
+// TestCrossDrainRepeat has a retry arrive after the drain notice while the first attempt runs, and one after the end of
+// it: both have its result, and nothing runs again.
 func TestCrossDrainRepeat(t *testing.T) {
 	site := testSite(t)
 	site.Admission.DrainGracePeriod = 500 * time.Millisecond
@@ -488,23 +489,23 @@
 	})
 	waitRound(s)
 	it.EndRun(id, "OK", []byte("result"))
-	for try := range uint16(2) {
-		if a := g.WaitResponse(try + 1); a.Status != 200 || string(a.Body) != "result" {
-			t.Errorf("try %d: %+v", try+1, a)
+	for retry := range uint16(2) {
+		if a := g.WaitResponse(retry + 1); a.Status != 200 || string(a.Body) != "result" {
+			t.Errorf("attempt %d: %+v", retry+1, a)
 		}
 	}
 	g.Write(fake.NewReserve(1, "x").Encode(3))
 	if a := g.WaitResponse(3); a.Status != 200 || string(a.Body) != "result" {
-		t.Errorf("a try after the end: %+v", a)
+		t.Errorf("an attempt after the end: %+v", a)
 	}
 	if runs := it.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
 
-// TestCrossFullBuffer has a gateway that reads nothing have more sent to it than buffers hold as the server is told to
-// leave: once it reads, all answers come whole, and then the end. One that never reads doesn't keep the server, which
-// the end of the test waits for.
+// TestCrossFullBuffer has a gateway that reads nothing be sent more than buffers hold as the server starts to drain:
+// once it reads, all answers come whole, and then the end. One that never reads doesn't keep the server, which the end
+// of the test waits for.
 func TestCrossFullBuffer(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reads %t", reads), func(t *testing.T) {
--- a/server/recent_ids_test.go
+++ b/server/recent_ids_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSeenIDs tells ids that come again within the time from new ones, and holds a bounded number.
-func TestSeenIDs(t *testing.T) {
+// TestRecentIDs tells IDs that come again within the time from new ones, and holds a bounded number.
+func TestRecentIDs(t *testing.T) {
 	m := newRecentIDs(10*time.Second, 100)
 	if !m.add(1, 0) || m.add(1, time.Second) || m.add(1, 10*time.Second) {
 		t.Error("an id is new once within its time")
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -15,8 +15,9 @@
 	"tillerusher/internal/settings"
 )
 
-// testSite is what the test's settings say, but for the cores: so many have to have ended their first runs before a time
-// without an end is taken for a stall that a test on a slow machine never gets there. Stalls are the module's tests' affair.
+// testSite returns the settings of the tests' site, but for the cores: so many first runs have to end before a time
+// without an end is taken for a stall that a test on a slow machine never gets there. Stalls are covered by the
+// module's tests.
 func testSite(t *testing.T) *settings.Site {
 	t.Helper()
 	site, err := settings.Parse([]byte(fake.SiteSettings))
@@ -27,19 +28,19 @@
 	return site
 }
 
-// runAfterIntent starts a server with an interpreter, which serves when it returns, and drains it with the test.
+// startServer starts a server with an interpreter. It serves when it is returned, and drains with the test.
 func startServer(t *testing.T) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	return startServerAt(t, testSite(t))
 }
 
-// runAt is run at a site.
+// startServerAt is startServer at a site.
 func startServerAt(t *testing.T, site *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	return startServerOn(t, eventloop.Kernel{}, site)
 }
 
-// runOn is runAt on a system that need not be the machine's.
+// startServerOn is startServerAt on a system that need not be the machine's.
 func startServerOn(t *testing.T, system eventloop.System, site *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
@@ -50,7 +51,7 @@
 	return s, it
 }
 
-// runWith starts a server with an interpreter that need not be up.
+// startServerWith starts a server with an interpreter that need not be up.
 func startServerWith(t *testing.T, system eventloop.System, site *settings.Site, it *servertest.Interpreter) *Server {
 	t.Helper()
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)),
@@ -77,13 +78,13 @@
 	})
 }
 
-// checkHealth asks for the server's health.
+// checkHealth returns the status of a health check.
 func checkHealth(g *servertest.Gateway, full bool) int {
 	g.Write(fake.NewHealthCheck(full).Encode(1))
 	return g.WaitResponse(1).Status
 }
 
-// do has the server's goroutine do something, and waits for it.
+// onLoop calls a function on the server's goroutine, and waits for it.
 func onLoop(s *Server, step func()) {
 	done := make(chan bool)
 	s.loop.Post(func() {
@@ -93,8 +94,8 @@
 	<-done
 }
 
-// TestDeepCheck has a check do real work where the module does not have it answered from store: it is good
-// only when the work was done, and not waited for without end.
+// TestDeepCheck has a deep check do real work where the module does not have it answered at once: it is good only when
+// the work was done, and does not wait without end.
 func TestDeepCheck(t *testing.T) {
 	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
@@ -115,8 +116,7 @@
 	}
 }
 
-// TestCloseIdle closes connections that carry nothing for the time the module sets, and none with an open
-// request.
+// TestCloseIdle closes connections that are idle for the timeout the module sets, and none with an open request.
 func TestCloseIdle(t *testing.T) {
 	s, it := startServer(t)
 	idle, busy := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestAnnouncePace has a quarter of the reports be lost: that all are which come while a server stays listed must
-// happen less than once in a million times.
-func TestAnnouncePace(t *testing.T) {
+// TestLoadReportInterval has a quarter of the reports be lost: that all are which are sent while a server stays on the
+// endpoint list must happen less than once in a million times.
+func TestLoadReportInterval(t *testing.T) {
 	if chance := math.Pow(0.25, math.Floor(float64(endpointExpiry)/float64(loadReportInterval))); chance > 1e-6 {
 		t.Errorf("all reports are lost with a chance of %v", chance)
 	}
--- a/server/shared_reads_test.go
+++ b/server/shared_reads_test.go
@@ -8,22 +8,22 @@
 	"tillerusher/internal/servertest"
 )
 
-// reader asks for what lies under a subject.
-func reader(subject, body string) fake.Request {
+// newRead returns a request that reads a resource.
+func newRead(subject, body string) fake.Request {
 	return fake.NewLookup(body).WithHeader("Resource-Key", subject)
 }
 
-// TestSharedReads asks for one subject at a site where the answer to a read may serve others: for the same thing it
-// does while it is fresh, however the subject is written; for another thing it does not, as its sender would be
-// answered with what no run made for it (seen on the short days at a site of ours, 63 times in one day).
+// TestSharedReads reads one resource at a site where the result of a read may answer others: it answers a request for
+// the same thing while it is fresh, however the resource is written; for another thing it does not, as the sender would
+// get what no run made for it (seen 63 times in one simulated day).
 func TestSharedReads(t *testing.T) {
 	site := testSite(t)
 	site.Admission.ResultFreshness = time.Hour
 	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	g.Write(reader("00aa", "fits what").Encode(1))
+	g.Write(newRead("00aa", "fits what").Encode(1))
 	it.WaitRuns(1)
-	g.Write(reader("00aa", "costs what").Encode(2), reader("00AA", "fits what").Encode(3))
+	g.Write(newRead("00aa", "costs what").Encode(2), newRead("00AA", "fits what").Encode(3))
 	runs := it.WaitRuns(2)
 	for i, body := range []string{"fits what", "costs what"} {
 		if string(runs[i].Body) != body {
@@ -31,7 +31,7 @@
 		}
 		it.EndRun(runs[i].ID, "OK", []byte(body+"!"))
 	}
-	g.Write(reader("00aa", "costs what").Encode(4))
+	g.Write(newRead("00aa", "costs what").Encode(4))
 	for id, want := range []string{1: "fits what!", 2: "costs what!", 3: "fits what!", 4: "costs what!"} {
 		if want == "" {
 			continue
@@ -47,14 +47,14 @@
 	})
 }
 
-// TestStaleReads asks again after an answer went stale, and after a run without a result: both are run anew.
+// TestStaleReads reads again after a result went stale, and after a run without a result: both run again.
 func TestStaleReads(t *testing.T) {
 	site := testSite(t)
 	site.Admission.ResultFreshness = time.Nanosecond
 	s, it := startServerAt(t, site)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	for i, end := range []string{"OK", "ERROR", "OK"} {
-		g.Write(reader("00aa", "fits what").Encode(uint16(i + 1)))
+		g.Write(newRead("00aa", "fits what").Encode(uint16(i + 1)))
 		it.EndRun(it.WaitRuns(i + 1)[i].ID, end, []byte("x"))
 		if a := g.WaitResponse(uint16(i + 1)); (a.Status == 200) != (end == "OK") {
 			t.Errorf("request %d: %+v after a run that ended with %s", i+1, a, end)
