--- a/cmd/catalogue-server/descriptors_test.go
+++ b/cmd/catalogue-server/descriptors_test.go
@@ -2,11 +2,16 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net"
+	"os"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
 
+	"golang.org/x/sys/unix"
+
 	"tillerusher/internal/fake"
 	"tillerusher/internal/servertest"
 )
@@ -62,3 +67,43 @@
 		t.Errorf("a request after it: %+v", a)
 	}
 }
+
+// TestDescriptorsOut takes all descriptors away: callers are rejected at once, and accepted again later.
+func TestDescriptorsOut(t *testing.T) {
+	n := startServer(t, finishImmediately)
+	n.WaitCounter("connections", 0)
+	used, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.Process.Pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var before unix.Rlimit
+	if err := unix.Prlimit(n.Process.Pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
+		t.Fatal(err)
+	}
+	highest := 0
+	for _, fd := range used {
+		number, _ := strconv.Atoi(fd.Name())
+		highest = max(highest, number)
+	}
+	few := unix.Rlimit{Cur: uint64(highest + 1), Max: before.Max}
+	if err := unix.Prlimit(n.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
+		t.Fatal(err)
+	}
+	servertest.WaitFor(t, "a caller to be turned away", func() bool {
+		servertest.Dial(t, n.Addr)
+		n.Signal(syscall.SIGUSR1)
+		return n.Counter("accept_errors") > 0
+	})
+	if err := unix.Prlimit(n.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
+		t.Fatal(err)
+	}
+	// One that came while none was free may still be rejected; the next ones are served.
+	servertest.WaitFor(t, "a caller to be served", func() bool {
+		g := servertest.Dial(t, n.Addr)
+		if g.Gateway.Write(fake.NewLookup("").Encode(1)) != nil {
+			return false
+		}
+		a, err := g.TryResponse(1)
+		return err == nil && a.Status == 200
+	})
+}
