--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,90 +1,162 @@
-// Calls that requests make while they run. The interface is in interface.go.
+// Downstream calls that requests make while they run. The interface is in interface.go.
 
 package admission
 
 import "time"
 
-// CallRequested reports that a running request waits for a decision on a call.
+const (
+	// maxSkippableFailures is how many attempts of a call may fail before a call that can be skipped is.
+	maxSkippableFailures = 2
+	// callRetryInterval is the wait before another attempt of a call for each that failed.
+	callRetryInterval = pollInterval / 2
+	// callTimeoutDivisor: a call may take at most the time left to the objective divided by it, so that
+	// another attempt has time.
+	callTimeoutDivisor = 3
+	// callTimeoutFactor: a call may take this many expected call times though that is more.
+	callTimeoutFactor = 4
+)
+
+// downstreamCalls knows how long calls take, and keeps this server within its share of a shared dependency.
+type downstreamCalls struct {
+	callTime  float64       // seconds of a usual call; 0 = not known
+	learnedAt time.Duration // when that was learned last
+	// debt is the time in seconds by which calls exceeded this server's share, never negative. No call
+	// begins while there is debt, so that the mean number in flight stays within the share.
+	debt float64
+}
+
+// learn updates the call time by a call that succeeded.
+func (c *downstreamCalls) learn(now, objective, took time.Duration) {
+	if c.callTime == 0 {
+		c.callTime = took.Seconds()
+	}
+	known := c.expectedSeconds(now, objective)
+	c.callTime = known + (took.Seconds()-known)*learnWeight
+	c.learnedAt = now
+}
+
+// expectedSeconds is how long a call is expected to take.
+func (c *downstreamCalls) expectedSeconds(now, objective time.Duration) float64 {
+	return decayLearned(c.callTime, now-c.learnedAt, objective)
+}
+
+// accrueDebt charges the calls in flight over the elapsed time against this server's share of them.
+func (c *downstreamCalls) accrueDebt(elapsed time.Duration, inFlight int, share float64) {
+	c.debt = max(0, c.debt+elapsed.Seconds()*(float64(inFlight)-share))
+}
+
+// addLinger charges the time that the dependency may go on with a call that was abandoned.
+func (c *downstreamCalls) addLinger(linger time.Duration) { c.debt += linger.Seconds() }
+
+// CallRequested reports that a running request waits for a decision on a downstream call.
 func (in *Instance) CallRequested(now time.Duration, id RequestID) {
-	in.tick(now)
-	r := in.byID[id]
-	if r == nil || r.state != running {
+	in.advanceClock(now)
+	r := in.requests.byID[id]
+	if r == nil || r.state != stateRunning {
 		return
 	}
-	in.progress = in.coreClock
-	r.coreTime += in.coreClock - r.partStart
-	r.callAt = now
-	in.setState(r, asking)
+	in.stall.progressAt = in.clock.core
+	r.run.coreTime += in.clock.core - r.run.partStart
+	r.call.attemptAt = now
+	in.setState(r, stateCallPending)
 }
 
-// CallFinished reports the outcome of a call.
-func (in *Instance) CallFinished(now time.Duration, id RequestID, o Outcome, took time.Duration) {
-	in.tick(now)
-	r := in.byID[id]
-	if r == nil || r.state != calling {
+// CallFinished reports the outcome of a downstream call and how long it took.
+func (in *Instance) CallFinished(now time.Duration, id RequestID, outcome Outcome, took time.Duration) {
+	in.advanceClock(now)
+	r := in.requests.byID[id]
+	if r == nil || r.state != stateCalling {
 		return
 	}
-	if o == OK {
-		if in.callTime == 0 {
-			in.callTime = took.Seconds()
-		}
-		known := in.expectedCall()
-		in.callTime, in.calledAt = known+(took.Seconds()-known)*learnWeight, now
-		r.partStart = in.coreClock
-		in.setState(r, running)
+	if outcome == OK {
+		in.calls.learn(now, in.longestObjective, took)
+		in.resume(r)
 		return
 	}
-	if o == TimedOut {
-		in.callDebt += in.set.CallLinger.Seconds()
+	if outcome == TimedOut {
+		in.calls.addLinger(in.settings.CallLinger)
 	}
-	in.setState(r, asking)
-	r.calls++
-	if o != Rejected && o != Unreachable && o != NotStarted && in.set.Classes[r.class].Effect != Safe {
-		in.answer(r, DeadlineReached) // the call may have had its effect: never a second one
+	in.setState(r, stateCallPending)
+	r.call.failures++
+	if mayHaveTakenEffect(outcome) && in.settings.Classes[r.class].Effect != Safe {
+		in.rejectOrFail(r, DeadlineReached) // a second call could repeat the effect
 		return
 	}
-	r.callAt = now + time.Duration(r.calls)*pollInterval/2
+	r.call.attemptAt = now + time.Duration(r.call.failures)*callRetryInterval
 }
 
-// expectedCall is how long a call takes in seconds.
-func (in *Instance) expectedCall() float64 { return in.faded(in.callTime, in.calledAt) }
+// mayHaveTakenEffect tells whether a call that failed with the outcome may have been carried out.
+func mayHaveTakenEffect(outcome Outcome) bool {
+	switch outcome {
+	case Rejected, Unreachable, NotStarted:
+		return false
+	}
+	return true
+}
+
+// resume puts a request back on the cores after its call was made or skipped.
+func (in *Instance) resume(r *request) {
+	r.run.partStart = in.clock.core
+	in.setState(r, stateRunning)
+}
+
+// expectedCallSeconds is how long a call is expected to take now.
+func (in *Instance) expectedCallSeconds() float64 {
+	return in.calls.expectedSeconds(in.clock.now, in.longestObjective)
+}
 
-// placeCalls decides on the requests that stand at a call.
-func (in *Instance) placeCalls() {
-	if in.atCall == in.inHand {
+// decideCalls decides on the requests that wait for a decision on their call.
+func (in *Instance) decideCalls() {
+	if in.use.offCore == in.use.callsInFlight {
 		return
 	}
-	for _, r := range in.all {
-		if r.state == asking && r.callAt <= in.now {
-			in.placeCall(r)
+	for _, r := range in.requests.byArrival {
+		if r.state == stateCallPending && r.call.attemptAt <= in.clock.now {
+			in.decideCall(r)
 		}
 	}
 }
 
-// placeCall makes the call, skips it or leaves the request to wait.
-func (in *Instance) placeCall(r *request) {
-	c := in.set.Classes[r.class]
-	rest := seconds(in.runTime(r.class) / 2)
-	left := r.useful - in.now - rest
-	if c.SkippedCallWeight > 0 && (r.calls > 2 || left < seconds(in.expectedCall()/2)) {
-		in.do.SkipCall(r.id)
-		r.partStart = in.coreClock
-		in.setState(r, running)
+// decideCall makes the call, skips it or leaves the request to wait.
+func (in *Instance) decideCall(r *request) {
+	class := in.settings.Classes[r.class]
+	restOfRun := seconds(in.expectedCoreTime(r.class) / 2)
+	left := r.objectiveDeadline - in.clock.now - restOfRun
+	if class.SkippedCallWeight > 0 && in.shouldSkipCall(r, left) {
+		in.actions.SkipCall(r.id)
+		in.resume(r)
 		return
 	}
-	timeout := r.due - in.now
-	if c.Effect == Safe && left > 0 {
-		// Some calls hang, whatever the cause: enough time is kept to make another.
-		timeout = min(left, max(left/3, seconds(4*in.expectedCall())))
+	timeout := r.deadline - in.clock.now
+	if class.Effect == Safe && left > 0 {
+		// Some calls hang, whatever the cause: enough time is kept for another attempt.
+		usual := seconds(callTimeoutFactor * in.expectedCallSeconds())
+		timeout = min(left, max(left/callTimeoutDivisor, usual))
 	}
-	if in.set.Downstream == DependencyShared {
-		// All servers' calls in hand must stay under what the dependency survives on the mean: parts under
-		// one and calls that linger are paid for between calls; no call may outlast the time of the mean.
-		if in.inHand > 0 && float64(in.inHand+1) > in.set.FairCallShare || in.callDebt > 0 {
+	if in.settings.Downstream == DependencyShared {
+		if !in.isWithinCallShare() {
 			return
 		}
-		timeout = min(timeout, time.Duration(float64(in.set.CallAveragingTime)*min(in.set.FairCallShare, 1)/2))
+		// No call may outlast the time over which the dependency averages.
+		share := min(in.settings.FairCallShare, 1)
+		timeout = min(timeout, time.Duration(float64(in.settings.CallAveragingTime)*share/2))
+	}
+	in.actions.Call(r.id, max(timeout, in.settings.Tick))
+	in.setState(r, stateCalling)
+}
+
+// shouldSkipCall tells whether a call that may be skipped failed too often or has too little time left.
+func (in *Instance) shouldSkipCall(r *request, left time.Duration) bool {
+	return r.call.failures > maxSkippableFailures || left < seconds(in.expectedCallSeconds()/2)
+}
+
+// isWithinCallShare tells whether one more call keeps the mean of the calls of all servers under what the
+// shared dependency survives. A share under one call allows one at a time and is paid for between calls, as
+// debt.
+func (in *Instance) isWithinCallShare() bool {
+	if in.calls.debt > 0 {
+		return false
 	}
-	in.do.Call(r.id, max(timeout, in.set.Tick))
-	in.setState(r, calling)
+	inFlight := in.use.callsInFlight
+	return inFlight == 0 || float64(inFlight+1) <= in.settings.FairCallShare
 }
--- a/admission/events.go
+++ b/admission/events.go
@@ -8,132 +8,183 @@
 )
 
 const (
-	// pollInterval is the time between two readings of the gauges: a fifth of what they average over.
+	// pollInterval is the time between two uses of the gauges: a fifth of the time over which they average.
 	pollInterval = 100 * time.Millisecond
-	// answerTicks is how many ticks before its due time a request is answered.
+	// answerTicks is how many ticks before its deadline a request is answered.
 	answerTicks = 2
+	// maxSweepInterval is the longest time between two sweeps.
+	maxSweepInterval = time.Hour
+	// finishedSlack is how many finished requests the list may hold, beside as many as there are unfinished
+	// ones, before they are swept: decisions range over the list.
+	finishedSlack = 64
+	// minQuota is the least quota in requests a second, so that no threshold is 0.
+	minQuota = 1e-3
 )
 
-// New returns an Instance for the settings, or an error that names a field on which no instance can run.
-func New(s Settings, a Actions) (*Instance, error) {
-	if err := validate(s); err != nil {
+// New returns an Instance for the settings, or an error that names a field that makes no sense.
+func New(settings Settings, actions Actions) (*Instance, error) {
+	if err := validate(settings); err != nil {
 		return nil, err
 	}
-	in := &Instance{set: s, do: a, byID: map[RequestID]*request{}, unrun: map[RequestID]bool{},
-		keys: make([][]*key, len(s.Classes)), classes: make([]classStats, len(s.Classes)),
-		concurrencyLimit: float64(s.Cores), runnable: -1, weight: 1, advertised: -1, healthy: true}
-	for _, c := range s.Classes {
-		in.longestAim = max(in.longestAim, c.LatencyObjective)
+	in := &Instance{
+		settings: settings,
+		actions:  actions,
+		requests: requestTable{byID: map[RequestID]*request{}},
+		classes:  make([]classState, len(settings.Classes)),
+		keys: idempotencyKeys{
+			byClass:    make([][]*keyEntry, len(settings.Classes)),
+			notStarted: map[RequestID]bool{},
+		},
+		limiter:  concurrencyLimiter{runnable: -1, limit: float64(settings.Cores)},
+		feedback: loadFeedback{trafficWeight: 1, advertised: -1, isHealthy: true},
 	}
-	for _, t := range s.Tenants {
-		in.quotas += max(t.Quota, 1e-3)
+	for _, class := range settings.Classes {
+		in.longestObjective = max(in.longestObjective, class.LatencyObjective)
 	}
-	// An arrival halves about when its answer is due: a surge shows and ends as the work that it brings does.
-	in.lambda = math.Ln2 / in.longestAim.Seconds()
+	for _, tenant := range settings.Tenants {
+		in.rates.totalQuota += max(tenant.Quota, minQuota)
+	}
+	// An arrival halves about when its answer is due: a surge begins and ends as its work does.
+	in.rates.decay = math.Ln2 / in.longestObjective.Seconds()
 	return in, nil
 }
 
+// advanceClock moves the clocks to now, and begins the service at the first event.
+func (in *Instance) advanceClock(now time.Duration) {
+	if !in.clock.isStarted {
+		in.clock.isStarted = true
+		in.clock.startedAt = now
+		in.clock.now = now
+		in.schedule.nextPoll = now
+		in.actions.SetHealth(true, true)
+	}
+	if now <= in.clock.now {
+		return
+	}
+	elapsed := now - in.clock.now
+	// A timer fires at each poll of the gauges: in a longer gap the whole process was paused, its runs too.
+	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * in.coreShare()
+	in.calls.accrueDebt(elapsed, in.use.callsInFlight, in.settings.FairCallShare)
+	in.clock.now = now
+}
+
+// coreShare is the part of a core that each running request gets.
+func (in *Instance) coreShare() float64 {
+	if in.use.running == 0 {
+		return 0
+	}
+	return float64(in.settings.Cores) / float64(max(in.use.running, in.settings.Cores))
+}
+
 // Cancel reports that the caller of a request no longer waits.
 func (in *Instance) Cancel(now time.Duration, id RequestID) {
-	in.tick(now)
-	if r := in.byID[id]; r != nil && r.state != ended {
+	in.advanceClock(now)
+	r := in.requests.byID[id]
+	if r != nil && r.state != stateAbandoned {
 		in.finish(r)
 	}
 }
 
-// RunFinished reports the end of a run or of a reuse.
-func (in *Instance) RunFinished(now time.Duration, id RequestID, o Outcome) {
-	in.tick(now)
-	r := in.byID[id]
-	if r == nil || r.state == held || r.state == follows {
+// RunFinished reports the end of a run or of a replay.
+func (in *Instance) RunFinished(now time.Duration, id RequestID, outcome Outcome) {
+	in.advanceClock(now)
+	r := in.requests.byID[id]
+	if r == nil || r.state == stateQueued || r.state == stateFollowing {
 		return
 	}
-	if r.state == running || r.state == ended && o != Cancelled {
-		in.progress = in.coreClock
-	}
-	if r.state == running {
-		r.coreTime += in.coreClock - r.partStart
-		if o == OK {
-			in.learn(r.class, r.coreTime, (now - r.began).Seconds())
-			in.longest = max(in.longest, (now - r.began).Seconds())
-			in.completions.count(now, in.lambda)
-		} else {
-			in.countWasted(r)
-		}
+	if r.state == stateRunning || r.state == stateAbandoned && outcome != Cancelled {
+		in.stall.progressAt = in.clock.core
+	}
+	if r.state == stateRunning {
+		in.learnFromRun(now, r, outcome)
+	}
+	if outcome == Cancelled && r.state != stateAbandoned && r.state != stateReplaying {
+		in.actions.Fail(r.id) // stopped, though its answer is still owed
 	}
-	if o == Cancelled && r.state != ended && r.state != echoing {
-		in.do.Fail(r.id) // stopped, though its answer is still owed
+	in.remove(r)
+}
+
+// learnFromRun updates the estimates by a run that ended.
+func (in *Instance) learnFromRun(now time.Duration, r *request, outcome Outcome) {
+	r.run.coreTime += in.clock.core - r.run.partStart
+	estimator := &in.classes[r.class].runTime
+	if outcome != OK {
+		estimator.countFailure(in.clock.now)
+		return
 	}
-	in.setState(r, over)
-	delete(in.byID, r.id)
+	wallTime := (now - r.run.startedAt).Seconds()
+	estimator.learn(in.clock.now, in.longestObjective, r.run.coreTime, wallTime)
+	in.stall.longestRun = max(in.stall.longestRun, wallTime)
+	in.rates.completions.count(now, in.rates.decay)
 }
 
-// margin is how long before its due time a request is answered.
-func (in *Instance) margin() time.Duration { return answerTicks * in.set.Tick }
+// answerMargin is how long before its deadline a request is answered.
+func (in *Instance) answerMargin() time.Duration { return answerTicks * in.settings.Tick }
 
-// Timer reports that the time asked for has passed, with the server's gauges.
-func (in *Instance) Timer(now time.Duration, _ uint32, g Gauges) {
-	in.tick(now)
-	if now >= in.wakeAt {
-		in.wakeAt = 0
+// Timer reports that the time of SetTimer has passed, with the server's gauges.
+func (in *Instance) Timer(now time.Duration, _ uint32, gauges Gauges) {
+	in.advanceClock(now)
+	if now >= in.schedule.timerAt {
+		in.schedule.timerAt = 0
 	}
-	if now < in.nextPoll {
+	if now < in.schedule.nextPoll {
 		return
 	}
-	in.nextPoll = now + pollInterval
-	if g.Utilization >= 0 {
-		in.busy, in.runnable = g.Utilization, g.Runnable
-	}
-	in.countCallers()
-	in.adjustLimit()
-	in.watchStall()
+	in.schedule.nextPoll = now + pollInterval
+	in.limiter.read(gauges)
+	in.countLiveCallers()
+	in.adjustConcurrencyLimit()
+	in.detectStall()
 	in.updateIdleTimeout()
 	in.updateFeedback()
 }
 
-// Settle acts on what the last group of events left to do.
+// Settle ends a group of simultaneous events and decides on what they left to do.
 func (in *Instance) Settle(now time.Duration) {
-	in.tick(now)
-	in.expireKeys()
-	if now+in.margin() >= in.nextDue || len(in.all) > 2*len(in.byID)+64 {
-		in.sweep() // also where most are over: what follows ranges over all
+	in.advanceClock(now)
+	in.keys.expire(in.clock.now, in.settings.Tick)
+	isDeadlineNear := now+in.answerMargin() >= in.schedule.nextDeadline
+	isListStale := len(in.requests.byArrival) > 2*len(in.requests.byID)+finishedSlack
+	if isDeadlineNear || isListStale {
+		in.sweep()
 	}
-	in.rejectUseless()
+	in.rejectFromQueue()
 	in.startQueued()
-	in.placeCalls()
-	clear(in.unrun)
+	in.decideCalls()
+	clear(in.keys.notStarted)
 	in.setTimer()
 }
 
-// sweep answers all that is due and finds the next due time.
+// sweep answers all requests whose deadline has come, drops finished ones and finds the next deadline.
 func (in *Instance) sweep() {
-	in.nextDue = in.now + time.Hour
-	kept := in.all[:0]
-	all := in.all
+	in.schedule.nextDeadline = in.clock.now + maxSweepInterval
+	all := in.requests.byArrival
 	for _, r := range all {
-		if r.state != over && r.state != ended && r.due <= in.now+in.margin() {
-			in.answer(r, DeadlineReached)
+		isOwed := r.state != stateFinished && r.state != stateAbandoned
+		if isOwed && r.deadline <= in.clock.now+in.answerMargin() {
+			in.rejectOrFail(r, DeadlineReached)
 		}
 	}
+	kept := all[:0]
 	for _, r := range all {
-		if r.state == over {
+		if r.state == stateFinished {
 			continue
 		}
 		kept = append(kept, r)
-		if r.state != ended {
-			in.nextDue = min(in.nextDue, r.due)
+		if r.state != stateAbandoned {
+			in.schedule.nextDeadline = min(in.schedule.nextDeadline, r.deadline)
 		}
 	}
-	in.all = kept
+	in.requests.byArrival = kept
 }
 
-// setTimer asks for one timer, for the earliest thing to do.
+// setTimer asks for one timer, for the earliest thing to do, unless an earlier one was asked for.
 func (in *Instance) setTimer() {
-	next := min(in.nextPoll, in.nextDue-in.margin())
-	next = max(next, in.now+in.set.Tick)
-	if in.wakeAt != 0 && in.wakeAt <= next {
+	next := min(in.schedule.nextPoll, in.schedule.nextDeadline-in.answerMargin())
+	next = max(next, in.clock.now+in.settings.Tick)
+	if in.schedule.timerAt != 0 && in.schedule.timerAt <= next {
 		return
 	}
-	in.wakeAt = next
-	in.do.SetTimer(next-in.now, 0)
+	in.schedule.timerAt = next
+	in.actions.SetTimer(next-in.clock.now, 0)
 }
--- /dev/null
+++ b/internal/clustersim/checker.go
@@ -0,0 +1,292 @@
+package clustersim
+
+import (
+	"fmt"
+	"time"
+)
+
+// Rule is one of the invariants that hold whatever a server's policy decides.
+type Rule string
+
+// The rules.
+const (
+	RuleLost      Rule = "lost"      // each request gets exactly one final response, in time
+	RuleDuplicate Rule = "duplicate" // a keyed request runs once within its window, and is not rejected after it ran
+	RuleDrain     Rule = "drain"     // nothing runs that arrived after the grace period, and all is answered before the end
+	RuleCrash     Rule = "fall-over" // memory and cores are not overloaded until the server crashes
+)
+
+// maxViolationMessages is the number of violations that are described. All are counted.
+const maxViolationMessages = 20
+
+// ruleChecker checks the rules from outside: it is notified of what happens and keeps its own account, which shares no
+// state with the servers that it checks.
+type ruleChecker struct {
+	config       *Config
+	attempts     map[uint64]*checkedAttempt // by number
+	servers      []checkedServer
+	openAttempts int // that arrived and have no response
+	violations   map[Rule]int
+	messages     []string
+}
+
+// checkedAttempt is the checker's account of an attempt.
+type checkedAttempt struct {
+	key          uint64
+	isKeyed      bool
+	window       time.Duration // of the key
+	deadline     time.Duration
+	sizeKB       float64
+	server       int
+	arrivedAt    time.Duration
+	pausedBefore time.Duration // checkedServer.pausedTime at the arrival
+	readAt       time.Duration
+	arrived      bool
+	read         bool
+	running      bool
+	ran          bool
+	answered     bool
+}
+
+// checkedServer is the checker's account of a server's process.
+type checkedServer struct {
+	memoryKB        float64                  // of queued and running requests
+	keyExpiries     []time.Duration          // ascending but for a few
+	expiryByAttempt map[uint64]time.Duration // of kept keys
+	lastRunArrival  map[uint64]time.Duration // by key: arrival of the attempt that ran
+	attempts        map[uint64]bool          // that the process has and that have not ended
+	graceEnd        time.Duration            // if draining
+	draining        bool
+	pausedTime      time.Duration // for which the machine stood still; it survives the process
+}
+
+func newRuleChecker(c *Config) *ruleChecker {
+	return &ruleChecker{
+		config:     c,
+		attempts:   map[uint64]*checkedAttempt{},
+		servers:    make([]checkedServer, c.Servers.Count),
+		violations: map[Rule]int{},
+	}
+}
+
+// recordViolation counts a violation and describes it if there are not too many.
+func (c *ruleChecker) recordViolation(r Rule, format string, args ...any) {
+	c.violations[r]++
+	if len(c.messages) < maxViolationMessages {
+		c.messages = append(c.messages, string(r)+": "+fmt.Sprintf(format, args...))
+	}
+}
+
+// serverStarted is called when a process starts.
+func (c *ruleChecker) serverStarted(server int) {
+	c.servers[server] = checkedServer{
+		expiryByAttempt: map[uint64]time.Duration{},
+		lastRunArrival:  map[uint64]time.Duration{},
+		attempts:        map[uint64]bool{},
+		pausedTime:      c.servers[server].pausedTime,
+	}
+}
+
+// attemptSent is called when a gateway sends an attempt.
+func (c *ruleChecker) attemptSent(number, key uint64, class *Class, sizeKB float64) {
+	c.attempts[number] = &checkedAttempt{
+		key:      key,
+		isKeyed:  class.IdempotentByKey,
+		window:   class.KeyWindow,
+		deadline: class.Deadline,
+		sizeKB:   sizeKB,
+	}
+}
+
+// attemptArrived is called when a server accepts an attempt.
+func (c *ruleChecker) attemptArrived(number uint64, server int, now time.Duration) {
+	a, s := c.attempts[number], &c.servers[server]
+	a.server, a.arrivedAt, a.arrived, a.pausedBefore = server, now, true, s.pausedTime
+	s.attempts[number] = true
+	c.openAttempts++
+}
+
+// attemptRead is called when a server has read an attempt's request.
+func (c *ruleChecker) attemptRead(number uint64, now time.Duration) {
+	a := c.attempts[number]
+	a.read, a.readAt = true, now
+	c.servers[a.server].memoryKB += a.sizeKB
+}
+
+// attemptAnswered is called for every result of an attempt, including refused connections.
+func (c *ruleChecker) attemptAnswered(number uint64, o outcome, now time.Duration) {
+	checked := c.attempts[number]
+	switch {
+	case checked == nil:
+		c.recordViolation(RuleLost, "try %d is answered after its end, at %v", number, now)
+		return
+	case checked.answered:
+		c.recordViolation(RuleLost, "try %d is answered twice, at %v", number, now)
+		return
+	}
+	checked.answered = true
+	if !checked.arrived {
+		delete(c.attempts, number)
+		return
+	}
+	c.openAttempts--
+	if latest := c.latestResponse(checked); o != outcomeConnectionLost && now > latest {
+		c.recordViolation(RuleLost, "try %d is answered at %v, %v late", number, now, now-latest)
+	}
+	if o == outcomeRejected && checked.isKeyed && checked.ran {
+		c.recordViolation(RuleDuplicate, "try %d ran and is turned away at %v", number, now)
+	}
+	if !checked.running {
+		c.release(number, checked)
+	}
+}
+
+// latestResponse is the time until which an attempt must be answered. What is read after its deadline can't be answered
+// sooner, and the time for which the machine was paused doesn't count.
+func (c *ruleChecker) latestResponse(a *checkedAttempt) time.Duration {
+	deadline := max(a.arrivedAt+a.deadline, a.readAt)
+	return deadline + c.config.Servers.ResponseTolerance + c.servers[a.server].pausedTime - a.pausedBefore
+}
+
+// release removes an attempt that is answered and does not run.
+func (c *ruleChecker) release(number uint64, a *checkedAttempt) {
+	s := &c.servers[a.server]
+	if a.read {
+		s.memoryKB -= a.sizeKB
+	}
+	delete(s.attempts, number)
+	delete(c.attempts, number)
+}
+
+// runStarted is called when an attempt starts to run.
+func (c *ruleChecker) runStarted(number uint64, server int, now time.Duration) {
+	checked, s := c.attempts[number], &c.servers[server]
+	if checked == nil {
+		c.recordViolation(RuleLost, "try %d runs after its end, at %v", number, now)
+		return
+	}
+	if checked.isKeyed {
+		if first, ok := s.lastRunArrival[checked.key]; ok && checked.arrivedAt < first+checked.window {
+			c.recordViolation(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", checked.key, server, now, checked.arrivedAt-first)
+		}
+		s.lastRunArrival[checked.key] = checked.arrivedAt
+	}
+	if s.draining && checked.arrivedAt > s.graceEnd {
+		c.recordViolation(RuleDrain, "try %d came %v after the grace and runs", number, checked.arrivedAt-s.graceEnd)
+	}
+	checked.running, checked.ran = true, true
+	s.memoryKB += checked.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
+}
+
+// runEnded is called when a run ends or is stopped.
+func (c *ruleChecker) runEnded(number uint64, server int) {
+	a := c.attempts[number]
+	if a == nil {
+		return
+	}
+	a.running = false
+	c.servers[server].memoryKB -= a.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
+	if a.answered {
+		c.release(number, a)
+	}
+}
+
+// keyKept is called when a server keeps an attempt's key, or keeps it for longer.
+func (c *ruleChecker) keyKept(server int, number uint64, until time.Duration) {
+	s := &c.servers[server]
+	if _, isKept := s.expiryByAttempt[number]; !isKept {
+		s.keyExpiries = append(s.keyExpiries, until)
+	}
+	s.expiryByAttempt[number] = until
+}
+
+// keyReleased is called when a server releases an attempt's key.
+func (c *ruleChecker) keyReleased(server int, number uint64) {
+	s := &c.servers[server]
+	until, ok := s.expiryByAttempt[number]
+	if !ok {
+		return
+	}
+	delete(s.expiryByAttempt, number)
+	for i := len(s.keyExpiries) - 1; i >= 0; i-- {
+		if s.keyExpiries[i] == until {
+			s.keyExpiries = append(s.keyExpiries[:i], s.keyExpiries[i+1:]...)
+			return
+		}
+	}
+}
+
+// expiredKeysKept is how many attempts with expired keys are remembered at least before they are removed.
+const expiredKeysKept = 1000
+
+// removeExpiredKeys removes the keys that expired before now.
+func (s *checkedServer) removeExpiredKeys(now time.Duration) {
+	for len(s.keyExpiries) > 0 && s.keyExpiries[0] < now {
+		s.keyExpiries = s.keyExpiries[1:]
+	}
+	if len(s.expiryByAttempt) <= 2*len(s.keyExpiries)+expiredKeysKept {
+		return
+	}
+	for number, until := range s.expiryByAttempt { // the order of the map does not matter
+		if until < now {
+			delete(s.expiryByAttempt, number)
+		}
+	}
+}
+
+// exceedsMemory reports whether a server needs more memory than it has, which violates a rule.
+func (c *ruleChecker) exceedsMemory(server int, now time.Duration) bool {
+	s := &c.servers[server]
+	s.removeExpiredKeys(now)
+	need := s.memoryKB + float64(len(s.keyExpiries))*c.config.Servers.KeyKB
+	if need <= c.config.Servers.MemoryKB {
+		return false
+	}
+	c.serverCrashed(server, now, fmt.Sprintf("a need of %.0f KB of %.0f", need, c.config.Servers.MemoryKB))
+	return true
+}
+
+// serverCrashed is called when a server crashes by its own load.
+func (c *ruleChecker) serverCrashed(server int, now time.Duration, cause string) {
+	c.recordViolation(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
+}
+
+// drainStarted is called when a process begins to drain.
+func (c *ruleChecker) drainStarted(server int, graceEnd time.Duration) {
+	s := &c.servers[server]
+	s.draining, s.graceEnd = true, graceEnd
+}
+
+// machinePaused is called after a machine was paused.
+func (c *ruleChecker) machinePaused(server int, d time.Duration) { c.servers[server].pausedTime += d }
+
+// serverStopped is called when a process ends. A drained process must have answered all that it has read. One that is
+// killed has an excuse, and unread requests were never accepted.
+func (c *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
+	s, unanswered := &c.servers[server], 0
+	for number := range s.attempts { // the order of the map does not matter: they are only counted
+		a := c.attempts[number]
+		if a.read && !a.answered && !killed {
+			unanswered++
+		}
+		a.running = false
+		if a.answered {
+			delete(c.attempts, number)
+		} else {
+			a.read = false // its memory is freed with the process
+		}
+	}
+	if unanswered > 0 {
+		c.recordViolation(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, unanswered)
+	}
+	s.memoryKB, s.attempts = 0, map[uint64]bool{}
+}
+
+// finish records the attempts that were never answered.
+func (c *ruleChecker) finish(now time.Duration) {
+	if c.openAttempts <= 0 {
+		return
+	}
+	c.violations[RuleLost] += c.openAttempts
+	c.messages = append(c.messages, fmt.Sprintf("%s: %d tries were not answered by the end at %v", RuleLost, c.openAttempts, now))
+}
--- /dev/null
+++ b/internal/forward/forwarder.go
@@ -0,0 +1,180 @@
+package forward
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"tillerusher/internal/eventloop"
+	"tillerusher/internal/gateway"
+	"tillerusher/internal/pool"
+	"tillerusher/internal/routeconfig"
+)
+
+// Handler is told of the outcomes of requests and of changes in pools.
+type Handler interface {
+	// RequestFinished is called once for each request. Where no member responded, the response has only the status that
+	// nginx has for that: 504 where a member took too long, 502 otherwise.
+	RequestFinished(id string, outcome Outcome, r gateway.Response)
+	// MemberChanged says that a member of a pool is out, in, ejected or gone.
+	MemberChanged(pool string, c pool.StateChange)
+}
+
+// Stats counts what was sent to members.
+type Stats struct {
+	Attempts         uint64
+	Retries          uint64 // attempts but the first of a request
+	Rejected         uint64 // attempts that the member rejected as overloaded
+	Timeouts         uint64
+	Errors           uint64 // connections that failed or could not be begun
+	InvalidResponses uint64
+	Dials            uint64
+	ReusedConns      uint64
+	RetryDecisions   [8]uint64 // by pool.RetryDecision, of failed attempts
+}
+
+// Forwarder sends requests to members of pools.
+type Forwarder struct {
+	loop     *eventloop.Loop
+	handler  Handler
+	start    time.Time
+	pools    map[string]*targetPool
+	requests map[string]*pendingRequest
+	Stats    Stats
+}
+
+// targetPool is a pool with its connections.
+type targetPool struct {
+	config    routeconfig.Pool
+	protocol  *protocol
+	balancer  *pool.Pool
+	idle      map[string][]*conn // by member, the one used last at the end
+	idleCount int
+}
+
+// New returns a forwarder without pools.
+func New(l *eventloop.Loop, h Handler) *Forwarder {
+	return &Forwarder{loop: l, handler: h, start: l.Now(), pools: map[string]*targetPool{}, requests: map[string]*pendingRequest{}}
+}
+
+// now returns the time that the pools go by.
+func (f *Forwarder) now() time.Duration { return f.loop.Now().Sub(f.start) }
+
+// Update replaces the pools. Those that stay keep what is known of their members; the others lose their idle connections,
+// and requests under way end as they would have.
+func (f *Forwarder) Update(configs []routeconfig.Pool, newRand func() *rand.Rand) error {
+	next := make(map[string]*targetPool, len(configs))
+	for _, config := range configs {
+		target, err := f.updatedPool(config, newRand)
+		if err != nil {
+			return err
+		}
+		next[config.Name] = target
+	}
+	for name, target := range f.pools {
+		if next[name] == nil {
+			target.closeAllIdle()
+		}
+	}
+	f.pools = next
+	for _, target := range next {
+		target.closeIdleOfRemoved()
+		f.reportChanges(target)
+	}
+	return nil
+}
+
+// updatedPool returns the pool of the configuration: the one there is, or a new one.
+func (f *Forwarder) updatedPool(config routeconfig.Pool, newRand func() *rand.Rand) (*targetPool, error) {
+	target := f.pools[config.Name]
+	if target == nil {
+		balancer, err := pool.New(config.Config, newRand(), f.now())
+		if err != nil {
+			return nil, err
+		}
+		target = &targetPool{balancer: balancer, idle: map[string][]*conn{}}
+	} else if err := target.balancer.Update(config.Config, f.now()); err != nil {
+		return nil, err
+	}
+	if target.config.Protocol != config.Protocol {
+		target.closeAllIdle() // they speak the old protocol
+		protocol, err := newProtocol(config.Protocol)
+		if err != nil {
+			return nil, err
+		}
+		target.protocol = protocol
+	}
+	target.config = config
+	return target, nil
+}
+
+// closeIdleOfRemoved closes the idle connections to members that are no longer configured.
+func (t *targetPool) closeIdleOfRemoved() {
+	isMember := make(map[string]bool, len(t.config.Members))
+	for _, member := range t.config.Members {
+		isMember[member.Addr] = true
+	}
+	t.closeIdle(func(addr string) bool { return !isMember[addr] })
+}
+
+// closeAllIdle closes the idle connections to all members.
+func (t *targetPool) closeAllIdle() { t.closeIdle(func(string) bool { return true }) }
+
+// closeIdle closes the idle connections to the members for which matches holds.
+func (t *targetPool) closeIdle(matches func(addr string) bool) {
+	for addr, conns := range t.idle {
+		if !matches(addr) {
+			continue
+		}
+		for _, c := range conns {
+			c.close()
+			t.idleCount--
+		}
+		delete(t.idle, addr)
+	}
+}
+
+// reportChanges hands on the changes of a pool's members.
+func (f *Forwarder) reportChanges(target *targetPool) {
+	for _, change := range target.balancer.TakeChanges() {
+		f.handler.MemberChanged(target.config.Name, change)
+	}
+}
+
+// PoolState is a pool's state at a time.
+type PoolState struct {
+	Name        string
+	IdleConns   int
+	RetryBudget float64 // retries that could be made at once
+	Members     []pool.MemberStatus
+}
+
+// PoolStates returns the states of all pools, sorted by name.
+func (f *Forwarder) PoolStates() []PoolState {
+	states := make([]PoolState, 0, len(f.pools))
+	for name, target := range f.pools {
+		states = append(states, PoolState{
+			Name:        name,
+			IdleConns:   target.idleCount,
+			RetryBudget: target.balancer.AvailableRetries(f.now()),
+			Members:     target.balancer.MemberStatuses(),
+		})
+	}
+	slices.SortFunc(states, func(a, b PoolState) int { return strings.Compare(a.Name, b.Name) })
+	return states
+}
+
+// Close closes all connections. No request under way is reported.
+func (f *Forwarder) Close() {
+	for _, r := range f.requests {
+		if r.conn != nil {
+			r.conn.request = nil
+			r.conn.close()
+		}
+	}
+	clear(f.requests)
+	for _, target := range f.pools {
+		target.closeAllIdle()
+	}
+}
--- /dev/null
+++ b/internal/routeconfig/parse.go
@@ -0,0 +1,140 @@
+package routeconfig
+
+import (
+	"os"
+	"path/filepath"
+	"strconv"
+	"time"
+
+	"tillerusher/internal/sexp"
+)
+
+// Load reads a configuration and all files that it includes. An error has its file and position: it is a *sexp.Error, or a
+// *route.ConfigError for patterns that can't be used, unless the file can't be read.
+func Load(path string) (*Config, error) {
+	forms, err := sexp.ParseFiles(path, os.ReadFile, filepath.Glob)
+	if err != nil {
+		return nil, err
+	}
+	return parseConfig(forms)
+}
+
+// Parse reads a configuration from one text without includes. The file's name is for messages. Errors are those of Load.
+func Parse(file string, text []byte) (*Config, error) {
+	forms, err := sexp.Parse(file, text)
+	if err != nil {
+		return nil, err
+	}
+	return parseConfig(forms)
+}
+
+// formParsers are the functions that read the forms of a list, by the names of the forms.
+type formParsers = map[string]func(form sexp.Node) error
+
+// parseConfig reads the forms of a configuration. It can be used: references and patterns are checked.
+func parseConfig(forms []sexp.Node) (*Config, error) {
+	config := &Config{Capacity: DefaultCapacity}
+	once := formParsers{"capacity": sexp.Int(&config.Capacity, 1, 1e6)}
+	often := formParsers{
+		"class": func(form sexp.Node) error {
+			class, err := parseClass(form)
+			config.Classes = append(config.Classes, class)
+			return err
+		},
+		"pool": func(form sexp.Node) error {
+			pool, err := parsePool(form)
+			config.Pools = append(config.Pools, pool)
+			return err
+		},
+		"server": func(form sexp.Node) error {
+			server, err := parseServer(form)
+			config.Servers = append(config.Servers, server)
+			return err
+		},
+	}
+	if err := sexp.ReadForms(forms, once, often); err != nil {
+		return nil, err
+	}
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	_, err := config.BuildTable()
+	return config, err
+}
+
+// parseClass reads (class NAME FORM ...).
+func parseClass(n sexp.Node) (c Class, err error) {
+	c = Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Pos: n.Pos}
+	if c.Name, err = n.WordAt(1, "the name of a class"); err != nil {
+		return c, err
+	}
+	effect := string(EffectSafe)
+	err = sexp.ReadFields(n.ItemsFrom(2), formParsers{
+		"aim":      sexp.Duration(&c.LatencyObjective, time.Millisecond, time.Hour),
+		"deadline": sexp.Duration(&c.Deadline, time.Millisecond, time.Hour),
+		"effect": sexp.OneOf(&effect, string(EffectSafe), string(EffectIdempotentByKey), string(EffectNonIdempotent),
+			string(EffectByMethod)),
+		"window": sexp.Duration(&c.KeyWindow, time.Millisecond, 24*time.Hour),
+		"worth":  sexp.Number(&c.Weight, 0, 1e6),
+	})
+	c.Effect = Effect(effect)
+	switch {
+	case err != nil:
+		return c, err
+	case c.Deadline < c.LatencyObjective:
+		return c, sexp.Errorf(n.Pos, "class %s: the deadline %v is shorter than the aim %v", c.Name, c.Deadline,
+			c.LatencyObjective)
+	case c.Effect == EffectIdempotentByKey && c.KeyWindow == 0:
+		return c, sexp.Errorf(n.Pos, "class %s is keyed and has no (window ...)", c.Name)
+	}
+	return c, nil
+}
+
+// parseParam returns a parser of (param NAME VALUE).
+func parseParam(to *[]Param) func(sexp.Node) error {
+	return func(form sexp.Node) error {
+		args := form.Args()
+		if len(args) != 2 || args[0].Kind == sexp.List || args[1].Kind == sexp.List {
+			return sexp.Errorf(form.Pos, "want (param NAME VALUE)")
+		}
+		*to = append(*to, Param{args[0].Text, args[1].Text})
+		return nil
+	}
+}
+
+// The words of forms that are switched on or off.
+const (
+	wordYes = "yes"
+	wordNo  = "no"
+)
+
+// parseYesNo returns a parser of (NAME yes) and (NAME no).
+func parseYesNo(to *bool) func(sexp.Node) error {
+	return func(form sexp.Node) error {
+		var word string
+		err := sexp.OneOf(&word, wordYes, wordNo)(form)
+		*to = word == wordYes
+		return err
+	}
+}
+
+// parsePresence returns a parser of (NAME), which sets a variable by being there.
+func parsePresence(to *bool) func(sexp.Node) error {
+	return func(form sexp.Node) error {
+		*to = true
+		return form.RequireNoArgs()
+	}
+}
+
+// The range of statuses, and the first one that a fallback may take over for.
+const (
+	MinStatus         = 100
+	MinFallbackStatus = 300
+	maxStatus         = 599
+)
+
+// ParseStatus reads a status that is no smaller than the least one.
+func ParseStatus(text string, least int) (status int, ok bool) {
+	status, err := strconv.Atoi(text)
+	return status, err == nil && status >= least && status <= maxStatus
+}
--- /dev/null
+++ b/internal/store/disk_failure_test.go
@@ -0,0 +1,122 @@
+package store
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/pebble/vfs"
+	"github.com/cockroachdb/pebble/vfs/errorfs"
+)
+
+// writeDeadline is how long a store may take to report how a write ended, far more than it needs.
+const writeDeadline = 30 * time.Second
+
+// failingDisk is a file layer whose writes fail after so many calls.
+type failingDisk struct {
+	vfs.FS
+	callsLeft atomic.Int64
+	cause     error
+}
+
+// unlimited is more calls than a test makes.
+const unlimited = 1 << 40
+
+// newFailingDisk returns a disk that works until callsLeft is set.
+func newFailingDisk(cause error) *failingDisk {
+	d := &failingDisk{cause: cause}
+	d.callsLeft.Store(unlimited)
+	d.FS = errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
+		if d.callsLeft.Add(-1) < 0 && op.OpKind() == errorfs.OpKindWrite && op != errorfs.OpFileClose {
+			return d.cause
+		}
+		return nil
+	}))
+	return d
+}
+
+// failAndRecover has the disk fail until writes do, and work again, and returns how many writes failed.
+func (d *failingDisk) failAndRecover(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) (failed int) {
+	t.Helper()
+	d.callsLeft.Store(rng.Int64N(300))
+	for i := 0; failed < 3 && i < 2000; i++ {
+		if !putRandom(t, s, rng, durable) {
+			failed++
+		}
+	}
+	d.callsLeft.Store(unlimited)
+	if failed == 0 {
+		t.Fatal("a disk that fails was not noticed")
+	}
+	for attempt := 0; !putRandom(t, s, rng, durable); attempt++ {
+		if attempt == 5 {
+			t.Fatal("the disk works, and writes fail")
+		}
+	}
+	return failed
+}
+
+// checkDurable compares the records of a store with those that were reported as durable.
+func checkDurable(t *testing.T, s *Store, durable map[string]string, when string) {
+	t.Helper()
+	got := contents(t, s)
+	for name, value := range durable {
+		if value != "" && got[name] != value {
+			t.Fatalf("%s: %s was reported as durable and is %.20q, want %.20q", when, name, got[name], value)
+		}
+	}
+}
+
+// TestDiskRecovers has a disk that is full or fails from a random call to the file layer on, under enough writes for files to
+// be created and compacted: each write is reported, nothing that was reported as durable is lost, and the store writes again
+// once the disk works, without being opened anew.
+func TestDiskRecovers(t *testing.T) {
+	seed := rand.Uint64()
+	t.Logf("seed %d", seed)
+	rng := rand.New(rand.NewPCG(seed, 0))
+	failures, opened := 0, 0
+	for round := range 60 {
+		disk := newFailingDisk([]error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)])
+		s := open(t, disk)
+		durable := map[string]string{}
+		for range 3 {
+			failures += disk.failAndRecover(t, s, rng, durable)
+		}
+		checkDurable(t, s, durable, fmt.Sprintf("round %d, open", round))
+		opened += int(s.Stats().Reopens)
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+		s = open(t, disk)
+		checkDurable(t, s, durable, fmt.Sprintf("round %d, opened anew", round))
+		s.Close()
+	}
+	t.Logf("%d writes failed, %d times the database was opened again", failures, opened)
+}
+
+// putRandom writes a record, and notes in durable what was reported: after a failure either value may be there.
+func putRandom(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) bool {
+	t.Helper()
+	name := fmt.Sprint("k", rng.IntN(50))
+	value := make([]byte, 20000)
+	for i := range value {
+		value[i] = byte(rng.Uint32())
+	}
+	done := make(chan error, 1)
+	if err := s.Write([]Change{{Name: name, Value: value}}, func(err error) { done <- err }); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case err := <-done:
+		if durable[name] = string(value); err != nil {
+			durable[name] = ""
+		}
+		return err == nil
+	case <-time.After(writeDeadline):
+		t.Fatal("the end of a write is not reported")
+		return false
+	}
+}
