--- a/cmd/catalogue-server/kill_test.go
+++ b/cmd/catalogue-server/kill_test.go
@@ -21,8 +21,8 @@
 // maxKills is how often TestKills kills a server at the most, until one left a record: early kills leave none.
 const maxKills = 50
 
-// TestKills kills recorded servers with SIGKILL at random points of a load: each capture is read up to its last whole
-// block, starts anew in the same directory overwrite nothing, and the same decisions come out.
+// TestKills kills recording servers with SIGKILL at random points of a load: each capture is read up to its last whole
+// block, a start in the same directory overwrites nothing, and the replay makes the same decisions.
 func TestKills(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -40,7 +40,7 @@
 		ended := make(chan bool)
 		go func() {
 			defer close(ended)
-			flood(n.Addr, &answers)
+			sendContinuously(n.Addr, &answers)
 		}()
 		servertest.WaitFor(t, "answers", func() bool { return answers.Load() >= most })
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // anywhere between two of them
@@ -83,8 +83,8 @@
 		kill, records, torn, unanswered, killedEarly)
 }
 
-// flood keeps requests of all kinds open on one connection until that ends.
-func flood(addr string, answers *atomic.Int64) {
+// sendContinuously keeps requests of all kinds open on one connection until that ends.
+func sendContinuously(addr string, answers *atomic.Int64) {
 	g, err := fake.Dial(addr)
 	if err != nil {
 		return
--- /dev/null
+++ b/internal/metrics/names.go
@@ -0,0 +1,49 @@
+package metrics
+
+import "strings"
+
+// metricWords pins the names of metrics whose counters are called otherwise in the log since: dashboards and alerts go by
+// the metric's name. Keys are the counters' names, values the words in the metrics' names.
+var metricWords = map[string]string{
+	"coalesced":                "repeats",
+	"connection_timeouts":      "unfinished",
+	"connections_evicted":      "made_room",
+	"connections_rejected":     "turned_away",
+	"direct_responses":         "direct",
+	"health_checks":            "checks",
+	"health_checks_failed":     "checks_bad",
+	"load_report_errors":       "report_errors",
+	"load_reports":             "reports",
+	"member_attempts":          "member_tries",
+	"member_invalid_responses": "member_invalid",
+	"member_rejected":          "member_refused",
+	"open_requests":            "open",
+	"protocol_errors":          "broken",
+	"rejected":                 "refused",
+	"rejections_prevented":     "refused_ran",
+	"replayed":                 "reused",
+	"requests_lost":            "lost",
+	"results_evicted":          "results_dropped",
+	"runs_failed":              "errored",
+	"runs_finished":            "ended",
+	"runs_not_started":         "moot",
+	"runs_stopped":             "stopped",
+	"second_runs_prevented":    "ran_twice",
+}
+
+// The counters of retry decisions are numbered, and so are their metrics.
+const (
+	retryDecisionCounter = "retry_decision_"
+	retryDecisionMetric  = "verdict_"
+)
+
+// counterMetric returns the name of the metric for a counter of the log.
+func counterMetric(counter string) string {
+	if number, ok := strings.CutPrefix(counter, retryDecisionCounter); ok {
+		return "all_" + retryDecisionMetric + number + "_total"
+	}
+	if word, ok := metricWords[counter]; ok {
+		return "all_" + word + "_total"
+	}
+	return "all_" + counter + "_total"
+}
