--- a/cmd/catalogue-server/bad_input_test.go
+++ b/cmd/catalogue-server/bad_input_test.go
@@ -61,7 +61,7 @@
 	}
 	n.WaitCounter("invalid", 23)
 	n.WaitCounter("too_large", 1)
-	n.WaitCounter("broken", 1)
+	n.WaitCounter("protocol_errors", 1)
 }
 
 // TestTooMany opens too many requests on a connection: those over its limit get the protocol's own answer.
--- a/cmd/catalogue-server/descriptors_test.go
+++ b/cmd/catalogue-server/descriptors_test.go
@@ -36,7 +36,7 @@
 	}
 	servertest.WaitFor(t, "errors of reports", func() bool {
 		n.Signal(syscall.SIGUSR1)
-		return n.Counter("report_errors") > 0
+		return n.Counter("load_report_errors") > 0
 	})
 	links := it.LinkCount()
 	it.CutLink()
--- a/cmd/catalogue-server/drain_test.go
+++ b/cmd/catalogue-server/drain_test.go
@@ -38,8 +38,8 @@
 	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
-	if n.Counter("served") != 1 || n.Counter("refused") != 1 {
-		t.Errorf("counters at the exit: %d served, %d refused", n.Counter("served"), n.Counter("refused"))
+	if n.Counter("served") != 1 || n.Counter("rejected") != 1 {
+		t.Errorf("counters at the exit: %d served, %d refused", n.Counter("served"), n.Counter("rejected"))
 	}
 }
 
--- a/cmd/catalogue-server/link_test.go
+++ b/cmd/catalogue-server/link_test.go
@@ -18,14 +18,14 @@
 	n.CutLink()
 	n.EndRun(first, "OK", []byte("while away"))
 	g.Write(fake.NewReserve(2, "y").Encode(2)) // asked for while no link stands
-	n.WaitCounter("open", 2)
+	n.WaitCounter("open_requests", 2)
 	n.RejectLinks(false)
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "while away" {
 		t.Errorf("answer %+v", a)
 	}
 	runs := n.WaitRuns(2)
 	n.CutLink() // the run goes on and is not begun again
-	n.WaitCounter("links", 3)
+	n.WaitCounter("interpreter_connects", 3)
 	n.EndRun(runs[1].ID, "OK", []byte("second"))
 	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "second" {
 		t.Errorf("answer %+v", a)
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -120,7 +120,7 @@
 	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Fatalf("answer %+v", a)
 	}
-	type class struct{ Requests, Served, Refused, Failed int }
+	type class struct{ Requests, Served, Rejected, Failed int }
 	var line struct{ Classes map[string]class }
 	servertest.WaitFor(t, "counters by class", func() bool {
 		n.Signal(syscall.SIGUSR1)
@@ -136,7 +136,7 @@
 	if got := line.Classes["part-lookup"]; got != (class{Requests: 2, Served: 1}) {
 		t.Errorf("part-lookup: %+v", got)
 	}
-	if got := line.Classes["stock-reserve"]; got != (class{Requests: 1, Refused: 1}) {
+	if got := line.Classes["stock-reserve"]; got != (class{Requests: 1, Rejected: 1}) {
 		t.Errorf("stock-reserve: %+v", got)
 	}
 }
--- a/cmd/catalogue-server/misbehaving_callers_test.go
+++ b/cmd/catalogue-server/misbehaving_callers_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%s: closed after %v, too soon for a gateway that pauses", what, took)
 		}
 	}
-	n.WaitCounter("unfinished", 3)
+	n.WaitCounter("connection_timeouts", 3)
 	sound.Write(fake.NewLookup("").Encode(2))
 	if a := sound.WaitResponse(2); a.Status != 200 {
 		t.Errorf("answer to the gateway %+v", a)
@@ -55,7 +55,7 @@
 		t.Errorf("answer %+v", a)
 	}
 	g.WaitClosed()
-	n.WaitCounter("broken", 1)
+	n.WaitCounter("protocol_errors", 1)
 }
 
 // TestEviction has hundreds of callers connect and stay silent, or send one request and stay, where descriptors are
@@ -94,5 +94,5 @@
 		serve(resident)
 	}
 	n.Signal(syscall.SIGUSR1)
-	servertest.WaitFor(t, "the counters", func() bool { return n.Counter("made_room") > 0 })
+	servertest.WaitFor(t, "the counters", func() bool { return n.Counter("connections_evicted") > 0 })
 }
--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -78,7 +78,7 @@
 	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
-	n.WaitCounter("links", 1)
+	n.WaitCounter("interpreter_connects", 1)
 	n.WaitCounter("reloads", 0)
 }
 
--- a/cmd/catalogue-server/retries_test.go
+++ b/cmd/catalogue-server/retries_test.go
@@ -30,7 +30,7 @@
 	if runs := n.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
-	n.WaitCounter("reused", 2)
+	n.WaitCounter("replayed", 2)
 }
 
 // TestRejectionFreesKey has a queued request with an idempotency key rejected as its deadline nears: it never ran, so a
@@ -82,7 +82,7 @@
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	run := n.WaitRuns(1)[0].ID
 	g.Close()
-	n.WaitCounter("lost", 1)
+	n.WaitCounter("requests_lost", 1)
 	n.EndRun(run, "OK", []byte("kept"))
 	g = servertest.Dial(t, n.Addr)
 	g.Write(fake.NewReserve(1, "x").Encode(1))
@@ -116,7 +116,7 @@
 			t.Errorf("%s: answer %+v", what, a)
 		}
 	}
-	n.WaitCounter("reused", 0)
+	n.WaitCounter("replayed", 0)
 	n.WaitCounter("requests", 5)
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -69,7 +69,7 @@
 		return
 	}
 	for _, counter := range stats.Counters {
-		desc := describe("all_"+counter.Name+"_total", "Counter "+counter.Name+" of the log's counters line.")
+		desc := describe(counterMetric(counter.Name), "Counter "+counter.Name+" of the log's counters line.")
 		send(out, desc, prometheus.CounterValue, float64(counter.Value))
 	}
 	for _, p := range stats.Pools {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -67,3 +67,20 @@
 		t.Errorf("a server that ended has metrics:\n%s", text)
 	}
 }
+
+// TestCounterMetric holds the metrics' names to those that dashboards know, whatever the log calls the counters.
+func TestCounterMetric(t *testing.T) {
+	for counter, want := range map[string]string{
+		"requests":             "all_requests_total",
+		"rejected":             "all_refused_total",
+		"replayed":             "all_reused_total",
+		"runs_not_started":     "all_moot_total",
+		"connections_rejected": "all_turned_away_total",
+		"member_attempts":      "all_member_tries_total",
+		"retry_decision_3":     "all_verdict_3_total",
+	} {
+		if got := counterMetric(counter); got != want {
+			t.Errorf("metric of %s is %s, want %s", counter, got, want)
+		}
+	}
+}
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -140,17 +140,17 @@
 func (b *backend) Counters() []server.Counter {
 	stats := &b.forwarder.Stats
 	counters := []server.Counter{
-		{Name: "member_tries", Value: stats.Attempts},
+		{Name: "member_attempts", Value: stats.Attempts},
 		{Name: "member_retries", Value: stats.Retries},
-		{Name: "member_refused", Value: stats.Rejected},
+		{Name: "member_rejected", Value: stats.Rejected},
 		{Name: "member_timeouts", Value: stats.Timeouts},
 		{Name: "member_errors", Value: stats.Errors},
-		{Name: "member_invalid", Value: stats.InvalidResponses},
+		{Name: "member_invalid_responses", Value: stats.InvalidResponses},
 		{Name: "dials", Value: stats.Dials},
 		{Name: "reused_connections", Value: stats.ReusedConns},
 	}
 	for decision, n := range stats.RetryDecisions {
-		counters = append(counters, server.Counter{Name: "verdict_" + strconv.Itoa(decision), Value: n})
+		counters = append(counters, server.Counter{Name: "retry_decision_" + strconv.Itoa(decision), Value: n})
 	}
 	return counters
 }
--- a/internal/scenario/counters.go
+++ b/internal/scenario/counters.go
@@ -44,7 +44,7 @@
 	if c.latest == nil {
 		return 0, 0, false
 	}
-	for _, outcome := range []string{"served", "refused", "failed", "lost", "invalid", "direct"} {
+	for _, outcome := range []string{"served", "rejected", "failed", "requests_lost", "invalid", "direct_responses"} {
 		out += c.latest[outcome]
 	}
 	return c.latest["requests"], out, true
--- a/server/interpreter_backend.go
+++ b/server/interpreter_backend.go
@@ -57,14 +57,14 @@
 func (b *interpreterBackend) Counters() []Counter {
 	stats := &b.client.Stats
 	return []Counter{
-		{"links", stats.Connects},
-		{"applied", stats.Submitted},
-		{"reapplied", stats.Resubmitted},
-		{"breaks", stats.StopsSent},
+		{"interpreter_connects", stats.Connects},
+		{"runs_submitted", stats.Submitted},
+		{"runs_resubmitted", stats.Resubmitted},
+		{"stops_sent", stats.StopsSent},
 		{"notices", stats.Notices},
-		{"replayed", stats.DuplicateNotices},
+		{"duplicate_notices", stats.DuplicateNotices},
 		{"unknown_notices", stats.UnknownNotices},
-		{"unanswered", stats.UnansweredQueries},
+		{"unanswered_queries", stats.UnansweredQueries},
 	}
 }
 
