--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -42,13 +42,13 @@
 
 // The metrics of pools and members.
 var (
-	poolBudget      = describe("budget", "Further tries that the pool's budget would allow at once.", "pool")
+	poolBudget      = describe("budget", "Retries that the pool's budget would allow at once.", "pool")
 	poolIdleConns   = describe("idle_connections", "Connections to members that are kept.", "pool")
-	memberAttempts  = describe("member_tries_total", "Tries sent to the member.", "pool", "member")
-	memberFailures  = describe("member_failures_total", "Tries at the member that failed.", "pool", "member")
+	memberAttempts  = describe("member_tries_total", "Attempts sent to the member.", "pool", "member")
+	memberFailures  = describe("member_failures_total", "Attempts at the member that failed.", "pool", "member")
 	memberEjections = describe("member_ejections_total", "Times that the member was ejected.", "pool", "member")
-	memberInFlight  = describe("member_open", "Tries open at the member.", "pool", "member")
-	memberAvailable = describe("member_in", "Whether the member may get tries: 1, or 0 while it is out or ejected.", "pool", "member")
+	memberInFlight  = describe("member_open", "Attempts in flight at the member.", "pool", "member")
+	memberAvailable = describe("member_in", "Whether the member may get attempts: 1, or 0 while it is unavailable or ejected.", "pool", "member")
 )
 
 // describe returns the description of a metric.
--- a/server/attempt.go
+++ b/server/attempt.go
@@ -21,8 +21,8 @@
 	runFailed                    // over, without one
 )
 
-// attempt is one request of a gateway, from its reading to the end of both its answer and its run. Callers retry, so
-// several attempts may belong to one request of a caller.
+// attempt is one request of a gateway, from the time it is read until it is answered and its run has ended. Callers
+// retry, so several attempts may belong to one request of a caller.
 type attempt struct {
 	Request
 
@@ -31,7 +31,7 @@
 	stream  gateway.StreamID
 	retryOf *attempt // the attempt whose run or result may answer this one, or nil
 
-	isAnswered bool // no answer is owed any more
+	isAnswered bool // its answer was sent, or nobody waits for it
 	state      runState
 	finishedAt time.Duration // by the module's clock, where the run succeeded
 	// isIntentPending says that the intent of the run is being written: the backend has not heard of it yet.
--- a/server/capture.go
+++ b/server/capture.go
@@ -13,7 +13,7 @@
 // before the process would be killed.
 const captureCloseTimeout = stopMargin / 4
 
-// captureState records what the module is told and decides. Both fields are nil where nothing is recorded, and tap
+// captureState records the events reported to the module and its decisions. Both fields are nil where nothing is recorded, and tap
 // until the module starts.
 type captureState struct {
 	recorder *capture.Recorder
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// newModule starts the decision module, behind a tap where what it is told and decides is recorded.
+// newModule starts the decision module, behind a tap where events and decisions are recorded.
 func (s *Server) newModule(set admission.Settings) (admission.Events, error) {
 	if s.capture.recorder == nil {
 		instance, err := s.newInstance(set, actions{s})
@@ -71,7 +71,7 @@
 	return instance, nil
 }
 
-// Annotate notes in the capture what the module is not told.
+// Annotate adds to the capture what is not reported to the module.
 func (s *Server) Annotate(format string, args ...any) {
 	if s.capture.tap != nil {
 		s.capture.tap.Annotate(fmt.Sprintf(format, args...))
--- a/server/clock.go
+++ b/server/clock.go
@@ -3,7 +3,7 @@
 import "time"
 
 // clock is the module's: the Unix clock since the start, which never goes back. Where the system's clock is
-// set back it goes on at the pace of the monotonic one, so due times are kept by a clock that is ahead.
+// set back it goes on at the pace of the monotonic one, so deadlines are kept by a clock that is ahead.
 type clock struct {
 	origin, last time.Time
 	now          time.Duration
--- a/server/conns.go
+++ b/server/conns.go
@@ -63,7 +63,7 @@
 // len is the number of connections.
 func (t *connTable) len() int { return t.list.Len() }
 
-// all iterates over the connections. The one that is handed on may be removed meanwhile.
+// all iterates over the connections. The current one may be removed during the iteration.
 func (t *connTable) all() iter.Seq[*gatewayConn] {
 	return func(yield func(*gatewayConn) bool) {
 		for e := t.list.Front(); e != nil; {
@@ -75,7 +75,7 @@
 	}
 }
 
-// closeAfterFlush ends this side of all connections, once what they are owed is sent.
+// closeAfterFlush ends this side of all connections, once open answers are sent.
 func (t *connTable) closeAfterFlush() {
 	for g := range t.all() {
 		if !g.conn.IsClosing() {
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -16,7 +16,7 @@
 	element  *list.Element // in connTable
 	conn     *eventloop.Conn
 	session  gateway.Session
-	attempts map[gateway.StreamID]*attempt // owed an answer
+	attempts map[gateway.StreamID]*attempt // not answered yet
 	// healthChecks are the deep health checks under way.
 	healthChecks map[gateway.StreamID]bool
 	// incompleteSince is when a request began that has not come whole; zero means that there is none.
@@ -118,7 +118,7 @@
 	g.server.handleRequest(g, stream, r)
 }
 
-// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol owes it an end.
+// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol requires the end of the request.
 func (g *gatewayConn) RequestAborted(_ gateway.Session, stream gateway.StreamID) {
 	s := g.server
 	s.counters.aborted++
--- a/server/module.go
+++ b/server/module.go
@@ -11,8 +11,8 @@
 // gaugeTimeout is how long a timer of the module waits for the gauges that are reported with it.
 const gaugeTimeout = 20 * time.Millisecond
 
-// moduleState is the decision module and what orders the events that it hears of. The module must not be called while
-// it acts: events that an action causes are deferred until it has returned.
+// moduleState is the decision module and what orders the events that are reported to it. The module must not be called
+// while it acts: events that an action causes are deferred until it has returned.
 type moduleState struct {
 	events      admission.Events    // nil until the backend is up
 	instance    *admission.Instance // the module itself, behind the capture's tap; nil until the backend is up
@@ -20,8 +20,8 @@
 	deferred    []func()
 }
 
-// eventTime returns the time of an event that the module is about to hear of, and has the module settle at the end of
-// this round.
+// eventTime returns the time of an event that is about to be reported to the module, and has the module settle at the
+// end of this round.
 func (s *Server) eventTime() time.Duration {
 	s.module.needsSettle = true
 	return s.clock.read(s.loop.Now())
--- a/server/server.go
+++ b/server/server.go
@@ -227,7 +227,7 @@
 // nothing is called.
 func (s *Server) Post(fn func()) { s.loop.Post(fn) }
 
-// expireKeys removes expired idempotency keys, and has what is due on the disk done.
+// expireKeys removes expired idempotency keys, and runs the maintenance of durable results.
 func (s *Server) expireKeys() {
 	s.keys.expire(s.clock.read(s.loop.Now()), s.loop.Now().Round(0), s.maxDeadline)
 	s.counters.resultsEvicted = s.keys.evicted
