--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -101,7 +101,7 @@
 	result   Result
 	module   *admission.Instance // nil where its state is not known
 	recorder ActionRecorder
-	snapshot []byte // attempt buffer
+	snapshot []byte // scratch buffer of compareSnapshot
 
 	isComparing bool           // an event was delivered, whose actions are being compared
 	event       capture.Record // that event
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -220,7 +220,7 @@
 	switch {
 	case s.cores.has(source):
 		s.waiting[source] = append(s.waiting[source], id)
-	case s.hasResult[source] || s.requests[source] == nil: // attempt run before the recording is taken to have succeeded
+	case s.hasResult[source] || s.requests[source] == nil: // an attempt that ran before the recording is assumed to have succeeded
 		s.followUp(capture.KindRunFinished, id, admission.OK)
 	default:
 		s.followUp(capture.KindRunFinished, id, admission.Failed)
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -80,7 +80,7 @@
 		c.counts["cuts between calls"]++
 		c.fsys.SetIgnoreSyncs(true)
 		if err != nil {
-			return fmt.Errorf("before the cut: %c", err)
+			return fmt.Errorf("before the cut: %w", err)
 		}
 	}
 	before := tails(t, c.fsys)
