--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -41,12 +41,12 @@
 	if err := startOnCore(cmd, command.Core); err != nil {
 		return nil, err
 	}
-	p := &Process{cmd: cmd, exited: make(chan struct{})}
+	process := &Process{cmd: cmd, exited: make(chan struct{})}
 	go func() {
 		cmd.Wait() // the exit status is read from the state
-		close(p.exited)
+		close(process.exited)
 	}()
-	return p, nil
+	return process, nil
 }
 
 // startOnCore starts a program on one core, or on all where core is AnyCore.
--- a/internal/fake/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -122,11 +122,11 @@
 }
 
 // Feed takes the next bytes and returns the responses that they complete.
-func (r *ResponseReader) Feed(p []byte) ([]Response, error) {
+func (r *ResponseReader) Feed(data []byte) ([]Response, error) {
 	if r.stdout == nil {
 		r.stdout = map[uint16][]byte{}
 	}
-	r.rest = append(r.rest, p...)
+	r.rest = append(r.rest, data...)
 	var responses []Response
 	for {
 		recordType, id, content, ok := r.nextRecord()
--- a/internal/fake/interpreter_link.go
+++ b/internal/fake/interpreter_link.go
@@ -86,8 +86,8 @@
 }
 
 // Feed takes the next bytes, and returns whether the link is to be kept.
-func (l *Link) Feed(p []byte) bool {
-	l.partialLine = append(l.partialLine, p...)
+func (l *Link) Feed(data []byte) bool {
+	l.partialLine = append(l.partialLine, data...)
 	for {
 		line, rest, whole := bytes.Cut(l.partialLine, []byte{'\n'})
 		if !whole {
--- a/internal/fake/member_fastcgi.go
+++ b/internal/fake/member_fastcgi.go
@@ -54,16 +54,16 @@
 }
 
 // readFastCGI reads one request.
-func readFastCGI(r io.Reader) (memberRequest, error) {
+func readFastCGI(reader io.Reader) (memberRequest, error) {
 	var params, body []byte
 	for {
 		var header [recordHeaderSize]byte
-		if _, err := io.ReadFull(r, header[:]); err != nil {
+		if _, err := io.ReadFull(reader, header[:]); err != nil {
 			return memberRequest{}, err
 		}
 		contentSize, padding := int(binary.BigEndian.Uint16(header[4:])), int(header[6])
 		content := make([]byte, contentSize+padding)
-		if _, err := io.ReadFull(r, content); err != nil {
+		if _, err := io.ReadFull(reader, content); err != nil {
 			return memberRequest{}, err
 		}
 		content = content[:contentSize]
--- a/internal/fake/member_scgi.go
+++ b/internal/fake/member_scgi.go
@@ -39,8 +39,8 @@
 }
 
 // readSCGI reads one request: a netstring of names and values, of which CONTENT_LENGTH comes first, and the body.
-func readSCGI(r io.Reader) (memberRequest, error) {
-	header, err := readNetstring(r)
+func readSCGI(reader io.Reader) (memberRequest, error) {
+	header, err := readNetstring(reader)
 	if err != nil {
 		return memberRequest{}, err
 	}
@@ -53,18 +53,18 @@
 		return memberRequest{}, fmt.Errorf("%w: CONTENT_LENGTH", errSCGI)
 	}
 	body := make([]byte, size)
-	_, err = io.ReadFull(r, body)
+	_, err = io.ReadFull(reader, body)
 	return memberRequest{id: 1, params: params, body: body}, err
 }
 
 // readNetstring reads the header, which must end with a zero byte, and returns it without that.
-func readNetstring(r io.Reader) ([]byte, error) {
-	size, err := readNetstringLength(r)
+func readNetstring(reader io.Reader) ([]byte, error) {
+	size, err := readNetstringLength(reader)
 	if err != nil {
 		return nil, err
 	}
 	header := make([]byte, size+1)
-	if _, err := io.ReadFull(r, header); err != nil {
+	if _, err := io.ReadFull(reader, header); err != nil {
 		return nil, err
 	}
 	if size == 0 || header[size] != ',' || header[size-1] != 0 {
@@ -74,11 +74,11 @@
 }
 
 // readNetstringLength reads the decimal number before the colon.
-func readNetstringLength(r io.Reader) (int, error) {
+func readNetstringLength(reader io.Reader) (int, error) {
 	size := 0
 	for {
 		var digit [1]byte
-		if _, err := io.ReadFull(r, digit[:]); err != nil {
+		if _, err := io.ReadFull(reader, digit[:]); err != nil {
 			return 0, err
 		}
 		if digit[0] == ':' {
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -51,19 +51,19 @@
 }
 
 // content implements recordHandler.
-func (r *ResponseParser) content(header recordHeader, p []byte) {
+func (r *ResponseParser) content(header recordHeader, part []byte) {
 	if header.requestID != r.RequestID {
 		return
 	}
 	switch {
 	case header.recordType == typeStdout && !r.isComplete:
-		if len(r.stdout)+len(p) > r.MaxBytes {
+		if len(r.stdout)+len(part) > r.MaxBytes {
 			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 			return
 		}
-		r.stdout = append(r.stdout, p...)
+		r.stdout = append(r.stdout, part...)
 	case header.isEndRequest():
-		r.stdout = append(r.stdout, p...) // taken off again by endRecord
+		r.stdout = append(r.stdout, part...) // taken off again by endRecord
 	}
 }
 
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -103,19 +103,19 @@
 func (r *recordReader) hasPartialRecord() bool { return r.inRecord || r.headerBytes > 0 }
 
 // feed reads the next bytes.
-func (r *recordReader) feed(p []byte, to recordHandler) error {
-	for len(p) > 0 || r.inRecord && r.contentLeft == 0 && r.paddingLeft == 0 {
+func (r *recordReader) feed(data []byte, to recordHandler) error {
+	for len(data) > 0 || r.inRecord && r.contentLeft == 0 && r.paddingLeft == 0 {
 		if !r.inRecord {
 			var err error
-			if p, err = r.readHeader(p); err != nil || !r.inRecord {
+			if data, err = r.readHeader(data); err != nil || !r.inRecord {
 				return err
 			}
 		}
-		p = r.readContent(p, to)
+		data = r.readContent(data, to)
 		if r.contentLeft > 0 {
 			continue
 		}
-		p = r.skipPadding(p)
+		data = r.skipPadding(data)
 		if r.paddingLeft == 0 {
 			r.inRecord = false
 			if err := to.endRecord(r.current); err != nil {
@@ -127,8 +127,8 @@
 }
 
 // readHeader reads bytes of a header, begins the record once it is whole, and returns the bytes behind it.
-func (r *recordReader) readHeader(p []byte) ([]byte, error) {
-	n := copy(r.header[r.headerBytes:], p)
+func (r *recordReader) readHeader(data []byte) ([]byte, error) {
+	n := copy(r.header[r.headerBytes:], data)
 	r.headerBytes += n
 	if r.headerBytes < headerSize {
 		return nil, nil
@@ -139,24 +139,24 @@
 	}
 	r.current, r.headerBytes, r.inRecord = header, 0, true
 	r.contentLeft, r.paddingLeft = header.contentLength, header.paddingLength
-	return p[n:], nil
+	return data[n:], nil
 }
 
 // readContent hands on bytes of the content, and returns those behind it.
-func (r *recordReader) readContent(p []byte, to recordHandler) []byte {
-	n := min(r.contentLeft, len(p))
+func (r *recordReader) readContent(data []byte, to recordHandler) []byte {
+	n := min(r.contentLeft, len(data))
 	if n > 0 {
-		to.content(r.current, p[:n])
+		to.content(r.current, data[:n])
 		r.contentLeft -= n
 	}
-	return p[n:]
+	return data[n:]
 }
 
 // skipPadding returns the bytes behind the padding.
-func (r *recordReader) skipPadding(p []byte) []byte {
-	n := min(r.paddingLeft, len(p))
+func (r *recordReader) skipPadding(data []byte) []byte {
+	n := min(r.paddingLeft, len(data))
 	r.paddingLeft -= n
-	return p[n:]
+	return data[n:]
 }
 
 // appendHeader appends the header of a record without padding.
@@ -205,23 +205,23 @@
 }
 
 // parsePairs calls yield for each name-value pair of a list.
-func parsePairs(p []byte, yield func(name, value []byte)) error {
-	for len(p) > 0 {
-		nameLength, p1, err := parseLength(p)
+func parsePairs(list []byte, yield func(name, value []byte)) error {
+	for len(list) > 0 {
+		nameLength, afterNameLength, err := parseLength(list)
 		if err != nil {
 			return err
 		}
-		valueLength, p2, err := parseLength(p1)
+		valueLength, afterValueLength, err := parseLength(afterNameLength)
 		if err != nil {
 			return err
 		}
-		p = p2
-		if nameLength > len(p) || valueLength > len(p)-nameLength {
+		list = afterValueLength
+		if nameLength > len(list) || valueLength > len(list)-nameLength {
 			return errTruncatedPair
 		}
 		end := nameLength + valueLength
-		yield(p[:nameLength], p[nameLength:end])
-		p = p[end:]
+		yield(list[:nameLength], list[nameLength:end])
+		list = list[end:]
 	}
 	return nil
 }
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -130,18 +130,18 @@
 }
 
 // content implements recordHandler. What is over a limit is dropped and noted.
-func (s *Session) content(header recordHeader, p []byte) {
+func (s *Session) content(header recordHeader, part []byte) {
 	req := s.open[header.requestID]
 	isReading := req != nil && !req.isComplete
 	switch {
 	case header.recordType == typeParams && isReading && !req.hasAllParams:
-		req.params = s.appendWithinLimits(req, req.params, p, s.limits.ParamBytes)
+		req.params = s.appendWithinLimits(req, req.params, part, s.limits.ParamBytes)
 	case header.recordType == typeStdin && isReading:
-		req.body = s.appendWithinLimits(req, req.body, p, s.limits.BodyBytes)
-	case header.hasControl() && len(s.control)+len(p) <= s.limits.ParamBytes:
-		s.control = append(s.control, p...)
+		req.body = s.appendWithinLimits(req, req.body, part, s.limits.BodyBytes)
+	case header.hasControl() && len(s.control)+len(part) <= s.limits.ParamBytes:
+		s.control = append(s.control, part...)
 	default:
-		s.skippedBytes += len(p)
+		s.skippedBytes += len(part)
 	}
 	// A request that is over a limit is rejected at once: its end may be far away, or never come.
 	if isReading && req.isInvalid {
@@ -155,19 +155,19 @@
 }
 
 // appendWithinLimits appends to a part of a request, or invalidates the request.
-func (s *Session) appendWithinLimits(req *request, part, p []byte, limit int) []byte {
-	if len(part)+len(p) > limit {
+func (s *Session) appendWithinLimits(req *request, collected, added []byte, limit int) []byte {
+	if len(collected)+len(added) > limit {
 		req.invalidate(gateway.TooLarge)
-		return part
+		return collected
 	}
 	// Requests that come in slowly on many connections must not fill the memory.
-	if len(p) > s.shared.bytesLeft {
+	if len(added) > s.shared.bytesLeft {
 		req.invalidate(gateway.TooManyRequests)
-		return part
+		return collected
 	}
-	s.shared.bytesLeft -= len(p)
-	req.heldBytes += len(p)
-	return append(part, p...)
+	s.shared.bytesLeft -= len(added)
+	req.heldBytes += len(added)
+	return append(collected, added...)
 }
 
 // endRecord implements recordHandler. What follows the record that ends the connection is not looked at, in the same read
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -82,12 +82,12 @@
 }
 
 // Data implements eventloop.ConnHandler.
-func (c *conn) Data(_ *eventloop.Conn, p []byte) {
+func (c *conn) Data(_ *eventloop.Conn, data []byte) {
 	if c.request == nil {
 		c.closeIdle() // a response to nothing, or a second one
 		return
 	}
-	complete, err := c.parser.Feed(p)
+	complete, err := c.parser.Feed(data)
 	switch {
 	case err != nil:
 		c.forwarder.Stats.InvalidResponses++
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -167,10 +167,10 @@
 
 // Close closes all connections. No request under way is reported.
 func (f *Forwarder) Close() {
-	for _, r := range f.requests {
-		if r.conn != nil {
-			r.conn.request = nil
-			r.conn.close()
+	for _, request := range f.requests {
+		if request.conn != nil {
+			request.conn.request = nil
+			request.conn.close()
 		}
 	}
 	clear(f.requests)
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -102,13 +102,13 @@
 	if err != nil {
 		return fmt.Errorf("forward: %w", err)
 	}
-	c := &conn{forwarder: f, target: req.target, protocol: req.target.protocol, addr: addr}
+	newConn := &conn{forwarder: f, target: req.target, protocol: req.target.protocol, addr: addr}
 	f.Stats.Dials++
-	if c.socket, err = f.loop.Dial(to, c); err != nil {
+	if newConn.socket, err = f.loop.Dial(to, newConn); err != nil {
 		return err
 	}
-	c.assign(req)
-	c.startTimeout(req.target.config.ConnectTimeout)
+	newConn.assign(req)
+	newConn.startTimeout(req.target.config.ConnectTimeout)
 	return nil
 }
 
--- a/internal/interpreter/decode.go
+++ b/internal/interpreter/decode.go
@@ -22,27 +22,27 @@
 // parseNotice reads one line. Its error is a *ProtocolError.
 func parseNotice(line []byte) (notice, error) {
 	var n notice
-	s := scanner{line: line}
-	if !s.accept('{') {
+	tokens := scanner{line: line}
+	if !tokens.accept('{') {
 		return n, &ProtocolError{Err: ErrMalformed}
 	}
-	for first := true; !s.accept('}'); first = false {
-		if !first && !s.accept(',') {
+	for first := true; !tokens.accept('}'); first = false {
+		if !first && !tokens.accept(',') {
 			return n, &ProtocolError{Err: ErrMalformed}
 		}
-		name, err := s.readString()
-		if err == nil && !s.accept(':') {
+		name, err := tokens.readString()
+		if err == nil && !tokens.accept(':') {
 			err = ErrMalformed
 		}
 		if err != nil {
 			return n, &ProtocolError{Err: err}
 		}
-		if err := s.readField(&n, name); err != nil {
+		if err := tokens.readField(&n, name); err != nil {
 			return n, &ProtocolError{Field: string(name), Err: err}
 		}
 	}
-	s.skipSpace()
-	if s.pos < len(s.line) {
+	tokens.skipSpace()
+	if tokens.pos < len(tokens.line) {
 		return n, &ProtocolError{Err: ErrMalformed}
 	}
 	return n, nil
--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -52,7 +52,7 @@
 	hasStarted bool   // the handler was told of the interpreter's start
 	runs       runTable
 	queries    queryTable
-	line       []byte    // buffer of the command being sent
+	commandBuf []byte    // buffer of the command being sent
 	now        time.Time // as the owner last told it
 	Stats      Stats
 }
@@ -120,14 +120,14 @@
 
 // write sends a command.
 func (l *Link) write(c command) {
-	l.line = c.appendTo(l.line[:0])
-	l.session.send(l.line)
+	l.commandBuf = c.appendTo(l.commandBuf[:0])
+	l.session.send(l.commandBuf)
 }
 
 // Feed reads the next bytes of the connection; after an error the connection can only be closed.
-func (l *Link) Feed(p []byte) error {
+func (l *Link) Feed(data []byte) error {
 	for {
-		line, rest, isWhole := bytes.Cut(p, []byte{'\n'})
+		line, rest, isWhole := bytes.Cut(data, []byte{'\n'})
 		if len(l.session.partial)+len(line) > maxLineBytes {
 			return &ProtocolError{Err: ErrLineTooLong}
 		}
@@ -139,7 +139,7 @@
 			line = append(l.session.partial, line...)
 			l.session.partial = nil
 		}
-		p = rest
+		data = rest
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 {
 			continue
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -169,7 +169,7 @@
 // add begins an attempt with the event that brought it.
 func (t *attemptTracker) add(event *capture.Record, wireID string) {
 	request := event.Request
-	a := &Attempt{
+	attempt := &Attempt{
 		ID:        event.ID,
 		WireID:    wireID,
 		Class:     request.Class,
@@ -179,18 +179,18 @@
 		ReadAt:    event.At,
 		Status:    StatusOpen,
 	}
-	t.attempts = append(t.attempts, a)
-	t.byID[event.ID] = a
+	t.attempts = append(t.attempts, attempt)
+	t.byID[event.ID] = attempt
 }
 
 // finishRun ends the attempt's run, if it has one.
-func (t *attemptTracker) finishRun(a *Attempt, at time.Duration) {
-	start, ok := t.runStarts[a.ID]
+func (t *attemptTracker) finishRun(attempt *Attempt, at time.Duration) {
+	start, ok := t.runStarts[attempt.ID]
 	if !ok {
 		return
 	}
-	delete(t.runStarts, a.ID)
+	delete(t.runStarts, attempt.ID)
 	t.running--
-	a.RunEnd = at
-	a.CoreTime = time.Duration((t.virtualClock - start) * float64(time.Second))
+	attempt.RunEnd = at
+	attempt.CoreTime = time.Duration((t.virtualClock - start) * float64(time.Second))
 }
--- a/internal/replay/excerpt.go
+++ b/internal/replay/excerpt.go
@@ -35,18 +35,18 @@
 // Cut returns the smallest excerpt that holds a span: from the last time before it at which the module was between two
 // rounds of events, to the end of the round in which the span ends. The segments are those of one run of the server.
 func Cut(segments []*capture.Segment, span Span) (*Excerpt, error) {
-	c := cutter{span: span, isBetweenRounds: true}
-	result, err := Run(segments, false, Visitor{BeforeEvent: c.beforeEvent, OnAnnotation: c.onAnnotation, AfterEvent: c.afterEvent})
+	cut := cutter{span: span, isBetweenRounds: true}
+	result, err := Run(segments, false, Visitor{BeforeEvent: cut.beforeEvent, OnAnnotation: cut.onAnnotation, AfterEvent: cut.afterEvent})
 	switch {
 	case err != nil:
 		return nil, err
 	case result.FirstDifference != nil:
 		return nil, fmt.Errorf("replay: this program decides otherwise before the span ends, use --redecide: %v",
 			result.FirstDifference)
-	case c.excerpt == nil || len(c.excerpt.Records) == 0:
+	case cut.excerpt == nil || len(cut.excerpt.Records) == 0:
 		return nil, ErrEmptySpan
 	}
-	return c.excerpt, nil
+	return cut.excerpt, nil
 }
 
 // cutter collects an excerpt during a replay.
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -80,28 +80,28 @@
 // Run replays the segments in their order. It goes on from one segment to the next where no record is missing between them,
 // and begins from a segment's own snapshot elsewhere, or at every segment where fresh is set.
 func Run(segments []*capture.Segment, fresh bool, visitor Visitor) (*Result, error) {
-	r := &replayer{visitor: visitor}
+	replay := &replayer{visitor: visitor}
 	var previous *capture.Segment
 	for _, segment := range segments {
-		err := r.replaySegment(segment, previous, fresh)
+		err := replay.replaySegment(segment, previous, fresh)
 		if errors.Is(err, errDiffers) || errors.Is(err, capture.ErrStop) {
-			return &r.result, nil
+			return &replay.result, nil
 		}
 		if err != nil {
-			return &r.result, fmt.Errorf("%s: %w", segment.Path, err)
+			return &replay.result, fmt.Errorf("%s: %w", segment.Path, err)
 		}
 		previous = segment
 	}
-	return &r.result, nil
+	return &replay.result, nil
 }
 
 // replayer is a replay that is under way.
 type replayer struct {
-	visitor  Visitor
-	result   Result
-	module   *admission.Instance // nil where its state is not known
-	recorder ActionRecorder
-	snapshot []byte // scratch buffer of compareSnapshot
+	visitor     Visitor
+	result      Result
+	module      *admission.Instance // nil where its state is not known
+	recorder    ActionRecorder
+	snapshotBuf []byte // scratch buffer of compareSnapshot
 
 	isComparing bool           // an event was delivered, whose actions are being compared
 	event       capture.Record // that event
@@ -135,8 +135,8 @@
 
 // compareSnapshot compares the state that the replay has reached with the segment's snapshot.
 func (r *replayer) compareSnapshot(segment *capture.Segment) error {
-	r.snapshot = r.module.Snapshot(r.snapshot[:0])
-	if !bytes.Equal(r.snapshot, segment.Snapshot) {
+	r.snapshotBuf = r.module.Snapshot(r.snapshotBuf[:0])
+	if !bytes.Equal(r.snapshotBuf, segment.Snapshot) {
 		r.result.FirstDifference = &Difference{Segment: segment.Path, RecordNumber: segment.Meta.FirstRecord, StateDiffers: true,
 			StateBefore: r.module.Inspect()}
 		return errDiffers
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -62,21 +62,21 @@
 // Explain returns the traces of all attempts with the Request-Id or the idempotency key, or of the request with the module's
 // number where name is #NUMBER.
 func Explain(segments []*capture.Segment, name string) ([]*RequestTrace, error) {
-	c := traceCollector{name: name, byRequest: map[requestRef]*RequestTrace{}}
+	collector := traceCollector{name: name, byRequest: map[requestRef]*RequestTrace{}}
 	if text, ok := strings.CutPrefix(name, "#"); ok {
-		if _, err := fmt.Sscanf(text, "%d", &c.number); err != nil {
+		if _, err := fmt.Sscanf(text, "%d", &collector.number); err != nil {
 			return nil, fmt.Errorf("replay: %q is no number of a request", name)
 		}
 	}
 	for _, s := range segments {
-		if err := c.collect(s); err != nil {
+		if err := collector.collect(s); err != nil {
 			return nil, err
 		}
 	}
-	if len(c.traces) == 0 {
+	if len(collector.traces) == 0 {
 		return nil, fmt.Errorf("%w: %s", ErrNotInCapture, name)
 	}
-	return c.traces, addDecisions(segments, c.traces)
+	return collector.traces, addDecisions(segments, collector.traces)
 }
 
 // traceCollector collects the traces of requests from a capture's records.
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -15,18 +15,18 @@
 // Simplifying and Isolating Failure-Inducing Input, 2002). All events of a request are dropped at once. The result has this
 // program's own actions; replays is how often the excerpt was replayed.
 func Shrink(excerpt *Excerpt, newPredicate func() Predicate) (small *Excerpt, replays int, err error) {
-	s := shrinker{excerpt: excerpt, newPredicate: newPredicate}
-	if ok, err := s.holds(excerpt); err != nil {
-		return nil, s.replays, err
+	shrink := shrinker{excerpt: excerpt, newPredicate: newPredicate}
+	if ok, err := shrink.holds(excerpt); err != nil {
+		return nil, shrink.replays, err
 	} else if !ok {
-		return nil, s.replays, ErrNotMatched
+		return nil, shrink.replays, ErrNotMatched
 	}
-	units, err := s.minimize(unitsOf(excerpt))
+	units, err := shrink.minimize(unitsOf(excerpt))
 	if err != nil {
-		return nil, s.replays, err
+		return nil, shrink.replays, err
 	}
 	small, err = excerpt.only(units).Replay(nil)
-	return small, s.replays, err
+	return small, shrink.replays, err
 }
 
 // shrinker is the state of Shrink.
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -21,29 +21,29 @@
 	if len(segments) == 0 || segments[0].Snapshot == nil {
 		return nil, admission.Settings{}, ErrNoState
 	}
-	s := &simulation{now: segments[0].Meta.ModuleTime}
-	recordedModule, err := admission.Restore(segments[0].Snapshot, s)
+	sim := &simulation{now: segments[0].Meta.ModuleTime}
+	recordedModule, err := admission.Restore(segments[0].Snapshot, sim)
 	if err != nil {
 		return nil, admission.Settings{}, err
 	}
-	s.module, err = admission.RestoreWith(segments[0].Snapshot, s, change)
+	sim.module, err = admission.RestoreWith(segments[0].Snapshot, sim, change)
 	if err != nil {
 		return nil, admission.Settings{}, err
 	}
-	settings := s.module.Settings()
+	settings := sim.module.Settings()
 	recorded, err := RecordedAttempts(segments, recordedModule.Settings().Cores)
 	if err != nil {
 		return nil, settings, err
 	}
-	s.coreTimes = newCoreTimes(recorded, len(settings.Classes))
-	s.cores = simulatedCores{count: settings.Cores}
-	s.tracker = newAttemptTracker(settings.Cores)
-	s.resume()
-	if err := s.queueRecorded(segments); err != nil {
+	sim.coreTimes = newCoreTimes(recorded, len(settings.Classes))
+	sim.cores = simulatedCores{count: settings.Cores}
+	sim.tracker = newAttemptTracker(settings.Cores)
+	sim.resume()
+	if err := sim.queueRecorded(segments); err != nil {
 		return nil, settings, err
 	}
-	s.run()
-	return s.tracker.attempts, settings, nil
+	sim.run()
+	return sim.tracker.attempts, settings, nil
 }
 
 // simulation is a simulation that is under way. It implements admission.Actions.
--- a/internal/replay/state_at.go
+++ b/internal/replay/state_at.go
@@ -33,16 +33,16 @@
 // InspectAt returns what the module knew before the first event at or after the time of its clock, and what it decided within
 // the span before and after that. The segments are those of one run of the server.
 func InspectAt(segments []*capture.Segment, at, span time.Duration) (*StateAt, error) {
-	i := inspector{at: at, span: span, wireIDs: map[admission.RequestID]string{}}
-	_, err := Run(segments, false, Visitor{OnAnnotation: i.onAnnotation, BeforeEvent: i.beforeEvent, AfterEvent: i.afterEvent})
+	inspection := inspector{at: at, span: span, wireIDs: map[admission.RequestID]string{}}
+	_, err := Run(segments, false, Visitor{OnAnnotation: inspection.onAnnotation, BeforeEvent: inspection.beforeEvent, AfterEvent: inspection.afterEvent})
 	if err != nil {
 		return nil, err
 	}
-	if i.found == nil {
+	if inspection.found == nil {
 		return nil, fmt.Errorf("%w: the time %v of the module's clock", ErrNotInCapture, at)
 	}
-	i.found.Decisions = i.decisions
-	return i.found, nil
+	inspection.found.Decisions = inspection.decisions
+	return inspection.found, nil
 }
 
 // inspector follows a replay for InspectAt.
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -51,28 +51,28 @@
 
 func start(t testing.TB, program string, it *Interpreter, change func(config map[string]any), name string) *Server {
 	t.Helper()
-	s := &Server{Interpreter: it, Addr: FreeAddr(t), t: t, reports: NewReportListener(t)}
-	endpoints := daemon.Endpoints{Listen: s.Addr, Interpreter: it.Addr(), LoadReport: s.reports.LocalAddr().String()}
-	s.config = daemon.NewConfig(serverName, endpoints, memoryMB, fake.SiteSettings)
-	s.config["seed"] = serverSeed
+	server := &Server{Interpreter: it, Addr: FreeAddr(t), t: t, reports: NewReportListener(t)}
+	endpoints := daemon.Endpoints{Listen: server.Addr, Interpreter: it.Addr(), LoadReport: server.reports.LocalAddr().String()}
+	server.config = daemon.NewConfig(serverName, endpoints, memoryMB, fake.SiteSettings)
+	server.config["seed"] = serverSeed
 	if change != nil {
-		change(s.config)
+		change(server.config)
 	}
-	s.ConfigPath = filepath.Join(t.TempDir(), "config.json")
-	s.Configure(func(map[string]any) {})
+	server.ConfigPath = filepath.Join(t.TempDir(), "config.json")
+	server.Configure(func(map[string]any) {})
 	process, err := daemon.Start(daemon.Command{Program: "/bin/sh", Args: []string{"-c", program}, Core: daemon.AnyCore,
-		Env: []string{"RELAY_NAME=" + name, "RELAY_LISTEN=" + s.Addr, "RELAY_CONFIG=" + s.ConfigPath}}, &s.log)
+		Env: []string{"RELAY_NAME=" + name, "RELAY_LISTEN=" + server.Addr, "RELAY_CONFIG=" + server.ConfigPath}}, &server.log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.process, s.Process = process, process.OS()
+	server.process, server.Process = process, process.OS()
 	t.Cleanup(func() {
 		process.Kill()
 		if t.Failed() {
-			t.Logf("log of the node:\n%s", s.Log())
+			t.Logf("log of the node:\n%s", server.Log())
 		}
 	})
-	return s
+	return server
 }
 
 // Log returns what the server has logged so far.
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -29,7 +29,7 @@
 
 // modelRequest is what a life of the server knows of a key.
 type modelRequest struct {
-	until      time.Time
+	windowEnd  time.Time
 	isFinished bool
 	hasFailed  bool          // it may have run, and its result is unknown
 	waiting    []string      // attempts that were not answered
@@ -65,18 +65,18 @@
 // playLife plays one life: the power goes at a random call to the file layer, and whatever was not synced is lost, torn or
 // kept in part.
 func (c *cluster) playLife(t *testing.T) error {
-	l := &serverLife{cluster: c, known: map[idempotency.Key]*modelRequest{}, posted: make(chan func(), 1024)}
+	life := &serverLife{cluster: c, known: map[idempotency.Key]*modelRequest{}, posted: make(chan func(), 1024)}
 	var calls atomic.Int64
 	cutAt := int64(1 + c.rng.IntN(maxCallsToCut))
 	disk := errorfs.Wrap(c.fsys, errorfs.InjectorFunc(func(errorfs.Op, string) error {
 		if calls.Add(1) == cutAt {
-			l.isPowerLost.Store(true) // before the syncs stop: writes that are reported as durable from here on do not count
+			life.isPowerLost.Store(true) // before the syncs stop: writes that are reported as durable from here on do not count
 			c.fsys.SetIgnoreSyncs(true)
 		}
 		return nil
 	}))
-	err := l.run(disk)
-	if !l.isPowerLost.Swap(true) {
+	err := life.run(disk)
+	if !life.isPowerLost.Swap(true) {
 		c.counts["cuts between calls"]++
 		c.fsys.SetIgnoreSyncs(true)
 		if err != nil {
@@ -84,14 +84,14 @@
 		}
 	}
 	before := tails(t, c.fsys)
-	if l.store != nil {
-		l.store.Close() // without power its error does not count
+	if life.store != nil {
+		life.store.Close() // without power its error does not count
 	}
 	c.fsys.ResetToSyncedState()
 	c.fsys.SetIgnoreSyncs(false)
 	c.counts["torn logs"] += tear(t, c.fsys, before, c.rng)
-	for _, s := range l.known {
-		for _, id := range s.waiting {
+	for _, request := range life.known {
+		for _, id := range request.waiting {
 			c.checker.RecordLost(id)
 			c.counts["open at a cut"]++
 		}
@@ -116,7 +116,7 @@
 	}
 	for _, e := range l.table.Entries() {
 		if !l.clock().After(e.ExpiresAt) {
-			l.known[e.Key] = &modelRequest{until: e.ReceivedAt.Add(keyWindow), isFinished: true, hasFailed: e.State != idempotency.Completed}
+			l.known[e.Key] = &modelRequest{windowEnd: e.ReceivedAt.Add(keyWindow), isFinished: true, hasFailed: e.State != idempotency.Completed}
 			l.counts["recovered "+e.State.String()]++
 		}
 	}
@@ -170,7 +170,7 @@
 	attempt := invariant.Attempt{ID: fmt.Sprint(l.attempts), Key: k.Key, AtMostOnce: true, ExpectedBody: k.Key, Deadline: l.now.Add(24 * time.Hour),
 		Received: l.now.Add(-time.Duration(l.rng.Int64N(int64(maxDelay))))}
 	l.checker.RecordSent(attempt)
-	if request := l.known[k]; request != nil && !attempt.Received.After(request.until) {
+	if request := l.known[k]; request != nil && !attempt.Received.After(request.windowEnd) {
 		switch {
 		case !request.isFinished:
 			request.waiting = append(request.waiting, attempt.ID)
@@ -185,9 +185,9 @@
 		l.answer(attempt.ID, invariant.Rejected, k)
 		return
 	}
-	request := &modelRequest{until: attempt.Received.Add(keyWindow), waiting: []string{attempt.ID}, replaced: l.known[k]}
+	request := &modelRequest{windowEnd: attempt.Received.Add(keyWindow), waiting: []string{attempt.ID}, replaced: l.known[k]}
 	l.known[k] = request
-	l.write(l.table.Begin(idempotency.Entry{Key: k, ReceivedAt: attempt.Received, ExpiresAt: request.until.Add(maxDelay)}), func(err error) {
+	l.write(l.table.Begin(idempotency.Entry{Key: k, ReceivedAt: attempt.Received, ExpiresAt: request.windowEnd.Add(maxDelay)}), func(err error) {
 		switch {
 		case err != nil:
 			l.table.ObserveWrite(err, l.clock())
