--- a/internal/capture/config.go
+++ b/internal/capture/config.go
@@ -14,7 +14,7 @@
 	FlushInterval time.Duration // longest time that a record waits to be written, while events come
 }
 
-// DefaultConfig returns what is used where the operator sets nothing else.
+// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		SegmentBytes:  8 << 20,
@@ -37,7 +37,7 @@
 // minMaxBytes returns the least MaxBytes: the segment that is written and the one before it must fit.
 func (c Config) minMaxBytes() int64 { return 2 * (c.SegmentBytes + int64(c.BufferBytes)) }
 
-// Validate reports the first value that makes no sense.
+// Validate reports the first invalid value.
 func (c Config) Validate() error {
 	switch {
 	case c.SegmentBytes < minSegmentBytes:
--- a/internal/capture/doc.go
+++ b/internal/capture/doc.go
@@ -1,5 +1,5 @@
-// Package capture owns the record of the events that the decision module received and the actions that it decided on: the
-// format, the recorder that writes it beside a running server, and the reader.
+// Package capture records the events that the decision module received and the actions that it decided on: the format, the
+// recorder that writes it in a running server, and the reader.
 //
 // A capture is a directory of segments. Each segment begins with a snapshot of the module, so a replay can start at any of
 // them, and continues with records: each event of the module's interface with the module's clock, behind it the actions that
--- a/internal/capture/encode.go
+++ b/internal/capture/encode.go
@@ -105,7 +105,7 @@
 
 func appendID(b []byte, id admission.RequestID) []byte { return appendUint(b, uint64(id)) }
 
-// appendInt and appendUint must not be inlined, or their loops would stand in the code of a record thirty times.
+// appendInt and appendUint must not be inlined, or the compiler would repeat their loops thirty times in the encoder.
 //
 //go:noinline
 func appendInt(b []byte, v int64) []byte { return binary.AppendVarint(b, v) }
@@ -143,7 +143,7 @@
 	return b
 }
 
-// isLowerHex tells whether a text consists of lower-case hex digits, which decode to the same text.
+// isLowerHex reports whether a text consists of lower-case hex digits, which decode to the same text.
 func isLowerHex(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
--- a/internal/capture/kind.go
+++ b/internal/capture/kind.go
@@ -92,8 +92,8 @@
 // MarshalText implements encoding.TextMarshaler with the kind's name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// IsEvent tells whether the kind is that of an event.
+// IsEvent reports whether the kind is that of an event.
 func (k Kind) IsEvent() bool { return k >= KindRequest && k <= KindSettle }
 
-// IsAction tells whether the kind is that of an action.
+// IsAction reports whether the kind is that of an action.
 func (k Kind) IsAction() bool { return k >= KindRun && k <= KindLog }
--- a/internal/capture/meta.go
+++ b/internal/capture/meta.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Meta is what a segment says of itself, stored as JSON.
+// Meta describes a segment. It is stored as JSON.
 type Meta struct {
 	Server      string        `json:"server"`            // the server's name
 	Run         string        `json:"run"`               // identifies a start of the process
@@ -17,7 +17,7 @@
 	Comment     string        `json:"comment,omitempty"` // of an excerpt
 }
 
-// Gap says what could not be recorded before a segment.
+// Gap describes the records that are missing before a segment.
 type Gap struct {
 	Records uint64        `json:"records"` // how many are missing
 	From    time.Duration `json:"from"`    // the module's clock at the first of them
--- a/internal/capture/parse.go
+++ b/internal/capture/parse.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// readBlock takes in the content of an intact block.
+// readBlock adds the content of an intact block to the segment.
 func (p *segmentParser) readBlock(header blockHeader, content []byte) error {
 	switch header.kind {
 	case blockMeta:
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// readRecords takes in a block of records.
+// readRecords adds a block of records to the segment.
 func (p *segmentParser) readRecords(header blockHeader, content []byte) {
 	block := Block{
 		Offset:      int64(p.at),
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -15,7 +15,7 @@
 	causeFailedDisk = "the disk failed"
 )
 
-// Counters are what became of a recording since its start.
+// Counters counts what a recorder wrote and dropped since its start.
 type Counters struct {
 	Records           uint64 // recorded
 	Dropped           uint64 // not recorded, since the disk was slow, full or broken
@@ -26,7 +26,7 @@
 	DiskErrors        uint64
 }
 
-// buffer is a block that is being filled, or waits for the disk.
+// buffer is a block that is being filled, or waits to be written.
 type buffer struct {
 	header   blockHeader
 	meta     *Meta // of the segment that this block begins, else nil
@@ -41,9 +41,9 @@
 	b.freeList <- b
 }
 
-// Recorder writes records. Its methods belong to the goroutine that owns the module, and none of them waits: a record is put
-// into a block in memory, full blocks go to a goroutine that writes them, and while no block is free records are dropped and
-// counted, and a new segment with a snapshot of its own follows.
+// Recorder writes records. Its methods belong to the goroutine that owns the module, and none of them waits: a record is
+// appended to a block in memory, and a goroutine writes full blocks. While no block is free, records are dropped and counted;
+// after that a new segment begins, with a snapshot of its own.
 type Recorder struct {
 	config   Config
 	meta     Meta // of the current segment
@@ -125,7 +125,7 @@
 	}
 }
 
-// nextBlock hands the current block to the writer and takes a free one; it returns false where there is none.
+// nextBlock passes the current block to the writer and takes a free one; it returns false where there is none.
 func (r *Recorder) nextBlock() bool {
 	r.writer.blocks <- r.current // never blocks: it has room for all buffers
 	r.current = nil
@@ -162,7 +162,7 @@
 	}
 }
 
-// isSegmentFull tells whether the current segment has reached its age or its size.
+// isSegmentFull reports whether the current segment has reached its age or its size.
 func (r *Recorder) isSegmentFull(now time.Duration) bool {
 	if now-r.segmentStart >= r.config.SegmentAge {
 		return true
@@ -171,12 +171,12 @@
 	return isWriting && r.writer.segmentBytes.Load() >= r.config.SegmentBytes
 }
 
-// isFlushDue tells whether the current block has waited long enough to be written though it is not full.
+// isFlushDue reports whether the current block has to be written before it is full.
 func (r *Recorder) isFlushDue() bool {
 	return len(r.current.data) > 0 && r.unixTime().Sub(r.current.header.unixTime) >= r.config.FlushInterval
 }
 
-// startSegment begins a segment if there are buffers for it; else the current one, or the gap, goes on.
+// startSegment begins a segment if there are buffers for it; else the current segment, or the gap, continues.
 func (r *Recorder) startSegment(now time.Duration, snapshot func([]byte) []byte) {
 	state, block := r.takeSegmentBuffers()
 	if state == nil {
@@ -214,7 +214,7 @@
 	}
 }
 
-// Counters returns what became of the recording so far.
+// Counters returns the counters so far.
 func (r *Recorder) Counters() Counters {
 	counters, w := r.counters, r.writer
 	dropped := w.droppedRecords.Load()
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -117,7 +117,7 @@
 	return at
 }
 
-// IsContinuationOf tells whether the segment continues where the one before ended, with nothing missing in between.
+// IsContinuationOf reports whether the segment continues where the one before ended, with nothing missing in between.
 func (s *Segment) IsContinuationOf(before *Segment) bool {
 	if before == nil || s.Meta.Gap != nil || !before.Complete || len(before.Damage) > 0 {
 		return false
--- a/internal/capture/tap.go
+++ b/internal/capture/tap.go
@@ -12,8 +12,8 @@
 	Snapshot(to []byte) []byte
 }
 
-// Tap stands between a host and its module and implements the interfaces of both. It records each event and passes it on, and
-// each action that the event causes on its way back, so neither side notices it. Like the module it belongs to one goroutine.
+// Tap is placed between a host and its module and implements the interfaces of both: it records each event before it passes
+// it to the module, and each action before it passes it to the host. Like the module it belongs to one goroutine.
 type Tap struct {
 	recorder *Recorder
 	module   Module
@@ -33,12 +33,12 @@
 	t.recorder.endRound(now, m.Snapshot)
 }
 
-// NameRequest notes the Request-Id of the request that comes next, and its idempotency key where it has one.
+// NameRequest records the Request-Id of the next request, and its idempotency key where it has one.
 func (t *Tap) NameRequest(id admission.RequestID, requestID, key string) {
 	t.recorder.add(&Record{Kind: KindRequestNames, At: t.now, ID: id, Text: requestID, Key: key})
 }
 
-// Annotate notes something else of the host.
+// Annotate records a text of the host, such as a change of the interpreter's link.
 func (t *Tap) Annotate(text string) {
 	t.recorder.add(&Record{Kind: KindAnnotation, At: t.now, Text: text})
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -27,7 +27,7 @@
 	progress
 }
 
-// progress is what the recorder reads of the writer, from its own goroutine.
+// progress is the writer's state that the recorder reads from its own goroutine.
 type progress struct {
 	segmentNumber  atomic.Int64  // within the run, of the segment that is written
 	segmentBytes   atomic.Int64  // written of it
@@ -179,7 +179,7 @@
 	w.file = nil
 }
 
-// abandonSegment gives up the segment after a failure. What follows would be torn, so it has to wait for a new segment.
+// abandonSegment closes the segment after a failure. Its end may be torn, so the blocks that follow need a new segment.
 func (w *writer) abandonSegment(err error) {
 	w.errorCount.Add(1)
 	if w.file != nil {
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Log collects what a daemon logs: JSON, one object a line. Its methods may be called by several goroutines at once.
+// Log collects a daemon's log: JSON, one object a line. It is safe for concurrent use.
 type Log struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -19,7 +19,7 @@
 // ErrStillRunning is returned by Process.Wait where the process did not end in time.
 var ErrStillRunning = errors.New("the daemon did not end")
 
-// Command is what is started.
+// Command is the program to start, with its environment.
 type Command struct {
 	Program string
 	Args    []string
@@ -27,7 +27,7 @@
 	Core    int      // the only core that it may use, or AnyCore
 }
 
-// Process is a started daemon. Its methods may be called by several goroutines at once.
+// Process is a started daemon. It is safe for concurrent use.
 type Process struct {
 	cmd    *exec.Cmd
 	exited chan struct{} // closed after the process has ended
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -11,11 +11,11 @@
 
 //go:generate go run golang.org/x/tools/cmd/stringer -type=connState
 
-// ConnHandler is told what happens on a connection.
+// ConnHandler receives the events of a connection.
 type ConnHandler interface {
 	// Connected says that a dialled connection is established.
 	Connected(c *Conn)
-	// Data hands over bytes, which are valid during the call only.
+	// Data passes received bytes, which are valid during the call only.
 	Data(c *Conn, p []byte)
 	// Closed says that the connection ended without Close; no other call follows.
 	Closed(c *Conn, err error)
@@ -30,7 +30,7 @@
 	state        connState
 	isClosed     bool
 	lastActivity time.Time
-	pendingErr   error // to be reported
+	pendingErr   error // reported by the next call of report
 	in           connInput
 	out          connOutput
 }
@@ -59,7 +59,7 @@
 	stateLingering
 )
 
-// Dial starts a connection; its handler is told of the outcome in a later round.
+// Dial starts a connection; the outcome is reported to its handler in a later round.
 func (l *Loop) Dial(to netip.AddrPort, h ConnHandler) (*Conn, error) {
 	fd, err := l.system.NewStreamSocket(to)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return c, nil
 }
 
-// isConnecting reports whether the owner was not told yet that the connection is established.
+// isConnecting reports whether the handler's Connected has not been called.
 func (c *Conn) isConnecting() bool { return c.state < stateEstablished }
 
 // gather implements source.
@@ -105,7 +105,7 @@
 	}
 }
 
-// read takes what is there into the loop's arena. Where that is full the rest waits for the next round.
+// read reads into the loop's arena. Where that is full, the socket is read in the next round.
 func (c *Conn) read() {
 	in := &c.loop.input
 	start := len(in.arena)
@@ -148,13 +148,13 @@
 	}
 }
 
-// fail reports the end of the connection in the next round: its owner has settled this one.
+// fail reports the end of the connection in the next round: this one's reports are over.
 func (c *Conn) fail(err error) {
 	c.pendingErr = err
 	c.loop.output.failed = append(c.loop.output.failed, c)
 }
 
-// updateEvents registers the connection for what it waits for. A peer that does not take its responses is not read.
+// updateEvents registers the connection for the events it waits for. A peer that does not take its responses is not read.
 func (c *Conn) updateEvents() {
 	var events uint32
 	if len(c.out.unsent) < highWatermark && !c.out.closeAfter || c.state == stateLingering {
@@ -169,21 +169,21 @@
 	}
 }
 
-// IsIdle reports whether nothing came or went for the time, and nothing waits to be read.
+// IsIdle reports whether nothing was read or written for so long, and neither input nor output is pending.
 func (c *Conn) IsIdle(idle time.Duration) bool {
 	return !c.isClosed && len(c.out.unsent) == 0 && c.loop.now.Sub(c.lastActivity) >= idle && !c.HasPendingInput()
 }
 
-// HasPendingInput reports whether something waits in the socket: bytes, or the connection's end.
+// HasPendingInput reports whether the socket has something to read: bytes, or the connection's end.
 func (c *Conn) HasPendingInput() bool {
 	_, err := c.loop.system.Peek(c.fd, c.loop.input.peeked[:])
 	return err != unix.EAGAIN
 }
 
-// LastActivity returns when something last came or went.
+// LastActivity returns the time of the last read or write.
 func (c *Conn) LastActivity() time.Time { return c.lastActivity }
 
-// Close closes the connection now, without a call of its handler.
+// Close closes the connection immediately, without a call of its handler.
 func (c *Conn) Close() {
 	if !c.isClosed {
 		c.isClosed = true
--- a/internal/eventloop/conn_output.go
+++ b/internal/eventloop/conn_output.go
@@ -138,7 +138,7 @@
 func (c *Conn) UnsentBytes() int { return len(c.out.unsent) }
 
 // CloseAfterFlush ends the connection once all that is queued is sent. What the peer still sends is discarded until it
-// ends the connection, too, or for a short time; then the handler is told.
+// ends the connection, too, for lingerTimeout at most; then the handler's Closed is called.
 func (c *Conn) CloseAfterFlush() {
 	c.out.closeAfter = true
 	c.markDirty()
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -19,7 +19,7 @@
 type AcceptCallbacks struct {
 	// OnConn returns the handler of a new connection, or nil to reject it.
 	OnConn func(c *Conn) ConnHandler
-	// OnError is told of connections that could not be accepted.
+	// OnError is called with the error of a connection that could not be accepted.
 	OnError func(err error)
 }
 
@@ -96,8 +96,8 @@
 				return false
 			}
 		case err == unix.EINTR || err == unix.ECONNABORTED:
-			// Of this call or this connection alone.
-		default: // as likely to come again at once
+			// It concerns this call or this connection alone.
+		default: // likely to recur immediately
 			ln.errs = append(ln.errs, err)
 			return false
 		}
@@ -105,8 +105,8 @@
 	return true
 }
 
-// rejectOne closes the spare descriptor to accept one connection and close it, so that its caller is told at once. It
-// reports whether there is a spare descriptor again.
+// rejectOne closes the spare descriptor to accept one connection and close it, so that the peer need not wait for
+// a timeout. It reports whether there is a spare descriptor again.
 func (ln *Listener) rejectOne() bool {
 	if ln.spareFD < 0 {
 		return false
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -25,7 +25,7 @@
 	return s.Kernel.Accept(fd)
 }
 
-// TestAcceptErrors has Accept fail, once or for a while: the next connection is accepted all the same, and the loop does
+// TestAcceptErrors has Accept fail, once or for a while: the next connection is still accepted, and the loop does
 // not spin on a listener that stays ready.
 func TestAcceptErrors(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -53,7 +53,7 @@
 type roundInput struct {
 	ready       []source // to be reported
 	arena       []byte   // bytes read from all connections
-	isArenaFull bool     // some connection was not read for want of room
+	isArenaFull bool     // some connection was not read for lack of space
 	firstEvent  int      // index of the event that the next round begins with, modulo their number
 	discarded   [readSize]byte
 	peeked      [1]byte
@@ -123,7 +123,7 @@
 	return l.timers.schedule(l.now, delay, callback)
 }
 
-// CancelTimer cancels a timer; nil and one that fired are left alone.
+// CancelTimer cancels a timer. It does nothing for nil and for one that fired.
 func (l *Loop) CancelTimer(t *Timer) { l.timers.cancel(t) }
 
 // Stop ends Run after this round.
@@ -141,7 +141,7 @@
 }
 
 // Run goes on until Stop. After the events of a round it calls settle, which reports whether it left events of its own
-// for another round at once.
+// that need another round without a wait.
 func (l *Loop) Run(settle func() (hasEvents bool)) error {
 	events := make([]unix.EpollEvent, maxEvents)
 	hasEvents := false
@@ -177,8 +177,8 @@
 	return max(n, 0), nil
 }
 
-// gather reads what is ready and lists whom to report. The order of the events rotates: were it the same each time, a few
-// connections that never pause could keep all others from being read.
+// gather reads what is ready and lists the sources to report. The order of the events rotates: were it the same each time, a
+// few connections that never pause could keep all others from being read.
 func (l *Loop) gather(events []unix.EpollEvent) {
 	in := &l.input
 	in.ready = append(in.ready[:0], l.output.failed...)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -235,8 +235,8 @@
 	return c
 }
 
-// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the response arrives
-// all the same, and the connection of a peer that never stops is closed.
+// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the response still
+// arrives, and the connection of a peer that never stops is closed.
 func TestLinger(t *testing.T) {
 	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
@@ -269,7 +269,7 @@
 	}
 }
 
-// TestFloodIsFair has more senders at full speed than one round can read: one that connects later is read all the same,
+// TestFloodIsFair has more senders at full speed than one round can read: one that connects later is still read,
 // and what a round reads stays within the arena.
 func TestFloodIsFair(t *testing.T) {
 	e := newEchoHandler()
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -8,7 +8,7 @@
 )
 
 // System is what a loop needs of the operating system: the calls of epoll(7), socket(7) and tcp(7) that it makes, with
-// their errors, and the clock. Descriptors are non-blocking. Tests and simulations put another one under the same loop.
+// their errors, and the clock. Descriptors are non-blocking. Tests and simulations replace it.
 type System interface {
 	Now() time.Time
 	EpollCreate() (epoll int, err error)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -43,7 +43,7 @@
 	return t
 }
 
-// cancel takes a timer out; nil, and one that fired or was cancelled, are left alone.
+// cancel removes a timer. It does nothing for nil and for one that fired or was cancelled.
 func (w *timerWheel) cancel(t *Timer) {
 	if t == nil || t.next == nil {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// untilNext returns how long no timer is due, at most one turn of the wheel.
+// untilNext returns the time until the next timer is due, at most one turn of the wheel.
 func (w *timerWheel) untilNext(now time.Time) time.Duration {
 	if w.scheduled == 0 {
 		return wheelSlots * w.tick
--- a/internal/fake/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -28,10 +28,11 @@
 const (
 	protocolVersion  = 1
 	recordHeaderSize = 8
+	beginRequestSize = 8 // of the content
 	roleResponder    = 1
 	flagKeepConn     = 1
 
-	// maxRecordContent is the longest content that is put into one record; the protocol allows 65535 bytes.
+	// maxRecordContent is the longest content of a record that is written; the protocol allows 65535 bytes.
 	maxRecordContent = 60000
 	// maxShortLength is the longest name or value whose length takes one byte.
 	maxShortLength = 127
@@ -39,6 +40,8 @@
 	longLengthBit = 1 << 31
 	// endRequestMinSize is the part of an END_REQUEST record's content that is read: application and protocol status.
 	endRequestMinSize = 5
+	// protocolStatusOffset is where the protocol status is in that content.
+	protocolStatusOffset = 4
 )
 
 // EncodeRecord returns a record of the type with so many bytes of padding.
@@ -52,7 +55,7 @@
 
 // EncodeBeginRequest returns a BEGIN_REQUEST record; keepConn asks the server to keep the connection afterwards.
 func EncodeBeginRequest(id uint16, role uint16, keepConn bool) []byte {
-	content := make([]byte, 8)
+	content := make([]byte, beginRequestSize)
 	binary.BigEndian.PutUint16(content, role)
 	if keepConn {
 		content[2] = flagKeepConn
@@ -115,7 +118,7 @@
 	Content        []byte // of a management record
 }
 
-// ResponseReader puts responses together from the bytes that a server wrote on one connection. The zero value is ready.
+// ResponseReader assembles responses from the bytes that a server wrote on one connection. Its zero value is usable.
 type ResponseReader struct {
 	rest   []byte            // an incomplete record
 	stdout map[uint16][]byte // by request ID
@@ -176,7 +179,7 @@
 		return Response{}, fmt.Errorf("an end record of %d bytes", len(content))
 	}
 	delete(r.stdout, id)
-	response.ID, response.ProtocolStatus = id, content[4]
+	response.ID, response.ProtocolStatus = id, content[protocolStatusOffset]
 	return response, nil
 }
 
--- a/internal/fake/interpreter.go
+++ b/internal/fake/interpreter.go
@@ -12,8 +12,8 @@
 	Body      []byte
 }
 
-// Interpreter is a fake interpreter. It starts a run for each command and ends it when a test says so (EndRun), at once
-// (FinishImmediately) or after simulated work (SimulateWork). Its methods may be called by several goroutines at once.
+// Interpreter is a fake interpreter. It starts a run for each command and ends it when a test calls EndRun, immediately
+// (FinishImmediately) or after simulated work (SimulateWork). It is safe for concurrent use.
 type Interpreter struct {
 	clock Clock
 
@@ -27,7 +27,7 @@
 	onRun     func(RunCommand)
 
 	linkCount     int
-	attachCount   int // links that came by Attach
+	attachCount   int // links added by Attach
 	gaugeReadings int // answers to TOP
 }
 
@@ -42,7 +42,7 @@
 	utilization       float64 // the first gauge
 }
 
-// runTable is what the interpreter knows of runs.
+// runTable is the state of all runs.
 type runTable struct {
 	started  []RunCommand // all commands that started a run, in order
 	running  []string     // request IDs in the order of their start
@@ -50,13 +50,13 @@
 	finished map[string]bool
 }
 
-// NewInterpreter starts an interpreter that listens on loopback, is up and ends runs only when told.
+// NewInterpreter starts an interpreter that listens on loopback, is up and ends runs only by EndRun.
 func NewInterpreter() (*Interpreter, error) {
 	it := NewInterpreterWithClock(wallClock{})
 	return it, it.listen()
 }
 
-// NewInterpreterWithClock returns an interpreter that lives by the clock and has no sockets: links come by Attach.
+// NewInterpreterWithClock returns an interpreter that uses the clock and has no sockets: links are added by Attach.
 func NewInterpreterWithClock(clock Clock) *Interpreter {
 	return &Interpreter{clock: clock, behavior: behavior{isUp: true},
 		runs: runTable{bodies: map[string][]byte{}, finished: map[string]bool{}}}
@@ -96,7 +96,7 @@
 // MarkDown has the interpreter behave as one that is still starting.
 func (it *Interpreter) MarkDown() { it.update(func() { it.behavior.isUp = false }) }
 
-// MarkUp ends what MarkDown began.
+// MarkUp reverts MarkDown: the interpreter has started, and sends its banner.
 func (it *Interpreter) MarkUp() {
 	it.update(func() {
 		it.behavior.isUp = true
--- a/internal/fake/interpreter_link.go
+++ b/internal/fake/interpreter_link.go
@@ -54,14 +54,15 @@
 	link         *Link     // the newest, nil after it was cut
 	order        linkOrder // of the newest link
 	lastReceived uint64    // the number of the last notice that the newest CONNECT says was seen
-	awaitsBanner bool      // a CONNECT came and BANNER was not sent
+	awaitsBanner bool      // CONNECT was received and BANNER was not sent
 	notices      []message
 }
 
-// linkOrder orders links by the address and the time at which they were accepted. A link replaces those of lower rank, and
-// what is still read on one of those is ignored: it is lost with its link.
+// linkOrder orders links by the address and the time at which they were accepted. A link replaces those before it in
+// the order, and what is still read on one of those is ignored.
 type linkOrder struct{ listener, accepted int }
 
+// isBelow reports whether the link comes before the other in the order.
 func (r linkOrder) isBelow(other linkOrder) bool {
 	return r.listener < other.listener || r.listener == other.listener && r.accepted < other.accepted
 }
@@ -71,7 +72,7 @@
 	interpreter *Interpreter
 	peer        io.WriteCloser
 	order       linkOrder
-	localAddr   string // the address that it came to; "" without a socket
+	localAddr   string // the address at which it was accepted; "" without a socket
 	partialLine []byte // an incomplete line
 }
 
@@ -239,13 +240,13 @@
 	}
 }
 
-// handleRun starts the run that is asked for, at most once.
+// handleRun starts a run, unless it was started before.
 func (it *Interpreter) handleRun(m message) {
 	switch {
 	case slices.Contains(it.runs.running, m.ID):
 	case m.ID == it.behavior.rejectedID:
 		it.send(message{Op: opError, End: m.Op, ID: m.ID})
-	case it.runs.finished[m.ID]: // asked for again while the notice of its end was on the way
+	case it.runs.finished[m.ID]: // submitted again while the notice of its end was in transit
 		it.sendRunEnd(m.ID, statusNotStarted, nil)
 	default:
 		it.startRun(RunCommand{m.ID, m.Class, m.Body})
--- a/internal/fake/member.go
+++ b/internal/fake/member.go
@@ -30,8 +30,8 @@
 	NotReading                 // it accepts connections and reads nothing
 )
 
-// Member is a server of a pool, on loopback. It speaks FastCGI or SCGI and treats each request by its behavior. Its methods
-// may be called by several goroutines at once.
+// Member is a server of a pool, on loopback. It speaks FastCGI or SCGI and treats each request by its behavior. It is
+// safe for concurrent use.
 type Member struct {
 	Name   string
 	isSCGI bool
--- a/internal/fake/member_fastcgi.go
+++ b/internal/fake/member_fastcgi.go
@@ -11,10 +11,10 @@
 // malformedResponse is no response of FastCGI or SCGI.
 const malformedResponse = "HTTP/1.1 200 OK\r\n\r\n"
 
-// endRequestSize is the length of an END_REQUEST record's content, and endOverloaded the content that rejects a request with
-// FCGI_OVERLOADED.
+// endRequestSize is the length of an END_REQUEST record's content.
 const endRequestSize = 8
 
+// endOverloaded is the content of an END_REQUEST record that rejects the request with FCGI_OVERLOADED.
 var endOverloaded = []byte{0, 0, 0, 0, 2, 0, 0, 0}
 
 // answerFastCGI answers one request, and returns whether the connection goes on.
@@ -29,7 +29,7 @@
 	response = append(response, end...)
 	switch behavior {
 	case Silent:
-		io.Copy(io.Discard, conn) // until the other side gives up
+		io.Copy(io.Discard, conn) // until the peer closes the connection
 		return false
 	case Truncated:
 		conn.Write(response[:len(response)/2])
--- a/internal/fake/member_scgi.go
+++ b/internal/fake/member_scgi.go
@@ -15,7 +15,7 @@
 // maxSCGIHeader is about the longest header that is read.
 const maxSCGIHeader = 1 << 20
 
-// answerSCGI answers the one request of a connection. Overload, for which the protocol has no word, is a status.
+// answerSCGI answers the one request of a connection. SCGI cannot express overload, so that is an HTTP status.
 func (m *Member) answerSCGI(conn net.Conn, behavior Behavior, status int, request memberRequest) {
 	text := fmt.Sprintf("%s %s %s", m.Name, request.params["SCRIPT_NAME"], request.body)
 	response := fmt.Appendf(nil, "Status: %d\r\nContent-Length: %d\r\nX-Member: %s\r\n\r\n%s", status, len(text), m.Name, text)
--- a/internal/fake/work.go
+++ b/internal/fake/work.go
@@ -20,13 +20,13 @@
 	cores       int
 	runTime     func(RunCommand) time.Duration
 	remaining   map[string]time.Duration // core time, by request ID
-	spentUntil  time.Time                // up to which time was spent
+	spentUntil  time.Time                // the time of the last update
 	cancelTimer func()
 	onTimer     func() // spends time, and sets the timer again while something runs
 	isIdle      bool   // no timer is set
 }
 
-// Clock is the time that an interpreter lives in.
+// Clock is the source of time of an interpreter.
 type Clock interface {
 	Now() time.Time
 	// After has the function called after the wait, unless it is cancelled before.
@@ -36,8 +36,10 @@
 // wallClock is the machine's clock.
 type wallClock struct{}
 
+// Now implements Clock.
 func (wallClock) Now() time.Time { return time.Now() }
 
+// After implements Clock.
 func (wallClock) After(wait time.Duration, fire func()) (cancel func()) {
 	t := time.AfterFunc(wait, fire)
 	return func() { t.Stop() }
@@ -101,7 +103,7 @@
 	return max(wait, minWorkInterval)
 }
 
-// spendWork spends the time since the last update on what runs, and ends the runs that are through.
+// spendWork spends the time since the last update on the running requests, and ends the runs whose core time is used up.
 func (it *Interpreter) spendWork(work *simulatedWork) {
 	now := it.clock.Now()
 	elapsed := now.Sub(work.spentUntil)
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -27,7 +27,7 @@
 	return appendStream(buf, typeStdin, id, body)
 }
 
-// ResponseParser puts together the response to one request, fed with what the connection brings.
+// ResponseParser assembles the response to one request from the bytes that are read from its connection.
 type ResponseParser struct {
 	RequestID      uint16
 	MaxBytes       int // of the response
@@ -38,8 +38,8 @@
 	err            error
 }
 
-// Feed reads the next bytes and reports whether the response is complete. Bytes behind its end are an error: nothing was
-// asked for.
+// Feed reads the next bytes and reports whether the response is complete. Bytes behind its end are an error, as they
+// answer no request.
 func (r *ResponseParser) Feed(p []byte) (complete bool, err error) {
 	if r.isComplete {
 		return true, fmt.Errorf("%w: bytes behind its end", ErrResponse)
@@ -63,7 +63,7 @@
 		}
 		r.stdout = append(r.stdout, part...)
 	case header.isEndRequest():
-		r.stdout = append(r.stdout, part...) // taken off again by endRecord
+		r.stdout = append(r.stdout, part...) // removed again by endRecord
 	}
 }
 
@@ -90,12 +90,12 @@
 	return nil
 }
 
-// Overloaded reports whether the responder rejected the request without looking at it.
+// Overloaded reports whether the responder rejected the request as overloaded, without processing it.
 func (r *ResponseParser) Overloaded() bool {
 	return r.isComplete && r.protocolStatus == statusOverloaded
 }
 
-// CompleteAtEOF reports whether the response is complete now that the connection has ended, which completes none.
+// CompleteAtEOF reports whether the response is complete at the end of the connection. In FastCGI that end completes none.
 func (r *ResponseParser) CompleteAtEOF() bool { return r.isComplete }
 
 // Response returns the complete response.
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// requestKeeper keeps the request that a session hands over.
+// requestKeeper keeps the request that a session passes to its handler.
 type requestKeeper struct {
 	gateway.Handler
 	request gateway.Request
--- a/internal/fastcgi/model_test.go
+++ b/internal/fastcgi/model_test.go
@@ -22,7 +22,7 @@
 	*testGateway
 	open      map[uint16]*expectedRequest
 	responses int // that the gateway should have read
-	aborts    int // that the handler should have been told of
+	aborts    int // that the handler should have received
 }
 
 // send feeds a record in pieces of any size.
@@ -79,7 +79,7 @@
 				m.send(t, fake.EncodeRecord(fake.Stdin, id, part, drawPadding(t)))
 				if request := m.open[id]; request != nil && !request.isComplete {
 					if request.body = append(request.body, part...); len(request.body) > testLimits.BodyBytes {
-						delete(m.open, id) // rejected at once
+						delete(m.open, id) // rejected immediately
 						m.responses++
 					}
 				}
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -82,14 +82,14 @@
 	}, nil
 }
 
-// recordHandler is told what a recordReader reads: parts of a record's content in order, then the end of the record.
+// recordHandler receives what a recordReader reads: parts of a record's content in order, then the end of the record.
 type recordHandler interface {
 	content(h recordHeader, p []byte)
 	endRecord(h recordHeader) error
 }
 
-// recordReader cuts a byte stream into records, wherever the stream is split. Content is handed on as it comes, so that
-// nothing but a header is ever buffered.
+// recordReader splits a byte stream into records. Content is passed on as it is read, so that nothing but a header is ever
+// buffered.
 type recordReader struct {
 	header      [headerSize]byte
 	headerBytes int // read of header
@@ -99,7 +99,7 @@
 	paddingLeft int
 }
 
-// hasPartialRecord reports whether a record was begun that has not come whole.
+// hasPartialRecord reports whether a part of a record was read, and not all of it.
 func (r *recordReader) hasPartialRecord() bool { return r.inRecord || r.headerBytes > 0 }
 
 // feed reads the next bytes.
@@ -142,7 +142,7 @@
 	return data[n:], nil
 }
 
-// readContent hands on bytes of the content, and returns those behind it.
+// readContent passes bytes of the content to the handler, and returns those behind it.
 func (r *recordReader) readContent(data []byte, to recordHandler) []byte {
 	n := min(r.contentLeft, len(data))
 	if n > 0 {
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// recordLog is a recordHandler that writes down what it is told.
+// recordLog is a recordHandler that logs its calls.
 type recordLog struct {
 	text strings.Builder
 	body []byte
--- a/internal/fastcgi/request.go
+++ b/internal/fastcgi/request.go
@@ -90,7 +90,7 @@
 	return append(buf, response.Body...)
 }
 
-// write sends records that were put together in the shared buffer, which is kept for the next.
+// write sends records that were assembled in the shared buffer, which is kept for the next ones.
 func (s *Session) write(records []byte) {
 	s.out.Write(records)
 	s.shared.recordBuf = records[:0]
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -19,7 +19,7 @@
 var (
 	// errSessionEnded ends the parsing of a connection that is to be closed.
 	errSessionEnded = errors.New("fastcgi: session ended")
-	// errTooManySkipped ends a connection on which nothing but what belongs to no request comes.
+	// errTooManySkipped ends a connection that sends only records of no open request.
 	errTooManySkipped = errors.New("fastcgi: too many bytes that belong to no request")
 )
 
@@ -32,21 +32,21 @@
 // Error implements error.
 func (e *RequestError) Error() string { return fmt.Sprintf("fastcgi: request %d: %s", e.ID, e.Reason) }
 
-// Limits bounds what sessions take in.
+// Limits bounds the requests that sessions accept.
 type Limits struct {
 	OpenRequests int  // of one session
 	ParamBytes   int  // of one request's parameters
 	BodyBytes    int  // of one request's body
 	TotalBytes   int  // of all requests without a response, of all sessions
-	KeepParams   bool // hand over all parameters with a request, too
+	KeepParams   bool // pass all parameters with a request, too
 }
 
 // sharedState is what all sessions of a protocol have in common. The buffers are here because idle sessions are many and
 // must hold none.
 type sharedState struct {
 	bytesLeft int    // of Limits.TotalBytes
-	cgiBuf    []byte // the CGI response being put together
-	recordBuf []byte // the records being put together
+	cgiBuf    []byte // the CGI response being assembled
+	recordBuf []byte // the records being assembled
 }
 
 // request is one open request of a session.
@@ -55,13 +55,13 @@
 	params       []byte
 	body         []byte
 	hasAllParams bool
-	isComplete   bool // the handler was given it, or told why it can't be handed over
+	isComplete   bool // it was passed to the handler, as a request or as invalid
 	isInvalid    bool
 	reason       gateway.RejectReason // if isInvalid
 	heldBytes    int                  // of sharedState.bytesLeft
 }
 
-// invalidate notes the first reason why a request can't be handed over.
+// invalidate records the first reason why a request is invalid.
 func (r *request) invalidate(reason gateway.RejectReason) {
 	if !r.isInvalid {
 		r.isInvalid, r.reason = true, reason
@@ -77,7 +77,7 @@
 	open         map[uint16]*request
 	control      []byte // content of a BEGIN_REQUEST or management record
 	skippedBytes int    // since the last whole request
-	incomplete   int    // open requests that have not come whole
+	incomplete   int    // open requests that are incomplete
 	hasEnded     bool   // no more requests are read, and the connection is closed once the open ones have a response
 	shared       *sharedState
 }
@@ -107,7 +107,7 @@
 // HasPartialInput implements gateway.Session.
 func (s *Session) HasPartialInput() bool { return s.incomplete > 0 || s.reader.hasPartialRecord() }
 
-// ShouldClose implements gateway.Session. Requests that have not come whole are dropped with the connection.
+// ShouldClose implements gateway.Session. Incomplete requests are dropped with the connection.
 func (s *Session) ShouldClose() bool {
 	if !s.hasEnded {
 		return false
@@ -129,7 +129,7 @@
 	s.hasEnded, s.incomplete = true, 0
 }
 
-// content implements recordHandler. What is over a limit is dropped and noted.
+// content implements recordHandler. Content over a limit is dropped and invalidates its request.
 func (s *Session) content(header recordHeader, part []byte) {
 	req := s.open[header.requestID]
 	isReading := req != nil && !req.isComplete
@@ -143,13 +143,13 @@
 	default:
 		s.skippedBytes += len(part)
 	}
-	// A request that is over a limit is rejected at once: its end may be far away, or never come.
+	// A request over a limit is rejected without waiting for its end, which may never come.
 	if isReading && req.isInvalid {
 		s.complete(header.requestID, req)
 	}
 }
 
-// hasControl reports whether the record's content is collected whole before it is looked at.
+// hasControl reports whether the record's content is buffered until the record is complete.
 func (h recordHeader) hasControl() bool {
 	return h.recordType == typeBeginRequest || h.requestID == managementID
 }
@@ -160,7 +160,7 @@
 		req.invalidate(gateway.TooLarge)
 		return collected
 	}
-	// Requests that come in slowly on many connections must not fill the memory.
+	// Many connections that send requests slowly must not exhaust the memory.
 	if len(added) > s.shared.bytesLeft {
 		req.invalidate(gateway.TooManyRequests)
 		return collected
@@ -170,8 +170,8 @@
 	return append(collected, added...)
 }
 
-// endRecord implements recordHandler. What follows the record that ends the connection is not looked at, in the same read
-// as in a later one.
+// endRecord implements recordHandler. What follows the record that ends the connection is ignored, whether it comes in the
+// same read or in a later one.
 func (s *Session) endRecord(header recordHeader) error {
 	err := s.handleRecord(header)
 	switch {
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// handleRecord acts on a whole record. Records of requests that are not open are skipped, as the gateway may have sent
+// handleRecord acts on a complete record. Records of requests that are not open are skipped, as the gateway may have sent
 // them before it read the response.
 func (s *Session) handleRecord(header recordHeader) error {
 	control := s.takeControl()
@@ -256,7 +256,7 @@
 	s.handler.RequestRejected(reason)
 }
 
-// abort ends a request that has not come whole, or tells the handler that the gateway gave it up.
+// abort ends an incomplete request, or passes the abort of a complete one to the handler.
 func (s *Session) abort(id uint16, req *request) {
 	if req.isComplete {
 		s.handler.RequestAborted(s, gateway.StreamID(id))
@@ -266,7 +266,7 @@
 	s.finish(id, req, appendEndRequest(s.shared.recordBuf[:0], id, appFailure, statusComplete))
 }
 
-// complete hands over a request whose last byte came, or the reason why it can't be.
+// complete passes a request to the handler once its last byte was read, or the reason why it is invalid.
 func (s *Session) complete(id uint16, req *request) {
 	req.isComplete = true
 	s.incomplete--
--- a/internal/fastcgi/session_test.go
+++ b/internal/fastcgi/session_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// TestInvalidRequests rejects requests that can't be handed over, and goes on with the connection.
+// TestInvalidRequests rejects invalid requests, and continues with the connection.
 func TestInvalidRequests(t *testing.T) {
 	cut := fake.EncodeBeginRequest(1, 1, true)
 	cut = append(cut, fake.EncodeRecord(fake.Params, 1, []byte{5, 5, 'a'}, 0)...)
@@ -213,7 +213,7 @@
 	}
 }
 
-// TestAbort aborts requests that have not come whole and requests that were handed over: each is ended once.
+// TestAbort aborts incomplete requests and requests that were passed to the handler: each is ended once.
 func TestAbort(t *testing.T) {
 	g := newTestGateway(t)
 	g.feed(fake.EncodeBeginRequest(1, 1, true), fake.EncodeRecord(fake.AbortRequest, 1, nil, 0))
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -24,7 +24,7 @@
 	isClosed  bool
 }
 
-// assign gives the connection a request.
+// assign binds a request to the connection.
 func (c *conn) assign(req *pendingRequest) {
 	c.request, req.conn = req, c
 	c.isSent = false
@@ -35,7 +35,7 @@
 	c.parser = c.protocol.newParser(c.requestID)
 }
 
-// startTimeout fails the connection after the time, unless the timer is cancelled before.
+// startTimeout fails the connection after the timeout, unless the timer is cancelled before.
 func (c *conn) startTimeout(timeout time.Duration) {
 	c.forwarder.loop.CancelTimer(c.timer)
 	c.timer = c.forwarder.loop.AfterFunc(timeout, c.timedOut)
@@ -47,9 +47,9 @@
 	c.fail(pool.Timeout)
 }
 
-// checkActivity fails the connection once the member takes nothing of the request, or sends nothing of its response, for
-// as long as the pool allows: nginx's send and read timeouts, which are between two operations. Activity does not reset
-// the timer; the timer looks when the last one was.
+// checkActivity fails the connection once the member has read none of the request, or sent none of its response, for the
+// pool's send or read timeout, which like nginx's are between two operations. Activity does not reset
+// the timer, which compares the time of the last one when it fires.
 func (c *conn) checkActivity() {
 	timeout := c.target.config.ReadTimeout
 	if c.socket.UnsentBytes() > 0 {
@@ -131,7 +131,7 @@
 	forwarder.finish(req, Responded, response)
 }
 
-// release makes the connection idle, or closes it where it can't be used again or enough are kept.
+// release makes the connection idle, or closes it where it can't be reused or MaxIdleConns are idle.
 func (c *conn) release() {
 	c.request = nil
 	c.forwarder.loop.CancelTimer(c.timer)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -12,26 +12,30 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// Handler is told of the outcomes of requests and of changes in pools.
+// Handler receives the outcomes of requests and changes of pool members.
 type Handler interface {
 	// RequestFinished is called once for each request. Where no member responded, the response has only the status that
 	// nginx has for that: 504 where a member took too long, 502 otherwise.
 	RequestFinished(id string, outcome Outcome, r gateway.Response)
-	// MemberChanged says that a member of a pool is out, in, ejected or gone.
+	// MemberChanged reports that a member of a pool became unavailable or available, was ejected or was removed.
 	MemberChanged(pool string, c pool.StateChange)
 }
 
+// retryDecisionSlots is the length of Stats.RetryDecisions. Every slot is reported as a counter, used or not, so the number
+// is kept above that of the decisions.
+const retryDecisionSlots = 8
+
 // Stats counts what was sent to members.
 type Stats struct {
 	Attempts         uint64
 	Retries          uint64 // attempts but the first of a request
 	Rejected         uint64 // attempts that the member rejected as overloaded
 	Timeouts         uint64
-	Errors           uint64 // connections that failed or could not be begun
+	Errors           uint64 // connections that failed or could not be started
 	InvalidResponses uint64
 	Dials            uint64
 	ReusedConns      uint64
-	RetryDecisions   [8]uint64 // by pool.RetryDecision, of failed attempts
+	RetryDecisions   [retryDecisionSlots]uint64 // of failed attempts, by pool.RetryDecision
 }
 
 // Forwarder sends requests to members of pools.
@@ -49,7 +53,7 @@
 	config    routeconfig.Pool
 	protocol  *protocol
 	balancer  *pool.Pool
-	idle      map[string][]*conn // by member, the one used last at the end
+	idle      map[string][]*conn // by member address; the most recently used is last
 	idleCount int
 }
 
@@ -58,11 +62,11 @@
 	return &Forwarder{loop: l, handler: h, start: l.Now(), pools: map[string]*targetPool{}, requests: map[string]*pendingRequest{}}
 }
 
-// now returns the time that the pools go by.
+// now returns the time that is passed to pools: since the forwarder's start.
 func (f *Forwarder) now() time.Duration { return f.loop.Now().Sub(f.start) }
 
-// Update replaces the pools. Those that stay keep what is known of their members; the others lose their idle connections,
-// and requests under way end as they would have.
+// Update replaces the pools. Pools that stay keep the state of their members; of the others the idle connections are
+// closed, and requests in flight finish normally.
 func (f *Forwarder) Update(configs []routeconfig.Pool, newRand func() *rand.Rand) error {
 	next := make(map[string]*targetPool, len(configs))
 	for _, config := range configs {
@@ -85,7 +89,7 @@
 	return nil
 }
 
-// updatedPool returns the pool of the configuration: the one there is, or a new one.
+// updatedPool returns the pool of the configuration: the existing one, updated, or a new one.
 func (f *Forwarder) updatedPool(config routeconfig.Pool, newRand func() *rand.Rand) (*targetPool, error) {
 	target := f.pools[config.Name]
 	if target == nil {
@@ -135,7 +139,7 @@
 	}
 }
 
-// reportChanges hands on the changes of a pool's members.
+// reportChanges passes the changes of a pool's members to the handler.
 func (f *Forwarder) reportChanges(target *targetPool) {
 	for _, change := range target.balancer.TakeChanges() {
 		f.handler.MemberChanged(target.config.Name, change)
@@ -146,7 +150,7 @@
 type PoolState struct {
 	Name        string
 	IdleConns   int
-	RetryBudget float64 // retries that could be made at once
+	RetryBudget float64 // retries that the budget allows now
 	Members     []pool.MemberStatus
 }
 
@@ -165,7 +169,7 @@
 	return states
 }
 
-// Close closes all connections. No request under way is reported.
+// Close closes all connections. Requests in flight are dropped without a report.
 func (f *Forwarder) Close() {
 	for _, request := range f.requests {
 		if request.conn != nil {
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -5,19 +5,20 @@
 
 	"tillerusher/internal/fastcgi"
 	"tillerusher/internal/gateway"
+	"tillerusher/internal/routeconfig"
 	"tillerusher/internal/scgi"
 )
 
 // maxResponseBytes bounds a member's response.
 const maxResponseBytes = 1 << 20
 
-// responseParser puts together a member's response from what its connection brings.
+// responseParser assembles a member's response from the bytes that are read from its connection.
 type responseParser interface {
 	// Feed reads the next bytes, and reports whether the response is complete.
 	Feed(p []byte) (complete bool, err error)
 	// CompleteAtEOF reports whether it is complete now that the member has ended the connection.
 	CompleteAtEOF() bool
-	// Overloaded reports whether the member rejected the request without looking at it.
+	// Overloaded reports whether the member rejected the request as overloaded, without processing it.
 	Overloaded() bool
 	// Response returns the complete response.
 	Response() (gateway.Response, error)
@@ -30,12 +31,12 @@
 	keepsConns    bool // a connection can be used for more than one request
 }
 
-// newProtocol returns the protocol of a name in the configuration.
+// newProtocol returns the protocol with a name in the configuration.
 func newProtocol(name string) (*protocol, error) {
 	switch name {
-	case "fastcgi":
+	case routeconfig.ProtocolFastCGI:
 		return newFastCGI(), nil
-	case "scgi":
+	case routeconfig.ProtocolSCGI:
 		return newSCGI(), nil
 	}
 	return nil, fmt.Errorf("forward: no protocol is called %q, want fastcgi or scgi", name)
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -41,7 +41,7 @@
 type pendingRequest struct {
 	Request
 	target         *targetPool
-	selection      pool.Request // what members were tried
+	selection      pool.Request // the members tried so far
 	conn           *conn
 	attemptStarted time.Time
 	lastResponse   *gateway.Response // of a member whose response called for a retry
@@ -79,13 +79,13 @@
 		f.Stats.Retries++
 	}
 	req.attemptStarted = f.loop.Now()
-	if f.connect(req, addr) != nil { // no connection could even be begun, such as for want of descriptors
+	if f.connect(req, addr) != nil { // dialling failed, such as for lack of descriptors
 		f.Stats.Errors++
 		f.attemptFailed(req, addr, pool.Failure{Condition: pool.ConnectionError, NonIdempotent: req.NonIdempotent}, nil)
 	}
 }
 
-// connect gives a request a connection to the member: an idle one, or a new one.
+// connect assigns a request to a connection to the member: an idle one, or a new one.
 func (f *Forwarder) connect(req *pendingRequest, addr string) error {
 	if c := req.target.takeIdle(addr); c != nil {
 		f.Stats.ReusedConns++
@@ -96,7 +96,7 @@
 	return f.dial(req, addr)
 }
 
-// dial gives a request a new connection to the member.
+// dial assigns a request to a new connection to the member.
 func (f *Forwarder) dial(req *pendingRequest, addr string) error {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -128,15 +128,15 @@
 	return nil
 }
 
-// attemptEnded tells the pool how an attempt ended.
+// attemptEnded reports an attempt's outcome to the pool.
 func (f *Forwarder) attemptEnded(req *pendingRequest, addr string, outcome pool.Outcome) {
 	req.conn = nil
 	req.target.balancer.Finish(addr, outcome, f.loop.Now().Sub(req.attemptStarted), f.now())
 	f.reportChanges(req.target)
 }
 
-// attemptFailed ends an attempt without a response to be passed on, and retries or finishes the request. Response is what
-// the member said, or nil.
+// attemptFailed ends a failed attempt, and retries or finishes the request. response is the member's response, such as one
+// with a status that calls for a retry, or nil.
 func (f *Forwarder) attemptFailed(req *pendingRequest, addr string, failure pool.Failure, response *gateway.Response) {
 	f.attemptEnded(req, addr, pool.Failed)
 	decision := req.target.balancer.DecideRetry(&req.selection, failure, req.target.config.RetryOn, f.now())
@@ -177,7 +177,7 @@
 	return true
 }
 
-// Stop gives up a request; its outcome is reported.
+// Stop cancels a request; its outcome is reported.
 func (f *Forwarder) Stop(id string) {
 	req := f.requests[id]
 	if req == nil {
@@ -191,7 +191,7 @@
 	f.handler.RequestFinished(id, outcome, gateway.Response{Status: statusBadGateway})
 }
 
-// abandon forgets a request and closes its connection: a response that still came would be to none.
+// abandon removes a request and closes its connection, since a response to it could no longer be used.
 func (f *Forwarder) abandon(req *pendingRequest) {
 	delete(f.requests, req.ID)
 	if c := req.conn; c != nil {
--- a/internal/idempotency/admit.go
+++ b/internal/idempotency/admit.go
@@ -9,7 +9,7 @@
 	MaxBytes int64 // of records
 }
 
-// DiskState is what the last writes showed of the disk.
+// DiskState is whether the last writes to the disk succeeded.
 type DiskState uint8
 
 // The states of the disk. While it fails, requests with a key are rejected, all others are served, and one write now and then
@@ -19,10 +19,16 @@
 	DiskFailing
 )
 
+// diskStateNames are the names that logs and tools print.
+var diskStateNames = [...]string{
+	DiskHealthy: "sound",
+	DiskFailing: "failing",
+}
+
 // String returns the name that logs and tools print.
-func (d DiskState) String() string { return [...]string{"sound", "failing"}[d] }
+func (d DiskState) String() string { return diskStateNames[d] }
 
-// Decision is what becomes of a request with a key that retries none that is kept.
+// Decision is whether a request with a new key may run.
 type Decision uint8
 
 // The decisions.
@@ -32,12 +38,17 @@
 	DiskUnavailable                 // the disk fails
 )
 
-// String returns the reason that logs print.
-func (d Decision) String() string {
-	return [...]string{"protected", "no room for its key", "the disk fails"}[d]
+// decisionReasons are the reasons that logs print.
+var decisionReasons = [...]string{
+	Admitted:        "protected",
+	TableFull:       "no room for its key",
+	DiskUnavailable: "the disk fails",
 }
 
-// How soon a failing disk is probed again: the wait doubles from the first to the second.
+// String returns the reason that logs print.
+func (d Decision) String() string { return decisionReasons[d] }
+
+// The bounds of the exponential backoff between two probes of a failing disk.
 const (
 	minProbeBackoff = 500 * time.Millisecond
 	maxProbeBackoff = 10 * time.Second
@@ -53,10 +64,10 @@
 	RejectedFull  uint64
 	RejectedDisk  uint64
 	WriteFailures uint64
-	Recoveries    uint64 // times that the disk worked again
+	Recoveries    uint64 // changes from DiskFailing to DiskHealthy
 }
 
-// Admit decides on a request with a key that retries none that is kept.
+// Admit decides whether a request with a new key may run.
 func (t *Table) Admit(now time.Time) Decision {
 	switch {
 	case t.diskState == DiskFailing && now.Before(t.nextProbe):
@@ -72,7 +83,7 @@
 	return Admitted
 }
 
-// ObserveWrite takes in how a write ended and tells whether that changed the state of the disk.
+// ObserveWrite records the outcome of a write and reports whether it changed the state of the disk.
 func (t *Table) ObserveWrite(err error, now time.Time) (changed bool) {
 	if err == nil {
 		return t.observeSuccess()
@@ -85,7 +96,7 @@
 	return changed
 }
 
-// observeSuccess ends a failure of the disk, if there is one.
+// observeSuccess marks the disk as healthy, and reports whether it was failing.
 func (t *Table) observeSuccess() (changed bool) {
 	if t.diskState == DiskHealthy {
 		return false
--- a/internal/idempotency/codec.go
+++ b/internal/idempotency/codec.go
@@ -87,12 +87,12 @@
 // decodeTime reads Unix nanoseconds.
 func decodeTime(b []byte) time.Time { return time.Unix(0, int64(binary.BigEndian.Uint64(b))) }
 
-// appendString adds a string behind its length.
+// appendString appends the length of a string and the string.
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// seal adds the checksum of a record.
+// seal appends the checksum of a record.
 func seal(record []byte) []byte {
 	return binary.BigEndian.AppendUint32(record, crc32.Checksum(record, castagnoli))
 }
@@ -146,5 +146,5 @@
 	return b
 }
 
-// isAtEnd tells whether everything was read and well formed.
+// isAtEnd reports whether everything was read and well formed.
 func (r *reader) isAtEnd() bool { return !r.isMalformed && len(r.rest) == 0 }
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -43,7 +43,7 @@
 	fieldOverhead    = 4
 )
 
-// approximateSize returns about how many bytes the response takes in a record.
+// approximateSize estimates the bytes that the response takes in a record.
 func (r *Response) approximateSize() int {
 	n := len(r.Body) + responseOverhead
 	for _, f := range r.Header {
@@ -52,7 +52,7 @@
 	return n
 }
 
-// State is how far a request came. The values are stored.
+// State is the progress of a request. The values are stored.
 type State uint8
 
 // The states.
--- a/internal/idempotency/eviction.go
+++ b/internal/idempotency/eviction.go
@@ -13,10 +13,10 @@
 	seq   uint64
 }
 
-// isStale tells whether there is nothing to evict by the slot any more.
+// isStale reports whether the slot no longer refers to a response.
 func (s evictionSlot) isStale() bool { return s.entry.evictionSeq != s.seq }
 
-// updateSize accounts for what an entry takes now.
+// updateSize updates the accounting to an entry's current size.
 func (t *Table) updateSize(e *trackedEntry) {
 	t.usedBytes -= e.size
 	e.size = int64(recordOverhead + len(e.Key.Class) + len(e.Key.Key) + e.Response.approximateSize())
--- a/internal/idempotency/expiry.go
+++ b/internal/idempotency/expiry.go
@@ -36,7 +36,7 @@
 	return e
 }
 
-// Expire removes entries that expired, at most so many, and returns the removal of their records.
+// Expire removes expired entries, limit of them at most, and returns the changes that remove their records.
 func (t *Table) Expire(now time.Time, limit int) (changes []Change) {
 	for len(t.byExpiry) > 0 && len(changes) < limit && now.After(t.byExpiry[0].ExpiresAt) {
 		e := t.byExpiry[0]
--- a/internal/idempotency/runtimes.go
+++ b/internal/idempotency/runtimes.go
@@ -44,7 +44,7 @@
 const (
 	// runTimesHalfLife is the age at which an estimate counts half: the sites' mixes of requests change by the hour.
 	runTimesHalfLife = time.Hour
-	// maxSamples is as how many runs a fresh estimate counts: three measured runs weigh as much.
+	// maxSamples is the weight of a fresh estimate: it counts as much as three measured runs.
 	maxSamples = 3
 	// maxRunTimesAge is the age from which estimates are not used at all.
 	maxRunTimesAge = 24 * time.Hour
@@ -98,8 +98,8 @@
 	return time.Duration(r.upTo(maxMicroseconds)) * time.Microsecond
 }
 
-// WeightByAge returns the run times as they count at a start on the machine: the older they are, the fewer samples each
-// counts for. Those of another machine do not count, since run times depend on its cores.
+// WeightByAge returns the run times for a start on the machine, with fewer samples the older they are. It returns none that
+// were measured on another machine, since run times depend on its cores.
 func (r *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
 	age := now.Sub(r.SavedAt)
 	if age < -maxClockStepBack || age > maxRunTimesAge || machine != r.Machine {
--- a/internal/idempotency/runtimes_test.go
+++ b/internal/idempotency/runtimes_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestRunTimes decodes what was encoded, detects any flipped bit, and gives old run times less weight.
+// TestRunTimes decodes what was encoded, detects any flipped bit, and gives less weight to older run times.
 func TestRunTimes(t *testing.T) {
 	runTimes := &RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{
 		{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500},
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -8,7 +8,7 @@
 	heapIndex   int
 	evictionSeq uint64 // of its response in the eviction queue; 0 where it has none
 	size        int64
-	// replaced is the entry whose place an intent took. Where the intent is aborted, attempts of the run before may still come.
+	// replaced is the entry that an intent replaced. If the intent is aborted, attempts of the earlier run may still come.
 	replaced *Entry
 }
 
@@ -37,7 +37,7 @@
 	return &Table{limits: limits, entries: map[Key]*trackedEntry{}}
 }
 
-// Load takes in a record at the start. Where it has expired, the next Expire removes it.
+// Load adds a record that was read at the start. If it has expired, the next Expire removes it.
 func (t *Table) Load(name string, value []byte) error {
 	e, err := DecodeEntry(name, value)
 	if err != nil {
@@ -56,10 +56,10 @@
 	return list
 }
 
-// Size returns how many keys are kept and about how many bytes their records take.
+// Size returns the number of keys and an estimate of the bytes of their records.
 func (t *Table) Size() (keys int, bytes int64) { return len(t.entries), t.usedBytes }
 
-// DiskState returns what the last writes showed of the disk.
+// DiskState reports whether the last writes to the disk succeeded.
 func (t *Table) DiskState() DiskState { return t.diskState }
 
 // Begin records the intent to run a request and returns the changes that have to be durable before it runs.
@@ -87,7 +87,7 @@
 	t.enqueueForEviction(entry)
 	t.Counters.Completed++
 	changes := t.evictToFit()
-	if entry.State == Completed { // a response larger than the limit is evicted at once, and its change is among those
+	if entry.State == Completed { // a response larger than the limit was evicted by evictToFit, and its change is among those
 		changes = append(changes, Change{key.RecordName(), entry.Encode()})
 	}
 	return changes
@@ -116,7 +116,7 @@
 	}
 }
 
-// revert removes an entry and puts back the one whose place it took.
+// revert removes an entry and restores the one that it replaced.
 func (t *Table) revert(e *trackedEntry) {
 	t.remove(e)
 	if e.replaced != nil {
--- a/internal/interpreter/client.go
+++ b/internal/interpreter/client.go
@@ -9,11 +9,11 @@
 
 const (
 	// minRedialInterval is the least time between two connection attempts. A connection that had been up for longer is
-	// dialled again at once, since no run starts without it; one that fails again and again is not retried in a spin.
+	// dialled again at once, since no run starts without it; one that fails again and again is not dialled in a busy loop.
 	minRedialInterval = 50 * time.Millisecond
 	// connectTimeout is how long a connection attempt may take.
 	connectTimeout = QueryTimeout
-	// tickInterval is the time between two looks for overdue queries.
+	// tickInterval is the time between two checks for overdue queries.
 	tickInterval = QueryTimeout / 10
 )
 
@@ -27,11 +27,11 @@
 	redialTimer *eventloop.Timer
 	dialledAt   time.Time
 	isConnected bool
-	isReported  bool // the present loss of the connection was reported
+	isReported  bool // the current loss of the connection was reported
 	isClosed    bool
 }
 
-// Dial starts connecting and goes on until Close.
+// Dial starts connecting. The client reconnects after each loss until Close.
 func Dial(l *eventloop.Loop, addr netip.AddrPort, h Handler) *Client {
 	c := &Client{Link: NewLink(h), loop: l, addr: addr}
 	c.dial()
@@ -53,8 +53,8 @@
 	c.conn = conn
 }
 
-// Redirect goes on at another address. The connection to the old one is closed now, so that nothing new is sent to it;
-// runs, their commands and the numbers of notices are kept, as after any lost connection.
+// Redirect connects to another address from now on. The old connection is closed immediately, so that nothing new is sent
+// on it; runs, their commands and the notice numbers are kept, as after any lost connection.
 func (c *Client) Redirect(addr netip.AddrPort) {
 	if c.isClosed || addr == c.addr {
 		return
@@ -64,7 +64,7 @@
 	c.dial()
 }
 
-// disconnect closes the connection there is, or ends the wait for the next attempt.
+// disconnect closes the connection, if there is one, and cancels the next attempt.
 func (c *Client) disconnect() {
 	c.loop.CancelTimer(c.redialTimer)
 	if c.conn != nil {
@@ -74,7 +74,7 @@
 	c.Disconnected()
 }
 
-// tick looks for overdue queries, and for a connection attempt that takes too long.
+// tick expires overdue queries and a connection attempt that takes too long.
 func (c *Client) tick() {
 	if c.isClosed {
 		return
--- a/internal/interpreter/decode.go
+++ b/internal/interpreter/decode.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// maxExactInteger is the first float64 from which on not every integer can be told apart.
+// maxExactInteger is the first float64 from which on not every integer has a value of its own.
 const maxExactInteger = 1 << 53
 
 // scanner reads the tokens of one line. It is written by hand because a notice comes for every request, where
--- a/internal/interpreter/errors.go
+++ b/internal/interpreter/errors.go
@@ -14,8 +14,8 @@
 // errConnectTimeout says that the interpreter's host did not answer a connection attempt in time.
 var errConnectTimeout = errors.New("connection attempt timed out")
 
-// ProtocolError reports a line of the interpreter that could not be read. The connection it came on can only be closed,
-// since what the line said is lost.
+// ProtocolError reports a line of the interpreter that could not be read. Its connection has to be closed, since the
+// content of the line is lost.
 type ProtocolError struct {
 	Field string // the field whose value is invalid; empty where the line as a whole is
 	Err   error
--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -8,11 +8,11 @@
 const (
 	// maxLineBytes bounds a line from the interpreter: a result of 4 KiB in base64 with its fields is far under it.
 	maxLineBytes = 64 << 10
-	// QueryTimeout is how long the answer to a gauge query or health check is waited for.
+	// QueryTimeout is how long the link waits for the answer to a gauge query or health check.
 	QueryTimeout = 2 * time.Second
 )
 
-// Handler is told what the interpreter reports.
+// Handler receives the interpreter's reports.
 type Handler interface {
 	// InterpreterStarted says that the interpreter runs, whether its caches were cold at its start, and how long ago that
 	// was. It is called once for each start of the interpreter.
@@ -32,14 +32,14 @@
 	Resubmitted       uint64 // APPLYs sent once more after a lost connection
 	StopsSent         uint64
 	Notices           uint64 // numbered notices
-	DuplicateNotices  uint64 // replayed though they had been read
-	UnknownNotices    uint64 // of no run, query or kind that is known
+	DuplicateNotices  uint64 // replayed notices that had been read before
+	UnknownNotices    uint64 // of an unknown run, query or kind
 	UnansweredQueries uint64
 }
 
 // Link is the state of the dialogue with the interpreter, over any number of connections. It owns no socket.
 //
-// Runs go on in the interpreter while there is no connection, so nothing is known of a run then. After a reconnect the
+// Runs continue in the interpreter while there is no connection, so the state of a run is unknown then. After a reconnect the
 // interpreter first replays the notices that were missed; the answer to a TOP sent behind CONNECT shows that all of them
 // were read, and the link is synced. Only then are open runs submitted again: the interpreter ignores an APPLY of a run
 // in flight, starts one that it never received, and has reported one that has finished. An APPLY that crosses the end of
@@ -49,20 +49,20 @@
 	handler    Handler
 	session    session
 	lastNotice uint64 // number of the last notice read, to which the interpreter replays after a reconnect
-	hasStarted bool   // the handler was told of the interpreter's start
+	hasStarted bool   // InterpreterStarted was called
 	runs       runTable
 	queries    queryTable
 	commandBuf []byte    // buffer of the command being sent
-	now        time.Time // as the owner last told it
+	now        time.Time // the time that the owner last passed
 	Stats      Stats
 }
 
 // session is the part of a Link's state that ends with its connection.
 type session struct {
 	send      func(p []byte) // nil while there is no connection
-	partial   []byte         // a line that has not come whole
+	partial   []byte         // an incomplete line
 	hasBanner bool           // the interpreter is up
-	isSyncing bool           // a query whose answer shows that the link is synced is under way
+	isSyncing bool           // a query whose answer shows that the link is synced is pending
 	isSynced  bool           // all missed notices were read
 }
 
@@ -88,10 +88,10 @@
 	l.expireQueries(func(query) bool { return true })
 }
 
-// Ready reports whether commands are sent at once.
+// Ready reports whether commands are sent immediately, not kept until the link is synced.
 func (l *Link) Ready() bool { return l.session.isSynced }
 
-// Tick fails queries whose answer is overdue, and asks again for the sign that the link is synced.
+// Tick fails queries whose answer is overdue, and repeats the query that shows that the link is synced.
 func (l *Link) Tick(now time.Time) {
 	l.now = now
 	l.expireQueries(func(q query) bool { return !now.Before(q.deadline) })
@@ -100,7 +100,7 @@
 	}
 }
 
-// syncIfNeeded queries for the sign that the link is synced, unless that is known or asked already.
+// syncIfNeeded sends the query that shows that the link is synced, unless the link is or the query is pending.
 func (l *Link) syncIfNeeded() {
 	if !l.session.isSynced && !l.session.isSyncing {
 		l.sync()
@@ -150,7 +150,7 @@
 		}
 		l.handleNotice(&n)
 		if l.session.send == nil {
-			return nil // what the notice led to ended the connection
+			return nil // handling the notice ended the connection
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	}
 }
 
-// handleBanner notes that the interpreter is up.
+// handleBanner records that the interpreter is up.
 func (l *Link) handleBanner(n *notice) {
 	l.session.hasBanner = true
 	if !l.hasStarted {
@@ -193,7 +193,7 @@
 	l.syncIfNeeded()
 }
 
-// handleAwait hands on that a run waits for a downstream call.
+// handleAwait passes a run's request for a downstream call to the handler.
 func (l *Link) handleAwait(id string) {
 	if l.runs.byID[id] == nil {
 		l.Stats.UnknownNotices++
--- a/internal/interpreter/query.go
+++ b/internal/interpreter/query.go
@@ -20,7 +20,7 @@
 // isGaugeQuery reports whether the query is a TOP.
 func (q *query) isGaugeQuery() bool { return q.onGauges != nil }
 
-// complete calls whoever sent the query.
+// complete calls the callback of the query.
 func (q *query) complete(values []float64, ok bool) {
 	if q.isGaugeQuery() {
 		q.onGauges(values, ok)
@@ -46,18 +46,18 @@
 	return q, true
 }
 
-// QueryGauges asks for the gauges. Done is called once, with ok false where there is no answer.
+// QueryGauges asks for the gauges. It calls done once, with ok false where there is no answer.
 func (l *Link) QueryGauges(now time.Time, done func(values []float64, ok bool)) {
 	l.sendQuery(opTop, now, query{onGauges: done})
 }
 
-// CheckHealth has the interpreter run a deep health check. Done is called once, with ok false where it failed or there
-// is no answer.
+// CheckHealth has the interpreter run a deep health check. It calls done once, with ok false where the check failed or
+// there is no answer.
 func (l *Link) CheckHealth(now time.Time, done func(ok bool)) {
 	l.sendQuery(opSmoke, now, query{onHealth: done})
 }
 
-// sendQuery sends a query, which fails at once where there is no connection.
+// sendQuery sends a query, which fails immediately where there is no connection.
 func (l *Link) sendQuery(op string, now time.Time, q query) {
 	if l.session.send == nil {
 		q.complete(nil, false)
@@ -89,7 +89,7 @@
 	}
 }
 
-// takeQuery removes and returns the query that a notice is about; what fits none is counted.
+// takeQuery removes and returns the query that a notice answers; a notice without one is counted as unknown.
 func (l *Link) takeQuery(tag string, isGaugeQuery bool) (query, bool) {
 	q, found := l.queries.take(tag, isGaugeQuery)
 	if !found {
--- a/internal/interpreter/run.go
+++ b/internal/interpreter/run.go
@@ -5,7 +5,7 @@
 // compactSlack is how many finished runs the submission order may hold beyond as many as there are open ones.
 const compactSlack = 16
 
-// run is a run that was submitted by the owner and has not finished.
+// run is a run that the owner submitted and that has not finished.
 type run struct {
 	id, class     string
 	body          []byte
@@ -43,14 +43,14 @@
 	t.order = slices.DeleteFunc(t.order, func(r *run) bool { return t.byID[r.id] != r })
 }
 
-// disconnected notes that what was sent on the connection may not have arrived.
+// disconnected records that commands sent on the connection may not have arrived.
 func (t *runTable) disconnected() {
 	for _, r := range t.byID {
 		r.isCurrent, r.isStopSent = r.isReceived, false
 	}
 }
 
-// markReceived notes that the interpreter has read all that was sent before the numbered query.
+// markReceived records that the interpreter has read all commands sent before the numbered query.
 func (t *runTable) markReceived(queryNumber uint64) {
 	for _, r := range t.byID {
 		r.isReceived = r.isReceived || r.isCurrent && r.lastQuery < queryNumber
@@ -79,7 +79,7 @@
 	return true
 }
 
-// Stop stops a run, whose end the handler is told of all the same.
+// Stop stops a run. The handler's RunFinished is still called.
 func (l *Link) Stop(id string) {
 	if r := l.runs.byID[id]; r != nil {
 		r.stopRequested = true
@@ -87,7 +87,7 @@
 	}
 }
 
-// resume submits again all that is open, now that the link is synced.
+// resume sends the pending commands of all runs, now that the link is synced.
 func (l *Link) resume() {
 	l.session.isSynced = true
 	l.runs.compact()
@@ -134,7 +134,7 @@
 	l.finish(id, outcome, nil)
 }
 
-// finish tells the handler of the end of a run, if the run is known.
+// finish reports the end of a run to the handler, if the run is known.
 func (l *Link) finish(id string, outcome Outcome, result []byte) {
 	if l.runs.byID[id] == nil {
 		l.Stats.UnknownNotices++
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,6 +1,6 @@
 // Package invariant checks a server from outside against the rules that hold whatever the server decides: each request is
 // answered once and by its deadline, a successful answer carries the result of its own run, an idempotency key runs once
-// within its window, and a request with an effect is never both run and rejected. The checker is told what was sent,
+// within its window, and a request with an effect is never both run and rejected. The checker records what was sent,
 // answered and run, and lists every violation. It shares no state and no code with the server.
 package invariant
 
@@ -14,7 +14,7 @@
 // Outcome is how an attempt was answered.
 type Outcome uint8
 
-// The outcomes that the rules tell apart.
+// The outcomes that the rules distinguish.
 const (
 	Served   Outcome = iota // with the result of a run
 	Rejected                // without a run: the caller may send the request again
@@ -31,7 +31,7 @@
 	Deadline     time.Time // the latest time of its answer
 }
 
-// attemptState is what is known of an attempt that was sent.
+// attemptState is the recorded state of an attempt that was sent.
 type attemptState struct {
 	Attempt
 	pausesBefore time.Duration // the checker's pauses when the attempt was sent
@@ -41,7 +41,7 @@
 	isClosed     bool // its final violation was reported, or no answer can come
 }
 
-// Checker collects the violations of one server. It may be used by several goroutines at once.
+// Checker collects the violations of one server. It is safe for concurrent use.
 type Checker struct {
 	mu         sync.Mutex
 	window     time.Duration            // in which an idempotency key must not run twice
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -12,8 +12,8 @@
 // reportFormat is the content of a datagram: the server's name, and whether it accepts requests.
 const reportFormat = "announce %s %t"
 
-// Reporter sends reports for one server. A report is not acknowledged, and one that can't be sent is not repeated: the
-// next is due soon.
+// Reporter sends reports for one server. Reports are not acknowledged, and one that can't be sent is dropped: the next
+// one follows soon.
 type Reporter struct {
 	system eventloop.System
 	fd     int
@@ -33,12 +33,12 @@
 	return &Reporter{system: system, fd: fd, name: name}, nil
 }
 
-// Report sends one report. A connected socket reports by an error of this write that nobody received the report before,
-// and sends nothing then, though the service may be back: the report is written once more, and the error is returned.
+// Report sends one report. On a connected UDP socket a write fails with the ICMP error of the datagram before it, and sends
+// nothing, though the service may be back. So the report is then written once more, and the error is returned.
 func (r *Reporter) Report(accepting bool) error {
 	report := fmt.Appendf(nil, reportFormat, r.name, accepting)
 	if _, err := r.system.Write(r.fd, report); err != nil {
-		r.system.Write(r.fd, report) // if this fails, too, the next report is due soon
+		r.system.Write(r.fd, report) // if this fails, too, the next report follows soon
 		return fmt.Errorf("announce: %w", err)
 	}
 	return nil
--- a/internal/maintenance/scheduler.go
+++ b/internal/maintenance/scheduler.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Budget is what all tasks together may take.
+// Budget limits the cost of all tasks together.
 type Budget struct {
 	TimePerSecond  time.Duration
 	BytesPerSecond int64
 }
 
-// burstSeconds is how many seconds of the budget may be used at once.
+// burstSeconds is the size of the token buckets, in seconds of the budget.
 const burstSeconds = 2
 
 // Scheduler decides which task runs. The caller's clock must never go back. A Scheduler belongs to one goroutine.
@@ -80,13 +80,13 @@
 	return ""
 }
 
-// canAfford tells whether the budget has enough left for a run.
+// canAfford reports whether the budget has enough left for a run.
 func (s *Scheduler) canAfford(expected Cost) bool {
 	return s.timeLeft >= expected.Duration.Seconds() && s.bytesLeft >= float64(expected.Bytes) &&
 		s.timeLeft > 0 && s.bytesLeft > 0
 }
 
-// Finish takes in the end of a run and what it took.
+// Finish records the end of a run and charges its cost to the budget.
 func (s *Scheduler) Finish(name string, now time.Duration, cost Cost) {
 	s.refill(now)
 	for _, task := range s.tasks {
@@ -100,7 +100,7 @@
 	}
 }
 
-// Stats returns those of all tasks, by priority.
+// Stats returns the statistics of all tasks, by priority.
 func (s *Scheduler) Stats() []TaskStats {
 	var list []TaskStats
 	for _, task := range s.tasks {
--- a/internal/maintenance/task.go
+++ b/internal/maintenance/task.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Task is one kind of background work.
+// Task is one kind of background work and its schedule.
 type Task struct {
 	Name        string
 	Priority    int           // the higher goes first
 	MinInterval time.Duration // between two runs
-	MaxInterval time.Duration // between two runs, though the server is overloaded or the budget is used up; 0 is none
+	MaxInterval time.Duration // between two runs, even while the server is overloaded or the budget is used up; 0 is no limit
 }
 
-// Cost is what a run took.
+// Cost is the time and the I/O that a run took.
 type Cost struct {
 	Duration time.Duration
 	Bytes    int64
@@ -24,7 +24,7 @@
 	return Cost{c.Duration + other.Duration, c.Bytes + other.Bytes}
 }
 
-// TaskStats is what a task did since the start.
+// TaskStats counts a task's runs since the start.
 type TaskStats struct {
 	Name   string
 	Runs   uint64
@@ -46,12 +46,12 @@
 	meanCost   Cost // exponentially weighted moving average
 }
 
-// isOverdue tells whether the task's MaxInterval has passed.
+// isOverdue reports whether the task's MaxInterval has passed.
 func (t *taskState) isOverdue(now time.Duration) bool {
 	return !t.isRunning && t.MaxInterval > 0 && now-t.lastEnd >= t.MaxInterval
 }
 
-// isDue tells whether the task may run as far as its MinInterval goes.
+// isDue reports whether the task's MinInterval has passed.
 func (t *taskState) isDue(now time.Duration) bool {
 	return !t.isRunning && now-t.lastEnd >= t.MinInterval
 }
@@ -69,7 +69,7 @@
 	t.totalCost = t.totalCost.add(cost)
 }
 
-// validate reports a task that makes no sense; names are those of the tasks before.
+// validate reports an invalid task; names are those of the tasks before it.
 func (t Task) validate(names map[string]bool) error {
 	switch {
 	case t.Name == "" || names[t.Name]:
--- a/internal/replay/action_recorder.go
+++ b/internal/replay/action_recorder.go
@@ -7,14 +7,13 @@
 	"tillerusher/internal/capture"
 )
 
-// ActionRecorder implements admission.Actions for a replay: it keeps the actions that the last event led to, and carries out
-// none.
+// ActionRecorder implements admission.Actions for a replay: it records the actions of the last event, and carries out none.
 type ActionRecorder struct {
 	Actions []capture.Record
 	now     time.Duration
 }
 
-// reset drops the actions of the previous event; those to come have the time now.
+// reset drops the actions of the previous event and sets the time of the next ones.
 func (a *ActionRecorder) reset(now time.Duration) { a.Actions, a.now = a.Actions[:0], now }
 
 func (a *ActionRecorder) add(r capture.Record) {
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -22,7 +22,7 @@
 	StatusErrored   EndStatus = "errored" // its run ended without a result
 )
 
-// statusAfter returns the status of an attempt that has not ended, after a record of it, and whether that is its end.
+// statusAfter returns the status of an open attempt after the next record of it, and whether that record ends the attempt.
 func statusAfter(status EndStatus, record *capture.Record) (after EndStatus, hasEnded bool) {
 	switch record.Kind {
 	case capture.KindReject:
@@ -45,7 +45,7 @@
 	return status, false
 }
 
-// Attempt is what became of one attempt of a request. Times are by the module's clock.
+// Attempt is the outcome of one attempt of a request. Times are by the module's clock.
 type Attempt struct {
 	ID        admission.RequestID `json:"id"`
 	WireID    string              `json:"request_id,omitempty"`
@@ -61,7 +61,7 @@
 	EndAt     time.Duration       `json:"end_at,omitempty"`
 }
 
-// OnTime returns whether the attempt was served within its class's latency objective.
+// OnTime reports whether the attempt was served within its class's latency objective.
 func (a *Attempt) OnTime(classes []admission.Class) bool {
 	return a.wasServed() && a.Class < len(classes) && a.EndAt-a.ArrivedAt <= classes[a.Class].LatencyObjective
 }
@@ -106,7 +106,7 @@
 	return admission.Settings{}, ErrNoState
 }
 
-// attemptTracker follows attempts to their ends.
+// attemptTracker builds attempts from their records.
 //
 // Core times come from a virtual clock: it advances by the core time that each run gets, so a run's core time is the
 // difference of the clock between its start and its end, however many ran beside it.
@@ -166,7 +166,7 @@
 	}
 }
 
-// add begins an attempt with the event that brought it.
+// add adds the attempt that a request's event begins.
 func (t *attemptTracker) add(event *capture.Record, wireID string) {
 	request := event.Request
 	attempt := &Attempt{
--- a/internal/replay/event_queue.go
+++ b/internal/replay/event_queue.go
@@ -8,13 +8,13 @@
 	"tillerusher/internal/capture"
 )
 
-// eventQueue holds events that come at a time. Those of the same time come in the order in which they were pushed.
+// eventQueue holds future events in the order of their times, and those of the same time in the order of their pushes.
 type eventQueue struct {
 	heap   eventHeap
 	pushed int
 }
 
-// queuedEvent is an event that is to come.
+// queuedEvent is a future event.
 type queuedEvent struct {
 	at     time.Duration
 	number int // of the push
@@ -41,16 +41,21 @@
 // eventHeap implements heap.Interface.
 type eventHeap []queuedEvent
 
+// Len implements heap.Interface.
 func (h eventHeap) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
 }
 
+// Swap implements heap.Interface.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(queuedEvent)) }
 
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/replay/excerpt.go
+++ b/internal/replay/excerpt.go
@@ -36,7 +36,11 @@
 // rounds of events, to the end of the round in which the span ends. The segments are those of one run of the server.
 func Cut(segments []*capture.Segment, span Span) (*Excerpt, error) {
 	cut := cutter{span: span, isBetweenRounds: true}
-	result, err := Run(segments, false, Visitor{BeforeEvent: cut.beforeEvent, OnAnnotation: cut.onAnnotation, AfterEvent: cut.afterEvent})
+	result, err := Run(segments, false, Visitor{
+		BeforeEvent:  cut.beforeEvent,
+		OnAnnotation: cut.onAnnotation,
+		AfterEvent:   cut.afterEvent,
+	})
 	switch {
 	case err != nil:
 		return nil, err
@@ -70,6 +74,7 @@
 	return nil
 }
 
+// onAnnotation adds an annotation, or keeps it for the excerpt's first event.
 func (c *cutter) onAnnotation(_ capture.Position, annotation *capture.Record) error {
 	if c.excerpt != nil {
 		c.excerpt.Records = append(c.excerpt.Records, *annotation)
@@ -140,7 +145,7 @@
 	return s.Meta.ModuleTime
 }
 
-// truncate drops what follows the first round that ends at the time or later; 0 drops nothing.
+// truncate drops the records behind the first round that ends at the time or later; 0 drops nothing.
 func (e *Excerpt) truncate(end time.Duration) {
 	if end <= 0 {
 		return
@@ -165,9 +170,9 @@
 	})
 }
 
-// EventObserver is told of each event that an excerpt is replayed with.
+// EventObserver receives each event of an excerpt while it is replayed.
 type EventObserver interface {
-	// ObserveEvent is called after the event, with the actions that it led to and the module as it is then.
+	// ObserveEvent is called after the event, with the actions that it caused and the module in its new state.
 	ObserveEvent(event *capture.Record, actions []capture.Record, module *admission.Instance)
 }
 
--- a/internal/replay/predicate.go
+++ b/internal/replay/predicate.go
@@ -10,10 +10,10 @@
 	"tillerusher/internal/capture"
 )
 
-// Predicate is a property that a replay of an excerpt shows or does not show.
+// Predicate is a property of a replay of an excerpt.
 type Predicate interface {
 	EventObserver
-	// Matched returns whether the property was shown.
+	// Matched reports whether the replay had the property.
 	Matched() bool
 }
 
@@ -26,7 +26,7 @@
 	predicateStuckBacklog = "jam"
 )
 
-// predicateActions are the actions that predicates with a request look for.
+// predicateActions are the actions that predicates on a request match.
 var predicateActions = map[string]capture.Kind{
 	predicateRejected: capture.KindReject,
 	predicateFailed:   capture.KindFail,
@@ -88,7 +88,7 @@
 	MinDuration time.Duration // how long it has to last
 
 	longest time.Duration
-	since   time.Duration // when the present backlog got stuck
+	since   time.Duration // when the current backlog got stuck
 	isStuck bool
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -13,7 +13,7 @@
 	"tillerusher/internal/capture"
 )
 
-// Result is what came of a replay.
+// Result is the outcome of a replay.
 type Result struct {
 	Segments         int           `json:"segments"`
 	Records          uint64        `json:"records"`
@@ -23,9 +23,9 @@
 	Rejected         uint64        `json:"refused"`
 	Failed           uint64        `json:"failed"`
 	Runs             uint64        `json:"runs"`
-	Restarts         int           `json:"restarts"` // how often it began from a snapshot instead of going on
+	Restarts         int           `json:"restarts"` // times that it began from a snapshot instead of continuing
 	Duration         time.Duration `json:"spanned"`  // by the module's clock
-	Skipped          uint64        `json:"skipped"`  // events behind damage, whose state before is not known
+	Skipped          uint64        `json:"skipped"`  // events behind damage, before which the module's state is unknown
 	MatchedSnapshots int           `json:"states"`   // snapshots that were equal to the state that the replay had reached
 	FirstDifference  *Difference   `json:"first,omitempty"`
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// Difference is a place at which a replay does not decide what was recorded.
+// Difference is a record at which the replayed decisions differ from the recorded ones.
 type Difference struct {
 	Segment      string               `json:"segment"`
 	RecordNumber uint64               `json:"number"` // of the event's record, within the run of the server
@@ -66,9 +66,9 @@
 // Visitor follows a replay. Its functions may be nil. An error that one returns ends the replay, capture.ErrStop without an
 // error of Run.
 type Visitor struct {
-	// BeforeEvent is called with the module as it is before the event.
+	// BeforeEvent is called with the module in its state before the event.
 	BeforeEvent func(at capture.Position, event *capture.Record, module *admission.Instance) error
-	// AfterEvent is called with the actions that the event led to, if they are the recorded ones.
+	// AfterEvent is called with the actions that the event caused, if they are the recorded ones.
 	AfterEvent func(at capture.Position, event *capture.Record, actions []capture.Record, module *admission.Instance) error
 	// OnAnnotation is called with records that are neither events nor actions.
 	OnAnnotation func(at capture.Position, annotation *capture.Record) error
@@ -77,8 +77,8 @@
 // errDiffers ends a replay at its first difference.
 var errDiffers = errors.New("replay: the decisions differ")
 
-// Run replays the segments in their order. It goes on from one segment to the next where no record is missing between them,
-// and begins from a segment's own snapshot elsewhere, or at every segment where fresh is set.
+// Run replays the segments in order. It keeps the module's state from one segment to the next where no record is missing
+// between them. Elsewhere, and at every segment if fresh is set, it begins from the segment's snapshot.
 func Run(segments []*capture.Segment, fresh bool, visitor Visitor) (*Result, error) {
 	replay := &replayer{visitor: visitor}
 	var previous *capture.Segment
@@ -95,7 +95,7 @@
 	return &replay.result, nil
 }
 
-// replayer is a replay that is under way.
+// replayer is the state of Run.
 type replayer struct {
 	visitor     Visitor
 	result      Result
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// restore takes the state at a segment's start.
+// restore sets the module's state to the segment's snapshot.
 func (r *replayer) restore(segment *capture.Segment) error {
 	r.module, r.isComparing = nil, false
 	r.result.Restarts++
@@ -207,7 +207,8 @@
 		r.result.Skipped++
 		return nil
 	}
-	r.event, r.eventAt, r.isComparing, r.compared = *event, at, true, 0
+	r.event, r.eventAt = *event, at
+	r.isComparing, r.compared = true, 0
 	if r.visitor.BeforeEvent != nil {
 		if err := r.visitor.BeforeEvent(at, event, r.module); err != nil {
 			return err
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -20,8 +20,8 @@
 	Text     string        `json:"text"`
 }
 
-// RequestTrace is what became of one attempt, and what the module knew when it decided. Times are by the module's clock
-// where nothing else is said.
+// RequestTrace is the history of one attempt, and the module's state when it decided on it. Times are by the module's clock
+// unless stated otherwise.
 type RequestTrace struct {
 	ID                admission.RequestID       `json:"id"`
 	WireID            string                    `json:"request_id,omitempty"`
@@ -36,7 +36,7 @@
 	Steps             []Step                    `json:"steps"`
 	Status            EndStatus                 `json:"ending"`
 	EndAt             time.Duration             `json:"end_at"`
-	EndedOnRead       bool                      `json:"on_read"`             // it was answered by the event that brought it
+	EndedOnRead       bool                      `json:"on_read"`             // it was answered in the event of its arrival
 	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // where it was answered later
 	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // where it was answered later
 	Lateness          time.Duration             `json:"late,omitempty"`      // time after its objective at which it was served
@@ -118,12 +118,12 @@
 	})
 }
 
-// matches returns whether the names of a request are what was asked for.
+// matches reports whether one of a request's names is the one that is searched for.
 func (c *traceCollector) matches(names *capture.Record) bool {
 	return strings.EqualFold(names.Text, c.name) || names.Key != "" && strings.EqualFold(names.Key, c.name) || names.ID == c.number
 }
 
-// begin begins a trace with the event that brought the request. name is the record of its names, or empty.
+// begin begins a trace with the event of the request's arrival. name is the record of its names, or empty.
 func (c *traceCollector) begin(segment *capture.Segment, event *capture.Record, name capture.Record) {
 	trace := &RequestTrace{
 		ID:        event.ID,
@@ -141,7 +141,7 @@
 	c.byRequest[requestRef{segment.Meta.Run, event.ID}] = trace
 }
 
-// addStep adds what a record says of the request.
+// addStep adds a record of the request to its trace.
 func (t *RequestTrace) addStep(segment *capture.Segment, record *capture.Record, event eventRef) {
 	t.Steps = append(t.Steps, Step{record.At, segment.UnixTime(record.At), stepText(record)})
 	if t.hasEnded {
@@ -149,11 +149,13 @@
 	}
 	t.Status, t.hasEnded = statusAfter(t.Status, record)
 	if t.hasEnded {
-		t.EndAt, t.endEvent, t.EndedOnRead = record.At, event, event == t.readEvent
+		t.EndAt = record.At
+		t.endEvent = event
+		t.EndedOnRead = event == t.readEvent
 	}
 }
 
-// addDecisions replays the capture and adds what the module knew when it decided on the requests.
+// addDecisions replays the capture and adds the module's state when it decided on the requests.
 func addDecisions(segments []*capture.Segment, traces []*RequestTrace) error {
 	readBy, endedBy := map[eventRef][]*RequestTrace{}, map[eventRef][]*RequestTrace{}
 	for _, t := range traces {
@@ -182,14 +184,14 @@
 	return err
 }
 
-// inspectOnRead takes the module's state before the event that brought the request.
+// inspectOnRead stores the module's state before the event of the request's arrival.
 func (t *RequestTrace) inspectOnRead(now time.Duration, module *admission.Instance) {
 	check, state := module.CheckAdmission(now, t.Request), module.Inspect()
 	t.AdmissionCheck, t.StateOnRead = &check, &state
 	t.ObjectiveDeadline = check.ObjectiveDeadline
 }
 
-// inspectAtEnd takes the module's state before the event that ended the request.
+// inspectAtEnd stores the module's state before the event that ended the request.
 func (t *RequestTrace) inspectAtEnd(now time.Duration, module *admission.Instance) {
 	state := module.Inspect()
 	t.StateAtEnd = &state
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -12,7 +12,7 @@
 var ErrNotMatched = errors.New("replay: the predicate does not hold for the whole")
 
 // Shrink drops events as long as the predicate holds, by the delta-debugging algorithm ddmin (Zeller and Hildebrandt,
-// Simplifying and Isolating Failure-Inducing Input, 2002). All events of a request are dropped at once. The result has this
+// Simplifying and Isolating Failure-Inducing Input, 2002). All events of a request are dropped together. The result has this
 // program's own actions; replays is how often the excerpt was replayed.
 func Shrink(excerpt *Excerpt, newPredicate func() Predicate) (small *Excerpt, replays int, err error) {
 	shrink := shrinker{excerpt: excerpt, newPredicate: newPredicate}
@@ -36,7 +36,7 @@
 	replays      int
 }
 
-// holds returns whether the predicate holds for an excerpt.
+// holds reports whether the predicate holds for an excerpt.
 func (s *shrinker) holds(e *Excerpt) (bool, error) {
 	s.replays++
 	predicate := s.newPredicate()
@@ -81,7 +81,7 @@
 	return nil, false, nil
 }
 
-// unit is what is dropped at once: a request with all its events, or one other record by its index.
+// unit is dropped as a whole: a request with all its events, or one other record by its index.
 type unit struct {
 	id    admission.RequestID
 	index int
--- a/internal/replay/simulated_cores.go
+++ b/internal/replay/simulated_cores.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// has returns whether the request runs.
+// has reports whether the request runs.
 func (c *simulatedCores) has(id admission.RequestID) bool { return c.index(id) >= 0 }
 
 func (c *simulatedCores) index(id admission.RequestID) int {
@@ -66,7 +66,7 @@
 	return next, time.Duration(math.Ceil(float64(next.remaining) / c.share()))
 }
 
-// advance lets a time pass.
+// advance spends the core time of an elapsed time on the runs.
 func (c *simulatedCores) advance(elapsed time.Duration) {
 	spent := time.Duration(float64(elapsed) * c.share())
 	for _, r := range c.runs {
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -12,11 +12,12 @@
 // ErrNoState is returned where a capture has no state to begin from.
 var ErrNoState = errors.New("replay: the first segment has no readable state")
 
-// Simulate passes what was recorded of one run of the server to a module that may decide otherwise, and returns what becomes
-// of each attempt and the module's settings. Arrivals, callers that leave and drains come as they were recorded. Runs take
-// the core time that they were recorded to take, or the mean of their class where they were not run; the cores are shared
-// evenly, and the gauges follow from that. Callers do not react to other answers: retries come as they were recorded, no
-// more and no fewer. change alters the settings, and may be nil.
+// Simulate passes the recorded events of one run of the server to a module that may decide differently, and returns the
+// outcome of each attempt and the module's settings. change alters the settings, and may be nil.
+//
+// Arrivals, cancellations and drains happen as recorded. Runs take their recorded core time, or the mean of their class if
+// they did not run; the cores are shared evenly, and the gauges are computed from that. Callers do not react to different
+// answers: retries happen as recorded, no more and no fewer.
 func Simulate(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Attempt, admission.Settings, error) {
 	if len(segments) == 0 || segments[0].Snapshot == nil {
 		return nil, admission.Settings{}, ErrNoState
@@ -46,7 +47,7 @@
 	return sim.tracker.attempts, settings, nil
 }
 
-// simulation is a simulation that is under way. It implements admission.Actions.
+// simulation is the state of Simulate. It implements admission.Actions.
 type simulation struct {
 	admission.NoActions // for the actions without effect here
 
@@ -56,15 +57,15 @@
 	cores     simulatedCores
 	coreTimes coreTimes
 	tracker   *attemptTracker
-	events    eventQueue       // that come at a time
-	followUps []capture.Record // events that actions led to, which come at once
+	events    eventQueue       // future events
+	followUps []capture.Record // events caused by actions, delivered before time advances
 
 	requests  map[admission.RequestID]*capture.Record       // that were passed to the module
 	hasResult map[admission.RequestID]bool                  // requests whose run made a result
 	waiting   map[admission.RequestID][]admission.RequestID // coalesced requests, by the one whose run they wait for
 }
 
-// resume continues what the state at the start has in flight: its runs, which take the mean core time, and its timer.
+// resume starts the runs that are in flight in the initial state, with the mean core time, and the module's timer.
 func (s *simulation) resume() {
 	_, running := s.module.Queue()
 	for _, id := range running {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// run goes from event to event until the recording's end. What is open then stays open.
+// run processes events until the end of the recording. Attempts that are open then stay open.
 func (s *simulation) run() {
 	s.module.Settle(s.now)
 	for {
@@ -145,7 +146,7 @@
 	s.deliver(next.event, next.wireID)
 }
 
-// deliverFollowUps passes the events to the module that its actions led to, and those that follow from these.
+// deliverFollowUps passes to the module the events that its actions caused, and those that these cause in turn.
 func (s *simulation) deliverFollowUps() {
 	for len(s.followUps) > 0 {
 		event := s.followUps[0]
@@ -181,7 +182,7 @@
 	delete(s.waiting, id)
 }
 
-// followUp adds an event that comes at once.
+// followUp adds an event that is delivered before time advances.
 func (s *simulation) followUp(kind capture.Kind, id admission.RequestID, outcome admission.Outcome) {
 	s.followUps = append(s.followUps, capture.Record{Kind: kind, ID: id, Outcome: outcome})
 }
@@ -243,7 +244,7 @@
 	s.events.push(s.now+wait, capture.Record{Kind: capture.KindTimer, Token: token}, "")
 }
 
-// Call implements admission.Actions. Calls succeed at once.
+// Call implements admission.Actions. Calls succeed immediately.
 func (s *simulation) Call(id admission.RequestID, _ time.Duration) {
 	s.followUp(capture.KindCallFinished, id, admission.OK)
 }
--- a/internal/replay/state_at.go
+++ b/internal/replay/state_at.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/capture"
 )
 
-// StateAt is what the module knew at a time, and what it decided around it.
+// StateAt is the module's state at a time, and its decisions around that time.
 type StateAt struct {
 	At        time.Duration         `json:"at"`
 	UnixTime  time.Time             `json:"unix"`
@@ -30,11 +30,15 @@
 // maxDecisions bounds StateAt.Decisions.
 const maxDecisions = 200
 
-// InspectAt returns what the module knew before the first event at or after the time of its clock, and what it decided within
-// the span before and after that. The segments are those of one run of the server.
+// InspectAt returns the module's state before the first event at or after the time of its clock, and its decisions within
+// the span before and after that time. The segments are those of one run of the server.
 func InspectAt(segments []*capture.Segment, at, span time.Duration) (*StateAt, error) {
 	inspection := inspector{at: at, span: span, wireIDs: map[admission.RequestID]string{}}
-	_, err := Run(segments, false, Visitor{OnAnnotation: inspection.onAnnotation, BeforeEvent: inspection.beforeEvent, AfterEvent: inspection.afterEvent})
+	_, err := Run(segments, false, Visitor{
+		OnAnnotation: inspection.onAnnotation,
+		BeforeEvent:  inspection.beforeEvent,
+		AfterEvent:   inspection.afterEvent,
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +85,7 @@
 	return nil
 }
 
-// isDecision returns whether an action decides what becomes of a request.
+// isDecision reports whether an action decides on a request.
 func isDecision(k capture.Kind) bool {
 	switch k {
 	case capture.KindRun, capture.KindReject, capture.KindFail, capture.KindReplayResult:
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -57,7 +57,7 @@
 }
 
 const (
-	// maxLatency is the longest latency that is told apart, and latencyDigits the precision in decimal digits.
+	// maxLatency is the longest latency that the histograms resolve, and latencyDigits their precision in decimal digits.
 	maxLatency    = 10 * time.Minute
 	latencyDigits = 3
 )
--- a/internal/replay/trace_text.go
+++ b/internal/replay/trace_text.go
@@ -35,7 +35,7 @@
 	return lines
 }
 
-// arrivalLine says which request this is and when it came.
+// arrivalLine describes the request and its arrival.
 func (t *RequestTrace) arrivalLine() string {
 	id := fmt.Sprintf("#%d", t.ID)
 	if t.WireID != "" {
@@ -52,7 +52,7 @@
 		t.UnixTime.UTC().Format(timeOfDay), t.ReadAt.Round(time.Millisecond), milliseconds(t.Request.QueueingDelay))
 }
 
-// endLine says how and why the request ended.
+// endLine describes how and why the request ended.
 func (t *RequestTrace) endLine() string {
 	after := milliseconds(t.EndAt - t.ReadAt)
 	switch t.Status {
@@ -96,7 +96,7 @@
 	return lines
 }
 
-// describeCheck describes an arrival in the module's state then.
+// describeCheck describes the admission check of an arrival and the module's state then.
 func describeCheck(check *admission.AdmissionCheck, now time.Duration, state *admission.Inspection) []string {
 	rate := fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", check.ImpulseSize, milliseconds(now-check.LastArrival),
 		check.Rate)
@@ -113,8 +113,8 @@
 	return append(lines, describeRequestsAhead(check.QueuedAhead, check.Running)...)
 }
 
-// describeDecision describes a request that was queued or ran, in the module's state then. decision is nil where the module
-// no longer knew the request.
+// describeDecision describes the decision on a request that was queued or ran, and the module's state then. decision is nil
+// where the module no longer had the request.
 func describeDecision(decision *admission.QueueDecision, now time.Duration, state *admission.Inspection) []string {
 	if decision == nil {
 		return DescribeState(state)
@@ -125,7 +125,7 @@
 	return append(lines, describeRequestsAhead(decision.QueuedAhead, decision.Running)...)
 }
 
-// DescribeState describes what the module knew, a line each.
+// DescribeState describes the module's state, as lines of text.
 func DescribeState(state *admission.Inspection) []string {
 	lines := []string{
 		fmt.Sprintf("held %d, running %d of a limit of %.1f (at most %.1f), at calls %d%s", state.Queued, state.Running,
@@ -166,7 +166,7 @@
 	return list.String()
 }
 
-// describeRequestsAhead names the requests that came before one.
+// describeRequestsAhead lists the requests that were queued ahead of one, and those that ran.
 func describeRequestsAhead(queued, running []admission.RequestID) []string {
 	return []string{"before it in the hold: " + formatIDs(queued), "on the cores: " + formatIDs(running)}
 }
--- a/internal/servertest/gateway.go
+++ b/internal/servertest/gateway.go
@@ -8,7 +8,7 @@
 	"tillerusher/internal/fake"
 )
 
-// Gateway is one connection to a server. It fails its test where it can't go on.
+// Gateway is one connection to a server. Its methods fail the test on errors.
 type Gateway struct {
 	t testing.TB
 	*fake.Gateway
--- a/internal/servertest/interleave/interleave.go
+++ b/internal/servertest/interleave/interleave.go
@@ -1,4 +1,4 @@
-// Package interleave lets a test act between two system calls of an event loop: a byte arrives after the last look into a
+// Package interleave lets a test act between two system calls of an event loop: a byte arrives after the last check of a
 // socket and before its close, a connection after the last accept. The test decides the order; no sleep is involved.
 package interleave
 
@@ -87,7 +87,7 @@
 	return s.System.Close(fd)
 }
 
-// IsPeer returns whether a descriptor of this process is the other end of the connection.
+// IsPeer reports whether a descriptor of this process is the other end of the connection.
 func IsPeer(fd int, conn net.Conn) bool {
 	name, err := unix.Getpeername(fd)
 	if err != nil {
--- a/internal/servertest/interpreter.go
+++ b/internal/servertest/interpreter.go
@@ -1,4 +1,4 @@
-// Package servertest starts servers and the fakes that they talk to for tests, and fails the test where they can't go on.
+// Package servertest starts servers, and fakes of the services they use, for tests. Its functions fail the test on errors.
 package servertest
 
 import (
@@ -10,9 +10,9 @@
 )
 
 const (
-	// WaitTimeout is how long a test waits for what has to come. A loaded machine may need much of it.
+	// WaitTimeout is how long a test waits for an expected event. On a loaded machine that may take long.
 	WaitTimeout = 20 * time.Second
-	// pollInterval is the time between two looks at a condition.
+	// pollInterval is the time between two checks of a condition.
 	pollInterval = time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	*fake.Interpreter
 }
 
-// NewInterpreter starts an interpreter that is up and ends runs only when told.
+// NewInterpreter starts an interpreter that is up and ends runs only by EndRun.
 func NewInterpreter(t testing.TB) *Interpreter {
 	t.Helper()
 	it, err := fake.NewInterpreter()
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -66,7 +66,7 @@
 	return opened, nil
 }
 
-// options returns those of Pebble.
+// options returns the options for Pebble.
 func (e *engine) options(config Config, cache *pebble.Cache) *pebble.Options {
 	disk := errorfs.Wrap(config.FS, errorfs.InjectorFunc(e.checkAttached))
 	return &pebble.Options{
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// Infof implements pebble.Logger. What matters comes back as errors.
+// Infof implements pebble.Logger. It discards the message, since failures are returned as errors.
 func (e *engine) Infof(string, ...interface{}) {}
 
-// Errorf implements pebble.Logger.
+// Errorf implements pebble.Logger. It discards the message, since failures are returned as errors.
 func (e *engine) Errorf(string, ...interface{}) {}
 
 // Fatalf implements pebble.Logger. It must not return, and its caller may hold Pebble's locks, so the goroutine is abandoned.
@@ -145,7 +145,7 @@
 	}
 }
 
-// recoverPanic turns a panic into a failure. Pebble panics on what it takes for a bug of its own, corruption among it.
+// recoverPanic turns a panic into a failure. Pebble panics on violated invariants, which corruption may cause.
 func (e *engine) recoverPanic() {
 	reason := recover()
 	if reason == nil {
@@ -163,8 +163,8 @@
 	return e.runAbandonable(func() error { return work(e.db) })
 }
 
-// writeWithTimeout is withDB, but gives up on a write that does not end while a probe of the disk does: Pebble may hang after
-// a write that failed. While the disk itself stalls, it waits.
+// writeWithTimeout is withDB, but abandons a write that does not end although a probe of the disk does: Pebble may hang
+// after a write that failed. While the disk itself stalls, it waits.
 func (e *engine) writeWithTimeout(work func(db *pebble.DB) error, probe func() error, timeout time.Duration) error {
 	written := make(chan error, 1)
 	go func() { written <- e.withDB(work) }()
@@ -179,7 +179,7 @@
 	case err := <-written:
 		return err
 	case err := <-probed:
-		e.fail(cmp.Or(err, errWriteHung)) // also where the write ended just now: the engine is replaced all the same
+		e.fail(cmp.Or(err, errWriteHung)) // the engine is replaced even if the write ended just now
 		return <-written
 	}
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -19,7 +19,7 @@
 	ErrNoStore      = errors.New("store: the folder has no store")
 )
 
-// The errors of handing over changes.
+// The errors of Write.
 var (
 	ErrBusy   = errors.New("store: too much waits to be written")
 	ErrClosed = errors.New("store: it is closed")
@@ -33,7 +33,7 @@
 	errWriteHung    = errors.New("store: a write does not end, though the disk takes others down")
 )
 
-// pebbleLockHeld is what Pebble's in-process lock says; it has no error value to compare with.
+// pebbleLockHeld is the error text of Pebble's in-process lock, which has no error value to compare with.
 const pebbleLockHeld = "lock held by current process"
 
 // openError classifies why a directory could not be opened.
@@ -49,15 +49,15 @@
 	return fmt.Errorf("%s: %w: %w", dir, ErrCorrupt, err)
 }
 
-// isLockConflict tells whether an error means that another has the directory's lock. EACCES also comes of missing permissions,
-// so the lock itself is asked.
+// isLockConflict reports whether an error means that another process has the directory's lock. EACCES may also mean missing
+// permissions, so the lock itself is tested.
 func isLockConflict(dir string, err error) bool {
 	return errors.Is(err, syscall.EAGAIN) ||
 		errors.Is(err, syscall.EACCES) && isLockedByOther(dir) ||
 		strings.Contains(err.Error(), pebbleLockHeld)
 }
 
-// isLockedByOther tells whether another process holds the directory's lock.
+// isLockedByOther reports whether another process holds the directory's lock.
 func isLockedByOther(dir string) bool {
 	f, err := os.Open(filepath.Join(dir, lockName))
 	if err != nil {
--- a/internal/store/hung_write_test.go
+++ b/internal/store/hung_write_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/pebble"
 )
 
-// TestHungWrite has a write never end: on a disk that works, and on one that fails, it is given up, so that another engine
-// takes the place of this one; while the disk itself stalls the write is waited for.
+// TestHungWrite has a write never end: on a disk that works, and on one that fails, it is abandoned, so that another
+// engine replaces this one; while the disk itself stalls the write is waited for.
 func TestHungWrite(t *testing.T) {
 	const timeout = time.Millisecond
 	for _, disk := range []error{nil, syscall.ENOSPC} {
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -19,12 +19,12 @@
 // secretBytes is the length of a directory's secret.
 const secretBytes = 16
 
-// Identity says whose a directory is.
+// Identity says which server and site a directory belongs to.
 type Identity struct {
 	Version         int    `json:"version"`
 	Server          string `json:"server"`
-	SiteFingerprint string `json:"site"` // what the site's settings say of classes with keys and their windows
-	// Secret keys the hashes of request bodies, so that no sender can foresee one.
+	SiteFingerprint string `json:"site"` // of the site's classes with idempotency keys and their windows
+	// Secret keys the hashes of request bodies, so that no sender can predict one.
 	Secret    []byte    `json:"secret"`
 	CreatedAt time.Time `json:"made"`
 }
@@ -38,7 +38,7 @@
 	return secret, nil
 }
 
-// parseIdentity reads an identity. Of a newer version it knows only that it is one.
+// parseIdentity reads an identity. Of one with a newer version only the version is read.
 func parseIdentity(text []byte) (Identity, error) {
 	var id Identity
 	err := json.Unmarshal(text, &id)
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -27,7 +27,7 @@
 	stepsPerLife      = 60
 )
 
-// modelRequest is what a life of the server knows of a key.
+// modelRequest is the expected state of a key in one life of the server.
 type modelRequest struct {
 	windowEnd  time.Time
 	isFinished bool
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// write hands over changes; then is called on the life's own goroutine once they are durable, unless the power went before.
+// write enqueues changes; then is called on the life's own goroutine once they are durable, unless the power was cut before.
 func (l *serverLife) write(changes []idempotency.Change, then func(err error)) {
 	if len(changes) == 0 {
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-// end finishes a run: its response goes out at once, and its record is written behind it.
+// end finishes a run: its response is sent immediately, and its record is written afterwards.
 func (l *serverLife) end() {
 	i := l.rng.IntN(len(l.running))
 	k := l.running[i]
@@ -246,7 +246,7 @@
 	"served", "refused", "failed", "runs", "recovered done", "recovered intent", "recovered answer given up",
 }
 
-// powerCutResult is what the directories played so far came to.
+// powerCutResult collects the outcomes of the directories played so far.
 type powerCutResult struct {
 	mu       sync.Mutex
 	played   int
@@ -254,7 +254,7 @@
 	failures []error
 }
 
-// add counts what a directory came to.
+// add adds the outcomes of one directory.
 func (r *powerCutResult) add(number int, outcomes map[string]int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/store/reopen.go
+++ b/internal/store/reopen.go
@@ -46,7 +46,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.stuckEngines++ // an engine that is half open cannot be told from one that is not
+		s.stuckEngines++ // it may be half open, and hold memory
 		return nil, err
 	}
 	s.engine = reopened
@@ -54,7 +54,7 @@
 	return reopened, nil
 }
 
-// abandonEngine gives up an engine that failed.
+// abandonEngine detaches an engine that failed, and closes it in the background.
 func (s *Store) abandonEngine(failed *engine) {
 	failed.detach()
 	s.mu.Lock()
@@ -67,7 +67,7 @@
 	go s.endAbandoned(failed)
 }
 
-// endAbandoned closes an abandoned engine, which may never return; what it holds stays counted then.
+// endAbandoned closes an abandoned engine. If that never returns, the engine stays counted as stuck.
 func (s *Store) endAbandoned(failed *engine) {
 	defer func() {
 		recover() // a panic of an engine that failed before says nothing new
@@ -78,7 +78,7 @@
 	s.stuckEngines--
 }
 
-// probeDisk tells whether a disk that failed takes as much as the database needs, so that one is opened only where it is.
+// probeDisk checks that a disk that failed can store what opening the database needs.
 func (s *Store) probeDisk() error {
 	fs := s.config.FS
 	path := fs.PathJoin(s.config.Dir, probeName)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,8 +16,8 @@
 // Config is how a directory is opened.
 type Config struct {
 	Dir             string
-	Server          string // whose the directory must be; "" is any
-	SiteFingerprint string // of which site the directory must be; "" is any
+	Server          string // that the directory must belong to; "" is any
+	SiteFingerprint string // of the site that the directory must belong to; "" is any
 	Machine         string // on which it is open
 	ReadOnly        bool
 	FS              vfs.FS // nil is the disk
@@ -81,13 +81,13 @@
 	return nil
 }
 
-// hasStore tells whether a directory has a store.
+// hasStore reports whether a directory has a store.
 func hasStore(config Config) bool {
 	names, err := config.FS.List(config.Dir)
 	return err == nil && slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, manifestPrefix) })
 }
 
-// openDatabase opens the first engine and checks whose the directory is.
+// openDatabase opens the first engine and checks the directory's identity.
 func (s *Store) openDatabase() error {
 	var err error
 	if s.engine, err = openEngine(s.config); err != nil {
@@ -121,7 +121,7 @@
 	return opened, err
 }
 
-// Identity returns whose the directory is.
+// Identity returns which server and site the directory belongs to.
 func (s *Store) Identity() Identity { return s.identity }
 
 // Machine identifies the machine on which the directory is open.
@@ -130,8 +130,8 @@
 // Secret returns the directory's secret, which keys the hashes of request bodies.
 func (s *Store) Secret() []byte { return s.identity.Secret }
 
-// Close writes what was handed over and releases the directory. It does not wait long for a stalled disk: what was reported as
-// durable is, and the rest was promised to nobody.
+// Close writes the pending changes and releases the directory. It does not wait long for a stalled disk, so
+// changes that were not reported as durable may be lost.
 func (s *Store) Close() error {
 	var err error
 	if s.writer != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -83,7 +83,7 @@
 	return logs
 }
 
-// sector is what a disk writes at once; sectors may be written in any order.
+// sector is the unit that a disk writes atomically, in bytes; sectors may be written in any order.
 const sector = 512
 
 // tear leaves a part of what was never synced, as a disk does that was writing when the power went: a prefix, sometimes with
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -22,15 +22,15 @@
 	changeOverhead = 32
 )
 
-// writeRequest is changes that are written together, and who is called back.
+// writeRequest is changes that are written atomically, and the function that is called with the outcome.
 type writeRequest struct {
 	changes []Change
 	bytes   int
 	done    func(error) // may be nil
 }
 
-// writer is the goroutine that writes (group commit). What comes during a sync is written with the next one, so the more
-// comes, the fewer syncs each change takes.
+// writer is the goroutine that writes (group commit). Changes that arrive during a sync are written with the next one, so
+// the higher the load, the fewer syncs each change takes.
 type writer struct {
 	store *Store
 
@@ -52,7 +52,7 @@
 	return w
 }
 
-// Write hands over changes that are written together. It never waits: done is called from the writer's goroutine once they
+// Write enqueues changes that are written atomically. It never waits: done is called from the writer's goroutine once they
 // are durable or could not be written, and not at all where Write returns an error.
 func (s *Store) Write(changes []Change, done func(error)) error {
 	request := writeRequest{changes: changes, done: done}
