--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -29,7 +29,7 @@
 // errChecksum reports a block whose stored bytes are damaged.
 var errChecksum = errors.New("checksum differs")
 
-// blockKind says what a block holds. The values are stored.
+// blockKind is the kind of a block's content. The values are stored.
 type blockKind uint8
 
 const (
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -43,7 +43,7 @@
 	return &recordedModule{Recorder: recorder, tap: tap}
 }
 
-// round is a usual round: a request comes, one of those before ends, and now and then a timer fires.
+// round is a typical round: a request arrives, an earlier one ends, and in some rounds a timer fires.
 func (m *recordedModule) round() {
 	m.now += 3 * time.Millisecond
 	m.id++
--- a/internal/capture/kind.go
+++ b/internal/capture/kind.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what a record is of. The values are stored.
+// Kind is the kind of a record: which event, action or note it is. The values are stored.
 type Kind uint8
 
 // The events of the module's interface.
@@ -37,7 +37,7 @@
 
 // The host's notes.
 const (
-	KindRequestNames Kind = 40 + iota // the Request-Id and key of the request that comes next
+	KindRequestNames Kind = 40 + iota // the Request-Id and key of the next request
 	KindAnnotation                    // anything else worth knowing of the host
 )
 
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestStalledDisk has the disk stall: the loop goes on, memory stays bounded, and the segment that follows says what was
+// TestStalledDisk has the disk stall: the loop continues, memory stays bounded, and the next segment states what was
 // dropped.
 func TestStalledDisk(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -25,7 +25,7 @@
 	FirstRecord uint64        // number of its first record within the run
 	BaseTime    time.Duration // the module's clock before it
 	UnixTime    time.Time     // when it was begun
-	AfterDamage bool          // what comes before it is missing
+	AfterDamage bool          // the records before it are missing
 	content     []byte
 }
 
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Position is where a record stands.
+// Position locates a record in a capture.
 type Position struct {
 	Segment     *Segment
 	Block       *Block
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestTorn truncates a segment all over: what is whole is read, and nothing is made up.
+// TestTorn truncates a segment at every length: the complete blocks are read, and nothing else.
 func TestTorn(t *testing.T) {
 	raw, records := sampleSegment(t)
 	for n := 0; n < len(raw); n += 1 + n%7 {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -13,11 +13,11 @@
 
 // ConnHandler receives the events of a connection.
 type ConnHandler interface {
-	// Connected says that a dialled connection is established.
+	// Connected is called when a dialled connection is established.
 	Connected(c *Conn)
 	// Data passes received bytes, which are valid during the call only.
 	Data(c *Conn, p []byte)
-	// Closed says that the connection ended without Close; no other call follows.
+	// Closed is called when the connection ended without Close; no other call follows.
 	Closed(c *Conn, err error)
 }
 
@@ -47,7 +47,7 @@
 	linger     *Timer
 }
 
-// connState is how far a connection is.
+// connState is the state of a connection.
 type connState uint8
 
 // The states of a connection, in order.
--- a/internal/eventloop/conn_output.go
+++ b/internal/eventloop/conn_output.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// flush sends what is queued.
+// flush sends the queued bytes, as far as the socket takes them.
 func (c *Conn) flush() {
 	c.out.isDirty = false
 	if c.isClosed || c.state != stateEstablished {
--- a/internal/eventloop/kernel.go
+++ b/internal/eventloop/kernel.go
@@ -82,7 +82,7 @@
 func (Kernel) Listen(fd, backlog int) error { return unix.Listen(fd, backlog) }
 
 // Accept implements System. A connection on which TCP_NODELAY can't be set is broken already: its error is ECONNABORTED,
-// which says nothing of the next connection.
+// which does not concern the next connection.
 func (Kernel) Accept(fd int) (int, error) {
 	conn, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -30,7 +30,7 @@
 	newBufferSize     = 512
 )
 
-// source is what is registered with a descriptor.
+// source handles the events of a descriptor.
 type source interface {
 	gather(events uint32) // read what is ready, without calling the owner
 	report()              // call the owner
@@ -65,7 +65,7 @@
 	failed         []source // connections that could not be written to, to be reported in the next round
 	freeBuffers    [][]byte // empty buffers for use again
 	unsentBytes    int      // that peers have not taken, of all connections
-	maxUnsentBytes int      // over which peers that hold a large share of them are cut off
+	maxUnsentBytes int      // above which connections with a large share of them are closed
 }
 
 // postQueue hands functions of other goroutines to the loop.
@@ -140,7 +140,7 @@
 	l.system.Write(l.posted.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only while a wakeup is pending already
 }
 
-// Run goes on until Stop. After the events of a round it calls settle, which reports whether it left events of its own
+// Run runs the loop until Stop. After the events of a round it calls settle, which reports whether it left events of its own
 // that need another round without a wait.
 func (l *Loop) Run(settle func() (hasEvents bool)) error {
 	events := make([]unix.EpollEvent, maxEvents)
@@ -254,7 +254,7 @@
 	w.loop.system.Read(w.loop.posted.wakeFD, w.loop.posted.counter[:])
 }
 
-// report implements source: it calls what was posted.
+// report implements source: it calls the posted functions.
 func (w wakeup) report() {
 	w.loop.posted.mu.Lock()
 	pending := w.loop.posted.pending
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -30,7 +30,7 @@
 	// LocalAddr returns the address that a socket is bound to.
 	LocalAddr(fd int) (netip.AddrPort, error)
 	Read(fd int, p []byte) (int, error)
-	// Peek reads without taking what it reads out of the socket.
+	// Peek reads without removing the bytes from the socket.
 	Peek(fd int, p []byte) (int, error)
 	Write(fd int, p []byte) (int, error)
 	// ShutdownWrite closes the sending side of a connection.
--- a/internal/fake/interpreter.go
+++ b/internal/fake/interpreter.go
@@ -34,7 +34,7 @@
 // behavior is what tests may change in how the interpreter answers.
 type behavior struct {
 	isUp              bool    // BANNER may be sent
-	wasCold           bool    // BANNER says that the interpreter began without warm caches
+	wasCold           bool    // BANNER states that the interpreter started without warm caches
 	ignoresQueries    bool    // SMOKE and TOP get no answer
 	finishImmediately bool    // runs end as they start
 	rejectsLinks      bool    // links are closed at their first command
@@ -104,13 +104,13 @@
 	})
 }
 
-// MarkCold has the interpreter say that it started without warm caches.
+// MarkCold has the interpreter's banner state that it started without warm caches.
 func (it *Interpreter) MarkCold() { it.update(func() { it.behavior.wasCold = true }) }
 
 // RejectRun answers commands to run the request with an error.
 func (it *Interpreter) RejectRun(id string) { it.update(func() { it.behavior.rejectedID = id }) }
 
-// RejectLinks sets whether links are closed as soon as a command comes on them.
+// RejectLinks sets whether links are closed at their first command.
 func (it *Interpreter) RejectLinks(reject bool) {
 	it.update(func() { it.behavior.rejectsLinks = reject })
 }
--- a/internal/fake/interpreter_link.go
+++ b/internal/fake/interpreter_link.go
@@ -53,7 +53,7 @@
 type session struct {
 	link         *Link     // the newest, nil after it was cut
 	order        linkOrder // of the newest link
-	lastReceived uint64    // the number of the last notice that the newest CONNECT says was seen
+	lastReceived uint64    // the number of the last notice that the server had received, by its newest CONNECT
 	awaitsBanner bool      // CONNECT was received and BANNER was not sent
 	notices      []message
 }
--- a/internal/fake/member.go
+++ b/internal/fake/member.go
@@ -201,7 +201,7 @@
 	return readFastCGI(r)
 }
 
-// handle treats one request, and returns whether the connection goes on.
+// handle answers one request, and reports whether the connection is kept.
 func (m *Member) handle(conn net.Conn, request memberRequest) bool {
 	m.mu.Lock()
 	m.received = append(m.received, request.params)
--- a/internal/fake/member_fastcgi.go
+++ b/internal/fake/member_fastcgi.go
@@ -17,7 +17,7 @@
 // endOverloaded is the content of an END_REQUEST record that rejects the request with FCGI_OVERLOADED.
 var endOverloaded = []byte{0, 0, 0, 0, 2, 0, 0, 0}
 
-// answerFastCGI answers one request, and returns whether the connection goes on.
+// answerFastCGI answers one request, and reports whether the connection is kept.
 func (m *Member) answerFastCGI(conn net.Conn, behavior Behavior, status int, request memberRequest) bool {
 	end := EncodeRecord(EndRequest, request.id, make([]byte, endRequestSize), 0)
 	text := fmt.Sprintf("Status: %d\r\nX-Member: %s\r\n\r\n%s %s %s", status, m.Name, m.Name, request.params["SCRIPT_NAME"],
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -17,7 +17,7 @@
  "limits": {"max-retry-after-ns": 1000000000, "retry-after": true},
  "obligations": {"cold-ns": 16000000000, "cold-share": 0.22, "drain-grace-ns": 300000000, "overload-factor": 8}}`
 
-// The limits of SiteSettings that callers have to know.
+// The time limits in SiteSettings, for callers and checkers.
 const (
 	LookupDeadline    = 3700 * time.Millisecond
 	ReserveDeadline   = 6100 * time.Millisecond
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -8,14 +8,14 @@
 	"tillerusher/internal/gateway"
 )
 
-// ErrResponse says that a responder's response can't be read; errors of ResponseParser wrap it.
+// ErrResponse reports an invalid response of a responder; errors of ResponseParser wrap it.
 var ErrResponse = errors.New("fastcgi: invalid response")
 
 // protocolStatusOffset is where the protocol status is in the content of an END_REQUEST record.
 const protocolStatusOffset = 4
 
 // AppendRequest appends a whole request to a responder, on a connection that is to be kept open. Most responders take one
-// request at a time on a connection; a new ID for each tells its response from a late one to another.
+// request at a time on a connection; a new ID for each distinguishes its response from a late one to another.
 func AppendRequest(buf []byte, id uint16, params []gateway.Field, body []byte) []byte {
 	buf = appendHeader(buf, typeBeginRequest, id, beginRequestSize)
 	buf = append(buf, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
--- a/internal/fastcgi/model_test.go
+++ b/internal/fastcgi/model_test.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/gateway"
 )
 
-// expectedRequest is what the model knows of an open request.
+// expectedRequest is the expected state of an open request.
 type expectedRequest struct {
 	body         []byte
 	hasAllParams bool
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -52,7 +52,7 @@
 	managementID = 0
 )
 
-// errTruncatedPair says that a list of name-value pairs ends in the middle of one.
+// errTruncatedPair reports a list of name-value pairs that ends in the middle of one.
 var errTruncatedPair = errors.New("fastcgi: truncated name-value pair")
 
 // VersionError reports a record of a version other than 1: what follows it can't be read.
--- a/internal/fastcgi/session_test.go
+++ b/internal/fastcgi/session_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestInterleaved opens several requests at once, responds out of order and uses an ID again.
+// TestInterleaved opens several requests concurrently, responds out of order and reuses an ID.
 func TestInterleaved(t *testing.T) {
 	g := newTestGateway(t)
 	a, b := lookup("first").Encode(1), lookup("second").Encode(2)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -25,7 +25,7 @@
 // is kept above that of the decisions.
 const retryDecisionSlots = 8
 
-// Stats counts what was sent to members.
+// Stats counts attempts, their failures and connections.
 type Stats struct {
 	Attempts         uint64
 	Retries          uint64 // attempts but the first of a request
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -167,7 +167,7 @@
 	f.handler.RequestFinished(req.ID, outcome, response)
 }
 
-// Withdraw takes back a request of which no byte was sent, and reports whether it could.
+// Withdraw removes a request if no byte of it was sent, and reports whether it did.
 func (f *Forwarder) Withdraw(id string) bool {
 	req := f.requests[id]
 	if req == nil || req.conn == nil || req.conn.isSent {
--- a/internal/idempotency/admit.go
+++ b/internal/idempotency/admit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits bound what is kept. An intent is never dropped before it expires; at the bound responses are evicted, oldest first,
+// Limits bounds the table. An intent is never dropped before it expires; at the bound responses are evicted, oldest first,
 // and retries of their requests fail; where even that does not free enough, new requests with a key are rejected.
 type Limits struct {
 	MaxKeys  int
@@ -54,7 +54,7 @@
 	maxProbeBackoff = 10 * time.Second
 )
 
-// Counters count what was decided since the start.
+// Counters counts decisions and state changes since the start.
 type Counters struct {
 	Intents       uint64
 	Completed     uint64
--- a/internal/idempotency/change.go
+++ b/internal/idempotency/change.go
@@ -6,7 +6,7 @@
 	Value []byte
 }
 
-// StoreStats count what a store did with changes since it was opened.
+// StoreStats counts the work of a store since it was opened.
 type StoreStats struct {
 	Syncs   uint64 // batches that were synced
 	Changes uint64 // durable changes
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -3,7 +3,7 @@
 // not be protected, and how the server behaves while its disk fails. It does no I/O and reads no clock: methods return the
 // changes to write, and ObserveWrite is called with the outcome of the write.
 //
-// The order is that of a write-ahead log: the intent is durable before its run is asked for, the result is written after it.
+// The order is that of a write-ahead log: the intent is durable before its run is submitted, the result is written after it.
 // So after a crash a retry of a completed request gets the stored response, a retry of a request that has an intent and no
 // result fails (whether it ran is unknown), and a request without an intent runs, because it never did.
 //
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -12,7 +12,7 @@
 // RecordPrefix begins the names of all records of keys.
 const RecordPrefix = "k/"
 
-// keySeparator stands between class and key in the name of a record.
+// keySeparator separates class and key in the name of a record.
 const keySeparator = "\x00"
 
 // RecordName returns the name of the key's record.
@@ -75,7 +75,7 @@
 	return "unknown"
 }
 
-// Entry is what is kept of one key.
+// Entry is the stored state of one key.
 type Entry struct {
 	Key        Key
 	State      State
@@ -85,7 +85,7 @@
 	Response   Response  // where Completed
 }
 
-// withoutResponse returns a copy of the entry as it is after its response was evicted.
+// withoutResponse returns a copy of the entry without its response, as after eviction.
 func (e *Entry) withoutResponse() *Entry {
 	stripped := *e
 	if stripped.State == Completed {
--- a/internal/idempotency/runtimes.go
+++ b/internal/idempotency/runtimes.go
@@ -15,7 +15,7 @@
 	Classes []ClassRunTime
 }
 
-// ClassRunTime is what was learned of one class.
+// ClassRunTime is the run time that was learned of one class.
 type ClassRunTime struct {
 	Name               string
 	CoreTime, WallTime time.Duration
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -93,8 +93,8 @@
 	return changes
 }
 
-// Abort takes back an intent whose request did not run after all and returns the change to write: the key is as it was
-// before.
+// Abort reverts an intent whose request did not run after all, and returns the change to write. The key gets back its earlier
+// entry, if it had one.
 func (t *Table) Abort(key Key) []Change {
 	e := t.entries[key]
 	if e == nil {
@@ -108,8 +108,8 @@
 	return []Change{{Name: key.RecordName()}}
 }
 
-// RevertIntent takes back an intent that could not be written. Its request does not run, so the key is as it was before, in
-// memory as on the disk.
+// RevertIntent reverts an intent that could not be written. Its request does not run, so the key gets back its earlier entry,
+// which is still the one on the disk.
 func (t *Table) RevertIntent(key Key) {
 	if e := t.entries[key]; e != nil && e.State == Intent {
 		t.revert(e)
--- a/internal/interpreter/client.go
+++ b/internal/interpreter/client.go
@@ -9,7 +9,7 @@
 
 const (
 	// minRedialInterval is the least time between two connection attempts. A connection that had been up for longer is
-	// dialled again at once, since no run starts without it; one that fails again and again is not dialled in a busy loop.
+	// dialled again immediately, since no run starts without it; one that fails again and again is not dialled in a busy loop.
 	minRedialInterval = 50 * time.Millisecond
 	// connectTimeout is how long a connection attempt may take.
 	connectTimeout = QueryTimeout
--- a/internal/interpreter/client_test.go
+++ b/internal/interpreter/client_test.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/eventloop"
 )
 
-// TestRedialsAtOnceAfterLoss loses a connection that was up for a while: another is dialled at once, since no run starts
+// TestRedialsAtOnceAfterLoss loses a connection that was up for a while: it is redialled immediately, since no run starts
 // until then.
 func TestRedialsAtOnceAfterLoss(t *testing.T) {
 	l, err := eventloop.New(eventloop.Kernel{}, time.Millisecond, 1<<20)
--- a/internal/interpreter/decode.go
+++ b/internal/interpreter/decode.go
@@ -11,9 +11,8 @@
 // maxExactInteger is the first float64 from which on not every integer has a value of its own.
 const maxExactInteger = 1 << 53
 
-// scanner reads the tokens of one line. It is written by hand because a notice comes for every request, where
-// encoding/json takes many times as long; what notices do not have in practice, such as escapes in strings and
-// unknown fields, is left to encoding/json.
+// scanner reads the tokens of one line. It is written by hand because every request causes a notice, and encoding/json
+// takes many times as long. encoding/json reads only what is rare in notices: strings with escapes, and unknown fields.
 type scanner struct {
 	line []byte
 	pos  int
@@ -74,7 +73,7 @@
 	return err
 }
 
-// readStringInto reads a string, or null, which leaves the field as it is.
+// readStringInto reads a string, or null, which leaves the field unchanged.
 func (s *scanner) readStringInto(field *string) error {
 	if s.atNull() {
 		return s.skipValue()
@@ -144,7 +143,7 @@
 	return false
 }
 
-// readLiteral returns what comes up to the end of a number or literal.
+// readLiteral returns the bytes up to the end of a number or literal.
 func (s *scanner) readLiteral() []byte {
 	s.skipSpace()
 	start := s.pos
--- a/internal/interpreter/errors.go
+++ b/internal/interpreter/errors.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// ErrMalformed says that a line of the interpreter is not a JSON object of the protocol.
+// ErrMalformed reports a line of the interpreter that is not a JSON object of the protocol.
 var ErrMalformed = errors.New("malformed notice")
 
-// ErrLineTooLong says that the interpreter sent more than a notice can need without an end of line.
+// ErrLineTooLong reports a line that is longer than any valid notice.
 var ErrLineTooLong = fmt.Errorf("line of over %d bytes", maxLineBytes)
 
-// errConnectTimeout says that the interpreter's host did not answer a connection attempt in time.
+// errConnectTimeout reports a connection attempt that the interpreter's host did not answer in time.
 var errConnectTimeout = errors.New("connection attempt timed out")
 
 // ProtocolError reports a line of the interpreter that could not be read. Its connection has to be closed, since the
@@ -32,7 +32,7 @@
 // Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Err }
 
-// RejectedCommandError says that the interpreter rejected a command.
+// RejectedCommandError reports a command that the interpreter rejected.
 type RejectedCommandError struct {
 	Command string // the operation, such as APPLY
 	ID      string // of the run, or the tag of the query
--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -14,10 +14,10 @@
 
 // Handler receives the interpreter's reports.
 type Handler interface {
-	// InterpreterStarted says that the interpreter runs, whether its caches were cold at its start, and how long ago that
-	// was. It is called once for each start of the interpreter.
+	// InterpreterStarted is called once the interpreter is up, with whether its caches were cold at its start and how long
+	// ago that was.
 	InterpreterStarted(cold bool, age time.Duration)
-	// CallRequested says that a run waits for a downstream call and goes on only after that.
+	// CallRequested is called when a run waits for a downstream call, without which it does not continue.
 	CallRequested(id string)
 	// RunFinished is called once for each run.
 	RunFinished(id string, outcome Outcome, result []byte)
@@ -81,7 +81,7 @@
 	l.sync()
 }
 
-// Disconnected says that the connection ended. Queries sent on it fail.
+// Disconnected ends the dialogue on the connection. Queries sent on it fail.
 func (l *Link) Disconnected() {
 	l.session = session{}
 	l.runs.disconnected()
--- a/internal/interpreter/link_test.go
+++ b/internal/interpreter/link_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestSyncsWhenInterpreterComesUp has the interpreter reject the query behind CONNECT as it is not up, as the platform's
-// does: runs are submitted as soon as it has come up, without a Tick in between.
+// TestSyncsWhenInterpreterComesUp has an interpreter that is not up reject the query behind CONNECT, as the platform's does:
+// runs are submitted as soon as it is up, without a Tick in between.
 func TestSyncsWhenInterpreterComesUp(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Connected(h.write, testStart)
@@ -130,7 +130,7 @@
 }
 
 // TestGaugesNotAllowed has a site that allows no TOP: its rejection shows as well that the link is synced, and a gauge
-// query fails at once.
+// query fails immediately.
 func TestGaugesNotAllowed(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Connected(h.write, testStart)
@@ -208,7 +208,7 @@
 	h.expect([]string{"CONNECT 0", "BREAK taken", `APPLY unsure look ""`}, []string{startedWarm})
 }
 
-// TestWithdraw takes back a run whose APPLY was not sent, and no other.
+// TestWithdraw removes a run whose APPLY was not sent, and no other.
 func TestWithdraw(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Submit("early", "look", nil)
--- a/internal/interpreter/message.go
+++ b/internal/interpreter/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is how a run ended, in the words of the protocol.
+// Outcome is how a run ended. Its values are those of the protocol.
 type Outcome string
 
 // The outcomes of a run.
@@ -12,11 +12,11 @@
 	OutcomeStopped Outcome = "STOPPED"
 	// OutcomeNotStarted answers an APPLY for a run that had ended already: nothing was started by it.
 	OutcomeNotStarted Outcome = "MOOT"
-	// OutcomeRejected is not sent by the interpreter: it says that the interpreter rejected the APPLY, so nothing ran.
+	// OutcomeRejected is not sent by the interpreter: it stands for an APPLY that was rejected, so nothing ran.
 	OutcomeRejected Outcome = "rejected"
 )
 
-// String returns the protocol's word.
+// String returns the protocol's name of the outcome.
 func (o Outcome) String() string { return string(o) }
 
 // The commands of the protocol, sent to the interpreter.
--- a/internal/interpreter/model_test.go
+++ b/internal/interpreter/model_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// write puts commands in transit.
+// write queues commands as in transit to the interpreter.
 func (f *fakeInterpreter) write(p []byte) {
 	for line := range strings.SplitSeq(strings.TrimSpace(string(p)), "\n") {
 		var c map[string]any
--- a/internal/interpreter/query.go
+++ b/internal/interpreter/query.go
@@ -108,8 +108,8 @@
 	q.complete(n.Values, n.Op == opTops || n.Detail == string(OutcomeOK))
 }
 
-// rejectQuery fails a query that was rejected, as it is while the interpreter is not up and where the site does not allow
-// it. In the latter case the rejection shows as well as an answer that the link is synced.
+// rejectQuery fails a query that the interpreter rejected, either because it is not up or because the site does not allow
+// the query. In the latter case the rejection proves that the link is synced, as an answer does.
 func (l *Link) rejectQuery(n *notice) {
 	q, found := l.takeQuery(cmp.Or(n.Tag, n.ID), n.Detail == opTop)
 	if !found {
--- a/internal/interpreter/run.go
+++ b/internal/interpreter/run.go
@@ -70,7 +70,7 @@
 	l.sendPending(r)
 }
 
-// Withdraw takes back a run whose APPLY was never sent, and reports whether it could.
+// Withdraw removes a run if its APPLY was never sent, and reports whether it did.
 func (l *Link) Withdraw(id string) bool {
 	if r := l.runs.byID[id]; r == nil || r.isSent {
 		return false
--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -1,5 +1,5 @@
-// Package loadreport tells the platform's announce service whether this server accepts requests, one UDP datagram a
-// report. It belongs to the event loop's goroutine.
+// Package loadreport reports to the platform's announce service whether this server accepts requests, with one UDP datagram
+// a report. It belongs to the event loop's goroutine.
 package loadreport
 
 import (
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay feeds captures to the decision module again, in virtual time: to check that it decides the same (Run), to
-// explain what it decided (Explain, InspectAt), to simulate what it would have decided otherwise (Simulate), and to reduce
-// captures to what matters (Cut, Shrink).
+// Package replay feeds captures to the decision module again, in virtual time: to check that its decisions are the same
+// (Run), to explain them (Explain, InspectAt), to simulate other settings or another version (Simulate), and to reduce
+// captures to the relevant part (Cut, Shrink).
 package replay
 
 import (
@@ -166,7 +166,7 @@
 	var recordErr error // kept, since ForEach returns nil where it is stopped by capture.ErrStop
 	err := segment.ForEach(func(at capture.Position, record *capture.Record) error {
 		if at.AfterDamage {
-			r.module, r.isComparing = nil, false // what is missing may have changed anything
+			r.module, r.isComparing = nil, false // the state behind missing records is unknown
 		}
 		last = max(last, record.At)
 		recordErr = r.replayRecord(at, record)
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNotInCapture is returned where a capture has nothing of what was asked for.
+// ErrNotInCapture is returned where a capture does not have the request or the time that is searched for.
 var ErrNotInCapture = errors.New("replay: not in the capture")
 
 // Step is one thing that happened to a request.
--- a/internal/replay/simulated_cores.go
+++ b/internal/replay/simulated_cores.go
@@ -76,7 +76,7 @@
 	c.utilization = c.utilization*decay + (1-decay)*min(1, float64(len(c.runs))/float64(c.count))
 }
 
-// coreTimes are the core times of runs, from what was recorded.
+// coreTimes are the recorded core times of runs, and their means.
 type coreTimes struct {
 	byID      map[admission.RequestID]time.Duration
 	classMean []time.Duration
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -36,7 +36,7 @@
 	log     daemon.Log
 }
 
-// Start starts the program with an interpreter. The program is a line for the shell, as it is on the platform. change may edit
+// Start starts the program with an interpreter. The program is a shell command, as on the platform. change may edit
 // the configuration, and may be nil.
 func Start(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -3,5 +3,5 @@
 // callers pass changes and are called back once these are durable. internal/idempotency defines the records.
 //
 // The records are in a Pebble database (github.com/cockroachdb/pebble). Its file layer can be replaced; tests use one that
-// forgets, tears and fails. docs/design/state.md says why Pebble.
+// forgets, tears and fails. docs/design/state.md explains the choice of Pebble.
 package store
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// engine is one opening of a directory's database. Pebble does not go on after a write that failed: it may ask for the end of
-// the process, or block with its locks held. So whatever may write runs on a goroutine that can be abandoned, an engine that
-// failed is detached from the disk, and another takes its place once the disk works again.
+// engine is one opening of a directory's database. Pebble does not continue after a failed write: it may call Fatalf to end
+// the process, or block with its locks held. So all work that may write runs on a goroutine that can be abandoned, a failed
+// engine is detached from the disk, and another replaces it once the disk works again.
 type engine struct {
 	db     *pebble.DB
 	failed chan struct{} // closed by the first failure, which is in err
@@ -35,9 +35,10 @@
 const (
 	// closeTimeout is how long to wait for an engine or the writer to end.
 	closeTimeout = 500 * time.Millisecond
-	// hungWriteAfter is how long a write may take before the disk is probed, to tell a hung engine from a stalled disk.
+	// hungWriteAfter is how long a write may take before the disk is probed, to distinguish a hung engine from a stalled disk.
 	hungWriteAfter = 5 * time.Second
-	// maxL0Files is how many files may wait for compaction before writes do: so many that they never do. Only the start reads.
+	// maxL0Files is how many files may wait for compaction before writes stall. It is so high that they never do: compaction
+	// speeds up reads, and the store reads only at the start.
 	maxL0Files = 1 << 20
 )
 
@@ -103,7 +104,7 @@
 // Fatalf implements pebble.Logger. It must not return, and its caller may hold Pebble's locks, so the goroutine is abandoned.
 func (e *engine) Fatalf(format string, args ...interface{}) {
 	for _, arg := range args {
-		if err, ok := arg.(error); ok { // the cause says more than the message, and can be compared
+		if err, ok := arg.(error); ok { // unlike the message, the cause works with errors.Is
 			e.fail(err)
 		}
 	}
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// The errors of opening a directory. They are wrapped with the directory's name and what was found.
+// The errors of opening a directory. They are wrapped with the directory's name and the details.
 var (
 	ErrInUse        = errors.New("store: another process uses the folder")
 	ErrForeign      = errors.New("store: the folder is another server's")
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkEmpty reports a directory that has records and no identity: the identity was lost, so nobody knows whose it is.
+// checkEmpty reports a directory that has records and no identity: the identity was lost, so its owner is unknown.
 func (s *Store) checkEmpty() error {
 	dir := s.config.Dir
 	it, err := s.engine.db.NewIter(nil)
--- a/internal/store/power_cut_test.go
+++ b/internal/store/power_cut_test.go
@@ -241,7 +241,7 @@
 	l.checker.RecordAnswer(id, kind, k.Key, l.now)
 }
 
-// requiredOutcomes have to occur, or TestPowerCutsKeepKeys shows less than it says.
+// requiredOutcomes have to occur, or TestPowerCutsKeepKeys proves less than it claims.
 var requiredOutcomes = []string{
 	"served", "refused", "failed", "runs", "recovered done", "recovered intent", "recovered answer given up",
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/pebble"
 )
 
-// recordPrefix stands before the names of all records but the directory's own.
+// recordPrefix begins the database keys of all records but the directory's own.
 const recordPrefix = 'u'
 
 // minCompactBytes is how much has to lie in files that were never rewritten before a compaction is worth it.
@@ -95,7 +95,7 @@
 
 // Size returns about how many bytes the directory takes, or 0 while its database has failed.
 func (s *Store) Size() (size int64) {
-	s.withDB(func(db *pebble.DB) error { // the error says no more than the 0
+	s.withDB(func(db *pebble.DB) error { // 0 stands for the error, too
 		metrics := db.Metrics()
 		size = int64(metrics.DiskSpaceUsage())
 		return nil
--- a/internal/store/reopen.go
+++ b/internal/store/reopen.go
@@ -70,9 +70,9 @@
 // endAbandoned closes an abandoned engine. If that never returns, the engine stays counted as stuck.
 func (s *Store) endAbandoned(failed *engine) {
 	defer func() {
-		recover() // a panic of an engine that failed before says nothing new
+		recover() // the engine's failure was reported already
 	}()
-	failed.db.Close() // its error says nothing new either
+	failed.db.Close() // its error is of no interest for the same reason
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stuckEngines--
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -86,7 +86,7 @@
 // sector is the unit that a disk writes atomically, in bytes; sectors may be written in any order.
 const sector = 512
 
-// tear leaves a part of what was never synced, as a disk does that was writing when the power went: a prefix, sometimes with
+// tear keeps a part of the unsynced bytes, as a disk does that was writing at the power cut: a prefix, sometimes with
 // sectors missing before its end or a flipped bit. It returns how many logs it tore.
 func tear(t testing.TB, fsys *vfs.MemFS, before map[string][]byte, rng *rand.Rand) int {
 	t.Helper()
@@ -336,7 +336,7 @@
 	}
 }
 
-// TestGroupCommit has what comes during a sync be written with the next one.
+// TestGroupCommit checks that changes that arrive during a sync are written together with the next one.
 func TestGroupCommit(t *testing.T) {
 	s := open(t, vfs.NewMem())
 	defer s.Close()
