--- a/internal/scenario/explore.go
+++ b/internal/scenario/explore.go
@@ -7,6 +7,7 @@
 	"sync"
 
 	"tillerusher/internal/simnet"
+	"tillerusher/internal/workerpool"
 )
 
 // Finding is a seed whose scenario violates a rule.
@@ -38,15 +39,11 @@
 	Progress    func(done, of int)
 }
 
-// Explore runs the scenarios that consecutive seeds generate, until all seeds are done, there are enough findings or the context
-// ends.
+// Explore runs the scenarios that consecutive seeds generate, until all seeds are done, there are enough findings, a run
+// fails or the context ends. Scenarios that run at that time are finished and count.
 func Explore(ctx context.Context, cfg ExploreConfig) (*Exploration, error) {
 	e := &explorer{cfg: cfg}
-	var workers sync.WaitGroup
-	for range cfg.Parallel {
-		workers.Go(func() { e.work(ctx) })
-	}
-	workers.Wait()
+	workerpool.Run(cfg.Parallel, func() (uint64, bool) { return e.nextSeed(ctx) }, e.runSeed)
 	slices.SortFunc(e.result.Findings, func(a, b Finding) int { return cmp.Compare(a.Seed, b.Seed) })
 	return &e.result, e.err
 }
@@ -56,23 +53,11 @@
 	cfg ExploreConfig
 
 	mu     sync.Mutex
-	taken  int // seeds
+	taken  int // how many seeds have been handed out
 	result Exploration
 	err    error
 }
 
-// work runs scenarios until there is nothing left to do.
-func (e *explorer) work(ctx context.Context) {
-	for {
-		seed, ok := e.nextSeed(ctx)
-		if !ok {
-			return
-		}
-		report, err := Run(Generate(seed), seed)
-		e.record(seed, report, err)
-	}
-}
-
 // nextSeed returns the seed of the next scenario, if there is one.
 func (e *explorer) nextSeed(ctx context.Context) (uint64, bool) {
 	e.mu.Lock()
@@ -86,6 +71,12 @@
 	return seed, true
 }
 
+// runSeed runs the scenario that a seed generates and records its result.
+func (e *explorer) runSeed(seed uint64) {
+	report, err := Run(Generate(seed), seed)
+	e.record(seed, report, err)
+}
+
 // record adds a run's result and reports the progress.
 func (e *explorer) record(seed uint64, report *Report, err error) {
 	e.mu.Lock()
@@ -100,7 +91,7 @@
 	}
 }
 
-// add adds a report.
+// add adds the counts of a report, and a finding if it has violations.
 func (e *Exploration) add(seed uint64, report *Report) {
 	e.Seeds++
 	e.Requests += report.Requests
--- a/internal/workerpool/workerpool.go
+++ b/internal/workerpool/workerpool.go
@@ -1,4 +1,5 @@
-// Package workerpool runs independent tasks on a limited number of goroutines.
+// Package workerpool runs independent tasks on a limited number of goroutines. Run leaves the order of the results to the
+// tasks; RunOrdered delivers results in the order of the tasks.
 package workerpool
 
 import (
@@ -16,12 +17,32 @@
 	err   error
 }
 
+// Run passes each item that next returns to work, on a number of goroutines, until next reports that there are no more
+// items, and returns after all of them have ended. next and work are called concurrently.
+func Run[T any](workers int, next func() (T, bool), work func(T)) {
+	start(workers, next, work).Wait()
+}
+
+// start starts the goroutines of Run and returns the group that they belong to.
+func start[T any](workers int, next func() (T, bool), work func(T)) *sync.WaitGroup {
+	running := &sync.WaitGroup{}
+	for range workers {
+		running.Go(func() {
+			for item, ok := next(); ok; item, ok = next() {
+				work(item)
+			}
+		})
+	}
+	return running
+}
+
 // RunOrdered runs the tasks with the indices from first up to end, which is excluded, on a number of workers, and delivers
 // their results in the order of the indices. Only the caller's goroutine calls deliver.
 //
 // It stops at the first error of a task, of deliver or of the context, and returns it after all workers have ended. Tasks
 // that run at that time see their context canceled.
-func RunOrdered[T any](ctx context.Context, first, end, workers int, task func(ctx context.Context, index int) (T, error), deliver func(T) error) error {
+func RunOrdered[T any](ctx context.Context, first, end, workers int,
+	task func(ctx context.Context, index int) (T, error), deliver func(T) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	results := make([]chan taskResult[T], end)
 	for i := first; i < end; i++ {
@@ -31,17 +52,14 @@
 	window := make(chan struct{}, windowPerWorker*workers)
 	go dispatch(ctx, first, end, indices, window)
 
-	var running sync.WaitGroup
-	for range workers {
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			for i := range indices {
-				value, err := task(ctx, i)
-				results[i] <- taskResult[T]{value, err}
-			}
-		}()
+	nextIndex := func() (int, bool) {
+		i, ok := <-indices
+		return i, ok
 	}
+	running := start(workers, nextIndex, func(i int) {
+		value, err := task(ctx, i)
+		results[i] <- taskResult[T]{value, err}
+	})
 	defer running.Wait()
 	defer cancel()
 	for i := first; i < end; i++ {
--- a/internal/workerpool/workerpool_test.go
+++ b/internal/workerpool/workerpool_test.go
@@ -79,3 +79,30 @@
 		t.Errorf("%v, want %v", err, context.Canceled)
 	}
 }
+
+func TestRunPassesEachItemToOneWorker(t *testing.T) {
+	const items, workers = 200, 7
+	var taken, running, most atomic.Int64
+	var seen [items]atomic.Int64
+	Run(workers, func() (int, bool) {
+		i := int(taken.Add(1)) - 1
+		return i, i < items
+	}, func(i int) {
+		n := running.Add(1)
+		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+		}
+		seen[i].Add(1)
+		running.Add(-1)
+	})
+	for i := range seen {
+		if n := seen[i].Load(); n != 1 {
+			t.Errorf("item %d was worked on %d times", i, n)
+		}
+	}
+	if most.Load() > workers {
+		t.Errorf("%d items were worked on at once, want at most %d", most.Load(), workers)
+	}
+	if running.Load() != 0 {
+		t.Errorf("%d workers run on after Run has returned", running.Load())
+	}
+}
