--- a/cmd/cataloguectl/capture_cut.go
+++ b/cmd/cataloguectl/capture_cut.go
@@ -54,7 +54,7 @@
 	cmd := &cobra.Command{
 		Use:   "cut CAPTURE... -o FILE",
 		Short: "Cut out the smallest capture that still replays the same",
-		Long: "cut takes a part of a capture, by the module's clock or around all attempts of a request, from the last moment\n" +
+		Long: "cut takes a part of a capture, by the module's clock or around all attempts of a request, from the last boundary\n" +
 			"between two rounds before it to the end of its last round, with the state at its start. With --redecide the\n" +
 			"events are kept and this program's own decisions replace the recorded ones." + statusHelp,
 		Example: "  cataloguectl capture cut DIR --around 9b1f03aa5c7e2d41 -o complaint.capture\n" +
@@ -126,7 +126,7 @@
 			"this program's module, and writes what is left with this program's decisions. The predicates:\n" +
 			"  refused:N, failed:N, run:N  the module's request N is refused, failed or run\n" +
 			"  log:TEXT                    the module logs a line with the text\n" +
-			"  jam:500ms                   for so long requests are queued and none runs, though nothing is stalled" + statusHelp,
+			"  jam:500ms                   requests are queued for so long while none runs and nothing is stalled" + statusHelp,
 		Example: "  cataloguectl capture shrink complaint.capture --keep refused:4711 -o small.capture",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args) },
--- a/cmd/cataloguectl/load.go
+++ b/cmd/cataloguectl/load.go
@@ -33,11 +33,11 @@
 	cmd := &cobra.Command{
 		Use:     "load",
 		Aliases: []string{"storm"},
-		Short:   "Load-test a daemon on loopback, with fakes of what it talks to",
-		Long: "load starts the daemon with the project's own interpreter, gateways and announce service on loopback, and drives\n" +
-			"a mixed load at it that exceeds what the interpreter can do: requests, retries, duplicates, a broken link, a reload\n" +
+		Short:   "Load-test a daemon on loopback, with a fake interpreter and fake gateways",
+		Long: "load starts the daemon with the project's own interpreter, gateways and load report receiver on loopback, and drives\n" +
+			"a mixed load at it that exceeds the interpreter's capacity: requests, retries, duplicates, a broken link, a reload\n" +
 			"and a drain. It checks the invariants from outside. Nothing but loopback is used." + statusHelp,
-		Example: "  cataloguectl load\n  cataloguectl load --capture /tmp/storm && cataloguectl replay /tmp/storm\n" +
+		Example: "  cataloguectl load\n  cataloguectl load --capture /tmp/capture && cataloguectl replay /tmp/capture\n" +
 			"  cataloguectl load --requests 2000 --rate 300 --json",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
@@ -63,7 +63,7 @@
 	flags.IntVar(&cfg.Gateways, "gateways", cfg.Gateways, "connections, each of up to 32 requests in flight")
 	flags.Float64Var(&cfg.IdempotentShare, "keyed", cfg.IdempotentShare, "share of the requests with an idempotency key")
 	flags.Float64Var(&cfg.RepeatShare, "repeat", cfg.RepeatShare, "share of those that are sent again after they were served")
-	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "most attempts of one request")
+	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "maximum number of attempts of one request")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all random numbers")
 	flags.IntVar(&cfg.InterpreterCores, "cores", cfg.InterpreterCores, "cores of the interpreter")
 	flags.DurationVar(&cfg.MeanWork, "work", cfg.MeanWork, "mean core time of a run")
--- a/cmd/cataloguectl/main.go
+++ b/cmd/cataloguectl/main.go
@@ -18,14 +18,14 @@
 // The exit statuses, which scripts may rely on.
 const (
 	statusOK      = 0
-	statusFound   = 1 // the command did its work and found what it looks for: damage, a difference, a violated rule
+	statusFound   = 1 // the command did its work and found what it looks for: damage, a difference, a violated invariant
 	statusUsage   = 2 // wrong arguments
 	statusNoInput = 3 // what it should read is missing or can't be read
 )
 
 const statusHelp = `
-Exit status: 0 all is well, 1 the command found damage, a difference or a broken rule, 2 wrong arguments,
-3 there is nothing to read.`
+Exit status: 0 success, 1 the command found damage, a difference or a violated invariant, 2 wrong arguments,
+3 the input is missing or can't be read.`
 
 // errFound ends a command that did its work with statusFound. What was found is printed already.
 var errFound = errors.New("found")
--- a/cmd/cataloguectl/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -31,7 +31,7 @@
 			"can, and compares every action with the recorded one.\n\n" +
 			"With --set, --write or --against it simulates what would have happened instead: requests arrive as recorded, runs\n" +
 			"take as long as recorded, and callers do not react to other answers. --set changes settings\n" +
-			"(cores=4, quota.northern=40, aim.part-lookup=1s; a wrong one tells which there are), --write writes this build's\n" +
+			"(cores=4, quota.northern=40, aim.part-lookup=1s; an unknown name lists those that exist), --write writes this build's\n" +
 			"outcomes to a file, and --against compares this build with such a file of another one." + statusHelp,
 		Example: "  cataloguectl replay /var/lib/tillerusher/capture\n" +
 			"  cataloguectl replay --fresh DIR   # from every segment's snapshot\n" +
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -38,7 +38,7 @@
 		Short:   "Simulate a retry storm with and without the retry budget",
 		Long: "simulate has every member fail a share of its attempts for a while, in virtual time, and prints the load on the\n" +
 			"members relative to the offered load, with the retry budget and without." + statusHelp,
-		Example: "  cataloguectl retries simulate --fails 0.3 --output storm.svg",
+		Example: "  cataloguectl retries simulate --fails 0.3 --output retries.svg",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(newPrinter(cmd)) },
 	}
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -65,8 +65,8 @@
 	cmd := &cobra.Command{
 		Use:   "run NAME",
 		Short: "Run a scenario",
-		Long: "run runs a built-in scenario, or that of a file that ends in .sexp. The exit status is 1 if a rule is broken or an\n" +
-			"expectation is not met." + statusHelp,
+		Long: "run runs a built-in scenario, or that of a file that ends in .sexp. The exit status is 1 if an invariant is violated\n" +
+			"or an expectation is not met." + statusHelp,
 		Example: "  cataloguectl scenario run rolling-deploy --seed 7\n  cataloguectl scenario run friday.sexp --page friday.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -149,19 +149,19 @@
 	cmd := &cobra.Command{
 		Use:     "explore",
 		Aliases: []string{"hunt"},
-		Short:   "Run generated scenarios until a rule breaks",
+		Short:   "Run generated scenarios until an invariant is violated",
 		Long: "explore runs short scenarios whose cluster, load, network faults and incidents are generated from a seed, one seed after\n" +
-			"the other, and prints those that break a rule, with the command that repeats them." + statusHelp,
+			"the other, and prints those that violate an invariant, with the command that repeats them." + statusHelp,
 		Example: "  cataloguectl scenario explore --for 10m\n  cataloguectl scenario explore --first 1 --seeds 1000",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&opts.config.FirstSeed, "first", opts.config.FirstSeed, "the first seed")
-	flags.IntVar(&opts.config.Seeds, "seeds", opts.config.Seeds, "how many seeds")
-	flags.DurationVar(&opts.duration, "for", opts.duration, "how long at the most")
-	flags.IntVar(&opts.config.MaxFindings, "most", opts.config.MaxFindings, "how many findings end it")
-	flags.IntVar(&opts.config.Parallel, "parallel", opts.config.Parallel, "scenarios at a time")
+	flags.Uint64Var(&opts.config.FirstSeed, "first", opts.config.FirstSeed, "first seed")
+	flags.IntVar(&opts.config.Seeds, "seeds", opts.config.Seeds, "number of seeds")
+	flags.DurationVar(&opts.duration, "for", opts.duration, "maximum duration")
+	flags.IntVar(&opts.config.MaxFindings, "most", opts.config.MaxFindings, "number of findings after which it ends")
+	flags.IntVar(&opts.config.Parallel, "parallel", opts.config.Parallel, "scenarios that run at a time")
 	return cmd
 }
 
@@ -207,8 +207,8 @@
 func newScenarioReplayCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "replay SEED",
-		Short:   "Run a scenario of explore again",
-		Long:    "replay runs the scenario that explore generates from a seed." + statusHelp,
+		Short:   "Run the scenario that explore generates from a seed",
+		Long:    "replay runs the scenario that explore generates from a seed, and prints its report." + statusHelp,
 		Example: "  cataloguectl scenario replay 4711",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -224,8 +224,8 @@
 func newScenarioShrinkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "shrink SEED",
-		Short: "Find the smallest scenario that still breaks a rule",
-		Long:  "shrink reduces the scenario that explore generates from a seed for as long as a rule still breaks." + statusHelp,
+		Short: "Find a smaller scenario that violates an invariant with the same seed",
+		Long:  "shrink reduces the scenario that explore generates from a seed for as long as it violates an invariant." + statusHelp,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			seed, err := parseSeed(args[0])
--- a/cmd/cataloguectl/simulate_results.go
+++ b/cmd/cataloguectl/simulate_results.go
@@ -15,7 +15,7 @@
 )
 
 // byHelp is the help of the flag that groups results.
-const byHelp = "what to group by: a variable, or day for the kinds of workload"
+const byHelp = "what to group by: a variable, or \"day\" for the kind of workload"
 
 // withResults adapts a function to a command whose argument is a file of results.
 func withResults(run func(out printer, results *experiment.Results) error) func(*cobra.Command, []string) error {
--- a/cmd/cataloguectl/simulate_run.go
+++ b/cmd/cataloguectl/simulate_run.go
@@ -32,7 +32,7 @@
 		Use:   "run [FILE]",
 		Short: "Simulate one workload and print the result",
 		Long: "run simulates the workload of an experiment's file, or a generated one of a kind, once with each policy, and prints\n" +
-			"served shares, latencies, outcomes of attempts, broken rules and whether the cluster recovered from its incidents." + statusHelp,
+			"served shares, latencies, outcomes of attempts, violated invariants and whether the cluster recovered from its incidents." + statusHelp,
 		Example: "  cataloguectl simulate run --day storm --number 3 --policy module,codel --html storm.html\n" +
 			"  cataloguectl simulate run examples/metastable.sexp --policy module,nolimit --json",
 		Args: cobra.MaximumNArgs(1),
--- a/cmd/cataloguectl/simulate_search.go
+++ b/cmd/cataloguectl/simulate_search.go
@@ -33,8 +33,8 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&opts.search.Policy, "policy", opts.search.Policy, "the policy")
-	flags.StringVar(&opts.search.BaselinePolicy, "against", "", "another policy, below which it is to stay")
-	flags.StringVar(&opts.search.Measure, "measure", opts.search.Measure, "measure of which little is bad")
+	flags.StringVar(&opts.search.BaselinePolicy, "against", "", "baseline policy: points count by how far the policy stays below it")
+	flags.StringVar(&opts.search.Measure, "measure", opts.search.Measure, "measure whose low values are bad")
 	flags.IntVar(&opts.search.Rounds, "rounds", opts.search.Rounds, "rounds of the search")
 	flags.IntVar(&opts.search.PointsPerRound, "size", opts.search.PointsPerRound, "points a round")
 	flags.Uint64Var(&opts.search.Seed, "seed", opts.search.Seed, "seed of the search")
--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -20,7 +20,7 @@
 	opts.config.DrainRequests = 0
 	cmd := &cobra.Command{
 		Use:   "recovery",
-		Short: "Measure how soon a daemon serves as before it was killed, with its state and without",
+		Short: "Measure how soon a daemon recovers from a crash, with its state and without",
 		Long: "recovery runs load tests in pairs of one seed. Half way the daemon is killed and started again: with the directory that it\n" +
 			"left, and with none. It prints how long it took until the share of requests served was back to 95 % of before, with\n" +
 			"95 % confidence intervals." + statusHelp,
@@ -36,7 +36,7 @@
 	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "requests of each load test, retries left out")
 	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of the first pair")
-	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "most attempts of one request")
+	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "maximum number of attempts of one request")
 	flags.StringVar(&opts.picture, "picture", "", "file for a picture (SVG) of the share over time")
 	return cmd
 }
--- a/cmd/cataloguectl/state_serve.go
+++ b/cmd/cataloguectl/state_serve.go
@@ -33,7 +33,7 @@
 	var opts stateServeOptions
 	cmd := &cobra.Command{
 		Use:   "serve",
-		Short: "Be a catalogue server that keeps its state on a faulty disk",
+		Short: "Run a catalogue server that keeps its state on a faulty disk",
 		Long: "serve is `catalogue-server serve --state DIR` over a disk that stalls now and then or is full at times, to test what a\n" +
 			"server does then. Without --dir nothing is kept. It is configured as catalogue-server is, and its exit status is\n" +
 			"catalogue-server's: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.",
