--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// modulatedRate is the rate of a Markov-modulated Poisson process with two states. It must be asked in the order of time.
+// modulatedRate is the rate of a Markov-modulated Poisson process with two states. Its method
+// rate must be called with ascending times.
 type modulatedRate struct {
 	config   Config
 	rng      *rand.Rand
@@ -79,14 +80,14 @@
 	stateEnd time.Duration
 }
 
-// rate is the rateFunc.
-func (m *modulatedRate) rate(t time.Duration) float64 {
+// rate implements rateFunc.
+func (m *modulatedRate) rate(at time.Duration) float64 {
 	config := &m.config
 	if !m.started {
 		m.started = true
 		m.inBurst = m.rng.Float64() >= config.BurstFraction // the loop below enters the other state
 	}
-	for t >= m.stateEnd {
+	for at >= m.stateEnd {
 		m.inBurst = !m.inBurst
 		mean := float64(config.MeanBurst)
 		if !m.inBurst {
--- a/internal/arrival/config.go
+++ b/internal/arrival/config.go
@@ -42,8 +42,9 @@
 }
 
 // factorAt returns the factor at a time.
-func (s Surge) factorAt(t time.Duration) float64 {
-	elapsed, left := t-s.Start, s.Start+s.Duration-t
+func (s Surge) factorAt(at time.Duration) float64 {
+	elapsed := at - s.Start
+	left := s.Start + s.Duration - at
 	if elapsed < 0 || left <= 0 {
 		return 1
 	}
--- a/internal/experiment/explore.go
+++ b/internal/experiment/explore.go
@@ -85,17 +85,17 @@
 
 // newProposal returns the distribution of the first round, which covers the ranges.
 func newProposal(variables []Variable, seed uint64) *proposal {
-	p := &proposal{
+	initial := &proposal{
 		variables: variables,
 		mean:      make([]float64, len(variables)),
 		stdDev:    make([]float64, len(variables)),
 		rng:       rand.New(rand.NewPCG(seed, explorationStream)),
 	}
 	for i, v := range variables {
-		p.mean[i] = (v.Min + v.Max) / 2
-		p.stdDev[i] = (v.Max - v.Min) / 2
+		initial.mean[i] = (v.Min + v.Max) / 2
+		initial.stdDev[i] = (v.Max - v.Min) / 2
 	}
-	return p
+	return initial
 }
 
 // draw draws points.
--- a/internal/experiment/groups.go
+++ b/internal/experiment/groups.go
@@ -119,11 +119,11 @@
 	case ByWorkload:
 		return workloadKind(r.Workload), 0, nil
 	}
-	v, ok := r.Values[by]
+	value, ok := r.Values[by]
 	if !ok {
 		return "", 0, fmt.Errorf("experiment: %q was not varied", by)
 	}
-	return fmt.Sprintf("%.4g", v), v, nil
+	return fmt.Sprintf("%.4g", value), value, nil
 }
 
 // workloadKind is the kind in the name of a generated workload, which ends with a hyphen and a number.
@@ -140,7 +140,7 @@
 		g.Infeasible++
 		return false
 	}
-	v, ok := row.Measures[g.Measure]
+	value, ok := row.Measures[g.Measure]
 	if !ok {
 		return false
 	}
@@ -148,7 +148,7 @@
 	if len(row.Violations) > 0 {
 		g.RunsWithViolations++
 	}
-	g.values = append(g.values, runValue{pairKey{row.Point, row.Seed}, v})
+	g.values = append(g.values, runValue{pairKey{row.Point, row.Seed}, value})
 	return true
 }
 
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -48,7 +48,7 @@
 	minMemoryMB = 16
 )
 
-// DefaultConfig returns a load test of half a minute that asks for half as much again as the interpreter can do.
+// DefaultConfig returns a load test of half a minute that offers one and a half times the interpreter's capacity.
 func DefaultConfig() Config {
 	return Config{
 		Requests: 20000, Rate: 800, Gateways: 32,
--- a/internal/loadtest/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -29,7 +29,7 @@
 }
 
 // send writes an attempt, and returns false where the connection has no room or can't be made.
-func (g *gateway) send(a *attempt) bool {
+func (g *gateway) send(attempt *attempt) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.freeIDs) == 0 {
@@ -46,10 +46,10 @@
 	}
 	id := g.freeIDs[len(g.freeIDs)-1]
 	g.freeIDs = g.freeIDs[:len(g.freeIDs)-1]
-	g.open[id] = a
-	a.received = time.Now()
-	records := g.loadTest.encode(a, id)
-	g.loadTest.recordSent(a)
+	g.open[id] = attempt
+	attempt.received = time.Now()
+	records := g.loadTest.encode(attempt, id)
+	g.loadTest.recordSent(attempt)
 	if g.conn.Write(records) != nil {
 		g.disconnect(g.conn) // the reader finds the end too, and finds this done
 	}
@@ -68,30 +68,30 @@
 			g.mu.Unlock()
 			return
 		}
-		a := g.open[response.ID]
-		if a != nil {
+		attempt := g.open[response.ID]
+		if attempt != nil {
 			delete(g.open, response.ID)
 			g.freeIDs = append(g.freeIDs, response.ID)
 		}
 		g.mu.Unlock()
-		if a != nil {
-			g.loadTest.handleResponse(a, response, now)
+		if attempt != nil {
+			g.loadTest.handleResponse(attempt, response, now)
 		}
 	}
 }
 
-// disconnect closes a connection and gives up what was open on it, which the checker reports as unanswered. The caller holds
-// the lock.
+// disconnect closes a connection and counts the attempts that were open on it as lost, which the checker reports as
+// unanswered. The caller holds the lock.
 func (g *gateway) disconnect(conn *fake.Gateway) {
 	conn.Close()
 	if g.conn != conn {
 		return
 	}
 	g.conn = nil
-	for id, a := range g.open {
+	for id, attempt := range g.open {
 		g.freeIDs = append(g.freeIDs, id)
 		delete(g.open, id)
-		g.loadTest.handleLost(a)
+		g.loadTest.handleLost(attempt)
 	}
 }
 
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -67,8 +67,13 @@
 		return nil, err
 	}
 	defer target.kill()
-	test := &loadTest{config: config, target: target, checker: invariant.New(fake.IdempotencyWindow),
-		rng: rand.New(rand.NewPCG(config.Seed, 0)), latencies: newLatencies()}
+	test := &loadTest{
+		config:    config,
+		target:    target,
+		checker:   invariant.New(fake.IdempotencyWindow),
+		rng:       rand.New(rand.NewPCG(config.Seed, 0)),
+		latencies: newLatencies(),
+	}
 	test.result.Seed = config.Seed
 	target.interpreter.OnRun(func(command fake.RunCommand) { test.checker.RecordRun(command.ID) })
 	for range config.Gateways {
@@ -161,25 +166,25 @@
 
 // newRequest returns the first attempt of a new request. The caller holds the lock.
 func (l *loadTest) newRequest(n int, intended time.Time) *attempt {
-	r := &request{tenant: firstTenant, firstIntended: intended}
+	request := &request{tenant: firstTenant, firstIntended: intended}
 	if l.config.Restart {
 		l.seriesPoint(intended).Requests++
 	}
 	if l.rng.Float64() < secondTenantShare {
-		r.tenant = secondTenant
+		request.tenant = secondTenant
 	}
 	if l.rng.Float64() < l.config.IdempotentShare {
-		r.key = fmt.Sprintf("%016x%016x", l.rng.Uint64(), n)
+		request.key = fmt.Sprintf("%016x%016x", l.rng.Uint64(), n)
 	}
 	work := time.Duration(l.rng.ExpFloat64() * float64(l.config.MeanWork))
-	r.body = fake.WorkBody(strconv.Itoa(n), work)
-	return l.newAttempt(r, intended)
+	request.body = fake.WorkBody(strconv.Itoa(n), work)
+	return l.newAttempt(request, intended)
 }
 
 // newAttempt returns the next attempt of a request. The caller holds the lock.
-func (l *loadTest) newAttempt(r *request, intended time.Time) *attempt {
-	r.attempts++
-	return &attempt{id: fmt.Sprintf("%016x", l.rng.Uint64()), request: r, number: r.attempts, intended: intended}
+func (l *loadTest) newAttempt(request *request, intended time.Time) *attempt {
+	request.attempts++
+	return &attempt{id: fmt.Sprintf("%016x", l.rng.Uint64()), request: request, number: request.attempts, intended: intended}
 }
 
 // seriesPoint returns the point that a time belongs to. The caller holds the lock.
@@ -192,13 +197,13 @@
 }
 
 // send writes an attempt to the next connection with room.
-func (l *loadTest) send(a *attempt) {
+func (l *loadTest) send(attempt *attempt) {
 	for range l.gateways {
 		l.nextGateway = (l.nextGateway + 1) % len(l.gateways)
-		if l.gateways[l.nextGateway].send(a) {
+		if l.gateways[l.nextGateway].send(attempt) {
 			l.mu.Lock()
 			l.result.Attempts++
-			if a.number == 1 {
+			if attempt.number == 1 {
 				l.result.Requests++
 			}
 			l.mu.Unlock()
@@ -211,67 +216,67 @@
 }
 
 // encode returns an attempt as it is written to a connection.
-func (l *loadTest) encode(a *attempt, id uint16) []byte {
-	r := fake.NewAttempt(a.id, a.request.key, a.received, a.request.body)
-	r.Headers["Account"] = a.request.tenant
-	if a.number > 1 {
-		r.Headers["Attempt-Again"] = "1"
+func (l *loadTest) encode(attempt *attempt, id uint16) []byte {
+	message := fake.NewAttempt(attempt.id, attempt.request.key, attempt.received, attempt.request.body)
+	message.Headers["Account"] = attempt.request.tenant
+	if attempt.number > 1 {
+		message.Headers["Attempt-Again"] = "1"
 	}
-	return r.Encode(id)
+	return message.Encode(id)
 }
 
-// recordSent tells the checker of an attempt.
-func (l *loadTest) recordSent(a *attempt) {
-	hasKey := a.request.key != ""
+// recordSent reports an attempt to the checker.
+func (l *loadTest) recordSent(attempt *attempt) {
+	hasKey := attempt.request.key != ""
 	l.checker.RecordSent(invariant.Attempt{
-		ID:           a.id,
-		Key:          a.request.key,
+		ID:           attempt.id,
+		Key:          attempt.request.key,
 		AtMostOnce:   hasKey,
-		ExpectedBody: string(fake.WorkResult(a.request.body)),
-		Received:     a.received,
-		Deadline:     a.received.Add(fake.Deadline(hasKey) + answerTolerance),
+		ExpectedBody: string(fake.WorkResult(attempt.request.body)),
+		Received:     attempt.received,
+		Deadline:     attempt.received.Add(fake.Deadline(hasKey) + answerTolerance),
 	})
 }
 
 // handleResponse takes a response, and queues a repeat or a retry where one follows.
-func (l *loadTest) handleResponse(a *attempt, response fake.Response, now time.Time) {
+func (l *loadTest) handleResponse(attempt *attempt, response fake.Response, now time.Time) {
 	outcome := response.Outcome()
-	l.checker.RecordAnswer(a.id, outcome, string(response.Body), now)
+	l.checker.RecordAnswer(attempt.id, outcome, string(response.Body), now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch outcome {
 	case invariant.Served:
 		l.result.Served++
-		l.handleServed(a.request, now)
+		l.handleServed(attempt.request, now)
 	case invariant.Rejected:
 		l.result.Rejected++
-		l.handleRejected(a.request, response, now)
+		l.handleRejected(attempt.request, response, now)
 	default:
 		l.result.Failed++
 	}
 }
 
 // handleServed counts a request that was served, and queues a repeat of one with a key at random. The caller holds the lock.
-func (l *loadTest) handleServed(r *request, now time.Time) {
-	if !r.wasServed {
-		r.wasServed = true
+func (l *loadTest) handleServed(request *request, now time.Time) {
+	if !request.wasServed {
+		request.wasServed = true
 		l.servedRequests++
 		if l.config.Restart {
-			l.seriesPoint(r.firstIntended).Served++
+			l.seriesPoint(request.firstIntended).Served++
 		}
-		l.latencies.record(now.Sub(r.firstIntended))
+		l.latencies.record(now.Sub(request.firstIntended))
 	}
-	if r.key != "" && l.rng.Float64() < l.config.RepeatShare && !l.isDraining {
+	if request.key != "" && l.rng.Float64() < l.config.RepeatShare && !l.isDraining {
 		l.result.Repeats++
 		wait := time.Duration(l.rng.Float64() * float64(maxRepeatDelay))
-		heap.Push(&l.queue, l.newAttempt(r, now.Add(wait)))
+		heap.Push(&l.queue, l.newAttempt(request, now.Add(wait)))
 	}
 }
 
 // handleRejected queues a retry after the advised back-off, with jitter, unless the request has had all its attempts or the
 // answer says that no retry will do. The caller holds the lock.
-func (l *loadTest) handleRejected(r *request, response fake.Response, now time.Time) {
-	if r.attempts >= l.config.MaxAttempts || response.Header.Get("Final-Refusal") != "" || l.isDraining {
+func (l *loadTest) handleRejected(request *request, response fake.Response, now time.Time) {
+	if request.attempts >= l.config.MaxAttempts || response.Header.Get("Final-Refusal") != "" || l.isDraining {
 		return
 	}
 	backOffMS, err := strconv.Atoi(response.Header.Get("Back-Off-Ms"))
@@ -279,13 +284,13 @@
 		backOffMS = defaultBackOffMS
 	}
 	wait := time.Duration(float64(backOffMS)*(1+l.rng.Float64())) * time.Millisecond
-	heap.Push(&l.queue, l.newAttempt(r, now.Add(wait)))
+	heap.Push(&l.queue, l.newAttempt(request, now.Add(wait)))
 }
 
 // handleLost counts an attempt whose connection ended before its answer.
-func (l *loadTest) handleLost(a *attempt) {
+func (l *loadTest) handleLost(attempt *attempt) {
 	if l.config.Restart {
-		l.checker.RecordLost(a.id) // a daemon that was killed owes no answer
+		l.checker.RecordLost(attempt.id) // a daemon that was killed is not expected to answer
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -331,17 +336,18 @@
 
 // summarize completes the result after the daemon has ended.
 func (l *loadTest) summarize() *Result {
-	r := &l.result
-	r.Seconds = time.Since(l.begin).Seconds()
-	r.Rate = float64(r.Served+r.Rejected+r.Failed) / r.Seconds
-	r.ServedShare = float64(l.servedRequests) / float64(max(r.Requests, 1))
-	r.P50, r.P99, r.P999 = l.latencies.percentiles()
-	r.LinkCount = l.target.interpreter.LinkCount()
+	result := &l.result
+	result.Seconds = time.Since(l.begin).Seconds()
+	result.Rate = float64(result.Served+result.Rejected+result.Failed) / result.Seconds
+	result.ServedShare = float64(l.servedRequests) / float64(max(result.Requests, 1))
+	result.P50, result.P99, result.P999 = l.latencies.percentiles()
+	result.LinkCount = l.target.interpreter.LinkCount()
 	allDeadlinesPassed := time.Now().Add(fake.ReserveDeadline + time.Second)
-	r.Violations = l.checker.Violations(allDeadlinesPassed)
-	if r.ExitStatus != 0 {
-		r.Violations = append(r.Violations, fmt.Sprintf("the daemon ended with status %d", r.ExitStatus))
+	result.Violations = l.checker.Violations(allDeadlinesPassed)
+	if result.ExitStatus != 0 {
+		result.Violations = append(result.Violations, fmt.Sprintf("the daemon ended with status %d", result.ExitStatus))
 	}
-	r.Counters, r.Capture = l.target.log.Last("counters", nil), l.target.log.Last("capture", nil)
-	return r
+	result.Counters = l.target.log.Last("counters", nil)
+	result.Capture = l.target.log.Last("capture", nil)
+	return result
 }
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -46,7 +46,7 @@
 }
 
 const (
-	// maxLatency is the longest latency that is told apart, and latencyDigits the precision in decimal digits.
+	// maxLatency is the longest latency that the histogram holds, and latencyDigits the precision in decimal digits.
 	maxLatency    = time.Minute
 	latencyDigits = 3
 )
--- a/internal/loadtest/saturation.go
+++ b/internal/loadtest/saturation.go
@@ -78,29 +78,31 @@
 // target as well, whose daemon has ended.
 func runRound(config SaturationConfig, args []string, additional additionalCaller) (*Throughput, *target, error) {
 	targetConfig := DefaultConfig()
-	targetConfig.Daemon, targetConfig.Args, targetConfig.PinnedCore = config.Daemon, args, config.PinnedCore
-	t, err := startTarget(targetConfig)
+	targetConfig.Daemon = config.Daemon
+	targetConfig.Args = args
+	targetConfig.PinnedCore = config.PinnedCore
+	target, err := startTarget(targetConfig)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer t.kill()
-	t.interpreter.StopSimulatingWork()
-	r := &round{config: config, target: t, end: time.Now().Add(config.RoundDuration), latencies: newLatencies()}
+	defer target.kill()
+	target.interpreter.StopSimulatingWork()
+	round := &round{config: config, target: target, end: time.Now().Add(config.RoundDuration), latencies: newLatencies()}
 	for range config.Gateways {
-		r.startCaller(r.call)
+		round.startCaller(round.call)
 	}
 	if additional != nil {
-		r.startCaller(func() error { return additional(t, r.end) })
+		round.startCaller(func() error { return additional(target, round.end) })
 	}
-	r.callers.Wait()
-	if len(r.errs) > 0 {
-		return nil, nil, fmt.Errorf("storm: %w", r.errs[0])
+	round.callers.Wait()
+	if len(round.errs) > 0 {
+		return nil, nil, fmt.Errorf("storm: %w", round.errs[0])
 	}
-	throughput, err := r.stop()
+	throughput, err := round.stop()
 	if err != nil {
 		return nil, nil, err
 	}
-	return throughput, t, nil
+	return throughput, target, nil
 }
 
 // startCaller starts a goroutine and collects its error.
@@ -140,12 +142,12 @@
 		return nil, fmt.Errorf("storm: the daemon ended with status %d: %w", exitStatus, err)
 	}
 	answers := max(r.latencies.count(), 1)
-	t := &Throughput{CPUMicros: float64(cpuTime(state).Microseconds()) / float64(answers)}
-	t.setLatencies(r.latencies, r.config.RoundDuration)
+	throughput := &Throughput{CPUMicros: float64(cpuTime(state).Microseconds()) / float64(answers)}
+	throughput.setLatencies(r.latencies, r.config.RoundDuration)
 	if entry := r.target.log.Last("capture", nil); entry != nil {
-		t.LostRecords, _ = entry["lost"].(float64)
+		throughput.LostRecords, _ = entry["lost"].(float64)
 	}
-	return t, nil
+	return throughput, nil
 }
 
 // keepOpen keeps so many requests open on one connection until the end, and returns how long each took.
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -136,9 +136,9 @@
 	}
 	throughput := &StateThroughput{Disk: disk}
 	served := 0
-	lookups, t, err := runRound(config.SaturationConfig, args, func(t *target, end time.Time) error {
+	lookups, target, err := runRound(config.SaturationConfig, args, func(target *target, end time.Time) error {
 		sender := pacedSender{rate: config.IdempotentRate, end: end, latencies: newLatencies()}
-		err := sender.run(t.addr)
+		err := sender.run(target.addr)
 		throughput.Idempotent.setLatencies(sender.latencies, config.RoundDuration)
 		served = sender.served
 		throughput.Rejected = int(sender.latencies.count()) - served
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	throughput.Lookups = *lookups
-	if entry := t.log.Last("state", nil); entry != nil {
+	if entry := target.log.Last("state", nil); entry != nil {
 		if syncs, ok := entry["syncs"].(float64); ok && served > 0 {
 			throughput.Syncs = syncs / float64(served)
 		}
--- a/internal/nginx/upstream.go
+++ b/internal/nginx/upstream.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// hashKeys are the variables that a hash may go by, but for header fields.
+// hashKeys maps the variables that may be hashed to the keys of route configurations. Header fields ($http_NAME) are not
+// among them, see importHash.
 var hashKeys = map[string]string{
 	"$request_uri":        routeconfig.HashByURI,
 	"$uri":                routeconfig.HashByPath,
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -45,7 +45,7 @@
 	EjectionLatencyFactor float64 `json:"EjectFactor"`
 	// EjectionErrorRate is the share of its recent attempts that must have failed for an ejection; 0 is never.
 	EjectionErrorRate   float64       `json:"EjectErrors"`
-	EjectionMinAttempts int           `json:"EjectAfter"` // attempts of a member before it is judged
+	EjectionMinAttempts int           `json:"EjectAfter"` // attempts of a member before it can be ejected
 	BaseEjectionTime    time.Duration `json:"EjectFor"`   // of the first ejection; each one in a row takes twice as long
 	MaxEjectedRatio     float64       `json:"EjectMost"`  // share of the members that may be ejected at once
 	PanicThreshold      float64       `json:"PanicUnder"` // share of available members below which ejections are ignored
--- a/internal/pool/failures.go
+++ b/internal/pool/failures.go
@@ -9,7 +9,7 @@
 	fails       int
 	lastFailure time.Duration
 	lastChecked time.Duration // when it failed last, or was first chosen more than FailTimeout after that
-	hasFailed   bool          // ever: the times above have a meaning
+	hasFailed   bool          // at least once; else the times above mean nothing
 	probing     bool          // the single attempt that may show that it is back is in flight
 }
 
--- a/internal/pool/leastconn.go
+++ b/internal/pool/leastconn.go
@@ -8,8 +8,8 @@
 // compareLoad compares the attempts in flight at two members in proportion to their weights.
 func compareLoad(a, b *poolMember) int { return cmp.Compare(a.inFlight*b.Weight, b.inFlight*a.Weight) }
 
-// chooseLeastConn returns the member with the fewest attempts in flight for its weight, and goes by smooth round robin
-// among equals.
+// chooseLeastConn returns the member with the fewest attempts in flight for its weight, and breaks ties by smooth
+// round robin.
 func (p *Pool) chooseLeastConn(candidates []*poolMember, now time.Duration, usable func(*poolMember) bool) *poolMember {
 	if p.ranks != nil && candidates[0] == p.members[0] {
 		return p.chooseRanked(now, usable)
@@ -57,8 +57,8 @@
 	return first
 }
 
-// maxDraws is how often a policy that may come upon unusable members tries for a usable one, before it falls back to
-// round robin; nginx has the same limit.
+// maxDraws is how often a policy that draws or hashes does so for one choice until it finds a usable member. After that
+// it falls back to round robin. nginx has the same limit.
 const maxDraws = 20
 
 // drawByWeight draws a usable primary member other than the excluded one.
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -25,7 +25,7 @@
 // isAtMaxConns reports whether the member has as many attempts in flight as it may have.
 func (m *poolMember) isAtMaxConns() bool { return m.MaxConns > 0 && m.inFlight >= m.MaxConns }
 
-// memberState is what a StateChange tells of a member.
+// memberState is the state of a member that a StateChange reports.
 type memberState uint8
 
 // The states of members in the log.
--- a/internal/pool/outlier.go
+++ b/internal/pool/outlier.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// windowSize is how many of its recent attempts a member is judged by.
+// windowSize is how many of a member's recent attempts outlier detection considers.
 const windowSize = 32
 
 // medianInterval is how many attempts of a member lie between two comparisons of medians, which cost a sort each.
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -45,8 +45,8 @@
 	return member.Addr, true
 }
 
-// selectMember chooses a member by the policy: a primary one whose slow start does not hold it back, else one that it
-// does, else a backup.
+// selectMember chooses a member by the policy: a primary one that no slow start holds back, else any primary one, else a
+// backup.
 func (p *Pool) selectMember(request *Request, now time.Duration) *poolMember {
 	if p.rotation.isActive {
 		return p.nextInRotation(request)
@@ -107,14 +107,14 @@
 	return p.chooseRoundRobin(candidates, usable)
 }
 
-// Outcome is how an attempt ended, as far as it tells something of the member.
+// Outcome is how an attempt ended, as far as it counts for or against the member.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded Outcome = iota
 	Failed            // in a way that counts against the member
-	Neutral           // in a way that tells nothing of the member, such as a caller that closed its connection
+	Neutral           // in a way that says nothing about the member, for example because the caller closed its connection
 )
 
 // Finish ends an attempt at a member; took is how long it lasted.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -30,7 +30,7 @@
 	if err := p.Update(cfg, now); err != nil {
 		return nil, err
 	}
-	p.changes = nil // the members that it starts with are no news
+	p.changes = nil // the initial members are no changes
 	return p, nil
 }
 
--- a/internal/pool/ranking.go
+++ b/internal/pool/ranking.go
@@ -6,9 +6,9 @@
 )
 
 // rankingMinMembers is how many primary members a pool by LeastConn has at least before they are kept in order. nginx
-// looks at all members for each choice and goes by smooth round robin among equals; small pools do the same here. In a
-// large pool that takes a millisecond a choice, so its members are kept in a heap, and among equals the one that was
-// chosen longest ago is next: the same balance, at a cost that grows with the logarithm of the pool.
+// scans all members for each choice and breaks ties by smooth round robin; small pools do the same here. In a large pool
+// a scan takes a millisecond, so its members are kept in a heap, and among equals the one that was chosen longest ago is
+// next. The balance is the same, at a cost that grows with the logarithm of the pool.
 const rankingMinMembers = 64
 
 // ranking keeps the primary members of a large pool in order of their load. Members that are unavailable now are not in
@@ -190,8 +190,8 @@
 	member.lastTurn = r.turns
 }
 
-// firstByLoad returns the first usable ranked member. One whose weight failures have lowered gives up its turn by chance,
-// so that it gets requests by its effective weight; each time it does, that weight grows.
+// firstByLoad returns the first usable ranked member. One whose weight failures have lowered is skipped at random, so that
+// it gets requests by its effective weight; each time it is skipped, that weight grows.
 func (p *Pool) firstByLoad(usable func(*poolMember) bool) *poolMember {
 	var unusable []*poolMember // taken out of the heap for this choice
 	var best *poolMember
@@ -215,7 +215,7 @@
 	return best
 }
 
-// drawSkip reports, by chance, whether a member of lowered weight gives up its turn.
+// drawSkip draws whether a member of lowered weight is skipped.
 func (p *Pool) drawSkip(member *poolMember) bool {
 	return p.rng.Float64()*float64(member.Weight) >= float64(member.effectiveWeight)
 }
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -60,7 +60,7 @@
 }
 
 // SVG draws the chart as an SVG document.
-func (c Chart) SVG(w io.Writer) error {
+func (c Chart) SVG(out io.Writer) error {
 	figure := plot.New()
 	figure.Title.Text = c.Title
 	figure.X.Label.Text = c.XLabel
@@ -85,7 +85,7 @@
 	figure.Y.Min = 0
 	canvas := vgsvg.New(chartWidth, chartHeight)
 	figure.Draw(draw.New(canvas))
-	if _, err := canvas.WriteTo(w); err != nil {
+	if _, err := canvas.WriteTo(out); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -52,7 +52,7 @@
 }
 
 // HTML writes the page.
-func (p Page) HTML(w io.Writer) error {
+func (p Page) HTML(out io.Writer) error {
 	data := pageData{Title: p.Title, Intro: p.Intro}
 	for _, section := range p.Sections {
 		rendered, err := section.render()
@@ -61,7 +61,7 @@
 		}
 		data.Sections = append(data.Sections, rendered)
 	}
-	if err := pageTemplate.Execute(w, data); err != nil {
+	if err := pageTemplate.Execute(out, data); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
--- a/internal/retrysim/retrysim.go
+++ b/internal/retrysim/retrysim.go
@@ -44,7 +44,7 @@
 
 const (
 	sampleInterval  = 500 * time.Millisecond
-	attemptDuration = time.Millisecond // as the pool is told
+	attemptDuration = time.Millisecond // as reported to the pool
 )
 
 // simulation is a simulation that is under way.
@@ -58,20 +58,20 @@
 
 // Run runs a simulation and returns its complete intervals.
 func Run(config Config) ([]Sample, error) {
-	s := &simulation{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0))}
-	p, err := pool.New(poolConfig(config), s.rng, 0)
+	sim := &simulation{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0))}
+	members, err := pool.New(poolConfig(config), sim.rng, 0)
 	if err != nil {
 		return nil, err
 	}
-	s.pool = p
+	sim.pool = members
 	var samples []Sample
 	intervalEnd := sampleInterval
-	for now := time.Duration(0); now < config.Duration; now += s.nextWait() {
+	for now := time.Duration(0); now < config.Duration; now += sim.nextWait() {
 		for now >= intervalEnd {
-			samples = append(samples, s.takeSample(intervalEnd))
+			samples = append(samples, sim.takeSample(intervalEnd))
 			intervalEnd += sampleInterval
 		}
-		s.simulateRequest(now)
+		sim.simulateRequest(now)
 	}
 	return samples, nil
 }
@@ -79,8 +79,11 @@
 // poolConfig returns a pool that ejects no member, since all fail alike and none stands out.
 func poolConfig(c Config) pool.Config {
 	config := pool.DefaultConfig()
-	config.Name, config.RetryRatio, config.MinRetriesPerSecond = "storm", c.BudgetShare, 0
-	config.EjectionErrorRate, config.EjectionLatencyFactor = 0, 0
+	config.Name = "storm"
+	config.RetryRatio = c.BudgetShare
+	config.MinRetriesPerSecond = 0
+	config.EjectionErrorRate = 0
+	config.EjectionLatencyFactor = 0
 	for i := range c.Members {
 		member := pool.DefaultMember(fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1))
 		member.MaxFails = 0
--- a/internal/scenario/conn.go
+++ b/internal/scenario/conn.go
@@ -48,13 +48,13 @@
 func (c *conn) canSend() bool { return c.isConnected && !c.readsSlowly && len(c.freeIDs) > 0 }
 
 // send writes an attempt and returns its FastCGI id.
-func (c *conn) send(a *attempt) (id uint16) {
+func (c *conn) send(attempt *attempt) (id uint16) {
 	last := len(c.freeIDs) - 1
 	id = c.freeIDs[last]
 	c.freeIDs = c.freeIDs[:last]
-	c.inFlight[id] = a
-	req := a.request
-	message := fake.NewAttempt(a.id, req.key, c.gateway.runner.sim.Now(), req.body)
+	c.inFlight[id] = attempt
+	req := attempt.request
+	message := fake.NewAttempt(attempt.id, req.key, c.gateway.runner.sim.Now(), req.body)
 	message.Headers["Account"] = req.tenant
 	if req.attempts > 1 {
 		message.Headers["Attempt-Again"] = "1"
@@ -77,8 +77,8 @@
 		return
 	}
 	for _, answer := range answers {
-		a := c.inFlight[answer.ID]
-		if a == nil {
+		attempt := c.inFlight[answer.ID]
+		if attempt == nil {
 			run.recordViolation("%s answered request %d, which is not open", c.node.name(), answer.ID)
 			continue
 		}
@@ -88,7 +88,7 @@
 		if c.readsSlowly {
 			arrivedAt = startTime // before any deadline
 		}
-		c.gateway.handleAnswer(a, answer, arrivedAt)
+		c.gateway.handleAnswer(attempt, answer, arrivedAt)
 	}
 }
 
@@ -97,14 +97,14 @@
 	c.isConnected = false
 	run := c.gateway.runner
 	for id := uint16(1); id <= maxRequestsPerConn; id++ {
-		a := c.inFlight[id]
-		if a == nil {
+		attempt := c.inFlight[id]
+		if attempt == nil {
 			continue
 		}
-		if err == io.EOF && c.isDroppedByServer(a) {
-			run.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), a.id, run.sim.Elapsed()-a.sentAt)
+		if err == io.EOF && c.isDroppedByServer(attempt) {
+			run.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), attempt.id, run.sim.Elapsed()-attempt.sentAt)
 		}
-		c.gateway.handleLoss(a)
+		c.gateway.handleLoss(attempt)
 	}
 	clear(c.inFlight)
 	if !run.isFinished {
@@ -113,19 +113,19 @@
 }
 
 // isDroppedByServer reports whether a server that runs ended a connection without answering an attempt that it has surely read.
-func (c *conn) isDroppedByServer(a *attempt) bool {
+func (c *conn) isDroppedByServer(attempt *attempt) bool {
 	n := c.node
 	now := c.gateway.runner.sim.Elapsed()
-	isRunning := !n.isKilled && a.incarnation == n.incarnation
-	return isRunning && !c.readsSlowly && now-a.sentAt > maxReadDelay && now-n.pausedUntil > maxReadDelay
+	isRunning := !n.isKilled && attempt.incarnation == n.incarnation
+	return isRunning && !c.readsSlowly && now-attempt.sentAt > maxReadDelay && now-n.pausedUntil > maxReadDelay
 }
 
-// startSlowReads throttles the connection from now on. The callers of its requests give up.
+// startSlowReads throttles the connection from now on. Its attempts count as lost: their callers do not wait any longer.
 func (c *conn) startSlowReads() {
 	c.readsSlowly = true
 	for id := uint16(1); id <= maxRequestsPerConn; id++ {
-		if a := c.inFlight[id]; a != nil {
-			c.gateway.runner.checker.RecordLost(a.id)
+		if attempt := c.inFlight[id]; attempt != nil {
+			c.gateway.runner.checker.RecordLost(attempt.id)
 		}
 	}
 	c.stream.ThrottleReads(slowReadSize, slowReadInterval)
--- a/internal/scenario/gateway.go
+++ b/internal/scenario/gateway.go
@@ -74,28 +74,28 @@
 // send makes one attempt of a request.
 func (g *gateway) send(req *request) {
 	req.attempts++
-	c := g.pickConn(req)
-	if !c.canSend() {
+	conn := g.pickConn(req)
+	if !conn.canSend() {
 		g.runner.report.Unsent++
 		g.retry(req, g.runner.scenario.RetryDelay)
 		return
 	}
-	a := &attempt{id: g.runner.nextAttemptID(), request: req, sentAt: g.runner.sim.Elapsed(), incarnation: c.node.incarnation}
-	g.runner.checker.RecordSent(g.expectation(a, c.node))
-	g.runner.inFlight[a.id] = a
+	attempt := &attempt{id: g.runner.nextAttemptID(), request: req, sentAt: g.runner.sim.Elapsed(), incarnation: conn.node.incarnation}
+	g.runner.checker.RecordSent(g.expectation(attempt, conn.node))
+	g.runner.inFlight[attempt.id] = attempt
 	g.runner.report.Attempts++
-	streamID := c.send(a)
-	g.maybeHedge(c, streamID, a)
-	g.maybeAbort(c, streamID, a)
+	streamID := conn.send(attempt)
+	g.maybeHedge(conn, streamID, attempt)
+	g.maybeAbort(conn, streamID, attempt)
 }
 
 // expectation returns what the invariant checker has to know of an attempt. A key counts for one incarnation of a server only:
 // without a store, its idempotency table is lost with it.
-func (g *gateway) expectation(a *attempt, n *node) invariant.Attempt {
-	req := a.request
+func (g *gateway) expectation(attempt *attempt, n *node) invariant.Attempt {
+	req := attempt.request
 	now := g.runner.sim.Now()
 	expected := invariant.Attempt{
-		ID:           a.id,
+		ID:           attempt.id,
 		AtMostOnce:   req.hasKey(),
 		ExpectedBody: string(fake.WorkResult(req.body)),
 		Received:     now,
@@ -108,38 +108,38 @@
 }
 
 // maybeHedge sends some attempts with a key again while they are in flight.
-func (g *gateway) maybeHedge(c *conn, streamID uint16, a *attempt) {
-	if !a.request.hasKey() || g.rng.Float64() >= g.runner.scenario.HedgeShare {
+func (g *gateway) maybeHedge(conn *conn, streamID uint16, attempt *attempt) {
+	if !attempt.request.hasKey() || g.rng.Float64() >= g.runner.scenario.HedgeShare {
 		return
 	}
 	delay := time.Duration(g.rng.Int64N(int64(maxHedgeDelay)))
 	g.runner.sim.After(delay, func() {
-		if c.inFlight[streamID] == a && !g.runner.isFinished {
-			a.request.attempts-- // a hedge takes no attempt away from the caller
-			g.send(a.request)
+		if conn.inFlight[streamID] == attempt && !g.runner.isFinished {
+			attempt.request.attempts-- // a hedge takes no attempt away from the caller
+			g.send(attempt.request)
 		}
 	})
 }
 
 // maybeAbort has the gateway abort some attempts while they are in flight.
-func (g *gateway) maybeAbort(c *conn, streamID uint16, a *attempt) {
+func (g *gateway) maybeAbort(conn *conn, streamID uint16, attempt *attempt) {
 	if g.rng.Float64() >= g.runner.scenario.AbortShare {
 		return
 	}
 	delay := time.Duration(g.rng.Int64N(int64(maxAbortDelay)))
 	g.runner.sim.After(delay, func() {
-		if c.inFlight[streamID] == a {
-			c.stream.Write(fake.EncodeRecord(fake.AbortRequest, streamID, nil, 0))
+		if conn.inFlight[streamID] == attempt {
+			conn.stream.Write(fake.EncodeRecord(fake.AbortRequest, streamID, nil, 0))
 		}
 	})
 }
 
 // handleAnswer processes an answer that arrived at a time, and retries if the caller would.
-func (g *gateway) handleAnswer(a *attempt, answer fake.Response, at time.Time) {
-	req := a.request
+func (g *gateway) handleAnswer(attempt *attempt, answer fake.Response, at time.Time) {
+	req := attempt.request
 	outcome := answer.Outcome()
-	g.runner.checker.RecordAnswer(a.id, outcome, string(answer.Body), at)
-	delete(g.runner.inFlight, a.id)
+	g.runner.checker.RecordAnswer(attempt.id, outcome, string(answer.Body), at)
+	delete(g.runner.inFlight, attempt.id)
 	switch outcome {
 	case invariant.Served:
 		g.runner.report.Served++
@@ -167,11 +167,11 @@
 }
 
 // handleLoss processes that the connection of an attempt ended.
-func (g *gateway) handleLoss(a *attempt) {
-	g.runner.checker.RecordLost(a.id)
-	delete(g.runner.inFlight, a.id)
+func (g *gateway) handleLoss(attempt *attempt) {
+	g.runner.checker.RecordLost(attempt.id)
+	delete(g.runner.inFlight, attempt.id)
 	g.runner.report.Lost++
-	g.retry(a.request, g.runner.scenario.RetryDelay)
+	g.retry(attempt.request, g.runner.scenario.RetryDelay)
 }
 
 // retry makes a further attempt after a delay, unless the caller has no attempts or no time left.
--- a/internal/scenario/incident.go
+++ b/internal/scenario/incident.go
@@ -31,12 +31,12 @@
 
 // kindList returns all kinds as an error message lists them: "a, b or c".
 func kindList() string {
-	words := make([]string, len(incidentKinds))
+	names := make([]string, len(incidentKinds))
 	for n, kind := range incidentKinds {
-		words[n] = string(kind)
+		names[n] = string(kind)
 	}
-	last := len(words) - 1
-	return strings.Join(words[:last], ", ") + " or " + words[last]
+	last := len(names) - 1
+	return strings.Join(names[:last], ", ") + " or " + names[last]
 }
 
 // Incident is a fault or a change of load at a time. The JSON keys are printed by cataloguectl.
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -52,21 +52,21 @@
 	pausedUntil    time.Duration
 }
 
-func newNode(r *runner, number int) *node {
-	n := &node{
-		runner:          r,
+func newNode(runner *runner, number int) *node {
+	node := &node{
+		runner:          runner,
 		number:          number,
 		slowdown:        1,
 		host:            hostAddr(serverNet, number),
 		interpreterHost: hostAddr(interpreterNet, number),
 	}
-	n.startInterpreter()
+	node.startInterpreter()
 	for range interpreterPorts {
-		r.sim.Listen(n.interpreterAddr(), n.acceptLink)
-		n.addressChanges++
+		runner.sim.Listen(node.interpreterAddr(), node.acceptLink)
+		node.addressChanges++
 	}
-	n.start()
-	return n
+	node.start()
+	return node
 }
 
 // name returns the server's name in load reports.
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
-	r := &runner{
+	run := &runner{
 		scenario:   scenario,
 		site:       site,
 		sim:        simnet.New(seed, startTime),
@@ -86,21 +86,21 @@
 		latency:    hdrhistogram.New(1, maxLatency.Microseconds(), 3),
 		report:     &Report{Scenario: scenario.Name, Seed: seed},
 	}
-	r.sim.Network = scenario.Network
-	r.sim.HandleDatagrams(loadReportAddr, r.handleLoadReport)
+	run.sim.Network = scenario.Network
+	run.sim.HandleDatagrams(loadReportAddr, run.handleLoadReport)
 	for n := range scenario.Servers {
-		r.nodes = append(r.nodes, newNode(r, n+1))
+		run.nodes = append(run.nodes, newNode(run, n+1))
 	}
 	for n := range scenario.Gateways {
 		rng := rand.New(rand.NewPCG(seed, trafficStream+1+uint64(n)))
 		honorsRetryAfter := float64(n) < scenario.RetryAfterShare*float64(scenario.Gateways)
-		r.gateways = append(r.gateways, newGateway(r, n+1, honorsRetryAfter, rng))
+		run.gateways = append(run.gateways, newGateway(run, n+1, honorsRetryAfter, rng))
 	}
 	for _, incident := range scenario.Incidents {
-		r.scheduleIncident(incident)
+		run.scheduleIncident(incident)
 	}
-	r.sim.After(startupTime, r.generateRequest)
-	return r, nil
+	run.sim.After(startupTime, run.generateRequest)
+	return run, nil
 }
 
 // execute runs all phases.
@@ -125,9 +125,9 @@
 
 // handleLoadReport notes whether a server accepts requests: "announce NAME true".
 func (r *runner) handleLoadReport(payload []byte) {
-	words := strings.Fields(string(payload))
-	if len(words) == 3 && words[0] == "announce" {
-		r.accepting[words[1]] = words[2] == "true"
+	fields := strings.Fields(string(payload))
+	if len(fields) == 3 && fields[0] == "announce" {
+		r.accepting[fields[1]] = fields[2] == "true"
 	}
 }
 
--- a/internal/sexp/fields.go
+++ b/internal/sexp/fields.go
@@ -77,11 +77,11 @@
 }
 
 // OneOf returns a function for ReadFields that reads one of the words.
-func OneOf(to *string, words ...string) func(Node) error {
+func OneOf(to *string, choices ...string) func(Node) error {
 	return func(form Node) error {
-		wanted := strings.Join(words, ", ")
+		wanted := strings.Join(choices, ", ")
 		value, err := singleValue(form, wanted)
-		if err == nil && !slices.Contains(words, value.Text) {
+		if err == nil && !slices.Contains(choices, value.Text) {
 			err = Errorf(value.Pos, "found %v in (%s ...), want %s", value, form.Name(), wanted)
 		}
 		*to = value.Text
--- a/internal/sexp/parser.go
+++ b/internal/sexp/parser.go
@@ -51,7 +51,7 @@
 	return r
 }
 
-// isInvalidUTF8 tells whether the next byte is no part of a character.
+// isInvalidUTF8 reports whether the next byte is no part of a character.
 func (p *parser) isInvalidUTF8() bool {
 	r, size := utf8.DecodeRune(p.rest)
 	return r == utf8.RuneError && size == 1
--- a/internal/sexp/quantity.go
+++ b/internal/sexp/quantity.go
@@ -74,7 +74,7 @@
 	return number, nil
 }
 
-// isLetter tells whether a character may stand in the name of a unit.
+// isLetter reports whether a character may stand in the name of a unit.
 func isLetter(r rune) bool { return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' }
 
 // format returns a number of base units in the largest unit of which it is a whole number.
--- a/internal/simnet/socket.go
+++ b/internal/simnet/socket.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// receiveWindow is how many bytes may be in flight to a reader that takes none.
+	// receiveWindow is how many bytes may be sent to a peer that has not read them yet.
 	receiveWindow = 64 << 10
-	// retransmitInterval is how often a segment is sent again that a partition holds up.
+	// retransmitInterval is the time between two attempts to deliver a segment across a partition.
 	retransmitInterval = 200 * time.Millisecond
-	// connectRetryInterval is how often a connect is sent again that is not answered, and connectTimeout when it gives up.
+	// connectRetryInterval is the time between two attempts to connect to an address that does not answer.
 	connectRetryInterval = time.Second
-	connectTimeout       = 3 * time.Second
+	// connectTimeout is the time after which such a connect fails with ETIMEDOUT.
+	connectTimeout = 3 * time.Second
 )
 
 // segment is what one write sent: bytes, or the end of the stream.
@@ -108,7 +109,7 @@
 	sk.notify()
 }
 
-// notify tells the owner that the socket's state has changed.
+// notify wakes the owner: the socket's state has changed.
 func (sk *socket) notify() {
 	if sk.process != nil {
 		sk.process.wake()
@@ -143,7 +144,7 @@
 	return err
 }
 
-// consume drops what was read and tells the peer if that opens its window again.
+// consume drops what was read and notifies the peer if that opens its window again.
 func (sk *socket) consume(n int) {
 	sk.received = sk.received[n:]
 	if len(sk.received) == 0 {
