--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -115,7 +115,7 @@
 		Use:     "verify CAPTURE...",
 		Short:   "Check captures for damage and gaps",
 		Long:    "verify reads every block of captures and names what is damaged or missing." + statusHelp,
-		Example: "  cataloguectl capture verify /var/lib/tillerusher/capture && echo sound",
+		Example: "  cataloguectl capture verify /var/lib/tillerusher/capture && echo undamaged",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    withCaptures(verifySegments),
 	}
--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -33,7 +33,7 @@
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args[0], args[1:]) },
 	}
-	cmd.Flags().DurationVar(&opts.around, "around", 20*time.Millisecond, "for a time: print the decisions so long before and after it")
+	cmd.Flags().DurationVar(&opts.around, "around", 20*time.Millisecond, "with a TIME: print the decisions from so long before it to so long after it")
 	return cmd
 }
 
--- a/cmd/cataloguectl/import.go
+++ b/cmd/cataloguectl/import.go
@@ -56,7 +56,7 @@
 
 // importDiagnostics is the JSON of an import.
 type importDiagnostics struct {
-	Remarks []nginx.Diagnostic `json:"remarks"`
+	Diagnostics []nginx.Diagnostic `json:"remarks"`
 }
 
 func (o *importNginxOptions) run(out printer, path string) error {
--- a/cmd/cataloguectl/load_cost.go
+++ b/cmd/cataloguectl/load_cost.go
@@ -57,12 +57,9 @@
 	addPinFlag(cmd, &c.PinnedCore)
 }
 
-// maxOpenRequests is how many requests the daemon takes on one connection.
-const maxOpenRequests = 32
-
 // isValidSaturation reports whether a measurement at full load can be made.
 func isValidSaturation(c *loadtest.SaturationConfig) bool {
-	return c.Rounds >= 1 && c.Gateways >= 1 && c.OpenRequests >= 1 && c.OpenRequests <= maxOpenRequests && c.RoundDuration > 0
+	return c.Rounds >= 1 && c.Gateways >= 1 && c.OpenRequests >= 1 && c.OpenRequests <= loadtest.MaxOpenRequests && c.RoundDuration > 0
 }
 
 // printCaptureCost prints the rounds and the median ratios.
--- a/cmd/cataloguectl/simulate_page.go
+++ b/cmd/cataloguectl/simulate_page.go
@@ -177,7 +177,7 @@
 }
 
 // writeTimeline writes the figures of each second as CSV.
-func writeTimeline(w io.Writer, policies []string, results []*clustersim.Result) error {
+func writeTimeline(out io.Writer, policies []string, results []*clustersim.Result) error {
 	rows := [][]string{{"policy", "second", "asked", "earned", "work", "tries", "served", "refused", "failed"}}
 	for n, r := range results {
 		for i, second := range r.Timeline {
@@ -194,5 +194,5 @@
 			})
 		}
 	}
-	return csv.NewWriter(w).WriteAll(rows)
+	return csv.NewWriter(out).WriteAll(rows)
 }
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -62,9 +62,10 @@
 
 func newStateInfoCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:     "info DIR",
-		Short:   "Print whose a directory is and how much it keeps",
-		Long:    "info prints whose a directory is, since when, how many records it has by state, and how many have expired." + statusHelp,
+		Use:   "info DIR",
+		Short: "Print which server a directory belongs to and how much it keeps",
+		Long: "info prints which server a directory belongs to, when it was created, how many records it has by state, and how many\n" +
+			"have expired." + statusHelp,
 		Example: "  cataloguectl state info /var/lib/tillerusher/state",
 		Args:    cobra.ExactArgs(1),
 		RunE:    withStore(readOnly, printStateInfo),
@@ -73,29 +74,29 @@
 
 // stateInfo is the JSON of a directory.
 type stateInfo struct {
-	Server  string         `json:"server"`
-	Version int            `json:"version"`
-	Site    string         `json:"site"`
-	Made    time.Time      `json:"made"`
-	States  map[string]int `json:"states"` // records by state
-	RanOut  int            `json:"ran_out"`
-	Unread  int            `json:"unread"`
-	Bytes   int            `json:"bytes"`
-	Disk    int64          `json:"disk"`
+	Server     string         `json:"server"`
+	Version    int            `json:"version"`
+	Site       string         `json:"site"`
+	CreatedAt  time.Time      `json:"made"`
+	States     map[string]int `json:"states"` // records by state
+	Expired    int            `json:"ran_out"`
+	Unreadable int            `json:"unread"`
+	Bytes      int            `json:"bytes"`
+	Disk       int64          `json:"disk"`
 }
 
 // printStateInfo prints what is in a directory.
 func printStateInfo(out printer, db *store.Store) error {
 	id := db.Identity()
-	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteFingerprint, Made: id.CreatedAt, States: map[string]int{}}
+	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteFingerprint, CreatedAt: id.CreatedAt, States: map[string]int{}}
 	now := time.Now()
 	err := forEachRecord(db, func(_ string, e idempotency.Entry, size int, err error) error {
 		info.Bytes += size
 		switch {
 		case err != nil:
-			info.Unread++
+			info.Unreadable++
 		case now.After(e.ExpiresAt):
-			info.RanOut++
+			info.Expired++
 		default:
 			info.States[e.State.String()]++
 		}
@@ -105,11 +106,11 @@
 		return inputError{err}
 	}
 	info.Disk = db.Size()
-	out.linef("the folder of %s, format version %d, made %s", info.Server, info.Version, info.Made.Format(time.RFC3339))
+	out.linef("the folder of %s, format version %d, made %s", info.Server, info.Version, info.CreatedAt.Format(time.RFC3339))
 	out.linef("site: %s", info.Site)
 	out.linef("in their window: %d done, %d intents, %d whose answers were given up; %d ran out, %d can't be read; "+
-		"%d bytes of records, %d on the disk", info.States["done"], info.States["intent"], info.States["answer given up"], info.RanOut,
-		info.Unread, info.Bytes, info.Disk)
+		"%d bytes of records, %d on the disk", info.States["done"], info.States["intent"], info.States["answer given up"], info.Expired,
+		info.Unreadable, info.Bytes, info.Disk)
 	return out.encode(info)
 }
 
--- a/cmd/cataloguectl/state_cost.go
+++ b/cmd/cataloguectl/state_cost.go
@@ -69,11 +69,11 @@
 			round.Idempotent.Rate, round.Idempotent.P50, round.Idempotent.P99, round.Idempotent.P999, round.Rejected, round.Syncs)
 	}
 	for _, disk := range []loadtest.Disk{loadtest.HealthyDisk, loadtest.FaultyDisk} {
-		for _, class := range []string{"lookups", "keyed"} {
+		for _, class := range []string{loadtest.LookupClass, loadtest.IdempotentClass} {
 			ratio := result.Ratio[disk][class]
 			out.linef("%s over none, %s, median of %d: rate %.3f, p50 %.3f, p99 %.3f, p99.9 %.3f", disk, class, rounds,
 				ratio["rate"], ratio["p50"], ratio["p99"], ratio["p999"])
 		}
-		out.linef("%s over none, CPU a lookup: %.3f", disk, result.Ratio[disk]["lookups"]["cpu"])
+		out.linef("%s over none, CPU a lookup: %.3f", disk, result.Ratio[disk][loadtest.LookupClass]["cpu"])
 	}
 }
--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -96,7 +96,7 @@
 // printDifferences prints the differences within the pairs, and how many restarts never recovered.
 func printDifferences(out printer, recoveries []loadtest.Recovery) {
 	var seconds, after []float64
-	notRecovered := map[bool]int{} // by StateRemoved
+	unrecovered := map[bool]int{} // by StateRemoved
 	for n := 0; n+1 < len(recoveries); n += 2 {
 		cold, warm := recoveries[n], recoveries[n+1]
 		after = append(after, warm.ServedAfter-cold.ServedAfter)
@@ -105,7 +105,7 @@
 		}
 		for _, r := range []loadtest.Recovery{cold, warm} {
 			if r.RecoverySeconds < 0 {
-				notRecovered[r.StateRemoved]++
+				unrecovered[r.StateRemoved]++
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 	out.linef("remembered less cold: back after %+.2f s (%+.2f to %+.2f) over %d pairs", mean, low, high, len(seconds))
 	mean, low, high = experiment.ConfidenceInterval(after)
 	out.linef("remembered less cold: share from the restart on %+.4f (%+.4f to %+.4f)", mean, low, high)
-	out.linef("not back by the end: %d cold, %d remembered", notRecovered[true], notRecovered[false])
+	out.linef("not back by the end: %d cold, %d remembered", unrecovered[true], unrecovered[false])
 }
 
 // recoveryChart draws the mean shares with and without the state over time, which counts from the restart.
--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// modulatedRate is the rate of a Markov-modulated Poisson process with two states. Its method
-// rate must be called with ascending times.
+// modulatedRate is the rate of a Markov-modulated Poisson process with two states. Its method rate must be
+// called with ascending times.
 type modulatedRate struct {
 	config   Config
 	rng      *rand.Rand
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -12,7 +12,7 @@
 // fields are functions that read forms, by the names of the forms.
 type fields = map[string]func(sexp.Node) error
 
-// Limits of what a file may ask for.
+// Limits and defaults of the numbers in a file.
 const (
 	maxSeeds        = 1_000_000
 	maxWorkloads    = 100_000 // of each kind
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// day is the longest time that a file may give.
-const day = 24 * time.Hour
+// maxDuration is the longest time that a file may state.
+const maxDuration = 24 * time.Hour
 
 // readConfig reads the forms of a configuration and changes what they give. A generated workload is the base of the other
 // forms, wherever it stands among them.
@@ -46,7 +46,7 @@
 	changed.Classes, changed.Tenants, changed.Gateways, changed.Incidents = nil, nil, nil, nil
 	once := fields{
 		"name":       sexp.Text(&changed.Name),
-		"for":        sexp.Duration(&changed.Duration, time.Second, day),
+		"for":        sexp.Duration(&changed.Duration, time.Second, maxDuration),
 		"load":       sexp.Number(&load, 0.001, 100),
 		"delay":      sexp.Duration(&changed.NetworkDelay, 0, time.Minute),
 		"list-delay": sexp.Duration(&changed.EndpointListDelay, 0, time.Hour),
@@ -134,7 +134,7 @@
 		"capture": sexp.Text(&path),
 		"factor":  sexp.Number(&arrivals.Speed, 0.001, 1000),
 		"swing":   sexp.Number(&arrivals.Amplitude, 0, 1),
-		"day":     sexp.Duration(&arrivals.Period, time.Second, day),
+		"day":     sexp.Duration(&arrivals.Period, time.Second, maxDuration),
 	})
 	arrivals.Kind = arrival.Kind(kind)
 	if err != nil || path == "" {
@@ -168,11 +168,11 @@
 		"dist": sexp.OneOf(&distribution, string(clustersim.Constant), string(clustersim.Exponential), string(clustersim.LogNormal),
 			string(clustersim.Pareto)),
 		"spread":     sexp.Number(&class.CV, 0, 100),
-		"aim":        sexp.Duration(&class.LatencyObjective, time.Millisecond, day),
-		"deadline":   sexp.Duration(&class.Deadline, time.Millisecond, day),
+		"aim":        sexp.Duration(&class.LatencyObjective, time.Millisecond, maxDuration),
+		"deadline":   sexp.Duration(&class.Deadline, time.Millisecond, maxDuration),
 		"worth":      sexp.Number(&class.Weight, 0, 1e6),
 		"late-worth": sexp.Number(&class.LateWeight, 0, 1),
-		"window":     sexp.Duration(&class.KeyWindow, 0, day),
+		"window":     sexp.Duration(&class.KeyWindow, 0, maxDuration),
 	})
 	class.Distribution = clustersim.Distribution(distribution)
 	class.IdempotentByKey = class.KeyWindow > 0
@@ -234,9 +234,9 @@
 		return sexp.Errorf(n.Pos, "no incident is called %q, want one of %v", kind, clustersim.IncidentKinds())
 	}
 	err = sexp.ReadFields(n.ItemsFrom(2), fields{
-		"from": sexp.Duration(&incident.Start, 0, day),
-		"for":  sexp.Duration(&incident.Duration, 0, day),
-		"rise": sexp.Duration(&incident.RampTime, 0, day),
+		"from": sexp.Duration(&incident.Start, 0, maxDuration),
+		"for":  sexp.Duration(&incident.Duration, 0, maxDuration),
+		"rise": sexp.Duration(&incident.RampTime, 0, maxDuration),
 		"part": sexp.Number(&incident.ServerShare, 0, 1),
 		"size": sexp.Number(&incident.Magnitude, 0, 1e6),
 	})
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -20,7 +20,7 @@
 	Requests        int            // number of requests, each of which has a first attempt
 	Rate            float64        // first attempts per second
 	Arrival         arrival.Config // when first attempts come, at the rate above; a kind of "" is Poisson
-	Gateways        int            // connections, of maxOpenRequests each
+	Gateways        int            // connections, of MaxOpenRequests each
 	IdempotentShare float64        // share of the requests that have an idempotency key
 	RepeatShare     float64        // share of the served requests with a key that are sent again
 	MaxAttempts     int            // of one request, the first included
--- a/internal/loadtest/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -7,8 +7,8 @@
 	"tillerusher/internal/fake"
 )
 
-// maxOpenRequests is how many requests a connection may have open.
-const maxOpenRequests = 32
+// MaxOpenRequests is how many requests a connection may have open.
+const MaxOpenRequests = 32
 
 // gateway is a connection to the daemon, which is made again after it ended.
 type gateway struct {
@@ -22,7 +22,7 @@
 
 func newGateway(l *loadTest) *gateway {
 	g := &gateway{loadTest: l, open: map[uint16]*attempt{}}
-	for id := uint16(maxOpenRequests); id > 0; id-- {
+	for id := uint16(MaxOpenRequests); id > 0; id-- {
 		g.freeIDs = append(g.freeIDs, id)
 	}
 	return g
--- a/internal/loadtest/recovery.go
+++ b/internal/loadtest/recovery.go
@@ -8,6 +8,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"tillerusher/internal/workerpool"
 )
 
 // RecoveryConfig is the measurement of the time that a daemon takes after a restart to serve as before.
@@ -38,6 +40,9 @@
 	lastSteps      = 8
 )
 
+// notRecovered is the RecoverySeconds of a daemon that did not recover.
+const notRecovered = -1
+
 // MeasureRecovery runs load tests in pairs of the same seed in which the daemon is killed half way and started again, with
 // and without the state that it left.
 func MeasureRecovery(ctx context.Context, config RecoveryConfig) ([]Recovery, error) {
@@ -49,50 +54,64 @@
 		return nil, fmt.Errorf("storm: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	recoveries := make([]Recovery, 2*config.Pairs)
-	jobs := make(chan int)
-	go func() {
-		defer close(jobs)
-		for n := range recoveries {
-			jobs <- n
-		}
-	}()
-	var mu sync.Mutex // guards recoveries, firstErr and done
-	var firstErr error
-	done := 0
-	finish := func(n int, r *Recovery, err error) {
-		mu.Lock()
-		defer mu.Unlock()
-		done++
-		if config.Progress != nil {
-			config.Progress(done, len(recoveries))
-		}
-		if err == nil {
-			recoveries[n] = *r
-		} else if firstErr == nil {
-			firstErr = err
-		}
+	m := &recoveryMeasurement{config: config, dir: dir, recoveries: make([]Recovery, 2*config.Pairs)}
+	workerpool.Run(config.Parallel, m.next, func(index int) { m.run(ctx, index) })
+	if m.firstErr == nil {
+		m.firstErr = ctx.Err()
+	}
+	return m.recoveries, m.firstErr
+}
+
+// recoveryMeasurement is a call of MeasureRecovery. Load tests 2i and 2i+1 are a pair; the first one's state is removed.
+type recoveryMeasurement struct {
+	config RecoveryConfig
+	dir    string // has a directory of its own for the state of each load test
+
+	mu         sync.Mutex // guards all that follows
+	started    int
+	finished   int
+	recoveries []Recovery
+	firstErr   error
+}
+
+// next returns the index of the next load test, or false if all have started.
+func (m *recoveryMeasurement) next() (index int, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.started == len(m.recoveries) {
+		return 0, false
 	}
-	var workers sync.WaitGroup
-	for range config.Parallel {
-		workers.Go(func() {
-			for n := range jobs {
-				seed, isStateRemoved := config.Seed+uint64(n/2), n%2 == 0
-				r, err := measureRecovery(ctx, config.Config, filepath.Join(dir, fmt.Sprint(n)), seed, isStateRemoved)
-				finish(n, r, err)
-			}
-		})
+	index = m.started
+	m.started++
+	return index, true
+}
+
+// run runs a load test and records its result.
+func (m *recoveryMeasurement) run(ctx context.Context, index int) {
+	seed := m.config.Seed + uint64(index/2)
+	removeState := index%2 == 0
+	recovery, err := measureRecovery(ctx, m.config.Config, filepath.Join(m.dir, fmt.Sprint(index)), seed, removeState)
+
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.finished++
+	if m.config.Progress != nil {
+		m.config.Progress(m.finished, len(m.recoveries))
 	}
-	workers.Wait()
-	if firstErr == nil {
-		firstErr = ctx.Err()
+	if err == nil {
+		m.recoveries[index] = *recovery
+	} else if m.firstErr == nil {
+		m.firstErr = err
 	}
-	return recoveries, firstErr
 }
 
 // measureRecovery runs one load test whose daemon keeps its state in a directory.
 func measureRecovery(ctx context.Context, config Config, stateDir string, seed uint64, removeState bool) (*Recovery, error) {
-	config.Seed, config.Restart, config.CutLink, config.Reload, config.Progress = seed, true, false, false, nil
+	config.Seed = seed
+	config.Restart = true
+	config.CutLink = false
+	config.Reload = false
+	config.Progress = nil
 	config.Args = append(slices.Clone(config.Args), "--state", stateDir)
 	if removeState {
 		config.RemoveStateDir = stateDir
@@ -116,7 +135,7 @@
 func (r *Recovery) findRecovery() {
 	r.ServedBefore, _ = r.servedShare(firstSteps, r.RestartStep-lastSteps)
 	r.ServedAfter, _ = r.servedShare(r.RestartStep, len(r.Series)-lastSteps)
-	r.RecoverySeconds = -1
+	r.RecoverySeconds = notRecovered
 	for n := r.RestartStep; n+recoveryWindow <= len(r.Series)-lastSteps; n++ {
 		share, ok := r.servedShare(n, n+recoveryWindow)
 		if ok && share >= recoveredShare*r.ServedBefore {
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -25,8 +25,8 @@
 
 // The classes of requests, as they are named in StateCost.Ratio.
 const (
-	lookupClass     = "lookups"
-	idempotentClass = "keyed"
+	LookupClass     = "lookups"
+	IdempotentClass = "keyed"
 )
 
 // StateCostConfig is the measurement of what keeping state costs. The daemon is a program with the command line of
@@ -83,8 +83,8 @@
 			}
 		}
 		for _, disk := range disks[1:] {
-			ratios.add(disk, lookupClass, &byDisk[disk].Lookups, &byDisk[NoDisk].Lookups)
-			ratios.add(disk, idempotentClass, &byDisk[disk].Idempotent, &byDisk[NoDisk].Idempotent)
+			ratios.add(disk, LookupClass, &byDisk[disk].Lookups, &byDisk[NoDisk].Lookups)
+			ratios.add(disk, IdempotentClass, &byDisk[disk].Idempotent, &byDisk[NoDisk].Idempotent)
 		}
 	}
 	cost.Ratio = ratios.medians()
@@ -115,7 +115,7 @@
 		for class, figures := range classes {
 			medians[disk][class] = map[string]float64{}
 			for figure, list := range figures {
-				if figure == "cpu" && class == idempotentClass {
+				if figure == "cpu" && class == IdempotentClass {
 					continue // the daemon's processor time is counted with the lookups
 				}
 				medians[disk][class][figure] = median(list)
@@ -179,15 +179,15 @@
 	defer conn.Close()
 	s.conn = conn
 	s.intended = map[uint16]time.Time{}
-	s.freeIDs, s.readErr = make(chan uint16, maxOpenRequests), make(chan error, 1)
-	for id := uint16(1); id <= maxOpenRequests; id++ {
+	s.freeIDs, s.readErr = make(chan uint16, MaxOpenRequests), make(chan error, 1)
+	for id := uint16(1); id <= MaxOpenRequests; id++ {
 		s.freeIDs <- id
 	}
 	go s.read()
 	if err := s.sendAll(); err != nil {
 		return err
 	}
-	for range maxOpenRequests { // once all are free, all are answered
+	for range MaxOpenRequests { // once all are free, all are answered
 		if _, err := s.takeID(); err != nil {
 			return err
 		}
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -23,7 +23,8 @@
 
 // importRewrite adds a rewrite whose replacement needs no variables but the groups of its regex; others are reported.
 func (im *importer) importRewrite(level *rewriteContext, directive *Directive) error {
-	flag, err := route.FlagNone, error(nil)
+	flag := route.FlagNone
+	var err error
 	if len(directive.Args) == 3 {
 		flag, err = routeconfig.ParseRewriteFlag(directive.Arg(2))
 	}
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -156,7 +156,7 @@
 					for seed := range uint64(10) {
 						f := newFleet(t, policy, processes, members, rate, seed)
 						f.meanLatency = 20 * time.Millisecond
-						newcomer := fmt.Sprintf("10.0.0.%d:80", members)
+						rampingUp := fmt.Sprintf("10.0.0.%d:80", members)
 						from := time.Second
 						if how == "joins" {
 							for _, p := range f.pools {
@@ -167,14 +167,14 @@
 								p.Update(f.config(policy, members), f.now)
 							}
 						} else {
-							f.failing[newcomer] = true
+							f.failing[rampingUp] = true
 							f.run(5*time.Second, seed) // all of them learn that it is down
-							delete(f.failing, newcomer)
-							from = earliestProbe(f.pools, newcomer)
+							delete(f.failing, rampingUp)
+							from = earliestProbe(f.pools, rampingUp)
 						}
 						f.run(from+3*fleetSlowStart, seed+100)
-						requests += len(f.arrivals[newcomer])
-						if excess, worst := f.maxExcess(newcomer, from, window); excess > 0 {
+						requests += len(f.arrivals[rampingUp])
+						if excess, worst := f.maxExcess(rampingUp, from, window); excess > 0 {
 							violations++
 							t.Logf("seed %d: %s", seed, worst)
 						}
--- a/internal/pool/ranking.go
+++ b/internal/pool/ranking.go
@@ -23,20 +23,20 @@
 
 // rankState is a member's place in the ranking.
 type rankState struct {
-	standing  standing
-	heapIndex int
-	lastTurn  uint64        // ranking.turns when it was last chosen
-	probeAt   time.Duration // of a waiting member: from when it may be probed
+	rankStatus rankStatus
+	heapIndex  int
+	lastTurn   uint64        // ranking.turns when it was last chosen
+	probeAt    time.Duration // of a waiting member: from when it may be probed
 }
 
-// standing says which heap of the ranking a member is in.
-type standing uint8
+// rankStatus says which heap of the ranking a member is in.
+type rankStatus uint8
 
-// The standings.
+// The rank statuses.
 const (
-	unranked standing = iota // in neither heap: unavailable, and time alone does not change that
-	ranked                   // in byLoad: available
-	waiting                  // in byProbeTime: available from probeAt on for a single probing attempt
+	unranked rankStatus = iota // in neither heap: unavailable, and time alone does not change that
+	ranked                     // in byLoad: available
+	waiting                    // in byProbeTime: available from probeAt on for a single probing attempt
 )
 
 // loadHeap orders members by attempts in flight for the weight, and equals by their last turns.
@@ -103,8 +103,8 @@
 	return member
 }
 
-// updateStanding returns the standing that a member's state calls for, and sets probeAt of a waiting one.
-func (m *poolMember) updateStanding(panicking bool) standing {
+// updateRankStatus returns the rank status that follows from a member's state, and sets probeAt of a waiting one.
+func (m *poolMember) updateRankStatus(panicking bool) rankStatus {
 	isFailing := m.hasTooManyFails()
 	isOut := m.isEjected && !panicking
 	switch {
@@ -131,7 +131,7 @@
 	}
 	p.ranks = &ranking{panicking: p.isPanicking()}
 	for _, member := range p.primaryMembers() {
-		member.standing = unranked
+		member.rankStatus = unranked
 		p.updateRank(member)
 	}
 }
@@ -141,25 +141,25 @@
 	if p.ranks == nil || member.isRemoved || member.Backup {
 		return
 	}
-	next := member.updateStanding(p.ranks.panicking)
-	if next == member.standing {
+	next := member.updateRankStatus(p.ranks.panicking)
+	if next == member.rankStatus {
 		if h := p.ranks.heapOf(next); h != nil {
 			heap.Fix(h, member.heapIndex)
 		}
 		return
 	}
-	if h := p.ranks.heapOf(member.standing); h != nil {
+	if h := p.ranks.heapOf(member.rankStatus); h != nil {
 		heap.Remove(h, member.heapIndex)
 	}
-	member.standing = next
+	member.rankStatus = next
 	if h := p.ranks.heapOf(next); h != nil {
 		heap.Push(h, member)
 	}
 }
 
-// heapOf returns the heap of a standing's members, or nil for unranked ones.
-func (r *ranking) heapOf(s standing) heap.Interface {
-	switch s {
+// heapOf returns the heap of the members with a rank status, or nil for unranked.
+func (r *ranking) heapOf(status rankStatus) heap.Interface {
+	switch status {
 	case ranked:
 		return &r.byLoad
 	case waiting:
--- a/internal/pool/ranking_test.go
+++ b/internal/pool/ranking_test.go
@@ -119,12 +119,12 @@
 		disableEjection(c)
 		c.Members[0].SlowStart = 10 * time.Second
 	}, weights...)
-	newcomer := p.members[0]
-	newcomer.slowStarting, newcomer.rampStart = true, 0
+	recovering := p.members[0]
+	recovering.slowStarting, recovering.rampStart = true, 0
 	countTurns := func(now time.Duration) (n int) {
 		for range 100_000 {
 			addr := pick(p, "", now)
-			if addr == newcomer.Addr {
+			if addr == recovering.Addr {
 				n++
 			}
 			p.Finish(addr, Succeeded, time.Millisecond, now)
--- a/internal/route/rewrite.go
+++ b/internal/route/rewrite.go
@@ -85,7 +85,7 @@
 		to.query = expandGroups(query, from.path, groups, true)
 	}
 	switch {
-	case dropsQuery:
+	case dropsQuery: // the replacement's query is all that is left
 	case !hasQuery:
 		to.query = from.query
 	case from.query != "":
