--- a/cmd/cataloguectl/simulate_results.go
+++ b/cmd/cataloguectl/simulate_results.go
@@ -189,27 +189,27 @@
 	chart := report.Chart{Title: title, XLabel: o.variable, YLabel: o.measure}
 	section := report.Section{Title: o.measure, Header: []string{"policy", o.variable, "mean", "low", "high", "runs"}}
 	seriesOf := map[string]int{} // index by policy
-	for _, g := range groups {
-		n, ok := seriesOf[g.Policy]
+	for _, group := range groups {
+		n, ok := seriesOf[group.Policy]
 		if !ok {
 			n = len(chart.Series)
-			seriesOf[g.Policy] = n
-			chart.Series = append(chart.Series, report.Series{Name: g.Policy})
+			seriesOf[group.Policy] = n
+			chart.Series = append(chart.Series, report.Series{Name: group.Policy})
 		}
-		if g.Runs == 0 {
+		if group.Runs == 0 {
 			continue
 		}
 		series := &chart.Series[n]
-		series.Points = append(series.Points, report.Point{X: g.X, Y: g.Mean})
-		series.Low = append(series.Low, g.Lower)
-		series.High = append(series.High, g.Upper)
+		series.Points = append(series.Points, report.Point{X: group.X, Y: group.Mean})
+		series.Low = append(series.Low, group.Lower)
+		series.High = append(series.High, group.Upper)
 		section.Rows = append(section.Rows, []string{
-			g.Policy,
-			g.Label,
-			formatFixed(g.Mean, 3),
-			formatFixed(g.Lower, 3),
-			formatFixed(g.Upper, 3),
-			strconv.Itoa(g.Runs),
+			group.Policy,
+			group.Label,
+			formatFixed(group.Mean, 3),
+			formatFixed(group.Lower, 3),
+			formatFixed(group.Upper, 3),
+			strconv.Itoa(group.Runs),
 		})
 	}
 	section.Charts = []report.Chart{chart}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -114,27 +114,27 @@
 
 // TestCompare checks that a difference is found if there is one, and none if a policy is compared with itself.
 func TestCompare(t *testing.T) {
-	r := &Results{}
+	results := &Results{}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 40 {
 		base := rng.Float64()
 		for policy, v := range map[string]float64{"a": base + 0.05, "b": base + 0.02*rng.NormFloat64(), "c": base + 0.02*rng.NormFloat64()} {
-			r.Rows = append(r.Rows, Row{Point: i, Policy: policy, Seed: 1, Measures: map[string]float64{"g": v}})
+			results.Rows = append(results.Rows, Row{Point: i, Policy: policy, Seed: 1, Measures: map[string]float64{"g": v}})
 		}
 	}
 	for _, c := range []struct {
 		a, b string
 		seen bool
 	}{{"a", "b", true}, {"b", "a", true}, {"a", "a", false}, {"b", "c", false}} {
-		d, err := r.Compare("g", "", c.a, c.b)
+		d, err := results.Compare("g", "", c.a, c.b)
 		if err != nil || d[0].Pairs != 40 || d[0].IsSignificant() != c.seen || strings.Contains(d[0].String(), "no difference seen") == c.seen {
 			t.Errorf("%s and %s: %v, %v", c.a, c.b, d, err)
 		}
 	}
-	if _, err := r.Compare("sepia", "", "a", "b"); err == nil {
+	if _, err := results.Compare("sepia", "", "a", "b"); err == nil {
 		t.Error("a measure that there is not")
 	}
-	if _, err := r.Compare("g", "load", "a", "b"); err == nil {
+	if _, err := results.Compare("g", "load", "a", "b"); err == nil {
 		t.Error("a variable that was not varied")
 	}
 }
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -137,27 +137,27 @@
 }
 
 // readVariable reads (vary NAME FROM TO [STEPS]).
-func readVariable(n sexp.Node) (v Variable, err error) {
-	if v.Name, err = n.WordAt(1, "what is varied"); err != nil {
-		return v, err
+func readVariable(n sexp.Node) (variable Variable, err error) {
+	if variable.Name, err = n.WordAt(1, "what is varied"); err != nil {
+		return variable, err
 	}
-	if v.apply, err = findVariable(v.Name); err != nil {
-		return v, sexp.Errorf(n.Pos, "%v", err)
+	if variable.apply, err = findVariable(variable.Name); err != nil {
+		return variable, sexp.Errorf(n.Pos, "%v", err)
 	}
 	args := n.ItemsFrom(2)
 	if len(args) < minVariableArgs || len(args) > maxVariableArgs {
-		return v, sexp.Errorf(n.Pos, "want (vary NAME FROM TO) or (vary NAME FROM TO STEPS)")
+		return variable, sexp.Errorf(n.Pos, "want (vary NAME FROM TO) or (vary NAME FROM TO STEPS)")
 	}
 	numbers := [maxVariableArgs]float64{0, 0, defaultSteps}
 	for i, arg := range args {
 		if numbers[i], err = arg.Float(); err != nil {
-			return v, err
+			return variable, err
 		}
 	}
 	steps := numbers[2]
-	v.Min, v.Max, v.Steps = numbers[0], numbers[1], int(steps)
-	if v.Max < v.Min || v.Steps < 1 || v.Steps > maxSteps || float64(v.Steps) != steps {
-		return v, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them", v.Name, v.Min, v.Max, steps)
+	variable.Min, variable.Max, variable.Steps = numbers[0], numbers[1], int(steps)
+	if variable.Max < variable.Min || variable.Steps < 1 || variable.Steps > maxSteps || float64(variable.Steps) != steps {
+		return variable, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them", variable.Name, variable.Min, variable.Max, steps)
 	}
-	return v, nil
+	return variable, nil
 }
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -182,12 +182,12 @@
 
 // readTenant reads (tenant NAME ...).
 func readTenant(n sexp.Node, to *[]clustersim.Tenant) (err error) {
-	t := clustersim.Tenant{}
-	if t.Name, err = n.WordAt(1, "the name of a tenant"); err != nil {
+	tenant := clustersim.Tenant{}
+	if tenant.Name, err = n.WordAt(1, "the name of a tenant"); err != nil {
 		return err
 	}
-	err = sexp.ReadFields(n.ItemsFrom(2), fields{"share": sexp.Number(&t.Share, 0, 1e6)})
-	*to = append(*to, t)
+	err = sexp.ReadFields(n.ItemsFrom(2), fields{"share": sexp.Number(&tenant.Share, 0, 1e6)})
+	*to = append(*to, tenant)
 	return err
 }
 
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -144,7 +144,7 @@
 	return excess, worst
 }
 
-// TestFleetSlowStart has 1, 20 and 30 processes learn of a member at once, as it joins and as it comes back, by each
+// TestFleetSlowStart has 1, 20 and 30 processes learn of a member at once, as it joins and as it recovers, by each
 // policy: all together send it no more than N + 2·√N + 2 in any second, and it gets requests.
 func TestFleetSlowStart(t *testing.T) {
 	const members, rate, window = 10, 400, time.Second
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -73,8 +73,8 @@
 // TestUpdate keeps the attempts in flight of members that stay and of those that left until they have ended.
 func TestUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := DefaultConfig()
-		c.Name, c.BalancingPolicy = "p", BalancingPolicy(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
+		config := DefaultConfig()
+		config.Name, config.BalancingPolicy = "p", BalancingPolicy(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
 		members := func() (list []Member) {
 			for i := range 6 {
 				if rapid.Bool().Draw(t, "in") || i == 0 {
@@ -83,8 +83,8 @@
 			}
 			return list
 		}
-		c.Members = members()
-		p, err := New(c, newRand(1), 0)
+		config.Members = members()
+		p, err := New(config, newRand(1), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,8 +93,8 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				c.Members = members()
-				if err := p.Update(c, now); err != nil {
+				config.Members = members()
+				if err := p.Update(config, now); err != nil {
 					t.Fatal(err)
 				}
 			case 1, 2, 3, 4:
--- a/internal/pool/ranking_test.go
+++ b/internal/pool/ranking_test.go
@@ -13,27 +13,27 @@
 // slow starts, limits and reloads: the member is usable, and none of full weight has less load.
 func TestRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := DefaultConfig()
-		c.Name, c.BalancingPolicy, c.EjectionMinAttempts, c.MaxEjectedRatio = "p", LeastConn, 4, 0.6
+		config := DefaultConfig()
+		config.Name, config.BalancingPolicy, config.EjectionMinAttempts, config.MaxEjectedRatio = "p", LeastConn, 4, 0.6
 		size := rapid.IntRange(rankingMinMembers, 2*rankingMinMembers).Draw(t, "size")
 		drawMembers := func() {
-			c.Members = nil
+			config.Members = nil
 			for i := range size {
-				m := DefaultMember(fmt.Sprintf("10.0.0.%d:80", i))
-				m.Weight, m.MaxConns = rapid.IntRange(1, 3).Draw(t, "weight"), rapid.IntRange(0, 2).Draw(t, "most")
-				m.SlowStart = time.Duration(rapid.IntRange(0, 3).Draw(t, "slow")) * time.Second
-				m.FailTimeout, m.MaxFails = time.Second, rapid.IntRange(0, 2).Draw(t, "fails")
-				if rapid.IntRange(0, 9).Draw(t, "in") > 0 || len(c.Members) == 0 {
-					c.Members = append(c.Members, m)
+				member := DefaultMember(fmt.Sprintf("10.0.0.%d:80", i))
+				member.Weight, member.MaxConns = rapid.IntRange(1, 3).Draw(t, "weight"), rapid.IntRange(0, 2).Draw(t, "most")
+				member.SlowStart = time.Duration(rapid.IntRange(0, 3).Draw(t, "slow")) * time.Second
+				member.FailTimeout, member.MaxFails = time.Second, rapid.IntRange(0, 2).Draw(t, "fails")
+				if rapid.IntRange(0, 9).Draw(t, "in") > 0 || len(config.Members) == 0 {
+					config.Members = append(config.Members, member)
 				}
 			}
-			for len(c.Members) < rankingMinMembers { // fewer would not be ranked
-				m := DefaultMember(fmt.Sprintf("10.0.1.%d:80", len(c.Members)))
-				c.Members = append(c.Members, m)
+			for len(config.Members) < rankingMinMembers { // fewer would not be ranked
+				member := DefaultMember(fmt.Sprintf("10.0.1.%d:80", len(config.Members)))
+				config.Members = append(config.Members, member)
 			}
 		}
 		drawMembers()
-		p, err := New(c, newRand(rapid.Uint64().Draw(t, "seed")), 0)
+		p, err := New(config, newRand(rapid.Uint64().Draw(t, "seed")), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 			switch action := rapid.IntRange(0, 99).Draw(t, "what"); {
 			case action == 0:
 				drawMembers()
-				if err := p.Update(c, now); err != nil {
+				if err := p.Update(config, now); err != nil {
 					t.Fatal(err)
 				}
 			case action < 45 && len(inFlight) > 0:
@@ -53,16 +53,16 @@
 				p.Finish(inFlight[i], outcome, time.Duration(rapid.IntRange(1, 50).Draw(t, "took"))*time.Millisecond, now)
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			default:
-				r := &Request{}
+				request := &Request{}
 				for range rapid.IntRange(1, 3).Draw(t, "tries") {
 					usable := map[*poolMember]poolMember{} // as they were before the choice
 					panicking := p.isPanicking()
-					for _, m := range p.members {
-						if p.isUsable(m, r, now, panicking) {
-							usable[m] = *m
+					for _, member := range p.members {
+						if p.isUsable(member, request, now, panicking) {
+							usable[member] = *member
 						}
 					}
-					addr, ok := p.Pick(r, now)
+					addr, ok := p.Pick(request, now)
 					if ok != (len(usable) > 0) {
 						t.Fatalf("chosen %t, %d are usable", ok, len(usable))
 					}
@@ -74,12 +74,12 @@
 					if !wasUsable {
 						t.Fatalf("%s is chosen and not usable", addr)
 					}
-					for _, m := range usable {
-						isProbe := m.isEjected || m.MaxFails > 0 && m.fails >= m.MaxFails
-						isFull := !m.slowStarting || now-m.rampStart >= m.SlowStart
-						if !isProbe && isFull && m.effectiveWeight >= m.Weight && compareLoad(&m, &chosen) < 0 {
+					for _, member := range usable {
+						isProbe := member.isEjected || member.MaxFails > 0 && member.fails >= member.MaxFails
+						isFull := !member.slowStarting || now-member.rampStart >= member.SlowStart
+						if !isProbe && isFull && member.effectiveWeight >= member.Weight && compareLoad(&member, &chosen) < 0 {
 							t.Fatalf("%s is chosen with %d in flight for %d, %s has %d for %d", addr, chosen.inFlight,
-								chosen.Weight, m.Addr, m.inFlight, m.Weight)
+								chosen.Weight, member.Addr, member.inFlight, member.Weight)
 						}
 					}
 				}
--- a/internal/pool/retry_test.go
+++ b/internal/pool/retry_test.go
@@ -8,8 +8,8 @@
 // TestDecideRetry never retries what may have run and must not run twice, and retries within the limits.
 func TestDecideRetry(t *testing.T) {
 	p := newPool(t, RoundRobin, func(c *Config) { c.MaxAttempts, c.RetryTimeout = 2, time.Second }, 1, 1, 1)
-	r := &Request{}
-	p.Pick(r, 0)
+	request := &Request{}
+	p.Pick(request, 0)
 	for f, want := range map[Failure]RetryDecision{
 		{ConnectionError, true, true}:  MayHaveRun,
 		{ConnectionError, false, true}: Retry,
@@ -17,15 +17,15 @@
 		{Timeout, true, false}:         Retry,
 		{Rejection, true, true}:        Retry,
 	} {
-		if got := p.DecideRetry(r, f, DefaultRetryOn|NonIdempotent, 0); got != want {
+		if got := p.DecideRetry(request, f, DefaultRetryOn|NonIdempotent, 0); got != want {
 			t.Errorf("%+v: %v, want %v", f, got, want)
 		}
 	}
-	if got := p.DecideRetry(r, Failure{Condition: ConnectionError}, DefaultRetryOn, time.Second); got != RetryTimeExceeded {
+	if got := p.DecideRetry(request, Failure{Condition: ConnectionError}, DefaultRetryOn, time.Second); got != RetryTimeExceeded {
 		t.Errorf("after the retry timeout: %v", got)
 	}
-	p.Pick(r, 0)
-	if got := p.DecideRetry(r, Failure{Condition: ConnectionError}, DefaultRetryOn, 0); got != AttemptsExhausted {
+	p.Pick(request, 0)
+	if got := p.DecideRetry(request, Failure{Condition: ConnectionError}, DefaultRetryOn, 0); got != AttemptsExhausted {
 		t.Errorf("after the last attempt: %v", got)
 	}
 }
--- a/internal/route/rewrite_test.go
+++ b/internal/route/rewrite_test.go
@@ -38,9 +38,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		count := 0
 		list := drawLocations(t, "", false, 1, &count)
-		s := &Server{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, MergeSlashes: true, Locations: buildLocations(list), Source: "s"}
-		var server []routemodel.Rewrite
-		s.Rewrites, server = drawRewrites(t)
+		server := &Server{Listen: []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80")}}, MergeSlashes: true, Locations: buildLocations(list), Source: "s"}
+		var serverRewrites []routemodel.Rewrite
+		server.Rewrites, serverRewrites = drawRewrites(t)
 		rewritesOf := map[string][]routemodel.Rewrite{}
 		var addRewrites func(list []*Location)
 		addRewrites = func(list []*Location) {
@@ -49,8 +49,8 @@
 				addRewrites(l.Locations)
 			}
 		}
-		addRewrites(s.Locations)
-		if _, err := New([]*Server{s}); err != nil {
+		addRewrites(server.Locations)
+		if _, err := New([]*Server{server}); err != nil {
 			t.Fatal(err)
 		}
 		for range 5 {
@@ -60,7 +60,7 @@
 				raw += rapid.SampledFrom([]string{"a", "b", "/", "/b/", ".php", "old/", "%20", "%3F", "x"}).Draw(t, "piece")
 			}
 			query := rapid.SampledFrom([]string{"", "k=v"}).Draw(t, "query")
-			r, err := s.Resolve(raw, query)
+			r, err := server.Resolve(raw, query)
 			path, ok := routemodel.NormalizePath(raw, true)
 			if ok != (err == nil) {
 				t.Fatalf("%s: %v", raw, err)
@@ -82,8 +82,8 @@
 					got.Target = "301 " + got.Target
 				}
 			}
-			if want := routemodel.Resolve(server, rewritesOf, list, path, query); got != want {
-				t.Fatalf("%s?%s: %+v, the manual says %+v\nserver %+v\nlocations %+v\nrewrites %+v", raw, query, got, want, server, list, rewritesOf)
+			if want := routemodel.Resolve(serverRewrites, rewritesOf, list, path, query); got != want {
+				t.Fatalf("%s?%s: %+v, the manual says %+v\nserver %+v\nlocations %+v\nrewrites %+v", raw, query, got, want, serverRewrites, list, rewritesOf)
 			}
 		}
 	})
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -98,8 +98,8 @@
 		child := n.children[i]
 		if !strings.HasPrefix(path, child.label) {
 			if child.label == path+"/" {
-				if l := child.redirectTarget(); l != nil {
-					return l, redirectMatch
+				if location := child.redirectTarget(); location != nil {
+					return location, redirectMatch
 				}
 			}
 			return best, found
@@ -115,8 +115,8 @@
 	}
 	if n.prefix == nil {
 		if i, ok := n.findChild('/'); ok && n.children[i].label == "/" {
-			if l := n.children[i].redirectTarget(); l != nil {
-				return l, redirectMatch
+			if location := n.children[i].redirectTarget(); location != nil {
+				return location, redirectMatch
 			}
 		}
 	}
--- a/internal/routeconfig/config_test.go
+++ b/internal/routeconfig/config_test.go
@@ -160,11 +160,11 @@
 
 // drawPool draws a pool.
 func drawPool(t *rapid.T) Pool {
-	p := defaultPool()
-	p.Name = drawWord(t, "pool")
-	p.BalancingPolicy = pool.BalancingPolicy(rapid.IntRange(0, int(pool.RandomTwo)).Draw(t, "method"))
-	if p.BalancingPolicy == pool.Hash || p.BalancingPolicy == pool.HashConsistent {
-		p.HashKey = rapid.SampledFrom(append([]string{"header:X-Shop"}, hashKeys...)).Draw(t, "key")
+	drawn := defaultPool()
+	drawn.Name = drawWord(t, "pool")
+	drawn.BalancingPolicy = pool.BalancingPolicy(rapid.IntRange(0, int(pool.RandomTwo)).Draw(t, "method"))
+	if drawn.BalancingPolicy == pool.Hash || drawn.BalancingPolicy == pool.HashConsistent {
+		drawn.HashKey = rapid.SampledFrom(append([]string{"header:X-Shop"}, hashKeys...)).Draw(t, "key")
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "members") {
 		m := pool.DefaultMember(fmt.Sprintf("10.0.0.%d:90", i))
@@ -174,22 +174,22 @@
 		m.FailTimeout = drawDuration(t, "timeout")
 		m.SlowStart = drawDuration(t, "slow")
 		m.Down = rapid.Bool().Draw(t, "down")
-		allowsBackup := p.BalancingPolicy == pool.RoundRobin || p.BalancingPolicy == pool.LeastConn
+		allowsBackup := drawn.BalancingPolicy == pool.RoundRobin || drawn.BalancingPolicy == pool.LeastConn
 		m.Backup = i > 0 && allowsBackup && rapid.Bool().Draw(t, "backup")
-		p.Members = append(p.Members, m)
+		drawn.Members = append(drawn.Members, m)
 	}
-	p.RetryOn = pool.RetryCondition(rapid.IntRange(0, int(pool.NonIdempotent)*2-1).Draw(t, "next"))
-	p.MaxAttempts = rapid.IntRange(0, 5).Draw(t, "tries")
-	p.MaxIdleConns = rapid.IntRange(0, 5).Draw(t, "keepalive")
-	p.ReadTimeout = drawDuration(t, "read")
-	p.RetryRatio = float64(rapid.IntRange(0, 8).Draw(t, "share")) / 8
-	p.EjectionLatencyFactor = float64(rapid.IntRange(0, 9).Draw(t, "factor"))
-	return p
+	drawn.RetryOn = pool.RetryCondition(rapid.IntRange(0, int(pool.NonIdempotent)*2-1).Draw(t, "next"))
+	drawn.MaxAttempts = rapid.IntRange(0, 5).Draw(t, "tries")
+	drawn.MaxIdleConns = rapid.IntRange(0, 5).Draw(t, "keepalive")
+	drawn.ReadTimeout = drawDuration(t, "read")
+	drawn.RetryRatio = float64(rapid.IntRange(0, 8).Draw(t, "share")) / 8
+	drawn.EjectionLatencyFactor = float64(rapid.IntRange(0, 9).Draw(t, "factor"))
+	return drawn
 }
 
 // drawServer draws a server with a location that goes to the pool and a named one.
 func drawServer(t *rapid.T, poolName, className string) Server {
-	l := &Location{
+	location := &Location{
 		Kind:            route.Kind(rapid.IntRange(0, int(route.RegexIgnoreCase)).Draw(t, "kind")),
 		Pattern:         "/" + rapid.SampledFrom([]string{"", "a", "a/", "b c"}).Draw(t, "pattern"),
 		Pool:            poolName,
@@ -204,25 +204,25 @@
 		ReturnText:      drawWord(t, "text"),
 		InterceptErrors: true,
 	}
-	s := Server{
+	server := Server{
 		Listen:       []Listen{{Addr: netip.MustParseAddrPort("10.1.1.1:80"), Default: rapid.Bool().Draw(t, "default")}},
 		Names:        []string{"a.example", "*.b"},
 		MergeSlashes: rapid.Bool().Draw(t, "merge"),
-		Locations:    []*Location{l, named},
+		Locations:    []*Location{location, named},
 	}
 	if rapid.Bool().Draw(t, "falls") {
 		for range rapid.IntRange(1, 3).Draw(t, "fallbacks") {
 			status := rapid.SampledFrom([]int{OwnStatus, KeepStatus, 200}).Draw(t, "as")
-			l.Fallbacks = append(l.Fallbacks, Fallback{"fall", []int{500, 502}, status})
+			location.Fallbacks = append(location.Fallbacks, Fallback{"fall", []int{500, 502}, status})
 		}
-		l.InterceptErrors = rapid.Bool().Draw(t, "intercept")
+		location.InterceptErrors = rapid.Bool().Draw(t, "intercept")
 	}
 	if rapid.Bool().Draw(t, "rewrites") {
 		flag := route.RewriteFlag(rapid.IntRange(0, 4).Draw(t, "flag"))
-		l.Rewrites = []Rewrite{{Pattern: "^/(.*)$", Replacement: "/x/$1", Flag: flag}}
-		s.Rewrites = []Rewrite{{Pattern: "a b", Replacement: drawWord(t, "to"), Flag: route.FlagLast}}
+		location.Rewrites = []Rewrite{{Pattern: "^/(.*)$", Replacement: "/x/$1", Flag: flag}}
+		server.Rewrites = []Rewrite{{Pattern: "a b", Replacement: drawWord(t, "to"), Flag: route.FlagLast}}
 	}
-	return s
+	return server
 }
 
 // clearPositions removes the positions from a configuration, which differ between two texts.
--- a/internal/routeconfig/format_server.go
+++ b/internal/routeconfig/format_server.go
@@ -82,7 +82,7 @@
 		items = append(items, strconv.Itoa(status))
 	}
 	switch b.ResponseStatus {
-	case OwnStatus:
+	case OwnStatus: // the default
 	case KeepStatus:
 		items = append(items, inline("status", wordKeepStatus))
 	default:
--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -63,31 +63,31 @@
 }
 
 // parseClass reads (class NAME FORM ...).
-func parseClass(n sexp.Node) (c Class, err error) {
-	c = Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Pos: n.Pos}
-	if c.Name, err = n.WordAt(1, "the name of a class"); err != nil {
-		return c, err
+func parseClass(n sexp.Node) (class Class, err error) {
+	class = Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Pos: n.Pos}
+	if class.Name, err = n.WordAt(1, "the name of a class"); err != nil {
+		return class, err
 	}
 	effect := string(EffectSafe)
 	err = sexp.ReadFields(n.ItemsFrom(2), formParsers{
-		"aim":      sexp.Duration(&c.LatencyObjective, time.Millisecond, time.Hour),
-		"deadline": sexp.Duration(&c.Deadline, time.Millisecond, time.Hour),
+		"aim":      sexp.Duration(&class.LatencyObjective, time.Millisecond, time.Hour),
+		"deadline": sexp.Duration(&class.Deadline, time.Millisecond, time.Hour),
 		"effect": sexp.OneOf(&effect, string(EffectSafe), string(EffectIdempotentByKey), string(EffectNonIdempotent),
 			string(EffectByMethod)),
-		"window": sexp.Duration(&c.KeyWindow, time.Millisecond, 24*time.Hour),
-		"worth":  sexp.Number(&c.Weight, 0, 1e6),
+		"window": sexp.Duration(&class.KeyWindow, time.Millisecond, 24*time.Hour),
+		"worth":  sexp.Number(&class.Weight, 0, 1e6),
 	})
-	c.Effect = Effect(effect)
+	class.Effect = Effect(effect)
 	switch {
 	case err != nil:
-		return c, err
-	case c.Deadline < c.LatencyObjective:
-		return c, sexp.Errorf(n.Pos, "class %s: the deadline %v is shorter than the aim %v", c.Name, c.Deadline,
-			c.LatencyObjective)
-	case c.Effect == EffectIdempotentByKey && c.KeyWindow == 0:
-		return c, sexp.Errorf(n.Pos, "class %s is keyed and has no (window ...)", c.Name)
+		return class, err
+	case class.Deadline < class.LatencyObjective:
+		return class, sexp.Errorf(n.Pos, "class %s: the deadline %v is shorter than the aim %v", class.Name, class.Deadline,
+			class.LatencyObjective)
+	case class.Effect == EffectIdempotentByKey && class.KeyWindow == 0:
+		return class, sexp.Errorf(n.Pos, "class %s is keyed and has no (window ...)", class.Name)
 	}
-	return c, nil
+	return class, nil
 }
 
 // parseParam returns a parser of (param NAME VALUE).
--- a/internal/routeconfig/parse_pool.go
+++ b/internal/routeconfig/parse_pool.go
@@ -23,42 +23,42 @@
 }
 
 // parsePool reads (pool NAME FORM ...).
-func parsePool(n sexp.Node) (p Pool, err error) {
-	p = defaultPool()
-	p.Pos = n.Pos
-	if p.Name, err = n.WordAt(1, "the name of a pool"); err != nil {
-		return p, err
+func parsePool(n sexp.Node) (parsed Pool, err error) {
+	parsed = defaultPool()
+	parsed.Pos = n.Pos
+	if parsed.Name, err = n.WordAt(1, "the name of a pool"); err != nil {
+		return parsed, err
 	}
-	policy := p.BalancingPolicy.String()
+	policy := parsed.BalancingPolicy.String()
 	once := formParsers{
 		"method":    sexp.OneOf(&policy, balancingPolicyNames()...),
-		"key":       sexp.Text(&p.HashKey),
-		"protocol":  sexp.OneOf(&p.Protocol, ProtocolFastCGI, ProtocolSCGI),
-		"tries":     sexp.Int(&p.MaxAttempts, 0, 1000),
-		"try-for":   sexp.Duration(&p.RetryTimeout, 0, time.Hour),
-		"next":      parseRetryConditions(&p.RetryOn),
-		"keepalive": sexp.Int(&p.MaxIdleConns, 0, 1e5),
-		"connect":   sexp.Duration(&p.ConnectTimeout, time.Millisecond, time.Hour),
-		"read":      sexp.Duration(&p.ReadTimeout, time.Millisecond, time.Hour),
-		"send":      sexp.Duration(&p.SendTimeout, time.Millisecond, time.Hour),
-		"budget":    parseRetryBudget(&p.RetryPolicy),
-		"eject":     parseOutlierDetection(&p.OutlierDetection),
+		"key":       sexp.Text(&parsed.HashKey),
+		"protocol":  sexp.OneOf(&parsed.Protocol, ProtocolFastCGI, ProtocolSCGI),
+		"tries":     sexp.Int(&parsed.MaxAttempts, 0, 1000),
+		"try-for":   sexp.Duration(&parsed.RetryTimeout, 0, time.Hour),
+		"next":      parseRetryConditions(&parsed.RetryOn),
+		"keepalive": sexp.Int(&parsed.MaxIdleConns, 0, 1e5),
+		"connect":   sexp.Duration(&parsed.ConnectTimeout, time.Millisecond, time.Hour),
+		"read":      sexp.Duration(&parsed.ReadTimeout, time.Millisecond, time.Hour),
+		"send":      sexp.Duration(&parsed.SendTimeout, time.Millisecond, time.Hour),
+		"budget":    parseRetryBudget(&parsed.RetryPolicy),
+		"eject":     parseOutlierDetection(&parsed.OutlierDetection),
 	}
 	often := formParsers{
 		"member": func(form sexp.Node) error {
 			m, err := parseMember(form)
-			p.Members = append(p.Members, m)
+			parsed.Members = append(parsed.Members, m)
 			return err
 		},
-		"param": parseParam(&p.Params),
+		"param": parseParam(&parsed.Params),
 	}
 	if err := sexp.ReadForms(n.ItemsFrom(2), once, often); err != nil {
-		return p, err
+		return parsed, err
 	}
-	if p.BalancingPolicy, err = pool.ParseBalancingPolicy(policy); err != nil {
-		return p, sexp.Errorf(n.Pos, "%v", err)
+	if parsed.BalancingPolicy, err = pool.ParseBalancingPolicy(policy); err != nil {
+		return parsed, sexp.Errorf(n.Pos, "%v", err)
 	}
-	return p, p.validate()
+	return parsed, parsed.validate()
 }
 
 // balancingPolicyNames returns the names of all policies.
--- a/internal/routeconfig/parse_server.go
+++ b/internal/routeconfig/parse_server.go
@@ -10,22 +10,22 @@
 )
 
 // parseServer reads (server FORM ...).
-func parseServer(n sexp.Node) (s Server, err error) {
-	s = Server{MergeSlashes: true, Pos: n.Pos}
+func parseServer(n sexp.Node) (server Server, err error) {
+	server = Server{MergeSlashes: true, Pos: n.Pos}
 	once := formParsers{
-		"merge-slashes": parseYesNo(&s.MergeSlashes),
-		"name":          parseNames(&s.Names),
+		"merge-slashes": parseYesNo(&server.MergeSlashes),
+		"name":          parseNames(&server.Names),
 	}
 	often := formParsers{
-		"rewrite": parseRewrite(&s.Rewrites),
+		"rewrite": parseRewrite(&server.Rewrites),
 		"listen": func(form sexp.Node) error {
 			l, err := parseListen(form)
-			s.Listen = append(s.Listen, l)
+			server.Listen = append(server.Listen, l)
 			return err
 		},
-		"location": parseNestedLocation(&s.Locations),
+		"location": parseNestedLocation(&server.Locations),
 	}
-	return s, sexp.ReadForms(n.Args(), once, often)
+	return server, sexp.ReadForms(n.Args(), once, often)
 }
 
 // parseNames returns a parser of (name NAME ...).
@@ -45,44 +45,44 @@
 const wordDefault = "default"
 
 // parseListen reads (listen ADDRESS [default]).
-func parseListen(n sexp.Node) (l Listen, err error) {
+func parseListen(n sexp.Node) (listen Listen, err error) {
 	text, err := n.WordAt(1, "an address and a port")
 	if err != nil {
-		return l, err
+		return listen, err
 	}
-	if l.Addr, err = netip.ParseAddrPort(text); err != nil {
-		return l, sexp.Errorf(n.Pos, "found %s in (listen ...), want an IP address and a port", text)
+	if listen.Addr, err = netip.ParseAddrPort(text); err != nil {
+		return listen, sexp.Errorf(n.Pos, "found %s in (listen ...), want an IP address and a port", text)
 	}
 	rest := n.ItemsFrom(2)
 	if len(rest) == 0 {
-		return l, nil
+		return listen, nil
 	}
 	if len(rest) > 1 || rest[0].Text != wordDefault {
-		return l, sexp.Errorf(rest[0].Pos, "found %v, want default or nothing", rest[0])
+		return listen, sexp.Errorf(rest[0].Pos, "found %v, want default or nothing", rest[0])
 	}
-	l.Default = true
-	return l, nil
+	listen.Default = true
+	return listen, nil
 }
 
 // parseRewrite returns a parser of (rewrite REGEX REPLACEMENT [FLAG]).
 func parseRewrite(to *[]Rewrite) func(sexp.Node) error {
 	return func(form sexp.Node) (err error) {
-		w := Rewrite{Pos: form.Pos}
-		if w.Pattern, err = form.WordAt(1, "a regex"); err != nil {
+		rewrite := Rewrite{Pos: form.Pos}
+		if rewrite.Pattern, err = form.WordAt(1, "a regex"); err != nil {
 			return err
 		}
-		if w.Replacement, err = form.WordAt(2, "what the path becomes"); err != nil {
+		if rewrite.Replacement, err = form.WordAt(2, "what the path becomes"); err != nil {
 			return err
 		}
 		switch rest := form.ItemsFrom(3); {
 		case len(rest) == 1 && rest[0].Kind == sexp.Atom:
-			if w.Flag, err = ParseRewriteFlag(rest[0].Text); err != nil {
+			if rewrite.Flag, err = ParseRewriteFlag(rest[0].Text); err != nil {
 				return sexp.Errorf(rest[0].Pos, "%v", err)
 			}
 		case len(rest) > 0:
 			return sexp.Errorf(form.Pos, "want (rewrite REGEX TO) or (rewrite REGEX TO FLAG)")
 		}
-		*to = append(*to, w)
+		*to = append(*to, rewrite)
 		return nil
 	}
 }
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -16,7 +16,7 @@
 
 // TestFleetTerms restarts a third of 20 and of 30 servers within a second, cold and as slow as the settings allow, while
 // gateways send near the cluster's capacity and retry after rejections. No server runs more than the concurrency that it
-// survives by the settings at its age, nine in ten are ready within 10 s, none serves nobody, and no more than one
+// survives by the settings at its age, nine in ten are ready within 10 s, each serves someone, and no more than one
 // request in 500, and five, stays without an answer.
 func TestFleetTerms(t *testing.T) {
 	for _, servers := range []int{20, 30} {
@@ -25,16 +25,16 @@
 }
 
 func testFleet(t *testing.T, servers int) {
-	s := fleetScenario(servers)
-	r, err := newRunner(&s, uint64(servers))
+	spec := fleetScenario(servers)
+	run, err := newRunner(&spec, uint64(servers))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.coldRestarts = true
-	ready := watchReadiness(r)
-	f := &fleetSampler{t: t, runner: r, before: make([]int, servers), running: make([][]int, servers)}
-	r.sim.After(0, f.sample)
-	report := r.execute()
+	run.coldRestarts = true
+	ready := watchReadiness(run)
+	sampler := &fleetSampler{t: t, runner: run, before: make([]int, servers), running: make([][]int, servers)}
+	run.sim.After(0, sampler.sample)
+	report := run.execute()
 	if report.ViolationCount > 0 {
 		t.Errorf("%d rules were broken, the first: %s", report.ViolationCount, report.Violations[0])
 	}
@@ -52,9 +52,9 @@
 	if 10*late > servers/3 {
 		t.Errorf("%d of %d restarted servers were not ready within 10 s", late, servers/3)
 	}
-	for i, n := range r.nodes {
-		if n.runs == f.before[i] || n.incarnation > 1 && f.before[i] == 0 {
-			t.Errorf("%s ran nothing in one of its lives: %d before the restart, %d in all", n.name(), f.before[i], n.runs)
+	for i, n := range run.nodes {
+		if n.runs == sampler.before[i] || n.incarnation > 1 && sampler.before[i] == 0 {
+			t.Errorf("%s ran nothing in one of its lives: %d before the restart, %d in all", n.name(), sampler.before[i], n.runs)
 		}
 	}
 	t.Logf("%d requests, share %.3f, %d unanswered, %d lost", report.Requests, report.ServedShare, report.Unanswered, report.Lost)
--- a/internal/scenario/shrink.go
+++ b/internal/scenario/shrink.go
@@ -51,35 +51,35 @@
 // smallerVariants returns the scenarios that are one step smaller than s.
 func smallerVariants(scenario *Scenario) []*Scenario {
 	var list []*Scenario
-	add := func(change func(c *Scenario)) {
-		c := scenario.clone()
-		change(c)
-		list = append(list, c)
+	add := func(change func(smaller *Scenario)) {
+		smaller := scenario.clone()
+		change(smaller)
+		list = append(list, smaller)
 	}
 	for n := range scenario.Incidents {
-		add(func(c *Scenario) { c.Incidents = slices.Delete(c.Incidents, n, n+1) })
+		add(func(smaller *Scenario) { smaller.Incidents = slices.Delete(smaller.Incidents, n, n+1) })
 	}
 	if scenario.Servers > 1 {
 		add((*Scenario).useOneServer)
 	}
 	if scenario.Gateways > 1 {
-		add(func(c *Scenario) { c.Gateways = 1 })
+		add(func(smaller *Scenario) { smaller.Gateways = 1 })
 	}
 	if scenario.MaxAttempts > 1 {
-		add(func(c *Scenario) { c.MaxAttempts-- })
+		add(func(smaller *Scenario) { smaller.MaxAttempts-- })
 	}
 	if scenario.Network.PartialIO+scenario.Network.DatagramLoss+scenario.Network.DatagramDuplication > 0 {
-		add(func(c *Scenario) {
-			c.Network.PartialIO = 0
-			c.Network.DatagramLoss = 0
-			c.Network.DatagramDuplication = 0
+		add(func(smaller *Scenario) {
+			smaller.Network.PartialIO = 0
+			smaller.Network.DatagramLoss = 0
+			smaller.Network.DatagramDuplication = 0
 		})
 	}
 	if scenario.Rate > minShrunkRate {
-		add(func(c *Scenario) { c.Rate /= 2 })
+		add(func(smaller *Scenario) { smaller.Rate /= 2 })
 	}
 	if scenario.Duration > minShrunkDuration {
-		add(func(c *Scenario) { c.Duration -= time.Second })
+		add(func(smaller *Scenario) { smaller.Duration -= time.Second })
 	}
 	return list
 }
