--- a/internal/calibration/compare.go
+++ b/internal/calibration/compare.go
@@ -44,7 +44,8 @@
 // seeds, which give both the same arrivals. Progress, if it is not nil, is called with the number of runs that are done.
 //
 // All runs are made even if one fails; the error is that of the first that failed in the order of cases and seeds.
-func Compare(ctx context.Context, daemon string, duration time.Duration, seeds, atOnce int, progress func(done, of int)) ([]Comparison, error) {
+func Compare(ctx context.Context, daemon string, duration time.Duration, seeds, atOnce int,
+	progress func(done, of int)) ([]Comparison, error) {
 	cases := Cases()
 	measure := func(_ context.Context, i int) (measured, error) {
 		return cases[i/seeds].measure(ctx, daemon, duration, uint64(i%seeds+1)), nil
@@ -57,7 +58,8 @@
 		}
 		return nil
 	}
-	if err := workerpool.RunOrdered(context.WithoutCancel(ctx), 0, cap(runs), max(atOnce, 1), measure, collect); err != nil {
+	uncanceled := context.WithoutCancel(ctx) // so that all runs are made
+	if err := workerpool.RunOrdered(uncanceled, 0, cap(runs), max(atOnce, 1), measure, collect); err != nil {
 		return nil, err
 	}
 	comparisons := make([]Comparison, len(cases))
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -47,10 +47,12 @@
 	}
 	nameField, listenField := "name", "listen"
 	if name != "" {
-		file.Name, nameField = name, envName
+		file.Name = name
+		nameField = envName
 	}
 	if listen != "" {
-		file.Listen, listenField = listen, envListen
+		file.Listen = listen
+		listenField = envListen
 	}
 	config := &Config{Name: file.Name, StopTimeout: time.Duration(file.StopMS * float64(time.Millisecond))}
 	if err := checkName(nameField, file.Name); err != nil {
--- a/internal/experiment/explore.go
+++ b/internal/experiment/explore.go
@@ -153,7 +153,8 @@
 		value, ok := r.Measures[exploration.Measure]
 		switch {
 		case r.Error != "":
-			c.Error, c.Score = r.Error, math.MaxFloat64 // an infeasible point is none of the worst
+			c.Error = r.Error
+			c.Score = math.MaxFloat64 // an infeasible point is none of the worst
 		case !ok:
 			return fmt.Errorf("experiment: no run has the measure %q", exploration.Measure)
 		case r.Policy == exploration.Policy:
--- a/internal/experiment/groups.go
+++ b/internal/experiment/groups.go
@@ -152,6 +152,7 @@
 	return true
 }
 
+// computeMean sets the mean and its interval from the values.
 func (g *Group) computeMean() {
 	values := make([]float64, len(g.values))
 	for i, v := range g.values {
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -26,6 +26,7 @@
 	maxVariableArgs = 3 // and STEPS
 )
 
+// readExperiment reads the forms of a file. The file's name is that of an experiment without (name ...).
 func readExperiment(file string, forms []sexp.Node) (*Experiment, error) {
 	experiment := &Experiment{
 		Name:     filepath.Base(file),
@@ -106,6 +107,7 @@
 	return nil
 }
 
+// isWorkloadKind reports whether workloads of a kind can be generated.
 func isWorkloadKind(kind clustersim.WorkloadKind) bool {
 	return slices.Contains(clustersim.WorkloadKinds(), kind)
 }
@@ -124,7 +126,8 @@
 			return err
 		},
 	})
-	to.Method, to.Seed = SweepMethod(method), uint64(seed)
+	to.Method = SweepMethod(method)
+	to.Seed = uint64(seed)
 	switch {
 	case err != nil:
 		return err
@@ -155,9 +158,12 @@
 		}
 	}
 	steps := numbers[2]
-	variable.Min, variable.Max, variable.Steps = numbers[0], numbers[1], int(steps)
+	variable.Min = numbers[0]
+	variable.Max = numbers[1]
+	variable.Steps = int(steps)
 	if variable.Max < variable.Min || variable.Steps < 1 || variable.Steps > maxSteps || float64(variable.Steps) != steps {
-		return variable, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them", variable.Name, variable.Min, variable.Max, steps)
+		return variable, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them",
+			variable.Name, variable.Min, variable.Max, steps)
 	}
 	return variable, nil
 }
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -43,7 +43,10 @@
 func readConfigForms(forms []sexp.Node, base fields, config *clustersim.Config) error {
 	load := config.Arrival.Rate / config.Capacity()
 	changed := *config
-	changed.Classes, changed.Tenants, changed.Gateways, changed.Incidents = nil, nil, nil, nil
+	changed.Classes = nil
+	changed.Tenants = nil
+	changed.Gateways = nil
+	changed.Incidents = nil
 	once := fields{
 		"name":       sexp.Text(&changed.Name),
 		"for":        sexp.Duration(&changed.Duration, time.Second, maxDuration),
@@ -81,6 +84,7 @@
 	}
 }
 
+// readServers reads (servers ...).
 func readServers(n sexp.Node, servers *clustersim.ServerConfig) error {
 	return sexp.ReadFields(n.Args(), fields{
 		"n":            sexp.Int(&servers.Count, 0, 100_000),
@@ -217,8 +221,10 @@
 		"checked": sexp.OneOf(&usesHealthChecks, wordYes, wordNo),
 		"repeats": sexp.Number(&gateways.ResendShare, 0, 1),
 	})
-	gateways.Balancing, gateways.Retry = clustersim.BalancingPolicy(balancing), clustersim.RetryPolicy(retry)
-	gateways.HonorsFeedback, gateways.UsesHealthChecks = honorsFeedback == wordYes, usesHealthChecks == wordYes
+	gateways.Balancing = clustersim.BalancingPolicy(balancing)
+	gateways.Retry = clustersim.RetryPolicy(retry)
+	gateways.HonorsFeedback = honorsFeedback == wordYes
+	gateways.UsesHealthChecks = usesHealthChecks == wordYes
 	*to = append(*to, gateways)
 	return err
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -66,7 +66,8 @@
 	var jobs []Job
 	for _, policy := range e.Policies {
 		for seed := range e.Seeds {
-			job.Policy, job.Seed = policy, seed+1
+			job.Policy = policy
+			job.Seed = seed + 1
 			jobs = append(jobs, job)
 		}
 	}
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -107,6 +107,7 @@
 	return parseResults(path, file)
 }
 
+// parseResults reads the lines of a results file. The path is for error messages.
 func parseResults(path string, from io.Reader) (*Results, error) {
 	reader := bufio.NewReader(from)
 	results := &Results{}
@@ -138,7 +139,8 @@
 	if json.Unmarshal(line, &h) != nil || h.Plan == "" {
 		return fmt.Errorf("%s:1: found %.40q, want the first line of an experiment's results", path, bytes.TrimSpace(line))
 	}
-	r.Experiment, r.PlannedRuns = h.Experiment, h.Runs
+	r.Experiment = h.Experiment
+	r.PlannedRuns = h.Runs
 	return nil
 }
 
--- a/internal/experiment/variables.go
+++ b/internal/experiment/variables.go
@@ -14,8 +14,10 @@
 // applyFunc sets a variable of a configuration.
 type applyFunc func(*clustersim.Config, float64)
 
+// toInt returns the whole number that is nearest to a variable's value.
 func toInt(v float64) int { return int(math.Round(v)) }
 
+// toSeconds returns a time, given in seconds.
 func toSeconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
 // applyToGateways sets a variable of all kinds of gateway.
@@ -95,8 +97,8 @@
 	if apply, ok := findIncidentVariable(name); ok {
 		return apply, nil
 	}
-	return nil, fmt.Errorf("nothing is called %q that could be varied, want one of %s, or KIND.part, KIND.size, KIND.for or KIND.from of an incident",
-		name, strings.Join(slices.Sorted(maps.Keys(variables)), ", "))
+	return nil, fmt.Errorf("nothing is called %q that could be varied, want one of %s, "+
+		"or KIND.part, KIND.size, KIND.for or KIND.from of an incident", name, strings.Join(slices.Sorted(maps.Keys(variables)), ", "))
 }
 
 // Values of an incident that a variable adds, as far as it does not set them.
@@ -120,7 +122,8 @@
 		i := slices.IndexFunc(c.Incidents, func(i clustersim.Incident) bool { return i.Kind == added.Kind })
 		if i < 0 {
 			incident := added
-			incident.Start, incident.Duration = c.Duration/addedTimeDivisor, c.Duration/addedTimeDivisor
+			incident.Start = c.Duration / addedTimeDivisor
+			incident.Duration = c.Duration / addedTimeDivisor
 			c.Incidents = append(c.Incidents, incident)
 			i = len(c.Incidents) - 1
 		}
--- a/internal/loadtest/attempt.go
+++ b/internal/loadtest/attempt.go
@@ -24,9 +24,14 @@
 // attemptQueue is a heap of attempts by the time at which they are meant to be sent.
 type attemptQueue []*attempt
 
-func (q attemptQueue) Len() int           { return len(q) }
+// Len implements heap.Interface.
+func (q attemptQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q attemptQueue) Less(i, j int) bool { return q[i].intended.Before(q[j].intended) }
-func (q attemptQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+
+// Swap implements heap.Interface.
+func (q attemptQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
 func (q *attemptQueue) Push(x any) { *q = append(*q, x.(*attempt)) }
--- a/internal/loadtest/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -20,6 +20,7 @@
 	freeIDs []uint16
 }
 
+// newGateway returns a gateway without a connection: the first attempt makes it.
 func newGateway(l *loadTest) *gateway {
 	g := &gateway{loadTest: l, open: map[uint16]*attempt{}}
 	for id := uint16(MaxOpenRequests); id > 0; id-- {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -54,6 +54,7 @@
 // latencies is a histogram of latencies.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
+// newLatencies returns an empty histogram.
 func newLatencies() latencies {
 	return latencies{hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
 }
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -179,7 +179,8 @@
 	defer conn.Close()
 	s.conn = conn
 	s.intended = map[uint16]time.Time{}
-	s.freeIDs, s.readErr = make(chan uint16, MaxOpenRequests), make(chan error, 1)
+	s.freeIDs = make(chan uint16, MaxOpenRequests)
+	s.readErr = make(chan error, 1)
 	for id := uint16(1); id <= MaxOpenRequests; id++ {
 		s.freeIDs <- id
 	}
--- a/internal/loadtest/target.go
+++ b/internal/loadtest/target.go
@@ -100,8 +100,10 @@
 	return t.launch(c)
 }
 
+// configPath returns the path of the configuration file.
 func (t *target) configPath() string { return filepath.Join(t.dir, "config.json") }
 
+// writeConfig writes the configuration file, in place of the one before.
 func (t *target) writeConfig() error {
 	if err := daemon.ConfigFile(t.configPath()).Write(t.config); err != nil {
 		return fmt.Errorf("storm: configuration: %w", err)
@@ -125,6 +127,7 @@
 	return fmt.Errorf("storm: the daemon does not serve after %v", daemonTimeout)
 }
 
+// isHealthy reports whether the daemon passes a health check now.
 func (t *target) isHealthy() bool {
 	g, err := fake.Dial(t.addr)
 	if err != nil {
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -83,7 +83,8 @@
 	case 2:
 		for _, m := range modifiers {
 			if args[0] == m.text {
-				location.Kind, location.Pattern = m.kind, args[1]
+				location.Kind = m.kind
+				location.Pattern = args[1]
 				return nil
 			}
 		}
@@ -96,12 +97,14 @@
 func parseModifiedPattern(location *routeconfig.Location, word string) {
 	for _, m := range modifiers {
 		if pattern, ok := strings.CutPrefix(word, m.text); ok {
-			location.Kind, location.Pattern = m.kind, pattern
+			location.Kind = m.kind
+			location.Pattern = pattern
 			return
 		}
 	}
 	if name, ok := strings.CutPrefix(word, "@"); ok {
-		location.Kind, location.Pattern = route.Named, name
+		location.Kind = route.Named
+		location.Pattern = name
 		return
 	}
 	location.Pattern = word
@@ -115,7 +118,9 @@
 	first, text := directive.Arg(0), directive.Arg(1)
 	status, isStatus := routeconfig.ParseStatus(first, routeconfig.MinStatus)
 	if _, err := strconv.Atoi(first); err != nil && len(directive.Args) == 1 {
-		status, text, isStatus = statusFound, first, true
+		status = statusFound
+		text = first
+		isStatus = true
 	}
 	if !isStatus {
 		return directive.errorf("found %q in return, want a status", first)
@@ -125,7 +130,8 @@
 		return nil
 	}
 	if location.ReturnStatus == 0 {
-		location.ReturnStatus, location.ReturnText = status, text
+		location.ReturnStatus = status
+		location.ReturnText = text
 	}
 	return nil
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -103,7 +103,8 @@
 
 // countUnavailable counts ejected and failing members anew: a configuration may add, remove or change them.
 func (p *Pool) countUnavailable() {
-	p.ejected, p.failing = 0, 0
+	p.ejected = 0
+	p.failing = 0
 	for _, member := range p.members {
 		if member.isEjected {
 			p.ejected++
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -74,7 +74,8 @@
 func TestUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
-		config.Name, config.BalancingPolicy = "p", BalancingPolicy(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
+		config.Name = "p"
+		config.BalancingPolicy = BalancingPolicy(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
 		members := func() (list []Member) {
 			for i := range 6 {
 				if rapid.Bool().Draw(t, "in") || i == 0 {
--- a/internal/pool/ranking_test.go
+++ b/internal/pool/ranking_test.go
@@ -14,7 +14,10 @@
 func TestRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
-		config.Name, config.BalancingPolicy, config.EjectionMinAttempts, config.MaxEjectedRatio = "p", LeastConn, 4, 0.6
+		config.Name = "p"
+		config.BalancingPolicy = LeastConn
+		config.EjectionMinAttempts = 4
+		config.MaxEjectedRatio = 0.6
 		size := rapid.IntRange(rankingMinMembers, 2*rankingMinMembers).Draw(t, "size")
 		drawMembers := func() {
 			config.Members = nil
@@ -22,7 +25,8 @@
 				member := DefaultMember(fmt.Sprintf("10.0.0.%d:80", i))
 				member.Weight, member.MaxConns = rapid.IntRange(1, 3).Draw(t, "weight"), rapid.IntRange(0, 2).Draw(t, "most")
 				member.SlowStart = time.Duration(rapid.IntRange(0, 3).Draw(t, "slow")) * time.Second
-				member.FailTimeout, member.MaxFails = time.Second, rapid.IntRange(0, 2).Draw(t, "fails")
+				member.FailTimeout = time.Second
+				member.MaxFails = rapid.IntRange(0, 2).Draw(t, "fails")
 				if rapid.IntRange(0, 9).Draw(t, "in") > 0 || len(config.Members) == 0 {
 					config.Members = append(config.Members, member)
 				}
@@ -120,7 +124,8 @@
 		c.Members[0].SlowStart = 10 * time.Second
 	}, weights...)
 	recovering := p.members[0]
-	recovering.slowStarting, recovering.rampStart = true, 0
+	recovering.slowStarting = true
+	recovering.rampStart = 0
 	countTurns := func(now time.Duration) (n int) {
 		for range 100_000 {
 			addr := pick(p, "", now)
--- a/internal/retrysim/retrysim.go
+++ b/internal/retrysim/retrysim.go
@@ -101,7 +101,9 @@
 func (s *simulation) takeSample(end time.Duration) Sample {
 	requests := float64(max(s.requests, 1))
 	sample := Sample{end.Seconds(), float64(s.attempts) / requests, float64(s.served) / requests}
-	s.requests, s.attempts, s.served = 0, 0, 0
+	s.requests = 0
+	s.attempts = 0
+	s.served = 0
 	return sample
 }
 
--- a/internal/scenario/conn.go
+++ b/internal/scenario/conn.go
@@ -102,7 +102,8 @@
 			continue
 		}
 		if err == io.EOF && c.isDroppedByServer(attempt) {
-			run.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), attempt.id, run.sim.Elapsed()-attempt.sentAt)
+			openFor := run.sim.Elapsed() - attempt.sentAt
+			run.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), attempt.id, openFor)
 		}
 		c.gateway.handleLoss(attempt)
 	}
--- a/internal/scenario/gateway.go
+++ b/internal/scenario/gateway.go
@@ -37,6 +37,7 @@
 	conns            []*conn // by server
 }
 
+// newGateway returns a gateway that dials all servers.
 func newGateway(r *runner, number int, honorsRetryAfter bool, rng *rand.Rand) *gateway {
 	g := &gateway{runner: r, rng: rng, honorsRetryAfter: honorsRetryAfter, addr: hostAddr(gatewayNet, number)}
 	for _, n := range r.nodes {
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -52,6 +52,7 @@
 	pausedUntil    time.Duration
 }
 
+// newNode starts a server and its interpreter, which can be reached at both of its ports.
 func newNode(runner *runner, number int) *node {
 	node := &node{
 		runner:          runner,
--- a/internal/simnet/process.go
+++ b/internal/simnet/process.go
@@ -56,7 +56,8 @@
 
 // exit ends the coroutine. It is deferred, and recovers from the panic by which a killed process unwinds.
 func (p *Process) exit() {
-	p.hasExited, p.isWaiting = true, false
+	p.hasExited = true
+	p.isWaiting = false
 	p.closeAll()
 	if r := recover(); r != nil {
 		if _, ok := r.(killSignal); !ok {
