--- a/internal/loadtest/recovery.go
+++ b/internal/loadtest/recovery.go
@@ -54,12 +54,12 @@
 		return nil, fmt.Errorf("storm: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	m := &recoveryMeasurement{config: config, dir: dir, recoveries: make([]Recovery, 2*config.Pairs)}
-	workerpool.Run(config.Parallel, m.next, func(index int) { m.run(ctx, index) })
-	if m.firstErr == nil {
-		m.firstErr = ctx.Err()
+	measurement := &recoveryMeasurement{config: config, dir: dir, recoveries: make([]Recovery, 2*config.Pairs)}
+	workerpool.Run(config.Parallel, measurement.next, func(index int) { measurement.run(ctx, index) })
+	if measurement.firstErr == nil {
+		measurement.firstErr = ctx.Err()
 	}
-	return m.recoveries, m.firstErr
+	return measurement.recoveries, measurement.firstErr
 }
 
 // recoveryMeasurement is a call of MeasureRecovery. Load tests 2i and 2i+1 are a pair; the first one's state is removed.
