--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -20,7 +20,7 @@
 	opts.config.DrainRequests = 0
 	cmd := &cobra.Command{
 		Use:   "recovery",
-		Short: "Measure how soon a daemon serves as before it was killed, with its state and without",
+		Short: "Measure how soon a daemon recovers from a crash, with its state and without",
 		Long: "recovery runs load tests in pairs of one seed. Half way the daemon is killed and started again: with the directory that it\n" +
 			"left, and with none. It prints how long it took until the share of requests served was back to 95 % of before, with\n" +
 			"95 % confidence intervals." + statusHelp,
@@ -36,7 +36,7 @@
 	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "requests of each load test, retries left out")
 	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of the first pair")
-	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "most attempts of one request")
+	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "maximum number of attempts of one request")
 	flags.StringVar(&opts.picture, "picture", "", "file for a picture (SVG) of the share over time")
 	return cmd
 }
@@ -96,7 +96,7 @@
 // printDifferences prints the differences within the pairs, and how many restarts never recovered.
 func printDifferences(out printer, recoveries []loadtest.Recovery) {
 	var seconds, after []float64
-	notRecovered := map[bool]int{} // by StateRemoved
+	unrecovered := map[bool]int{} // by StateRemoved
 	for n := 0; n+1 < len(recoveries); n += 2 {
 		cold, warm := recoveries[n], recoveries[n+1]
 		after = append(after, warm.ServedAfter-cold.ServedAfter)
@@ -105,7 +105,7 @@
 		}
 		for _, r := range []loadtest.Recovery{cold, warm} {
 			if r.RecoverySeconds < 0 {
-				notRecovered[r.StateRemoved]++
+				unrecovered[r.StateRemoved]++
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 	out.linef("remembered less cold: back after %+.2f s (%+.2f to %+.2f) over %d pairs", mean, low, high, len(seconds))
 	mean, low, high = experiment.ConfidenceInterval(after)
 	out.linef("remembered less cold: share from the restart on %+.4f (%+.4f to %+.4f)", mean, low, high)
-	out.linef("not back by the end: %d cold, %d remembered", notRecovered[true], notRecovered[false])
+	out.linef("not back by the end: %d cold, %d remembered", unrecovered[true], unrecovered[false])
 }
 
 // recoveryChart draws the mean shares with and without the state over time, which counts from the restart.
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -12,7 +12,7 @@
 // fields are functions that read forms, by the names of the forms.
 type fields = map[string]func(sexp.Node) error
 
-// Limits of what a file may ask for.
+// Limits and defaults of the numbers in a file.
 const (
 	maxSeeds        = 1_000_000
 	maxWorkloads    = 100_000 // of each kind
@@ -26,6 +26,7 @@
 	maxVariableArgs = 3 // and STEPS
 )
 
+// readExperiment reads the forms of a file. The file's name is that of an experiment without (name ...).
 func readExperiment(file string, forms []sexp.Node) (*Experiment, error) {
 	experiment := &Experiment{
 		Name:     filepath.Base(file),
@@ -106,6 +107,7 @@
 	return nil
 }
 
+// isWorkloadKind reports whether workloads of a kind can be generated.
 func isWorkloadKind(kind clustersim.WorkloadKind) bool {
 	return slices.Contains(clustersim.WorkloadKinds(), kind)
 }
@@ -124,7 +126,8 @@
 			return err
 		},
 	})
-	to.Method, to.Seed = SweepMethod(method), uint64(seed)
+	to.Method = SweepMethod(method)
+	to.Seed = uint64(seed)
 	switch {
 	case err != nil:
 		return err
@@ -137,27 +140,30 @@
 }
 
 // readVariable reads (vary NAME FROM TO [STEPS]).
-func readVariable(n sexp.Node) (v Variable, err error) {
-	if v.Name, err = n.WordAt(1, "what is varied"); err != nil {
-		return v, err
+func readVariable(n sexp.Node) (variable Variable, err error) {
+	if variable.Name, err = n.WordAt(1, "what is varied"); err != nil {
+		return variable, err
 	}
-	if v.apply, err = findVariable(v.Name); err != nil {
-		return v, sexp.Errorf(n.Pos, "%v", err)
+	if variable.apply, err = findVariable(variable.Name); err != nil {
+		return variable, sexp.Errorf(n.Pos, "%v", err)
 	}
 	args := n.ItemsFrom(2)
 	if len(args) < minVariableArgs || len(args) > maxVariableArgs {
-		return v, sexp.Errorf(n.Pos, "want (vary NAME FROM TO) or (vary NAME FROM TO STEPS)")
+		return variable, sexp.Errorf(n.Pos, "want (vary NAME FROM TO) or (vary NAME FROM TO STEPS)")
 	}
 	numbers := [maxVariableArgs]float64{0, 0, defaultSteps}
 	for i, arg := range args {
 		if numbers[i], err = arg.Float(); err != nil {
-			return v, err
+			return variable, err
 		}
 	}
 	steps := numbers[2]
-	v.Min, v.Max, v.Steps = numbers[0], numbers[1], int(steps)
-	if v.Max < v.Min || v.Steps < 1 || v.Steps > maxSteps || float64(v.Steps) != steps {
-		return v, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them", v.Name, v.Min, v.Max, steps)
-	}
-	return v, nil
+	variable.Min = numbers[0]
+	variable.Max = numbers[1]
+	variable.Steps = int(steps)
+	if variable.Max < variable.Min || variable.Steps < 1 || variable.Steps > maxSteps || float64(variable.Steps) != steps {
+		return variable, sexp.Errorf(n.Pos, "(vary %s ...) goes from %v to %v in %v steps, want a rise and 1 to 10,000 of them",
+			variable.Name, variable.Min, variable.Max, steps)
+	}
+	return variable, nil
 }
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// day is the longest time that a file may give.
-const day = 24 * time.Hour
+// maxDuration is the longest time that a file may state.
+const maxDuration = 24 * time.Hour
 
 // readConfig reads the forms of a configuration and changes what they give. A generated workload is the base of the other
 // forms, wherever it stands among them.
@@ -43,10 +43,13 @@
 func readConfigForms(forms []sexp.Node, base fields, config *clustersim.Config) error {
 	load := config.Arrival.Rate / config.Capacity()
 	changed := *config
-	changed.Classes, changed.Tenants, changed.Gateways, changed.Incidents = nil, nil, nil, nil
+	changed.Classes = nil
+	changed.Tenants = nil
+	changed.Gateways = nil
+	changed.Incidents = nil
 	once := fields{
 		"name":       sexp.Text(&changed.Name),
-		"for":        sexp.Duration(&changed.Duration, time.Second, day),
+		"for":        sexp.Duration(&changed.Duration, time.Second, maxDuration),
 		"load":       sexp.Number(&load, 0.001, 100),
 		"delay":      sexp.Duration(&changed.NetworkDelay, 0, time.Minute),
 		"list-delay": sexp.Duration(&changed.EndpointListDelay, 0, time.Hour),
@@ -81,6 +84,7 @@
 	}
 }
 
+// readServers reads (servers ...).
 func readServers(n sexp.Node, servers *clustersim.ServerConfig) error {
 	return sexp.ReadFields(n.Args(), fields{
 		"n":            sexp.Int(&servers.Count, 0, 100_000),
@@ -134,7 +138,7 @@
 		"capture": sexp.Text(&path),
 		"factor":  sexp.Number(&arrivals.Speed, 0.001, 1000),
 		"swing":   sexp.Number(&arrivals.Amplitude, 0, 1),
-		"day":     sexp.Duration(&arrivals.Period, time.Second, day),
+		"day":     sexp.Duration(&arrivals.Period, time.Second, maxDuration),
 	})
 	arrivals.Kind = arrival.Kind(kind)
 	if err != nil || path == "" {
@@ -168,11 +172,11 @@
 		"dist": sexp.OneOf(&distribution, string(clustersim.Constant), string(clustersim.Exponential), string(clustersim.LogNormal),
 			string(clustersim.Pareto)),
 		"spread":     sexp.Number(&class.CV, 0, 100),
-		"aim":        sexp.Duration(&class.LatencyObjective, time.Millisecond, day),
-		"deadline":   sexp.Duration(&class.Deadline, time.Millisecond, day),
+		"aim":        sexp.Duration(&class.LatencyObjective, time.Millisecond, maxDuration),
+		"deadline":   sexp.Duration(&class.Deadline, time.Millisecond, maxDuration),
 		"worth":      sexp.Number(&class.Weight, 0, 1e6),
 		"late-worth": sexp.Number(&class.LateWeight, 0, 1),
-		"window":     sexp.Duration(&class.KeyWindow, 0, day),
+		"window":     sexp.Duration(&class.KeyWindow, 0, maxDuration),
 	})
 	class.Distribution = clustersim.Distribution(distribution)
 	class.IdempotentByKey = class.KeyWindow > 0
@@ -182,12 +186,12 @@
 
 // readTenant reads (tenant NAME ...).
 func readTenant(n sexp.Node, to *[]clustersim.Tenant) (err error) {
-	t := clustersim.Tenant{}
-	if t.Name, err = n.WordAt(1, "the name of a tenant"); err != nil {
+	tenant := clustersim.Tenant{}
+	if tenant.Name, err = n.WordAt(1, "the name of a tenant"); err != nil {
 		return err
 	}
-	err = sexp.ReadFields(n.ItemsFrom(2), fields{"share": sexp.Number(&t.Share, 0, 1e6)})
-	*to = append(*to, t)
+	err = sexp.ReadFields(n.ItemsFrom(2), fields{"share": sexp.Number(&tenant.Share, 0, 1e6)})
+	*to = append(*to, tenant)
 	return err
 }
 
@@ -217,8 +221,10 @@
 		"checked": sexp.OneOf(&usesHealthChecks, wordYes, wordNo),
 		"repeats": sexp.Number(&gateways.ResendShare, 0, 1),
 	})
-	gateways.Balancing, gateways.Retry = clustersim.BalancingPolicy(balancing), clustersim.RetryPolicy(retry)
-	gateways.HonorsFeedback, gateways.UsesHealthChecks = honorsFeedback == wordYes, usesHealthChecks == wordYes
+	gateways.Balancing = clustersim.BalancingPolicy(balancing)
+	gateways.Retry = clustersim.RetryPolicy(retry)
+	gateways.HonorsFeedback = honorsFeedback == wordYes
+	gateways.UsesHealthChecks = usesHealthChecks == wordYes
 	*to = append(*to, gateways)
 	return err
 }
@@ -234,9 +240,9 @@
 		return sexp.Errorf(n.Pos, "no incident is called %q, want one of %v", kind, clustersim.IncidentKinds())
 	}
 	err = sexp.ReadFields(n.ItemsFrom(2), fields{
-		"from": sexp.Duration(&incident.Start, 0, day),
-		"for":  sexp.Duration(&incident.Duration, 0, day),
-		"rise": sexp.Duration(&incident.RampTime, 0, day),
+		"from": sexp.Duration(&incident.Start, 0, maxDuration),
+		"for":  sexp.Duration(&incident.Duration, 0, maxDuration),
+		"rise": sexp.Duration(&incident.RampTime, 0, maxDuration),
 		"part": sexp.Number(&incident.ServerShare, 0, 1),
 		"size": sexp.Number(&incident.Magnitude, 0, 1e6),
 	})
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -20,7 +20,7 @@
 	Requests        int            // number of requests, each of which has a first attempt
 	Rate            float64        // first attempts per second
 	Arrival         arrival.Config // when first attempts come, at the rate above; a kind of "" is Poisson
-	Gateways        int            // connections, of maxOpenRequests each
+	Gateways        int            // connections, of MaxOpenRequests each
 	IdempotentShare float64        // share of the requests that have an idempotency key
 	RepeatShare     float64        // share of the served requests with a key that are sent again
 	MaxAttempts     int            // of one request, the first included
@@ -48,7 +48,7 @@
 	minMemoryMB = 16
 )
 
-// DefaultConfig returns a load test of half a minute that asks for half as much again as the interpreter can do.
+// DefaultConfig returns a load test of half a minute that offers one and a half times the interpreter's capacity.
 func DefaultConfig() Config {
 	return Config{
 		Requests: 20000, Rate: 800, Gateways: 32,
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -46,7 +46,7 @@
 }
 
 const (
-	// maxLatency is the longest latency that is told apart, and latencyDigits the precision in decimal digits.
+	// maxLatency is the longest latency that the histogram holds, and latencyDigits the precision in decimal digits.
 	maxLatency    = time.Minute
 	latencyDigits = 3
 )
@@ -54,6 +54,7 @@
 // latencies is a histogram of latencies.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
+// newLatencies returns an empty histogram.
 func newLatencies() latencies {
 	return latencies{hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
 }
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -144,7 +144,7 @@
 	return excess, worst
 }
 
-// TestFleetSlowStart has 1, 20 and 30 processes learn of a member at once, as it joins and as it comes back, by each
+// TestFleetSlowStart has 1, 20 and 30 processes learn of a member at once, as it joins and as it recovers, by each
 // policy: all together send it no more than N + 2·√N + 2 in any second, and it gets requests.
 func TestFleetSlowStart(t *testing.T) {
 	const members, rate, window = 10, 400, time.Second
@@ -156,7 +156,7 @@
 					for seed := range uint64(10) {
 						f := newFleet(t, policy, processes, members, rate, seed)
 						f.meanLatency = 20 * time.Millisecond
-						newcomer := fmt.Sprintf("10.0.0.%d:80", members)
+						rampingUp := fmt.Sprintf("10.0.0.%d:80", members)
 						from := time.Second
 						if how == "joins" {
 							for _, p := range f.pools {
@@ -167,14 +167,14 @@
 								p.Update(f.config(policy, members), f.now)
 							}
 						} else {
-							f.failing[newcomer] = true
+							f.failing[rampingUp] = true
 							f.run(5*time.Second, seed) // all of them learn that it is down
-							delete(f.failing, newcomer)
-							from = earliestProbe(f.pools, newcomer)
+							delete(f.failing, rampingUp)
+							from = earliestProbe(f.pools, rampingUp)
 						}
 						f.run(from+3*fleetSlowStart, seed+100)
-						requests += len(f.arrivals[newcomer])
-						if excess, worst := f.maxExcess(newcomer, from, window); excess > 0 {
+						requests += len(f.arrivals[rampingUp])
+						if excess, worst := f.maxExcess(rampingUp, from, window); excess > 0 {
 							violations++
 							t.Logf("seed %d: %s", seed, worst)
 						}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -30,7 +30,7 @@
 	if err := p.Update(cfg, now); err != nil {
 		return nil, err
 	}
-	p.changes = nil // the members that it starts with are no news
+	p.changes = nil // the initial members are no changes
 	return p, nil
 }
 
@@ -103,7 +103,8 @@
 
 // countUnavailable counts ejected and failing members anew: a configuration may add, remove or change them.
 func (p *Pool) countUnavailable() {
-	p.ejected, p.failing = 0, 0
+	p.ejected = 0
+	p.failing = 0
 	for _, member := range p.members {
 		if member.isEjected {
 			p.ejected++
--- a/internal/pool/ranking.go
+++ b/internal/pool/ranking.go
@@ -6,9 +6,9 @@
 )
 
 // rankingMinMembers is how many primary members a pool by LeastConn has at least before they are kept in order. nginx
-// looks at all members for each choice and goes by smooth round robin among equals; small pools do the same here. In a
-// large pool that takes a millisecond a choice, so its members are kept in a heap, and among equals the one that was
-// chosen longest ago is next: the same balance, at a cost that grows with the logarithm of the pool.
+// scans all members for each choice and breaks ties by smooth round robin; small pools do the same here. In a large pool
+// a scan takes a millisecond, so its members are kept in a heap, and among equals the one that was chosen longest ago is
+// next. The balance is the same, at a cost that grows with the logarithm of the pool.
 const rankingMinMembers = 64
 
 // ranking keeps the primary members of a large pool in order of their load. Members that are unavailable now are not in
@@ -23,20 +23,20 @@
 
 // rankState is a member's place in the ranking.
 type rankState struct {
-	standing  standing
-	heapIndex int
-	lastTurn  uint64        // ranking.turns when it was last chosen
-	probeAt   time.Duration // of a waiting member: from when it may be probed
+	rankStatus rankStatus
+	heapIndex  int
+	lastTurn   uint64        // ranking.turns when it was last chosen
+	probeAt    time.Duration // of a waiting member: from when it may be probed
 }
 
-// standing says which heap of the ranking a member is in.
-type standing uint8
+// rankStatus says which heap of the ranking a member is in.
+type rankStatus uint8
 
-// The standings.
+// The rank statuses.
 const (
-	unranked standing = iota // in neither heap: unavailable, and time alone does not change that
-	ranked                   // in byLoad: available
-	waiting                  // in byProbeTime: available from probeAt on for a single probing attempt
+	unranked rankStatus = iota // in neither heap: unavailable, and time alone does not change that
+	ranked                     // in byLoad: available
+	waiting                    // in byProbeTime: available from probeAt on for a single probing attempt
 )
 
 // loadHeap orders members by attempts in flight for the weight, and equals by their last turns.
@@ -103,8 +103,8 @@
 	return member
 }
 
-// updateStanding returns the standing that a member's state calls for, and sets probeAt of a waiting one.
-func (m *poolMember) updateStanding(panicking bool) standing {
+// updateRankStatus returns the rank status that follows from a member's state, and sets probeAt of a waiting one.
+func (m *poolMember) updateRankStatus(panicking bool) rankStatus {
 	isFailing := m.hasTooManyFails()
 	isOut := m.isEjected && !panicking
 	switch {
@@ -131,7 +131,7 @@
 	}
 	p.ranks = &ranking{panicking: p.isPanicking()}
 	for _, member := range p.primaryMembers() {
-		member.standing = unranked
+		member.rankStatus = unranked
 		p.updateRank(member)
 	}
 }
@@ -141,25 +141,25 @@
 	if p.ranks == nil || member.isRemoved || member.Backup {
 		return
 	}
-	next := member.updateStanding(p.ranks.panicking)
-	if next == member.standing {
+	next := member.updateRankStatus(p.ranks.panicking)
+	if next == member.rankStatus {
 		if h := p.ranks.heapOf(next); h != nil {
 			heap.Fix(h, member.heapIndex)
 		}
 		return
 	}
-	if h := p.ranks.heapOf(member.standing); h != nil {
+	if h := p.ranks.heapOf(member.rankStatus); h != nil {
 		heap.Remove(h, member.heapIndex)
 	}
-	member.standing = next
+	member.rankStatus = next
 	if h := p.ranks.heapOf(next); h != nil {
 		heap.Push(h, member)
 	}
 }
 
-// heapOf returns the heap of a standing's members, or nil for unranked ones.
-func (r *ranking) heapOf(s standing) heap.Interface {
-	switch s {
+// heapOf returns the heap of the members with a rank status, or nil for unranked.
+func (r *ranking) heapOf(status rankStatus) heap.Interface {
+	switch status {
 	case ranked:
 		return &r.byLoad
 	case waiting:
@@ -190,8 +190,8 @@
 	member.lastTurn = r.turns
 }
 
-// firstByLoad returns the first usable ranked member. One whose weight failures have lowered gives up its turn by chance,
-// so that it gets requests by its effective weight; each time it does, that weight grows.
+// firstByLoad returns the first usable ranked member. One whose weight failures have lowered is skipped at random, so that
+// it gets requests by its effective weight; each time it is skipped, that weight grows.
 func (p *Pool) firstByLoad(usable func(*poolMember) bool) *poolMember {
 	var unusable []*poolMember // taken out of the heap for this choice
 	var best *poolMember
@@ -215,7 +215,7 @@
 	return best
 }
 
-// drawSkip reports, by chance, whether a member of lowered weight gives up its turn.
+// drawSkip draws whether a member of lowered weight is skipped.
 func (p *Pool) drawSkip(member *poolMember) bool {
 	return p.rng.Float64()*float64(member.Weight) >= float64(member.effectiveWeight)
 }
