--- a/admission/admission.go
+++ b/admission/admission.go
@@ -27,14 +27,14 @@
 	if in.requests.byID[arrival.ID] != nil {
 		return // the host used an ID twice; the first request keeps its place
 	}
-	r := in.register(arrival)
-	if in.isCoalesced(r, arrival) {
-		in.coalesce(r, arrival.RetryOf)
+	req := in.register(arrival)
+	if in.isCoalesced(req, arrival) {
+		in.coalesce(req, arrival.RetryOf)
 	} else {
-		in.admit(r)
+		in.admit(req)
 	}
-	if r.state != stateFinished {
-		in.schedule.nextDeadline = min(in.schedule.nextDeadline, r.deadline)
+	if req.state != stateFinished {
+		in.schedule.nextDeadline = min(in.schedule.nextDeadline, req.deadline)
 	}
 }
 
@@ -42,7 +42,7 @@
 func (in *Instance) register(arrival Request) *request {
 	arrival.Class = min(max(arrival.Class, 0), len(in.settings.Classes)-1)
 	in.traffic.countArrival(arrival.IsRetry, arrival.QueueingDelay)
-	r := &request{
+	req := &request{
 		id:          arrival.ID,
 		class:       arrival.Class,
 		isRetry:     arrival.IsRetry,
@@ -50,22 +50,22 @@
 		sizeKB:      max(arrival.SizeKB, 0),
 		arrivedAt:   in.clock.now - arrival.QueueingDelay,
 	}
-	r.deadline = in.requestDeadline(r, arrival)
-	r.objectiveDeadline = in.requestObjective(r, arrival)
-	r.rateRatio = in.measureRateRatio(arrival)
-	if r.rateRatio > 1 {
-		r.quota = overQuota
+	req.deadline = in.requestDeadline(req, arrival)
+	req.objectiveDeadline = in.requestObjective(req, arrival)
+	req.rateRatio = in.measureRateRatio(arrival)
+	if req.rateRatio > 1 {
+		req.quota = overQuota
 	}
-	in.requests.byID[r.id] = r
-	in.requests.byArrival = append(in.requests.byArrival, r)
-	in.use.add(r, in.settings.RunningMemoryFactor, 1)
-	return r
+	in.requests.byID[req.id] = req
+	in.requests.byArrival = append(in.requests.byArrival, req)
+	in.use.add(req, in.settings.RunningMemoryFactor, 1)
+	return req
 }
 
 // requestDeadline is when the answer must be out: as the request states, or by its class, and before the
 // process is stopped.
-func (in *Instance) requestDeadline(r *request, arrival Request) time.Duration {
-	deadline := r.arrivedAt + in.settings.Classes[r.class].Deadline
+func (in *Instance) requestDeadline(req *request, arrival Request) time.Duration {
+	deadline := req.arrivedAt + in.settings.Classes[req.class].Deadline
 	if in.settings.HasDeadlines && arrival.RemainingTime > 0 {
 		deadline = in.clock.now + arrival.RemainingTime
 	}
@@ -77,11 +77,11 @@
 }
 
 // requestObjective is when an answer stops earning the full weight, counted from the first attempt.
-func (in *Instance) requestObjective(r *request, arrival Request) time.Duration {
-	class := in.settings.Classes[r.class]
+func (in *Instance) requestObjective(req *request, arrival Request) time.Duration {
+	class := in.settings.Classes[req.class]
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(arrival.Work))
 	objective = min(objective, class.Deadline)
-	return min(r.arrivedAt+objective-in.ageBeforeRetry(arrival), r.deadline)
+	return min(req.arrivedAt+objective-in.ageBeforeRetry(arrival), req.deadline)
 }
 
 // ageBeforeRetry is how long before this attempt the first of its request began, as far as that can be
@@ -103,68 +103,68 @@
 }
 
 // isCoalesced tells whether the request is answered by the result of the one that it repeats.
-func (in *Instance) isCoalesced(r *request, arrival Request) bool {
+func (in *Instance) isCoalesced(req *request, arrival Request) bool {
 	if arrival.RetryOf == 0 || in.keys.notStarted[arrival.RetryOf] {
 		return false
 	}
-	return in.settings.Classes[r.class].Effect != NonIdempotent
+	return in.settings.Classes[req.class].Effect != NonIdempotent
 }
 
 // coalesce takes in a retry of a request, or a read whose result may be shared. If the original was run its
 // result is the answer; if it is still queued the request follows it, and takes its place if the original
 // is given up.
-func (in *Instance) coalesce(r *request, id RequestID) {
+func (in *Instance) coalesce(req *request, id RequestID) {
 	original := in.requests.byID[id]
 	for original != nil && original.state == stateFollowing {
 		original = original.original
 	}
-	if original != nil && original.state == stateQueued && in.fitsInMemory(r) {
-		r.original = original
-		in.setState(r, stateFollowing)
+	if original != nil && original.state == stateQueued && in.fitsInMemory(req) {
+		req.original = original
+		in.setState(req, stateFollowing)
 		return
 	}
-	r.run.hasRun = original == nil || original.state != stateQueued
+	req.run.hasRun = original == nil || original.state != stateQueued
 	switch {
-	case in.isPastDrainGrace(r):
-		in.rejectOrFail(r, AfterDrainGrace)
-	case !r.run.hasRun || !in.fitsInMemory(r):
-		in.rejectOrFail(r, OutOfMemory)
+	case in.isPastDrainGrace(req):
+		in.rejectOrFail(req, AfterDrainGrace)
+	case !req.run.hasRun || !in.fitsInMemory(req):
+		in.rejectOrFail(req, OutOfMemory)
 	default:
-		in.setState(r, stateReplaying)
-		in.actions.ReplayResult(r.id)
+		in.setState(req, stateReplaying)
+		in.actions.ReplayResult(req.id)
 	}
 }
 
 // admit queues the request or rejects it on arrival.
-func (in *Instance) admit(r *request) {
-	if reason := in.checkArrival(r); reason != Admitted {
-		in.rejectOrFail(r, reason)
+func (in *Instance) admit(req *request) {
+	if reason := in.checkArrival(req); reason != Admitted {
+		in.rejectOrFail(req, reason)
 		return
 	}
-	in.enqueue(r)
+	in.enqueue(req)
 }
 
 // checkArrival returns why the request is rejected on arrival, or Admitted.
-func (in *Instance) checkArrival(r *request) Reason {
+func (in *Instance) checkArrival(req *request) Reason {
 	switch {
-	case in.isPastDrainGrace(r):
+	case in.isPastDrainGrace(req):
 		return AfterDrainGrace
 	case in.stall.isStalled:
 		return Stalled
-	case !in.fitsInMemory(r):
+	case !in.fitsInMemory(req):
 		return OutOfMemory
-	case r.deadline <= in.clock.now+in.answerMargin():
+	case req.deadline <= in.clock.now+in.answerMargin():
 		return DeadlineReached
 	case !in.isOverloaded():
 		return Admitted
 	}
-	wait := in.predictedWait(r)
+	wait := in.predictedWait(req)
 	switch {
-	case in.isOverThreshold(r, wait):
+	case in.isOverThreshold(req, wait):
 		return RateOverThreshold
-	case in.isFailing(r):
+	case in.isFailing(req):
 		return PredictedWaitTooLong
-	case in.classes[r.class].runTime.coreTime > 0 && wait > in.slack(r):
+	case in.classes[req.class].runTime.coreTime > 0 && wait > in.slack(req):
 		return PredictedWaitTooLong
 	}
 	return Admitted
@@ -174,25 +174,25 @@
 // is: a tenant just over its quota share is rejected from half an objective of wait on, at twice its share
 // from a quarter, and one within it never by this test. The objective is the longest of all classes, so
 // that it prefers none.
-func (in *Instance) isOverThreshold(r *request, wait float64) bool {
-	return r.rateRatio > 1 && r.rateRatio*wait > in.longestObjective.Seconds()/thresholdWaitDivisor
+func (in *Instance) isOverThreshold(req *request, wait float64) bool {
+	return req.rateRatio > 1 && req.rateRatio*wait > in.longestObjective.Seconds()/thresholdWaitDivisor
 }
 
 // slack is the longest wait in seconds after which a run would still meet the objective.
-func (in *Instance) slack(r *request) float64 {
-	return (r.objectiveDeadline - in.clock.now - in.expectedRunTime(r)).Seconds()
+func (in *Instance) slack(req *request) float64 {
+	return (req.objectiveDeadline - in.clock.now - in.expectedRunTime(req)).Seconds()
 }
 
 // fitsInMemory tells whether the memory has room to queue the request, to keep its key, and to run one like
 // it on each core, or as many as fit into half of what keys leave: if queued requests took that room too,
 // none of them could ever run.
-func (in *Instance) fitsInMemory(r *request) bool {
+func (in *Instance) fitsInMemory(req *request) bool {
 	usable := in.settings.MemoryKB * usableMemory
-	oneRun := in.settings.RunningMemoryFactor * r.sizeKB
+	oneRun := in.settings.RunningMemoryFactor * req.sizeKB
 	allCores := float64(in.settings.Cores) * oneRun
 	runs := max(oneRun, min(allCores, (usable-in.keysKB())/runMemoryDivisor))
 	need := in.memoryKB() + max(0, runs-in.use.runningKB)
-	if in.settings.Classes[r.class].Effect == IdempotentByKey {
+	if in.settings.Classes[req.class].Effect == IdempotentByKey {
 		need += in.settings.KeyKB
 	}
 	return need <= usable
@@ -200,35 +200,35 @@
 
 // rejectOrFail answers a request that is not served: it is rejected, or failed if its work began. A run
 // that still goes on is stopped if it can be.
-func (in *Instance) rejectOrFail(r *request, reason Reason) {
-	if r.state == stateRunning && !in.stall.isStalled {
-		elapsed := (in.clock.now - r.run.startedAt).Seconds()
-		in.classes[r.class].runTime.learnTimeout(in.clock.now, in.longestObjective, elapsed)
+func (in *Instance) rejectOrFail(req *request, reason Reason) {
+	if req.state == stateRunning && !in.stall.isStalled {
+		elapsed := (in.clock.now - req.run.startedAt).Seconds()
+		in.classes[req.class].runTime.learnTimeout(in.clock.now, in.longestObjective, elapsed)
 	}
-	if in.mustFail(r) {
-		in.actions.Fail(r.id)
+	if in.mustFail(req) {
+		in.actions.Fail(req.id)
 	} else {
-		in.reject(r, reason)
+		in.reject(req, reason)
 	}
-	in.finish(r)
+	in.finish(req)
 }
 
 // mustFail tells whether the request must be failed: a rejection promises that it never ran.
-func (in *Instance) mustFail(r *request) bool {
-	switch r.state {
+func (in *Instance) mustFail(req *request) bool {
+	switch req.state {
 	case stateRunning, stateCallPending, stateCalling:
 		return true
 	}
-	return r.run.hasRun && in.settings.Classes[r.class].Effect != Safe
+	return req.run.hasRun && in.settings.Classes[req.class].Effect != Safe
 }
 
 // reject answers that the request never ran, and counts it.
-func (in *Instance) reject(r *request, reason Reason) {
-	noRetry := (r.isRetry || in.isRetryStorm()) && !in.stall.isStalled
-	in.actions.Reject(r.id, in.retryAfter(r), noRetry)
-	class := &in.classes[r.class]
+func (in *Instance) reject(req *request, reason Reason) {
+	noRetry := (req.isRetry || in.isRetryStorm()) && !in.stall.isStalled
+	in.actions.Reject(req.id, in.retryAfter(req), noRetry)
+	class := &in.classes[req.class]
 	class.rejections[reason]++
-	if in.hasFairShareClaim(r) {
+	if in.hasFairShareClaim(req) {
 		class.share.rejected.count(in.clock.now, in.rates.decay)
 	}
 }
@@ -237,7 +237,7 @@
 // predicted wait, or for a tenant over its quota share the time in which its estimate decays to it, and in
 // a retry storm half an objective, which is also the most: longer advice makes all callers leave the cores
 // idle and return at once.
-func (in *Instance) retryAfter(r *request) time.Duration {
+func (in *Instance) retryAfter(req *request) time.Duration {
 	if in.stall.isStalled || in.drain.isDraining {
 		return in.settings.MaxRetryAfter
 	}
@@ -246,8 +246,8 @@
 		return longest
 	}
 	wait := in.longestWait()
-	if r.rateRatio > 1 {
-		wait = math.Log(r.rateRatio) / in.rates.decay
+	if req.rateRatio > 1 {
+		wait = math.Log(req.rateRatio) / in.rates.decay
 	}
 	advice := max(seconds(wait), pollInterval) // no decision changes before the next poll
 	return min(advice, longest)
@@ -255,34 +255,34 @@
 
 // finish ends a request that needs no answer any more. Work that goes on keeps it in the table as
 // abandoned.
-func (in *Instance) finish(r *request) {
-	switch r.state {
+func (in *Instance) finish(req *request) {
+	switch req.state {
 	case stateRunning, stateCallPending, stateCalling:
-		in.abandon(r)
+		in.abandon(req)
 		return
 	case stateQueued:
-		in.dequeue(r)
-		in.releaseKey(r)
+		in.dequeue(req)
+		in.releaseKey(req)
 	}
-	in.remove(r)
+	in.remove(req)
 }
 
 // abandon leaves a run to itself and stops it if that is possible and has no effect.
-func (in *Instance) abandon(r *request) {
-	in.classes[r.class].runTime.countFailure(in.clock.now)
+func (in *Instance) abandon(req *request) {
+	in.classes[req.class].runTime.countFailure(in.clock.now)
 	// A request at its call ends by itself, but the dependency may go on with the call.
-	if r.state == stateCalling {
+	if req.state == stateCalling {
 		in.calls.addLinger(in.settings.CallLinger)
 	}
-	canStop := in.settings.StopMode != StopNone && in.settings.Classes[r.class].Effect == Safe
-	if r.state == stateRunning && canStop {
-		in.actions.Stop(r.id)
+	canStop := in.settings.StopMode != StopNone && in.settings.Classes[req.class].Effect == Safe
+	if req.state == stateRunning && canStop {
+		in.actions.Stop(req.id)
 	}
-	in.setState(r, stateAbandoned)
+	in.setState(req, stateAbandoned)
 }
 
 // remove takes a request out of the table; the next sweep takes it out of the list.
-func (in *Instance) remove(r *request) {
-	in.setState(r, stateFinished)
-	delete(in.requests.byID, r.id)
+func (in *Instance) remove(req *request) {
+	in.setState(req, stateFinished)
+	delete(in.requests.byID, req.id)
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -51,38 +51,38 @@
 // CallRequested reports that a running request waits for a decision on a downstream call.
 func (in *Instance) CallRequested(now time.Duration, id RequestID) {
 	in.advanceClock(now)
-	r := in.requests.byID[id]
-	if r == nil || r.state != stateRunning {
+	req := in.requests.byID[id]
+	if req == nil || req.state != stateRunning {
 		return
 	}
 	in.stall.progressAt = in.clock.core
-	r.run.coreTime += in.clock.core - r.run.partStart
-	r.call.attemptAt = now
-	in.setState(r, stateCallPending)
+	req.run.coreTime += in.clock.core - req.run.partStart
+	req.call.attemptAt = now
+	in.setState(req, stateCallPending)
 }
 
 // CallFinished reports the outcome of a downstream call and how long it took.
 func (in *Instance) CallFinished(now time.Duration, id RequestID, outcome Outcome, took time.Duration) {
 	in.advanceClock(now)
-	r := in.requests.byID[id]
-	if r == nil || r.state != stateCalling {
+	req := in.requests.byID[id]
+	if req == nil || req.state != stateCalling {
 		return
 	}
 	if outcome == OK {
 		in.calls.learn(now, in.longestObjective, took)
-		in.resume(r)
+		in.resume(req)
 		return
 	}
 	if outcome == TimedOut {
 		in.calls.addLinger(in.settings.CallLinger)
 	}
-	in.setState(r, stateCallPending)
-	r.call.failures++
-	if mayHaveTakenEffect(outcome) && in.settings.Classes[r.class].Effect != Safe {
-		in.rejectOrFail(r, DeadlineReached) // a second call could repeat the effect
+	in.setState(req, stateCallPending)
+	req.call.failures++
+	if mayHaveTakenEffect(outcome) && in.settings.Classes[req.class].Effect != Safe {
+		in.rejectOrFail(req, DeadlineReached) // a second call could repeat the effect
 		return
 	}
-	r.call.attemptAt = now + time.Duration(r.call.failures)*callRetryInterval
+	req.call.attemptAt = now + time.Duration(req.call.failures)*callRetryInterval
 }
 
 // mayHaveTakenEffect tells whether a call that failed with the outcome may have been carried out.
@@ -95,9 +95,9 @@
 }
 
 // resume puts a request back on the cores after its call was made or skipped.
-func (in *Instance) resume(r *request) {
-	r.run.partStart = in.clock.core
-	in.setState(r, stateRunning)
+func (in *Instance) resume(req *request) {
+	req.run.partStart = in.clock.core
+	in.setState(req, stateRunning)
 }
 
 // expectedCallSeconds is how long a call is expected to take now.
@@ -110,24 +110,24 @@
 	if in.use.offCore == in.use.callsInFlight {
 		return
 	}
-	for _, r := range in.requests.byArrival {
-		if r.state == stateCallPending && r.call.attemptAt <= in.clock.now {
-			in.decideCall(r)
+	for _, req := range in.requests.byArrival {
+		if req.state == stateCallPending && req.call.attemptAt <= in.clock.now {
+			in.decideCall(req)
 		}
 	}
 }
 
 // decideCall makes the call, skips it or leaves the request to wait.
-func (in *Instance) decideCall(r *request) {
-	class := in.settings.Classes[r.class]
-	restOfRun := seconds(in.expectedCoreTime(r.class) / 2)
-	left := r.objectiveDeadline - in.clock.now - restOfRun
-	if class.SkippedCallWeight > 0 && in.shouldSkipCall(r, left) {
-		in.actions.SkipCall(r.id)
-		in.resume(r)
+func (in *Instance) decideCall(req *request) {
+	class := in.settings.Classes[req.class]
+	restOfRun := seconds(in.expectedCoreTime(req.class) / 2)
+	left := req.objectiveDeadline - in.clock.now - restOfRun
+	if class.SkippedCallWeight > 0 && in.shouldSkipCall(req, left) {
+		in.actions.SkipCall(req.id)
+		in.resume(req)
 		return
 	}
-	timeout := r.deadline - in.clock.now
+	timeout := req.deadline - in.clock.now
 	if class.Effect == Safe && left > 0 {
 		// Some calls hang, whatever the cause: enough time is kept for another attempt.
 		usual := seconds(callTimeoutFactor * in.expectedCallSeconds())
@@ -141,13 +141,13 @@
 		share := min(in.settings.FairCallShare, 1)
 		timeout = min(timeout, time.Duration(float64(in.settings.CallAveragingTime)*share/2))
 	}
-	in.actions.Call(r.id, max(timeout, in.settings.Tick))
-	in.setState(r, stateCalling)
+	in.actions.Call(req.id, max(timeout, in.settings.Tick))
+	in.setState(req, stateCalling)
 }
 
 // shouldSkipCall tells whether a call that may be skipped failed too often or has too little time left.
-func (in *Instance) shouldSkipCall(r *request, left time.Duration) bool {
-	return r.call.failures > maxSkippableFailures || left < seconds(in.expectedCallSeconds()/2)
+func (in *Instance) shouldSkipCall(req *request, left time.Duration) bool {
+	return req.call.failures > maxSkippableFailures || left < seconds(in.expectedCallSeconds()/2)
 }
 
 // isWithinCallShare tells whether one more call keeps the mean of the calls of all servers under what the
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -49,17 +49,17 @@
 	}
 	margin := max(2*in.answerMargin(), timeLeft/stopMarginDivisor)
 	in.drain = drainState{isDraining: true, noticedAt: now, stopAt: now + timeLeft - margin}
-	for _, r := range in.requests.byArrival {
-		r.deadline = min(r.deadline, in.drain.stopAt)
-		r.objectiveDeadline = min(r.objectiveDeadline, r.deadline)
+	for _, req := range in.requests.byArrival {
+		req.deadline = min(req.deadline, in.drain.stopAt)
+		req.objectiveDeadline = min(req.objectiveDeadline, req.deadline)
 	}
 	in.schedule.nextDeadline = now
 	in.actions.Log(fmt.Sprintf("drain: %d held, %d running", in.queue.len(), in.use.running))
 }
 
 // isPastDrainGrace tells whether the request arrived after the drain grace period.
-func (in *Instance) isPastDrainGrace(r *request) bool {
-	return in.drain.isPastGrace(r.arrivedAt, in.settings.DrainGracePeriod)
+func (in *Instance) isPastDrainGrace(req *request) bool {
+	return in.drain.isPastGrace(req.arrivedAt, in.settings.DrainGracePeriod)
 }
 
 // isDrainEnding tells whether callers should look for another server because this one stops.
--- a/admission/events.go
+++ b/admission/events.go
@@ -79,41 +79,41 @@
 // Cancel reports that the caller of a request no longer waits.
 func (in *Instance) Cancel(now time.Duration, id RequestID) {
 	in.advanceClock(now)
-	r := in.requests.byID[id]
-	if r != nil && r.state != stateAbandoned {
-		in.finish(r)
+	req := in.requests.byID[id]
+	if req != nil && req.state != stateAbandoned {
+		in.finish(req)
 	}
 }
 
 // RunFinished reports the end of a run or of a replay.
 func (in *Instance) RunFinished(now time.Duration, id RequestID, outcome Outcome) {
 	in.advanceClock(now)
-	r := in.requests.byID[id]
-	if r == nil || r.state == stateQueued || r.state == stateFollowing {
+	req := in.requests.byID[id]
+	if req == nil || req.state == stateQueued || req.state == stateFollowing {
 		return
 	}
-	if r.state == stateRunning || r.state == stateAbandoned && outcome != Cancelled {
+	if req.state == stateRunning || req.state == stateAbandoned && outcome != Cancelled {
 		in.stall.progressAt = in.clock.core
 	}
-	if r.state == stateRunning {
-		in.learnFromRun(now, r, outcome)
+	if req.state == stateRunning {
+		in.learnFromRun(now, req, outcome)
 	}
-	if outcome == Cancelled && r.state != stateAbandoned && r.state != stateReplaying {
-		in.actions.Fail(r.id) // stopped, though its answer is still owed
+	if outcome == Cancelled && req.state != stateAbandoned && req.state != stateReplaying {
+		in.actions.Fail(req.id) // stopped, though its answer is still owed
 	}
-	in.remove(r)
+	in.remove(req)
 }
 
 // learnFromRun updates the estimates by a run that ended.
-func (in *Instance) learnFromRun(now time.Duration, r *request, outcome Outcome) {
-	r.run.coreTime += in.clock.core - r.run.partStart
-	estimator := &in.classes[r.class].runTime
+func (in *Instance) learnFromRun(now time.Duration, req *request, outcome Outcome) {
+	req.run.coreTime += in.clock.core - req.run.partStart
+	estimator := &in.classes[req.class].runTime
 	if outcome != OK {
 		estimator.countFailure(in.clock.now)
 		return
 	}
-	wallTime := (now - r.run.startedAt).Seconds()
-	estimator.learn(in.clock.now, in.longestObjective, r.run.coreTime, wallTime)
+	wallTime := (now - req.run.startedAt).Seconds()
+	estimator.learn(in.clock.now, in.longestObjective, req.run.coreTime, wallTime)
 	in.stall.longestRun = max(in.stall.longestRun, wallTime)
 	in.rates.completions.count(now, in.rates.decay)
 }
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -120,22 +120,22 @@
 		QueuedAhead: trial.runOrder(),
 		Running:     trial.inState(stateRunning),
 	}
-	r := trial.register(arrival)
+	req := trial.register(arrival)
 	check.ImpulseSize = trial.rates.senders[sender].impulse
 	check.Rate = trial.rates.senders[sender].rate(trial.clock.now, trial.rates.decay)
-	check.RateRatio = r.rateRatio
-	if r.rateRatio > 0 {
-		check.Threshold = check.Rate / r.rateRatio
+	check.RateRatio = req.rateRatio
+	if req.rateRatio > 0 {
+		check.Threshold = check.Rate / req.rateRatio
 	}
-	check.PredictedWait = seconds(trial.predictedWait(r))
-	check.Slack = seconds(trial.slack(r))
-	check.ObjectiveDeadline = r.objectiveDeadline
-	check.Deadline = r.deadline
-	check.Coalesced = trial.isCoalesced(r, arrival)
+	check.PredictedWait = seconds(trial.predictedWait(req))
+	check.Slack = seconds(trial.slack(req))
+	check.ObjectiveDeadline = req.objectiveDeadline
+	check.Deadline = req.deadline
+	check.Coalesced = trial.isCoalesced(req, arrival)
 	if !check.Coalesced {
-		check.Reason = trial.checkArrival(r)
+		check.Reason = trial.checkArrival(req)
 	}
-	check.RetryAfter = trial.retryAfter(r)
+	check.RetryAfter = trial.retryAfter(req)
 	return check
 }
 
@@ -159,15 +159,15 @@
 		return QueueDecision{}, false
 	}
 	trial.advanceClock(now)
-	r := trial.requests.byID[id]
+	req := trial.requests.byID[id]
 	decision := QueueDecision{
-		Reason:            trial.presentReason(r),
-		Phase:             r.state.String(),
-		Arrived:           r.arrivedAt,
-		ObjectiveDeadline: r.objectiveDeadline,
-		Deadline:          r.deadline,
-		ExpectedRunTime:   trial.expectedRunTime(r),
-		RateRatio:         r.rateRatio,
+		Reason:            trial.presentReason(req),
+		Phase:             req.state.String(),
+		Arrived:           req.arrivedAt,
+		ObjectiveDeadline: req.objectiveDeadline,
+		Deadline:          req.deadline,
+		ExpectedRunTime:   trial.expectedRunTime(req),
+		RateRatio:         req.rateRatio,
 		Running:           trial.inState(stateRunning),
 	}
 	for _, ahead := range trial.runOrder() {
@@ -180,14 +180,14 @@
 }
 
 // presentReason returns why a known request would be given up now, or Admitted.
-func (in *Instance) presentReason(r *request) Reason {
+func (in *Instance) presentReason(req *request) Reason {
 	switch {
 	case in.stall.isStalled:
 		return Stalled
-	case r.deadline <= in.clock.now+in.answerMargin():
+	case req.deadline <= in.clock.now+in.answerMargin():
 		return DeadlineReached
-	case r.state == stateQueued:
-		return in.checkQueued(r)
+	case req.state == stateQueued:
+		return in.checkQueued(req)
 	}
 	return Admitted
 }
@@ -217,9 +217,9 @@
 // inState returns the requests in a state in the order of arrival.
 func (in *Instance) inState(state requestState) []RequestID {
 	var ids []RequestID
-	for _, r := range in.requests.byArrival {
-		if r.state == state {
-			ids = append(ids, r.id)
+	for _, req := range in.requests.byArrival {
+		if req.state == state {
+			ids = append(ids, req.id)
 		}
 	}
 	return ids
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -53,24 +53,24 @@
 
 // keepKey remembers the key of a request that must run once only, and that of a read whose result may
 // answer others.
-func (in *Instance) keepKey(r *request) {
-	class := in.settings.Classes[r.class]
-	expiresAt := r.arrivedAt + class.KeyWindow + 2*in.settings.Tick
+func (in *Instance) keepKey(req *request) {
+	class := in.settings.Classes[req.class]
+	expiresAt := req.arrivedAt + class.KeyWindow + 2*in.settings.Tick
 	if class.Effect == Safe {
-		expiresAt = r.deadline + in.settings.ResultFreshness
+		expiresAt = req.deadline + in.settings.ResultFreshness
 	}
-	if class.Effect != IdempotentByKey && !in.isResultShared(r) {
+	if class.Effect != IdempotentByKey && !in.isResultShared(req) {
 		return
 	}
-	r.key = in.keys.keep(r.class, expiresAt)
-	in.actions.KeepKey(r.id, expiresAt-in.clock.now)
+	req.key = in.keys.keep(req.class, expiresAt)
+	in.actions.KeepKey(req.id, expiresAt-in.clock.now)
 }
 
 // isResultShared tells whether the result of a safe read may answer others. Keeping it takes memory, of
 // which half must be free.
-func (in *Instance) isResultShared(r *request) bool {
-	isSafe := in.settings.Classes[r.class].Effect == Safe
-	if !isSafe || !r.isShareable || in.settings.ResultFreshness <= 0 {
+func (in *Instance) isResultShared(req *request) bool {
+	isSafe := in.settings.Classes[req.class].Effect == Safe
+	if !isSafe || !req.isShareable || in.settings.ResultFreshness <= 0 {
 		return false
 	}
 	return in.memoryKB() < in.settings.MemoryKB/2
@@ -78,14 +78,14 @@
 
 // releaseKey removes the key of a request that never ran, so that a retry counts as new, and promotes its
 // first follower to its place.
-func (in *Instance) releaseKey(r *request) {
-	if r.key != nil {
-		in.actions.ReleaseKey(r.id)
-		in.keys.release(r.key)
-		r.key = nil
+func (in *Instance) releaseKey(req *request) {
+	if req.key != nil {
+		in.actions.ReleaseKey(req.id)
+		in.keys.release(req.key)
+		req.key = nil
 	}
-	in.keys.notStarted[r.id] = true
-	promoted := in.promoteFollower(r)
+	in.keys.notStarted[req.id] = true
+	promoted := in.promoteFollower(req)
 	switch {
 	case promoted == nil:
 	case in.isPastDrainGrace(promoted): // it must not run, though its original might have
@@ -96,10 +96,10 @@
 }
 
 // promoteFollower has the followers of a request follow the first of them, and returns that or nil.
-func (in *Instance) promoteFollower(r *request) *request {
+func (in *Instance) promoteFollower(req *request) *request {
 	var promoted *request
 	for _, follower := range in.requests.byArrival {
-		if !follower.isFollowing(r) {
+		if !follower.isFollowing(req) {
 			continue
 		}
 		if promoted == nil {
--- a/admission/order.go
+++ b/admission/order.go
@@ -46,8 +46,8 @@
 
 // hasFairShareClaim tells whether the request counts for its class's fair share: what a tenant sends over
 // its quota share does not.
-func (in *Instance) hasFairShareClaim(r *request) bool {
-	return r.quota == withinQuota || len(in.settings.Tenants) == 0
+func (in *Instance) hasFairShareClaim(req *request) bool {
+	return req.quota == withinQuota || len(in.settings.Tenants) == 0
 }
 
 // priorityTier is the first criterion of the order of runs; lower tiers run first.
@@ -75,20 +75,20 @@
 }
 
 // runPriority is where the request stands in the order of runs now.
-func (in *Instance) runPriority(r *request) runPriority {
-	weight := max(in.settings.Classes[r.class].Weight, minWeight)
-	left := (r.objectiveDeadline - in.clock.now).Seconds()
-	return runPriority{tier: in.priorityTier(r), urgency: left / weight}
+func (in *Instance) runPriority(req *request) runPriority {
+	weight := max(in.settings.Classes[req.class].Weight, minWeight)
+	left := (req.objectiveDeadline - in.clock.now).Seconds()
+	return runPriority{tier: in.priorityTier(req), urgency: left / weight}
 }
 
 // priorityTier is the request's tier now.
-func (in *Instance) priorityTier(r *request) priorityTier {
+func (in *Instance) priorityTier(req *request) priorityTier {
 	switch {
-	case in.wouldMissObjective(r) || in.isFailing(r):
+	case in.wouldMissObjective(req) || in.isFailing(req):
 		return tierLate
-	case in.classes[r.class].share.isStarved && in.hasFairShareClaim(r):
+	case in.classes[req.class].share.isStarved && in.hasFairShareClaim(req):
 		return tierStarved
-	case r.quota == withinQuota:
+	case req.quota == withinQuota:
 		return tierWithinQuota
 	}
 	return tierOverQuota
@@ -99,10 +99,10 @@
 func (in *Instance) nextToRun() *request {
 	var next *request
 	var first runPriority
-	for _, r := range in.queue.requests {
-		priority := in.runPriority(r)
+	for _, req := range in.queue.requests {
+		priority := in.runPriority(req)
 		if next == nil || priority.isBefore(first) {
-			next, first = r, priority
+			next, first = req, priority
 		}
 	}
 	return next
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -20,11 +20,11 @@
 func (q *requestQueue) len() int { return len(q.requests) }
 
 // push adds a request.
-func (q *requestQueue) push(r *request) { q.requests = append(q.requests, r) }
+func (q *requestQueue) push(req *request) { q.requests = append(q.requests, req) }
 
 // remove takes a request out, and tells whether it was there.
-func (q *requestQueue) remove(r *request) bool {
-	i := slices.Index(q.requests, r)
+func (q *requestQueue) remove(req *request) bool {
+	i := slices.Index(q.requests, req)
 	if i < 0 {
 		return false
 	}
@@ -42,33 +42,33 @@
 }
 
 // enqueue puts the request into the queue and keeps its key.
-func (in *Instance) enqueue(r *request) {
-	r.original = nil
-	in.setState(r, stateQueued)
-	in.queue.push(r)
-	in.classes[r.class].queued[r.quota]++
-	in.keepKey(r)
+func (in *Instance) enqueue(req *request) {
+	req.original = nil
+	in.setState(req, stateQueued)
+	in.queue.push(req)
+	in.classes[req.class].queued[req.quota]++
+	in.keepKey(req)
 }
 
 // dequeue takes the request out of the queue.
-func (in *Instance) dequeue(r *request) {
-	if in.queue.remove(r) {
-		in.classes[r.class].queued[r.quota]--
+func (in *Instance) dequeue(req *request) {
+	if in.queue.remove(req) {
+		in.classes[req.class].queued[req.quota]--
 	}
 }
 
 // predictedWait is how long in seconds the queued requests that go before the request occupy the cores: a
 // short objective may be met though much is queued with longer ones.
-func (in *Instance) predictedWait(r *request) float64 {
+func (in *Instance) predictedWait(req *request) float64 {
 	in.updateStarvation()
 	ahead := 0.0
-	priority := in.runPriority(r)
+	priority := in.runPriority(req)
 	for _, queued := range in.queue.requests {
 		if !priority.isBefore(in.runPriority(queued)) {
 			ahead += in.expectedCoreTime(queued.class)
 		}
 	}
-	return in.perCore(ahead, r.quota)
+	return in.perCore(ahead, req.quota)
 }
 
 // longestWait is how long in seconds all queued requests occupy the cores.
@@ -113,25 +113,25 @@
 }
 
 // hasMemoryToRun tells whether the memory suffices for a run of the queued request.
-func (in *Instance) hasMemoryToRun(r *request) bool {
-	more := r.sizeKB * (in.settings.RunningMemoryFactor - 1)
+func (in *Instance) hasMemoryToRun(req *request) bool {
+	more := req.sizeKB * (in.settings.RunningMemoryFactor - 1)
 	return in.memoryKB()+more <= in.settings.MemoryKB*usableMemory
 }
 
 // start runs a queued request and answers its followers from its result.
-func (in *Instance) start(r *request) {
-	in.dequeue(r)
-	in.setState(r, stateRunning)
-	if in.hasFairShareClaim(r) {
-		in.classes[r.class].share.started.count(in.clock.now, in.rates.decay)
+func (in *Instance) start(req *request) {
+	in.dequeue(req)
+	in.setState(req, stateRunning)
+	if in.hasFairShareClaim(req) {
+		in.classes[req.class].share.started.count(in.clock.now, in.rates.decay)
 	}
-	in.queue.countRun(r.quota)
-	r.run.hasRun = true
-	r.run.startedAt = in.clock.now
-	r.run.partStart = in.clock.core
-	in.actions.Run(r.id)
+	in.queue.countRun(req.quota)
+	req.run.hasRun = true
+	req.run.startedAt = in.clock.now
+	req.run.partStart = in.clock.core
+	in.actions.Run(req.id)
 	for _, follower := range in.requests.byArrival {
-		if follower.isFollowing(r) {
+		if follower.isFollowing(req) {
 			follower.run.hasRun = true
 			in.setState(follower, stateReplaying)
 			in.actions.ReplayResult(follower.id)
@@ -153,21 +153,21 @@
 }
 
 // wouldMissObjective tells whether a run begun now would end after the objective.
-func (in *Instance) wouldMissObjective(r *request) bool {
-	return in.clock.now+in.expectedRunTime(r) > r.objectiveDeadline
+func (in *Instance) wouldMissObjective(req *request) bool {
+	return in.clock.now+in.expectedRunTime(req) > req.objectiveDeadline
 }
 
 // checkQueued returns why a run begun now would earn nothing, or little while others wait for saturated
 // cores, or Admitted. How long a run takes is known from the latest ones only: if the cores have room and
 // the caller still waits, it is run.
-func (in *Instance) checkQueued(r *request) Reason {
-	lateWeight := in.settings.Classes[r.class].LateWeight
+func (in *Instance) checkQueued(req *request) Reason {
+	lateWeight := in.settings.Classes[req.class].LateWeight
 	switch {
-	case in.clock.now+in.expectedRunTime(r) > r.deadline:
+	case in.clock.now+in.expectedRunTime(req) > req.deadline:
 		return DeadlineUnreachable
-	case in.clock.now > r.objectiveDeadline && lateWeight == 0:
+	case in.clock.now > req.objectiveDeadline && lateWeight == 0:
 		return LateWithoutWeight
-	case in.wouldMissObjective(r) && in.isSaturated():
+	case in.wouldMissObjective(req) && in.isSaturated():
 		return LateWhileSaturated
 	}
 	return Admitted
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -66,8 +66,8 @@
 	for id := RequestID(1); id <= 60; id++ {
 		in.Request(0, testRequest(id, 0))
 	}
-	for _, r := range in.queue.requests { // all that is queued came from a tenant over its quota share
-		r.quota = 1
+	for _, req := range in.queue.requests { // all that is queued came from a tenant over its quota share
+		req.quota = 1
 	}
 	for class := range in.classes {
 		c := &in.classes[class]
--- a/admission/request.go
+++ b/admission/request.go
@@ -89,27 +89,27 @@
 }
 
 // add counts the request in its current state; a sign of -1 takes it off again.
-func (u *resourceUse) add(r *request, runningMemoryFactor float64, sign int) {
-	switch r.state {
+func (u *resourceUse) add(req *request, runningMemoryFactor float64, sign int) {
+	switch req.state {
 	case stateQueued, stateFollowing, stateReplaying:
-		u.queuedKB += float64(sign) * r.sizeKB
+		u.queuedKB += float64(sign) * req.sizeKB
 	case stateRunning, stateAbandoned:
 		u.running += sign
-		u.runningKB += float64(sign) * r.sizeKB * runningMemoryFactor
+		u.runningKB += float64(sign) * req.sizeKB * runningMemoryFactor
 	case stateCallPending, stateCalling:
 		u.offCore += sign
-		u.runningKB += float64(sign) * r.sizeKB * runningMemoryFactor
-		if r.state == stateCalling {
+		u.runningKB += float64(sign) * req.sizeKB * runningMemoryFactor
+		if req.state == stateCalling {
 			u.callsInFlight += sign
 		}
 	}
 }
 
 // setState changes the state and keeps the resource use up to date.
-func (in *Instance) setState(r *request, to requestState) {
-	in.use.add(r, in.settings.RunningMemoryFactor, -1)
-	r.state = to
-	in.use.add(r, in.settings.RunningMemoryFactor, 1)
+func (in *Instance) setState(req *request, to requestState) {
+	in.use.add(req, in.settings.RunningMemoryFactor, -1)
+	req.state = to
+	in.use.add(req, in.settings.RunningMemoryFactor, 1)
 }
 
 // memoryKB is the memory in use: queued and running requests and remembered keys.
--- a/admission/runtime.go
+++ b/admission/runtime.go
@@ -105,11 +105,11 @@
 }
 
 // isFailing tells whether the latest runs of the request's class served nobody.
-func (in *Instance) isFailing(r *request) bool {
-	return in.classes[r.class].runTime.isFailing(in.clock.now, in.longestObjective)
+func (in *Instance) isFailing(req *request) bool {
+	return in.classes[req.class].runTime.isFailing(in.clock.now, in.longestObjective)
 }
 
 // expectedRunTime is how long a run of the request is expected to take from its start to its end.
-func (in *Instance) expectedRunTime(r *request) time.Duration {
-	return seconds(in.classes[r.class].runTime.expectedWallTime(in.clock.now, in.longestObjective))
+func (in *Instance) expectedRunTime(req *request) time.Duration {
+	return seconds(in.classes[req.class].runTime.expectedWallTime(in.clock.now, in.longestObjective))
 }
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -42,18 +42,18 @@
 	if len(from) == 0 || from[0] < 1 || from[0] > snapshotVersion {
 		return nil, fmt.Errorf("%w: versions 1 to %d are known", ErrSnapshot, snapshotVersion)
 	}
-	c := coder{bytes: from[1:], version: from[0], reading: true}
+	decoder := coder{bytes: from[1:], version: from[0], reading: true}
 	in := &Instance{
 		actions:  actions,
 		requests: requestTable{byID: map[RequestID]*request{}},
 		keys:     idempotencyKeys{notStarted: map[RequestID]bool{}},
 	}
-	c.instance(in)
+	decoder.instance(in)
 	switch {
-	case c.err != nil:
-		return nil, c.err
-	case len(c.bytes) > 0:
-		return nil, fmt.Errorf("%w: %d bytes too many", ErrSnapshot, len(c.bytes))
+	case decoder.err != nil:
+		return nil, decoder.err
+	case len(decoder.bytes) > 0:
+		return nil, fmt.Errorf("%w: %d bytes too many", ErrSnapshot, len(decoder.bytes))
 	}
 	if change != nil {
 		if err := in.changeSettings(change); err != nil {
@@ -68,20 +68,20 @@
 
 // changeSettings alters the settings and what follows from them.
 func (in *Instance) changeSettings(change func(*Settings) error) error {
-	s := in.settings
-	s.Classes = slices.Clone(s.Classes)
-	s.Tenants = slices.Clone(s.Tenants)
-	if err := change(&s); err != nil {
+	changed := in.settings
+	changed.Classes = slices.Clone(changed.Classes)
+	changed.Tenants = slices.Clone(changed.Tenants)
+	if err := change(&changed); err != nil {
 		return err
 	}
-	if len(s.Classes) != len(in.settings.Classes) || len(s.Tenants) != len(in.settings.Tenants) {
+	if len(changed.Classes) != len(in.settings.Classes) || len(changed.Tenants) != len(in.settings.Tenants) {
 		return errClassCount
 	}
-	fresh, err := New(s, in.actions)
+	fresh, err := New(changed, in.actions)
 	if err != nil {
 		return err
 	}
-	in.settings = s
+	in.settings = changed
 	in.longestObjective = fresh.longestObjective
 	in.rates.totalQuota = fresh.rates.totalQuota
 	in.rates.decay = fresh.rates.decay
@@ -103,26 +103,26 @@
 	c.requests(in)
 }
 
-func (c *coder) settings(s *Settings) {
-	whole(c, &s.Servers)
-	whole(c, &s.Callers)
-	whole(c, &s.Cores)
-	list(c, &s.Classes, func(class *Class) {
+func (c *coder) settings(settings *Settings) {
+	whole(c, &settings.Servers)
+	whole(c, &settings.Callers)
+	whole(c, &settings.Cores)
+	list(c, &settings.Classes, func(class *Class) {
 		c.times(&class.LatencyObjective, &class.Deadline, &class.KeyWindow)
 		c.floats(&class.ObjectiveStretch, &class.Weight, &class.LateWeight, &class.SkippedCallWeight)
 		whole(c, &class.Effect)
 	})
-	list(c, &s.Tenants, func(tenant *Tenant) { c.float(&tenant.Quota) })
-	c.times(&s.Tick, &s.WarmUpTime, &s.DrainGracePeriod, &s.CallAveragingTime, &s.CallLinger,
-		&s.MaxRetryAfter, &s.ResultFreshness, &s.CallerIdleTimeout)
-	c.floats(&s.InitialCapacity, &s.MemoryKB, &s.KeyKB, &s.RunningMemoryFactor, &s.MaxConcurrencyFactor,
-		&s.FairCallShare)
-	c.bools(&s.WarmingUp, &s.HasDeadlines)
-	whole(c, &s.StopMode)
-	whole(c, &s.Downstream)
-	whole(c, &s.Feedback)
+	list(c, &settings.Tenants, func(tenant *Tenant) { c.float(&tenant.Quota) })
+	c.times(&settings.Tick, &settings.WarmUpTime, &settings.DrainGracePeriod, &settings.CallAveragingTime,
+		&settings.CallLinger, &settings.MaxRetryAfter, &settings.ResultFreshness, &settings.CallerIdleTimeout)
+	c.floats(&settings.InitialCapacity, &settings.MemoryKB, &settings.KeyKB, &settings.RunningMemoryFactor,
+		&settings.MaxConcurrencyFactor, &settings.FairCallShare)
+	c.bools(&settings.WarmingUp, &settings.HasDeadlines)
+	whole(c, &settings.StopMode)
+	whole(c, &settings.Downstream)
+	whole(c, &settings.Feedback)
 	if c.version >= versionIndependentRuns {
-		c.bools(&s.IndependentRuns)
+		c.bools(&settings.IndependentRuns)
 	}
 }
 
@@ -192,15 +192,15 @@
 }
 
 // request carries one request without its pointers.
-func (c *coder) request(r *request) {
-	whole(c, &r.id)
-	whole(c, &r.class)
-	whole(c, &r.state)
-	whole(c, &r.quota)
-	whole(c, &r.call.failures)
-	c.times(&r.deadline, &r.objectiveDeadline, &r.arrivedAt, &r.call.attemptAt, &r.run.startedAt)
-	c.bools(&r.isRetry, &r.isShareable, &r.run.hasRun)
-	c.floats(&r.rateRatio, &r.sizeKB, &r.run.coreTime, &r.run.partStart)
+func (c *coder) request(req *request) {
+	whole(c, &req.id)
+	whole(c, &req.class)
+	whole(c, &req.state)
+	whole(c, &req.quota)
+	whole(c, &req.call.failures)
+	c.times(&req.deadline, &req.objectiveDeadline, &req.arrivedAt, &req.call.attemptAt, &req.run.startedAt)
+	c.bools(&req.isRetry, &req.isShareable, &req.run.hasRun)
+	c.floats(&req.rateRatio, &req.sizeKB, &req.run.coreTime, &req.run.partStart)
 }
 
 // requests carries the requests and the keys, and their pointers to each other as indexes into their lists.
@@ -213,11 +213,11 @@
 			c.key(*entry)
 		})
 	})
-	list(c, &in.requests.byArrival, func(r **request) {
+	list(c, &in.requests.byArrival, func(req **request) {
 		if c.reading {
-			*r = &request{}
+			*req = &request{}
 		}
-		c.request(*r)
+		c.request(*req)
 	})
 	c.pointers(in)
 	if slices.Contains(in.queue.requests, nil) {
@@ -234,19 +234,19 @@
 	keyIndex := indexOf(keys)
 	requests := in.requests.byArrival
 	requestIndex := indexOf(requests)
-	for _, r := range requests {
+	for _, req := range requests {
 		// A request may keep a key that expired from the table, or point to one that is finished and swept.
-		if kind := pointer(c, &r.key, keys, keyIndex); kind == pointerDetached {
+		if kind := pointer(c, &req.key, keys, keyIndex); kind == pointerDetached {
 			if c.reading {
-				r.key = &keyEntry{}
+				req.key = &keyEntry{}
 			}
-			c.key(r.key)
+			c.key(req.key)
 		}
-		if kind := pointer(c, &r.original, requests, requestIndex); kind == pointerDetached && c.reading {
-			r.original = &request{state: stateFinished}
+		if kind := pointer(c, &req.original, requests, requestIndex); kind == pointerDetached && c.reading {
+			req.original = &request{state: stateFinished}
 		}
 	}
-	list(c, &in.queue.requests, func(r **request) { pointer(c, r, requests, requestIndex) })
+	list(c, &in.queue.requests, func(req **request) { pointer(c, req, requests, requestIndex) })
 }
 
 // indexRequests checks what was read against the classes and fills the table by ID.
@@ -255,15 +255,15 @@
 	if len(in.classes) != classes || len(in.keys.byClass) != classes {
 		c.fail("its lists do not fit its classes")
 	}
-	for _, r := range in.requests.byArrival {
-		isClassKnown := r.class >= 0 && r.class < classes
-		isQuotaKnown := r.quota >= 0 && r.quota < quotaStatusCount
-		if !isClassKnown || !isQuotaKnown || r.state > stateFinished {
+	for _, req := range in.requests.byArrival {
+		isClassKnown := req.class >= 0 && req.class < classes
+		isQuotaKnown := req.quota >= 0 && req.quota < quotaStatusCount
+		if !isClassKnown || !isQuotaKnown || req.state > stateFinished {
 			c.fail("a request is out of range")
 			return
 		}
-		if r.state != stateFinished {
-			in.requests.byID[r.id] = r
+		if req.state != stateFinished {
+			in.requests.byID[req.id] = req
 		}
 	}
 }
--- a/admission/snapshotcoder.go
+++ b/admission/snapshotcoder.go
@@ -26,54 +26,54 @@
 }
 
 // whole carries a whole number of any kind as a varint.
-func whole[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](c *coder, p *T) {
-	if !c.reading {
-		c.bytes = binary.AppendVarint(c.bytes, int64(*p))
+func whole[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](coder *coder, target *T) {
+	if !coder.reading {
+		coder.bytes = binary.AppendVarint(coder.bytes, int64(*target))
 		return
 	}
-	value, size := binary.Varint(c.bytes)
+	value, size := binary.Varint(coder.bytes)
 	if size <= 0 {
-		c.fail("it ends early")
+		coder.fail("it ends early")
 		return
 	}
-	c.bytes = c.bytes[size:]
+	coder.bytes = coder.bytes[size:]
 	if int64(T(value)) != value {
-		c.fail("a number is out of range")
+		coder.fail("a number is out of range")
 		return
 	}
-	*p = T(value)
+	*target = T(value)
 }
 
 // float carries a number as its 8 bytes, least significant first.
-func (c *coder) float(p *float64) {
+func (c *coder) float(target *float64) {
 	const size = 8
 	if !c.reading {
-		c.bytes = binary.LittleEndian.AppendUint64(c.bytes, math.Float64bits(*p))
+		c.bytes = binary.LittleEndian.AppendUint64(c.bytes, math.Float64bits(*target))
 		return
 	}
 	if len(c.bytes) < size {
 		c.fail("it ends early")
 		return
 	}
-	*p = math.Float64frombits(binary.LittleEndian.Uint64(c.bytes))
+	*target = math.Float64frombits(binary.LittleEndian.Uint64(c.bytes))
 	c.bytes = c.bytes[size:]
 }
 
-func (c *coder) floats(ps ...*float64) {
-	for _, p := range ps {
+func (c *coder) floats(targets ...*float64) {
+	for _, p := range targets {
 		c.float(p)
 	}
 }
 
-func (c *coder) times(ps ...*time.Duration) {
-	for _, p := range ps {
+func (c *coder) times(targets ...*time.Duration) {
+	for _, p := range targets {
 		whole(c, p)
 	}
 }
 
 // bools carries each as a whole number, 1 for true; any other number reads as false.
-func (c *coder) bools(ps ...*bool) {
-	for _, p := range ps {
+func (c *coder) bools(targets ...*bool) {
+	for _, p := range targets {
 		value := uint8(0)
 		if *p {
 			value = 1
@@ -84,21 +84,21 @@
 }
 
 // list carries a slice, element by element; an empty one comes back as nil.
-func list[T any](c *coder, p *[]T, element func(*T)) {
-	n := len(*p)
-	whole(c, &n)
-	if c.reading {
-		if n < 0 || n > len(c.bytes) { // each element takes a byte at least
-			c.fail("a list is longer than what is left")
+func list[T any](coder *coder, target *[]T, element func(*T)) {
+	n := len(*target)
+	whole(coder, &n)
+	if coder.reading {
+		if n < 0 || n > len(coder.bytes) { // each element takes a byte at least
+			coder.fail("a list is longer than what is left")
 			return
 		}
-		*p = nil
+		*target = nil
 		if n > 0 {
-			*p = make([]T, n)
+			*target = make([]T, n)
 		}
 	}
-	for i := range *p {
-		element(&(*p)[i])
+	for i := range *target {
+		element(&(*target)[i])
 	}
 }
 
@@ -118,21 +118,21 @@
 }
 
 // pointer carries a pointer into a list as its index, or as what it is instead, and returns that.
-func pointer[T any](c *coder, p **T, list []*T, index map[*T]int) int {
-	at, isInList := index[*p]
+func pointer[T any](coder *coder, target **T, list []*T, index map[*T]int) int {
+	at, isInList := index[*target]
 	switch {
-	case *p == nil:
+	case *target == nil:
 		at = pointerNil
 	case !isInList:
 		at = pointerDetached
 	}
-	whole(c, &at)
-	if c.reading && at >= 0 {
+	whole(coder, &at)
+	if coder.reading && at >= 0 {
 		if at >= len(list) {
-			c.fail("it points beyond a list")
+			coder.fail("it points beyond a list")
 			return pointerNil
 		}
-		*p = list[at]
+		*target = list[at]
 	}
 	return at
 }
--- a/admission/stall.go
+++ b/admission/stall.go
@@ -80,10 +80,10 @@
 
 // rejectStalled rejects or fails what has no effect yet, so that it can be tried on another server.
 func (in *Instance) rejectStalled() {
-	for _, r := range in.requests.byArrival {
-		isSafeRun := r.state == stateRunning && in.settings.Classes[r.class].Effect == Safe
-		if r.state == stateQueued || isSafeRun {
-			in.rejectOrFail(r, Stalled)
+	for _, req := range in.requests.byArrival {
+		isSafeRun := req.state == stateRunning && in.settings.Classes[req.class].Effect == Safe
+		if req.state == stateQueued || isSafeRun {
+			in.rejectOrFail(req, Stalled)
 		}
 	}
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -19,7 +19,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := newHost()
+	host := newHost()
 	reader := simulatorwire.NewReader(in)
 	var batch simulatorwire.Batch
 	for {
@@ -30,11 +30,11 @@
 		if err != nil {
 			return err
 		}
-		h.reply.Reset()
-		if err := h.handle(&batch); err != nil {
+		host.reply.Reset()
+		if err := host.handle(&batch); err != nil {
 			return err
 		}
-		if err := h.reply.Flush(out); err != nil {
+		if err := host.reply.Flush(out); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -36,15 +36,15 @@
 // unexported fields of the library, and returns an error if a later version has other ones.
 func Gradient(settings admission.Settings, actions admission.Actions) (admission.Events, error) {
 	policyHost := newHost(settings, actions)
-	g := &gradient{host: policyHost, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * settings.Cores}
-	g.limiter = adaptivelimiter.NewBuilder[any]().
+	adaptive := &gradient{host: policyHost, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * settings.Cores}
+	adaptive.limiter = adaptivelimiter.NewBuilder[any]().
 		WithLimits(gradientMinLimit, uint(max(gradientMaxPerCore*settings.Cores, 2)), uint(settings.Cores)).
 		WithRecentWindow(gradientMinWindow, gradientMaxWindow, gradientMinSamples).
 		Build()
-	if err := setPrivateField(g.limiter, "nextUpdateTime", epoch); err != nil {
+	if err := setPrivateField(adaptive.limiter, "nextUpdateTime", epoch); err != nil {
 		return nil, err
 	}
-	policyHost.policy = g
+	policyHost.policy = adaptive
 	return policyHost, nil
 }
 
@@ -84,12 +84,12 @@
 	if setPrivateField(permit, "clock", g.clock) != nil || setPrivateField(permit, "startTime", g.clock.Now()) != nil {
 		return nil // TestGradient fails if the library no longer has these fields
 	}
-	r := g.oldest()
-	if r.permit != nil { // the host could not run the request the last time
-		r.permit.(adaptivelimiter.Permit).Drop()
+	next := g.oldest()
+	if next.permit != nil { // the host could not run the request the last time
+		next.permit.(adaptivelimiter.Permit).Drop()
 	}
-	r.permit = permit
-	return r
+	next.permit = permit
+	return next
 }
 
 func (g *gradient) runEnded(r *request, succeeded bool) {
--- a/internal/baseline/host.go
+++ b/internal/baseline/host.go
@@ -125,79 +125,79 @@
 }
 
 // Request implements admission.Events.
-func (h *host) Request(now time.Duration, q admission.Request) {
+func (h *host) Request(now time.Duration, arrival admission.Request) {
 	h.advance(now)
-	r := h.addRequest(now, q)
-	if r.deadline <= now { // it was unread for too long
-		h.remove(r)
-		h.actions.Fail(q.ID)
+	req := h.addRequest(now, arrival)
+	if req.deadline <= now { // it was unread for too long
+		h.remove(req)
+		h.actions.Fail(arrival.ID)
 		return
 	}
-	if left := r.deadline - deadlineMargin - now; left < 2*pollInterval { // sooner than poll would see it
+	if left := req.deadline - deadlineMargin - now; left < 2*pollInterval { // sooner than poll would see it
 		h.actions.SetTimer(max(left, minTimerDelay), deadlineToken)
 	}
-	if q.RetryOf != 0 {
-		h.actions.ReplayResult(q.ID)
+	if arrival.RetryOf != 0 {
+		h.actions.ReplayResult(arrival.ID)
 		return
 	}
 	keyKB := 0.0
-	if h.isKeyed(q.Class) {
+	if h.isKeyed(arrival.Class) {
 		keyKB = h.settings.KeyKB
 	}
-	if h.isAfterGrace(r) || !h.hasMemoryFor(keyKB) || h.policy.admit(r) == verdictReject {
-		h.reject(r)
+	if h.isAfterGrace(req) || !h.hasMemoryFor(keyKB) || h.policy.admit(req) == verdictReject {
+		h.reject(req)
 		return
 	}
-	if h.isKeyed(q.Class) {
-		until := r.arrivedAt + h.settings.Classes[q.Class].KeyWindow
-		h.actions.KeepKey(q.ID, until-now)
-		h.keptKeys = append(h.keptKeys, keptKey{q.ID, until})
+	if h.isKeyed(arrival.Class) {
+		until := req.arrivedAt + h.settings.Classes[arrival.Class].KeyWindow
+		h.actions.KeepKey(arrival.ID, until-now)
+		h.keptKeys = append(h.keptKeys, keptKey{arrival.ID, until})
 	}
-	h.queue = append(h.queue, r)
+	h.queue = append(h.queue, req)
 }
 
 // addRequest registers a request with its deadline and memory.
-func (h *host) addRequest(now time.Duration, q admission.Request) *request {
-	r := &request{Request: q, arrivedAt: now - q.QueueingDelay}
-	r.deadline = r.arrivedAt + h.settings.Classes[q.Class].Deadline
+func (h *host) addRequest(now time.Duration, arrival admission.Request) *request {
+	req := &request{Request: arrival, arrivedAt: now - arrival.QueueingDelay}
+	req.deadline = req.arrivedAt + h.settings.Classes[arrival.Class].Deadline
 	if h.draining {
-		r.deadline = min(r.deadline, h.stopAt-deadlineMargin)
+		req.deadline = min(req.deadline, h.stopAt-deadlineMargin)
 	}
-	h.requests[q.ID] = r
-	h.memoryKB += q.SizeKB
-	return r
+	h.requests[arrival.ID] = req
+	h.memoryKB += arrival.SizeKB
+	return req
 }
 
 // reject rejects a request that has not run.
-func (h *host) reject(r *request) {
-	if h.isKeyed(r.Class) {
-		if i := slices.IndexFunc(h.keptKeys, func(k keptKey) bool { return k.id == r.ID }); i >= 0 {
+func (h *host) reject(req *request) {
+	if h.isKeyed(req.Class) {
+		if i := slices.IndexFunc(h.keptKeys, func(k keptKey) bool { return k.id == req.ID }); i >= 0 {
 			h.keptKeys = slices.Delete(h.keptKeys, i, i+1)
-			h.actions.ReleaseKey(r.ID)
+			h.actions.ReleaseKey(req.ID)
 		}
 	}
-	h.remove(r)
-	h.actions.Reject(r.ID, min(retryAfter, h.settings.MaxRetryAfter), false)
+	h.remove(req)
+	h.actions.Reject(req.ID, min(retryAfter, h.settings.MaxRetryAfter), false)
 }
 
 // remove removes a finished request from all lists.
-func (h *host) remove(r *request) {
-	if r.finished {
+func (h *host) remove(req *request) {
+	if req.finished {
 		return
 	}
-	r.finished = true
-	delete(h.requests, r.ID)
-	if r.running {
+	req.finished = true
+	delete(h.requests, req.ID)
+	if req.running {
 		h.running--
-		h.memoryKB -= r.SizeKB * h.settings.RunningMemoryFactor
+		h.memoryKB -= req.SizeKB * h.settings.RunningMemoryFactor
 		return
 	}
-	h.memoryKB -= r.SizeKB
-	if i := slices.Index(h.queue, r); i >= 0 {
+	h.memoryKB -= req.SizeKB
+	if i := slices.Index(h.queue, req); i >= 0 {
 		h.queue = slices.Delete(h.queue, i, i+1)
 	}
-	if r.permit != nil { // nextToRun returned it, and it could not run
-		h.policy.runEnded(r, false)
+	if req.permit != nil { // nextToRun returned it, and it could not run
+		h.policy.runEnded(req, false)
 	}
 }
 
@@ -255,10 +255,10 @@
 }
 
 // Timer implements admission.Events.
-func (h *host) Timer(now time.Duration, token uint32, g admission.Gauges) {
+func (h *host) Timer(now time.Duration, token uint32, gauges admission.Gauges) {
 	h.advance(now)
 	if token != deadlineToken {
-		h.policy.poll(g)
+		h.policy.poll(gauges)
 		h.actions.SetTimer(pollInterval, pollToken)
 	}
 	for _, r := range h.nearDeadline() {
--- a/internal/baseline/weight_priority.go
+++ b/internal/baseline/weight_priority.go
@@ -31,14 +31,14 @@
 	return w.settings.Classes[class].Weight / max(w.runSeconds[class], minRunSeconds)
 }
 
-func (w *weightPriority) admit(r *request) verdict {
+func (w *weightPriority) admit(arrival *request) verdict {
 	wait := 0.0
 	for _, queued := range w.queue {
-		if w.weightPerSecond(queued.Class) >= w.weightPerSecond(r.Class) {
+		if w.weightPerSecond(queued.Class) >= w.weightPerSecond(arrival.Class) {
 			wait += w.runSeconds[queued.Class]
 		}
 	}
-	left := w.settings.Classes[r.Class].LatencyObjective - r.QueueingDelay
+	left := w.settings.Classes[arrival.Class].LatencyObjective - arrival.QueueingDelay
 	if wait/float64(w.settings.Cores) > left.Seconds() {
 		return verdictReject
 	}
--- a/internal/clustersim/balancing.go
+++ b/internal/clustersim/balancing.go
@@ -9,7 +9,7 @@
 )
 
 // isEligible reports whether the gateway would send a request to a server.
-func (g *gateway) isEligible(server int, r *request) bool {
+func (g *gateway) isEligible(server int, req *request) bool {
 	view, now := &g.views[server], g.sim.now
 	switch {
 	case !g.sim.endpoints.present[server]:
@@ -18,14 +18,14 @@
 		return false
 	case view.consecutiveMisses >= ejectionThreshold && view.avoidUntil > now:
 		return false
-	case g.config.HonorsFeedback && (view.avoidUntil > now || view.loadUntil > now && !g.passesFeedback(view, r)):
+	case g.config.HonorsFeedback && (view.avoidUntil > now || view.loadUntil > now && !g.passesFeedback(view, req)):
 		return false
 	}
 	return true
 }
 
 // passesFeedback reports whether a server accepts a request by the load that it advertised.
-func (g *gateway) passesFeedback(view *serverView, r *request) bool {
+func (g *gateway) passesFeedback(view *serverView, req *request) bool {
 	switch g.sim.config.Servers.Feedback {
 	case FeedbackCredit:
 		return float64(view.openAttempts) < view.load
@@ -34,40 +34,40 @@
 	case FeedbackNone:
 		return true
 	}
-	return r.priority >= view.load
+	return req.priority >= view.load
 }
 
 // isCandidate reports whether a request may go to a server that it has not been to.
-func (g *gateway) isCandidate(server int, r *request) bool {
-	return !slices.Contains(r.attemptedServers, server) && g.isEligible(server, r)
+func (g *gateway) isCandidate(server int, req *request) bool {
+	return !slices.Contains(req.attemptedServers, server) && g.isEligible(server, req)
 }
 
 // chooseServer returns the server for the next attempt of a request, or -1.
-func (g *gateway) chooseServer(r *request) int {
+func (g *gateway) chooseServer(req *request) int {
 	if len(g.subset) == 0 {
 		return -1
 	}
 	switch g.config.Balancing {
 	case RoundRobin:
-		return g.chooseInTurn(r)
+		return g.chooseInTurn(req)
 	case ResourceHash:
-		return g.chooseByHash(r)
+		return g.chooseByHash(req)
 	case Random:
-		return g.drawServer(r, -1)
+		return g.drawServer(req, -1)
 	case PowerOfTwo:
-		return g.chooseOfTwo(r)
+		return g.chooseOfTwo(req)
 	case WeightedRandom:
-		return g.chooseByWeight(r)
+		return g.chooseByWeight(req)
 	}
-	return g.chooseLowestScore(r)
+	return g.chooseLowestScore(req)
 }
 
 // chooseInTurn returns the next server in turn.
-func (g *gateway) chooseInTurn(r *request) int {
+func (g *gateway) chooseInTurn(req *request) int {
 	n := len(g.subset)
 	for range n {
 		g.lastTurn = (g.lastTurn + 1) % n
-		if i := g.subset[g.lastTurn]; g.isCandidate(i, r) {
+		if i := g.subset[g.lastTurn]; g.isCandidate(i, req) {
 			return i
 		}
 	}
@@ -75,16 +75,16 @@
 }
 
 // chooseByHash returns the server that the resource ID hashes to, or the next one after it.
-func (g *gateway) chooseByHash(r *request) int {
-	hash := r.resourceID * goldenRatio >> hashShift
-	return g.firstFrom(int(hash%uint64(len(g.subset))), r, -1)
+func (g *gateway) chooseByHash(req *request) int {
+	hash := req.resourceID * goldenRatio >> hashShift
+	return g.firstFrom(int(hash%uint64(len(g.subset))), req, -1)
 }
 
 // firstFrom returns the first server from a position of the subset on, except the excluded one, or -1.
-func (g *gateway) firstFrom(start int, r *request, excluded int) int {
+func (g *gateway) firstFrom(start int, req *request, excluded int) int {
 	n := len(g.subset)
 	for k := range n {
-		if i := g.subset[(start+k)%n]; i != excluded && g.isCandidate(i, r) {
+		if i := g.subset[(start+k)%n]; i != excluded && g.isCandidate(i, req) {
 			return i
 		}
 	}
@@ -92,12 +92,12 @@
 }
 
 // chooseOfTwo draws two servers and returns the one with fewer open attempts.
-func (g *gateway) chooseOfTwo(r *request) int {
-	first := g.drawServer(r, -1)
+func (g *gateway) chooseOfTwo(req *request) int {
+	first := g.drawServer(req, -1)
 	if first < 0 {
 		return first
 	}
-	second := g.drawServer(r, first)
+	second := g.drawServer(req, first)
 	if second >= 0 && g.views[second].openAttempts < g.views[first].openAttempts {
 		return second
 	}
@@ -105,10 +105,10 @@
 }
 
 // chooseByWeight draws a server with a probability that falls with its advertised load.
-func (g *gateway) chooseByWeight(r *request) int {
+func (g *gateway) chooseByWeight(req *request) int {
 	weights, isAny := make([]float64, len(g.subset)), false
 	for k, i := range g.subset {
-		if !g.isCandidate(i, r) {
+		if !g.isCandidate(i, req) {
 			continue
 		}
 		weights[k], isAny = 1, true
@@ -123,23 +123,23 @@
 }
 
 // drawServer draws a server, except the excluded one, or returns -1.
-func (g *gateway) drawServer(r *request, excluded int) int {
+func (g *gateway) drawServer(req *request, excluded int) int {
 	n := len(g.subset)
 	for range maxDraws {
-		if i := g.subset[g.balancingRandom.IntN(n)]; i != excluded && g.isCandidate(i, r) {
+		if i := g.subset[g.balancingRandom.IntN(n)]; i != excluded && g.isCandidate(i, req) {
 			return i
 		}
 	}
-	return g.firstFrom(g.balancingRandom.IntN(n), r, excluded)
+	return g.firstFrom(g.balancingRandom.IntN(n), req, excluded)
 }
 
 // chooseLowestScore returns the server with the lowest score; of equal ones they take turns.
-func (g *gateway) chooseLowestScore(r *request) int {
+func (g *gateway) chooseLowestScore(req *request) int {
 	best, n := -1, len(g.subset)
 	g.lastTurn = (g.lastTurn + 1) % n
 	for k := range n {
 		i := g.subset[(g.lastTurn+k)%n]
-		if !g.isCandidate(i, r) {
+		if !g.isCandidate(i, req) {
 			continue
 		}
 		if best < 0 || g.score(i) < g.score(best) {
--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -114,7 +114,7 @@
 }
 
 // attemptAnswered is called for every result of an attempt, including refused connections.
-func (c *ruleChecker) attemptAnswered(number uint64, o outcome, now time.Duration) {
+func (c *ruleChecker) attemptAnswered(number uint64, result outcome, now time.Duration) {
 	checked := c.attempts[number]
 	switch {
 	case checked == nil:
@@ -130,10 +130,10 @@
 		return
 	}
 	c.openAttempts--
-	if latest := c.latestResponse(checked); o != outcomeConnectionLost && now > latest {
+	if latest := c.latestResponse(checked); result != outcomeConnectionLost && now > latest {
 		c.recordViolation(RuleLost, "try %d is answered at %v, %v late", number, now, now-latest)
 	}
-	if o == outcomeRejected && checked.isKeyed && checked.ran {
+	if result == outcomeRejected && checked.isKeyed && checked.ran {
 		c.recordViolation(RuleDuplicate, "try %d ran and is turned away at %v", number, now)
 	}
 	if !checked.running {
@@ -160,22 +160,22 @@
 
 // runStarted is called when an attempt starts to run.
 func (c *ruleChecker) runStarted(number uint64, server int, now time.Duration) {
-	checked, s := c.attempts[number], &c.servers[server]
+	checked, account := c.attempts[number], &c.servers[server]
 	if checked == nil {
 		c.recordViolation(RuleLost, "try %d runs after its end, at %v", number, now)
 		return
 	}
 	if checked.isKeyed {
-		if first, ok := s.lastRunArrival[checked.key]; ok && checked.arrivedAt < first+checked.window {
+		if first, ok := account.lastRunArrival[checked.key]; ok && checked.arrivedAt < first+checked.window {
 			c.recordViolation(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", checked.key, server, now, checked.arrivedAt-first)
 		}
-		s.lastRunArrival[checked.key] = checked.arrivedAt
+		account.lastRunArrival[checked.key] = checked.arrivedAt
 	}
-	if s.draining && checked.arrivedAt > s.graceEnd {
-		c.recordViolation(RuleDrain, "try %d came %v after the grace and runs", number, checked.arrivedAt-s.graceEnd)
+	if account.draining && checked.arrivedAt > account.graceEnd {
+		c.recordViolation(RuleDrain, "try %d came %v after the grace and runs", number, checked.arrivedAt-account.graceEnd)
 	}
 	checked.running, checked.ran = true, true
-	s.memoryKB += checked.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
+	account.memoryKB += checked.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
 }
 
 // runEnded is called when a run ends or is stopped.
@@ -202,15 +202,15 @@
 
 // keyReleased is called when a server releases an attempt's key.
 func (c *ruleChecker) keyReleased(server int, number uint64) {
-	s := &c.servers[server]
-	until, ok := s.expiryByAttempt[number]
+	account := &c.servers[server]
+	until, ok := account.expiryByAttempt[number]
 	if !ok {
 		return
 	}
-	delete(s.expiryByAttempt, number)
-	for i := len(s.keyExpiries) - 1; i >= 0; i-- {
-		if s.keyExpiries[i] == until {
-			s.keyExpiries = append(s.keyExpiries[:i], s.keyExpiries[i+1:]...)
+	delete(account.expiryByAttempt, number)
+	for i := len(account.keyExpiries) - 1; i >= 0; i-- {
+		if account.keyExpiries[i] == until {
+			account.keyExpiries = append(account.keyExpiries[:i], account.keyExpiries[i+1:]...)
 			return
 		}
 	}
@@ -263,23 +263,23 @@
 // serverStopped is called when a process ends. A drained process must have answered all that it has read. One that is
 // killed has an excuse, and unread requests were never accepted.
 func (c *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
-	s, unanswered := &c.servers[server], 0
-	for number := range s.attempts { // the order of the map does not matter: they are only counted
-		a := c.attempts[number]
-		if a.read && !a.answered && !killed {
+	account, unanswered := &c.servers[server], 0
+	for number := range account.attempts { // the order of the map does not matter: they are only counted
+		attempt := c.attempts[number]
+		if attempt.read && !attempt.answered && !killed {
 			unanswered++
 		}
-		a.running = false
-		if a.answered {
+		attempt.running = false
+		if attempt.answered {
 			delete(c.attempts, number)
 		} else {
-			a.read = false // its memory is freed with the process
+			attempt.read = false // its memory is freed with the process
 		}
 	}
 	if unanswered > 0 {
 		c.recordViolation(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, unanswered)
 	}
-	s.memoryKB, s.attempts = 0, map[uint64]bool{}
+	account.memoryKB, account.attempts = 0, map[uint64]bool{}
 }
 
 // finish records the attempts that were never answered.
--- a/internal/clustersim/event.go
+++ b/internal/clustersim/event.go
@@ -78,31 +78,31 @@
 }
 
 // reschedule moves an event to another time, or adds it again if it does not wait.
-func (q *eventQueue) reschedule(e *event, at time.Duration) {
-	e.at = at
-	e.seq = q.seq
+func (q *eventQueue) reschedule(event *event, at time.Duration) {
+	event.at = at
+	event.seq = q.seq
 	q.seq++
-	if e.index < 0 {
-		e.index = len(q.heap)
-		q.heap = append(q.heap, e)
-		q.up(e.index)
+	if event.index < 0 {
+		event.index = len(q.heap)
+		q.heap = append(q.heap, event)
+		q.up(event.index)
 		return
 	}
-	if !q.up(e.index) {
-		q.down(e.index)
+	if !q.up(event.index) {
+		q.down(event.index)
 	}
 }
 
 // cancel removes an event; nil and an event that does not wait are ignored. The queue does not reuse the event.
-func (q *eventQueue) cancel(e *event) {
-	if e == nil || e.index < 0 {
+func (q *eventQueue) cancel(event *event) {
+	if event == nil || event.index < 0 {
 		return
 	}
-	i, last := e.index, len(q.heap)-1
+	i, last := event.index, len(q.heap)-1
 	q.swap(i, last)
 	q.heap[last] = nil
 	q.heap = q.heap[:last]
-	e.index = -1
+	event.index = -1
 	if i < last && !q.up(i) {
 		q.down(i)
 	}
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -93,25 +93,25 @@
 }
 
 // handle implements eventHandler.
-func (g *gateway) handle(e *event) {
-	switch e.kind {
+func (g *gateway) handle(event *event) {
+	switch event.kind {
 	case eventAttemptResult:
-		g.handleResult(e.payload.(*attemptResult))
+		g.handleResult(event.payload.(*attemptResult))
 	case eventClientDeadline:
-		r := e.payload.(*request)
+		r := event.payload.(*request)
 		r.deadlineEvent = nil
 		g.completeUnserved(r, outcomeTimedOut)
 	case eventAttemptTimeout:
-		g.handleAttemptTimeout(e.payload.(*attempt))
+		g.handleAttemptTimeout(event.payload.(*attempt))
 	case eventRetry:
-		r := e.payload.(*request)
+		r := event.payload.(*request)
 		if r.retryEvent = nil; !r.finished {
 			g.sendAttempt(r, outcomeRejected)
 		}
 	case eventHealthCheck:
 		g.checkHealth()
 	case eventResend:
-		g.resend(e.payload.(*request))
+		g.resend(event.payload.(*request))
 	}
 }
 
@@ -126,18 +126,18 @@
 }
 
 // accept takes a new request of a client.
-func (g *gateway) accept(r *request) {
+func (g *gateway) accept(req *request) {
 	g.retryTokens = min(g.retryTokens+g.config.RetryBudget, retryBudgetBurst)
-	g.setClientDeadline(r)
-	g.sendAttempt(r, outcomeUnreachable)
+	g.setClientDeadline(req)
+	g.sendAttempt(req, outcomeUnreachable)
 }
 
 // setClientDeadline schedules the time at which the client gives up.
-func (g *gateway) setClientDeadline(r *request) {
-	r.deadlineEvent = nil
+func (g *gateway) setClientDeadline(req *request) {
+	req.deadlineEvent = nil
 	if !g.config.NoClientTimeout {
-		deadline := g.sim.now + g.sim.config.Classes[r.class].Deadline
-		r.deadlineEvent = g.sim.events.schedule(deadline, g, eventClientDeadline, r)
+		deadline := g.sim.now + g.sim.config.Classes[req.class].Deadline
+		req.deadlineEvent = g.sim.events.schedule(deadline, g, eventClientDeadline, req)
 	}
 }
 
@@ -155,46 +155,46 @@
 
 // sendAttempt sends a request to a server. If no server is eligible and no attempt is open, the request ends with the
 // outcome of the attempt before.
-func (g *gateway) sendAttempt(r *request, previous outcome) {
-	i := r.stickyServer
-	if i < 0 {
-		i = g.chooseServer(r)
-	} else if !g.isEligible(i, r) {
-		i = -1
+func (g *gateway) sendAttempt(req *request, previous outcome) {
+	chosen := req.stickyServer
+	if chosen < 0 {
+		chosen = g.chooseServer(req)
+	} else if !g.isEligible(chosen, req) {
+		chosen = -1
 	}
-	if i < 0 {
-		if r.openAttempts == 0 {
-			g.completeUnserved(r, previous)
+	if chosen < 0 {
+		if req.openAttempts == 0 {
+			g.completeUnserved(req, previous)
 		}
 		return
 	}
-	target := g.sim.servers[i]
+	target := g.sim.servers[chosen]
 	g.sim.attempts++
-	r.attempts++
-	r.openAttempts++
-	r.attemptedServers = append(r.attemptedServers, i)
-	a := &attempt{
+	req.attempts++
+	req.openAttempts++
+	req.attemptedServers = append(req.attemptedServers, chosen)
+	sent := &attempt{
 		number:     g.sim.attempts,
-		request:    r,
+		request:    req,
 		server:     target,
 		generation: target.generation,
-		isRetry:    r.attempts > 1,
+		isRetry:    req.attempts > 1,
 		sentAt:     g.sim.now,
 	}
-	g.views[i].openAttempts++
+	g.views[chosen].openAttempts++
 	g.sim.result.Attempts++
-	class := &g.sim.config.Classes[r.class]
-	g.sim.checker.attemptSent(a.number, r.key, class, r.sizeKB)
-	g.sim.events.schedule(g.sim.now+g.sim.networkDelay(), target, eventAttemptArrival, a)
-	if g.hasAttemptTimeout(r, class) {
+	class := &g.sim.config.Classes[req.class]
+	g.sim.checker.attemptSent(sent.number, req.key, class, req.sizeKB)
+	g.sim.events.schedule(g.sim.now+g.sim.networkDelay(), target, eventAttemptArrival, sent)
+	if g.hasAttemptTimeout(req, class) {
 		timeout := time.Duration(g.config.AttemptTimeoutFactor * float64(class.LatencyObjective))
-		a.timeoutEvent = g.sim.events.schedule(g.sim.now+timeout, g, eventAttemptTimeout, a)
+		sent.timeoutEvent = g.sim.events.schedule(g.sim.now+timeout, g, eventAttemptTimeout, sent)
 	}
 }
 
 // hasAttemptTimeout reports whether the gateway sends another attempt if the last one of a request takes long.
-func (g *gateway) hasAttemptTimeout(r *request, class *Class) bool {
-	if g.config.AttemptTimeoutFactor <= 0 || r.attempts >= g.config.MaxAttempts {
+func (g *gateway) hasAttemptTimeout(req *request, class *Class) bool {
+	if g.config.AttemptTimeoutFactor <= 0 || req.attempts >= g.config.MaxAttempts {
 		return false
 	}
 	return g.config.Retry == RetryOnTimeout || g.config.Retry == RetryHedged && !class.IdempotentByKey
@@ -204,33 +204,33 @@
 // may be running there.
 func (g *gateway) handleAttemptTimeout(a *attempt) {
 	a.timeoutEvent = nil
-	r := a.request
-	if a.resultKnown || r.finished || r.attempts >= g.config.MaxAttempts {
+	req := a.request
+	if a.resultKnown || req.finished || req.attempts >= g.config.MaxAttempts {
 		return
 	}
-	if r.key != 0 {
-		r.stickyServer = a.server.index
+	if req.key != 0 {
+		req.stickyServer = a.server.index
 	}
 	g.sim.result.Retries++
-	g.sendAttempt(r, outcomeTimedOut)
+	g.sendAttempt(req, outcomeTimedOut)
 }
 
 // handleResult takes in the result of an attempt.
 func (g *gateway) handleResult(result *attemptResult) {
-	done := result.attempt
-	r := done.request
-	done.resultKnown = true
-	g.sim.events.cancel(done.timeoutEvent)
-	done.timeoutEvent = nil
-	r.openAttempts--
+	attempt := result.attempt
+	req := attempt.request
+	attempt.resultKnown = true
+	g.sim.events.cancel(attempt.timeoutEvent)
+	attempt.timeoutEvent = nil
+	req.openAttempts--
 	g.sim.result.recordAttempt(result, g.sim.now)
 	g.updateView(result)
 	switch {
-	case r.finished:
+	case req.finished:
 	case result.outcome == outcomeServed:
-		g.completeServed(r)
-	case r.retryEvent == nil:
-		g.retryOrComplete(r, result)
+		g.completeServed(req)
+	case req.retryEvent == nil:
+		g.retryOrComplete(req, result)
 	}
 }
 
@@ -256,61 +256,61 @@
 }
 
 // completeServed ends a request that was served. Its client may send it again after a while.
-func (g *gateway) completeServed(r *request) {
-	g.finish(r)
-	g.sim.result.recordServed(r, g.sim.now)
-	isResent := r.key != 0 && !r.isResend && g.config.ResendShare > 0 && g.retryRandom.Float64() < g.config.ResendShare
+func (g *gateway) completeServed(req *request) {
+	g.finish(req)
+	g.sim.result.recordServed(req, g.sim.now)
+	isResent := req.key != 0 && !req.isResend && g.config.ResendShare > 0 && g.retryRandom.Float64() < g.config.ResendShare
 	if isResent && g.sim.now < g.sim.config.Duration {
-		r.stickyServer = r.attemptedServers[len(r.attemptedServers)-1]
+		req.stickyServer = req.attemptedServers[len(req.attemptedServers)-1]
 		delay := time.Duration(g.retryRandom.Float64() * float64(resendWindow))
-		g.sim.events.schedule(g.sim.now+delay, g, eventResend, r)
+		g.sim.events.schedule(g.sim.now+delay, g, eventResend, req)
 	}
 }
 
 // completeUnserved ends a request that was not served.
-func (g *gateway) completeUnserved(r *request, why outcome) {
-	if r.finished {
+func (g *gateway) completeUnserved(req *request, why outcome) {
+	if req.finished {
 		return
 	}
-	g.finish(r)
-	g.sim.result.recordUnserved(r, why, g.sim.now)
+	g.finish(req)
+	g.sim.result.recordUnserved(req, why, g.sim.now)
 }
 
 // finish ends a request and cancels its timers.
-func (g *gateway) finish(r *request) {
-	r.finished = true
-	g.sim.events.cancel(r.deadlineEvent)
-	g.sim.events.cancel(r.retryEvent)
-	r.deadlineEvent, r.retryEvent = nil, nil
+func (g *gateway) finish(req *request) {
+	req.finished = true
+	g.sim.events.cancel(req.deadlineEvent)
+	g.sim.events.cancel(req.retryEvent)
+	req.deadlineEvent, req.retryEvent = nil, nil
 	g.sim.result.openRequests--
 }
 
 // retryOrComplete decides whether a request is retried after an attempt that did not serve it.
-func (g *gateway) retryOrComplete(r *request, result *attemptResult) {
-	if !g.takeRetry(r, result) {
-		if r.openAttempts == 0 {
-			g.completeUnserved(r, result.outcome)
+func (g *gateway) retryOrComplete(req *request, result *attemptResult) {
+	if !g.takeRetry(req, result) {
+		if req.openAttempts == 0 {
+			g.completeUnserved(req, result.outcome)
 		}
 		return
 	}
 	g.sim.result.Retries++
 	if g.config.Retry != RetryBackoff {
-		g.sendAttempt(r, result.outcome)
+		g.sendAttempt(req, result.outcome)
 		return
 	}
-	r.attemptedServers = nil // all servers are candidates again
+	req.attemptedServers = nil // all servers are candidates again
 	backoff := float64(max(result.advice.retryAfter, minRetryAfter))
 	wait := time.Duration(backoff * (1 + g.retryRandom.Float64()))
-	r.retryEvent = g.sim.events.schedule(g.sim.now+wait, g, eventRetry, r)
+	req.retryEvent = g.sim.events.schedule(g.sim.now+wait, g, eventRetry, req)
 }
 
 // takeRetry reports whether the gateway's policy allows a retry, and takes it out of the budget.
-func (g *gateway) takeRetry(r *request, result *attemptResult) bool {
+func (g *gateway) takeRetry(req *request, result *attemptResult) bool {
 	mayHaveRun := result.outcome == outcomeFailed || result.outcome == outcomeConnectionLost
-	if mayHaveRun && g.sim.config.Classes[r.class].mustRunOnce() {
+	if mayHaveRun && g.sim.config.Classes[req.class].mustRunOnce() {
 		return false
 	}
-	if r.attempts >= g.config.MaxAttempts || g.config.Retry == RetryNever {
+	if req.attempts >= g.config.MaxAttempts || g.config.Retry == RetryNever {
 		return false
 	}
 	if result.advice.noRetry && (g.config.HonorsFeedback || g.config.Retry == RetryBackoff) {
--- a/internal/clustersim/keys.go
+++ b/internal/clustersim/keys.go
@@ -76,9 +76,9 @@
 		return nil
 	}
 	delete(t.held, id)
-	e := t.entries[key]
-	holder := e.holder
-	if e.holder = nil; e.lastRun == nil {
+	entry := t.entries[key]
+	holder := entry.holder
+	if entry.holder = nil; entry.lastRun == nil {
 		delete(t.entries, key)
 	}
 	return holder
--- a/internal/clustersim/random.go
+++ b/internal/clustersim/random.go
@@ -45,9 +45,9 @@
 	for _, w := range weights {
 		total += w
 	}
-	x := rng.Float64() * total
+	remaining := rng.Float64() * total
 	for i, w := range weights {
-		if x -= w; x < 0 {
+		if remaining -= w; remaining < 0 {
 			return i
 		}
 	}
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -131,15 +131,15 @@
 }
 
 // handle implements eventHandler.
-func (s *server) handle(e *event) {
-	if s.pauses > 0 && e.kind != eventStart {
-		postponed := *e // the queue reuses the event
+func (s *server) handle(event *event) {
+	if s.pauses > 0 && event.kind != eventStart {
+		postponed := *event // the queue reuses the event
 		s.pausedEvents = append(s.pausedEvents, &postponed)
 		return
 	}
-	switch e.kind {
+	switch event.kind {
 	case eventAttemptArrival:
-		s.acceptAttempt(e.payload.(*attempt))
+		s.acceptAttempt(event.payload.(*attempt))
 	case eventJobsDone:
 		if s.isUp {
 			s.completeJobs()
@@ -149,21 +149,21 @@
 			s.start(true)
 		}
 	default:
-		if s.isUp && int(e.generation) == s.generation {
-			s.handleProcessEvent(e)
+		if s.isUp && int(event.generation) == s.generation {
+			s.handleProcessEvent(event)
 		}
 	}
 }
 
 // handleProcessEvent handles an event that the current process has scheduled.
-func (s *server) handleProcessEvent(e *event) {
-	switch e.kind {
+func (s *server) handleProcessEvent(event *event) {
+	switch event.kind {
 	case eventModuleTimer:
 		s.advance()
-		s.module.Timer(s.sim.now, uint32(e.payload.(timerToken)), s.gauges())
+		s.module.Timer(s.sim.now, uint32(event.payload.(timerToken)), s.gauges())
 		s.markUnsettled()
 	case eventDeferred:
-		e.payload.(func())()
+		event.payload.(func())()
 	case eventConcurrencyCheck:
 		s.checkConcurrency()
 	case eventWarmUp:
--- a/internal/clustersim/server_actions.go
+++ b/internal/clustersim/server_actions.go
@@ -19,38 +19,38 @@
 
 // Run implements admission.Actions.
 func (s *server) Run(id admission.RequestID) {
-	a := s.openAttempt(id)
-	if a == nil || a.state != stateQueued {
+	attempt := s.openAttempt(id)
+	if attempt == nil || attempt.state != stateQueued {
 		return
 	}
-	if class := &s.sim.config.Classes[a.request.class]; class.IdempotentByKey {
-		if !s.claimKey(a, class) {
+	if class := &s.sim.config.Classes[attempt.request.class]; class.IdempotentByKey {
+		if !s.claimKey(attempt, class) {
 			return
 		}
 	}
 	s.advance()
-	a.state = stateRunning
-	s.sim.checker.runStarted(a.number, s.index, s.sim.now)
-	a.job = &job{attempt: a}
-	s.cores.add(a.job, a.request.work)
+	attempt.state = stateRunning
+	s.sim.checker.runStarted(attempt.number, s.index, s.sim.now)
+	attempt.job = &job{attempt: attempt}
+	s.cores.add(attempt.job, attempt.request.work)
 	s.checkMemory()
 }
 
 // claimKey records that an attempt runs under its key. If another one ran under it before, the attempt fails instead: the
 // server prevents second runs whatever the module decides.
-func (s *server) claimKey(a *attempt, class *Class) bool {
-	e := s.keys.entry(a.request.key)
-	if e.lastRun != nil && e.lastRun != a && a.arrivedAt <= e.lastRunUntil {
+func (s *server) claimKey(attempt *attempt, class *Class) bool {
+	entry := s.keys.entry(attempt.request.key)
+	if entry.lastRun != nil && entry.lastRun != attempt && attempt.arrivedAt <= entry.lastRunUntil {
 		s.sim.result.PreventedReruns++
-		a.state = stateEnded
-		s.respond(a, outcomeFailed, retryAdvice{})
+		attempt.state = stateEnded
+		s.respond(attempt, outcomeFailed, retryAdvice{})
 		s.deferCall(func() {
-			s.module.RunFinished(s.sim.now, a.id, admission.Failed)
+			s.module.RunFinished(s.sim.now, attempt.id, admission.Failed)
 			s.markUnsettled()
 		})
 		return false
 	}
-	e.lastRun, e.lastRunUntil = a, a.arrivedAt+class.KeyWindow
+	entry.lastRun, entry.lastRunUntil = attempt, attempt.arrivedAt+class.KeyWindow
 	return true
 }
 
@@ -107,21 +107,21 @@
 
 // ReplayResult implements admission.Actions. If the original has not ended, the attempt follows it.
 func (s *server) ReplayResult(id admission.RequestID) {
-	a := s.openAttempt(id)
-	if a == nil || a.original == nil {
+	attempt := s.openAttempt(id)
+	if attempt == nil || attempt.original == nil {
 		return
 	}
-	source := a.original
-	if e := s.keys.entries[a.request.key]; e != nil && e.lastRun != nil {
+	source := attempt.original
+	if e := s.keys.entries[attempt.request.key]; e != nil && e.lastRun != nil {
 		source = e.lastRun
 	}
 	isOpen := source.state == stateRunning || source.state == stateQueued
-	a.state = stateFollowing
+	attempt.state = stateFollowing
 	if isOpen {
-		source.followers = append(source.followers, a)
+		source.followers = append(source.followers, attempt)
 		return
 	}
-	s.deferCall(func() { s.replayOutcome(a, source.succeeded) })
+	s.deferCall(func() { s.replayOutcome(attempt, source.succeeded) })
 }
 
 // AdvertiseLoad implements admission.Actions.
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -12,16 +12,16 @@
 }
 
 // acceptAttempt accepts an attempt that reached the machine, or refuses the connection.
-func (s *server) acceptAttempt(a *attempt) {
+func (s *server) acceptAttempt(attempt *attempt) {
 	config := &s.sim.config.Servers
 	isBacklogFull := len(s.backlog) >= config.BacklogPerCore*config.Cores
-	if !s.isUp || s.listenerClosed || a.generation != s.generation || isBacklogFull {
-		s.sim.deliverResult(a, outcomeUnreachable, retryAdvice{})
+	if !s.isUp || s.listenerClosed || attempt.generation != s.generation || isBacklogFull {
+		s.sim.deliverResult(attempt, outcomeUnreachable, retryAdvice{})
 		return
 	}
-	a.arrivedAt = s.sim.now
-	s.sim.checker.attemptArrived(a.number, s.index, s.sim.now)
-	s.backlog = append(s.backlog, a)
+	attempt.arrivedAt = s.sim.now
+	s.sim.checker.attemptArrived(attempt.number, s.index, s.sim.now)
+	s.backlog = append(s.backlog, attempt)
 	s.advance()
 	s.startReading()
 	s.rescheduleCores()
@@ -103,36 +103,36 @@
 }
 
 // completeRun tells the gateway and the module how a run ended, and answers the attempts that followed it.
-func (s *server) completeRun(a *attempt, o admission.Outcome) {
-	a.state, a.succeeded = stateEnded, o == admission.OK
-	if a.succeeded {
-		s.respond(a, outcomeServed, retryAdvice{})
+func (s *server) completeRun(attempt *attempt, result admission.Outcome) {
+	attempt.state, attempt.succeeded = stateEnded, result == admission.OK
+	if attempt.succeeded {
+		s.respond(attempt, outcomeServed, retryAdvice{})
 	} else {
-		s.respond(a, outcomeFailed, retryAdvice{})
+		s.respond(attempt, outcomeFailed, retryAdvice{})
 	}
-	s.module.RunFinished(s.sim.now, a.id, o)
-	for _, follower := range a.followers {
-		s.replayOutcome(follower, a.succeeded)
+	s.module.RunFinished(s.sim.now, attempt.id, result)
+	for _, follower := range attempt.followers {
+		s.replayOutcome(follower, attempt.succeeded)
 	}
-	a.followers = nil
-	s.releaseIfDone(a)
+	attempt.followers = nil
+	s.releaseIfDone(attempt)
 	s.markUnsettled()
 	s.stopIfDrained()
 }
 
 // replayOutcome answers a repeat with the outcome of the attempt that ran.
-func (s *server) replayOutcome(a *attempt, succeeded bool) {
-	if a.answered {
+func (s *server) replayOutcome(attempt *attempt, succeeded bool) {
+	if attempt.answered {
 		return
 	}
 	moduleOutcome, gatewayOutcome := admission.Failed, outcomeFailed
 	if succeeded {
 		moduleOutcome, gatewayOutcome = admission.OK, outcomeServed
 	}
-	a.state = stateEnded
-	s.respond(a, gatewayOutcome, retryAdvice{})
-	s.module.RunFinished(s.sim.now, a.id, moduleOutcome)
-	s.releaseIfDone(a)
+	attempt.state = stateEnded
+	s.respond(attempt, gatewayOutcome, retryAdvice{})
+	s.module.RunFinished(s.sim.now, attempt.id, moduleOutcome)
+	s.releaseIfDone(attempt)
 	s.markUnsettled()
 }
 
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -156,18 +156,18 @@
 
 // step handles the next event and reports whether there was one that counts.
 func (s *simulation) step() bool {
-	e := s.events.pop()
-	if e == nil {
+	event := s.events.pop()
+	if event == nil {
 		return false
 	}
-	if e.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
+	if event.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
 		return false // all requests have ended: only the modules' own timers are left
 	}
-	s.now = e.at
+	s.now = event.at
 	s.result.Events++
-	e.target.handle(e)
-	if e.kind != eventJobsDone { // a server keeps that event and schedules it again
-		s.events.release(e)
+	event.target.handle(event)
+	if event.kind != eventJobsDone { // a server keeps that event and schedules it again
+		s.events.release(event)
 	}
 	if len(s.unsettled) > 0 && !s.events.hasEventAt(s.now) {
 		s.settleAll()
@@ -184,21 +184,21 @@
 }
 
 // handle implements eventHandler.
-func (s *simulation) handle(e *event) {
-	switch e.kind {
+func (s *simulation) handle(event *event) {
+	switch event.kind {
 	case eventRequestArrival:
 		r := s.source.nextRequest()
 		s.result.recordOffered(r)
 		r.gateway.accept(r)
 		s.scheduleNextRequest()
 	case eventEndpointChange:
-		s.endpoints.apply(e.payload.(endpointChange))
+		s.endpoints.apply(event.payload.(endpointChange))
 	case eventIncidentBegin:
-		e.payload.(*activeIncident).begin()
+		event.payload.(*activeIncident).begin()
 	case eventIncidentEnd:
-		e.payload.(*activeIncident).end()
+		event.payload.(*activeIncident).end()
 	case eventDeployStep:
-		e.payload.(*activeIncident).deployNextBatch()
+		event.payload.(*activeIncident).deployNextBatch()
 	}
 }
 
--- a/internal/simulatorwire/reader.go
+++ b/internal/simulatorwire/reader.go
@@ -31,7 +31,7 @@
 
 // Next fills the batch with the next frame; it returns io.EOF at a clean end of input. The events' byte slices are
 // valid until the next call.
-func (r *Reader) Next(b *Batch) error {
+func (r *Reader) Next(batch *Batch) error {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r.in, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
@@ -51,15 +51,15 @@
 	if err := r.readBody(size); err != nil {
 		return err
 	}
-	b.Now = now
-	b.Events = b.Events[:0]
+	batch.Now = now
+	batch.Events = batch.Events[:0]
 	tail := r.body[count*eventSize:]
 	for i := range count {
 		event, err := decodeEvent(r.body[i*eventSize:(i+1)*eventSize], tail)
 		if err != nil {
 			return fmt.Errorf("frame: record %d: %w", i, err)
 		}
-		b.Events = append(b.Events, event)
+		batch.Events = append(batch.Events, event)
 	}
 	return nil
 }
