--- a/admission/admission.go
+++ b/admission/admission.go
@@ -84,9 +84,10 @@
 	return min(req.arrivedAt+objective-in.ageBeforeRetry(arrival), req.deadline)
 }
 
-// ageBeforeRetry is how long before this attempt the first of its request began, as far as that can be
-// told. A caller waits for a first attempt as long as its configured timeout, and for a retry at most until
-// the deadline of all attempts: one that waits longer than any first attempt shows by that what is left.
+// ageBeforeRetry estimates how long before this attempt the first attempt of its request began. A caller
+// waits for a first attempt as long as its configured timeout, and for a retry at most until the deadline
+// of all attempts. A retry whose caller waits longer than for any first attempt so reveals the time that is
+// left, and the deadline less that is the age. 0 = not known.
 func (in *Instance) ageBeforeRetry(arrival Request) time.Duration {
 	class := &in.classes[arrival.Class]
 	wait := arrival.RemainingTime + max(arrival.QueueingDelay, 0)
@@ -102,7 +103,8 @@
 	return max(in.settings.Classes[arrival.Class].Deadline-wait, 0)
 }
 
-// isCoalesced tells whether the request is answered by the result of the one that it repeats.
+// isCoalesced tells whether the request is answered by the result of the one that it repeats. A retry of a
+// request that was never started is a new request.
 func (in *Instance) isCoalesced(req *request, arrival Request) bool {
 	if arrival.RetryOf == 0 || in.keys.notStarted[arrival.RetryOf] {
 		return false
@@ -110,9 +112,9 @@
 	return in.settings.Classes[req.class].Effect != NonIdempotent
 }
 
-// coalesce takes in a retry of a request, or a read whose result may be shared. If the original was run its
-// result is the answer; if it is still queued the request follows it, and takes its place if the original
-// is given up.
+// coalesce joins a retry, or a read whose result may be shared, to its original. If the original was run
+// its result is the answer. If it is still queued the request follows it, and takes its place in the queue
+// if the original ends without a run.
 func (in *Instance) coalesce(req *request, id RequestID) {
 	original := in.requests.byID[id]
 	for original != nil && original.state == stateFollowing {
@@ -170,10 +172,10 @@
 	return Admitted
 }
 
-// isOverThreshold is the design's test of the rate, its threshold stretched by how short the predicted wait
-// is: a tenant just over its quota share is rejected from half an objective of wait on, at twice its share
-// from a quarter, and one within it never by this test. The objective is the longest of all classes, so
-// that it prefers none.
+// isOverThreshold is EARRRL's test of the rate, with a threshold that rises as the predicted wait falls: a
+// tenant just over its quota share is rejected from a wait of half an objective on, one at twice its share
+// from a quarter, and one within its share never. The objective is the longest of all classes, so that no
+// class is preferred.
 func (in *Instance) isOverThreshold(req *request, wait float64) bool {
 	return req.rateRatio > 1 && req.rateRatio*wait > in.longestObjective.Seconds()/thresholdWaitDivisor
 }
@@ -183,9 +185,9 @@
 	return (req.objectiveDeadline - in.clock.now - in.expectedRunTime(req)).Seconds()
 }
 
-// fitsInMemory tells whether the memory has room to queue the request, to keep its key, and to run one like
-// it on each core, or as many as fit into half of what keys leave: if queued requests took that room too,
-// none of them could ever run.
+// fitsInMemory tells whether the memory has room to queue the request and to keep its key. Room for runs is
+// reserved: one like the request on each core, or as many as fit into half of what keys leave. If queued
+// requests took that room too, none of them could ever run.
 func (in *Instance) fitsInMemory(req *request) bool {
 	usable := in.settings.MemoryKB * usableMemory
 	oneRun := in.settings.RunningMemoryFactor * req.sizeKB
@@ -199,7 +201,7 @@
 }
 
 // rejectOrFail answers a request that is not served: it is rejected, or failed if its work began. A run
-// that still goes on is stopped if it can be.
+// that is still in progress is stopped if it can be.
 func (in *Instance) rejectOrFail(req *request, reason Reason) {
 	if req.state == stateRunning && !in.stall.isStalled {
 		elapsed := (in.clock.now - req.run.startedAt).Seconds()
@@ -233,10 +235,10 @@
 	}
 }
 
-// retryAfter is the advice of a rejection: the longest while nothing can be served here. Else it is the
-// predicted wait, or for a tenant over its quota share the time in which its estimate decays to it, and in
-// a retry storm half an objective, which is also the most: longer advice makes all callers leave the cores
-// idle and return at once.
+// retryAfter is the Retry-After of a rejection. While nothing can be served here it is the longest that is
+// honoured. Otherwise it is the predicted wait, or for a tenant over its quota share the time in which its
+// rate estimate decays to the share. In a retry storm it is half an objective, which is also the maximum:
+// after a longer one all callers leave the cores idle and return at the same time.
 func (in *Instance) retryAfter(req *request) time.Duration {
 	if in.stall.isStalled || in.drain.isDraining {
 		return in.settings.MaxRetryAfter
@@ -267,7 +269,8 @@
 	in.remove(req)
 }
 
-// abandon leaves a run to itself and stops it if that is possible and has no effect.
+// abandon marks a run whose result nobody waits for, and stops it if that is possible and leaves no partial
+// effect.
 func (in *Instance) abandon(req *request) {
 	in.classes[req.class].runTime.countFailure(in.clock.now)
 	// A request at its call ends by itself, but the dependency may go on with the call.
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -25,7 +25,8 @@
 	expectActions(t, rec, "refuse", "refuse 100 1s false") // it is far over its quota share
 }
 
-// Every rejection tells when to come back. A tenant over its quota share hears when its estimate will be back there.
+// TestRejectionTellsWhenToRetry checks the retry-after of rejections. For a tenant over its quota share it is the time
+// after which its rate estimate has decayed to the share.
 func TestRejectionTellsWhenToRetry(t *testing.T) {
 	s := testSettings()
 	in, _ := newTestInstance(t, s)
@@ -78,9 +79,9 @@
 	expectActions(t, rec, "refuse")
 }
 
-// TestRetryAfterIsAtMostHalfAnObjective has rejections keep callers away no longer than half of the longest
-// objective, however long is honoured: in the model all gateways left for five seconds at once, the cores stood idle,
-// and they came back at once.
+// TestRetryAfterIsAtMostHalfAnObjective checks that the retry-after in a retry storm is half of the longest objective,
+// even if callers honour a longer one: in the simulation all gateways stayed away for five seconds, the cores were
+// idle, and then all gateways returned at the same time.
 func TestRetryAfterIsAtMostHalfAnObjective(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = time.Minute
@@ -122,7 +123,7 @@
 		in.Request(10*time.Second, q)
 		return in.requests.byID[id].objectiveDeadline - 10*time.Second
 	}
-	// Objective 2 s, deadline 6 s. Nothing is known of a retry before a first one was seen.
+	// Objective 2 s, deadline 6 s. The age of a retry is not known before the first first attempt.
 	for i, c := range []struct {
 		retry        bool
 		budget, want time.Duration
@@ -144,7 +145,7 @@
 	}
 }
 
-// TestThresholdPrefersNoClass judges a tenant over its quota share alike whichever class it asks for.
+// TestThresholdPrefersNoClass checks that the threshold of a tenant over its quota share does not depend on the class.
 func TestThresholdPrefersNoClass(t *testing.T) {
 	s := newDriver(t, twoClassSettings())
 	for _, wait := range []float64{0.2, 0.5, 1, 2, 4} {
@@ -186,8 +187,8 @@
 	}
 }
 
-// TestKeysLeaveLargeRequestsRoom keeps keys in most of the memory: a request whose runs need much of what is left is
-// still taken in by a server that has nothing else to do.
+// TestKeysLeaveLargeRequestsRoom checks that an idle server admits a request whose run needs much of the memory that
+// keys leave, though they take most of it.
 func TestKeysLeaveLargeRequestsRoom(t *testing.T) {
 	set := twoClassSettings()
 	set.MemoryKB, set.KeyKB = 10000, 10
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -5,14 +5,14 @@
 import "time"
 
 const (
-	// maxSkippableFailures is how many attempts of a call may fail before a call that can be skipped is.
+	// maxSkippableFailures is how many attempts of a call may fail before the call is skipped, if it can be.
 	maxSkippableFailures = 2
 	// callRetryInterval is the wait before another attempt of a call for each that failed.
 	callRetryInterval = pollInterval / 2
 	// callTimeoutDivisor: a call may take at most the time left to the objective divided by it, so that
 	// another attempt has time.
 	callTimeoutDivisor = 3
-	// callTimeoutFactor: a call may take this many expected call times though that is more.
+	// callTimeoutFactor: a call may always take this many expected call times, if the objective allows it.
 	callTimeoutFactor = 4
 )
 
@@ -150,9 +150,9 @@
 	return req.call.failures > maxSkippableFailures || left < seconds(in.expectedCallSeconds()/2)
 }
 
-// isWithinCallShare tells whether one more call keeps the mean of the calls of all servers under what the
-// shared dependency survives. A share under one call allows one at a time and is paid for between calls, as
-// debt.
+// isWithinCallShare tells whether one more call keeps this server within its share of the calls in flight
+// that the shared dependency survives. A share under one call allows one call at a time; the debt that it
+// accrues delays the next.
 func (in *Instance) isWithinCallShare() bool {
 	if in.calls.debt > 0 {
 		return false
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -74,9 +74,8 @@
 	}
 }
 
-// TestSlowCallsAreMadeAgain has calls of a class whose answers may leave them out take longer than its objective for
-// a while: calls are made again later, so that they can show that they are fast again. What is left out is learned
-// from by nobody.
+// TestSlowCallsAreMadeAgain has the calls of a class that may skip them take longer than its objective for a while.
+// Calls must be made again later, since a skipped call gives no sample of whether calls are fast again.
 func TestSlowCallsAreMadeAgain(t *testing.T) {
 	set := twoClassSettings()
 	set.Downstream = DependencyTier
@@ -111,7 +110,7 @@
 	}
 }
 
-// TestCallDebt charges the calls over the share, and pays back in time without them, never more than all.
+// TestCallDebt checks that calls over the share accrue debt, and that time without calls reduces it, at most to 0.
 func TestCallDebt(t *testing.T) {
 	var calls downstreamCalls
 	calls.accrueDebt(2*time.Second, 3, 1) // two more than the share
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -30,9 +30,9 @@
 	return d.isDraining && arrivedAt > d.noticedAt+grace
 }
 
-// isGraceEnding tells whether callers should look for another server. That is only when the grace period is
-// nearly over: what arrives until then is run, and callers that are sent away sooner overload servers whose
-// replacements few callers know yet.
+// isGraceEnding tells whether callers should look for another server. That is so only when the grace period
+// is nearly over: what arrives until then is run. Callers that leave sooner overload the remaining servers
+// while few callers know of the replacements.
 func (d *drainState) isGraceEnding(now, grace time.Duration) bool {
 	if !d.isDraining {
 		return false
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -30,7 +30,8 @@
 	expectActions(t, rec, "run refuse", "refuse 1 1s false")
 }
 
-// TestGracePeriod counts the grace from the notice, and sends callers away two polls before its end, or a quarter of it.
+// TestGracePeriod checks that the grace period counts from the notice, and that callers are asked to leave two polls
+// before its end, or a quarter of the period if that is shorter.
 func TestGracePeriod(t *testing.T) {
 	none := drainState{}
 	if none.isPastGrace(time.Hour, time.Second) || none.isGraceEnding(time.Hour, time.Second) {
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// driver drives an Instance by events alone, and ends its runs when the test says so.
+// driver drives an Instance by events alone. The test decides when runs end.
 type driver struct {
 	t           *testing.T
 	module      *Instance
@@ -24,7 +24,7 @@
 	return &driver{t: t, module: in, recorder: rec}
 }
 
-// advance has the clock and the module's timer go on.
+// advance moves the clock, and reports a timer event.
 func (d *driver) advance(elapsed time.Duration) {
 	d.now += elapsed
 	gauges := Gauges{Utilization: 0.5, Runnable: 0}
@@ -35,7 +35,7 @@
 	d.module.Settle(d.now)
 }
 
-// request has a request of the class come, and returns its number.
+// request reports a new request of the class, and returns its ID.
 func (d *driver) request(class int, change func(*Request)) RequestID {
 	d.lastID++
 	q := testRequest(d.lastID, class)
@@ -48,7 +48,7 @@
 	return d.lastID
 }
 
-// startedRuns returns what the module has run since the last look.
+// startedRuns returns the requests that were started since the last take.
 func (d *driver) startedRuns() (ids []RequestID) {
 	d.t.Helper()
 	for _, a := range d.recorder.take("run") {
@@ -58,7 +58,7 @@
 	return ids
 }
 
-// hasAction tells whether the module has done the word to the request since the last look.
+// hasAction tells whether the actions include the word for the request.
 func hasAction(actions []string, word string, id RequestID) bool {
 	want := fmt.Sprintf("%s %d", word, id)
 	for _, a := range actions {
--- a/admission/events.go
+++ b/admission/events.go
@@ -14,8 +14,8 @@
 	answerTicks = 2
 	// maxSweepInterval is the longest time between two sweeps.
 	maxSweepInterval = time.Hour
-	// finishedSlack is how many finished requests the list may hold, beside as many as there are unfinished
-	// ones, before they are swept: decisions range over the list.
+	// finishedSlack is how many finished requests the list may hold, in addition to as many as there are
+	// unfinished ones, before they are swept: decisions iterate over the list.
 	finishedSlack = 64
 	// minQuota is the least quota in requests a second, so that no threshold is 0.
 	minQuota = 1e-3
@@ -44,7 +44,8 @@
 	for _, tenant := range settings.Tenants {
 		in.rates.totalQuota += max(tenant.Quota, minQuota)
 	}
-	// An arrival halves about when its answer is due: a surge begins and ends as its work does.
+	// The half-life is the longest objective: an arrival loses half of its weight about when its answer is
+	// due, so that the rate follows the work that a surge brings.
 	in.rates.decay = math.Ln2 / in.longestObjective.Seconds()
 	return in, nil
 }
@@ -62,7 +63,7 @@
 		return
 	}
 	elapsed := now - in.clock.now
-	// A timer fires at each poll of the gauges: in a longer gap the whole process was paused, its runs too.
+	// A timer fires at each poll of the gauges. In a longer gap the whole process was paused with its runs.
 	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * in.coreShare()
 	in.calls.accrueDebt(elapsed, in.use.callsInFlight, in.settings.FairCallShare)
 	in.clock.now = now
@@ -99,7 +100,7 @@
 		in.learnFromRun(now, req, outcome)
 	}
 	if outcome == Cancelled && req.state != stateAbandoned && req.state != stateReplaying {
-		in.actions.Fail(req.id) // stopped, though its answer is still owed
+		in.actions.Fail(req.id) // the run was stopped before the request was answered
 	}
 	in.remove(req)
 }
@@ -160,8 +161,8 @@
 	in.schedule.nextDeadline = in.clock.now + maxSweepInterval
 	all := in.requests.byArrival
 	for _, r := range all {
-		isOwed := r.state != stateFinished && r.state != stateAbandoned
-		if isOwed && r.deadline <= in.clock.now+in.answerMargin() {
+		isUnanswered := r.state != stateFinished && r.state != stateAbandoned
+		if isUnanswered && r.deadline <= in.clock.now+in.answerMargin() {
 			in.rejectOrFail(r, DeadlineReached)
 		}
 	}
--- a/admission/events_test.go
+++ b/admission/events_test.go
@@ -9,7 +9,7 @@
 func TestAnswersByDeadlineInEveryState(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	in.Request(0, testRequest(1, 0)) // will run
-	in.Request(0, testRequest(2, 1)) // will stand at a call
+	in.Request(0, testRequest(2, 1)) // will be at a call
 	in.Settle(0)
 	in.CallRequested(10*ms, 2)
 	in.Settle(10 * ms)
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -9,7 +9,7 @@
 	idleObjectives = 2
 	// idleRetryShare is the share of retries among the arrivals over which idle connections stay open.
 	idleRetryShare = 0.3
-	// minIdleTimeout is the idle timeout of a server that sends callers away, unless a tick is longer.
+	// minIdleTimeout is the idle timeout at the end of a drain, unless a tick is longer.
 	minIdleTimeout = 10 * time.Millisecond
 
 	// waitToReduce and waitToGrow are the waits, as parts of the longest objective, over which less traffic
@@ -18,7 +18,7 @@
 	// weightReduction is the factor by which the traffic weight falls in a poll, and weightGrowth the
 	// amount by which it grows.
 	weightReduction, weightGrowth = 0.96, 0.02
-	// minTrafficWeight bounds the traffic weight of a server that can read what comes.
+	// minTrafficWeight bounds the traffic weight of a server that reads requests without a long delay.
 	minTrafficWeight = 0.5
 	// unreadableDelay is the read delay, as a part of the longest objective, over which there is no bound.
 	unreadableDelay = 0.25
@@ -34,9 +34,10 @@
 	idleTimeout   time.Duration // last set for connections; 0 = none was
 }
 
-// updateIdleTimeout sets how long a connection may carry nothing. An open one takes part of the cores and
-// of the few that are accepted: where callers come more rarely than two objectives it is closed then,
-// before they would close it. Not during retries: closing lets them in, and each costs a handshake.
+// updateIdleTimeout sets how long a connection may be idle. An open connection uses core time and one of
+// the few places for connections. Where a caller sends less often than once in two objectives its
+// connection is closed after that time, earlier than the caller would close it. During retries connections
+// stay open: each new one costs a handshake.
 func (in *Instance) updateIdleTimeout() {
 	idle := min(idleObjectives*in.longestObjective, in.settings.CallerIdleTimeout)
 	arrivals := in.rates.arrivals.rate(in.clock.now, in.rates.decay) * idle.Seconds()
@@ -53,7 +54,7 @@
 	}
 }
 
-// updateFeedback tells callers how much of the usual traffic is wanted, and health checks whether any is.
+// updateFeedback updates the advertised load and the answer to health checks.
 func (in *Instance) updateFeedback() {
 	in.updateTrafficWeight()
 	in.updateHealth()
@@ -70,7 +71,7 @@
 	in.traffic.decayReadDelay()
 	least := minTrafficWeight
 	if in.traffic.readDelay > in.longestObjective.Seconds()*unreadableDelay {
-		least = 0 // it can't even read what comes: whatever more came would be late when it is read
+		least = 0 // reading is the bottleneck: further requests would be late before they are read
 	}
 	weight := in.feedback.trafficWeight
 	switch {
@@ -81,7 +82,7 @@
 	}
 }
 
-// updateHealth answers health checks by whether work ends and the process stays.
+// updateHealth sets the answer to health checks: unhealthy while stalled or draining.
 func (in *Instance) updateHealth() {
 	isHealthy := !in.stall.isStalled && !in.drain.isDraining
 	if isHealthy != in.feedback.isHealthy {
@@ -121,8 +122,8 @@
 	}
 	queued := weight * creditQueue * in.longestObjective.Seconds() * float64(in.settings.Cores) / run
 	capacity := in.limiter.limit + float64(in.use.offCore) + queued
-	// What callers have outstanding includes the unread: while a backlog keeps the cores reading, nothing
-	// more may come until it is worked off.
+	// Callers' outstanding requests include those that are not read yet. While the cores are busy reading a
+	// backlog, the credit falls until the backlog is gone.
 	capacity -= in.traffic.readDelay * in.rates.arrivals.rate(in.clock.now, in.rates.decay)
 	return max(capacity, 0) / float64(max(in.settings.Callers, 1)), true
 }
--- a/admission/feedback_test.go
+++ b/admission/feedback_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A server that can't read what comes asks for less and less traffic; one that only works asks for half.
+// TestBacklogReducesTrafficWeight checks that the traffic weight falls to 0 where requests wait to be read,
+// and to a half where only the cores are saturated.
 func TestBacklogReducesTrafficWeight(t *testing.T) {
 	for _, c := range []struct {
 		readDelay, least, most float64
@@ -41,9 +42,9 @@
 	expectActions(t, rec, "say", "say 0.000")
 }
 
-// TestAdvertisedLoadWhileDraining has a server that drains be used as ever while its grace lasts, and send callers
-// away just before it is over: those that learn late are served, and the others are not crowded sooner than they must
-// be.
+// TestAdvertisedLoadWhileDraining checks that a draining server advertises its load as before during the grace period,
+// and wants no traffic just before its end: callers that notice late are still served, and the other servers do not
+// get the load sooner than necessary.
 func TestAdvertisedLoadWhileDraining(t *testing.T) {
 	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"say 0.000"}, {"say 1.000"}},
 		FeedbackCredit: {{"say 2.000"}, {"say 0.000"}}, FeedbackWeight: {{"say 1.000"}, {"say 0.000"}}} {
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestCreditDoesNotDependOnTheOrderOfClasses has a class of short runs and one of long runs make up the same traffic,
-// listed one way and the other: callers get the same credit.
+// TestCreditDoesNotDependOnTheOrderOfClasses checks that the same traffic of a class of short runs and one of long runs
+// gives the same credit in both orders of the classes.
 func TestCreditDoesNotDependOnTheOrderOfClasses(t *testing.T) {
 	credit := func(first, second float64) string {
 		set := twoClassSettings()
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// fillCores runs as many requests of the class as may run, from id 1000 on, and returns their number.
+// fillCores runs as many requests of the class as the limit allows, from ID 1000 on, and returns their number.
 func fillCores(in *Instance, rec *recorder, now time.Duration, class int) int {
 	for i := 0; ; i++ {
 		in.Request(now, testRequest(RequestID(1000+i), class))
@@ -66,7 +66,7 @@
 	}
 }
 
-// learnRun has the module learn from a run of the class that took so many seconds.
+// learnRun has the module learn from a run of the class with the times in seconds.
 func learnRun(in *Instance, class int, coreTime, wallTime float64) {
 	in.classes[class].runTime.learn(in.clock.now, in.longestObjective, coreTime, wallTime)
 }
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The figures of the rules that the module is not given.
+// Limits of the rules that the module's settings do not contain.
 const (
 	answerSlack              = 80 * ms
 	concurrencyAveragingTime = 2 * time.Second
@@ -38,8 +38,8 @@
 	mayHaveTakenEffect bool      // a call of it may have had its effect
 }
 
-// randomHost is the other side of a random test: it carries out actions, checks the four rules from outside and
-// makes up legal events. It models no server: what ends when is drawn at random.
+// randomHost is the host in random tests: it carries out actions, checks the four rules independently of the module
+// and generates legal events. It simulates no server: when something ends is drawn at random.
 type randomHost struct {
 	t              *testing.T
 	settings       Settings
@@ -59,7 +59,7 @@
 	pending        []func() // events of the next batch
 }
 
-// count notes an action and returns the request that it is about.
+// count counts an action and returns its request.
 func (h *randomHost) count(id RequestID, action string) *hostedRequest {
 	h.actionCounts[action]++
 	r := h.requests[id]
@@ -95,7 +95,7 @@
 	r.phase, r.hasRun = hostRunning, true
 }
 
-// answer notes the final answer, and checks that it is the only one and says the truth.
+// answer records the final answer, and checks that it is the only one, and that a rejected request never ran.
 func (h *randomHost) answer(id RequestID, isRejected bool) {
 	r := h.count(id, "answer")
 	if r.isAnswered {
@@ -138,13 +138,13 @@
 	}
 }
 
-// halt stops a run, as a rule.
+// halt stops a run in most cases.
 func (h *randomHost) halt(id RequestID) {
 	r := h.count(id, "halt")
 	if h.settings.StopMode == StopNone {
 		h.t.Fatalf("%v: halt of %d is not allowed", h.now, id)
 	}
-	if r.phase == hostRunning && (r.isAnswered || r.isCancelled) && h.rng.Intn(4) > 0 { // else the cores stand still
+	if r.phase == hostRunning && (r.isAnswered || r.isCancelled) && h.rng.Intn(4) > 0 { // otherwise the stop has no effect, as on hung cores
 		r.phase = hostFinished
 		h.later(func() { h.module.RunFinished(h.now, id, Cancelled) })
 	}
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// AdmissionCheck is how an arrival looks to an Instance.
+// AdmissionCheck is how an Instance would decide on an arrival, and by what.
 type AdmissionCheck struct {
 	Reason            Reason        `json:"reason"`
 	Coalesced         bool          `json:"repeats"`    // it is answered by the result of the one that it repeats
@@ -107,7 +107,8 @@
 	Running           []RequestID   `json:"on_cores"`   // on the cores
 }
 
-// CheckAdmission tells how an arrival would look now.
+// CheckAdmission returns how the Instance would decide on an arrival now, without any effect on it. An ID that
+// is in use gives the zero value.
 func (in *Instance) CheckAdmission(now time.Duration, arrival Request) AdmissionCheck {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[arrival.ID] != nil {
@@ -139,9 +140,9 @@
 	return check
 }
 
-// QueueDecision is how a request that was taken in looks to an Instance.
+// QueueDecision is how an Instance would decide now on a request that it knows.
 type QueueDecision struct {
-	Reason            Reason        `json:"reason"` // why it would be given up now
+	Reason            Reason        `json:"reason"` // why it would be rejected or failed now
 	Phase             string        `json:"phase"`
 	Arrived           time.Duration `json:"arrived"`
 	ObjectiveDeadline time.Duration `json:"useful"`
@@ -152,7 +153,8 @@
 	Running           []RequestID   `json:"on_cores"`
 }
 
-// InspectRequest tells how a known request looks now, and false for one that is not known.
+// InspectRequest returns how the Instance would decide now on a request that it knows; false for one that it
+// does not.
 func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[id] == nil {
@@ -179,7 +181,7 @@
 	return decision, true
 }
 
-// presentReason returns why a known request would be given up now, or Admitted.
+// presentReason returns why a known request would be rejected or failed now, or Admitted.
 func (in *Instance) presentReason(req *request) Reason {
 	switch {
 	case in.stall.isStalled:
--- a/admission/instance.go
+++ b/admission/instance.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Instance decides for one server process. Each part of the state has one owner, whose type says what holds
-// of it.
+// Instance decides for one server process. Each part of the state has one owner, whose type documents its
+// invariants.
 type Instance struct {
 	settings         Settings
 	actions          Actions
@@ -35,7 +35,7 @@
 	isStarted bool
 	startedAt time.Duration
 	now       time.Duration
-	core      float64 // seconds of core time that a request got which ran whenever any did: the clock of runs
+	core      float64 // core time in seconds of a request that ran whenever any did: the clock of runs
 }
 
 // schedule is when something is to be done next.
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -81,7 +81,7 @@
 	Servers         int           // servers of this tier listed at the start
 	Callers         int           // load balancers that send to this tier
 	Cores           int           // cores of this server
-	IndependentRuns bool          // runs do not share the cores: how long one takes says nothing of another
+	IndependentRuns bool          // runs do not share the cores: the run time of one does not depend on others
 	Tick            time.Duration // shortest time between two groups of events
 	Classes         []Class       // kinds of request, by index
 	Tenants         []Tenant      // tenants, by index; may be empty
@@ -108,7 +108,7 @@
 	CallerIdleTimeout time.Duration // how long callers keep an idle connection; 0 = not known
 }
 
-// Request is one attempt that was read; it is owed exactly one final answer. The JSON keys are those of captures that
+// Request is one attempt that was read; it gets exactly one final answer. The JSON keys are those of captures that
 // are printed as text.
 type Request struct {
 	ID            RequestID
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -13,7 +13,7 @@
 // idempotencyKeys mirrors the host's key table, so that its memory is known. Its count is that of
 // the entries that are neither released nor expired.
 type idempotencyKeys struct {
-	byClass [][]*keyEntry // in the order in which they were kept, which is about that of their expiry
+	byClass [][]*keyEntry // in the order in which they were kept, which is nearly that of their expiry
 	count   int
 	// notStarted are the requests of this group of events whose keys were released: a retry that was read
 	// with them still names the original, and counts as new.
@@ -76,8 +76,8 @@
 	return in.memoryKB() < in.settings.MemoryKB/2
 }
 
-// releaseKey removes the key of a request that never ran, so that a retry counts as new, and promotes its
-// first follower to its place.
+// releaseKey removes the key of a request that never ran, so that a retry counts as new, and queues its
+// first follower in its place.
 func (in *Instance) releaseKey(req *request) {
 	if req.key != nil {
 		in.actions.ReleaseKey(req.id)
--- a/admission/keys_test.go
+++ b/admission/keys_test.go
@@ -101,7 +101,7 @@
 	expectActions(t, rec, "keep run reuse", "keep 1 7s", "run 1", "reuse 2")
 }
 
-// TestKeyCount leaves out keys that were released or expired, each once.
+// TestKeyCount checks that a key that was released or expired is taken off the count once.
 func TestKeyCount(t *testing.T) {
 	keys := idempotencyKeys{byClass: make([][]*keyEntry, 1)}
 	released := keys.keep(0, time.Second)
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -33,12 +33,12 @@
 	}
 }
 
-// hasRunnable tells whether the host reports what wants a core now.
+// hasRunnable tells whether the host reports the number of runnable tasks.
 func (l *concurrencyLimiter) hasRunnable() bool { return l.runnable >= 0 }
 
-// isSaturated tells whether all cores are busy. What wants a core now decides if the host reports it: the
-// utilization averages half a second, in which short runs leave cores idle beside a queue that is late as a
-// whole.
+// isSaturated tells whether all cores are busy. The number of runnable tasks decides if the host reports
+// it: the utilization is an average over half a second, in which short runs leave cores idle even if the
+// whole queue is late.
 func (l *concurrencyLimiter) isSaturated(cores int) bool {
 	if l.hasRunnable() {
 		return l.runnable >= float64(cores)
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestRunnableDecidesSaturation goes by what wants a core at this moment: the mean of half a second still reads room
-// when a queue of many short runs is late as a whole, and has the limit grow into a concurrency that is slower for
-// all.
+// TestRunnableDecidesSaturation checks that the gauge of runnable tasks decides where the host has it. The utilization,
+// a mean over half a second, shows spare cores even if a queue of many short runs is late as a whole, and would raise
+// the limit to a concurrency that slows all runs.
 func TestRunnableDecidesSaturation(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	for id := RequestID(1); id <= 10; id++ {
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestGaugesThatWereNotRead keep the readings before them.
+// TestGaugesThatWereNotRead checks that a missing reading keeps the previous one.
 func TestGaugesThatWereNotRead(t *testing.T) {
 	l := concurrencyLimiter{runnable: -1}
 	l.read(Gauges{Utilization: 0.5, Runnable: 3})
--- a/admission/order_test.go
+++ b/admission/order_test.go
@@ -18,9 +18,8 @@
 	expectActions(t, rec, "run", "run 2")
 }
 
-// TestStarvedClassGoesFirst turns most requests of a class with a low weight away while those of one with a high
-// weight run: the next of the low-weight class goes before the high-weight ones that are queued, until it has its
-// part again.
+// TestStarvedClassGoesFirst rejects most requests of a class with a low weight while a class with a high weight runs:
+// the next low-weight request must run before the queued high-weight ones, until the class has its share again.
 func TestStarvedClassGoesFirst(t *testing.T) {
 	set := twoClassSettings()
 	set.Classes[1].Weight = 100
@@ -56,7 +55,7 @@
 	}
 }
 
-// TestOverQuotaHasNoFairShareClaim counts nothing of a tenant over its quota share for its class's fair share.
+// TestOverQuotaHasNoFairShareClaim checks that requests over the quota do not count for the fair share of their class.
 func TestOverQuotaHasNoFairShareClaim(t *testing.T) {
 	set := twoClassSettings()
 	set.Tenants = []Tenant{{Quota: 300}}
@@ -69,7 +68,7 @@
 	}
 }
 
-// TestNoClassStarvesAtFirst finds no class starved before anything was rejected, and none where nothing runs at all.
+// TestNoClassStarvesAtFirst checks that no class counts as starved before the first rejection, or if nothing runs.
 func TestNoClassStarvesAtFirst(t *testing.T) {
 	s := newDriver(t, twoClassSettings())
 	for step, rejected := range []int{0, 5} {
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -37,8 +37,8 @@
 	return files
 }
 
-// TestPolicyFilesAreReadable holds the policy files to a head that names the interface file, and to lines that are
-// not too wide to be read beside another file.
+// TestPolicyFilesAreReadable checks that the head of each policy file names the interface file, and that lines are
+// short enough for two files side by side.
 func TestPolicyFilesAreReadable(t *testing.T) {
 	const mostWidth = 110
 	for _, name := range policyFiles(t) {
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestDecisionsStandInPolicyFiles has each file of the package be a policy file or a known one that decides nothing,
-// and the latter call none of the Actions: whoever reads the files that the deploy file names has read every
-// decision.
+// TestDecisionsStandInPolicyFiles checks that each file of the package is either a policy file or in
+// nonDecidingFiles, and that the latter call no method of Actions. The policy files of the deploy file then contain
+// every decision.
 func TestDecisionsStandInPolicyFiles(t *testing.T) {
 	var policy []string
 	for _, name := range policyFiles(t) {
@@ -115,7 +115,7 @@
 	return calls
 }
 
-// TestActionCallsAreFound has the check of files without decisions find the actions of the policy files.
+// TestActionCallsAreFound checks that actionCalls finds the actions of the policy files.
 func TestActionCallsAreFound(t *testing.T) {
 	found := 0
 	for _, name := range policyFiles(t) {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -81,8 +81,9 @@
 	return in.perCore(total, overQuota)
 }
 
-// perCore is how long the cores take for the core time before a request with the quota status is run.
-// Requests of tenants within their quota share that are still to come run before those over it.
+// perCore is how long the cores take for the core time before a request with the quota status is run. For
+// one over its quota that includes the expected arrivals of tenants within their quota shares, which run
+// before it.
 func (in *Instance) perCore(coreTime float64, quota quotaStatus) float64 {
 	taken := 0.0
 	if quota == overQuota {
@@ -103,8 +104,8 @@
 	}
 }
 
-// hasCapacityToRun tells whether one more request may run. Those at a call do not count against the limit,
-// but return to the cores and must be survived there.
+// hasCapacityToRun tells whether one more request may run. Requests at a call do not count against the
+// limit, but they return to the cores and so count against the maximum concurrency.
 func (in *Instance) hasCapacityToRun() bool {
 	if float64(in.use.running) >= in.limiter.limit {
 		return false
@@ -139,8 +140,8 @@
 	}
 }
 
-// rejectFromQueue rejects queued requests that can be of no use any more, at once and not only when a core
-// is free: their callers may still be served elsewhere.
+// rejectFromQueue rejects queued requests whose run would be useless by now. It does not wait for a free
+// core: their callers may still be served elsewhere.
 func (in *Instance) rejectFromQueue() {
 	for i := 0; i < in.queue.len(); {
 		r := in.queue.requests[i]
@@ -157,9 +158,9 @@
 	return in.clock.now+in.expectedRunTime(req) > req.objectiveDeadline
 }
 
-// checkQueued returns why a run begun now would earn nothing, or little while others wait for saturated
-// cores, or Admitted. How long a run takes is known from the latest ones only: if the cores have room and
-// the caller still waits, it is run.
+// checkQueued returns why a queued request should be rejected now, or Admitted: a run begun now would earn
+// nothing, or would be late while others wait for saturated cores. On cores with room a late run is
+// started, because run times are only learned from runs.
 func (in *Instance) checkQueued(req *request) Reason {
 	lateWeight := in.settings.Classes[req.class].LateWeight
 	switch {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A queued request that can't be useful any more is answered at once, though no core becomes free.
+// TestHopelessRequestIsRejectedAtOnce checks that a queued request that can't be useful any more is rejected even if no
+// core becomes free.
 func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	fillCores(in, rec, 0, 0)
@@ -22,8 +23,8 @@
 	}
 }
 
-// A class whose runs were slow for a while is run again as soon as the cores have room: only that shows whether
-// it still is. It was rejected for good before, on cores that stood idle.
+// TestSlowClassIsRunAgain checks that a class whose runs were slow is run again as soon as the cores have room: only a
+// run can show that it is fast again. An earlier version rejected such a class forever, on idle cores.
 func TestSlowClassIsRunAgain(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	in.settings.Classes[0].LateWeight = 0
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestPredictedWaitLeavesOutLaterRuns holds two seconds of work whose objective is long: a request with a short
-// objective goes before all of it, and is not rejected for work that waits behind it.
+// TestPredictedWaitLeavesOutLaterRuns queues two seconds of work with a long objective: a request with a short
+// objective runs before all of it, and must not be rejected for work behind it.
 func TestPredictedWaitLeavesOutLaterRuns(t *testing.T) {
 	s := newDriver(t, twoClassSettings())
 	for _, class := range []int{0, 1} { // a run of each is known to take 0.2 s
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// arrive makes up one request, at times a retry of an earlier keyed one.
+// arrive generates one request, sometimes a retry of an earlier keyed one.
 func (h *randomHost) arrive(id RequestID) {
 	q := Request{ID: id, Class: h.rng.Intn(len(h.settings.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
 		SizeKB: 10 + 50*h.rng.Float64(), RemainingTime: time.Duration(50+h.rng.Intn(6000)) * ms, IsRetry: h.rng.Intn(4) == 0,
@@ -40,7 +40,7 @@
 	h.module.Request(h.now, q)
 }
 
-// step makes up what happens to one request.
+// step generates the next event of one request, if there is one.
 func (h *randomHost) step(id RequestID, isHung bool) {
 	r := h.requests[id]
 	isSettled := r.isAnswered || r.isCancelled
@@ -81,7 +81,7 @@
 	}
 }
 
-// fireTimers reports the timers whose time has come.
+// fireTimers reports the timers that are due.
 func (h *randomHost) fireTimers() {
 	for i := 0; i < len(h.timers); i++ {
 		if h.timers[i] <= h.now {
@@ -92,7 +92,7 @@
 	}
 }
 
-// dropFinished forgets requests that are long finished and have no key.
+// dropFinished removes requests that finished long ago and have no key.
 func (h *randomHost) dropFinished() {
 	kept := h.arrivals[:0]
 	for _, id := range h.arrivals {
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -41,12 +41,12 @@
 
 // rateEstimator estimates the rates of all senders. Rejected arrivals count too.
 type rateEstimator struct {
-	senders     []rateEstimate // by tenant, or by caller if there are no tenants; grows as they are heard of
+	senders     []rateEstimate // by tenant, or by caller without tenants; grows as they send
 	arrivals    rateEstimate   // all requests
 	completions rateEstimate   // ended runs: the threshold of callers if there are no quotas
 	decay       float64        // EARRRL's λ: ln 2 over the longest latency objective, per second
 	totalQuota  float64        // of all tenants
-	liveCallers float64        // callers heard of within about one half-life; 0 if there are tenants
+	liveCallers float64        // callers that sent within about one half-life; 0 if there are tenants
 }
 
 // senderIndex is the index of the estimate for the request: its tenant's, or its caller's if there are no
@@ -62,7 +62,7 @@
 	return sender
 }
 
-// countLive returns how many senders were heard of within about one half-life.
+// countLive returns how many senders sent within about one half-life.
 func (e *rateEstimator) countLive(now time.Duration) float64 {
 	live := 0.0
 	for i := range e.senders {
@@ -102,9 +102,10 @@
 	return 0
 }
 
-// quotaShare is this server's part of what the tenant or caller may send in a second; 0 = not known. If all
-// arrivals together are over all quotas it is the tenant's part of the arrivals: retries, requests meant
-// for lost servers and a fleet that shrank would put every tenant over a fixed share.
+// quotaShare is this server's part of what the tenant or caller may send in a second; 0 = not known. If the
+// arrivals of all tenants together exceed this server's part of all quotas, it is the tenant's part of the
+// arrivals: retries, requests meant for failed servers and a smaller fleet would put every tenant over a
+// fixed share.
 func (in *Instance) quotaShare(sender int, totalRate float64) float64 {
 	if len(in.settings.Tenants) > 0 {
 		quota := max(in.settings.Tenants[sender].Quota, minQuota)
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// partOverThreshold is the part of the arrivals of a tenant that read as over its threshold, where so many come in a
-// half-life as its quota share is, times the factor, by chance.
+// partOverThreshold is the part of a tenant's arrivals that are over its threshold. They are a Poisson process at the
+// factor times its quota share, which is given as arrivals in a half-life.
 func partOverThreshold(t *testing.T, perHalfLife, factor float64) float64 {
 	t.Helper()
 	s := twoClassSettings()
@@ -84,8 +84,8 @@
 	return float64(over) / arrivals
 }
 
-// TestThresholdCoversNoiseOfSmallShares sends a tenant's requests by chance at just the rate of its quota share,
-// however small that is beside λ: few of them may read as over the threshold.
+// TestThresholdCoversNoiseOfSmallShares checks that few arrivals of a tenant that sends at just the rate of its quota
+// share are over the threshold, even if the share is small compared with λ.
 func TestThresholdCoversNoiseOfSmallShares(t *testing.T) {
 	for _, perHalfLife := range []float64{0.01, 0.1, 0.5, 1, 3, 10} {
 		if part := partOverThreshold(t, perHalfLife, 1); part > 0.1 {
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestSingleArrivalIsWithinThreshold has one request come: it is no rate, however small the quota share.
+// TestSingleArrivalIsWithinThreshold checks that one arrival is never over the threshold, however small the quota share.
 func TestSingleArrivalIsWithinThreshold(t *testing.T) {
 	for _, quota := range []float64{0, 1e-6, 1, 300} {
 		s := twoClassSettings()
@@ -107,7 +107,8 @@
 	}
 }
 
-// TestThresholdFindsTenantsOverQuota has a tenant send four times its quota share: most of its arrivals are over.
+// TestThresholdFindsTenantsOverQuota checks that most arrivals of a tenant at four times its quota share are over the
+// threshold.
 func TestThresholdFindsTenantsOverQuota(t *testing.T) {
 	for _, perHalfLife := range []float64{3, 10, 100} {
 		if part := partOverThreshold(t, perHalfLife, 4); part < 0.9 {
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -12,7 +12,7 @@
 	AfterDrainGrace                    // it arrived after the drain grace period
 	Stalled                            // no run ends any more
 	OutOfMemory                        // no memory is left to queue it or to keep its key
-	DeadlineReached                    // its deadline has come
+	DeadlineReached                    // its deadline is reached
 	RateOverThreshold                  // its tenant's rate is over the threshold while the server is overloaded
 	PredictedWaitTooLong               // the predicted wait misses its objective while the server is overloaded
 	DeadlineUnreachable                // a run begun now would end after its deadline
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// recorder keeps the actions as lines, each a word and its arguments, and has a host carry them out if there is one.
+// recorder records the actions as lines, each a word and its arguments, and passes them to a host if there is one.
 type recorder struct {
 	lines []string
 	host  *randomHost
 }
 
-// add keeps an action.
+// add records an action.
 func (r *recorder) add(format string, args ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
@@ -109,7 +109,7 @@
 	return taken
 }
 
-// callTimeoutRecorder notes the time after which a call is abandoned.
+// callTimeoutRecorder records the timeout of the last call.
 type callTimeoutRecorder struct {
 	*recorder
 	timeout *time.Duration
--- a/admission/retrystorm.go
+++ b/admission/retrystorm.go
@@ -32,10 +32,10 @@
 // sent nothing has no backlog.
 func (m *trafficMonitor) decayReadDelay() { m.readDelay *= 1 - learnWeight }
 
-// isRetryStorm tells that reading has become the main work: most arrivals are retries despite rejections,
-// or arrivals wait long before they are read. Rejections then ask for no retry anywhere. It should cover
-// any cause of retries or of a backlog; it does harm where one slow server keeps attempts from others that
-// have room.
+// isRetryStorm tells whether the server spends its time on reading rather than on runs: most arrivals are
+// retries despite rejections, or arrivals wait long before they are read. Rejections then ask for no retry
+// on any server. The test does not depend on the cause of the retries or of the backlog. It does harm where
+// one slow server so prevents retries on others that have room.
 func (in *Instance) isRetryStorm() bool {
 	if in.traffic.retryShare > stormRetryShare {
 		return true
--- a/admission/retrystorm_test.go
+++ b/admission/retrystorm_test.go
@@ -42,7 +42,7 @@
 	expectActions(t, rec, "refuse", "refuse 50 1s true")
 }
 
-// TestTrafficMonitor has each arrival count by learnWeight, and a negative delay as none.
+// TestTrafficMonitor checks that each arrival counts with learnWeight, and that a negative delay counts as 0.
 func TestTrafficMonitor(t *testing.T) {
 	var m trafficMonitor
 	m.countArrival(true, 12*time.Second)
--- a/admission/runtime.go
+++ b/admission/runtime.go
@@ -10,11 +10,11 @@
 const (
 	// learnWeight is the weight of one observation in an estimate.
 	learnWeight = 1.0 / 12
-	// maxConsecutiveFailures is after how many runs in a row that serve nobody a class gives way to the
-	// others.
+	// maxConsecutiveFailures is the number of runs in a row without a served caller after which the other
+	// classes go before a class.
 	maxConsecutiveFailures = 30
-	// staleObjectives is how many of the longest objectives after it was learned last a run or call time
-	// begins to halve, once in each further objective. Sooner a slow server is tried too often.
+	// staleObjectives is the age, in longest objectives, from which a learned run or call time halves once
+	// in each further objective. With a smaller age a slow server is tried too often.
 	staleObjectives = 4
 )
 
@@ -58,14 +58,13 @@
 	return e.consecutiveFailures >= maxConsecutiveFailures && now-e.lastFailureAt < staleObjectives*objective
 }
 
-// expectedWallTime is the wall time. What was learned long ago counts less and less: a class that was slow
-// once would else be rejected for good, as nothing of it is run any more.
+// expectedWallTime is the learned wall time, which decays with its age. Otherwise a class that was slow once
+// would be rejected forever, because none of its requests is run to correct the estimate.
 func (e *runTimeEstimator) expectedWallTime(now, objective time.Duration) float64 {
 	return decayLearned(e.wallTime, now-e.learnedAt, objective)
 }
 
-// decayLearned is what a learned figure of that age still counts for, where the objective is the longest of
-// all.
+// decayLearned reduces a learned time by its age. The objective is the longest of all classes.
 func decayLearned(learned float64, age, objective time.Duration) float64 {
 	stale := age - staleObjectives*objective
 	if stale <= 0 {
--- a/admission/runtime_test.go
+++ b/admission/runtime_test.go
@@ -58,15 +58,15 @@
 	}
 }
 
-// TestFailingClassYieldsCores has all runs of a class end for nothing, as where they come to a call that can't be
-// made, and more of the other class come than the cores can do: once that shows, the other class gets the cores. As
-// soon as runs of the first end well it is run again.
+// TestFailingClassYieldsCores has no run of one class serve its caller, as if its downstream calls could not be made,
+// while requests of the other class overload the cores: once the failures are counted the other class must get the
+// cores. As soon as runs of the first class succeed it must be run again.
 func TestFailingClassYieldsCores(t *testing.T) {
 	s := newDriver(t, twoClassSettings())
 	runs := [2]int{}
 	class := map[RequestID]int{}
 	var running []RequestID
-	for step := range 1500 { // two and a half minutes; a run ends every 100 ms, and one request of each class comes
+	for step := range 1500 { // two and a half minutes; a run ends every 100 ms, and one request of each class arrives
 		served := step >= 900
 		s.isSaturated = len(running) >= 2
 		for c := range 2 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestLearnedTimeDecays keeps a learned time for four objectives and halves it in each further one.
+// TestLearnedTimeDecays checks that a learned time is kept for four objectives and halves in each further one.
 func TestLearnedTimeDecays(t *testing.T) {
 	for age, want := range map[time.Duration]float64{0: 8, 8 * time.Second: 8, 10 * time.Second: 4, 12 * time.Second: 2} {
 		if got := decayLearned(8, age, 2*time.Second); math.Abs(got-want) > 1e-9 {
--- a/admission/runtimeexport.go
+++ b/admission/runtimeexport.go
@@ -1,5 +1,5 @@
-// What an Instance learned of run times, for a host that keeps it over a restart. How much an earlier
-// process's knowledge counts is decided by internal/idempotency; nothing here decides.
+// Export and import of learned run times, for a host that keeps them over a restart. How much those of an
+// earlier process count is decided by internal/idempotency; nothing here decides.
 
 package admission
 
@@ -12,9 +12,9 @@
 	Samples  int           // number of runs that this was learned from
 }
 
-// RunTimeEstimates is what is worth keeping over a restart: how long runs take. What follows the present
-// load (tenants' rates, levels, backlogs, the concurrency limit) is harmful when it is old, and not part of
-// it.
+// RunTimeEstimates are the run times learned by an Instance, the part of its state that is useful after a
+// restart. What depends on the present load (tenants' rates, levels, backlogs, the concurrency limit) does
+// harm when it is old and is left out.
 type RunTimeEstimates struct {
 	Classes []ClassRunTime // by the settings' index
 }
@@ -33,9 +33,9 @@
 	return estimates
 }
 
-// ImportRunTimes takes over what an earlier Instance learned. A class of which this one has learned
-// something by itself keeps that; in the others the Samples say how much the import counts against the
-// first runs that are measured.
+// ImportRunTimes imports the run times of an earlier Instance. A class with samples of this Instance keeps
+// its own estimate. In the others the imported Samples are the weight of the import against the first runs
+// that are measured.
 func (in *Instance) ImportRunTimes(estimates RunTimeEstimates) {
 	for i := range min(len(estimates.Classes), len(in.classes)) {
 		estimator := &in.classes[i].runTime
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -21,7 +21,7 @@
 // ErrSnapshot says that bytes are no snapshot of a known version of the module.
 var ErrSnapshot = errors.New("tillerusher: no snapshot of this module")
 
-// errClassCount says that a change of the settings would leave parts of the state without an owner.
+// errClassCount says that a change of the settings would leave parts of the state without their class or tenant.
 var errClassCount = errors.New("tillerusher: the number of classes and tenants cannot be changed")
 
 // Snapshot appends the whole state to the bytes: the settings, the queued and running requests, and all
@@ -36,7 +36,7 @@
 // taken, or an error that wraps ErrSnapshot.
 func Restore(from []byte, actions Actions) (*Instance, error) { return RestoreWith(from, actions, nil) }
 
-// RestoreWith is Restore with the settings changed, for asking what would have been. Classes and tenants
+// RestoreWith is Restore with changed settings, for what-if replays. Classes and tenants
 // can be changed, but not their number.
 func RestoreWith(from []byte, actions Actions, change func(*Settings) error) (*Instance, error) {
 	if len(from) == 0 || from[0] < 1 || from[0] > snapshotVersion {
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -70,8 +70,8 @@
 	return fields
 }
 
-// TestSnapshotCarriesEveryField changes one field of the state at a time: a field that is added and not carried
-// leaves the snapshot as it was.
+// TestSnapshotCarriesEveryField changes one field of the state at a time, which must change the snapshot. A new field
+// that snapshots do not carry fails it.
 func TestSnapshotCarriesEveryField(t *testing.T) {
 	// Lists and pointers are carried by their elements; the actions are the host's, byID follows from byArrival.
 	structure := map[string]bool{"Instance.actions": true, "Instance.classes": true, "requestTable.byID": true,
@@ -168,7 +168,7 @@
 	})
 }
 
-// TestRestoreRejectsOtherBytes has bytes rejected that are no snapshot, wherever they end.
+// TestRestoreRejectsOtherBytes checks that truncated snapshots and other bytes are rejected.
 func TestRestoreRejectsOtherBytes(t *testing.T) {
 	whole := populatedInstance(t).Snapshot(nil)
 	for n := range whole {
@@ -181,7 +181,7 @@
 	}
 }
 
-// FuzzRestore has any bytes rejected or restored, without a panic.
+// FuzzRestore checks that any bytes are either rejected or restored, without a panic.
 func FuzzRestore(f *testing.F) {
 	f.Add(populatedInstance(f).Snapshot(nil))
 	f.Add([]byte{snapshotVersion})
--- a/admission/snapshotcoder.go
+++ b/admission/snapshotcoder.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// coder walks the state once for both directions, so that neither can forget what the other carries.
+// coder writes or reads the state. Both directions share one traversal, so that they cannot disagree on the
+// fields.
 type coder struct {
 	bytes   []byte // what was written, or is still to be read
 	version byte
@@ -102,7 +103,7 @@
 	}
 }
 
-// What stands for pointers that lead to no element of a list.
+// Codes of pointers that do not point into a list.
 const (
 	pointerNil      = -1
 	pointerDetached = -2 // to something outside the list, which follows
@@ -117,7 +118,7 @@
 	return index
 }
 
-// pointer carries a pointer into a list as its index, or as what it is instead, and returns that.
+// pointer carries a pointer into a list as its index, or as pointerNil or pointerDetached, and returns that.
 func pointer[T any](coder *coder, target **T, list []*T, index map[*T]int) int {
 	at, isInList := index[*target]
 	switch {
--- a/admission/stall.go
+++ b/admission/stall.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// stallRuns is how many expected ends of runs must be missing before the work counts as stalled. Fewer
-	// are mostly a slow server or a burst of ends, and a false stall throws work away.
+	// stallRuns is how many expected ends of runs must be missing before the server counts as stalled. A
+	// smaller number also detects slow servers and bursts of ends, and a false stall discards work.
 	stallRuns = 60.0
-	// stallRunsPerCore is how many runs per core must have ended before a stall is looked for: the first to
-	// end are the shortest, and their mean proves nothing.
+	// stallRunsPerCore is how many runs per core must have ended before stalls are detected: the first runs
+	// to end are the shortest, so that their mean is too small.
 	stallRunsPerCore = 3
-	// stallLongestRuns is how many of the longest recent run must pass without an end in a stall if runs do
-	// not share the cores: many long runs may stand behind short ones.
+	// stallLongestRuns is the time without an end of a run, in multiples of the longest recent run, that
+	// counts as a stall if runs do not share the cores: short runs may be followed by only long ones.
 	stallLongestRuns = 3.0
 	// longestRunHalfLife is the time in which the longest recent run counts half.
 	longestRunHalfLife = 30 * time.Second
 )
 
-// stallDetector finds out whether runs still end. Its times are of the core clock, which stands still with
-// the process.
+// stallDetector detects that runs no longer end. Its times are of the core clock, which does not advance
+// while the process is paused.
 type stallDetector struct {
 	progressAt float64 // the core clock at the last end of a run or of a part of one
 	longestRun float64 // seconds of the longest recent run
@@ -35,7 +35,8 @@
 	d.longestRun *= math.Exp2(-pollInterval.Seconds() / longestRunHalfLife.Seconds())
 }
 
-// detectStall finds work that no longer ends, whatever the cause, and rejects what can be tried elsewhere.
+// detectStall detects that runs no longer end, whatever the cause, and rejects what can be retried on other
+// servers.
 func (in *Instance) detectStall() {
 	if in.use.running == 0 || in.countSamples() < stallRunsPerCore*in.settings.Cores {
 		in.stall.progressAt = in.clock.core
--- a/admission/stall_test.go
+++ b/admission/stall_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestIndependentRunsStallAfterTheLongestRun has runs that do not share cores: many long ones are no stall, and
-// nothing at all for several times the longest is one.
+// TestIndependentRunsStallAfterTheLongestRun has runs that do not share cores: many long runs at once are no stall; no end of a
+// run for several times the longest is one.
 func TestIndependentRunsStallAfterTheLongestRun(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		s := testSettings()
@@ -95,7 +95,7 @@
 		for range 200 {
 			run(5 * time.Millisecond)
 		}
-		for range s.Cores { // byArrival are long ones now
+		for range s.Cores { // only long runs from now on
 			id++
 			in.Request(now, testRequest(id, 0))
 			in.Settle(now)
@@ -138,7 +138,7 @@
 	expectActions(t, rec, "fail refuse", "fail 50")
 }
 
-// TestStalledRunsAreNotLearnedFrom has work stand still: what its runs took by then says nothing of the class.
+// TestStalledRunsAreNotLearnedFrom has all runs hang: how long they had lasted by then is no measure of their class.
 func TestStalledRunsAreNotLearnedFrom(t *testing.T) {
 	s := newDriver(t, twoClassSettings())
 	for range 10 {
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/simulatorwire"
 )
 
-// hostedInstance is one instance with what its settings say.
+// hostedInstance is one instance with its actions and its site's settings.
 type hostedInstance struct {
 	instance   *admission.Instance // nil once it is detached
 	actions    *simulatorwire.Actions
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestSetPrivateFieldErrors checks that a field that the library no longer has is an error: the limiter would silently use the
-// wall clock.
+// TestSetPrivateFieldErrors checks that a missing field of the library is an error: without it the limiter would silently use
+// the wall clock.
 func TestSetPrivateFieldErrors(t *testing.T) {
 	if setPrivateField(&struct{ a int }{}, "b", 1) == nil || setPrivateField(&struct{ a int }{}, "a", "text") == nil {
 		t.Error("a field that is not there can be set")
--- a/internal/baseline/host.go
+++ b/internal/baseline/host.go
@@ -40,7 +40,7 @@
 	concurrencyShare = 0.75                   // of the concurrency that a server survives, that is used
 	memoryShare      = 0.92                   // of the memory, that is used
 	retryAfter       = 250 * time.Millisecond // sent with rejections, if the settings allow any
-	noDeadline       = 1 << 62                // of a request that has been answered and still runs
+	noDeadline       = 1 << 62                // of a request that was answered while its run goes on
 )
 
 // request is a request that the host knows of.
@@ -61,7 +61,7 @@
 	policy   policy
 
 	now       time.Duration
-	started   bool // the first event has come, at startedAt
+	started   bool // the first event was reported, at startedAt
 	startedAt time.Duration
 
 	queue    []*request // in the order of reading
@@ -128,7 +128,7 @@
 func (h *host) Request(now time.Duration, arrival admission.Request) {
 	h.advance(now)
 	req := h.addRequest(now, arrival)
-	if req.deadline <= now { // it was unread for too long
+	if req.deadline <= now { // the deadline passed before it was read
 		h.remove(req)
 		h.actions.Fail(arrival.ID)
 		return
--- a/internal/clustersim/balancing.go
+++ b/internal/clustersim/balancing.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	maxDraws  = 16   // servers that are drawn before all are looked at in turn
+	maxDraws  = 16   // servers that are drawn before all are scanned in turn
 	minWeight = 0.01 // of a server that advertises full load
 	hashShift = 33   // the upper bits of the product are mixed best
 )
@@ -37,7 +37,7 @@
 	return req.priority >= view.load
 }
 
-// isCandidate reports whether a request may go to a server that it has not been to.
+// isCandidate reports whether a server is eligible for a request and was not attempted by it.
 func (g *gateway) isCandidate(server int, req *request) bool {
 	return !slices.Contains(req.attemptedServers, server) && g.isEligible(server, req)
 }
--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -260,8 +260,8 @@
 // machinePaused is called after a machine was paused.
 func (c *ruleChecker) machinePaused(server int, d time.Duration) { c.servers[server].pausedTime += d }
 
-// serverStopped is called when a process ends. A drained process must have answered all that it has read. One that is
-// killed has an excuse, and unread requests were never accepted.
+// serverStopped is called when a process ends. A drained process must have answered all requests that it has read; unread
+// ones were never accepted. A killed process is exempt.
 func (c *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
 	account, unanswered := &c.servers[server], 0
 	for number := range account.attempts { // the order of the map does not matter: they are only counted
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestFeedback checks that a gateway reads each kind of feedback as PROTOCOL and WIRE say, and that a cluster with each kind
-// keeps the rules.
+// TestFeedback checks that a gateway interprets each kind of feedback as the protocol defines it, and that a cluster with
+// each kind keeps the rules.
 func TestFeedback(t *testing.T) {
 	for _, c := range []struct {
 		feedback Feedback
--- a/internal/clustersim/cores.go
+++ b/internal/clustersim/cores.go
@@ -58,7 +58,7 @@
 	count           float64
 	thrashFactor    float64 // loss of efficiency for each run per core above thrashThreshold
 	thrashThreshold float64
-	speed           float64 // of each core now; 0 while all work stands still
+	speed           float64 // of each core now; 0 while no work makes progress
 
 	jobs      jobHeap
 	runCount  int     // jobs that are runs
--- a/internal/clustersim/event.go
+++ b/internal/clustersim/event.go
@@ -7,7 +7,7 @@
 	handle(e *event)
 }
 
-// eventKind says what an event means to its target.
+// eventKind is the kind of an event; each target handles its own kinds.
 type eventKind uint8
 
 // The kinds of event, by target.
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -16,7 +16,7 @@
 	minRetryAfter     = time.Millisecond
 )
 
-// retryAdvice is what a server tells about retries when it rejects an attempt.
+// retryAdvice is what a rejection says about retries.
 type retryAdvice struct {
 	retryAfter time.Duration
 	noRetry    bool // at any server
@@ -125,14 +125,14 @@
 	}
 }
 
-// accept takes a new request of a client.
+// accept sends the first attempt of a client's new request.
 func (g *gateway) accept(req *request) {
 	g.retryTokens = min(g.retryTokens+g.config.RetryBudget, retryBudgetBurst)
 	g.setClientDeadline(req)
 	g.sendAttempt(req, outcomeUnreachable)
 }
 
-// setClientDeadline schedules the time at which the client gives up.
+// setClientDeadline schedules the end of the client's wait.
 func (g *gateway) setClientDeadline(req *request) {
 	req.deadlineEvent = nil
 	if !g.config.NoClientTimeout {
@@ -215,7 +215,7 @@
 	g.sendAttempt(req, outcomeTimedOut)
 }
 
-// handleResult takes in the result of an attempt.
+// handleResult handles the result of an attempt.
 func (g *gateway) handleResult(result *attemptResult) {
 	attempt := result.attempt
 	req := attempt.request
@@ -234,7 +234,7 @@
 	}
 }
 
-// updateView takes in what a result tells about the server.
+// updateView updates the gateway's view of a server from the result of an attempt.
 func (g *gateway) updateView(result *attemptResult) {
 	now, view := g.sim.now, &g.views[result.attempt.server.index]
 	view.openAttempts--
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -17,7 +17,7 @@
 	HalfOutage         IncidentKind = "half"    // like ServerCrash for every second server: one half of the data center
 	SlowServers        IncidentKind = "slow"    // servers are slower by the factor Magnitude
 	HungWork           IncidentKind = "hang"    // work on servers makes no progress, but they accept requests
-	MachinePause       IncidentKind = "pause"   // machines stand still altogether
+	MachinePause       IncidentKind = "pause"   // machines are paused with all that runs on them
 	RollingDeploy      IncidentKind = "deploy"  // servers are replaced in batches of Magnitude, a share of all servers
 	EndpointListFreeze IncidentKind = "freeze"  // the endpoint list doesn't change
 	FailingRuns        IncidentKind = "failing" // the share Magnitude of the runs on servers ends with an error
--- a/internal/clustersim/keys.go
+++ b/internal/clustersim/keys.go
@@ -25,7 +25,7 @@
 // keyTable is a server's table of idempotency keys.
 type keyTable struct {
 	entries map[uint64]*keyEntry
-	held    map[admission.RequestID]uint64 // the keys that attempts hold
+	held    map[admission.RequestID]uint64 // the keys by the attempt that holds them
 	sweptAt time.Duration
 }
 
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// hold keeps an attempt's key for it in place of the attempt that held the key before.
+// hold makes an attempt the holder of its key, in place of the previous holder.
 func (t *keyTable) hold(a *attempt, until time.Duration) {
 	e := t.entry(a.request.key)
 	if e.holder != nil {
--- a/internal/clustersim/queueing_theory_test.go
+++ b/internal/clustersim/queueing_theory_test.go
@@ -76,8 +76,8 @@
 // durationScale lengthens the runs that are compared with theory; docs/design/model.md has the result of 20.
 var durationScale = flag.Float64("scale", 1, "how much longer the worlds of theory are played")
 
-// TestQueueingTheory compares the simulation with exact formulas: it must come within 1 % of each, or within the interval of
-// its own mean if that is wider.
+// TestQueueingTheory compares the simulation with exact formulas: the mean must be within 1 % of each, or within its
+// own confidence interval if that is wider.
 func TestQueueingTheory(t *testing.T) {
 	const work = 100 * time.Millisecond
 	s := work.Seconds()
--- a/internal/clustersim/recovery.go
+++ b/internal/clustersim/recovery.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Recovery says whether the cluster came back after its incidents.
+// Recovery reports whether the goodput of the cluster recovered after its incidents.
 type Recovery struct {
 	HadIncidents    bool    `json:"incidents"`
 	ShareBefore     float64 `json:"before"` // goodput share before the first incident
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -18,7 +18,7 @@
 	priority   float64 // 0 to 1, by class weight and chance; compared with advertised load
 	weight     float64 // earned by a response within the objective
 	createdAt  time.Duration
-	isResend   bool // the client has been served and sends again; it only counts that nothing runs twice
+	isResend   bool // sent again by a client that was served; only checks that nothing runs twice
 	gateway    *gateway
 	requestProgress
 }
@@ -30,7 +30,7 @@
 	openAttempts     int
 	stickyServer     int // the only server that may have run the request and may get a retry, or -1
 	finished         bool
-	deadlineEvent    *event // when the client gives up
+	deadlineEvent    *event // the end of the client's wait
 	retryEvent       *event // when the next attempt starts
 }
 
@@ -61,7 +61,7 @@
 	rejectReason admission.Reason // for which the module would reject it when it is read
 }
 
-// rejectReasonText is the reason of a rejection as far as the module tells it.
+// rejectReasonText is the reason of a rejection, as far as it is known.
 func (a *attempt) rejectReasonText(now time.Duration) string {
 	switch {
 	case now > a.readAt:
@@ -72,7 +72,7 @@
 	return a.rejectReason.String()
 }
 
-// attemptState is how far an attempt has come at its server.
+// attemptState is the state of an attempt at its server.
 type attemptState uint8
 
 const (
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -32,9 +32,9 @@
 	fullSpeed    float64 // of a core when warm
 	slowdown     float64 // factor; 0 means none
 	hangs        int     // incidents under which work makes no progress
-	pauses       int     // incidents under which the whole machine stands still
+	pauses       int     // incidents that pause the whole machine
 	pausedAt     time.Duration
-	pausedEvents []*event // that came meanwhile
+	pausedEvents []*event // that became due during a pause
 	failureShare float64  // share of runs that end with an error
 }
 
--- a/internal/clustersim/server_lifecycle.go
+++ b/internal/clustersim/server_lifecycle.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// pauseMachine lets the whole machine stand still. Each call needs one of resumeMachine.
+// pauseMachine pauses the whole machine. Each call needs one of resumeMachine.
 func (s *server) pauseMachine() {
 	if s.pauses++; s.pauses == 1 && s.isUp {
 		s.advance()
@@ -120,7 +120,7 @@
 	}
 }
 
-// resumeMachine ends a pause and handles the events that came meanwhile.
+// resumeMachine ends a pause and handles the events that became due during it.
 func (s *server) resumeMachine() {
 	if s.pauses--; s.pauses > 0 {
 		return
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -6,7 +6,7 @@
 	"tillerusher/admission"
 )
 
-// admissionChecker is a module that can say how it would decide on an arrival.
+// admissionChecker is a module that can report how it would decide on an arrival.
 type admissionChecker interface {
 	CheckAdmission(now time.Duration, r admission.Request) admission.AdmissionCheck
 }
@@ -102,7 +102,7 @@
 	s.completeRun(a, o)
 }
 
-// completeRun tells the gateway and the module how a run ended, and answers the attempts that followed it.
+// completeRun reports the end of a run to the gateway and the module, and answers the attempts that follow it.
 func (s *server) completeRun(attempt *attempt, result admission.Outcome) {
 	attempt.state, attempt.succeeded = stateEnded, result == admission.OK
 	if attempt.succeeded {
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -278,7 +278,7 @@
 // freeze stops changes of the list. Each call needs one of unfreeze.
 func (l *endpointList) freeze() { l.freezes++ }
 
-// unfreeze applies the changes that came while the list was frozen.
+// unfreeze applies the changes that were made while the list was frozen.
 func (l *endpointList) unfreeze() {
 	if l.freezes--; l.freezes > 0 {
 		return
--- a/internal/clustersim/validate.go
+++ b/internal/clustersim/validate.go
@@ -11,7 +11,7 @@
 const (
 	maxDuration       = 24 * time.Hour
 	maxServers        = 100_000
-	maxScannedServers = 256 // that a gateway may look at for each attempt
+	maxScannedServers = 256 // that a gateway may scan for each attempt
 )
 
 // Validate returns an error for the first thing in the configuration that makes no sense.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,7 +18,7 @@
 	gaugeRunnable    = "runnable"
 )
 
-// errNoServers says that the settings lack the number of servers, without which no quota can be shared.
+// errNoServers reports that the number of servers is missing, without which no tenant's quota share is known.
 var errNoServers = errors.New("settings: servers is missing")
 
 // Site is the settings of a site, translated for the host of an instance.
@@ -46,7 +46,8 @@
 	return gauges
 }
 
-// Parse reads the settings object, which is JSON. Unknown keys are skipped; a word that is not known is a *WordError.
+// Parse reads the settings object, which is JSON. Unknown keys are skipped; an unknown word of an enumerated setting is
+// a *WordError.
 func Parse(text []byte) (*Site, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestServerNotYetListed counts itself if the endpoint list names no server yet, and not where the number is missing.
+// TestServerNotYetListed checks that a server counts itself if the endpoint list names no server yet, and that a missing
+// number is an error.
 func TestServerNotYetListed(t *testing.T) {
 	site, err := Parse([]byte(`{"servers": 0}`))
 	if err != nil || site.Admission.Servers != 1 {
@@ -68,7 +69,7 @@
 	}
 }
 
-// TestUnknownWords names the field, the word and those that are known.
+// TestUnknownWords checks that the error names the field, the word and the known words.
 func TestUnknownWords(t *testing.T) {
 	for field, text := range map[string]string{
 		"family-info.below": `"family-info": {"below": "sideways"}`, "family-info.say": `"family-info": {"say": "sideways"}`,
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestIdempotencyFingerprint names the classes with keys and their windows, in alphabetical order. It is stored: it must
-// not change.
+// TestIdempotencyFingerprint checks that the fingerprint names the classes with keys and their windows, in alphabetical
+// order. It is stored, so it must not change.
 func TestIdempotencyFingerprint(t *testing.T) {
 	site, err := Parse([]byte(`{"servers": 1, "lanes": [{"name": "write", "repeat": "dedup", "repeat-window-ns": 17058000000},
  {"name": "read", "repeat": "retryable"}, {"name": "order", "repeat": "dedup", "repeat-window-ns": 60000000000}]}`))
--- a/internal/settings/text.go
+++ b/internal/settings/text.go
@@ -39,7 +39,7 @@
 	Quota float64 `json:"quota-per-s"`
 }
 
-// serverText is what a server of this kind is and can do.
+// serverText describes a server of this kind and what it supports.
 type serverText = struct {
 	Downstream          string        `json:"below"`
 	Callers             int           `json:"callers"`
@@ -60,13 +60,13 @@
 	StopMode            string        `json:"stop-mode"`
 }
 
-// limitsText is what callers honour.
+// limitsText is the retry advice that callers honour.
 type limitsText = struct {
 	MaxRetryAfter time.Duration `json:"max-retry-after-ns"`
 	RetryAfter    bool          `json:"retry-after"`
 }
 
-// rulesText is what every server of the fleet must keep to.
+// rulesText holds the limits that every server of the fleet must observe.
 type rulesText = struct {
 	WarmUpTime           time.Duration `json:"cold-ns"`
 	InitialCapacity      float64       `json:"cold-share"`
@@ -98,7 +98,7 @@
 	return site, nil
 }
 
-// numbers returns the settings that are the same on both sides.
+// numbers returns the settings that need no translation: numbers, times and flags.
 func (t *settingsText) numbers() admission.Settings {
 	s := admission.Settings{
 		Servers:              *t.Servers,
@@ -140,7 +140,7 @@
 	}, err
 }
 
-// translateWords sets what the settings give as words.
+// translateWords translates the enumerated settings of the server.
 func translateWords(server serverText, to *admission.Settings) (err error) {
 	if to.StopMode, err = lookup("family-info.stop-mode", server.StopMode, stopModes); err != nil {
 		return err
--- a/internal/settings/words.go
+++ b/internal/settings/words.go
@@ -9,7 +9,7 @@
 	"tillerusher/admission"
 )
 
-// The words of the settings and what they mean.
+// The values of enumerated settings, by their names in the settings' JSON.
 var (
 	effects = map[string]admission.Effect{
 		"retryable": admission.Safe,
@@ -34,7 +34,7 @@
 	}
 )
 
-// WordError says that a field of the settings has a word that is not known.
+// WordError reports an unknown word in an enumerated field of the settings.
 type WordError struct {
 	Field string
 	Word  string
--- a/internal/simulatorwire/event.go
+++ b/internal/simulatorwire/event.go
@@ -74,10 +74,10 @@
 	249: admission.NotStarted,
 }
 
-// errSettingsOutside says that an attach event refers to settings beyond the batch.
+// errSettingsOutside reports an attach event that refers to settings beyond the end of the batch.
 var errSettingsOutside = errors.New("settings lie outside the tail")
 
-// Event is one decoded record; which fields mean something depends on the code.
+// Event is one decoded record; which fields are set depends on the code.
 type Event struct {
 	Code       EventCode
 	InstanceID uint32
--- a/internal/simulatorwire/wire.go
+++ b/internal/simulatorwire/wire.go
@@ -13,5 +13,5 @@
 	eventSize       = 64
 	actionSize      = 24
 	countSize       = 4       // the part of a batch's header that its length counts
-	maxBatchSize    = 1 << 30 // a greater length is taken for a broken frame
+	maxBatchSize    = 1 << 30 // a greater length is treated as a broken frame
 )
