--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -14,7 +14,7 @@
 	for id := RequestID(1); id <= 60; id++ {
 		in.Request(10*ms, testRequest(id, 0))
 	}
-	if got := rec.take("refuse"); len(got) != 0 {
+	if got := rec.take("reject"); len(got) != 0 {
 		t.Fatalf("%d running, cores not known to be full, yet %q", n, got)
 	}
 	in.limiter.utilization = 1
@@ -22,7 +22,7 @@
 	other := testRequest(101, 0)
 	other.Tenant = 1
 	in.Request(20*ms, other)
-	expectActions(t, rec, "refuse", "refuse 100 1s false") // it is far over its quota share
+	expectActions(t, rec, "reject", "reject 100 1s false") // it is far over its quota share
 }
 
 // TestRejectionTellsWhenToRetry checks the retry-after of rejections. For a tenant over its quota share it is the time
@@ -72,11 +72,11 @@
 		in.Request(10*ms, testRequest(id, 0))
 	}
 	// Each queued request adds 0.5 s / 2 cores; 1.5 s are left of the objective after its own 0.5 s.
-	expectActions(t, rec, "refuse", "refuse 8 1s false")
+	expectActions(t, rec, "reject", "reject 8 1s false")
 	unknown := testRequest(9, 2)
 	in.classes[2].runTime.samples = 0
 	in.Request(10*ms, unknown)
-	expectActions(t, rec, "refuse")
+	expectActions(t, rec, "reject")
 }
 
 // TestRetryAfterIsAtMostHalfAnObjective checks that the retry-after in a retry storm is half of the longest objective,
@@ -112,7 +112,7 @@
 	}
 	in.limiter.utilization = 1
 	in.Request(0, testRequest(200, 0))
-	expectActions(t, rec, "refuse", "refuse 200 1s false")
+	expectActions(t, rec, "reject", "reject 200 1s false")
 }
 
 func TestAgeBeforeRetry(t *testing.T) {
@@ -204,7 +204,7 @@
 	}
 	s.recorder.take()
 	large := s.request(0, func(q *Request) { q.SizeKB = 600 })
-	if got := s.recorder.take("run", "refuse"); !hasAction(got, "run", large) {
+	if got := s.recorder.take("run", "reject"); !hasAction(got, "run", large) {
 		t.Errorf("got %q, want a run of %d", got, large)
 	}
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -21,7 +21,7 @@
 			if !repeats && class > 0 {
 				want = "[run 1 call 1 fail 1]"
 			}
-			if got := fmt.Sprint(rec.take("run", "call", "fail", "refuse")); got != want {
+			if got := fmt.Sprint(rec.take("run", "call", "fail", "reject")); got != want {
 				t.Errorf("outcome %d of class %d: %s, want %s", o, class, got, want)
 			}
 		}
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -14,7 +14,7 @@
 	in.Request(3*time.Second+10*ms, inside)
 	in.Request(3*time.Second+10*ms, past)
 	in.Settle(3*time.Second + 10*ms)
-	expectActions(t, rec, "run refuse", "refuse 2 1s false", "run 1")
+	expectActions(t, rec, "run reject", "reject 2 1s false", "run 1")
 	in.Settle(5*time.Second - ms)
 	expectActions(t, rec, "fail", "fail 1")
 }
@@ -27,7 +27,7 @@
 	in.Request(2*time.Second+ms, q)
 	in.RunFinished(2*time.Second+2*ms, 1000, OK)
 	in.Settle(2*time.Second + 2*ms)
-	expectActions(t, rec, "run refuse", "refuse 1 1s false")
+	expectActions(t, rec, "run reject", "reject 1 1s false")
 }
 
 // TestGracePeriod checks that the grace period counts from the notice, and that callers are asked to leave two polls
--- a/admission/events_test.go
+++ b/admission/events_test.go
@@ -17,25 +17,25 @@
 	again := testRequest(3, 1)
 	again.RetryOf = 2
 	in.Request(20*ms, again)
-	expectActions(t, rec, "reuse", "reuse 3")
+	expectActions(t, rec, "replay", "replay 3")
 	fillCores(in, rec, 30*ms, 0)
 	last := 6*time.Second - in.answerMargin()
 	in.Settle(last - ms)
 	rec.take()
 	in.Settle(last)
-	got := strings.Join(rec.take("fail", "halt"), ",")
-	for _, want := range []string{"fail 1,halt 1", "fail 2"} {
+	got := strings.Join(rec.take("fail", "stop"), ",")
+	for _, want := range []string{"fail 1,stop 1", "fail 2"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("at the due time: %q, want %q in it", got, want)
 		}
 	}
 	in.Settle(6*time.Second + 20*ms)
-	if got := rec.take("fail", "refuse"); len(got) == 0 || got[0] != "fail 3" {
+	if got := rec.take("fail", "reject"); len(got) == 0 || got[0] != "fail 3" {
 		t.Errorf("after the due time of the repeat: %q", got)
 	}
 	in.RunFinished(6*time.Second+30*ms, 2, Cancelled)
 	in.Settle(6*time.Second + 30*ms)
-	expectActions(t, rec, "fail refuse run")
+	expectActions(t, rec, "fail reject run")
 }
 
 func TestUnknownRepeatedAndLateEventsDoNothing(t *testing.T) {
@@ -53,7 +53,7 @@
 	in.RunFinished(ms, 1, OK)
 	in.Cancel(ms, 1)
 	in.Settle(ms)
-	expectActions(t, rec, "run refuse fail call", "run 1")
+	expectActions(t, rec, "run reject fail call", "run 1")
 	if in.use.running != 0 || in.use.queuedKB != 0 || in.use.runningKB != 0 || in.use.offCore != 0 {
 		t.Errorf("left over: %+v", in)
 	}
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -13,14 +13,14 @@
 
 func (printer) Run(id admission.RequestID) { fmt.Println("run", id) }
 func (printer) Reject(id admission.RequestID, retryAfter time.Duration, _ bool) {
-	fmt.Println("refuse", id, "and stay away for", retryAfter)
+	fmt.Println("reject", id, "retry after", retryAfter)
 }
-func (printer) SetHealth(good, _ bool)             { fmt.Println("healthy:", good) }
+func (printer) SetHealth(healthy, _ bool)          { fmt.Println("healthy:", healthy) }
 func (printer) SetTimer(time.Duration, uint32)     {} // a server would set a timer that ends in Instance.Timer
 func (printer) CloseIdleConnections(time.Duration) {}
 func (printer) Log(line string)                    { fmt.Println("log:", line) }
 
-// A server with one class of requests takes one in, ends it, and leaves.
+// A server with one class of requests runs one request, drains, and rejects one that arrives after the grace period.
 func Example() {
 	settings := admission.Settings{
 		Servers: 3, Callers: 2, Cores: 4, Tick: 5 * time.Millisecond,
@@ -53,5 +53,5 @@
 	// healthy: true
 	// run 1
 	// log: drain: 0 held, 0 running
-	// refuse 2 and stay away for 1s
+	// reject 2 retry after 1s
 }
--- a/admission/feedback_test.go
+++ b/admission/feedback_test.go
@@ -39,15 +39,15 @@
 	in.classes[0].runTime.coreTime = 1
 	rec.take()
 	in.Timer(10100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
-	expectActions(t, rec, "say", "say 0.000")
+	expectActions(t, rec, "advertise", "advertise 0.000")
 }
 
 // TestAdvertisedLoadWhileDraining checks that a draining server advertises its load as before during the grace period,
 // and wants no traffic just before its end: callers that notice late are still served, and the other servers do not
 // get the load sooner than necessary.
 func TestAdvertisedLoadWhileDraining(t *testing.T) {
-	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"say 0.000"}, {"say 1.000"}},
-		FeedbackCredit: {{"say 2.000"}, {"say 0.000"}}, FeedbackWeight: {{"say 1.000"}, {"say 0.000"}}} {
+	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"advertise 0.000"}, {"advertise 1.000"}},
+		FeedbackCredit: {{"advertise 2.000"}, {"advertise 0.000"}}, FeedbackWeight: {{"advertise 1.000"}, {"advertise 0.000"}}} {
 		s := testSettings()
 		s.Feedback = feedback
 		in, rec := newTestInstance(t, s)
@@ -55,9 +55,9 @@
 		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		in.Drain(0, 4*time.Second)
 		in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
-		expectActions(t, rec, "say idle", want[0]...)
+		expectActions(t, rec, "advertise idle", want[0]...)
 		in.Timer(s.DrainGracePeriod-100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
-		expectActions(t, rec, "say idle", append([]string{"idle 10ms"}, want[1]...)...)
+		expectActions(t, rec, "advertise idle", append([]string{"idle 10ms"}, want[1]...)...)
 	}
 }
 
@@ -102,7 +102,7 @@
 			s.module.RunFinished(s.now, id, Failed)
 		}
 		s.advance(200 * ms)
-		advertised := s.recorder.take("say")
+		advertised := s.recorder.take("advertise")
 		return advertised[len(advertised)-1]
 	}
 	if a, b := credit(0.1, 1), credit(1, 0.1); a != b {
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -127,22 +127,22 @@
 	r.phase = hostCalling
 }
 
-// skip lets a run go on without its call.
-func (h *randomHost) skip(id RequestID) {
-	r := h.count(id, "skip")
+// skipCall lets a run go on without its call.
+func (h *randomHost) skipCall(id RequestID) {
+	r := h.count(id, "skip-call")
 	if h.settings.Classes[r.request.Class].SkippedCallWeight == 0 {
-		h.t.Fatalf("%v: skip of %d is not allowed", h.now, id)
+		h.t.Fatalf("%v: skip-call of %d is not allowed", h.now, id)
 	}
 	if r.phase == hostCallPending {
 		r.phase = hostRunning
 	}
 }
 
-// halt stops a run in most cases.
-func (h *randomHost) halt(id RequestID) {
-	r := h.count(id, "halt")
+// stop ends a run in most cases.
+func (h *randomHost) stop(id RequestID) {
+	r := h.count(id, "stop")
 	if h.settings.StopMode == StopNone {
-		h.t.Fatalf("%v: halt of %d is not allowed", h.now, id)
+		h.t.Fatalf("%v: stop of %d is not allowed", h.now, id)
 	}
 	if r.phase == hostRunning && (r.isAnswered || r.isCancelled) && h.rng.Intn(4) > 0 { // otherwise the stop has no effect, as on hung cores
 		r.phase = hostFinished
@@ -150,26 +150,26 @@
 	}
 }
 
-// keep remembers a key.
-func (h *randomHost) keep(id RequestID, lifetime time.Duration) {
-	h.count(id, "keep")
+// keepKey remembers a key.
+func (h *randomHost) keepKey(id RequestID, lifetime time.Duration) {
+	h.count(id, "keep-key")
 	h.keys[id] = h.now + lifetime
 }
 
-// forget removes a key, which must not be that of a request that ran.
-func (h *randomHost) forget(id RequestID) {
-	r := h.count(id, "forget")
+// releaseKey removes a key, which must not be that of a request that ran.
+func (h *randomHost) releaseKey(id RequestID) {
+	r := h.count(id, "release-key")
 	if r.hasRun {
 		h.t.Fatalf("%v: the key of %d, which ran, is erased", h.now, id)
 	}
 	delete(h.keys, id)
 }
 
-// reuse has a request wait for the result of the one that it repeats.
-func (h *randomHost) reuse(id RequestID) {
-	r := h.count(id, "reuse")
+// replayResult has a request wait for the result of the one that it repeats.
+func (h *randomHost) replayResult(id RequestID) {
+	r := h.count(id, "replay")
 	if r.request.RetryOf == 0 || r.phase != hostQueued {
-		h.t.Fatalf("%v: reuse of %d is not allowed", h.now, id)
+		h.t.Fatalf("%v: replay of %d is not allowed", h.now, id)
 	}
 	r.phase = hostReplaying
 }
--- a/admission/keys_test.go
+++ b/admission/keys_test.go
@@ -13,14 +13,14 @@
 	second.RetryOf = 1
 	in.Request(0, second) // two attempts in one batch
 	in.Settle(0)
-	expectActions(t, rec, "keep run reuse refuse", "keep 1 10.01s", "run 1", "reuse 2")
+	expectActions(t, rec, "keep-key run replay reject", "keep-key 1 10.01s", "run 1", "replay 2")
 	in.RunFinished(ms, 1, Failed)
 	in.RunFinished(ms, 2, Failed)
 	third := testRequest(3, 1)
 	third.RetryOf = 1
 	in.Request(2*ms, third)
 	in.Settle(2 * ms)
-	expectActions(t, rec, "keep run reuse refuse", "reuse 3")
+	expectActions(t, rec, "keep-key run replay reject", "replay 3")
 }
 
 func TestKeyWindowCountsFromArrival(t *testing.T) {
@@ -28,7 +28,7 @@
 	q := testRequest(1, 1)
 	q.QueueingDelay = 3 * time.Second
 	in.Request(5*time.Second, q)
-	expectActions(t, rec, "keep", "keep 1 7.01s")
+	expectActions(t, rec, "keep-key", "keep-key 1 7.01s")
 }
 
 func TestFollowerIsPromotedWhenOriginalNeverRan(t *testing.T) {
@@ -41,9 +41,9 @@
 	second.RetryOf = 1
 	in.Request(10*ms, second)
 	in.Settle(10 * ms)
-	expectActions(t, rec, "keep run reuse", "keep 1 10.01s")
+	expectActions(t, rec, "keep-key run replay", "keep-key 1 10.01s")
 	in.Settle(time.Second)
-	expectActions(t, rec, "refuse forget keep fail run", "refuse 1 100ms false", "forget 1", "keep 2 9.02s")
+	expectActions(t, rec, "reject release-key keep-key fail run", "reject 1 100ms false", "release-key 1", "keep-key 2 9.02s")
 	in.RunFinished(time.Second+ms, 1000, OK)
 	in.Settle(time.Second + ms)
 	expectActions(t, rec, "run", "run 2")
@@ -60,7 +60,7 @@
 	in.Settle(2500 * ms)
 	in.RunFinished(2600*ms, 1000, OK)
 	in.Settle(2600 * ms)
-	expectActions(t, rec, "run refuse", "refuse 1 1s false", "refuse 2 1s false")
+	expectActions(t, rec, "run reject", "reject 1 1s false", "reject 2 1s false")
 }
 
 func TestRetryReadWithTheRejectionCountsAsNew(t *testing.T) {
@@ -73,7 +73,7 @@
 	second.RetryOf = 1
 	in.Request(0, second)
 	in.Settle(0)
-	expectActions(t, rec, "refuse reuse run", "refuse 1 1s false", "run 2")
+	expectActions(t, rec, "reject replay run", "reject 1 1s false", "run 2")
 }
 
 func TestNoMemoryForTheKey(t *testing.T) {
@@ -83,7 +83,7 @@
 	in.Request(0, testRequest(1, 1))
 	in.Request(0, testRequest(2, 0))
 	in.Settle(0)
-	if got := rec.take("refuse", "run", "keep"); len(got) != 2 || !strings.HasPrefix(got[0], "refuse 1 ") || got[1] != "run 2" {
+	if got := rec.take("reject", "run", "keep-key"); len(got) != 2 || !strings.HasPrefix(got[0], "reject 1 ") || got[1] != "run 2" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -98,7 +98,7 @@
 	in.Settle(0)
 	in.Request(ms, second)
 	in.Settle(ms)
-	expectActions(t, rec, "keep run reuse", "keep 1 7s", "run 1", "reuse 2")
+	expectActions(t, rec, "keep-key run replay", "keep-key 1 7s", "run 1", "replay 2")
 }
 
 // TestKeyCount checks that a key that was released or expired is taken off the count once.
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -69,13 +69,13 @@
 	in.Settle(100 * ms)
 	rec.take()
 	in.Request(100*ms, testRequest(50, 0))
-	if got := strings.Join(rec.take("refuse"), ","); !strings.Contains(got, "refuse 50 ") || in.limiter.limit != limit {
+	if got := strings.Join(rec.take("reject"), ","); !strings.Contains(got, "reject 50 ") || in.limiter.limit != limit {
 		t.Errorf("cores full at this moment: actions %q, limit %v, want a rejection and %v", got, in.limiter.limit, limit)
 	}
 	in.Timer(200*ms, 0, Gauges{Utilization: 1, Runnable: 1})
 	in.Settle(200 * ms)
 	in.Request(200*ms, testRequest(51, 0))
-	if got := strings.Join(rec.take("refuse"), ","); got != "" || in.limiter.limit <= limit {
+	if got := strings.Join(rec.take("reject"), ","); got != "" || in.limiter.limit <= limit {
 		t.Errorf("cores with room at this moment: actions %q, limit %v", got, in.limiter.limit)
 	}
 }
--- a/admission/order_test.go
+++ b/admission/order_test.go
@@ -41,7 +41,7 @@
 	lowWeight := s.request(0, nil)
 	in.RunFinished(s.now, ids[0], OK)
 	in.Settle(s.now)
-	if got := s.recorder.take("run", "refuse"); !hasAction(got, "run", lowWeight) {
+	if got := s.recorder.take("run", "reject"); !hasAction(got, "run", lowWeight) {
 		t.Errorf("got %q, want a run of %d", got, lowWeight)
 	}
 	for range 40 {
@@ -50,7 +50,7 @@
 	s.request(0, nil)
 	in.RunFinished(s.now, ids[1], OK)
 	in.Settle(s.now)
-	if got := s.recorder.take("run", "refuse"); !hasAction(got, "run", ids[2]) {
+	if got := s.recorder.take("run", "reject"); !hasAction(got, "run", ids[2]) {
 		t.Errorf("got %q, want a run of %d", got, ids[2])
 	}
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -16,9 +16,9 @@
 	in.limiter.utilization = 1
 	useful := in.requests.byID[100].objectiveDeadline
 	in.Settle(useful - ms)
-	expectActions(t, rec, "refuse")
+	expectActions(t, rec, "reject")
 	in.Settle(useful + ms)
-	if got := rec.take("refuse", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 100 ") {
+	if got := rec.take("reject", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 100 ") {
 		t.Errorf("got %q", got)
 	}
 }
@@ -34,7 +34,7 @@
 	in.limiter.utilization = 0.5
 	in.Request(0, testRequest(1, 0))
 	in.Settle(0)
-	expectActions(t, rec, "run refuse", "run 1")
+	expectActions(t, rec, "run reject", "run 1")
 	in.RunFinished(100*ms, 1, OK)
 	if wall := in.classes[0].runTime.wallTime; wall >= 4 {
 		t.Errorf("a fast run left the expected time at %v s", wall)
@@ -43,7 +43,7 @@
 	in.limiter.utilization = 1
 	in.Request(200*ms, testRequest(2, 0))
 	in.Settle(200 * ms)
-	if got := rec.take("refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 2 ") {
+	if got := rec.take("reject"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 2 ") {
 		t.Errorf("on full cores: %q", got)
 	}
 }
@@ -55,7 +55,7 @@
 	hasty.RemainingTime = 500 * ms
 	in.Request(0, hasty)
 	in.Settle(0)
-	if got := rec.take("run", "refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 1 ") {
+	if got := rec.take("run", "reject"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 1 ") {
 		t.Errorf("a run of one second for a caller who waits half of it: %q", got)
 	}
 }
@@ -78,9 +78,9 @@
 	other := testRequest(100, 0)
 	other.Tenant = 1
 	in.Request(0, other)
-	expectActions(t, rec, "refuse")
+	expectActions(t, rec, "reject")
 	in.Request(0, testRequest(101, 0))
-	expectActions(t, rec, "refuse", "refuse 101 1s false")
+	expectActions(t, rec, "reject", "reject 101 1s false")
 }
 
 func TestPredictedWaitOverQuotaCountsRunsWithinQuota(t *testing.T) {
@@ -120,7 +120,7 @@
 	s.advance(100 * ms)
 	s.recorder.take()
 	quick := s.request(0, nil)
-	if hasAction(s.recorder.take("refuse"), "refuse", quick) {
+	if hasAction(s.recorder.take("reject"), "reject", quick) {
 		t.Error("a request with a short objective was rejected for work that waits behind it")
 	}
 }
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -174,7 +174,7 @@
 			t.Fatalf("%d read before the stop was not answered", id)
 		}
 	}
-	for _, action := range []string{"run", "answer", "keep", "forget", "reuse"} {
+	for _, action := range []string{"run", "answer", "keep-key", "release-key", "replay"} {
 		if h.actionCounts[action] == 0 {
 			t.Errorf("no %s in the whole run: it tests too little", action)
 		}
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -25,7 +25,7 @@
 }
 
 func (r *recorder) Reject(id RequestID, retryAfter time.Duration, noRetry bool) {
-	r.add("refuse %d %v %v", id, retryAfter, noRetry)
+	r.add("reject %d %v %v", id, retryAfter, noRetry)
 	if r.host != nil {
 		r.host.answer(id, true)
 	}
@@ -46,48 +46,48 @@
 }
 
 func (r *recorder) SkipCall(id RequestID) {
-	r.add("skip %d", id)
+	r.add("skip-call %d", id)
 	if r.host != nil {
-		r.host.skip(id)
+		r.host.skipCall(id)
 	}
 }
 
 func (r *recorder) Stop(id RequestID) {
-	r.add("halt %d", id)
+	r.add("stop %d", id)
 	if r.host != nil {
-		r.host.halt(id)
+		r.host.stop(id)
 	}
 }
 
 func (r *recorder) KeepKey(id RequestID, lifetime time.Duration) {
-	r.add("keep %d %v", id, lifetime)
+	r.add("keep-key %d %v", id, lifetime)
 	if r.host != nil {
-		r.host.keep(id, lifetime)
+		r.host.keepKey(id, lifetime)
 	}
 }
 
 func (r *recorder) ReleaseKey(id RequestID) {
-	r.add("forget %d", id)
+	r.add("release-key %d", id)
 	if r.host != nil {
-		r.host.forget(id)
+		r.host.releaseKey(id)
 	}
 }
 
 func (r *recorder) ReplayResult(id RequestID) {
-	r.add("reuse %d", id)
+	r.add("replay %d", id)
 	if r.host != nil {
-		r.host.reuse(id)
+		r.host.replayResult(id)
 	}
 }
 
-func (r *recorder) AdvertiseLoad(value float64) { r.add("say %.3f", value) }
+func (r *recorder) AdvertiseLoad(value float64) { r.add("advertise %.3f", value) }
 
 func (r *recorder) SetHealth(healthy, fromStore bool) { r.add("health %v %v", healthy, fromStore) }
 
 func (r *recorder) CloseIdleConnections(idle time.Duration) { r.add("idle %v", idle) }
 
 func (r *recorder) SetTimer(wait time.Duration, _ uint32) {
-	r.add("after %v", wait)
+	r.add("timer %v", wait)
 	if r.host != nil {
 		r.host.timers = append(r.host.timers, r.host.now+wait)
 	}
--- a/admission/retrystorm_test.go
+++ b/admission/retrystorm_test.go
@@ -19,11 +19,11 @@
 	in.drain.noticedAt = -time.Hour
 	rec.take()
 	in.Request(0, testRequest(50, 0))
-	expectActions(t, rec, "refuse", "refuse 50 1s true")
+	expectActions(t, rec, "reject", "reject 50 1s true")
 	for id := RequestID(60); id <= 80; id++ {
 		in.Request(0, testRequest(id, 0))
 	}
-	if got := rec.take("refuse"); got[len(got)-1] != "refuse 80 1s false" {
+	if got := rec.take("reject"); got[len(got)-1] != "reject 80 1s false" {
 		t.Errorf("after the storm: %q", got[len(got)-1])
 	}
 }
@@ -39,7 +39,7 @@
 	in.stall.isStalled, in.drain.isDraining, in.drain.noticedAt = false, true, -time.Hour
 	rec.take()
 	in.Request(time.Second, testRequest(50, 0))
-	expectActions(t, rec, "refuse", "refuse 50 1s true")
+	expectActions(t, rec, "reject", "reject 50 1s true")
 }
 
 // TestTrafficMonitor checks that each arrival counts with learnWeight, and that a negative delay counts as 0.
--- a/admission/stall_test.go
+++ b/admission/stall_test.go
@@ -38,7 +38,7 @@
 	if logs != 1 || !in.stall.isStalled {
 		t.Errorf("%d running: %d lines logged, stalled %v", n, logs, in.stall.isStalled)
 	}
-	if got := strings.Join(rec.take("health", "refuse"), ","); !strings.Contains(got, "health false true") || !strings.Contains(got, "refuse 50 ") {
+	if got := strings.Join(rec.take("health", "reject"), ","); !strings.Contains(got, "health false true") || !strings.Contains(got, "reject 50 ") {
 		t.Errorf("actions %q", got)
 	}
 	in.RunFinished(now, 1000, OK)
@@ -135,7 +135,7 @@
 		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 		in.Settle(now)
 	}
-	expectActions(t, rec, "fail refuse", "fail 50")
+	expectActions(t, rec, "fail reject", "fail 50")
 }
 
 // TestStalledRunsAreNotLearnedFrom has all runs hang: how long they had lasted by then is no measure of their class.
--- a/admission/validate_test.go
+++ b/admission/validate_test.go
@@ -85,7 +85,7 @@
 					asked[id] = s.now + set.Classes[class].Deadline
 				}
 				s.advance(20 * ms)
-				for _, line := range s.recorder.take("run", "refuse", "fail") {
+				for _, line := range s.recorder.take("run", "reject", "fail") {
 					word, id := scanAction(t, line)
 					if word == "run" {
 						running = append(running, id)
