--- a/internal/baseline/codel.go
+++ b/internal/baseline/codel.go
@@ -12,6 +12,9 @@
 	codelInterval = 100 * time.Millisecond // queueing delay otherwise, and how long a queue must not have been empty to stand
 )
 
+// runsPerTwoCores bounds the running requests of CoDel and WeightPriority.
+const runsPerTwoCores = 3
+
 // codel rejects requests that waited for too long, and runs the newest first while a queue stands.
 type codel struct {
 	*host
@@ -22,7 +25,7 @@
 // CoDel is controlled delay with an adaptive LIFO. It runs three requests per two cores.
 func CoDel(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	h := newHost(s, a)
-	h.policy = &codel{host: h, runLimit: max(s.Cores*3/2, 1)}
+	h.policy = &codel{host: h, runLimit: max(s.Cores*runsPerTwoCores/2, 1)}
 	return h, nil
 }
 
--- a/internal/baseline/weight_priority.go
+++ b/internal/baseline/weight_priority.go
@@ -46,7 +46,7 @@
 }
 
 func (w *weightPriority) nextToRun() *request {
-	if w.running >= w.settings.Cores*3/2 {
+	if w.running >= w.settings.Cores*runsPerTwoCores/2 {
 		return nil
 	}
 	best := w.queue[0]
--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -101,7 +101,10 @@
 // attemptArrived is called when a server accepts an attempt.
 func (c *ruleChecker) attemptArrived(number uint64, server int, now time.Duration) {
 	a, s := c.attempts[number], &c.servers[server]
-	a.server, a.arrivedAt, a.arrived, a.pausedBefore = server, now, true, s.pausedTime
+	a.arrived = true
+	a.arrivedAt = now
+	a.server = server
+	a.pausedBefore = s.pausedTime
 	s.attempts[number] = true
 	c.openAttempts++
 }
@@ -262,11 +265,11 @@
 
 // serverStopped is called when a process ends. A drained process must have answered all requests that it has read; unread
 // ones were never accepted. A killed process is exempt.
-func (c *ruleChecker) serverStopped(server int, now time.Duration, killed bool) {
+func (c *ruleChecker) serverStopped(server int, now time.Duration, exit processExit) {
 	account, unanswered := &c.servers[server], 0
 	for number := range account.attempts { // the order of the map does not matter: they are only counted
 		attempt := c.attempts[number]
-		if attempt.read && !attempt.answered && !killed {
+		if attempt.read && !attempt.answered && exit == exitDrained {
 			unanswered++
 		}
 		attempt.running = false
--- a/internal/clustersim/checker_test.go
+++ b/internal/clustersim/checker_test.go
@@ -19,7 +19,7 @@
 		},
 		RuleDrain: func(checker *ruleChecker) {
 			checker.drainStarted(0, 0)
-			checker.serverStopped(0, 1, false)
+			checker.serverStopped(0, 1, exitDrained)
 		},
 		RuleCrash: func(checker *ruleChecker) {
 			config.Servers.MemoryKB = 1
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -105,7 +105,8 @@
 		g.handleAttemptTimeout(event.payload.(*attempt))
 	case eventRetry:
 		r := event.payload.(*request)
-		if r.retryEvent = nil; !r.finished {
+		r.retryEvent = nil
+		if !r.finished {
 			g.sendAttempt(r, outcomeRejected)
 		}
 	case eventHealthCheck:
@@ -239,7 +240,8 @@
 	now, view := g.sim.now, &g.views[result.attempt.server.index]
 	view.openAttempts--
 	if result.outcome == outcomeUnreachable || result.outcome == outcomeConnectionLost {
-		if view.consecutiveMisses++; view.consecutiveMisses >= ejectionThreshold {
+		view.consecutiveMisses++
+		if view.consecutiveMisses >= ejectionThreshold {
 			view.avoidUntil = now + ejectionTime
 		}
 		return
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -135,7 +135,7 @@
 	srv.advance()
 	switch i.Kind {
 	case ServerCrash, HalfOutage:
-		srv.terminate(true)
+		srv.terminate(exitKilled)
 	case SlowServers:
 		srv.slowdown = max(srv.slowdown, 1) * i.Magnitude
 	case HungWork:
--- a/internal/clustersim/keys.go
+++ b/internal/clustersim/keys.go
@@ -78,7 +78,8 @@
 	delete(t.held, id)
 	entry := t.entries[key]
 	holder := entry.holder
-	if entry.holder = nil; entry.lastRun == nil {
+	entry.holder = nil
+	if entry.lastRun == nil {
 		delete(t.entries, key)
 	}
 	return holder
--- a/internal/clustersim/random.go
+++ b/internal/clustersim/random.go
@@ -47,7 +47,8 @@
 	}
 	remaining := rng.Float64() * total
 	for i, w := range weights {
-		if remaining -= w; remaining < 0 {
+		remaining -= w
+		if remaining < 0 {
 			return i
 		}
 	}
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -297,7 +297,8 @@
 	worst := 1.0
 	for from := range r.Timeline {
 		to := min(from+worstWindowSeconds, len(r.Timeline))
-		if worst = min(worst, r.goodputShare(from, to)); to == len(r.Timeline) {
+		worst = min(worst, r.goodputShare(from, to))
+		if to == len(r.Timeline) {
 			break
 		}
 	}
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -60,15 +60,23 @@
 	return &server{sim: s, index: index, machine: machine{fullSpeed: fullSpeed}}
 }
 
-// start starts a process, either with a warm-up or as fast as one that has run for long.
-func (s *server) start(cold bool) {
+// processStart is the state in which a process starts.
+type processStart uint8
+
+const (
+	startWarm processStart = iota // at full speed, like one that has run for long
+	startCold                     // with a warm-up
+)
+
+// start starts a process.
+func (s *server) start(from processStart) {
 	config := &s.sim.config.Servers
 	s.generation++
 	s.isUp = true
 	s.keys.reset()
 	s.process = process{
 		startedAt:      s.sim.now,
-		startedCold:    cold,
+		startedCold:    from == startCold,
 		reportsHealthy: true,
 		attempts:       map[admission.RequestID]*attempt{},
 		cores: cores{
@@ -79,14 +87,14 @@
 		},
 	}
 	s.updateSpeed()
-	if cold && config.WarmUpTime > 0 {
+	if s.startedCold && config.WarmUpTime > 0 {
 		s.schedule(config.WarmUpTime/warmUpSteps, eventWarmUp, nil)
 	}
 	if config.MaxConcurrencyFactor > 0 {
 		s.schedule(config.ConcurrencyWindow/concurrencySamples, eventConcurrencyCheck, nil)
 	}
 	settings := s.sim.config.admissionSettings()
-	settings.WarmingUp = cold
+	settings.WarmingUp = s.startedCold
 	module, err := s.sim.newModule(settings, s)
 	if err != nil {
 		s.sim.fail(err)
@@ -94,7 +102,7 @@
 	}
 	s.module = module
 	s.markUnsettled()
-	s.sim.announceEndpoint(s, true)
+	s.sim.addEndpoint(s)
 	s.sim.checker.serverStarted(s.index)
 }
 
@@ -146,7 +154,7 @@
 		}
 	case eventStart:
 		if !s.isUp {
-			s.start(true)
+			s.start(startCold)
 		}
 	default:
 		if s.isUp && int(event.generation) == s.generation {
@@ -172,7 +180,7 @@
 		s.listenerClosed = true
 		s.stopIfDrained()
 	case eventStop:
-		s.terminate(false)
+		s.terminate(exitDrained)
 		s.sim.events.schedule(s.sim.now, s, eventStart, nil) // its successor
 	}
 }
--- a/internal/clustersim/server_lifecycle.go
+++ b/internal/clustersim/server_lifecycle.go
@@ -52,12 +52,20 @@
 // crash ends the process, which starts again after a while.
 func (s *server) crash() {
 	s.sim.result.Crashes++
-	s.terminate(true)
+	s.terminate(exitKilled)
 	s.sim.events.schedule(s.sim.now+s.sim.config.Servers.RestartDelay, s, eventStart, nil)
 }
 
+// processExit is how a process ends.
+type processExit uint8
+
+const (
+	exitDrained processExit = iota // after a graceful shutdown
+	exitKilled                     // at once
+)
+
 // terminate ends the process with all that it has in memory.
-func (s *server) terminate(killed bool) {
+func (s *server) terminate(exit processExit) {
 	if !s.isUp {
 		return
 	}
@@ -66,12 +74,14 @@
 	s.sim.result.WorkDone += s.cores.workDone
 	s.sim.events.cancel(s.coresEvent)
 	lost := s.ownedAttempts()
-	s.sim.checker.serverStopped(s.index, s.sim.now, killed)
+	s.sim.checker.serverStopped(s.index, s.sim.now, exit)
 	for _, a := range lost {
 		s.respond(a, outcomeConnectionLost, retryAdvice{})
 	}
-	s.cores.jobs, s.attempts, s.backlog = nil, nil, nil
-	s.sim.announceEndpoint(s, false)
+	s.cores.jobs = nil
+	s.attempts = nil
+	s.backlog = nil
+	s.sim.removeEndpoint(s)
 }
 
 // ownedAttempts returns the attempts that the process knows of: unread ones, those that are being read, and all others in
@@ -96,7 +106,7 @@
 	}
 	config := &s.sim.config.Servers
 	s.draining = true
-	s.sim.announceEndpoint(s, false)
+	s.sim.removeEndpoint(s)
 	s.sim.checker.drainStarted(s.index, s.sim.now+config.DrainGracePeriod)
 	s.module.Drain(s.sim.now, config.DrainTimeout)
 	s.markUnsettled()
@@ -113,7 +123,8 @@
 
 // pauseMachine pauses the whole machine. Each call needs one of resumeMachine.
 func (s *server) pauseMachine() {
-	if s.pauses++; s.pauses == 1 && s.isUp {
+	s.pauses++
+	if s.pauses == 1 && s.isUp {
 		s.advance()
 		s.pausedAt = s.sim.now
 		s.sim.events.cancel(s.coresEvent)
@@ -122,7 +133,8 @@
 
 // resumeMachine ends a pause and handles the events that became due during it.
 func (s *server) resumeMachine() {
-	if s.pauses--; s.pauses > 0 {
+	s.pauses--
+	if s.pauses > 0 {
 		return
 	}
 	s.sim.checker.machinePaused(s.index, s.sim.now-s.pausedAt)
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -142,7 +142,7 @@
 		s.servers = append(s.servers, newServer(s, i, max(speed, config.Speed/minSpeedDivisor)))
 	}
 	for _, srv := range s.servers {
-		srv.start(false)
+		srv.start(startWarm)
 		s.endpoints.present[srv.index] = true
 	}
 }
@@ -202,9 +202,19 @@
 	}
 }
 
-// announceEndpoint adds a server to the endpoint list or removes it; gateways see that after the list's delay.
-func (s *simulation) announceEndpoint(srv *server, present bool) {
-	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, endpointChange{srv.index, present})
+// addEndpoint adds a server to the endpoint list.
+func (s *simulation) addEndpoint(srv *server) {
+	s.changeEndpoints(endpointChange{server: srv.index, present: true})
+}
+
+// removeEndpoint removes a server from the endpoint list.
+func (s *simulation) removeEndpoint(srv *server) {
+	s.changeEndpoints(endpointChange{server: srv.index, present: false})
+}
+
+// changeEndpoints schedules a change of the endpoint list, which gateways see after the list's delay.
+func (s *simulation) changeEndpoints(change endpointChange) {
+	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, change)
 }
 
 // networkDelay draws the time that a message takes: half of the mean at least, and the rest distributed exponentially.
@@ -280,7 +290,8 @@
 
 // unfreeze applies the changes that were made while the list was frozen.
 func (l *endpointList) unfreeze() {
-	if l.freezes--; l.freezes > 0 {
+	l.freezes--
+	if l.freezes > 0 {
 		return
 	}
 	for _, c := range l.pending {
--- a/internal/clustersim/workload.go
+++ b/internal/clustersim/workload.go
@@ -65,8 +65,10 @@
 	gateways := config.drawClusterSize(rng, kind)
 	config.Servers.draw(rng)
 	config.drawClasses(rng)
-	config.ResourceCount, config.Skew = 4700+rng.IntN(24300), drawUniform(rng, 1.01, 1.2)
-	config.NetworkDelay, config.EndpointListDelay = drawDuration(rng, 0.0014, 0.0026), drawDuration(rng, 1.3, 4.6)
+	config.ResourceCount = 4700 + rng.IntN(24300)
+	config.Skew = drawUniform(rng, 1.01, 1.2)
+	config.NetworkDelay = drawDuration(rng, 0.0014, 0.0026)
+	config.EndpointListDelay = drawDuration(rng, 1.3, 4.6)
 	config.drawGateways(rng, gateways)
 	low, high := kind.loadRange()
 	config.SetLoad(drawUniform(rng, low, high))
@@ -126,10 +128,15 @@
 func (c *Config) drawArrival(rng *rand.Rand) {
 	a := &c.Arrival
 	if rng.IntN(2) == 0 {
-		a.Kind, a.BurstFactor, a.BurstFraction, a.MeanBurst = arrival.Bursty, drawUniform(rng, 1.2, 1.6), 0.2, drawDuration(rng, 1, 4)
+		a.Kind = arrival.Bursty
+		a.BurstFactor = drawUniform(rng, 1.2, 1.6)
+		a.BurstFraction = 0.2
+		a.MeanBurst = drawDuration(rng, 1, 4)
 		return
 	}
-	a.Kind, a.Amplitude, a.Period = arrival.Diurnal, drawUniform(rng, 0.14, 0.3), 2*c.Duration
+	a.Kind = arrival.Diurnal
+	a.Amplitude = drawUniform(rng, 0.14, 0.3)
+	a.Period = 2 * c.Duration
 }
 
 // gatewayKinds are the kinds of gateway that the operators know of.
@@ -164,13 +171,24 @@
 	i := Incident{Start: drawDuration(rng, 5, c.Duration.Seconds()*0.6)}
 	switch rng.IntN(4) {
 	case 0:
-		i.Kind, i.Duration, i.Magnitude, i.RampTime = RateJump, drawDuration(rng, 3.8, 9.2), drawUniform(rng, 1.3, 1.6), time.Second
+		i.Kind = RateJump
+		i.Duration = drawDuration(rng, 3.8, 9.2)
+		i.Magnitude = drawUniform(rng, 1.3, 1.6)
+		i.RampTime = time.Second
 	case 1:
-		i.Kind, i.Duration, i.ServerShare = ServerCrash, drawDuration(rng, 6.3, 24), drawUniform(rng, 0.08, 0.2)
+		i.Kind = ServerCrash
+		i.Duration = drawDuration(rng, 6.3, 24)
+		i.ServerShare = drawUniform(rng, 0.08, 0.2)
 	case 2:
-		i.Kind, i.Duration, i.ServerShare, i.Magnitude = SlowServers, drawDuration(rng, 18, 35), drawUniform(rng, 0.05, 0.23), drawUniform(rng, 3.4, 9.3)
+		i.Kind = SlowServers
+		i.Duration = drawDuration(rng, 18, 35)
+		i.ServerShare = drawUniform(rng, 0.05, 0.23)
+		i.Magnitude = drawUniform(rng, 3.4, 9.3)
 	default:
-		i.Kind, i.Duration, i.ServerShare, i.Magnitude = RollingDeploy, drawDuration(rng, 22, 39), drawUniform(rng, 0.49, 0.98), drawUniform(rng, 0.059, 0.2)
+		i.Kind = RollingDeploy
+		i.Duration = drawDuration(rng, 22, 39)
+		i.ServerShare = drawUniform(rng, 0.49, 0.98)
+		i.Magnitude = drawUniform(rng, 0.059, 0.2)
 	}
 	return i
 }
--- a/internal/settings/words.go
+++ b/internal/settings/enums.go
@@ -34,23 +34,23 @@
 	}
 )
 
-// WordError reports an unknown word in an enumerated field of the settings.
-type WordError struct {
+// UnknownValueError reports an unknown value of an enumerated field of the settings.
+type UnknownValueError struct {
 	Field string
-	Word  string
+	Value string
 	Known []string // in alphabetical order
 }
 
-// Error names the field, the word and those that are known.
-func (e *WordError) Error() string {
-	return fmt.Sprintf("settings: %s is %q, want one of %s", e.Field, e.Word, strings.Join(e.Known, ", "))
+// Error names the field, its value and the known values.
+func (e *UnknownValueError) Error() string {
+	return fmt.Sprintf("settings: %s is %q, want one of %s", e.Field, e.Value, strings.Join(e.Known, ", "))
 }
 
-// lookup translates a word; an absent one means the first value of its kind.
-func lookup[T any](field, word string, words map[string]T) (T, error) {
-	value, isKnown := words[word]
-	if !isKnown && word != "" {
-		return value, &WordError{Field: field, Word: word, Known: slices.Sorted(maps.Keys(words))}
+// lookup translates the name of a value; an empty one means the zero value of the type.
+func lookup[T any](field, name string, values map[string]T) (T, error) {
+	value, isKnown := values[name]
+	if !isKnown && name != "" {
+		return value, &UnknownValueError{Field: field, Value: name, Known: slices.Sorted(maps.Keys(values))}
 	}
 	return value, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -46,8 +46,8 @@
 	return gauges
 }
 
-// Parse reads the settings object, which is JSON. Unknown keys are skipped; an unknown word of an enumerated setting is
-// a *WordError.
+// Parse reads the settings object, which is JSON. Unknown keys are skipped; an unknown value of an enumerated setting is
+// an *UnknownValueError.
 func Parse(text []byte) (*Site, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestUnknownWords checks that the error names the field, the word and the known words.
-func TestUnknownWords(t *testing.T) {
+// TestUnknownValues checks that the error names the field, its value and the known values.
+func TestUnknownValues(t *testing.T) {
 	for field, text := range map[string]string{
 		"family-info.below": `"family-info": {"below": "sideways"}`, "family-info.say": `"family-info": {"say": "sideways"}`,
 		"family-info.stop-mode": `"family-info": {"stop-mode": "sideways"}`, "lanes[].repeat": `"lanes": [{"repeat": "sideways"}]`,
--- a/internal/settings/text.go
+++ b/internal/settings/text.go
@@ -92,7 +92,7 @@
 		site.Admission.Classes = append(site.Admission.Classes, translated)
 		site.ClassNames = append(site.ClassNames, class.Name)
 	}
-	if err := translateWords(t.Server, &site.Admission); err != nil {
+	if err := translateEnums(t.Server, &site.Admission); err != nil {
 		return nil, err
 	}
 	return site, nil
@@ -100,7 +100,7 @@
 
 // numbers returns the settings that need no translation: numbers, times and flags.
 func (t *settingsText) numbers() admission.Settings {
-	s := admission.Settings{
+	settings := admission.Settings{
 		Servers:              *t.Servers,
 		Callers:              t.Server.Callers,
 		Cores:                t.Server.Cores,
@@ -121,9 +121,9 @@
 		CallerIdleTimeout:    t.Server.CallerIdleTimeout,
 	}
 	if t.Limits.RetryAfter {
-		s.MaxRetryAfter = t.Limits.MaxRetryAfter
+		settings.MaxRetryAfter = t.Limits.MaxRetryAfter
 	}
-	return s
+	return settings
 }
 
 // translateClass returns the class without the weight of skipped calls.
@@ -140,8 +140,8 @@
 	}, err
 }
 
-// translateWords translates the enumerated settings of the server.
-func translateWords(server serverText, to *admission.Settings) (err error) {
+// translateEnums translates the enumerated settings of the server.
+func translateEnums(server serverText, to *admission.Settings) (err error) {
 	if to.StopMode, err = lookup("family-info.stop-mode", server.StopMode, stopModes); err != nil {
 		return err
 	}
--- a/internal/simulatorwire/reader.go
+++ b/internal/simulatorwire/reader.go
@@ -14,6 +14,13 @@
 	errShortBatch  = errors.New("frame: input ends within a batch")
 )
 
+// Offsets of the fields in a batch's header.
+const (
+	offsetBatchTime   = 0
+	offsetBatchLength = 8
+	offsetBatchCount  = 12
+)
+
 // Batch is one decoded frame: the events of one time.
 type Batch struct {
 	Now    time.Duration
@@ -39,9 +46,9 @@
 		}
 		return err
 	}
-	now := time.Duration(binary.LittleEndian.Uint64(header[:]))
-	size := int64(binary.LittleEndian.Uint32(header[8:])) - countSize
-	count := int64(binary.LittleEndian.Uint32(header[12:]))
+	now := time.Duration(binary.LittleEndian.Uint64(header[offsetBatchTime:]))
+	size := int64(binary.LittleEndian.Uint32(header[offsetBatchLength:])) - countSize
+	count := int64(binary.LittleEndian.Uint32(header[offsetBatchCount:]))
 	if size < 0 || size > maxBatchSize {
 		return fmt.Errorf("frame: impossible length %d", size+countSize)
 	}
--- a/internal/simulatorwire/reply.go
+++ b/internal/simulatorwire/reply.go
@@ -41,6 +41,12 @@
 	offsetActionToken = 13
 )
 
+// Offsets of the fields in a reply's header.
+const (
+	offsetReplyCount  = 0
+	offsetReplyLength = 4
+)
+
 // Reply collects the actions of one batch.
 type Reply struct {
 	records []byte
@@ -83,8 +89,8 @@
 func (r *Reply) Flush(out io.Writer) error {
 	size := len(r.records) + len(r.tail)
 	frame := make([]byte, replyHeaderSize, replyHeaderSize+size)
-	binary.LittleEndian.PutUint32(frame, r.count)
-	binary.LittleEndian.PutUint32(frame[4:], uint32(size))
+	binary.LittleEndian.PutUint32(frame[offsetReplyCount:], r.count)
+	binary.LittleEndian.PutUint32(frame[offsetReplyLength:], uint32(size))
 	frame = append(frame, r.records...)
 	frame = append(frame, r.tail...)
 	_, err := out.Write(frame)
