--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -28,13 +28,13 @@
 // TestRejectionTellsWhenToRetry checks the retry-after of rejections. For a tenant over its quota share it is the time
 // after which its rate estimate has decayed to the share.
 func TestRejectionTellsWhenToRetry(t *testing.T) {
-	s := testSettings()
-	in, _ := newTestInstance(t, s)
+	settings := testSettings()
+	in, _ := newTestInstance(t, settings)
 	in.classes[0].runTime.coreTime, in.classes[0].queued[0] = 0.5, 2 // half a second of work on each of two cores
 	for _, c := range []struct {
 		rateRatio float64
 		want      time.Duration
-	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, s.MaxRetryAfter}} {
+	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, settings.MaxRetryAfter}} {
 		if got := in.retryAfter(&request{rateRatio: c.rateRatio}); got != c.want {
 			t.Errorf("%v times its quota share: %v, want %v", c.rateRatio, got, c.want)
 		}
@@ -44,7 +44,7 @@
 		t.Errorf("with no wait predicted: %v, want the time to the next look", got)
 	}
 	in.drain.isDraining = true
-	if got := in.retryAfter(&request{}); got != s.MaxRetryAfter {
+	if got := in.retryAfter(&request{}); got != settings.MaxRetryAfter {
 		t.Errorf("while draining: %v, want the longest", got)
 	}
 	in.drain.isDraining = false
@@ -55,15 +55,15 @@
 	}
 	const quotaShare = 12
 	back := in.retryAfter(&request{rateRatio: e.rate(now, in.rates.decay) / quotaShare})
-	if r := e.rate(now+back, in.rates.decay); back >= s.MaxRetryAfter || r > quotaShare*1.001 || r < quotaShare*0.999 {
+	if r := e.rate(now+back, in.rates.decay); back >= settings.MaxRetryAfter || r > quotaShare*1.001 || r < quotaShare*0.999 {
 		t.Errorf("after %v the rate is %v, want %v", back, r, quotaShare)
 	}
 }
 
 func TestAdmissionByPredictedWait(t *testing.T) {
-	s := testSettings()
-	s.Tenants[0].Quota = 1e6
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.Tenants[0].Quota = 1e6
+	in, rec := newTestInstance(t, settings)
 	learnRun(in, 0, 0.5, 0.5)
 	learnRun(in, 0, 0.5, 0.5)
 	fillCores(in, rec, 0, 0)
@@ -83,9 +83,9 @@
 // even if callers honour a longer one: in the simulation all gateways stayed away for five seconds, the cores were
 // idle, and then all gateways returned at the same time.
 func TestRetryAfterIsAtMostHalfAnObjective(t *testing.T) {
-	s := testSettings()
-	s.MaxRetryAfter = time.Minute
-	in, _ := newTestInstance(t, s)
+	settings := testSettings()
+	settings.MaxRetryAfter = time.Minute
+	in, _ := newTestInstance(t, settings)
 	now := time.Duration(0)
 	for id := RequestID(1); id < 200; id++ {
 		now += time.Millisecond
@@ -97,7 +97,7 @@
 		t.Errorf("retry storm %v, advice %v, want %v", in.isRetryStorm(), in.retryAfter(r), in.longestObjective/2)
 	}
 	in.stall.isStalled = true
-	if in.retryAfter(r) != s.MaxRetryAfter {
+	if in.retryAfter(r) != settings.MaxRetryAfter {
 		t.Errorf("advice of a server that stands still %v", in.retryAfter(r))
 	}
 }
@@ -106,9 +106,9 @@
 	in, rec := newTestInstance(t, testSettings())
 	learnRun(in, 0, 1, 1)
 	for id := RequestID(1); id <= 120; id++ {
-		q := testRequest(id, 0)
-		q.Tenant = int(id) % 2 // both tenants send far over their quota shares
-		in.Request(0, q)
+		arrival := testRequest(id, 0)
+		arrival.Tenant = int(id) % 2 // both tenants send far over their quota shares
+		in.Request(0, arrival)
 	}
 	in.limiter.utilization = 1
 	in.Request(0, testRequest(200, 0))
@@ -118,9 +118,9 @@
 func TestAgeBeforeRetry(t *testing.T) {
 	in, _ := newTestInstance(t, testSettings())
 	objective := func(id RequestID, retry bool, budget time.Duration) time.Duration {
-		q := testRequest(id, 0)
-		q.IsRetry, q.RemainingTime = retry, budget
-		in.Request(10*time.Second, q)
+		arrival := testRequest(id, 0)
+		arrival.IsRetry, arrival.RemainingTime = retry, budget
+		in.Request(10*time.Second, arrival)
 		return in.requests.byID[id].objectiveDeadline - 10*time.Second
 	}
 	// Objective 2 s, deadline 6 s. The age of a retry is not known before the first first attempt.
@@ -147,10 +147,10 @@
 
 // TestThresholdPrefersNoClass checks that the threshold of a tenant over its quota share does not depend on the class.
 func TestThresholdPrefersNoClass(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
+	driver := newDriver(t, twoClassSettings())
 	for _, wait := range []float64{0.2, 0.5, 1, 2, 4} {
-		short := s.module.isOverThreshold(&request{class: 0, rateRatio: 1.5}, wait)
-		long := s.module.isOverThreshold(&request{class: 1, rateRatio: 1.5}, wait)
+		short := driver.module.isOverThreshold(&request{class: 0, rateRatio: 1.5}, wait)
+		long := driver.module.isOverThreshold(&request{class: 1, rateRatio: 1.5}, wait)
 		if short != long {
 			t.Errorf("%v s of wait: with a short objective rejected %v, with a long one %v", wait, short, long)
 		}
@@ -158,10 +158,10 @@
 }
 
 func TestQueuedRequestsLeaveMemoryToRun(t *testing.T) {
-	s := testSettings()
-	s.MemoryKB, s.KeyKB, s.RunningMemoryFactor = 4000, 50, 16
-	s.Classes[0].Effect, s.Classes[0].KeyWindow = IdempotentByKey, time.Minute
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.MemoryKB, settings.KeyKB, settings.RunningMemoryFactor = 4000, 50, 16
+	settings.Classes[0].Effect, settings.Classes[0].KeyWindow = IdempotentByKey, time.Minute
+	in, rec := newTestInstance(t, settings)
 	running, id := map[RequestID]bool{}, RequestID(0)
 	for round := range 60 { // each run leaves a key for a minute
 		now := time.Duration(round) * 10 * ms
@@ -182,7 +182,7 @@
 			}
 		}
 		if queued, _ := in.Queue(); len(queued) > 0 && len(running) == 0 {
-			t.Fatalf("round %d: %d are queued, none runs, %.0f of %.0f KB are taken", round, len(queued), in.memoryKB(), s.MemoryKB)
+			t.Fatalf("round %d: %d are queued, none runs, %.0f of %.0f KB are taken", round, len(queued), in.memoryKB(), settings.MemoryKB)
 		}
 	}
 }
@@ -190,21 +190,21 @@
 // TestKeysLeaveLargeRequestsRoom checks that an idle server admits a request whose run needs much of the memory that
 // keys leave, though they take most of it.
 func TestKeysLeaveLargeRequestsRoom(t *testing.T) {
-	set := twoClassSettings()
-	set.MemoryKB, set.KeyKB = 10000, 10
-	set.Classes[1].Effect, set.Classes[1].KeyWindow = IdempotentByKey, time.Hour
-	s := newDriver(t, set)
+	settings := twoClassSettings()
+	settings.MemoryKB, settings.KeyKB = 10000, 10
+	settings.Classes[1].Effect, settings.Classes[1].KeyWindow = IdempotentByKey, time.Hour
+	driver := newDriver(t, settings)
 	for range 600 {
-		id := s.request(1, func(q *Request) { q.SizeKB = 1 })
-		s.advance(10 * ms)
-		s.module.RunFinished(s.now, id, OK)
+		id := driver.request(1, func(arrival *Request) { arrival.SizeKB = 1 })
+		driver.advance(10 * ms)
+		driver.module.RunFinished(driver.now, id, OK)
 	}
-	if s.module.keys.count < 500 {
-		t.Fatalf("%d keys: the test shows nothing", s.module.keys.count)
+	if driver.module.keys.count < 500 {
+		t.Fatalf("%d keys: the test shows nothing", driver.module.keys.count)
 	}
-	s.recorder.take()
-	large := s.request(0, func(q *Request) { q.SizeKB = 600 })
-	if got := s.recorder.take("run", "reject"); !hasAction(got, "run", large) {
+	driver.recorder.take()
+	large := driver.request(0, func(arrival *Request) { arrival.SizeKB = 600 })
+	if got := driver.recorder.take("run", "reject"); !hasAction(got, "run", large) {
 		t.Errorf("got %q, want a run of %d", got, large)
 	}
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -30,9 +30,9 @@
 
 func TestLingeringCallAccruesDebt(t *testing.T) {
 	for _, end := range []string{"gone", "due"} {
-		s := testSettings()
-		s.Downstream, s.FairCallShare, s.CallAveragingTime, s.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
-		in, rec := newTestInstance(t, s)
+		settings := testSettings()
+		settings.Downstream, settings.FairCallShare, settings.CallAveragingTime, settings.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
+		in, rec := newTestInstance(t, settings)
 		first := testRequest(1, 0)
 		first.RemainingTime = 500 * ms
 		in.Request(0, first)
@@ -61,8 +61,8 @@
 func TestSafeCallLeavesTimeForRetry(t *testing.T) {
 	in, _ := newTestInstance(t, testSettings())
 	for id, want := range map[RequestID]time.Duration{1: 2 * time.Second / 3, 2: 6 * time.Second} {
-		q := testRequest(id, int(id)-1)
-		in.Request(0, q)
+		arrival := testRequest(id, int(id)-1)
+		in.Request(0, arrival)
 		in.Settle(0)
 		in.CallRequested(0, id)
 		var got time.Duration
@@ -77,20 +77,20 @@
 // TestSlowCallsAreMadeAgain has the calls of a class that may skip them take longer than its objective for a while.
 // Calls must be made again later, since a skipped call gives no sample of whether calls are fast again.
 func TestSlowCallsAreMadeAgain(t *testing.T) {
-	set := twoClassSettings()
-	set.Downstream = DependencyTier
-	set.Classes[0].SkippedCallWeight = 0.5
-	s := newDriver(t, set)
+	settings := twoClassSettings()
+	settings.Downstream = DependencyTier
+	settings.Classes[0].SkippedCallWeight = 0.5
+	driver := newDriver(t, settings)
 	call := func(took time.Duration) (called bool) {
-		id := s.request(0, nil)
-		s.module.CallRequested(s.now, id)
-		s.module.Settle(s.now)
-		called = hasAction(s.recorder.take("call"), "call", id)
-		s.advance(took)
+		id := driver.request(0, nil)
+		driver.module.CallRequested(driver.now, id)
+		driver.module.Settle(driver.now)
+		called = hasAction(driver.recorder.take("call"), "call", id)
+		driver.advance(took)
 		if called {
-			s.module.CallFinished(s.now, id, OK, took)
+			driver.module.CallFinished(driver.now, id, OK, took)
 		}
-		s.module.RunFinished(s.now, id, OK)
+		driver.module.RunFinished(driver.now, id, OK)
 		return called
 	}
 	for range 10 {
@@ -103,7 +103,7 @@
 		if call(50 * ms) {
 			calls++
 		}
-		s.advance(50 * ms)
+		driver.advance(50 * ms)
 	}
 	if calls < 300 {
 		t.Errorf("%d calls were made for 600 requests in the minute after calls were slow, want half at least", calls)
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -18,9 +18,9 @@
 }
 
 // newDriver returns a driver of a new Instance.
-func newDriver(t *testing.T, s Settings) *driver {
+func newDriver(t *testing.T, settings Settings) *driver {
 	t.Helper()
-	in, rec := newTestInstance(t, s)
+	in, rec := newTestInstance(t, settings)
 	return &driver{t: t, module: in, recorder: rec}
 }
 
@@ -38,12 +38,12 @@
 // request reports a new request of the class, and returns its ID.
 func (d *driver) request(class int, change func(*Request)) RequestID {
 	d.lastID++
-	q := testRequest(d.lastID, class)
-	q.RemainingTime = 0
+	arrival := testRequest(d.lastID, class)
+	arrival.RemainingTime = 0
 	if change != nil {
-		change(&q)
+		change(&arrival)
 	}
-	d.module.Request(d.now, q)
+	d.module.Request(d.now, arrival)
 	d.module.Settle(d.now)
 	return d.lastID
 }
--- a/admission/feedback_test.go
+++ b/admission/feedback_test.go
@@ -11,9 +11,9 @@
 	for _, c := range []struct {
 		readDelay, least, most float64
 	}{{0, 0.5, 0.5}, {10, 0, 0.1}} {
-		s := testSettings()
-		s.Feedback = FeedbackLevel
-		in, _ := newTestInstance(t, s)
+		settings := testSettings()
+		settings.Feedback = FeedbackLevel
+		in, _ := newTestInstance(t, settings)
 		in.classes[0].runTime.coreTime, in.classes[0].queued[0] = 1, 1000
 		for range 100 {
 			in.limiter.utilization, in.traffic.readDelay = 1, c.readDelay
@@ -26,15 +26,15 @@
 }
 
 func TestCreditLeavesOutTheUnread(t *testing.T) {
-	s := testSettings()
-	s.Feedback = FeedbackCredit
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.Feedback = FeedbackCredit
+	in, rec := newTestInstance(t, settings)
 	for i := 1; i <= 200; i++ {
-		q := testRequest(RequestID(i), 0)
-		q.QueueingDelay = 2 * time.Second
-		in.Request(time.Duration(i)*50*ms, q)
+		arrival := testRequest(RequestID(i), 0)
+		arrival.QueueingDelay = 2 * time.Second
+		in.Request(time.Duration(i)*50*ms, arrival)
 		in.Settle(time.Duration(i) * 50 * ms)
-		in.RunFinished(time.Duration(i)*50*ms+ms, q.ID, OK)
+		in.RunFinished(time.Duration(i)*50*ms+ms, arrival.ID, OK)
 	}
 	in.classes[0].runTime.coreTime = 1
 	rec.take()
@@ -48,15 +48,15 @@
 func TestAdvertisedLoadWhileDraining(t *testing.T) {
 	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"advertise 0.000"}, {"advertise 1.000"}},
 		FeedbackCredit: {{"advertise 2.000"}, {"advertise 0.000"}}, FeedbackWeight: {{"advertise 1.000"}, {"advertise 0.000"}}} {
-		s := testSettings()
-		s.Feedback = feedback
-		in, rec := newTestInstance(t, s)
+		settings := testSettings()
+		settings.Feedback = feedback
+		in, rec := newTestInstance(t, settings)
 		learnRun(in, 0, 1, 1)
 		in.Timer(0, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		in.Drain(0, 4*time.Second)
 		in.Timer(100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		expectActions(t, rec, "advertise idle", want[0]...)
-		in.Timer(s.DrainGracePeriod-100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
+		in.Timer(settings.DrainGracePeriod-100*ms, 0, Gauges{Utilization: 0.5, Runnable: -1})
 		expectActions(t, rec, "advertise idle", append([]string{"idle 10ms"}, want[1]...)...)
 	}
 }
@@ -70,13 +70,13 @@
 	}{{300, false, 30 * time.Second, []string{"idle 4s"}}, {300, true, 30 * time.Second, []string{"idle 30s"}},
 		{2, false, 30 * time.Second, []string{"idle 30s"}}, {300, false, 0, nil},
 		{300, false, time.Second, []string{"idle 1s"}}} {
-		s := testSettings()
-		s.Callers, s.CallerIdleTimeout = c.callers, c.idle
-		in, rec := newTestInstance(t, s)
+		settings := testSettings()
+		settings.Callers, settings.CallerIdleTimeout = c.callers, c.idle
+		in, rec := newTestInstance(t, settings)
 		for id := RequestID(1); id <= 20; id++ {
-			q := testRequest(id, 0)
-			q.IsRetry = c.retry
-			in.Request(0, q)
+			arrival := testRequest(id, 0)
+			arrival.IsRetry = c.retry
+			in.Request(0, arrival)
 		}
 		in.schedule.nextPoll = 0
 		rec.take()
@@ -91,18 +91,18 @@
 // gives the same credit in both orders of the classes.
 func TestCreditDoesNotDependOnTheOrderOfClasses(t *testing.T) {
 	credit := func(first, second float64) string {
-		set := twoClassSettings()
-		set.Feedback = FeedbackCredit
-		set.Classes[0] = set.Classes[1]
-		s := newDriver(t, set)
+		settings := twoClassSettings()
+		settings.Feedback = FeedbackCredit
+		settings.Classes[0] = settings.Classes[1]
+		driver := newDriver(t, settings)
 		for i, run := range []float64{first, second} {
-			learnRun(s.module, i, run, run)
-			id := s.request(i, nil)
-			s.advance(ms)
-			s.module.RunFinished(s.now, id, Failed)
+			learnRun(driver.module, i, run, run)
+			id := driver.request(i, nil)
+			driver.advance(ms)
+			driver.module.RunFinished(driver.now, id, Failed)
 		}
-		s.advance(200 * ms)
-		advertised := s.recorder.take("advertise")
+		driver.advance(200 * ms)
+		advertised := driver.recorder.take("advertise")
 		return advertised[len(advertised)-1]
 	}
 	if a, b := credit(0.1, 1), credit(1, 0.1); a != b {
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -24,10 +24,10 @@
 }
 
 // newTestInstance returns an Instance that has begun its service at time 0.
-func newTestInstance(t *testing.T, s Settings) (*Instance, *recorder) {
+func newTestInstance(t *testing.T, settings Settings) (*Instance, *recorder) {
 	t.Helper()
 	rec := &recorder{}
-	in, err := New(s, rec)
+	in, err := New(settings, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -62,90 +62,92 @@
 // count counts an action and returns its request.
 func (h *randomHost) count(id RequestID, action string) *hostedRequest {
 	h.actionCounts[action]++
-	r := h.requests[id]
-	if r == nil {
+	req := h.requests[id]
+	if req == nil {
 		h.t.Fatalf("%v: %s of unknown request %d", h.now, action, id)
 	}
-	return r
+	return req
 }
 
 // run starts a request, and checks that it may run.
 func (h *randomHost) run(id RequestID) {
-	r := h.count(id, "run")
-	if r.phase != hostQueued || r.isAnswered || r.isCancelled {
+	req := h.count(id, "run")
+	if req.phase != hostQueued || req.isAnswered || req.isCancelled {
 		h.t.Fatalf("%v: run of %d, which is finished or not queued", h.now, id)
 	}
-	class := h.settings.Classes[r.request.Class]
+	class := h.settings.Classes[req.request.Class]
 	if class.Effect == IdempotentByKey {
-		at, ran := h.ranArrivals[r.firstAttempt]
-		if ran && r.arrivedAt < at+class.KeyWindow {
+		at, ran := h.ranArrivals[req.firstAttempt]
+		if ran && req.arrivedAt < at+class.KeyWindow {
 			h.t.Fatalf("%v: %d runs a second time within its window", h.now, id)
 		}
 		if _, kept := h.keys[id]; !kept {
 			h.t.Fatalf("%v: %d runs without its key", h.now, id)
 		}
-		h.ranArrivals[r.firstAttempt] = r.arrivedAt
+		h.ranArrivals[req.firstAttempt] = req.arrivedAt
 	}
-	if class.Effect != Safe && r.hasRun {
+	if class.Effect != Safe && req.hasRun {
 		h.t.Fatalf("%v: %d with an effect runs again", h.now, id)
 	}
-	if h.stopAt > 0 && r.arrivedAt > h.drainNoticeAt+h.settings.DrainGracePeriod {
+	if h.stopAt > 0 && req.arrivedAt > h.drainNoticeAt+h.settings.DrainGracePeriod {
 		h.t.Fatalf("%v: %d arrived after the grace and runs", h.now, id)
 	}
-	r.phase, r.hasRun = hostRunning, true
+	req.phase, req.hasRun = hostRunning, true
 }
 
 // answer records the final answer, and checks that it is the only one, and that a rejected request never ran.
 func (h *randomHost) answer(id RequestID, isRejected bool) {
-	r := h.count(id, "answer")
-	if r.isAnswered {
+	req := h.count(id, "answer")
+	if req.isAnswered {
 		h.t.Fatalf("%v: second answer to %d", h.now, id)
 	}
-	hasEffect := h.settings.Classes[r.request.Class].Effect != Safe
-	_, ran := h.ranArrivals[r.firstAttempt]
-	if isRejected && hasEffect && (r.hasRun || ran && r.phase != hostQueued) {
+	hasEffect := h.settings.Classes[req.request.Class].Effect != Safe
+	_, ran := h.ranArrivals[req.firstAttempt]
+	if isRejected && hasEffect && (req.hasRun || ran && req.phase != hostQueued) {
 		h.t.Fatalf("%v: %d ran and is rejected", h.now, id)
 	}
-	r.isAnswered = true
-	if r.phase == hostQueued || r.phase == hostReplaying {
-		r.phase = hostFinished
+	req.isAnswered = true
+	if req.phase == hostQueued || req.phase == hostReplaying {
+		req.phase = hostFinished
 	}
 }
 
 // call makes a downstream call, and checks that it may be made.
 func (h *randomHost) call(id RequestID, timeout time.Duration) {
-	r := h.count(id, "call")
-	if r.phase != hostCallPending {
+	req := h.count(id, "call")
+	if req.phase != hostCallPending {
 		return
 	}
-	if r.mayHaveTakenEffect && h.settings.Classes[r.request.Class].Effect != Safe {
+	if req.mayHaveTakenEffect && h.settings.Classes[req.request.Class].Effect != Safe {
 		h.t.Fatalf("%v: call of %d repeated though it may have had its effect", h.now, id)
 	}
 	if timeout <= 0 {
 		h.t.Fatalf("%v: call of %d without a time-out", h.now, id)
 	}
-	r.phase = hostCalling
+	req.phase = hostCalling
 }
 
 // skipCall lets a run go on without its call.
 func (h *randomHost) skipCall(id RequestID) {
-	r := h.count(id, "skip-call")
-	if h.settings.Classes[r.request.Class].SkippedCallWeight == 0 {
+	req := h.count(id, "skip-call")
+	if h.settings.Classes[req.request.Class].SkippedCallWeight == 0 {
 		h.t.Fatalf("%v: skip-call of %d is not allowed", h.now, id)
 	}
-	if r.phase == hostCallPending {
-		r.phase = hostRunning
+	if req.phase == hostCallPending {
+		req.phase = hostRunning
 	}
 }
 
 // stop ends a run in most cases.
 func (h *randomHost) stop(id RequestID) {
-	r := h.count(id, "stop")
+	req := h.count(id, "stop")
 	if h.settings.StopMode == StopNone {
 		h.t.Fatalf("%v: stop of %d is not allowed", h.now, id)
 	}
-	if r.phase == hostRunning && (r.isAnswered || r.isCancelled) && h.rng.Intn(4) > 0 { // otherwise the stop has no effect, as on hung cores
-		r.phase = hostFinished
+	isUnneeded := req.isAnswered || req.isCancelled
+	// Otherwise the stop has no effect, as on hung cores.
+	if req.phase == hostRunning && isUnneeded && h.rng.Intn(4) > 0 {
+		req.phase = hostFinished
 		h.later(func() { h.module.RunFinished(h.now, id, Cancelled) })
 	}
 }
@@ -158,8 +160,8 @@
 
 // releaseKey removes a key, which must not be that of a request that ran.
 func (h *randomHost) releaseKey(id RequestID) {
-	r := h.count(id, "release-key")
-	if r.hasRun {
+	req := h.count(id, "release-key")
+	if req.hasRun {
 		h.t.Fatalf("%v: the key of %d, which ran, is erased", h.now, id)
 	}
 	delete(h.keys, id)
@@ -167,11 +169,11 @@
 
 // replayResult has a request wait for the result of the one that it repeats.
 func (h *randomHost) replayResult(id RequestID) {
-	r := h.count(id, "replay")
-	if r.request.RetryOf == 0 || r.phase != hostQueued {
+	req := h.count(id, "replay")
+	if req.request.RetryOf == 0 || req.phase != hostQueued {
 		h.t.Fatalf("%v: replay of %d is not allowed", h.now, id)
 	}
-	r.phase = hostReplaying
+	req.phase = hostReplaying
 }
 
 // later keeps an event for the next batch.
@@ -181,21 +183,21 @@
 func (h *randomHost) checkLimits(step time.Duration) {
 	memory, running, calls := 0.0, 0.0, 0.0
 	for _, id := range h.arrivals {
-		r := h.requests[id]
-		switch r.phase {
+		req := h.requests[id]
+		switch req.phase {
 		case hostQueued, hostReplaying:
-			memory += r.request.SizeKB
+			memory += req.request.SizeKB
 		case hostRunning:
 			running++
-			memory += r.request.SizeKB * h.settings.RunningMemoryFactor
+			memory += req.request.SizeKB * h.settings.RunningMemoryFactor
 		case hostCallPending, hostCalling:
-			memory += r.request.SizeKB * h.settings.RunningMemoryFactor
-			if r.phase == hostCalling {
+			memory += req.request.SizeKB * h.settings.RunningMemoryFactor
+			if req.phase == hostCalling {
 				calls++
 			}
 		}
-		if !r.isAnswered && !r.isCancelled && r.phase != hostFinished && h.now > r.deadline+answerSlack {
-			h.t.Fatalf("%v: %d was due at %v (phase %d)", h.now, id, r.deadline, r.phase)
+		if !req.isAnswered && !req.isCancelled && req.phase != hostFinished && h.now > req.deadline+answerSlack {
+			h.t.Fatalf("%v: %d was due at %v (phase %d)", h.now, id, req.deadline, req.phase)
 		}
 	}
 	h.checkMemory(memory)
--- a/admission/keys_test.go
+++ b/admission/keys_test.go
@@ -25,9 +25,9 @@
 
 func TestKeyWindowCountsFromArrival(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
-	q := testRequest(1, 1)
-	q.QueueingDelay = 3 * time.Second
-	in.Request(5*time.Second, q)
+	arrival := testRequest(1, 1)
+	arrival.QueueingDelay = 3 * time.Second
+	in.Request(5*time.Second, arrival)
 	expectActions(t, rec, "keep-key", "keep-key 1 7.01s")
 }
 
@@ -64,8 +64,8 @@
 }
 
 func TestRetryReadWithTheRejectionCountsAsNew(t *testing.T) {
-	s := testSettings()
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	in, rec := newTestInstance(t, settings)
 	in.stall.isStalled = true
 	in.Request(0, testRequest(1, 1))
 	in.stall.isStalled = false
@@ -77,9 +77,9 @@
 }
 
 func TestNoMemoryForTheKey(t *testing.T) {
-	s := testSettings()
-	s.KeyKB = s.MemoryKB
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.KeyKB = settings.MemoryKB
+	in, rec := newTestInstance(t, settings)
 	in.Request(0, testRequest(1, 1))
 	in.Request(0, testRequest(2, 0))
 	in.Settle(0)
@@ -89,9 +89,9 @@
 }
 
 func TestReadsOfOneResourceShareAResult(t *testing.T) {
-	s := testSettings()
-	s.ResultFreshness = time.Second
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.ResultFreshness = time.Second
+	in, rec := newTestInstance(t, settings)
 	first, second := testRequest(1, 0), testRequest(2, 0)
 	first.ResourceID, second.ResourceID, second.RetryOf = 7, 7, 1
 	in.Request(0, first)
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
-	s := testSettings()
-	s.WarmingUp = true
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.WarmingUp = true
+	in, rec := newTestInstance(t, settings)
 	if n := fillCores(in, rec, 0, 0); n != 2 {
 		t.Errorf("%d run at the start, want the core count", n)
 	}
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -106,21 +106,21 @@
 // TestPredictedWaitLeavesOutLaterRuns queues two seconds of work with a long objective: a request with a short
 // objective runs before all of it, and must not be rejected for work behind it.
 func TestPredictedWaitLeavesOutLaterRuns(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
+	driver := newDriver(t, twoClassSettings())
 	for _, class := range []int{0, 1} { // a run of each is known to take 0.2 s
-		s.request(class, nil)
-		s.advance(200 * ms)
-		s.module.RunFinished(s.now, s.lastID, OK)
+		driver.request(class, nil)
+		driver.advance(200 * ms)
+		driver.module.RunFinished(driver.now, driver.lastID, OK)
 	}
-	s.isSaturated = true
-	s.advance(100 * ms)
+	driver.isSaturated = true
+	driver.advance(100 * ms)
 	for range 2 + 20 { // two run
-		s.request(1, nil)
+		driver.request(1, nil)
 	}
-	s.advance(100 * ms)
-	s.recorder.take()
-	quick := s.request(0, nil)
-	if hasAction(s.recorder.take("reject"), "reject", quick) {
+	driver.advance(100 * ms)
+	driver.recorder.take()
+	quick := driver.request(0, nil)
+	if hasAction(driver.recorder.take("reject"), "reject", quick) {
 		t.Error("a request with a short objective was rejected for work that waits behind it")
 	}
 }
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -9,74 +9,74 @@
 
 // arrive generates one request, sometimes a retry of an earlier keyed one.
 func (h *randomHost) arrive(id RequestID) {
-	q := Request{ID: id, Class: h.rng.Intn(len(h.settings.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
+	arrival := Request{ID: id, Class: h.rng.Intn(len(h.settings.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
 		SizeKB: 10 + 50*h.rng.Float64(), RemainingTime: time.Duration(50+h.rng.Intn(6000)) * ms, IsRetry: h.rng.Intn(4) == 0,
 		QueueingDelay: time.Duration(h.rng.Intn(40)) * ms}
 	if h.rng.Intn(50) == 0 {
-		q.Tenant, q.RemainingTime, q.SizeKB = -1, 0, 0
+		arrival.Tenant, arrival.RemainingTime, arrival.SizeKB = -1, 0, 0
 	}
-	r := &hostedRequest{arrivedAt: h.now - q.QueueingDelay, firstAttempt: id}
-	if h.settings.Classes[q.Class].Effect == IdempotentByKey && h.rng.Intn(2) == 0 {
+	req := &hostedRequest{arrivedAt: h.now - arrival.QueueingDelay, firstAttempt: id}
+	if h.settings.Classes[arrival.Class].Effect == IdempotentByKey && h.rng.Intn(2) == 0 {
 		for attempts := 0; attempts < 30 && len(h.arrivals) > 0; attempts++ {
 			originalID := h.arrivals[h.rng.Intn(len(h.arrivals))]
 			original := h.requests[originalID]
-			if original.request.Class != q.Class {
+			if original.request.Class != arrival.Class {
 				continue
 			}
 			expiresAt, isKept := h.keys[originalID]
-			if isKept && r.arrivedAt < expiresAt && (original.hasRun || original.phase == hostQueued) {
-				q.RetryOf, r.firstAttempt = originalID, original.firstAttempt
+			if isKept && req.arrivedAt < expiresAt && (original.hasRun || original.phase == hostQueued) {
+				arrival.RetryOf, req.firstAttempt = originalID, original.firstAttempt
 				break
 			}
 		}
 	}
-	r.request = q
-	r.deadline = h.now + q.RemainingTime
-	if q.RemainingTime == 0 {
-		r.deadline = max(r.arrivedAt+h.settings.Classes[q.Class].Deadline, h.now)
+	req.request = arrival
+	req.deadline = h.now + arrival.RemainingTime
+	if arrival.RemainingTime == 0 {
+		req.deadline = max(req.arrivedAt+h.settings.Classes[arrival.Class].Deadline, h.now)
 	}
-	h.requests[id] = r
+	h.requests[id] = req
 	h.arrivals = append(h.arrivals, id)
-	h.module.Request(h.now, q)
+	h.module.Request(h.now, arrival)
 }
 
 // step generates the next event of one request, if there is one.
 func (h *randomHost) step(id RequestID, isHung bool) {
-	r := h.requests[id]
-	isSettled := r.isAnswered || r.isCancelled
+	req := h.requests[id]
+	isSettled := req.isAnswered || req.isCancelled
 	switch {
-	case r.phase == hostFinished:
+	case req.phase == hostFinished:
 		if h.rng.Intn(200) == 0 { // late events of what is finished
 			h.module.Cancel(h.now, id)
 		}
 	case !isSettled && h.rng.Intn(400) == 0:
-		r.isCancelled = true
-		if r.phase == hostQueued || r.phase == hostReplaying {
-			r.phase = hostFinished
+		req.isCancelled = true
+		if req.phase == hostQueued || req.phase == hostReplaying {
+			req.phase = hostFinished
 		}
 		h.module.Cancel(h.now, id)
-	case (r.phase == hostCallPending || r.phase == hostCalling) && isSettled:
-		r.phase = hostFinished
+	case (req.phase == hostCallPending || req.phase == hostCalling) && isSettled:
+		req.phase = hostFinished
 		h.module.RunFinished(h.now, id, Cancelled)
-	case r.phase == hostRunning && !isHung && h.rng.Intn(40) == 0:
+	case req.phase == hostRunning && !isHung && h.rng.Intn(40) == 0:
 		if !isSettled && h.settings.Downstream != DependencyNone && h.rng.Intn(2) == 0 {
-			r.phase = hostCallPending
+			req.phase = hostCallPending
 			h.module.CallRequested(h.now, id)
 			return
 		}
-		r.phase, r.isAnswered = hostFinished, true
+		req.phase, req.isAnswered = hostFinished, true
 		h.module.RunFinished(h.now, id, []Outcome{OK, OK, OK, Failed}[h.rng.Intn(4)])
-	case r.phase == hostCalling && h.rng.Intn(30) == 0:
+	case req.phase == hostCalling && h.rng.Intn(30) == 0:
 		outcome := Outcome(h.rng.Intn(6))
 		if outcome == OK {
-			r.phase = hostRunning
+			req.phase = hostRunning
 		} else {
-			r.phase = hostCallPending
-			r.mayHaveTakenEffect = r.mayHaveTakenEffect || outcome == Failed || outcome == TimedOut || outcome == Reset
+			req.phase = hostCallPending
+			req.mayHaveTakenEffect = req.mayHaveTakenEffect || outcome == Failed || outcome == TimedOut || outcome == Reset
 		}
 		h.module.CallFinished(h.now, id, outcome, 20*ms)
-	case r.phase == hostReplaying && h.requests[r.request.RetryOf].phase == hostFinished:
-		r.phase, r.isAnswered = hostFinished, true
+	case req.phase == hostReplaying && h.requests[req.request.RetryOf].phase == hostFinished:
+		req.phase, req.isAnswered = hostFinished, true
 		h.module.RunFinished(h.now, id, OK)
 	}
 }
@@ -97,8 +97,8 @@
 	kept := h.arrivals[:0]
 	for _, id := range h.arrivals {
 		_, hasKey := h.keys[id]
-		r := h.requests[id]
-		if hasKey || r.phase != hostFinished || h.now < r.deadline+time.Second {
+		req := h.requests[id]
+		if hasKey || req.phase != hostFinished || h.now < req.deadline+time.Second {
 			kept = append(kept, id)
 		}
 	}
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, id := range h.arrivals {
-		if r := h.requests[id]; !r.isAnswered && !r.isCancelled {
+		if req := h.requests[id]; !req.isAnswered && !req.isCancelled {
 			t.Fatalf("%d read before the stop was not answered", id)
 		}
 	}
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -22,13 +22,13 @@
 }
 
 func TestWithoutTenantsQuotaShareIsPerCaller(t *testing.T) {
-	s := testSettings()
-	s.Tenants = nil
-	in, _ := newTestInstance(t, s)
+	settings := testSettings()
+	settings.Tenants = nil
+	in, _ := newTestInstance(t, settings)
 	for i := 0; i < 40; i++ { // two live callers, and eight ended runs for their forty arrivals
-		q := testRequest(RequestID(i+1), 0)
-		q.Caller = i % 2
-		in.measureRateRatio(q)
+		arrival := testRequest(RequestID(i+1), 0)
+		arrival.Caller = i % 2
+		in.measureRateRatio(arrival)
 		if i < 8 {
 			in.rates.completions.count(0, in.rates.decay)
 		}
@@ -45,20 +45,20 @@
 }
 
 func TestRetriesDoNotPutEveryTenantOverQuota(t *testing.T) {
-	s := testSettings()
-	s.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
-	in, _ := newTestInstance(t, s)
+	settings := testSettings()
+	settings.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
+	in, _ := newTestInstance(t, settings)
 	small, large := 0.0, 0.0
 	for i := 0; i < 400; i++ { // ten requests a second where the quota shares are half of one; the small asks a fifth
 		now := time.Duration(i) * 100 * ms
-		q := testRequest(RequestID(i+1), 0)
+		arrival := testRequest(RequestID(i+1), 0)
 		in.clock.now = now
-		if q.Tenant = 1; i%5 == 0 {
-			q.Tenant = 0
-			small = in.measureRateRatio(q)
+		if arrival.Tenant = 1; i%5 == 0 {
+			arrival.Tenant = 0
+			small = in.measureRateRatio(arrival)
 			continue
 		}
-		large = in.measureRateRatio(q)
+		large = in.measureRateRatio(arrival)
 	}
 	if small >= 1 || large <= 1 {
 		t.Errorf("rate ratio of the small tenant %v, of the large %v; want under and over 1", small, large)
@@ -69,10 +69,10 @@
 // factor times its quota share, which is given as arrivals in a half-life.
 func partOverThreshold(t *testing.T, perHalfLife, factor float64) float64 {
 	t.Helper()
-	s := twoClassSettings()
-	share := perHalfLife / s.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
-	s.Tenants = []Tenant{{Quota: share * float64(s.Servers)}, {Quota: 1e9}}
-	in, _ := newTestInstance(t, s)
+	settings := twoClassSettings()
+	share := perHalfLife / settings.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
+	settings.Tenants = []Tenant{{Quota: share * float64(settings.Servers)}, {Quota: 1e9}}
+	in, _ := newTestInstance(t, settings)
 	const arrivals = 4000
 	rng, over := rand.New(rand.NewSource(1)), 0
 	for range arrivals {
@@ -98,9 +98,9 @@
 // TestSingleArrivalIsWithinThreshold checks that one arrival is never over the threshold, however small the quota share.
 func TestSingleArrivalIsWithinThreshold(t *testing.T) {
 	for _, quota := range []float64{0, 1e-6, 1, 300} {
-		s := twoClassSettings()
-		s.Tenants = []Tenant{{Quota: quota}, {Quota: 1e9}}
-		in, _ := newTestInstance(t, s)
+		settings := twoClassSettings()
+		settings.Tenants = []Tenant{{Quota: quota}, {Quota: 1e9}}
+		in, _ := newTestInstance(t, settings)
 		if e := in.measureRateRatio(Request{ID: 1}); e > 1 {
 			t.Errorf("a quota of %v: a single arrival is %.2f times the threshold", quota, e)
 		}
--- a/admission/retrystorm_test.go
+++ b/admission/retrystorm_test.go
@@ -10,9 +10,9 @@
 	in, rec := newTestInstance(t, testSettings())
 	in.stall.isStalled = true
 	for id := RequestID(1); id <= 20; id++ {
-		q := testRequest(id, 0)
-		q.IsRetry = true
-		in.Request(0, q)
+		arrival := testRequest(id, 0)
+		arrival.IsRetry = true
+		in.Request(0, arrival)
 	}
 	in.stall.isStalled = false
 	in.drain.isDraining = true
@@ -32,9 +32,9 @@
 	in, rec := newTestInstance(t, testSettings())
 	in.stall.isStalled = true
 	for id := RequestID(1); id <= 20; id++ {
-		q := testRequest(id, 0)
-		q.QueueingDelay = time.Second
-		in.Request(time.Second, q)
+		arrival := testRequest(id, 0)
+		arrival.QueueingDelay = time.Second
+		in.Request(time.Second, arrival)
 	}
 	in.stall.isStalled, in.drain.isDraining, in.drain.noticedAt = false, true, -time.Hour
 	rec.take()
--- a/admission/runtime_test.go
+++ b/admission/runtime_test.go
@@ -9,33 +9,33 @@
 // TestSlowClassIsRunAgainOnSaturatedCores has runs of a class take longer than its objective once, and another class
 // keep the cores full from then on: the class is run again after a while, so that it can show that it is fast again.
 func TestSlowClassIsRunAgainOnSaturatedCores(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
+	driver := newDriver(t, twoClassSettings())
 	for range 10 {
-		id := s.request(0, nil)
-		s.advance(1400 * ms)
-		s.module.RunFinished(s.now, id, OK)
+		id := driver.request(0, nil)
+		driver.advance(1400 * ms)
+		driver.module.RunFinished(driver.now, id, OK)
 	}
-	s.isSaturated = true
+	driver.isSaturated = true
 	for range 10 {
-		s.request(1, nil)
+		driver.request(1, nil)
 	}
-	s.advance(100 * ms)
-	running := s.startedRuns()
+	driver.advance(100 * ms)
+	running := driver.startedRuns()
 	quick, quickRuns := map[RequestID]bool{}, 0
 	for range 600 { // a minute, in which a run of the other class ends every 100 ms, and one of this class at once
-		s.request(1, nil)
-		quick[s.request(0, nil)] = true
-		s.advance(100 * ms)
-		for _, id := range s.startedRuns() {
+		driver.request(1, nil)
+		quick[driver.request(0, nil)] = true
+		driver.advance(100 * ms)
+		for _, id := range driver.startedRuns() {
 			if quick[id] {
 				quickRuns++
-				s.module.RunFinished(s.now+10*ms, id, OK)
+				driver.module.RunFinished(driver.now+10*ms, id, OK)
 			} else {
 				running = append(running, id)
 			}
 		}
 		if len(running) > 0 {
-			s.module.RunFinished(s.now+10*ms, running[0], OK)
+			driver.module.RunFinished(driver.now+10*ms, running[0], OK)
 			running = running[1:]
 		}
 	}
@@ -47,13 +47,13 @@
 // TestTimedOutRunIsLearnedFrom has runs of a class go on until their answers are due, as on a server that became
 // slow: the expected time grows, though no run ends well.
 func TestTimedOutRunIsLearnedFrom(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
-	learnRun(s.module, 0, 0.1, 0.1)
+	driver := newDriver(t, twoClassSettings())
+	learnRun(driver.module, 0, 0.1, 0.1)
 	for range 20 {
-		s.request(0, nil)
-		s.advance(1500 * ms)
+		driver.request(0, nil)
+		driver.advance(1500 * ms)
 	}
-	if own := s.module.expectedRunTime(&request{class: 0}); own < 600*ms {
+	if own := driver.module.expectedRunTime(&request{class: 0}); own < 600*ms {
 		t.Errorf("a run is expected to take %v, though 20 went on until they were due after 1.5 s", own)
 	}
 }
@@ -62,18 +62,18 @@
 // while requests of the other class overload the cores: once the failures are counted the other class must get the
 // cores. As soon as runs of the first class succeed it must be run again.
 func TestFailingClassYieldsCores(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
+	driver := newDriver(t, twoClassSettings())
 	runs := [2]int{}
 	class := map[RequestID]int{}
 	var running []RequestID
 	for step := range 1500 { // two and a half minutes; a run ends every 100 ms, and one request of each class arrives
 		served := step >= 900
-		s.isSaturated = len(running) >= 2
+		driver.isSaturated = len(running) >= 2
 		for c := range 2 {
-			class[s.request(c, nil)] = c
+			class[driver.request(c, nil)] = c
 		}
-		s.advance(100 * ms)
-		for _, id := range s.startedRuns() {
+		driver.advance(100 * ms)
+		for _, id := range driver.startedRuns() {
 			running = append(running, id)
 			if step >= 300 && step < 900 || step >= 1250 {
 				runs[class[id]]++
@@ -83,10 +83,10 @@
 			id := running[0]
 			running = running[1:]
 			if class[id] == 0 && !served {
-				s.module.Cancel(s.now, id)
-				s.module.RunFinished(s.now, id, Cancelled)
+				driver.module.Cancel(driver.now, id)
+				driver.module.RunFinished(driver.now, id, Cancelled)
 			} else {
-				s.module.RunFinished(s.now, id, OK)
+				driver.module.RunFinished(driver.now, id, OK)
 			}
 		}
 		if step == 899 {
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -14,9 +14,9 @@
 
 // populatedInstance returns an Instance in which every list has an element.
 func populatedInstance(t testing.TB) *Instance {
-	s := testSettings()
-	s.Tenants = []Tenant{{Quota: 3}}
-	in, err := New(s, &recorder{})
+	settings := testSettings()
+	settings.Tenants = []Tenant{{Quota: 3}}
+	in, err := New(settings, &recorder{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,10 +113,10 @@
 // both on: every action must be the same.
 func TestRestoredInstanceDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := testSettings()
-		s.ResultFreshness = time.Duration(rapid.IntRange(0, 2).Draw(t, "fresh")) * time.Second
+		settings := testSettings()
+		settings.ResultFreshness = time.Duration(rapid.IntRange(0, 2).Draw(t, "fresh")) * time.Second
 		recs := []*recorder{{}}
-		in, err := New(s, recs[0])
+		in, err := New(settings, recs[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,17 +139,17 @@
 			now += time.Duration(rapid.IntRange(0, 80).Draw(t, "wait")) * time.Millisecond
 			kind := rapid.IntRange(0, 9).Draw(t, "kind")
 			id := RequestID(rapid.IntRange(0, int(last)).Draw(t, "id"))
-			q := Request{Class: rapid.IntRange(0, len(s.Classes)-1).Draw(t, "class"), ResourceID: uint64(id),
+			arrival := Request{Class: rapid.IntRange(0, len(settings.Classes)-1).Draw(t, "class"), ResourceID: uint64(id),
 				IsRetry: id%2 == 1, RetryOf: id, SizeKB: 20, QueueingDelay: time.Duration(id) * time.Millisecond}
 			if kind < 5 {
 				last++
-				q.ID = last
+				arrival.ID = last
 			}
 			busy := rapid.Float64Range(0, 1).Draw(t, "busy")
 			for _, e := range both {
 				switch {
 				case kind < 5:
-					e.Request(now, q)
+					e.Request(now, arrival)
 				case kind < 7:
 					e.RunFinished(now, id, OK)
 				case kind == 7:
--- a/admission/stall_test.go
+++ b/admission/stall_test.go
@@ -79,9 +79,9 @@
 // run for several times the longest is one.
 func TestIndependentRunsStallAfterTheLongestRun(t *testing.T) {
 	for _, apart := range []bool{false, true} {
-		s := testSettings()
-		s.IndependentRuns, s.Cores = apart, 8
-		in, rec := newTestInstance(t, s)
+		settings := testSettings()
+		settings.IndependentRuns, settings.Cores = apart, 8
+		in, rec := newTestInstance(t, settings)
 		now, id := time.Duration(0), RequestID(0)
 		run := func(took time.Duration) {
 			id++
@@ -95,7 +95,7 @@
 		for range 200 {
 			run(5 * time.Millisecond)
 		}
-		for range s.Cores { // only long runs from now on
+		for range settings.Cores { // only long runs from now on
 			id++
 			in.Request(now, testRequest(id, 0))
 			in.Settle(now)
@@ -103,7 +103,7 @@
 		polls := func(n int) {
 			for range n {
 				now += pollInterval
-				in.Timer(now, 0, Gauges{Utilization: 1, Runnable: float64(s.Cores)})
+				in.Timer(now, 0, Gauges{Utilization: 1, Runnable: float64(settings.Cores)})
 				in.Settle(now)
 			}
 		}
@@ -140,33 +140,33 @@
 
 // TestStalledRunsAreNotLearnedFrom has all runs hang: how long they had lasted by then is no measure of their class.
 func TestStalledRunsAreNotLearnedFrom(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
+	driver := newDriver(t, twoClassSettings())
 	for range 10 {
-		id := s.request(1, nil)
-		s.advance(100 * ms)
-		s.module.RunFinished(s.now, id, OK)
-	}
-	s.isSaturated = true
-	s.request(1, nil)
-	s.request(1, nil)
-	before := s.module.expectedRunTime(&request{class: 1})
+		id := driver.request(1, nil)
+		driver.advance(100 * ms)
+		driver.module.RunFinished(driver.now, id, OK)
+	}
+	driver.isSaturated = true
+	driver.request(1, nil)
+	driver.request(1, nil)
+	before := driver.module.expectedRunTime(&request{class: 1})
 	for range 100 {
-		s.advance(100 * ms)
-		if s.module.stall.isStalled {
+		driver.advance(100 * ms)
+		if driver.module.stall.isStalled {
 			break
 		}
 	}
-	if !s.module.stall.isStalled {
+	if !driver.module.stall.isStalled {
 		t.Fatal("nothing stalled: the test shows nothing")
 	}
-	if after := s.module.expectedRunTime(&request{class: 1}); after > before {
+	if after := driver.module.expectedRunTime(&request{class: 1}); after > before {
 		t.Errorf("a run was expected to take %v, and %v after a stall", before, after)
 	}
-	if n := s.module.Inspect().Classes[1].Rejections[Stalled]; n != 0 {
+	if n := driver.module.Inspect().Classes[1].Rejections[Stalled]; n != 0 {
 		t.Errorf("%d requests were rejected for the stall, want none: those that ran were failed", n)
 	}
-	s.request(1, nil)
-	if n := s.module.Inspect().Classes[1].Rejections[Stalled]; n != 1 {
+	driver.request(1, nil)
+	if n := driver.module.Inspect().Classes[1].Rejections[Stalled]; n != 1 {
 		t.Errorf("%d requests were rejected for the stall, want the one that came in it", n)
 	}
 }
