--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -23,7 +23,7 @@
 		MaxRetryAfter: time.Second, HasDeadlines: true}
 }
 
-// newTestInstance returns an Instance that has begun its service at time 0.
+// newTestInstance returns an Instance whose first event was at time 0.
 func newTestInstance(t *testing.T, settings Settings) (*Instance, *recorder) {
 	t.Helper()
 	rec := &recorder{}
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -12,7 +12,7 @@
 	concurrencyAveragingTime = 2 * time.Second
 )
 
-// hostPhase is where the host has a request.
+// hostPhase is the host's state of a request.
 type hostPhase uint8
 
 // The phases.
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -49,11 +49,12 @@
 	settings.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
 	in, _ := newTestInstance(t, settings)
 	small, large := 0.0, 0.0
-	for i := 0; i < 400; i++ { // ten requests a second where the quota shares are half of one; the small asks a fifth
+	for i := 0; i < 400; i++ { // ten requests a second, a fifth of them of the small tenant; each quota share is half a request a second
 		now := time.Duration(i) * 100 * ms
 		arrival := testRequest(RequestID(i+1), 0)
 		in.clock.now = now
-		if arrival.Tenant = 1; i%5 == 0 {
+		arrival.Tenant = 1
+		if i%5 == 0 {
 			arrival.Tenant = 0
 			small = in.measureRateRatio(arrival)
 			continue
--- a/admission/runtime_test.go
+++ b/admission/runtime_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSlowClassIsRunAgainOnSaturatedCores has runs of a class take longer than its objective once, and another class
-// keep the cores full from then on: the class is run again after a while, so that it can show that it is fast again.
+// TestSlowClassIsRunAgainOnSaturatedCores has the first runs of a class exceed its objective, and another class saturate
+// the cores from then on: the first class must be run again after a while, since only a run can show that it is fast.
 func TestSlowClassIsRunAgainOnSaturatedCores(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	for range 10 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestTimedOutRunIsLearnedFrom has runs of a class go on until their answers are due, as on a server that became
-// slow: the expected time grows, though no run ends well.
+// TestTimedOutRunIsLearnedFrom has runs of a class last until their deadlines, as on a server that became slow: the
+// expected run time must grow, though no run succeeds.
 func TestTimedOutRunIsLearnedFrom(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	learnRun(driver.module, 0, 0.1, 0.1)
--- a/admission/stall_test.go
+++ b/admission/stall_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestIndependentRunsStallAfterTheLongestRun has runs that do not share cores: many long runs at once are no stall; no end of a
-// run for several times the longest is one.
+// TestIndependentRunsStallAfterTheLongestRun has runs that do not share cores: many long runs at once are no stall, but
+// no end of a run for several times the longest run is one.
 func TestIndependentRunsStallAfterTheLongestRun(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		settings := testSettings()
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -144,7 +144,7 @@
 			}
 		}
 		if kind != RollingDeploy && during > before-0.02 {
-			t.Errorf("%v: the share is %.3f before and %.3f at the least in it: it did not strike", incident, before, during)
+			t.Errorf("%v: the share is %.3f before and %.3f at the least in it: it had no effect", incident, before, during)
 		}
 		if !r.Recovery.Recovered {
 			t.Errorf("%v: not recovered: %+v", incident, r.Recovery)
@@ -158,13 +158,21 @@
 	config := DefaultConfig()
 	config.Duration = 60 * time.Second
 	config.SetLoad(0.7)
-	config.Gateways = []GatewayConfig{{Count: 4, Share: 1, Balancing: RoundRobin, Retry: RetryOnTimeout, MaxAttempts: 4, AttemptTimeoutFactor: 0.7, HonorsFeedback: true}}
+	config.Gateways = []GatewayConfig{{
+		Count:                4,
+		Share:                1,
+		Balancing:            RoundRobin,
+		Retry:                RetryOnTimeout,
+		MaxAttempts:          4,
+		AttemptTimeoutFactor: 0.7,
+		HonorsFeedback:       true,
+	}}
 	config.Incidents = []Incident{{Kind: RateJump, Start: 15 * time.Second, Duration: 6 * time.Second, Magnitude: 2.5}}
 	if r := mustRun(t, config, baseline.NoLimit, 1); r.Recovery.Recovered {
 		t.Errorf("without limits it recovers: %+v", r.Recovery)
 	}
 	if r := mustRun(t, config, AdmissionModule, 1); !r.Recovery.Recovered || len(r.ViolationMessages) > 0 {
-		t.Errorf("the module does not bring it back: %+v, %v", r.Recovery, r.ViolationMessages)
+		t.Errorf("the cluster does not recover with the module: %+v, %v", r.Recovery, r.ViolationMessages)
 	}
 }
 
@@ -244,13 +252,17 @@
 // TestValidate checks that configurations that make no sense are rejected, and that Run returns the context's error.
 func TestValidate(t *testing.T) {
 	for name, change := range map[string]func(config *Config){
-		"length": func(config *Config) { config.Duration = 0 }, "cores": func(config *Config) { config.Servers.Cores = 0 }, "speed": func(config *Config) { config.Servers.Speed = math.NaN() },
-		"memory": func(config *Config) { config.Servers.MemoryKB = 100 }, "classes": func(config *Config) { config.Classes = nil },
+		"length":                func(config *Config) { config.Duration = 0 },
+		"cores":                 func(config *Config) { config.Servers.Cores = 0 },
+		"speed":                 func(config *Config) { config.Servers.Speed = math.NaN() },
+		"memory":                func(config *Config) { config.Servers.MemoryKB = 100 },
+		"classes":               func(config *Config) { config.Classes = nil },
 		"a tail without a mean": func(config *Config) { config.Classes[0].Distribution, config.Classes[0].CV = Pareto, 1 },
 		"a scan of all":         func(config *Config) { config.Servers.Count, config.Gateways[0].Balancing = 1000, LeastRequest },
 		"feedback":              func(config *Config) { config.Servers.Feedback = "semaphore" },
 		"both effects":          func(config *Config) { config.Classes[1].NonIdempotent = true },
-		"an incident":           func(config *Config) { config.Incidents = []Incident{{Kind: "flood"}} }, "arrivals": func(config *Config) { config.Arrival.Kind = "odd" },
+		"an incident":           func(config *Config) { config.Incidents = []Incident{{Kind: "flood"}} },
+		"arrivals":              func(config *Config) { config.Arrival.Kind = "odd" },
 	} {
 		config := DefaultConfig()
 		config.Classes, config.Gateways = slices.Clone(config.Classes), slices.Clone(config.Gateways)
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -22,7 +22,16 @@
 // testClass returns a class whose requests meet their objective on an idle server: their work varies little, and the objective
 // is long compared with it.
 func testClass(name string, share float64, work, objective time.Duration, weight float64) Class {
-	return Class{Name: name, Share: share, MeanWork: work, Distribution: LogNormal, CV: 0.4, LatencyObjective: objective, Deadline: 5 * objective / 2, Weight: weight}
+	return Class{
+		Name:             name,
+		Share:            share,
+		MeanWork:         work,
+		Distribution:     LogNormal,
+		CV:               0.4,
+		LatencyObjective: objective,
+		Deadline:         5 * objective / 2,
+		Weight:           weight,
+	}
 }
 
 func withKeyWindow(c Class, window time.Duration) Class {
@@ -84,60 +93,60 @@
 	classes []Class
 	tenants []Tenant
 	load    float64 // relative to the capacity; 0 means 1.25
-	change  func(w *Config)
+	change  func(config *Config)
 }
 
 func deployments() []deployment {
 	return []deployment{
-		{name: "aims ten times apart, no tenants", classes: objectivesTenfold()},
-		{name: "aims ten times apart, four tenants", classes: objectivesTenfold(), tenants: equalTenants(4)},
-		{name: "aims ten times apart, forty tenants", classes: objectivesTenfold(), tenants: equalTenants(40)},
-		{name: "aims ten times apart, very unequal tenants", classes: objectivesTenfold(), tenants: unequalTenants()},
-		{name: "worth twenty times apart, no tenants", classes: weightsTwentyfold()},
-		{name: "worth twenty times apart, four tenants", classes: weightsTwentyfold(), tenants: equalTenants(4)},
-		{name: "a rich class that must run once", classes: heavyAndNonIdempotent()},
-		{name: "a rare class with a short aim", classes: rareWithShortObjective()},
-		{name: "a rare class with a short aim, forty tenants", classes: rareWithShortObjective(), tenants: equalTenants(40)},
+		{name: "objectives ten times apart, no tenants", classes: objectivesTenfold()},
+		{name: "objectives ten times apart, four tenants", classes: objectivesTenfold(), tenants: equalTenants(4)},
+		{name: "objectives ten times apart, forty tenants", classes: objectivesTenfold(), tenants: equalTenants(40)},
+		{name: "objectives ten times apart, very unequal tenants", classes: objectivesTenfold(), tenants: unequalTenants()},
+		{name: "weights twenty times apart, no tenants", classes: weightsTwentyfold()},
+		{name: "weights twenty times apart, four tenants", classes: weightsTwentyfold(), tenants: equalTenants(4)},
+		{name: "a class of high weight that must run once", classes: heavyAndNonIdempotent()},
+		{name: "a rare class with a short objective", classes: rareWithShortObjective()},
+		{name: "a rare class with a short objective, forty tenants", classes: rareWithShortObjective(), tenants: equalTenants(40)},
 		{name: "five classes, no tenants", classes: fiveClasses()},
 		{name: "five classes, very unequal tenants", classes: fiveClasses(), tenants: unequalTenants()},
-		{name: "five classes at nine tenths", classes: fiveClasses(), load: 0.9},
-		{name: "no value is told", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackNone }},
-		{name: "credit is told", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackCredit }},
-		{name: "a weight is told", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.Feedback = FeedbackWeight }},
-		{name: "no gauge of what wants a core", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.OmitRunnableGauge = true }},
-		{name: "work can't be stopped", classes: objectivesTenfold(), change: func(w *Config) { w.Servers.CannotStopRuns = true }},
-		{name: "ten servers and five gateways", classes: objectivesTenfold(), change: func(w *Config) {
-			w.Servers.Count, w.Servers.InitialEndpoints, w.Gateways[0].Count, w.Gateways[1].Count = 10, 10, 3, 2
+		{name: "five classes at 0.9 of the capacity", classes: fiveClasses(), load: 0.9},
+		{name: "no feedback", classes: objectivesTenfold(), change: func(config *Config) { config.Servers.Feedback = FeedbackNone }},
+		{name: "credit as feedback", classes: objectivesTenfold(), change: func(config *Config) { config.Servers.Feedback = FeedbackCredit }},
+		{name: "weight as feedback", classes: objectivesTenfold(), change: func(config *Config) { config.Servers.Feedback = FeedbackWeight }},
+		{name: "no gauge of runnable tasks", classes: objectivesTenfold(), change: func(config *Config) { config.Servers.OmitRunnableGauge = true }},
+		{name: "runs can't be stopped", classes: objectivesTenfold(), change: func(config *Config) { config.Servers.CannotStopRuns = true }},
+		{name: "ten servers and five gateways", classes: objectivesTenfold(), change: func(config *Config) {
+			config.Servers.Count, config.Servers.InitialEndpoints, config.Gateways[0].Count, config.Gateways[1].Count = 10, 10, 3, 2
 		}},
-		{name: "sixty servers and thirty gateways", classes: objectivesTenfold(), change: func(w *Config) {
-			w.Servers.InitialEndpoints, w.Gateways[0].Count, w.Gateways[1].Count = 60, 15, 15
+		{name: "sixty servers and thirty gateways", classes: objectivesTenfold(), change: func(config *Config) {
+			config.Servers.InitialEndpoints, config.Gateways[0].Count, config.Gateways[1].Count = 60, 15, 15
 		}},
-		{name: "three gateways", classes: objectivesTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 2, 1 }},
-		{name: "six hundred gateways", classes: objectivesTenfold(), change: func(w *Config) { w.Gateways[0].Count, w.Gateways[1].Count = 300, 300 }},
-		{name: "gateways try no server again", classes: objectivesTenfold(), change: func(w *Config) {
-			w.Gateways[0].Retry, w.Gateways[1].Retry = RetryNever, RetryNever
+		{name: "three gateways", classes: objectivesTenfold(), change: func(config *Config) { config.Gateways[0].Count, config.Gateways[1].Count = 2, 1 }},
+		{name: "six hundred gateways", classes: objectivesTenfold(), change: func(config *Config) { config.Gateways[0].Count, config.Gateways[1].Count = 300, 300 }},
+		{name: "gateways without retries", classes: objectivesTenfold(), change: func(config *Config) {
+			config.Gateways[0].Retry, config.Gateways[1].Retry = RetryNever, RetryNever
 		}},
-		{name: "gateways that heed nothing", classes: objectivesTenfold(), load: 1.1, change: func(w *Config) {
-			w.Servers.MaxRetryAfter, w.Gateways[0].HonorsFeedback, w.Gateways[1].HonorsFeedback = 0, false, false
+		{name: "gateways that ignore feedback", classes: objectivesTenfold(), load: 1.1, change: func(config *Config) {
+			config.Servers.MaxRetryAfter, config.Gateways[0].HonorsFeedback, config.Gateways[1].HonorsFeedback = 0, false, false
 		}},
-		{name: "thirty-two cores", classes: objectivesTenfold(), change: func(w *Config) {
-			w.Servers.MemoryKB *= 32 / float64(w.Servers.Cores)
-			w.Servers.Cores, w.Servers.Count = 32, 2
+		{name: "thirty-two cores", classes: objectivesTenfold(), change: func(config *Config) {
+			config.Servers.MemoryKB *= 32 / float64(config.Servers.Cores)
+			config.Servers.Cores, config.Servers.Count = 32, 2
 		}},
-		{name: "little memory, much of it for keys", classes: weightsTwentyfold(), change: func(w *Config) {
-			keyed := w.Capacity() / float64(w.Servers.Count) * w.Classes[2].Share * w.Classes[2].KeyWindow.Seconds()
-			w.Servers.MemoryKB = 10 * float64(w.Servers.Cores) * w.Servers.RunningMemoryFactor * w.Servers.RequestKB[1]
-			w.Servers.KeyKB = 0.4 * w.Servers.MemoryKB / keyed
+		{name: "little memory, much of it for keys", classes: weightsTwentyfold(), change: func(config *Config) {
+			keyed := config.Capacity() / float64(config.Servers.Count) * config.Classes[2].Share * config.Classes[2].KeyWindow.Seconds()
+			config.Servers.MemoryKB = 10 * float64(config.Servers.Cores) * config.Servers.RunningMemoryFactor * config.Servers.RequestKB[1]
+			config.Servers.KeyKB = 0.4 * config.Servers.MemoryKB / keyed
 		}},
-		{name: "half of the servers die and come back cold", classes: objectivesTenfold(), load: 0.9, change: func(w *Config) {
-			w.Servers.InitialCapacity, w.Servers.WarmUpTime = 0.2, 10*time.Second
-			w.Incidents = []Incident{{Kind: ServerCrash, Start: 3 * time.Second, Duration: 4 * time.Second, ServerShare: 0.5}}
+		{name: "half of the servers crash and restart cold", classes: objectivesTenfold(), load: 0.9, change: func(config *Config) {
+			config.Servers.InitialCapacity, config.Servers.WarmUpTime = 0.2, 10*time.Second
+			config.Incidents = []Incident{{Kind: ServerCrash, Start: 3 * time.Second, Duration: 4 * time.Second, ServerShare: 0.5}}
 		}},
-		{name: "slow for a while", classes: objectivesTenfold(), load: 0.9, change: func(w *Config) {
-			w.Incidents = []Incident{{Kind: SlowServers, Start: 3 * time.Second, Duration: 5 * time.Second, ServerShare: 0.5, Magnitude: 8}}
+		{name: "slow for a while", classes: objectivesTenfold(), load: 0.9, change: func(config *Config) {
+			config.Incidents = []Incident{{Kind: SlowServers, Start: 3 * time.Second, Duration: 5 * time.Second, ServerShare: 0.5, Magnitude: 8}}
 		}},
-		{name: "a release", classes: weightsTwentyfold(), load: 0.9, change: func(w *Config) {
-			w.Incidents = []Incident{{Kind: RollingDeploy, Start: 3 * time.Second, Duration: 10 * time.Second, ServerShare: 0.98, Magnitude: 0.2}}
+		{name: "a release", classes: weightsTwentyfold(), load: 0.9, change: func(config *Config) {
+			config.Incidents = []Incident{{Kind: RollingDeploy, Start: 3 * time.Second, Duration: 10 * time.Second, ServerShare: 0.98, Magnitude: 0.2}}
 		}},
 	}
 }
@@ -148,8 +157,16 @@
 	config.Name, config.Duration = d.name, 30*time.Second
 	config.Classes, config.Tenants = d.classes, d.tenants
 	config.Servers.Count, config.Servers.InitialEndpoints = simulatedServers, fleetServers
-	config.Gateways = []GatewayConfig{{Count: fleetGateways / 2, Share: 0.5, Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true},
-		{Count: fleetGateways / 2, Share: 0.5, Balancing: PowerOfTwo, Retry: RetryUnbounded, MaxAttempts: 4, HonorsFeedback: true}}
+	gateways := GatewayConfig{
+		Count:          fleetGateways / 2,
+		Share:          0.5,
+		Balancing:      RoundRobin,
+		Retry:          RetryUnbounded,
+		MaxAttempts:    4,
+		HonorsFeedback: true,
+	}
+	config.Gateways = []GatewayConfig{gateways, gateways}
+	config.Gateways[1].Balancing = PowerOfTwo
 	if d.change != nil {
 		d.change(&config)
 	}
--- a/internal/clustersim/queueing_theory_test.go
+++ b/internal/clustersim/queueing_theory_test.go
@@ -26,7 +26,16 @@
 			Tick:                time.Millisecond,
 			HealthCheckInterval: time.Second,
 		},
-		Classes:       []Class{{Name: "c", Share: 1, MeanWork: work, Distribution: distribution, CV: cv, LatencyObjective: 10 * time.Hour, Deadline: 20 * time.Hour, Weight: 1}},
+		Classes: []Class{{
+			Name:             "c",
+			Share:            1,
+			MeanWork:         work,
+			Distribution:     distribution,
+			CV:               cv,
+			LatencyObjective: 10 * time.Hour,
+			Deadline:         20 * time.Hour,
+			Weight:           1,
+		}},
 		Gateways:      []GatewayConfig{{Count: 1, Share: 1, Balancing: RoundRobin, Retry: RetryNever, MaxAttempts: 1}},
 		Arrival:       arrival.Config{Kind: arrival.Poisson},
 		ResourceCount: 1}
--- a/internal/clustersim/workload.go
+++ b/internal/clustersim/workload.go
@@ -126,17 +126,17 @@
 
 // drawArrival draws the shape of the arrivals: bursts or a slow swing.
 func (c *Config) drawArrival(rng *rand.Rand) {
-	a := &c.Arrival
+	shape := &c.Arrival
 	if rng.IntN(2) == 0 {
-		a.Kind = arrival.Bursty
-		a.BurstFactor = drawUniform(rng, 1.2, 1.6)
-		a.BurstFraction = 0.2
-		a.MeanBurst = drawDuration(rng, 1, 4)
+		shape.Kind = arrival.Bursty
+		shape.BurstFactor = drawUniform(rng, 1.2, 1.6)
+		shape.BurstFraction = 0.2
+		shape.MeanBurst = drawDuration(rng, 1, 4)
 		return
 	}
-	a.Kind = arrival.Diurnal
-	a.Amplitude = drawUniform(rng, 0.14, 0.3)
-	a.Period = 2 * c.Duration
+	shape.Kind = arrival.Diurnal
+	shape.Amplitude = drawUniform(rng, 0.14, 0.3)
+	shape.Period = 2 * c.Duration
 }
 
 // gatewayKinds are the kinds of gateway that the operators know of.
