--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -12,12 +12,14 @@
 	// minIdleTimeout is the idle timeout at the end of a drain, unless a tick is longer.
 	minIdleTimeout = 10 * time.Millisecond
 
-	// waitToReduce and waitToGrow are the waits, as parts of the longest objective, over which less traffic
-	// is wanted and under which more is.
-	waitToReduce, waitToGrow = 0.1, 0.05
-	// weightReduction is the factor by which the traffic weight falls in a poll, and weightGrowth the
-	// amount by which it grows.
-	weightReduction, weightGrowth = 0.96, 0.02
+	// waitToReduce is the wait, as a part of the longest objective, over which the traffic weight falls.
+	waitToReduce = 0.1
+	// waitToGrow is the wait, as a part of the longest objective, under which the traffic weight grows.
+	waitToGrow = 0.05
+	// weightReduction is the factor by which the traffic weight falls in a poll.
+	weightReduction = 0.96
+	// weightGrowth is the amount by which the traffic weight grows in a poll.
+	weightGrowth = 0.02
 	// minTrafficWeight bounds the traffic weight of a server that reads requests without a long delay.
 	minTrafficWeight = 0.5
 	// unreadableDelay is the read delay, as a part of the longest objective, over which there is no bound.
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -49,8 +49,8 @@
 	liveCallers float64        // callers that sent within about one half-life; 0 if there are tenants
 }
 
-// senderIndex is the index of the estimate for the request: its tenant's, or its caller's if there are no
-// tenants.
+// senderIndex returns the index of the estimate for the request: its tenant's, or its caller's if there are
+// no tenants. It adds the estimate of a new sender.
 func (e *rateEstimator) senderIndex(arrival Request, tenants int) int {
 	sender := min(max(arrival.Tenant, 0), tenants-1)
 	if tenants == 0 {
--- a/internal/baseline/host.go
+++ b/internal/baseline/host.go
@@ -140,22 +140,31 @@
 		h.actions.ReplayResult(arrival.ID)
 		return
 	}
-	keyKB := 0.0
-	if h.isKeyed(arrival.Class) {
-		keyKB = h.settings.KeyKB
-	}
-	if h.isAfterGrace(req) || !h.hasMemoryFor(keyKB) || h.policy.admit(req) == verdictReject {
+	if h.isAfterGrace(req) || !h.hasMemoryFor(h.keySize(arrival.Class)) || h.policy.admit(req) == verdictReject {
 		h.reject(req)
 		return
 	}
 	if h.isKeyed(arrival.Class) {
-		until := req.arrivedAt + h.settings.Classes[arrival.Class].KeyWindow
-		h.actions.KeepKey(arrival.ID, until-now)
-		h.keptKeys = append(h.keptKeys, keptKey{arrival.ID, until})
+		h.keepKey(now, req)
 	}
 	h.queue = append(h.queue, req)
 }
 
+// keySize is the memory in KB of the key of a request of a class, 0 if it has none.
+func (h *host) keySize(class int) float64 {
+	if h.isKeyed(class) {
+		return h.settings.KeyKB
+	}
+	return 0
+}
+
+// keepKey remembers the key of a request for the window of its class.
+func (h *host) keepKey(now time.Duration, req *request) {
+	until := req.arrivedAt + h.settings.Classes[req.Class].KeyWindow
+	h.actions.KeepKey(req.ID, until-now)
+	h.keptKeys = append(h.keptKeys, keptKey{req.ID, until})
+}
+
 // addRequest registers a request with its deadline and memory.
 func (h *host) addRequest(now time.Duration, arrival admission.Request) *request {
 	req := &request{Request: arrival, arrivedAt: now - arrival.QueueingDelay}
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -157,24 +157,43 @@
 // sendAttempt sends a request to a server. If no server is eligible and no attempt is open, the request ends with the
 // outcome of the attempt before.
 func (g *gateway) sendAttempt(req *request, previous outcome) {
-	chosen := req.stickyServer
-	if chosen < 0 {
-		chosen = g.chooseServer(req)
-	} else if !g.isEligible(chosen, req) {
-		chosen = -1
-	}
+	chosen := g.nextServer(req)
 	if chosen < 0 {
 		if req.openAttempts == 0 {
 			g.completeUnserved(req, previous)
 		}
 		return
 	}
-	target := g.sim.servers[chosen]
+	sent := g.newAttempt(req, g.sim.servers[chosen])
+	class := &g.sim.config.Classes[req.class]
+	g.sim.checker.attemptSent(sent.number, req.key, class, req.sizeKB)
+	g.sim.events.schedule(g.sim.now+g.sim.networkDelay(), sent.server, eventAttemptArrival, sent)
+	if g.hasAttemptTimeout(req, class) {
+		timeout := time.Duration(g.config.AttemptTimeoutFactor * float64(class.LatencyObjective))
+		sent.timeoutEvent = g.sim.events.schedule(g.sim.now+timeout, g, eventAttemptTimeout, sent)
+	}
+}
+
+// nextServer returns the server for the next attempt of a request, its sticky one if it has one, or -1.
+func (g *gateway) nextServer(req *request) int {
+	switch {
+	case req.stickyServer < 0:
+		return g.chooseServer(req)
+	case g.isEligible(req.stickyServer, req):
+		return req.stickyServer
+	}
+	return -1
+}
+
+// newAttempt returns a new attempt of a request at a server, and counts it.
+func (g *gateway) newAttempt(req *request, target *server) *attempt {
 	g.sim.attempts++
+	g.sim.result.Attempts++
+	g.views[target.index].openAttempts++
 	req.attempts++
 	req.openAttempts++
-	req.attemptedServers = append(req.attemptedServers, chosen)
-	sent := &attempt{
+	req.attemptedServers = append(req.attemptedServers, target.index)
+	return &attempt{
 		number:     g.sim.attempts,
 		request:    req,
 		server:     target,
@@ -182,15 +201,6 @@
 		isRetry:    req.attempts > 1,
 		sentAt:     g.sim.now,
 	}
-	g.views[chosen].openAttempts++
-	g.sim.result.Attempts++
-	class := &g.sim.config.Classes[req.class]
-	g.sim.checker.attemptSent(sent.number, req.key, class, req.sizeKB)
-	g.sim.events.schedule(g.sim.now+g.sim.networkDelay(), target, eventAttemptArrival, sent)
-	if g.hasAttemptTimeout(req, class) {
-		timeout := time.Duration(g.config.AttemptTimeoutFactor * float64(class.LatencyObjective))
-		sent.timeoutEvent = g.sim.events.schedule(g.sim.now+timeout, g, eventAttemptTimeout, sent)
-	}
 }
 
 // hasAttemptTimeout reports whether the gateway sends another attempt if the last one of a request takes long.
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -65,24 +65,12 @@
 	arrived.id, arrived.state = s.lastID, stateQueued
 	s.attempts[arrived.id] = arrived
 	s.sim.checker.attemptRead(arrived.number, now)
-	req := admission.Request{
-		ID:            arrived.id,
-		Class:         arrived.request.class,
-		Tenant:        arrived.request.tenant,
-		Caller:        arrived.request.gateway.index,
-		QueueingDelay: now - arrived.arrivedAt,
-		IsRetry:       arrived.isRetry,
-		SizeKB:        arrived.request.sizeKB,
-	}
+	arrived.readAt = now
 	if s.sim.config.Classes[arrived.request.class].IdempotentByKey {
 		s.keys.sweepPeriodically(now)
-		if arrived.original = s.keys.findOriginal(arrived.request.key, arrived.arrivedAt); arrived.original != nil {
-			req.RetryOf = arrived.original.id
-		}
-	} else {
-		req.ResourceID = arrived.request.resourceID
+		arrived.original = s.keys.findOriginal(arrived.request.key, arrived.arrivedAt)
 	}
-	arrived.readAt = now
+	req := arrived.admissionRequest(s.sim.config.Classes)
 	if module, ok := s.module.(admissionChecker); ok && s.sim.config.RecordRejectReasons {
 		arrived.rejectReason = module.CheckAdmission(now, req).Reason
 	}
@@ -91,6 +79,26 @@
 	s.checkMemory()
 }
 
+// admissionRequest describes an attempt that was read to the module.
+func (a *attempt) admissionRequest(classes []Class) admission.Request {
+	req := admission.Request{
+		ID:            a.id,
+		Class:         a.request.class,
+		Tenant:        a.request.tenant,
+		Caller:        a.request.gateway.index,
+		QueueingDelay: a.readAt - a.arrivedAt,
+		IsRetry:       a.isRetry,
+		SizeKB:        a.request.sizeKB,
+	}
+	if a.original != nil {
+		req.RetryOf = a.original.id
+	}
+	if !classes[a.request.class].IdempotentByKey {
+		req.ResourceID = a.request.resourceID
+	}
+	return req
+}
+
 // finishRun ends a run whose work is done.
 func (s *server) finishRun(a *attempt) {
 	a.job = nil
