--- a/admission/drain.go
+++ b/admission/drain.go
@@ -17,8 +17,7 @@
 	drainLeaveDivisor = 4
 )
 
-// drainState is what is known of the notice that the process is to stop. Once draining it never returns to
-// service.
+// drainState is the state of the graceful shutdown. Once draining, the process never returns to service.
 type drainState struct {
 	isDraining bool
 	noticedAt  time.Duration
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -28,7 +28,7 @@
 	creditQueue = 0.5
 )
 
-// loadFeedback is what callers were sent last. Only a change of it takes an action.
+// loadFeedback is the feedback that callers were sent last. Actions are called only for changes.
 type loadFeedback struct {
 	trafficWeight float64       // part of the usual traffic that is wanted, 0 to 1
 	advertised    float64       // the value last advertised; negative = none yet
@@ -115,8 +115,8 @@
 	return weight, true
 }
 
-// callerCredit is how many requests each caller may have outstanding: what runs, what may wait in the queue
-// and what waits for calls, divided by the callers. It is not known before a run has ended.
+// callerCredit is how many requests each caller may have outstanding: the running ones, those that may be
+// queued and those at calls, divided by the number of callers. It is not known before a run has ended.
 func (in *Instance) callerCredit(weight float64) (credit float64, isKnown bool) {
 	run := in.meanCoreTime()
 	if run == 0 {
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -1,5 +1,5 @@
-// What an Instance knows, for operators who ask why it decided as it did. Nothing here decides, and nothing
-// here changes the Instance.
+// Inspection of an Instance, for operators who ask why it decided as it did. Nothing here decides or changes
+// the Instance.
 
 package admission
 
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Inspection is what an Instance knows at a time. Times are of its clock; durations are in nanoseconds in
+// Inspection is the state of an Instance at a time. Times are of its clock; durations are in nanoseconds in
 // JSON.
 type Inspection struct {
 	Now              time.Duration     `json:"now"`
@@ -34,7 +34,7 @@
 	Classes          []ClassInspection `json:"classes"`
 }
 
-// ClassInspection is what was learned of a class.
+// ClassInspection is the state of a class.
 type ClassInspection struct {
 	CoreTime          time.Duration `json:"core_time"` // of a run; 0 = not known
 	WallTime          time.Duration `json:"wall"`      // from the start of a run to its end
@@ -46,7 +46,7 @@
 	Rejections [reasonCount]uint64 `json:"rejections"` // rejected requests since the start, by Reason
 }
 
-// Inspect returns what the Instance knows.
+// Inspect returns the state of the Instance.
 func (in *Instance) Inspect() Inspection {
 	inspection := Inspection{
 		Now:              in.clock.now,
@@ -76,7 +76,7 @@
 	return inspection
 }
 
-// inspect returns what was learned of the class.
+// inspect returns the state of the class.
 func (c *classState) inspect() ClassInspection {
 	return ClassInspection{
 		CoreTime:          seconds(c.runTime.coreTime),
--- a/admission/instance.go
+++ b/admission/instance.go
@@ -52,7 +52,7 @@
 	byArrival []*request
 }
 
-// classState is what is known of one class.
+// classState is the state of one class.
 type classState struct {
 	runTime runTimeEstimator
 	share   fairShare
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -146,7 +146,7 @@
 	NotStarted                 // nothing was begun: the request was already finished
 )
 
-// Events is what the host reports to an Instance, which implements it.
+// Events are reported by the host to an Instance, which implements the interface.
 type Events interface {
 	// Request reports an attempt that was read.
 	Request(now time.Duration, request Request)
@@ -166,8 +166,8 @@
 	Settle(now time.Duration)
 }
 
-// Actions is what an Instance has its host do. Each must have taken effect, in the order of the calls,
-// before the next event is reported.
+// Actions are called by an Instance and carried out by its host. Each must have taken effect, in the order
+// of the calls, before the next event is reported.
 type Actions interface {
 	// Run starts a queued request or resumes a paused one.
 	Run(id RequestID)
--- a/admission/order.go
+++ b/admission/order.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// hasFairShareClaim tells whether the request counts for its class's fair share: what a tenant sends over
-// its quota share does not.
+// hasFairShareClaim tells whether the request counts for its class's fair share. Requests of tenants over
+// their quota shares do not.
 func (in *Instance) hasFairShareClaim(req *request) bool {
 	return req.quota == withinQuota || len(in.settings.Tenants) == 0
 }
--- a/admission/request.go
+++ b/admission/request.go
@@ -1,4 +1,4 @@
-// What an Instance keeps of a request, and what requests take of the server. Nothing here decides.
+// The state of requests, and their use of cores and memory. Nothing here decides.
 
 package admission
 
@@ -42,7 +42,7 @@
 	quotaStatusCount
 )
 
-// request is what is known of one attempt.
+// request is the state of one attempt.
 type request struct {
 	id          RequestID
 	class       int
@@ -78,8 +78,8 @@
 	attemptAt time.Duration // earliest time of the next attempt
 }
 
-// resourceUse is what all requests take of the server. It changes only with a request's state, so that it
-// always equals the sum over the requests.
+// resourceUse is the use of cores and memory by all requests. It changes only with a request's state, so
+// that it always equals the sum over the requests.
 type resourceUse struct {
 	running       int // on the cores, including abandoned runs that go on
 	offCore       int // stateCallPending or stateCalling
--- a/admission/retrystorm.go
+++ b/admission/retrystorm.go
@@ -1,4 +1,4 @@
-// Detection of retry storms from what arrives. The interface is in interface.go.
+// Detection of retry storms from the arrivals. The interface is in interface.go.
 
 package admission
 
--- a/admission/runtimeexport.go
+++ b/admission/runtimeexport.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// ClassRunTime is what was learned of a class's runs.
+// ClassRunTime is the learned run time of a class.
 type ClassRunTime struct {
 	CoreTime time.Duration // core time of a whole run
 	WallTime time.Duration // from the start of a run to its end
@@ -19,7 +19,7 @@
 	Classes []ClassRunTime // by the settings' index
 }
 
-// ExportRunTimes returns what the Instance has learned so far.
+// ExportRunTimes returns the run times that the Instance has learned so far.
 func (in *Instance) ExportRunTimes() RunTimeEstimates {
 	estimates := RunTimeEstimates{Classes: make([]ClassRunTime, len(in.classes))}
 	for i := range in.classes {
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -32,12 +32,12 @@
 	return c.bytes
 }
 
-// Restore returns an Instance that decides on what follows just as the one did of which the snapshot was
-// taken, or an error that wraps ErrSnapshot.
+// Restore returns an Instance in the state of the snapshot, which decides on the same events as the original
+// did, or an error that wraps ErrSnapshot.
 func Restore(from []byte, actions Actions) (*Instance, error) { return RestoreWith(from, actions, nil) }
 
-// RestoreWith is Restore with changed settings, for what-if replays. Classes and tenants
-// can be changed, but not their number.
+// RestoreWith is Restore with changed settings, for what-if replays. Classes and tenants can be changed, but
+// not their number.
 func RestoreWith(from []byte, actions Actions, change func(*Settings) error) (*Instance, error) {
 	if len(from) == 0 || from[0] < 1 || from[0] > snapshotVersion {
 		return nil, fmt.Errorf("%w: versions 1 to %d are known", ErrSnapshot, snapshotVersion)
@@ -66,7 +66,7 @@
 	return in, nil
 }
 
-// changeSettings alters the settings and what follows from them.
+// changeSettings changes the settings and the state that is computed from them.
 func (in *Instance) changeSettings(change func(*Settings) error) error {
 	changed := in.settings
 	changed.Classes = slices.Clone(changed.Classes)
@@ -249,7 +249,7 @@
 	list(c, &in.queue.requests, func(req **request) { pointer(c, req, requests, requestIndex) })
 }
 
-// indexRequests checks what was read against the classes and fills the table by ID.
+// indexRequests validates the restored requests against the classes and fills the table by ID.
 func (c *coder) indexRequests(in *Instance) {
 	classes := len(in.settings.Classes)
 	if len(in.classes) != classes || len(in.keys.byClass) != classes {
--- a/admission/stall.go
+++ b/admission/stall.go
@@ -79,7 +79,7 @@
 	return sinceProgress*float64(in.use.running) > stallRuns*slowest
 }
 
-// rejectStalled rejects or fails what has no effect yet, so that it can be tried on another server.
+// rejectStalled rejects queued requests and fails safe runs, so that they can be retried on another server.
 func (in *Instance) rejectStalled() {
 	for _, req := range in.requests.byArrival {
 		isSafeRun := req.state == stateRunning && in.settings.Classes[req.class].Effect == Safe
--- a/internal/baseline/weight_priority.go
+++ b/internal/baseline/weight_priority.go
@@ -68,7 +68,7 @@
 	w.runSeconds[r.Class] += (coreSeconds - w.runSeconds[r.Class]) * runTimeSmoothing
 }
 
-// poll rejects what has missed its objective.
+// poll rejects queued requests that have missed their objective.
 func (w *weightPriority) poll(admission.Gauges) {
 	for i := 0; i < len(w.queue); {
 		r := w.queue[i]
--- a/internal/clustersim/cores.go
+++ b/internal/clustersim/cores.go
@@ -107,7 +107,7 @@
 	c.updatedAt = now
 }
 
-// add starts a job of so many seconds of work.
+// add starts a job with its work in seconds.
 func (c *cores) add(j *job, work float64) {
 	j.finishService = c.service + work
 	j.seq = c.seq
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -28,7 +28,7 @@
 	isSet bool
 }
 
-// attemptResult is what a gateway learns of an attempt.
+// attemptResult is the result of an attempt, as its gateway receives it.
 type attemptResult struct {
 	attempt *attempt
 	outcome outcome
@@ -36,7 +36,7 @@
 	load    advertisedLoad
 }
 
-// serverView is what a gateway knows of a server.
+// serverView is a gateway's view of a server.
 type serverView struct {
 	openAttempts      int
 	latency           float64 // seconds, smoothed
--- a/internal/clustersim/keys.go
+++ b/internal/clustersim/keys.go
@@ -9,7 +9,7 @@
 // keySweepInterval is the least time between two searches for expired keys.
 const keySweepInterval = time.Second
 
-// keyEntry is what a server remembers under an idempotency key.
+// keyEntry is the state of an idempotency key at a server.
 type keyEntry struct {
 	holder       *attempt // that the module keeps the key for, until holderUntil
 	holderUntil  time.Duration
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -6,7 +6,7 @@
 	"tillerusher/admission"
 )
 
-// request is what a client wants: a first attempt and all retries that its gateway makes.
+// request is a request of a client, with its first attempt and all retries that its gateway makes.
 type request struct {
 	number     uint64
 	class      int
@@ -23,7 +23,7 @@
 	requestProgress
 }
 
-// requestProgress is what a gateway has done for a request.
+// requestProgress is a gateway's state of a request.
 type requestProgress struct {
 	attemptedServers []int // in order
 	attempts         int
@@ -47,7 +47,7 @@
 	attemptHandling
 }
 
-// attemptHandling is what a server knows of an attempt.
+// attemptHandling is a server's state of an attempt.
 type attemptHandling struct {
 	id           admission.RequestID
 	arrivedAt    time.Duration
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -79,14 +79,14 @@
 	LogLines int     `json:"remarks"` // that modules logged
 }
 
-// RuleSummary holds what the rule checker found.
+// RuleSummary holds the violations of rules.
 type RuleSummary struct {
 	PreventedReruns   int          `json:"prevented"` // second runs of a key that servers prevented
 	Violations        map[Rule]int `json:"broken"`
 	ViolationMessages []string     `json:"breaches"` // the first of them
 }
 
-// tally holds what a run counts for the figures that finalize computes.
+// tally holds the counts from which finalize computes the figures of a run.
 type tally struct {
 	config        *Config
 	openRequests  int
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/arrival"
 )
 
-// PolicyFactory creates what a server decides by: the admission module or a policy to compare it with. It is called for
-// each process that starts.
+// PolicyFactory creates the policy of a server: the admission module or one to compare it with. It is called for each
+// process that starts.
 type PolicyFactory func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
 // AdmissionModule is the PolicyFactory of the real decision module.
@@ -109,7 +109,7 @@
 	}
 }
 
-// populate creates servers and gateways and schedules what is known in advance.
+// populate creates servers and gateways and schedules the incidents and the first request.
 func (s *simulation) populate() {
 	s.startServers()
 	for k := range s.config.Gateways {
--- a/internal/clustersim/workload.go
+++ b/internal/clustersim/workload.go
@@ -96,7 +96,7 @@
 	return gateways
 }
 
-// draw draws what a server can do.
+// draw draws the speed, warm-up and memory of servers.
 func (s *ServerConfig) draw(rng *rand.Rand) {
 	s.Speed = drawUniform(rng, 0.85, 1.1)
 	s.SpeedCV = drawUniform(rng, 0.05, 0.25)
