--- a/admission/drain.go
+++ b/admission/drain.go
@@ -17,8 +17,7 @@
 	drainLeaveDivisor = 4
 )
 
-// drainState is what is known of the notice that the process is to stop. Once draining it never returns to
-// service.
+// drainState is the state of the graceful shutdown. Once draining, the process never returns to service.
 type drainState struct {
 	isDraining bool
 	noticedAt  time.Duration
@@ -30,9 +29,9 @@
 	return d.isDraining && arrivedAt > d.noticedAt+grace
 }
 
-// isGraceEnding tells whether callers should look for another server. That is only when the grace period is
-// nearly over: what arrives until then is run, and callers that are sent away sooner overload servers whose
-// replacements few callers know yet.
+// isGraceEnding tells whether callers should look for another server. That is so only when the grace period
+// is nearly over: what arrives until then is run. Callers that leave sooner overload the remaining servers
+// while few callers know of the replacements.
 func (d *drainState) isGraceEnding(now, grace time.Duration) bool {
 	if !d.isDraining {
 		return false
@@ -49,17 +48,17 @@
 	}
 	margin := max(2*in.answerMargin(), timeLeft/stopMarginDivisor)
 	in.drain = drainState{isDraining: true, noticedAt: now, stopAt: now + timeLeft - margin}
-	for _, r := range in.requests.byArrival {
-		r.deadline = min(r.deadline, in.drain.stopAt)
-		r.objectiveDeadline = min(r.objectiveDeadline, r.deadline)
+	for _, req := range in.requests.byArrival {
+		req.deadline = min(req.deadline, in.drain.stopAt)
+		req.objectiveDeadline = min(req.objectiveDeadline, req.deadline)
 	}
 	in.schedule.nextDeadline = now
 	in.actions.Log(fmt.Sprintf("drain: %d held, %d running", in.queue.len(), in.use.running))
 }
 
 // isPastDrainGrace tells whether the request arrived after the drain grace period.
-func (in *Instance) isPastDrainGrace(r *request) bool {
-	return in.drain.isPastGrace(r.arrivedAt, in.settings.DrainGracePeriod)
+func (in *Instance) isPastDrainGrace(req *request) bool {
+	return in.drain.isPastGrace(req.arrivedAt, in.settings.DrainGracePeriod)
 }
 
 // isDrainEnding tells whether callers should look for another server because this one stops.
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -14,7 +14,7 @@
 	in.Request(3*time.Second+10*ms, inside)
 	in.Request(3*time.Second+10*ms, past)
 	in.Settle(3*time.Second + 10*ms)
-	expectActions(t, rec, "run refuse", "refuse 2 1s false", "run 1")
+	expectActions(t, rec, "run reject", "reject 2 1s false", "run 1")
 	in.Settle(5*time.Second - ms)
 	expectActions(t, rec, "fail", "fail 1")
 }
@@ -23,14 +23,15 @@
 	in, rec := newTestInstance(t, testSettings())
 	fillCores(in, rec, 0, 0)
 	in.Drain(0, 4*time.Second)
-	q := testRequest(1, 0)
-	in.Request(2*time.Second+ms, q)
+	arrival := testRequest(1, 0)
+	in.Request(2*time.Second+ms, arrival)
 	in.RunFinished(2*time.Second+2*ms, 1000, OK)
 	in.Settle(2*time.Second + 2*ms)
-	expectActions(t, rec, "run refuse", "refuse 1 1s false")
+	expectActions(t, rec, "run reject", "reject 1 1s false")
 }
 
-// TestGracePeriod counts the grace from the notice, and sends callers away two polls before its end, or a quarter of it.
+// TestGracePeriod checks that the grace period counts from the notice, and that callers are asked to leave two polls
+// before its end, or a quarter of the period if that is shorter.
 func TestGracePeriod(t *testing.T) {
 	none := drainState{}
 	if none.isPastGrace(time.Hour, time.Second) || none.isGraceEnding(time.Hour, time.Second) {
--- a/admission/events.go
+++ b/admission/events.go
@@ -14,8 +14,8 @@
 	answerTicks = 2
 	// maxSweepInterval is the longest time between two sweeps.
 	maxSweepInterval = time.Hour
-	// finishedSlack is how many finished requests the list may hold, beside as many as there are unfinished
-	// ones, before they are swept: decisions range over the list.
+	// finishedSlack is how many finished requests the list may hold, in addition to as many as there are
+	// unfinished ones, before they are swept: decisions iterate over the list.
 	finishedSlack = 64
 	// minQuota is the least quota in requests a second, so that no threshold is 0.
 	minQuota = 1e-3
@@ -44,7 +44,8 @@
 	for _, tenant := range settings.Tenants {
 		in.rates.totalQuota += max(tenant.Quota, minQuota)
 	}
-	// An arrival halves about when its answer is due: a surge begins and ends as its work does.
+	// The half-life is the longest objective: an arrival loses half of its weight about when its answer is
+	// due, so that the rate follows the work that a surge brings.
 	in.rates.decay = math.Ln2 / in.longestObjective.Seconds()
 	return in, nil
 }
@@ -62,7 +63,7 @@
 		return
 	}
 	elapsed := now - in.clock.now
-	// A timer fires at each poll of the gauges: in a longer gap the whole process was paused, its runs too.
+	// A timer fires at each poll of the gauges. In a longer gap the whole process was paused with its runs.
 	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * in.coreShare()
 	in.calls.accrueDebt(elapsed, in.use.callsInFlight, in.settings.FairCallShare)
 	in.clock.now = now
@@ -79,41 +80,41 @@
 // Cancel reports that the caller of a request no longer waits.
 func (in *Instance) Cancel(now time.Duration, id RequestID) {
 	in.advanceClock(now)
-	r := in.requests.byID[id]
-	if r != nil && r.state != stateAbandoned {
-		in.finish(r)
+	req := in.requests.byID[id]
+	if req != nil && req.state != stateAbandoned {
+		in.finish(req)
 	}
 }
 
 // RunFinished reports the end of a run or of a replay.
 func (in *Instance) RunFinished(now time.Duration, id RequestID, outcome Outcome) {
 	in.advanceClock(now)
-	r := in.requests.byID[id]
-	if r == nil || r.state == stateQueued || r.state == stateFollowing {
+	req := in.requests.byID[id]
+	if req == nil || req.state == stateQueued || req.state == stateFollowing {
 		return
 	}
-	if r.state == stateRunning || r.state == stateAbandoned && outcome != Cancelled {
+	if req.state == stateRunning || req.state == stateAbandoned && outcome != Cancelled {
 		in.stall.progressAt = in.clock.core
 	}
-	if r.state == stateRunning {
-		in.learnFromRun(now, r, outcome)
+	if req.state == stateRunning {
+		in.learnFromRun(now, req, outcome)
 	}
-	if outcome == Cancelled && r.state != stateAbandoned && r.state != stateReplaying {
-		in.actions.Fail(r.id) // stopped, though its answer is still owed
+	if outcome == Cancelled && req.state != stateAbandoned && req.state != stateReplaying {
+		in.actions.Fail(req.id) // the run was stopped before the request was answered
 	}
-	in.remove(r)
+	in.remove(req)
 }
 
 // learnFromRun updates the estimates by a run that ended.
-func (in *Instance) learnFromRun(now time.Duration, r *request, outcome Outcome) {
-	r.run.coreTime += in.clock.core - r.run.partStart
-	estimator := &in.classes[r.class].runTime
+func (in *Instance) learnFromRun(now time.Duration, req *request, outcome Outcome) {
+	req.run.coreTime += in.clock.core - req.run.partStart
+	estimator := &in.classes[req.class].runTime
 	if outcome != OK {
 		estimator.countFailure(in.clock.now)
 		return
 	}
-	wallTime := (now - r.run.startedAt).Seconds()
-	estimator.learn(in.clock.now, in.longestObjective, r.run.coreTime, wallTime)
+	wallTime := (now - req.run.startedAt).Seconds()
+	estimator.learn(in.clock.now, in.longestObjective, req.run.coreTime, wallTime)
 	in.stall.longestRun = max(in.stall.longestRun, wallTime)
 	in.rates.completions.count(now, in.rates.decay)
 }
@@ -160,8 +161,8 @@
 	in.schedule.nextDeadline = in.clock.now + maxSweepInterval
 	all := in.requests.byArrival
 	for _, r := range all {
-		isOwed := r.state != stateFinished && r.state != stateAbandoned
-		if isOwed && r.deadline <= in.clock.now+in.answerMargin() {
+		isUnanswered := r.state != stateFinished && r.state != stateAbandoned
+		if isUnanswered && r.deadline <= in.clock.now+in.answerMargin() {
 			in.rejectOrFail(r, DeadlineReached)
 		}
 	}
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -1,5 +1,5 @@
-// What an Instance knows, for operators who ask why it decided as it did. Nothing here decides, and nothing
-// here changes the Instance.
+// Inspection of an Instance, for operators who ask why it decided as it did. Nothing here decides or changes
+// the Instance.
 
 package admission
 
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Inspection is what an Instance knows at a time. Times are of its clock; durations are in nanoseconds in
+// Inspection is the state of an Instance at a time. Times are of its clock; durations are in nanoseconds in
 // JSON.
 type Inspection struct {
 	Now              time.Duration     `json:"now"`
@@ -34,7 +34,7 @@
 	Classes          []ClassInspection `json:"classes"`
 }
 
-// ClassInspection is what was learned of a class.
+// ClassInspection is the state of a class.
 type ClassInspection struct {
 	CoreTime          time.Duration `json:"core_time"` // of a run; 0 = not known
 	WallTime          time.Duration `json:"wall"`      // from the start of a run to its end
@@ -46,7 +46,7 @@
 	Rejections [reasonCount]uint64 `json:"rejections"` // rejected requests since the start, by Reason
 }
 
-// Inspect returns what the Instance knows.
+// Inspect returns the state of the Instance.
 func (in *Instance) Inspect() Inspection {
 	inspection := Inspection{
 		Now:              in.clock.now,
@@ -76,7 +76,7 @@
 	return inspection
 }
 
-// inspect returns what was learned of the class.
+// inspect returns the state of the class.
 func (c *classState) inspect() ClassInspection {
 	return ClassInspection{
 		CoreTime:          seconds(c.runTime.coreTime),
@@ -89,7 +89,7 @@
 	}
 }
 
-// AdmissionCheck is how an arrival looks to an Instance.
+// AdmissionCheck is how an Instance would decide on an arrival, and by what.
 type AdmissionCheck struct {
 	Reason            Reason        `json:"reason"`
 	Coalesced         bool          `json:"repeats"`    // it is answered by the result of the one that it repeats
@@ -107,7 +107,8 @@
 	Running           []RequestID   `json:"on_cores"`   // on the cores
 }
 
-// CheckAdmission tells how an arrival would look now.
+// CheckAdmission returns how the Instance would decide on an arrival now, without any effect on it. An ID that
+// is in use gives the zero value.
 func (in *Instance) CheckAdmission(now time.Duration, arrival Request) AdmissionCheck {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[arrival.ID] != nil {
@@ -120,28 +121,28 @@
 		QueuedAhead: trial.runOrder(),
 		Running:     trial.inState(stateRunning),
 	}
-	r := trial.register(arrival)
+	req := trial.register(arrival)
 	check.ImpulseSize = trial.rates.senders[sender].impulse
 	check.Rate = trial.rates.senders[sender].rate(trial.clock.now, trial.rates.decay)
-	check.RateRatio = r.rateRatio
-	if r.rateRatio > 0 {
-		check.Threshold = check.Rate / r.rateRatio
+	check.RateRatio = req.rateRatio
+	if req.rateRatio > 0 {
+		check.Threshold = check.Rate / req.rateRatio
 	}
-	check.PredictedWait = seconds(trial.predictedWait(r))
-	check.Slack = seconds(trial.slack(r))
-	check.ObjectiveDeadline = r.objectiveDeadline
-	check.Deadline = r.deadline
-	check.Coalesced = trial.isCoalesced(r, arrival)
+	check.PredictedWait = seconds(trial.predictedWait(req))
+	check.Slack = seconds(trial.slack(req))
+	check.ObjectiveDeadline = req.objectiveDeadline
+	check.Deadline = req.deadline
+	check.Coalesced = trial.isCoalesced(req, arrival)
 	if !check.Coalesced {
-		check.Reason = trial.checkArrival(r)
+		check.Reason = trial.checkArrival(req)
 	}
-	check.RetryAfter = trial.retryAfter(r)
+	check.RetryAfter = trial.retryAfter(req)
 	return check
 }
 
-// QueueDecision is how a request that was taken in looks to an Instance.
+// QueueDecision is how an Instance would decide now on a request that it knows.
 type QueueDecision struct {
-	Reason            Reason        `json:"reason"` // why it would be given up now
+	Reason            Reason        `json:"reason"` // why it would be rejected or failed now
 	Phase             string        `json:"phase"`
 	Arrived           time.Duration `json:"arrived"`
 	ObjectiveDeadline time.Duration `json:"useful"`
@@ -152,22 +153,23 @@
 	Running           []RequestID   `json:"on_cores"`
 }
 
-// InspectRequest tells how a known request looks now, and false for one that is not known.
+// InspectRequest returns how the Instance would decide now on a request that it knows; false for one that it
+// does not.
 func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[id] == nil {
 		return QueueDecision{}, false
 	}
 	trial.advanceClock(now)
-	r := trial.requests.byID[id]
+	req := trial.requests.byID[id]
 	decision := QueueDecision{
-		Reason:            trial.presentReason(r),
-		Phase:             r.state.String(),
-		Arrived:           r.arrivedAt,
-		ObjectiveDeadline: r.objectiveDeadline,
-		Deadline:          r.deadline,
-		ExpectedRunTime:   trial.expectedRunTime(r),
-		RateRatio:         r.rateRatio,
+		Reason:            trial.presentReason(req),
+		Phase:             req.state.String(),
+		Arrived:           req.arrivedAt,
+		ObjectiveDeadline: req.objectiveDeadline,
+		Deadline:          req.deadline,
+		ExpectedRunTime:   trial.expectedRunTime(req),
+		RateRatio:         req.rateRatio,
 		Running:           trial.inState(stateRunning),
 	}
 	for _, ahead := range trial.runOrder() {
@@ -179,15 +181,15 @@
 	return decision, true
 }
 
-// presentReason returns why a known request would be given up now, or Admitted.
-func (in *Instance) presentReason(r *request) Reason {
+// presentReason returns why a known request would be rejected or failed now, or Admitted.
+func (in *Instance) presentReason(req *request) Reason {
 	switch {
 	case in.stall.isStalled:
 		return Stalled
-	case r.deadline <= in.clock.now+in.answerMargin():
+	case req.deadline <= in.clock.now+in.answerMargin():
 		return DeadlineReached
-	case r.state == stateQueued:
-		return in.checkQueued(r)
+	case req.state == stateQueued:
+		return in.checkQueued(req)
 	}
 	return Admitted
 }
@@ -217,9 +219,9 @@
 // inState returns the requests in a state in the order of arrival.
 func (in *Instance) inState(state requestState) []RequestID {
 	var ids []RequestID
-	for _, r := range in.requests.byArrival {
-		if r.state == state {
-			ids = append(ids, r.id)
+	for _, req := range in.requests.byArrival {
+		if req.state == state {
+			ids = append(ids, req.id)
 		}
 	}
 	return ids
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -81,7 +81,7 @@
 	Servers         int           // servers of this tier listed at the start
 	Callers         int           // load balancers that send to this tier
 	Cores           int           // cores of this server
-	IndependentRuns bool          // runs do not share the cores: how long one takes says nothing of another
+	IndependentRuns bool          // runs do not share the cores: the run time of one does not depend on others
 	Tick            time.Duration // shortest time between two groups of events
 	Classes         []Class       // kinds of request, by index
 	Tenants         []Tenant      // tenants, by index; may be empty
@@ -108,7 +108,7 @@
 	CallerIdleTimeout time.Duration // how long callers keep an idle connection; 0 = not known
 }
 
-// Request is one attempt that was read; it is owed exactly one final answer. The JSON keys are those of captures that
+// Request is one attempt that was read; it gets exactly one final answer. The JSON keys are those of captures that
 // are printed as text.
 type Request struct {
 	ID            RequestID
@@ -146,7 +146,7 @@
 	NotStarted                 // nothing was begun: the request was already finished
 )
 
-// Events is what the host reports to an Instance, which implements it.
+// Events are reported by the host to an Instance, which implements the interface.
 type Events interface {
 	// Request reports an attempt that was read.
 	Request(now time.Duration, request Request)
@@ -166,8 +166,8 @@
 	Settle(now time.Duration)
 }
 
-// Actions is what an Instance has its host do. Each must have taken effect, in the order of the calls,
-// before the next event is reported.
+// Actions are called by an Instance and carried out by its host. Each must have taken effect, in the order
+// of the calls, before the next event is reported.
 type Actions interface {
 	// Run starts a queued request or resumes a paused one.
 	Run(id RequestID)
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
-	s := testSettings()
-	s.WarmingUp = true
-	in, rec := newTestInstance(t, s)
+	settings := testSettings()
+	settings.WarmingUp = true
+	in, rec := newTestInstance(t, settings)
 	if n := fillCores(in, rec, 0, 0); n != 2 {
 		t.Errorf("%d run at the start, want the core count", n)
 	}
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestRunnableDecidesSaturation goes by what wants a core at this moment: the mean of half a second still reads room
-// when a queue of many short runs is late as a whole, and has the limit grow into a concurrency that is slower for
-// all.
+// TestRunnableDecidesSaturation checks that the gauge of runnable tasks decides where the host has it. The utilization,
+// a mean over half a second, shows spare cores even if a queue of many short runs is late as a whole, and would raise
+// the limit to a concurrency that slows all runs.
 func TestRunnableDecidesSaturation(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	for id := RequestID(1); id <= 10; id++ {
@@ -69,18 +69,18 @@
 	in.Settle(100 * ms)
 	rec.take()
 	in.Request(100*ms, testRequest(50, 0))
-	if got := strings.Join(rec.take("refuse"), ","); !strings.Contains(got, "refuse 50 ") || in.limiter.limit != limit {
+	if got := strings.Join(rec.take("reject"), ","); !strings.Contains(got, "reject 50 ") || in.limiter.limit != limit {
 		t.Errorf("cores full at this moment: actions %q, limit %v, want a rejection and %v", got, in.limiter.limit, limit)
 	}
 	in.Timer(200*ms, 0, Gauges{Utilization: 1, Runnable: 1})
 	in.Settle(200 * ms)
 	in.Request(200*ms, testRequest(51, 0))
-	if got := strings.Join(rec.take("refuse"), ","); got != "" || in.limiter.limit <= limit {
+	if got := strings.Join(rec.take("reject"), ","); got != "" || in.limiter.limit <= limit {
 		t.Errorf("cores with room at this moment: actions %q, limit %v", got, in.limiter.limit)
 	}
 }
 
-// TestGaugesThatWereNotRead keep the readings before them.
+// TestGaugesThatWereNotRead checks that a missing reading keeps the previous one.
 func TestGaugesThatWereNotRead(t *testing.T) {
 	l := concurrencyLimiter{runnable: -1}
 	l.read(Gauges{Utilization: 0.5, Runnable: 3})
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A queued request that can't be useful any more is answered at once, though no core becomes free.
+// TestHopelessRequestIsRejectedAtOnce checks that a queued request that can't be useful any more is rejected even if no
+// core becomes free.
 func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	fillCores(in, rec, 0, 0)
@@ -15,15 +16,15 @@
 	in.limiter.utilization = 1
 	useful := in.requests.byID[100].objectiveDeadline
 	in.Settle(useful - ms)
-	expectActions(t, rec, "refuse")
+	expectActions(t, rec, "reject")
 	in.Settle(useful + ms)
-	if got := rec.take("refuse", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 100 ") {
+	if got := rec.take("reject", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 100 ") {
 		t.Errorf("got %q", got)
 	}
 }
 
-// A class whose runs were slow for a while is run again as soon as the cores have room: only that shows whether
-// it still is. It was rejected for good before, on cores that stood idle.
+// TestSlowClassIsRunAgain checks that a class whose runs were slow is run again as soon as the cores have room: only a
+// run can show that it is fast again. An earlier version rejected such a class forever, on idle cores.
 func TestSlowClassIsRunAgain(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	in.settings.Classes[0].LateWeight = 0
@@ -33,7 +34,7 @@
 	in.limiter.utilization = 0.5
 	in.Request(0, testRequest(1, 0))
 	in.Settle(0)
-	expectActions(t, rec, "run refuse", "run 1")
+	expectActions(t, rec, "run reject", "run 1")
 	in.RunFinished(100*ms, 1, OK)
 	if wall := in.classes[0].runTime.wallTime; wall >= 4 {
 		t.Errorf("a fast run left the expected time at %v s", wall)
@@ -42,7 +43,7 @@
 	in.limiter.utilization = 1
 	in.Request(200*ms, testRequest(2, 0))
 	in.Settle(200 * ms)
-	if got := rec.take("refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 2 ") {
+	if got := rec.take("reject"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 2 ") {
 		t.Errorf("on full cores: %q", got)
 	}
 }
@@ -54,7 +55,7 @@
 	hasty.RemainingTime = 500 * ms
 	in.Request(0, hasty)
 	in.Settle(0)
-	if got := rec.take("run", "refuse"); len(got) != 1 || !strings.HasPrefix(got[0], "refuse 1 ") {
+	if got := rec.take("run", "reject"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 1 ") {
 		t.Errorf("a run of one second for a caller who waits half of it: %q", got)
 	}
 }
@@ -66,8 +67,8 @@
 	for id := RequestID(1); id <= 60; id++ {
 		in.Request(0, testRequest(id, 0))
 	}
-	for _, r := range in.queue.requests { // all that is queued came from a tenant over its quota share
-		r.quota = 1
+	for _, req := range in.queue.requests { // all that is queued came from a tenant over its quota share
+		req.quota = 1
 	}
 	for class := range in.classes {
 		c := &in.classes[class]
@@ -77,9 +78,9 @@
 	other := testRequest(100, 0)
 	other.Tenant = 1
 	in.Request(0, other)
-	expectActions(t, rec, "refuse")
+	expectActions(t, rec, "reject")
 	in.Request(0, testRequest(101, 0))
-	expectActions(t, rec, "refuse", "refuse 101 1s false")
+	expectActions(t, rec, "reject", "reject 101 1s false")
 }
 
 func TestPredictedWaitOverQuotaCountsRunsWithinQuota(t *testing.T) {
@@ -102,24 +103,24 @@
 	}
 }
 
-// TestPredictedWaitLeavesOutLaterRuns holds two seconds of work whose objective is long: a request with a short
-// objective goes before all of it, and is not rejected for work that waits behind it.
+// TestPredictedWaitLeavesOutLaterRuns queues two seconds of work with a long objective: a request with a short
+// objective runs before all of it, and must not be rejected for work behind it.
 func TestPredictedWaitLeavesOutLaterRuns(t *testing.T) {
-	s := newDriver(t, twoClassSettings())
+	driver := newDriver(t, twoClassSettings())
 	for _, class := range []int{0, 1} { // a run of each is known to take 0.2 s
-		s.request(class, nil)
-		s.advance(200 * ms)
-		s.module.RunFinished(s.now, s.lastID, OK)
+		driver.request(class, nil)
+		driver.advance(200 * ms)
+		driver.module.RunFinished(driver.now, driver.lastID, OK)
 	}
-	s.isSaturated = true
-	s.advance(100 * ms)
+	driver.isSaturated = true
+	driver.advance(100 * ms)
 	for range 2 + 20 { // two run
-		s.request(1, nil)
+		driver.request(1, nil)
 	}
-	s.advance(100 * ms)
-	s.recorder.take()
-	quick := s.request(0, nil)
-	if hasAction(s.recorder.take("refuse"), "refuse", quick) {
+	driver.advance(100 * ms)
+	driver.recorder.take()
+	quick := driver.request(0, nil)
+	if hasAction(driver.recorder.take("reject"), "reject", quick) {
 		t.Error("a request with a short objective was rejected for work that waits behind it")
 	}
 }
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -22,13 +22,13 @@
 }
 
 func TestWithoutTenantsQuotaShareIsPerCaller(t *testing.T) {
-	s := testSettings()
-	s.Tenants = nil
-	in, _ := newTestInstance(t, s)
+	settings := testSettings()
+	settings.Tenants = nil
+	in, _ := newTestInstance(t, settings)
 	for i := 0; i < 40; i++ { // two live callers, and eight ended runs for their forty arrivals
-		q := testRequest(RequestID(i+1), 0)
-		q.Caller = i % 2
-		in.measureRateRatio(q)
+		arrival := testRequest(RequestID(i+1), 0)
+		arrival.Caller = i % 2
+		in.measureRateRatio(arrival)
 		if i < 8 {
 			in.rates.completions.count(0, in.rates.decay)
 		}
@@ -45,34 +45,35 @@
 }
 
 func TestRetriesDoNotPutEveryTenantOverQuota(t *testing.T) {
-	s := testSettings()
-	s.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
-	in, _ := newTestInstance(t, s)
+	settings := testSettings()
+	settings.Tenants = []Tenant{{Quota: 1}, {Quota: 1}}
+	in, _ := newTestInstance(t, settings)
 	small, large := 0.0, 0.0
-	for i := 0; i < 400; i++ { // ten requests a second where the quota shares are half of one; the small asks a fifth
+	for i := 0; i < 400; i++ { // ten requests a second, a fifth of them of the small tenant; each quota share is half a request a second
 		now := time.Duration(i) * 100 * ms
-		q := testRequest(RequestID(i+1), 0)
+		arrival := testRequest(RequestID(i+1), 0)
 		in.clock.now = now
-		if q.Tenant = 1; i%5 == 0 {
-			q.Tenant = 0
-			small = in.measureRateRatio(q)
+		arrival.Tenant = 1
+		if i%5 == 0 {
+			arrival.Tenant = 0
+			small = in.measureRateRatio(arrival)
 			continue
 		}
-		large = in.measureRateRatio(q)
+		large = in.measureRateRatio(arrival)
 	}
 	if small >= 1 || large <= 1 {
 		t.Errorf("rate ratio of the small tenant %v, of the large %v; want under and over 1", small, large)
 	}
 }
 
-// partOverThreshold is the part of the arrivals of a tenant that read as over its threshold, where so many come in a
-// half-life as its quota share is, times the factor, by chance.
+// partOverThreshold is the part of a tenant's arrivals that are over its threshold. They are a Poisson process at the
+// factor times its quota share, which is given as arrivals in a half-life.
 func partOverThreshold(t *testing.T, perHalfLife, factor float64) float64 {
 	t.Helper()
-	s := twoClassSettings()
-	share := perHalfLife / s.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
-	s.Tenants = []Tenant{{Quota: share * float64(s.Servers)}, {Quota: 1e9}}
-	in, _ := newTestInstance(t, s)
+	settings := twoClassSettings()
+	share := perHalfLife / settings.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
+	settings.Tenants = []Tenant{{Quota: share * float64(settings.Servers)}, {Quota: 1e9}}
+	in, _ := newTestInstance(t, settings)
 	const arrivals = 4000
 	rng, over := rand.New(rand.NewSource(1)), 0
 	for range arrivals {
@@ -84,8 +85,8 @@
 	return float64(over) / arrivals
 }
 
-// TestThresholdCoversNoiseOfSmallShares sends a tenant's requests by chance at just the rate of its quota share,
-// however small that is beside λ: few of them may read as over the threshold.
+// TestThresholdCoversNoiseOfSmallShares checks that few arrivals of a tenant that sends at just the rate of its quota
+// share are over the threshold, even if the share is small compared with λ.
 func TestThresholdCoversNoiseOfSmallShares(t *testing.T) {
 	for _, perHalfLife := range []float64{0.01, 0.1, 0.5, 1, 3, 10} {
 		if part := partOverThreshold(t, perHalfLife, 1); part > 0.1 {
@@ -95,19 +96,20 @@
 	}
 }
 
-// TestSingleArrivalIsWithinThreshold has one request come: it is no rate, however small the quota share.
+// TestSingleArrivalIsWithinThreshold checks that one arrival is never over the threshold, however small the quota share.
 func TestSingleArrivalIsWithinThreshold(t *testing.T) {
 	for _, quota := range []float64{0, 1e-6, 1, 300} {
-		s := twoClassSettings()
-		s.Tenants = []Tenant{{Quota: quota}, {Quota: 1e9}}
-		in, _ := newTestInstance(t, s)
+		settings := twoClassSettings()
+		settings.Tenants = []Tenant{{Quota: quota}, {Quota: 1e9}}
+		in, _ := newTestInstance(t, settings)
 		if e := in.measureRateRatio(Request{ID: 1}); e > 1 {
 			t.Errorf("a quota of %v: a single arrival is %.2f times the threshold", quota, e)
 		}
 	}
 }
 
-// TestThresholdFindsTenantsOverQuota has a tenant send four times its quota share: most of its arrivals are over.
+// TestThresholdFindsTenantsOverQuota checks that most arrivals of a tenant at four times its quota share are over the
+// threshold.
 func TestThresholdFindsTenantsOverQuota(t *testing.T) {
 	for _, perHalfLife := range []float64{3, 10, 100} {
 		if part := partOverThreshold(t, perHalfLife, 4); part < 0.9 {
--- a/admission/request.go
+++ b/admission/request.go
@@ -1,4 +1,4 @@
-// What an Instance keeps of a request, and what requests take of the server. Nothing here decides.
+// The state of requests, and their use of cores and memory. Nothing here decides.
 
 package admission
 
@@ -42,7 +42,7 @@
 	quotaStatusCount
 )
 
-// request is what is known of one attempt.
+// request is the state of one attempt.
 type request struct {
 	id          RequestID
 	class       int
@@ -78,8 +78,8 @@
 	attemptAt time.Duration // earliest time of the next attempt
 }
 
-// resourceUse is what all requests take of the server. It changes only with a request's state, so that it
-// always equals the sum over the requests.
+// resourceUse is the use of cores and memory by all requests. It changes only with a request's state, so
+// that it always equals the sum over the requests.
 type resourceUse struct {
 	running       int // on the cores, including abandoned runs that go on
 	offCore       int // stateCallPending or stateCalling
@@ -89,27 +89,27 @@
 }
 
 // add counts the request in its current state; a sign of -1 takes it off again.
-func (u *resourceUse) add(r *request, runningMemoryFactor float64, sign int) {
-	switch r.state {
+func (u *resourceUse) add(req *request, runningMemoryFactor float64, sign int) {
+	switch req.state {
 	case stateQueued, stateFollowing, stateReplaying:
-		u.queuedKB += float64(sign) * r.sizeKB
+		u.queuedKB += float64(sign) * req.sizeKB
 	case stateRunning, stateAbandoned:
 		u.running += sign
-		u.runningKB += float64(sign) * r.sizeKB * runningMemoryFactor
+		u.runningKB += float64(sign) * req.sizeKB * runningMemoryFactor
 	case stateCallPending, stateCalling:
 		u.offCore += sign
-		u.runningKB += float64(sign) * r.sizeKB * runningMemoryFactor
-		if r.state == stateCalling {
+		u.runningKB += float64(sign) * req.sizeKB * runningMemoryFactor
+		if req.state == stateCalling {
 			u.callsInFlight += sign
 		}
 	}
 }
 
 // setState changes the state and keeps the resource use up to date.
-func (in *Instance) setState(r *request, to requestState) {
-	in.use.add(r, in.settings.RunningMemoryFactor, -1)
-	r.state = to
-	in.use.add(r, in.settings.RunningMemoryFactor, 1)
+func (in *Instance) setState(req *request, to requestState) {
+	in.use.add(req, in.settings.RunningMemoryFactor, -1)
+	req.state = to
+	in.use.add(req, in.settings.RunningMemoryFactor, 1)
 }
 
 // memoryKB is the memory in use: queued and running requests and remembered keys.
--- a/admission/retrystorm_test.go
+++ b/admission/retrystorm_test.go
@@ -10,20 +10,20 @@
 	in, rec := newTestInstance(t, testSettings())
 	in.stall.isStalled = true
 	for id := RequestID(1); id <= 20; id++ {
-		q := testRequest(id, 0)
-		q.IsRetry = true
-		in.Request(0, q)
+		arrival := testRequest(id, 0)
+		arrival.IsRetry = true
+		in.Request(0, arrival)
 	}
 	in.stall.isStalled = false
 	in.drain.isDraining = true
 	in.drain.noticedAt = -time.Hour
 	rec.take()
 	in.Request(0, testRequest(50, 0))
-	expectActions(t, rec, "refuse", "refuse 50 1s true")
+	expectActions(t, rec, "reject", "reject 50 1s true")
 	for id := RequestID(60); id <= 80; id++ {
 		in.Request(0, testRequest(id, 0))
 	}
-	if got := rec.take("refuse"); got[len(got)-1] != "refuse 80 1s false" {
+	if got := rec.take("reject"); got[len(got)-1] != "reject 80 1s false" {
 		t.Errorf("after the storm: %q", got[len(got)-1])
 	}
 }
@@ -32,17 +32,17 @@
 	in, rec := newTestInstance(t, testSettings())
 	in.stall.isStalled = true
 	for id := RequestID(1); id <= 20; id++ {
-		q := testRequest(id, 0)
-		q.QueueingDelay = time.Second
-		in.Request(time.Second, q)
+		arrival := testRequest(id, 0)
+		arrival.QueueingDelay = time.Second
+		in.Request(time.Second, arrival)
 	}
 	in.stall.isStalled, in.drain.isDraining, in.drain.noticedAt = false, true, -time.Hour
 	rec.take()
 	in.Request(time.Second, testRequest(50, 0))
-	expectActions(t, rec, "refuse", "refuse 50 1s true")
+	expectActions(t, rec, "reject", "reject 50 1s true")
 }
 
-// TestTrafficMonitor has each arrival count by learnWeight, and a negative delay as none.
+// TestTrafficMonitor checks that each arrival counts with learnWeight, and that a negative delay counts as 0.
 func TestTrafficMonitor(t *testing.T) {
 	var m trafficMonitor
 	m.countArrival(true, 12*time.Second)
--- a/internal/clustersim/cores.go
+++ b/internal/clustersim/cores.go
@@ -58,7 +58,7 @@
 	count           float64
 	thrashFactor    float64 // loss of efficiency for each run per core above thrashThreshold
 	thrashThreshold float64
-	speed           float64 // of each core now; 0 while all work stands still
+	speed           float64 // of each core now; 0 while no work makes progress
 
 	jobs      jobHeap
 	runCount  int     // jobs that are runs
@@ -107,7 +107,7 @@
 	c.updatedAt = now
 }
 
-// add starts a job of so many seconds of work.
+// add starts a job with its work in seconds.
 func (c *cores) add(j *job, work float64) {
 	j.finishService = c.service + work
 	j.seq = c.seq
--- a/internal/clustersim/keys.go
+++ b/internal/clustersim/keys.go
@@ -9,7 +9,7 @@
 // keySweepInterval is the least time between two searches for expired keys.
 const keySweepInterval = time.Second
 
-// keyEntry is what a server remembers under an idempotency key.
+// keyEntry is the state of an idempotency key at a server.
 type keyEntry struct {
 	holder       *attempt // that the module keeps the key for, until holderUntil
 	holderUntil  time.Duration
@@ -25,7 +25,7 @@
 // keyTable is a server's table of idempotency keys.
 type keyTable struct {
 	entries map[uint64]*keyEntry
-	held    map[admission.RequestID]uint64 // the keys that attempts hold
+	held    map[admission.RequestID]uint64 // the keys by the attempt that holds them
 	sweptAt time.Duration
 }
 
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// hold keeps an attempt's key for it in place of the attempt that held the key before.
+// hold makes an attempt the holder of its key, in place of the previous holder.
 func (t *keyTable) hold(a *attempt, until time.Duration) {
 	e := t.entry(a.request.key)
 	if e.holder != nil {
@@ -76,9 +76,10 @@
 		return nil
 	}
 	delete(t.held, id)
-	e := t.entries[key]
-	holder := e.holder
-	if e.holder = nil; e.lastRun == nil {
+	entry := t.entries[key]
+	holder := entry.holder
+	entry.holder = nil
+	if entry.lastRun == nil {
 		delete(t.entries, key)
 	}
 	return holder
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -6,7 +6,7 @@
 	"tillerusher/admission"
 )
 
-// request is what a client wants: a first attempt and all retries that its gateway makes.
+// request is a request of a client, with its first attempt and all retries that its gateway makes.
 type request struct {
 	number     uint64
 	class      int
@@ -18,19 +18,19 @@
 	priority   float64 // 0 to 1, by class weight and chance; compared with advertised load
 	weight     float64 // earned by a response within the objective
 	createdAt  time.Duration
-	isResend   bool // the client has been served and sends again; it only counts that nothing runs twice
+	isResend   bool // sent again by a client that was served; only checks that nothing runs twice
 	gateway    *gateway
 	requestProgress
 }
 
-// requestProgress is what a gateway has done for a request.
+// requestProgress is a gateway's state of a request.
 type requestProgress struct {
 	attemptedServers []int // in order
 	attempts         int
 	openAttempts     int
 	stickyServer     int // the only server that may have run the request and may get a retry, or -1
 	finished         bool
-	deadlineEvent    *event // when the client gives up
+	deadlineEvent    *event // the end of the client's wait
 	retryEvent       *event // when the next attempt starts
 }
 
@@ -47,7 +47,7 @@
 	attemptHandling
 }
 
-// attemptHandling is what a server knows of an attempt.
+// attemptHandling is a server's state of an attempt.
 type attemptHandling struct {
 	id           admission.RequestID
 	arrivedAt    time.Duration
@@ -61,7 +61,7 @@
 	rejectReason admission.Reason // for which the module would reject it when it is read
 }
 
-// rejectReasonText is the reason of a rejection as far as the module tells it.
+// rejectReasonText is the reason of a rejection, as far as it is known.
 func (a *attempt) rejectReasonText(now time.Duration) string {
 	switch {
 	case now > a.readAt:
@@ -72,7 +72,7 @@
 	return a.rejectReason.String()
 }
 
-// attemptState is how far an attempt has come at its server.
+// attemptState is the state of an attempt at its server.
 type attemptState uint8
 
 const (
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -32,9 +32,9 @@
 	fullSpeed    float64 // of a core when warm
 	slowdown     float64 // factor; 0 means none
 	hangs        int     // incidents under which work makes no progress
-	pauses       int     // incidents under which the whole machine stands still
+	pauses       int     // incidents that pause the whole machine
 	pausedAt     time.Duration
-	pausedEvents []*event // that came meanwhile
+	pausedEvents []*event // that became due during a pause
 	failureShare float64  // share of runs that end with an error
 }
 
@@ -60,15 +60,23 @@
 	return &server{sim: s, index: index, machine: machine{fullSpeed: fullSpeed}}
 }
 
-// start starts a process, either with a warm-up or as fast as one that has run for long.
-func (s *server) start(cold bool) {
+// processStart is the state in which a process starts.
+type processStart uint8
+
+const (
+	startWarm processStart = iota // at full speed, like one that has run for long
+	startCold                     // with a warm-up
+)
+
+// start starts a process.
+func (s *server) start(from processStart) {
 	config := &s.sim.config.Servers
 	s.generation++
 	s.isUp = true
 	s.keys.reset()
 	s.process = process{
 		startedAt:      s.sim.now,
-		startedCold:    cold,
+		startedCold:    from == startCold,
 		reportsHealthy: true,
 		attempts:       map[admission.RequestID]*attempt{},
 		cores: cores{
@@ -79,14 +87,14 @@
 		},
 	}
 	s.updateSpeed()
-	if cold && config.WarmUpTime > 0 {
+	if s.startedCold && config.WarmUpTime > 0 {
 		s.schedule(config.WarmUpTime/warmUpSteps, eventWarmUp, nil)
 	}
 	if config.MaxConcurrencyFactor > 0 {
 		s.schedule(config.ConcurrencyWindow/concurrencySamples, eventConcurrencyCheck, nil)
 	}
 	settings := s.sim.config.admissionSettings()
-	settings.WarmingUp = cold
+	settings.WarmingUp = s.startedCold
 	module, err := s.sim.newModule(settings, s)
 	if err != nil {
 		s.sim.fail(err)
@@ -94,7 +102,7 @@
 	}
 	s.module = module
 	s.markUnsettled()
-	s.sim.announceEndpoint(s, true)
+	s.sim.addEndpoint(s)
 	s.sim.checker.serverStarted(s.index)
 }
 
@@ -131,39 +139,39 @@
 }
 
 // handle implements eventHandler.
-func (s *server) handle(e *event) {
-	if s.pauses > 0 && e.kind != eventStart {
-		postponed := *e // the queue reuses the event
+func (s *server) handle(event *event) {
+	if s.pauses > 0 && event.kind != eventStart {
+		postponed := *event // the queue reuses the event
 		s.pausedEvents = append(s.pausedEvents, &postponed)
 		return
 	}
-	switch e.kind {
+	switch event.kind {
 	case eventAttemptArrival:
-		s.acceptAttempt(e.payload.(*attempt))
+		s.acceptAttempt(event.payload.(*attempt))
 	case eventJobsDone:
 		if s.isUp {
 			s.completeJobs()
 		}
 	case eventStart:
 		if !s.isUp {
-			s.start(true)
+			s.start(startCold)
 		}
 	default:
-		if s.isUp && int(e.generation) == s.generation {
-			s.handleProcessEvent(e)
+		if s.isUp && int(event.generation) == s.generation {
+			s.handleProcessEvent(event)
 		}
 	}
 }
 
 // handleProcessEvent handles an event that the current process has scheduled.
-func (s *server) handleProcessEvent(e *event) {
-	switch e.kind {
+func (s *server) handleProcessEvent(event *event) {
+	switch event.kind {
 	case eventModuleTimer:
 		s.advance()
-		s.module.Timer(s.sim.now, uint32(e.payload.(timerToken)), s.gauges())
+		s.module.Timer(s.sim.now, uint32(event.payload.(timerToken)), s.gauges())
 		s.markUnsettled()
 	case eventDeferred:
-		e.payload.(func())()
+		event.payload.(func())()
 	case eventConcurrencyCheck:
 		s.checkConcurrency()
 	case eventWarmUp:
@@ -172,7 +180,7 @@
 		s.listenerClosed = true
 		s.stopIfDrained()
 	case eventStop:
-		s.terminate(false)
+		s.terminate(exitDrained)
 		s.sim.events.schedule(s.sim.now, s, eventStart, nil) // its successor
 	}
 }
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -6,22 +6,22 @@
 	"tillerusher/admission"
 )
 
-// admissionChecker is a module that can say how it would decide on an arrival.
+// admissionChecker is a module that can report how it would decide on an arrival.
 type admissionChecker interface {
 	CheckAdmission(now time.Duration, r admission.Request) admission.AdmissionCheck
 }
 
 // acceptAttempt accepts an attempt that reached the machine, or refuses the connection.
-func (s *server) acceptAttempt(a *attempt) {
+func (s *server) acceptAttempt(attempt *attempt) {
 	config := &s.sim.config.Servers
 	isBacklogFull := len(s.backlog) >= config.BacklogPerCore*config.Cores
-	if !s.isUp || s.listenerClosed || a.generation != s.generation || isBacklogFull {
-		s.sim.deliverResult(a, outcomeUnreachable, retryAdvice{})
+	if !s.isUp || s.listenerClosed || attempt.generation != s.generation || isBacklogFull {
+		s.sim.deliverResult(attempt, outcomeUnreachable, retryAdvice{})
 		return
 	}
-	a.arrivedAt = s.sim.now
-	s.sim.checker.attemptArrived(a.number, s.index, s.sim.now)
-	s.backlog = append(s.backlog, a)
+	attempt.arrivedAt = s.sim.now
+	s.sim.checker.attemptArrived(attempt.number, s.index, s.sim.now)
+	s.backlog = append(s.backlog, attempt)
 	s.advance()
 	s.startReading()
 	s.rescheduleCores()
@@ -65,24 +65,12 @@
 	arrived.id, arrived.state = s.lastID, stateQueued
 	s.attempts[arrived.id] = arrived
 	s.sim.checker.attemptRead(arrived.number, now)
-	req := admission.Request{
-		ID:            arrived.id,
-		Class:         arrived.request.class,
-		Tenant:        arrived.request.tenant,
-		Caller:        arrived.request.gateway.index,
-		QueueingDelay: now - arrived.arrivedAt,
-		IsRetry:       arrived.isRetry,
-		SizeKB:        arrived.request.sizeKB,
-	}
+	arrived.readAt = now
 	if s.sim.config.Classes[arrived.request.class].IdempotentByKey {
 		s.keys.sweepPeriodically(now)
-		if arrived.original = s.keys.findOriginal(arrived.request.key, arrived.arrivedAt); arrived.original != nil {
-			req.RetryOf = arrived.original.id
-		}
-	} else {
-		req.ResourceID = arrived.request.resourceID
+		arrived.original = s.keys.findOriginal(arrived.request.key, arrived.arrivedAt)
 	}
-	arrived.readAt = now
+	req := arrived.admissionRequest(s.sim.config.Classes)
 	if module, ok := s.module.(admissionChecker); ok && s.sim.config.RecordRejectReasons {
 		arrived.rejectReason = module.CheckAdmission(now, req).Reason
 	}
@@ -91,6 +79,26 @@
 	s.checkMemory()
 }
 
+// admissionRequest describes an attempt that was read to the module.
+func (a *attempt) admissionRequest(classes []Class) admission.Request {
+	req := admission.Request{
+		ID:            a.id,
+		Class:         a.request.class,
+		Tenant:        a.request.tenant,
+		Caller:        a.request.gateway.index,
+		QueueingDelay: a.readAt - a.arrivedAt,
+		IsRetry:       a.isRetry,
+		SizeKB:        a.request.sizeKB,
+	}
+	if a.original != nil {
+		req.RetryOf = a.original.id
+	}
+	if !classes[a.request.class].IdempotentByKey {
+		req.ResourceID = a.request.resourceID
+	}
+	return req
+}
+
 // finishRun ends a run whose work is done.
 func (s *server) finishRun(a *attempt) {
 	a.job = nil
@@ -102,37 +110,37 @@
 	s.completeRun(a, o)
 }
 
-// completeRun tells the gateway and the module how a run ended, and answers the attempts that followed it.
-func (s *server) completeRun(a *attempt, o admission.Outcome) {
-	a.state, a.succeeded = stateEnded, o == admission.OK
-	if a.succeeded {
-		s.respond(a, outcomeServed, retryAdvice{})
+// completeRun reports the end of a run to the gateway and the module, and answers the attempts that follow it.
+func (s *server) completeRun(attempt *attempt, result admission.Outcome) {
+	attempt.state, attempt.succeeded = stateEnded, result == admission.OK
+	if attempt.succeeded {
+		s.respond(attempt, outcomeServed, retryAdvice{})
 	} else {
-		s.respond(a, outcomeFailed, retryAdvice{})
+		s.respond(attempt, outcomeFailed, retryAdvice{})
 	}
-	s.module.RunFinished(s.sim.now, a.id, o)
-	for _, follower := range a.followers {
-		s.replayOutcome(follower, a.succeeded)
+	s.module.RunFinished(s.sim.now, attempt.id, result)
+	for _, follower := range attempt.followers {
+		s.replayOutcome(follower, attempt.succeeded)
 	}
-	a.followers = nil
-	s.releaseIfDone(a)
+	attempt.followers = nil
+	s.releaseIfDone(attempt)
 	s.markUnsettled()
 	s.stopIfDrained()
 }
 
 // replayOutcome answers a repeat with the outcome of the attempt that ran.
-func (s *server) replayOutcome(a *attempt, succeeded bool) {
-	if a.answered {
+func (s *server) replayOutcome(attempt *attempt, succeeded bool) {
+	if attempt.answered {
 		return
 	}
 	moduleOutcome, gatewayOutcome := admission.Failed, outcomeFailed
 	if succeeded {
 		moduleOutcome, gatewayOutcome = admission.OK, outcomeServed
 	}
-	a.state = stateEnded
-	s.respond(a, gatewayOutcome, retryAdvice{})
-	s.module.RunFinished(s.sim.now, a.id, moduleOutcome)
-	s.releaseIfDone(a)
+	attempt.state = stateEnded
+	s.respond(attempt, gatewayOutcome, retryAdvice{})
+	s.module.RunFinished(s.sim.now, attempt.id, moduleOutcome)
+	s.releaseIfDone(attempt)
 	s.markUnsettled()
 }
 
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -11,8 +11,8 @@
 	"tillerusher/internal/arrival"
 )
 
-// PolicyFactory creates what a server decides by: the admission module or a policy to compare it with. It is called for
-// each process that starts.
+// PolicyFactory creates the policy of a server: the admission module or one to compare it with. It is called for each
+// process that starts.
 type PolicyFactory func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
 // AdmissionModule is the PolicyFactory of the real decision module.
@@ -109,7 +109,7 @@
 	}
 }
 
-// populate creates servers and gateways and schedules what is known in advance.
+// populate creates servers and gateways and schedules the incidents and the first request.
 func (s *simulation) populate() {
 	s.startServers()
 	for k := range s.config.Gateways {
@@ -142,7 +142,7 @@
 		s.servers = append(s.servers, newServer(s, i, max(speed, config.Speed/minSpeedDivisor)))
 	}
 	for _, srv := range s.servers {
-		srv.start(false)
+		srv.start(startWarm)
 		s.endpoints.present[srv.index] = true
 	}
 }
@@ -156,18 +156,18 @@
 
 // step handles the next event and reports whether there was one that counts.
 func (s *simulation) step() bool {
-	e := s.events.pop()
-	if e == nil {
+	event := s.events.pop()
+	if event == nil {
 		return false
 	}
-	if e.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
+	if event.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
 		return false // all requests have ended: only the modules' own timers are left
 	}
-	s.now = e.at
+	s.now = event.at
 	s.result.Events++
-	e.target.handle(e)
-	if e.kind != eventJobsDone { // a server keeps that event and schedules it again
-		s.events.release(e)
+	event.target.handle(event)
+	if event.kind != eventJobsDone { // a server keeps that event and schedules it again
+		s.events.release(event)
 	}
 	if len(s.unsettled) > 0 && !s.events.hasEventAt(s.now) {
 		s.settleAll()
@@ -184,27 +184,37 @@
 }
 
 // handle implements eventHandler.
-func (s *simulation) handle(e *event) {
-	switch e.kind {
+func (s *simulation) handle(event *event) {
+	switch event.kind {
 	case eventRequestArrival:
 		r := s.source.nextRequest()
 		s.result.recordOffered(r)
 		r.gateway.accept(r)
 		s.scheduleNextRequest()
 	case eventEndpointChange:
-		s.endpoints.apply(e.payload.(endpointChange))
+		s.endpoints.apply(event.payload.(endpointChange))
 	case eventIncidentBegin:
-		e.payload.(*activeIncident).begin()
+		event.payload.(*activeIncident).begin()
 	case eventIncidentEnd:
-		e.payload.(*activeIncident).end()
+		event.payload.(*activeIncident).end()
 	case eventDeployStep:
-		e.payload.(*activeIncident).deployNextBatch()
+		event.payload.(*activeIncident).deployNextBatch()
 	}
 }
 
-// announceEndpoint adds a server to the endpoint list or removes it; gateways see that after the list's delay.
-func (s *simulation) announceEndpoint(srv *server, present bool) {
-	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, endpointChange{srv.index, present})
+// addEndpoint adds a server to the endpoint list.
+func (s *simulation) addEndpoint(srv *server) {
+	s.changeEndpoints(endpointChange{server: srv.index, present: true})
+}
+
+// removeEndpoint removes a server from the endpoint list.
+func (s *simulation) removeEndpoint(srv *server) {
+	s.changeEndpoints(endpointChange{server: srv.index, present: false})
+}
+
+// changeEndpoints schedules a change of the endpoint list, which gateways see after the list's delay.
+func (s *simulation) changeEndpoints(change endpointChange) {
+	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, change)
 }
 
 // networkDelay draws the time that a message takes: half of the mean at least, and the rest distributed exponentially.
@@ -278,9 +288,10 @@
 // freeze stops changes of the list. Each call needs one of unfreeze.
 func (l *endpointList) freeze() { l.freezes++ }
 
-// unfreeze applies the changes that came while the list was frozen.
+// unfreeze applies the changes that were made while the list was frozen.
 func (l *endpointList) unfreeze() {
-	if l.freezes--; l.freezes > 0 {
+	l.freezes--
+	if l.freezes > 0 {
 		return
 	}
 	for _, c := range l.pending {
--- a/internal/simulatorwire/reader.go
+++ b/internal/simulatorwire/reader.go
@@ -14,6 +14,13 @@
 	errShortBatch  = errors.New("frame: input ends within a batch")
 )
 
+// Offsets of the fields in a batch's header.
+const (
+	offsetBatchTime   = 0
+	offsetBatchLength = 8
+	offsetBatchCount  = 12
+)
+
 // Batch is one decoded frame: the events of one time.
 type Batch struct {
 	Now    time.Duration
@@ -31,7 +38,7 @@
 
 // Next fills the batch with the next frame; it returns io.EOF at a clean end of input. The events' byte slices are
 // valid until the next call.
-func (r *Reader) Next(b *Batch) error {
+func (r *Reader) Next(batch *Batch) error {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r.in, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
@@ -39,9 +46,9 @@
 		}
 		return err
 	}
-	now := time.Duration(binary.LittleEndian.Uint64(header[:]))
-	size := int64(binary.LittleEndian.Uint32(header[8:])) - countSize
-	count := int64(binary.LittleEndian.Uint32(header[12:]))
+	now := time.Duration(binary.LittleEndian.Uint64(header[offsetBatchTime:]))
+	size := int64(binary.LittleEndian.Uint32(header[offsetBatchLength:])) - countSize
+	count := int64(binary.LittleEndian.Uint32(header[offsetBatchCount:]))
 	if size < 0 || size > maxBatchSize {
 		return fmt.Errorf("frame: impossible length %d", size+countSize)
 	}
@@ -51,15 +58,15 @@
 	if err := r.readBody(size); err != nil {
 		return err
 	}
-	b.Now = now
-	b.Events = b.Events[:0]
+	batch.Now = now
+	batch.Events = batch.Events[:0]
 	tail := r.body[count*eventSize:]
 	for i := range count {
 		event, err := decodeEvent(r.body[i*eventSize:(i+1)*eventSize], tail)
 		if err != nil {
 			return fmt.Errorf("frame: record %d: %w", i, err)
 		}
-		b.Events = append(b.Events, event)
+		batch.Events = append(batch.Events, event)
 	}
 	return nil
 }
