--- a/cmd/catalogue-router/args.go
+++ b/cmd/catalogue-router/args.go
@@ -59,42 +59,42 @@
 
 // parseArgs reads the command line and the files that it names. It returns flag.ErrHelp where help is asked for.
 func parseArgs(args []string) (*options, error) {
-	o := &options{}
+	parsed := &options{}
 	flags := flag.NewFlagSet("catalogue-server route", flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // the caller prints the error
-	flags.StringVar(&o.routesFile, "config", "", "")
-	flags.StringVar(&o.metricsAddr, "metrics", "", "")
-	flags.StringVar(&o.router.Name, "name", defaultName, "")
-	flags.DurationVar(&o.router.StopTimeout, "stop", defaultStopTimeout, "")
-	flags.IntVar(&o.router.MemoryMB, "memory-mb", defaultMemoryMB, "")
-	flags.IntVar(&o.router.Sockets, "sockets", defaultSockets, "")
+	flags.StringVar(&parsed.routesFile, "config", "", "")
+	flags.StringVar(&parsed.metricsAddr, "metrics", "", "")
+	flags.StringVar(&parsed.router.Name, "name", defaultName, "")
+	flags.DurationVar(&parsed.router.StopTimeout, "stop", defaultStopTimeout, "")
+	flags.IntVar(&parsed.router.MemoryMB, "memory-mb", defaultMemoryMB, "")
+	flags.IntVar(&parsed.router.Sockets, "sockets", defaultSockets, "")
 	listen := flags.String("listen", defaultListen, "")
 	settings := flags.String("settings", "", "")
 	captureDirectory := flags.String("capture", "", "")
 	if err := flags.Parse(args); err != nil {
 		return nil, err
 	}
-	if err := o.check(flags); err != nil {
+	if err := parsed.check(flags); err != nil {
 		return nil, err
 	}
-	if err := o.load(*listen, *settings, *captureDirectory); err != nil {
+	if err := parsed.load(*listen, *settings, *captureDirectory); err != nil {
 		return nil, err
 	}
-	o.router.Seed = uint64(time.Now().UnixNano()) ^ uint64(syscall.Getpid())
-	return o, nil
+	parsed.router.Seed = uint64(time.Now().UnixNano()) ^ uint64(syscall.Getpid())
+	return parsed, nil
 }
 
 // check returns what is wrong with the flags.
 func (o *options) check(flags *flag.FlagSet) error {
-	c := &o.router
+	cfg := &o.router
 	switch {
 	case flags.NArg() > 0:
 		return fmt.Errorf("arguments: %q is not known; see catalogue-server route --help", flags.Arg(0))
 	case o.routesFile == "":
 		return errors.New("arguments: --config FILE is missing; see catalogue-server route --help")
-	case c.MemoryMB < minMemoryMB || c.Sockets < minSockets || c.StopTimeout < minStopTimeout:
+	case cfg.MemoryMB < minMemoryMB || cfg.Sockets < minSockets || cfg.StopTimeout < minStopTimeout:
 		return fmt.Errorf("arguments: %d MB, %d sockets and %v to stop, want at least %d, %d and %v",
-			c.MemoryMB, c.Sockets, c.StopTimeout, minMemoryMB, minSockets, minStopTimeout)
+			cfg.MemoryMB, cfg.Sockets, cfg.StopTimeout, minMemoryMB, minSockets, minStopTimeout)
 	}
 	return nil
 }
--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -34,29 +34,29 @@
 	}
 	log, flush := cli.NewLogger(stderr)
 	defer flush()
-	r, err := newRouter(options, log)
+	server, err := newRouter(options, log)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return cli.ExitUsage
 	}
 	cli.TuneRuntime(config.Limits{Cores: 1, MemoryMB: options.router.MemoryMB})
-	go reloadOnSignal(r, signals, options.routesFile, log)
-	return cli.Run(r, signals, stderr)
+	go reloadOnSignal(server, signals, options.routesFile, log)
+	return cli.Run(server, signals, stderr)
 }
 
 // newRouter returns a router that listens, with its metrics where they are asked for.
-func newRouter(o *options, log *zap.Logger) (*router.Router, error) {
-	r, err := router.New(&o.router, log)
+func newRouter(opts *options, log *zap.Logger) (*router.Router, error) {
+	created, err := router.New(&opts.router, log)
 	if err != nil {
 		return nil, err
 	}
-	if o.metricsAddr != "" {
-		if err := metrics.Serve(r, o.metricsAddr); err != nil {
-			r.Close()
+	if opts.metricsAddr != "" {
+		if err := metrics.Serve(created, opts.metricsAddr); err != nil {
+			created.Close()
 			return nil, err
 		}
 	}
-	return r, nil
+	return created, nil
 }
 
 // reloadOnSignal reads the routes again whenever it is told to.
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -66,7 +66,7 @@
 	cfg.Capture = operator.Capture
 	log, flush := NewLogger(stderr)
 	defer flush()
-	s, err := newServer(cfg, operator.State, open, log)
+	created, err := newServer(cfg, operator.State, open, log)
 	switch {
 	case errors.Is(err, errStopped):
 		return ExitOK
@@ -74,8 +74,8 @@
 		fmt.Fprintln(stderr, err)
 		return ExitUsage
 	}
-	go reloadOnSignal(s, signals, getenv, operator, log)
-	return Run(s, signals, stderr)
+	go reloadOnSignal(created, signals, getenv, operator, log)
+	return Run(created, signals, stderr)
 }
 
 // errStopped says that the process was told to end before it served anything.
@@ -91,17 +91,17 @@
 		}
 	}
 	TuneRuntime(cfg.Limits)
-	s, err := server.New(cfg, log)
+	created, err := server.New(cfg, log)
 	if err != nil {
 		return nil, err
 	}
 	if store != nil {
-		if err := s.EnableDurableResults(store, state.Limits); err != nil {
-			s.Close()
+		if err := created.EnableDurableResults(store, state.Limits); err != nil {
+			created.Close()
 			return nil, err
 		}
 	}
-	return s, nil
+	return created, nil
 }
 
 // openStore opens the state directory. It returns errStopped where a signal ended the waiting.
--- a/internal/cli/signals.go
+++ b/internal/cli/signals.go
@@ -48,18 +48,18 @@
 }
 
 // Run runs a server under the signals and returns the exit status.
-func Run(s Runner, signals Signals, stderr io.Writer) int {
+func Run(server Runner, signals Signals, stderr io.Writer) int {
 	go func() {
 		for {
 			select {
 			case <-signals.Drain:
-				s.Drain()
+				server.Drain()
 			case <-signals.LogCounters:
-				s.LogCounters()
+				server.LogCounters()
 			}
 		}
 	}()
-	if err := s.Run(); err != nil {
+	if err := server.Run(); err != nil {
 		fmt.Fprintln(stderr, err)
 		return ExitFailed
 	}
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -157,62 +157,62 @@
 
 // RequestFinished implements forward.Handler.
 func (b *backend) RequestFinished(requestID string, outcome forward.Outcome, response gateway.Response) {
-	q := b.inFlight[requestID]
-	if q == nil || b.runFallback(q, outcome, response.Status) {
+	routed := b.inFlight[requestID]
+	if routed == nil || b.runFallback(routed, outcome, response.Status) {
 		return
 	}
 	switch outcome {
 	case forward.Responded:
-		response.Status = q.finalStatus(response.Status)
-		b.respond(q, outcome, response)
+		response.Status = routed.finalStatus(response.Status)
+		b.respond(routed, outcome, response)
 	case forward.ResponseLost:
-		b.finish(q, server.RunFailed, gateway.Response{})
+		b.finish(routed, server.RunFailed, gateway.Response{})
 	default:
-		b.finish(q, server.RunRejected, gateway.Response{})
+		b.finish(routed, server.RunRejected, gateway.Response{})
 	}
 }
 
 // runFallback has the location's fallback take over for how a request ended, and returns false where there is none. A
 // request that must not run twice and may have run goes to no second pool.
-func (b *backend) runFallback(q *routedRequest, outcome forward.Outcome, status int) bool {
-	before := *q
-	if outcome == forward.Responded && !q.location.InterceptErrors || !q.takeFallback(status) {
+func (b *backend) runFallback(routed *routedRequest, outcome forward.Outcome, status int) bool {
+	before := *routed
+	if outcome == forward.Responded && !routed.location.InterceptErrors || !routed.takeFallback(status) {
 		return false
 	}
-	location := q.location
+	location := routed.location
 	switch {
-	case location.Pool != "" && q.attempt.AtMostOnce && outcome != forward.NotStarted:
-		*q = before
+	case location.Pool != "" && routed.attempt.AtMostOnce && outcome != forward.NotStarted:
+		*routed = before
 		return false
 	case location.Pool != "":
-		q.Run(q.attempt)
+		routed.Run(routed.attempt)
 	case location.ReturnStatus != 0:
 		response := *returnResponse(location)
-		response.Status = q.finalStatus(response.Status)
-		b.respond(q, outcome, response)
+		response.Status = routed.finalStatus(response.Status)
+		b.respond(routed, outcome, response)
 	default:
-		b.respond(q, outcome, gateway.Response{Status: q.finalStatus(statusNotFound)})
+		b.respond(routed, outcome, gateway.Response{Status: routed.finalStatus(statusNotFound)})
 	}
 	return true
 }
 
 // respond ends a request with an answer. Gateways take 429 and 503 to mean that nothing ran, and send the request again.
 // That a member answers with them proves no such thing, so a request that must not run twice has failed.
-func (b *backend) respond(q *routedRequest, outcome forward.Outcome, response gateway.Response) {
+func (b *backend) respond(routed *routedRequest, outcome forward.Outcome, response gateway.Response) {
 	if outcome == forward.NotStarted {
-		b.finish(q, server.RunAnswered, response)
+		b.finish(routed, server.RunAnswered, response)
 		return
 	}
-	if q.attempt.AtMostOnce && (response.Status == statusTooManyRequests || response.Status == statusServiceUnavailable) {
+	if routed.attempt.AtMostOnce && (response.Status == statusTooManyRequests || response.Status == statusServiceUnavailable) {
 		response.Status = statusBadGateway
 	}
-	b.finish(q, server.RunSucceeded, response)
+	b.finish(routed, server.RunSucceeded, response)
 }
 
 // finish reports the end of a request to the core.
-func (b *backend) finish(q *routedRequest, outcome server.RunOutcome, response gateway.Response) {
-	delete(b.inFlight, q.attempt.RequestID)
-	b.server.RunFinished(q.attempt.RequestID, outcome, response)
+func (b *backend) finish(routed *routedRequest, outcome server.RunOutcome, response gateway.Response) {
+	delete(b.inFlight, routed.attempt.RequestID)
+	b.server.RunFinished(routed.attempt.RequestID, outcome, response)
 }
 
 // MemberChanged implements forward.Handler.
--- a/server/actions.go
+++ b/server/actions.go
@@ -15,21 +15,21 @@
 
 // Run implements admission.Actions.
 func (ac actions) Run(id admission.RequestID) {
-	a := ac.attempts.byID[id]
-	if a == nil || a.isAnswered || a.state == runInFlight {
+	attempt := ac.attempts.byID[id]
+	if attempt == nil || attempt.isAnswered || attempt.state == runInFlight {
 		return
 	}
-	if a.HasKey && a.AtMostOnce && !ac.keys.claim(a, ac.site.Admission.Classes[a.Class].KeyWindow+keyWindowSlack) {
-		ac.preventSecondRun(a)
+	if attempt.HasKey && attempt.AtMostOnce && !ac.keys.claim(attempt, ac.site.Admission.Classes[attempt.Class].KeyWindow+keyWindowSlack) {
+		ac.preventSecondRun(attempt)
 		return
 	}
 	ac.counters.runsStarted++
-	a.state = runInFlight
-	if a.HasKey && a.AtMostOnce && ac.durable != nil {
-		ac.durable.runAfterIntent(a)
+	attempt.state = runInFlight
+	if attempt.HasKey && attempt.AtMostOnce && ac.durable != nil {
+		ac.durable.runAfterIntent(attempt)
 		return
 	}
-	a.Runner.Run(&a.Request)
+	attempt.Runner.Run(&attempt.Request)
 }
 
 // preventSecondRun fails an attempt of a request that ran already.
@@ -43,20 +43,20 @@
 
 // Reject implements admission.Actions.
 func (ac actions) Reject(id admission.RequestID, retryAfter time.Duration, isFinal bool) {
-	a := ac.attempts.byID[id]
-	if a == nil || a.isAnswered {
+	attempt := ac.attempts.byID[id]
+	if attempt == nil || attempt.isAnswered {
 		return
 	}
-	if a.AtMostOnce && (a.state != runPending || a.HasKey && ac.keys.hasRun(a)) {
+	if attempt.AtMostOnce && (attempt.state != runPending || attempt.HasKey && ac.keys.hasRun(attempt)) {
 		// A rejection says that nothing ran.
 		ac.counters.rejectionsPrevented++
-		ac.log.Error("rejection after a run prevented", zap.String("request", a.RequestID))
+		ac.log.Error("rejection after a run prevented", zap.String("request", attempt.RequestID))
 		ac.Annotate("refusal of %d after its run prevented", id)
 		ac.Fail(id)
 		return
 	}
-	ac.answer(a, rejection(retryAfter, isFinal))
-	ac.cancelRun(a)
+	ac.answer(attempt, rejection(retryAfter, isFinal))
+	ac.cancelRun(attempt)
 }
 
 // Fail implements admission.Actions.
@@ -122,8 +122,8 @@
 }
 
 // AdvertiseLoad implements admission.Actions.
-func (ac actions) AdvertiseLoad(value float64) {
-	ac.load.advertised = strconv.FormatFloat(value, 'f', loadDigits, 64)
+func (ac actions) AdvertiseLoad(load float64) {
+	ac.load.advertised = strconv.FormatFloat(load, 'f', loadDigits, 64)
 }
 
 // SetHealth implements admission.Actions.
--- a/server/capture.go
+++ b/server/capture.go
@@ -40,16 +40,16 @@
 }
 
 // newModule starts the decision module, behind a tap where events and decisions are recorded.
-func (s *Server) newModule(set admission.Settings) (admission.Events, error) {
+func (s *Server) newModule(moduleSettings admission.Settings) (admission.Events, error) {
 	if s.capture.recorder == nil {
-		instance, err := s.newInstance(set, actions{s})
+		instance, err := s.newInstance(moduleSettings, actions{s})
 		if err != nil {
 			return nil, err
 		}
 		return instance, nil
 	}
 	tap := capture.NewTap(s.capture.recorder, actions{s})
-	instance, err := s.newInstance(set, tap)
+	instance, err := s.newInstance(moduleSettings, tap)
 	if err != nil {
 		return nil, err
 	}
@@ -59,8 +59,8 @@
 }
 
 // newInstance returns a module that knows the run times that an earlier process measured.
-func (s *Server) newInstance(set admission.Settings, act admission.Actions) (*admission.Instance, error) {
-	instance, err := admission.New(set, act)
+func (s *Server) newInstance(moduleSettings admission.Settings, act admission.Actions) (*admission.Instance, error) {
+	instance, err := admission.New(moduleSettings, act)
 	if err != nil {
 		return nil, err
 	}
--- a/server/catalogue_parser.go
+++ b/server/catalogue_parser.go
@@ -76,7 +76,7 @@
 	if retry != "" && retry != "1" {
 		fields.Reject("Attempt-Again", retry, "1 or nothing")
 	}
-	q := admission.Request{
+	reported := admission.Request{
 		Class:   class,
 		IsRetry: retry == "1",
 		Caller:  int(fields.Number("Sent-By", 0, MaxSender, 0)),
@@ -84,7 +84,7 @@
 		SizeKB:  fields.Number("Footprint-Kb", minFootprintKB, maxFootprintKB),
 	}
 	fields.Number("Priority-Rank", 0, 1, 0) // not used, but one that makes no sense is no gateway's
-	return q
+	return reported
 }
 
 // budget returns how long after Received-At the caller waits, at sites where gateways tell it. The field is no field
@@ -97,7 +97,7 @@
 }
 
 // tenant reads the tenant, at sites that have any.
-func (p *catalogueParser) tenant(fields *FieldReader, q *admission.Request) {
+func (p *catalogueParser) tenant(fields *FieldReader, reported *admission.Request) {
 	if len(p.tenantIndex) == 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 	if !isKnown {
 		fields.Reject("Account", account, "a tenant of the site")
 	}
-	q.Tenant = tenant
+	reported.Tenant = tenant
 }
 
 // key reads what tells retries of a request, or reads of one resource, from others.
--- a/server/durable.go
+++ b/server/durable.go
@@ -75,7 +75,7 @@
 // EnableDurableResults has the results of requests with an idempotency key outlast the process, and takes in what an
 // earlier one left. It has to be called before Run, which closes the store at its end.
 func (s *Server) EnableDurableResults(store DurableStore, limits idempotency.Limits) error {
-	d := &durableResults{
+	durable := &durableResults{
 		server:     s,
 		store:      store,
 		table:      idempotency.NewTable(limits),
@@ -84,23 +84,23 @@
 		startedAt:  s.loop.Now(),
 	}
 	var err error
-	if d.maintenance, err = newMaintenance(); err != nil {
+	if durable.maintenance, err = newMaintenance(); err != nil {
 		return err
 	}
-	if err := d.readRunTimes(); err != nil {
+	if err := durable.readRunTimes(); err != nil {
 		return err
 	}
-	if err := d.readRecords(); err != nil {
+	if err := durable.readRecords(); err != nil {
 		return err
 	}
-	s.durable = d
-	d.restoreAttempts()
-	keys, bytes := d.table.Size()
+	s.durable = durable
+	durable.restoreAttempts()
+	keys, bytes := durable.table.Size()
 	s.log.Info("state read",
 		zap.Int("keys", keys),
 		zap.Int64("bytes", bytes),
-		zap.Uint64("recovered", d.recovered),
-		zap.Uint64("unread", d.unreadable))
+		zap.Uint64("recovered", durable.recovered),
+		zap.Uint64("unread", durable.unreadable))
 	return nil
 }
 
@@ -137,11 +137,11 @@
 		BodyHash:   entry.BodyHash,
 		ReceivedAt: entry.ReceivedAt,
 	}
-	a := &attempt{Request: request, id: d.server.attempts.nextID(), isAnswered: true, state: runFailed}
-	d.server.keys.restoreRun(a, entry.ReceivedAt.Add(d.window(class)))
+	restored := &attempt{Request: request, id: d.server.attempts.nextID(), isAnswered: true, state: runFailed}
+	d.server.keys.restoreRun(restored, entry.ReceivedAt.Add(d.window(class)))
 	if entry.State == idempotency.Completed {
-		a.state = runSucceeded
-		d.server.keys.storeResult(a, responseOf(entry.Response))
+		restored.state = runSucceeded
+		d.server.keys.storeResult(restored, responseOf(entry.Response))
 	}
 }
 
@@ -183,8 +183,8 @@
 }
 
 // rejects implements durability. A retry is let in: its key is known already.
-func (d *durableResults) rejects(a *attempt) bool {
-	if !a.HasKey || !a.AtMostOnce || a.retryOf != nil {
+func (d *durableResults) rejects(attempt *attempt) bool {
+	if !attempt.HasKey || !attempt.AtMostOnce || attempt.retryOf != nil {
 		return false
 	}
 	verdict := d.table.Admit(d.server.loop.Now().Round(0))
@@ -216,20 +216,20 @@
 }
 
 // intentWritten goes on with an attempt whose intent is written, or could not be.
-func (d *durableResults) intentWritten(a *attempt, err error) {
+func (d *durableResults) intentWritten(attempt *attempt, err error) {
 	d.noteWrite(err)
-	a.isIntentPending = false
+	attempt.isIntentPending = false
 	switch {
 	case err != nil:
-		d.rejectUnprotected(a)
-	case a.state != runInFlight || a.isStopRequested:
-		d.write(d.table.Abort(d.key(a)))
-		if a.state == runInFlight {
-			d.server.keys.unclaim(a)
-			d.server.failRun(a, admission.Cancelled)
+		d.rejectUnprotected(attempt)
+	case attempt.state != runInFlight || attempt.isStopRequested:
+		d.write(d.table.Abort(d.key(attempt)))
+		if attempt.state == runInFlight {
+			d.server.keys.unclaim(attempt)
+			d.server.failRun(attempt, admission.Cancelled)
 		}
 	default:
-		a.Runner.Run(&a.Request)
+		attempt.Runner.Run(&attempt.Request)
 	}
 }
 
--- a/server/field_reader.go
+++ b/server/field_reader.go
@@ -28,7 +28,7 @@
 	// maxUnixMS bounds times in milliseconds since 1970.
 	maxUnixMS       = 1e15
 	maxClockSkew    = time.Second // between two machines
-	maxQueueingTime = time.Minute // a request may lie unread while the machine pauses
+	maxQueueingTime = time.Minute // attempt request may lie unread while the machine pauses
 )
 
 // The numbers of digits of fields in hexadecimal.
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -29,16 +29,16 @@
 	if !s.conns.ensureCapacity() {
 		return nil
 	}
-	g := &gatewayConn{
+	newConn := &gatewayConn{
 		server:          s,
 		conn:            conn,
 		attempts:        map[gateway.StreamID]*attempt{},
 		healthChecks:    map[gateway.StreamID]bool{},
 		incompleteSince: s.loop.Now(),
 	}
-	g.session = s.conns.protocol(conn, g)
-	s.conns.add(g)
-	return g
+	newConn.session = s.conns.protocol(conn, newConn)
+	s.conns.add(newConn)
+	return newConn
 }
 
 // acceptError hears of a connection that could not be accepted.
@@ -51,9 +51,9 @@
 func (g *gatewayConn) Connected(*eventloop.Conn) {}
 
 // Data implements eventloop.ConnHandler.
-func (g *gatewayConn) Data(_ *eventloop.Conn, p []byte) {
+func (g *gatewayConn) Data(_ *eventloop.Conn, data []byte) {
 	validBefore := g.validRequests
-	if g.session.Feed(p) != nil {
+	if g.session.Feed(data) != nil {
 		g.server.conns.counters.protocolErrors++
 		g.closeAfterFlush()
 		return
@@ -98,16 +98,16 @@
 
 // abandonRequests forgets the open requests of a connection: nobody waits for their answers any more.
 func (g *gatewayConn) abandonRequests() {
-	s := g.server
+	server := g.server
 	g.session.Close()
-	for _, a := range inArrivalOrder(g.attempts) {
-		if a.isAnswered {
+	for _, attempt := range inArrivalOrder(g.attempts) {
+		if attempt.isAnswered {
 			continue // the module answered it when it heard of the end of one before it
 		}
-		s.counters.requestsLost++
-		a.isAnswered = true
-		s.module.events.Cancel(s.eventTime(), a.id)
-		s.removeIfDone(a)
+		server.counters.requestsLost++
+		attempt.isAnswered = true
+		server.module.events.Cancel(server.eventTime(), attempt.id)
+		server.removeIfDone(attempt)
 	}
 	clear(g.attempts)
 	clear(g.healthChecks)
@@ -120,20 +120,20 @@
 
 // RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol requires the end of the request.
 func (g *gatewayConn) RequestAborted(_ gateway.Session, stream gateway.StreamID) {
-	s := g.server
-	s.counters.aborted++
+	server := g.server
+	server.counters.aborted++
 	if g.healthChecks[stream] {
 		delete(g.healthChecks, stream)
 		g.respond(stream, gateway.Response{Status: statusInternalError})
 		return
 	}
-	a := g.attempts[stream]
-	if a == nil {
+	attempt := g.attempts[stream]
+	if attempt == nil {
 		return
 	}
-	s.answerFailed(a)
-	s.module.events.Cancel(s.eventTime(), a.id)
-	s.removeIfDone(a)
+	server.answerFailed(attempt)
+	server.module.events.Cancel(server.eventTime(), attempt.id)
+	server.removeIfDone(attempt)
 }
 
 // RequestInvalid implements gateway.Handler.
@@ -148,16 +148,16 @@
 
 // RequestRejected implements gateway.Handler.
 func (g *gatewayConn) RequestRejected(reason gateway.RejectReason) {
-	c := &g.server.counters
+	counts := &g.server.counters
 	switch reason {
 	case gateway.TooLarge:
-		c.tooLarge++
+		counts.tooLarge++
 	case gateway.TooManyRequests:
-		c.tooMany++
+		counts.tooMany++
 	case gateway.UnsupportedRole:
-		c.badRole++
+		counts.badRole++
 	default:
-		c.malformed++
+		counts.malformed++
 	}
 }
 
--- a/server/idempotency_table.go
+++ b/server/idempotency_table.go
@@ -75,17 +75,17 @@
 // findOriginal returns the attempt that a new arrival is a retry of, or nil: the holder, or, where the module's entry
 // expired since the arrival, the one that was run. A read is answered from another that is under way, or that succeeded
 // no longer ago than results stay fresh.
-func (t *idempotencyTable) findOriginal(a *attempt, now time.Duration) *attempt {
-	e := t.entries[a.idempotencyKey()]
+func (t *idempotencyTable) findOriginal(arrival *attempt, now time.Duration) *attempt {
+	entry := t.entries[arrival.idempotencyKey()]
 	switch {
-	case e == nil:
+	case entry == nil:
 		return nil
-	case e.holder != nil && !a.AtMostOnce && t.isStale(e.holder, now):
+	case entry.holder != nil && !arrival.AtMostOnce && t.isStale(entry.holder, now):
 		return nil
-	case e.holder != nil && a.ArrivedAt <= e.holdUntil:
-		return e.holder
-	case t.hasRun(a):
-		return e.lastRun
+	case entry.holder != nil && arrival.ArrivedAt <= entry.holdUntil:
+		return entry.holder
+	case t.hasRun(arrival):
+		return entry.lastRun
 	}
 	return nil
 }
@@ -184,13 +184,13 @@
 }
 
 // storeResult keeps the result of an attempt that was run, and evicts the oldest results over the limit.
-func (t *idempotencyTable) storeResult(a *attempt, result gateway.Response) {
-	if e := t.entries[a.idempotencyKey()]; e == nil || e.lastRun != a && e.holder != a {
+func (t *idempotencyTable) storeResult(attempt *attempt, result gateway.Response) {
+	if e := t.entries[attempt.idempotencyKey()]; e == nil || e.lastRun != attempt && e.holder != attempt {
 		return
 	}
-	a.result, a.hasResult = result, true
+	attempt.result, attempt.hasResult = result, true
 	size := responseBytes(result)
-	t.results = append(t.results, storedResult{a, size})
+	t.results = append(t.results, storedResult{attempt, size})
 	t.resultBytes += size
 	for t.resultBytes > t.maxResultBytes && len(t.results) > 0 {
 		t.dropResult(t.results[0])
--- a/server/interleave_drain_test.go
+++ b/server/interleave_drain_test.go
@@ -108,7 +108,7 @@
 			t.Errorf("request %d: %+v", id+1, a)
 		}
 	}
-	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // a second goes by
+	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // attempt second goes by
 	g.Write(received(fake.NewLookup("after the grace"), 0).Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Errorf("after the grace: %+v", a)
--- a/server/module.go
+++ b/server/module.go
@@ -55,10 +55,10 @@
 // BackendStarted starts the decision module. Backends call it once they can run requests: an interpreter may come up
 // long after this process, and warms up from then on.
 func (s *Server) BackendStarted(isWarmingUp bool, age time.Duration) {
-	set := s.site.Admission
-	set.WarmingUp = isWarmingUp
+	moduleSettings := s.site.Admission
+	moduleSettings.WarmingUp = isWarmingUp
 	s.log.Info("interpreter up", zap.Bool("cold", isWarmingUp), zap.Duration("age_ms", age))
-	module, err := s.newModule(set)
+	module, err := s.newModule(moduleSettings)
 	if err != nil {
 		s.log.Error("decision module", zap.Error(err)) // New has tried the same settings
 		return
--- a/server/requests.go
+++ b/server/requests.go
@@ -42,17 +42,17 @@
 		s.rejectEarly(conn, stream)
 		return
 	}
-	a := &attempt{Request: parsed.Request, conn: conn, stream: stream}
-	if err := s.identify(a, now); err != nil {
+	arrival := &attempt{Request: parsed.Request, conn: conn, stream: stream}
+	if err := s.identify(arrival, now); err != nil {
 		s.answerInvalid(conn, stream, err)
 		return
 	}
 	conn.validRequests++
-	if s.durable != nil && s.durable.rejects(a) {
+	if s.durable != nil && s.durable.rejects(arrival) {
 		s.rejectEarly(conn, stream)
 		return
 	}
-	s.admit(a, parsed.Admission, now)
+	s.admit(arrival, parsed.Admission, now)
 }
 
 // answerInvalid answers a request that makes no sense.
@@ -69,38 +69,38 @@
 
 // identify finds the attempt that this one is a retry of. It returns an error for a request ID that was used before,
 // and for a key whose request had another body: the sender must not get the result of that.
-func (s *Server) identify(a *attempt, now time.Duration) error {
-	if !a.HasOwnID {
-		if err := s.attempts.checkRequestID(a.RequestID, now); err != nil {
+func (s *Server) identify(attempt *attempt, now time.Duration) error {
+	if !attempt.HasOwnID {
+		if err := s.attempts.checkRequestID(attempt.RequestID, now); err != nil {
 			return err
 		}
 	}
-	if !a.HasKey {
+	if !attempt.HasKey {
 		return nil
 	}
-	a.retryOf = s.keys.findOriginal(a, now)
-	if a.retryOf != nil && a.retryOf.BodyHash != a.BodyHash {
+	attempt.retryOf = s.keys.findOriginal(attempt, now)
+	if attempt.retryOf != nil && attempt.retryOf.BodyHash != attempt.BodyHash {
 		return errKeyOfOtherBody
 	}
 	return nil
 }
 
 // admit has the module decide on an attempt.
-func (s *Server) admit(a *attempt, request admission.Request, now time.Duration) {
-	a.id = s.attempts.nextID()
-	request.ID = a.id
+func (s *Server) admit(attempt *attempt, request admission.Request, now time.Duration) {
+	attempt.id = s.attempts.nextID()
+	request.ID = attempt.id
 	if request.IsRetry {
 		s.counters.retries++
 	}
-	if a.retryOf != nil {
+	if attempt.retryOf != nil {
 		s.counters.coalesced++
-		request.RetryOf = a.retryOf.id
+		request.RetryOf = attempt.retryOf.id
 	}
-	s.classCounters[a.Class].requests++
-	s.attempts.add(a)
-	a.conn.attempts[a.stream] = a
+	s.classCounters[attempt.Class].requests++
+	s.attempts.add(attempt)
+	attempt.conn.attempts[attempt.stream] = attempt
 	if s.capture.tap != nil {
-		s.capture.tap.NameRequest(a.id, a.RequestID, a.Key)
+		s.capture.tap.NameRequest(attempt.id, attempt.RequestID, attempt.Key)
 	}
 	s.module.events.Request(now, request)
 }
@@ -128,13 +128,13 @@
 }
 
 // answer gives an attempt its only answer.
-func (s *Server) answer(a *attempt, response gateway.Response) {
-	if a.isAnswered {
+func (s *Server) answer(attempt *attempt, response gateway.Response) {
+	if attempt.isAnswered {
 		return
 	}
-	a.isAnswered = true
-	delete(a.conn.attempts, a.stream)
-	class := &s.classCounters[a.Class]
+	attempt.isAnswered = true
+	delete(attempt.conn.attempts, attempt.stream)
+	class := &s.classCounters[attempt.Class]
 	switch {
 	case response.Status == statusUnavailable:
 		s.counters.rejected++
@@ -146,7 +146,7 @@
 		s.counters.failed++
 		class.failed++
 	}
-	a.conn.respond(a.stream, response)
+	attempt.conn.respond(attempt.stream, response)
 }
 
 // answerFailed answers an attempt of which it is not known whether it ran.
--- a/server/runs.go
+++ b/server/runs.go
@@ -7,30 +7,30 @@
 
 // RunFinished reports the end of a run. Backends call it once for each run.
 func (s *Server) RunFinished(requestID string, outcome RunOutcome, result gateway.Response) {
-	a := s.attempts.byRequestID[requestID]
-	if a == nil || a.state != runInFlight {
+	attempt := s.attempts.byRequestID[requestID]
+	if attempt == nil || attempt.state != runInFlight {
 		return
 	}
 	s.counters.runsFinished++
 	switch outcome {
 	case RunSucceeded:
-		s.succeed(a, result)
+		s.succeed(attempt, result)
 	case RunAnswered:
-		s.keys.unclaim(a)
-		s.succeed(a, result)
+		s.keys.unclaim(attempt)
+		s.succeed(attempt, result)
 	case RunStopped:
 		s.counters.runsStopped++
-		s.failRun(a, admission.Cancelled)
+		s.failRun(attempt, admission.Cancelled)
 	case RunRejected:
 		s.counters.runsFailed++
-		s.releaseKey(a)
-		s.failRun(a, admission.NotStarted)
+		s.releaseKey(attempt)
+		s.failRun(attempt, admission.NotStarted)
 	case RunNotStarted:
 		s.counters.runsNotStarted++
-		s.failRun(a, admission.NotStarted)
+		s.failRun(attempt, admission.NotStarted)
 	default:
 		s.counters.runsFailed++
-		s.failRun(a, admission.Failed)
+		s.failRun(attempt, admission.Failed)
 	}
 }
 
@@ -104,18 +104,18 @@
 // but the platform does not say how a server makes one, so the run can't go on and its request is answered at once. A
 // request without an effect is rejected, for good: no other server could serve it either.
 func (s *Server) callRequested(requestID string) {
-	a := s.attempts.byRequestID[requestID]
-	if a == nil || a.state != runInFlight {
+	attempt := s.attempts.byRequestID[requestID]
+	if attempt == nil || attempt.state != runInFlight {
 		return
 	}
 	s.counters.calls++
-	if a.isAnswered {
+	if attempt.isAnswered {
 		return // its run ends by itself
 	}
-	if a.AtMostOnce {
-		s.answerFailed(a)
+	if attempt.AtMostOnce {
+		s.answerFailed(attempt)
 	} else {
-		s.answer(a, rejection(s.site.Admission.MaxRetryAfter, true))
+		s.answer(attempt, rejection(s.site.Admission.MaxRetryAfter, true))
 	}
-	s.module.events.Cancel(s.eventTime(), a.id)
+	s.module.events.Cancel(s.eventTime(), attempt.id)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{
+	server := &Server{
 		cfg:           cfg,
 		site:          site,
 		log:           log,
@@ -135,16 +135,16 @@
 		classCounters: make([]classCounters, len(site.ClassNames)),
 	}
 	for _, class := range site.Admission.Classes {
-		s.maxDeadline = max(s.maxDeadline, class.Deadline)
+		server.maxDeadline = max(server.maxDeadline, class.Deadline)
 	}
 	maxIDs := megabytes(cfg.Limits.MemoryMB) / recentIDsMemoryDivisor / recentIDBytes
-	s.attempts = newAttemptTable(newRecentIDs(max(2*s.maxDeadline, minIDRetention), maxIDs))
-	s.parser, s.backend = parts.New(s)
-	if err := s.open(system); err != nil {
-		s.Close()
+	server.attempts = newAttemptTable(newRecentIDs(max(2*server.maxDeadline, minIDRetention), maxIDs))
+	server.parser, server.backend = parts.New(server)
+	if err := server.open(system); err != nil {
+		server.Close()
 		return nil, err
 	}
-	return s, nil
+	return server, nil
 }
 
 // open opens what a new server needs of the system. The caller closes the server after an error.
