--- a/server/actions.go
+++ b/server/actions.go
@@ -9,8 +9,8 @@
 	"tillerusher/admission"
 )
 
-// actions implements admission.Actions: it carries out what the module decides, but for what would break a rule that
-// stands above its decisions: no request at most once is run twice, and none is rejected that may have run.
+// actions implements admission.Actions: it carries out what the module decides. Two rules hold whatever the module
+// decides: no at-most-once request is run twice, and none is rejected that may have run.
 type actions struct{ *Server }
 
 // Run implements admission.Actions.
@@ -19,20 +19,22 @@
 	if attempt == nil || attempt.isAnswered || attempt.state == runInFlight {
 		return
 	}
-	if attempt.HasKey && attempt.AtMostOnce && !ac.keys.claim(attempt, ac.site.Admission.Classes[attempt.Class].KeyWindow+keyWindowSlack) {
+	isProtected := attempt.HasKey && attempt.AtMostOnce
+	if isProtected && !ac.keys.claim(attempt, ac.keyWindow(attempt.Class)) {
 		ac.preventSecondRun(attempt)
 		return
 	}
 	ac.counters.runsStarted++
 	attempt.state = runInFlight
-	if attempt.HasKey && attempt.AtMostOnce && ac.durable != nil {
+	if isProtected && ac.durable != nil {
 		ac.durable.runAfterIntent(attempt)
 		return
 	}
 	attempt.Runner.Run(&attempt.Request)
 }
 
-// preventSecondRun fails an attempt of a request that ran already.
+// preventSecondRun fails an attempt whose request has run already. The module gets the end of the run that it asked
+// for after it has returned: it must not be called while it acts.
 func (ac actions) preventSecondRun(a *attempt) {
 	ac.counters.secondRunsPrevented++
 	ac.log.Error("second run prevented", zap.String("request", a.RequestID))
@@ -48,7 +50,7 @@
 		return
 	}
 	if attempt.AtMostOnce && (attempt.state != runPending || attempt.HasKey && ac.keys.hasRun(attempt)) {
-		// A rejection says that nothing ran.
+		// A rejection tells the caller that nothing ran.
 		ac.counters.rejectionsPrevented++
 		ac.log.Error("rejection after a run prevented", zap.String("request", attempt.RequestID))
 		ac.Annotate("refusal of %d after its run prevented", id)
@@ -67,14 +69,14 @@
 	}
 }
 
-// cancelRun takes back the run of an attempt that was answered, where that is still possible.
+// cancelRun withdraws the run of an attempt that was answered, where that is still possible.
 func (ac actions) cancelRun(a *attempt) {
 	a.isStopRequested = a.isIntentPending
 	ac.withdraw(a)
 	ac.removeIfDone(a)
 }
 
-// withdraw takes back a run that the backend has not begun, and returns whether it did.
+// withdraw cancels a run that the backend has not begun, and returns whether it could.
 func (ac actions) withdraw(a *attempt) bool {
 	if a.state != runInFlight || a.isIntentPending || !ac.backend.Withdraw(a.RequestID) {
 		return false
@@ -142,14 +144,14 @@
 // Log implements admission.Actions.
 func (ac actions) Log(line string) { ac.log.Info("decision", zap.String("text", line)) }
 
-// Call implements admission.Actions. The module hears of no calls, as callRequested ends the requests that come to
-// one, so it decides on none.
+// Call implements admission.Actions. No call is ever reported to the module, because callRequested ends the requests
+// that want one, so the module decides on none.
 func (ac actions) Call(id admission.RequestID, _ time.Duration) { ac.logUnexpectedCall(id) }
 
-// SkipCall implements admission.Actions, as Call.
+// SkipCall implements admission.Actions; as with Call, the module never decides it.
 func (ac actions) SkipCall(id admission.RequestID) { ac.logUnexpectedCall(id) }
 
-// logUnexpectedCall logs a decision that nothing can have led to.
+// logUnexpectedCall logs a decision on a call that was never reported.
 func (ac actions) logUnexpectedCall(id admission.RequestID) {
 	ac.log.Error("call without a dependency", zap.Uint32("id", uint32(id)))
 }
--- a/server/actions_test.go
+++ b/server/actions_test.go
@@ -14,45 +14,45 @@
 // recordingSession is a session that records its responses.
 type recordingSession struct{ answers []gateway.Response }
 
-func (q *recordingSession) Feed([]byte) error { return nil }
-func (q *recordingSession) Respond(_ gateway.StreamID, a gateway.Response) {
-	q.answers = append(q.answers, a)
+func (s *recordingSession) Feed([]byte) error { return nil }
+func (s *recordingSession) Respond(_ gateway.StreamID, response gateway.Response) {
+	s.answers = append(s.answers, response)
 }
-func (q *recordingSession) OpenRequests() int     { return 0 }
-func (q *recordingSession) Close()                {}
-func (q *recordingSession) ShouldClose() bool     { return false }
-func (q *recordingSession) HasPartialInput() bool { return false }
+func (s *recordingSession) OpenRequests() int     { return 0 }
+func (s *recordingSession) Close()                {}
+func (s *recordingSession) ShouldClose() bool     { return false }
+func (s *recordingSession) HasPartialInput() bool { return false }
 
-// newGuardedServer returns a server without sockets that has taken in attempts of one request with an idempotency key.
+// newGuardedServer returns a server without sockets with attempts of one request with an idempotency key.
 func newGuardedServer(t *testing.T, attempts int) (actions, *recordingSession) {
 	t.Helper()
-	l, err := eventloop.New(eventloop.Kernel{}, 5*time.Millisecond, 1<<20)
+	loop, err := eventloop.New(eventloop.Kernel{}, 5*time.Millisecond, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
+	t.Cleanup(loop.Close)
 	session := &recordingSession{}
 	site := testSite(t)
-	s := &Server{
+	server := &Server{
 		log:           zap.NewNop(),
-		loop:          l,
-		clock:         newClock(l.Now()),
+		loop:          loop,
+		clock:         newClock(loop.Now()),
 		site:          site,
 		keys:          newIdempotencyTable(1<<20, 0),
 		classCounters: make([]classCounters, len(site.ClassNames)),
 		attempts:      newAttemptTable(newRecentIDs(time.Second, 1)),
 	}
-	backend := &interpreterBackend{server: s}
+	backend := &interpreterBackend{server: server}
 	backend.client = &interpreter.Client{Link: interpreter.NewLink(backend)}
-	s.backend = backend
-	g := &gatewayConn{server: s, session: session, attempts: map[gateway.StreamID]*attempt{}}
+	server.backend = backend
+	conn := &gatewayConn{server: server, session: session, attempts: map[gateway.StreamID]*attempt{}}
 	for i := range attempts {
 		r := keyedAttempt(i+1, "k", time.Duration(i)*time.Second)
-		r.conn, r.stream, r.RequestID, r.Runner = g, gateway.StreamID(i+1), string(rune('a'+i)), backend
-		s.attempts.add(r)
-		g.attempts[r.stream] = r
+		r.conn, r.stream, r.RequestID, r.Runner = conn, gateway.StreamID(i+1), string(rune('a'+i)), backend
+		server.attempts.add(r)
+		conn.attempts[r.stream] = r
 	}
-	return actions{s}, session
+	return actions{server}, session
 }
 
 // TestSecondRunPrevented runs two attempts of one request, as the module might decide: the second does not run.
--- a/server/attempt.go
+++ b/server/attempt.go
@@ -16,9 +16,9 @@
 
 const (
 	runPending   runState = iota // not begun
-	runInFlight                  // begun, and not over
-	runSucceeded                 // over, with a result
-	runFailed                    // over, without one
+	runInFlight                  // begun, not finished
+	runSucceeded                 // finished with a result
+	runFailed                    // finished without a result
 )
 
 // attempt is one request of a gateway, from the time it is read until it is answered and its run has ended. Callers
@@ -34,7 +34,7 @@
 	isAnswered bool // its answer was sent, or nobody waits for it
 	state      runState
 	finishedAt time.Duration // by the module's clock, where the run succeeded
-	// isIntentPending says that the intent of the run is being written: the backend has not heard of it yet.
+	// isIntentPending says that the intent of the run is being written: the backend has not been asked for it yet.
 	isIntentPending bool
 	// isStopRequested says that a run whose intent is pending will not be asked for.
 	isStopRequested bool
@@ -45,7 +45,8 @@
 	waiters   []*attempt // retries that wait for the end of its run
 }
 
-// attemptTable holds the attempts that are owed an answer or run. Each is in both maps from add to remove.
+// attemptTable holds the attempts that are not answered or whose run is in flight. Each is in both maps from add to
+// remove.
 type attemptTable struct {
 	byID        map[admission.RequestID]*attempt
 	byRequestID map[string]*attempt
@@ -58,18 +59,18 @@
 	return attemptTable{byID: map[admission.RequestID]*attempt{}, byRequestID: map[string]*attempt{}, recent: recent}
 }
 
-// nextID returns an ID for the module, which no attempt of this process had.
+// nextID returns an ID for the module that no attempt of this process has had.
 func (t *attemptTable) nextID() admission.RequestID {
 	t.lastID++
 	return t.lastID
 }
 
-// add takes in an attempt.
+// add inserts an attempt.
 func (t *attemptTable) add(a *attempt) {
 	t.byID[a.id], t.byRequestID[a.RequestID] = a, a
 }
 
-// remove forgets an attempt.
+// remove deletes an attempt.
 func (t *attemptTable) remove(a *attempt) {
 	delete(t.byID, a.id)
 	delete(t.byRequestID, a.RequestID)
@@ -87,9 +88,9 @@
 	return nil
 }
 
-// inArrivalOrder returns attempts in the order of reading, so that what is done to several of them does not depend on
+// sortedByArrival returns attempts in the order of reading, so that what is done to several of them does not depend on
 // the iteration order of maps.
-func inArrivalOrder[K comparable](attempts map[K]*attempt) []*attempt {
+func sortedByArrival[K comparable](attempts map[K]*attempt) []*attempt {
 	list := make([]*attempt, 0, len(attempts))
 	for _, a := range attempts {
 		list = append(list, a)
--- a/server/backend.go
+++ b/server/backend.go
@@ -15,23 +15,24 @@
 	// Connect starts the backend; Server.Run calls it first of all. The backend calls Server.BackendStarted once it
 	// can run requests.
 	Connect()
-	// Withdraw takes back a run that nothing has begun, and returns whether it could. The end of a run that was
-	// taken back is not reported.
+	// Withdraw cancels a run that has not begun, and returns whether it could. The end of a withdrawn run is not
+	// reported.
 	Withdraw(requestID string) bool
-	// Stop stops a run, whose end is reported in time.
+	// Stop asks for the end of a run, which is reported by Server.RunFinished as any other.
 	Stop(requestID string)
-	// IsReady returns whether what is asked for now goes out at once.
+	// IsReady returns whether a command is sent at once, not kept until a link is up.
 	IsReady() bool
 	// OpenRuns is how many runs have not ended.
 	OpenRuns() int
-	// QueryGauges asks for the site's gauges, and CheckHealth whether work gets done.
+	// QueryGauges asks for the site's gauges.
 	QueryGauges(now time.Time, then func(values []float64, ok bool))
+	// CheckHealth asks whether the backend can do work.
 	CheckHealth(now time.Time, then func(ok bool))
-	// Reconfigure takes over what concerns the backend of a configuration that was read again.
+	// Reconfigure applies the backend's part of a reloaded configuration.
 	Reconfigure(cfg *Config)
-	// Counters are the backend's own, for the log.
+	// Counters returns the backend's own counters, for the log.
 	Counters() []Counter
-	// Close gives up the backend's connections. It is called only after Connect.
+	// Close closes the backend's connections. It is called only after Connect.
 	Close()
 }
 
@@ -40,9 +41,9 @@
 
 // The outcomes of runs.
 const (
-	RunSucceeded  RunOutcome = iota // it made a result
+	RunSucceeded  RunOutcome = iota // it has a result
 	RunAnswered                     // there is an answer for it, but nothing ran
-	RunFailed                       // it made no result; what was done is not known
+	RunFailed                       // it has no result, and may have had an effect
 	RunStopped                      // it was stopped before its end
 	RunRejected                     // the backend rejected it and nothing ran
 	RunNotStarted                   // it was stopped before it began
--- a/server/calls_test.go
+++ b/server/calls_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestCallRequested serves a site whose requests call a downstream service. The platform does not say how such a call
-// is made, so a run that comes to one is given up: its request is answered at once, rejected only where it has no
+// is made, so a run that wants one is abandoned: its request is answered at once, rejected only where it has no
 // effect, and the end of the run is awaited. Requests that make no call are served as at any site.
 func TestCallRequested(t *testing.T) {
 	for _, below := range []admission.Dependency{admission.DependencyTier, admission.DependencyShared} {
--- a/server/capture.go
+++ b/server/capture.go
@@ -9,12 +9,12 @@
 	"tillerusher/internal/capture"
 )
 
-// captureCloseTimeout is how long the end of a server waits for the disk: with it, a drain that ends late still ends
-// before the process would be killed.
+// captureCloseTimeout is how long a stopping server waits for the disk. It is part of stopMargin, so that a drain that
+// takes all its time still ends before the process would be killed.
 const captureCloseTimeout = stopMargin / 4
 
-// captureState records the events reported to the module and its decisions. Both fields are nil where nothing is recorded, and tap
-// until the module starts.
+// captureState records the events reported to the module and its decisions. Both fields are nil where nothing is
+// recorded, and tap is nil until the module starts.
 type captureState struct {
 	recorder *capture.Recorder
 	tap      *capture.Tap
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// newModule starts the decision module, behind a tap where events and decisions are recorded.
+// newModule starts the decision module. Where events and decisions are recorded, a tap stands between it and the server.
 func (s *Server) newModule(moduleSettings admission.Settings) (admission.Events, error) {
 	if s.capture.recorder == nil {
 		instance, err := s.newInstance(moduleSettings, actions{s})
@@ -71,21 +71,21 @@
 	return instance, nil
 }
 
-// Annotate adds to the capture what is not reported to the module.
+// Annotate adds a note to the capture, for what is not reported to the module.
 func (s *Server) Annotate(format string, args ...any) {
 	if s.capture.tap != nil {
 		s.capture.tap.Annotate(fmt.Sprintf(format, args...))
 	}
 }
 
-// closeCapture has the rest of the capture written.
+// closeCapture writes out the rest of the capture.
 func (s *Server) closeCapture() {
 	if s.capture.recorder != nil && !s.capture.recorder.Close(captureCloseTimeout) {
 		s.log.Warn("capture not written", zap.String("error", "the disk did not take the end in time"))
 	}
 }
 
-// logCaptureCounters logs what became of the recording.
+// logCaptureCounters logs the counters of the recorder.
 func (s *Server) logCaptureCounters() {
 	if s.capture.recorder == nil {
 		return
--- a/server/catalogue_parser.go
+++ b/server/catalogue_parser.go
@@ -11,10 +11,10 @@
 	"tillerusher/internal/settings"
 )
 
-// classPathPrefix is what the name of the class follows in the path.
+// classPathPrefix is the part of a path before the name of the class.
 const classPathPrefix = "/v1/"
 
-// catalogueParser understands requests as the platform's gateways send them.
+// catalogueParser parses the requests of the platform's gateways.
 type catalogueParser struct {
 	server      *Server
 	site        *settings.Site
@@ -48,7 +48,7 @@
 	if fields.err != nil {
 		return ParsedRequest{}, fields.err
 	}
-	// The time that a request lay unread counts: its caller waits since Received-At.
+	// The time in the socket buffer counts: the caller has been waiting since Received-At.
 	waited := max(unixNow.Sub(parsed.ReceivedAt), 0)
 	parsed.Admission.QueueingDelay = waited
 	parsed.ArrivedAt = now - waited
@@ -83,7 +83,7 @@
 		Work:    milliseconds(fields.Number("Work-Estimate", 0, maxWorkEstimateMS, 0)),
 		SizeKB:  fields.Number("Footprint-Kb", minFootprintKB, maxFootprintKB),
 	}
-	fields.Number("Priority-Rank", 0, 1, 0) // not used, but one that makes no sense is no gateway's
+	fields.Number("Priority-Rank", 0, 1, 0) // not used, but an invalid one did not come from a gateway
 	return reported
 }
 
@@ -109,7 +109,7 @@
 	reported.Tenant = tenant
 }
 
-// key reads what tells retries of a request, or reads of one resource, from others.
+// key reads the idempotency key, or, for a read, the resource whose result may answer other reads.
 func (p *catalogueParser) key(fields *FieldReader, request gateway.Request, parsed *ParsedRequest) {
 	set := &p.site.Admission
 	switch effect := set.Classes[parsed.Class].Effect; {
--- a/server/clock.go
+++ b/server/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clock is the module's: the Unix clock since the start, which never goes back. Where the system's clock is
-// set back it goes on at the pace of the monotonic one, so deadlines are kept by a clock that is ahead.
+// clock is the module's clock: the Unix clock since the start, but never going back. After the system's clock was set
+// back it advances with the monotonic one, and so is ahead of the system's: deadlines are then met early, not late.
 type clock struct {
 	origin, last time.Time
 	now          time.Duration
@@ -12,7 +12,7 @@
 // newClock starts at zero.
 func newClock(now time.Time) clock { return clock{origin: now.Round(0), last: now} }
 
-// read takes a reading of the system's clocks, which time.Now makes of both at once.
+// read updates the clock from a time of time.Now, which has both a Unix and a monotonic reading.
 func (c *clock) read(now time.Time) time.Duration {
 	unix := now.Round(0).Sub(c.origin)
 	c.now = max(unix, c.now+max(now.Sub(c.last), 0))
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestClock follows the Unix clock, and goes on at the pace of the monotonic one where the Unix clock is set back.
-// Times without a monotonic reading stand for a clock that is set.
+// Times without a monotonic reading are those of a clock that is set.
 func TestClock(t *testing.T) {
 	start := time.Now()
 	c := newClock(start)
--- a/server/conns.go
+++ b/server/conns.go
@@ -22,11 +22,10 @@
 )
 
 const (
-	// requestTimeout is how long a connection may take until its first request is whole, and any later one: the
-	// platform grants a caller that is silent, or stops half way, 3 s. Gateways write a request at once, so only one
-	// whose machine stands still comes near it.
+	// requestTimeout is how long a connection may take to send a complete request, the first or a later one. The
+	// platform's limit is 3 s. Gateways write a request at once, so only one whose machine is paused comes near it.
 	requestTimeout = 2500 * time.Millisecond
-	// sendTimeout is how long a connection may take none of what is to be sent on it.
+	// sendTimeout is how long a gateway may accept none of the bytes that are to be sent to it.
 	sendTimeout = 30 * time.Second
 	// newConnGrace is how long a new connection that has sent nothing is neither idle nor evicted.
 	newConnGrace = 250 * time.Millisecond
@@ -34,8 +33,8 @@
 	minIdleBeforeEviction = 50 * time.Millisecond
 )
 
-// connTable holds the gateways' connections. Each is in the list from accept until it is closed, in the order of
-// accepting: what is done to several of them must not depend on chance, or a scenario could not be repeated.
+// connTable holds the gateways' connections. Each is in the list from accept until it is closed. The list is in order
+// of accepting: iterating in a random order would make scenarios impossible to repeat.
 type connTable struct {
 	loop          *eventloop.Loop
 	protocol      gateway.Protocol
@@ -46,18 +45,18 @@
 	counters      connCounters
 }
 
-// newConnTable returns an empty table for at most so many connections.
+// newConnTable returns an empty table for at most maxConns connections.
 func newConnTable(loop *eventloop.Loop, protocol gateway.Protocol, maxConns int) connTable {
 	return connTable{loop: loop, protocol: protocol, max: maxConns}
 }
 
-// add takes in an accepted connection.
+// add inserts an accepted connection.
 func (t *connTable) add(g *gatewayConn) {
 	t.counters.accepted++
 	g.element = t.list.PushBack(g)
 }
 
-// remove forgets a connection.
+// remove deletes a connection.
 func (t *connTable) remove(g *gatewayConn) { t.list.Remove(g.element) }
 
 // len is the number of connections.
@@ -68,14 +67,15 @@
 	return func(yield func(*gatewayConn) bool) {
 		for e := t.list.Front(); e != nil; {
 			g := e.Value.(*gatewayConn)
-			if e = e.Next(); !yield(g) {
+			e = e.Next() // before yield, which may remove g
+			if !yield(g) {
 				return
 			}
 		}
 	}
 }
 
-// closeAfterFlush ends this side of all connections, once open answers are sent.
+// closeAfterFlush half-closes all connections, once pending answers are sent.
 func (t *connTable) closeAfterFlush() {
 	for g := range t.all() {
 		if !g.conn.IsClosing() {
@@ -137,8 +137,8 @@
 const (
 	priorityKeep    evictionPriority = iota // it must stay
 	priorityIdle                            // it served its gateway and is idle
-	prioritySilent                          // it has sent no whole request for a while
-	priorityClosing                         // this side has ended it
+	prioritySilent                          // it has never sent a complete request, and is not new
+	priorityClosing                         // this side has half-closed it
 )
 
 // evictionScan is what one scan of all connections found.
@@ -146,16 +146,17 @@
 	now          time.Time
 	candidate    *gatewayConn     // of the highest priority, the one that was active least lately
 	priority     evictionPriority // of the candidate
-	silent       int              // connections that never sent a whole request
-	oldest       *gatewayConn     // of the silent ones for which no bytes wait unread
-	firstPending *gatewayConn     // of the silent ones for which bytes wait unread
+	silent       int              // connections that never sent a complete request
+	oldest       *gatewayConn     // of the silent ones without unread bytes in the socket
+	firstPending *gatewayConn     // of the silent ones with unread bytes in the socket
 }
 
-// evict closes a connection for a new one and returns whether it could. Callers that connect in their hundreds and stay
-// silent, or send one request and stay, must not keep gateways out. First goes one that this side has ended, then one
-// that never sent a whole request, then the one that has been idle longest. Those that never sent one are evicted for
-// each other, however new, where they are half of all: gateways may need the other half. One for which bytes wait
-// unread stays as long as there is another: it may be a gateway whose request has just come.
+// evict closes a connection to make room for a new one, and returns whether it could. Clients that open hundreds of
+// connections and stay silent, or send one request and stay connected, must not keep gateways out. The order is:
+// connections that this side has half-closed, then those that never sent a complete request, then the one that has
+// been idle longest. Where at least half of all connections never sent one, the oldest of these is evicted however new
+// it is, so that they can't take the half that gateways may need. A connection with unread bytes in its socket is kept
+// while there is another candidate: it may be a gateway whose request has just arrived.
 func (t *connTable) evict() bool {
 	scan := evictionScan{now: t.loop.Now()}
 	for g := range t.all() {
@@ -172,7 +173,7 @@
 	return true
 }
 
-// add looks at a connection. Of two that are alike, the one that was accepted first is the candidate.
+// add compares a connection with the candidate. Of two equal ones, the one that was accepted first is preferred.
 func (e *evictionScan) add(g *gatewayConn) {
 	isSilent := g.validRequests == 0 && !g.conn.IsClosing()
 	if isSilent && e.addSilent(g) {
@@ -186,8 +187,8 @@
 	}
 }
 
-// addSilent counts a connection that never sent a whole request, and returns true where it can't be the candidate
-// because bytes wait unread for it.
+// addSilent counts a connection that never sent a complete request, and returns true where unread bytes in its socket
+// keep it from being the candidate.
 func (e *evictionScan) addSilent(g *gatewayConn) bool {
 	e.silent++
 	if e.oldest != nil && !g.incompleteSince.Before(e.oldest.incompleteSince) {
--- a/server/counters.go
+++ b/server/counters.go
@@ -14,7 +14,7 @@
 	rejected               uint64 // for want of descriptors
 	evicted                uint64 // for newer ones
 	idleClosed             uint64
-	timeouts               uint64 // of requests that did not come whole, and answers that were not taken
+	timeouts               uint64 // of requests that stayed incomplete, and answers that the gateway did not read
 	protocolErrors         uint64
 }
 
@@ -23,20 +23,20 @@
 	requests, retries, aborted uint64
 	coalesced                  uint64 // retries that joined another attempt
 	requestsLost               uint64 // with their connection
-	directAnswers              uint64 // that needed no decision
+	directAnswers              uint64 // answers without a decision of the module
 
-	malformed, tooLarge, tooMany, badRole, invalid uint64 // requests that made no sense
+	malformed, tooLarge, tooMany, badRole, invalid uint64 // invalid requests
 
 	served, rejected, failed uint64 // answers
 	replayed                 uint64 // answers from the run of another attempt, among those served
 
 	runsStarted, runsFinished, runsFailed, runsStopped, runsNotStarted uint64
 
-	calls uint64 // runs that came to a call, which no server can make
+	calls uint64 // runs that wanted a downstream call, which no server can make
 	// secondRunsPrevented and rejectionsPrevented count decisions that were not carried out: see actions.
 	secondRunsPrevented, rejectionsPrevented uint64
 	resultsEvicted                           uint64 // kept results dropped for memory, as of the last expiry of keys
-	reloads                                  uint64 // configurations taken over
+	reloads                                  uint64 // configurations applied
 }
 
 // classCounters count the requests of one class since the start.
@@ -54,15 +54,15 @@
 type logReason string
 
 const (
-	onRequest logReason = "asked" // by a signal
-	atExit    logReason = "exit"
+	reasonSignal logReason = "asked" // by a signal
+	reasonExit   logReason = "exit"
 )
 
-// logCounters logs all counters, and what there is at this moment, in a line for each kind.
+// logCounters logs all counters and gauges, in a line for each kind.
 func (s *Server) logCounters(why logReason) {
 	s.logCounterLine("counters", []zap.Field{zap.String("why", string(why))}, s.Counters())
 	s.logClassCounters(why)
-	if s.durable != nil && why != atExit {
+	if s.durable != nil && why != reasonExit {
 		s.logCounterLine("state", nil, s.durable.counters())
 	}
 	s.logCaptureCounters()
@@ -138,7 +138,7 @@
 	admission.LateWhileSaturated:   "late_while_saturated",
 }
 
-// logClassCounters logs the counters of each class, and what the module knows of it, in one line.
+// logClassCounters logs the counters of each class, and the module's state of it, in one line.
 func (s *Server) logClassCounters(why logReason) {
 	var inspections []admission.ClassInspection
 	if s.module.instance != nil {
@@ -161,7 +161,8 @@
 	s.log.Info("classes", zap.String("why", string(why)), zap.Dict("classes", classes...))
 }
 
-// inspectionFields are what the module knows of a class at this moment, and why requests were rejected since the start.
+// inspectionFields returns the module's current state of a class, and its counts of rejections by reason since the
+// start.
 func inspectionFields(class *admission.ClassInspection) []zap.Field {
 	fields := []zap.Field{
 		zap.Bool("starved", class.Starved),
--- a/server/drain.go
+++ b/server/drain.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// drainPollInterval is the time between two looks at whether a draining server can end.
+	// drainPollInterval is the time between two checks of whether a draining server can stop.
 	drainPollInterval = 10 * time.Millisecond
 	// stopMargin is how long before it would be killed a server ends at the latest, or a part of the stop time where
 	// that is more.
@@ -15,8 +15,8 @@
 	stopMarginDivisor = 32
 )
 
-// drain starts the graceful shutdown. Arrivals are still taken in for the grace period in which they may run; then the
-// listener closes, idle connections are closed, and the server ends when none is left.
+// drain starts the graceful shutdown. Requests are still accepted for the drain grace period, in which they may run.
+// Then the listener closes, and the server stops when no connection is left: the module has idle ones closed.
 func (s *Server) drain() {
 	if s.isDraining {
 		return
@@ -24,9 +24,9 @@
 	s.isDraining = true
 	s.log.Info("draining", zap.Duration("stop_ms", s.cfg.StopTimeout), zap.Int("open_requests", len(s.attempts.byID)))
 	s.Annotate("SIGTERM: %d open, %v until the end", len(s.attempts.byID), s.cfg.StopTimeout)
-	s.load.send(false)
+	s.load.reportDraining()
 	margin := max(stopMargin, s.cfg.StopTimeout/stopMarginDivisor)
-	if s.module.events == nil { // nothing was taken in
+	if s.module.events == nil { // no request was accepted
 		s.stopListening()
 		s.conns.closeAfterFlush()
 	} else {
@@ -36,8 +36,8 @@
 	s.loop.AfterFunc(s.cfg.StopTimeout-margin, s.stopNow)
 }
 
-// stopListening closes the listener: what comes now would not be run, and a caller that is not let in knows that
-// nothing ran. The loop ends once the connections are gone.
+// stopListening closes the listener: a request that arrives now would not be run, and a caller whose connection is
+// refused knows that nothing ran. The loop stops once the connections are gone.
 func (s *Server) stopListening() {
 	s.listener.Close()
 	s.stopWhenIdle()
@@ -52,10 +52,11 @@
 	s.loop.AfterFunc(drainPollInterval, s.stopWhenIdle)
 }
 
-// stopNow answers whatever is left, which the module should not have let come to this, and ends the loop once all is
-// sent and the gateways have ended the connections, too: a process that exits over unread bytes resets them.
+// stopNow fails the attempts that are left, of which there should be none, and half-closes the connections. The loop
+// goes on for a while, so that answers are sent and the gateways close their side, too: the kernel resets a connection
+// whose process exits with bytes unread.
 func (s *Server) stopNow() {
-	for _, a := range inArrivalOrder(s.attempts.byID) {
+	for _, a := range sortedByArrival(s.attempts.byID) {
 		s.answerFailed(a)
 	}
 	s.conns.closeAfterFlush()
--- a/server/durable.go
+++ b/server/durable.go
@@ -16,7 +16,7 @@
 
 // DurableStore keeps records over restarts; internal/store is one.
 type DurableStore interface {
-	// Write takes in changes without waiting for the disk, and reports from any goroutine what became of them.
+	// Write queues changes without waiting for the disk, and calls done from any goroutine with the outcome.
 	Write(changes []idempotency.Change, done func(error)) error
 	// ForEach visits the records whose names begin with a prefix.
 	ForEach(prefix string, visit func(name, value []byte) error) error
@@ -24,7 +24,7 @@
 	Get(name string) ([]byte, error)
 	// Secret is the store's own, the same over restarts.
 	Secret() []byte
-	// Machine names the machine on which this process runs.
+	// Machine identifies the machine on which this process runs.
 	Machine() string
 	// Compact frees the space of removed records, where there is much, and returns how many bytes it rewrote. It may
 	// take long, and is called from a goroutine of its own.
@@ -39,15 +39,15 @@
 type durability interface {
 	// hashBody is as Server.HashBody, the same over restarts.
 	hashBody(body []byte) uint64
-	// restoreRunTimes tells a new module the run times that an earlier process measured.
+	// restoreRunTimes imports the run times that an earlier process measured into a new module.
 	restoreRunTimes(module *admission.Instance)
-	// rejects returns whether an attempt would run at most once but can't be protected now.
-	rejects(a *attempt) bool
-	// runAfterIntent has an attempt run once its intent is written.
+	// shouldReject returns whether an attempt would run at most once but can't be protected now.
+	shouldReject(a *attempt) bool
+	// runAfterIntent writes the intent of a run, and starts the run once it is on the disk.
 	runAfterIntent(a *attempt)
-	// storeResult has the result of a run kept.
+	// storeResult keeps the result of a run.
 	storeResult(a *attempt, r gateway.Response)
-	// releaseKey has the key of an attempt be free again, since nothing ran.
+	// releaseKey frees the key of an attempt, since nothing ran.
 	releaseKey(a *attempt)
 	// runMaintenance runs the maintenance tasks that are due.
 	runMaintenance()
@@ -56,8 +56,8 @@
 }
 
 // durableResults keeps the results of requests with an idempotency key over restarts, by the rules of
-// internal/idempotency. Two orders hold: the intent of a run is on the disk before the backend hears of the run, and
-// its result is handed to the disk before the caller is answered.
+// internal/idempotency. Two orders hold: the intent of a run is on the disk before the backend is asked for the run,
+// and its result is handed to the store before the caller is answered.
 type durableResults struct {
 	server      *Server
 	store       DurableStore
@@ -72,8 +72,8 @@
 	unprotected, recovered, unreadable uint64
 }
 
-// EnableDurableResults has the results of requests with an idempotency key outlast the process, and takes in what an
-// earlier one left. It has to be called before Run, which closes the store at its end.
+// EnableDurableResults keeps the results of requests with an idempotency key over restarts, and restores those of an
+// earlier process. It has to be called before Run, which closes the store at its end.
 func (s *Server) EnableDurableResults(store DurableStore, limits idempotency.Limits) error {
 	durable := &durableResults{
 		server:     s,
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// readRecords reads the records of an earlier process. One that can't be read is skipped: what is whole counts, and
-// only the retries of that one request may run again.
+// readRecords reads the records of an earlier process. One that can't be read is skipped: the others are still
+// protected, and only retries of that one request may run again.
 func (d *durableResults) readRecords() error {
 	return d.store.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
 		if err := d.table.Load(string(name), value); err != nil {
@@ -116,7 +116,7 @@
 	})
 }
 
-// restoreAttempts makes the requests that an earlier process may have run known again.
+// restoreAttempts restores the requests that an earlier process may have run.
 func (d *durableResults) restoreAttempts() {
 	now := d.server.loop.Now().Round(0)
 	for _, e := range d.table.Entries() {
@@ -126,7 +126,7 @@
 	}
 }
 
-// restoreAttempt makes one request known again, as an attempt that is answered and over.
+// restoreAttempt restores one request, as an attempt that is answered and finished.
 func (d *durableResults) restoreAttempt(class int, entry idempotency.Entry) {
 	d.recovered++
 	request := Request{
@@ -138,33 +138,33 @@
 		ReceivedAt: entry.ReceivedAt,
 	}
 	restored := &attempt{Request: request, id: d.server.attempts.nextID(), isAnswered: true, state: runFailed}
-	d.server.keys.restoreRun(restored, entry.ReceivedAt.Add(d.window(class)))
+	d.server.keys.restoreRun(restored, entry.ReceivedAt.Add(d.server.keyWindow(class)))
 	if entry.State == idempotency.Completed {
 		restored.state = runSucceeded
-		d.server.keys.storeResult(restored, responseOf(entry.Response))
+		d.server.keys.storeResult(restored, fromStoredResponse(entry.Response))
 	}
 }
 
-// responseOf converts the stored form of a response.
-func responseOf(a idempotency.Response) gateway.Response {
-	r := gateway.Response{Status: a.Status, Body: a.Body}
-	for _, f := range a.Header {
-		r.Headers = append(r.Headers, gateway.Field{Name: f.Name, Value: f.Value})
+// fromStoredResponse converts the stored form of a response.
+func fromStoredResponse(stored idempotency.Response) gateway.Response {
+	response := gateway.Response{Status: stored.Status, Body: stored.Body}
+	for _, field := range stored.Header {
+		response.Headers = append(response.Headers, gateway.Field{Name: field.Name, Value: field.Value})
 	}
-	return r
+	return response
 }
 
-// storedFormOf converts a response to its stored form.
-func storedFormOf(r gateway.Response) idempotency.Response {
-	a := idempotency.Response{Status: r.Status, Body: r.Body}
-	for _, f := range r.Headers {
-		a.Header = append(a.Header, idempotency.HeaderField{Name: f.Name, Value: f.Value})
+// toStoredResponse converts a response to its stored form.
+func toStoredResponse(response gateway.Response) idempotency.Response {
+	stored := idempotency.Response{Status: response.Status, Body: response.Body}
+	for _, field := range response.Headers {
+		stored.Header = append(stored.Header, idempotency.HeaderField{Name: field.Name, Value: field.Value})
 	}
-	return a
+	return stored
 }
 
-// hashBody implements durability. The store's secret makes hashes the same over restarts, and such that no sender can
-// construct two bodies with one hash.
+// hashBody implements durability. The store's secret keeps hashes the same over restarts, and keeps senders from
+// constructing two bodies with one hash.
 func (d *durableResults) hashBody(body []byte) uint64 {
 	h := sha256.New()
 	h.Write(d.store.Secret())
@@ -177,13 +177,8 @@
 	return idempotency.Key{Class: d.server.site.ClassNames[a.Class], Key: a.Key}
 }
 
-// window is for how long after a run's ReceivedAt no attempt of its request must run again.
-func (d *durableResults) window(class int) time.Duration {
-	return d.server.site.Admission.Classes[class].KeyWindow + keyWindowSlack
-}
-
-// rejects implements durability. A retry is let in: its key is known already.
-func (d *durableResults) rejects(attempt *attempt) bool {
+// shouldReject implements durability. A retry is accepted: its key is in the table already.
+func (d *durableResults) shouldReject(attempt *attempt) bool {
 	if !attempt.HasKey || !attempt.AtMostOnce || attempt.retryOf != nil {
 		return false
 	}
@@ -205,7 +200,7 @@
 func (d *durableResults) runAfterIntent(a *attempt) {
 	a.isIntentPending = true
 	// An attempt runs until its deadline, so one that was received within the window may end so much after it.
-	until := a.ReceivedAt.Add(d.window(a.Class) + d.server.maxDeadline)
+	until := a.ReceivedAt.Add(d.server.keyWindow(a.Class) + d.server.maxDeadline)
 	intent := idempotency.Entry{Key: d.key(a), ReceivedAt: a.ReceivedAt, ExpiresAt: until, BodyHash: a.BodyHash}
 	err := d.store.Write(d.table.Begin(intent), func(err error) {
 		d.server.loop.Post(func() { d.intentWritten(a, err) })
@@ -215,9 +210,9 @@
 	}
 }
 
-// intentWritten goes on with an attempt whose intent is written, or could not be.
+// intentWritten continues an attempt whose intent was written, or could not be.
 func (d *durableResults) intentWritten(attempt *attempt, err error) {
-	d.noteWrite(err)
+	d.observeWrite(err)
 	attempt.isIntentPending = false
 	switch {
 	case err != nil:
@@ -233,42 +228,43 @@
 	}
 }
 
-// rejectUnprotected ends an attempt whose intent could not be written. Nothing ran, and the caller may hear so.
+// rejectUnprotected ends an attempt whose intent could not be written. Nothing ran, so the caller may be
+// told to retry.
 func (d *durableResults) rejectUnprotected(a *attempt) {
 	d.table.RevertIntent(d.key(a))
 	if a.state != runInFlight {
 		return
 	}
 	d.unprotected++
-	d.server.answer(a, rejection(d.server.site.Admission.MaxRetryAfter, false))
+	d.server.answer(a, rejection(d.server.site.Admission.MaxRetryAfter, retryElsewhere))
 	d.server.RunFinished(a.RequestID, RunRejected, gateway.Response{})
 }
 
 // storeResult implements durability.
 func (d *durableResults) storeResult(a *attempt, r gateway.Response) {
-	d.write(d.table.Complete(d.key(a), storedFormOf(r)))
+	d.write(d.table.Complete(d.key(a), toStoredResponse(r)))
 }
 
 // releaseKey implements durability.
 func (d *durableResults) releaseKey(a *attempt) { d.write(d.table.Abort(d.key(a))) }
 
-// write hands over changes that nothing waits for.
+// write writes changes in the background.
 func (d *durableResults) write(changes []idempotency.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	err := d.store.Write(changes, func(err error) {
 		if err != nil {
-			d.server.loop.Post(func() { d.noteWrite(err) })
+			d.server.loop.Post(func() { d.observeWrite(err) })
 		}
 	})
 	if err != nil {
-		d.noteWrite(err)
+		d.observeWrite(err)
 	}
 }
 
-// noteWrite tells the journal whether a write worked, and logs where the disk failed or recovered by that.
-func (d *durableResults) noteWrite(err error) {
+// observeWrite records the outcome of a write in the table, and logs where the disk thereby failed or recovered.
+func (d *durableResults) observeWrite(err error) {
 	if !d.table.ObserveWrite(err, d.server.loop.Now().Round(0)) {
 		return
 	}
@@ -307,7 +303,7 @@
 	}
 }
 
-// close implements durability. What was handed to the store is on the disk when it returns.
+// close implements durability. All writes are on the disk when it returns.
 func (d *durableResults) close() {
 	d.saveRunTimes()
 	d.server.logCounterLine("state", nil, d.counters())
--- a/server/durable_maintenance.go
+++ b/server/durable_maintenance.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/maintenance"
 )
 
-// The maintenance tasks, and what they may take of each second.
+// The maintenance tasks, and the time and bytes that they may use per second.
 const (
 	taskExpire       = "expire"
 	taskSave         = "save"
@@ -22,7 +22,7 @@
 // maxExpiredPerRun is how many expired records one run of the task removes.
 const maxExpiredPerRun = 256
 
-// newMaintenance returns the schedule of the maintenance tasks.
+// newMaintenance returns the scheduler of the maintenance tasks.
 func newMaintenance() (*maintenance.Scheduler, error) {
 	return maintenance.New(maintenance.Budget{TimePerSecond: maintenanceTime, BytesPerSecond: maintenanceBytes}, 0,
 		maintenance.Task{Name: taskExpire, Priority: 2, MinInterval: time.Second, MaxInterval: 10 * time.Second},
@@ -42,7 +42,7 @@
 		}
 		if task == taskCompact {
 			d.compact()
-			continue // it ends later
+			continue // it calls Finish when it is done
 		}
 		startedAt := time.Now()
 		bytes := d.runTask(task, now)
@@ -73,7 +73,7 @@
 		cost := maintenance.Cost{Duration: time.Since(startedAt), Bytes: bytes}
 		d.server.loop.Post(func() {
 			d.maintenance.Finish(taskCompact, d.server.loop.Now().Sub(d.startedAt), cost)
-			if err != nil { // writes find out by themselves whether the disk works
+			if err != nil { // the state of the disk is judged by writes alone
 				d.server.log.Warn("state not compacted", zap.Error(err))
 			}
 		})
@@ -111,7 +111,7 @@
 	module.ImportRunTimes(estimates)
 }
 
-// saveRunTimes has the run times that the module measured kept, and returns their size.
+// saveRunTimes writes the run times that the module measured, and returns their size.
 func (d *durableResults) saveRunTimes() (bytes int64) {
 	module := d.server.module.instance
 	if module == nil {
--- a/server/durable_test.go
+++ b/server/durable_test.go
@@ -16,7 +16,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// fakeStore is a store that tests make slow and faulty.
+// fakeStore is a store whose writes tests can delay or fail.
 type fakeStore struct {
 	mu        sync.Mutex
 	records   map[string][]byte
@@ -26,28 +26,28 @@
 	closed    bool
 }
 
-func (k *fakeStore) Write(changes []idempotency.Change, done func(error)) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *fakeStore) Write(changes []idempotency.Change, done func(error)) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	write := func() {
-		k.mu.Lock()
-		err := k.fails
+		s.mu.Lock()
+		err := s.fails
 		if err == nil {
 			for _, c := range changes {
 				if c.Value == nil {
-					delete(k.records, c.Name)
+					delete(s.records, c.Name)
 				} else {
-					k.records[c.Name] = c.Value
+					s.records[c.Name] = c.Value
 				}
 			}
 		}
-		k.mu.Unlock()
+		s.mu.Unlock()
 		if done != nil {
 			done(err)
 		}
 	}
-	if k.isBlocked {
-		k.waiting = append(k.waiting, write)
+	if s.isBlocked {
+		s.waiting = append(s.waiting, write)
 		return nil
 	}
 	go write()
@@ -55,24 +55,25 @@
 }
 
 // set changes the store's behavior. Blocked writes go on where it is not blocked any more.
-func (k *fakeStore) set(held bool, fails error) {
-	k.mu.Lock()
-	k.isBlocked, k.fails = held, fails
-	waiting := k.waiting
-	if k.waiting = nil; held {
-		k.waiting = waiting
+func (s *fakeStore) set(isBlocked bool, fails error) {
+	s.mu.Lock()
+	s.isBlocked, s.fails = isBlocked, fails
+	waiting := s.waiting
+	if isBlocked {
 		waiting = nil
+	} else {
+		s.waiting = nil
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	for _, write := range waiting {
 		write()
 	}
 }
 
-func (k *fakeStore) ForEach(prefix string, visit func(name, value []byte) error) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for name, value := range k.records {
+func (s *fakeStore) ForEach(prefix string, visit func(name, value []byte) error) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name, value := range s.records {
 		if strings.HasPrefix(name, prefix) {
 			if err := visit([]byte(name), value); err != nil {
 				return err
@@ -82,28 +83,28 @@
 	return nil
 }
 
-func (k *fakeStore) Get(name string) ([]byte, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.records[name], nil
+func (s *fakeStore) Get(name string) ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.records[name], nil
 }
 
 func (k *fakeStore) Secret() []byte                { return []byte("secret") }
 func (k *fakeStore) Machine() string               { return "m" }
 func (k *fakeStore) Stats() idempotency.StoreStats { return idempotency.StoreStats{} }
 func (k *fakeStore) Compact() (int64, error)       { return 0, nil }
-func (k *fakeStore) Close() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closed = true
+func (s *fakeStore) Close() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
 	return nil
 }
 
 // has returns whether there is a record in a state.
-func (k *fakeStore) has(state idempotency.State) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for name, value := range k.records {
+func (s *fakeStore) has(state idempotency.State) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name, value := range s.records {
 		if e, err := idempotency.DecodeEntry(name, value); err == nil && e.State == state {
 			return true
 		}
@@ -112,7 +113,7 @@
 }
 
 // startDurableServer starts a server that keeps its state.
-func startDurableServer(t *testing.T, k *fakeStore, limits idempotency.Limits) (*Server, *servertest.Interpreter, *servertest.Gateway) {
+func startDurableServer(t *testing.T, store *fakeStore, limits idempotency.Limits) (*Server, *servertest.Interpreter, *servertest.Gateway) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
 	cfg := &config.Config{Name: "n3", Listen: netip.MustParseAddrPort(servertest.FreeAddr(t)), Interpreter: netip.MustParseAddrPort(it.Addr()),
@@ -122,12 +123,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.EnableDurableResults(k, limits); err != nil {
+	if err := s.EnableDurableResults(store, limits); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // behind the drain
-		if !k.closed {
-			t.Error("the keeper is not closed")
+	t.Cleanup(func() { // cleanups run in reverse order: this one after the drain
+		if !store.closed {
+			t.Error("the store is not closed")
 		}
 	})
 	runUntilTestEnd(t, s)
@@ -141,8 +142,8 @@
 // TestSlowDisk has a disk that does not respond delay runs with an idempotency key and nothing else: no run is asked
 // for before its intent is written, and lookups are served meanwhile.
 func TestSlowDisk(t *testing.T) {
-	k := &fakeStore{records: map[string][]byte{}, isBlocked: true}
-	_, it, g := startDurableServer(t, k, largeLimits)
+	store := &fakeStore{records: map[string][]byte{}, isBlocked: true}
+	_, it, g := startDurableServer(t, store, largeLimits)
 	it.FinishImmediately()
 	g.Write(fake.NewReserve(1, "b").Encode(1))
 	for i := range 20 {
@@ -156,18 +157,18 @@
 			t.Fatal("a keyed run was asked for before its intent was down")
 		}
 	}
-	k.set(false, nil)
+	store.set(false, nil)
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("answer %+v", a)
 	}
-	servertest.WaitFor(t, "the result", func() bool { return k.has(idempotency.Completed) })
+	servertest.WaitFor(t, "the result", func() bool { return store.has(idempotency.Completed) })
 }
 
 // TestFailingDisk has requests with an idempotency key rejected while writes fail, lookups served, and both served once
 // the disk works again.
 func TestFailingDisk(t *testing.T) {
-	k := &fakeStore{records: map[string][]byte{}, fails: errors.New("no space left on device")}
-	s, it, g := startDurableServer(t, k, largeLimits)
+	store := &fakeStore{records: map[string][]byte{}, fails: errors.New("no space left on device")}
+	s, it, g := startDurableServer(t, store, largeLimits)
 	it.FinishImmediately()
 	ask := func(number int) fake.Response {
 		g.Write(fake.NewReserve(number, "b").Encode(1))
@@ -185,7 +186,7 @@
 	if n := len(it.StartedRuns()); n != 5 {
 		t.Errorf("%d runs, want the five lookups", n)
 	}
-	k.set(false, nil)
+	store.set(false, nil)
 	servertest.WaitFor(t, "the disk to be asked again", func() bool { return ask(0).Status == 200 })
 	if a := ask(0); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("a repeat: %+v", a)
@@ -193,14 +194,14 @@
 	var unprotected uint64
 	onLoop(s, func() { unprotected = s.durable.(*durableResults).unprotected })
 	if unprotected < 5 {
-		t.Errorf("%d turned away are counted", unprotected)
+		t.Errorf("%d unprotected requests are counted", unprotected)
 	}
 }
 
 // TestTooManyKeys has requests over the limit of keys rejected, not run without protection, and retries answered.
 func TestTooManyKeys(t *testing.T) {
-	k := &fakeStore{records: map[string][]byte{}}
-	_, it, g := startDurableServer(t, k, idempotency.Limits{MaxKeys: 3, MaxBytes: 1 << 20})
+	store := &fakeStore{records: map[string][]byte{}}
+	_, it, g := startDurableServer(t, store, idempotency.Limits{MaxKeys: 3, MaxBytes: 1 << 20})
 	it.FinishImmediately()
 	statuses := map[int]int{}
 	for n := range 6 {
@@ -218,10 +219,10 @@
 
 // TestDrainWithIntents answers requests that wait for a disk that does not respond before a drained server ends.
 func TestDrainWithIntents(t *testing.T) {
-	k := &fakeStore{records: map[string][]byte{}, isBlocked: true}
-	s, it, g := startDurableServer(t, k, largeLimits)
+	store := &fakeStore{records: map[string][]byte{}, isBlocked: true}
+	s, it, g := startDurableServer(t, store, largeLimits)
 	g.Write(fake.NewReserve(1, "b").Encode(1))
-	servertest.WaitFor(t, "the intent", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return len(k.waiting) == 1 })
+	servertest.WaitFor(t, "the intent", func() bool { store.mu.Lock(); defer store.mu.Unlock(); return len(store.waiting) == 1 })
 	s.Drain()
 	if a := g.WaitResponse(1); a.Status == 200 {
 		t.Errorf("answer %+v without a run", a)
@@ -233,16 +234,16 @@
 
 // TestBodyHashesOverRestarts has a key with another body rejected after a restart, too.
 func TestBodyHashesOverRestarts(t *testing.T) {
-	k := &fakeStore{records: map[string][]byte{}}
+	store := &fakeStore{records: map[string][]byte{}}
 	t.Run("before", func(t *testing.T) {
-		_, it, g := startDurableServer(t, k, largeLimits)
+		_, it, g := startDurableServer(t, store, largeLimits)
 		it.FinishImmediately()
 		g.Write(fake.NewReserve(1, "b").Encode(1))
 		g.WaitResponse(1)
-		servertest.WaitFor(t, "the result", func() bool { return k.has(idempotency.Completed) })
+		servertest.WaitFor(t, "the result", func() bool { return store.has(idempotency.Completed) })
 	})
-	k.closed = false
-	_, it, g := startDurableServer(t, k, largeLimits)
+	store.closed = false
+	_, it, g := startDurableServer(t, store, largeLimits)
 	for body, want := range map[string]int{"b": 200, "other": 400} {
 		g.Write(fake.NewReserve(1, body).Encode(1))
 		if a := g.WaitResponse(1); a.Status != want {
--- a/server/field_reader.go
+++ b/server/field_reader.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// FieldError says that a field of a request makes no sense.
+// FieldError is the error of an invalid field of a request.
 type FieldError struct {
 	Field  string // as in the platform's documents
 	Value  string
@@ -28,7 +28,7 @@
 	// maxUnixMS bounds times in milliseconds since 1970.
 	maxUnixMS       = 1e15
 	maxClockSkew    = time.Second // between two machines
-	maxQueueingTime = time.Minute // attempt request may lie unread while the machine pauses
+	maxQueueingTime = time.Minute // stored request may wait in a socket buffer while the machine pauses
 )
 
 // The numbers of digits of fields in hexadecimal.
@@ -49,7 +49,7 @@
 // Err is the first error, or nil.
 func (f *FieldReader) Err() error { return f.err }
 
-// Reject notes that a field makes no sense.
+// Reject records that a field is invalid, where it is the first.
 func (f *FieldReader) Reject(name, value, wanted string) {
 	if f.err == nil {
 		f.err = &FieldError{Field: name, Value: value, Wanted: wanted}
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -19,12 +19,13 @@
 	attempts map[gateway.StreamID]*attempt // not answered yet
 	// healthChecks are the deep health checks under way.
 	healthChecks map[gateway.StreamID]bool
-	// incompleteSince is when a request began that has not come whole; zero means that there is none.
+	// incompleteSince is when a request began that is still incomplete; zero means that there is none.
 	incompleteSince time.Time
-	validRequests   uint64 // that came whole and made sense
+	validRequests   uint64 // complete requests with valid fields
 }
 
-// accept takes in a new connection, while descriptors are left for everything else.
+// accept implements the loop's callback for a new connection. It returns nil, which closes the connection, where the
+// descriptors are used up.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.ConnHandler {
 	if !s.conns.ensureCapacity() {
 		return nil
@@ -41,7 +42,7 @@
 	return newConn
 }
 
-// acceptError hears of a connection that could not be accepted.
+// acceptError counts and logs a connection that could not be accepted.
 func (s *Server) acceptError(err error) {
 	s.conns.counters.acceptErrors++
 	s.log.Warn("accept failed", zap.Error(err))
@@ -67,8 +68,7 @@
 	g.closeIfFinished()
 }
 
-// closeAfterFlush ends this side of a connection from which no more requests are taken; answers that are on their way
-// still go out.
+// closeAfterFlush half-closes a connection, from which no more requests are read. Pending answers are still sent.
 func (g *gatewayConn) closeAfterFlush() {
 	g.abandonRequests()
 	g.conn.CloseAfterFlush()
@@ -90,19 +90,19 @@
 // Closed implements eventloop.ConnHandler.
 func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.remove() }
 
-// remove forgets a connection that is closed.
+// remove deletes a closed connection.
 func (g *gatewayConn) remove() {
 	g.server.conns.remove(g)
 	g.abandonRequests()
 }
 
-// abandonRequests forgets the open requests of a connection: nobody waits for their answers any more.
+// abandonRequests cancels the open requests of a connection: nobody waits for their answers any more.
 func (g *gatewayConn) abandonRequests() {
 	server := g.server
 	g.session.Close()
-	for _, attempt := range inArrivalOrder(g.attempts) {
+	for _, attempt := range sortedByArrival(g.attempts) {
 		if attempt.isAnswered {
-			continue // the module answered it when it heard of the end of one before it
+			continue // the module answered it in response to an earlier Cancel of this loop
 		}
 		server.counters.requestsLost++
 		attempt.isAnswered = true
@@ -118,7 +118,8 @@
 	g.server.handleRequest(g, stream, r)
 }
 
-// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol requires the end of the request.
+// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol requires the end of the
+// request.
 func (g *gatewayConn) RequestAborted(_ gateway.Session, stream gateway.StreamID) {
 	server := g.server
 	server.counters.aborted++
@@ -170,23 +171,23 @@
 	g.closeIfFinished()
 }
 
-// hasOpenRequests returns whether requests of the connection are owed an answer.
+// hasOpenRequests returns whether the connection has unanswered requests.
 func (g *gatewayConn) hasOpenRequests() bool { return len(g.attempts)+len(g.healthChecks) > 0 }
 
-// isIdle returns whether nothing is under way on the connection: no request is open, and none has come in part, as
-// gateways may write slowly.
+// isIdle returns whether the connection has no open request, and none that has arrived in part: gateways may write
+// slowly.
 func (g *gatewayConn) isIdle() bool {
 	return g.session.OpenRequests() == 0 && !g.session.HasPartialInput()
 }
 
-// isOverdue returns whether a connection has not sent a whole request in time.
+// isOverdue returns whether a connection has not sent a complete request in time.
 func (g *gatewayConn) isOverdue(now time.Time) bool {
 	return !g.conn.IsClosing() && !g.incompleteSince.IsZero() && now.Sub(g.incompleteSince) >= requestTimeout &&
 		!g.hasOpenRequests()
 }
 
-// idleAllowance is how long a connection may carry nothing, where others may for a time: one that is closed right after
-// the accept would only be made again.
+// idleAllowance is how long this connection may be idle, given the idle timeout of all. A new one gets longer: closed
+// right after accept, it would only be opened again.
 func (g *gatewayConn) idleAllowance(idle time.Duration) time.Duration {
 	if g.validRequests == 0 {
 		return max(idle, newConnGrace)
--- a/server/health.go
+++ b/server/health.go
@@ -6,7 +6,7 @@
 	"tillerusher/internal/gateway"
 )
 
-// healthPath is where health checks arrive.
+// healthPath is the path of health checks.
 const healthPath = "/healthz"
 
 // healthState is how health checks are answered, as the module set it.
@@ -18,11 +18,11 @@
 }
 
 // checkHealth answers a health check: from the module's setting, or, where the gateway asks for a deep check and the
-// setting alone may not answer it, by whether the backend gets work done.
+// setting alone may not answer it, by whether the backend can do work.
 func (s *Server) checkHealth(conn *gatewayConn, stream gateway.StreamID, request gateway.Request) {
 	s.health.checks++
 	conn.validRequests++
-	query, _ := url.ParseQuery(request.Query) // what can't be parsed asks for nothing
+	query, _ := url.ParseQuery(request.Query) // stored query that can't be parsed is not a deep check
 	isDeep := query.Get("full") == "1"
 	if !isDeep || s.health.isFixed || !s.health.isHealthy {
 		s.answerHealthCheck(conn, stream, s.health.isHealthy)
--- a/server/idempotency_table.go
+++ b/server/idempotency_table.go
@@ -16,7 +16,7 @@
 // idempotencyKey is the entry of an attempt that has a key.
 func (a *attempt) idempotencyKey() idempotencyKey { return idempotencyKey{a.Class, a.Key} }
 
-// keyEntry is what is remembered under a key.
+// keyEntry is the entry of a key: who holds it, and what was run under it.
 type keyEntry struct {
 	// holder is the attempt that the module keeps the key for, or nil; attempts that arrive until holdUntil, by the
 	// module's clock, are its retries.
@@ -26,19 +26,19 @@
 	// run again.
 	lastRun      *attempt
 	lastRunUntil time.Time
-	// previousRun is the run before lastRun: where lastRun comes to nothing, retries of the earlier one may still come.
+	// previousRun is the run before lastRun: where lastRun is reverted, retries of the earlier one may still arrive.
 	previousRun      *attempt
 	previousRunUntil time.Time
 }
 
-// dropPreviousRun forgets the run before the last.
+// dropPreviousRun removes the run before the last.
 func (e *keyEntry) dropPreviousRun() {
 	if e.previousRun != nil {
 		e.previousRun.isExpired, e.previousRun = true, nil
 	}
 }
 
-// isEmpty returns whether nothing is remembered.
+// isEmpty returns whether the entry has neither a holder nor a run.
 func (e *keyEntry) isEmpty() bool { return e.holder == nil && e.lastRun == nil }
 
 // storedResult is a result that is kept for retries.
@@ -62,7 +62,7 @@
 	freshness      time.Duration // how long after its end the result of a read may answer others
 }
 
-// newIdempotencyTable returns an empty table that keeps results of so many bytes, and those of reads for so long.
+// newIdempotencyTable returns an empty table, with a limit of the memory of results and the freshness of reads.
 func newIdempotencyTable(maxResultBytes int, freshness time.Duration) idempotencyTable {
 	return idempotencyTable{
 		entries:        map[idempotencyKey]*keyEntry{},
@@ -114,7 +114,7 @@
 	t.holders[a.id] = a
 }
 
-// clearHolder takes an entry from its holder.
+// clearHolder removes the holder of an entry.
 func (t *idempotencyTable) clearHolder(e *keyEntry) {
 	if e.holder != nil {
 		delete(t.holders, e.holder.id)
@@ -122,9 +122,9 @@
 	}
 }
 
-// release takes the key from its holder; what was run stays known. The holder is looked up in this table: an attempt
-// that was rejected is forgotten elsewhere before the module releases its key, and a key left behind would fail every
-// retry of a request that never ran.
+// release removes the holder of a key; the runs of its entry are kept. The holder is looked up in this table, not among
+// the open attempts: a rejected attempt has left those before the module releases its key, and a key that stayed held
+// would fail every retry of a request that never ran.
 func (t *idempotencyTable) release(id admission.RequestID) {
 	a := t.holders[id]
 	if a == nil {
@@ -143,7 +143,7 @@
 	return e != nil && e.lastRun != nil && !a.ReceivedAt.After(e.lastRunUntil)
 }
 
-// claim notes that an attempt is run now. It returns false where another attempt of the request ran within its window:
+// claim records that an attempt is run now. It returns false where another attempt of the request ran within its window:
 // then this one must not run, whatever the module decided.
 func (t *idempotencyTable) claim(a *attempt, window time.Duration) bool {
 	e := t.entryFor(a)
@@ -158,13 +158,13 @@
 	return true
 }
 
-// restoreRun makes an attempt of an earlier process known as one that was run.
+// restoreRun records an attempt of an earlier process as one that was run.
 func (t *idempotencyTable) restoreRun(a *attempt, until time.Time) {
 	e := t.entryFor(a)
 	e.lastRun, e.lastRunUntil = a, until
 }
 
-// unclaim takes back that an attempt was run, where it turned out not to be: its key is as it was before.
+// unclaim reverts claim for an attempt that turned out not to have run: its entry is as it was before.
 func (t *idempotencyTable) unclaim(a *attempt) {
 	if e := t.entries[a.idempotencyKey()]; e != nil && e.lastRun == a {
 		e.lastRun, e.lastRunUntil, e.previousRun = e.previousRun, e.previousRunUntil, nil
@@ -199,7 +199,7 @@
 	}
 }
 
-// responseBytes is what a response takes of the memory.
+// responseBytes is the memory that a response uses.
 func responseBytes(r gateway.Response) int {
 	size := len(r.Body)
 	for _, f := range r.Headers {
@@ -214,8 +214,8 @@
 	t.resultBytes -= r.size
 }
 
-// expire removes entries that no arrival can find any more, and the results of expired runs. A request may lie unread
-// for a while, so entries outlast their time by the slack.
+// expire removes entries that no arrival can find any more, and the results of expired runs. A request may wait
+// in a socket buffer, so entries are kept longer than their time by the slack.
 func (t *idempotencyTable) expire(now time.Duration, unix time.Time, slack time.Duration) {
 	for key, e := range t.entries {
 		if e.holder != nil && now > e.holdUntil+slack {
--- a/server/idempotency_table_test.go
+++ b/server/idempotency_table_test.go
@@ -26,25 +26,25 @@
 // TestIdempotencyTableFindOriginal covers who is found under a key: the holder while it is kept, then the attempt that
 // was run, for arrivals within the time only, whenever they are read.
 func TestIdempotencyTableFindOriginal(t *testing.T) {
-	k := newIdempotencyTable(1<<20, 0)
+	table := newIdempotencyTable(1<<20, 0)
 	a := keyedAttempt(1, "k", time.Second)
-	k.hold(a, 10*time.Second)
-	if k.findOriginal(keyedAttempt(99, "k", 10*time.Second), 0) != a || k.findOriginal(&attempt{Request: Request{Class: 0, Key: "k"}}, 0) != nil || k.findOriginal(keyedAttempt(99, "j", 0), 0) != nil {
+	table.hold(a, 10*time.Second)
+	if table.findOriginal(keyedAttempt(99, "k", 10*time.Second), 0) != a || table.findOriginal(&attempt{Request: Request{Class: 0, Key: "k"}}, 0) != nil || table.findOriginal(keyedAttempt(99, "j", 0), 0) != nil {
 		t.Error("a kept attempt is found by its key and class alone")
 	}
-	if k.findOriginal(keyedAttempt(99, "k", 10*time.Second+1), 0) != nil {
+	if table.findOriginal(keyedAttempt(99, "k", 10*time.Second+1), 0) != nil {
 		t.Error("an entry that ran out was found")
 	}
-	if !k.claim(a, window) || k.findOriginal(keyedAttempt(99, "k", 19*time.Second), 0) != a || k.findOriginal(keyedAttempt(99, "k", 19*time.Second+1), 0) != nil {
+	if !table.claim(a, window) || table.findOriginal(keyedAttempt(99, "k", 19*time.Second), 0) != a || table.findOriginal(keyedAttempt(99, "k", 19*time.Second+1), 0) != nil {
 		t.Error("an attempt that was run is found until its window is over")
 	}
-	if k.claim(keyedAttempt(2, "k", 19*time.Second), window) {
+	if table.claim(keyedAttempt(2, "k", 19*time.Second), window) {
 		t.Error("a second run within the window was allowed")
 	}
-	if !k.hasRun(keyedAttempt(2, "k", 19*time.Second)) || k.hasRun(keyedAttempt(3, "k", 19*time.Second+1)) || k.hasRun(keyedAttempt(4, "j", 0)) {
-		t.Error("a run stands for the attempts of its request within the window, and for no others")
+	if !table.hasRun(keyedAttempt(2, "k", 19*time.Second)) || table.hasRun(keyedAttempt(3, "k", 19*time.Second+1)) || table.hasRun(keyedAttempt(4, "j", 0)) {
+		t.Error("a run counts for the attempts of its request within the window, and for no others")
 	}
-	if !k.claim(keyedAttempt(3, "k", 19*time.Second+1), window) {
+	if !table.claim(keyedAttempt(3, "k", 19*time.Second+1), window) {
 		t.Error("a run after the window was not allowed")
 	}
 }
@@ -52,13 +52,13 @@
 // TestIdempotencyTableClockSetBack has the Unix clock set back by a minute after a run, while the module's goes on: the
 // window is one of the Unix clock.
 func TestIdempotencyTableClockSetBack(t *testing.T) {
-	k := newIdempotencyTable(1<<20, 0)
+	table := newIdempotencyTable(1<<20, 0)
 	a := keyedAttempt(1, "k", time.Hour)
-	k.claim(a, window)
-	k.expire(time.Hour+time.Minute, at(time.Hour), 0)
+	table.claim(a, window)
+	table.expire(time.Hour+time.Minute, at(time.Hour), 0)
 	b := keyedAttempt(2, "k", time.Hour+time.Minute)
 	b.ReceivedAt = a.ReceivedAt.Add(time.Second)
-	if k.findOriginal(b, 0) != a || k.claim(b, window) {
+	if table.findOriginal(b, 0) != a || table.claim(b, window) {
 		t.Error("a request ran again within its window")
 	}
 }
@@ -66,74 +66,74 @@
 // TestIdempotencyTableRelease releases a key whose holder never ran, and keeps one that was run. The holder may have
 // been answered before: then no other table knows it.
 func TestIdempotencyTableRelease(t *testing.T) {
-	k := newIdempotencyTable(1<<20, 0)
+	table := newIdempotencyTable(1<<20, 0)
 	a, b := keyedAttempt(1, "k", 0), keyedAttempt(2, "k", 0)
 	a.isAnswered = true
-	k.hold(a, time.Minute)
-	k.release(a.id)
-	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != nil || len(k.entries) != 0 || len(k.holders) != 0 {
+	table.hold(a, time.Minute)
+	table.release(a.id)
+	if table.findOriginal(keyedAttempt(99, "k", 0), 0) != nil || len(table.entries) != 0 || len(table.holders) != 0 {
 		t.Error("a forgotten key was found")
 	}
-	k.hold(a, time.Minute)
-	k.hold(b, time.Minute) // the entry goes to the newer attempt
-	k.release(a.id)
-	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != b {
+	table.hold(a, time.Minute)
+	table.hold(b, time.Minute) // the entry goes to the newer attempt
+	table.release(a.id)
+	if table.findOriginal(keyedAttempt(99, "k", 0), 0) != b {
 		t.Error("the key was taken from another holder")
 	}
-	k.claim(b, window)
-	k.release(b.id)
-	if k.findOriginal(keyedAttempt(99, "k", 0), 0) != b || k.claim(keyedAttempt(3, "k", 0), window) {
+	table.claim(b, window)
+	table.release(b.id)
+	if table.findOriginal(keyedAttempt(99, "k", 0), 0) != b || table.claim(keyedAttempt(3, "k", 0), window) {
 		t.Error("an attempt that was run was forgotten")
 	}
 }
 
 // TestIdempotencyTableEvictsResults evicts the oldest results over the limit, but still knows that their requests ran.
 func TestIdempotencyTableEvictsResults(t *testing.T) {
-	k := newIdempotencyTable(25, 0)
+	table := newIdempotencyTable(25, 0)
 	attempts := map[string]*attempt{}
 	for i, key := range []string{"a", "b", "c"} {
 		r := keyedAttempt(i+1, key, time.Duration(i)*time.Second)
 		attempts[key] = r
-		k.hold(r, window)
-		k.claim(r, window)
-		k.storeResult(r, gateway.Response{Body: make([]byte, 10)})
+		table.hold(r, window)
+		table.claim(r, window)
+		table.storeResult(r, gateway.Response{Body: make([]byte, 10)})
 	}
-	if attempts["a"].hasResult || !attempts["b"].hasResult || !attempts["c"].hasResult || k.resultBytes != 20 || k.evicted != 1 {
-		t.Errorf("%d bytes kept, %d dropped", k.resultBytes, k.evicted)
+	if attempts["a"].hasResult || !attempts["b"].hasResult || !attempts["c"].hasResult || table.resultBytes != 20 || table.evicted != 1 {
+		t.Errorf("%d bytes kept, %d dropped", table.resultBytes, table.evicted)
 	}
-	if k.claim(keyedAttempt(9, "a", 0), window) {
-		t.Error("a request ran again since its result was given up")
+	if table.claim(keyedAttempt(9, "a", 0), window) {
+		t.Error("a request ran again since its result was evicted")
 	}
 	stranger := keyedAttempt(10, "z", 0)
-	k.storeResult(stranger, gateway.Response{Body: make([]byte, 5)})
+	table.storeResult(stranger, gateway.Response{Body: make([]byte, 5)})
 	if stranger.hasResult {
 		t.Error("a result was kept that nothing can find")
 	}
-	k.expire(window+time.Second, at(window+time.Second), 0)
-	if len(k.entries) != 2 || k.resultBytes != 20 {
-		t.Errorf("%d entries, %d bytes after the first ran out", len(k.entries), k.resultBytes)
+	table.expire(window+time.Second, at(window+time.Second), 0)
+	if len(table.entries) != 2 || table.resultBytes != 20 {
+		t.Errorf("%d entries, %d bytes after the first ran out", len(table.entries), table.resultBytes)
 	}
-	k.expire(window+3*time.Second, at(window+3*time.Second), 0)
-	if len(k.entries) != 0 || len(k.holders) != 0 || len(k.results) != 0 || k.resultBytes != 0 {
-		t.Errorf("%d entries, %d holders, %d results, %d bytes after all ran out", len(k.entries), len(k.holders), len(k.results), k.resultBytes)
+	table.expire(window+3*time.Second, at(window+3*time.Second), 0)
+	if len(table.entries) != 0 || len(table.holders) != 0 || len(table.results) != 0 || table.resultBytes != 0 {
+		t.Errorf("%d entries, %d holders, %d results, %d bytes after all ran out", len(table.entries), len(table.holders), len(table.results), table.resultBytes)
 	}
 }
 
 // TestIdempotencyTableUnclaim uses a key again after its window, for a run that turns out not to have happened: late
 // retries of the run before it are still known.
 func TestIdempotencyTableUnclaim(t *testing.T) {
-	k := newIdempotencyTable(1000, 0)
-	first, anew, late := keyedAttempt(1, "a", 0), keyedAttempt(2, "a", window+time.Second), keyedAttempt(3, "a", window-time.Second)
-	if !k.claim(first, window) || !k.claim(anew, window) {
-		t.Fatal("a run within no window was held up")
+	table := newIdempotencyTable(1000, 0)
+	first, reuse, late := keyedAttempt(1, "a", 0), keyedAttempt(2, "a", window+time.Second), keyedAttempt(3, "a", window-time.Second)
+	if !table.claim(first, window) || !table.claim(reuse, window) {
+		t.Fatal("a run within no window was prevented")
 	}
-	k.unclaim(anew)
-	if k.claim(late, window) {
+	table.unclaim(reuse)
+	if table.claim(late, window) {
 		t.Error("a late attempt ran again")
 	}
-	k.claim(anew, window)
-	k.expire(2*window, at(2*window), 0)
-	if e := k.entries[anew.idempotencyKey()]; e.previousRun != nil || !first.isExpired {
+	table.claim(reuse, window)
+	table.expire(2*window, at(2*window), 0)
+	if e := table.entries[reuse.idempotencyKey()]; e.previousRun != nil || !first.isExpired {
 		t.Error("the run before is kept for ever")
 	}
 }
@@ -142,7 +142,7 @@
 // for ever.
 func TestIdempotencyTableModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newIdempotencyTable(200, 0)
+		table := newIdempotencyTable(200, 0)
 		now, ids := time.Duration(0), 0
 		ran := map[string]time.Duration{} // arrival of the latest run
 		var attempts []*attempt
@@ -150,7 +150,7 @@
 			"arrive": func(t *rapid.T) {
 				ids++
 				attempts = append(attempts, keyedAttempt(ids, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), now))
-				k.hold(attempts[len(attempts)-1], now+window)
+				table.hold(attempts[len(attempts)-1], now+window)
 			},
 			"run": func(t *rapid.T) {
 				if len(attempts) == 0 {
@@ -158,29 +158,29 @@
 				}
 				r := rapid.SampledFrom(attempts).Draw(t, "try")
 				last, before := ran[r.Key]
-				allowed := k.claim(r, window)
+				allowed := table.claim(r, window)
 				if again := r.state != runPending; before && !again && (r.ArrivedAt <= last+window) == allowed {
 					t.Fatalf("run of an attempt that arrived %v after the last that ran: %t", r.ArrivedAt-last, allowed)
 				}
 				if allowed && r.state == runPending {
 					ran[r.Key] = r.ArrivedAt
 					r.state = runSucceeded
-					k.storeResult(r, gateway.Response{Body: make([]byte, 90)})
+					table.storeResult(r, gateway.Response{Body: make([]byte, 90)})
 				}
 			},
 			"forget": func(t *rapid.T) {
 				if len(attempts) > 0 {
-					k.release(rapid.SampledFrom(attempts).Draw(t, "try").id)
+					table.release(rapid.SampledFrom(attempts).Draw(t, "try").id)
 				}
 			},
 			"pass": func(t *rapid.T) {
 				now += time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "time"))
-				k.expire(now, at(now), 0)
+				table.expire(now, at(now), 0)
 				attempts = nil // older attempts are answered long since
 			},
 			"": func(t *rapid.T) {
-				if k.resultBytes > 200 || len(k.entries) > 2 || len(k.holders) > 2 {
-					t.Fatalf("%d bytes, %d entries, %d holders", k.resultBytes, len(k.entries), len(k.holders))
+				if table.resultBytes > 200 || len(table.entries) > 2 || len(table.holders) > 2 {
+					t.Fatalf("%d bytes, %d entries, %d holders", table.resultBytes, len(table.entries), len(table.holders))
 				}
 			},
 		})
--- a/server/interleave_conns_test.go
+++ b/server/interleave_conns_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestCrossSlowWriter has the first bytes of a request arrive as idle connections are closed: it arrives whole and is
-// answered.
+// TestCrossSlowWriter has the first bytes of a request arrive as idle connections are closed: it arrives completely and
+// is answered.
 func TestCrossSlowWriter(t *testing.T) {
 	s, it := startServer(t)
 	it.FinishImmediately()
@@ -92,18 +92,18 @@
 	}
 }
 
-// TestCrossRoom has a gateway's first request lie unread as a connection is evicted for a new one: silent ones go
-// before it.
+// TestCrossRoom has a gateway's first request wait unread as a connection is evicted for a new one: silent ones are
+// evicted before it.
 func TestCrossRoom(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
-	most := s.cfg.Limits.Sockets - reservedSockets
+	maxConns := s.cfg.Limits.Sockets - reservedSockets
 	g := servertest.Dial(t, s.cfg.Listen.String())
-	for range most - 1 {
+	for range maxConns - 1 {
 		servertest.Dial(t, s.cfg.Listen.String())
 	}
 	servertest.WaitFor(t, "all to be let in", func() (in bool) {
-		onLoop(s, func() { in = s.conns.len() == most })
+		onLoop(s, func() { in = s.conns.len() == maxConns })
 		return in
 	})
 	onLoop(s, func() {
@@ -119,7 +119,7 @@
 }
 
 // TestCrossReset has callers reset their connection right after it was accepted, before and after it is first read,
-// with nothing, half a request or a whole one sent: the server goes on, and holds nothing of them.
+// with nothing, half a request or a complete one sent: the server goes on, and keeps nothing of them.
 func TestCrossReset(t *testing.T) {
 	whole := fake.NewLookup("gone").Encode(1)
 	for what, sent := range map[string][]byte{"nothing": nil, "half a request": whole[:30], "a request": whole} {
@@ -167,7 +167,7 @@
 }
 
 // TestCrossFullBuffer has a gateway that reads nothing be sent more than buffers hold as the server starts to drain:
-// once it reads, all answers come whole, and then the end. One that never reads doesn't keep the server, which the end
+// once it reads, all answers arrive completely, and then the end. One that never reads doesn't keep the server, which the end
 // of the test waits for.
 func TestCrossFullBuffer(t *testing.T) {
 	for _, reads := range []bool{true, false} {
--- a/server/interleave_drain_test.go
+++ b/server/interleave_drain_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// isListener tells whether a descriptor is a listening socket.
+// isListener returns whether a descriptor is a listening socket.
 func isListener(fd int) bool {
 	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	return err == nil && listens == 1
@@ -108,7 +108,7 @@
 			t.Errorf("request %d: %+v", id+1, a)
 		}
 	}
-	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // attempt second goes by
+	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // stored second passes
 	g.Write(received(fake.NewLookup("after the grace"), 0).Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 		t.Errorf("after the grace: %+v", a)
@@ -120,7 +120,7 @@
 }
 
 // TestCrossReloadDrain has a new configuration and the drain notice in one round, in either order, while a run is in
-// flight and its end lies unread on the old link: the end is read on the new one, answered once, and the server ends.
+// flight and the notice of its end waits unread on the old link: the end is read on the new one, answered once, and the server ends.
 func TestCrossReloadDrain(t *testing.T) {
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
--- a/server/interleave_runs_test.go
+++ b/server/interleave_runs_test.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestCrossLink has the link replaced while the end of a run lies unread on it, while a command is written but not
+// TestCrossLink has the link replaced while the end of a run waits unread on it, while a command is written but not
 // read, and while the gauges are asked for: each run begins once, ends once and is answered once.
 func TestCrossLink(t *testing.T) {
 	s, it := startServer(t)
@@ -54,7 +54,7 @@
 }
 
 // TestCrossLinkDown has a request with an idempotency key reach its deadline while the link is down, so that the
-// interpreter never heard of its run: a retry is run once the link is up, as the first attempt never ran.
+// interpreter was never asked for its run: a retry is run once the link is up, as the first attempt never ran.
 func TestCrossLinkDown(t *testing.T) {
 	site := testSite(t)
 	site.Admission.Classes[1].Deadline = 300 * time.Millisecond
@@ -91,7 +91,7 @@
 			s, it := startServer(t)
 			first, second := servertest.Dial(t, s.cfg.Listen.String()), servertest.Dial(t, s.cfg.Listen.String())
 			checkHealth(second, false)
-			for n := range 20 { // the order in which epoll tells of them differs from round to round
+			for n := range 20 { // the order in which epoll reports them differs from round to round
 				first.Write(fake.NewReserve(n, "x").Encode(1))
 				id := it.WaitRuns(n + 1)[n].ID
 				onLoop(s, func() {
--- a/server/load.go
+++ b/server/load.go
@@ -10,14 +10,14 @@
 const (
 	// endpointExpiry is how long after its last report the platform takes a server off the endpoint list.
 	endpointExpiry = 3 * time.Second
-	// loadReportInterval sends many reports in that time: they are datagrams, and where a quarter is lost, three in a
-	// row often are.
+	// loadReportInterval is short against endpointExpiry: reports are datagrams, and where a quarter of them is lost,
+	// three in a row often are.
 	loadReportInterval = 250 * time.Millisecond
 	// loadDigits is how many decimal digits the advertised load has.
 	loadDigits = 4
 )
 
-// loadState is what callers and the platform hear of the server's load.
+// loadState is the load feedback to callers, and the load reports to the platform.
 type loadState struct {
 	advertised string               // sent with each answer; empty means not yet set
 	reporter   *loadreport.Reporter // nil where there is no service to report to
@@ -45,8 +45,14 @@
 	}
 }
 
-// send sends one report.
-func (l *loadState) send(isAccepting bool) {
+// reportAccepting sends a report that the server accepts requests.
+func (l *loadState) reportAccepting() { l.report(true) }
+
+// reportDraining sends a report that the server accepts no more requests.
+func (l *loadState) reportDraining() { l.report(false) }
+
+// report sends one report.
+func (l *loadState) report(isAccepting bool) {
 	if l.reporter == nil {
 		return
 	}
@@ -56,11 +62,11 @@
 	}
 }
 
-// reportLoad reports that this server takes requests, until it drains.
+// reportLoad reports at intervals that this server accepts requests, until it drains.
 func (s *Server) reportLoad() {
 	if s.isDraining {
 		return
 	}
-	s.load.send(true)
+	s.load.reportAccepting()
 	s.loop.AfterFunc(loadReportInterval, s.reportLoad)
 }
--- a/server/module.go
+++ b/server/module.go
@@ -11,7 +11,7 @@
 // gaugeTimeout is how long a timer of the module waits for the gauges that are reported with it.
 const gaugeTimeout = 20 * time.Millisecond
 
-// moduleState is the decision module and what orders the events that are reported to it. The module must not be called
+// moduleState is the decision module and the order of the events that are reported to it. The module must not be called
 // while it acts: events that an action causes are deferred until it has returned.
 type moduleState struct {
 	events      admission.Events    // nil until the backend is up
@@ -27,7 +27,7 @@
 	return s.clock.read(s.loop.Now())
 }
 
-// deferEvent has an event reported that an action caused, once the module has returned.
+// deferEvent queues an event that an action caused, to be reported once the module has returned.
 func (s *Server) deferEvent(event func()) { s.module.deferred = append(s.module.deferred, event) }
 
 // settle ends a round of the loop. It returns true where the module's actions caused events, which the next round
@@ -68,8 +68,8 @@
 	s.reportLoad()
 }
 
-// timerFired ends a timer of the module. The gauges that go with it are read now, since the module acts on what they
-// say at this moment; where the backend does not answer in time, the timer goes without.
+// timerFired reports that a timer of the module has fired, with the current gauges. Where the backend does not answer
+// in time, the gauges are reported as unknown.
 func (s *Server) timerFired(token uint32) {
 	isReported := false
 	report := func(g admission.Gauges) {
--- a/server/recent_ids.go
+++ b/server/recent_ids.go
@@ -5,15 +5,15 @@
 const (
 	// minIDRetention is the least time for which IDs are remembered.
 	minIDRetention = 10 * time.Second
-	// recentIDBytes is about what one remembered ID takes of the memory.
+	// recentIDBytes is the approximate memory of one ID.
 	recentIDBytes = 64
 )
 
-// recentIDs remembers the IDs of requests that were read lately. A gateway makes a new ID for every attempt, so one
-// that comes again is no gateway's: a sender that repeats its request as soon as it is rejected would raise its
-// tenant's rate and the share of retries with each copy, and one that takes another's ID could get its answer.
+// recentIDs is the set of recent request IDs. A gateway makes a new ID for every attempt, so one that arrives again does
+// not come from a gateway. A sender that repeats its request as soon as it is rejected would raise its tenant's rate and
+// the share of retries with each copy, and one that uses another's ID could get its answer.
 //
-// There are two generations, of which the older one is dropped as a whole: nothing is searched for expired IDs.
+// There are two generations, and the older one is dropped as one: no scan for expired IDs is needed.
 type recentIDs struct {
 	recent, older    map[uint64]struct{}
 	nextRotation     time.Duration
@@ -21,7 +21,7 @@
 	maxPerGeneration int
 }
 
-// newRecentIDs returns an empty memory for so many IDs.
+// newRecentIDs returns an empty set for at most maxIDs IDs.
 func newRecentIDs(retention time.Duration, maxIDs int) recentIDs {
 	return recentIDs{recent: map[uint64]struct{}{}, retention: retention, maxPerGeneration: max(maxIDs/2, 1)}
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,12 +8,11 @@
 	"tillerusher/internal/loadreport"
 )
 
-// Reload goes on with a configuration that was read again; any goroutine may call it. The addresses of the interpreter
-// and of the announce service and the time to stop are taken over, all else needs a restart.
+// Reload applies a configuration that was read again; any goroutine may call it. The addresses of the interpreter and
+// of the load report service and the stop timeout change; all else needs a restart.
 func (s *Server) Reload(cfg *Config) { s.loop.Post(func() { s.reload(cfg) }) }
 
-// reload moves to the new addresses at once: the old ones get nothing new. A configuration that can't be carried out
-// changes nothing at all, or half of a server would be in one place and half in another.
+// reload switches to the new addresses at once. A configuration that can't be applied as a whole changes nothing.
 func (s *Server) reload(cfg *Config) {
 	if err := validateSettings(cfg); err != nil {
 		s.log.Error("configuration not reloaded", zap.Error(err))
@@ -36,7 +35,7 @@
 	s.Annotate("configuration reloaded: vm %v, announce %v", next.Interpreter, next.LoadReports)
 }
 
-// moveLoadReports sends load reports to another address, where the new configuration has one.
+// moveLoadReports switches the load reports to the address of the new configuration, where it differs.
 func (s *Server) moveLoadReports(cfg *Config) error {
 	if cfg.LoadReports == s.cfg.LoadReports {
 		return nil
@@ -48,12 +47,12 @@
 	s.load.close()
 	s.load.reporter = reporter
 	if s.module.events != nil && !s.isDraining {
-		s.load.send(true) // the endpoint list must not wait for the next report
+		s.load.reportAccepting() // the endpoint list must not wait for the next report
 	}
 	return nil
 }
 
-// restartFields returns the names of the fields that differ and are not taken over without a restart.
+// restartFields returns the names of the fields that differ and need a restart.
 func restartFields(current, read *Config) []string {
 	fields := []string{}
 	for field, isSame := range map[string]bool{
@@ -70,5 +69,5 @@
 	return fields
 }
 
-// CountReload counts a configuration that a backend took over by itself.
+// CountReload counts a configuration that a backend applied by itself.
 func (s *Server) CountReload() { s.counters.reloads++ }
--- a/server/request_parser.go
+++ b/server/request_parser.go
@@ -8,13 +8,13 @@
 	"tillerusher/internal/gateway"
 )
 
-// Request is what the server knows of one attempt of a caller, as a RequestParser understood it.
+// Request is one attempt of a caller, as a RequestParser parsed it.
 type Request struct {
 	// RequestID names the attempt to the backend, in hexadecimal.
 	RequestID string
 	// Class is the index of the request's class among those of the site.
 	Class int
-	// Key tells retries from other requests, together with the class, where HasKey is set: by it they are answered
+	// Key identifies a request over its attempts, together with the class, where HasKey is set: retries are answered
 	// from the first attempt's run.
 	Key string
 	// BodyHash is that of the body, where attempts with one key must agree in it.
@@ -42,14 +42,14 @@
 	Response *gateway.Response
 }
 
-// RequestParser understands the requests of gateways.
+// RequestParser parses the requests of gateways.
 type RequestParser interface {
-	// Parse understands a request that was read at a time of the module's clock. What an error says is the body of
-	// the answer, with status 400.
+	// Parse parses a request that was read at a time of the module's clock. The text of an error is the body of the
+	// answer, with status 400.
 	Parse(r gateway.Request, now time.Duration) (ParsedRequest, error)
 }
 
-// The errors of requests whose fields make sense one by one.
+// The errors of requests whose fields are valid by themselves.
 var (
 	errDuplicateRequestID = errors.New("field Request-Id is that of another try")
 	errKeyOfOtherBody     = errors.New("field Once-Key is that of a request with another body")
--- a/server/requests.go
+++ b/server/requests.go
@@ -18,8 +18,8 @@
 	statusUnavailable   = 503
 )
 
-// handleRequest takes in a whole request: a health check, one that is answered at once, or one that becomes an attempt
-// which the module decides on.
+// handleRequest handles a complete request: a health check, one that is answered at once, or one that becomes an
+// attempt on which the module decides.
 func (s *Server) handleRequest(conn *gatewayConn, stream gateway.StreamID, request gateway.Request) {
 	if request.Path == healthPath {
 		s.checkHealth(conn, stream, request)
@@ -48,23 +48,23 @@
 		return
 	}
 	conn.validRequests++
-	if s.durable != nil && s.durable.rejects(arrival) {
+	if s.durable != nil && s.durable.shouldReject(arrival) {
 		s.rejectEarly(conn, stream)
 		return
 	}
 	s.admit(arrival, parsed.Admission, now)
 }
 
-// answerInvalid answers a request that makes no sense.
+// answerInvalid answers a request with invalid fields.
 func (s *Server) answerInvalid(g *gatewayConn, stream gateway.StreamID, err error) {
 	s.counters.invalid++
 	g.respond(stream, gateway.Response{Status: statusBadRequest, Body: []byte(err.Error() + "\n")})
 }
 
-// rejectEarly rejects a request that the module does not hear of.
+// rejectEarly rejects a request that is not reported to the module.
 func (s *Server) rejectEarly(g *gatewayConn, stream gateway.StreamID) {
 	s.counters.rejected++
-	g.respond(stream, rejection(s.site.Admission.MaxRetryAfter, false))
+	g.respond(stream, rejection(s.site.Admission.MaxRetryAfter, retryElsewhere))
 }
 
 // identify finds the attempt that this one is a retry of. It returns an error for a request ID that was used before,
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// admit has the module decide on an attempt.
+// admit opens an attempt and reports it to the module, which decides on it.
 func (s *Server) admit(attempt *attempt, request admission.Request, now time.Duration) {
 	attempt.id = s.attempts.nextID()
 	request.ID = attempt.id
@@ -105,6 +105,11 @@
 	s.module.events.Request(now, request)
 }
 
+// keyWindow is how long after the ReceivedAt of a run no attempt of its request must run again.
+func (s *Server) keyWindow(class int) time.Duration {
+	return s.site.Admission.Classes[class].KeyWindow + keyWindowSlack
+}
+
 // HashBody returns the hash of a body by which attempts with one idempotency key must agree.
 func (s *Server) HashBody(body []byte) uint64 {
 	if s.durable != nil {
@@ -113,8 +118,13 @@
 	return maphash.Bytes(s.bodyHashSeed, body)
 }
 
-// rejection returns an answer that says when to come back, where callers honour that, and whether to try no other
-// server.
+// Whether a rejection is final: callers that honour that send the request to no other server.
+const (
+	retryElsewhere = false
+	finalRejection = true
+)
+
+// rejection returns the answer to a rejected request, with the time after which callers may retry.
 func rejection(retryAfter time.Duration, isFinal bool) gateway.Response {
 	r := gateway.Response{Status: statusUnavailable}
 	if retryAfter > 0 {
@@ -149,13 +159,13 @@
 	attempt.conn.respond(attempt.stream, response)
 }
 
-// answerFailed answers an attempt of which it is not known whether it ran.
+// answerFailed answers an attempt with status 500: it may have run or not.
 func (s *Server) answerFailed(a *attempt) {
 	s.answer(a, gateway.Response{Status: statusInternalError})
 }
 
-// removeIfDone drops an attempt that is answered and does not run. Its key may be remembered for long, so it must not hold
-// on to the connection, the body and the route.
+// removeIfDone removes an attempt that is answered and not running. The idempotency table may refer to it for long, so
+// its references to the connection, the body and the route are cleared.
 func (s *Server) removeIfDone(a *attempt) {
 	if a.isAnswered && a.state != runInFlight {
 		s.attempts.remove(a)
--- a/server/runs.go
+++ b/server/runs.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// succeed ends a run that made a result.
+// succeed ends a run that has a result.
 func (s *Server) succeed(a *attempt, result gateway.Response) {
 	a.state, a.finishedAt = runSucceeded, s.clock.now
 	if a.HasKey {
@@ -47,26 +47,29 @@
 	s.endRun(a, admission.OK, result)
 }
 
-// failRun ends a run that made no result. The answer that may still be owed is a failure: whether anything was done is
-// not known.
+// failRun ends a run without a result. The attempt fails where it is not answered yet: the run may have had an effect.
 func (s *Server) failRun(a *attempt, outcome admission.Outcome) {
 	a.state = runFailed
 	s.answerFailed(a)
 	s.endRun(a, outcome, gateway.Response{})
 }
 
-// endRun tells the module how a run ended, and then answers the retries that waited for it.
+// endRun reports the end of a run to the module, and then answers the retries that waited for it.
 func (s *Server) endRun(a *attempt, outcome admission.Outcome, result gateway.Response) {
 	s.module.events.RunFinished(s.eventTime(), a.id, outcome)
 	waiters := a.waiters
 	a.waiters = nil
+	retryOutcome := admission.Failed
+	if a.state == runSucceeded {
+		retryOutcome = admission.OK
+	}
 	for _, retry := range waiters {
-		s.answerRetry(retry, a.state == runSucceeded, result)
+		s.answerRetry(retry, retryOutcome, result)
 	}
 	s.removeIfDone(a)
 }
 
-// releaseKey has the key of an attempt be free for the request that it belongs to: nothing ran.
+// releaseKey frees the key of an attempt that did not run, so that a retry may run.
 func (s *Server) releaseKey(a *attempt) {
 	s.keys.unclaim(a)
 	if a.HasKey && a.AtMostOnce && s.durable != nil {
@@ -77,20 +80,19 @@
 // replayResult answers a retry from the stored result of the original attempt.
 func (s *Server) replayResult(retry, original *attempt) {
 	if original == nil || !original.hasResult {
-		s.answerRetry(retry, false, gateway.Response{})
+		s.answerRetry(retry, admission.Failed, gateway.Response{})
 		return
 	}
-	s.answerRetry(retry, true, original.result)
+	s.answerRetry(retry, admission.OK, original.result)
 }
 
-// answerRetry answers a retry as the run of the original attempt ended.
-func (s *Server) answerRetry(retry *attempt, hasSucceeded bool, result gateway.Response) {
+// answerRetry answers a retry with the outcome of the original attempt: its result where that is admission.OK, and else
+// a failure.
+func (s *Server) answerRetry(retry *attempt, outcome admission.Outcome, result gateway.Response) {
 	if retry.isAnswered {
 		return
 	}
-	outcome := admission.Failed
-	if hasSucceeded {
-		outcome = admission.OK
+	if outcome == admission.OK {
 		s.counters.replayed++
 		s.answer(retry, result)
 	} else {
@@ -100,9 +102,9 @@
 	s.removeIfDone(retry)
 }
 
-// callRequested ends a request whose run came to a call of what lies below. Requests may make such calls at some sites,
-// but the platform does not say how a server makes one, so the run can't go on and its request is answered at once. A
-// request without an effect is rejected, for good: no other server could serve it either.
+// callRequested ends a request whose run wants to call a downstream service. Requests may do so at some sites, but the
+// platform does not specify how a server makes such a call, so the run can't go on and its request is answered at once.
+// A request without an effect gets a final rejection: no other server could serve it either.
 func (s *Server) callRequested(requestID string) {
 	attempt := s.attempts.byRequestID[requestID]
 	if attempt == nil || attempt.state != runInFlight {
@@ -110,12 +112,12 @@
 	}
 	s.counters.calls++
 	if attempt.isAnswered {
-		return // its run ends by itself
+		return // the end of the run is reported as any other
 	}
 	if attempt.AtMostOnce {
 		s.answerFailed(attempt)
 	} else {
-		s.answer(attempt, rejection(s.site.Admission.MaxRetryAfter, true))
+		s.answer(attempt, rejection(s.site.Admission.MaxRetryAfter, finalRejection))
 	}
 	s.module.events.Cancel(s.eventTime(), attempt.id)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -2,8 +2,8 @@
 // gateways, has a backend run them, and answers as the module decides.
 //
 // One goroutine, the event loop's, owns all state. In each round the loop reads what is ready; the server reports it
-// to the module in order, lets the module settle once, and the loop then writes what came of it. Methods that other
-// goroutines may call say so; they hand their work to the loop.
+// to the module in order, lets the module settle once, and the loop then writes the answers and commands. Methods that
+// other goroutines may call say so; they post their work to the loop.
 //
 // The server is complete with a RequestParser and a Backend. New brings those of the catalogue server, which runs
 // requests in the platform's interpreter; internal/router brings others, which pass requests to pools of servers.
@@ -36,9 +36,9 @@
 // The process's memory limit divided by these is what each kind of data may take.
 const (
 	resultMemoryDivisor    = 8  // results kept for retries
-	requestMemoryDivisor   = 8  // requests that are not answered
+	requestMemoryDivisor   = 8  // unanswered requests
 	outputMemoryDivisor    = 8  // answers that gateways have not read
-	recentIDsMemoryDivisor = 32 // request IDs seen lately
+	recentIDsMemoryDivisor = 32 // recent request IDs
 )
 
 // The limits of one gateway connection; requests of the platform's gateways are far smaller.
@@ -54,8 +54,18 @@
 // Config is the configuration of a server.
 type Config = config.Config
 
-// Server is one catalogue server. Its fields belong to the loop's goroutine; the state of each concern is kept in a
-// type of its own.
+// Server is one catalogue server. All fields belong to the loop's goroutine. Each part of the state has an owner:
+//
+//   - connTable: the gateways' connections, their timeouts and evictions
+//   - attemptTable: the open attempts and the recent request IDs
+//   - idempotencyTable: which attempt holds a key, what was run under it, and the results kept for retries
+//   - moduleState: the decision module, and the events that wait to be reported to it
+//   - healthState and loadState: what the module last set for health checks and load feedback, and the load reports
+//   - durability: intents and results that survive a restart
+//   - captureState: the recording of events and decisions
+//
+// Server itself takes a request from one part to the next: requests.go from its arrival to the module, actions.go from
+// the module's decision to the backend, runs.go from the end of a run to the answer.
 type Server struct {
 	cfg      *config.Config
 	site     *settings.Site
@@ -79,13 +89,13 @@
 	capture      captureState
 
 	isDraining bool
-	// maxDeadline is the longest deadline of a class: so long may an attempt be under way.
+	// maxDeadline is the longest deadline of a class, and so the longest time that an attempt may take.
 	maxDeadline   time.Duration
 	counters      counters
 	classCounters []classCounters // by the index of the class
 }
 
-// Parts are what a server of one kind consists of beside the core.
+// Parts are what differs between kinds of servers.
 type Parts struct {
 	// Limits are those of a gateway connection.
 	Limits fastcgi.Limits
@@ -98,7 +108,7 @@
 	return NewOnSystem(eventloop.Kernel{}, cfg, log)
 }
 
-// NewOnSystem is New on a system that need not be the machine's.
+// NewOnSystem is New with another system than the machine's, such as a simulated one.
 func NewOnSystem(system eventloop.System, cfg *Config, log *zap.Logger) (*Server, error) {
 	limits := fastcgi.Limits{
 		OpenRequests: MaxOpenRequests,
@@ -106,9 +116,9 @@
 		BodyBytes:    maxBodyBytes,
 		TotalBytes:   RequestMemory(cfg.Limits.MemoryMB),
 	}
-	return NewWithParts(system, cfg, log, Parts{Limits: limits, New: func(s *Server) (RequestParser, Backend) {
-		backend := &interpreterBackend{server: s}
-		return newCatalogueParser(s, backend), backend
+	return NewWithParts(system, cfg, log, Parts{Limits: limits, New: func(server *Server) (RequestParser, Backend) {
+		backend := &interpreterBackend{server: server}
+		return newCatalogueParser(server, backend), backend
 	}})
 }
 
@@ -147,7 +157,7 @@
 	return server, nil
 }
 
-// open opens what a new server needs of the system. The caller closes the server after an error.
+// open opens the sockets and files of a new server. The caller closes the server after an error.
 func (s *Server) open(system eventloop.System) error {
 	if err := s.load.connect(system, s.cfg); err != nil {
 		return err
@@ -160,9 +170,8 @@
 	return s.openCapture()
 }
 
-// validateSettings returns what is wrong with settings that were read but that the module can't work with, which is
-// found at the start and not when the backend comes up. Any dependency is accepted, though no call to it can be made:
-// see callRequested.
+// validateSettings returns an error for settings with which the module can't work, so that they are found at the start
+// and not when the backend comes up. Any dependency is accepted, though no call to it can be made: see callRequested.
 func validateSettings(cfg *Config) error {
 	if _, err := admission.New(cfg.Settings.Admission, nil); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
@@ -170,10 +179,10 @@
 	return nil
 }
 
-// RequestMemory is how many bytes requests that are not answered may take of a process's memory.
+// RequestMemory is how many bytes of a process's memory unanswered requests may use.
 func RequestMemory(memoryMB int) int { return megabytes(memoryMB) / requestMemoryDivisor }
 
-// megabytes is the number of bytes in so many megabytes.
+// megabytes returns the number of bytes in n megabytes.
 func megabytes(n int) int { return n << 20 }
 
 // indexByName returns the index of each name.
@@ -185,7 +194,7 @@
 	return m
 }
 
-// Run serves until the server has drained after Drain.
+// Run serves until a drain has ended, which Drain starts.
 func (s *Server) Run() error {
 	defer s.Close()
 	s.isConnected = true
@@ -195,7 +204,7 @@
 	s.log.Info("listening", zap.String("name", s.cfg.Name), zap.Stringer("address", s.cfg.Listen))
 	err := s.loop.Run(s.settle)
 	s.closeCapture()
-	s.logCounters(atExit)
+	s.logCounters(reasonExit)
 	if s.durable != nil {
 		s.durable.close()
 	}
@@ -221,10 +230,10 @@
 func (s *Server) Drain() { s.loop.Post(s.drain) }
 
 // LogCounters logs the counters; any goroutine may call it.
-func (s *Server) LogCounters() { s.loop.Post(func() { s.logCounters(onRequest) }) }
+func (s *Server) LogCounters() { s.loop.Post(func() { s.logCounters(reasonSignal) }) }
 
-// Post has the loop's goroutine call a function in its next round; any goroutine may call it. After the end of Run
-// nothing is called.
+// Post calls a function on the loop's goroutine in its next round; any goroutine may call Post. After the end of Run
+// the function is not called.
 func (s *Server) Post(fn func()) { s.loop.Post(fn) }
 
 // expireKeys removes expired idempotency keys, and runs the maintenance of durable results.
