--- a/cmd/catalogue-router/args.go
+++ b/cmd/catalogue-router/args.go
@@ -38,7 +38,7 @@
 Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or routes.
 `
 
-// The defaults of the flags, and the least that a router works with.
+// The defaults and lower bounds of the flags.
 const (
 	defaultListen      = "127.0.0.1:4100"
 	defaultName        = "router"
@@ -50,14 +50,14 @@
 	minStopTimeout     = time.Second
 )
 
-// options are what the command line says.
+// options are the parsed command line.
 type options struct {
 	router      router.Config
 	routesFile  string
 	metricsAddr string // empty means no metrics
 }
 
-// parseArgs reads the command line and the files that it names. It returns flag.ErrHelp where help is asked for.
+// parseArgs reads the command line and the files that it names. It returns flag.ErrHelp where --help is given.
 func parseArgs(args []string) (*options, error) {
 	parsed := &options{}
 	flags := flag.NewFlagSet("catalogue-server route", flag.ContinueOnError)
@@ -84,7 +84,7 @@
 	return parsed, nil
 }
 
-// check returns what is wrong with the flags.
+// check returns an error for flags that are missing or out of bounds.
 func (o *options) check(flags *flag.FlagSet) error {
 	cfg := &o.router
 	switch {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// load reads the address, and the files that the flags name.
+// load parses the address, and reads the files that the flags name.
 func (o *options) load(listen, settings, captureDirectory string) (err error) {
 	if o.router.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("arguments: --listen %s: want an IP address and a port", listen)
--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -1,4 +1,5 @@
-// Command catalogue-router routes requests of gateways to pools; catalogue-server route starts it.
+// Command catalogue-router is a reverse proxy from gateways to pools of FastCGI and SCGI servers. The command
+// catalogue-server route starts it.
 package main
 
 import (
@@ -17,6 +18,9 @@
 	"tillerusher/internal/router"
 )
 
+// routerCores is how many cores the router uses: its event loop is one goroutine.
+const routerCores = 1
+
 func main() { os.Exit(run(os.Args[1:], os.Stderr)) }
 
 // run runs a router and returns the exit status. SIGTERM or SIGINT drains it, SIGHUP has its routes read again and
@@ -39,7 +43,7 @@
 		fmt.Fprintln(stderr, err)
 		return cli.ExitUsage
 	}
-	cli.TuneRuntime(config.Limits{Cores: 1, MemoryMB: options.router.MemoryMB})
+	cli.TuneRuntime(config.Limits{Cores: routerCores, MemoryMB: options.router.MemoryMB})
 	go reloadOnSignal(server, signals, options.routesFile, log)
 	return cli.Run(server, signals, stderr)
 }
@@ -59,7 +63,7 @@
 	return created, nil
 }
 
-// reloadOnSignal reads the routes again whenever it is told to.
+// reloadOnSignal reads the routes again on each SIGHUP.
 func reloadOnSignal(r *router.Router, signals cli.Signals, file string, log *zap.Logger) {
 	for range signals.Reload {
 		routes, err := routeconfig.Load(file)
--- a/cmd/catalogue-server-durable/main.go
+++ b/cmd/catalogue-server-durable/main.go
@@ -1,5 +1,5 @@
-// Command catalogue-server-durable is one catalogue server that keeps state over restarts; catalogue-server serve
-// --state DIR starts it in its place, so that the program on machines without a disk stays small.
+// Command catalogue-server-durable is a catalogue server that keeps state over restarts. The command catalogue-server
+// serve --state DIR replaces itself with it, so that the program for machines without a disk stays small.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"tillerusher/server"
 )
 
-// machineID names this machine: run times measured on one say nothing of another.
+// machineID identifies this machine, since run times measured on one do not apply to another.
 func machineID() string {
 	id, err := os.ReadFile("/etc/machine-id")
 	if err != nil || len(id) == 0 {
--- a/cmd/catalogue-server/bad_input_test.go
+++ b/cmd/catalogue-server/bad_input_test.go
@@ -10,10 +10,10 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestBadInput answers what can be answered, closes only broken connections, and counts both.
-func TestBadInput(t *testing.T) {
-	n := startServer(t, finishImmediately)
-	g := servertest.Dial(t, n.Addr)
+// TestInvalidRequests has invalid requests answered, and connections closed only after protocol errors; both are counted.
+func TestInvalidRequests(t *testing.T) {
+	server := startServer(t, finishImmediately)
+	g := servertest.Dial(t, server.Addr)
 	good := fake.NewReserve(1, "x")
 	for what, c := range map[string]struct {
 		r      fake.Request
@@ -52,43 +52,43 @@
 	if a := g.WaitResponse(1); a.Status != 400 || string(a.Body) != `field Account is "`+strings.Repeat("a", 40)+"\"\n" {
 		t.Errorf("the answer does not name the field: %+v", a)
 	}
-	broken := servertest.Dial(t, n.Addr)
+	broken := servertest.Dial(t, server.Addr)
 	broken.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	broken.WaitClosed()
 	g.Write(good.WithHeader("Sent-By", "4294967296").Encode(2)) // the number of a gateway has no limit
 	if a := g.WaitResponse(2); a.Status != 200 {
 		t.Errorf("answer after all that %+v", a)
 	}
-	n.WaitCounter("invalid", 23)
-	n.WaitCounter("too_large", 1)
-	n.WaitCounter("protocol_errors", 1)
+	server.WaitCounter("invalid", 23)
+	server.WaitCounter("too_large", 1)
+	server.WaitCounter("protocol_errors", 1)
 }
 
-// TestTooMany opens too many requests on a connection: those over its limit get the protocol's own answer.
-func TestTooMany(t *testing.T) {
-	n := startServer(t, nil)
-	g := servertest.Dial(t, n.Addr)
+// TestTooManyRequests opens too many requests on a connection: those over its limit get the protocol's own answer.
+func TestTooManyRequests(t *testing.T) {
+	server := startServer(t, nil)
+	g := servertest.Dial(t, server.Addr)
 	for id := range uint16(33) {
 		g.Write(fake.NewLookup("").Encode(id + 1))
 	}
 	if a := g.WaitResponse(33); a.ProtocolStatus != 2 || a.Status != 0 {
 		t.Errorf("answer %+v", a)
 	}
-	n.WaitCounter("too_many", 1)
+	server.WaitCounter("too_many", 1)
 }
 
 // TestAbort ends a request that its gateway aborted, once.
 func TestAbort(t *testing.T) {
-	n := startServer(t, nil)
-	g := servertest.Dial(t, n.Addr)
+	server := startServer(t, nil)
+	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1))
-	run := n.WaitRuns(1)[0].ID
+	run := server.WaitRuns(1)[0].ID
 	g.Write(fake.EncodeRecord(fake.AbortRequest, 1, nil, 0))
 	if a := g.WaitResponse(1); a.Status != 500 {
 		t.Errorf("answer %+v", a)
 	}
-	n.EndRun(run, "OK", []byte("unwanted"))
-	n.WaitCounter("running", 0)
+	server.EndRun(run, "OK", []byte("unwanted"))
+	server.WaitCounter("running", 0)
 	g.Write(fake.NewHealthCheck(false).Encode(2))
 	if a := g.WaitResponse(0); a.ID != 2 {
 		t.Errorf("second answer %+v", a)
--- a/cmd/catalogue-server/capture_test.go
+++ b/cmd/catalogue-server/capture_test.go
@@ -34,31 +34,31 @@
 // replays that.
 func TestCapture(t *testing.T) {
 	dir := t.TempDir()
-	it := servertest.NewInterpreter(t)
-	n := servertest.Start(t, program+" serve --capture "+dir, it, nil)
-	n.WaitHealthy()
-	g := servertest.Dial(t, n.Addr)
+	interpreter := servertest.NewInterpreter(t)
+	server := servertest.Start(t, program+" serve --capture "+dir, interpreter, nil)
+	server.WaitHealthy()
+	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewReserve(1, "x").Encode(2))
-	runs := n.WaitRuns(2)
+	runs := server.WaitRuns(2)
 	g.Write(fake.NewReserve(1, "x").Encode(3))
-	it.CutLink()
+	interpreter.CutLink()
 	for _, run := range runs {
-		it.EndRun(run.ID, "OK", []byte("y"))
+		interpreter.EndRun(run.ID, "OK", []byte("y"))
 	}
 	for id := range uint16(3) {
 		if a := g.WaitResponse(id + 1); a.Status != 200 {
 			t.Errorf("answer %+v", a)
 		}
 	}
-	n.Signal(syscall.SIGHUP)
-	n.WaitCounter("reloads", 1)
+	server.Signal(syscall.SIGHUP)
+	server.WaitCounter("reloads", 1)
 	g.Write(fake.NewLookup("").Encode(1))
-	n.WaitRuns(3)
-	n.Signal(syscall.SIGTERM)
+	server.WaitRuns(3)
+	server.Signal(syscall.SIGTERM)
 	if a := g.WaitResponse(1); a.Status != 500 && a.Status != 503 {
 		t.Errorf("answer in the drain %+v", a)
 	}
-	if code := n.WaitExit(); code != 0 {
+	if code := server.WaitExit(); code != 0 {
 		t.Errorf("exit status %d", code)
 	}
 	r := replayCapture(t, dir)
@@ -80,19 +80,19 @@
 			t.Errorf("no note of %q in %q", want, notes)
 		}
 	}
-	if !strings.Contains(n.Log(), `"msg":"capture"`) {
+	if !strings.Contains(server.Log(), `"msg":"capture"`) {
 		t.Error("the recording's counters were not logged")
 	}
 }
 
 // TestArguments has wrong arguments reported in one line.
 func TestArguments(t *testing.T) {
-	it := servertest.NewInterpreter(t)
+	interpreter := servertest.NewInterpreter(t)
 	for args, want := range map[string]string{"sreve": "want serve", "--sepia": "not defined",
 		"--settings /nowhere": "/nowhere", "--capture /dev/null/x": "capture:"} {
-		n := servertest.Start(t, program+" "+args, it, nil)
-		if code := n.WaitExit(); code != 2 || !strings.Contains(n.Log(), want) || strings.Count(n.Log(), "\n") != 1 {
-			t.Errorf("%s: exit status %d, log %q", args, code, n.Log())
+		server := servertest.Start(t, program+" "+args, interpreter, nil)
+		if code := server.WaitExit(); code != 2 || !strings.Contains(server.Log(), want) || strings.Count(server.Log(), "\n") != 1 {
+			t.Errorf("%s: exit status %d, log %q", args, code, server.Log())
 		}
 	}
 }
--- a/cmd/catalogue-server/kill_test.go
+++ b/cmd/catalogue-server/kill_test.go
@@ -18,38 +18,38 @@
 // kills is how often TestKills kills a server; docs/design/capture.md has the figures of 200.
 var kills = flag.Int("kills", 4, "how often TestKills kills a server")
 
-// maxKills is how often TestKills kills a server at the most, until one left a record: early kills leave none.
+// maxKills bounds the kills of TestKills, which goes on until one leaves a record: early kills leave none.
 const maxKills = 50
 
-// TestKills kills recording servers with SIGKILL at random points of a load: each capture is read up to its last whole
+// TestKills kills recording servers with SIGKILL at random points of a load: each capture is read up to its last complete
 // block, a start in the same directory overwrites nothing, and the replay makes the same decisions.
 func TestKills(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 0))
 	dir := t.TempDir()
-	it := servertest.NewInterpreter(t)
-	it.FinishImmediately()
+	interpreter := servertest.NewInterpreter(t)
+	interpreter.FinishImmediately()
 	records, torn, unanswered, killedEarly := uint64(0), 0, 0, 0
 	kill := 0
 	for ; kill < *kills || records == 0 && kill < maxKills; kill++ {
-		n := servertest.Start(t, program+" serve --capture "+dir, it, nil)
-		n.WaitHealthy()
+		server := servertest.Start(t, program+" serve --capture "+dir, interpreter, nil)
+		server.WaitHealthy()
 		var answers atomic.Int64
-		most := rng.Int64N(3000) // answers before the kill
+		killAfter := rng.Int64N(3000) // answers before the kill
 		ended := make(chan bool)
 		go func() {
 			defer close(ended)
-			sendContinuously(n.Addr, &answers)
+			sendContinuously(server.Addr, &answers)
 		}()
-		servertest.WaitFor(t, "answers", func() bool { return answers.Load() >= most })
-		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // anywhere between two of them
-		n.Signal(syscall.SIGKILL)
-		n.WaitExit()
+		servertest.WaitFor(t, "answers", func() bool { return answers.Load() >= killAfter })
+		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // at a random time between two answers
+		server.Signal(syscall.SIGKILL)
+		server.WaitExit()
 		<-ended
 		segments, bad, err := capture.Open(dir)
 		if records == 0 && len(segments) == 0 && (err == nil || errors.Is(err, capture.ErrNotCapture)) {
-			killedEarly++ // before a segment could be written whole up to its first state: nothing can be read yet
+			killedEarly++ // before the first state of a segment was written: nothing can be read yet
 			continue
 		}
 		if err != nil {
--- a/cmd/catalogue-server/main.go
+++ b/cmd/catalogue-server/main.go
@@ -1,4 +1,5 @@
-// Command catalogue-server is one catalogue server.
+// Command catalogue-server is the catalogue server. With --state or route it replaces itself with
+// catalogue-server-durable or catalogue-router.
 package main
 
 import (
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -17,14 +17,16 @@
 	"tillerusher/internal/servertest"
 )
 
-// program starts the built command by the line of the deploy file, which the tests start as the platform does.
+// program is the shell command of the deploy file, with the path of the built binary: tests start it as the platform
+// does.
 var program string
 
-// kit is cataloguectl, which runs servers with faulty disks.
+// kit is the path of cataloguectl, which runs servers with faulty disks.
 var kit string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
+// run builds the programs, runs the tests and returns the exit status.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "tillerusher")
 	if err != nil {
@@ -52,28 +54,28 @@
 	return m.Run()
 }
 
-// startServer starts a server whose interpreter is up, and waits until it serves.
-func startServer(t *testing.T, prepare func(it *servertest.Interpreter)) *servertest.Server {
+// startServer starts a server whose interpreter is up, and waits until it is healthy.
+func startServer(t *testing.T, prepare func(interpreter *servertest.Interpreter)) *servertest.Server {
 	t.Helper()
-	it := servertest.NewInterpreter(t)
+	interpreter := servertest.NewInterpreter(t)
 	if prepare != nil {
-		prepare(it)
+		prepare(interpreter)
 	}
-	n := servertest.Start(t, program, it, nil)
-	n.WaitHealthy()
-	return n
+	server := servertest.Start(t, program, interpreter, nil)
+	server.WaitHealthy()
+	return server
 }
 
 // finishImmediately has an interpreter finish its runs at once.
 func finishImmediately(it *servertest.Interpreter) { it.FinishImmediately() }
 
-// TestServe has requests of both classes served, with any bytes, and looks at what is sent along.
+// TestServe has requests of both classes served, with any bytes, and checks the headers that are sent along.
 func TestServe(t *testing.T) {
-	n := startServer(t, finishImmediately)
-	if got := n.WaitReport(); got != "announce n3 true" {
+	server := startServer(t, finishImmediately)
+	if got := server.WaitReport(); got != "announce n3 true" {
 		t.Errorf("report %q", got)
 	}
-	g := servertest.Dial(t, n.Addr)
+	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("a\x00\xff").Encode(1), fake.NewReserve(1, "").Encode(2))
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "[a\x00\xff]" {
 		t.Errorf("answer %+v", a)
@@ -81,7 +83,7 @@
 	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "[]" {
 		t.Errorf("answer %+v", a)
 	}
-	for _, run := range n.StartedRuns() {
+	for _, run := range server.StartedRuns() {
 		if run.Class == "part-lookup" && string(run.Body) != "a\x00\xff" {
 			t.Errorf("the body reached the interpreter as %q", run.Body)
 		}
@@ -98,36 +100,35 @@
 			t.Errorf("answer without the hint %+v", a)
 		}
 	}
-	if got := n.WaitReport(); got != "announce n3 true" {
+	if got := server.WaitReport(); got != "announce n3 true" {
 		t.Errorf("second report %q", got)
 	}
 }
 
-// TestClassesAreCounted has one request of a class served and one of another rejected: the counters of each class show
-// it, and why.
-func TestClassesAreCounted(t *testing.T) {
-	n := startServer(t, func(it *servertest.Interpreter) { it.SetUtilization(1) })
-	g := servertest.Dial(t, n.Addr)
+// TestClassCounters has one request of a class served and one of another rejected: the counters of each class show it.
+func TestClassCounters(t *testing.T) {
+	server := startServer(t, func(interpreter *servertest.Interpreter) { interpreter.SetUtilization(1) })
+	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
-	runs := n.WaitRuns(2)
-	n.WaitGaugeReading()
+	runs := server.WaitRuns(2)
+	server.WaitGaugeReading()
 	old := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
 	g.Write(old.Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 {
 		t.Fatalf("answer %+v", a)
 	}
-	n.EndRun(runs[0].ID, "OK", []byte("a"))
+	server.EndRun(runs[0].ID, "OK", []byte("a"))
 	if a := g.WaitResponse(1); a.Status != 200 {
 		t.Fatalf("answer %+v", a)
 	}
 	type class struct{ Requests, Served, Rejected, Failed int }
 	var line struct{ Classes map[string]class }
 	servertest.WaitFor(t, "counters by class", func() bool {
-		n.Signal(syscall.SIGUSR1)
-		for _, text := range strings.Split(n.Log(), "\n") {
+		server.Signal(syscall.SIGUSR1)
+		for _, text := range strings.Split(server.Log(), "\n") {
 			if strings.Contains(text, `"msg":"classes"`) {
 				if err := json.Unmarshal([]byte(text), &line); err != nil {
-					return false // not written to its end
+					return false // the line is not complete yet
 				}
 			}
 		}
@@ -143,21 +144,21 @@
 
 // TestDeadline fails a request whose run does not end in time, counted from its arrival at the machine.
 func TestDeadline(t *testing.T) {
-	n := startServer(t, nil)
-	g := servertest.Dial(t, n.Addr)
-	const unread = 3300 * time.Millisecond // of 3.7 s
+	server := startServer(t, nil)
+	g := servertest.Dial(t, server.Addr)
+	const queueingDelay = 3300 * time.Millisecond // of 3.7 s
 	sent := time.Now()
-	arrived := sent.Add(-unread)
+	arrived := sent.Add(-queueingDelay)
 	g.Write(fake.NewLookup("").WithHeader("Received-At", strconv.FormatInt(arrived.UnixMilli(), 10)).Encode(1))
 	a := g.WaitResponse(1)
 	if a.Status != 500 && a.Status != 503 {
 		t.Errorf("answer %+v", a)
 	}
-	if took := time.Since(sent); took >= unread { // 0.4 s, or 3.7 s if the time unread did not count
+	if took := time.Since(sent); took >= queueingDelay { // 0.4 s, or 3.7 s if the queueing delay did not count
 		t.Errorf("answered %v after it was sent", took)
 	}
 	// The run is stopped, and its end is no second answer.
-	n.WaitCounter("running", 0)
+	server.WaitCounter("running", 0)
 	g.Write(fake.NewHealthCheck(false).Encode(2))
 	if a := g.WaitResponse(0); a.ID != 2 {
 		t.Errorf("second answer %+v", a)
@@ -184,8 +185,8 @@
 		"address already in ": nil,
 	} {
 		if change == nil {
-			it := servertest.NewInterpreter(t)
-			first := servertest.Start(t, program, it, nil)
+			interpreter := servertest.NewInterpreter(t)
+			first := servertest.Start(t, program, interpreter, nil)
 			first.WaitHealthy()
 			cmd := exec.Command("/bin/sh", "-c", program)
 			cmd.Env = append(os.Environ(), "RELAY_CONFIG="+first.ConfigPath, "RELAY_LISTEN="+first.Addr)
@@ -195,9 +196,9 @@
 			}
 			continue
 		}
-		n := servertest.Start(t, program, servertest.NewInterpreter(t), change)
-		status := n.WaitExit()
-		if log := n.Log(); status == 0 || !strings.Contains(log, field) || strings.Count(log, "\n") != 1 {
+		server := servertest.Start(t, program, servertest.NewInterpreter(t), change)
+		status := server.WaitExit()
+		if log := server.Log(); status == 0 || !strings.Contains(log, field) || strings.Count(log, "\n") != 1 {
 			t.Errorf("%s: exit status %d, output %q", field, status, log)
 		}
 	}
--- a/cmd/catalogue-server/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -22,9 +22,9 @@
 
 // keyedLoad sends requests with an idempotency key, most of them for few keys, and records them with the checker.
 type keyedLoad struct {
-	observer *invariant.Checker
-	rng      *rand.Rand
-	keys     int // that there are so far
+	checker *invariant.Checker
+	rng     *rand.Rand
+	keys    int // used so far
 
 	mu     sync.Mutex
 	counts map[invariant.Outcome]int
@@ -46,7 +46,7 @@
 	return r, invariant.Attempt{ID: r.ID(), Key: r.Headers["Once-Key"], AtMostOnce: true, ExpectedBody: "[" + body + "]", Received: now, Deadline: now.Add(fake.ReserveDeadline + 5*time.Second)}
 }
 
-// load keeps so many attempts open on one connection until it ends, and returns how many were answered.
+// load keeps 16 attempts open on one connection until that ends, and calls answered for each answer.
 func (s *keyedLoad) load(t *testing.T, addr string, answered func()) {
 	g, err := fake.Dial(addr)
 	if err != nil {
@@ -58,7 +58,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		r, sent := s.next()
-		s.observer.RecordSent(sent)
+		s.checker.RecordSent(sent)
 		open[stream] = sent.ID
 		return g.Write(r.Encode(stream)) == nil
 	}
@@ -66,7 +66,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, id := range open {
-			s.observer.RecordLost(id)
+			s.checker.RecordLost(id)
 			s.killed++
 		}
 	}()
@@ -89,7 +89,7 @@
 		}
 		s.mu.Lock()
 		s.counts[kind]++
-		s.observer.RecordAnswer(open[a.ID], kind, string(a.Body), time.Now())
+		s.checker.RecordAnswer(open[a.ID], kind, string(a.Body), time.Now())
 		delete(open, a.ID)
 		s.mu.Unlock()
 		answered()
@@ -106,86 +106,86 @@
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	dir := t.TempDir()
-	it := servertest.NewInterpreter(t)
-	it.FinishImmediately()
-	s := &keyedLoad{observer: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Outcome]int{}}
-	it.OnRun(func(a fake.RunCommand) { s.observer.RecordRun(a.ID) })
+	interpreter := servertest.NewInterpreter(t)
+	interpreter.FinishImmediately()
+	load := &keyedLoad{checker: invariant.New(fake.IdempotencyWindow), rng: rand.New(rand.NewPCG(seed, 0)), counts: map[invariant.Outcome]int{}}
+	interpreter.OnRun(func(a fake.RunCommand) { load.checker.RecordRun(a.ID) })
 	recovered := 0
 	for range *stateKills {
-		n := servertest.Start(t, program+" serve --state "+dir, it, nil)
-		n.WaitHealthy()
-		most, answers := s.rng.IntN(400), make(chan bool, 1<<16)
+		server := servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
+		server.WaitHealthy()
+		killAfter, answers := load.rng.IntN(400), make(chan bool, 1<<16)
 		ended := make(chan bool)
 		go func() {
 			defer close(ended)
-			s.load(t, n.Addr, func() { answers <- true })
+			load.load(t, server.Addr, func() { answers <- true })
 		}()
-		servertest.WaitFor(t, "answers", func() bool { return len(answers) >= most })
+		servertest.WaitFor(t, "answers", func() bool { return len(answers) >= killAfter })
 		time.Sleep(time.Duration(rand.IntN(2000)) * time.Microsecond) // anywhere between two of them
-		n.Signal(syscall.SIGKILL)
-		n.WaitExit()
+		server.Signal(syscall.SIGKILL)
+		server.WaitExit()
 		<-ended
-		if line := n.Log(); strings.Contains(line, "state read") && !strings.Contains(line, "\"recovered\":0") {
+		if line := server.Log(); strings.Contains(line, "state read") && !strings.Contains(line, "\"recovered\":0") {
 			recovered++
 		}
 	}
-	if b := s.observer.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
+	if b := load.checker.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
 		t.Errorf("%d rules were broken, the first: %s", len(b), b[0])
 	}
-	t.Logf("%d kills: %d slips, %d served, %d refused, %d failed, %d open at a kill; %d starts found state", *stateKills, s.keys,
-		s.counts[invariant.Served], s.counts[invariant.Rejected], s.counts[invariant.Failed], s.killed, recovered)
-	if s.counts[invariant.Served] == 0 || recovered < *stateKills/2 {
+	t.Logf("%d kills: %d slips, %d served, %d refused, %d failed, %d open at a kill; %d starts found state", *stateKills, load.keys,
+		load.counts[invariant.Served], load.counts[invariant.Rejected], load.counts[invariant.Failed], load.killed, recovered)
+	if load.counts[invariant.Served] == 0 || recovered < *stateKills/2 {
 		t.Error("nothing was served, or no start found state")
 	}
 }
 
-// TestStateRestart has a retry get the stored answer after an orderly restart and after a kill, one whose run had no
-// end fail, and one whose request never arrived run.
+// TestStateRestart has a retry get the stored answer after an orderly restart and after a kill, one whose run had
+// not finished fail, and one that never arrived before run.
 func TestStateRestart(t *testing.T) {
 	dir := t.TempDir()
-	it := servertest.NewInterpreter(t)
-	ask := func(n *servertest.Server, number int) fake.Response {
-		g := servertest.Dial(t, n.Addr)
+	interpreter := servertest.NewInterpreter(t)
+	ask := func(server *servertest.Server, number int) fake.Response {
+		g := servertest.Dial(t, server.Addr)
 		g.Write(fake.NewReserve(number, "b").Encode(1))
 		return g.WaitResponse(1)
 	}
-	n := servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitHealthy()
-	g := servertest.Dial(t, n.Addr)
+	server := servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
+	server.WaitHealthy()
+	g := servertest.Dial(t, server.Addr)
 	first, second := fake.NewReserve(1, "b"), fake.NewReserve(2, "b")
 	g.Write(first.Encode(1), second.Encode(2))
-	it.WaitRuns(2)
-	it.EndRun(first.ID(), "OK", []byte("one"))
+	interpreter.WaitRuns(2)
+	interpreter.EndRun(first.ID(), "OK", []byte("one"))
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Fatalf("answer %+v", a)
 	}
 	servertest.WaitFor(t, "the result on the disk", func() bool {
-		n.Signal(syscall.SIGUSR1)
-		return strings.Contains(n.Log(), "\"results_kept\":1")
+		server.Signal(syscall.SIGUSR1)
+		return strings.Contains(server.Log(), "\"results_kept\":1")
 	})
-	n.Signal(syscall.SIGKILL)
-	n.WaitExit()
-	it.EndRun(second.ID(), "OK", []byte("two")) // nobody hears of it
-	it.FinishImmediately()
-	n = servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitHealthy()
-	if a := ask(n, 1); a.Status != 200 || string(a.Body) != "one" {
+	server.Signal(syscall.SIGKILL)
+	server.WaitExit()
+	interpreter.EndRun(second.ID(), "OK", []byte("two")) // no server reads the notice
+	interpreter.FinishImmediately()
+	server = servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
+	server.WaitHealthy()
+	if a := ask(server, 1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("a repeat of what finished: %+v", a)
 	}
-	if a := ask(n, 2); a.Status != 500 {
+	if a := ask(server, 2); a.Status != 500 {
 		t.Errorf("a repeat of what may have run: %+v", a)
 	}
-	if a := ask(n, 3); a.Status != 200 || string(a.Body) != "[b]" {
+	if a := ask(server, 3); a.Status != 200 || string(a.Body) != "[b]" {
 		t.Errorf("one that never came: %+v", a)
 	}
-	n.Signal(syscall.SIGTERM)
-	if status := n.WaitExit(); status != 0 {
+	server.Signal(syscall.SIGTERM)
+	if status := server.WaitExit(); status != 0 {
 		t.Errorf("status %d after the drain", status)
 	}
-	n = servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitHealthy()
-	if a := ask(n, 3); a.Status != 200 || string(a.Body) != "[b]" || len(it.StartedRuns()) != 3 {
-		t.Errorf("a repeat after a drain: %+v, %d runs", a, len(it.StartedRuns()))
+	server = servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
+	server.WaitHealthy()
+	if a := ask(server, 3); a.Status != 200 || string(a.Body) != "[b]" || len(interpreter.StartedRuns()) != 3 {
+		t.Errorf("a repeat after a drain: %+v, %d runs", a, len(interpreter.StartedRuns()))
 	}
 }
 
@@ -193,11 +193,11 @@
 // key are rejected meanwhile, lookups served, and both served again without help.
 func TestStateFullDisk(t *testing.T) {
 	full := filepath.Join(t.TempDir(), "full")
-	it := servertest.NewInterpreter(t)
-	it.FinishImmediately()
-	n := servertest.Start(t, "exec "+kit+" state serve --dir "+t.TempDir()+" --full-while "+full, it, nil)
-	n.WaitHealthy()
-	g := servertest.Dial(t, n.Addr)
+	interpreter := servertest.NewInterpreter(t)
+	interpreter.FinishImmediately()
+	server := servertest.Start(t, "exec "+kit+" state serve --dir "+t.TempDir()+" --full-while "+full, interpreter, nil)
+	server.WaitHealthy()
+	g := servertest.Dial(t, server.Addr)
 	number := 0
 	ask := func() fake.Response {
 		number++
@@ -212,11 +212,11 @@
 			t.Fatal(err)
 		}
 		servertest.WaitFor(t, "the disk to be found full", func() bool { return ask().Status == 503 })
-		applied := len(it.StartedRuns())
+		runsBefore := len(interpreter.StartedRuns())
 		if a := ask(); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
 			t.Errorf("round %d: a keyed request with a full disk: %+v", round, a)
 		}
-		if len(it.StartedRuns()) != applied {
+		if len(interpreter.StartedRuns()) != runsBefore {
 			t.Error("a request that was refused ran")
 		}
 		g.Write(fake.NewLookup("x").Encode(2))
@@ -229,37 +229,37 @@
 		servertest.WaitFor(t, "the disk to be asked again", func() bool { return ask().Status == 200 })
 	}
 	for _, line := range []string{"state not written", "no space left on device", "state written again"} {
-		if !strings.Contains(n.Log(), line) {
+		if !strings.Contains(server.Log(), line) {
 			t.Errorf("the log lacks %q", line)
 		}
 	}
-	n.Signal(syscall.SIGTERM)
-	if status := n.WaitExit(); status != 0 {
+	server.Signal(syscall.SIGTERM)
+	if status := server.WaitExit(); status != 0 {
 		t.Errorf("status %d after the drain", status)
 	}
 }
 
-// TestStateRelease has a successor start while the process before it drains on the same directory: it waits, and
-// answers retries of what the drain finished.
-func TestStateRelease(t *testing.T) {
+// TestStateHandover starts a new process while the old one drains on the same directory: the new one waits, and answers
+// retries of what finished in the drain.
+func TestStateHandover(t *testing.T) {
 	dir := t.TempDir()
-	it := servertest.NewInterpreter(t)
-	old := servertest.Start(t, program+" serve --state "+dir, it, nil)
+	interpreter := servertest.NewInterpreter(t)
+	old := servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
 	old.WaitHealthy()
 	g := servertest.Dial(t, old.Addr)
 	r := fake.NewReserve(1, "b")
 	g.Write(r.Encode(1))
-	it.WaitRuns(1)
+	interpreter.WaitRuns(1)
 	old.Signal(syscall.SIGTERM)
-	successor := servertest.Start(t, program+" serve --state "+dir, it, nil)
+	successor := servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
 	servertest.WaitFor(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
-	third := servertest.Start(t, program+" serve --state "+dir, it, nil) // told to leave while it waits
+	third := servertest.Start(t, program+" serve --state "+dir, interpreter, nil) // gets SIGTERM while it waits
 	servertest.WaitFor(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the folder") })
 	third.Signal(syscall.SIGTERM)
 	if status := third.WaitExit(); status != 0 {
-		t.Errorf("told to leave while it waits: status %d", status)
+		t.Errorf("SIGTERM while it waits: status %d", status)
 	}
-	it.EndRun(r.ID(), "OK", []byte("one"))
+	interpreter.EndRun(r.ID(), "OK", []byte("one"))
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" {
 		t.Errorf("answer in the drain: %+v", a)
 	}
@@ -269,20 +269,20 @@
 	successor.WaitHealthy()
 	h := servertest.Dial(t, successor.Addr)
 	h.Write(fake.NewReserve(1, "b").Encode(1))
-	if a := h.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" || len(it.StartedRuns()) != 1 {
-		t.Errorf("a repeat at the successor: %+v, %d runs", a, len(it.StartedRuns()))
+	if a := h.WaitResponse(1); a.Status != 200 || string(a.Body) != "one" || len(interpreter.StartedRuns()) != 1 {
+		t.Errorf("a repeat at the successor: %+v, %d runs", a, len(interpreter.StartedRuns()))
 	}
 }
 
-// TestStateFolders has directories that belong to another server, or can't be used, reported in one line.
-func TestStateFolders(t *testing.T) {
+// TestStateDirectoryErrors has directories that belong to another server, or can't be used, reported in one line.
+func TestStateDirectoryErrors(t *testing.T) {
 	dir := t.TempDir()
-	it := servertest.NewInterpreter(t)
-	n := servertest.Start(t, program+" serve --state "+dir, it, nil)
-	n.WaitHealthy()
+	interpreter := servertest.NewInterpreter(t)
+	server := servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
+	server.WaitHealthy()
 	refused := func(name, text string) {
 		t.Helper()
-		m := servertest.StartWithConfigName(t, program+" serve --state "+dir, it, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
+		m := servertest.StartWithConfigName(t, program+" serve --state "+dir, interpreter, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
 		status := m.WaitExit()
 		lines := strings.Split(strings.TrimSpace(m.Log()), "\n")
 		if strings.Contains(lines[0], "waiting for the folder") {
@@ -293,7 +293,7 @@
 		}
 	}
 	refused("n3", "another process uses the folder")
-	n.Signal(syscall.SIGTERM)
-	n.WaitExit()
+	server.Signal(syscall.SIGTERM)
+	server.WaitExit()
 	refused("n4", "it is n3's, not n4's")
 }
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -38,14 +38,14 @@
 	routeCommand = "route"
 )
 
-// The programs that route and that keep state over restarts. They are programs of their own, so that the catalogue
-// server links no more than a machine without a disk wants.
+// The programs that route and that keep state over restarts. They are separate, so that the catalogue server does not
+// link the router and the store.
 const (
 	routerProgram  = "catalogue-router"
 	durableProgram = "catalogue-server-durable"
 )
 
-// execProgram replaces this process by another program, which lies beside this one. It returns only where it can't.
+// execProgram replaces this process by another program, from the directory of this one. It returns only on an error.
 func execProgram(program string, args []string, stderr io.Writer) int {
 	self, err := os.Executable()
 	if err == nil {
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -14,19 +14,19 @@
 	logQueueLines = 1024
 	// sameMessagePerSecond is how often a second the same message is logged.
 	sameMessagePerSecond = 10
-	// flushTimeout is how long the end of the log waits for its reader.
+	// flushTimeout is how long close waits until the queued lines are written.
 	flushTimeout = 100 * time.Millisecond
 )
 
-// asyncWriter hands lines to a goroutine of its own, so that a reader of the log that stands still never blocks the
-// event loop. Lines for which there is no room are dropped and counted.
+// asyncWriter passes lines to a goroutine of its own, so that a reader of the log that has stopped reading never blocks
+// the event loop. Lines that do not fit into the queue are dropped and counted.
 type asyncWriter struct {
 	lines      chan []byte
 	dropped    atomic.Uint64
 	stop, done chan struct{}
 }
 
-// newAsyncWriter returns a writer to another one.
+// newAsyncWriter returns a writer whose goroutine writes to another one.
 func newAsyncWriter(to io.Writer) *asyncWriter {
 	w := &asyncWriter{
 		lines: make(chan []byte, logQueueLines),
@@ -47,7 +47,7 @@
 	return len(p), nil
 }
 
-// run writes lines until it is stopped, and then those that wait.
+// run writes lines until it is stopped, and then those in the queue.
 func (w *asyncWriter) run(to io.Writer) {
 	defer close(w.done)
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-// close writes what waits, if the reader takes it in time.
+// close stops the goroutine once it has written the queue, or after flushTimeout.
 func (w *asyncWriter) close() {
 	close(w.stop)
 	select {
@@ -72,8 +72,8 @@
 	}
 }
 
-// NewLogger returns a logger that never blocks, and a function that writes out what waits and ends it; lines that come
-// later are lost.
+// NewLogger returns a logger that never blocks, and a function that writes out the queued lines and ends it; lines
+// logged after that are lost.
 func NewLogger(to io.Writer) (log *zap.Logger, flush func()) {
 	w := newAsyncWriter(to)
 	encoder := zap.NewProductionEncoderConfig()
--- a/internal/cli/log_test.go
+++ b/internal/cli/log_test.go
@@ -17,7 +17,7 @@
 	return len(p), nil
 }
 
-// TestLogNeverBlocks fills a log that nobody reads: neither its lines nor its end may hold up who writes them.
+// TestLogNeverBlocks fills a log that nobody reads: neither logging nor flushing may block.
 func TestLogNeverBlocks(t *testing.T) {
 	to := make(stuck)
 	defer close(to)
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -6,7 +6,7 @@
 )
 
 // LoadOperator reads the operators' own settings from a file, where one is named. A capture directory on the command
-// line takes the place of the one in the file.
+// line overrides the one in the file.
 func LoadOperator(file, captureDirectory string) (*config.OperatorConfig, error) {
 	operator := &config.OperatorConfig{}
 	if file != "" {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,15 +16,15 @@
 	"tillerusher/server"
 )
 
-// releaseSlack is how long the process before this one may take over its stop time to let go of the state directory.
+// releaseSlack is how much longer than its stop timeout the previous process may keep the state directory.
 const releaseSlack = 2 * time.Second
 
-// StateDirectory is where a server keeps what outlasts it.
+// StateDirectory is where a server keeps its state over restarts.
 type StateDirectory struct {
 	Path   string
 	Server string
-	Site   string // tells sites apart as far as idempotency keys go
-	OnWait func() // called once where another process uses the directory, which the opening waits for
+	Site   string // a fingerprint of the settings that idempotency keys depend on
+	OnWait func() // called once where opening has to wait for another process
 }
 
 // OpenStore opens a state directory. It waits while another process uses the directory, until the context ends.
@@ -36,13 +36,13 @@
 	return serve(args, getenv, stderr, nil)
 }
 
-// ServeDurable is Serve in the program that keeps state over restarts. At a release the process before this one still
-// drains and uses the directory: its end is waited for as long as it may take.
+// ServeDurable is Serve in the program that keeps state over restarts. During a release the previous process still
+// drains and uses the directory: this one waits for it, for its stop timeout and releaseSlack.
 func ServeDurable(args []string, getenv func(string) string, stderr io.Writer, open OpenStore) int {
 	return serve(args, getenv, stderr, open)
 }
 
-// serve is Serve; open is nil in the program that keeps no state.
+// serve implements Serve and ServeDurable; open is nil in the program that keeps no state.
 func serve(args []string, getenv func(string) string, stderr io.Writer, open OpenStore) int {
 	signals := CatchSignals()
 	if len(args) > 0 && args[0] == routeCommand {
@@ -78,7 +78,7 @@
 	return Run(created, signals, stderr)
 }
 
-// errStopped says that the process was told to end before it served anything.
+// errStopped is returned where a signal ended the process before it served.
 var errStopped = errors.New("stopped while waiting for the state directory")
 
 // newServer returns a server that listens. With a state configuration it keeps results over restarts.
@@ -104,7 +104,7 @@
 	return created, nil
 }
 
-// openStore opens the state directory. It returns errStopped where a signal ended the waiting.
+// openStore opens the state directory. It returns errStopped where a signal came while it waited.
 func openStore(cfg *server.Config, path string, open OpenStore, log *zap.Logger) (server.DurableStore, error) {
 	signalled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -125,7 +125,7 @@
 	return store, err
 }
 
-// reloadOnSignal reads the configuration again whenever it is told to, on a goroutine of its own, since reading a file
+// reloadOnSignal reads the configuration again on each SIGHUP. It runs on a goroutine of its own, since reading a file
 // may take long.
 func reloadOnSignal(s *server.Server, signals Signals, getenv func(string) string, operator *config.OperatorConfig, log *zap.Logger) {
 	for range signals.Reload {
--- a/internal/cli/signals.go
+++ b/internal/cli/signals.go
@@ -15,15 +15,15 @@
 	ExitUsage  = 2 // for wrong arguments, settings or configuration
 )
 
-// Signals are those that a server acts on. Each kind has a channel of its own, or many of one kind would push out
-// another. A signal that waits in its channel stands for those of its kind that follow.
+// Signals are the signals that a server handles. Each kind has a channel of its own, so that many of one kind can't
+// crowd out another. Signals of a kind that arrive while one is pending are merged with it.
 type Signals struct {
 	Drain       <-chan os.Signal // SIGTERM, SIGINT
 	Reload      <-chan os.Signal // SIGHUP
 	LogCounters <-chan os.Signal // SIGUSR1
 }
 
-// CatchSignals has the signals sent to channels. It has to be called before anything else: the default action of each
+// CatchSignals redirects the signals to channels. It has to be called before anything else: the default action of each
 // is the end of the process.
 func CatchSignals() Signals {
 	return Signals{
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics exports what a router does as Prometheus metrics, on a listener of its own: attempts, retries, retry
-// budgets and the states of members. Only the command that routes links it, and only its flag --metrics switches it on.
+// Package metrics exports the counters of a router and the state of its pools as Prometheus metrics, on a listener of
+// its own: attempts, retries, retry budgets and the states of members. Only catalogue-router links it, and only its flag
+// --metrics turns it on.
 package metrics
 
 import (
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -16,26 +16,26 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestMetrics has requests of a server that routes show in its metrics, by pool and member.
+// TestMetrics has requests to a router show in its metrics, by pool and member.
 func TestMetrics(t *testing.T) {
-	m, err := fake.NewMember("a")
+	member, err := fake.NewMember("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(m.Stop)
-	d, err := routeconfig.Parse("f", []byte("(class web (effect by-method)) (pool app (member "+m.Addr()+
+	t.Cleanup(member.Stop)
+	routes, err := routeconfig.Parse("f", []byte("(class web (effect by-method)) (pool app (member "+member.Addr()+
 		")) (server (listen 0.0.0.0:0) (location prefix / (pool app) (class web)))"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
-	s, err := router.New(&router.Config{Name: "r", Listen: at, StopTimeout: time.Second, MemoryMB: 64, Sockets: 256,
-		Routes: d, Seed: 1}, zap.NewNop())
+	proxy, err := router.New(&router.Config{Name: "r", Listen: at, StopTimeout: time.Second, MemoryMB: 64, Sockets: 256,
+		Routes: routes, Seed: 1}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- s.Run() }()
+	go func() { ended <- proxy.Run() }()
 	g := servertest.Dial(t, at.String())
 	for range 3 {
 		g.Write(fake.Request{Method: "GET", Path: "/x"}.Encode(1))
@@ -45,7 +45,7 @@
 	}
 	scrape := func() string {
 		w := httptest.NewRecorder()
-		Handler(s).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+		Handler(proxy).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 		text, err := io.ReadAll(w.Result().Body)
 		if err != nil {
 			t.Fatal(err)
@@ -53,13 +53,13 @@
 		return string(text)
 	}
 	text := scrape()
-	for _, want := range []string{`tillerusher_route_member_tries_total{member="` + m.Addr() + `",pool="app"} 3`,
-		`tillerusher_route_member_in{member="` + m.Addr() + `",pool="app"} 1`, "tillerusher_route_member_tries_total", "tillerusher_route_budget"} {
+	for _, want := range []string{`tillerusher_route_member_tries_total{member="` + member.Addr() + `",pool="app"} 3`,
+		`tillerusher_route_member_in{member="` + member.Addr() + `",pool="app"} 1`, "tillerusher_route_member_tries_total", "tillerusher_route_budget"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %q in\n%s", want, text)
 		}
 	}
-	s.Drain()
+	proxy.Drain()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestCounterMetric holds the metrics' names to those that dashboards know, whatever the log calls the counters.
+// TestCounterMetric checks that metrics keep the names that dashboards use, whatever the log calls the counters.
 func TestCounterMetric(t *testing.T) {
 	for counter, want := range map[string]string{
 		"requests":             "all_requests_total",
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// metricWords pins the names of metrics whose counters are called otherwise in the log since: dashboards and alerts go by
-// the metric's name. Keys are the counters' names, values the words in the metrics' names.
-var metricWords = map[string]string{
+// metricNames keeps the names of metrics whose counters have other names in the log: dashboards and alerts use the
+// metrics' names, so they must not change. Keys are the counters' names, values the middle part of the metrics' names.
+var metricNames = map[string]string{
 	"coalesced":                "repeats",
 	"connection_timeouts":      "unfinished",
 	"connections_evicted":      "made_room",
@@ -42,7 +42,7 @@
 	if number, ok := strings.CutPrefix(counter, retryDecisionCounter); ok {
 		return "all_" + retryDecisionMetric + number + "_total"
 	}
-	if word, ok := metricWords[counter]; ok {
+	if word, ok := metricNames[counter]; ok {
 		return "all_" + word + "_total"
 	}
 	return "all_" + counter + "_total"
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -37,7 +37,7 @@
 	utilization   utilizationGauge
 }
 
-// randomStream is the stream of random numbers that choices in pools are seeded from.
+// randomStream selects the stream of the generator that seeds those of the pools.
 const randomStream = 1
 
 // newBackend returns the backend of a server.
@@ -57,15 +57,16 @@
 func (b *backend) Connect() {
 	b.forwarder = forward.New(b.server.Loop(), b)
 	if err := b.update(b.initial); err != nil {
-		b.log.Error("routes", zap.Error(err)) // New has checked them
+		b.log.Error("routes", zap.Error(err)) // should not happen: New has validated them
 	}
 	b.server.Post(func() { b.server.BackendStarted(false, 0) })
 }
 
-// errClassesChanged says that classes can't be changed while a server runs: the module was told them at its start.
+// errClassesChanged is returned for a reload that changes classes or the capacity: the module gets both only at its
+// start.
 var errClassesChanged = errors.New("classes and capacity need a restart")
 
-// update takes over other routes and pools, or changes nothing where it returns an error.
+// update applies other routes and pools, or changes nothing and returns an error.
 func (b *backend) update(routes *routeconfig.Config) error {
 	if b.routes != nil && !hasSameClasses(b.routes, routes) {
 		return errClassesChanged
@@ -88,15 +89,15 @@
 	return nil
 }
 
-// newRandom returns random numbers for one pool.
+// newRandom returns a source of random numbers for one pool.
 func (b *backend) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(b.random.Uint64(), b.random.Uint64()))
 }
 
-// hasSameClasses compares what the module was told of two configurations.
+// hasSameClasses returns whether two configurations agree in what the module gets of them.
 func hasSameClasses(a, b *routeconfig.Config) bool {
 	isSame := func(a, b routeconfig.Class) bool {
-		a.Pos = b.Pos // where it stands in the file does not matter
+		a.Pos = b.Pos // the position in the file does not matter
 		return a == b
 	}
 	return a.Capacity == b.Capacity && slices.EqualFunc(a.Classes, b.Classes, isSame)
@@ -126,7 +127,8 @@
 // CheckHealth implements server.Backend.
 func (b *backend) CheckHealth(_ time.Time, then func(bool)) { then(len(b.routes.Pools) > 0) }
 
-// QueryGauges implements server.Backend: requests at members stand for work that wants a core.
+// QueryGauges implements server.Backend. Requests at members count as running work, and the capacity of the pools as
+// cores.
 func (b *backend) QueryGauges(_ time.Time, then func([]float64, bool)) {
 	openRuns := float64(b.OpenRuns())
 	utilization := b.utilization.sample(b.server.ModuleTime(), min(1, openRuns/float64(b.routes.Capacity)))
@@ -172,8 +174,8 @@
 	}
 }
 
-// runFallback has the location's fallback take over for how a request ended, and returns false where there is none. A
-// request that must not run twice and may have run goes to no second pool.
+// runFallback handles the end of a request by the location's fallback, and returns false where there is none. A request
+// that must not run twice and may have run is not sent to a second pool.
 func (b *backend) runFallback(routed *routedRequest, outcome forward.Outcome, status int) bool {
 	before := *routed
 	if outcome == forward.Responded && !routed.location.InterceptErrors || !routed.takeFallback(status) {
@@ -197,7 +199,7 @@
 }
 
 // respond ends a request with an answer. Gateways take 429 and 503 to mean that nothing ran, and send the request again.
-// That a member answers with them proves no such thing, so a request that must not run twice has failed.
+// A member's 429 or 503 does not prove that, so for a request that must not run twice it becomes 502.
 func (b *backend) respond(routed *routedRequest, outcome forward.Outcome, response gateway.Response) {
 	if outcome == forward.NotStarted {
 		b.finish(routed, server.RunAnswered, response)
@@ -209,7 +211,7 @@
 	b.finish(routed, server.RunSucceeded, response)
 }
 
-// finish reports the end of a request to the core.
+// finish removes a request and reports its end to the core.
 func (b *backend) finish(routed *routedRequest, outcome server.RunOutcome, response gateway.Response) {
 	delete(b.inFlight, routed.attempt.RequestID)
 	b.server.RunFinished(routed.attempt.RequestID, outcome, response)
@@ -233,7 +235,7 @@
 	sampledAt time.Duration // by the module's clock
 }
 
-// sample takes in a reading and returns the average.
+// sample adds a reading and returns the average.
 func (g *utilizationGauge) sample(now time.Duration, utilization float64) float64 {
 	part := min(float64(now-g.sampledAt)/float64(utilizationWindow), 1)
 	g.sampledAt = now
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -18,7 +18,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// plainRequest is what a gateway of the usual kind sends for a read.
+// plainRequest encodes a read as a common gateway sends it.
 func plainRequest(id uint16) []byte {
 	b := fake.EncodeBeginRequest(id, 1, true)
 	var params []byte
@@ -34,32 +34,32 @@
 // BenchmarkHop compares requests sent directly to a responder of net/http/fcgi that does nothing with those that go
 // through the router, 16 at a time.
 func BenchmarkHop(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
-	go fcgi.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
-	text := strings.Replace(twoMembers, "(member @A) (member @B) (keepalive 4)", "(member "+l.Addr().String()+") (keepalive 32)", 1)
+	defer listener.Close()
+	go fcgi.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	text := strings.Replace(twoMembers, "(member @A) (member @B) (keepalive 4)", "(member "+listener.Addr().String()+") (keepalive 32)", 1)
 	text = strings.Replace(text, "(capacity 8)", "(capacity 64)", 1)
-	d, err := routeconfig.Parse("f", []byte(text))
+	routes, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
-	r, _ := startRouter(b, d)
-	for name, addr := range map[string]string{"direct": l.Addr().String(), "routed": listenAddr(r)} {
+	r, _ := startRouter(b, routes)
+	for name, addr := range map[string]string{"direct": listener.Addr().String(), "routed": listenAddr(r)} {
 		b.Run(name, func(b *testing.B) { loadHop(b, addr) })
 	}
 }
 
-// loadHop sends the benchmark's requests over 16 connections.
+// loadHop sends the benchmark's requests over 16 connections, and reports the quantiles of their latency.
 func loadHop(b *testing.B, addr string) {
 	const conns = 16
-	h := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+	total := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	var mu sync.Mutex
 	var callers sync.WaitGroup
 	b.ResetTimer()
-	for c := range conns {
+	for caller := range conns {
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
@@ -70,7 +70,7 @@
 			}
 			defer g.Close()
 			own := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
-			for n := c; n < b.N; n += conns {
+			for n := caller; n < b.N; n += conns {
 				begun := time.Now()
 				if g.Write(plainRequest(1)) != nil {
 					b.Error("not sent")
@@ -84,30 +84,30 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			h.Merge(own)
+			total.Merge(own)
 		}()
 	}
 	callers.Wait()
-	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50us")
-	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99us")
+	b.ReportMetric(float64(total.ValueAtQuantile(50)), "p50us")
+	b.ReportMetric(float64(total.ValueAtQuantile(99)), "p99us")
 }
 
 // BenchmarkOpenRequest measures the heap of a request that is open at a member which has not answered.
 func BenchmarkOpenRequest(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // its connections wait in the kernel: nothing is taken here
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // its connections wait in the kernel: none is accepted here
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	const gateways, streams = 8, 32
-	text := strings.Replace(twoMembers, "(member @A) (member @B)", "(member "+l.Addr().String()+")", 1)
+	text := strings.Replace(twoMembers, "(member @A) (member @B)", "(member "+listener.Addr().String()+")", 1)
 	text = strings.Replace(strings.Replace(text, "(capacity 8)", "(capacity 1000)", 1), "(read 300ms)", "(read 1m)", 1)
-	d, err := routeconfig.Parse("f", []byte(text))
+	routes, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		r, g := startRouter(b, d)
+		r, g := startRouter(b, routes)
 		before := heap()
 		conns := []*servertest.Gateway{g}
 		for range gateways - 1 {
--- a/internal/router/corpus_test.go
+++ b/internal/router/corpus_test.go
@@ -14,7 +14,7 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// nginxConfig is what a configuration's own directives say, by the model of nginx's manual.
+// nginxConfig is a configuration's directives, read by a model of nginx's manual.
 type nginxConfig struct {
 	names   [][]string
 	servers [][]routemodel.Location
@@ -43,7 +43,7 @@
 	named     map[string]*nginxLocation
 }
 
-// enter returns what holds in a block.
+// enter returns the context inside a block: what it sets, and what it inherits.
 func (a blockContext) enter(block []*nginx.Directive) blockContext {
 	own := blockContext{pages: nil, intercept: map[string]bool{}, named: a.named}
 	for k, v := range a.intercept {
@@ -65,7 +65,7 @@
 
 // readNginxConfig reads the directives of a configuration.
 func readNginxConfig(list []*nginx.Directive) *nginxConfig {
-	o := &nginxConfig{does: map[string]*nginxLocation{}}
+	config := &nginxConfig{does: map[string]*nginxLocation{}}
 	if len(list) > 0 && list[len(list)-1].Name == "http" {
 		list = list[len(list)-1].Block
 	}
@@ -85,13 +85,13 @@
 				before = append(before, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
 			}
 		}
-		o.names, o.merge, o.before = append(o.names, names), append(o.merge, merge), append(o.before, before)
+		config.names, config.merge, config.before = append(config.names, names), append(config.merge, merge), append(config.before, before)
 		here := base.enter(d.Block)
 		here.named = map[string]*nginxLocation{}
-		o.servers = append(o.servers, o.locations(d.Block, here))
-		o.none = append(o.none, &nginxLocation{pages: here.pages, named: here.named})
+		config.servers = append(config.servers, config.locations(d.Block, here))
+		config.none = append(config.none, &nginxLocation{pages: here.pages, named: here.named})
 	}
-	return o
+	return config
 }
 
 // locations reads the location blocks of a block.
@@ -106,7 +106,7 @@
 		if len(d.Args) == 2 {
 			l.Modifier, l.Pattern = d.Arg(0), d.Arg(1)
 		} else {
-			for _, m := range []string{"~*", "~", "^~", "="} { // which may stand without a space
+			for _, m := range []string{"~*", "~", "^~", "="} { // the space after a modifier is optional
 				if l.Modifier == "" && strings.HasPrefix(l.Pattern, m) {
 					l.Modifier, l.Pattern = m, l.Pattern[len(m):]
 				}
@@ -212,7 +212,7 @@
 	return status
 }
 
-// corpusPaths and corpusHosts are what each configuration is asked for.
+// corpusPaths and corpusHosts are the requests sent to each configuration.
 var (
 	corpusPaths = []string{"/", "/a", "/a/", "/a/b", "/a/b.php", "/x.php", "/x.PHP", "/images/x.gif", "/images", "/images/",
 		"/docs", "/docs/", "/docs/old/x", "/docs/x.php", "/x.gone", "/a/x.gone", "/x.broken", "/a/b.broken", "/x.busy", "/old/x.gone", "/old/x?k=v", "/api/v1/x", "/api", "//a//b", "/a/../images/x.gif", "/%61", "/a%2Fb",
@@ -252,24 +252,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d, _, err := nginx.Import(list)
+			routes, _, err := nginx.Import(list)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := range d.Servers { // the stand-in gateway does not tell where it was reached
-				for l := range d.Servers[i].Listen {
-					d.Servers[i].Listen[l].Addr = netip.MustParseAddrPort("0.0.0.0:0")
+			for i := range routes.Servers { // the fake gateway does not send the address at which it was reached
+				for l := range routes.Servers[i].Listen {
+					routes.Servers[i].Listen[l].Addr = netip.MustParseAddrPort("0.0.0.0:0")
 				}
 			}
-			o := readNginxConfig(list)
-			_, g := startRouter(t, d)
+			config := readNginxConfig(list)
+			_, g := startRouter(t, routes)
 			for _, host := range corpusHosts {
 				for _, path := range corpusPaths {
 					r := fake.Request{Method: "GET", Path: path, Headers: map[string]string{"Host": host}}
 					g.Write(r.Encode(1))
 					a := g.WaitResponse(1)
 					got := strings.TrimSpace(a.Header.Get("X-Member") + " " + fmt.Sprint(a.Status))
-					if want := o.expect(host, path); got != want {
+					if want := config.expect(host, path); got != want {
 						t.Errorf("%s%s: %s, the original reading says %s", host, path, got, want)
 					}
 				}
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -15,10 +15,10 @@
 	"tillerusher/internal/servertest"
 )
 
-// rounds is how often TestRandomFaults is played; docs/design/routes.md has what 100 showed.
+// rounds is how many rounds TestRandomFaults runs; docs/design/routes.md has the results of 100.
 var rounds = flag.Int("storms", 2, "how often TestRandomFaults is played")
 
-// faultRoutes are those of TestRandomFaults: time limits are short, so that silent members are met often.
+// faultRoutes are the routes of TestRandomFaults: timeouts are short, so that silent members are tried often.
 const faultRoutes = `(capacity 16)
 (class web (aim 1s) (deadline 4s) (effect by-method))
 (class book (aim 1s) (deadline 4s) (effect keyed) (window 30s))
@@ -53,7 +53,7 @@
 	}
 }
 
-// playFaults plays TestRandomFaults once.
+// playFaults runs TestRandomFaults once.
 func playFaults(t *testing.T, rng *rand.Rand, totals map[invariant.Outcome]int,
 	start func(testing.TB, string) *fake.Member, protocol string) {
 	checker := invariant.New(30 * time.Second)
@@ -65,14 +65,14 @@
 	}
 	spare := start(t, "spare")
 	spare.OnRequest(func(params map[string]string) { checker.RecordRun(params["HTTP_X_TRY"]) })
-	with := func(some []*fake.Member) *routeconfig.Config {
+	routesTo := func(chosen []*fake.Member) *routeconfig.Config {
 		text := ""
-		for _, m := range some {
+		for _, m := range chosen {
 			text += "(member " + m.Addr() + " (max-fails 3) (fail-timeout 200ms)) "
 		}
 		return parseRoutes(t, strings.NewReplacer("MEMBERS", protocol+text, "SPARE", protocol+"(member "+spare.Addr()+")").Replace(faultRoutes))
 	}
-	r, g := startRouter(t, with(members))
+	r, g := startRouter(t, routesTo(members))
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	stop := make(chan bool)
@@ -93,7 +93,7 @@
 			}
 		}()
 	}
-	injectFaults(rng, r, append(members, spare), members, with)
+	injectFaults(rng, r, append(members, spare), members, routesTo)
 	close(stop)
 	callers.Wait()
 	if b := checker.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
@@ -101,11 +101,11 @@
 	}
 }
 
-// faultsPerRound is how many faults and reloads there are in one play.
+// faultsPerRound is how many faults and reloads there are in one round.
 const faultsPerRound = 60
 
 // injectFaults changes members and routes under the callers' load.
-func injectFaults(rng *rand.Rand, r *Router, all, members []*fake.Member, with func([]*fake.Member) *routeconfig.Config) {
+func injectFaults(rng *rand.Rand, r *Router, all, members []*fake.Member, routesTo func([]*fake.Member) *routeconfig.Config) {
 	down := map[*fake.Member]bool{}
 	for range faultsPerRound {
 		time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
@@ -125,14 +125,14 @@
 				delete(down, m)
 			}
 		case 4:
-			r.Reload(with(members[:1+rng.IntN(len(members))]))
+			r.Reload(routesTo(members[:1+rng.IntN(len(members))]))
 		default:
 			m.SetBehavior(fake.Healthy, 0)
 		}
 	}
 }
 
-// sendRequests sends requests of all kinds on one connection, four at a time, until it is told to stop, and counts the
+// sendRequests sends requests of all kinds on one connection, four at a time, until stop is closed, and counts the
 // answers.
 func sendRequests(t *testing.T, g *servertest.Gateway, checker *invariant.Checker, rng *rand.Rand, caller int, stop <-chan bool) map[invariant.Outcome]int {
 	counts := map[invariant.Outcome]int{}
@@ -155,9 +155,9 @@
 		open[stream] = id
 		g.Write(r.WithHeader("X-Try", id).Encode(stream))
 	}
-	const atOnce, least = 4, 60
+	const concurrency, minRequests = 4, 60
 	n := 0
-	for ; n < atOnce; n++ {
+	for ; n < concurrency; n++ {
 		send(uint16(n+1), n)
 	}
 	for len(open) > 0 {
@@ -179,7 +179,7 @@
 		delete(open, a.ID)
 		select {
 		case <-stop:
-			if n >= least {
+			if n >= minRequests {
 				continue
 			}
 		default:
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -66,7 +66,7 @@
 	return startRouterOn(t, eventloop.Kernel{}, routes)
 }
 
-// startRouterOn is startRouter on a system that need not be the machine's.
+// startRouterOn is startRouter with another system than the machine's.
 func startRouterOn(t testing.TB, system eventloop.System, routes *routeconfig.Config) (*Router, *servertest.Gateway) {
 	t.Helper()
 	listen := netip.MustParseAddrPort(servertest.FreeAddr(t))
@@ -89,7 +89,7 @@
 // listenAddr is where a router listens.
 func listenAddr(r *Router) string { return r.backend.listen.String() }
 
-// onLoop has the router's goroutine do something, and waits for it.
+// onLoop calls a function on the router's goroutine, and waits for it.
 func onLoop(r *Router, step func()) {
 	done := make(chan bool)
 	r.Post(func() {
--- a/internal/router/parse.go
+++ b/internal/router/parse.go
@@ -24,6 +24,12 @@
 	statusServiceUnavailable = 503
 )
 
+// The size of a request in memory, as it is reported to the module.
+const (
+	requestOverheadKB = 1 // beside the body
+	bytesPerKB        = 1024
+)
+
 // safeMethods are those that change nothing (RFC 9110, section 9.2.1).
 var safeMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
@@ -70,7 +76,8 @@
 	return routed, nil
 }
 
-// resolvedResponse returns the answer that a resolution is by itself, or nil where it has a location.
+// resolvedResponse returns the answer to a request whose resolution is a redirect or a status, or nil where it is a
+// location.
 func resolvedResponse(resolution route.Resolution) *gateway.Response {
 	if resolution.RedirectTrailingSlash {
 		resolution.Status, resolution.RedirectURL = statusMovedPermanently, resolution.Path+"/"
@@ -90,8 +97,8 @@
 	return nil
 }
 
-// localAddress is the address at which the gateway's caller reached it, where the gateway sends that, and else that of
-// this server.
+// localAddress returns the address at which the gateway's caller reached it, where the gateway sends that, and else that
+// of this server.
 func (b *backend) localAddress(r gateway.Request) netip.AddrPort {
 	address, err := netip.ParseAddrPort(net.JoinHostPort(r.Params["SERVER_ADDR"], r.Params["SERVER_PORT"]))
 	if err != nil {
@@ -100,7 +107,8 @@
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// parseAttempt reads what the module has to know of a request. Gateways may send the platform's fields, but need not.
+// parseAttempt parses the fields that are reported to the module. Gateways may send the platform's fields, but need
+// not.
 func (b *backend) parseAttempt(routed *routedRequest, now time.Duration) (server.ParsedRequest, error) {
 	request := routed.request
 	fields := server.NewFieldReader(request.Headers)
@@ -122,7 +130,7 @@
 		Class:   parsed.Class,
 		IsRetry: request.Headers["attempt-again"] == "1",
 		Caller:  int(fields.Number("Sent-By", 0, server.MaxSender, 0)),
-		SizeKB:  1 + float64(len(request.Body))/1024,
+		SizeKB:  requestOverheadKB + float64(len(request.Body))/bytesPerKB,
 	}
 	if class.hasKey {
 		parsed.HasKey, parsed.Key = true, fields.Required("Once-Key")
--- a/internal/router/routed_request.go
+++ b/internal/router/routed_request.go
@@ -20,15 +20,15 @@
 	request  gateway.Request
 	server   *route.Server
 	location *routeconfig.Location
-	// requestedPath is as the caller sent it; path and query are normalized and rewritten.
+	// requestedPath is the path that the caller sent; path and query are normalized and rewritten.
 	requestedPath string
 	path          string
 	query         string
 	isRewritten   bool
-	// isFallback says that a fallback location took over, whose answer gets fallbackStatus; 0 means its own status.
+	// isFallback says that location is a fallback. Its answer gets fallbackStatus, or, where that is 0, keeps its own.
 	isFallback     bool
 	fallbackStatus int
-	// attempt is what the core knows of the request; nil until it runs.
+	// attempt is the request in the core; nil until it runs.
 	attempt *server.Request
 }
 
@@ -46,9 +46,9 @@
 	})
 }
 
-// directAnswer returns the answer of a route that leads to no pool, or nil. A status without a text of its own may lead
-// to a fallback location, which then is the route. hasBreak says that a rewrite ended the location's own, after which
-// its status does not count.
+// directAnswer returns the answer of a route without a pool, or nil where the request goes to one. A status without a
+// text of its own may lead to a fallback location, which then replaces the route. hasBreak says that a rewrite with the
+// flag break ended the location's directives: its return is then ignored.
 func (q *routedRequest) directAnswer(hasBreak bool) *gateway.Response {
 	location := q.location
 	if location.Pool != "" && (location.ReturnStatus == 0 || hasBreak) {
@@ -75,8 +75,8 @@
 	return &final
 }
 
-// takeFallback makes the location's fallback for a status the route, and returns false where there is none. A request
-// takes one fallback at most: how that one ends is the end, as in nginx.
+// takeFallback replaces the route by the location's fallback for a status, and returns false where there is none. As in
+// nginx, a request takes one fallback at most, whatever the status of that one.
 func (q *routedRequest) takeFallback(status int) bool {
 	if q.isFallback {
 		return false
@@ -87,7 +87,7 @@
 		}
 		named := q.server.NamedLocation(fallback.Location)
 		if named == nil {
-			return false // the configuration was checked
+			return false // should not happen: the configuration was validated
 		}
 		q.location, q.isFallback = named.Value.(*routeconfig.Location), true
 		q.fallbackStatus = fallback.ResponseStatus
@@ -99,7 +99,7 @@
 	return false
 }
 
-// finalStatus is the status of the caller's answer, where the location's answer has this one.
+// finalStatus returns the status of the caller's answer, given that of the location's answer.
 func (q *routedRequest) finalStatus(status int) int {
 	if q.fallbackStatus != 0 {
 		return q.fallbackStatus
@@ -107,7 +107,7 @@
 	return status
 }
 
-// returnResponse is the answer of a location that has one of its own.
+// returnResponse returns the answer of a location with a return directive.
 func returnResponse(location *routeconfig.Location) *gateway.Response {
 	response := &gateway.Response{Status: location.ReturnStatus}
 	isRedirect := location.ReturnStatus >= 300 && location.ReturnStatus < 400
@@ -122,7 +122,7 @@
 	return response
 }
 
-// hashKey is what the hash methods of the location's pool choose a member by.
+// hashKey returns the key by which the hash methods of the location's pool choose a member.
 func (q *routedRequest) hashKey() []byte {
 	target := q.backend.pools[q.location.Pool]
 	if target == nil {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// clientAddress is the address of the gateway's caller; one that can't be read counts as the machine itself.
+// clientAddress returns the address of the gateway's caller, or that of loopback where it can't be parsed.
 func (q *routedRequest) clientAddress() []byte {
 	if address, err := netip.ParseAddr(q.request.Params["REMOTE_ADDR"]); err == nil {
 		return address.Unmap().AsSlice()
@@ -160,7 +160,7 @@
 	return []byte{127, 0, 0, 1}
 }
 
-// memberParams are the parameters that a member gets: the location's, and those of the gateway that the location does
+// memberParams returns the parameters for a member: the location's, and those of the gateway that the location does
 // not set. REQUEST_URI stays as the caller sent it, whatever was rewritten.
 func (q *routedRequest) memberParams() []gateway.Field {
 	params := make([]gateway.Field, 0, len(q.request.Params)+len(q.location.Params))
@@ -182,7 +182,7 @@
 	return params
 }
 
-// rewrittenParam is the value of a parameter after a rewrite.
+// rewrittenParam returns the value of a parameter after a rewrite.
 func (q *routedRequest) rewrittenParam(name, value string) string {
 	switch name {
 	case "SCRIPT_NAME", "DOCUMENT_URI":
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -2,8 +2,8 @@
 // decision module admit them, and passes them to the members of pools over FastCGI or SCGI.
 //
 // The package brings the core a parser, which finds a request's route, and a backend, which passes the request to the
-// route's pool and chooses fallbacks. All state belongs to the goroutine of the server's loop. What a route and a pool
-// decide stands in packages route and pool, and connections to members in package forward.
+// route's pool and chooses fallbacks. All state belongs to the goroutine of the server's loop. Packages route and pool
+// choose routes and members, and package forward keeps the connections to members.
 package router
 
 import (
@@ -20,7 +20,7 @@
 	"tillerusher/server"
 )
 
-// maxBodyBytes is the size of a request's body.
+// maxBodyBytes is the largest size of a request's body.
 const maxBodyBytes = 1 << 20
 
 // Config is the configuration of a router.
@@ -47,7 +47,7 @@
 	return NewOnSystem(eventloop.Kernel{}, cfg, log)
 }
 
-// NewOnSystem is New on a system that need not be the machine's.
+// NewOnSystem is New with another system than the machine's, such as a simulated one.
 func NewOnSystem(system eventloop.System, cfg *Config, log *zap.Logger) (*Router, error) {
 	if err := validate(cfg.Routes); err != nil {
 		return nil, err
@@ -75,10 +75,10 @@
 	return created, nil
 }
 
-// errNoRoutes says that a configuration can be read but not served.
+// errNoRoutes is returned for a configuration without a server or a class.
 var errNoRoutes = errors.New("routes: a description without (server ...) or (class ...)")
 
-// validate returns what is wrong with routes that were read.
+// validate returns an error for routes that can't be served.
 func validate(routes *routeconfig.Config) error {
 	if len(routes.Servers) == 0 || len(routes.Classes) == 0 {
 		return errNoRoutes
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// Reload goes on with other routes; any goroutine may call it. Requests that are open go on where they are.
+// Reload applies other routes; any goroutine may call it. Open requests continue on their routes. Routes that can't be
+// applied, or change classes or the capacity, change nothing and are logged.
 func (r *Router) Reload(routes *routeconfig.Config) {
 	r.Post(func() {
 		if err := r.backend.update(routes); err != nil {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -27,8 +27,8 @@
 	if got != "abab" {
 		t.Errorf("members %s", got)
 	}
-	if seen := a.ReceivedParams(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
-		t.Errorf("the member saw %v", seen)
+	if received := a.ReceivedParams(); len(received) != 2 || received[0]["ROUTED"] != "yes" || received[0]["REQUEST_METHOD"] != "GET" || received[0]["HTTP_HOST"] != "x" {
+		t.Errorf("the member saw %v", received)
 	}
 	for path, want := range map[string]int{"/hello": 200, "/docs": 301, "/../x": 400} {
 		g.Write(newRequest(path, "").Encode(1))
@@ -51,7 +51,7 @@
 	for _, behavior := range []fake.Behavior{fake.Silent, fake.Truncated, fake.Failing, fake.Closing, fake.Overloaded,
 		fake.Duplicated, fake.Malformed} {
 		if behavior == fake.Duplicated && protocol == "" {
-			continue // the first answer is whole, and its connection goes no further
+			continue // the first answer is complete, and its connection is not used again
 		}
 		a, b := start(t, "a"), start(t, "b")
 		with := strings.NewReplacer("(keepalive", "(eject (errors 0)) (keepalive", "http_500", "http_500 http_503 invalid_header")
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestRouteSCGI has requests reach SCGI members whole, on a connection each.
+// TestRouteSCGI has complete requests reach SCGI members, on a connection each.
 func TestRouteSCGI(t *testing.T) {
 	a, b := startSCGIMember(t, "a"), startSCGIMember(t, "b")
 	r, g := startRouter(t, parseRoutes(t, strings.Replace(twoMembers, "(keepalive", "(protocol scgi) (keepalive", 1), a, b))
@@ -89,8 +89,8 @@
 			t.Errorf("answer %d of %d bytes", ans.Status, len(ans.Body))
 		}
 	}
-	if seen := a.ReceivedParams(); len(seen) != 2 || seen[0]["ROUTED"] != "yes" || seen[0]["REQUEST_METHOD"] != "GET" || seen[0]["HTTP_HOST"] != "x" {
-		t.Errorf("the member saw %v", seen)
+	if received := a.ReceivedParams(); len(received) != 2 || received[0]["ROUTED"] != "yes" || received[0]["REQUEST_METHOD"] != "GET" || received[0]["HTTP_HOST"] != "x" {
+		t.Errorf("the member saw %v", received)
 	}
 	stats, _ := r.Stats()
 	for _, c := range stats.Counters {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestRouteSend has a member that reads nothing given up after the timeout for sending, not the longer one for its
-// answer.
-func TestRouteSend(t *testing.T) {
+// TestSendTimeout has an attempt at a member that reads nothing end after the send timeout, not the longer read
+// timeout.
+func TestSendTimeout(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	a.SetBehavior(fake.NotReading, 0)
 	a.Stop() // its listener was made before the behavior was set
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestRouteUnavailable has a member's 503 passed on for a read, and turned into a failure for a request that must not
+// TestMemberAnswers503 has a member's 503 forwarded for a read, and turned into a failure for a request that must not
 // run twice: gateways take a 503 to mean that nothing ran.
-func TestRouteUnavailable(t *testing.T) {
+func TestMemberAnswers503(t *testing.T) {
 	a, b := startSCGIMember(t, "a"), startSCGIMember(t, "b")
 	a.SetBehavior(fake.Overloaded, 0)
 	b.SetBehavior(fake.Overloaded, 0)
@@ -207,7 +207,7 @@
 	expect("the one that may have run", newRequest("/book", "w").WithHeader("Once-Key", "k1"), "502")
 }
 
-// TestRouteRewrite has members get the rewritten path, and what the caller sent beside it.
+// TestRouteRewrite has members get the rewritten path, and callers a permanent redirect.
 func TestRouteRewrite(t *testing.T) {
 	a := startMember(t, "a")
 	_, g := startRouter(t, parseRoutes(t, `(class web)
@@ -219,8 +219,8 @@
 	if ans := g.WaitResponse(1); ans.Status != 200 {
 		t.Errorf("answer %+v", ans)
 	}
-	if seen := a.ReceivedParams(); len(seen) != 1 || seen[0]["SCRIPT_NAME"] != "/new/x" {
-		t.Errorf("the member saw %v", seen)
+	if received := a.ReceivedParams(); len(received) != 1 || received[0]["SCRIPT_NAME"] != "/new/x" {
+		t.Errorf("the member saw %v", received)
 	}
 	g.Write(newRequest("/away/a%20b", "").Encode(1))
 	if ans := g.WaitResponse(1); ans.Status != 301 || ans.Header.Get("Location") != "/there/a%20b" {
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestRouteDead has a dead member skipped, and requests answered when all are dead.
-func TestRouteDead(t *testing.T) {
+// TestMembersDown has a dead member skipped, and requests answered when all are dead.
+func TestMembersDown(t *testing.T) {
 	a, b := startMember(t, "a"), startMember(t, "b")
 	_, g := startRouter(t, parseRoutes(t, twoMembers, a, b))
 	a.Stop()
@@ -268,7 +268,7 @@
 
 // TestCrossMemberEnd has a member end its idle connections, as one that restarts does, between the poll that reported a
 // request that must not run twice and the read of it, so that the end of the connection is not known yet: the request
-// goes by a new connection, and is not given up as one that may have run.
+// is sent on a new connection, and does not fail as one that may have run.
 func TestCrossMemberEnd(t *testing.T) {
 	a := startMember(t, "a")
 	system := interleave.New()
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -20,16 +20,16 @@
 	runningMemoryFactor  = 2
 	maxConcurrencyFactor = 2
 	keyKB                = 1
-	// queueMemoryDivisor divides the memory limit: so much may requests take that are queued or at members.
+	// queueMemoryDivisor: the memory limit divided by it is for requests that are queued or at members.
 	queueMemoryDivisor = 4
-	// cores is what the process itself may use.
+	// cores is how many cores the process itself may use.
 	cores = 1
 )
 
-// The gauges, in the order of backend.QueryGauges.
+// gaugeNames are the gauges, in the order of backend.QueryGauges.
 var gaugeNames = []string{"cpu_busy", "runnable"}
 
-// classMapping is where a class of the routes is among those of the module, which have one effect each.
+// classMapping maps a class of the routes to those of the module, which have one effect each.
 type classMapping struct {
 	safe, other int // by the request's method; equal where the method does not matter
 	hasKey      bool
@@ -51,8 +51,8 @@
 	return core
 }
 
-// siteSettings returns the settings of the module, and where the classes of the routes are among its classes. The
-// capacity of the pools takes the place of the interpreter's cores.
+// siteSettings returns the settings of the module, and the mapping of the routes' classes to its own. The capacity of
+// the pools takes the place of the interpreter's cores.
 func siteSettings(cfg *Config) (*settings.Site, map[string]classMapping) {
 	site := &settings.Site{GaugeNames: gaugeNames}
 	site.Admission = admission.Settings{
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -7,7 +7,7 @@
 	"tillerusher/server"
 )
 
-// Stats are what a router did, and the state of its pools.
+// Stats are the counters of a router's backend and the state of its pools.
 type Stats struct {
 	Counters []server.Counter
 	Pools    []forward.PoolState
--- a/server/interleave_conns_test.go
+++ b/server/interleave_conns_test.go
@@ -167,8 +167,8 @@
 }
 
 // TestCrossFullBuffer has a gateway that reads nothing be sent more than buffers hold as the server starts to drain:
-// once it reads, all answers arrive completely, and then the end. One that never reads doesn't keep the server, which the end
-// of the test waits for.
+// once it reads, all answers arrive completely, and then the end. One that never reads doesn't keep the server from
+// ending, which the end of the test waits for.
 func TestCrossFullBuffer(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reads %t", reads), func(t *testing.T) {
--- a/server/interleave_drain_test.go
+++ b/server/interleave_drain_test.go
@@ -120,7 +120,8 @@
 }
 
 // TestCrossReloadDrain has a new configuration and the drain notice in one round, in either order, while a run is in
-// flight and the notice of its end waits unread on the old link: the end is read on the new one, answered once, and the server ends.
+// flight and the notice of its end waits unread on the old link: the notice is read on the new one, the request is
+// answered once, and the server ends.
 func TestCrossReloadDrain(t *testing.T) {
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -40,7 +40,7 @@
 	return startServerOn(t, eventloop.Kernel{}, site)
 }
 
-// startServerOn is startServerAt on a system that need not be the machine's.
+// startServerOn is startServerAt with another system than the machine's.
 func startServerOn(t *testing.T, system eventloop.System, site *settings.Site) (*Server, *servertest.Interpreter) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
@@ -94,9 +94,9 @@
 	<-done
 }
 
-// TestDeepCheck has a deep check do real work where the module does not have it answered at once: it is good only when
-// the work was done, and does not wait without end.
-func TestDeepCheck(t *testing.T) {
+// TestDeepHealthCheck has a deep check ask the backend where the module does not fix the answer: it succeeds only when
+// the backend did work, and does not wait for ever.
+func TestDeepHealthCheck(t *testing.T) {
 	s, it := startServer(t)
 	g := servertest.Dial(t, s.cfg.Listen.String())
 	onLoop(s, func() { s.health.isFixed = false })
