--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestReloadBad keeps the whole of the old configuration where the new one is wrong, and names the field.
+// TestReloadBad keeps all of the old configuration where the new one is invalid, and logs the name of the field.
 func TestReloadBad(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	addr := server.Addr
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -75,17 +75,17 @@
 // NewLogger returns a logger that never blocks, and a function that writes out the queued lines and ends it; lines
 // logged after that are lost.
 func NewLogger(to io.Writer) (log *zap.Logger, flush func()) {
-	w := newAsyncWriter(to)
+	writer := newAsyncWriter(to)
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder.EncodeDuration = zapcore.MillisDurationEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), zapcore.AddSync(w), zap.InfoLevel)
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), zapcore.AddSync(writer), zap.InfoLevel)
 	// An error that repeats is logged a few times a second; the counters have it in full.
 	log = zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sameMessagePerSecond, 0))
 	return log, func() {
-		if n := w.dropped.Load(); n > 0 {
+		if n := writer.dropped.Load(); n > 0 {
 			log.Warn("log lines dropped", zap.Uint64("lines", n))
 		}
-		w.close()
+		writer.close()
 	}
 }
--- a/internal/cli/log_test.go
+++ b/internal/cli/log_test.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// stuck is a log that nobody reads.
+// stuck is a writer that blocks until it is closed.
 type stuck chan bool
 
 func (s stuck) Write(p []byte) (int, error) {
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestClock follows the Unix clock, and goes on at the pace of the monotonic one where the Unix clock is set back.
+// TestClock follows the Unix clock, and advances with the monotonic one where the Unix clock is set back.
 // Times without a monotonic reading are those of a clock that is set.
 func TestClock(t *testing.T) {
 	start := time.Now()
--- a/server/drain.go
+++ b/server/drain.go
@@ -53,8 +53,8 @@
 }
 
 // stopNow fails the attempts that are left, of which there should be none, and half-closes the connections. The loop
-// goes on for a while, so that answers are sent and the gateways close their side, too: the kernel resets a connection
-// whose process exits with bytes unread.
+// runs for a short while more, so that answers are sent and the gateways close their side, too: the kernel resets a
+// connection whose process exits with bytes unread.
 func (s *Server) stopNow() {
 	for _, a := range sortedByArrival(s.attempts.byID) {
 		s.answerFailed(a)
--- a/server/durable_test.go
+++ b/server/durable_test.go
@@ -89,10 +89,10 @@
 	return s.records[name], nil
 }
 
-func (k *fakeStore) Secret() []byte                { return []byte("secret") }
-func (k *fakeStore) Machine() string               { return "m" }
-func (k *fakeStore) Stats() idempotency.StoreStats { return idempotency.StoreStats{} }
-func (k *fakeStore) Compact() (int64, error)       { return 0, nil }
+func (s *fakeStore) Secret() []byte                { return []byte("secret") }
+func (s *fakeStore) Machine() string               { return "m" }
+func (s *fakeStore) Stats() idempotency.StoreStats { return idempotency.StoreStats{} }
+func (s *fakeStore) Compact() (int64, error)       { return 0, nil }
 func (s *fakeStore) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/fragments_test.go
+++ b/server/fragments_test.go
@@ -93,7 +93,7 @@
 		t.Run(strings.ReplaceAll(what, " ", "-"), func(t *testing.T) {
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			whole := encodings(fake.NewLookup("body 10000"), 10000)[what]
-			stride := max(len(whole)/400, 1) // encodings of many records are long, and repeat themselves
+			stride := max(len(whole)/400, 1) // encodings of many records are long and repetitive
 			for cut := 1; cut < len(whole)-40; cut += stride {
 				ask(g, what, func(b []byte) [][]byte {
 					at := min(cut, len(b)-1)
--- a/server/interpreter_backend.go
+++ b/server/interpreter_backend.go
@@ -47,7 +47,7 @@
 	b.client.CheckHealth(now, then)
 }
 
-// Reconfigure implements Backend. Runs that are open go on over the new address.
+// Reconfigure implements Backend. Open runs continue over a link to the new address.
 func (b *interpreterBackend) Reconfigure(cfg *Config) { b.client.Redirect(cfg.Interpreter) }
 
 // Close implements Backend.
--- a/server/request_parser.go
+++ b/server/request_parser.go
@@ -33,7 +33,7 @@
 	HasOwnID bool
 }
 
-// ParsedRequest is the outcome of parsing: a Response that answers the request at once, or all else.
+// ParsedRequest is the result of parsing: a Response that answers the request at once, or the other fields.
 type ParsedRequest struct {
 	Request
 	// Admission is what is reported to the module. The server fills in the ID and what the request is a retry of.
--- a/server/runs.go
+++ b/server/runs.go
@@ -55,18 +55,18 @@
 }
 
 // endRun reports the end of a run to the module, and then answers the retries that waited for it.
-func (s *Server) endRun(a *attempt, outcome admission.Outcome, result gateway.Response) {
-	s.module.events.RunFinished(s.eventTime(), a.id, outcome)
-	waiters := a.waiters
-	a.waiters = nil
+func (s *Server) endRun(attempt *attempt, outcome admission.Outcome, result gateway.Response) {
+	s.module.events.RunFinished(s.eventTime(), attempt.id, outcome)
+	waiters := attempt.waiters
+	attempt.waiters = nil
 	retryOutcome := admission.Failed
-	if a.state == runSucceeded {
+	if attempt.state == runSucceeded {
 		retryOutcome = admission.OK
 	}
 	for _, retry := range waiters {
 		s.answerRetry(retry, retryOutcome, result)
 	}
-	s.removeIfDone(a)
+	s.removeIfDone(attempt)
 }
 
 // releaseKey frees the key of an attempt that did not run, so that a retry may run.
