--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -25,7 +25,7 @@
 	FirstRecord uint64        // number of its first record within the run
 	BaseTime    time.Duration // the module's clock before it
 	UnixTime    time.Time     // when it was begun
-	AfterDamage bool          // what comes before it is missing
+	AfterDamage bool          // the records before it are missing
 	content     []byte
 }
 
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Position is where a record stands.
+// Position locates a record in a capture.
 type Position struct {
 	Segment     *Segment
 	Block       *Block
@@ -117,7 +117,7 @@
 	return at
 }
 
-// IsContinuationOf tells whether the segment continues where the one before ended, with nothing missing in between.
+// IsContinuationOf reports whether the segment continues where the one before ended, with nothing missing in between.
 func (s *Segment) IsContinuationOf(before *Segment) bool {
 	if before == nil || s.Meta.Gap != nil || !before.Complete || len(before.Damage) > 0 {
 		return false
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -30,7 +30,7 @@
 	newBufferSize     = 512
 )
 
-// source is what is registered with a descriptor.
+// source handles the events of a descriptor.
 type source interface {
 	gather(events uint32) // read what is ready, without calling the owner
 	report()              // call the owner
@@ -53,7 +53,7 @@
 type roundInput struct {
 	ready       []source // to be reported
 	arena       []byte   // bytes read from all connections
-	isArenaFull bool     // some connection was not read for want of room
+	isArenaFull bool     // some connection was not read for lack of space
 	firstEvent  int      // index of the event that the next round begins with, modulo their number
 	discarded   [readSize]byte
 	peeked      [1]byte
@@ -65,7 +65,7 @@
 	failed         []source // connections that could not be written to, to be reported in the next round
 	freeBuffers    [][]byte // empty buffers for use again
 	unsentBytes    int      // that peers have not taken, of all connections
-	maxUnsentBytes int      // over which peers that hold a large share of them are cut off
+	maxUnsentBytes int      // above which connections with a large share of them are closed
 }
 
 // postQueue hands functions of other goroutines to the loop.
@@ -123,7 +123,7 @@
 	return l.timers.schedule(l.now, delay, callback)
 }
 
-// CancelTimer cancels a timer; nil and one that fired are left alone.
+// CancelTimer cancels a timer. It does nothing for nil and for one that fired.
 func (l *Loop) CancelTimer(t *Timer) { l.timers.cancel(t) }
 
 // Stop ends Run after this round.
@@ -140,8 +140,8 @@
 	l.system.Write(l.posted.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only while a wakeup is pending already
 }
 
-// Run goes on until Stop. After the events of a round it calls settle, which reports whether it left events of its own
-// for another round at once.
+// Run runs the loop until Stop. After the events of a round it calls settle, which reports whether it left events of its own
+// that need another round without a wait.
 func (l *Loop) Run(settle func() (hasEvents bool)) error {
 	events := make([]unix.EpollEvent, maxEvents)
 	hasEvents := false
@@ -177,8 +177,8 @@
 	return max(n, 0), nil
 }
 
-// gather reads what is ready and lists whom to report. The order of the events rotates: were it the same each time, a few
-// connections that never pause could keep all others from being read.
+// gather reads what is ready and lists the sources to report. The order of the events rotates: were it the same each time, a
+// few connections that never pause could keep all others from being read.
 func (l *Loop) gather(events []unix.EpollEvent) {
 	in := &l.input
 	in.ready = append(in.ready[:0], l.output.failed...)
@@ -254,7 +254,7 @@
 	w.loop.system.Read(w.loop.posted.wakeFD, w.loop.posted.counter[:])
 }
 
-// report implements source: it calls what was posted.
+// report implements source: it calls the posted functions.
 func (w wakeup) report() {
 	w.loop.posted.mu.Lock()
 	pending := w.loop.posted.pending
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -8,7 +8,7 @@
 )
 
 // System is what a loop needs of the operating system: the calls of epoll(7), socket(7) and tcp(7) that it makes, with
-// their errors, and the clock. Descriptors are non-blocking. Tests and simulations put another one under the same loop.
+// their errors, and the clock. Descriptors are non-blocking. Tests and simulations replace it.
 type System interface {
 	Now() time.Time
 	EpollCreate() (epoll int, err error)
@@ -30,7 +30,7 @@
 	// LocalAddr returns the address that a socket is bound to.
 	LocalAddr(fd int) (netip.AddrPort, error)
 	Read(fd int, p []byte) (int, error)
-	// Peek reads without taking what it reads out of the socket.
+	// Peek reads without removing the bytes from the socket.
 	Peek(fd int, p []byte) (int, error)
 	Write(fd int, p []byte) (int, error)
 	// ShutdownWrite closes the sending side of a connection.
--- a/internal/fake/interpreter.go
+++ b/internal/fake/interpreter.go
@@ -12,8 +12,8 @@
 	Body      []byte
 }
 
-// Interpreter is a fake interpreter. It starts a run for each command and ends it when a test says so (EndRun), at once
-// (FinishImmediately) or after simulated work (SimulateWork). Its methods may be called by several goroutines at once.
+// Interpreter is a fake interpreter. It starts a run for each command and ends it when a test calls EndRun, immediately
+// (FinishImmediately) or after simulated work (SimulateWork). It is safe for concurrent use.
 type Interpreter struct {
 	clock Clock
 
@@ -27,14 +27,14 @@
 	onRun     func(RunCommand)
 
 	linkCount     int
-	attachCount   int // links that came by Attach
+	attachCount   int // links added by Attach
 	gaugeReadings int // answers to TOP
 }
 
 // behavior is what tests may change in how the interpreter answers.
 type behavior struct {
 	isUp              bool    // BANNER may be sent
-	wasCold           bool    // BANNER says that the interpreter began without warm caches
+	wasCold           bool    // BANNER states that the interpreter started without warm caches
 	ignoresQueries    bool    // SMOKE and TOP get no answer
 	finishImmediately bool    // runs end as they start
 	rejectsLinks      bool    // links are closed at their first command
@@ -42,7 +42,7 @@
 	utilization       float64 // the first gauge
 }
 
-// runTable is what the interpreter knows of runs.
+// runTable is the state of all runs.
 type runTable struct {
 	started  []RunCommand // all commands that started a run, in order
 	running  []string     // request IDs in the order of their start
@@ -50,13 +50,13 @@
 	finished map[string]bool
 }
 
-// NewInterpreter starts an interpreter that listens on loopback, is up and ends runs only when told.
+// NewInterpreter starts an interpreter that listens on loopback, is up and ends runs only by EndRun.
 func NewInterpreter() (*Interpreter, error) {
 	it := NewInterpreterWithClock(wallClock{})
 	return it, it.listen()
 }
 
-// NewInterpreterWithClock returns an interpreter that lives by the clock and has no sockets: links come by Attach.
+// NewInterpreterWithClock returns an interpreter that uses the clock and has no sockets: links are added by Attach.
 func NewInterpreterWithClock(clock Clock) *Interpreter {
 	return &Interpreter{clock: clock, behavior: behavior{isUp: true},
 		runs: runTable{bodies: map[string][]byte{}, finished: map[string]bool{}}}
@@ -96,7 +96,7 @@
 // MarkDown has the interpreter behave as one that is still starting.
 func (it *Interpreter) MarkDown() { it.update(func() { it.behavior.isUp = false }) }
 
-// MarkUp ends what MarkDown began.
+// MarkUp reverts MarkDown: the interpreter has started, and sends its banner.
 func (it *Interpreter) MarkUp() {
 	it.update(func() {
 		it.behavior.isUp = true
@@ -104,13 +104,13 @@
 	})
 }
 
-// MarkCold has the interpreter say that it started without warm caches.
+// MarkCold has the interpreter's banner state that it started without warm caches.
 func (it *Interpreter) MarkCold() { it.update(func() { it.behavior.wasCold = true }) }
 
 // RejectRun answers commands to run the request with an error.
 func (it *Interpreter) RejectRun(id string) { it.update(func() { it.behavior.rejectedID = id }) }
 
-// RejectLinks sets whether links are closed as soon as a command comes on them.
+// RejectLinks sets whether links are closed at their first command.
 func (it *Interpreter) RejectLinks(reject bool) {
 	it.update(func() { it.behavior.rejectsLinks = reject })
 }
--- a/internal/fake/member.go
+++ b/internal/fake/member.go
@@ -30,8 +30,8 @@
 	NotReading                 // it accepts connections and reads nothing
 )
 
-// Member is a server of a pool, on loopback. It speaks FastCGI or SCGI and treats each request by its behavior. Its methods
-// may be called by several goroutines at once.
+// Member is a server of a pool, on loopback. It speaks FastCGI or SCGI and treats each request by its behavior. It is
+// safe for concurrent use.
 type Member struct {
 	Name   string
 	isSCGI bool
@@ -201,7 +201,7 @@
 	return readFastCGI(r)
 }
 
-// handle treats one request, and returns whether the connection goes on.
+// handle answers one request, and reports whether the connection is kept.
 func (m *Member) handle(conn net.Conn, request memberRequest) bool {
 	m.mu.Lock()
 	m.received = append(m.received, request.params)
--- a/internal/fake/member_fastcgi.go
+++ b/internal/fake/member_fastcgi.go
@@ -11,13 +11,13 @@
 // malformedResponse is no response of FastCGI or SCGI.
 const malformedResponse = "HTTP/1.1 200 OK\r\n\r\n"
 
-// endRequestSize is the length of an END_REQUEST record's content, and endOverloaded the content that rejects a request with
-// FCGI_OVERLOADED.
+// endRequestSize is the length of an END_REQUEST record's content.
 const endRequestSize = 8
 
+// endOverloaded is the content of an END_REQUEST record that rejects the request with FCGI_OVERLOADED.
 var endOverloaded = []byte{0, 0, 0, 0, 2, 0, 0, 0}
 
-// answerFastCGI answers one request, and returns whether the connection goes on.
+// answerFastCGI answers one request, and reports whether the connection is kept.
 func (m *Member) answerFastCGI(conn net.Conn, behavior Behavior, status int, request memberRequest) bool {
 	end := EncodeRecord(EndRequest, request.id, make([]byte, endRequestSize), 0)
 	text := fmt.Sprintf("Status: %d\r\nX-Member: %s\r\n\r\n%s %s %s", status, m.Name, m.Name, request.params["SCRIPT_NAME"],
@@ -29,7 +29,7 @@
 	response = append(response, end...)
 	switch behavior {
 	case Silent:
-		io.Copy(io.Discard, conn) // until the other side gives up
+		io.Copy(io.Discard, conn) // until the peer closes the connection
 		return false
 	case Truncated:
 		conn.Write(response[:len(response)/2])
@@ -54,16 +54,16 @@
 }
 
 // readFastCGI reads one request.
-func readFastCGI(r io.Reader) (memberRequest, error) {
+func readFastCGI(reader io.Reader) (memberRequest, error) {
 	var params, body []byte
 	for {
 		var header [recordHeaderSize]byte
-		if _, err := io.ReadFull(r, header[:]); err != nil {
+		if _, err := io.ReadFull(reader, header[:]); err != nil {
 			return memberRequest{}, err
 		}
 		contentSize, padding := int(binary.BigEndian.Uint16(header[4:])), int(header[6])
 		content := make([]byte, contentSize+padding)
-		if _, err := io.ReadFull(r, content); err != nil {
+		if _, err := io.ReadFull(reader, content); err != nil {
 			return memberRequest{}, err
 		}
 		content = content[:contentSize]
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -8,14 +8,14 @@
 	"tillerusher/internal/gateway"
 )
 
-// ErrResponse says that a responder's response can't be read; errors of ResponseParser wrap it.
+// ErrResponse reports an invalid response of a responder; errors of ResponseParser wrap it.
 var ErrResponse = errors.New("fastcgi: invalid response")
 
 // protocolStatusOffset is where the protocol status is in the content of an END_REQUEST record.
 const protocolStatusOffset = 4
 
 // AppendRequest appends a whole request to a responder, on a connection that is to be kept open. Most responders take one
-// request at a time on a connection; a new ID for each tells its response from a late one to another.
+// request at a time on a connection; a new ID for each distinguishes its response from a late one to another.
 func AppendRequest(buf []byte, id uint16, params []gateway.Field, body []byte) []byte {
 	buf = appendHeader(buf, typeBeginRequest, id, beginRequestSize)
 	buf = append(buf, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
@@ -27,7 +27,7 @@
 	return appendStream(buf, typeStdin, id, body)
 }
 
-// ResponseParser puts together the response to one request, fed with what the connection brings.
+// ResponseParser assembles the response to one request from the bytes that are read from its connection.
 type ResponseParser struct {
 	RequestID      uint16
 	MaxBytes       int // of the response
@@ -38,8 +38,8 @@
 	err            error
 }
 
-// Feed reads the next bytes and reports whether the response is complete. Bytes behind its end are an error: nothing was
-// asked for.
+// Feed reads the next bytes and reports whether the response is complete. Bytes behind its end are an error, as they
+// answer no request.
 func (r *ResponseParser) Feed(p []byte) (complete bool, err error) {
 	if r.isComplete {
 		return true, fmt.Errorf("%w: bytes behind its end", ErrResponse)
@@ -51,19 +51,19 @@
 }
 
 // content implements recordHandler.
-func (r *ResponseParser) content(header recordHeader, p []byte) {
+func (r *ResponseParser) content(header recordHeader, part []byte) {
 	if header.requestID != r.RequestID {
 		return
 	}
 	switch {
 	case header.recordType == typeStdout && !r.isComplete:
-		if len(r.stdout)+len(p) > r.MaxBytes {
+		if len(r.stdout)+len(part) > r.MaxBytes {
 			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
 			return
 		}
-		r.stdout = append(r.stdout, p...)
+		r.stdout = append(r.stdout, part...)
 	case header.isEndRequest():
-		r.stdout = append(r.stdout, p...) // taken off again by endRecord
+		r.stdout = append(r.stdout, part...) // removed again by endRecord
 	}
 }
 
@@ -90,12 +90,12 @@
 	return nil
 }
 
-// Overloaded reports whether the responder rejected the request without looking at it.
+// Overloaded reports whether the responder rejected the request as overloaded, without processing it.
 func (r *ResponseParser) Overloaded() bool {
 	return r.isComplete && r.protocolStatus == statusOverloaded
 }
 
-// CompleteAtEOF reports whether the response is complete now that the connection has ended, which completes none.
+// CompleteAtEOF reports whether the response is complete at the end of the connection. In FastCGI that end completes none.
 func (r *ResponseParser) CompleteAtEOF() bool { return r.isComplete }
 
 // Response returns the complete response.
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -12,7 +12,7 @@
 // RecordPrefix begins the names of all records of keys.
 const RecordPrefix = "k/"
 
-// keySeparator stands between class and key in the name of a record.
+// keySeparator separates class and key in the name of a record.
 const keySeparator = "\x00"
 
 // RecordName returns the name of the key's record.
@@ -43,7 +43,7 @@
 	fieldOverhead    = 4
 )
 
-// approximateSize returns about how many bytes the response takes in a record.
+// approximateSize estimates the bytes that the response takes in a record.
 func (r *Response) approximateSize() int {
 	n := len(r.Body) + responseOverhead
 	for _, f := range r.Header {
@@ -52,7 +52,7 @@
 	return n
 }
 
-// State is how far a request came. The values are stored.
+// State is the progress of a request. The values are stored.
 type State uint8
 
 // The states.
@@ -75,7 +75,7 @@
 	return "unknown"
 }
 
-// Entry is what is kept of one key.
+// Entry is the stored state of one key.
 type Entry struct {
 	Key        Key
 	State      State
@@ -85,7 +85,7 @@
 	Response   Response  // where Completed
 }
 
-// withoutResponse returns a copy of the entry as it is after its response was evicted.
+// withoutResponse returns a copy of the entry without its response, as after eviction.
 func (e *Entry) withoutResponse() *Entry {
 	stripped := *e
 	if stripped.State == Completed {
--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -8,16 +8,16 @@
 const (
 	// maxLineBytes bounds a line from the interpreter: a result of 4 KiB in base64 with its fields is far under it.
 	maxLineBytes = 64 << 10
-	// QueryTimeout is how long the answer to a gauge query or health check is waited for.
+	// QueryTimeout is how long the link waits for the answer to a gauge query or health check.
 	QueryTimeout = 2 * time.Second
 )
 
-// Handler is told what the interpreter reports.
+// Handler receives the interpreter's reports.
 type Handler interface {
-	// InterpreterStarted says that the interpreter runs, whether its caches were cold at its start, and how long ago that
-	// was. It is called once for each start of the interpreter.
+	// InterpreterStarted is called once the interpreter is up, with whether its caches were cold at its start and how long
+	// ago that was.
 	InterpreterStarted(cold bool, age time.Duration)
-	// CallRequested says that a run waits for a downstream call and goes on only after that.
+	// CallRequested is called when a run waits for a downstream call, without which it does not continue.
 	CallRequested(id string)
 	// RunFinished is called once for each run.
 	RunFinished(id string, outcome Outcome, result []byte)
@@ -32,14 +32,14 @@
 	Resubmitted       uint64 // APPLYs sent once more after a lost connection
 	StopsSent         uint64
 	Notices           uint64 // numbered notices
-	DuplicateNotices  uint64 // replayed though they had been read
-	UnknownNotices    uint64 // of no run, query or kind that is known
+	DuplicateNotices  uint64 // replayed notices that had been read before
+	UnknownNotices    uint64 // of an unknown run, query or kind
 	UnansweredQueries uint64
 }
 
 // Link is the state of the dialogue with the interpreter, over any number of connections. It owns no socket.
 //
-// Runs go on in the interpreter while there is no connection, so nothing is known of a run then. After a reconnect the
+// Runs continue in the interpreter while there is no connection, so the state of a run is unknown then. After a reconnect the
 // interpreter first replays the notices that were missed; the answer to a TOP sent behind CONNECT shows that all of them
 // were read, and the link is synced. Only then are open runs submitted again: the interpreter ignores an APPLY of a run
 // in flight, starts one that it never received, and has reported one that has finished. An APPLY that crosses the end of
@@ -49,20 +49,20 @@
 	handler    Handler
 	session    session
 	lastNotice uint64 // number of the last notice read, to which the interpreter replays after a reconnect
-	hasStarted bool   // the handler was told of the interpreter's start
+	hasStarted bool   // InterpreterStarted was called
 	runs       runTable
 	queries    queryTable
-	line       []byte    // buffer of the command being sent
-	now        time.Time // as the owner last told it
+	commandBuf []byte    // buffer of the command being sent
+	now        time.Time // the time that the owner last passed
 	Stats      Stats
 }
 
 // session is the part of a Link's state that ends with its connection.
 type session struct {
 	send      func(p []byte) // nil while there is no connection
-	partial   []byte         // a line that has not come whole
+	partial   []byte         // an incomplete line
 	hasBanner bool           // the interpreter is up
-	isSyncing bool           // a query whose answer shows that the link is synced is under way
+	isSyncing bool           // a query whose answer shows that the link is synced is pending
 	isSynced  bool           // all missed notices were read
 }
 
@@ -81,17 +81,17 @@
 	l.sync()
 }
 
-// Disconnected says that the connection ended. Queries sent on it fail.
+// Disconnected ends the dialogue on the connection. Queries sent on it fail.
 func (l *Link) Disconnected() {
 	l.session = session{}
 	l.runs.disconnected()
 	l.expireQueries(func(query) bool { return true })
 }
 
-// Ready reports whether commands are sent at once.
+// Ready reports whether commands are sent immediately, not kept until the link is synced.
 func (l *Link) Ready() bool { return l.session.isSynced }
 
-// Tick fails queries whose answer is overdue, and asks again for the sign that the link is synced.
+// Tick fails queries whose answer is overdue, and repeats the query that shows that the link is synced.
 func (l *Link) Tick(now time.Time) {
 	l.now = now
 	l.expireQueries(func(q query) bool { return !now.Before(q.deadline) })
@@ -100,7 +100,7 @@
 	}
 }
 
-// syncIfNeeded queries for the sign that the link is synced, unless that is known or asked already.
+// syncIfNeeded sends the query that shows that the link is synced, unless the link is or the query is pending.
 func (l *Link) syncIfNeeded() {
 	if !l.session.isSynced && !l.session.isSyncing {
 		l.sync()
@@ -120,14 +120,14 @@
 
 // write sends a command.
 func (l *Link) write(c command) {
-	l.line = c.appendTo(l.line[:0])
-	l.session.send(l.line)
+	l.commandBuf = c.appendTo(l.commandBuf[:0])
+	l.session.send(l.commandBuf)
 }
 
 // Feed reads the next bytes of the connection; after an error the connection can only be closed.
-func (l *Link) Feed(p []byte) error {
+func (l *Link) Feed(data []byte) error {
 	for {
-		line, rest, isWhole := bytes.Cut(p, []byte{'\n'})
+		line, rest, isWhole := bytes.Cut(data, []byte{'\n'})
 		if len(l.session.partial)+len(line) > maxLineBytes {
 			return &ProtocolError{Err: ErrLineTooLong}
 		}
@@ -139,7 +139,7 @@
 			line = append(l.session.partial, line...)
 			l.session.partial = nil
 		}
-		p = rest
+		data = rest
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 {
 			continue
@@ -150,7 +150,7 @@
 		}
 		l.handleNotice(&n)
 		if l.session.send == nil {
-			return nil // what the notice led to ended the connection
+			return nil // handling the notice ended the connection
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	}
 }
 
-// handleBanner notes that the interpreter is up.
+// handleBanner records that the interpreter is up.
 func (l *Link) handleBanner(n *notice) {
 	l.session.hasBanner = true
 	if !l.hasStarted {
@@ -193,7 +193,7 @@
 	l.syncIfNeeded()
 }
 
-// handleAwait hands on that a run waits for a downstream call.
+// handleAwait passes a run's request for a downstream call to the handler.
 func (l *Link) handleAwait(id string) {
 	if l.runs.byID[id] == nil {
 		l.Stats.UnknownNotices++
--- a/internal/replay/simulated_cores.go
+++ b/internal/replay/simulated_cores.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// has returns whether the request runs.
+// has reports whether the request runs.
 func (c *simulatedCores) has(id admission.RequestID) bool { return c.index(id) >= 0 }
 
 func (c *simulatedCores) index(id admission.RequestID) int {
@@ -66,7 +66,7 @@
 	return next, time.Duration(math.Ceil(float64(next.remaining) / c.share()))
 }
 
-// advance lets a time pass.
+// advance spends the core time of an elapsed time on the runs.
 func (c *simulatedCores) advance(elapsed time.Duration) {
 	spent := time.Duration(float64(elapsed) * c.share())
 	for _, r := range c.runs {
@@ -76,7 +76,7 @@
 	c.utilization = c.utilization*decay + (1-decay)*min(1, float64(len(c.runs))/float64(c.count))
 }
 
-// coreTimes are the core times of runs, from what was recorded.
+// coreTimes are the recorded core times of runs, and their means.
 type coreTimes struct {
 	byID      map[admission.RequestID]time.Duration
 	classMean []time.Duration
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// engine is one opening of a directory's database. Pebble does not go on after a write that failed: it may ask for the end of
-// the process, or block with its locks held. So whatever may write runs on a goroutine that can be abandoned, an engine that
-// failed is detached from the disk, and another takes its place once the disk works again.
+// engine is one opening of a directory's database. Pebble does not continue after a failed write: it may call Fatalf to end
+// the process, or block with its locks held. So all work that may write runs on a goroutine that can be abandoned, a failed
+// engine is detached from the disk, and another replaces it once the disk works again.
 type engine struct {
 	db     *pebble.DB
 	failed chan struct{} // closed by the first failure, which is in err
@@ -35,9 +35,10 @@
 const (
 	// closeTimeout is how long to wait for an engine or the writer to end.
 	closeTimeout = 500 * time.Millisecond
-	// hungWriteAfter is how long a write may take before the disk is probed, to tell a hung engine from a stalled disk.
+	// hungWriteAfter is how long a write may take before the disk is probed, to distinguish a hung engine from a stalled disk.
 	hungWriteAfter = 5 * time.Second
-	// maxL0Files is how many files may wait for compaction before writes do: so many that they never do. Only the start reads.
+	// maxL0Files is how many files may wait for compaction before writes stall. It is so high that they never do: compaction
+	// speeds up reads, and the store reads only at the start.
 	maxL0Files = 1 << 20
 )
 
@@ -66,7 +67,7 @@
 	return opened, nil
 }
 
-// options returns those of Pebble.
+// options returns the options for Pebble.
 func (e *engine) options(config Config, cache *pebble.Cache) *pebble.Options {
 	disk := errorfs.Wrap(config.FS, errorfs.InjectorFunc(e.checkAttached))
 	return &pebble.Options{
@@ -94,16 +95,16 @@
 	return nil
 }
 
-// Infof implements pebble.Logger. What matters comes back as errors.
+// Infof implements pebble.Logger. It discards the message, since failures are returned as errors.
 func (e *engine) Infof(string, ...interface{}) {}
 
-// Errorf implements pebble.Logger.
+// Errorf implements pebble.Logger. It discards the message, since failures are returned as errors.
 func (e *engine) Errorf(string, ...interface{}) {}
 
 // Fatalf implements pebble.Logger. It must not return, and its caller may hold Pebble's locks, so the goroutine is abandoned.
 func (e *engine) Fatalf(format string, args ...interface{}) {
 	for _, arg := range args {
-		if err, ok := arg.(error); ok { // the cause says more than the message, and can be compared
+		if err, ok := arg.(error); ok { // unlike the message, the cause works with errors.Is
 			e.fail(err)
 		}
 	}
@@ -145,7 +146,7 @@
 	}
 }
 
-// recoverPanic turns a panic into a failure. Pebble panics on what it takes for a bug of its own, corruption among it.
+// recoverPanic turns a panic into a failure. Pebble panics on violated invariants, which corruption may cause.
 func (e *engine) recoverPanic() {
 	reason := recover()
 	if reason == nil {
@@ -163,8 +164,8 @@
 	return e.runAbandonable(func() error { return work(e.db) })
 }
 
-// writeWithTimeout is withDB, but gives up on a write that does not end while a probe of the disk does: Pebble may hang after
-// a write that failed. While the disk itself stalls, it waits.
+// writeWithTimeout is withDB, but abandons a write that does not end although a probe of the disk does: Pebble may hang
+// after a write that failed. While the disk itself stalls, it waits.
 func (e *engine) writeWithTimeout(work func(db *pebble.DB) error, probe func() error, timeout time.Duration) error {
 	written := make(chan error, 1)
 	go func() { written <- e.withDB(work) }()
@@ -179,7 +180,7 @@
 	case err := <-written:
 		return err
 	case err := <-probed:
-		e.fail(cmp.Or(err, errWriteHung)) // also where the write ended just now: the engine is replaced all the same
+		e.fail(cmp.Or(err, errWriteHung)) // the engine is replaced even if the write ended just now
 		return <-written
 	}
 }
