--- a/internal/router/routed_request.go
+++ b/internal/router/routed_request.go
@@ -131,25 +131,31 @@
 	if target.BalancingPolicy == pool.IPHash {
 		return q.clientAddress()
 	}
-	switch name, header, _ := strings.Cut(target.HashKey, ":"); name {
-	case "uri":
-		uri := q.requestedPath
-		if q.request.Query != "" {
-			uri += "?" + q.request.Query
-		}
-		return []byte(uri)
-	case "path":
+	if header, ok := strings.CutPrefix(target.HashKey, routeconfig.HashByHeaderPrefix); ok {
+		return []byte(q.request.Headers[strings.ToLower(header)])
+	}
+	switch target.HashKey {
+	case routeconfig.HashByURI:
+		return []byte(q.requestedURI())
+	case routeconfig.HashByPath:
 		return []byte(q.path)
-	case "query":
+	case routeconfig.HashByQuery:
 		return []byte(q.query)
-	case "host":
+	case routeconfig.HashByHost:
 		return []byte(q.request.Headers["host"])
-	case "client":
+	case routeconfig.HashByClient:
 		return q.clientAddress()
-	case "header":
-		return []byte(q.request.Headers[strings.ToLower(header)])
+	default:
+		return nil
+	}
+}
+
+// requestedURI returns the path and query that the caller sent.
+func (q *routedRequest) requestedURI() string {
+	if q.request.Query == "" {
+		return q.requestedPath
 	}
-	return nil
+	return q.requestedPath + "?" + q.request.Query
 }
 
 // clientAddress returns the address of the gateway's caller, or that of loopback where it can't be parsed.
--- a/server/interleave_test.go
+++ b/server/interleave_test.go
@@ -10,8 +10,8 @@
 	"tillerusher/internal/servertest/interleave"
 )
 
-// Each test here has one thing come between two others, in an order of its own making: docs/design/crossings.md has
-// the list, and what is ruled out by reading.
+// The tests named TestCross force one event to happen between two others: docs/design/interleavings.md lists them, and
+// the interleavings that the code rules out.
 
 // waitCleanEnd waits for the end of a connection, and fails where it was reset instead, or carried anything more.
 func waitCleanEnd(t *testing.T, g *servertest.Gateway) {
