--- a/cmd/catalogue-router/args.go
+++ b/cmd/catalogue-router/args.go
@@ -38,7 +38,7 @@
 Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or routes.
 `
 
-// The defaults of the flags, and the least that a router works with.
+// The defaults and lower bounds of the flags.
 const (
 	defaultListen      = "127.0.0.1:4100"
 	defaultName        = "router"
@@ -50,56 +50,56 @@
 	minStopTimeout     = time.Second
 )
 
-// options are what the command line says.
+// options are the parsed command line.
 type options struct {
 	router      router.Config
 	routesFile  string
 	metricsAddr string // empty means no metrics
 }
 
-// parseArgs reads the command line and the files that it names. It returns flag.ErrHelp where help is asked for.
+// parseArgs reads the command line and the files that it names. It returns flag.ErrHelp where --help is given.
 func parseArgs(args []string) (*options, error) {
-	o := &options{}
+	parsed := &options{}
 	flags := flag.NewFlagSet("catalogue-server route", flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // the caller prints the error
-	flags.StringVar(&o.routesFile, "config", "", "")
-	flags.StringVar(&o.metricsAddr, "metrics", "", "")
-	flags.StringVar(&o.router.Name, "name", defaultName, "")
-	flags.DurationVar(&o.router.StopTimeout, "stop", defaultStopTimeout, "")
-	flags.IntVar(&o.router.MemoryMB, "memory-mb", defaultMemoryMB, "")
-	flags.IntVar(&o.router.Sockets, "sockets", defaultSockets, "")
+	flags.StringVar(&parsed.routesFile, "config", "", "")
+	flags.StringVar(&parsed.metricsAddr, "metrics", "", "")
+	flags.StringVar(&parsed.router.Name, "name", defaultName, "")
+	flags.DurationVar(&parsed.router.StopTimeout, "stop", defaultStopTimeout, "")
+	flags.IntVar(&parsed.router.MemoryMB, "memory-mb", defaultMemoryMB, "")
+	flags.IntVar(&parsed.router.Sockets, "sockets", defaultSockets, "")
 	listen := flags.String("listen", defaultListen, "")
 	settings := flags.String("settings", "", "")
 	captureDirectory := flags.String("capture", "", "")
 	if err := flags.Parse(args); err != nil {
 		return nil, err
 	}
-	if err := o.check(flags); err != nil {
+	if err := parsed.check(flags); err != nil {
 		return nil, err
 	}
-	if err := o.load(*listen, *settings, *captureDirectory); err != nil {
+	if err := parsed.load(*listen, *settings, *captureDirectory); err != nil {
 		return nil, err
 	}
-	o.router.Seed = uint64(time.Now().UnixNano()) ^ uint64(syscall.Getpid())
-	return o, nil
+	parsed.router.Seed = uint64(time.Now().UnixNano()) ^ uint64(syscall.Getpid())
+	return parsed, nil
 }
 
-// check returns what is wrong with the flags.
+// check returns an error for flags that are missing or out of bounds.
 func (o *options) check(flags *flag.FlagSet) error {
-	c := &o.router
+	cfg := &o.router
 	switch {
 	case flags.NArg() > 0:
 		return fmt.Errorf("arguments: %q is not known; see catalogue-server route --help", flags.Arg(0))
 	case o.routesFile == "":
 		return errors.New("arguments: --config FILE is missing; see catalogue-server route --help")
-	case c.MemoryMB < minMemoryMB || c.Sockets < minSockets || c.StopTimeout < minStopTimeout:
+	case cfg.MemoryMB < minMemoryMB || cfg.Sockets < minSockets || cfg.StopTimeout < minStopTimeout:
 		return fmt.Errorf("arguments: %d MB, %d sockets and %v to stop, want at least %d, %d and %v",
-			c.MemoryMB, c.Sockets, c.StopTimeout, minMemoryMB, minSockets, minStopTimeout)
+			cfg.MemoryMB, cfg.Sockets, cfg.StopTimeout, minMemoryMB, minSockets, minStopTimeout)
 	}
 	return nil
 }
 
-// load reads the address, and the files that the flags name.
+// load parses the address, and reads the files that the flags name.
 func (o *options) load(listen, settings, captureDirectory string) (err error) {
 	if o.router.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("arguments: --listen %s: want an IP address and a port", listen)
--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -1,4 +1,5 @@
-// Command catalogue-router routes requests of gateways to pools; catalogue-server route starts it.
+// Command catalogue-router is a reverse proxy from gateways to pools of FastCGI and SCGI servers. The command
+// catalogue-server route starts it.
 package main
 
 import (
@@ -17,6 +18,9 @@
 	"tillerusher/internal/router"
 )
 
+// routerCores is how many cores the router uses: its event loop is one goroutine.
+const routerCores = 1
+
 func main() { os.Exit(run(os.Args[1:], os.Stderr)) }
 
 // run runs a router and returns the exit status. SIGTERM or SIGINT drains it, SIGHUP has its routes read again and
@@ -34,32 +38,32 @@
 	}
 	log, flush := cli.NewLogger(stderr)
 	defer flush()
-	r, err := newRouter(options, log)
+	server, err := newRouter(options, log)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return cli.ExitUsage
 	}
-	cli.TuneRuntime(config.Limits{Cores: 1, MemoryMB: options.router.MemoryMB})
-	go reloadOnSignal(r, signals, options.routesFile, log)
-	return cli.Run(r, signals, stderr)
+	cli.TuneRuntime(config.Limits{Cores: routerCores, MemoryMB: options.router.MemoryMB})
+	go reloadOnSignal(server, signals, options.routesFile, log)
+	return cli.Run(server, signals, stderr)
 }
 
 // newRouter returns a router that listens, with its metrics where they are asked for.
-func newRouter(o *options, log *zap.Logger) (*router.Router, error) {
-	r, err := router.New(&o.router, log)
+func newRouter(opts *options, log *zap.Logger) (*router.Router, error) {
+	created, err := router.New(&opts.router, log)
 	if err != nil {
 		return nil, err
 	}
-	if o.metricsAddr != "" {
-		if err := metrics.Serve(r, o.metricsAddr); err != nil {
-			r.Close()
+	if opts.metricsAddr != "" {
+		if err := metrics.Serve(created, opts.metricsAddr); err != nil {
+			created.Close()
 			return nil, err
 		}
 	}
-	return r, nil
+	return created, nil
 }
 
-// reloadOnSignal reads the routes again whenever it is told to.
+// reloadOnSignal reads the routes again on each SIGHUP.
 func reloadOnSignal(r *router.Router, signals cli.Signals, file string, log *zap.Logger) {
 	for range signals.Reload {
 		routes, err := routeconfig.Load(file)
--- a/server/actions.go
+++ b/server/actions.go
@@ -9,30 +9,32 @@
 	"tillerusher/admission"
 )
 
-// actions implements admission.Actions: it carries out what the module decides, but for what would break a rule that
-// stands above its decisions: no request at most once is run twice, and none is rejected that may have run.
+// actions implements admission.Actions: it carries out what the module decides. Two rules hold whatever the module
+// decides: no at-most-once request is run twice, and none is rejected that may have run.
 type actions struct{ *Server }
 
 // Run implements admission.Actions.
 func (ac actions) Run(id admission.RequestID) {
-	a := ac.attempts.byID[id]
-	if a == nil || a.isAnswered || a.state == runInFlight {
+	attempt := ac.attempts.byID[id]
+	if attempt == nil || attempt.isAnswered || attempt.state == runInFlight {
 		return
 	}
-	if a.HasKey && a.AtMostOnce && !ac.keys.claim(a, ac.site.Admission.Classes[a.Class].KeyWindow+keyWindowSlack) {
-		ac.preventSecondRun(a)
+	isProtected := attempt.HasKey && attempt.AtMostOnce
+	if isProtected && !ac.keys.claim(attempt, ac.keyWindow(attempt.Class)) {
+		ac.preventSecondRun(attempt)
 		return
 	}
 	ac.counters.runsStarted++
-	a.state = runInFlight
-	if a.HasKey && a.AtMostOnce && ac.durable != nil {
-		ac.durable.runAfterIntent(a)
+	attempt.state = runInFlight
+	if isProtected && ac.durable != nil {
+		ac.durable.runAfterIntent(attempt)
 		return
 	}
-	a.Runner.Run(&a.Request)
+	attempt.Runner.Run(&attempt.Request)
 }
 
-// preventSecondRun fails an attempt of a request that ran already.
+// preventSecondRun fails an attempt whose request has run already. The module gets the end of the run that it asked
+// for after it has returned: it must not be called while it acts.
 func (ac actions) preventSecondRun(a *attempt) {
 	ac.counters.secondRunsPrevented++
 	ac.log.Error("second run prevented", zap.String("request", a.RequestID))
@@ -43,20 +45,20 @@
 
 // Reject implements admission.Actions.
 func (ac actions) Reject(id admission.RequestID, retryAfter time.Duration, isFinal bool) {
-	a := ac.attempts.byID[id]
-	if a == nil || a.isAnswered {
+	attempt := ac.attempts.byID[id]
+	if attempt == nil || attempt.isAnswered {
 		return
 	}
-	if a.AtMostOnce && (a.state != runPending || a.HasKey && ac.keys.hasRun(a)) {
-		// A rejection says that nothing ran.
+	if attempt.AtMostOnce && (attempt.state != runPending || attempt.HasKey && ac.keys.hasRun(attempt)) {
+		// A rejection tells the caller that nothing ran.
 		ac.counters.rejectionsPrevented++
-		ac.log.Error("rejection after a run prevented", zap.String("request", a.RequestID))
+		ac.log.Error("rejection after a run prevented", zap.String("request", attempt.RequestID))
 		ac.Annotate("refusal of %d after its run prevented", id)
 		ac.Fail(id)
 		return
 	}
-	ac.answer(a, rejection(retryAfter, isFinal))
-	ac.cancelRun(a)
+	ac.answer(attempt, rejection(retryAfter, isFinal))
+	ac.cancelRun(attempt)
 }
 
 // Fail implements admission.Actions.
@@ -67,14 +69,14 @@
 	}
 }
 
-// cancelRun takes back the run of an attempt that was answered, where that is still possible.
+// cancelRun withdraws the run of an attempt that was answered, where that is still possible.
 func (ac actions) cancelRun(a *attempt) {
 	a.isStopRequested = a.isIntentPending
 	ac.withdraw(a)
 	ac.removeIfDone(a)
 }
 
-// withdraw takes back a run that the backend has not begun, and returns whether it did.
+// withdraw cancels a run that the backend has not begun, and returns whether it could.
 func (ac actions) withdraw(a *attempt) bool {
 	if a.state != runInFlight || a.isIntentPending || !ac.backend.Withdraw(a.RequestID) {
 		return false
@@ -122,8 +124,8 @@
 }
 
 // AdvertiseLoad implements admission.Actions.
-func (ac actions) AdvertiseLoad(value float64) {
-	ac.load.advertised = strconv.FormatFloat(value, 'f', loadDigits, 64)
+func (ac actions) AdvertiseLoad(load float64) {
+	ac.load.advertised = strconv.FormatFloat(load, 'f', loadDigits, 64)
 }
 
 // SetHealth implements admission.Actions.
@@ -142,14 +144,14 @@
 // Log implements admission.Actions.
 func (ac actions) Log(line string) { ac.log.Info("decision", zap.String("text", line)) }
 
-// Call implements admission.Actions. The module hears of no calls, as callRequested ends the requests that come to
-// one, so it decides on none.
+// Call implements admission.Actions. No call is ever reported to the module, because callRequested ends the requests
+// that want one, so the module decides on none.
 func (ac actions) Call(id admission.RequestID, _ time.Duration) { ac.logUnexpectedCall(id) }
 
-// SkipCall implements admission.Actions, as Call.
+// SkipCall implements admission.Actions; as with Call, the module never decides it.
 func (ac actions) SkipCall(id admission.RequestID) { ac.logUnexpectedCall(id) }
 
-// logUnexpectedCall logs a decision that nothing can have led to.
+// logUnexpectedCall logs a decision on a call that was never reported.
 func (ac actions) logUnexpectedCall(id admission.RequestID) {
 	ac.log.Error("call without a dependency", zap.Uint32("id", uint32(id)))
 }
