--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-//go:generate go run golang.org/x/tools/cmd/stringer -type=connState
+//go:generate go tool stringer -type=connState
 
 // ConnHandler receives the events of a connection.
 type ConnHandler interface {
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/pool"
 )
 
-//go:generate go run golang.org/x/tools/cmd/stringer -type=Outcome
+//go:generate go tool stringer -type=Outcome
 
 // Outcome is how a request ended.
 type Outcome uint8
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -3,7 +3,7 @@
 // protocol there is; another one would implement Session beside it.
 package gateway
 
-//go:generate go run golang.org/x/tools/cmd/stringer -type=RejectReason
+//go:generate go tool stringer -type=RejectReason
 
 // StreamID identifies an open request of a connection.
 type StreamID uint32
