--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -39,11 +39,9 @@
 
 // counterMetric returns the name of the metric for a counter of the log.
 func counterMetric(counter string) string {
-	if number, ok := strings.CutPrefix(counter, retryDecisionCounter); ok {
-		return "all_" + retryDecisionMetric + number + "_total"
+	word, isPinned := metricNames[counter]
+	if !isPinned {
+		word = strings.Replace(counter, retryDecisionCounter, retryDecisionMetric, 1)
 	}
-	if word, ok := metricNames[counter]; ok {
-		return "all_" + word + "_total"
-	}
-	return "all_" + counter + "_total"
+	return "all_" + word + "_total"
 }
