--- a/internal/route/error.go
+++ b/internal/route/error.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// ConfigError is a part of a table's description that can't be used.
+// ConfigError reports an invalid server, location or rewrite of a table.
 type ConfigError struct {
-	Source string // where the part was defined, as Location.Source has it
+	Source string // Source of the server, location or rewrite
 	Err    error
 }
 
 // Error implements error.
 func (e *ConfigError) Error() string { return e.Source + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong without its source.
+// Unwrap returns the error without its source.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 // configErrorf returns a *ConfigError.
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Kind is how a location's pattern is matched.
+// Kind says how the pattern of a location is matched.
 type Kind uint8
 
-// The kinds of location.
+// The kinds of locations, with their nginx modifiers.
 const (
-	Prefix          Kind = iota // the longest one that begins the path
-	PrefixNoRegex               // ^~: as Prefix; if it is the longest one, no regex is tried
-	Exact                       // =: the path is the pattern
-	Regex                       // ~: the first one that matches, in the order of the file
-	RegexIgnoreCase             // ~*: as Regex, case-insensitive
-	Named                       // @: by its name only
+	Prefix          Kind = iota // no modifier: matches paths that begin with the pattern; the longest such pattern wins
+	PrefixNoRegex               // ^~: like Prefix, but no regex is tried if it is the longest match
+	Exact                       // =: matches only the path that equals the pattern
+	Regex                       // ~: the first match in file order wins
+	RegexIgnoreCase             // ~*: like Regex, but case-insensitive
+	Named                       // @: is found by name and never by path
 )
 
-// modifiers are the kinds as nginx writes them before the pattern.
+// modifiers maps each kind to the modifier that nginx writes before the pattern.
 var modifiers = [...]string{
 	Prefix:          "",
 	PrefixNoRegex:   "^~",
@@ -28,28 +28,28 @@
 	Named:           "@",
 }
 
-// Modifier returns the modifier that nginx writes before the pattern.
+// Modifier returns the modifier that nginx writes before the pattern, which is empty for Prefix.
 func (k Kind) Modifier() string { return modifiers[k] }
 
 // isRegex reports whether the pattern is a regex.
 func (k Kind) isRegex() bool { return k == Regex || k == RegexIgnoreCase }
 
-// Location is a location of a server, or one nested in another location.
+// Location is a location of a server or a location nested in another one.
 type Location struct {
 	Kind                  Kind
-	Pattern               string // without the modifier; of a named location without @
-	RedirectTrailingSlash bool   // of a Prefix with a slash at its end: the same path without it is redirected to it
+	Pattern               string // without the modifier; without the @ of a named location
+	RedirectTrailingSlash bool   // for a prefix that ends in a slash: the path without that slash is redirected
 	Rewrites              []*Rewrite
 	Locations             []*Location
-	Value                 any    // what the caller keeps for the location; the table only hands it on
-	Source                string // where it was defined, for messages
+	Value                 any    // data of the caller, which this package doesn't use
+	Source                string // position of the definition, for messages
 
-	regex  *regexp.Regexp // nil unless Kind is one of a regex
+	regex  *regexp.Regexp // nil unless Kind is Regex or RegexIgnoreCase
 	parent *Location
-	nested level // of Locations
+	nested locationIndex // index of Locations
 }
 
-// String returns the location as nginx writes it.
+// String returns the modifier and the pattern in nginx syntax.
 func (l *Location) String() string {
 	switch l.Kind {
 	case Prefix:
@@ -60,38 +60,38 @@
 	return l.Kind.Modifier() + " " + l.Pattern
 }
 
-// compileRegex compiles the pattern of a regex location.
+// compileRegex compiles the pattern of a location of kind Regex or RegexIgnoreCase.
 func (l *Location) compileRegex() (err error) {
 	pattern := l.Pattern
 	if l.Kind == RegexIgnoreCase {
 		pattern = ignoreCase + pattern
 	}
 	if l.regex, err = regexp.Compile(pattern); err != nil {
-		return configErrorf(l.Source, "location %v: not a regex of RE2: %w", l, err)
+		return configErrorf(l.Source, "location %v: invalid RE2 regex: %w", l, err)
 	}
 	return nil
 }
 
-// ignoreCase before a regex makes it case-insensitive.
+// ignoreCase is the prefix that makes a regex case-insensitive.
 const ignoreCase = "(?i)"
 
-// validate checks that a location can stand where it does. Its parent has to be set.
+// validate checks the pattern and the kind of a location and its nesting. The caller sets l.parent before the call.
 func (l *Location) validate() error {
-	outer := l.parent
+	enclosing := l.parent
 	switch {
 	case l.Pattern == "":
-		return configErrorf(l.Source, "a location without a pattern")
+		return configErrorf(l.Source, "location has no pattern")
 	case l.Kind == Named && len(l.Rewrites) > 0:
-		return configErrorf(l.Source, "location %v can't rewrite: its path stays", l)
-	case outer == nil:
+		return configErrorf(l.Source, "location %v can't have rewrites: a named location keeps the path of the request", l)
+	case enclosing == nil:
 		return nil
 	case l.Kind == Named:
-		return configErrorf(l.Source, "location %v can only stand in a server", l)
-	case outer.Kind == Exact || outer.Kind == Named:
-		return configErrorf(l.Source, "location %v can't stand in location %v", l, outer)
-	case !l.Kind.isRegex() && !strings.HasPrefix(l.Pattern, outer.Pattern):
-		// nginx compares with the text of the pattern also where the outer one is a regex.
-		return configErrorf(l.Source, "location %v is outside location %v", l, outer)
+		return configErrorf(l.Source, "location %v must be directly in a server", l)
+	case enclosing.Kind == Exact || enclosing.Kind == Named:
+		return configErrorf(l.Source, "location %v can't be nested in location %v", l, enclosing)
+	case !l.Kind.isRegex() && !strings.HasPrefix(l.Pattern, enclosing.Pattern):
+		// Like nginx, this compares with the text of the enclosing pattern even if that is a regex.
+		return configErrorf(l.Source, "location %v is outside location %v", l, enclosing)
 	}
 	return nil
 }
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// The pieces that random configurations and paths are made of: few, so that they match each other often.
+// The elements of random configurations and requests. There are only a few, so that requests match patterns often.
 var (
 	pathPieces  = []string{"/", "a", "b", "ab", ".", "..", "//", "%2e", "%2F", "%61", ".php", "A", "%00", "%zz", "?x", "#y"}
 	textPieces  = []string{"/", "a", "b", "ab", "/a/", "/b/", ".php"}
@@ -21,7 +21,8 @@
 	serverNames = []string{"a.x", "x", "*.x", "*.a.x", ".x", "a.*", "a.x.*", "b.*", "~^a", "~x$"}
 )
 
-// drawLocations draws the locations of one level. count is how many there are so far, by which they are named.
+// drawLocations draws the locations of one level and those nested in them. parent is the pattern of the enclosing
+// location. count is the number of locations drawn so far, which is part of their names.
 func drawLocations(t *rapid.T, parent string, inRegex bool, depth int, count *int) []routemodel.Location {
 	var list []routemodel.Location
 	drawn := map[string]bool{}
@@ -31,7 +32,7 @@
 			l.Pattern = rapid.SampledFrom(regexPieces).Draw(t, "regex")
 		} else {
 			if inRegex {
-				continue // nginx compares with the regex's text: hardly any prefix can stand there
+				continue // nginx compares a prefix with the text of the enclosing regex, so hardly any prefix is valid here
 			}
 			l.Pattern = parent
 			if l.Pattern == "" {
@@ -58,7 +59,7 @@
 	return list
 }
 
-// buildLocations turns a model's locations into a table's.
+// buildLocations converts locations of the model to locations of a table.
 func buildLocations(list []routemodel.Location) []*Location {
 	kinds := map[string]Kind{"": Prefix, "^~": PrefixNoRegex, "=": Exact, "~": Regex, "~*": RegexIgnoreCase}
 	var out []*Location
@@ -70,11 +71,11 @@
 	return out
 }
 
-// paths is how many paths are looked up in each random configuration.
-var paths = flag.Int("paths", 20, "how many paths TestModel looks up in each configuration")
+// paths is the number of paths that TestModel looks up in each random configuration.
+var paths = flag.Int("paths", 20, "number of paths that TestModel looks up in each configuration")
 
 // TestModel compares the table with the model on random configurations, hosts and paths. With -rapid.checks=50000 it
-// compares a million pairs; docs/design/routes.md has what that showed.
+// compares a million pairs of configuration and request; docs/design/routes.md has the findings.
 func TestModel(t *testing.T) {
 	pairs := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -100,7 +101,7 @@
 			host := rapid.SampledFrom(hostNames).Draw(t, "host")
 			s, why := table.FindServer(at, host)
 			if want := routemodel.FindServer(names, host); s.Source != fmt.Sprint("s", want) {
-				t.Fatalf("host %s: %s by %s, the manual says s%d of %q", host, s.Source, why, want, names)
+				t.Fatalf("host %s: server %s by %s, want s%d of the names %q", host, s.Source, why, want, names)
 			}
 			raw := "/"
 			for range rapid.IntRange(0, 6).Draw(t, "length") {
@@ -109,7 +110,7 @@
 			m, err := s.Resolve(raw, "")
 			path, ok := routemodel.NormalizePath(raw, merge)
 			if ok != (err == nil) || ok && path != m.Path {
-				t.Fatalf("path %s: %q, %v; the manual says %q, %t", raw, m.Path, err, path, ok)
+				t.Fatalf("path %s normalized: %q, error %v; want %q, valid %t", raw, m.Path, err, path, ok)
 			}
 			if !ok {
 				continue
@@ -122,7 +123,7 @@
 				got = "301 " + got
 			}
 			if want, _ := routemodel.FindLocation(list, path); got != want {
-				t.Fatalf("path %s: %q, the manual says %q of %+v", path, got, want, list)
+				t.Fatalf("path %s: location %q, want %q of %+v", path, got, want, list)
 			}
 		}
 	})
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// ErrInvalidPath is a path that can't be normalized: the request is answered as a bad one.
-var ErrInvalidPath = errors.New("route: the path makes no sense")
+// ErrInvalidPath reports a path that can't be normalized. The response to such a request is 400 (Bad Request).
+var ErrInvalidPath = errors.New("route: invalid path: want a leading slash, no .. above the root and no invalid or zero escape")
 
-// NormalizePath turns a path as it was sent into the one that locations are matched against: %XX is decoded, "." and
-// ".." are resolved, and adjacent slashes are merged if mergeSlashes is set. What follows a "?" or "#" is cut off. The
-// error is ErrInvalidPath for a path that does not begin with a slash, leads above the root, or has an incomplete or a
-// zero escape.
+// NormalizePath converts a path as the client sent it to the form that locations are matched against. It decodes %XX,
+// resolves "." and "..", and merges adjacent slashes if mergeSlashes is set. It removes everything from the first "?"
+// or "#" on. It returns ErrInvalidPath if the path doesn't begin with a slash, leads above the root, or has an invalid
+// escape or %00.
 func NormalizePath(raw string, mergeSlashes bool) (string, error) {
 	if end := strings.IndexAny(raw, "?#"); end >= 0 {
 		raw = raw[:end]
@@ -45,7 +45,8 @@
 	return closeLastSegment(out)
 }
 
-// isNormalized reports whether nothing in the path has to be changed.
+// isNormalized reports whether the path certainly needs no change. It returns false for some paths that need none, such
+// as "/.a".
 func isNormalized(raw string) bool {
 	for i := 0; i < len(raw); i++ {
 		switch {
@@ -58,10 +59,11 @@
 	return true
 }
 
-// closeSegment adds a slash behind the last segment: "." is dropped, and ".." drops the segment before it. It returns
-// false if that leads above the root.
+// closeSegment ends the last segment with a slash. It removes the segment if it is ".", or if it is empty and
+// mergeSlashes is set. It removes ".." together with the segment before it, and returns false if that leads above the
+// root.
 func closeSegment(out []byte, mergeSlashes bool) ([]byte, bool) {
-	start := lastSegment(out)
+	start := lastSegmentStart(out)
 	switch segment := string(out[start:]); {
 	case segment == "." && start > 0:
 		return out[:start], true
@@ -73,9 +75,9 @@
 	return append(out, '/'), true
 }
 
-// closeLastSegment resolves the last segment of a path.
+// closeLastSegment resolves "." and ".." at the end of a path, where no slash follows.
 func closeLastSegment(out []byte) (string, error) {
-	start := lastSegment(out)
+	start := lastSegmentStart(out)
 	switch string(out[start:]) {
 	case ".":
 		out = out[:start]
@@ -89,8 +91,8 @@
 	return string(out), nil
 }
 
-// lastSegment returns where the last segment begins, behind the last slash.
-func lastSegment(out []byte) int {
+// lastSegmentStart returns the index of the last segment, which begins after the last slash.
+func lastSegmentStart(out []byte) int {
 	for i := len(out); i > 0; i-- {
 		if out[i-1] == '/' {
 			return i
@@ -99,19 +101,20 @@
 	return 0
 }
 
-// dropSegment returns the path up to the slash before the segment that ends before start, or false above the root.
+// dropSegment removes the last segment, which begins at start, and the segment before it. It returns false if there is
+// no segment before it, which is above the root.
 func dropSegment(out []byte, start int) ([]byte, bool) {
 	if start <= 1 {
 		return out, false
 	}
-	return out[:lastSegment(out[:start-1])], true
+	return out[:lastSegmentStart(out[:start-1])], true
 }
 
-// escapeDigits is how many hexadecimal digits follow a % in an escape.
+// escapeDigits is the number of hexadecimal digits after the % of an escape.
 const escapeDigits = 2
 
-// decodeEscape returns the byte that the digits at the start of a text stand for, or false if it lacks them or if they
-// are a zero.
+// decodeEscape decodes the two hexadecimal digits at the start of a text. It returns false if the text doesn't begin
+// with two of them or if their value is zero.
 func decodeEscape(text string) (byte, bool) {
 	if len(text) < escapeDigits || !isHex(text[0]) || !isHex(text[1]) {
 		return 0, false
--- a/internal/route/resolve.go
+++ b/internal/route/resolve.go
@@ -2,49 +2,49 @@
 
 import "strings"
 
-// The statuses of a Resolution.
+// The values of Resolution.Status.
 const (
 	statusMovedPermanently = 301
 	statusFound            = 302
 	statusInternalError    = 500
 )
 
-// Match is the location that a request belongs to.
+// Match is the server and the location of a request.
 type Match struct {
 	Server                *Server
-	Location              *Location // nil if the server has none for the path
+	Location              *Location // nil if no location of the server matches the path
 	Path                  string    // normalized
-	RedirectTrailingSlash bool      // the client is redirected to the path with a slash at its end
+	RedirectTrailingSlash bool      // the client is redirected to Path with a slash appended
 }
 
-// Resolution is where a request belongs after rewrites.
+// Resolution is the result of the location search and of the rewrites.
 type Resolution struct {
 	Match
 	Query          string
-	Rewritten      bool   // path or query differ from the normalized request
-	Status         int    // 301 or 302 if a rewrite redirects the client, 500 if rewrites go in circles, else 0
-	RedirectURL    string // of status 301 or 302
-	StoppedByBreak bool   // by a rewrite with FlagBreak: of the location only its pool counts
+	Rewritten      bool   // the path or the query differs from that of the normalized request
+	Status         int    // 301 or 302 if a rewrite redirects the client, 500 after too many rewrite cycles, else 0
+	RedirectURL    string // set if Status is 301 or 302
+	StoppedByBreak bool   // a rewrite of the location has FlagBreak and matched: only the pool of the location applies
 }
 
-// maxRewriteCycles is how often the location may be searched again before rewrites are taken to go in circles, as in
-// nginx.
+// maxRewriteCycles is how many times the location search may be repeated for a request. If the rewrites ask for one
+// more search, the status is 500. nginx has the same limit.
 const maxRewriteCycles = 10
 
-// Resolve finds the location of a request, given its path as sent and its query, with the rewrites of the server and of
-// the locations on the way. The only error is ErrInvalidPath.
+// Resolve finds the location of a request. It applies the rewrites of the server and those of each location that the
+// search finds. rawPath is the path as the client sent it. The only error is ErrInvalidPath.
 func (s *Server) Resolve(rawPath, query string) (Resolution, error) {
 	return s.resolve(rawPath, query, nil)
 }
 
-// Explain is Resolve with the steps that led to its result.
+// Explain is like Resolve and also returns the steps of the search.
 func (s *Server) Explain(rawPath, query string) (Resolution, []Step, error) {
 	var steps []Step
 	r, err := s.resolve(rawPath, query, func(step Step) { steps = append(steps, step) })
 	return r, steps, err
 }
 
-// resolve is Resolve with a tracer, which may be nil.
+// resolve implements Resolve and Explain. trace may be nil.
 func (s *Server) resolve(rawPath, query string, trace tracer) (Resolution, error) {
 	path, err := NormalizePath(rawPath, s.MergeSlashes)
 	if err != nil {
@@ -80,31 +80,32 @@
 	return Resolution{Match: Match{Server: s, Path: current.path}, Query: current.query, Status: statusInternalError}, nil
 }
 
-// rewriteEffect is what follows a list of rewrites.
+// rewriteEffect says how the search continues after a list of rewrites.
 type rewriteEffect uint8
 
-// The effects.
+// The effects of a list of rewrites.
 const (
-	rewriteNone        rewriteEffect = iota // none matched
-	rewriteSearchAgain                      // the location has to be searched again
-	rewriteBreak                            // one with FlagBreak matched
+	rewriteNone        rewriteEffect = iota // no rewrite matched, or the client is redirected
+	rewriteSearchAgain                      // the location search is repeated
+	rewriteBreak                            // a rewrite with FlagBreak matched
 )
 
-// applyRewrites applies a list of rewrites in order to a target. The resolution has a status if one redirects the client.
-func (s *Server) applyRewrites(rewrites []*Rewrite, at *target, location *Location,
+// applyRewrites applies a list of rewrites to current in order. The resolution has a Status if a rewrite redirects the
+// client, else it is the zero value. location is the location of the rewrites, or nil if they are those of the server.
+func (s *Server) applyRewrites(rewrites []*Rewrite, current *target, location *Location,
 	trace tracer) (Resolution, rewriteEffect) {
 	effect := rewriteNone
 	for _, rewrite := range rewrites {
-		to, matched := rewrite.apply(*at)
+		to, matched := rewrite.apply(*current)
 		if !matched {
 			trace.traceRewrite(rewrite, location, "does not match")
 			continue
 		}
 		if rewrite.redirects() {
-			trace.traceRewrite(rewrite, location, "sends the caller away")
-			return s.redirect(rewrite, *at, to), rewriteNone
+			trace.traceRewrite(rewrite, location, "redirects the client")
+			return s.redirect(rewrite, *current, to), rewriteNone
 		}
-		*at = to
+		*current = to
 		trace.traceRewrite(rewrite, location, "makes it "+to.path)
 		switch rewrite.Flag {
 		case FlagBreak:
@@ -129,7 +130,7 @@
 		resolution.Status = statusMovedPermanently
 	}
 	if !rewrite.isAbsolute() && strings.HasPrefix(resolution.RedirectURL, "//") {
-		// With two slashes it would name another host.
+		// A URL that begins with two slashes refers to another host.
 		resolution.RedirectURL = "/" + strings.TrimLeft(resolution.RedirectURL, "/")
 	}
 	if to.query != "" {
--- a/internal/route/rewrite.go
+++ b/internal/route/rewrite.go
@@ -5,61 +5,64 @@
 	"strings"
 )
 
-// RewriteFlag says what follows a rewrite whose regex matched (the manual's ngx_http_rewrite_module).
+// RewriteFlag says how processing continues after a rewrite whose regex matched. The nginx manual describes the flags
+// on the page ngx_http_rewrite_module.
 type RewriteFlag uint8
 
-// The flags.
+// The flags of rewrites.
 const (
-	FlagNone      RewriteFlag = iota // the next rewrite; after the last one the location is searched again
-	FlagLast                         // the location is searched again
-	FlagBreak                        // the location stays, and of it only its pool counts
+	FlagNone      RewriteFlag = iota // the next rewrite is tried; after the last one the location search is repeated
+	FlagLast                         // the location search is repeated
+	FlagBreak                        // the location is kept, and only its pool applies
 	FlagRedirect                     // the client is redirected with status 302
 	FlagPermanent                    // the client is redirected with status 301
 )
 
-// Rewrite changes the path and the query of a request, or redirects its client.
+// Rewrite changes the path and the query of a request, or redirects the client.
 type Rewrite struct {
-	Pattern     string // a regex of RE2, matched against the normalized path
-	Replacement string // with $1 to $9 for groups; a query in it goes before the request's, or replaces that if it ends in ?
+	Pattern string // RE2 regex that is matched against the normalized path
+	// Replacement is the new path or an absolute URL. It may refer to groups by $1 to $9. Its query is put before the
+	// query of the request, or replaces that if the replacement ends in a question mark.
+	Replacement string
 	Flag        RewriteFlag
-	Source      string // where it was defined, for messages
+	Source      string // position of the definition, for messages
 
 	regex *regexp.Regexp
 }
 
-// redirects reports whether clients are redirected, by the flag or by the replacement.
+// redirects reports whether the rewrite redirects the client, because of its flag or of an absolute replacement.
 func (w *Rewrite) redirects() bool {
 	return w.isAbsolute() || w.Flag == FlagRedirect || w.Flag == FlagPermanent
 }
 
-// isAbsolute reports whether the replacement is an absolute URL, to which clients are redirected whatever the flag.
+// isAbsolute reports whether the replacement is an absolute URL. The client is then redirected, whatever the flag.
 func (w *Rewrite) isAbsolute() bool {
 	return strings.HasPrefix(w.Replacement, "http://") || strings.HasPrefix(w.Replacement, "https://")
 }
 
-// compile checks a rewrite and compiles its regex.
+// compile compiles the regex of a rewrite and validates the replacement.
 func (w *Rewrite) compile() (err error) {
 	if w.regex, err = regexp.Compile(w.Pattern); err != nil {
-		return configErrorf(w.Source, "rewrite %s: not a regex of RE2: %w", w.Pattern, err)
+		return configErrorf(w.Source, "rewrite %s: invalid RE2 regex: %w", w.Pattern, err)
 	}
 	for i := 0; i < len(w.Replacement); i++ {
 		if w.Replacement[i] != '$' {
 			continue
 		}
 		if i+1 == len(w.Replacement) || w.Replacement[i+1] < '1' || w.Replacement[i+1] > '9' {
-			return configErrorf(w.Source, "rewrite to %s: only $1 to $9 can stand in it", w.Replacement)
+			return configErrorf(w.Source, "rewrite to %s: $ is not followed by a digit from 1 to 9", w.Replacement)
 		}
 		if group := int(w.Replacement[i+1] - '0'); group > w.regex.NumSubexp() {
-			return configErrorf(w.Source, "rewrite to %s: %s has no group %d", w.Replacement, w.Pattern, group)
+			return configErrorf(w.Source, "rewrite to %s: regex %s has no group %d", w.Replacement, w.Pattern, group)
 		}
 	}
 	if w.Replacement == "" {
-		return configErrorf(w.Source, "rewrite %s: it leads nowhere", w.Pattern)
+		return configErrorf(w.Source, "rewrite %s: the replacement is empty, want a path or a URL", w.Pattern)
 	}
 	return nil
 }
 
-// compileRewrites compiles a list of rewrites.
+// compileRewrites compiles all rewrites of a list.
 func compileRewrites(rewrites []*Rewrite) error {
 	for _, w := range rewrites {
 		if err := w.compile(); err != nil {
@@ -69,10 +72,10 @@
 	return nil
 }
 
-// target is a normalized path with its query.
+// target is the normalized path and the query of a request.
 type target struct{ path, query string }
 
-// apply returns what a rewrite makes of a request, or the request itself if its regex does not match.
+// apply returns the target after the rewrite, or the same target and false if the regex does not match its path.
 func (w *Rewrite) apply(from target) (to target, matched bool) {
 	groups := w.regex.FindStringSubmatchIndex(from.path)
 	if groups == nil {
@@ -85,7 +88,7 @@
 		to.query = expandGroups(query, from.path, groups, true)
 	}
 	switch {
-	case dropsQuery: // the replacement's query is all that is left
+	case dropsQuery: // only the query of the replacement is kept
 	case !hasQuery:
 		to.query = from.query
 	case from.query != "":
@@ -94,7 +97,8 @@
 	return to, true
 }
 
-// expandGroups puts what the groups matched in the path in place of $1 to $9.
+// expandGroups replaces $1 to $9 by the text of the groups. groups has their indexes in path, as regexp returns them.
+// The text of the groups is escaped for a URL if escape is set.
 func expandGroups(replacement, path string, groups []int, escape bool) string {
 	var b strings.Builder
 	for i := 0; i < len(replacement); i++ {
@@ -105,7 +109,7 @@
 		i++
 		group := 2 * int(replacement[i]-'0')
 		if groups[group] < 0 {
-			continue // it took no part in the match
+			continue // the group is not part of the match
 		}
 		text := path[groups[group]:groups[group+1]]
 		if escape {
@@ -116,10 +120,10 @@
 	return b.String()
 }
 
-// escapedInURL are the printable characters that can't stand for themselves in a path of a URL.
+// escapedInURL has the printable characters that must be escaped in the path of a URL.
 const escapedInURL = "%?#&+\"<>"
 
-// escapeURL writes a decoded part of a path as it can stand in a URL.
+// escapeURL escapes a decoded part of a path for use in a URL.
 func escapeURL(text string) string {
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
--- a/internal/route/rewrite_test.go
+++ b/internal/route/rewrite_test.go
@@ -10,14 +10,14 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// The pieces of random rewrites.
+// The elements of random rewrites.
 var (
 	rewriteRegexes = []string{"^/a(.*)$", "^(.*)/b/(.*)$", `\.php$`, "^/old/(.*)", "b", "^/(a|b)?(/.*)?$"}
 	rewriteTargets = []string{"/b", "/a/$1", "/x?q=$1", "/x?", "$1/$1", "http://h/$1", "/b$1?a=1?", "/$1/a", "https://h/"}
 	rewriteFlags   = map[string]RewriteFlag{"": FlagNone, "last": FlagLast, "break": FlagBreak, "redirect": FlagRedirect, "permanent": FlagPermanent}
 )
 
-// drawRewrites draws a few rewrites, for the table and for the model.
+// drawRewrites draws up to two rewrites and returns them for the table and for the model.
 func drawRewrites(t *rapid.T) (rewrites []*Rewrite, modelRewrites []routemodel.Rewrite) {
 	for range rapid.IntRange(0, 2).Draw(t, "rewrites") {
 		w := routemodel.Rewrite{Regex: rapid.SampledFrom(rewriteRegexes).Draw(t, "from"),
@@ -25,7 +25,7 @@
 				"redirect", "permanent"}).Draw(t, "flag")}
 		r := &Rewrite{Pattern: w.Regex, Replacement: w.Replacement, Flag: rewriteFlags[w.Flag], Source: "r"}
 		if r.compile() != nil {
-			continue // its target has groups that the regex has not
+			continue // its replacement refers to a group that the regex doesn't have
 		}
 		rewrites, modelRewrites = append(rewrites, r), append(modelRewrites, w)
 	}
@@ -63,7 +63,7 @@
 			r, err := server.Resolve(raw, query)
 			path, ok := routemodel.NormalizePath(raw, true)
 			if ok != (err == nil) {
-				t.Fatalf("%s: %v", raw, err)
+				t.Fatalf("path %s: error %v, want an error only if the model rejects the path", raw, err)
 			}
 			if !ok {
 				continue
@@ -83,20 +83,22 @@
 				}
 			}
 			if want := routemodel.Resolve(serverRewrites, rewritesOf, list, path, query); got != want {
-				t.Fatalf("%s?%s: %+v, the manual says %+v\nserver %+v\nlocations %+v\nrewrites %+v", raw, query, got, want, serverRewrites, list, rewritesOf)
+				t.Fatalf("%s?%s: %+v, want %+v\nserver rewrites %+v\nlocations %+v\nlocation rewrites %+v", raw, query, got, want,
+					serverRewrites, list, rewritesOf)
 			}
 		}
 	})
-	t.Logf("%d pairs, %d redirected, %d in circles", pairs, redirects, cycles)
+	t.Logf("%d pairs of configuration and request, %d redirects, %d rewrite cycles", pairs, redirects, cycles)
 }
 
-// TestRewriteKeepsHost has no group turn a path into the name of another host.
+// TestRewriteKeepsHost checks that a redirect to a group of the path stays on the host. A client takes a URL that
+// begins with two slashes for one of another host.
 func TestRewriteKeepsHost(t *testing.T) {
 	s := &Server{Listen: []Listen{{}}, Rewrites: []*Rewrite{{Pattern: "^(.*)/$", Replacement: "$1", Flag: FlagPermanent}}}
 	if _, err := New([]*Server{s}); err != nil {
 		t.Fatal(err)
 	}
 	if r, err := s.Resolve("//evil.example/", ""); err != nil || r.RedirectURL != "/evil.example" {
-		t.Errorf("sent to %q, %v", r.RedirectURL, err)
+		t.Errorf("redirect to %q, error %v, want a redirect to /evil.example", r.RedirectURL, err)
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,7 +10,8 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// TestMatchOrder has the cases in which the order of matching matters.
+// TestMatchOrder checks which location wins if several match a path, which paths are invalid, and the lookup of named
+// locations.
 func TestMatchOrder(t *testing.T) {
 	list := []*Location{
 		{Kind: Regex, Pattern: `\.gif$`, Value: "gif above"},
@@ -34,7 +35,7 @@
 		"/%69mages/x.gif": "images", "/images%2Fx.gif": "images"} {
 		m, steps, err := s.Explain(path, "")
 		if err != nil {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("path %s: %v", path, err)
 			continue
 		}
 		got := m.Location.Value.(string)
@@ -42,49 +43,51 @@
 			got = "301 " + got
 		}
 		if got != want || len(steps) == 0 {
-			t.Errorf("%s: %s by %v, want %s", path, got, steps, want)
+			t.Errorf("path %s: location %s by the steps %v, want %s and at least one step", path, got, steps, want)
 		}
 	}
 	for _, path := range []string{"", "x", "/..", "/a/../../b", "/%", "/%4", "/%zz", "/%00"} {
 		if _, err := s.Resolve(path, ""); err != ErrInvalidPath {
-			t.Errorf("%q: %v", path, err)
+			t.Errorf("path %q: error %v, want ErrInvalidPath", path, err)
 		}
 	}
 	if s.NamedLocation("fallback").Value != "fallback" || s.NamedLocation("x") != nil {
-		t.Error("the named location is not found")
+		t.Error("named location \"fallback\" is not found, or an undefined one is")
 	}
 }
 
-// TestConfigErrors has each invalid description reported with its source.
+// TestConfigErrors checks that invalid servers and locations are reported as a *ConfigError, with the source where the
+// definition has one.
 func TestConfigErrors(t *testing.T) {
 	location := func(kind Kind, pattern string, inner ...*Location) *Location {
 		return &Location{Kind: kind, Pattern: pattern, Locations: inner, Source: "f:" + pattern}
 	}
 	listen := []Listen{{Addr: netip.MustParseAddrPort("127.0.0.1:80"), Default: true}}
 	for want, servers := range map[string][]*Server{
-		"is defined twice, first at f:/a":          {{Locations: []*Location{location(Prefix, "/a"), location(PrefixNoRegex, "/a")}}},
-		"f:(?=a): location ~ (?=a): not a regex":   {{Locations: []*Location{location(Regex, "(?=a)")}}},
-		"is outside location /b":                   {{Locations: []*Location{location(Prefix, "/b", location(Prefix, "/a"))}}},
-		"can't stand in location = /a":             {{Locations: []*Location{location(Exact, "/a", location(Prefix, "/a/b"))}}},
-		"location @x can only stand in a server":   {{Locations: []*Location{location(Prefix, "/", location(Named, "x"))}}},
-		"location /a is outside location ~ b":      {{Locations: []*Location{location(Regex, "b", location(Prefix, "/a"))}}},
-		"without a pattern":                        {{Locations: []*Location{location(Prefix, "")}}},
-		"a second default server for 127.0.0.1:80": {{Listen: listen}, {Listen: listen}},
-		"server name \"a*b\"":                      {{Listen: listen, Names: []string{"a*b"}}},
-		"server name \"~(\": not a regex":          {{Listen: listen, Names: []string{"~("}}},
+		"is defined twice, first at f:/a":              {{Locations: []*Location{location(Prefix, "/a"), location(PrefixNoRegex, "/a")}}},
+		"f:(?=a): location ~ (?=a): invalid RE2 regex": {{Locations: []*Location{location(Regex, "(?=a)")}}},
+		"is outside location /b":                       {{Locations: []*Location{location(Prefix, "/b", location(Prefix, "/a"))}}},
+		"can't be nested in location = /a":             {{Locations: []*Location{location(Exact, "/a", location(Prefix, "/a/b"))}}},
+		"location @x must be directly in a server":     {{Locations: []*Location{location(Prefix, "/", location(Named, "x"))}}},
+		"location /a is outside location ~ b":          {{Locations: []*Location{location(Regex, "b", location(Prefix, "/a"))}}},
+		"location has no pattern":                      {{Locations: []*Location{location(Prefix, "")}}},
+		"duplicate default server for 127.0.0.1:80":    {{Listen: listen}, {Listen: listen}},
+		"server name \"a*b\"":                          {{Listen: listen, Names: []string{"a*b"}}},
+		"server name \"~(\": invalid RE2 regex":        {{Listen: listen, Names: []string{"~("}}},
 	} {
 		_, err := New(servers)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want %q", err, want)
+			t.Errorf("error %v, want one that contains %q", err, want)
 		}
 		var configError *ConfigError
 		if !errors.As(err, &configError) {
-			t.Errorf("error %v is no ConfigError", err)
+			t.Errorf("error %v is not a *ConfigError", err)
 		}
 	}
 }
 
-// FuzzNormalizePath never panics and agrees with the model.
+// FuzzNormalizePath checks that NormalizePath does not panic, and that the model returns the same for each path that it
+// accepts.
 func FuzzNormalizePath(f *testing.F) {
 	for _, raw := range []string{"/", "/a/../b", "//a//", "/%2e%2e/", "/.", "/a/.."} {
 		f.Add(raw)
@@ -95,12 +98,12 @@
 			return
 		}
 		if want, ok := routemodel.NormalizePath(raw, true); !ok || want != path {
-			t.Errorf("%q: %q, the manual says %q, %t", raw, path, want, ok)
+			t.Errorf("path %q normalized: %q, want %q, valid %t", raw, path, want, ok)
 		}
 	})
 }
 
-// BenchmarkResolve looks up a path among many locations.
+// BenchmarkResolve measures the lookup of a path among 10, 1,000 and 100,000 prefix locations.
 func BenchmarkResolve(b *testing.B) {
 	for _, n := range []int{10, 1_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -117,7 +120,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if m, err := s.Resolve(path, ""); err != nil || m.Location == nil {
-					b.Fatal("no match")
+					b.Fatal("the path is invalid or matches no location")
 				}
 			}
 		})
--- a/internal/route/routemodel/model.go
+++ b/internal/route/routemodel/model.go
@@ -1,6 +1,6 @@
-// Package routemodel is a reference model of how nginx chooses servers and locations and applies rewrites, written from
-// the manual for clarity instead of speed. Tests compare internal/route and imported configurations with it, so it shares
-// no code and no data structures with them.
+// Package routemodel is a reference model of how nginx selects servers and locations and applies rewrites. It follows
+// the nginx manual and is written for clarity instead of speed. Tests compare internal/route and imported
+// configurations with the model, so it shares no code and no data structures with them.
 package routemodel
 
 import (
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Location is a location block as it is written.
+// Location is a location block of an nginx configuration.
 type Location struct {
 	Modifier     string // "", "^~", "=", "~" or "~*"
 	Pattern      string
-	PassesToPool bool // so that a path without the slash at the location's end is redirected
+	PassesToPool bool // so a path that lacks only the trailing slash of the pattern is redirected
 	Locations    []Location
 	Name         string
 }
@@ -33,8 +33,8 @@
 	return regexp.MustCompile(regex).MatchString(path)
 }
 
-// NormalizePath normalizes as the manual says: decode, merge slashes, resolve dot segments. It returns false for a path
-// that can't be.
+// NormalizePath normalizes a path in the order of the manual: decode escapes, merge slashes, resolve dot segments. It
+// returns false for an invalid path.
 func NormalizePath(raw string, mergeSlashes bool) (string, bool) {
 	raw, _, _ = strings.Cut(raw, "?")
 	raw, _, _ = strings.Cut(raw, "#")
@@ -53,7 +53,7 @@
 	return resolveDots(decoded)
 }
 
-// decode replaces each %XX by its byte, which must not be zero.
+// decode replaces each %XX by its byte. It returns false for an invalid or a zero escape.
 func decode(raw string) (string, bool) {
 	decoded := ""
 	for i := 0; i < len(raw); i++ {
@@ -76,7 +76,7 @@
 	return decoded, true
 }
 
-// resolveDots resolves the segments "." and "..", which must not lead above the root.
+// resolveDots resolves the segments "." and "..". It returns false if they lead above the root.
 func resolveDots(path string) (string, bool) {
 	kept := []string{}
 	segments := strings.Split(path[1:], "/")
@@ -99,8 +99,9 @@
 	return "/" + strings.Join(kept, "/"), true
 }
 
-// FindLocation returns the name of the location for a path, with "301 " before it for a redirect to the path with a
-// slash at its end, or "". It reports whether the match is final: regexes of the level around it are not tried.
+// FindLocation returns the name of the location for a path, or "". The name has the prefix "301 " if the client is
+// redirected to the path with a slash appended. final reports whether the match is final, so that the regexes of the
+// enclosing level are not tried.
 func FindLocation(locations []Location, path string) (name string, final bool) {
 	for _, l := range locations {
 		if l.Modifier == "=" && l.Pattern == path {
@@ -138,7 +139,7 @@
 	return name, false
 }
 
-// findLongestPrefix returns the index of the longest prefix location of a path, or -1.
+// findLongestPrefix returns the index of the longest prefix location that matches a path, or -1.
 func findLongestPrefix(locations []Location, path string) int {
 	longest := -1
 	for i, l := range locations {
@@ -150,7 +151,8 @@
 	return longest
 }
 
-// findSlashRedirect returns "301 " and the name of the location that is the path with a slash at its end, or "".
+// findSlashRedirect returns "301 " and the name of the prefix location that redirects a path to the path with a slash
+// appended, or "".
 func findSlashRedirect(locations []Location, path string) string {
 	for _, l := range locations {
 		if l.isPrefix() && l.Pattern == path+"/" && l.PassesToPool {
@@ -160,11 +162,12 @@
 	return ""
 }
 
-// FindServer returns the index of the server for a host among lists of names; the first is the default.
+// FindServer returns the index of the server for a host. names has a list of names for each server. The first server is
+// the default.
 func FindServer(names [][]string, host string) int {
 	host = strings.ToLower(strings.TrimSuffix(host, "."))
 	exact := findName(names, func(name string) int {
-		return length(name == host || strings.HasPrefix(name, ".") && name[1:] == host, 1)
+		return lengthIf(name == host || strings.HasPrefix(name, ".") && name[1:] == host, 1)
 	})
 	if exact >= 0 {
 		return exact
@@ -172,26 +175,27 @@
 	longestSuffix := findName(names, func(name string) int {
 		suffix := strings.TrimPrefix(name, "*")
 		hasStar := strings.HasPrefix(name, "*.") || strings.HasPrefix(name, ".")
-		return length(hasStar && strings.HasSuffix(host, suffix) && len(host) > len(suffix), len(suffix))
+		return lengthIf(hasStar && strings.HasSuffix(host, suffix) && len(host) > len(suffix), len(suffix))
 	})
 	if longestSuffix >= 0 {
 		return longestSuffix
 	}
 	longestPrefix := findName(names, func(name string) int {
 		prefix, hasStar := strings.CutSuffix(name, "*")
-		return length(hasStar && strings.HasPrefix(host, prefix) && len(host) > len(prefix), len(prefix))
+		return lengthIf(hasStar && strings.HasPrefix(host, prefix) && len(host) > len(prefix), len(prefix))
 	})
 	if longestPrefix >= 0 {
 		return longestPrefix
 	}
 	regex := findName(names, func(name string) int {
 		regex, isRegex := strings.CutPrefix(name, "~")
-		return length(isRegex && regexp.MustCompile(regex).MatchString(host), 1)
+		return lengthIf(isRegex && regexp.MustCompile(regex).MatchString(host), 1)
 	})
 	return max(regex, 0)
 }
 
-// findName returns the index of the first list with the longest match, or -1 if no name has one.
+// findName returns the index of the first list that has a name with the longest match, or -1 if no name matches.
+// matchLength returns the length of the match of a name, or 0.
 func findName(names [][]string, matchLength func(name string) int) int {
 	best, longest := -1, 0
 	for i, list := range names {
@@ -204,8 +208,8 @@
 	return best
 }
 
-// length returns the length of a match, or 0 if there is none.
-func length(matches bool, n int) int {
+// lengthIf returns n if the name matches, else 0.
+func lengthIf(matches bool, n int) int {
 	if matches {
 		return n
 	}
--- a/internal/route/routemodel/rewrite.go
+++ b/internal/route/routemodel/rewrite.go
@@ -6,33 +6,34 @@
 	"strings"
 )
 
-// Rewrite is a rewrite directive as it is written. Groups are the only variables of its replacement.
+// Rewrite is a rewrite directive of an nginx configuration. The only variables in its replacement are groups.
 type Rewrite struct {
 	Regex       string
 	Replacement string
 	Flag        string // "", "last", "break", "redirect" or "permanent"
 }
 
-// redirects reports whether clients are redirected.
+// redirects reports whether the rewrite redirects the client.
 func (w Rewrite) redirects() bool {
 	return w.Flag == "redirect" || w.Flag == "permanent" || strings.HasPrefix(w.Replacement, "http")
 }
 
-// Result is where a request ends: at a location, or with a URL to which its client is redirected.
+// Result is the result for a request: a location, a redirect of the client to a URL, or an error status.
 type Result struct {
-	Target         string // a location's name, as FindLocation has it, or "302 URL", "301 URL" or "500"
+	Target         string // name of a location as FindLocation returns it, or "302 URL", "301 URL" or "500"
 	Path           string
 	Query          string
-	StoppedByBreak bool // nothing else of the location's rewrites and returns counts
+	StoppedByBreak bool // the location's further rewrites and its return are ignored
 }
 
-// maxCycles is how often the location is searched again at most.
+// maxCycles is the maximum number of times that the location search is repeated.
 const maxCycles = 10
 
-// Resolve follows the manual: the server's rewrites are applied once, then the location is searched and its own rewrites
-// are applied, until none of them changes the path. rewritesOf holds the rewrites of each location by its name.
-func Resolve(server []Rewrite, rewritesOf map[string][]Rewrite, locations []Location, path, query string) Result {
-	current, _ := applyAll(server, Result{Path: path, Query: query})
+// Resolve follows the manual. It applies the rewrites of the server once. Then it searches the location and applies the
+// location's rewrites, and repeats this until no rewrite changes the path. rewritesOf has the rewrites of each location
+// by its name.
+func Resolve(serverRewrites []Rewrite, rewritesOf map[string][]Rewrite, locations []Location, path, query string) Result {
+	current, _ := applyAll(serverRewrites, Result{Path: path, Query: query})
 	if current.Target != "" {
 		return current
 	}
@@ -56,7 +57,7 @@
 	return Result{Target: "500", Path: current.Path, Query: current.Query}
 }
 
-// applyAll applies rewrites in order and reports whether one of them changed the path.
+// applyAll applies rewrites in order. It reports whether a rewrite matched and did not redirect.
 func applyAll(rewrites []Rewrite, result Result) (Result, bool) {
 	changed := false
 	for _, w := range rewrites {
@@ -80,10 +81,10 @@
 	return result, changed
 }
 
-// replace returns the path and the query that the replacement gives.
+// replace returns the path and the query after the replacement.
 func (w Rewrite) replace(groups []string, oldQuery string) (path, query string) {
 	replacement := w.Replacement
-	if strings.HasSuffix(replacement, "?") { // the old query is dropped
+	if strings.HasSuffix(replacement, "?") { // the query of the request is dropped
 		replacement = replacement[:len(replacement)-1]
 		oldQuery = ""
 	}
@@ -99,7 +100,7 @@
 	return path, query
 }
 
-// redirect returns the status and the URL of a redirect.
+// redirect returns the status of a redirect, a space and the URL.
 func (w Rewrite) redirect(path, query string) string {
 	status := "302 "
 	if w.Flag == "permanent" {
@@ -107,7 +108,7 @@
 	}
 	url := path
 	if !strings.HasPrefix(w.Replacement, "http") && strings.HasPrefix(url, "//") {
-		url = "/" + strings.TrimLeft(url, "/") // it would name another host
+		url = "/" + strings.TrimLeft(url, "/") // a URL that begins with // refers to another host
 	}
 	if query != "" {
 		url += "?" + query
@@ -115,20 +116,20 @@
 	return status + url
 }
 
-// expand puts what groups matched in place of $1 to $9.
+// expand replaces $1 to $9 by the text of the groups, which is escaped for a URL if escape is set.
 func expand(text string, groups []string, escape bool) string {
-	const dollar = "\x01" // stands for a $ that a group matched until all are expanded
+	const escapedDollar = "\x01" // placeholder for a $ in the text of a group until all groups are expanded
 	for i := len(groups) - 1; i > 0; i-- {
 		group := groups[i]
 		if escape {
 			group = escapeURL(group)
 		}
-		text = strings.ReplaceAll(text, fmt.Sprint("$", i), strings.ReplaceAll(group, "$", dollar))
+		text = strings.ReplaceAll(text, fmt.Sprint("$", i), strings.ReplaceAll(group, "$", escapedDollar))
 	}
-	return strings.ReplaceAll(text, dollar, "$")
+	return strings.ReplaceAll(text, escapedDollar, "$")
 }
 
-// escapeURL writes a part of a path as it can stand in a URL.
+// escapeURL escapes a part of a path for use in a URL.
 func escapeURL(text string) string {
 	out := ""
 	for _, c := range []byte(text) {
--- a/internal/route/search.go
+++ b/internal/route/search.go
@@ -2,60 +2,63 @@
 
 import "fmt"
 
-// level is the locations of a server, or those nested in one location, compiled for lookups.
-type level struct {
+// locationIndex finds a location by path among the locations of one level: those directly in a server, or those nested
+// directly in a location.
+type locationIndex struct {
 	tree    *node
-	regexes []*Location // in the order of the file
+	regexes []*Location // in file order
 }
 
-// newLevel compiles a list of locations and all that is nested in them.
-func newLevel(locations []*Location, parent *Location) (level, error) {
-	compiled := level{tree: &node{}}
+// newLocationIndex validates and compiles a list of locations and, recursively, the locations nested in them. parent is
+// nil for the locations of a server.
+func newLocationIndex(locations []*Location, parent *Location) (locationIndex, error) {
+	compiled := locationIndex{tree: &node{}}
 	for _, location := range locations {
 		location.parent = parent
 		if err := location.validate(); err != nil {
-			return level{}, err
+			return locationIndex{}, err
 		}
 		if err := compileRewrites(location.Rewrites); err != nil {
-			return level{}, err
+			return locationIndex{}, err
 		}
 		if err := compiled.add(location); err != nil {
-			return level{}, err
+			return locationIndex{}, err
 		}
 		var err error
-		if location.nested, err = newLevel(location.Locations, location); err != nil {
-			return level{}, err
+		if location.nested, err = newLocationIndex(location.Locations, location); err != nil {
+			return locationIndex{}, err
 		}
 	}
 	return compiled, nil
 }
 
-// add files a location by its kind; named ones are not looked up by path.
-func (v *level) add(location *Location) error {
+// add adds a location to the index. Named locations are left out, since they are not found by path.
+func (idx *locationIndex) add(location *Location) error {
 	switch location.Kind {
 	case Regex, RegexIgnoreCase:
 		if err := location.compileRegex(); err != nil {
 			return err
 		}
-		v.regexes = append(v.regexes, location)
+		idx.regexes = append(idx.regexes, location)
 	case Prefix, PrefixNoRegex, Exact:
-		if existing := v.tree.add(location); existing != nil {
+		if existing := idx.tree.add(location); existing != nil {
 			return configErrorf(location.Source, "location %v is defined twice, first at %s", location, existing.Source)
 		}
 	}
 	return nil
 }
 
-// search finds the location for a path: the exact one, else the first regex that matches, else the longest prefix. What
-// is nested in the longest prefix or in a regex that matches is searched likewise, before the level's own regexes.
-func (v *level) search(path string, trace tracer) (*Location, match) {
-	best, found := v.tree.find(path)
+// search finds the location for a path: the exact location, else the first regex that matches, else the longest prefix.
+// It searches the locations nested in the longest prefix before the regexes of this level. It also searches the
+// locations nested in a regex that matches.
+func (idx *locationIndex) search(path string, trace tracer) (*Location, match) {
+	best, found := idx.tree.find(path)
 	switch found {
 	case finalMatch:
-		trace.traceLocation(best, "is the path exactly")
+		trace.traceLocation(best, "equals the path")
 		return best, finalMatch
 	case redirectMatch:
-		trace.traceLocation(best, "is the path but for its last slash: a redirect")
+		trace.traceLocation(best, "equals the path with a slash appended: redirect")
 		return best, redirectMatch
 	case prefixMatch:
 		trace.traceLocation(best, "is the longest prefix")
@@ -68,19 +71,20 @@
 			best, found = nested, nestedFound
 		}
 		if skipsRegexes {
-			trace.traceLocation(best, "no regex is looked at, by ^~")
+			trace.traceLocation(best, "is kept without trying the regexes: ^~")
 			return best, found
 		}
 	}
-	if l := v.searchRegexes(path, trace); l != nil {
+	if l := idx.searchRegexes(path, trace); l != nil {
 		return l, finalMatch
 	}
 	return best, found
 }
 
-// searchRegexes returns the location for a path by the first regex that matches, or nil.
-func (v *level) searchRegexes(path string, trace tracer) *Location {
-	for _, location := range v.regexes {
+// searchRegexes returns the first regex location that matches a path, or the location found among those nested in it.
+// It returns nil if no regex matches.
+func (idx *locationIndex) searchRegexes(path string, trace tracer) *Location {
+	for _, location := range idx.regexes {
 		if !location.regex.MatchString(path) {
 			trace.traceLocation(location, "does not match")
 			continue
@@ -94,14 +98,14 @@
 	return nil
 }
 
-// Step is a step of a search, for Explain.
+// Step is a step of a search, as Explain returns it.
 type Step struct {
-	Location *Location // that was looked at, or whose rewrite was; nil for a server's rewrite
-	Rewrite  *Rewrite  // nil if the step is no rewrite
-	Detail   string
+	Location *Location // location that was tried, or whose rewrite was tried; nil for a rewrite of a server
+	Rewrite  *Rewrite  // rewrite that was tried; nil if a location was tried
+	Detail   string    // result of the step, as the end of a sentence
 }
 
-// String describes the step for operators.
+// String returns a line about the step for operators.
 func (s Step) String() string {
 	if s.Rewrite != nil {
 		return fmt.Sprintf("%s: rewrite %s %s", s.Rewrite.Source, s.Rewrite.Pattern, s.Detail)
@@ -109,17 +113,17 @@
 	return fmt.Sprintf("%s: location %v %s", s.Location.Source, s.Location, s.Detail)
 }
 
-// tracer is called for each step of a search; nil for none.
+// tracer receives each step of a search. It may be nil.
 type tracer func(Step)
 
-// traceLocation reports what became of a location.
+// traceLocation reports the result of trying a location.
 func (t tracer) traceLocation(l *Location, detail string) {
 	if t != nil {
 		t(Step{Location: l, Detail: detail})
 	}
 }
 
-// traceRewrite reports what became of a rewrite of a location, or of the server if that is nil.
+// traceRewrite reports the result of trying a rewrite of location l. l is nil for a rewrite of the server.
 func (t tracer) traceRewrite(w *Rewrite, l *Location, detail string) {
 	if t != nil {
 		t(Step{Location: l, Rewrite: w, Detail: detail})
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -6,27 +6,30 @@
 type Server struct {
 	Listen       []Listen
 	Names        []string // exact, *.suffix, .suffix, prefix.*, ~regex, or ""
-	MergeSlashes bool     // adjacent slashes in paths count as one
+	MergeSlashes bool     // adjacent slashes in paths are merged into one
 	Rewrites     []*Rewrite
 	Locations    []*Location
-	Source       string // where it was defined, for messages
+	Source       string // position of the definition, for messages
 
-	locations level
-	named     map[string]*Location // of Locations
+	locations locationIndex
+	named     map[string]*Location // the named locations of Locations, by name
 }
 
-// Listen is an address of a server. An unspecified address stands for any, and so does port 0.
+// Listen is an address at which a server listens. The address 0.0.0.0 stands for any address, and 0.0.0.0 with port 0
+// stands for any address and port.
 type Listen struct {
 	Addr    netip.AddrPort
-	Default bool // the server takes requests for names that no server at this address has
+	Default bool // the server gets the requests for host names that no server at this address has
 }
 
-// Table finds the server and the location of a request. It does not change after New.
+// Table finds the virtual server of a request. It does not change after New.
 type Table struct {
 	hosts map[netip.AddrPort]*virtualHosts
 }
 
-// New builds a table. The error is a *ConfigError for the first part of the description that can't be used.
+// New builds a table. It stores compiled patterns and indexes in the servers, their locations and their rewrites, so
+// the caller must not change them afterwards. The error is a *ConfigError for the first invalid server, location or
+// rewrite.
 func New(servers []*Server) (*Table, error) {
 	table := &Table{hosts: map[netip.AddrPort]*virtualHosts{}}
 	for _, server := range servers {
@@ -42,9 +45,9 @@
 	return table, nil
 }
 
-// compile prepares a server for lookups.
+// compile compiles the locations and rewrites of a server.
 func (s *Server) compile() (err error) {
-	if s.locations, err = newLevel(s.Locations, nil); err != nil {
+	if s.locations, err = newLocationIndex(s.Locations, nil); err != nil {
 		return err
 	}
 	if err := s.indexNamed(); err != nil {
@@ -53,7 +56,7 @@
 	return compileRewrites(s.Rewrites)
 }
 
-// indexNamed indexes the named locations.
+// indexNamed indexes the named locations of a server by name.
 func (s *Server) indexNamed() error {
 	s.named = map[string]*Location{}
 	for _, l := range s.Locations {
@@ -68,10 +71,10 @@
 	return nil
 }
 
-// NamedLocation returns the named location, or nil.
+// NamedLocation returns the named location with a name, which is given without @, or nil.
 func (s *Server) NamedLocation(name string) *Location { return s.named[name] }
 
-// add files a server under one of its addresses.
+// add adds a server under one of its addresses.
 func (t *Table) add(server *Server, listen Listen) error {
 	hosts := t.hosts[listen.Addr]
 	if hosts == nil {
@@ -80,7 +83,7 @@
 	}
 	if listen.Default && hosts.hasExplicitDefault {
 		first := hosts.defaultServer.Source
-		return configErrorf(server.Source, "a second default server for %v, first at %s", listen.Addr, first)
+		return configErrorf(server.Source, "duplicate default server for %v, first at %s", listen.Addr, first)
 	}
 	if hosts.defaultServer == nil || listen.Default {
 		hosts.defaultServer = server
@@ -94,15 +97,15 @@
 	return nil
 }
 
-// FindServer returns the server for a request that came in at an address with a Host field, and why that one. It returns
-// nil if no server listens at the address.
-func (t *Table) FindServer(at netip.AddrPort, host string) (*Server, string) {
-	anyAddr := netip.AddrPortFrom(netip.IPv4Unspecified(), at.Port())
+// FindServer returns the server for a request that was received at a local address with a Host field, and the reason
+// for the choice. It returns nil if no server listens at the address.
+func (t *Table) FindServer(localAddr netip.AddrPort, host string) (*Server, string) {
+	anyAddr := netip.AddrPortFrom(netip.IPv4Unspecified(), localAddr.Port())
 	anyAddrAndPort := netip.AddrPortFrom(netip.IPv4Unspecified(), 0)
-	for _, addr := range []netip.AddrPort{at, anyAddr, anyAddrAndPort} {
+	for _, addr := range []netip.AddrPort{localAddr, anyAddr, anyAddrAndPort} {
 		if hosts := t.hosts[addr]; hosts != nil {
 			return hosts.find(hostName(host))
 		}
 	}
-	return nil, "no server listens at " + at.String()
+	return nil, "no server listens at " + localAddr.String()
 }
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -2,15 +2,16 @@
 
 import "strings"
 
-// node is a node of a radix tree of the patterns of exact and prefix locations.
+// node is a node of a radix tree over the patterns of exact and prefix locations.
 type node struct {
-	label    string    // of the edge that leads to it
-	children []*node   // sorted by the first byte of their labels, no two with the same
-	exact    *Location // whose pattern ends here, or nil
-	prefix   *Location // whose pattern ends here, or nil
+	label    string    // of the edge from the parent
+	children []*node   // sorted by the first byte of their labels, which is unique among them
+	exact    *Location // exact location whose pattern ends here, or nil
+	prefix   *Location // prefix location whose pattern ends here, or nil
 }
 
-// findChild returns the index of the child whose label begins with the byte, or where it has to be inserted.
+// findChild returns the index of the child whose label begins with a byte and true, or the index at which to insert
+// such a child and false.
 func (n *node) findChild(c byte) (int, bool) {
 	low, high := 0, len(n.children)
 	for low < high {
@@ -24,7 +25,7 @@
 	return low, low < len(n.children) && n.children[low].label[0] == c
 }
 
-// insert returns the node of a pattern, which it adds if there is none.
+// insert returns the node of a pattern. It adds the node if the tree doesn't have it.
 func (n *node) insert(pattern string) *node {
 	for pattern != "" {
 		i, ok := n.findChild(pattern[0])
@@ -49,7 +50,7 @@
 	return n
 }
 
-// commonPrefixLen returns how many first bytes of two texts are the same.
+// commonPrefixLen returns the length in bytes of the longest common prefix of two strings.
 func commonPrefixLen(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
@@ -58,12 +59,13 @@
 	return n
 }
 
-// add files a location under its pattern. It returns the one that is there already, if there is one.
+// add adds an exact or prefix location. If the tree already has a location of the same pattern, and both are exact or
+// neither is, it returns that location and adds nothing.
 func (n *node) add(l *Location) (existing *Location) {
-	at := n.insert(l.Pattern)
-	slot := &at.prefix
+	patternNode := n.insert(l.Pattern)
+	slot := &patternNode.prefix
 	if l.Kind == Exact {
-		slot = &at.exact
+		slot = &patternNode.exact
 	}
 	if *slot != nil {
 		return *slot
@@ -72,19 +74,19 @@
 	return nil
 }
 
-// match is what a search found.
+// match is the kind of result of a search.
 type match uint8
 
-// The kinds of match.
+// The kinds of matches.
 const (
 	noMatch       match = iota
-	prefixMatch         // a prefix: a regex may still take its place
-	finalMatch          // an exact location or a regex
-	redirectMatch       // the path lacks only the slash at the location's end
+	prefixMatch         // a prefix location, which a matching regex may replace
+	finalMatch          // an exact location or a regex location
+	redirectMatch       // a location whose pattern is the path with a slash appended
 )
 
-// find returns the exact location of a path, else the longest prefix. A location to which the path is redirected comes
-// before shorter prefixes.
+// find returns the exact location for a path, else the longest prefix. A location that redirects the path to the path
+// with a slash takes precedence over shorter prefixes.
 func (n *node) find(path string) (*Location, match) {
 	best, found := n.prefix, noMatch
 	if best != nil {
@@ -123,7 +125,7 @@
 	return best, found
 }
 
-// redirectTarget returns the location at a node to which the path without its last slash is redirected, or nil.
+// redirectTarget returns the location of a node if it redirects the path without the trailing slash, or nil.
 func (n *node) redirectTarget() *Location {
 	if n.exact != nil && n.exact.RedirectTrailingSlash {
 		return n.exact
--- a/internal/route/virtualhosts.go
+++ b/internal/route/virtualhosts.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// virtualHosts are the servers that listen at one address, by their names.
+// virtualHosts indexes the servers that listen at one address by their names.
 type virtualHosts struct {
 	exact              map[string]*Server
-	bySuffix           map[string]*Server // *.suffix under ".suffix"
-	byPrefix           map[string]*Server // prefix.* under "prefix."
-	byRegex            []regexName        // in the order of the file
-	defaultServer      *Server            // the one that Listen.Default names, else the first
-	hasExplicitDefault bool
+	bySuffix           map[string]*Server // *.suffix by ".suffix"
+	byPrefix           map[string]*Server // prefix.* by "prefix."
+	byRegex            []regexName        // in file order
+	defaultServer      *Server            // the server with Listen.Default, else the first server
+	hasExplicitDefault bool               // defaultServer has Listen.Default
 }
 
 // regexName is a server name that is a regex.
@@ -22,17 +22,17 @@
 	server *Server
 }
 
-// newVirtualHosts returns the servers of an address that has none yet.
+// newVirtualHosts returns an index without servers.
 func newVirtualHosts() *virtualHosts {
 	return &virtualHosts{exact: map[string]*Server{}, bySuffix: map[string]*Server{}, byPrefix: map[string]*Server{}}
 }
 
-// addName files a server under one of its names. Of two servers with the same name the first keeps it, as in nginx.
+// addName adds a server under one of its names. If two servers have the same name, the first one keeps it, as in nginx.
 func (v *virtualHosts) addName(server *Server, name string) error {
 	if pattern, ok := strings.CutPrefix(name, "~"); ok {
 		regex, err := regexp.Compile(ignoreCase + pattern)
 		if err != nil {
-			return fmt.Errorf("server name %q: not a regex of RE2: %w", name, err)
+			return fmt.Errorf("server name %q: invalid RE2 regex: %w", name, err)
 		}
 		v.byRegex = append(v.byRegex, regexName{regex, server})
 		return nil
@@ -40,29 +40,30 @@
 	name = strings.ToLower(name)
 	switch stars := strings.Count(name, "*"); {
 	case stars == 0 && strings.HasPrefix(name, "."): // short for the name itself and *.name
-		addFirst(v.exact, name[1:], server)
-		addFirst(v.bySuffix, name, server)
+		addIfAbsent(v.exact, name[1:], server)
+		addIfAbsent(v.bySuffix, name, server)
 	case stars == 0:
-		addFirst(v.exact, name, server)
+		addIfAbsent(v.exact, name, server)
 	case stars == 1 && strings.HasPrefix(name, "*.") && len(name) > 2:
-		addFirst(v.bySuffix, name[1:], server)
+		addIfAbsent(v.bySuffix, name[1:], server)
 	case stars == 1 && strings.HasSuffix(name, ".*") && len(name) > 2:
-		addFirst(v.byPrefix, name[:len(name)-1], server)
+		addIfAbsent(v.byPrefix, name[:len(name)-1], server)
 	default:
-		return fmt.Errorf("server name %q: a star stands only for all before the first or behind the last dot", name)
+		return fmt.Errorf("server name %q: want at most one *, before the first dot or after the last dot", name)
 	}
 	return nil
 }
 
-// addFirst adds a server under a key that has none.
-func addFirst(servers map[string]*Server, key string, s *Server) {
+// addIfAbsent adds a server under a key unless the key has a server already.
+func addIfAbsent(servers map[string]*Server, key string, s *Server) {
 	if servers[key] == nil {
 		servers[key] = s
 	}
 }
 
-// find returns the server for a host name, and why that one: by the exact name, the longest name that begins with a star,
-// the longest that ends with one, the first regex that matches, and else the default.
+// find returns the server for a host name and the reason for the choice. In order of precedence, the server has the
+// exact name, the longest matching name that begins with *, the longest matching name that ends with *, or the first
+// regex that matches. Else it is the default server.
 func (v *virtualHosts) find(host string) (*Server, string) {
 	if s := v.exact[host]; s != nil {
 		return s, "the exact name " + host
@@ -89,7 +90,7 @@
 	return v.defaultServer, "the default server"
 }
 
-// hostName returns the name in a Host field: without the port and a dot at its end, in lower case.
+// hostName returns the host name of a Host field in lower case, without the port and without a trailing dot.
 func hostName(host string) string {
 	if strings.HasPrefix(host, "[") { // an IPv6 address
 		if end := strings.IndexByte(host, ']'); end > 0 {
--- a/internal/routeconfig/config_test.go
+++ b/internal/routeconfig/config_test.go
@@ -53,11 +53,11 @@
 		"(server (listen 1.2.3.4:5) (location named x) (location prefix / (fallback x 404 (status no))))": "found no in (status ...), want own, same",
 		"(server (listen 1.2.3.4:5) (location prefix / (rewrite a $2)))":                                  "a has no group 2",
 		"(server (listen 1.2.3.4:5) (rewrite ( /x))":                                                      "f:1",
-		"(server (listen 1.2.3.4:5) (rewrite \"(a\" /x))":                                                 "not a regex of RE2",
+		"(server (listen 1.2.3.4:5) (rewrite \"(a\" /x))":                                                 "invalid RE2 regex",
 		"(server (listen 1.2.3.4:5) (rewrite a /x often))":                                                "no flag is called \"often\"",
-		"(server (listen 1.2.3.4:5) (location named x (rewrite a /x)))":                                   "can't rewrite",
+		"(server (listen 1.2.3.4:5) (location named x (rewrite a /x)))":                                   "can't have rewrites",
 		"(server (listen 1.2.3.4:5) (location prefix / (return 99)))":                                     "found 99 in (return ...), want a status",
-		"(server (listen 1.2.3.4:5) (location regex \"(?=a)\" (return 200)))":                             "not a regex of RE2",
+		"(server (listen 1.2.3.4:5) (location regex \"(?=a)\" (return 200)))":                             "invalid RE2 regex",
 		"(server (listen 1.2.3.4:5) (location prefix /a) (location prefix /a))":                           "is defined twice, first at f:1:28",
 	} {
 		_, err := Parse("f", []byte(text))
