--- a/internal/routeconfig/config_test.go
+++ b/internal/routeconfig/config_test.go
@@ -18,7 +18,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// TestParseErrors has each invalid configuration reported with its position and what was expected.
+// TestParseErrors checks that each invalid configuration is reported with its file and the expected text. Many of the
+// texts have the line, the column and the expected form.
 func TestParseErrors(t *testing.T) {
 	const good = "(class c) (pool p (member 10.0.0.1:1)) "
 	for text, want := range map[string]string{
@@ -32,29 +33,29 @@
 		"(pool p (member 10.0.0.1:1 (backup yes)))":                                                       "found yes, want nothing in (backup)",
 		"(pool p (member 10.0.0.1:1 (backup)))":                                                           "pool p has only backups",
 		"(pool p (method best) (member 10.0.0.1:1))":                                                      "found best in (method ...), want round-robin, least-conn",
-		"(pool p (method hash) (member 10.0.0.1:1))":                                                      "(key ...) goes with the methods hash and hash-consistent",
+		"(pool p (method hash) (member 10.0.0.1:1))":                                                      "(key ...) is required with the methods hash and hash-consistent",
 		"(pool p (method hash) (key colour) (member 10.0.0.1:1))":                                         "key \"colour\", want uri, path, query, host, client or header:NAME",
 		"(pool p (next sometimes) (member 10.0.0.1:1))":                                                   "found sometimes, want error, timeout",
 		"(pool p (keepalive 1) (keepalive 2) (member 10.0.0.1:1))":                                        "(keepalive ...) is given twice, first at f:1:9",
 		"(class c) (class c)":                                                                             "f:1:11: class c is defined twice, first at f:1:1",
 		good + "\n(pool p (member 10.0.0.1:1))":                                                           "f:2:1: pool p is defined twice, first at f:1:11",
-		"(class c (effect keyed))":                                                                        "class c is keyed and has no (window ...)",
+		"(class c (effect keyed))":                                                                        "class c has (effect keyed) and no (window ...)",
 		"(class c (aim 9s))":                                                                              "the deadline 5s is shorter than the aim 9s",
 		"(class c (effect odd))":                                                                          "found odd in (effect ...), want safe, keyed, unsafe, by-method",
-		"(server)":                                                                                        "f:1:1: a server without (listen ...)",
+		"(server)":                                                                                        "f:1:1: server has no (listen ...), want at least one",
 		"(server (listen here))":                                                                          "found here in (listen ...), want an IP address and a port",
 		"(server (listen 1.2.3.4:5 often))":                                                               "found often, want default or nothing",
 		"(server (listen 1.2.3.4:5) (location near /))":                                                   "found near in (location ...), want prefix, prefix-only, exact",
-		"(server (listen 1.2.3.4:5) (location prefix / (pool q)))":                                        "location / goes to the pool q, which is not defined",
+		"(server (listen 1.2.3.4:5) (location prefix / (pool q)))":                                        "location / has the pool q, which is not defined",
 		good + "(server (listen 1.2.3.4:5) (location prefix / (pool p)))":                                 "location / has the class \"\", which is not defined",
 		good + "(server (listen 1.2.3.4:5) (location prefix / (pool p) (class c) (return 200)))":          "has both (pool ...) and (return ...)",
-		good + "(server (listen 1.2.3.4:5) (location prefix / (pool p) (class c) (fallback x 500)))":      "falls back to @x, which its server does not have",
+		good + "(server (listen 1.2.3.4:5) (location prefix / (pool p) (class c) (fallback x 500)))":      "location / has the fallback @x, which is not defined in its server",
 		"(server (listen 1.2.3.4:5) (location named x) (location prefix / (fallback x)))":                 "(fallback x) has no statuses",
 		"(server (listen 1.2.3.4:5) (location named x) (location prefix / (fallback x 404 (status no))))": "found no in (status ...), want own, same",
 		"(server (listen 1.2.3.4:5) (location prefix / (rewrite a $2)))":                                  "a has no group 2",
 		"(server (listen 1.2.3.4:5) (rewrite ( /x))":                                                      "f:1",
 		"(server (listen 1.2.3.4:5) (rewrite \"(a\" /x))":                                                 "invalid RE2 regex",
-		"(server (listen 1.2.3.4:5) (rewrite a /x often))":                                                "no flag is called \"often\"",
+		"(server (listen 1.2.3.4:5) (rewrite a /x often))":                                                "unknown rewrite flag \"often\"",
 		"(server (listen 1.2.3.4:5) (location named x (rewrite a /x)))":                                   "can't have rewrites",
 		"(server (listen 1.2.3.4:5) (location prefix / (return 99)))":                                     "found 99 in (return ...), want a status",
 		"(server (listen 1.2.3.4:5) (location regex \"(?=a)\" (return 200)))":                             "invalid RE2 regex",
@@ -62,12 +63,13 @@
 	} {
 		_, err := Parse("f", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:") {
-			t.Errorf("%s: error %v, want %q", text, err, want)
+			t.Errorf("%s: error %v, want one that begins with f: and contains %q", text, err, want)
 		}
 	}
 }
 
-// TestIncludes reads globs in order, relative to the file that has the include, and reports a cycle by its chain.
+// TestIncludes checks that the files of a glob are read in order, and that patterns are relative to the including file.
+// An include cycle is reported by its chain and a missing file by its error, both with the position of the include.
 func TestIncludes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -86,20 +88,20 @@
 	write("more.sexp", "(class c)")
 	c, err := Load(main)
 	if err != nil || len(c.Pools) != 2 || c.Pools[0].Name != "a" || len(c.Classes) != 1 {
-		t.Errorf("%v, %+v", err, c)
+		t.Errorf("error %v, configuration %+v, want the pools a and b and one class", err, c)
 	}
 	write("more.sexp", "\n(include pools/../main.sexp)")
 	if _, err := Load(main); err == nil || !strings.Contains(err.Error(), "more.sexp:2:1: the includes go round: ") {
-		t.Errorf("a cycle: %v", err)
+		t.Errorf("include cycle: error %v, want one at more.sexp:2:1", err)
 	}
 	write("more.sexp", "(include nowhere.sexp)")
 	if _, err := Load(main); err == nil || !strings.Contains(err.Error(), "more.sexp:1:1: ") {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: error %v, want one at more.sexp:1:1", err)
 	}
 }
 
-// TestJSON compares the JSON of a configuration with what `config show --json` printed before fields were renamed: other
-// programs read its keys.
+// TestJSON compares the JSON of a configuration with the output of `config show --json` from before the fields were
+// renamed. Other programs read its keys.
 func TestJSON(t *testing.T) {
 	text, err := os.ReadFile("testdata/full.sexp")
 	if err != nil {
@@ -115,17 +117,17 @@
 	}
 	got, err := json.Marshal(c)
 	if err != nil || string(got)+"\n" != string(want) {
-		t.Errorf("%v: %s, want %s", err, got, want)
+		t.Errorf("error %v, JSON %s, want %s", err, got, want)
 	}
 }
 
-// drawWord draws a word, some of which have to be quoted.
+// drawWord draws a word. Some of the words need quotes in a configuration.
 func drawWord(t *rapid.T, label string) string {
 	words := []string{"a", "stock", "with space", "quo\"te", "semi;colon", "back\\slash", "(paren)", "ä"}
 	return rapid.SampledFrom(words).Draw(t, label)
 }
 
-// drawDuration draws a time.
+// drawDuration draws a duration of 1 ms to 100 s.
 func drawDuration(t *rapid.T, label string) time.Duration {
 	return time.Duration(rapid.IntRange(1, 100_000).Draw(t, label)) * time.Millisecond
 }
@@ -187,7 +189,7 @@
 	return drawn
 }
 
-// drawServer draws a server with a location that goes to the pool and a named one.
+// drawServer draws a server with a location that has the pool and the class, and a named location.
 func drawServer(t *rapid.T, poolName, className string) Server {
 	location := &Location{
 		Kind:            route.Kind(rapid.IntRange(0, int(route.RegexIgnoreCase)).Draw(t, "kind")),
@@ -225,7 +227,7 @@
 	return server
 }
 
-// clearPositions removes the positions from a configuration, which differ between two texts.
+// clearPositions removes the positions from a configuration, since they depend on the text that was parsed.
 func clearPositions(c *Config) {
 	for i := range c.Classes {
 		c.Classes[i].Pos = sexp.Pos{}
@@ -243,14 +245,15 @@
 	}
 }
 
-// clearRewritePositions removes the positions from rewrites.
+// clearRewritePositions removes the positions of rewrites.
 func clearRewritePositions(rewrites []Rewrite) {
 	for i := range rewrites {
 		rewrites[i].Pos = sexp.Pos{}
 	}
 }
 
-// TestCanonicalForm formats configurations and parses them again: they are the same, and so is their text.
+// TestCanonicalForm checks that formatting a configuration and parsing the text gives the same configuration, and that
+// formatting that again gives the same text.
 func TestCanonicalForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
@@ -260,16 +263,17 @@
 			t.Fatalf("%v in\n%s", err, text)
 		}
 		if again := parsed.Format(); again != text {
-			t.Fatalf("the text is another:\n%s\n%s", text, again)
+			t.Fatalf("formatted again, the text differs:\n%s\n%s", text, again)
 		}
 		clearPositions(parsed)
 		if !reflect.DeepEqual(parsed, c) {
-			t.Fatalf("the description is another:\n%+v\n%+v\n%s", c, parsed, text)
+			t.Fatalf("the parsed configuration differs:\n%+v\n%+v\n%s", c, parsed, text)
 		}
 	})
 }
 
-// FuzzParse parses any text without a panic, and what it parses has one canonical form.
+// FuzzParse checks that Parse does not panic, and that formatting and parsing a valid configuration does not change its
+// canonical form.
 func FuzzParse(f *testing.F) {
 	f.Add("(class c) (pool p (member 10.0.0.1:1)) (server (listen 1.2.3.4:5) (location prefix / (pool p) (class c)))")
 	f.Add("(capacity 3) (pool p (method hash) (key uri) (member [::1]:1 (weight 3)))")
@@ -281,7 +285,7 @@
 		}
 		parsed, err := Parse("f", []byte(c.Format()))
 		if err != nil || parsed.Format() != c.Format() {
-			t.Errorf("%v: the canonical form of %q is not one:\n%s", err, text, c.Format())
+			t.Errorf("error %v: parsing and formatting changes the canonical form of %q:\n%s", err, text, c.Format())
 		}
 	})
 }
--- a/internal/routeconfig/doc.go
+++ b/internal/routeconfig/doc.go
@@ -1,7 +1,7 @@
-// Package routeconfig owns the configuration of the router: classes, pools, servers and locations as operators write
-// them, or as the nginx importer does. A configuration is read from S-expressions and written in one canonical form, and
-// reading that again gives the same configuration. docs/routes.md states the grammar.
+// Package routeconfig parses, validates and formats the configuration of the router: classes, pools, servers and
+// locations, as operators or the nginx importer write them. A configuration is parsed from S-expressions and formatted
+// in one canonical form. Parsing the canonical form gives the same configuration again. docs/routes.md has the grammar.
 //
-// Names in the files are those of the operators' language; this package is the one place that translates them to the
-// names of the code.
+// Configuration files use the operators' names, which can differ from the names in the code. This package is the only
+// one that translates between them.
 package routeconfig
--- a/internal/routeconfig/format.go
+++ b/internal/routeconfig/format.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// Format writes the configuration in its one canonical form: classes, pools and servers in their order, each with what
-// differs from the defaults.
+// Format returns the configuration in its canonical form: the capacity, then the classes, pools and servers in their
+// order. A class always has its aim, deadline and effect. Other settings are omitted if they have their default value.
 func (c *Config) Format() string {
 	var parts []string
 	if c.Capacity != DefaultCapacity {
@@ -34,7 +34,7 @@
 	return strings.Join(parts, "\n")
 }
 
-// format writes a class.
+// format writes a class form.
 func (c *Class) format(out *formatter) {
 	items := []string{
 		"class",
@@ -52,27 +52,27 @@
 	out.line(items...)
 }
 
-// formatter writes forms, each level of them indented by two spaces more.
+// formatter writes forms. Each level of nesting is indented by two more spaces.
 type formatter struct {
 	strings.Builder
 	depth int
 }
 
-// indent is the indentation of one level.
+// indent is the indentation of one level of nesting.
 const indent = "  "
 
-// line writes a form in one line.
+// line writes a form on one line.
 func (f *formatter) line(items ...string) {
 	fmt.Fprintf(f, "%s%s\n", strings.Repeat(indent, f.depth), inline(items...))
 }
 
-// open begins a form of several lines.
+// open begins a form of several lines. The caller ends it with close.
 func (f *formatter) open(items ...string) {
 	fmt.Fprintf(f, "%s(%s\n", strings.Repeat(indent, f.depth), strings.Join(items, " "))
 	f.depth++
 }
 
-// close ends the form that was opened last, behind its last line.
+// close ends the form that was opened last. The closing parenthesis follows on the last line of the form.
 func (f *formatter) close() {
 	f.depth--
 	text := strings.TrimSuffix(f.String(), "\n")
@@ -80,13 +80,13 @@
 	f.WriteString(text + ")\n")
 }
 
-// inline returns a form as a word of another one.
+// inline returns a form as an item of another form.
 func inline(items ...string) string { return "(" + strings.Join(items, " ") + ")" }
 
-// formatNumber writes a number.
+// formatNumber returns the shortest text that parses to the same number.
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// durationUnits are the units of times, largest first.
+// durationUnits are the units of durations, largest first.
 var durationUnits = []struct {
 	name string
 	unit time.Duration
@@ -97,7 +97,7 @@
 	{"ms", time.Millisecond},
 }
 
-// formatDuration writes a time in the largest unit of which it is a whole number.
+// formatDuration returns a duration as a whole number in the largest possible unit. Parts of a microsecond are dropped.
 func formatDuration(d time.Duration) string {
 	for _, u := range durationUnits {
 		if d != 0 && d%u.unit == 0 {
@@ -107,7 +107,7 @@
 	return strconv.FormatInt(int64(d/time.Microsecond), 10) + "us"
 }
 
-// formatParams writes parameters.
+// formatParams writes a param form for each parameter.
 func formatParams(out *formatter, params []Param) {
 	for _, p := range params {
 		out.line("param", sexp.Quote(p.Name), sexp.Quote(p.Value))
--- a/internal/routeconfig/format_pool.go
+++ b/internal/routeconfig/format_pool.go
@@ -8,7 +8,7 @@
 	"tillerusher/internal/sexp"
 )
 
-// format writes a pool.
+// format writes a pool form.
 func (p *Pool) format(out *formatter) {
 	defaults := defaultPool()
 	out.open("pool", sexp.Quote(p.Name))
@@ -37,7 +37,7 @@
 	out.close()
 }
 
-// formatRetries writes when a pool's requests are retried.
+// formatRetries writes the retry limits and conditions of a pool that differ from the defaults.
 func (p *Pool) formatRetries(out *formatter, defaults *Pool) {
 	if p.MaxAttempts != 0 {
 		out.line("tries", strconv.Itoa(p.MaxAttempts))
@@ -50,14 +50,14 @@
 	}
 }
 
-// formatTimeout writes a timeout that is not the default.
-func formatTimeout(out *formatter, name string, timeout, byDefault time.Duration) {
-	if timeout != byDefault {
+// formatTimeout writes a timeout if it differs from the default.
+func formatTimeout(out *formatter, name string, timeout, defaultTimeout time.Duration) {
+	if timeout != defaultTimeout {
 		out.line(name, formatDuration(timeout))
 	}
 }
 
-// formatRetryBudget writes a budget that is not the default.
+// formatRetryBudget writes a retry budget if it differs from the default.
 func formatRetryBudget(out *formatter, r, defaults *pool.RetryPolicy) {
 	if r.RetryRatio == defaults.RetryRatio && r.MinRetriesPerSecond == defaults.MinRetriesPerSecond &&
 		r.RetryBurst == defaults.RetryBurst {
@@ -69,7 +69,7 @@
 		inline("burst", formatNumber(r.RetryBurst)))
 }
 
-// formatOutlierDetection writes outlier detection that is not the default.
+// formatOutlierDetection writes the outlier detection settings if one of them differs from the default.
 func formatOutlierDetection(out *formatter, o, defaults *pool.OutlierDetection) {
 	if *o == *defaults {
 		return
@@ -83,7 +83,7 @@
 		inline("panic-under", formatNumber(o.PanicThreshold)))
 }
 
-// formatMember writes a member.
+// formatMember writes a member form with the settings that differ from the defaults.
 func formatMember(out *formatter, member pool.Member) {
 	defaults := pool.DefaultMember(member.Addr)
 	items := []string{"member", sexp.Quote(member.Addr)}
--- a/internal/routeconfig/format_server.go
+++ b/internal/routeconfig/format_server.go
@@ -7,7 +7,7 @@
 	"tillerusher/internal/sexp"
 )
 
-// format writes a server.
+// format writes a server form.
 func (s *Server) format(out *formatter) {
 	out.open("server")
 	for _, l := range s.Listen {
@@ -34,7 +34,7 @@
 	out.close()
 }
 
-// formatRewrites writes rewrites.
+// formatRewrites writes a rewrite form for each rewrite.
 func formatRewrites(out *formatter, rewrites []Rewrite) {
 	for _, w := range rewrites {
 		items := []string{"rewrite", sexp.Quote(w.Pattern), sexp.Quote(w.Replacement)}
@@ -45,7 +45,7 @@
 	}
 }
 
-// format writes a location and those in it.
+// format writes a location form, including the nested locations.
 func (l *Location) format(out *formatter) {
 	out.open("location", kindNames[l.Kind], sexp.Quote(l.Pattern))
 	if l.Pool != "" {
@@ -75,18 +75,18 @@
 	out.close()
 }
 
-// format writes a fallback.
-func (b *Fallback) format(out *formatter) {
-	items := []string{"fallback", sexp.Quote(b.Location)}
-	for _, status := range b.Statuses {
+// format writes a fallback form.
+func (f *Fallback) format(out *formatter) {
+	items := []string{"fallback", sexp.Quote(f.Location)}
+	for _, status := range f.Statuses {
 		items = append(items, strconv.Itoa(status))
 	}
-	switch b.ResponseStatus {
+	switch f.ResponseStatus {
 	case OwnStatus: // the default
 	case KeepStatus:
 		items = append(items, inline("status", wordKeepStatus))
 	default:
-		items = append(items, inline("status", strconv.Itoa(b.ResponseStatus)))
+		items = append(items, inline("status", strconv.Itoa(f.ResponseStatus)))
 	}
 	out.line(items...)
 }
--- a/internal/routeconfig/names.go
+++ b/internal/routeconfig/names.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/route"
 )
 
-// retryConditions are the conditions and their names in configurations, which are nginx's.
+// retryConditions lists the retry conditions with their names in configurations, which are the names that nginx uses.
 var retryConditions = []struct {
 	name      string
 	condition pool.RetryCondition
@@ -25,10 +25,10 @@
 	{"non_idempotent", pool.NonIdempotent},
 }
 
-// noRetryConditions is the name of the empty set of conditions.
+// noRetryConditions is the name of the empty set of retry conditions in configurations.
 const noRetryConditions = "off"
 
-// ParseRetryCondition returns the condition with a name, or none for "off".
+// ParseRetryCondition returns the retry condition with a name, or 0 for "off". It returns an error for an unknown name.
 func ParseRetryCondition(name string) (pool.RetryCondition, error) {
 	for _, c := range retryConditions {
 		if c.name == name {
@@ -38,10 +38,10 @@
 	if name == noRetryConditions {
 		return 0, nil
 	}
-	return 0, fmt.Errorf("no condition is called %q", name)
+	return 0, fmt.Errorf("unknown retry condition %q", name)
 }
 
-// formatRetryConditions returns the names of a set of conditions.
+// formatRetryConditions returns the names of a set of retry conditions, which is "off" for the empty set.
 func formatRetryConditions(set pool.RetryCondition) []string {
 	var names []string
 	for _, c := range retryConditions {
@@ -55,7 +55,7 @@
 	return names
 }
 
-// kindNames are the kinds of location in configurations.
+// kindNames are the names of the kinds of locations in configurations.
 var kindNames = []string{
 	route.Prefix:          "prefix",
 	route.PrefixNoRegex:   "prefix-only",
@@ -65,7 +65,7 @@
 	route.Named:           "named",
 }
 
-// flagNames are the flags of rewrites in configurations, which are nginx's.
+// flagNames are the names of rewrite flags in configurations. All but "onward" are the names that nginx uses.
 var flagNames = []string{
 	route.FlagNone:      "onward",
 	route.FlagLast:      "last",
@@ -74,18 +74,18 @@
 	route.FlagPermanent: "permanent",
 }
 
-// ParseRewriteFlag returns the flag with a name.
+// ParseRewriteFlag returns the rewrite flag with a name. It returns an error for an unknown name.
 func ParseRewriteFlag(name string) (route.RewriteFlag, error) {
 	if i := slices.Index(flagNames, name); i >= 0 {
 		return route.RewriteFlag(i), nil
 	}
-	return 0, fmt.Errorf("no flag is called %q, want %s", name, strings.Join(flagNames, ", "))
+	return 0, fmt.Errorf("unknown rewrite flag %q, want %s", name, strings.Join(flagNames, ", "))
 }
 
-// hashKeys are what of a request a pool may hash by, but for header fields.
+// hashKeys are the valid hash keys of pools, except those for header fields.
 var hashKeys = []string{HashByURI, HashByPath, HashByQuery, HashByHost, HashByClient}
 
-// isHashKey reports whether a pool may hash by a key.
+// isHashKey reports whether a key is a valid hash key of a pool.
 func isHashKey(key string) bool {
 	return slices.Contains(hashKeys, key) || strings.HasPrefix(key, HashByHeaderPrefix)
 }
--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -9,8 +9,9 @@
 	"tillerusher/internal/sexp"
 )
 
-// Load reads a configuration and all files that it includes. An error has its file and position: it is a *sexp.Error, or a
-// *route.ConfigError for patterns that can't be used, unless the file can't be read.
+// Load reads and parses a configuration file and the files that it includes. If the file at path can't be read, Load
+// returns the error of os.ReadFile. Other errors have the file and the position, and are of type *sexp.Error, or
+// *route.ConfigError if the routing table rejects a server, a location or a rewrite.
 func Load(path string) (*Config, error) {
 	forms, err := sexp.ParseFiles(path, os.ReadFile, filepath.Glob)
 	if err != nil {
@@ -19,7 +20,8 @@
 	return parseConfig(forms)
 }
 
-// Parse reads a configuration from one text without includes. The file's name is for messages. Errors are those of Load.
+// Parse parses a configuration from a text, in which includes are not allowed. file is the name of the file in error
+// messages. The types of errors are those of Load.
 func Parse(file string, text []byte) (*Config, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
@@ -28,14 +30,14 @@
 	return parseConfig(forms)
 }
 
-// formParsers are the functions that read the forms of a list, by the names of the forms.
+// formParsers maps the name of each form that a list may contain to the function that parses the form.
 type formParsers = map[string]func(form sexp.Node) error
 
-// parseConfig reads the forms of a configuration. It can be used: references and patterns are checked.
+// parseConfig parses the forms of a configuration and validates its references and patterns.
 func parseConfig(forms []sexp.Node) (*Config, error) {
 	config := &Config{Capacity: DefaultCapacity}
 	once := formParsers{"capacity": sexp.Int(&config.Capacity, 1, 1e6)}
-	often := formParsers{
+	repeated := formParsers{
 		"class": func(form sexp.Node) error {
 			class, err := parseClass(form)
 			config.Classes = append(config.Classes, class)
@@ -52,7 +54,7 @@
 			return err
 		},
 	}
-	if err := sexp.ReadForms(forms, once, often); err != nil {
+	if err := sexp.ReadForms(forms, once, repeated); err != nil {
 		return nil, err
 	}
 	if err := config.validate(); err != nil {
@@ -62,7 +64,7 @@
 	return config, err
 }
 
-// parseClass reads (class NAME FORM ...).
+// parseClass parses (class NAME FORM ...).
 func parseClass(n sexp.Node) (class Class, err error) {
 	class = Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1, Pos: n.Pos}
 	if class.Name, err = n.WordAt(1, "the name of a class"); err != nil {
@@ -85,7 +87,7 @@
 		return class, sexp.Errorf(n.Pos, "class %s: the deadline %v is shorter than the aim %v", class.Name, class.Deadline,
 			class.LatencyObjective)
 	case class.Effect == EffectIdempotentByKey && class.KeyWindow == 0:
-		return class, sexp.Errorf(n.Pos, "class %s is keyed and has no (window ...)", class.Name)
+		return class, sexp.Errorf(n.Pos, "class %s has (effect keyed) and no (window ...)", class.Name)
 	}
 	return class, nil
 }
@@ -102,7 +104,7 @@
 	}
 }
 
-// The words of forms that are switched on or off.
+// The keywords for true and false.
 const (
 	wordYes = "yes"
 	wordNo  = "no"
@@ -118,7 +120,7 @@
 	}
 }
 
-// parsePresence returns a parser of (NAME), which sets a variable by being there.
+// parsePresence returns a parser of (NAME). The presence of the form sets the variable to true.
 func parsePresence(to *bool) func(sexp.Node) error {
 	return func(form sexp.Node) error {
 		*to = true
@@ -126,15 +128,15 @@
 	}
 }
 
-// The range of statuses, and the first one that a fallback may take over for.
+// MinStatus and maxStatus bound HTTP statuses. MinFallbackStatus is the lowest status that a fallback may handle.
 const (
 	MinStatus         = 100
 	MinFallbackStatus = 300
 	maxStatus         = 599
 )
 
-// ParseStatus reads a status that is no smaller than the least one.
-func ParseStatus(text string, least int) (status int, ok bool) {
+// ParseStatus parses an HTTP status. ok reports whether text is a number from minimum to maxStatus.
+func ParseStatus(text string, minimum int) (status int, ok bool) {
 	status, err := strconv.Atoi(text)
-	return status, err == nil && status >= least && status <= maxStatus
+	return status, err == nil && status >= minimum && status <= maxStatus
 }
--- a/internal/routeconfig/parse_pool.go
+++ b/internal/routeconfig/parse_pool.go
@@ -10,7 +10,8 @@
 	"tillerusher/internal/sexp"
 )
 
-// defaultPool returns a pool with nginx's defaults.
+// defaultPool returns a pool with the defaults of nginx, and with the default retry budget and outlier detection of
+// package pool.
 func defaultPool() Pool {
 	return Pool{
 		Config:         pool.DefaultConfig(),
@@ -22,7 +23,7 @@
 	}
 }
 
-// parsePool reads (pool NAME FORM ...).
+// parsePool parses (pool NAME FORM ...).
 func parsePool(n sexp.Node) (parsed Pool, err error) {
 	parsed = defaultPool()
 	parsed.Pos = n.Pos
@@ -44,7 +45,7 @@
 		"budget":    parseRetryBudget(&parsed.RetryPolicy),
 		"eject":     parseOutlierDetection(&parsed.OutlierDetection),
 	}
-	often := formParsers{
+	repeated := formParsers{
 		"member": func(form sexp.Node) error {
 			m, err := parseMember(form)
 			parsed.Members = append(parsed.Members, m)
@@ -52,7 +53,7 @@
 		},
 		"param": parseParam(&parsed.Params),
 	}
-	if err := sexp.ReadForms(n.ItemsFrom(2), once, often); err != nil {
+	if err := sexp.ReadForms(n.ItemsFrom(2), once, repeated); err != nil {
 		return parsed, err
 	}
 	if parsed.BalancingPolicy, err = pool.ParseBalancingPolicy(policy); err != nil {
@@ -61,7 +62,7 @@
 	return parsed, parsed.validate()
 }
 
-// balancingPolicyNames returns the names of all policies.
+// balancingPolicyNames returns the names of all balancing policies.
 func balancingPolicyNames() []string {
 	var names []string
 	for policy := pool.RoundRobin; policy <= pool.RandomTwo; policy++ {
@@ -70,11 +71,11 @@
 	return names
 }
 
-// validate checks a pool by itself.
+// validate checks the settings of one pool.
 func (p *Pool) validate() error {
 	hashesByKey := p.BalancingPolicy == pool.Hash || p.BalancingPolicy == pool.HashConsistent
 	if hashesByKey != (p.HashKey != "") {
-		return sexp.Errorf(p.Pos, "pool %s: (key ...) goes with the methods hash and hash-consistent, and only with them",
+		return sexp.Errorf(p.Pos, "pool %s: (key ...) is required with the methods hash and hash-consistent and not allowed with others",
 			p.Name)
 	}
 	if hashesByKey && !isHashKey(p.HashKey) {
@@ -111,7 +112,7 @@
 	}
 }
 
-// parseRetryConditions returns a parser of (next CONDITION ...).
+// parseRetryConditions returns a parser of (next CONDITION ...), which replaces the set of retry conditions.
 func parseRetryConditions(to *pool.RetryCondition) func(sexp.Node) error {
 	return func(form sexp.Node) error {
 		*to = 0
@@ -126,7 +127,7 @@
 	}
 }
 
-// parseMember reads (member ADDRESS FORM ...).
+// parseMember parses (member ADDRESS FORM ...).
 func parseMember(n sexp.Node) (member pool.Member, err error) {
 	addr, err := n.WordAt(1, "a member's address")
 	if err != nil {
--- a/internal/routeconfig/parse_server.go
+++ b/internal/routeconfig/parse_server.go
@@ -9,14 +9,14 @@
 	"tillerusher/internal/sexp"
 )
 
-// parseServer reads (server FORM ...).
+// parseServer parses (server FORM ...).
 func parseServer(n sexp.Node) (server Server, err error) {
 	server = Server{MergeSlashes: true, Pos: n.Pos}
 	once := formParsers{
 		"merge-slashes": parseYesNo(&server.MergeSlashes),
 		"name":          parseNames(&server.Names),
 	}
-	often := formParsers{
+	repeated := formParsers{
 		"rewrite": parseRewrite(&server.Rewrites),
 		"listen": func(form sexp.Node) error {
 			l, err := parseListen(form)
@@ -25,7 +25,7 @@
 		},
 		"location": parseNestedLocation(&server.Locations),
 	}
-	return server, sexp.ReadForms(n.Args(), once, often)
+	return server, sexp.ReadForms(n.Args(), once, repeated)
 }
 
 // parseNames returns a parser of (name NAME ...).
@@ -41,10 +41,10 @@
 	}
 }
 
-// wordDefault marks the server that takes requests for unknown names.
+// wordDefault is the keyword for the server that gets the requests for unknown host names.
 const wordDefault = "default"
 
-// parseListen reads (listen ADDRESS [default]).
+// parseListen parses (listen ADDRESS [default]).
 func parseListen(n sexp.Node) (listen Listen, err error) {
 	text, err := n.WordAt(1, "an address and a port")
 	if err != nil {
@@ -71,7 +71,7 @@
 		if rewrite.Pattern, err = form.WordAt(1, "a regex"); err != nil {
 			return err
 		}
-		if rewrite.Replacement, err = form.WordAt(2, "what the path becomes"); err != nil {
+		if rewrite.Replacement, err = form.WordAt(2, "a replacement"); err != nil {
 			return err
 		}
 		switch rest := form.ItemsFrom(3); {
@@ -96,7 +96,7 @@
 	}
 }
 
-// parseLocation reads (location KIND PATTERN FORM ...).
+// parseLocation parses (location KIND PATTERN FORM ...).
 func parseLocation(n sexp.Node) (*Location, error) {
 	location := &Location{InterceptErrors: true, Pos: n.Pos}
 	kind, err := n.WordAt(1, "a kind of location")
@@ -117,22 +117,22 @@
 		"return":    func(form sexp.Node) error { return parseReturn(form, location) },
 		"intercept": parseYesNo(&location.InterceptErrors),
 	}
-	often := formParsers{
+	repeated := formParsers{
 		"fallback": parseFallback(&location.Fallbacks),
 		"rewrite":  parseRewrite(&location.Rewrites),
 		"param":    parseParam(&location.Params),
 		"location": parseNestedLocation(&location.Locations),
 	}
-	if err := sexp.ReadForms(n.ItemsFrom(3), once, often); err != nil {
+	if err := sexp.ReadForms(n.ItemsFrom(3), once, repeated); err != nil {
 		return location, err
 	}
 	if location.Pool != "" && location.ReturnStatus != 0 {
-		return location, sexp.Errorf(n.Pos, "location %s has both (pool ...) and (return ...)", location.Pattern)
+		return location, sexp.Errorf(n.Pos, "location %s has both (pool ...) and (return ...), want at most one of them", location.Pattern)
 	}
 	return location, nil
 }
 
-// parseReturn reads (return STATUS [TEXT]).
+// parseReturn parses (return STATUS [TEXT]).
 func parseReturn(n sexp.Node, location *Location) error {
 	word, err := n.WordAt(1, "a status")
 	if err != nil {
@@ -173,20 +173,20 @@
 			fallback.Statuses = append(fallback.Statuses, status)
 		}
 		if len(fallback.Statuses) == 0 {
-			return sexp.Errorf(form.Pos, "(fallback %s) has no statuses, want some of 300 to 599", fallback.Location)
+			return sexp.Errorf(form.Pos, "(fallback %s) has no statuses, want at least one of 300 to 599", fallback.Location)
 		}
 		*fallbacks = append(*fallbacks, fallback)
 		return nil
 	}
 }
 
-// The words of (status ...) in a fallback.
+// The keywords of (status ...) in a fallback.
 const (
 	wordOwnStatus  = "own"
 	wordKeepStatus = "same"
 )
 
-// parseResponseStatus reads (status own|same|N).
+// parseResponseStatus parses (status own|same|N).
 func parseResponseStatus(n sexp.Node) (int, error) {
 	word, err := n.WordAt(1, "own, same or a status")
 	if err != nil {
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -6,7 +6,8 @@
 	"tillerusher/internal/route"
 )
 
-// BuildTable builds the routing table. The Value of each of its locations is the *Location of the configuration.
+// BuildTable builds the routing table. The Value of each route.Location is the *Location of the configuration. The
+// error is a *route.ConfigError.
 func (c *Config) BuildTable() (*route.Table, error) {
 	var servers []*route.Server
 	for _, s := range c.Servers {
@@ -25,7 +26,7 @@
 	return route.New(servers)
 }
 
-// tableRewrites returns the rewrites for the table.
+// tableRewrites converts rewrites to rewrites of the routing table.
 func tableRewrites(rewrites []Rewrite) []*route.Rewrite {
 	var out []*route.Rewrite
 	for _, w := range rewrites {
@@ -34,7 +35,7 @@
 	return out
 }
 
-// tableLocations returns the locations for the table.
+// tableLocations converts locations to locations of the routing table.
 func tableLocations(locations []*Location) []*route.Location {
 	var out []*route.Location
 	for _, l := range locations {
@@ -51,8 +52,8 @@
 	return out
 }
 
-// redirectsTrailingSlash reports whether the path without the location's last slash is redirected to it, as nginx does
-// for prefixes whose requests are passed on.
+// redirectsTrailingSlash reports whether a request for the pattern without its trailing slash is redirected to the
+// pattern. Like nginx, this is so for prefixes whose requests are passed to a pool.
 func (l *Location) redirectsTrailingSlash() bool {
 	isPrefix := l.Kind == route.Prefix || l.Kind == route.PrefixNoRegex
 	return l.Pool != "" && isPrefix && strings.HasSuffix(l.Pattern, "/")
--- a/internal/routeconfig/validate.go
+++ b/internal/routeconfig/validate.go
@@ -7,10 +7,11 @@
 	"tillerusher/internal/sexp"
 )
 
-// positions are where things with names were defined.
+// positions maps the names of pools or of classes to the positions of their definitions.
 type positions map[string]sexp.Pos
 
-// validate checks that no name is defined twice and that all references lead somewhere.
+// validate checks that no pool or class is defined twice, that each server listens at an address, and that all
+// references are to pools, classes and named locations that exist.
 func (c *Config) validate() error {
 	pools, classes := positions{}, positions{}
 	for _, p := range c.Pools {
@@ -27,7 +28,7 @@
 	}
 	for _, s := range c.Servers {
 		if len(s.Listen) == 0 {
-			return sexp.Errorf(s.Pos, "a server without (listen ...)")
+			return sexp.Errorf(s.Pos, "server has no (listen ...), want at least one")
 		}
 		named := s.namedLocations()
 		for _, l := range s.Locations {
@@ -50,11 +51,12 @@
 	return names
 }
 
-// validateReferences checks that the pool, the class and the fallbacks of a location and of those in it are defined.
+// validateReferences checks that the pool, the class and the fallbacks of a location are defined, and does the same for
+// the nested locations. A location without a pool needs no class.
 func (l *Location) validateReferences(pools, classes positions, named []string) error {
 	if l.Pool != "" {
 		if _, ok := pools[l.Pool]; !ok {
-			return sexp.Errorf(l.Pos, "location %s goes to the pool %s, which is not defined", l.Pattern, l.Pool)
+			return sexp.Errorf(l.Pos, "location %s has the pool %s, which is not defined", l.Pattern, l.Pool)
 		}
 		if _, ok := classes[l.Class]; !ok {
 			return sexp.Errorf(l.Pos, "location %s has the class %q, which is not defined", l.Pattern, l.Class)
@@ -62,7 +64,7 @@
 	}
 	for _, f := range l.Fallbacks {
 		if !slices.Contains(named, f.Location) {
-			return sexp.Errorf(l.Pos, "location %s falls back to @%s, which its server does not have", l.Pattern, f.Location)
+			return sexp.Errorf(l.Pos, "location %s has the fallback @%s, which is not defined in its server", l.Pattern, f.Location)
 		}
 	}
 	for _, nested := range l.Locations {
