--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,4 +1,4 @@
-// Admission of arriving requests, and the answers to those that are not served. The interface is in
+// Admission of arriving requests, and the answers to requests that are not served. The interface is in
 // interface.go.
 
 package admission
@@ -9,23 +9,25 @@
 )
 
 const (
-	// usableMemory is the part of the memory that is used; the rest covers requests that are read before
-	// the next decision.
-	usableMemory = 0.92
-	// runMemoryDivisor: memory for runs is kept free up to what keys leave divided by it.
+	// usableMemoryFraction is the fraction of the memory that is used. The rest covers requests that are
+	// read before the next decision.
+	usableMemoryFraction = 0.92
+	// runMemoryDivisor: at most the memory that keys leave, divided by this number, is reserved for runs,
+	// but always enough for one run.
 	runMemoryDivisor = 2
-	// thresholdWaitDivisor: a tenant just over its threshold is rejected when the predicted wait is over
-	// the longest objective divided by it.
+	// thresholdWaitDivisor: a tenant just over its threshold is rejected when the predicted wait exceeds
+	// the longest objective divided by this number.
 	thresholdWaitDivisor = 2
-	// retryAfterDivisor: the retry-after advice is at most the longest objective divided by it.
+	// retryAfterDivisor: the Retry-After of a rejection is at most the longest objective divided by this
+	// number, unless the server is stalled or draining.
 	retryAfterDivisor = 2
 )
 
-// Request decides on an attempt that was read.
+// Request decides whether to queue, coalesce or reject an attempt that was read.
 func (in *Instance) Request(now time.Duration, arrival Request) {
 	in.advanceClock(now)
 	if in.requests.byID[arrival.ID] != nil {
-		return // the host used an ID twice; the first request keeps its place
+		return // the host used an ID twice; the first request is kept
 	}
 	req := in.register(arrival)
 	if in.isCoalesced(req, arrival) {
@@ -38,7 +40,7 @@
 	}
 }
 
-// register counts an arrival in the estimates and enters it into the request table.
+// register counts an arrival in the estimates and adds it to the request table.
 func (in *Instance) register(arrival Request) *request {
 	arrival.Class = min(max(arrival.Class, 0), len(in.settings.Classes)-1)
 	in.traffic.countArrival(arrival.IsRetry, arrival.QueueingDelay)
@@ -62,7 +64,8 @@
 	return req
 }
 
-// requestDeadline is when the answer must be out: as the request states, or by its class, and before the
+// requestDeadline returns the time by which the request must be answered: the deadline that the request
+// states, or otherwise the deadline of its class. While draining it is no later than stopAt, before the
 // process is stopped.
 func (in *Instance) requestDeadline(req *request, arrival Request) time.Duration {
 	deadline := req.arrivedAt + in.settings.Classes[req.class].Deadline
@@ -76,7 +79,8 @@
 	return deadline
 }
 
-// requestObjective is when an answer stops earning the full weight, counted from the first attempt.
+// requestObjective returns the time after which an answer no longer earns the full weight. The latency
+// objective counts from the first attempt.
 func (in *Instance) requestObjective(req *request, arrival Request) time.Duration {
 	class := in.settings.Classes[req.class]
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(arrival.Work))
@@ -84,10 +88,11 @@
 	return min(req.arrivedAt+objective-in.ageBeforeRetry(arrival), req.deadline)
 }
 
-// ageBeforeRetry estimates how long before this attempt the first attempt of its request began. A caller
-// waits for a first attempt as long as its configured timeout, and for a retry at most until the deadline
-// of all attempts. A retry whose caller waits longer than for any first attempt so reveals the time that is
-// left, and the deadline less that is the age. 0 = not known.
+// ageBeforeRetry estimates the time from the start of the request's first attempt to the start of this
+// attempt; 0 = not known. A caller waits for a first attempt as long as its configured timeout, and for a
+// retry at most until the deadline of all attempts. If a caller waits longer for a retry than for any first
+// attempt, its wait is therefore the time left until that deadline, and the age is the deadline less the
+// wait.
 func (in *Instance) ageBeforeRetry(arrival Request) time.Duration {
 	class := &in.classes[arrival.Class]
 	wait := arrival.RemainingTime + max(arrival.QueueingDelay, 0)
@@ -103,8 +108,9 @@
 	return max(in.settings.Classes[arrival.Class].Deadline-wait, 0)
 }
 
-// isCoalesced tells whether the request is answered by the result of the one that it repeats. A retry of a
-// request that was never started is a new request.
+// isCoalesced reports whether the request is answered with the result of the request that it repeats. A
+// retry of a request that was never started is a new request, and a non-idempotent request is always a new
+// one.
 func (in *Instance) isCoalesced(req *request, arrival Request) bool {
 	if arrival.RetryOf == 0 || in.keys.notStarted[arrival.RetryOf] {
 		return false
@@ -112,9 +118,9 @@
 	return in.settings.Classes[req.class].Effect != NonIdempotent
 }
 
-// coalesce joins a retry, or a read whose result may be shared, to its original. If the original was run
-// its result is the answer. If it is still queued the request follows it, and takes its place in the queue
-// if the original ends without a run.
+// coalesce joins a retry, or a read whose result may be shared, to its original. If the original was run,
+// its result is the answer. If the original is still queued, the request follows it, and takes its place in
+// the queue if the original ends without a run.
 func (in *Instance) coalesce(req *request, id RequestID) {
 	original := in.requests.byID[id]
 	for original != nil && original.state == stateFollowing {
@@ -146,7 +152,7 @@
 	in.enqueue(req)
 }
 
-// checkArrival returns why the request is rejected on arrival, or Admitted.
+// checkArrival returns the reason to reject the request on arrival, or Admitted.
 func (in *Instance) checkArrival(req *request) Reason {
 	switch {
 	case in.isPastDrainGrace(req):
@@ -172,24 +178,24 @@
 	return Admitted
 }
 
-// isOverThreshold is EARRRL's test of the rate, with a threshold that rises as the predicted wait falls: a
-// tenant just over its quota share is rejected from a wait of half an objective on, one at twice its share
-// from a quarter, and one within its share never. The objective is the longest of all classes, so that no
-// class is preferred.
+// isOverThreshold applies EARRRL's rate threshold, which rises as the predicted wait in seconds falls, and
+// reports whether the request is rejected. A tenant just over its quota share is rejected if the wait
+// exceeds half an objective, a tenant at twice its share if it exceeds a quarter, and a tenant within its
+// share never. The objective is the longest of all classes, so that the threshold does not favour a class.
 func (in *Instance) isOverThreshold(req *request, wait float64) bool {
 	return req.rateRatio > 1 && req.rateRatio*wait > in.longestObjective.Seconds()/thresholdWaitDivisor
 }
 
-// slack is the longest wait in seconds after which a run would still meet the objective.
+// slack returns the longest wait, in seconds, after which a run would still meet the objective.
 func (in *Instance) slack(req *request) float64 {
 	return (req.objectiveDeadline - in.clock.now - in.expectedRunTime(req)).Seconds()
 }
 
-// fitsInMemory tells whether the memory has room to queue the request and to keep its key. Room for runs is
-// reserved: one like the request on each core, or as many as fit into half of what keys leave. If queued
-// requests took that room too, none of them could ever run.
+// fitsInMemory reports whether there is enough memory to queue the request and to keep its key. Memory is
+// reserved for runs: for one such request on each core, or for as many as fit into half of the memory that
+// keys leave. If queued requests took the reserve too, none of them could ever run.
 func (in *Instance) fitsInMemory(req *request) bool {
-	usable := in.settings.MemoryKB * usableMemory
+	usable := in.settings.MemoryKB * usableMemoryFraction
 	oneRun := in.settings.RunningMemoryFactor * req.sizeKB
 	allCores := float64(in.settings.Cores) * oneRun
 	runs := max(oneRun, min(allCores, (usable-in.keysKB())/runMemoryDivisor))
@@ -200,8 +206,8 @@
 	return need <= usable
 }
 
-// rejectOrFail answers a request that is not served: it is rejected, or failed if its work began. A run
-// that is still in progress is stopped if it can be.
+// rejectOrFail answers a request that is not served. It fails the request if its work has begun, and
+// rejects it otherwise. A run in progress is stopped if possible.
 func (in *Instance) rejectOrFail(req *request, reason Reason) {
 	if req.state == stateRunning && !in.stall.isStalled {
 		elapsed := (in.clock.now - req.run.startedAt).Seconds()
@@ -215,7 +221,8 @@
 	in.finish(req)
 }
 
-// mustFail tells whether the request must be failed: a rejection promises that it never ran.
+// mustFail reports whether the request must be failed rather than rejected: a rejection promises that the
+// request never ran.
 func (in *Instance) mustFail(req *request) bool {
 	switch req.state {
 	case stateRunning, stateCallPending, stateCalling:
@@ -224,7 +231,7 @@
 	return req.run.hasRun && in.settings.Classes[req.class].Effect != Safe
 }
 
-// reject answers that the request never ran, and counts it.
+// reject answers that the request never ran, and counts the rejection.
 func (in *Instance) reject(req *request, reason Reason) {
 	noRetry := (req.isRetry || in.isRetryStorm()) && !in.stall.isStalled
 	in.actions.Reject(req.id, in.retryAfter(req), noRetry)
@@ -235,10 +242,11 @@
 	}
 }
 
-// retryAfter is the Retry-After of a rejection. While nothing can be served here it is the longest that is
-// honoured. Otherwise it is the predicted wait, or for a tenant over its quota share the time in which its
-// rate estimate decays to the share. In a retry storm it is half an objective, which is also the maximum:
-// after a longer one all callers leave the cores idle and return at the same time.
+// retryAfter returns the Retry-After of a rejection. While the server is stalled or draining it is the
+// longest that callers honour. Otherwise it is the predicted wait, or for a tenant over its quota share the
+// time in which its rate estimate decays to the share. In a retry storm it is half of the longest
+// objective, which is also the maximum: after a longer delay all callers would leave the cores idle and
+// then return at the same time.
 func (in *Instance) retryAfter(req *request) time.Duration {
 	if in.stall.isStalled || in.drain.isDraining {
 		return in.settings.MaxRetryAfter
@@ -255,8 +263,8 @@
 	return min(advice, longest)
 }
 
-// finish ends a request that needs no answer any more. Work that goes on keeps it in the table as
-// abandoned.
+// finish ends a request that needs no further answer. If its work continues, the request stays in the table
+// as abandoned.
 func (in *Instance) finish(req *request) {
 	switch req.state {
 	case stateRunning, stateCallPending, stateCalling:
@@ -269,11 +277,11 @@
 	in.remove(req)
 }
 
-// abandon marks a run whose result nobody waits for, and stops it if that is possible and leaves no partial
-// effect.
+// abandon marks a run whose result nobody waits for. It stops the run if that is possible and leaves no
+// partial effect.
 func (in *Instance) abandon(req *request) {
 	in.classes[req.class].runTime.countFailure(in.clock.now)
-	// A request at its call ends by itself, but the dependency may go on with the call.
+	// A request in a call ends without a Stop, but the dependency may continue the call.
 	if req.state == stateCalling {
 		in.calls.addLinger(in.settings.CallLinger)
 	}
@@ -284,7 +292,8 @@
 	in.setState(req, stateAbandoned)
 }
 
-// remove takes a request out of the table; the next sweep takes it out of the list.
+// remove marks a request as finished and deletes it from the table by ID. The next sweep removes it from
+// the list.
 func (in *Instance) remove(req *request) {
 	in.setState(req, stateFinished)
 	delete(in.requests.byID, req.id)
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestThresholdBindsOnlyWhileOverloaded(t *testing.T) {
+func TestThresholdAppliesOnlyWhileOverloaded(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	learnRun(in, 0, 0.05, 0.05)
 	learnRun(in, 0, 0.05, 0.05)
@@ -15,7 +15,7 @@
 		in.Request(10*ms, testRequest(id, 0))
 	}
 	if got := rec.take("reject"); len(got) != 0 {
-		t.Fatalf("%d running, cores not known to be full, yet %q", n, got)
+		t.Fatalf("%d running on cores that are not saturated: got %q, want no rejection", n, got)
 	}
 	in.limiter.utilization = 1
 	in.Request(20*ms, testRequest(100, 0))
@@ -25,9 +25,9 @@
 	expectActions(t, rec, "reject", "reject 100 1s false") // it is far over its quota share
 }
 
-// TestRejectionTellsWhenToRetry checks the retry-after of rejections. For a tenant over its quota share it is the time
-// after which its rate estimate has decayed to the share.
-func TestRejectionTellsWhenToRetry(t *testing.T) {
+// TestRetryAfterOfRejections checks the Retry-After of rejections. For a tenant over its quota share it is the time
+// in which its rate estimate decays to the share.
+func TestRetryAfterOfRejections(t *testing.T) {
 	settings := testSettings()
 	in, _ := newTestInstance(t, settings)
 	in.classes[0].runTime.coreTime, in.classes[0].queued[0] = 0.5, 2 // half a second of work on each of two cores
@@ -36,16 +36,16 @@
 		want      time.Duration
 	}{{0, 500 * ms}, {1, 500 * ms}, {1.0001, pollInterval}, {1e6, settings.MaxRetryAfter}} {
 		if got := in.retryAfter(&request{rateRatio: c.rateRatio}); got != c.want {
-			t.Errorf("%v times its quota share: %v, want %v", c.rateRatio, got, c.want)
+			t.Errorf("rate ratio %v: Retry-After %v, want %v", c.rateRatio, got, c.want)
 		}
 	}
 	in.classes[0].queued[0] = 0
 	if got := in.retryAfter(&request{}); got != pollInterval {
-		t.Errorf("with no wait predicted: %v, want the time to the next look", got)
+		t.Errorf("predicted wait 0: Retry-After %v, want the poll interval", got)
 	}
 	in.drain.isDraining = true
 	if got := in.retryAfter(&request{}); got != settings.MaxRetryAfter {
-		t.Errorf("while draining: %v, want the longest", got)
+		t.Errorf("while draining: Retry-After %v, want MaxRetryAfter", got)
 	}
 	in.drain.isDraining = false
 	var e rateEstimate
@@ -54,9 +54,9 @@
 		e.count(now, in.rates.decay)
 	}
 	const quotaShare = 12
-	back := in.retryAfter(&request{rateRatio: e.rate(now, in.rates.decay) / quotaShare})
-	if r := e.rate(now+back, in.rates.decay); back >= settings.MaxRetryAfter || r > quotaShare*1.001 || r < quotaShare*0.999 {
-		t.Errorf("after %v the rate is %v, want %v", back, r, quotaShare)
+	delay := in.retryAfter(&request{rateRatio: e.rate(now, in.rates.decay) / quotaShare})
+	if r := e.rate(now+delay, in.rates.decay); delay >= settings.MaxRetryAfter || r > quotaShare*1.001 || r < quotaShare*0.999 {
+		t.Errorf("after the Retry-After of %v the rate is %v, want %v", delay, r, quotaShare)
 	}
 }
 
@@ -71,7 +71,7 @@
 	for id := RequestID(1); id <= 8; id++ {
 		in.Request(10*ms, testRequest(id, 0))
 	}
-	// Each queued request adds 0.5 s / 2 cores; 1.5 s are left of the objective after its own 0.5 s.
+	// Each queued request adds 0.5 s / 2 cores; 1.5 s of the objective are left after the request's own run of 0.5 s.
 	expectActions(t, rec, "reject", "reject 8 1s false")
 	unknown := testRequest(9, 2)
 	in.classes[2].runTime.samples = 0
@@ -79,9 +79,9 @@
 	expectActions(t, rec, "reject")
 }
 
-// TestRetryAfterIsAtMostHalfAnObjective checks that the retry-after in a retry storm is half of the longest objective,
-// even if callers honour a longer one: in the simulation all gateways stayed away for five seconds, the cores were
-// idle, and then all gateways returned at the same time.
+// TestRetryAfterIsAtMostHalfAnObjective checks that the Retry-After in a retry storm is half of the longest
+// objective, even if callers honour a longer one. In a simulation with a longer one, all gateways stayed away for
+// five seconds, the cores were idle, and then all gateways returned at the same time.
 func TestRetryAfterIsAtMostHalfAnObjective(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = time.Minute
@@ -94,15 +94,15 @@
 	}
 	r := in.requests.byArrival[len(in.requests.byArrival)-1]
 	if !in.isRetryStorm() || in.retryAfter(r) != in.longestObjective/2 {
-		t.Errorf("retry storm %v, advice %v, want %v", in.isRetryStorm(), in.retryAfter(r), in.longestObjective/2)
+		t.Errorf("retry storm %v, Retry-After %v, want %v", in.isRetryStorm(), in.retryAfter(r), in.longestObjective/2)
 	}
 	in.stall.isStalled = true
 	if in.retryAfter(r) != settings.MaxRetryAfter {
-		t.Errorf("advice of a server that stands still %v", in.retryAfter(r))
+		t.Errorf("while stalled: Retry-After %v, want MaxRetryAfter", in.retryAfter(r))
 	}
 }
 
-func TestTenantsOverTheirSharesAreRejected(t *testing.T) {
+func TestTenantsOverQuotaSharesAreRejected(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	learnRun(in, 0, 1, 1)
 	for id := RequestID(1); id <= 120; id++ {
@@ -123,7 +123,7 @@
 		in.Request(10*time.Second, arrival)
 		return in.requests.byID[id].objectiveDeadline - 10*time.Second
 	}
-	// Objective 2 s, deadline 6 s. The age of a retry is not known before the first first attempt.
+	// Objective 2 s, deadline 6 s. The age of a retry is not known until a first attempt has been read.
 	for i, c := range []struct {
 		retry        bool
 		budget, want time.Duration
@@ -131,7 +131,7 @@
 		{true, 3 * time.Second, 2 * time.Second}, {true, 5 * time.Second, time.Second},
 		{true, 3500 * ms, -500 * ms}, {true, 9 * time.Second, 2 * time.Second}} {
 		if got := objective(RequestID(i+1), c.retry, c.budget); got != c.want {
-			t.Errorf("attempt %d: useful for %v, want %v", i, got, c.want)
+			t.Errorf("attempt %d: %v left until the objective, want %v", i, got, c.want)
 		}
 	}
 }
@@ -140,19 +140,20 @@
 	in, _ := newTestInstance(t, testSettings())
 	for rateRatio, want := range map[float64]bool{0.9: false, 1.1: true} {
 		if got := in.isOverThreshold(&request{rateRatio: rateRatio}, 1.5); got != want {
-			t.Errorf("rate ratio %v at three quarters of an objective: rejected %v", rateRatio, got)
+			t.Errorf("rate ratio %v, wait of three quarters of an objective: over the threshold %v", rateRatio, got)
 		}
 	}
 }
 
-// TestThresholdPrefersNoClass checks that the threshold of a tenant over its quota share does not depend on the class.
-func TestThresholdPrefersNoClass(t *testing.T) {
+// TestThresholdDoesNotDependOnClass checks that the threshold of a tenant over its quota share is the same for all
+// classes.
+func TestThresholdDoesNotDependOnClass(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	for _, wait := range []float64{0.2, 0.5, 1, 2, 4} {
 		short := driver.module.isOverThreshold(&request{class: 0, rateRatio: 1.5}, wait)
 		long := driver.module.isOverThreshold(&request{class: 1, rateRatio: 1.5}, wait)
 		if short != long {
-			t.Errorf("%v s of wait: with a short objective rejected %v, with a long one %v", wait, short, long)
+			t.Errorf("predicted wait %v s: over the threshold %v with a short objective, %v with a long one", wait, short, long)
 		}
 	}
 }
@@ -182,14 +183,15 @@
 			}
 		}
 		if queued, _ := in.Queue(); len(queued) > 0 && len(running) == 0 {
-			t.Fatalf("round %d: %d are queued, none runs, %.0f of %.0f KB are taken", round, len(queued), in.memoryKB(), settings.MemoryKB)
+			t.Fatalf("round %d: %d requests are queued and none runs; %.0f of %.0f KB are in use",
+				round, len(queued), in.memoryKB(), settings.MemoryKB)
 		}
 	}
 }
 
-// TestKeysLeaveLargeRequestsRoom checks that an idle server admits a request whose run needs much of the memory that
-// keys leave, though they take most of it.
-func TestKeysLeaveLargeRequestsRoom(t *testing.T) {
+// TestKeysLeaveMemoryForLargeRequest checks that an idle server admits a request whose run needs much of the memory
+// that keys leave, although the keys take most of the memory.
+func TestKeysLeaveMemoryForLargeRequest(t *testing.T) {
 	settings := twoClassSettings()
 	settings.MemoryKB, settings.KeyKB = 10000, 10
 	settings.Classes[1].Effect, settings.Classes[1].KeyWindow = IdempotentByKey, time.Hour
@@ -200,7 +202,7 @@
 		driver.module.RunFinished(driver.now, id, OK)
 	}
 	if driver.module.keys.count < 500 {
-		t.Fatalf("%d keys: the test shows nothing", driver.module.keys.count)
+		t.Fatalf("%d keys, want at least 500: otherwise the keys do not take most of the memory", driver.module.keys.count)
 	}
 	driver.recorder.take()
 	large := driver.request(0, func(arrival *Request) { arrival.SizeKB = 600 })
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -5,27 +5,32 @@
 import "time"
 
 const (
-	// maxSkippableFailures is how many attempts of a call may fail before the call is skipped, if it can be.
+	// maxSkippableFailures is the number of failed attempts up to which a skippable call is retried. A call
+	// with more failures is skipped.
 	maxSkippableFailures = 2
-	// callRetryInterval is the wait before another attempt of a call for each that failed.
+	// callRetryInterval, multiplied by the number of failed attempts, is the wait before the next attempt
+	// of a call.
 	callRetryInterval = pollInterval / 2
-	// callTimeoutDivisor: a call may take at most the time left to the objective divided by it, so that
-	// another attempt has time.
+	// callTimeoutDivisor: a call of a safe request may take at most the time left to the objective divided
+	// by this number, so that there is time for another attempt.
 	callTimeoutDivisor = 3
-	// callTimeoutFactor: a call may always take this many expected call times, if the objective allows it.
+	// callTimeoutFactor: a call of a safe request may always take this multiple of the expected call time,
+	// if the objective leaves enough time.
 	callTimeoutFactor = 4
 )
 
-// downstreamCalls knows how long calls take, and keeps this server within its share of a shared dependency.
+// downstreamCalls estimates how long calls take, and keeps this server within its share of a shared
+// dependency.
 type downstreamCalls struct {
-	callTime  float64       // seconds of a usual call; 0 = not known
-	learnedAt time.Duration // when that was learned last
-	// debt is the time in seconds by which calls exceeded this server's share, never negative. No call
-	// begins while there is debt, so that the mean number in flight stays within the share.
+	callTime  float64       // estimated duration of a call in seconds; 0 = not known
+	learnedAt time.Duration // when callTime was last updated
+	// debt is the call time in seconds by which calls exceeded this server's share; it is never negative.
+	// No call begins while there is debt, so that the mean number of calls in flight stays within the
+	// share.
 	debt float64
 }
 
-// learn updates the call time by a call that succeeded.
+// learn updates the estimated call time with a call that succeeded.
 func (c *downstreamCalls) learn(now, objective, took time.Duration) {
 	if c.callTime == 0 {
 		c.callTime = took.Seconds()
@@ -35,17 +40,18 @@
 	c.learnedAt = now
 }
 
-// expectedSeconds is how long a call is expected to take.
+// expectedSeconds returns the expected duration of a call in seconds.
 func (c *downstreamCalls) expectedSeconds(now, objective time.Duration) float64 {
 	return decayLearned(c.callTime, now-c.learnedAt, objective)
 }
 
-// accrueDebt charges the calls in flight over the elapsed time against this server's share of them.
+// accrueDebt charges the calls in flight during the elapsed time against this server's share of calls in
+// flight.
 func (c *downstreamCalls) accrueDebt(elapsed time.Duration, inFlight int, share float64) {
 	c.debt = max(0, c.debt+elapsed.Seconds()*(float64(inFlight)-share))
 }
 
-// addLinger charges the time that the dependency may go on with a call that was abandoned.
+// addLinger charges the time for which the dependency may continue an abandoned call.
 func (c *downstreamCalls) addLinger(linger time.Duration) { c.debt += linger.Seconds() }
 
 // CallRequested reports that a running request waits for a decision on a downstream call.
@@ -56,7 +62,7 @@
 		return
 	}
 	in.stall.progressAt = in.clock.core
-	req.run.coreTime += in.clock.core - req.run.partStart
+	req.run.coreTime += in.clock.core - req.run.segmentStart
 	req.call.attemptAt = now
 	in.setState(req, stateCallPending)
 }
@@ -85,7 +91,7 @@
 	req.call.attemptAt = now + time.Duration(req.call.failures)*callRetryInterval
 }
 
-// mayHaveTakenEffect tells whether a call that failed with the outcome may have been carried out.
+// mayHaveTakenEffect reports whether a call that failed with the outcome may have been carried out.
 func mayHaveTakenEffect(outcome Outcome) bool {
 	switch outcome {
 	case Rejected, Unreachable, NotStarted:
@@ -94,18 +100,18 @@
 	return true
 }
 
-// resume puts a request back on the cores after its call was made or skipped.
+// resume returns a request to the cores after its call was made or skipped.
 func (in *Instance) resume(req *request) {
-	req.run.partStart = in.clock.core
+	req.run.segmentStart = in.clock.core
 	in.setState(req, stateRunning)
 }
 
-// expectedCallSeconds is how long a call is expected to take now.
+// expectedCallSeconds returns the expected duration in seconds of a call that is made now.
 func (in *Instance) expectedCallSeconds() float64 {
 	return in.calls.expectedSeconds(in.clock.now, in.longestObjective)
 }
 
-// decideCalls decides on the requests that wait for a decision on their call.
+// decideCalls decides on each pending call whose next attempt is due.
 func (in *Instance) decideCalls() {
 	if in.use.offCore == in.use.callsInFlight {
 		return
@@ -117,7 +123,7 @@
 	}
 }
 
-// decideCall makes the call, skips it or leaves the request to wait.
+// decideCall makes the call, skips it or leaves it pending.
 func (in *Instance) decideCall(req *request) {
 	class := in.settings.Classes[req.class]
 	restOfRun := seconds(in.expectedCoreTime(req.class) / 2)
@@ -129,7 +135,7 @@
 	}
 	timeout := req.deadline - in.clock.now
 	if class.Effect == Safe && left > 0 {
-		// Some calls hang, whatever the cause: enough time is kept for another attempt.
+		// Some calls hang, for any cause: the timeout leaves enough time for another attempt.
 		usual := seconds(callTimeoutFactor * in.expectedCallSeconds())
 		timeout = min(left, max(left/callTimeoutDivisor, usual))
 	}
@@ -137,7 +143,7 @@
 		if !in.isWithinCallShare() {
 			return
 		}
-		// No call may outlast the time over which the dependency averages.
+		// No call may take longer than the time over which the dependency averages its calls.
 		share := min(in.settings.FairCallShare, 1)
 		timeout = min(timeout, time.Duration(float64(in.settings.CallAveragingTime)*share/2))
 	}
@@ -145,14 +151,14 @@
 	in.setState(req, stateCalling)
 }
 
-// shouldSkipCall tells whether a call that may be skipped failed too often or has too little time left.
+// shouldSkipCall reports whether a call that may be skipped failed too often or has too little time left.
 func (in *Instance) shouldSkipCall(req *request, left time.Duration) bool {
 	return req.call.failures > maxSkippableFailures || left < seconds(in.expectedCallSeconds()/2)
 }
 
-// isWithinCallShare tells whether one more call keeps this server within its share of the calls in flight
-// that the shared dependency survives. A share under one call allows one call at a time; the debt that it
-// accrues delays the next.
+// isWithinCallShare reports whether one more call keeps this server within its share of the calls in flight
+// that the shared dependency survives. A share below one call allows one call at a time; the debt that this
+// call accrues delays the next.
 func (in *Instance) isWithinCallShare() bool {
 	if in.calls.debt > 0 {
 		return false
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -22,14 +22,14 @@
 				want = "[run 1 call 1 fail 1]"
 			}
 			if got := fmt.Sprint(rec.take("run", "call", "fail", "reject")); got != want {
-				t.Errorf("outcome %d of class %d: %s, want %s", o, class, got, want)
+				t.Errorf("outcome %d, class %d: actions %s, want %s", o, class, got, want)
 			}
 		}
 	}
 }
 
 func TestLingeringCallAccruesDebt(t *testing.T) {
-	for _, end := range []string{"gone", "due"} {
+	for _, end := range []string{"cancelled", "deadline"} {
 		settings := testSettings()
 		settings.Downstream, settings.FairCallShare, settings.CallAveragingTime, settings.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
 		in, rec := newTestInstance(t, settings)
@@ -44,7 +44,7 @@
 		in.Settle(20 * ms)
 		expectActions(t, rec, "call", "call 1")
 		now := 100 * ms
-		if end == "due" {
+		if end == "deadline" {
 			now = 490 * ms
 		} else {
 			in.Cancel(now, 1)
@@ -69,14 +69,14 @@
 		in.actions = callTimeoutRecorder{&recorder{}, &got}
 		in.Settle(0)
 		if got != want {
-			t.Errorf("call of class %d abandoned after %v, want %v", id-1, got, want)
+			t.Errorf("call of class %d: timeout %v, want %v", id-1, got, want)
 		}
 	}
 }
 
-// TestSlowCallsAreMadeAgain has the calls of a class that may skip them take longer than its objective for a while.
-// Calls must be made again later, since a skipped call gives no sample of whether calls are fast again.
-func TestSlowCallsAreMadeAgain(t *testing.T) {
+// TestCallsResumeAfterSlowCalls makes the calls of a class that may skip them take longer than its objective for a
+// while. Calls must be made again later, because a skipped call gives no sample of whether calls are fast again.
+func TestCallsResumeAfterSlowCalls(t *testing.T) {
 	settings := twoClassSettings()
 	settings.Downstream = DependencyTier
 	settings.Classes[0].SkippedCallWeight = 0.5
@@ -106,7 +106,7 @@
 		driver.advance(50 * ms)
 	}
 	if calls < 300 {
-		t.Errorf("%d calls were made for 600 requests in the minute after calls were slow, want half at least", calls)
+		t.Errorf("%d calls for 600 requests in the minute after the slow calls, want at least 300", calls)
 	}
 }
 
@@ -123,6 +123,6 @@
 		t.Errorf("debt %v, want 3.5", calls.debt)
 	}
 	if calls.accrueDebt(time.Minute, 0, 1); calls.debt != 0 {
-		t.Errorf("debt %v, want none", calls.debt)
+		t.Errorf("debt %v, want 0", calls.debt)
 	}
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -8,39 +8,42 @@
 )
 
 const (
-	// stopMarginDivisor: all answers are out before the process is stopped, by at least the time left at
-	// the notice divided by it.
+	// stopMarginDivisor: all answers are sent before the process is stopped, by at least the time left at
+	// the drain notice divided by this number.
 	stopMarginDivisor = 20
-	// drainLeavePolls is how many polls before the end of the grace period callers are sent away.
-	drainLeavePolls = 2
-	// drainLeaveDivisor bounds that time to the grace period divided by it.
-	drainLeaveDivisor = 4
+	// graceEndPolls is the number of polls before the end of the grace period at which callers are asked to
+	// use another server.
+	graceEndPolls = 2
+	// graceEndDivisor bounds the lead time of graceEndPolls to the grace period divided by this number.
+	graceEndDivisor = 4
 )
 
 // drainState is the state of the graceful shutdown. Once draining, the process never returns to service.
 type drainState struct {
 	isDraining bool
 	noticedAt  time.Duration
-	stopAt     time.Duration // when all answers must be out, before the process is stopped
+	stopAt     time.Duration // when all answers must be sent, before the process is stopped
 }
 
-// isPastGrace tells whether a request that arrived then came after the grace period and must not run.
+// isPastGrace reports whether a request with the arrival time arrived after the grace period and must not
+// run.
 func (d *drainState) isPastGrace(arrivedAt, grace time.Duration) bool {
 	return d.isDraining && arrivedAt > d.noticedAt+grace
 }
 
-// isGraceEnding tells whether callers should look for another server. That is so only when the grace period
-// is nearly over: what arrives until then is run. Callers that leave sooner overload the remaining servers
-// while few callers know of the replacements.
+// isGraceEnding reports whether callers should use another server, which is the case only when the grace
+// period is nearly over: requests that arrive until its end are run. If callers leave earlier they overload
+// the remaining servers, while few callers know of the replacements.
 func (d *drainState) isGraceEnding(now, grace time.Duration) bool {
 	if !d.isDraining {
 		return false
 	}
-	lead := min(drainLeavePolls*pollInterval, grace/drainLeaveDivisor)
+	lead := min(graceEndPolls*pollInterval, grace/graceEndDivisor)
 	return now+lead >= d.noticedAt+grace
 }
 
-// Drain reports the notice that the process is stopped after the time. Further notices change nothing.
+// Drain starts the graceful shutdown on the notice that the process is stopped after timeLeft. Further
+// notices have no effect.
 func (in *Instance) Drain(now, timeLeft time.Duration) {
 	in.advanceClock(now)
 	if in.drain.isDraining {
@@ -56,12 +59,12 @@
 	in.actions.Log(fmt.Sprintf("drain: %d held, %d running", in.queue.len(), in.use.running))
 }
 
-// isPastDrainGrace tells whether the request arrived after the drain grace period.
+// isPastDrainGrace reports whether the request arrived after the grace period of the drain.
 func (in *Instance) isPastDrainGrace(req *request) bool {
 	return in.drain.isPastGrace(req.arrivedAt, in.settings.DrainGracePeriod)
 }
 
-// isDrainEnding tells whether callers should look for another server because this one stops.
+// isDrainEnding reports whether callers should use another server because this one is about to stop.
 func (in *Instance) isDrainEnding() bool {
 	return in.drain.isGraceEnding(in.clock.now, in.settings.DrainGracePeriod)
 }
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -30,12 +30,12 @@
 	expectActions(t, rec, "run reject", "reject 1 1s false")
 }
 
-// TestGracePeriod checks that the grace period counts from the notice, and that callers are asked to leave two polls
-// before its end, or a quarter of the period if that is shorter.
+// TestGracePeriod checks that the grace period counts from the drain notice, and that callers are asked to use
+// another server two polls before its end, or a quarter of the period before its end if that is shorter.
 func TestGracePeriod(t *testing.T) {
 	none := drainState{}
 	if none.isPastGrace(time.Hour, time.Second) || none.isGraceEnding(time.Hour, time.Second) {
-		t.Error("a grace period without a drain")
+		t.Error("a grace period ends without a drain")
 	}
 	d := drainState{isDraining: true, noticedAt: time.Minute}
 	for _, c := range []struct {
@@ -43,10 +43,10 @@
 	}{{2 * time.Second, 200 * ms}, {400 * ms, 100 * ms}} {
 		end := time.Minute + c.grace
 		if d.isPastGrace(end, c.grace) || !d.isPastGrace(end+1, c.grace) {
-			t.Errorf("a grace of %v does not end at its end", c.grace)
+			t.Errorf("grace period of %v: isPastGrace does not change after its end", c.grace)
 		}
 		if d.isGraceEnding(end-c.left-1, c.grace) || !d.isGraceEnding(end-c.left, c.grace) {
-			t.Errorf("a grace of %v does not send callers away %v before its end", c.grace, c.left)
+			t.Errorf("grace period of %v: isGraceEnding does not change %v before its end", c.grace, c.left)
 		}
 	}
 }
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// driver drives an Instance by events alone. The test decides when runs end.
+// driver drives an Instance through its events only. The test decides when runs end.
 type driver struct {
 	t           *testing.T
 	module      *Instance
 	recorder    *recorder
 	now         time.Duration
 	lastID      RequestID
-	isSaturated bool // what the gauges read
+	isSaturated bool // whether the gauges show saturated cores
 }
 
-// newDriver returns a driver of a new Instance.
+// newDriver returns a driver of a new Instance with the settings.
 func newDriver(t *testing.T, settings Settings) *driver {
 	t.Helper()
 	in, rec := newTestInstance(t, settings)
 	return &driver{t: t, module: in, recorder: rec}
 }
 
-// advance moves the clock, and reports a timer event.
+// advance advances the clock and reports a timer event.
 func (d *driver) advance(elapsed time.Duration) {
 	d.now += elapsed
 	gauges := Gauges{Utilization: 0.5, Runnable: 0}
@@ -35,7 +35,8 @@
 	d.module.Settle(d.now)
 }
 
-// request reports a new request of the class, and returns its ID.
+// request reports a new request of the class and returns its ID. If change is not nil, it is called on the request
+// before that.
 func (d *driver) request(class int, change func(*Request)) RequestID {
 	d.lastID++
 	arrival := testRequest(d.lastID, class)
@@ -48,7 +49,7 @@
 	return d.lastID
 }
 
-// startedRuns returns the requests that were started since the last take.
+// startedRuns returns the requests that were started since the recorder's last take.
 func (d *driver) startedRuns() (ids []RequestID) {
 	d.t.Helper()
 	for _, a := range d.recorder.take("run") {
@@ -58,7 +59,7 @@
 	return ids
 }
 
-// hasAction tells whether the actions include the word for the request.
+// hasAction reports whether the actions include the word for the request.
 func hasAction(actions []string, word string, id RequestID) bool {
 	want := fmt.Sprintf("%s %d", word, id)
 	for _, a := range actions {
@@ -69,7 +70,7 @@
 	return false
 }
 
-// scanAction reads the word and the request of an action.
+// scanAction parses the word and the request ID of an action.
 func scanAction(t *testing.T, action string) (word string, id RequestID) {
 	t.Helper()
 	if _, err := fmt.Sscanf(action, "%s %d", &word, &id); err != nil {
@@ -78,8 +79,8 @@
 	return word, id
 }
 
-// twoClassSettings are settings of 300 servers and 150 callers: a class with an objective of 0.6 s and one with an
-// objective of 6 s.
+// twoClassSettings returns settings of 300 servers and 150 callers with two classes: one has an objective of 0.6 s,
+// the other an objective of 6 s.
 func twoClassSettings() Settings {
 	return Settings{Servers: 300, Callers: 150, Cores: 2, Tick: 5 * ms, MemoryKB: 1e6,
 		RunningMemoryFactor: 4, MaxConcurrencyFactor: 8,
--- a/admission/events.go
+++ b/admission/events.go
@@ -1,4 +1,4 @@
-// The start of an Instance and its remaining events. The interface is in interface.go.
+// Creation of an Instance, and the events that no other file handles. The interface is in interface.go.
 
 package admission
 
@@ -8,20 +8,21 @@
 )
 
 const (
-	// pollInterval is the time between two uses of the gauges: a fifth of the time over which they average.
+	// pollInterval is the interval at which the gauges are used: a fifth of the time over which they
+	// average.
 	pollInterval = 100 * time.Millisecond
-	// answerTicks is how many ticks before its deadline a request is answered.
-	answerTicks = 2
-	// maxSweepInterval is the longest time between two sweeps.
+	// answerMarginTicks is how many ticks before its deadline a request is answered.
+	answerMarginTicks = 2
+	// maxSweepInterval is the longest interval between two sweeps.
 	maxSweepInterval = time.Hour
-	// finishedSlack is how many finished requests the list may hold, in addition to as many as there are
-	// unfinished ones, before they are swept: decisions iterate over the list.
+	// finishedSlack is how many more finished than unfinished requests the list may hold before it is
+	// swept. The bound exists because decisions iterate over the list.
 	finishedSlack = 64
-	// minQuota is the least quota in requests a second, so that no threshold is 0.
+	// minQuota is the lower bound of a tenant's quota in requests per second, so that no threshold is 0.
 	minQuota = 1e-3
 )
 
-// New returns an Instance for the settings, or an error that names a field that makes no sense.
+// New returns an Instance with the settings, or a *SettingError that names the first invalid field.
 func New(settings Settings, actions Actions) (*Instance, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
@@ -44,13 +45,13 @@
 	for _, tenant := range settings.Tenants {
 		in.rates.totalQuota += max(tenant.Quota, minQuota)
 	}
-	// The half-life is the longest objective: an arrival loses half of its weight about when its answer is
-	// due, so that the rate follows the work that a surge brings.
+	// The half-life is the longest objective. The weight of an arrival then halves at about the time when
+	// its answer is due, so that the rate follows the work of a surge.
 	in.rates.decay = math.Ln2 / in.longestObjective.Seconds()
 	return in, nil
 }
 
-// advanceClock moves the clocks to now, and begins the service at the first event.
+// advanceClock advances the clocks to now. At the first event it starts the service.
 func (in *Instance) advanceClock(now time.Duration) {
 	if !in.clock.isStarted {
 		in.clock.isStarted = true
@@ -63,13 +64,14 @@
 		return
 	}
 	elapsed := now - in.clock.now
-	// A timer fires at each poll of the gauges. In a longer gap the whole process was paused with its runs.
+	// A timer fires at each poll of the gauges. A longer gap means that the whole process, with its runs,
+	// was paused.
 	in.clock.core += min(elapsed, 2*pollInterval).Seconds() * in.coreShare()
 	in.calls.accrueDebt(elapsed, in.use.callsInFlight, in.settings.FairCallShare)
 	in.clock.now = now
 }
 
-// coreShare is the part of a core that each running request gets.
+// coreShare returns the fraction of a core that each running request gets; 0 if none runs.
 func (in *Instance) coreShare() float64 {
 	if in.use.running == 0 {
 		return 0
@@ -105,9 +107,9 @@
 	in.remove(req)
 }
 
-// learnFromRun updates the estimates by a run that ended.
+// learnFromRun updates the estimates with a run that ended.
 func (in *Instance) learnFromRun(now time.Duration, req *request, outcome Outcome) {
-	req.run.coreTime += in.clock.core - req.run.partStart
+	req.run.coreTime += in.clock.core - req.run.segmentStart
 	estimator := &in.classes[req.class].runTime
 	if outcome != OK {
 		estimator.countFailure(in.clock.now)
@@ -119,10 +121,11 @@
 	in.rates.completions.count(now, in.rates.decay)
 }
 
-// answerMargin is how long before its deadline a request is answered.
-func (in *Instance) answerMargin() time.Duration { return answerTicks * in.settings.Tick }
+// answerMargin returns how long before its deadline a request is answered.
+func (in *Instance) answerMargin() time.Duration { return answerMarginTicks * in.settings.Tick }
 
-// Timer reports that the time of SetTimer has passed, with the server's gauges.
+// Timer reports that the time of SetTimer has passed, with the server's gauges. The gauges are used at most
+// once per pollInterval.
 func (in *Instance) Timer(now time.Duration, _ uint32, gauges Gauges) {
 	in.advanceClock(now)
 	if now >= in.schedule.timerAt {
@@ -132,7 +135,7 @@
 		return
 	}
 	in.schedule.nextPoll = now + pollInterval
-	in.limiter.read(gauges)
+	in.limiter.setGauges(gauges)
 	in.countLiveCallers()
 	in.adjustConcurrencyLimit()
 	in.detectStall()
@@ -140,7 +143,8 @@
 	in.updateFeedback()
 }
 
-// Settle ends a group of simultaneous events and decides on what they left to do.
+// Settle ends a group of simultaneous events. It answers requests whose deadline is near, rejects and runs
+// queued requests, decides on pending calls and sets the timer.
 func (in *Instance) Settle(now time.Duration) {
 	in.advanceClock(now)
 	in.keys.expire(in.clock.now, in.settings.Tick)
@@ -156,7 +160,8 @@
 	in.setTimer()
 }
 
-// sweep answers all requests whose deadline has come, drops finished ones and finds the next deadline.
+// sweep answers all requests whose deadline is within the answer margin, removes finished requests from the
+// list and finds the next deadline.
 func (in *Instance) sweep() {
 	in.schedule.nextDeadline = in.clock.now + maxSweepInterval
 	all := in.requests.byArrival
@@ -179,7 +184,8 @@
 	in.requests.byArrival = kept
 }
 
-// setTimer asks for one timer, for the earliest thing to do, unless an earlier one was asked for.
+// setTimer sets one timer for the next poll or the next deadline, whichever is earlier, unless a timer that
+// fires no later is already set.
 func (in *Instance) setTimer() {
 	next := min(in.schedule.nextPoll, in.schedule.nextDeadline-in.answerMargin())
 	next = max(next, in.clock.now+in.settings.Tick)
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,7 @@
 	"tillerusher/admission"
 )
 
-// printer carries out the few actions that this example needs; the others are promoted from the nil interface
+// printer carries out the few actions that this example needs. The other methods are promoted from the nil interface
 // and must not be called.
 type printer struct{ admission.Actions }
 
@@ -16,11 +16,12 @@
 	fmt.Println("reject", id, "retry after", retryAfter)
 }
 func (printer) SetHealth(healthy, _ bool)          { fmt.Println("healthy:", healthy) }
-func (printer) SetTimer(time.Duration, uint32)     {} // a server would set a timer that ends in Instance.Timer
+func (printer) SetTimer(time.Duration, uint32)     {} // a server would set a timer that calls Instance.Timer
 func (printer) CloseIdleConnections(time.Duration) {}
 func (printer) Log(line string)                    { fmt.Println("log:", line) }
 
-// A server with one class of requests runs one request, drains, and rejects one that arrives after the grace period.
+// A server with one class of requests runs one request, drains, and rejects a request that arrives after the grace
+// period.
 func Example() {
 	settings := admission.Settings{
 		Servers: 3, Callers: 2, Cores: 4, Tick: 5 * time.Millisecond,
--- a/admission/feedback_test.go
+++ b/admission/feedback_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBacklogReducesTrafficWeight checks that the traffic weight falls to 0 where requests wait to be read,
-// and to a half where only the cores are saturated.
+// TestBacklogReducesTrafficWeight checks that the traffic weight falls to 0 if requests wait to be read, and to one
+// half if only the cores are saturated.
 func TestBacklogReducesTrafficWeight(t *testing.T) {
 	for _, c := range []struct {
 		readDelay, least, most float64
@@ -20,12 +20,12 @@
 			in.updateFeedback()
 		}
 		if in.feedback.trafficWeight < c.least || in.feedback.trafficWeight > c.most {
-			t.Errorf("arrivals wait %v s before they are read: weight %v", c.readDelay, in.feedback.trafficWeight)
+			t.Errorf("read delay %v s: traffic weight %v", c.readDelay, in.feedback.trafficWeight)
 		}
 	}
 }
 
-func TestCreditLeavesOutTheUnread(t *testing.T) {
+func TestCreditExcludesUnreadRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Feedback = FeedbackCredit
 	in, rec := newTestInstance(t, settings)
@@ -42,9 +42,9 @@
 	expectActions(t, rec, "advertise", "advertise 0.000")
 }
 
-// TestAdvertisedLoadWhileDraining checks that a draining server advertises its load as before during the grace period,
-// and wants no traffic just before its end: callers that notice late are still served, and the other servers do not
-// get the load sooner than necessary.
+// TestAdvertisedLoadWhileDraining checks that a draining server advertises its load as before during the grace
+// period, and asks for no traffic only just before the end of the period. Callers that learn of the drain late are
+// then still served, and the other servers do not get the load earlier than necessary.
 func TestAdvertisedLoadWhileDraining(t *testing.T) {
 	for feedback, want := range map[Feedback][2][]string{FeedbackNone: {}, FeedbackLevel: {{"advertise 0.000"}, {"advertise 1.000"}},
 		FeedbackCredit: {{"advertise 2.000"}, {"advertise 0.000"}}, FeedbackWeight: {{"advertise 1.000"}, {"advertise 0.000"}}} {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestIdleConnectionsCloseWhereCallersAreRare(t *testing.T) {
+func TestIdleConnectionsCloseWhenCallersSendRarely(t *testing.T) {
 	for _, c := range []struct {
 		callers int
 		retry   bool
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestCreditDoesNotDependOnTheOrderOfClasses checks that the same traffic of a class of short runs and one of long runs
-// gives the same credit in both orders of the classes.
+// TestCreditDoesNotDependOnTheOrderOfClasses checks that the same traffic of a class with short runs and a class with
+// long runs gives the same credit in both orders of the classes.
 func TestCreditDoesNotDependOnTheOrderOfClasses(t *testing.T) {
 	credit := func(first, second float64) string {
 		settings := twoClassSettings()
@@ -106,6 +106,6 @@
 		return advertised[len(advertised)-1]
 	}
 	if a, b := credit(0.1, 1), credit(1, 0.1); a != b {
-		t.Errorf("with the short runs first: %s; with the long ones: %s", a, b)
+		t.Errorf("with the short runs first: %s; with the long runs first: %s", a, b)
 	}
 }
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// testSettings are settings of two servers with two cores each: a class of safe requests, one of requests with keys and
-// one of requests that are not idempotent.
+// testSettings returns settings of two servers with two cores each, and three classes: safe requests, requests with
+// keys and requests that are not idempotent.
 func testSettings() Settings {
 	return Settings{Servers: 2, Callers: 2, Cores: 2, Tick: 5 * time.Millisecond,
 		Classes: []Class{
@@ -36,7 +36,7 @@
 	return in, rec
 }
 
-// ms keeps the times of tests short.
+// ms abbreviates time.Millisecond.
 const ms = time.Millisecond
 
 // testRequest returns a request of the class.
@@ -44,7 +44,7 @@
 	return Request{ID: id, Class: class, SizeKB: 30, RemainingTime: 6 * time.Second}
 }
 
-// expectActions compares the actions since the last take that begin with one of the words.
+// expectActions compares the actions since the last take that begin with one of the words with the wanted actions.
 func expectActions(t *testing.T, rec *recorder, words string, want ...string) {
 	t.Helper()
 	got := rec.take(strings.Fields(words)...)
@@ -66,7 +66,7 @@
 	}
 }
 
-// learnRun has the module learn from a run of the class with the times in seconds.
+// learnRun updates the estimates of the class with a run of the given times in seconds.
 func learnRun(in *Instance, class int, coreTime, wallTime float64) {
 	in.classes[class].runTime.learn(in.clock.now, in.longestObjective, coreTime, wallTime)
 }
--- a/admission/host_test.go
+++ b/admission/host_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Limits of the rules that the module's settings do not contain.
+// Limits of the rules that Settings does not contain.
 const (
 	answerSlack              = 80 * ms
 	concurrencyAveragingTime = 2 * time.Second
 )
 
-// hostPhase is the host's state of a request.
+// hostPhase is the host's view of the state of a request.
 type hostPhase uint8
 
 // The phases.
@@ -35,11 +35,11 @@
 	isCancelled        bool
 	hasRun             bool
 	firstAttempt       RequestID // keyed: the first attempt of the same request
-	mayHaveTakenEffect bool      // a call of it may have had its effect
+	mayHaveTakenEffect bool      // one of its calls may have taken effect
 }
 
-// randomHost is the host in random tests: it carries out actions, checks the four rules independently of the module
-// and generates legal events. It simulates no server: when something ends is drawn at random.
+// randomHost is the host in random tests. It carries out actions, checks the four rules independently of the module
+// and generates legal events. It does not simulate a server: the times at which runs and calls end are random.
 type randomHost struct {
 	t              *testing.T
 	settings       Settings
@@ -49,11 +49,11 @@
 	timers         []time.Duration
 	requests       map[RequestID]*hostedRequest
 	arrivals       []RequestID
-	keys           map[RequestID]time.Duration // entries of the table
-	ranArrivals    map[RequestID]time.Duration // arrival of the attempt that ran, by the first attempt
+	keys           map[RequestID]time.Duration // when each kept key expires
+	ranArrivals    map[RequestID]time.Duration // arrival of the attempt that ran, by first attempt
 	drainNoticeAt  time.Duration
 	stopAt         time.Duration
-	runningSamples []float64 // running requests at the latest steps, for the fourth rule
+	runningSamples []float64 // running requests at the latest steps, for the fourth rule (checkConcurrency)
 	callDebt       float64
 	actionCounts   map[string]int
 	pending        []func() // events of the next batch
@@ -69,42 +69,42 @@
 	return req
 }
 
-// run starts a request, and checks that it may run.
+// run starts a request and checks that it may run.
 func (h *randomHost) run(id RequestID) {
 	req := h.count(id, "run")
 	if req.phase != hostQueued || req.isAnswered || req.isCancelled {
-		h.t.Fatalf("%v: run of %d, which is finished or not queued", h.now, id)
+		h.t.Fatalf("%v: run of request %d, which is finished or not queued", h.now, id)
 	}
 	class := h.settings.Classes[req.request.Class]
 	if class.Effect == IdempotentByKey {
 		at, ran := h.ranArrivals[req.firstAttempt]
 		if ran && req.arrivedAt < at+class.KeyWindow {
-			h.t.Fatalf("%v: %d runs a second time within its window", h.now, id)
+			h.t.Fatalf("%v: request %d runs a second time within its key window", h.now, id)
 		}
 		if _, kept := h.keys[id]; !kept {
-			h.t.Fatalf("%v: %d runs without its key", h.now, id)
+			h.t.Fatalf("%v: request %d runs without a kept key", h.now, id)
 		}
 		h.ranArrivals[req.firstAttempt] = req.arrivedAt
 	}
 	if class.Effect != Safe && req.hasRun {
-		h.t.Fatalf("%v: %d with an effect runs again", h.now, id)
+		h.t.Fatalf("%v: request %d runs again although its class is not safe", h.now, id)
 	}
 	if h.stopAt > 0 && req.arrivedAt > h.drainNoticeAt+h.settings.DrainGracePeriod {
-		h.t.Fatalf("%v: %d arrived after the grace and runs", h.now, id)
+		h.t.Fatalf("%v: request %d runs although it arrived after the grace period", h.now, id)
 	}
 	req.phase, req.hasRun = hostRunning, true
 }
 
-// answer records the final answer, and checks that it is the only one, and that a rejected request never ran.
+// answer records the final answer. It checks that there is only one answer, and that a rejected request never ran.
 func (h *randomHost) answer(id RequestID, isRejected bool) {
 	req := h.count(id, "answer")
 	if req.isAnswered {
-		h.t.Fatalf("%v: second answer to %d", h.now, id)
+		h.t.Fatalf("%v: second answer to request %d", h.now, id)
 	}
 	hasEffect := h.settings.Classes[req.request.Class].Effect != Safe
 	_, ran := h.ranArrivals[req.firstAttempt]
 	if isRejected && hasEffect && (req.hasRun || ran && req.phase != hostQueued) {
-		h.t.Fatalf("%v: %d ran and is rejected", h.now, id)
+		h.t.Fatalf("%v: request %d is rejected although it ran", h.now, id)
 	}
 	req.isAnswered = true
 	if req.phase == hostQueued || req.phase == hostReplaying {
@@ -112,43 +112,43 @@
 	}
 }
 
-// call makes a downstream call, and checks that it may be made.
+// call makes a downstream call and checks that it may be made.
 func (h *randomHost) call(id RequestID, timeout time.Duration) {
 	req := h.count(id, "call")
 	if req.phase != hostCallPending {
 		return
 	}
 	if req.mayHaveTakenEffect && h.settings.Classes[req.request.Class].Effect != Safe {
-		h.t.Fatalf("%v: call of %d repeated though it may have had its effect", h.now, id)
+		h.t.Fatalf("%v: call of request %d is repeated although it may have taken effect", h.now, id)
 	}
 	if timeout <= 0 {
-		h.t.Fatalf("%v: call of %d without a time-out", h.now, id)
+		h.t.Fatalf("%v: call of request %d without a timeout", h.now, id)
 	}
 	req.phase = hostCalling
 }
 
-// skipCall lets a run go on without its call.
+// skipCall continues a run without its call.
 func (h *randomHost) skipCall(id RequestID) {
 	req := h.count(id, "skip-call")
 	if h.settings.Classes[req.request.Class].SkippedCallWeight == 0 {
-		h.t.Fatalf("%v: skip-call of %d is not allowed", h.now, id)
+		h.t.Fatalf("%v: skip-call of request %d, whose class forbids skipping", h.now, id)
 	}
 	if req.phase == hostCallPending {
 		req.phase = hostRunning
 	}
 }
 
-// stop ends a run in most cases.
+// stop ends a run in most cases, if its result is no longer needed.
 func (h *randomHost) stop(id RequestID) {
 	req := h.count(id, "stop")
 	if h.settings.StopMode == StopNone {
-		h.t.Fatalf("%v: stop of %d is not allowed", h.now, id)
+		h.t.Fatalf("%v: stop of request %d, but StopMode is StopNone", h.now, id)
 	}
 	isUnneeded := req.isAnswered || req.isCancelled
-	// Otherwise the stop has no effect, as on hung cores.
+	// In the other cases the stop has no effect, as on hung cores.
 	if req.phase == hostRunning && isUnneeded && h.rng.Intn(4) > 0 {
 		req.phase = hostFinished
-		h.later(func() { h.module.RunFinished(h.now, id, Cancelled) })
+		h.deferEvent(func() { h.module.RunFinished(h.now, id, Cancelled) })
 	}
 }
 
@@ -158,28 +158,28 @@
 	h.keys[id] = h.now + lifetime
 }
 
-// releaseKey removes a key, which must not be that of a request that ran.
+// releaseKey removes a key and checks that its request never ran.
 func (h *randomHost) releaseKey(id RequestID) {
 	req := h.count(id, "release-key")
 	if req.hasRun {
-		h.t.Fatalf("%v: the key of %d, which ran, is erased", h.now, id)
+		h.t.Fatalf("%v: the key of request %d is released although the request ran", h.now, id)
 	}
 	delete(h.keys, id)
 }
 
-// replayResult has a request wait for the result of the one that it repeats.
+// replayResult makes a request wait for the result of the request that it repeats.
 func (h *randomHost) replayResult(id RequestID) {
 	req := h.count(id, "replay")
 	if req.request.RetryOf == 0 || req.phase != hostQueued {
-		h.t.Fatalf("%v: replay of %d is not allowed", h.now, id)
+		h.t.Fatalf("%v: replay of request %d, which is no retry or is not queued", h.now, id)
 	}
 	req.phase = hostReplaying
 }
 
-// later keeps an event for the next batch.
-func (h *randomHost) later(event func()) { h.pending = append(h.pending, event) }
+// deferEvent adds an event to the next batch.
+func (h *randomHost) deferEvent(event func()) { h.pending = append(h.pending, event) }
 
-// checkLimits compares the needs with the limits after the actions of a batch.
+// checkLimits checks the deadlines and the resource limits after the actions of a batch.
 func (h *randomHost) checkLimits(step time.Duration) {
 	memory, running, calls := 0.0, 0.0, 0.0
 	for _, id := range h.arrivals {
@@ -197,7 +197,7 @@
 			}
 		}
 		if !req.isAnswered && !req.isCancelled && req.phase != hostFinished && h.now > req.deadline+answerSlack {
-			h.t.Fatalf("%v: %d was due at %v (phase %d)", h.now, id, req.deadline, req.phase)
+			h.t.Fatalf("%v: request %d is not answered, its deadline was %v (phase %d)", h.now, id, req.deadline, req.phase)
 		}
 	}
 	h.checkMemory(memory)
@@ -205,7 +205,7 @@
 	h.checkCalls(calls, step)
 }
 
-// checkMemory drops expired keys and compares the memory of requests and keys with the server's.
+// checkMemory drops expired keys and compares the memory of requests and keys with the memory of the server.
 func (h *randomHost) checkMemory(memory float64) {
 	for id, until := range h.keys {
 		if until < h.now {
@@ -214,11 +214,11 @@
 	}
 	memory += float64(len(h.keys)) * h.settings.KeyKB
 	if memory > h.settings.MemoryKB {
-		h.t.Fatalf("%v: %.0f KB needed of %.0f", h.now, memory, h.settings.MemoryKB)
+		h.t.Fatalf("%v: %.0f KB in use, want at most %.0f KB", h.now, memory, h.settings.MemoryKB)
 	}
 }
 
-// checkConcurrency compares the mean of the running requests with what the server survives.
+// checkConcurrency compares the mean number of running requests with the number that the server survives.
 func (h *randomHost) checkConcurrency(running float64, step time.Duration) {
 	h.runningSamples = append(h.runningSamples, running)
 	samples := int(concurrencyAveragingTime / step)
@@ -238,7 +238,7 @@
 	}
 	limit := float64(h.settings.Cores) * (1 + (h.settings.MaxConcurrencyFactor-1)*speed)
 	if mean > limit {
-		h.t.Fatalf("%v: %.1f on the cores on the mean, %.1f survive", h.now, mean, limit)
+		h.t.Fatalf("%v: %.1f running requests on average, want at most %.1f", h.now, mean, limit)
 	}
 }
 
@@ -250,6 +250,6 @@
 	h.callDebt += (calls - max(h.settings.FairCallShare, 0)) * step.Seconds()
 	h.callDebt = max(h.callDebt, 0)
 	if h.callDebt > h.settings.CallAveragingTime.Seconds()*max(1, h.settings.FairCallShare) {
-		h.t.Fatalf("%v: calls in hand run far over this server's part", h.now)
+		h.t.Fatalf("%v: the calls in flight are far over this server's share", h.now)
 	}
 }
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -1,5 +1,5 @@
-// Inspection of an Instance, for operators who ask why it decided as it did. Nothing here decides or changes
-// the Instance.
+// Inspection of an Instance, which shows operators the reasons for its decisions. This file makes no decisions and
+// does not change the Instance.
 
 package admission
 
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Inspection is the state of an Instance at a time. Times are of its clock; durations are in nanoseconds in
-// JSON.
+// Inspection is the state of an Instance at one point in time. Times are on the Instance's clock; durations are in
+// nanoseconds in JSON.
 type Inspection struct {
 	Now              time.Duration     `json:"now"`
 	Queued           int               `json:"held"`
 	Running          int               `json:"running"`
 	Calling          int               `json:"at_call"`
-	ConcurrencyLimit float64           `json:"limit"`     // running requests wanted
+	ConcurrencyLimit float64           `json:"limit"`     // of running requests
 	MaxConcurrency   float64           `json:"crowd"`     // running requests that the server survives, less a margin
 	MemoryKB         float64           `json:"memory_kb"` // in use
-	MaxMemoryKB      float64           `json:"most_kb"`   // that may be in use
+	MaxMemoryKB      float64           `json:"most_kb"`   // that may be used
 	Keys             int               `json:"keys"`
 	Utilization      float64           `json:"busy"`     // of the cores, 0 to 1
-	Runnable         float64           `json:"runnable"` // what wants a core; negative = not known
+	Runnable         float64           `json:"runnable"` // tasks that want a core; negative = not known
 	Saturated        bool              `json:"full"`     // all cores are busy
 	Overloaded       bool              `json:"pressed"`  // saturated, and requests are queued
 	Stalled          bool              `json:"stalled"`
 	Draining         bool              `json:"draining"`
-	RetryStorm       bool              `json:"stormy"`  // most arrivals are retries, or arrivals wait to be read
-	RetryShare       float64           `json:"retries"` // part of the latest arrivals
-	ReadDelay        time.Duration     `json:"unread"`  // that arrivals lately waited to be read
-	HalfLife         time.Duration     `json:"half"`    // in which an arrival halves in the rate estimates
-	TrafficWeight    float64           `json:"weight"`  // part of the usual traffic that is wanted
+	RetryStorm       bool              `json:"stormy"`  // most arrivals are retries, or arrivals wait long before they are read
+	RetryShare       float64           `json:"retries"` // fraction of the latest arrivals that are retries
+	ReadDelay        time.Duration     `json:"unread"`  // average time that the latest arrivals waited before they were read
+	HalfLife         time.Duration     `json:"half"`    // in which the weight of an arrival in the rate estimates halves
+	TrafficWeight    float64           `json:"weight"`  // wanted fraction of the usual traffic
 	Classes          []ClassInspection `json:"classes"`
 }
 
-// ClassInspection is the state of a class.
+// ClassInspection is the state of one class.
 type ClassInspection struct {
-	CoreTime          time.Duration `json:"core_time"` // of a run; 0 = not known
+	CoreTime          time.Duration `json:"core_time"` // expected core time of a run; 0 = not known
 	WallTime          time.Duration `json:"wall"`      // from the start of a run to its end
 	Samples           int           `json:"runs"`      // runs learned from
 	QueuedWithinQuota int           `json:"within"`    // queued, of tenants within their quota shares
-	QueuedOverQuota   int           `json:"over"`      // queued, of tenants over them
+	QueuedOverQuota   int           `json:"over"`      // queued, of tenants over their quota shares
 
-	Starved    bool                `json:"starved"`    // a smaller part of its requests is run than of the others
-	Rejections [reasonCount]uint64 `json:"rejections"` // rejected requests since the start, by Reason
+	Starved    bool                `json:"starved"`    // it runs a smaller fraction of its requests than the other classes
+	Rejections [reasonCount]uint64 `json:"rejections"` // since the start, by Reason
 }
 
 // Inspect returns the state of the Instance.
@@ -56,7 +56,7 @@
 		ConcurrencyLimit: in.limiter.limit,
 		MaxConcurrency:   in.maxConcurrency(),
 		MemoryKB:         in.memoryKB(),
-		MaxMemoryKB:      in.settings.MemoryKB * usableMemory,
+		MaxMemoryKB:      in.settings.MemoryKB * usableMemoryFraction,
 		Keys:             in.keys.count,
 		Utilization:      in.limiter.utilization,
 		Runnable:         in.limiter.runnable,
@@ -89,26 +89,26 @@
 	}
 }
 
-// AdmissionCheck is how an Instance would decide on an arrival, and by what.
+// AdmissionCheck is the decision that an Instance would make on an arrival, with the values that lead to it.
 type AdmissionCheck struct {
 	Reason            Reason        `json:"reason"`
-	Coalesced         bool          `json:"repeats"`    // it is answered by the result of the one that it repeats
-	ImpulseSize       float64       `json:"n"`          // EARRRL's N of its tenant or caller, with it counted
+	Coalesced         bool          `json:"repeats"`    // it is answered with the result of the request that it repeats
+	ImpulseSize       float64       `json:"n"`          // EARRRL's N of its tenant or caller, including this arrival
 	LastArrival       time.Duration `json:"t"`          // EARRRL's T, when its sender's previous arrival was counted
-	Rate              float64       `json:"rate"`       // arrivals a second, with it counted
-	Threshold         float64       `json:"threshold"`  // of the rate at a full objective of predicted wait; 0 = none
-	RateRatio         float64       `json:"excess"`     // rate over threshold
+	Rate              float64       `json:"rate"`       // arrivals per second of its tenant or caller, including this one
+	Threshold         float64       `json:"threshold"`  // of the rate at a predicted wait of a full objective; 0 = none
+	RateRatio         float64       `json:"excess"`     // rate divided by threshold
 	PredictedWait     time.Duration `json:"wait"`       // in the queue
 	Slack             time.Duration `json:"spare"`      // longest wait after which it would meet its objective
 	ObjectiveDeadline time.Duration `json:"useful"`     // when an answer stops earning the full weight
-	Deadline          time.Duration `json:"due"`        // when its answer must be out
-	RetryAfter        time.Duration `json:"stay_away"`  // the advice of a rejection
-	QueuedAhead       []RequestID   `json:"held_ahead"` // in the queue before it
-	Running           []RequestID   `json:"on_cores"`   // on the cores
+	Deadline          time.Duration `json:"due"`        // when its answer must be sent
+	RetryAfter        time.Duration `json:"stay_away"`  // Retry-After if it is rejected
+	QueuedAhead       []RequestID   `json:"held_ahead"` // requests already in the queue, in the order of runs
+	Running           []RequestID   `json:"on_cores"`   // requests on the cores
 }
 
-// CheckAdmission returns how the Instance would decide on an arrival now, without any effect on it. An ID that
-// is in use gives the zero value.
+// CheckAdmission returns the decision that the Instance would make on an arrival now, without changing the Instance.
+// For an ID that is in use it returns the zero value.
 func (in *Instance) CheckAdmission(now time.Duration, arrival Request) AdmissionCheck {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[arrival.ID] != nil {
@@ -119,7 +119,7 @@
 	check := AdmissionCheck{
 		LastArrival: trial.rates.senders[sender].updatedAt,
 		QueuedAhead: trial.runOrder(),
-		Running:     trial.inState(stateRunning),
+		Running:     trial.idsInState(stateRunning),
 	}
 	req := trial.register(arrival)
 	check.ImpulseSize = trial.rates.senders[sender].impulse
@@ -140,21 +140,21 @@
 	return check
 }
 
-// QueueDecision is how an Instance would decide now on a request that it knows.
+// QueueDecision is the decision that an Instance would make now on a request in its table.
 type QueueDecision struct {
-	Reason            Reason        `json:"reason"` // why it would be rejected or failed now
+	Reason            Reason        `json:"reason"` // why it would be rejected or failed now, or Admitted
 	Phase             string        `json:"phase"`
 	Arrived           time.Duration `json:"arrived"`
 	ObjectiveDeadline time.Duration `json:"useful"`
 	Deadline          time.Duration `json:"due"`
 	ExpectedRunTime   time.Duration `json:"own_time"`
-	RateRatio         float64       `json:"excess"` // of its tenant when it arrived
+	RateRatio         float64       `json:"excess"` // rate of its tenant divided by the threshold when it arrived
 	QueuedAhead       []RequestID   `json:"held_ahead"`
 	Running           []RequestID   `json:"on_cores"`
 }
 
-// InspectRequest returns how the Instance would decide now on a request that it knows; false for one that it
-// does not.
+// InspectRequest returns the decision that the Instance would make now on a request in its table, and false if the ID
+// is unknown.
 func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[id] == nil {
@@ -163,14 +163,14 @@
 	trial.advanceClock(now)
 	req := trial.requests.byID[id]
 	decision := QueueDecision{
-		Reason:            trial.presentReason(req),
+		Reason:            trial.currentReason(req),
 		Phase:             req.state.String(),
 		Arrived:           req.arrivedAt,
 		ObjectiveDeadline: req.objectiveDeadline,
 		Deadline:          req.deadline,
 		ExpectedRunTime:   trial.expectedRunTime(req),
 		RateRatio:         req.rateRatio,
-		Running:           trial.inState(stateRunning),
+		Running:           trial.idsInState(stateRunning),
 	}
 	for _, ahead := range trial.runOrder() {
 		if ahead == id {
@@ -181,8 +181,8 @@
 	return decision, true
 }
 
-// presentReason returns why a known request would be rejected or failed now, or Admitted.
-func (in *Instance) presentReason(req *request) Reason {
+// currentReason returns why a request in the table would be rejected or failed now, or Admitted.
+func (in *Instance) currentReason(req *request) Reason {
 	switch {
 	case in.stall.isStalled:
 		return Stalled
@@ -194,15 +194,16 @@
 	return Admitted
 }
 
-// Queue returns the queued requests in the order in which they would be run now, and the running ones.
+// Queue returns the queued requests in the order in which they would run now, and the running ones in the order of
+// arrival.
 func (in *Instance) Queue() (queued, running []RequestID) {
-	return in.runOrder(), in.inState(stateRunning)
+	return in.runOrder(), in.idsInState(stateRunning)
 }
 
 // clone returns an Instance in the same state whose actions have no effect.
 func (in *Instance) clone() (*Instance, error) { return Restore(in.Snapshot(nil), NoActions{}) }
 
-// runOrder returns the queued requests in the order in which they would be run now.
+// runOrder returns the queued requests in the order in which they would run now.
 func (in *Instance) runOrder() []RequestID {
 	original := in.queue.requests
 	in.queue.requests = slices.Clone(original)
@@ -216,8 +217,8 @@
 	return ids
 }
 
-// inState returns the requests in a state in the order of arrival.
-func (in *Instance) inState(state requestState) []RequestID {
+// idsInState returns the requests in the state in the order of arrival.
+func (in *Instance) idsInState(state requestState) []RequestID {
 	var ids []RequestID
 	for _, req := range in.requests.byArrival {
 		if req.state == state {
--- a/admission/instance.go
+++ b/admission/instance.go
@@ -1,10 +1,10 @@
-// The state of an Instance by its owners. Nothing here decides.
+// The state of an Instance, grouped by owner. This file makes no decisions.
 
 package admission
 
 import "time"
 
-// Instance decides for one server process. Each part of the state has one owner, whose type documents its
+// Instance makes the decisions for one server process. Each part of the state has one owner, whose type documents its
 // invariants.
 type Instance struct {
 	settings         Settings
@@ -15,7 +15,7 @@
 	schedule schedule
 	requests requestTable
 	use      resourceUse
-	classes  []classState // by the settings' index
+	classes  []classState // by index into Settings.Classes
 
 	queue    requestQueue
 	keys     idempotencyKeys
@@ -30,25 +30,25 @@
 
 var _ Events = (*Instance)(nil)
 
-// clock is the time as the host reports it. It never goes back.
+// clock is the time that the host reports. It never goes back.
 type clock struct {
 	isStarted bool
 	startedAt time.Duration
 	now       time.Duration
-	core      float64 // core time in seconds of a request that ran whenever any did: the clock of runs
+	core      float64 // core clock: core time in seconds of a request that ran whenever any request ran
 }
 
-// schedule is when something is to be done next.
+// schedule holds the times of the next scheduled work.
 type schedule struct {
 	nextPoll     time.Duration // next use of the gauges
-	nextDeadline time.Duration // no request's deadline is earlier
-	timerAt      time.Duration // when the timer asked for fires; 0 = none was asked for
+	nextDeadline time.Duration // no unanswered request has an earlier deadline
+	timerAt      time.Duration // when the current timer fires; 0 = no timer is set
 }
 
 // requestTable holds the requests that are not finished.
 type requestTable struct {
-	byID map[RequestID]*request // looked up only: ranging over it would make decisions random
-	// byArrival also holds those that finished since the last sweep.
+	byID map[RequestID]*request // for lookups only: its random iteration order would make decisions random
+	// byArrival also holds the requests that finished since the last sweep.
 	byArrival []*request
 }
 
@@ -56,12 +56,12 @@
 type classState struct {
 	runTime runTimeEstimator
 	share   fairShare
-	queued  [quotaStatusCount]int // requests of it in the queue
-	// callerTimeout is the longest that the caller of a first attempt waited, queueing before the read
-	// included.
+	queued  [quotaStatusCount]int // its requests in the queue, by quota status
+	// callerTimeout is the longest time that a caller waits for a first attempt, including the queueing before the
+	// read.
 	callerTimeout time.Duration
-	rejections    [reasonCount]uint64 // rejected requests since the start, by Reason
+	rejections    [reasonCount]uint64 // since the start, by Reason
 }
 
-// seconds turns seconds into a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -7,7 +7,7 @@
 // calls Settle once. An Instance is single-threaded: it never blocks, reads no clock and starts no
 // goroutine.
 //
-// All times are durations since an origin of the host's choosing that never moves.
+// All times are durations since a fixed origin that the host chooses.
 //
 // This file holds the interface only; every decision is in the files that deploy/balancer.toml lists under
 // policy.
@@ -24,8 +24,8 @@
 // The effects of a class.
 const (
 	Safe            Effect = iota // may run any number of times
-	IdempotentByKey               // must run once only; its key recognises a retry within the class's window
-	NonIdempotent                 // must run once only, and a retry cannot be recognised
+	IdempotentByKey               // must run only once; its key identifies a retry within the class's window
+	NonIdempotent                 // must run only once, and a retry cannot be identified
 )
 
 // StopMode says what Actions.Stop does to running work.
@@ -55,28 +55,28 @@
 const (
 	FeedbackNone   Feedback = iota // no value may be set
 	FeedbackLevel                  // requests ranked below the value are not sent here
-	FeedbackCredit                 // most requests that each caller may have outstanding here
+	FeedbackCredit                 // largest number of requests that each caller may have outstanding here
 	FeedbackWeight                 // probability with which a caller considers this server
 )
 
 // Class describes one kind of request.
 type Class struct {
 	LatencyObjective  time.Duration // an answer within it earns the full weight
-	ObjectiveStretch  float64       // the objective grows by this multiple of the request's own work
-	Deadline          time.Duration // the caller gives up after it, all attempts counted
-	Weight            float64       // what an answer within the objective earns
-	LateWeight        float64       // part of Weight that a late answer earns
+	ObjectiveStretch  float64       // the objective grows by this multiple of Request.Work
+	Deadline          time.Duration // the caller gives up after this time, counted over all attempts
+	Weight            float64       // value of an answer within the objective
+	LateWeight        float64       // fraction of Weight that a late answer earns
 	Effect            Effect        // whether it may run twice
-	KeyWindow         time.Duration // IdempotentByKey: how long after its arrival it may be retried
-	SkippedCallWeight float64       // part of Weight left when a call is skipped; 0 forbids skipping
+	KeyWindow         time.Duration // IdempotentByKey: how long after its arrival a request may be retried
+	SkippedCallWeight float64       // fraction of Weight that remains when a call is skipped; 0 forbids skipping
 }
 
 // Tenant is one customer who shares the fleet.
 type Tenant struct {
-	Quota float64 // requests a second over the whole fleet that are within the contract
+	Quota float64 // requests per second over the whole fleet that the contract covers
 }
 
-// Settings configures an Instance for its whole life.
+// Settings configures an Instance for its lifetime.
 type Settings struct {
 	Servers         int           // servers of this tier listed at the start
 	Callers         int           // load balancers that send to this tier
@@ -87,24 +87,24 @@
 	Tenants         []Tenant      // tenants, by index; may be empty
 
 	WarmingUp       bool          // the process has just started and is slow
-	InitialCapacity float64       // least share of full speed of a process at its start
+	InitialCapacity float64       // lower bound of the speed of a process at its start, as a fraction of full speed
 	WarmUpTime      time.Duration // longest time until it is at full speed
 
 	MemoryKB             float64       // memory of this server
 	KeyKB                float64       // memory of one remembered idempotency key
-	RunningMemoryFactor  float64       // memory of a running request over that of a queued one
+	RunningMemoryFactor  float64       // memory of a running request as a multiple of the memory of a queued one
 	MaxConcurrencyFactor float64       // running requests per core that a warm server survives
 	DrainGracePeriod     time.Duration // arrivals later than this after the drain notice must not run
 
 	StopMode          StopMode      // what Actions.Stop does
-	Downstream        Dependency    // what is called
-	FairCallShare     float64       // DependencyShared: this server's share of the calls in flight that it survives
-	CallAveragingTime time.Duration // DependencyShared: time over which those are averaged
-	CallLinger        time.Duration // how long the dependency may go on with an abandoned call
-	Feedback          Feedback      // meaning of Actions.AdvertiseLoad
-	MaxRetryAfter     time.Duration // longest Retry-After that is honoured; 0 = none is
-	ResultFreshness   time.Duration // how long the result of a safe read may answer others
-	HasDeadlines      bool          // requests state how long their caller waits
+	Downstream        Dependency    // what requests call while they run
+	FairCallShare     float64       // DependencyShared: this server's share of the calls in flight that the service survives
+	CallAveragingTime time.Duration // DependencyShared: time over which the service averages its calls in flight
+	CallLinger        time.Duration // how long the dependency may continue an abandoned call
+	Feedback          Feedback      // how callers interpret Actions.AdvertiseLoad
+	MaxRetryAfter     time.Duration // longest Retry-After that callers honour; 0 = they honour none
+	ResultFreshness   time.Duration // how long the result of a safe read may answer other requests
+	HasDeadlines      bool          // requests state how long their callers wait
 	CallerIdleTimeout time.Duration // how long callers keep an idle connection; 0 = not known
 }
 
@@ -115,20 +115,20 @@
 	Class         int           // index into Settings.Classes
 	Tenant        int           // index into Settings.Tenants
 	Caller        int           // number of the load balancer that sent it
-	ResourceID    uint64        `json:"Subject"` // the resource that a safe read is about; 0 = not known
+	ResourceID    uint64        `json:"Subject"` // the resource that a safe read requests; 0 = not known
 	QueueingDelay time.Duration `json:"Waited"`  // time since it reached the machine
-	RemainingTime time.Duration `json:"Budget"`  // how long its caller still waits, if Settings.HasDeadlines
+	RemainingTime time.Duration `json:"Budget"`  // how much longer its caller waits, if Settings.HasDeadlines
 	IsRetry       bool          `json:"Retry"`   // marked as a retry by its caller
 	RetryOf       RequestID     `json:"Repeats"` // an earlier request whose result may answer this one; 0 = none
 	SizeKB        float64       // memory while queued
 	Work          time.Duration // expected work on a standard core; 0 = not known
 }
 
-// Gauges are the server's own readings, which come with each Timer event. A reading that the host lacks is
-// negative.
+// Gauges are the server's readings of its own load, which come with each Timer event. A reading that the host does
+// not have is negative.
 type Gauges struct {
-	Utilization float64 `json:"Busy"` // busy part of the cores, 0 to 1, over the last half second
-	Runnable    float64 // what wants a core now: runs, reading, health checks and new connections
+	Utilization float64 `json:"Busy"` // busy fraction of the cores, 0 to 1, over the last half second
+	Runnable    float64 // tasks that want a core now: runs, reads, health checks and new connections
 }
 
 // Outcome is how a run or a call ended.
@@ -143,7 +143,7 @@
 	Unreachable                // a call reached no server
 	Reset                      // a call was interrupted, and may have taken effect
 	Cancelled                  // the run was stopped, or ended because nobody waits for it
-	NotStarted                 // nothing was begun: the request was already finished
+	NotStarted                 // nothing was started: the request was already finished
 )
 
 // Events are reported by the host to an Instance, which implements the interface.
@@ -158,11 +158,11 @@
 	CallRequested(now time.Duration, id RequestID)
 	// CallFinished reports the outcome of a downstream call and how long it took.
 	CallFinished(now time.Duration, id RequestID, outcome Outcome, took time.Duration)
-	// Drain reports the notice that the process is stopped after the time.
+	// Drain reports the notice that the process is stopped after timeLeft.
 	Drain(now, timeLeft time.Duration)
-	// Timer reports that the time of SetTimer has passed, with the server's gauges.
+	// Timer reports that the time of a SetTimer with the token has passed, with the server's gauges.
 	Timer(now time.Duration, token uint32, gauges Gauges)
-	// Settle ends a group of simultaneous events; the Instance decides on what they left to do.
+	// Settle ends a group of simultaneous events; the Instance then makes the decisions that they require.
 	Settle(now time.Duration)
 }
 
@@ -171,14 +171,14 @@
 type Actions interface {
 	// Run starts a queued request or resumes a paused one.
 	Run(id RequestID)
-	// Reject answers that the request was rejected and never ran, with the time after which to retry. If
-	// noRetry is set the answer also asks not to try another server.
+	// Reject answers that the request was rejected and never ran, and may be retried after retryAfter. If noRetry is
+	// set, the answer also asks the caller not to try another server.
 	Reject(id RequestID, retryAfter time.Duration, noRetry bool)
-	// Fail answers that the request failed, without saying whether it ran.
+	// Fail answers that the request failed, without stating whether it ran.
 	Fail(id RequestID)
 	// Call makes the call that the request waits for and abandons it after the timeout.
 	Call(id RequestID, timeout time.Duration)
-	// SkipCall lets the run go on without the call.
+	// SkipCall continues the run without the call.
 	SkipCall(id RequestID)
 	// Stop stops running work as Settings.StopMode says.
 	Stop(id RequestID)
@@ -186,16 +186,16 @@
 	KeepKey(id RequestID, lifetime time.Duration)
 	// ReleaseKey removes the idempotency key of the request.
 	ReleaseKey(id RequestID)
-	// ReplayResult answers the request with the result of the one that it repeats, and waits for it if need
-	// be.
+	// ReplayResult answers the request with the result of the request that it repeats, and waits for the result if it
+	// is not known yet.
 	ReplayResult(id RequestID)
 	// AdvertiseLoad sets the value that callers read with each answer.
 	AdvertiseLoad(value float64)
-	// SetHealth sets the answer to health checks, and whether checks are answered from this setting alone.
+	// SetHealth sets the answer to health checks, and whether health checks are answered from this setting alone.
 	SetHealth(healthy, fromStore bool)
-	// CloseIdleConnections closes connections that carried nothing for the time.
+	// CloseIdleConnections closes connections that have been idle for the time.
 	CloseIdleConnections(idle time.Duration)
-	// SetTimer asks for one Timer event after the time.
+	// SetTimer requests one Timer event with the token after wait.
 	SetTimer(wait time.Duration, token uint32)
 	// Log adds a line to the operators' log.
 	Log(line string)
--- a/admission/keys.go
+++ b/admission/keys.go
@@ -1,4 +1,4 @@
-// Idempotency keys of requests that must run once only. The interface is in interface.go.
+// Idempotency keys of requests that must run only once. The interface is in interface.go.
 
 package admission
 
@@ -10,17 +10,17 @@
 	isReleased bool
 }
 
-// idempotencyKeys mirrors the host's key table, so that its memory is known. Its count is that of
-// the entries that are neither released nor expired.
+// idempotencyKeys mirrors the host's key table, so that the memory of the table is known. count is the
+// number of entries that are neither released nor expired.
 type idempotencyKeys struct {
-	byClass [][]*keyEntry // in the order in which they were kept, which is nearly that of their expiry
+	byClass [][]*keyEntry // in the order of insertion, which is almost the order of expiry
 	count   int
-	// notStarted are the requests of this group of events whose keys were released: a retry that was read
-	// with them still names the original, and counts as new.
+	// notStarted contains the requests of the current group of events whose keys were released. A retry
+	// that was read in the same group still names its original, and is treated as a new request.
 	notStarted map[RequestID]bool
 }
 
-// keep enters a key.
+// keep adds a key that expires at expiresAt.
 func (k *idempotencyKeys) keep(class int, expiresAt time.Duration) *keyEntry {
 	entry := &keyEntry{expiresAt: expiresAt}
 	k.byClass[class] = append(k.byClass[class], entry)
@@ -28,13 +28,13 @@
 	return entry
 }
 
-// release marks a key as no longer kept; expire drops it from the list.
+// release marks a key as no longer kept; expire removes it from the list.
 func (k *idempotencyKeys) release(entry *keyEntry) {
 	entry.isReleased = true
 	k.count--
 }
 
-// expire drops the keys whose window is over.
+// expire removes the keys that have expired.
 func (k *idempotencyKeys) expire(now, tick time.Duration) {
 	for class, entries := range k.byClass {
 		for len(entries) > 0 {
@@ -51,8 +51,8 @@
 	}
 }
 
-// keepKey remembers the key of a request that must run once only, and that of a read whose result may
-// answer others.
+// keepKey keeps the key of a request that must run only once, or of a read whose result may answer other
+// requests.
 func (in *Instance) keepKey(req *request) {
 	class := in.settings.Classes[req.class]
 	expiresAt := req.arrivedAt + class.KeyWindow + 2*in.settings.Tick
@@ -66,8 +66,8 @@
 	in.actions.KeepKey(req.id, expiresAt-in.clock.now)
 }
 
-// isResultShared tells whether the result of a safe read may answer others. Keeping it takes memory, of
-// which half must be free.
+// isResultShared reports whether the result of a safe read may answer other requests. A kept result takes
+// memory, so half of the memory must be free.
 func (in *Instance) isResultShared(req *request) bool {
 	isSafe := in.settings.Classes[req.class].Effect == Safe
 	if !isSafe || !req.isShareable || in.settings.ResultFreshness <= 0 {
@@ -76,8 +76,8 @@
 	return in.memoryKB() < in.settings.MemoryKB/2
 }
 
-// releaseKey removes the key of a request that never ran, so that a retry counts as new, and queues its
-// first follower in its place.
+// releaseKey removes the key of a request that never ran, so that a retry is a new request, and queues the
+// first follower of the request in its place.
 func (in *Instance) releaseKey(req *request) {
 	if req.key != nil {
 		in.actions.ReleaseKey(req.id)
@@ -88,14 +88,15 @@
 	promoted := in.promoteFollower(req)
 	switch {
 	case promoted == nil:
-	case in.isPastDrainGrace(promoted): // it must not run, though its original might have
+	case in.isPastDrainGrace(promoted): // it must not run, although its original could have run
 		in.rejectOrFail(promoted, AfterDrainGrace)
 	default:
 		in.enqueue(promoted)
 	}
 }
 
-// promoteFollower has the followers of a request follow the first of them, and returns that or nil.
+// promoteFollower makes the first follower of a request the original of the other followers. It returns the
+// first follower, or nil if there is none.
 func (in *Instance) promoteFollower(req *request) *request {
 	var promoted *request
 	for _, follower := range in.requests.byArrival {
@@ -111,7 +112,7 @@
 	return promoted
 }
 
-// isFollowing tells whether the request waits for the other to run.
+// isFollowing reports whether the request waits for the other one to run.
 func (r *request) isFollowing(other *request) bool {
 	return r.state == stateFollowing && r.original == other
 }
--- a/admission/keys_test.go
+++ b/admission/keys_test.go
@@ -63,7 +63,7 @@
 	expectActions(t, rec, "run reject", "reject 1 1s false", "reject 2 1s false")
 }
 
-func TestRetryReadWithTheRejectionCountsAsNew(t *testing.T) {
+func TestRetryInBatchOfRejectionIsNewRequest(t *testing.T) {
 	settings := testSettings()
 	in, rec := newTestInstance(t, settings)
 	in.stall.isStalled = true
@@ -76,7 +76,7 @@
 	expectActions(t, rec, "reject replay run", "reject 1 1s false", "run 2")
 }
 
-func TestNoMemoryForTheKey(t *testing.T) {
+func TestRequestIsRejectedWithoutMemoryForKey(t *testing.T) {
 	settings := testSettings()
 	settings.KeyKB = settings.MemoryKB
 	in, rec := newTestInstance(t, settings)
@@ -101,7 +101,7 @@
 	expectActions(t, rec, "keep-key run replay", "keep-key 1 7s", "run 1", "replay 2")
 }
 
-// TestKeyCount checks that a key that was released or expired is taken off the count once.
+// TestKeyCount checks that a released or expired key is subtracted from the count only once.
 func TestKeyCount(t *testing.T) {
 	keys := idempotencyKeys{byClass: make([][]*keyEntry, 1)}
 	released := keys.keep(0, time.Second)
@@ -117,6 +117,6 @@
 		}
 	}
 	if len(keys.byClass[0]) != 0 {
-		t.Errorf("%d entries are left", len(keys.byClass[0]))
+		t.Errorf("%d entries are left, want 0", len(keys.byClass[0]))
 	}
 }
--- a/admission/noactions.go
+++ b/admission/noactions.go
@@ -1,4 +1,4 @@
-// Actions without effect. Nothing here decides.
+// Actions without effect. This file makes no decisions.
 
 package admission
 
--- a/admission/order.go
+++ b/admission/order.go
@@ -5,29 +5,30 @@
 import "time"
 
 const (
-	// starvedPart is the part of the fair share of runs under which a class counts as starved. The
+	// starvationRatio is the fraction of its fair share of runs below which a class counts as starved. The
 	// operators want half of the fair share served; the rest covers runs that end too late.
-	starvedPart = 0.65
-	// minWeight is the least weight of a class in the order of runs, so that no urgency is infinite.
+	starvationRatio = 0.65
+	// minWeight is the lower bound of the weight of a class in the order of runs, so that no urgency is
+	// infinite.
 	minWeight = 1e-3
 )
 
-// fairShare is how much of a class's traffic is run, in the rates of requests that have a claim to its fair
-// share.
+// fairShare measures how much of a class's traffic is run. Its rates count only requests that have a claim
+// to the fair share of the class.
 type fairShare struct {
 	started   rateEstimate
 	rejected  rateEstimate
-	isStarved bool // a smaller part of its requests is run than of the others
+	isStarved bool // the class runs a smaller fraction of its requests than the others
 }
 
-// rates returns the rate of runs, and that of requests that were run or rejected.
+// rates returns the rate of started runs, and the rate of requests that were started or rejected.
 func (s *fairShare) rates(now time.Duration, decay float64) (started, offered float64) {
 	started = s.started.rate(now, decay)
 	return started, started + s.rejected.rate(now, decay)
 }
 
-// updateStarvation marks the classes of whose work a smaller part is run than starvedPart of that of all
-// work.
+// updateStarvation marks a class as starved if the fraction of its work that is run is smaller than
+// starvationRatio of the fraction of all work that is run.
 func (in *Instance) updateStarvation() {
 	now, decay := in.clock.now, in.rates.decay
 	allStarted, allOffered := 0.0, 0.0
@@ -40,12 +41,12 @@
 	for i := range in.classes {
 		share := &in.classes[i].share
 		started, offered := share.rates(now, decay)
-		share.isStarved = started*allOffered < starvedPart*allStarted*offered
+		share.isStarved = started*allOffered < starvationRatio*allStarted*offered
 	}
 }
 
-// hasFairShareClaim tells whether the request counts for its class's fair share. Requests of tenants over
-// their quota shares do not.
+// hasFairShareClaim reports whether the request counts towards the fair share of its class. Requests of
+// tenants over their quota shares do not.
 func (in *Instance) hasFairShareClaim(req *request) bool {
 	return req.quota == withinQuota || len(in.settings.Tenants) == 0
 }
@@ -56,17 +57,17 @@
 const (
 	tierStarved     priorityTier = iota // of a class that gets less than its fair share
 	tierWithinQuota                     // of a tenant within its quota share
-	tierOverQuota                       // of a tenant over it
-	tierLate                            // it can't meet its objective any more, or its run would serve nobody
+	tierOverQuota                       // of a tenant over its quota share
+	tierLate                            // its objective is out of reach, or its run would serve no caller
 )
 
-// runPriority is where a request stands in the order of runs: by tier, then by urgency.
+// runPriority is the position of a request in the order of runs: by tier, then by urgency.
 type runPriority struct {
 	tier    priorityTier
-	urgency float64 // seconds left until the objective, divided by the weight; the least runs first
+	urgency float64 // seconds left until the objective, divided by the weight; the lowest runs first
 }
 
-// isBefore tells whether a request of this priority runs before one of the other.
+// isBefore reports whether a request of this priority runs before a request of the other priority.
 func (p runPriority) isBefore(other runPriority) bool {
 	if p.tier != other.tier {
 		return p.tier < other.tier
@@ -74,14 +75,14 @@
 	return p.urgency < other.urgency
 }
 
-// runPriority is where the request stands in the order of runs now.
+// runPriority returns the current position of the request in the order of runs.
 func (in *Instance) runPriority(req *request) runPriority {
 	weight := max(in.settings.Classes[req.class].Weight, minWeight)
 	left := (req.objectiveDeadline - in.clock.now).Seconds()
 	return runPriority{tier: in.priorityTier(req), urgency: left / weight}
 }
 
-// priorityTier is the request's tier now.
+// priorityTier returns the current tier of the request.
 func (in *Instance) priorityTier(req *request) priorityTier {
 	switch {
 	case in.wouldMissObjective(req) || in.isFailing(req):
@@ -94,8 +95,8 @@
 	return tierOverQuota
 }
 
-// nextToRun returns the queued request that runs next, or nil. Of equal ones the first in the queue runs
-// first.
+// nextToRun returns the queued request that runs next, or nil. Among requests of equal priority, the first
+// in the queue runs first.
 func (in *Instance) nextToRun() *request {
 	var next *request
 	var first runPriority
--- a/admission/order_test.go
+++ b/admission/order_test.go
@@ -18,9 +18,9 @@
 	expectActions(t, rec, "run", "run 2")
 }
 
-// TestStarvedClassGoesFirst rejects most requests of a class with a low weight while a class with a high weight runs:
-// the next low-weight request must run before the queued high-weight ones, until the class has its share again.
-func TestStarvedClassGoesFirst(t *testing.T) {
+// TestStarvedClassRunsFirst rejects most requests of a class with a low weight while a class with a high weight runs.
+// The next low-weight request must run before the queued high-weight ones, until the class has its fair share again.
+func TestStarvedClassRunsFirst(t *testing.T) {
 	settings := twoClassSettings()
 	settings.Classes[1].Weight = 100
 	driver := newDriver(t, settings)
@@ -55,21 +55,23 @@
 	}
 }
 
-// TestOverQuotaHasNoFairShareClaim checks that requests over the quota do not count for the fair share of their class.
+// TestOverQuotaHasNoFairShareClaim checks that requests over the quota do not count towards the fair share of their
+// class.
 func TestOverQuotaHasNoFairShareClaim(t *testing.T) {
 	settings := twoClassSettings()
 	settings.Tenants = []Tenant{{Quota: 300}}
 	driver := newDriver(t, settings)
 	if driver.module.hasFairShareClaim(&request{quota: overQuota}) || !driver.module.hasFairShareClaim(&request{}) {
-		t.Error("a tenant over its quota share has a claim, or one within it has none")
+		t.Error("a tenant over its quota share has a claim, or a tenant within its share has none")
 	}
 	if driver := newDriver(t, twoClassSettings()); !driver.module.hasFairShareClaim(&request{quota: overQuota}) {
 		t.Error("without tenants a request has no claim")
 	}
 }
 
-// TestNoClassStarvesAtFirst checks that no class counts as starved before the first rejection, or if nothing runs.
-func TestNoClassStarvesAtFirst(t *testing.T) {
+// TestNoClassIsStarvedInitially checks that no class counts as starved before the first rejection, or if no request
+// was run.
+func TestNoClassIsStarvedInitially(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	for step, rejected := range []int{0, 5} {
 		for range rejected {
@@ -78,10 +80,11 @@
 		}
 		driver.module.updateStarvation()
 		if driver.module.classes[0].share.isStarved || driver.module.classes[1].share.isStarved {
-			t.Errorf("step %d: starved %v and %v", step, driver.module.classes[0].share.isStarved, driver.module.classes[1].share.isStarved)
+			t.Errorf("step %d: starved %v and %v, want false for both classes",
+				step, driver.module.classes[0].share.isStarved, driver.module.classes[1].share.isStarved)
 		}
 	}
 	if math.IsNaN(driver.module.longestWait()) {
-		t.Error("the wait is no number")
+		t.Error("the longest wait is not a number")
 	}
 }
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -14,12 +14,12 @@
 	"unicode/utf8"
 )
 
-// nonDecidingFiles are the files of the package, beside the policy files, that hold no decision: the interface, the
-// state, snapshots, inspection, the export of run times and the check of the settings.
+// nonDecidingFiles are the files of the package, besides the policy files, that make no decisions: the interface, the
+// state, snapshots, inspection, the export of run times and the validation of the settings.
 var nonDecidingFiles = []string{"inspect.go", "instance.go", "interface.go", "noactions.go", "reason.go", "request.go",
 	"runtimeexport.go", "snapshot.go", "snapshotcoder.go", "validate.go"}
 
-// policyFiles are the files that the deploy file names as the decision module.
+// policyFiles returns the files that the deploy file lists as the decision module.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -28,7 +28,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	var files []string
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
@@ -37,10 +37,10 @@
 	return files
 }
 
-// TestPolicyFilesAreReadable checks that the head of each policy file names the interface file, and that lines are
-// short enough for two files side by side.
+// TestPolicyFilesAreReadable checks that the comment before the package clause of each policy file names the
+// interface file, and that lines are short enough to view two files side by side.
 func TestPolicyFilesAreReadable(t *testing.T) {
-	const mostWidth = 110
+	const maxWidth = 110
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -48,24 +48,24 @@
 		}
 		head, _, _ := strings.Cut(string(text), "\npackage ")
 		if !strings.Contains(head, "interface.go") {
-			t.Errorf("%s: the head does not name the interface file", name)
+			t.Errorf("%s: the comment before the package clause does not name interface.go", name)
 		}
 		for _, line := range strings.Split(string(text), "\n") {
-			if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > mostWidth {
-				t.Errorf("%s: %d characters: %s", name, n, line)
+			if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > maxWidth {
+				t.Errorf("%s: line of %d characters is too long: %s", name, n, line)
 			}
 		}
 	}
 }
 
-// TestDecisionsStandInPolicyFiles checks that each file of the package is either a policy file or in
-// nonDecidingFiles, and that the latter call no method of Actions. The policy files of the deploy file then contain
-// every decision.
-func TestDecisionsStandInPolicyFiles(t *testing.T) {
+// TestPolicyFilesContainEveryDecision checks that each file of the package is either a policy file or in
+// nonDecidingFiles, and that the files in nonDecidingFiles call no method of Actions. The policy files of the deploy
+// file then contain every decision.
+func TestPolicyFilesContainEveryDecision(t *testing.T) {
 	var policy []string
 	for _, name := range policyFiles(t) {
 		if dir := filepath.Dir(name); dir != "../admission" {
-			t.Errorf("%s is no file of this package", name)
+			t.Errorf("%s is not a file of this package", name)
 		}
 		policy = append(policy, filepath.Base(name))
 	}
@@ -76,23 +76,23 @@
 	sources = slices.DeleteFunc(sources, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	for _, name := range sources {
 		if slices.Contains(policy, name) == slices.Contains(nonDecidingFiles, name) {
-			t.Errorf("%s: policy file %v, file without decisions %v: want one of them",
+			t.Errorf("%s: policy file %v, in nonDecidingFiles %v: want exactly one of them",
 				name, slices.Contains(policy, name), slices.Contains(nonDecidingFiles, name))
 		}
 	}
 	for _, name := range slices.Concat(policy, nonDecidingFiles) {
 		if !slices.Contains(sources, name) {
-			t.Errorf("%s is listed and does not exist", name)
+			t.Errorf("%s is listed but does not exist", name)
 		}
 	}
 	for _, name := range nonDecidingFiles {
 		for _, call := range actionCalls(t, name) {
-			t.Errorf("%s: an action in a file that decides nothing", call)
+			t.Errorf("%s: an action in a file that must make no decisions", call)
 		}
 	}
 }
 
-// actionCalls returns the positions of the calls of Actions' methods in a file.
+// actionCalls returns the positions of all uses of Actions' methods in a file.
 func actionCalls(t *testing.T, name string) (calls []string) {
 	t.Helper()
 	actions := map[string]bool{}
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
-		// Also where a method is only taken as a value: it may be called elsewhere.
+		// A method that is only taken as a value counts too: it may be called elsewhere.
 		if selector, ok := n.(*ast.SelectorExpr); ok && actions[selector.Sel.Name] {
 			calls = append(calls, files.Position(selector.Pos()).String()+" "+selector.Sel.Name)
 		}
@@ -122,6 +122,6 @@
 		found += len(actionCalls(t, filepath.Base(name)))
 	}
 	if want := reflect.TypeFor[Actions]().NumMethod(); found < want {
-		t.Errorf("%d calls of %d actions: the check sees too little", found, want)
+		t.Errorf("found %d calls of actions, want at least one for each of the %d actions", found, want)
 	}
 }
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// arrive generates one request, sometimes a retry of an earlier keyed one.
+// arrive generates one request, which is sometimes a retry of an earlier request with a key.
 func (h *randomHost) arrive(id RequestID) {
 	arrival := Request{ID: id, Class: h.rng.Intn(len(h.settings.Classes)), Tenant: h.rng.Intn(3), Caller: h.rng.Intn(4),
 		SizeKB: 10 + 50*h.rng.Float64(), RemainingTime: time.Duration(50+h.rng.Intn(6000)) * ms, IsRetry: h.rng.Intn(4) == 0,
@@ -46,7 +46,7 @@
 	isSettled := req.isAnswered || req.isCancelled
 	switch {
 	case req.phase == hostFinished:
-		if h.rng.Intn(200) == 0 { // late events of what is finished
+		if h.rng.Intn(200) == 0 { // a late event of a finished request
 			h.module.Cancel(h.now, id)
 		}
 	case !isSettled && h.rng.Intn(400) == 0:
@@ -92,7 +92,7 @@
 	}
 }
 
-// dropFinished removes requests that finished long ago and have no key.
+// dropFinished removes the requests that finished long ago and have no key.
 func (h *randomHost) dropFinished() {
 	kept := h.arrivals[:0]
 	for _, id := range h.arrivals {
@@ -105,7 +105,7 @@
 	h.arrivals = kept
 }
 
-// newRandomHost returns a host with an Instance whose settings follow from the seed.
+// newRandomHost returns a host with an Instance whose settings depend on the seed.
 func newRandomHost(t *testing.T, mode StopMode, downstream Dependency, seed int64) *randomHost {
 	settings := testSettings()
 	settings.StopMode, settings.Downstream = mode, downstream
@@ -122,8 +122,9 @@
 	return h
 }
 
-// TestRandomEventsKeepTheRules reports legal events drawn at random under each kind of settings.
-func TestRandomEventsKeepTheRules(t *testing.T) {
+// TestRandomEventsKeepFourRules reports random legal events with each stop mode and each kind of dependency.
+// randomHost checks the rules.
+func TestRandomEventsKeepFourRules(t *testing.T) {
 	for _, mode := range []StopMode{StopNone, StopDiscard, StopPause} {
 		for _, downstream := range []Dependency{DependencyNone, DependencyShared, DependencyTier} {
 			for seed := int64(1); seed <= 3; seed++ {
@@ -171,15 +172,15 @@
 	}
 	for _, id := range h.arrivals {
 		if req := h.requests[id]; !req.isAnswered && !req.isCancelled {
-			t.Fatalf("%d read before the stop was not answered", id)
+			t.Fatalf("request %d was read before the stop and is not answered", id)
 		}
 	}
 	for _, action := range []string{"run", "answer", "keep-key", "release-key", "replay"} {
 		if h.actionCounts[action] == 0 {
-			t.Errorf("no %s in the whole run: it tests too little", action)
+			t.Errorf("no %s action in the whole run, want at least one", action)
 		}
 	}
 	if downstream != DependencyNone && h.actionCounts["call"] == 0 {
-		t.Error("no call in the whole run")
+		t.Error("no call in the whole run, want at least one")
 	}
 }
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestEstimateByHand(t *testing.T) {
+func TestRateEstimateOfThreeArrivals(t *testing.T) {
 	var e rateEstimate
 	// λ = ln 2, so one second halves: N = 1, then 1 + 1/2, then 1 + 3/8 after two seconds.
 	for i, want := range []float64{1, 1.5, 1.375} {
@@ -17,7 +17,7 @@
 		}
 	}
 	if r := e.rate(4*time.Second, math.Ln2); math.Abs(r-1.375/2*math.Ln2) > 1e-12 {
-		t.Errorf("a second later r is %v", r)
+		t.Errorf("one second later r is %v, want half the previous rate", r)
 	}
 }
 
@@ -25,7 +25,7 @@
 	settings := testSettings()
 	settings.Tenants = nil
 	in, _ := newTestInstance(t, settings)
-	for i := 0; i < 40; i++ { // two live callers, and eight ended runs for their forty arrivals
+	for i := 0; i < 40; i++ { // two live callers, and eight successful runs for their forty arrivals
 		arrival := testRequest(RequestID(i+1), 0)
 		arrival.Caller = i % 2
 		in.measureRateRatio(arrival)
@@ -35,10 +35,10 @@
 	}
 	in.rates.liveCallers = 2
 	if share := in.quotaShare(0, 0); math.Abs(share-8*in.rates.decay/2) > 1e-9 {
-		t.Errorf("quota share %v, want half the rate of ended runs %v", share, 8*in.rates.decay/2)
+		t.Errorf("quota share %v, want half the rate of successful runs %v", share, 8*in.rates.decay/2)
 	}
-	// The 21st arrival of caller 0 at one instant: r = 21λ. Of a quota share of 4λ the rate has a mean of 5λ and a
-	// deviation of √2·λ.
+	// The 21st arrival of caller 0 at one instant: r = 21λ. With a quota share of 4λ the rate has a mean of 5λ and a
+	// standard deviation of √2·λ.
 	if e := in.measureRateRatio(testRequest(99, 0)); math.Abs(e-21/(5+2*math.Sqrt2)) > 1e-9 {
 		t.Errorf("rate ratio %v", e)
 	}
@@ -66,12 +66,12 @@
 	}
 }
 
-// partOverThreshold is the part of a tenant's arrivals that are over its threshold. They are a Poisson process at the
-// factor times its quota share, which is given as arrivals in a half-life.
+// partOverThreshold returns the fraction of a tenant's arrivals that are over its threshold. The arrivals are a
+// Poisson process whose rate is the factor times the tenant's quota share, which is given as arrivals per half-life.
 func partOverThreshold(t *testing.T, perHalfLife, factor float64) float64 {
 	t.Helper()
 	settings := twoClassSettings()
-	share := perHalfLife / settings.Classes[1].LatencyObjective.Seconds() // of one tenant at this server, per second
+	share := perHalfLife / settings.Classes[1].LatencyObjective.Seconds() // of the tenant at this server, in requests per second
 	settings.Tenants = []Tenant{{Quota: share * float64(settings.Servers)}, {Quota: 1e9}}
 	in, _ := newTestInstance(t, settings)
 	const arrivals = 4000
@@ -85,35 +85,37 @@
 	return float64(over) / arrivals
 }
 
-// TestThresholdCoversNoiseOfSmallShares checks that few arrivals of a tenant that sends at just the rate of its quota
-// share are over the threshold, even if the share is small compared with λ.
+// TestThresholdCoversNoiseOfSmallShares checks that few arrivals of a tenant that sends exactly at the rate of its
+// quota share are over the threshold, even if the share is small compared with λ.
 func TestThresholdCoversNoiseOfSmallShares(t *testing.T) {
 	for _, perHalfLife := range []float64{0.01, 0.1, 0.5, 1, 3, 10} {
 		if part := partOverThreshold(t, perHalfLife, 1); part > 0.1 {
-			t.Errorf("%v arrivals in a half-life: %.3f of them are over the threshold of their own rate, want at most 0.1",
+			t.Errorf("%v arrivals per half-life, sent at that rate: fraction %.3f is over the threshold, want at most 0.1",
 				perHalfLife, part)
 		}
 	}
 }
 
-// TestSingleArrivalIsWithinThreshold checks that one arrival is never over the threshold, however small the quota share.
+// TestSingleArrivalIsWithinThreshold checks that a single arrival is never over the threshold, even if the quota
+// share is very small.
 func TestSingleArrivalIsWithinThreshold(t *testing.T) {
 	for _, quota := range []float64{0, 1e-6, 1, 300} {
 		settings := twoClassSettings()
 		settings.Tenants = []Tenant{{Quota: quota}, {Quota: 1e9}}
 		in, _ := newTestInstance(t, settings)
 		if e := in.measureRateRatio(Request{ID: 1}); e > 1 {
-			t.Errorf("a quota of %v: a single arrival is %.2f times the threshold", quota, e)
+			t.Errorf("quota %v: rate ratio %.2f of a single arrival, want at most 1", quota, e)
 		}
 	}
 }
 
-// TestThresholdFindsTenantsOverQuota checks that most arrivals of a tenant at four times its quota share are over the
+// TestTenantsOverQuotaExceedThreshold checks that most arrivals of a tenant at four times its quota share are over the
 // threshold.
-func TestThresholdFindsTenantsOverQuota(t *testing.T) {
+func TestTenantsOverQuotaExceedThreshold(t *testing.T) {
 	for _, perHalfLife := range []float64{3, 10, 100} {
 		if part := partOverThreshold(t, perHalfLife, 4); part < 0.9 {
-			t.Errorf("%v arrivals in a half-life: %.3f of one that sends four times that are over, want 0.9", perHalfLife, part)
+			t.Errorf("%v arrivals per half-life, sent at four times that rate: fraction %.3f is over the threshold, want at least 0.9",
+				perHalfLife, part)
 		}
 	}
 }
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -1,28 +1,28 @@
-// Why requests are rejected. Nothing here decides.
+// The reasons for which requests are rejected. This file makes no decisions.
 
 package admission
 
-// Reason is why a request was rejected, if the Instance decided it by itself.
+// Reason is why a request was rejected, if the Instance itself decided to reject it.
 type Reason uint8
 
-// The reasons. On arrival: from AfterDrainGrace to PredictedWaitTooLong; in the queue: DeadlineReached,
-// Stalled, and from DeadlineUnreachable on.
+// The reasons. An arriving request is rejected for AfterDrainGrace to PredictedWaitTooLong; a queued request is
+// rejected for DeadlineReached, Stalled, or DeadlineUnreachable and the reasons after it.
 const (
 	Admitted             Reason = iota // it was not rejected
 	AfterDrainGrace                    // it arrived after the drain grace period
-	Stalled                            // no run ends any more
-	OutOfMemory                        // no memory is left to queue it or to keep its key
-	DeadlineReached                    // its deadline is reached
+	Stalled                            // runs no longer end
+	OutOfMemory                        // there is no memory to queue it or to keep its key
+	DeadlineReached                    // its deadline has been reached
 	RateOverThreshold                  // its tenant's rate is over the threshold while the server is overloaded
 	PredictedWaitTooLong               // the predicted wait misses its objective while the server is overloaded
-	DeadlineUnreachable                // a run begun now would end after its deadline
-	LateWithoutWeight                  // a late answer of its class earns nothing
-	LateWhileSaturated                 // a run begun now would be late, and others wait for saturated cores
+	DeadlineUnreachable                // a run that starts now would end after its deadline
+	LateWithoutWeight                  // it is past its objective, and a late answer of its class earns nothing
+	LateWhileSaturated                 // a run that starts now would be late, and others wait for saturated cores
 
 	reasonCount = int(LateWhileSaturated) + 1
 )
 
-// reasonTexts are the endings of sentences that cataloguectl prints; scripts read them.
+// reasonTexts are the sentence endings that cataloguectl prints; scripts parse them.
 var reasonTexts = [...]string{
 	Admitted:             "it was admitted",
 	AfterDrainGrace:      "it arrived after the grace of the drain",
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// recorder records the actions as lines, each a word and its arguments, and passes them to a host if there is one.
+// recorder records each action as a line of a word and its arguments, and passes some actions to the host if there is
+// one.
 type recorder struct {
 	lines []string
 	host  *randomHost
--- a/admission/retrystorm_test.go
+++ b/admission/retrystorm_test.go
@@ -42,7 +42,7 @@
 	expectActions(t, rec, "reject", "reject 50 1s true")
 }
 
-// TestTrafficMonitor checks that each arrival counts with learnWeight, and that a negative delay counts as 0.
+// TestTrafficMonitor checks that each arrival has the weight learnWeight, and that a negative delay counts as 0.
 func TestTrafficMonitor(t *testing.T) {
 	var m trafficMonitor
 	m.countArrival(true, 12*time.Second)
--- a/admission/runtime_test.go
+++ b/admission/runtime_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestSlowClassIsRunAgainOnSaturatedCores has the first runs of a class exceed its objective, and another class saturate
-// the cores from then on: the first class must be run again after a while, since only a run can show that it is fast.
+// TestSlowClassIsRunAgainOnSaturatedCores lets the first runs of a class exceed its objective, and another class
+// saturate the cores from then on. The first class must be run again after a while, because only a run can show that
+// it is fast.
 func TestSlowClassIsRunAgainOnSaturatedCores(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	for range 10 {
@@ -22,7 +23,7 @@
 	driver.advance(100 * ms)
 	running := driver.startedRuns()
 	quick, quickRuns := map[RequestID]bool{}, 0
-	for range 600 { // a minute, in which a run of the other class ends every 100 ms, and one of this class at once
+	for range 600 { // a minute: a run of the other class ends every 100 ms, a run of this class ends after 10 ms
 		driver.request(1, nil)
 		quick[driver.request(0, nil)] = true
 		driver.advance(100 * ms)
@@ -40,27 +41,27 @@
 		}
 	}
 	if quickRuns < 60 {
-		t.Errorf("%d requests of the class were run of the 600 that came in a minute, want a tenth at least", quickRuns)
+		t.Errorf("%d of the 600 requests of the class in a minute were run, want at least 60", quickRuns)
 	}
 }
 
-// TestTimedOutRunIsLearnedFrom has runs of a class last until their deadlines, as on a server that became slow: the
-// expected run time must grow, though no run succeeds.
-func TestTimedOutRunIsLearnedFrom(t *testing.T) {
+// TestTimedOutRunsRaiseExpectedRunTime lets runs of a class last until their deadlines, as on a server that became
+// slow. The expected run time must grow although no run succeeds.
+func TestTimedOutRunsRaiseExpectedRunTime(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	learnRun(driver.module, 0, 0.1, 0.1)
 	for range 20 {
 		driver.request(0, nil)
 		driver.advance(1500 * ms)
 	}
-	if own := driver.module.expectedRunTime(&request{class: 0}); own < 600*ms {
-		t.Errorf("a run is expected to take %v, though 20 went on until they were due after 1.5 s", own)
+	if expected := driver.module.expectedRunTime(&request{class: 0}); expected < 600*ms {
+		t.Errorf("expected run time %v after 20 runs that lasted until their deadline of 1.5 s, want at least 0.6 s", expected)
 	}
 }
 
-// TestFailingClassYieldsCores has no run of one class serve its caller, as if its downstream calls could not be made,
-// while requests of the other class overload the cores: once the failures are counted the other class must get the
-// cores. As soon as runs of the first class succeed it must be run again.
+// TestFailingClassYieldsCores lets no run of one class serve its caller, as if its downstream calls could not be
+// made, while requests of the other class overload the cores. Once the failures are counted, the other class must get
+// the cores. As soon as runs of the first class succeed, it must be run again.
 func TestFailingClassYieldsCores(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	runs := [2]int{}
@@ -91,13 +92,13 @@
 		}
 		if step == 899 {
 			if part := float64(runs[0]) / float64(runs[0]+runs[1]); part > 0.1 {
-				t.Errorf("the class that is never served has %.2f of the runs, want at most 0.1", part)
+				t.Errorf("fraction %.2f of the runs is of the failing class, want at most 0.1", part)
 			}
 			runs = [2]int{}
 		}
 	}
 	if part := float64(runs[0]) / float64(runs[0]+runs[1]); part < 0.2 {
-		t.Errorf("the class has %.2f of the runs once they end well, want 0.2 at least", part)
+		t.Errorf("fraction %.2f of the runs is of the class after its runs succeed again, want at least 0.2", part)
 	}
 }
 
--- a/admission/runtimeexport.go
+++ b/admission/runtimeexport.go
@@ -1,5 +1,5 @@
-// Export and import of learned run times, for a host that keeps them over a restart. How much those of an
-// earlier process count is decided by internal/idempotency; nothing here decides.
+// Export and import of learned run times, for a host that keeps them across a restart. internal/idempotency decides
+// how much weight the run times of an earlier process have; this file makes no decisions.
 
 package admission
 
@@ -7,16 +7,16 @@
 
 // ClassRunTime is the learned run time of a class.
 type ClassRunTime struct {
-	CoreTime time.Duration // core time of a whole run
+	CoreTime time.Duration // core time of a complete run
 	WallTime time.Duration // from the start of a run to its end
-	Samples  int           // number of runs that this was learned from
+	Samples  int           // number of runs that the times were learned from
 }
 
-// RunTimeEstimates are the run times learned by an Instance, the part of its state that is useful after a
-// restart. What depends on the present load (tenants' rates, levels, backlogs, the concurrency limit) does
-// harm when it is old and is left out.
+// RunTimeEstimates are the run times that an Instance has learned: the part of its state that is useful after a
+// restart. State that depends on the present load (tenants' rates, levels, backlogs, the concurrency limit) does harm
+// when it is old, and is not exported.
 type RunTimeEstimates struct {
-	Classes []ClassRunTime // by the settings' index
+	Classes []ClassRunTime // by index into Settings.Classes
 }
 
 // ExportRunTimes returns the run times that the Instance has learned so far.
@@ -33,9 +33,9 @@
 	return estimates
 }
 
-// ImportRunTimes imports the run times of an earlier Instance. A class with samples of this Instance keeps
-// its own estimate. In the others the imported Samples are the weight of the import against the first runs
-// that are measured.
+// ImportRunTimes imports the run times of an earlier Instance. A class that already has samples of this Instance
+// keeps its own estimate. For the other classes, the imported Samples are the weight of the import relative to the
+// first runs that are measured.
 func (in *Instance) ImportRunTimes(estimates RunTimeEstimates) {
 	for i := range min(len(estimates.Classes), len(in.classes)) {
 		estimator := &in.classes[i].runTime
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -1,4 +1,5 @@
-// The exact state of an Instance as bytes, and an Instance made from them. Nothing here decides.
+// Snapshots, which hold the exact state of an Instance as bytes, and restoring an Instance from them. This file makes
+// no decisions.
 
 package admission
 
@@ -9,38 +10,38 @@
 )
 
 const (
-	// snapshotVersion is the first byte of a snapshot. It changes with every change of the state's fields.
-	// Older versions are read, and what they do not carry is as it is in a new Instance.
+	// snapshotVersion is the first byte of a snapshot. It changes with every change of the fields of the state.
+	// Snapshots of older versions can be restored; fields that they lack have the values of a new Instance.
 	snapshotVersion = 3
-	// versionIndependentRuns is the first version with Settings.IndependentRuns and what belongs to it.
+	// versionIndependentRuns is the first version with Settings.IndependentRuns and the state that depends on it.
 	versionIndependentRuns = 2
 	// versionFairShares is the first version with fair shares, failures and rejections by reason.
 	versionFairShares = 3
 )
 
-// ErrSnapshot says that bytes are no snapshot of a known version of the module.
-var ErrSnapshot = errors.New("tillerusher: no snapshot of this module")
+// ErrSnapshot is wrapped by the errors for bytes that are not a snapshot of a known version.
+var ErrSnapshot = errors.New("admission: invalid snapshot")
 
-// errClassCount says that a change of the settings would leave parts of the state without their class or tenant.
-var errClassCount = errors.New("tillerusher: the number of classes and tenants cannot be changed")
+// errClassCount is returned for changed settings that would leave parts of the state without their class or tenant.
+var errClassCount = errors.New("admission: the number of classes and of tenants cannot be changed")
 
-// Snapshot appends the whole state to the bytes: the settings, the queued and running requests, and all
-// that was learned. It may be called between events only, never from within an action.
+// Snapshot appends the complete state to the bytes: the settings, the queued and running requests, and all estimates.
+// It must be called between events, never from within an action.
 func (in *Instance) Snapshot(to []byte) []byte {
 	c := coder{bytes: append(to, snapshotVersion), version: snapshotVersion}
 	c.instance(in)
 	return c.bytes
 }
 
-// Restore returns an Instance in the state of the snapshot, which decides on the same events as the original
-// did, or an error that wraps ErrSnapshot.
+// Restore returns an Instance in the state of the snapshot, which makes the same decisions on the same events as the
+// original, or an error that wraps ErrSnapshot.
 func Restore(from []byte, actions Actions) (*Instance, error) { return RestoreWith(from, actions, nil) }
 
-// RestoreWith is Restore with changed settings, for what-if replays. Classes and tenants can be changed, but
+// RestoreWith is like Restore, but changes the settings, for what-if replays. Classes and tenants can be changed, but
 // not their number.
 func RestoreWith(from []byte, actions Actions, change func(*Settings) error) (*Instance, error) {
 	if len(from) == 0 || from[0] < 1 || from[0] > snapshotVersion {
-		return nil, fmt.Errorf("%w: versions 1 to %d are known", ErrSnapshot, snapshotVersion)
+		return nil, fmt.Errorf("%w: its version is unknown, want 1 to %d", ErrSnapshot, snapshotVersion)
 	}
 	decoder := coder{bytes: from[1:], version: from[0], reading: true}
 	in := &Instance{
@@ -53,7 +54,7 @@
 	case decoder.err != nil:
 		return nil, decoder.err
 	case len(decoder.bytes) > 0:
-		return nil, fmt.Errorf("%w: %d bytes too many", ErrSnapshot, len(decoder.bytes))
+		return nil, fmt.Errorf("%w: %d bytes after its end", ErrSnapshot, len(decoder.bytes))
 	}
 	if change != nil {
 		if err := in.changeSettings(change); err != nil {
@@ -66,7 +67,7 @@
 	return in, nil
 }
 
-// changeSettings changes the settings and the state that is computed from them.
+// changeSettings changes the settings and updates the state that is computed from them.
 func (in *Instance) changeSettings(change func(*Settings) error) error {
 	changed := in.settings
 	changed.Classes = slices.Clone(changed.Classes)
@@ -91,7 +92,7 @@
 // Settings returns the settings of the Instance.
 func (in *Instance) Settings() Settings { return in.settings }
 
-// instance carries the whole state.
+// instance encodes or decodes the complete state.
 func (c *coder) instance(in *Instance) {
 	c.settings(&in.settings)
 	c.scalars(in)
@@ -104,13 +105,13 @@
 }
 
 func (c *coder) settings(settings *Settings) {
-	whole(c, &settings.Servers)
-	whole(c, &settings.Callers)
-	whole(c, &settings.Cores)
+	varint(c, &settings.Servers)
+	varint(c, &settings.Callers)
+	varint(c, &settings.Cores)
 	list(c, &settings.Classes, func(class *Class) {
 		c.times(&class.LatencyObjective, &class.Deadline, &class.KeyWindow)
 		c.floats(&class.ObjectiveStretch, &class.Weight, &class.LateWeight, &class.SkippedCallWeight)
-		whole(c, &class.Effect)
+		varint(c, &class.Effect)
 	})
 	list(c, &settings.Tenants, func(tenant *Tenant) { c.float(&tenant.Quota) })
 	c.times(&settings.Tick, &settings.WarmUpTime, &settings.DrainGracePeriod, &settings.CallAveragingTime,
@@ -118,25 +119,25 @@
 	c.floats(&settings.InitialCapacity, &settings.MemoryKB, &settings.KeyKB, &settings.RunningMemoryFactor,
 		&settings.MaxConcurrencyFactor, &settings.FairCallShare)
 	c.bools(&settings.WarmingUp, &settings.HasDeadlines)
-	whole(c, &settings.StopMode)
-	whole(c, &settings.Downstream)
-	whole(c, &settings.Feedback)
+	varint(c, &settings.StopMode)
+	varint(c, &settings.Downstream)
+	varint(c, &settings.Feedback)
 	if c.version >= versionIndependentRuns {
 		c.bools(&settings.IndependentRuns)
 	}
 }
 
-// scalars carries the numbers of all parts of the state. They stand in the order of the format, not by
+// scalars encodes or decodes the single numbers of all parts of the state. Their order is that of the format, not by
 // part.
 func (c *coder) scalars(in *Instance) {
 	c.times(&in.clock.startedAt, &in.clock.now, &in.longestObjective, &in.feedback.idleTimeout,
 		&in.drain.noticedAt, &in.drain.stopAt,
 		&in.schedule.nextPoll, &in.schedule.nextDeadline, &in.schedule.timerAt)
 	c.bools(&in.clock.isStarted, &in.stall.isStalled, &in.drain.isDraining, &in.feedback.isHealthy)
-	whole(c, &in.keys.count)
-	whole(c, &in.use.running)
-	whole(c, &in.use.offCore)
-	whole(c, &in.use.callsInFlight)
+	varint(c, &in.keys.count)
+	varint(c, &in.use.running)
+	varint(c, &in.use.offCore)
+	varint(c, &in.use.callsInFlight)
 	c.floats(&in.use.queuedKB, &in.use.runningKB, &in.rates.decay, &in.rates.totalQuota, &in.rates.liveCallers,
 		&in.queue.withinQuotaShare, &in.traffic.retryShare, &in.traffic.readDelay, &in.clock.core,
 		&in.stall.progressAt, &in.limiter.utilization, &in.limiter.runnable, &in.limiter.limit,
@@ -156,31 +157,31 @@
 
 func (c *coder) class(class *classState) {
 	c.floats(&class.runTime.coreTime, &class.runTime.wallTime)
-	whole(c, &class.runTime.samples)
-	whole(c, &class.queued[withinQuota])
-	whole(c, &class.queued[overQuota])
+	varint(c, &class.runTime.samples)
+	varint(c, &class.queued[withinQuota])
+	varint(c, &class.queued[overQuota])
 	c.times(&class.callerTimeout)
 	if c.version < versionFairShares {
 		return
 	}
-	whole(c, &class.runTime.consecutiveFailures)
+	varint(c, &class.runTime.consecutiveFailures)
 	c.times(&class.runTime.lastFailureAt, &class.runTime.learnedAt)
 	c.rateEstimate(&class.share.started)
 	c.rateEstimate(&class.share.rejected)
 	c.bools(&class.share.isStarved)
 	for reason := range class.rejections {
-		whole(c, &class.rejections[reason])
+		varint(c, &class.rejections[reason])
 	}
 }
 
-// notStarted carries the set in the order of the IDs, so that equal states give equal bytes.
+// notStarted encodes or decodes the set in the order of the IDs, so that equal states give equal bytes.
 func (c *coder) notStarted(set map[RequestID]bool) {
 	ids := make([]int, 0, len(set))
 	for id := range set {
 		ids = append(ids, int(id))
 	}
 	slices.Sort(ids)
-	list(c, &ids, func(id *int) { whole(c, id) })
+	list(c, &ids, func(id *int) { varint(c, id) })
 	for _, id := range ids {
 		set[RequestID(id)] = true
 	}
@@ -191,19 +192,19 @@
 	c.bools(&k.isReleased)
 }
 
-// request carries one request without its pointers.
+// request encodes or decodes one request without its pointers.
 func (c *coder) request(req *request) {
-	whole(c, &req.id)
-	whole(c, &req.class)
-	whole(c, &req.state)
-	whole(c, &req.quota)
-	whole(c, &req.call.failures)
+	varint(c, &req.id)
+	varint(c, &req.class)
+	varint(c, &req.state)
+	varint(c, &req.quota)
+	varint(c, &req.call.failures)
 	c.times(&req.deadline, &req.objectiveDeadline, &req.arrivedAt, &req.call.attemptAt, &req.run.startedAt)
 	c.bools(&req.isRetry, &req.isShareable, &req.run.hasRun)
-	c.floats(&req.rateRatio, &req.sizeKB, &req.run.coreTime, &req.run.partStart)
+	c.floats(&req.rateRatio, &req.sizeKB, &req.run.coreTime, &req.run.segmentStart)
 }
 
-// requests carries the requests and the keys, and their pointers to each other as indexes into their lists.
+// requests encodes or decodes the requests and the keys. Pointers to them are indexes into their lists.
 func (c *coder) requests(in *Instance) {
 	list(c, &in.keys.byClass, func(entries *[]*keyEntry) {
 		list(c, entries, func(entry **keyEntry) {
@@ -221,21 +222,21 @@
 	})
 	c.pointers(in)
 	if slices.Contains(in.queue.requests, nil) {
-		c.fail("a held request is missing")
+		c.fail("a queued request is missing")
 	}
 	if c.reading && c.err == nil {
 		c.indexRequests(in)
 	}
 }
 
-// pointers carries the pointers of requests to keys and to other requests, and those of the queue.
+// pointers encodes or decodes the pointers of requests to keys and to other requests, and the pointers of the queue.
 func (c *coder) pointers(in *Instance) {
 	keys := slices.Concat(in.keys.byClass...)
 	keyIndex := indexOf(keys)
 	requests := in.requests.byArrival
 	requestIndex := indexOf(requests)
 	for _, req := range requests {
-		// A request may keep a key that expired from the table, or point to one that is finished and swept.
+		// A request may point to a key that has expired from the table, or to a request that is finished and swept.
 		if kind := pointer(c, &req.key, keys, keyIndex); kind == pointerDetached {
 			if c.reading {
 				req.key = &keyEntry{}
@@ -253,13 +254,13 @@
 func (c *coder) indexRequests(in *Instance) {
 	classes := len(in.settings.Classes)
 	if len(in.classes) != classes || len(in.keys.byClass) != classes {
-		c.fail("its lists do not fit its classes")
+		c.fail("the number of class states or of key lists is not the number of classes")
 	}
 	for _, req := range in.requests.byArrival {
 		isClassKnown := req.class >= 0 && req.class < classes
 		isQuotaKnown := req.quota >= 0 && req.quota < quotaStatusCount
 		if !isClassKnown || !isQuotaKnown || req.state > stateFinished {
-			c.fail("a request is out of range")
+			c.fail("the class, quota status or state of a request is out of range")
 			return
 		}
 		if req.state != stateFinished {
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -30,9 +30,9 @@
 	return in
 }
 
-// changeValue makes a value another one, and reports whether it knows how.
+// changeValue changes the value to a different one, and reports whether its kind is supported.
 func changeValue(v reflect.Value) bool {
-	v = reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem() // fields are not exported
+	v = reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem() // allows setting unexported fields
 	switch {
 	case v.CanInt():
 		v.SetInt(v.Int() + 1)
@@ -50,13 +50,13 @@
 	return true
 }
 
-// stateField is a field of the state that is no struct itself.
+// stateField is a field of the state that is not itself a struct.
 type stateField struct {
 	name  string // type and field
 	index []int  // from the outermost struct
 }
 
-// fieldsOf lists the fields of a struct and of the structs in it.
+// fieldsOf returns the fields of a struct and of its nested structs.
 func fieldsOf(kind reflect.Type, index ...int) (fields []stateField) {
 	for i := range kind.NumField() {
 		field := kind.Field(i)
@@ -70,11 +70,12 @@
 	return fields
 }
 
-// TestSnapshotCarriesEveryField changes one field of the state at a time, which must change the snapshot. A new field
-// that snapshots do not carry fails it.
-func TestSnapshotCarriesEveryField(t *testing.T) {
-	// Lists and pointers are carried by their elements; the actions are the host's, byID follows from byArrival.
-	structure := map[string]bool{"Instance.actions": true, "Instance.classes": true, "requestTable.byID": true,
+// TestSnapshotContainsEveryField changes one field of the state at a time, which must change the snapshot. It fails
+// for a new field that snapshots do not contain.
+func TestSnapshotContainsEveryField(t *testing.T) {
+	// Lists and pointers are encoded by their elements. The actions belong to the host, and byID follows from
+	// byArrival.
+	structuralFields := map[string]bool{"Instance.actions": true, "Instance.classes": true, "requestTable.byID": true,
 		"requestTable.byArrival": true, "requestQueue.requests": true, "idempotencyKeys.notStarted": true,
 		"idempotencyKeys.byClass": true, "rateEstimator.senders": true, "request.key": true,
 		"request.original": true, "Settings.Classes": true, "Settings.Tenants": true}
@@ -90,8 +91,8 @@
 		for _, field := range fieldsOf(kind) {
 			in := populatedInstance(t)
 			if !changeValue(reflect.ValueOf(part(in)).Elem().FieldByIndex(field.index)) {
-				if !structure[field.name] {
-					t.Errorf("%s is not known here: carry it and name it", field.name)
+				if !structuralFields[field.name] {
+					t.Errorf("%s is not in structuralFields and its kind is unknown: encode it in snapshots and add it to the list", field.name)
 				}
 				continue
 			}
@@ -103,15 +104,15 @@
 			if err != nil {
 				t.Errorf("%s: %v", field.name, err)
 			} else if !bytes.Equal(restored.Snapshot(nil), changed) {
-				t.Errorf("%s does not come back", field.name)
+				t.Errorf("%s is not restored", field.name)
 			}
 		}
 	}
 }
 
-// TestRestoredInstanceDecidesAlike drives an Instance by random events, restores it at a random moment, and drives
-// both on: every action must be the same.
-func TestRestoredInstanceDecidesAlike(t *testing.T) {
+// TestRestoredInstanceMakesSameDecisions drives an Instance by random events, restores it at a random time, and sends
+// the same events to both: every action must be the same.
+func TestRestoredInstanceMakesSameDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
 		settings.ResultFreshness = time.Duration(rapid.IntRange(0, 2).Draw(t, "fresh")) * time.Second
@@ -120,7 +121,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		both := []Events{in}
+		instances := []Events{in}
 		now, last := time.Duration(0), RequestID(0)
 		from := rapid.IntRange(0, 60).Draw(t, "from")
 		for step := range rapid.IntRange(from, 120).Draw(t, "steps") {
@@ -131,9 +132,9 @@
 					t.Fatal(err)
 				}
 				if !bytes.Equal(back.Snapshot(nil), in.Snapshot(nil)) {
-					t.Fatal("the snapshot of what was restored is another")
+					t.Fatal("the snapshot of the restored instance differs from the original snapshot")
 				}
-				both = append(both, back)
+				instances = append(instances, back)
 				recs[0].lines = nil
 			}
 			now += time.Duration(rapid.IntRange(0, 80).Draw(t, "wait")) * time.Millisecond
@@ -146,7 +147,7 @@
 				arrival.ID = last
 			}
 			busy := rapid.Float64Range(0, 1).Draw(t, "busy")
-			for _, e := range both {
+			for _, e := range instances {
 				switch {
 				case kind < 5:
 					e.Request(now, arrival)
@@ -173,11 +174,11 @@
 	whole := populatedInstance(t).Snapshot(nil)
 	for n := range whole {
 		if _, err := Restore(whole[:n], nil); !errors.Is(err, ErrSnapshot) {
-			t.Errorf("the first %d of %d bytes: %v", n, len(whole), err)
+			t.Errorf("the first %d of %d bytes: error %v, want ErrSnapshot", n, len(whole), err)
 		}
 	}
 	if _, err := Restore(append(whole, 0), nil); !errors.Is(err, ErrSnapshot) {
-		t.Errorf("a byte too many: %v", err)
+		t.Errorf("one additional byte: error %v, want ErrSnapshot", err)
 	}
 }
 
@@ -188,7 +189,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		in, err := Restore(b, &recorder{})
 		if err == nil && in == nil {
-			t.Error("neither an instance nor an error")
+			t.Error("Restore returned neither an instance nor an error")
 		}
 	})
 }
--- a/admission/snapshotcoder.go
+++ b/admission/snapshotcoder.go
@@ -1,4 +1,4 @@
-// The encoding of snapshots. Nothing here decides.
+// The encoding of snapshots. This file makes no decisions.
 
 package admission
 
@@ -9,16 +9,15 @@
 	"time"
 )
 
-// coder writes or reads the state. Both directions share one traversal, so that they cannot disagree on the
-// fields.
+// coder encodes or decodes the state. Both directions share one traversal, so that they cannot differ in the fields.
 type coder struct {
-	bytes   []byte // what was written, or is still to be read
+	bytes   []byte // encoded so far, or still to be decoded
 	version byte
 	reading bool
-	err     error // the first error of reading
+	err     error // the first error of decoding
 }
 
-// fail ends reading; all that follows reads as zero.
+// fail records the first error and discards the remaining bytes, so that all values decoded later are zero.
 func (c *coder) fail(problem string) {
 	if c.err == nil {
 		c.err = fmt.Errorf("%w: %s", ErrSnapshot, problem)
@@ -26,26 +25,26 @@
 	c.bytes = nil
 }
 
-// whole carries a whole number of any kind as a varint.
-func whole[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](coder *coder, target *T) {
+// varint encodes or decodes an integer of any type as a varint.
+func varint[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](coder *coder, target *T) {
 	if !coder.reading {
 		coder.bytes = binary.AppendVarint(coder.bytes, int64(*target))
 		return
 	}
 	value, size := binary.Varint(coder.bytes)
 	if size <= 0 {
-		coder.fail("it ends early")
+		coder.fail("unexpected end of the data")
 		return
 	}
 	coder.bytes = coder.bytes[size:]
 	if int64(T(value)) != value {
-		coder.fail("a number is out of range")
+		coder.fail("an integer is out of the range of its type")
 		return
 	}
 	*target = T(value)
 }
 
-// float carries a number as its 8 bytes, least significant first.
+// float encodes or decodes a number as 8 bytes in little-endian order.
 func (c *coder) float(target *float64) {
 	const size = 8
 	if !c.reading {
@@ -53,7 +52,7 @@
 		return
 	}
 	if len(c.bytes) < size {
-		c.fail("it ends early")
+		c.fail("unexpected end of the data")
 		return
 	}
 	*target = math.Float64frombits(binary.LittleEndian.Uint64(c.bytes))
@@ -68,29 +67,29 @@
 
 func (c *coder) times(targets ...*time.Duration) {
 	for _, p := range targets {
-		whole(c, p)
+		varint(c, p)
 	}
 }
 
-// bools carries each as a whole number, 1 for true; any other number reads as false.
+// bools encodes or decodes each value as an integer, 1 for true. Any other integer decodes as false.
 func (c *coder) bools(targets ...*bool) {
 	for _, p := range targets {
 		value := uint8(0)
 		if *p {
 			value = 1
 		}
-		whole(c, &value)
+		varint(c, &value)
 		*p = value == 1
 	}
 }
 
-// list carries a slice, element by element; an empty one comes back as nil.
+// list encodes or decodes a slice, element by element. An empty slice decodes as nil.
 func list[T any](coder *coder, target *[]T, element func(*T)) {
 	n := len(*target)
-	whole(coder, &n)
+	varint(coder, &n)
 	if coder.reading {
-		if n < 0 || n > len(coder.bytes) { // each element takes a byte at least
-			coder.fail("a list is longer than what is left")
+		if n < 0 || n > len(coder.bytes) { // each element takes at least one byte
+			coder.fail("a list is longer than the remaining data")
 			return
 		}
 		*target = nil
@@ -103,10 +102,10 @@
 	}
 }
 
-// Codes of pointers that do not point into a list.
+// Codes of pointers that are not an index into a list.
 const (
 	pointerNil      = -1
-	pointerDetached = -2 // to something outside the list, which follows
+	pointerDetached = -2 // to a value outside the list; for a key, the value follows
 )
 
 // indexOf returns the index of each pointer of a list.
@@ -118,7 +117,8 @@
 	return index
 }
 
-// pointer carries a pointer into a list as its index, or as pointerNil or pointerDetached, and returns that.
+// pointer encodes or decodes a pointer into a list as its index, or as pointerNil or pointerDetached, and returns the
+// code.
 func pointer[T any](coder *coder, target **T, list []*T, index map[*T]int) int {
 	at, isInList := index[*target]
 	switch {
@@ -127,10 +127,10 @@
 	case !isInList:
 		at = pointerDetached
 	}
-	whole(coder, &at)
+	varint(coder, &at)
 	if coder.reading && at >= 0 {
 		if at >= len(list) {
-			coder.fail("it points beyond a list")
+			coder.fail("an index is beyond the end of its list")
 			return pointerNil
 		}
 		*target = list[at]
--- a/admission/stall_test.go
+++ b/admission/stall_test.go
@@ -22,7 +22,7 @@
 	rec.take()
 	logs := 0
 	var all []string
-	for i := 0; i < 40; i++ { // a long fault
+	for i := 0; i < 40; i++ { // four seconds without an end of a run
 		now += 100 * ms
 		rec.lines = nil
 		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
@@ -36,19 +36,19 @@
 	}
 	rec.lines = all
 	if logs != 1 || !in.stall.isStalled {
-		t.Errorf("%d running: %d lines logged, stalled %v", n, logs, in.stall.isStalled)
+		t.Errorf("%d running: %d log lines, stalled %v, want 1 and true", n, logs, in.stall.isStalled)
 	}
 	if got := strings.Join(rec.take("health", "reject"), ","); !strings.Contains(got, "health false true") || !strings.Contains(got, "reject 50 ") {
-		t.Errorf("actions %q", got)
+		t.Errorf("actions %q, want health false true and reject 50", got)
 	}
 	in.RunFinished(now, 1000, OK)
 	in.Timer(now+100*ms, 0, Gauges{Utilization: 1, Runnable: -1})
 	if in.stall.isStalled {
-		t.Error("an end of a run did not end the stall")
+		t.Error("the stall did not end when a run ended")
 	}
 }
 
-func TestPausedProcessIsNoStall(t *testing.T) {
+func TestPausedProcessIsNotStalled(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	for id := RequestID(1); id <= 10; id++ {
 		in.Request(0, testRequest(id, 0))
@@ -59,11 +59,11 @@
 	fillCores(in, rec, 0, 0)
 	in.Timer(5*time.Second, 0, Gauges{Utilization: 1, Runnable: -1})
 	if in.stall.isStalled {
-		t.Error("a pause of the whole process was taken for a stall of its work")
+		t.Error("a pause of the whole process counts as a stall")
 	}
 }
 
-func TestFirstShortRunIsNoStall(t *testing.T) {
+func TestFirstShortRunIsNotStall(t *testing.T) {
 	in, rec := newTestInstance(t, testSettings())
 	fillCores(in, rec, 0, 0)
 	in.RunFinished(10*ms, 1000, OK)
@@ -71,16 +71,16 @@
 		in.Timer(now, 0, Gauges{Utilization: 1, Runnable: -1})
 	}
 	if in.stall.isStalled {
-		t.Error("one short run and half a second without an end were taken for a stall")
+		t.Error("0.7 s without an end of a run, after one short run, count as a stall")
 	}
 }
 
-// TestIndependentRunsStallAfterTheLongestRun has runs that do not share cores: many long runs at once are no stall, but
-// no end of a run for several times the longest run is one.
+// TestIndependentRunsStallAfterTheLongestRun uses runs that do not share cores. Many simultaneous long runs are not a
+// stall, but it is a stall if no run ends for several times the longest run.
 func TestIndependentRunsStallAfterTheLongestRun(t *testing.T) {
-	for _, apart := range []bool{false, true} {
+	for _, independent := range []bool{false, true} {
 		settings := testSettings()
-		settings.IndependentRuns, settings.Cores = apart, 8
+		settings.IndependentRuns, settings.Cores = independent, 8
 		in, rec := newTestInstance(t, settings)
 		now, id := time.Duration(0), RequestID(0)
 		run := func(took time.Duration) {
@@ -108,12 +108,12 @@
 			}
 		}
 		polls(7)
-		if in.stall.isStalled == apart {
-			t.Errorf("apart %v: after 0.7 s without an end stalled is %v", apart, in.stall.isStalled)
+		if in.stall.isStalled == independent {
+			t.Errorf("independent runs %v: stalled is %v after 0.7 s without an end of a run", independent, in.stall.isStalled)
 		}
 		polls(25)
 		if !in.stall.isStalled {
-			t.Errorf("apart %v: after 3.2 s without an end it is no stall", apart)
+			t.Errorf("independent runs %v: not stalled after 3.2 s without an end of a run", independent)
 		}
 		rec.take()
 	}
@@ -138,8 +138,9 @@
 	expectActions(t, rec, "fail reject", "fail 50")
 }
 
-// TestStalledRunsAreNotLearnedFrom has all runs hang: how long they had lasted by then is no measure of their class.
-func TestStalledRunsAreNotLearnedFrom(t *testing.T) {
+// TestStalledRunsDoNotRaiseExpectedRunTime lets all runs hang. Their duration until the stall is detected does not
+// measure the run time of their class.
+func TestStalledRunsDoNotRaiseExpectedRunTime(t *testing.T) {
 	driver := newDriver(t, twoClassSettings())
 	for range 10 {
 		id := driver.request(1, nil)
@@ -157,27 +158,27 @@
 		}
 	}
 	if !driver.module.stall.isStalled {
-		t.Fatal("nothing stalled: the test shows nothing")
+		t.Fatal("no stall was detected, so that the test checks nothing")
 	}
 	if after := driver.module.expectedRunTime(&request{class: 1}); after > before {
-		t.Errorf("a run was expected to take %v, and %v after a stall", before, after)
+		t.Errorf("expected run time %v before the stall and %v after it, want no increase", before, after)
 	}
 	if n := driver.module.Inspect().Classes[1].Rejections[Stalled]; n != 0 {
-		t.Errorf("%d requests were rejected for the stall, want none: those that ran were failed", n)
+		t.Errorf("%d requests were rejected for the stall, want none: running requests are failed instead", n)
 	}
 	driver.request(1, nil)
 	if n := driver.module.Inspect().Classes[1].Rejections[Stalled]; n != 1 {
-		t.Errorf("%d requests were rejected for the stall, want the one that came in it", n)
+		t.Errorf("%d requests were rejected for the stall, want only the request that arrived during it", n)
 	}
 }
 
-// TestLongestRunDecays halves the longest run in its half-life.
+// TestLongestRunDecays checks that the longest run halves in its half-life.
 func TestLongestRunDecays(t *testing.T) {
 	d := stallDetector{longestRun: 8}
 	for range longestRunHalfLife / pollInterval {
 		d.decayLongestRun()
 	}
 	if math.Abs(d.longestRun-4) > 1e-9 {
-		t.Errorf("%v s after one half-life, want 4", d.longestRun)
+		t.Errorf("longest run %v s after one half-life, want 4 s", d.longestRun)
 	}
 }
--- a/admission/validate.go
+++ b/admission/validate.go
@@ -1,4 +1,4 @@
-// The check of the settings of an Instance. Nothing here decides.
+// Validation of the settings of an Instance. This file makes no decisions.
 
 package admission
 
@@ -7,26 +7,25 @@
 	"math"
 )
 
-// SettingError says which field of the settings makes no sense, and what was expected.
+// SettingError is the error for a setting with an invalid value.
 type SettingError struct {
-	Field    string  // as operators know it
-	Value    float64 // that it has
-	Expected string
+	Field    string  // name of the setting, as operators know it
+	Value    float64 // its present value
+	Expected string  // the values that are valid
 }
 
 // Error returns one line that names the field, its value and what was expected.
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("tillerusher: %s is %v, want %s", e.Field, e.Value, e.Expected)
+	return fmt.Sprintf("admission: %s is %v, want %s", e.Field, e.Value, e.Expected)
 }
 
-// namedValue is a number of the settings with the name that errors give it. The names are those that
-// operators know from earlier versions.
+// namedValue is a numeric setting with its name in error messages. Operators know the names from earlier versions.
 type namedValue struct {
 	name  string
 	value float64
 }
 
-// validate returns a *SettingError for the first field that makes no sense.
+// validate returns a *SettingError for the first setting with an invalid value.
 func validate(settings Settings) error {
 	for _, f := range positiveSettings(settings) {
 		if !(f.value > 0) || math.IsInf(f.value, 0) {
@@ -41,7 +40,7 @@
 	return nil
 }
 
-// positiveSettings are the values without which nothing can run.
+// positiveSettings returns the settings that must be more than 0.
 func positiveSettings(settings Settings) []namedValue {
 	values := []namedValue{
 		{"Cores", float64(settings.Cores)},
@@ -60,7 +59,7 @@
 	return values
 }
 
-// nonNegativeSettings are the values that may be 0.
+// nonNegativeSettings returns the settings that must be 0 or more.
 func nonNegativeSettings(settings Settings) []namedValue {
 	values := []namedValue{
 		{"Callers", float64(settings.Callers)},
@@ -76,7 +75,7 @@
 		{"CallerIdle", float64(settings.CallerIdleTimeout)},
 	}
 	for i, class := range settings.Classes {
-		for _, f := range nonNegativeOfClass(class) {
+		for _, f := range nonNegativeClassSettings(class) {
 			values = append(values, namedValue{fmt.Sprintf("Classes[%d].%s", i, f.name), f.value})
 		}
 	}
@@ -86,8 +85,8 @@
 	return values
 }
 
-// nonNegativeOfClass are the values of a class that may be 0.
-func nonNegativeOfClass(class Class) []namedValue {
+// nonNegativeClassSettings returns the settings of a class that must be 0 or more.
+func nonNegativeClassSettings(class Class) []namedValue {
 	return []namedValue{
 		{"AimStretch", class.ObjectiveStretch},
 		{"Worth", class.Weight},
--- a/admission/validate_test.go
+++ b/admission/validate_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-func TestSettingsOnWhichNothingCanRun(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for field, change := range map[string]func(*Settings){
 		"Cores": func(settings *Settings) { settings.Cores = 0 }, "Servers": func(settings *Settings) { settings.Servers = 0 },
 		"Classes": func(settings *Settings) { settings.Classes = nil }, "Tick": func(settings *Settings) { settings.Tick = 0 },
 		"MemoryKB": func(settings *Settings) { settings.MemoryKB = math.NaN() }, "RunFactor": func(settings *Settings) { settings.RunningMemoryFactor = -1 },
@@ -17,16 +17,16 @@
 		"Tenants[0].Quota": func(settings *Settings) { settings.Tenants[0].Quota = -1 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		change(&settings)
 		if _, err := New(settings, &recorder{}); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: error %v, want an error that names the field", field, err)
 		}
 	}
 }
 
-// TestIllegalSettings changes one field to an illegal value: the error must be one line that names the field and what
-// was expected.
-func TestIllegalSettings(t *testing.T) {
+// TestSettingErrorNamesFieldAndExpectedValue sets one field to an invalid value. The error must be one line that
+// names the field and what was expected.
+func TestSettingErrorNamesFieldAndExpectedValue(t *testing.T) {
 	for field, change := range map[string]func(settings *Settings){
 		"Callers":              func(settings *Settings) { settings.Callers = -1 },
 		"KeyKB":                func(settings *Settings) { settings.KeyKB = -1 },
@@ -46,34 +46,34 @@
 		_, err := New(settings, &recorder{})
 		if err == nil || !strings.Contains(err.Error(), field+" is ") || !strings.Contains(err.Error(), "want 0 or more") ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("%s: error %v, want one line with the field and what was expected", field, err)
 		}
 	}
 }
 
-// TestExtremeSettings drives a server with legal but unusual settings: each request must be answered by its deadline.
+// TestExtremeSettings drives a server with valid but unusual settings. Each request must be answered by its deadline.
 func TestExtremeSettings(t *testing.T) {
 	manyTenants := make([]Tenant, 500)
 	for name, change := range map[string]func(settings *Settings){
-		"nothing is of any weight":      func(settings *Settings) { settings.Classes[0].Weight, settings.Classes[1].Weight = 0, 0 },
+		"weights of zero":               func(settings *Settings) { settings.Classes[0].Weight, settings.Classes[1].Weight = 0, 0 },
 		"an objective of a millisecond": func(settings *Settings) { settings.Classes[0].LatencyObjective = ms },
 		"an objective of a day": func(settings *Settings) {
 			settings.Classes[1].LatencyObjective, settings.Classes[1].Deadline = 24*time.Hour, 48*time.Hour
 		},
 		"an objective over the deadline": func(settings *Settings) { settings.Classes[0].LatencyObjective = time.Minute },
-		"no window": func(settings *Settings) {
+		"a key window of zero": func(settings *Settings) {
 			settings.Classes[1].Effect, settings.Classes[1].KeyWindow = IdempotentByKey, 0
 		},
-		"a window of a year": func(settings *Settings) {
+		"a key window of a year": func(settings *Settings) {
 			settings.Classes[1].Effect, settings.Classes[1].KeyWindow = IdempotentByKey, 365*24*time.Hour
 		},
-		"no callers given":                     func(settings *Settings) { settings.Callers = 0 },
-		"a million servers":                    func(settings *Settings) { settings.Servers = 1e6 },
-		"quotas of nothing":                    func(settings *Settings) { settings.Tenants = manyTenants },
-		"memory for nothing":                   func(settings *Settings) { settings.MemoryKB = 1 },
-		"a thousand cores":                     func(settings *Settings) { settings.Cores = 1000 },
-		"a maximum concurrency of a hundredth": func(settings *Settings) { settings.MaxConcurrencyFactor = 0.01 },
-		"no cold share": func(settings *Settings) {
+		"no callers":            func(settings *Settings) { settings.Callers = 0 },
+		"a million servers":     func(settings *Settings) { settings.Servers = 1e6 },
+		"quotas of zero":        func(settings *Settings) { settings.Tenants = manyTenants },
+		"memory for no request": func(settings *Settings) { settings.MemoryKB = 1 },
+		"a thousand cores":      func(settings *Settings) { settings.Cores = 1000 },
+		"a maximum concurrency factor of a hundredth": func(settings *Settings) { settings.MaxConcurrencyFactor = 0.01 },
+		"an initial capacity of zero": func(settings *Settings) {
 			settings.WarmingUp, settings.InitialCapacity, settings.WarmUpTime = true, 0, time.Hour
 		},
 		"a tick of a nanosecond": func(settings *Settings) { settings.Tick = 1 },
@@ -107,11 +107,11 @@
 				}
 				for id, deadline := range deadlines {
 					if driver.now > deadline {
-						t.Fatalf("request %d has no answer %v after it was due", id, driver.now-deadline)
+						t.Fatalf("request %d has no answer %v after its deadline", id, driver.now-deadline)
 					}
 				}
 				if i := driver.module.Inspect(); math.IsNaN(i.TrafficWeight) || math.IsNaN(i.ConcurrencyLimit) {
-					t.Fatalf("step %d: weight %v, limit %v", step, i.TrafficWeight, i.ConcurrencyLimit)
+					t.Fatalf("step %d: traffic weight %v, limit %v, want numbers", step, i.TrafficWeight, i.ConcurrencyLimit)
 				}
 			}
 		})
