--- a/internal/pool/budget.go
+++ b/internal/pool/budget.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// retryBudget is a token bucket that bounds retries, so that they can't multiply the load of an outage: each first
-// attempt adds a part of a token, each retry takes one, and the bucket holds a few. Over any n requests the retries are
-// at most n times the ratio, the burst, and what comes by time alone for pools that are seldom used.
+// retryBudget is a token bucket that limits retries, so that they can't multiply the load during an outage. Each first
+// attempt adds a fraction of a token, and each retry takes one token. Over any n requests the number of retries is at most
+// n times the ratio, plus the burst, plus the tokens that accrue over time for pools with little traffic.
 //
-// A budget over a sliding window, as Finagle's is, let a whole window's retries go in the first second of an outage.
+// A budget over a sliding window, as in Finagle, allowed the retries of a whole window in the first second of an outage.
 type retryBudget struct {
-	ratio        float64 // tokens for each first attempt; 0 is no budget
-	minPerSecond float64 // tokens by time alone
-	burst        float64 // tokens that the bucket holds
+	ratio        float64 // tokens added by each first attempt; 0 disables the budget
+	minPerSecond float64 // tokens added by time, whatever the attempts
+	burst        float64 // capacity of the bucket
 	tokens       float64
 	updatedAt    time.Duration
 }
 
-// configure takes over new limits. A new budget is full.
+// configure sets the limits. The bucket of a new budget is full.
 func (b *retryBudget) configure(r RetryPolicy) {
 	if b.burst == 0 {
 		b.tokens = r.RetryBurst
@@ -25,17 +25,17 @@
 	b.burst = r.RetryBurst
 }
 
-// add puts tokens into the bucket, with those that came by time.
+// add adds tokens to the bucket, along with the tokens that accrued since the last call.
 func (b *retryBudget) add(tokens float64, now time.Duration) {
 	tokens += b.minPerSecond * max(now-b.updatedAt, 0).Seconds()
 	b.updatedAt = max(b.updatedAt, now)
 	b.tokens = min(b.tokens+tokens, b.burst)
 }
 
-// countFirstAttempt adds what a request's first attempt brings.
+// countFirstAttempt adds the tokens for a request's first attempt.
 func (b *retryBudget) countFirstAttempt(now time.Duration) { b.add(b.ratio, now) }
 
-// take counts a retry if the budget allows it, and reports whether it does.
+// take takes a token for a retry, and reports whether the budget allows the retry.
 func (b *retryBudget) take(now time.Duration) bool {
 	if b.ratio == 0 {
 		return true
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -7,21 +7,21 @@
 
 // Member is the configuration of one server of a pool.
 type Member struct {
-	// Addr identifies the member: one that stays over a reload is found by it.
+	// Addr identifies the member: a reload matches members by address.
 	Addr     string `json:"Addr"`
 	Weight   int    `json:"Weight"`   // at least 1
-	MaxConns int    `json:"MaxConns"` // attempts in flight at once; 0 is no limit
-	// MaxFails is the number of failures within FailTimeout after which the member gets no attempts for as long; 0 is
-	// never.
+	MaxConns int    `json:"MaxConns"` // limit of attempts in flight; 0 is no limit
+	// MaxFails is the number of failures within FailTimeout after which the member gets no attempts for FailTimeout; 0
+	// disables the check.
 	MaxFails    int           `json:"MaxFails"`
 	FailTimeout time.Duration `json:"FailTimeout"`
-	SlowStart   time.Duration `json:"SlowStart"` // in which a member that comes back grows to its weight; 0 is at once
+	SlowStart   time.Duration `json:"SlowStart"` // ramp-up time of a new or recovered member to its weight; 0 is none
 	Backup      bool          `json:"Backup"`    // used only while no other member is available
 	Down        bool          `json:"Down"`      // never used
 }
 
-// Config is the configuration of a pool. Its JSON keys, here and in the types that it consists of, are part of the output
-// of `config show --json`.
+// Config is the configuration of a pool. Its JSON keys and those of the nested types are part of the output of
+// `config show --json`.
 type Config struct {
 	Name            string          `json:"Name"`
 	BalancingPolicy BalancingPolicy `json:"Method"`
@@ -30,29 +30,31 @@
 	OutlierDetection
 }
 
-// RetryPolicy bounds the attempts of one request and, by a budget, the retries of all requests.
+// RetryPolicy limits the attempts of each request and, with a budget, the retries of all requests together.
 type RetryPolicy struct {
-	MaxAttempts         int           `json:"Tries"`       // of one request, the first included; 0 is no limit
-	RetryTimeout        time.Duration `json:"TryFor"`      // from the first attempt to the last retry's begin; 0 is no limit
-	RetryRatio          float64       `json:"BudgetShare"` // retries that a first attempt adds to the budget; 0 is no budget
-	MinRetriesPerSecond float64       `json:"BudgetLeast"` // retries that the budget gains by time alone
-	RetryBurst          float64       `json:"BudgetBurst"` // retries that the budget holds at most
+	MaxAttempts         int           `json:"Tries"`       // per request, including the first; 0 is no limit
+	RetryTimeout        time.Duration `json:"TryFor"`      // from the first attempt to the last retry's start; 0 is no limit
+	RetryRatio          float64       `json:"BudgetShare"` // retries that each first attempt adds to the budget; 0 disables it
+	MinRetriesPerSecond float64       `json:"BudgetLeast"` // retries added to the budget by time, whatever the attempts
+	RetryBurst          float64       `json:"BudgetBurst"` // capacity of the budget, in retries
 }
 
-// OutlierDetection says when a member is ejected and how many may be.
+// OutlierDetection configures when a member is ejected, for how long, and how many members may be ejected.
 type OutlierDetection struct {
-	// EjectionLatencyFactor is how many times the others' median latency a member's must be for an ejection; 0 is never.
+	// EjectionLatencyFactor is the multiple of the other members' median latency above which a member is ejected; 0
+	// disables ejection for latency.
 	EjectionLatencyFactor float64 `json:"EjectFactor"`
-	// EjectionErrorRate is the share of its recent attempts that must have failed for an ejection; 0 is never.
+	// EjectionErrorRate is the fraction of a member's recent attempts that must have failed for an ejection; 0 disables
+	// ejection for errors.
 	EjectionErrorRate   float64       `json:"EjectErrors"`
-	EjectionMinAttempts int           `json:"EjectAfter"` // attempts of a member before it can be ejected
-	BaseEjectionTime    time.Duration `json:"EjectFor"`   // of the first ejection; each one in a row takes twice as long
-	MaxEjectedRatio     float64       `json:"EjectMost"`  // share of the members that may be ejected at once
-	PanicThreshold      float64       `json:"PanicUnder"` // share of available members below which ejections are ignored
+	EjectionMinAttempts int           `json:"EjectAfter"` // attempts to a member before it can be ejected
+	BaseEjectionTime    time.Duration `json:"EjectFor"`   // of the first ejection; doubles with each consecutive one
+	MaxEjectedRatio     float64       `json:"EjectMost"`  // largest fraction of members ejected at the same time
+	PanicThreshold      float64       `json:"PanicUnder"` // fraction of available members below which ejections are ignored
 }
 
-// DefaultConfig returns nginx's defaults, with a retry budget and outlier detection that only a pool with faulty members
-// notices.
+// DefaultConfig returns nginx's defaults, plus a retry budget and outlier detection that take effect only in a pool with
+// faulty members.
 func DefaultConfig() Config {
 	return Config{
 		RetryPolicy: RetryPolicy{
@@ -71,18 +73,18 @@
 	}
 }
 
-// DefaultMember returns a member with nginx's defaults.
+// DefaultMember returns the configuration of a member with nginx's defaults.
 func DefaultMember(addr string) Member {
 	return Member{Addr: addr, Weight: 1, MaxFails: 1, FailTimeout: 10 * time.Second}
 }
 
-// maxWeight bounds weights so that the sum over a pool's members can't overflow.
+// maxWeight limits a member's weight, so that the sum of a pool's weights can't overflow.
 const maxWeight = 1 << 31
 
-// ConfigError is a setting of a pool that is missing or out of range.
+// ConfigError reports a pool setting that is missing or out of range.
 type ConfigError struct {
 	Pool   string // the pool's name
-	Member string // the member's address; empty for a setting of the pool itself
+	Member string // the member's address, or empty for a setting of the pool
 	text   string
 }
 
@@ -110,14 +112,15 @@
 	case !hasPrimary:
 		return c.errorf("", "pool %s has only backups", c.Name)
 	case !c.RetryPolicy.isValid():
-		return c.errorf("", "pool %s: tries and budgets can't be below 0, nor a burst below 1", c.Name)
-	case isOutsideShare(c.MaxEjectedRatio) || isOutsideShare(c.PanicThreshold):
-		return c.errorf("", "pool %s: parts of members are 0 to 1", c.Name)
+		return c.errorf("", "pool %s: tries, try-for and the budget's share and least must be at least 0, its burst at least 1",
+			c.Name)
+	case isOutsideUnitInterval(c.MaxEjectedRatio) || isOutsideUnitInterval(c.PanicThreshold):
+		return c.errorf("", "pool %s: the eject settings most and panic-under must be from 0 to 1", c.Name)
 	}
 	return nil
 }
 
-// validateMember checks the settings of one member by themselves.
+// validateMember checks one member's settings, without regard to the other members.
 func (c *Config) validateMember(member Member) error {
 	switch {
 	case member.Addr == "":
@@ -126,15 +129,16 @@
 		return c.errorf(member.Addr, "pool %s: member %s has the weight %d, want 1 to %d", c.Name, member.Addr,
 			member.Weight, maxWeight)
 	case member.MaxConns < 0 || member.MaxFails < 0 || member.FailTimeout < 0 || member.SlowStart < 0:
-		return c.errorf(member.Addr, "pool %s: member %s has a figure below 0", c.Name, member.Addr)
+		return c.errorf(member.Addr, "pool %s: member %s: max-conns, max-fails, fail-timeout and slow-start must be at least 0",
+			c.Name, member.Addr)
 	case member.Backup && c.BalancingPolicy.rejectsBackups():
-		return c.errorf(member.Addr, "pool %s: member %s is a backup, which the method %v does not know", c.Name, member.Addr,
+		return c.errorf(member.Addr, "pool %s: member %s is a backup, which the method %v does not support", c.Name, member.Addr,
 			c.BalancingPolicy)
 	}
 	return nil
 }
 
-// isValid reports whether all limits are in range.
+// isValid reports whether all settings are in range.
 func (r *RetryPolicy) isValid() bool {
 	if r.MaxAttempts < 0 || r.RetryTimeout < 0 || r.RetryRatio < 0 || r.MinRetriesPerSecond < 0 {
 		return false
@@ -145,10 +149,10 @@
 	return true
 }
 
-// isOutsideShare reports whether a figure can't be a share of a whole.
-func isOutsideShare(v float64) bool { return v < 0 || v > 1 }
+// isOutsideUnitInterval reports whether v is below 0 or above 1.
+func isOutsideUnitInterval(v float64) bool { return v < 0 || v > 1 }
 
-// errorf returns a *ConfigError about a member of the pool, or about the pool itself if the address is empty.
+// errorf returns a *ConfigError for the member with the address, or for the pool if the address is empty.
 func (c *Config) errorf(member, format string, args ...any) error {
 	return &ConfigError{Pool: c.Name, Member: member, text: fmt.Sprintf(format, args...)}
 }
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -1,9 +1,10 @@
-// Package pool balances attempts over the members of an upstream pool: it chooses the member for an attempt, decides
-// whether a failed request is retried, and takes failing or slow members out for a while. It does no I/O and reads no
-// clock. Time and random numbers come from the caller, so that every decision can be replayed.
+// Package pool implements load balancing over the members of an upstream pool. It chooses the member for each attempt,
+// decides whether a failed request is retried, and excludes failing or slow members for a limited time. It does no I/O
+// and reads no clock: the caller passes in the time and the source of random numbers, so that every decision can be
+// replayed.
 //
-// Balancing policies and the limits of members are those of nginx (the manual's ngx_http_upstream_module): smooth
-// weighted round robin, least_conn, ip_hash, hash with and without consistent, random two least_conn; weight, max_conns,
-// max_fails, fail_timeout, slow_start, backup, down. Added to them are a retry budget (as in Finagle), outlier ejection
-// bounded by a panic threshold (as in Envoy), and a single probing attempt at a member whose time out is over.
+// The balancing policies and member settings are those of nginx (ngx_http_upstream_module): smooth weighted round
+// robin, least_conn, ip_hash, hash with and without consistent, random two least_conn; weight, max_conns, max_fails,
+// fail_timeout, slow_start, backup, down. The package adds a retry budget (as in Finagle), outlier ejection bounded by a
+// panic threshold (as in Envoy), and a single probing attempt to a member whose fail timeout or ejection has expired.
 package pool
--- a/internal/pool/failures.go
+++ b/internal/pool/failures.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// failureState is the passive health check of nginx (max_fails and fail_timeout): a member with MaxFails failures gets
-// no attempts for FailTimeout, then one that probes whether it is back. The fields and their use follow nginx's peer
-// state, so that the same attempts give the same result.
+// failureState is a member's state in nginx's passive health check (max_fails and fail_timeout). A member with MaxFails
+// failures gets no attempts for FailTimeout, and then a single probing attempt that shows whether it has recovered. The
+// fields and their use follow nginx's peer state, so that the same attempts give the same result.
 type failureState struct {
 	fails       int
 	lastFailure time.Duration
-	lastChecked time.Duration // when it failed last, or was first chosen more than FailTimeout after that
-	hasFailed   bool          // at least once; else the times above mean nothing
-	probing     bool          // the single attempt that may show that it is back is in flight
+	lastChecked time.Duration // last failure, or first selection more than FailTimeout after the previous lastChecked
+	hasFailed   bool          // at least once; otherwise lastFailure and lastChecked are meaningless
+	probing     bool          // the single probing attempt is in flight
 }
 
-// hasTooManyFails reports whether the member failed as often as it may.
+// hasTooManyFails reports whether the member has reached MaxFails.
 func (m *poolMember) hasTooManyFails() bool { return m.MaxFails > 0 && m.fails >= m.MaxFails }
 
-// countFailure counts a failed attempt as nginx does, and takes the member out once it has too many.
+// countFailure counts a failed attempt as nginx does. At MaxFails the member becomes unavailable.
 func (p *Pool) countFailure(member *poolMember, now time.Duration) {
 	p.stopRotation()
 	wasOut := member.hasTooManyFails()
@@ -35,8 +35,8 @@
 	}
 }
 
-// clearFailures forgets failures after a successful attempt as nginx does: only those before the last time out, or all
-// if the attempt was a probe.
+// clearFailures resets the failure count after a successful attempt as nginx does: only if the member was selected more
+// than FailTimeout after its last failure, or if the attempt was a probe.
 func (p *Pool) clearFailures(member *poolMember, now time.Duration, wasProbe bool) {
 	if !member.hasFailed || member.lastFailure >= member.lastChecked && !wasProbe {
 		return
--- a/internal/pool/failures_test.go
+++ b/internal/pool/failures_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestMaxFails takes a member out after its failures, probes it once after its time out, and takes it back.
+// TestMaxFails checks that a member becomes unavailable after its failures, gets a single probing attempt after
+// FailTimeout, and is available again once the probe succeeds.
 func TestMaxFails(t *testing.T) {
 	p := newPool(t, RoundRobin, disableEjection, 1, 1)
 	faulty := p.members[0].Addr
@@ -18,7 +19,7 @@
 	}
 	for range 10 {
 		if addr := pick(p, "", 2*time.Second); addr == faulty {
-			t.Fatal("a member that is out was chosen")
+			t.Fatal("an unavailable member was chosen")
 		}
 	}
 	now := 12 * time.Second
@@ -29,7 +30,7 @@
 		}
 	}
 	if probes != 1 {
-		t.Errorf("%d attempts probe a member that may be back, want one", probes)
+		t.Errorf("%d probing attempts to the member after its fail timeout, want 1", probes)
 	}
 	p.Finish(faulty, Succeeded, 0, now)
 	states := ""
@@ -37,17 +38,18 @@
 		states += c.State + " "
 	}
 	if states != "out probing in " {
-		t.Errorf("changes: %s", states)
+		t.Errorf("state changes \"%s\", want \"out probing in \"", states)
 	}
 }
 
-// TestSingleMember never takes out the only member, nor one whose failures do not count.
+// TestSingleMember checks that the only member of a pool stays available whatever fails, and so does a member whose
+// failures don't count (MaxFails 0).
 func TestSingleMember(t *testing.T) {
 	p := newPool(t, RoundRobin, nil, 1)
 	for range 100 {
 		addr := pick(p, "", 0)
 		if addr == "" {
-			t.Fatal("the only member is taken out")
+			t.Fatal("the only member became unavailable")
 		}
 		p.Finish(addr, Failed, 0, 0)
 	}
@@ -63,6 +65,6 @@
 		}
 	}
 	if chosen != 50 {
-		t.Errorf("max_fails=0: %d of 100", chosen)
+		t.Errorf("the member with max_fails=0 got %d of 100 attempts, want 50", chosen)
 	}
 }
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// fleet is a number of processes that send to the same members, each by a pool of its own that knows nothing of the
-// others.
+// fleet simulates several processes that send requests to the same members. Each process has its own pool and no
+// information about the other processes.
 type fleet struct {
 	pools       []*Pool
 	members     int
-	rate        float64                    // requests a second of all processes
-	meanLatency time.Duration              // of exponentially distributed ones
-	arrivals    map[string][]time.Duration // when requests came to each member
+	rate        float64                    // requests per second of all processes
+	meanLatency time.Duration              // of exponentially distributed latencies
+	arrivals    map[string][]time.Duration // arrival times of the successful requests at each member
 	now         time.Duration
 	inFlight    completionHeap
-	failing     map[string]bool // members where every attempt fails
+	failing     map[string]bool // members at which every attempt fails
 }
 
-// completion is the end of an attempt in flight.
+// completion is the scheduled end of an attempt in flight.
 type completion struct {
 	at   time.Duration
 	pool *Pool
@@ -53,7 +53,7 @@
 
 const fleetSlowStart = 10 * time.Second
 
-// newFleet returns a fleet of processes whose pools use the policy.
+// newFleet returns a fleet whose pools use the policy.
 func newFleet(t *testing.T, policy BalancingPolicy, processes, members int, rate float64, seed uint64) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -73,7 +73,7 @@
 	return f
 }
 
-// config returns the configuration of each pool, with that many members.
+// config returns the configuration of each pool, with the given number of members.
 func (f *fleet) config(policy BalancingPolicy, members int) Config {
 	c := DefaultConfig()
 	c.Name = "p"
@@ -86,7 +86,7 @@
 	return c
 }
 
-// run has requests arrive until a time, from all processes at random.
+// run simulates requests that arrive at random until the given time, each sent by a random process.
 func (f *fleet) run(until time.Duration, seed uint64) {
 	random := newRand(seed)
 	for {
@@ -115,9 +115,9 @@
 	}
 }
 
-// maxExcess returns by how much the requests that came to a member within a window were over the limit at most. The
-// limit is N + 2·√N + 2, N being the member's share of the requests while it grows to its weight from a time on. What
-// comes later than its slow start does not count: hashed keys are not spread evenly.
+// maxExcess returns the largest excess over the limit among the windows of a member's arrivals, and describes the worst
+// window. The limit for a window is N + 2·√N + 2, where N is the member's expected number of requests while its share
+// grows from 0 at the time from. Arrivals after the slow start are ignored, because hashed keys aren't spread evenly.
 func (f *fleet) maxExcess(addr string, from, window time.Duration) (excess float64, worst string) {
 	times := f.arrivals[addr]
 	first := 0
@@ -129,36 +129,37 @@
 		for times[first] < at-window {
 			first++
 		}
-		mean := min(float64(at-window/2-from)/float64(fleetSlowStart), 1)
-		n := f.rate * window.Seconds() * max(mean, 0) / float64(f.members-1)
-		if at < from+window { // part of the window lies before the member came
-			grown := float64(at-from) / float64(fleetSlowStart)
-			n = f.rate * (at - from).Seconds() * grown / 2 / float64(f.members-1)
+		meanRampShare := min(float64(at-window/2-from)/float64(fleetSlowStart), 1)
+		expected := f.rate * window.Seconds() * max(meanRampShare, 0) / float64(f.members-1)
+		if at < from+window { // the window begins before the slow start
+			rampShare := float64(at-from) / float64(fleetSlowStart)
+			expected = f.rate * (at - from).Seconds() * rampShare / 2 / float64(f.members-1)
 		}
-		got := float64(last - first + 1)
-		if limit := n + 2*math.Sqrt(n) + 2; got-limit > excess {
-			excess = got - limit
-			worst = fmt.Sprintf("%.0f requests in the %v before %v, where %.1f may come", got, window, at, limit)
+		requests := float64(last - first + 1)
+		if limit := expected + 2*math.Sqrt(expected) + 2; requests-limit > excess {
+			excess = requests - limit
+			worst = fmt.Sprintf("%.0f requests in the %v before %v, limit %.1f", requests, window, at, limit)
 		}
 	}
 	return excess, worst
 }
 
-// TestFleetSlowStart has 1, 20 and 30 processes learn of a member at once, as it joins and as it recovers, by each
-// policy: all together send it no more than N + 2·√N + 2 in any second, and it gets requests.
+// TestFleetSlowStart checks, for each policy, that a member isn't overloaded when 1, 20 or 30 processes start to use it at
+// the same time, after it joins or recovers: together they send it at most N + 2·√N + 2 requests in any second, where N
+// is its growing share. It also gets at least half of its fair share of the last 20 s.
 func TestFleetSlowStart(t *testing.T) {
 	const members, rate, window = 10, 400, time.Second
 	for policy := RoundRobin; policy <= RandomTwo; policy++ {
 		for _, processes := range []int{1, 20, 30} {
-			for _, how := range []string{"joins", "comes back"} {
-				t.Run(strings.ReplaceAll(fmt.Sprint(policy, " ", processes, " ", how), " ", "-"), func(t *testing.T) {
+			for _, event := range []string{"joins", "recovers"} {
+				t.Run(strings.ReplaceAll(fmt.Sprint(policy, " ", processes, " ", event), " ", "-"), func(t *testing.T) {
 					violations, requests := 0, 0
 					for seed := range uint64(10) {
 						f := newFleet(t, policy, processes, members, rate, seed)
 						f.meanLatency = 20 * time.Millisecond
 						rampingUp := fmt.Sprintf("10.0.0.%d:80", members)
 						from := time.Second
-						if how == "joins" {
+						if event == "joins" {
 							for _, p := range f.pools {
 								p.Update(f.config(policy, members-1), 0)
 							}
@@ -168,7 +169,7 @@
 							}
 						} else {
 							f.failing[rampingUp] = true
-							f.run(5*time.Second, seed) // all of them learn that it is down
+							f.run(5*time.Second, seed) // all processes see the member fail
 							delete(f.failing, rampingUp)
 							from = earliestProbe(f.pools, rampingUp)
 						}
@@ -180,10 +181,10 @@
 						}
 					}
 					if violations > 0 {
-						t.Errorf("%d of 10 runs went over", violations)
+						t.Errorf("%d of 10 runs exceeded the limit, want 0", violations)
 					}
 					if fair := rate * 2 * fleetSlowStart.Seconds() / members * 10; float64(requests) < fair/2 {
-						t.Errorf("the member got %d requests, its fair share of the last 20 s alone is %.0f", requests, fair)
+						t.Errorf("the member got %d requests, want at least half of its fair share of the last 20 s, which is %.0f", requests, fair)
 					}
 				})
 			}
@@ -191,7 +192,8 @@
 	}
 }
 
-// earliestProbe returns when the first of some pools may probe a member that failed.
+// earliestProbe returns the earliest time at which one of the pools may probe the failed member. Pools in which it hasn't
+// reached MaxFails are ignored.
 func earliestProbe(pools []*Pool, addr string) time.Duration {
 	first := time.Duration(math.MaxInt64)
 	for _, p := range pools {
@@ -202,15 +204,16 @@
 	return first
 }
 
-// TestFleetServesAll starts many processes at once that send little each: no member is left without requests.
+// TestFleetServesAll checks that no member is left without requests when many processes with little traffic start at the
+// same time.
 func TestFleetServesAll(t *testing.T) {
 	for policy := RoundRobin; policy <= RandomTwo; policy++ {
 		for _, processes := range []int{20, 30} {
 			f := newFleet(t, policy, processes, 25, 100, uint64(policy))
 			f.run(20*time.Second, uint64(processes))
 			for _, m := range f.pools[0].members {
-				if n := len(f.arrivals[m.Addr]); n < 20 { // a quarter of the fair share
-					t.Errorf("%v, %d processes: %s got %d of 2,000 requests", policy, processes, m.Addr, n)
+				if n := len(f.arrivals[m.Addr]); n < 20 { // a quarter of the fair share of 80
+					t.Errorf("%v, %d processes: %s got %d of 2,000 requests, want at least 20", policy, processes, m.Addr, n)
 				}
 			}
 		}
--- a/internal/pool/hash.go
+++ b/internal/pool/hash.go
@@ -9,10 +9,10 @@
 	"strconv"
 )
 
-// hashTables are what choices by hash and by draw look up. They change with the configuration only.
-type hashTables struct {
-	weightSums []int       // of the weights up to and including each primary member
-	ring       []ringPoint // for HashConsistent, by hash
+// selectionTables are the lookup tables of the hash and random policies. They change only with the configuration.
+type selectionTables struct {
+	weightSums []int       // for each primary member, the sum of the weights up to and including its own
+	ring       []ringPoint // for HashConsistent, sorted by hash
 }
 
 // ringPoint is one of a member's points on the ring of the consistent hash.
@@ -22,30 +22,30 @@
 }
 
 // totalWeight returns the sum of the primary members' weights.
-func (h *hashTables) totalWeight() int { return h.weightSums[len(h.weightSums)-1] }
+func (h *selectionTables) totalWeight() int { return h.weightSums[len(h.weightSums)-1] }
 
-// memberAtWeight returns the primary member in whose part of the sum of all weights a number falls.
+// memberAtWeight returns the primary member whose interval of the cumulative weights contains n, 0 <= n < totalWeight.
 func (p *Pool) memberAtWeight(n int) *poolMember {
-	return p.members[sort.SearchInts(p.hashing.weightSums, n+1)]
+	return p.members[sort.SearchInts(p.tables.weightSums, n+1)]
 }
 
-// prepareChoices computes what choices need of the configuration.
-func (p *Pool) prepareChoices() {
+// prepareSelection computes the lookup tables, and whether a rotation is possible, from the configuration.
+func (p *Pool) prepareSelection() {
 	p.rotation.isPossible = p.canRotate()
-	p.hashing.weightSums = p.hashing.weightSums[:0]
+	p.tables.weightSums = p.tables.weightSums[:0]
 	total := 0
 	for _, member := range p.primaryMembers() {
 		total += member.Weight
-		p.hashing.weightSums = append(p.hashing.weightSums, total)
+		p.tables.weightSums = append(p.tables.weightSums, total)
 	}
-	p.hashing.ring = nil
+	p.tables.ring = nil
 	if p.cfg.BalancingPolicy == HashConsistent {
-		p.hashing.ring = newRing(p.primaryMembers(), total)
+		p.tables.ring = newRing(p.primaryMembers(), total)
 	}
 }
 
-// The parameters of nginx's ip_hash (ngx_http_upstream_ip_hash_module): three of the four bytes of an IPv4 address count,
-// so that a client keeps its member within its network.
+// The parameters of nginx's ip_hash (ngx_http_upstream_ip_hash_module). Only the first three of the four bytes of an
+// IPv4 address are hashed, so that a client keeps its member when its address changes within its network.
 const (
 	ipHashBytesIPv4  = 3
 	ipHashSeed       = 89
@@ -53,48 +53,48 @@
 	ipHashModulus    = 6271
 )
 
-// chooseByIPHash is nginx's ip_hash. It rehashes if the member is unusable.
+// chooseByIPHash implements nginx's ip_hash. It rehashes while the member is unusable.
 func (p *Pool) chooseByIPHash(request *Request, usable func(*poolMember) bool) *poolMember {
 	key := request.HashKey
 	if len(key) == net.IPv4len {
 		key = key[:ipHashBytesIPv4]
 	}
 	hash := uint32(ipHashSeed)
-	for range maxDraws {
+	for range maxSelectionTries {
 		for _, b := range key {
 			hash = (hash*ipHashMultiplier + uint32(b)) % ipHashModulus
 		}
-		if member := p.memberAtWeight(int(hash) % p.hashing.totalWeight()); usable(member) {
+		if member := p.memberAtWeight(int(hash) % p.tables.totalWeight()); usable(member) {
 			return member
 		}
 	}
 	return p.chooseRoundRobin(p.primaryMembers(), usable)
 }
 
-// chooseByHash is nginx's hash without consistent. It rehashes if the member is unusable, with the count of rehashes
-// before the key; a retry goes on where the attempt before stopped.
+// chooseByHash implements nginx's hash without consistent. While the member is unusable, it rehashes with the rehash
+// count prepended to the key. A retry continues with the request's hash and rehash count.
 func (p *Pool) chooseByHash(request *Request, usable func(*poolMember) bool) *poolMember {
-	for range maxDraws {
+	for range maxSelectionTries {
 		key := request.HashKey
 		if request.rehashes > 0 {
 			key = append([]byte(strconv.Itoa(request.rehashes)), request.HashKey...)
 		}
 		request.hash += (crc32.ChecksumIEEE(key) >> 16) & 0x7fff
 		request.rehashes++
-		if member := p.memberAtWeight(int(request.hash) % p.hashing.totalWeight()); usable(member) {
+		if member := p.memberAtWeight(int(request.hash) % p.tables.totalWeight()); usable(member) {
 			return member
 		}
 	}
 	return p.chooseRoundRobin(p.primaryMembers(), usable)
 }
 
-// pointsPerWeight is how many points a member has on the ring for each unit of its weight, as in nginx.
+// pointsPerWeight is the number of ring points for each unit of a member's weight, as in nginx.
 const pointsPerWeight = 160
 
-// maxRingPoints bounds the ring. Above it all members have fewer points, in proportion.
+// maxRingPoints limits the size of the ring. If the ring would be larger, all members' points are reduced in proportion.
 const maxRingPoints = 4 << 20
 
-// newRing returns the points of all members in order, each hash once: of equal ones the first member's stays.
+// newRing returns the points of all members sorted by hash. Of points with the same hash only the first member's is kept.
 func newRing(members []*poolMember, totalWeight int) []ringPoint {
 	var ring []ringPoint
 	scale := min(1, float64(maxRingPoints)/(float64(totalWeight)*pointsPerWeight))
@@ -106,8 +106,8 @@
 	return slices.CompactFunc(ring, func(a, b ringPoint) bool { return a.hash == b.hash })
 }
 
-// appendRingPoints adds points of a member as nginx and Cache::Memcached::Fast compute them: the CRC-32 of the host, a
-// zero byte, the port and the hash of the point before.
+// appendRingPoints appends points of the member as nginx and Cache::Memcached::Fast compute them: each hash is the CRC-32
+// of the host, a zero byte, the port and the hash of the previous point.
 func (m *poolMember) appendRingPoints(ring []ringPoint, points int) []ringPoint {
 	host, port, err := net.SplitHostPort(m.Addr)
 	if err != nil {
@@ -124,12 +124,12 @@
 	return ring
 }
 
-// chooseOnRing is nginx's hash consistent: the member of the first point at or behind the key's hash that is usable.
+// chooseOnRing implements nginx's hash consistent: it returns the first usable member at or after the key's hash, or nil.
 func (p *Pool) chooseOnRing(request *Request, usable func(*poolMember) bool) *poolMember {
-	ring := p.hashing.ring
+	ring := p.tables.ring
 	hash := crc32.ChecksumIEEE(request.HashKey)
 	start := sort.Search(len(ring), func(i int) bool { return ring[i].hash >= hash })
-	var unusable map[*poolMember]bool // made only if the first member is one
+	var unusable map[*poolMember]bool // allocated only if the first member is unusable
 	for i := range ring {
 		member := ring[(start+i)%len(ring)].member
 		if unusable[member] {
--- a/internal/pool/leastconn.go
+++ b/internal/pool/leastconn.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// compareLoad compares the attempts in flight at two members in proportion to their weights.
+// compareLoad compares the attempts in flight at two members, each divided by the member's weight.
 func compareLoad(a, b *poolMember) int { return cmp.Compare(a.inFlight*b.Weight, b.inFlight*a.Weight) }
 
-// chooseLeastConn returns the member with the fewest attempts in flight for its weight, and breaks ties by smooth
-// round robin.
+// chooseLeastConn returns the usable member with the fewest attempts in flight relative to its weight, and breaks ties by
+// smooth round robin.
 func (p *Pool) chooseLeastConn(candidates []*poolMember, now time.Duration, usable func(*poolMember) bool) *poolMember {
 	if p.ranks != nil && candidates[0] == p.members[0] {
 		return p.chooseRanked(now, usable)
@@ -35,13 +35,13 @@
 	if !hasEqual {
 		return best
 	}
-	least := best
+	leastLoaded := best
 	return p.chooseRoundRobin(candidates, func(member *poolMember) bool {
-		return usable(member) && compareLoad(member, least) == 0
+		return usable(member) && compareLoad(member, leastLoaded) == 0
 	})
 }
 
-// chooseRandomTwo returns the less loaded of two members that are drawn by weight.
+// chooseRandomTwo returns the less loaded of two members that are drawn at random by weight.
 func (p *Pool) chooseRandomTwo(candidates []*poolMember, usable func(*poolMember) bool) *poolMember {
 	first := p.drawByWeight(usable, nil)
 	if first == nil {
@@ -57,14 +57,14 @@
 	return first
 }
 
-// maxDraws is how often a policy that draws or hashes does so for one choice until it finds a usable member. After that
-// it falls back to round robin. nginx has the same limit.
-const maxDraws = 20
+// maxSelectionTries is the number of random draws or hashes that one choice tries for a usable member. After that the
+// policy falls back to round robin. nginx has the same limit. It also limits the random skips in firstByLoad.
+const maxSelectionTries = 20
 
-// drawByWeight draws a usable primary member other than the excluded one.
+// drawByWeight draws a usable primary member at random by weight, other than the excluded one, or returns nil.
 func (p *Pool) drawByWeight(usable func(*poolMember) bool, excluded *poolMember) *poolMember {
-	for range maxDraws {
-		member := p.memberAtWeight(p.rng.IntN(p.hashing.totalWeight()))
+	for range maxSelectionTries {
+		member := p.memberAtWeight(p.rng.IntN(p.tables.totalWeight()))
 		if member != excluded && usable(member) {
 			return member
 		}
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// poolMember is a configured Member with its runtime state, split by the file that maintains it.
+// poolMember is a configured Member with its runtime state. Each embedded state is maintained by one file.
 type poolMember struct {
 	Member
-	index     int  // its position in Config.Members
+	index     int  // position in Config.Members
 	inFlight  int  // attempts
-	isRemoved bool // no longer configured: it is only kept until its last attempt has ended
+	isRemoved bool // no longer configured, and kept only until its last attempt has ended
 
 	roundRobinState
 	failureState
@@ -17,29 +17,29 @@
 	memberTotals
 }
 
-// memberTotals counts over the life of a member.
+// memberTotals are counters over the lifetime of a member.
 type memberTotals struct {
 	attempts, failures, ejections uint64
 }
 
-// isAtMaxConns reports whether the member has as many attempts in flight as it may have.
+// isAtMaxConns reports whether the member's attempts in flight have reached MaxConns.
 func (m *poolMember) isAtMaxConns() bool { return m.MaxConns > 0 && m.inFlight >= m.MaxConns }
 
 // memberState is the state of a member that a StateChange reports.
 type memberState uint8
 
-// The states of members in the log.
+// The member states in the log.
 const (
-	memberOut      memberState = iota // failed too often
+	memberOut      memberState = iota // unavailable: it has MaxFails failures
 	memberIn                          // available again
-	memberEjected                     // an outlier
-	memberProbing                     // its time out is over, and one attempt shows whether it is back
-	memberJoined                      // new in the configuration
-	memberLeft                        // no longer in the configuration
-	memberReleased                    // left, and its last attempt has ended
+	memberEjected                     // ejected as an outlier
+	memberProbing                     // its fail timeout or ejection has expired, and a probing attempt is in flight
+	memberJoined                      // added to the configuration
+	memberLeft                        // removed from the configuration
+	memberReleased                    // removed from the configuration, and its last attempt has ended
 )
 
-// memberStateNames are the states in the log.
+// memberStateNames are the names of the states in the log.
 var memberStateNames = [...]string{
 	memberOut:      "out",
 	memberIn:       "in",
@@ -50,7 +50,7 @@
 	memberReleased: "gone",
 }
 
-// String returns the state's name in the log.
+// String returns the name of the state in the log.
 func (s memberState) String() string { return memberStateNames[s] }
 
 // StateChange is a change of a member's state, for the log.
@@ -61,23 +61,23 @@
 	Cause string
 }
 
-// recordChange keeps a change of state until TakeChanges.
+// recordChange records a state change for TakeChanges.
 func (p *Pool) recordChange(now time.Duration, addr string, state memberState, cause string) {
 	p.changes = append(p.changes, StateChange{At: now, Addr: addr, State: state.String(), Cause: cause})
 }
 
-// TakeChanges returns the changes since the last call, oldest first.
+// TakeChanges returns the state changes since the last call, oldest first.
 func (p *Pool) TakeChanges() []StateChange {
 	changes := p.changes
 	p.changes = nil
 	return changes
 }
 
-// MemberStatus is what metrics show of a member.
+// MemberStatus is a member's status for metrics.
 type MemberStatus struct {
 	Addr        string
 	InFlight    int  // attempts
-	Unavailable bool // it gets no attempts but a probing one
+	Unavailable bool // it gets no attempts, except a probing one
 	Attempts    uint64
 	Failures    uint64
 	Ejections   uint64
@@ -101,7 +101,7 @@
 	return statuses
 }
 
-// InFlight returns how many attempts a member has in flight, also one that has left the configuration.
+// InFlight returns the number of attempts in flight at a member, which may have been removed from the configuration.
 func (p *Pool) InFlight(addr string) int {
 	if member := p.findMember(addr); member != nil {
 		return member.inFlight
@@ -109,7 +109,8 @@
 	return 0
 }
 
-// findMember returns the member with the address, also one that has left the configuration, or nil.
+// findMember returns the member with the address, or nil. The member may have been removed from the configuration, if it
+// still has attempts in flight.
 func (p *Pool) findMember(addr string) *poolMember {
 	if member := p.byAddr[addr]; member != nil {
 		return member
--- a/internal/pool/outlier.go
+++ b/internal/pool/outlier.go
@@ -6,40 +6,42 @@
 	"time"
 )
 
-// windowSize is how many of a member's recent attempts outlier detection considers.
+// windowSize is the number of a member's recent attempts that outlier detection considers.
 const windowSize = 32
 
-// medianInterval is how many attempts of a member lie between two comparisons of medians, which cost a sort each.
+// medianInterval is the number of attempts to a member between two comparisons of median latencies. Each comparison
+// needs sorting.
 const medianInterval = windowSize / 4
 
-// minErrorRateFactor is how many times the others' error rate a member's must be for an ejection: where all fail alike,
-// no member is an outlier.
+// minErrorRateFactor is the multiple of the other members' median error rate above which a member can be ejected: if all
+// members fail at a similar rate, none is an outlier.
 const minErrorRateFactor = 2
 
-// maxCompared bounds how many members one is compared with.
-const maxCompared = 64
+// outlierSampleSize determines how many members one member is compared with. In a large pool medianOfOthers considers
+// every n-th member, where n is the number of members divided by outlierSampleSize.
+const outlierSampleSize = 64
 
-// maxEjectionDoublings bounds how often the time of an ejection is doubled.
+// maxEjectionDoublings limits how often the ejection time is doubled.
 const maxEjectionDoublings = 5
 
 // attemptWindow holds a member's recent attempts.
 type attemptWindow struct {
-	took   [windowSize]time.Duration
-	failed [windowSize]bool
-	total  int // attempts since the window was last cleared, also those that it no longer holds
+	latencies [windowSize]time.Duration
+	failed    [windowSize]bool
+	total     int // attempts since the window was last cleared, including those that it no longer holds
 }
 
-// add counts an attempt.
-func (w *attemptWindow) add(failed bool, took time.Duration) {
-	w.took[w.total%windowSize] = took
+// add adds an attempt to the window.
+func (w *attemptWindow) add(failed bool, latency time.Duration) {
+	w.latencies[w.total%windowSize] = latency
 	w.failed[w.total%windowSize] = failed
 	w.total++
 }
 
-// size returns how many attempts the window holds.
+// size returns the number of attempts in the window.
 func (w *attemptWindow) size() int { return min(w.total, windowSize) }
 
-// errorRate returns the share of the attempts that failed.
+// errorRate returns the fraction of the attempts in the window that failed.
 func (w *attemptWindow) errorRate() float64 {
 	failures := 0
 	for _, failed := range w.failed[:w.size()] {
@@ -50,29 +52,29 @@
 	return float64(failures) / float64(max(w.size(), 1))
 }
 
-// medianLatency returns the median of how long the attempts took, 0 for an empty window.
+// medianLatency returns the median latency of the attempts in the window, or 0 if it is empty.
 func (w *attemptWindow) medianLatency() time.Duration {
 	if w.total == 0 {
 		return 0
 	}
-	sorted := w.took
+	sorted := w.latencies
 	slices.Sort(sorted[:w.size()])
 	return sorted[w.size()/2]
 }
 
-// outlierState is a member's part in outlier detection.
+// outlierState is a member's state in outlier detection.
 type outlierState struct {
 	recent               attemptWindow
-	isEjected            bool // until a probe at or after ejectedUntil succeeds
+	isEjected            bool // until an attempt succeeds that ends at or after ejectedUntil
 	ejectedUntil         time.Duration
 	consecutiveEjections int
 }
 
-// detectOutlier adds an attempt to a member's window, and ejects the member if that makes it an outlier or ends its
-// ejection if the attempt was a successful probe. It returns false where the member is found to be an outlier, also where
-// no further member may be ejected.
-func (p *Pool) detectOutlier(member *poolMember, failed bool, took, now time.Duration) bool {
-	member.recent.add(failed, took)
+// detectOutlier adds an attempt to a member's window and ejects the member if it is an outlier. If the member's ejection
+// time has expired, a successful attempt ends the ejection and a failed one renews it. detectOutlier returns false if the
+// member is found to be an outlier, even if MaxEjectedRatio prevents the ejection.
+func (p *Pool) detectOutlier(member *poolMember, failed bool, latency, now time.Duration) bool {
+	member.recent.add(failed, latency)
 	if member.isEjected && now >= member.ejectedUntil {
 		return p.finishEjection(member, failed, now)
 	}
@@ -95,8 +97,8 @@
 	return true
 }
 
-// finishEjection takes a member whose ejection time is over back after a successful attempt, or ejects it again after a
-// failed one.
+// finishEjection handles an attempt to a member whose ejection time has expired: a successful attempt makes the member
+// available again, a failed one ejects it again. It reports whether the attempt succeeded.
 func (p *Pool) finishEjection(member *poolMember, failed bool, now time.Duration) bool {
 	if failed {
 		p.eject(member, now, "its probing try failed")
@@ -111,32 +113,33 @@
 	return true
 }
 
-// isErrorOutlier reports whether a member's error rate is too high, and far over that of the others.
+// isErrorOutlier reports whether a member's error rate has reached EjectionErrorRate and is more than minErrorRateFactor
+// times the median of the others.
 func (p *Pool) isErrorOutlier(member *poolMember, rate float64) bool {
 	return p.cfg.EjectionErrorRate > 0 && rate >= p.cfg.EjectionErrorRate &&
 		rate > minErrorRateFactor*p.medianOfOthers(member, (*attemptWindow).errorRate)
 }
 
-// medianOfOthers returns the median of a figure over the members that are not ejected and have had attempts, or 0 if
-// there are none. Of a large pool it takes every n-th member.
-func (p *Pool) medianOfOthers(excluded *poolMember, figure func(*attemptWindow) float64) float64 {
-	var figures []float64
-	step := max(len(p.members)/maxCompared, 1)
+// medianOfOthers returns the median of a metric over the other members that are not ejected and have attempts in their
+// windows, or 0 if there are none. In a large pool it considers only every n-th member.
+func (p *Pool) medianOfOthers(excluded *poolMember, metric func(*attemptWindow) float64) float64 {
+	var values []float64
+	step := max(len(p.members)/outlierSampleSize, 1)
 	for i := 0; i < len(p.members); i += step {
 		member := p.members[i]
 		if member != excluded && !member.isEjected && member.recent.total > 0 {
-			figures = append(figures, figure(&member.recent))
+			values = append(values, metric(&member.recent))
 		}
 	}
-	if len(figures) == 0 {
+	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(figures)
-	return figures[len(figures)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// eject takes a member out for a while, unless it is in and no further one may be taken out. A member that is ejected
-// already, whose probe failed, stays out for longer.
+// eject ejects a member for a limited time, if MaxEjectedRatio allows another ejection. A member that is already ejected,
+// because its probe failed, is always ejected again, for longer.
 func (p *Pool) eject(member *poolMember, now time.Duration, cause string) {
 	if !member.isEjected {
 		if float64(p.ejected+1) > p.cfg.MaxEjectedRatio*float64(len(p.members)) {
@@ -154,8 +157,8 @@
 	p.recordChange(now, member.Addr, memberEjected, cause)
 }
 
-// isPanicking reports whether so few members are available that ejections are ignored: the load that all members share
-// would overload the few.
+// isPanicking reports whether ejections are ignored because too few members are available: the load of the whole pool
+// would overload them.
 func (p *Pool) isPanicking() bool {
 	available := len(p.members) - p.ejected - p.failing
 	return p.cfg.PanicThreshold > 0 && float64(available) < p.cfg.PanicThreshold*float64(len(p.members))
--- a/internal/pool/outlier_test.go
+++ b/internal/pool/outlier_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestEjection ejects a member that is nine times as slow and two that fail, no more than may be ejected, and takes them
-// back after a probe.
+// TestEjection checks that one member that is nine times as slow as the others and two failing members are ejected, up
+// to MaxEjectedRatio, and that they become available again after the outage.
 func TestEjection(t *testing.T) {
 	p := newPool(t, RoundRobin, func(c *Config) {
 		for i := range c.Members {
@@ -34,12 +34,12 @@
 		attempt(true)
 	}
 	if !p.byAddr[slow].isEjected || p.ejected != 3 {
-		t.Errorf("%d are ejected, the slow one %t; want 3 of 10 with it", p.ejected, p.byAddr[slow].isEjected)
+		t.Errorf("%d members are ejected, the slow one %t; want 3 of 10, including the slow one", p.ejected, p.byAddr[slow].isEjected)
 	}
 	for range 60_000 {
 		attempt(false)
 	}
 	if p.ejected != 0 {
-		t.Errorf("%d members did not come back", p.ejected)
+		t.Errorf("%d members are still ejected after the outage, want 0", p.ejected)
 	}
 }
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Request is a request on its way: what a choice depends on, and the members that it has been to. A new request is the
-// zero value with a HashKey.
+// Request is the state of a request across its attempts: the hash key and the members that it was sent to. A new request
+// has only HashKey set.
 type Request struct {
-	HashKey      []byte        // for Hash and HashConsistent; for IPHash the client's address, 4 or 16 bytes
-	FirstAttempt time.Duration // when Pick first found a member
+	HashKey      []byte        // for Hash and HashConsistent any key; for IPHash the client's address, 4 or 16 bytes
+	FirstAttempt time.Duration // time of the first successful Pick
 	Attempts     int
 
 	attempted map[*poolMember]bool // nil before the first attempt
-	hash      uint32               // of policy Hash, which adds up the hashes of all rehashes
+	hash      uint32               // for policy Hash: the sum of the hashes of all rehashes
 	rehashes  int
 }
 
-// Pick chooses the member for the request's next attempt and counts the attempt as in flight there, until Finish. It
-// returns false if no member is available.
+// Pick chooses the member for the request's next attempt and returns its address. The attempt counts as in flight at the
+// member until the caller calls Finish. Pick returns false if no member is available.
 func (p *Pool) Pick(request *Request, now time.Duration) (addr string, ok bool) {
 	member := p.selectMember(request, now)
 	if member == nil {
@@ -45,24 +45,24 @@
 	return member.Addr, true
 }
 
-// selectMember chooses a member by the policy: a primary one that no slow start holds back, else any primary one, else a
-// backup.
+// selectMember chooses a member by the balancing policy, or returns nil. It prefers primary members that slow start does
+// not limit, then any primary member, then a backup. While a rotation is active, it considers only primary members.
 func (p *Pool) selectMember(request *Request, now time.Duration) *poolMember {
 	if p.rotation.isActive {
 		return p.nextInRotation(request)
 	}
 	panicking := p.isPanicking()
 	usable := func(member *poolMember) bool { return p.isUsable(member, request, now, panicking) }
-	anyHeldBack := false
+	anyLimited := false
 	member := p.choose(p.primaryMembers(), request, now, func(member *poolMember) bool {
 		if !usable(member) {
 			return false
 		}
-		heldBack := p.isHeldBack(member, now)
-		anyHeldBack = anyHeldBack || heldBack
-		return !heldBack
+		isLimited := p.isSlowStartLimited(member, now)
+		anyLimited = anyLimited || isLimited
+		return !isLimited
 	})
-	if member == nil && anyHeldBack {
+	if member == nil && anyLimited {
 		member = p.choose(p.primaryMembers(), request, now, usable)
 	}
 	if member != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// isUsable reports whether a request may go to a member now.
+// isUsable reports whether a request may be sent to a member now.
 func (p *Pool) isUsable(member *poolMember, request *Request, now time.Duration, panicking bool) bool {
 	switch {
 	case member.Down, request.attempted[member], member.isAtMaxConns():
@@ -89,7 +89,7 @@
 	return true
 }
 
-// choose applies the balancing policy to a list of candidates, which are the primary members or the backups.
+// choose applies the balancing policy to the candidates, which are either the primary members or the backups.
 func (p *Pool) choose(candidates []*poolMember, request *Request, now time.Duration,
 	usable func(*poolMember) bool) *poolMember {
 	switch p.cfg.BalancingPolicy {
@@ -107,18 +107,19 @@
 	return p.chooseRoundRobin(candidates, usable)
 }
 
-// Outcome is how an attempt ended, as far as it counts for or against the member.
+// Outcome is the result of an attempt, as it counts for or against the member.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded Outcome = iota
-	Failed            // in a way that counts against the member
-	Neutral           // in a way that says nothing about the member, for example because the caller closed its connection
+	Failed            // counts against the member
+	Neutral           // counts neither way, for example because the caller closed its connection
 )
 
-// Finish ends an attempt at a member; took is how long it lasted.
-func (p *Pool) Finish(addr string, outcome Outcome, took, now time.Duration) {
+// Finish ends an attempt that Pick counted as in flight at the member. latency is the duration of the attempt. An unknown
+// address is ignored.
+func (p *Pool) Finish(addr string, outcome Outcome, latency, now time.Duration) {
 	member := p.findMember(addr)
 	if member == nil {
 		return
@@ -142,7 +143,7 @@
 		p.updateRank(member)
 		return
 	}
-	if p.detectOutlier(member, outcome == Failed, took, now) && wasProbe {
+	if p.detectOutlier(member, outcome == Failed, latency, now) && wasProbe {
 		member.consecutiveEjections = 0
 	}
 	p.updateRank(member)
--- a/internal/pool/policy_test.go
+++ b/internal/pool/policy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestSmoothRoundRobin has the sequence that nginx's commit message states for weights 5, 1 and 1: a a b a c a a.
+// TestSmoothRoundRobin checks the sequence from nginx's commit message for the weights 5, 1 and 1: a a b a c a a.
 func TestSmoothRoundRobin(t *testing.T) {
 	p := newPool(t, RoundRobin, nil, 5, 1, 1)
 	got := ""
@@ -15,11 +15,12 @@
 		got += string(rune('a' + p.byAddr[pick(p, "", 0)].index))
 	}
 	if got != "aabacaaaabacaa" {
-		t.Errorf("chosen %s", got)
+		t.Errorf("chose %s, want aabacaaaabacaa", got)
 	}
 }
 
-// TestRotation has members of one weight take turns, as by smooth round robin, also after failures.
+// TestRotation checks that members of equal weight take turns as in smooth round robin, also after failures, and that
+// one request isn't sent to a member twice.
 func TestRotation(t *testing.T) {
 	p := newPool(t, RoundRobin, disableEjection, 1, 1, 1, 1, 1)
 	counts, random := map[string]int{}, newRand(5)
@@ -34,11 +35,11 @@
 		p.Finish(addr, outcome, time.Millisecond, now)
 	}
 	if !p.rotation.isActive {
-		t.Error("a pool whose members are all available does not rotate")
+		t.Error("rotation is not active, want it active while all members are available")
 	}
 	for addr, n := range counts {
-		if n < 800 || n > 1200 { // each failure takes a member out for a hundred choices
-			t.Errorf("%s was chosen %d times of 5,000", addr, n)
+		if n < 800 || n > 1200 { // each failure makes a member unavailable for a hundred choices
+			t.Errorf("%s was chosen %d times of 5,000, want 800 to 1,200", addr, n)
 		}
 	}
 	request := &Request{}
@@ -46,16 +47,16 @@
 	for range 5 {
 		addr, ok := p.Pick(request, time.Hour)
 		if !ok || attempted[addr] {
-			t.Errorf("a request went to %s twice, or nowhere", addr)
+			t.Errorf("attempt went to \"%s\", want a member that the request has not attempted", addr)
 		}
 		attempted[addr] = true
 	}
 	if addr, ok := p.Pick(request, time.Hour); ok {
-		t.Errorf("a request that has been to all goes to %s", addr)
+		t.Errorf("a request that has attempted all members got %s, want none", addr)
 	}
 }
 
-// TestBalance compares the shares of a million choices by each policy with the weights.
+// TestBalance compares the distribution of a million choices by each policy with the weights.
 func TestBalance(t *testing.T) {
 	const picks = 1_000_000
 	weights := []int{1, 2, 3, 10}
@@ -67,7 +68,7 @@
 			key := [4]byte{byte(random.Uint32()), byte(random.Uint32()), byte(random.Uint32()), 1}
 			addr, ok := p.Pick(&Request{HashKey: key[:]}, 0)
 			if !ok {
-				t.Fatal("no member")
+				t.Fatal("no member was chosen")
 			}
 			counts[addr]++
 			if policy != LeastConn && policy != RandomTwo {
@@ -77,17 +78,19 @@
 		for i, w := range weights {
 			want := float64(picks) * float64(w) / 16
 			deviation := math.Abs(float64(counts[p.members[i].Addr])-want) / want
-			// Exact for round robin and least_conn; within the scatter of draws and hashes elsewhere.
+			// Round robin and least_conn are exact; the others vary with the random draws and the hashes.
 			limit := map[BalancingPolicy]float64{RoundRobin: 0, LeastConn: 0.0001, RandomTwo: 0.001, IPHash: 0.02, Hash: 0.02,
 				HashConsistent: 0.15}[policy]
 			if deviation > limit {
-				t.Errorf("%v: member of weight %d got %d of %d, %.4f off", policy, w, counts[p.members[i].Addr], picks, deviation)
+				t.Errorf("%v: member of weight %d got %d of %d, relative deviation %.4f over the limit", policy, w,
+					counts[p.members[i].Addr], picks, deviation)
 			}
 		}
 	}
 }
 
-// TestConsistentHashMoves has few keys move when a member leaves: at most 1.2 times its share, and none of other members.
+// TestConsistentHashMoves checks that few keys move when a member is removed: at most 1.2 times its share of the keys, and
+// no keys of other members.
 func TestConsistentHashMoves(t *testing.T) {
 	for _, n := range []int{5, 20, 100} {
 		weights := make([]int, n)
@@ -106,17 +109,17 @@
 		if err := p.Update(cfg, 0); err != nil {
 			t.Fatal(err)
 		}
-		moved, foreign := 0, 0
+		moved, unrelated := 0, 0
 		for k := range before {
 			if after := pick(p, fmt.Sprint("key", k), 0); after != before[k] {
 				moved++
 				if before[k] != removed {
-					foreign++
+					unrelated++
 				}
 			}
 		}
-		if share := float64(moved) / keys; share > 1.2/float64(n) || foreign > 0 {
-			t.Errorf("%d members: %.4f of the keys moved, %d of them of members that stayed", n, share, foreign)
+		if share := float64(moved) / keys; share > 1.2/float64(n) || unrelated > 0 {
+			t.Errorf("%d members: %.4f of the keys moved, %d of them from members that were not removed", n, share, unrelated)
 		}
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Pool chooses members and keeps what is known of them. It is not safe for concurrent use.
+// Pool chooses members for attempts and keeps their state. It is not safe for concurrent use.
 type Pool struct {
 	cfg       Config
 	rng       *rand.Rand
-	members   []*poolMember // those of the configuration, backups last
-	primaries int           // how many of members, from the first, are no backups
+	members   []*poolMember // configured members, primary ones first, then backups
+	primaries int           // number of primary members: members[:primaries]
 	byAddr    map[string]*poolMember
-	draining  map[string]*poolMember // members that left the configuration with attempts in flight
-	ejected   int                    // how many of members are ejected
-	failing   int                    // how many of members have too many failures
-	picks     uint64                 // successful calls of Pick
+	draining  map[string]*poolMember // members removed from the configuration that have attempts in flight
+	ejected   int                    // number of members that are ejected
+	failing   int                    // number of members for which hasTooManyFails holds
+	picks     uint64                 // number of successful calls of Pick
 	changes   []StateChange
 
 	rotation rotation
-	hashing  hashTables
-	ranks    *ranking // nil but for a large pool by LeastConn
+	tables   selectionTables
+	ranks    *ranking // nil except in a large pool with LeastConn
 	budget   retryBudget
 }
 
-// New returns a pool that draws random numbers from rng.
+// New returns a pool that draws random numbers from rng. The error is a *ConfigError if the configuration is invalid.
 func New(cfg Config, rng *rand.Rand, now time.Duration) (*Pool, error) {
 	p := &Pool{rng: rng, byAddr: map[string]*poolMember{}, draining: map[string]*poolMember{}}
 	if err := p.Update(cfg, now); err != nil {
 		return nil, err
 	}
-	p.changes = nil // the initial members are no changes
+	p.changes = nil // the initial members are not reported as changes
 	return p, nil
 }
 
-// Update changes the configuration. Members that stay, found by their addresses, keep their state; those that left get
-// no further attempts and are forgotten once their last one has ended. An error leaves the pool as it was.
+// Update replaces the configuration. Members whose addresses are still configured keep their state. Removed members get
+// no further attempts and are dropped once their last attempt has ended. If Update returns an error, which is a
+// *ConfigError, the pool is unchanged.
 func (p *Pool) Update(cfg Config, now time.Duration) error {
 	if err := cfg.Validate(); err != nil {
 		return err
@@ -53,15 +54,15 @@
 			}
 		}
 	}
-	p.releaseRemoved(old, now)
+	p.drainRemoved(old, now)
 	p.countUnavailable()
-	p.prepareChoices()
+	p.prepareSelection()
 	p.rankAll()
 	p.budget.configure(cfg.RetryPolicy)
 	return nil
 }
 
-// addMember adds a member of the new configuration, with its old state where it has one.
+// addMember adds a configured member, with the state of the existing member at its address if there is one.
 func (p *Pool) addMember(config Member, index int, old map[string]*poolMember, now time.Duration) {
 	member := old[config.Addr]
 	if member == nil {
@@ -71,7 +72,7 @@
 	if member == nil {
 		member = &poolMember{Member: config}
 		member.effectiveWeight = config.Weight
-		if len(old) > 0 { // in a pool that starts, no other member could take a new one's share
+		if len(old) > 0 { // in a new pool no other member could take the new member's share
 			p.beginSlowStart(member, now)
 		}
 		p.recordChange(now, config.Addr, memberJoined, "the configuration")
@@ -87,8 +88,8 @@
 	}
 }
 
-// releaseRemoved marks the members that are no longer configured and keeps those with attempts in flight.
-func (p *Pool) releaseRemoved(old map[string]*poolMember, now time.Duration) {
+// drainRemoved marks members that are no longer configured as removed, and keeps those with attempts in flight.
+func (p *Pool) drainRemoved(old map[string]*poolMember, now time.Duration) {
 	for addr, member := range old {
 		if p.byAddr[addr] != nil {
 			continue
@@ -101,7 +102,7 @@
 	}
 }
 
-// countUnavailable counts ejected and failing members anew: a configuration may add, remove or change them.
+// countUnavailable recounts the ejected and failing members: a new configuration may add, remove or change them.
 func (p *Pool) countUnavailable() {
 	p.ejected = 0
 	p.failing = 0
@@ -115,8 +116,8 @@
 	}
 }
 
-// hasSingleMember reports whether there is one member only, which is never taken out.
+// hasSingleMember reports whether the pool has only one member, which is never excluded because of failures.
 func (p *Pool) hasSingleMember() bool { return len(p.members) == 1 }
 
-// primaryMembers returns the members that are no backups.
+// primaryMembers returns the members that are not backups.
 func (p *Pool) primaryMembers() []*poolMember { return p.members[:p.primaries] }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// newRand returns a source of random numbers for a seed.
+// newRand returns a source of random numbers with the seed.
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// newPool returns a pool with a member for each weight, whose configuration change may change.
+// newPool returns a pool with one member for each weight. If change is not nil, it can modify the configuration.
 func newPool(t testing.TB, policy BalancingPolicy, change func(c *Config), weights ...int) *Pool {
 	t.Helper()
 	c := DefaultConfig()
@@ -34,16 +34,16 @@
 	return p
 }
 
-// disableEjection is a change for newPool.
+// disableEjection disables outlier ejection; it is passed to newPool.
 func disableEjection(c *Config) { c.EjectionErrorRate, c.EjectionLatencyFactor = 0, 0 }
 
-// pick chooses the member for a new request, or "".
+// pick returns the member chosen for a new request, or "" if there is none.
 func pick(p *Pool, key string, now time.Duration) string {
 	addr, _ := p.Pick(&Request{HashKey: []byte(key)}, now)
 	return addr
 }
 
-// TestMemberLimits limits connections, uses backups last, and never uses members that are down.
+// TestMemberLimits checks MaxConns, and that backups are used last and members that are down never.
 func TestMemberLimits(t *testing.T) {
 	p := newPool(t, LeastConn, func(c *Config) {
 		c.Members[0].MaxConns, c.Members[1].Down, c.Members[2].Backup, c.Members[2].MaxConns = 2, true, true, 1
@@ -51,11 +51,11 @@
 	a, c := p.cfg.Members[0].Addr, p.cfg.Members[2].Addr
 	got := []string{pick(p, "", 0), pick(p, "", 0), pick(p, "", 0), pick(p, "", 0)}
 	if !reflect.DeepEqual(got, []string{a, a, c, ""}) {
-		t.Errorf("chosen %q", got)
+		t.Errorf("chose %q, want the first member twice, then the backup, then none", got)
 	}
 }
 
-// TestMaxWeights has weights whose sum is over 2^31.
+// TestMaxWeights checks the policies with weights whose sum exceeds 2^31.
 func TestMaxWeights(t *testing.T) {
 	for _, policy := range []BalancingPolicy{RoundRobin, LeastConn, IPHash, Hash, RandomTwo} {
 		p := newPool(t, policy, nil, maxWeight, maxWeight, maxWeight-1)
@@ -63,14 +63,15 @@
 		for i := range 300 {
 			chosen[pick(p, fmt.Sprint("k", i), 0)] = true
 		}
-		// nginx's hashes have 13 and 15 bits, so with such weights all falls on the first member there, too.
+		// The hashes of ip_hash and hash have 13 and 15 bits, so the first member gets all requests, as in nginx.
 		if isShortHash := policy == IPHash || policy == Hash; len(chosen) != 3 && !isShortHash || chosen[""] {
-			t.Errorf("%v: chosen %v", policy, chosen)
+			t.Errorf("%v: chose %v, want all 3 members unless the hash is short, and a member for each request", policy, chosen)
 		}
 	}
 }
 
-// TestUpdate keeps the attempts in flight of members that stay and of those that left until they have ended.
+// TestUpdate checks that Update keeps the counts of attempts in flight at members that are still configured, and at
+// removed members until these attempts have ended.
 func TestUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
@@ -78,7 +79,7 @@
 		config.BalancingPolicy = BalancingPolicy(rapid.IntRange(0, int(RandomTwo)).Draw(t, "method"))
 		members := func() (list []Member) {
 			for i := range 6 {
-				if rapid.Bool().Draw(t, "in") || i == 0 {
+				if rapid.Bool().Draw(t, "include") || i == 0 {
 					list = append(list, DefaultMember(fmt.Sprintf("10.0.0.%d:80", i)))
 				}
 			}
@@ -91,8 +92,8 @@
 		}
 		inFlight, now := map[string]int{}, time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
 				config.Members = members()
 				if err := p.Update(config, now); err != nil {
@@ -111,22 +112,22 @@
 				}
 				inFlight[addr]++
 				if p.byAddr[addr] == nil {
-					t.Fatalf("%s is chosen, which left", addr)
+					t.Fatalf("%s was chosen after its removal from the configuration", addr)
 				}
 			}
 			for addr, n := range inFlight {
 				if p.InFlight(addr) != n {
-					t.Fatalf("%s has %d in flight, want %d", addr, p.InFlight(addr), n)
+					t.Fatalf("%s has %d attempts in flight, want %d", addr, p.InFlight(addr), n)
 				}
 			}
 		}
 		if len(p.draining) > 6 {
-			t.Fatal("members that left are kept")
+			t.Fatal("more members are draining than were ever configured")
 		}
 	})
 }
 
-// BenchmarkPick picks a member and finishes the attempt, in pools of all sizes.
+// BenchmarkPick measures Pick and Finish in pools of 10 to 20,000 members.
 func BenchmarkPick(b *testing.B) {
 	for _, policy := range []BalancingPolicy{RoundRobin, LeastConn, Hash, HashConsistent, RandomTwo} {
 		for _, n := range []int{10, 1000, 20000} {
--- a/internal/pool/ranking.go
+++ b/internal/pool/ranking.go
@@ -5,41 +5,40 @@
 	"time"
 )
 
-// rankingMinMembers is how many primary members a pool by LeastConn has at least before they are kept in order. nginx
-// scans all members for each choice and breaks ties by smooth round robin; small pools do the same here. In a large pool
-// a scan takes a millisecond, so its members are kept in a heap, and among equals the one that was chosen longest ago is
-// next. The balance is the same, at a cost that grows with the logarithm of the pool.
+// rankingMinMembers is the minimum number of primary members for which a LeastConn pool maintains a ranking. For each
+// choice nginx scans all members and breaks ties by smooth round robin, and smaller pools do the same here. In a large
+// pool a scan takes a millisecond. Its members are therefore kept in a heap, and ties go to the least recently chosen
+// member. The balance is the same, at a cost logarithmic in the size of the pool.
 const rankingMinMembers = 64
 
-// ranking keeps the primary members of a large pool in order of their load. Members that are unavailable now are not in
-// byLoad: those that a later time makes available for a probe are in byProbeTime, and all others in neither heap until
-// their state changes.
+// ranking keeps the available primary members of a large pool ordered by load. An unavailable member that may be probed
+// at a known time is in byProbeTime; any other unavailable member is in neither heap until its state changes.
 type ranking struct {
 	byLoad      loadHeap
 	byProbeTime probeHeap
-	panicking   bool   // ejections were ignored when the members were ranked
-	turns       uint64 // choices so far
+	panicking   bool   // whether ejections were ignored when the members were ranked
+	turns       uint64 // number of choices so far
 }
 
-// rankState is a member's place in the ranking.
+// rankState is a member's position in the ranking.
 type rankState struct {
 	rankStatus rankStatus
 	heapIndex  int
 	lastTurn   uint64        // ranking.turns when it was last chosen
-	probeAt    time.Duration // of a waiting member: from when it may be probed
+	probeAt    time.Duration // for a waiting member: the earliest time of a probe
 }
 
-// rankStatus says which heap of the ranking a member is in.
+// rankStatus is the heap of the ranking that a member is in.
 type rankStatus uint8
 
 // The rank statuses.
 const (
-	unranked rankStatus = iota // in neither heap: unavailable, and time alone does not change that
+	unranked rankStatus = iota // in neither heap: unavailable until its state changes
 	ranked                     // in byLoad: available
-	waiting                    // in byProbeTime: available from probeAt on for a single probing attempt
+	waiting                    // in byProbeTime: available for a single probing attempt from probeAt on
 )
 
-// loadHeap orders members by attempts in flight for the weight, and equals by their last turns.
+// loadHeap orders members by attempts in flight relative to the weight, then by least recent turn.
 type loadHeap []*poolMember
 
 // Len implements heap.Interface.
@@ -63,7 +62,7 @@
 // Pop implements heap.Interface.
 func (h *loadHeap) Pop() any { return popMember((*[]*poolMember)(h)) }
 
-// probeHeap orders members by the time from which they may be probed.
+// probeHeap orders members by the earliest time of a probe.
 type probeHeap []*poolMember
 
 // Len implements heap.Interface.
@@ -94,7 +93,7 @@
 	*list = append(*list, member)
 }
 
-// popMember takes the last member off a heap's list.
+// popMember removes and returns the last member of a heap's list.
 func popMember(list *[]*poolMember) *poolMember {
 	old := *list
 	member := old[len(old)-1]
@@ -103,8 +102,8 @@
 	return member
 }
 
-// updateRankStatus returns the rank status that follows from a member's state, and sets probeAt of a waiting one.
-func (m *poolMember) updateRankStatus(panicking bool) rankStatus {
+// nextRankStatus returns the rank status for the member's current state, and sets probeAt if that is waiting.
+func (m *poolMember) nextRankStatus(panicking bool) rankStatus {
 	isFailing := m.hasTooManyFails()
 	isOut := m.isEjected && !panicking
 	switch {
@@ -115,7 +114,7 @@
 	}
 	m.probeAt = 0
 	if isFailing {
-		m.probeAt = m.lastChecked + m.FailTimeout + 1 // isUsable wants more than FailTimeout to have passed
+		m.probeAt = m.lastChecked + m.FailTimeout + 1 // isUsable requires that more than FailTimeout has passed
 	}
 	if isOut {
 		m.probeAt = max(m.probeAt, m.ejectedUntil)
@@ -123,7 +122,7 @@
 	return waiting
 }
 
-// rankAll ranks the primary members anew, or drops the ranking of a pool that needs none.
+// rankAll rebuilds the ranking of the primary members, or removes it if the pool doesn't need one.
 func (p *Pool) rankAll() {
 	p.ranks = nil
 	if p.cfg.BalancingPolicy != LeastConn || p.primaries < rankingMinMembers {
@@ -136,12 +135,12 @@
 	}
 }
 
-// updateRank moves a member to where it belongs after its state has changed.
+// updateRank moves a member to its position in the ranking after its state has changed.
 func (p *Pool) updateRank(member *poolMember) {
 	if p.ranks == nil || member.isRemoved || member.Backup {
 		return
 	}
-	next := member.updateRankStatus(p.ranks.panicking)
+	next := member.nextRankStatus(p.ranks.panicking)
 	if next == member.rankStatus {
 		if h := p.ranks.heapOf(next); h != nil {
 			heap.Fix(h, member.heapIndex)
@@ -157,7 +156,7 @@
 	}
 }
 
-// heapOf returns the heap of the members with a rank status, or nil for unranked.
+// heapOf returns the heap for a rank status, or nil for unranked.
 func (r *ranking) heapOf(status rankStatus) heap.Interface {
 	switch status {
 	case ranked:
@@ -168,11 +167,11 @@
 	return nil
 }
 
-// chooseRanked returns the member with the fewest attempts in flight for its weight; a waiting one that may be probed
-// comes before ranked ones of the same load.
+// chooseRanked returns the usable member with the fewest attempts in flight relative to its weight. A waiting member that
+// may be probed is preferred to a ranked one with the same load.
 func (p *Pool) chooseRanked(now time.Duration, usable func(*poolMember) bool) *poolMember {
 	if p.isPanicking() != p.ranks.panicking {
-		p.rankAll() // ejections began or ceased to be ignored
+		p.rankAll() // panic mode, which ignores ejections, has begun or ended
 	}
 	best := p.firstByLoad(usable)
 	if member := p.firstToProbe(now, usable); member != nil && (best == nil || compareLoad(member, best) <= 0) {
@@ -184,23 +183,23 @@
 	return best
 }
 
-// takeTurn puts a member behind all others of its load.
+// takeTurn makes a member the most recently chosen one, so that it comes after all others with the same load.
 func (r *ranking) takeTurn(member *poolMember) {
 	r.turns++
 	member.lastTurn = r.turns
 }
 
-// firstByLoad returns the first usable ranked member. One whose weight failures have lowered is skipped at random, so that
-// it gets requests by its effective weight; each time it is skipped, that weight grows.
+// firstByLoad returns the first usable ranked member, or nil. A member whose effective weight was reduced by failures is
+// skipped at random, so that it gets requests in proportion to its effective weight. Each skip increases that weight.
 func (p *Pool) firstByLoad(usable func(*poolMember) bool) *poolMember {
-	var unusable []*poolMember // taken out of the heap for this choice
+	var unusable []*poolMember // removed from the heap during this choice
 	var best *poolMember
 	for skips := 0; len(p.ranks.byLoad) > 0 && best == nil; {
 		member := p.ranks.byLoad[0]
 		switch {
 		case !usable(member):
 			unusable = append(unusable, heap.Pop(&p.ranks.byLoad).(*poolMember))
-		case member.effectiveWeight < member.Weight && skips < maxDraws && p.drawSkip(member):
+		case member.effectiveWeight < member.Weight && skips < maxSelectionTries && p.drawSkip(member):
 			skips++
 			member.effectiveWeight++
 			p.ranks.takeTurn(member)
@@ -215,12 +214,12 @@
 	return best
 }
 
-// drawSkip draws whether a member of lowered weight is skipped.
+// drawSkip decides at random whether a member with a reduced effective weight is skipped.
 func (p *Pool) drawSkip(member *poolMember) bool {
 	return p.rng.Float64()*float64(member.Weight) >= float64(member.effectiveWeight)
 }
 
-// firstToProbe returns the usable member that may be probed since the earliest time, or nil.
+// firstToProbe returns the usable member with the earliest probeAt that has passed, or nil.
 func (p *Pool) firstToProbe(now time.Duration, usable func(*poolMember) bool) (best *poolMember) {
 	var unusable []*poolMember
 	for len(p.ranks.byProbeTime) > 0 && p.ranks.byProbeTime[0].probeAt <= now && best == nil {
--- a/internal/pool/retry.go
+++ b/internal/pool/retry.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// RetryCondition is how an attempt failed, as a set of bits: nginx's conditions (the directive fastcgi_next_upstream)
-// and Rejection.
+// RetryCondition is a bit set of the ways in which an attempt can fail: the conditions of nginx's directive
+// fastcgi_next_upstream, and Rejection.
 type RetryCondition uint16
 
-// The conditions.
+// The retry conditions.
 const (
-	ConnectionError RetryCondition = 1 << iota // no connection, or it broke
-	Timeout                                    // no connection or no answer in time
-	InvalidHeader                              // an answer that can't be read
+	ConnectionError RetryCondition = 1 << iota // the connection could not be established, or it broke
+	Timeout                                    // no connection or no response in time
+	InvalidHeader                              // the response can't be parsed
 	HTTP500
 	HTTP503
 	HTTP403
 	HTTP404
 	HTTP429
-	NonIdempotent // only in sets of conditions: non-idempotent requests may be retried, too
-	Rejection     // the member said that it did not process the request; it is always retried
+	NonIdempotent // only in sets: nginx's condition to retry non-idempotent requests, too; DecideRetry ignores it
+	Rejection     // the member reported that it did not process the request; always retryable
 )
 
-// DefaultRetryOn are the conditions under which a request is retried by nginx's default.
+// DefaultRetryOn is nginx's default set of conditions under which a request is retried.
 const DefaultRetryOn = ConnectionError | Timeout
 
-// RetryDecision is what becomes of a request whose attempt failed.
+// RetryDecision is the decision about a request whose attempt failed.
 type RetryDecision uint8
 
-// The decisions: Retry, or why there is no retry.
+// The retry decisions: Retry, or the reason against a retry.
 const (
-	Retry             RetryDecision = iota // it goes to another member
-	NotRetryable                           // the condition calls for no retry
-	MayHaveRun                             // it is non-idempotent, and the member may have run it
-	AttemptsExhausted                      // it had RetryPolicy.MaxAttempts
-	RetryTimeExceeded                      // RetryPolicy.RetryTimeout is over
+	Retry             RetryDecision = iota // the request is sent to another member
+	NotRetryable                           // the failure is not among the conditions for a retry
+	MayHaveRun                             // the request is non-idempotent, and the member may have run it
+	AttemptsExhausted                      // the request has had RetryPolicy.MaxAttempts
+	RetryTimeExceeded                      // RetryPolicy.RetryTimeout has passed
 	BudgetExhausted                        // the pool's retry budget is empty
 )
 
 // retryDecisionTexts describe the decisions for operators.
 var retryDecisionTexts = [...]string{
-	Retry:             "goes to another member",
-	NotRetryable:      "the failure calls for no further try",
-	MayHaveRun:        "it may have run and must not run twice",
-	AttemptsExhausted: "its tries are used up",
-	RetryTimeExceeded: "its time for further tries is over",
-	BudgetExhausted:   "the budget for further tries is used up",
+	Retry:             "the request is sent to another member",
+	NotRetryable:      "the failure is not among the conditions for a retry",
+	MayHaveRun:        "the request is non-idempotent and may have run",
+	AttemptsExhausted: "the request has no attempts left",
+	RetryTimeExceeded: "the request's retry timeout has passed",
+	BudgetExhausted:   "the pool's retry budget is exhausted",
 }
 
 // String describes the decision for operators.
@@ -52,15 +52,15 @@
 // Failure is a failed attempt.
 type Failure struct {
 	Condition     RetryCondition
-	Sent          bool // any of the request may have reached the member
+	Sent          bool // any part of the request may have reached the member
 	NonIdempotent bool // the request must not run twice
 }
 
-// DecideRetry decides whether a request whose attempt failed goes to another member, and takes the retry from the budget
-// if it does. retryOn is the set of conditions under which requests of the route are retried.
+// DecideRetry decides whether a request whose attempt failed is sent to another member. If so, it takes the retry from the
+// budget. retryOn is the set of conditions under which requests of the route are retried.
 //
-// A non-idempotent request of which anything was sent is never retried, not even with NonIdempotent in retryOn: a retry
-// could run it twice, unless the member rejected it.
+// A non-idempotent request is never retried after any of it was sent, not even with NonIdempotent in retryOn, because the
+// retry could run it twice. The exception is a request that the member rejected.
 func (p *Pool) DecideRetry(request *Request, failure Failure, retryOn RetryCondition, now time.Duration) RetryDecision {
 	isRejected := failure.Condition == Rejection
 	switch {
@@ -78,7 +78,7 @@
 	return Retry
 }
 
-// AvailableRetries returns how many retries the budget allows at once now.
+// AvailableRetries returns the number of retries that the budget allows now, which need not be whole.
 func (p *Pool) AvailableRetries(now time.Duration) float64 {
 	p.budget.add(0, now)
 	return p.budget.tokens
--- a/internal/pool/retry_test.go
+++ b/internal/pool/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestDecideRetry never retries what may have run and must not run twice, and retries within the limits.
+// TestDecideRetry checks that a non-idempotent request that may have run is never retried, and that other requests are
+// retried within the limits.
 func TestDecideRetry(t *testing.T) {
 	p := newPool(t, RoundRobin, func(c *Config) { c.MaxAttempts, c.RetryTimeout = 2, time.Second }, 1, 1, 1)
 	request := &Request{}
@@ -22,16 +23,16 @@
 		}
 	}
 	if got := p.DecideRetry(request, Failure{Condition: ConnectionError}, DefaultRetryOn, time.Second); got != RetryTimeExceeded {
-		t.Errorf("after the retry timeout: %v", got)
+		t.Errorf("after the retry timeout: %v, want RetryTimeExceeded", got)
 	}
 	p.Pick(request, 0)
 	if got := p.DecideRetry(request, Failure{Condition: ConnectionError}, DefaultRetryOn, 0); got != AttemptsExhausted {
-		t.Errorf("after the last attempt: %v", got)
+		t.Errorf("after the last attempt: %v, want AttemptsExhausted", got)
 	}
 }
 
-// TestRetryStorm has every member fail four attempts in five for ten seconds: with the budget the attempts stay under 1.2
-// times the requests.
+// TestRetryStorm checks the retry budget during an outage in which every member fails four of five attempts for ten
+// seconds: there are at most 1.2 attempts per request with the budget, and at least 2 without it.
 func TestRetryStorm(t *testing.T) {
 	attemptsPerRequest := func(ratio float64) float64 {
 		p := newPool(t, RoundRobin, func(c *Config) { c.RetryRatio, c.MinRetriesPerSecond, c.EjectionErrorRate = ratio, 0, 0 }, 1, 1, 1, 1, 1)
@@ -46,7 +47,7 @@
 					break
 				}
 				attempts++
-				if random.Float64() >= 0.8 { // a retry fails as often: the outage is everywhere
+				if random.Float64() >= 0.8 { // retries fail at the same rate: all members have the outage
 					p.Finish(addr, Succeeded, time.Millisecond, now)
 					break
 				}
@@ -61,6 +62,6 @@
 	with, without := attemptsPerRequest(0.15), attemptsPerRequest(0)
 	t.Logf("attempts per request: %.3f with the budget, %.3f without", with, without)
 	if with > 1.2 || without < 2 {
-		t.Errorf("attempts per request: %.3f with the budget, %.3f without", with, without)
+		t.Errorf("attempts per request: %.3f with the budget, want at most 1.2; %.3f without, want at least 2", with, without)
 	}
 }
--- a/internal/pool/roundrobin.go
+++ b/internal/pool/roundrobin.go
@@ -1,23 +1,24 @@
 package pool
 
-// roundRobinState is a member's part in smooth weighted round robin.
+// roundRobinState is a member's state in smooth weighted round robin.
 type roundRobinState struct {
-	effectiveWeight int // the weight less what failures took; it grows back with each choice
-	currentWeight   int // what it gained since it was last chosen
+	effectiveWeight int // the weight reduced by failures; each choice increases it up to the weight
+	currentWeight   int // grows with each choice; reduced when the member is chosen
 }
 
-// chooseRoundRobin is nginx's smooth weighted round robin: each usable member gains its weight, the one that has the most
-// is chosen and pays the sum of all.
+// chooseRoundRobin implements nginx's smooth weighted round robin. The current weight of each usable member grows by its
+// effective weight. The member with the largest current weight is chosen, and the sum of the effective weights is
+// subtracted from its current weight.
 func (p *Pool) chooseRoundRobin(candidates []*poolMember, usable func(*poolMember) bool) *poolMember {
 	var best *poolMember
 	total := 0
-	allInFull := true // each candidate is usable with its full weight
+	allAtFullWeight := true // each candidate is usable and has its full weight
 	for _, member := range candidates {
 		if !usable(member) {
-			allInFull = false
+			allAtFullWeight = false
 			continue
 		}
-		allInFull = allInFull && member.effectiveWeight == member.Weight && !member.slowStarting
+		allAtFullWeight = allAtFullWeight && member.effectiveWeight == member.Weight && !member.slowStarting
 		member.currentWeight += member.effectiveWeight
 		total += member.effectiveWeight
 		if member.effectiveWeight < member.Weight {
@@ -30,21 +31,22 @@
 	if best != nil {
 		best.currentWeight -= total
 	}
-	if allInFull && p.rotation.isPossible && p.failing+p.ejected == 0 && len(candidates) == p.primaries {
+	if allAtFullWeight && p.rotation.isPossible && p.failing+p.ejected == 0 && len(candidates) == p.primaries {
 		p.startRotation(best)
 	}
 	return best
 }
 
-// rotation replaces smooth round robin among members of one weight that are all available: it comes to taking turns, and
-// a choice then costs the same whatever the size of the pool.
+// rotation replaces smooth round robin while all members are available and have the same weight. Smooth round robin then
+// chooses the members in turn, and a rotation makes the same choice in constant time, whatever the size of the pool.
 type rotation struct {
-	isPossible bool // by the configuration: policy RoundRobin, equal weights, no limits, none down
+	isPossible bool // the configuration allows it, see canRotate
 	isActive   bool // all members are available
-	next       int  // the primary member whose turn it is
+	next       int  // index of the primary member whose turn it is
 }
 
-// canRotate reports whether the configuration allows a rotation.
+// canRotate reports whether the configuration allows a rotation: the policy is RoundRobin, and the primary members have
+// equal weights and no MaxConns, and none is down.
 func (p *Pool) canRotate() bool {
 	if p.cfg.BalancingPolicy != RoundRobin {
 		return false
@@ -57,7 +59,7 @@
 	return true
 }
 
-// startRotation goes over to a rotation, which goes on behind the member that was chosen last.
+// startRotation switches to a rotation, which begins after the member that was chosen last.
 func (p *Pool) startRotation(last *poolMember) {
 	p.rotation.isActive = true
 	for i, member := range p.primaryMembers() {
@@ -68,8 +70,8 @@
 	}
 }
 
-// stopRotation goes back to smooth round robin, with the weights that it would have come to had it begun with the first
-// member. Whatever makes a member unavailable has to call it first.
+// stopRotation switches back to smooth round robin, with the current weights that smooth round robin would have reached
+// after starting at the first member. Code that makes a member unavailable must call stopRotation first.
 func (p *Pool) stopRotation() {
 	if !p.rotation.isActive {
 		return
@@ -83,7 +85,7 @@
 	}
 }
 
-// nextInRotation returns the member whose turn it is, past those that the request has been to.
+// nextInRotation returns the next member in turn that the request has not attempted, or nil if it has attempted all.
 func (p *Pool) nextInRotation(request *Request) *poolMember {
 	for range p.primaries {
 		member := p.members[p.rotation.next]
--- a/internal/pool/slowstart.go
+++ b/internal/pool/slowstart.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// slowStartState grows a member's share of the choices from nothing to its weight over Member.SlowStart.
+// slowStartState is the state of a member's slow start, in which its share of the choices grows linearly from zero to the
+// share of its weight over Member.SlowStart.
 //
-// Weights are whole numbers, so a member of weight 1 can't grow by its weight; and by LeastConn, with nothing in flight,
-// it would get every request until it has as many as the others, from each process that sends to it. So it earns credit
-// for turns instead: its growing share of the choices that the pool made.
+// The share can't grow by means of the weight: weights are integers, so weight 1 can't be reduced. With LeastConn a member
+// without attempts in flight would also get every request from each process until it had as many in flight as the others.
+// Instead the member earns credit for turns: its growing share of the choices that the pool made.
 type slowStartState struct {
-	slowStarting  bool          // it is in its slow start, or will be when its time out is over
-	rampStart     time.Duration // when it began to grow, or will begin
-	turnCredit    float64       // turns that it may take
+	slowStarting  bool          // slow start is in progress, or follows the fail timeout or ejection
+	rampStart     time.Duration // start of the slow start, which may be in the future
+	turnCredit    float64       // number of turns that the member may take
 	creditedPicks uint64        // Pool.picks when credit was last added
-	creditedShare float64       // its share of its weight at that time
+	creditedShare float64       // fraction of its weight that the member had reached at that time
 }
 
-// slowStartShare is how much of its growing share a member gets. Many processes send to it, each by a count of its own,
-// and the sum of what they send at any moment scatters around the mean: the mean has to lie below what is allowed.
-const slowStartShare = 0.85
+// slowStartSafetyFactor is the fraction of its growing share that a member gets. Many processes send to the member, each
+// with its own count, so their total rate varies around the mean. The mean must be below the allowed rate.
+const slowStartSafetyFactor = 0.85
 
-// beginSlowStart has a member grow to its weight from a time on, which may be the end of its time out.
+// beginSlowStart starts a member's slow start at the time from, which may be the future end of its fail timeout or
+// ejection.
 //
-// The first credit is drawn at random, or the first turns of all processes would come at once. Half a turn is taken off
-// it because the first turns count most: hardly any may come then.
+// The initial credit is random, so that the first turns in all processes don't coincide. It is reduced by half a turn
+// because the first turns matter most: hardly any requests are allowed at that time.
 func (p *Pool) beginSlowStart(member *poolMember, from time.Duration) {
 	member.rampStart = from
 	member.slowStarting = member.SlowStart > 0
@@ -34,8 +36,9 @@
 	member.creditedShare = 0
 }
 
-// isHeldBack adds the credit that a member in its slow start has earned, and reports whether it has none for a turn yet.
-func (p *Pool) isHeldBack(member *poolMember, now time.Duration) bool {
+// isSlowStartLimited adds the credit that a member in slow start has earned since the last call, and reports whether the
+// member lacks the credit for a turn.
+func (p *Pool) isSlowStartLimited(member *poolMember, now time.Duration) bool {
 	if member.slowStarting && now-member.rampStart >= member.SlowStart {
 		member.slowStarting = false
 	}
@@ -43,8 +46,8 @@
 		return false
 	}
 	share := float64(max(now-member.rampStart, 0)) / float64(member.SlowStart)
-	fairTurns := float64(p.picks-member.creditedPicks) * float64(member.Weight) / float64(p.hashing.totalWeight())
-	member.turnCredit = min(member.turnCredit+slowStartShare*fairTurns*(member.creditedShare+share)/2, 1)
+	fairTurns := float64(p.picks-member.creditedPicks) * float64(member.Weight) / float64(p.tables.totalWeight())
+	member.turnCredit = min(member.turnCredit+slowStartSafetyFactor*fairTurns*(member.creditedShare+share)/2, 1)
 	member.creditedPicks = p.picks
 	member.creditedShare = share
 	return member.turnCredit < 1
