--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -9,16 +9,16 @@
 	"tillerusher/internal/pool"
 )
 
-// conn is a connection to a member: it has a request, or it is idle.
+// conn is a connection to a member. It either has an assigned request or is idle.
 type conn struct {
 	forwarder *Forwarder
 	target    *targetPool
-	protocol  *protocol // the target's when the connection was made
+	protocol  *protocol // of the target when the connection was opened
 	addr      string
 	socket    *eventloop.Conn
 	request   *pendingRequest // nil while the connection is idle
 	isSent    bool            // some of the request may have reached the member
-	requestID uint16          // of the last request
+	requestID uint16          // FastCGI request ID of the last request
 	parser    responseParser
 	timer     *eventloop.Timer
 	isClosed  bool
@@ -29,27 +29,27 @@
 	c.request, req.conn = req, c
 	c.isSent = false
 	c.requestID++
-	if c.requestID == 0 { // 0 is the ID of FastCGI's management records
+	if c.requestID == 0 { // FastCGI reserves ID 0 for management records
 		c.requestID++
 	}
 	c.parser = c.protocol.newParser(c.requestID)
 }
 
-// startTimeout fails the connection after the timeout, unless the timer is cancelled before.
+// startTimeout replaces the connection's timer with one that fails the connection after the timeout.
 func (c *conn) startTimeout(timeout time.Duration) {
 	c.forwarder.loop.CancelTimer(c.timer)
 	c.timer = c.forwarder.loop.AfterFunc(timeout, c.timedOut)
 }
 
-// timedOut fails a connection on which the member took too long.
+// timedOut fails the connection after a timeout.
 func (c *conn) timedOut() {
 	c.forwarder.Stats.Timeouts++
 	c.fail(pool.Timeout)
 }
 
-// checkActivity fails the connection once the member has read none of the request, or sent none of its response, for the
-// pool's send or read timeout, which like nginx's are between two operations. Activity does not reset
-// the timer, which compares the time of the last one when it fires.
+// checkActivity fails the connection if the member has read none of the request for the pool's send timeout, or sent none
+// of its response for the read timeout. As in nginx these timeouts apply between two successive operations. Activity does
+// not reset the timer; when the timer fires, checkActivity looks at the time of the last activity.
 func (c *conn) checkActivity() {
 	timeout := c.target.config.ReadTimeout
 	if c.socket.UnsentBytes() > 0 {
@@ -63,7 +63,7 @@
 	c.timer = c.forwarder.loop.AfterFunc(timeout-idle, c.checkActivity)
 }
 
-// send writes the request.
+// send writes the assigned request and starts the timer that checks for activity.
 func (c *conn) send() {
 	c.isSent = true
 	c.socket.Write(c.protocol.appendRequest(nil, c.requestID, c.request.Params, c.request.Body))
@@ -84,7 +84,7 @@
 // Data implements eventloop.ConnHandler.
 func (c *conn) Data(_ *eventloop.Conn, data []byte) {
 	if c.request == nil {
-		c.closeIdle() // a response to nothing, or a second one
+		c.closeIdle() // an unsolicited or a second response
 		return
 	}
 	complete, err := c.parser.Feed(data)
@@ -97,8 +97,8 @@
 	}
 }
 
-// retryConditions are the conditions of responses after which a request may be retried, by their status.
-var retryConditions = map[int]pool.RetryCondition{
+// retryConditionByStatus maps response statuses to the conditions under which a request may be retried.
+var retryConditionByStatus = map[int]pool.RetryCondition{
 	500: pool.HTTP500,
 	503: pool.HTTP503,
 	403: pool.HTTP403,
@@ -106,7 +106,7 @@
 	429: pool.HTTP429,
 }
 
-// responded ends an attempt whose response is complete.
+// responded handles a complete response and ends the attempt.
 func (c *conn) responded() {
 	req, forwarder := c.request, c.forwarder
 	if c.parser.Overloaded() {
@@ -121,7 +121,7 @@
 		return
 	}
 	c.release()
-	condition := retryConditions[response.Status]
+	condition := retryConditionByStatus[response.Status]
 	if condition&req.target.config.RetryOn != 0 {
 		failure := pool.Failure{Condition: condition, Sent: true, NonIdempotent: req.NonIdempotent}
 		forwarder.attemptFailed(req, c.addr, failure, &response)
@@ -131,7 +131,8 @@
 	forwarder.finish(req, Responded, response)
 }
 
-// release makes the connection idle, or closes it where it can't be reused or MaxIdleConns are idle.
+// release makes the connection idle. It closes the connection instead if it can't be reused or if the pool already has
+// MaxIdleConns idle connections.
 func (c *conn) release() {
 	c.request = nil
 	c.forwarder.loop.CancelTimer(c.timer)
@@ -143,14 +144,14 @@
 	c.target.idleCount++
 }
 
-// canBeReused reports whether another request may be sent on the connection: it is open, and a reload has neither changed
-// the pool's protocol nor removed the pool.
+// canBeReused reports whether another request may be sent on the connection: it is open, its protocol allows reuse, and a
+// reload has neither changed the pool's protocol nor removed the pool.
 func (c *conn) canBeReused() bool {
-	return !c.isClosed && c.protocol.keepsConns && c.protocol == c.target.protocol &&
+	return !c.isClosed && c.protocol.reusesConns && c.protocol == c.target.protocol &&
 		c.forwarder.pools[c.target.config.Name] == c.target
 }
 
-// fail closes the connection and ends the attempt on it.
+// fail closes the connection and fails the attempt on it, if any.
 func (c *conn) fail(condition pool.RetryCondition) {
 	req, isSent := c.request, c.isSent
 	c.request = nil
@@ -182,7 +183,7 @@
 	c.close()
 }
 
-// removeIdle takes a connection out of the idle ones.
+// removeIdle removes the connection from the pool's idle connections, if it is one.
 func (c *conn) removeIdle() {
 	conns := c.target.idle[c.addr]
 	for i := range conns {
@@ -194,7 +195,7 @@
 	}
 }
 
-// close closes the connection.
+// close cancels the connection's timer and closes the connection if it is open.
 func (c *conn) close() {
 	c.forwarder.loop.CancelTimer(c.timer)
 	if !c.isClosed {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -12,30 +12,30 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// Handler receives the outcomes of requests and changes of pool members.
+// Handler receives the outcomes of requests and state changes of pool members.
 type Handler interface {
-	// RequestFinished is called once for each request. Where no member responded, the response has only the status that
-	// nginx has for that: 504 where a member took too long, 502 otherwise.
+	// RequestFinished is called once for each request, unless Withdraw or Close removed it. If no member responded, the
+	// response has only a status, as in nginx: 504 if the request failed on a timeout, otherwise 502.
 	RequestFinished(id string, outcome Outcome, r gateway.Response)
-	// MemberChanged reports that a member of a pool became unavailable or available, was ejected or was removed.
+	// MemberChanged reports a change of the state of a pool member.
 	MemberChanged(pool string, c pool.StateChange)
 }
 
-// retryDecisionSlots is the length of Stats.RetryDecisions. Every slot is reported as a counter, used or not, so the number
-// is kept above that of the decisions.
+// retryDecisionSlots is the length of Stats.RetryDecisions. Every slot is reported as a counter, whether used or not, so
+// there must be more slots than decisions.
 const retryDecisionSlots = 8
 
 // Stats counts attempts, their failures and connections.
 type Stats struct {
 	Attempts         uint64
-	Retries          uint64 // attempts but the first of a request
+	Retries          uint64 // attempts other than the first of a request
 	Rejected         uint64 // attempts that the member rejected as overloaded
 	Timeouts         uint64
-	Errors           uint64 // connections that failed or could not be started
+	Errors           uint64 // connections that broke or could not be opened
 	InvalidResponses uint64
 	Dials            uint64
 	ReusedConns      uint64
-	RetryDecisions   [retryDecisionSlots]uint64 // of failed attempts, by pool.RetryDecision
+	RetryDecisions   [retryDecisionSlots]uint64 // decisions after failed attempts, by pool.RetryDecision
 }
 
 // Forwarder sends requests to members of pools.
@@ -48,12 +48,12 @@
 	Stats    Stats
 }
 
-// targetPool is a pool with its connections.
+// targetPool is a pool with its idle connections.
 type targetPool struct {
 	config    routeconfig.Pool
 	protocol  *protocol
 	balancer  *pool.Pool
-	idle      map[string][]*conn // by member address; the most recently used is last
+	idle      map[string][]*conn // by member address; the most recently used connection is last
 	idleCount int
 }
 
@@ -62,15 +62,16 @@
 	return &Forwarder{loop: l, handler: h, start: l.Now(), pools: map[string]*targetPool{}, requests: map[string]*pendingRequest{}}
 }
 
-// now returns the time that is passed to pools: since the forwarder's start.
+// now returns the time that is passed to pools, which is the time since the forwarder was created.
 func (f *Forwarder) now() time.Duration { return f.loop.Now().Sub(f.start) }
 
-// Update replaces the pools. Pools that stay keep the state of their members; of the others the idle connections are
-// closed, and requests in flight finish normally.
+// Update replaces the pools. Pools whose names are still configured keep the state of their members. The idle connections
+// of removed pools are closed, and requests in flight there finish normally. newRand returns the source of random numbers
+// for a new pool. The caller must validate the configurations first: after an error some pools may have been updated.
 func (f *Forwarder) Update(configs []routeconfig.Pool, newRand func() *rand.Rand) error {
 	next := make(map[string]*targetPool, len(configs))
 	for _, config := range configs {
-		target, err := f.updatedPool(config, newRand)
+		target, err := f.updateOrCreatePool(config, newRand)
 		if err != nil {
 			return err
 		}
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// updatedPool returns the pool of the configuration: the existing one, updated, or a new one.
-func (f *Forwarder) updatedPool(config routeconfig.Pool, newRand func() *rand.Rand) (*targetPool, error) {
+// updateOrCreatePool updates the pool of the configuration, or creates it if it doesn't exist, and returns it.
+func (f *Forwarder) updateOrCreatePool(config routeconfig.Pool, newRand func() *rand.Rand) (*targetPool, error) {
 	target := f.pools[config.Name]
 	if target == nil {
 		balancer, err := pool.New(config.Config, newRand(), f.now())
@@ -102,7 +103,7 @@
 		return nil, err
 	}
 	if target.config.Protocol != config.Protocol {
-		target.closeAllIdle() // they speak the old protocol
+		target.closeAllIdle() // they use the old protocol
 		protocol, err := newProtocol(config.Protocol)
 		if err != nil {
 			return nil, err
@@ -125,7 +126,7 @@
 // closeAllIdle closes the idle connections to all members.
 func (t *targetPool) closeAllIdle() { t.closeIdle(func(string) bool { return true }) }
 
-// closeIdle closes the idle connections to the members for which matches holds.
+// closeIdle closes the idle connections to the members for whose addresses matches returns true.
 func (t *targetPool) closeIdle(matches func(addr string) bool) {
 	for addr, conns := range t.idle {
 		if !matches(addr) {
@@ -139,18 +140,18 @@
 	}
 }
 
-// reportChanges passes the changes of a pool's members to the handler.
+// reportChanges reports the state changes of a pool's members to the handler.
 func (f *Forwarder) reportChanges(target *targetPool) {
 	for _, change := range target.balancer.TakeChanges() {
 		f.handler.MemberChanged(target.config.Name, change)
 	}
 }
 
-// PoolState is a pool's state at a time.
+// PoolState is a snapshot of a pool's state.
 type PoolState struct {
 	Name        string
 	IdleConns   int
-	RetryBudget float64 // retries that the budget allows now
+	RetryBudget float64 // number of retries that the budget allows now
 	Members     []pool.MemberStatus
 }
 
@@ -169,7 +170,7 @@
 	return states
 }
 
-// Close closes all connections. Requests in flight are dropped without a report.
+// Close closes all connections and drops the requests in flight without calls of RequestFinished.
 func (f *Forwarder) Close() {
 	for _, request := range f.requests {
 		if request.conn != nil {
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -9,14 +9,14 @@
 	"tillerusher/internal/scgi"
 )
 
-// maxResponseBytes bounds a member's response.
+// maxResponseBytes limits the size of a member's response.
 const maxResponseBytes = 1 << 20
 
-// responseParser assembles a member's response from the bytes that are read from its connection.
+// responseParser parses a member's response from the bytes that are read from its connection.
 type responseParser interface {
-	// Feed reads the next bytes, and reports whether the response is complete.
+	// Feed parses the next bytes, and reports whether the response is complete.
 	Feed(p []byte) (complete bool, err error)
-	// CompleteAtEOF reports whether it is complete now that the member has ended the connection.
+	// CompleteAtEOF reports whether the response is complete if the member closes the connection now.
 	CompleteAtEOF() bool
 	// Overloaded reports whether the member rejected the request as overloaded, without processing it.
 	Overloaded() bool
@@ -24,14 +24,14 @@
 	Response() (gateway.Response, error)
 }
 
-// protocol is how requests are sent to the members of a pool.
+// protocol encodes requests to the members of a pool and parses their responses.
 type protocol struct {
 	appendRequest func(buf []byte, id uint16, params []gateway.Field, body []byte) []byte
 	newParser     func(id uint16) responseParser
-	keepsConns    bool // a connection can be used for more than one request
+	reusesConns   bool // a connection can be used for more than one request
 }
 
-// newProtocol returns the protocol with a name in the configuration.
+// newProtocol returns the protocol with the name in the configuration.
 func newProtocol(name string) (*protocol, error) {
 	switch name {
 	case routeconfig.ProtocolFastCGI:
@@ -39,7 +39,7 @@
 	case routeconfig.ProtocolSCGI:
 		return newSCGI(), nil
 	}
-	return nil, fmt.Errorf("forward: no protocol is called %q, want fastcgi or scgi", name)
+	return nil, fmt.Errorf("forward: unknown protocol %q, want fastcgi or scgi", name)
 }
 
 // newFastCGI returns the FastCGI protocol.
@@ -49,11 +49,11 @@
 		newParser: func(id uint16) responseParser {
 			return &fastcgi.ResponseParser{RequestID: id, MaxBytes: maxResponseBytes}
 		},
-		keepsConns: true,
+		reusesConns: true,
 	}
 }
 
-// newSCGI returns the SCGI protocol, whose connections end with the response.
+// newSCGI returns the SCGI protocol, in which the member closes the connection after the response.
 func newSCGI() *protocol {
 	return &protocol{
 		appendRequest: func(buf []byte, _ uint16, params []gateway.Field, body []byte) []byte {
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -11,46 +11,47 @@
 
 //go:generate go tool stringer -type=Outcome
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
 	Responded    Outcome = iota // a member responded
-	ResponseLost                // there was no response, and a member may have run the request
+	ResponseLost                // no response was received, and a member may have run the request
 	NotStarted                  // no member has run the request
 )
 
-// The statuses of requests without a response, as nginx has them.
+// The response statuses of requests without a response from a member, as in nginx.
 const (
 	statusBadGateway     = 502
 	statusGatewayTimeout = 504
 )
 
-// Request is one request to be sent to a member of a pool.
+// Request is a request to a pool.
 type Request struct {
 	ID            string
 	Pool          string
-	HashKey       []byte // for the hash policies
-	NonIdempotent bool   // it must not run twice
+	HashKey       []byte // for the hash policies, see pool.Request
+	NonIdempotent bool   // the request must not run twice
 	Params        []gateway.Field
 	Body          []byte
 }
 
-// pendingRequest is a Request that has not finished.
+// pendingRequest is the state of a request that has not finished.
 type pendingRequest struct {
 	Request
 	target         *targetPool
-	selection      pool.Request // the members tried so far
-	conn           *conn
+	selection      pool.Request // the attempts so far
+	conn           *conn        // of the current attempt, or nil
 	attemptStarted time.Time
-	lastResponse   *gateway.Response // of a member whose response called for a retry
+	lastResponse   *gateway.Response // of the previous attempt, if its status led to a retry, or nil
 }
 
-// OpenRuns returns how many requests have not finished.
+// OpenRuns returns the number of requests that have not finished.
 func (f *Forwarder) OpenRuns() int { return len(f.requests) }
 
-// Submit sends a request to a member of its pool.
+// Submit sends a request to a member of its pool. The outcome is reported by Handler.RequestFinished, possibly before
+// Submit returns.
 func (f *Forwarder) Submit(request Request) {
 	target := f.pools[request.Pool]
 	if target == nil { // removed by a reload since the request was routed
@@ -62,13 +63,13 @@
 	f.attempt(req)
 }
 
-// attempt sends a request to the next member.
+// attempt sends a request to the next member, or finishes the request if no member is available.
 func (f *Forwarder) attempt(req *pendingRequest) {
 	addr, ok := req.target.balancer.Pick(&req.selection, f.now())
 	f.reportChanges(req.target)
 	switch {
 	case !ok && req.lastResponse != nil:
-		f.finish(req, Responded, *req.lastResponse) // no member is left that may do better
+		f.finish(req, Responded, *req.lastResponse) // no other member is available
 		return
 	case !ok:
 		f.finish(req, NotStarted, gateway.Response{Status: statusBadGateway})
@@ -79,13 +80,13 @@
 		f.Stats.Retries++
 	}
 	req.attemptStarted = f.loop.Now()
-	if f.connect(req, addr) != nil { // dialling failed, such as for lack of descriptors
+	if f.connect(req, addr) != nil { // dialling failed, for example for lack of file descriptors
 		f.Stats.Errors++
 		f.attemptFailed(req, addr, pool.Failure{Condition: pool.ConnectionError, NonIdempotent: req.NonIdempotent}, nil)
 	}
 }
 
-// connect assigns a request to a connection to the member: an idle one, or a new one.
+// connect assigns a request to an idle connection to the member, or to a new one.
 func (f *Forwarder) connect(req *pendingRequest, addr string) error {
 	if c := req.target.takeIdle(addr); c != nil {
 		f.Stats.ReusedConns++
@@ -100,7 +101,7 @@
 func (f *Forwarder) dial(req *pendingRequest, addr string) error {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return fmt.Errorf("forward: %w", err)
+		return fmt.Errorf("forward: member address: %w", err)
 	}
 	newConn := &conn{forwarder: f, target: req.target, protocol: req.target.protocol, addr: addr}
 	f.Stats.Dials++
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// takeIdle returns the idle connection to a member that was used last, or nil. One with input is most likely closed by
-// the member: a non-idempotent request would be lost on it.
+// takeIdle returns the most recently used idle connection to a member, or nil. It closes connections with pending input:
+// the member has most likely closed them, and a non-idempotent request sent on one would be lost.
 func (t *targetPool) takeIdle(addr string) *conn {
 	for len(t.idle[addr]) > 0 {
 		conns := t.idle[addr]
@@ -128,15 +129,15 @@
 	return nil
 }
 
-// attemptEnded reports an attempt's outcome to the pool.
+// attemptEnded reports an attempt's outcome to the pool, and the resulting state changes to the handler.
 func (f *Forwarder) attemptEnded(req *pendingRequest, addr string, outcome pool.Outcome) {
 	req.conn = nil
 	req.target.balancer.Finish(addr, outcome, f.loop.Now().Sub(req.attemptStarted), f.now())
 	f.reportChanges(req.target)
 }
 
-// attemptFailed ends a failed attempt, and retries or finishes the request. response is the member's response, such as one
-// with a status that calls for a retry, or nil.
+// attemptFailed ends a failed attempt, and retries or finishes the request. response is the member's response if its
+// status counts as a failure, or nil.
 func (f *Forwarder) attemptFailed(req *pendingRequest, addr string, failure pool.Failure, response *gateway.Response) {
 	f.attemptEnded(req, addr, pool.Failed)
 	decision := req.target.balancer.DecideRetry(&req.selection, failure, req.target.config.RetryOn, f.now())
@@ -158,7 +159,7 @@
 	}
 }
 
-// finish reports a request's outcome.
+// finish removes a request and reports its outcome, unless it has been removed already.
 func (f *Forwarder) finish(req *pendingRequest, outcome Outcome, response gateway.Response) {
 	if f.requests[req.ID] != req {
 		return
@@ -167,7 +168,8 @@
 	f.handler.RequestFinished(req.ID, outcome, response)
 }
 
-// Withdraw removes a request if no byte of it was sent, and reports whether it did.
+// Withdraw removes a request if none of it was sent, and reports whether it did. The outcome of a removed request is not
+// reported to the handler.
 func (f *Forwarder) Withdraw(id string) bool {
 	req := f.requests[id]
 	if req == nil || req.conn == nil || req.conn.isSent {
@@ -177,7 +179,7 @@
 	return true
 }
 
-// Stop cancels a request; its outcome is reported.
+// Stop cancels a request and reports its outcome to the handler. An unknown ID, such as of a finished request, is ignored.
 func (f *Forwarder) Stop(id string) {
 	req := f.requests[id]
 	if req == nil {
@@ -191,7 +193,7 @@
 	f.handler.RequestFinished(id, outcome, gateway.Response{Status: statusBadGateway})
 }
 
-// abandon removes a request and closes its connection, since a response to it could no longer be used.
+// abandon removes a request and closes its connection, because a response could no longer be used.
 func (f *Forwarder) abandon(req *pendingRequest) {
 	delete(f.requests, req.ID)
 	if c := req.conn; c != nil {
