--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// StopTime is the configured time in which a daemon has to stop after SIGTERM.
+	// StopTime is the configured maximum time from SIGTERM to the daemon's exit.
 	StopTime = 3200 * time.Millisecond
-	// MaxSockets is the configured limit of a daemon's sockets; gateways may use half of it.
+	// MaxSockets is the configured maximum number of a daemon's sockets. Gateways may use half of them.
 	MaxSockets = 1024
 )
 
 // ConfigFile is the path of a daemon's configuration file.
 type ConfigFile string
 
-// Write replaces the file in one step, so that a daemon that reads it meanwhile sees the old or the new configuration.
+// Write replaces the file atomically, so that a daemon that reads it at the same time sees either the old or the new
+// configuration.
 func (f ConfigFile) Write(config map[string]any) error {
 	text, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	newFile := string(f) + ".new"
-	if err := os.WriteFile(newFile, text, 0o600); err != nil {
+	tempFile := string(f) + ".new"
+	if err := os.WriteFile(tempFile, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(newFile, string(f))
+	return os.Rename(tempFile, string(f))
 }
 
-// Endpoints are the addresses that a daemon is configured with.
+// Endpoints are the addresses in a daemon's configuration, each an IP address and a port.
 type Endpoints struct {
-	Listen      string // of the daemon itself
+	Listen      string // address that the daemon listens on
 	Interpreter string
-	LoadReport  string // the platform's service that load reports go to
+	LoadReport  string // address of the platform's service that receives load reports
 }
 
-// NewConfig returns a configuration, as the platform writes it, with the site's settings (JSON).
+// NewConfig returns a configuration in the platform's format. settings are the site's settings as JSON text.
 func NewConfig(name string, endpoints Endpoints, memoryMB int, settings string) map[string]any {
 	return map[string]any{
 		"name":     name,
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -1,5 +1,5 @@
-// Package daemon runs a catalogue server as a child process, for tests and load tests: its configuration file, its start,
-// its log and its end.
+// Package daemon runs a catalogue server as a child process for tests and load tests. It writes the configuration file,
+// starts and stops the process, and collects its log.
 package daemon
 
 import (
@@ -13,27 +13,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// AnyCore is the Command.Core of a process that may run on all cores.
+// AnyCore is the value of Command.Core for a process that may run on all cores.
 const AnyCore = -1
 
-// ErrStillRunning is returned by Process.Wait where the process did not end in time.
-var ErrStillRunning = errors.New("the daemon did not end")
+// ErrStillRunning is returned by Process.Wait if the process has not exited within the timeout.
+var ErrStillRunning = errors.New("daemon: the process has not exited")
 
-// Command is the program to start, with its environment.
+// Command describes the process to start.
 type Command struct {
 	Program string
 	Args    []string
-	Env     []string // NAME=VALUE, in addition to this process's own environment
-	Core    int      // the only core that it may use, or AnyCore
+	Env     []string // NAME=VALUE, added to this process's environment
+	Core    int      // index of the only core that the process may use, or AnyCore
 }
 
 // Process is a started daemon. It is safe for concurrent use.
 type Process struct {
 	cmd    *exec.Cmd
-	exited chan struct{} // closed after the process has ended
+	exited chan struct{} // closed after the process has exited
 }
 
-// Start starts the daemon. Its standard error is written to the log.
+// Start starts the daemon. The daemon's standard error is written to the log.
 func Start(command Command, log *Log) (*Process, error) {
 	cmd := exec.Command(command.Program, command.Args...)
 	cmd.Env = append(os.Environ(), command.Env...)
@@ -43,45 +43,45 @@
 	}
 	process := &Process{cmd: cmd, exited: make(chan struct{})}
 	go func() {
-		cmd.Wait() // the exit status is read from the state
+		cmd.Wait() // Process.Wait returns the exit status as part of the process's state
 		close(process.exited)
 	}()
 	return process, nil
 }
 
-// startOnCore starts a program on one core, or on all where core is AnyCore.
+// startOnCore starts a program on the core with the given index, or on all cores if core is AnyCore.
 func startOnCore(cmd *exec.Cmd, core int) error {
 	if core < 0 {
 		return cmd.Start()
 	}
-	runtime.LockOSThread() // a child inherits the cores of the thread that starts it
+	runtime.LockOSThread() // a child inherits the CPU affinity of the thread that starts it
 	defer runtime.UnlockOSThread()
-	var before, pinned unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &before); err != nil {
+	var original, pinned unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &original); err != nil {
 		return err
 	}
 	pinned.Set(core)
 	if err := unix.SchedSetaffinity(0, &pinned); err != nil {
-		return fmt.Errorf("core %d: %w", core, err)
+		return fmt.Errorf("daemon: pin to core %d: %w", core, err)
 	}
 	startErr := cmd.Start()
-	restoreErr := unix.SchedSetaffinity(0, &before)
+	restoreErr := unix.SchedSetaffinity(0, &original)
 	if startErr != nil {
 		return startErr
 	}
 	return restoreErr
 }
 
-// OS returns the operating system's handle of the process.
+// OS returns the underlying os.Process.
 func (p *Process) OS() *os.Process { return p.cmd.Process }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
 
-// Exited returns a channel that is closed after the process has ended.
+// Exited returns a channel that is closed after the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// Wait waits for the end of the process and returns its state then, or ErrStillRunning after the timeout.
+// Wait waits until the process exits and returns its final state. It returns ErrStillRunning after the timeout.
 func (p *Process) Wait(timeout time.Duration) (*os.ProcessState, error) {
 	select {
 	case <-p.exited:
@@ -91,8 +91,8 @@
 	}
 }
 
-// Kill kills the process, unless it has ended, and waits for its end.
+// Kill kills the process if it is still running, and waits until it has exited.
 func (p *Process) Kill() {
-	p.cmd.Process.Kill() // fails only for a process that has ended
+	p.cmd.Process.Kill() // fails only if the process has already exited
 	<-p.exited
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics exports the counters of a router and the state of its pools as Prometheus metrics, on a listener of
-// its own: attempts, retries, retry budgets and the states of members. Only catalogue-router links it, and only its flag
-// --metrics turns it on.
+// Package metrics exports a router's counters and the state of its pools as Prometheus metrics: attempts, retries, retry
+// budgets and the states of members. The metrics are served on a separate listener. Only catalogue-router links this
+// package, and only its flag --metrics enables the listener.
 package metrics
 
 import (
@@ -16,13 +16,14 @@
 	"tillerusher/internal/router"
 )
 
-// path is where the metrics are served.
+// path is the URL path of the metrics.
 const path = "/metrics"
 
-// namePrefix begins the names of all metrics.
+// namePrefix is the prefix of all metric names.
 const namePrefix = "tillerusher_route_"
 
-// Serve serves the metrics of a router at an address until the process ends. It returns once it listens.
+// Serve listens on a TCP address and serves the router's metrics in the background until the process exits. It returns
+// once the listener is open.
 func Serve(r *router.Router, addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -30,11 +31,11 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(path, Handler(r))
-	go http.Serve(l, mux) // ends with the process
+	go http.Serve(l, mux) // runs until the process exits
 	return nil
 }
 
-// Handler returns a handler that answers with the metrics of a router.
+// Handler returns an HTTP handler that serves the router's metrics.
 func Handler(r *router.Router) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{r})
@@ -57,13 +58,13 @@
 	return prometheus.NewDesc(namePrefix+name, help, labels, nil)
 }
 
-// collector asks the router's loop for its stats at each scrape.
+// collector implements prometheus.Collector. It requests the stats from the router's event loop at each scrape.
 type collector struct{ router *router.Router }
 
-// Describe implements prometheus.Collector. It describes nothing: which metrics there are depends on the routes.
+// Describe implements prometheus.Collector. It sends no descriptions, since the set of metrics depends on the routes.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect implements prometheus.Collector. A router that is ending has no metrics.
+// Collect implements prometheus.Collector. It sends no metrics when the router has ended or does not answer in time.
 func (c *collector) Collect(out chan<- prometheus.Metric) {
 	stats, ok := c.router.Stats()
 	if !ok {
@@ -78,7 +79,7 @@
 	}
 }
 
-// collectPool sends the metrics of a pool and its members.
+// collectPool sends the metrics of a pool and of its members.
 func collectPool(out chan<- prometheus.Metric, p forward.PoolState) {
 	send(out, poolBudget, prometheus.GaugeValue, p.RetryBudget, p.Name)
 	send(out, poolIdleConns, prometheus.GaugeValue, float64(p.IdleConns), p.Name)
@@ -101,7 +102,7 @@
 	send(out, memberAvailable, prometheus.GaugeValue, available, labels...)
 }
 
-// send sends one metric.
+// send sends one sample of a metric.
 func send(out chan<- prometheus.Metric, desc *prometheus.Desc, kind prometheus.ValueType, value float64, labels ...string) {
 	out <- prometheus.MustNewConstMetric(desc, kind, value, labels...)
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -16,7 +16,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestMetrics has requests to a router show in its metrics, by pool and member.
+// TestMetrics checks that the metrics count a router's requests by pool and member, and that a router that has ended
+// exports no metrics.
 func TestMetrics(t *testing.T) {
 	member, err := fake.NewMember("a")
 	if err != nil {
@@ -28,19 +29,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := netip.MustParseAddrPort(servertest.FreeAddr(t))
-	proxy, err := router.New(&router.Config{Name: "r", Listen: at, StopTimeout: time.Second, MemoryMB: 64, Sockets: 256,
+	listenAddr := netip.MustParseAddrPort(servertest.FreeAddr(t))
+	proxy, err := router.New(&router.Config{Name: "r", Listen: listenAddr, StopTimeout: time.Second, MemoryMB: 64, Sockets: 256,
 		Routes: routes, Seed: 1}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- proxy.Run() }()
-	g := servertest.Dial(t, at.String())
+	g := servertest.Dial(t, listenAddr.String())
 	for range 3 {
 		g.Write(fake.Request{Method: "GET", Path: "/x"}.Encode(1))
 		if a := g.WaitResponse(1); a.Status != 200 {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v, want status 200", a)
 		}
 	}
 	scrape := func() string {
@@ -56,7 +57,7 @@
 	for _, want := range []string{`tillerusher_route_member_tries_total{member="` + member.Addr() + `",pool="app"} 3`,
 		`tillerusher_route_member_in{member="` + member.Addr() + `",pool="app"} 1`, "tillerusher_route_member_tries_total", "tillerusher_route_budget"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("metrics lack %q:\n%s", want, text)
 		}
 	}
 	proxy.Drain()
@@ -64,11 +65,12 @@
 		t.Error(err)
 	}
 	if text := scrape(); text != "" {
-		t.Errorf("a server that ended has metrics:\n%s", text)
+		t.Errorf("a router that has ended exports metrics:\n%s", text)
 	}
 }
 
-// TestCounterMetric checks that metrics keep the names that dashboards use, whatever the log calls the counters.
+// TestCounterMetric checks that metrics keep the names that dashboards use, even where the counter has another name in the
+// log.
 func TestCounterMetric(t *testing.T) {
 	for counter, want := range map[string]string{
 		"requests":             "all_requests_total",
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// metricNames keeps the names of metrics whose counters have other names in the log: dashboards and alerts use the
-// metrics' names, so they must not change. Keys are the counters' names, values the middle part of the metrics' names.
+// metricNames maps counters to metrics where the two names differ. Dashboards and alerts refer to the metric names, so
+// these must not change. A key is the counter's name in the log, a value is the middle part of the metric's name.
 var metricNames = map[string]string{
 	"coalesced":                "repeats",
 	"connection_timeouts":      "unfinished",
@@ -31,17 +31,17 @@
 	"second_runs_prevented":    "ran_twice",
 }
 
-// The counters of retry decisions are numbered, and so are their metrics.
+// The prefixes of the numbered counters of retry decisions and of their metrics.
 const (
 	retryDecisionCounter = "retry_decision_"
 	retryDecisionMetric  = "verdict_"
 )
 
-// counterMetric returns the name of the metric for a counter of the log.
+// counterMetric returns the metric name of a counter, without namePrefix. counter is the counter's name in the log.
 func counterMetric(counter string) string {
-	word, isPinned := metricNames[counter]
-	if !isPinned {
-		word = strings.Replace(counter, retryDecisionCounter, retryDecisionMetric, 1)
+	name, differs := metricNames[counter]
+	if !differs {
+		name = strings.Replace(counter, retryDecisionCounter, retryDecisionMetric, 1)
 	}
-	return "all_" + word + "_total"
+	return "all_" + name + "_total"
 }
