--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/settings"
 )
 
-// The environment's variables.
+// The names of the environment variables.
 const (
 	envName   = "RELAY_NAME"
 	envListen = "RELAY_LISTEN"
@@ -22,21 +22,21 @@
 	Listen      netip.AddrPort
 	Interpreter netip.AddrPort
 	LoadReports netip.AddrPort
-	StopTimeout time.Duration // from SIGTERM to SIGKILL
+	StopTimeout time.Duration // from SIGTERM until the platform sends SIGKILL
 	Limits      Limits
 	Settings    *settings.Site
-	Capture     *CaptureConfig // nil where nothing is recorded
+	Capture     *CaptureConfig // nil if nothing is recorded
 }
 
-// Limits are the resources of this process.
+// Limits are the resource limits of this process.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
-	Sockets  int
+	Sockets  int // maximum number of file descriptors
 }
 
-// Load reads the configuration file that the environment names. The environment's own name and address, where set, override
-// those of the file.
+// Load reads the configuration file at the path in the variable RELAY_CONFIG. The variables RELAY_NAME and RELAY_LISTEN,
+// if set, override the name and the listen address in the file.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,3 +1,4 @@
-// Package config reads what a server is configured with: the platform's environment and configuration file, and the
-// operators' own file of S-expressions. Keys of both stand only here; the rest of the program uses the types of this package.
+// Package config reads a server's configuration: environment variables and the configuration file of the platform, and the
+// operators' settings file of S-expressions. Only this package contains the keys of both files; the rest of the program
+// uses the types of this package.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// FieldError reports a field of the platform's configuration, or a variable of the environment, that is missing or makes no
-// sense.
+// FieldError reports a field of the platform's configuration file, or an environment variable, that is missing or invalid.
+// Its text names either the value and the expected value, or the fault.
 type FieldError struct {
-	Field  string // as in the file, "limits.cores", or the name of the variable
-	Value  string // as it is printed; "" where Fault says it all
-	Wanted string // where Value is not ""
-	Fault  string // such as "is missing"
+	Field  string // path in the file, such as "limits.cores", or the name of the variable
+	Value  string // invalid value as printed; "" if Fault is set
+	Wanted string // expected value; used only with Value
+	Fault  string // used only without Value, such as "is missing"
 }
 
 // Error implements error.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,13 +11,13 @@
 	"tillerusher/internal/sexp"
 )
 
-// CaptureConfig is where and how a server records the events and actions of its decision module.
+// CaptureConfig configures the capture of the decision module's events and actions.
 type CaptureConfig struct {
 	Directory string
 	capture.Config
 }
 
-// StateConfig is where and how much state a server keeps across restarts.
+// StateConfig configures the directory in which a server keeps state across restarts, and the limits of that state.
 type StateConfig struct {
 	Directory string
 	idempotency.Limits
@@ -32,18 +32,18 @@
 	maxMaxBytes     = 1 << 40
 )
 
-// DefaultStateConfig returns the limits that apply where the file sets none.
+// DefaultStateConfig returns a StateConfig with the default limits and no directory.
 func DefaultStateConfig() *StateConfig {
 	return &StateConfig{Limits: idempotency.Limits{MaxKeys: defaultMaxKeys, MaxBytes: defaultMaxBytes}}
 }
 
-// OperatorConfig is what the operators' own file says; what is absent is nil.
+// OperatorConfig holds the operators' settings. A form that is absent from the file is nil.
 type OperatorConfig struct {
 	Capture *CaptureConfig
 	State   *StateConfig
 }
 
-// LoadOperatorConfig reads the operators' file. Errors in it are of type *sexp.Error.
+// LoadOperatorConfig reads the operators' settings file. Errors in its text are of type *sexp.Error.
 func LoadOperatorConfig(path string) (*OperatorConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return parseOperatorConfig(path, text)
 }
 
-// parseOperatorConfig reads the text of the operators' file.
+// parseOperatorConfig parses the text of the operators' settings file. file is the name used in errors.
 func parseOperatorConfig(file string, text []byte) (*OperatorConfig, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return operator, nil
 }
 
-// readStateConfig reads (state ...).
+// readStateConfig reads the form (state ...).
 func readStateConfig(form sexp.Node) (*StateConfig, error) {
 	state := DefaultStateConfig()
 	err := sexp.ReadFields(form.Args(), map[string]func(sexp.Node) error{
@@ -89,8 +89,8 @@
 	return state, err
 }
 
-// readCaptureConfig reads (capture ...). The bounds here only catch slips of the unit; capture.Config.Validate has the
-// others.
+// readCaptureConfig reads the form (capture ...). The bounds here only catch values with a wrong unit;
+// capture.Config.Validate checks the other bounds.
 func readCaptureConfig(form sexp.Node) (*CaptureConfig, error) {
 	config := &CaptureConfig{Config: capture.DefaultConfig()}
 	bufferBytes := int64(config.BufferBytes)
@@ -115,7 +115,7 @@
 	return config, nil
 }
 
-// errNoDirectory reports a form that has to name a directory.
+// errNoDirectory returns the error for a form without the required directory.
 func errNoDirectory(form sexp.Node) error {
 	return sexp.Errorf(form.Pos, "(%s ...) has no (directory ...)", form.Name())
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestOperatorConfig reads an operators' file.
+// TestOperatorConfig checks that all fields of (capture ...) are read, and that deploy/settings.sexp is valid.
 func TestOperatorConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.sexp")
 	text := "(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))"
@@ -21,17 +21,17 @@
 	}
 	if c := o.Capture; c.Directory != "/x" || c.SegmentBytes != 16<<20 || c.SegmentAge != 30*time.Second || c.MaxBytes != 1e9 ||
 		c.BufferBytes != 2<<20 || c.FlushInterval != time.Second {
-		t.Errorf("read %+v", c)
+		t.Errorf("capture configuration %+v", c)
 	}
 	if _, err := LoadOperatorConfig(path + "x"); err == nil {
-		t.Error("a file that is not there is read")
+		t.Error("a missing file was accepted")
 	}
 	if o, err := LoadOperatorConfig("../../deploy/settings.sexp"); err != nil || o.Capture != nil {
-		t.Errorf("the shipped file: %+v, %v", o, err)
+		t.Errorf("deploy/settings.sexp: %+v, error %v, want no capture", o, err)
 	}
 }
 
-// TestOperatorErrors checks that each error names its place.
+// TestOperatorErrors checks that each error names the position in the file.
 func TestOperatorErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"(capture)":                                   "f:1:1: (capture ...) has no (directory ...)",
@@ -46,13 +46,13 @@
 	}
 }
 
-// FuzzOperatorConfig parses any text without a panic.
+// FuzzOperatorConfig checks that no text causes a panic, and that an accepted capture configuration is valid.
 func FuzzOperatorConfig(f *testing.F) {
 	f.Add("(capture (directory \"/x\") (segment 16MiB) (age 30s) (keep 1GB) (memory 2MiB) (flush 1s))")
 	f.Add("(capture (directory")
 	f.Fuzz(func(t *testing.T, text string) {
 		if o, err := parseOperatorConfig("f", []byte(text)); err == nil && o.Capture != nil && o.Capture.Validate() != nil {
-			t.Errorf("accepted: %+v", o.Capture)
+			t.Errorf("accepted an invalid capture configuration: %+v", o.Capture)
 		}
 	})
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -10,8 +10,8 @@
 	"tillerusher/internal/settings"
 )
 
-// platformFile mirrors the platform's configuration file; unknown keys are skipped. All numbers are floats, since a limit may
-// be written as 38.4.
+// platformFile mirrors the platform's configuration file. Unknown keys are ignored. All numbers are floats, since the
+// platform may write a limit as 38.4.
 type platformFile struct {
 	Name        string          `json:"name"`
 	Listen      string          `json:"listen"`
@@ -22,7 +22,7 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// platformLimits mirrors the limits in the platform's configuration file.
+// platformLimits mirrors the key limits of the platform's configuration file.
 type platformLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -38,8 +38,8 @@
 	maxNumber   = 1e9
 )
 
-// parsePlatform reads the text of the platform's configuration file; name and listen override its own where they are not
-// empty.
+// parsePlatform parses the text of the platform's configuration file. name and listen are the values of the environment
+// variables; if not empty, they override the values in the file.
 func parsePlatform(text []byte, name, listen string) (*Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -71,7 +71,7 @@
 	return config, nil
 }
 
-// checkName rejects names that cannot stand as one word in a load report.
+// checkName rejects names that are not one word. In a load report the name is one word of the text.
 func checkName(field, name string) error {
 	isSeparator := func(r rune) bool { return r <= ' ' || r == 0x7f }
 	if name == "" || strings.ContainsFunc(name, isSeparator) {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// parseAddresses reads the addresses of a file.
+// parseAddresses parses the addresses in the file. listenField names the source of the listen address in errors.
 func (c *Config) parseAddresses(file *platformFile, listenField string) error {
 	for _, address := range []struct {
 		field, text string
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// checkNumbers checks the numbers of a file against their bounds.
+// checkNumbers checks the numbers in the file against their bounds.
 func (f *platformFile) checkNumbers() error {
 	for _, number := range []struct {
 		field   string
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// parseSettings reads the site's settings.
+// parseSettings parses the site's settings and checks the names of its classes and tenants.
 func (c *Config) parseSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return &FieldError{Field: "settings", Fault: "is missing"}
@@ -134,14 +134,14 @@
 	return checkDistinct("settings.realms", site.TenantNames)
 }
 
-// checkDistinct rejects names by which requests could not select one of a list.
+// checkDistinct rejects empty and duplicate names, since a request selects its class and tenant by name.
 func checkDistinct(field string, names []string) error {
-	known := map[string]bool{}
+	seen := map[string]bool{}
 	for _, name := range names {
-		if name == "" || known[name] {
-			return &FieldError{Field: field, Fault: fmt.Sprintf("has the name %q twice or empty", name)}
+		if name == "" || seen[name] {
+			return &FieldError{Field: field, Fault: fmt.Sprintf("has the empty or duplicate name %q", name)}
 		}
-		known[name] = true
+		seen[name] = true
 	}
 	return nil
 }
--- a/internal/settings/enums.go
+++ b/internal/settings/enums.go
@@ -9,7 +9,7 @@
 	"tillerusher/admission"
 )
 
-// The values of enumerated settings, by their names in the settings' JSON.
+// The values of the enumerated settings, by their names in the settings JSON.
 var (
 	effects = map[string]admission.Effect{
 		"retryable": admission.Safe,
@@ -34,19 +34,20 @@
 	}
 )
 
-// UnknownValueError reports an unknown value of an enumerated field of the settings.
+// UnknownValueError reports an unknown value of an enumerated setting.
 type UnknownValueError struct {
-	Field string
-	Value string
+	Field string   // path of the key in the settings JSON, such as "family-info.below"
+	Value string   // value found in the settings JSON
 	Known []string // in alphabetical order
 }
 
-// Error names the field, its value and the known values.
+// Error implements error. The text names the field, its value and the known values.
 func (e *UnknownValueError) Error() string {
 	return fmt.Sprintf("settings: %s is %q, want one of %s", e.Field, e.Value, strings.Join(e.Known, ", "))
 }
 
-// lookup translates the name of a value; an empty one means the zero value of the type.
+// lookup returns the value with the given name. An empty name means the zero value of T. An unknown name is an
+// *UnknownValueError.
 func lookup[T any](field, name string, values map[string]T) (T, error) {
 	value, isKnown := values[name]
 	if !isKnown && name != "" {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings translates the settings of a site into those of the decision module, for the simulator's adapter
-// and the catalogue server alike.
+// Package settings translates a site's settings from JSON into the decision module's settings. The simulator's adapter and
+// the catalogue server both use it.
 package settings
 
 import (
@@ -12,24 +12,25 @@
 	"tillerusher/admission"
 )
 
-// Names of the gauges in readings.
+// Names of the gauges that the decision module uses.
 const (
 	gaugeUtilization = "cpu_busy"
 	gaugeRunnable    = "runnable"
 )
 
-// errNoServers reports that the number of servers is missing, without which no tenant's quota share is known.
+// errNoServers reports that the number of servers is missing. A tenant's share of its quota depends on that number.
 var errNoServers = errors.New("settings: servers is missing")
 
-// Site is the settings of a site, translated for the host of an instance.
+// Site holds the translated settings of a site, for the host of an admission.Instance.
 type Site struct {
 	Admission   admission.Settings
-	ClassNames  []string // by the classes' index
-	TenantNames []string // by the tenants' index
-	GaugeNames  []string // in the order of the readings
+	ClassNames  []string // by class index
+	TenantNames []string // by tenant index
+	GaugeNames  []string // in the order of the values in a reading
 }
 
-// ReadGauges assigns the values of a reading to the gauges by the site's order. A gauge without a value is negative.
+// ReadGauges converts a reading, whose values are in the order of GaugeNames, to the decision module's gauges. A gauge
+// without a value is -1.
 func (s *Site) ReadGauges(values []float64) admission.Gauges {
 	gauges := admission.Gauges{Utilization: -1, Runnable: -1}
 	for i, name := range s.GaugeNames {
@@ -46,8 +47,8 @@
 	return gauges
 }
 
-// Parse reads the settings object, which is JSON. Unknown keys are skipped; an unknown value of an enumerated setting is
-// an *UnknownValueError.
+// Parse parses a site's settings, a JSON object. It ignores unknown keys. An unknown value of an enumerated setting is an
+// *UnknownValueError.
 func Parse(text []byte) (*Site, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
@@ -57,13 +58,14 @@
 		return nil, errNoServers
 	}
 	if *t.Servers == 0 {
-		*t.Servers = 1 // the endpoint list doesn't name this server yet
+		*t.Servers = 1 // the endpoint list does not contain this server yet
 	}
 	return t.site()
 }
 
-// IdempotencyFingerprint is equal for sites whose stored results of idempotent requests can replace each other: those
-// with the same classes with keys and the same windows. It is stored, so its form must not change.
+// IdempotencyFingerprint returns a text that is equal for two sites if each can use the other's stored results of
+// idempotent requests. This is so if both have the same classes with idempotency keys and the same idempotency windows.
+// The fingerprint is stored on disk, so its format must not change.
 func (s *Site) IdempotencyFingerprint() string {
 	var parts []string
 	for i, class := range s.Admission.Classes {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,6 +18,7 @@
  "obligations": {"cold-share": 0.24, "overload-factor": 8.0}, "realms": [{"name": "east", "quota-per-s": 33.0}],
  "servers": 11, "tick-ns": 4000000}`
 
+// TestParse checks the translated settings, the assignment of gauge readings, and that invalid settings are rejected.
 func TestParse(t *testing.T) {
 	site, err := Parse([]byte(settingsExample))
 	if err != nil {
@@ -39,37 +40,37 @@
 		t.Errorf("classes %q, tenants %q", site.ClassNames, site.TenantNames)
 	}
 	if g := site.ReadGauges([]float64{0.25, 3}); g.Utilization != 0.25 {
-		t.Errorf("reading %+v", g)
+		t.Errorf("gauges %+v", g)
 	}
 	site.GaugeNames = []string{"runnable", "cpu_busy"}
 	if g := site.ReadGauges([]float64{7, 0.25}); g.Utilization != 0.25 || g.Runnable != 7 {
-		t.Errorf("reading in another order %+v", g)
+		t.Errorf("gauges with the names in another order: %+v", g)
 	}
 	if g := site.ReadGauges(nil); g.Utilization >= 0 || g.Runnable >= 0 {
-		t.Errorf("a missing reading is %+v", g)
+		t.Errorf("gauges of an empty reading: %+v, want negative values", g)
 	}
 	bad := strings.Replace(settingsExample, `"drop"`, `"melt"`, 1)
 	if _, err := Parse([]byte(bad)); err == nil || !strings.Contains(err.Error(), "stop-mode") {
-		t.Errorf("unknown stop mode: %v", err)
+		t.Errorf("unknown stop mode: error %v, want one with stop-mode", err)
 	}
 	if _, err := Parse([]byte("{")); err == nil {
-		t.Error("broken JSON was taken")
+		t.Error("invalid JSON was accepted")
 	}
 }
 
-// TestServerNotYetListed checks that a server counts itself if the endpoint list names no server yet, and that a missing
-// number is an error.
+// TestServerNotYetListed checks that a server counts itself if the endpoint list contains no server yet, and that a
+// missing number of servers is an error.
 func TestServerNotYetListed(t *testing.T) {
 	site, err := Parse([]byte(`{"servers": 0}`))
 	if err != nil || site.Admission.Servers != 1 {
 		t.Errorf("%+v, %v", site, err)
 	}
 	if _, err := Parse([]byte(`{}`)); err == nil || !strings.Contains(err.Error(), "servers") {
-		t.Errorf("no number of servers: %v", err)
+		t.Errorf("missing number of servers: error %v", err)
 	}
 }
 
-// TestUnknownValues checks that the error names the field, its value and the known values.
+// TestUnknownValues checks that the error for an unknown enumerated value names the field, the value and the known values.
 func TestUnknownValues(t *testing.T) {
 	for field, text := range map[string]string{
 		"family-info.below": `"family-info": {"below": "sideways"}`, "family-info.say": `"family-info": {"say": "sideways"}`,
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestIdempotencyFingerprint checks that the fingerprint names the classes with keys and their windows, in alphabetical
-// order. It is stored, so it must not change.
+// TestIdempotencyFingerprint checks that the fingerprint lists the classes with idempotency keys and their windows in
+// alphabetical order. The fingerprint is stored on disk, so it must not change.
 func TestIdempotencyFingerprint(t *testing.T) {
 	site, err := Parse([]byte(`{"servers": 1, "lanes": [{"name": "write", "repeat": "dedup", "repeat-window-ns": 17058000000},
  {"name": "read", "repeat": "retryable"}, {"name": "order", "repeat": "dedup", "repeat-window-ns": 60000000000}]}`))
--- a/internal/settings/text.go
+++ b/internal/settings/text.go
@@ -6,11 +6,11 @@
 	"tillerusher/admission"
 )
 
-// settingsText is the JSON object of an attach event. Its keys are the simulator's and the operators'; their
-// translation into the terms of the code stands here alone.
+// settingsText mirrors the JSON object with a site's settings, as in the simulator's attach event. The simulator and the
+// operators define its keys. Only this file maps the keys to the names used in the code.
 //
-// The errors of encoding/json quote the names of struct types to operators: the name of this one stays, and those of
-// its parts are aliases of types without a name.
+// Errors of encoding/json quote the names of struct types, and operators see these errors. Therefore this type keeps its
+// name, and the types of its parts are aliases of unnamed types.
 type settingsText struct {
 	Servers *int          `json:"servers"`
 	Tick    time.Duration `json:"tick-ns"`
@@ -21,7 +21,7 @@
 	Rules   rulesText     `json:"obligations"`
 }
 
-// classText is one kind of request.
+// classText mirrors an entry of lanes: a class of requests.
 type classText = struct {
 	LatencyObjective time.Duration `json:"on-time-ns"`
 	ObjectiveStretch float64       `json:"aim-stretch"`
@@ -33,19 +33,19 @@
 	Name             string        `json:"name"`
 }
 
-// tenantText is one customer.
+// tenantText mirrors an entry of realms: a tenant.
 type tenantText = struct {
 	Name  string  `json:"name"`
 	Quota float64 `json:"quota-per-s"`
 }
 
-// serverText describes a server of this kind and what it supports.
+// serverText mirrors family-info: the properties and supported features of the servers.
 type serverText = struct {
 	Downstream          string        `json:"below"`
 	Callers             int           `json:"callers"`
 	CallerIdleTimeout   time.Duration `json:"caller-idle-ns"`
 	CallAveragingTime   time.Duration `json:"calls-over-ns"`
-	SkippedCallWeights  []float64     `json:"class-skip-worth"` // by the classes' index; may be shorter
+	SkippedCallWeights  []float64     `json:"class-skip-worth"` // by class index; may be shorter than the list of classes
 	WarmingUp           bool          `json:"cold"`
 	Cores               int           `json:"cores"`
 	FairCallShare       float64       `json:"fair-calls"`
@@ -60,13 +60,13 @@
 	StopMode            string        `json:"stop-mode"`
 }
 
-// limitsText is the retry advice that callers honour.
+// limitsText mirrors limits: the retry delays that callers honour.
 type limitsText = struct {
 	MaxRetryAfter time.Duration `json:"max-retry-after-ns"`
 	RetryAfter    bool          `json:"retry-after"`
 }
 
-// rulesText holds the limits that every server of the fleet must observe.
+// rulesText mirrors obligations: limits that every server of the fleet must observe.
 type rulesText = struct {
 	WarmUpTime           time.Duration `json:"cold-ns"`
 	InitialCapacity      float64       `json:"cold-share"`
@@ -74,7 +74,7 @@
 	MaxConcurrencyFactor float64       `json:"overload-factor"`
 }
 
-// site translates the object. Servers must be set.
+// site translates the settings. Servers must not be nil.
 func (t *settingsText) site() (*Site, error) {
 	site := &Site{GaugeNames: t.Server.Gauges, Admission: t.numbers()}
 	for _, tenant := range t.Tenants {
@@ -98,7 +98,7 @@
 	return site, nil
 }
 
-// numbers returns the settings that need no translation: numbers, times and flags.
+// numbers returns the settings that are copied without translation: numbers, durations and flags.
 func (t *settingsText) numbers() admission.Settings {
 	settings := admission.Settings{
 		Servers:              *t.Servers,
@@ -126,7 +126,7 @@
 	return settings
 }
 
-// translateClass returns the class without the weight of skipped calls.
+// translateClass translates a class, except for SkippedCallWeight.
 func translateClass(class classText) (admission.Class, error) {
 	effect, err := lookup("lanes[].repeat", class.Effect, effects)
 	return admission.Class{
@@ -140,7 +140,7 @@
 	}, err
 }
 
-// translateEnums translates the enumerated settings of the server.
+// translateEnums translates the enumerated settings of a server.
 func translateEnums(server serverText, to *admission.Settings) (err error) {
 	if to.StopMode, err = lookup("family-info.stop-mode", server.StopMode, stopModes); err != nil {
 		return err
