--- a/cmd/catalogue-router/args.go
+++ b/cmd/catalogue-router/args.go
@@ -14,28 +14,28 @@
 	"tillerusher/internal/router"
 )
 
-const usage = `catalogue-server route takes requests of gateways over FastCGI, has the decision module admit them, and passes them to the
-members of pools over FastCGI.
+const usage = `catalogue-server route receives requests from gateways over FastCGI, lets the decision module admit or reject them,
+and forwards admitted requests to the members of pools over FastCGI or SCGI.
 
 Usage:
   catalogue-server route --config FILE [flags]
 
 Flags:
-  --config FILE       routes and pools, see docs/routes.md; cataloguectl import nginx makes one
-  --listen ADDR       where gateways connect (127.0.0.1:4100)
+  --config FILE       routes and pools, see docs/routes.md; cataloguectl import nginx creates such a file
+  --listen ADDR       IP address and port for connections from gateways (127.0.0.1:4100)
   --name NAME         name in the log (router)
-  --stop TIME         from SIGTERM to the end at the latest (5s)
-  --memory-mb N       memory that the process may take (64)
-  --sockets N         descriptors that it may have (1024)
-  --settings FILE     the operators' own settings
-  --metrics ADDR      show Prometheus metrics at http://ADDR/metrics; off if not given
-  --capture DIR       record what the decision module is told and decides
+  --stop TIME         longest time from SIGTERM to the exit (5s)
+  --memory-mb N       memory limit of the process, in MB (64)
+  --sockets N         maximum number of file descriptors (1024)
+  --settings FILE     read the operators' settings from the file
+  --metrics ADDR      serve Prometheus metrics at http://ADDR/metrics; off by default
+  --capture DIR       record the decision module's events and actions in the directory
 
 Example:
   catalogue-server route --config routes.sexp --listen 127.0.0.1:4100
 
-SIGTERM drains the server, SIGHUP has FILE read anew, SIGUSR1 logs the counters.
-Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or routes.
+SIGTERM drains the server, SIGHUP reads the file of --config again, SIGUSR1 logs the counters.
+Exit status: 0 after a drain, 1 if serving failed, 2 for invalid arguments, settings or routes.
 `
 
 // The defaults and lower bounds of the flags.
@@ -50,14 +50,14 @@
 	minStopTimeout     = time.Second
 )
 
-// options are the parsed command line.
+// options holds the parsed command line and the contents of the files that it names.
 type options struct {
 	router      router.Config
 	routesFile  string
 	metricsAddr string // empty means no metrics
 }
 
-// parseArgs reads the command line and the files that it names. It returns flag.ErrHelp where --help is given.
+// parseArgs parses the command line and reads the files that it names. It returns flag.ErrHelp if --help is given.
 func parseArgs(args []string) (*options, error) {
 	parsed := &options{}
 	flags := flag.NewFlagSet("catalogue-server route", flag.ContinueOnError)
@@ -84,22 +84,22 @@
 	return parsed, nil
 }
 
-// check returns an error for flags that are missing or out of bounds.
+// check returns an error if a flag is missing or out of bounds, or if there are other arguments.
 func (o *options) check(flags *flag.FlagSet) error {
 	cfg := &o.router
 	switch {
 	case flags.NArg() > 0:
-		return fmt.Errorf("arguments: %q is not known; see catalogue-server route --help", flags.Arg(0))
+		return fmt.Errorf("arguments: %q is not known, want only flags; see catalogue-server route --help", flags.Arg(0))
 	case o.routesFile == "":
 		return errors.New("arguments: --config FILE is missing; see catalogue-server route --help")
 	case cfg.MemoryMB < minMemoryMB || cfg.Sockets < minSockets || cfg.StopTimeout < minStopTimeout:
-		return fmt.Errorf("arguments: %d MB, %d sockets and %v to stop, want at least %d, %d and %v",
+		return fmt.Errorf("arguments: --memory-mb %d, --sockets %d and --stop %v, want at least %d, %d and %v",
 			cfg.MemoryMB, cfg.Sockets, cfg.StopTimeout, minMemoryMB, minSockets, minStopTimeout)
 	}
 	return nil
 }
 
-// load parses the address, and reads the files that the flags name.
+// load parses the listen address and reads the files that the flags name.
 func (o *options) load(listen, settings, captureDirectory string) (err error) {
 	if o.router.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("arguments: --listen %s: want an IP address and a port", listen)
--- a/cmd/catalogue-router/main.go
+++ b/cmd/catalogue-router/main.go
@@ -1,5 +1,5 @@
-// Command catalogue-router is a reverse proxy from gateways to pools of FastCGI and SCGI servers. The command
-// catalogue-server route starts it.
+// Command catalogue-router is a reverse proxy that forwards requests from gateways to pools of FastCGI and SCGI servers.
+// The command catalogue-server route replaces itself with this program.
 package main
 
 import (
@@ -18,13 +18,13 @@
 	"tillerusher/internal/router"
 )
 
-// routerCores is how many cores the router uses: its event loop is one goroutine.
+// routerCores is the number of cores that the router uses. Its event loop is one goroutine.
 const routerCores = 1
 
 func main() { os.Exit(run(os.Args[1:], os.Stderr)) }
 
-// run runs a router and returns the exit status. SIGTERM or SIGINT drains it, SIGHUP has its routes read again and
-// SIGUSR1 logs its counters.
+// run runs a router and returns the exit status. SIGTERM and SIGINT drain the router, SIGHUP reloads its routes and SIGUSR1
+// logs its counters.
 func run(args []string, stderr io.Writer) int {
 	signals := cli.CatchSignals()
 	options, err := parseArgs(args)
@@ -48,7 +48,7 @@
 	return cli.Run(server, signals, stderr)
 }
 
-// newRouter returns a router that listens, with its metrics where they are asked for.
+// newRouter returns a listening router. If opts.metricsAddr is not empty, it also serves the router's metrics.
 func newRouter(opts *options, log *zap.Logger) (*router.Router, error) {
 	created, err := router.New(&opts.router, log)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return created, nil
 }
 
-// reloadOnSignal reads the routes again on each SIGHUP.
+// reloadOnSignal reloads the routes on each SIGHUP. If the file is invalid, the router keeps its old routes.
 func reloadOnSignal(r *router.Router, signals cli.Signals, file string, log *zap.Logger) {
 	for range signals.Reload {
 		routes, err := routeconfig.Load(file)
--- a/cmd/catalogue-server-durable/main.go
+++ b/cmd/catalogue-server-durable/main.go
@@ -1,5 +1,6 @@
-// Command catalogue-server-durable is a catalogue server that keeps state over restarts. The command catalogue-server
-// serve --state DIR replaces itself with it, so that the program for machines without a disk stays small.
+// Command catalogue-server-durable is a catalogue server that keeps state across restarts. The command catalogue-server
+// serve --state DIR replaces itself with this program. The programs are separate, so that the one for machines without a
+// disk stays small.
 package main
 
 import (
@@ -14,7 +15,8 @@
 	"tillerusher/server"
 )
 
-// machineID identifies this machine, since run times measured on one do not apply to another.
+// machineID returns an identifier of this machine, or "" if there is none. The store needs it, since run times measured on
+// one machine do not apply to another.
 func machineID() string {
 	id, err := os.ReadFile("/etc/machine-id")
 	if err != nil || len(id) == 0 {
@@ -29,7 +31,7 @@
 
 func main() { os.Exit(cli.ServeDurable(os.Args[1:], os.Getenv, os.Stderr, openStore)) }
 
-// openStore opens the store in a state directory.
+// openStore opens the store in a state directory. It implements cli.OpenStore.
 func openStore(ctx context.Context, d cli.StateDirectory) (server.DurableStore, error) {
 	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.Site, Machine: machineID()}
 	return store.OpenWait(ctx, cfg, d.OnWait)
--- a/cmd/catalogue-server/main.go
+++ b/cmd/catalogue-server/main.go
@@ -1,5 +1,5 @@
-// Command catalogue-server is the catalogue server. With --state or route it replaces itself with
-// catalogue-server-durable or catalogue-router.
+// Command catalogue-server runs a catalogue server. It replaces itself with catalogue-server-durable if a state directory is
+// configured, and with catalogue-router for the command route.
 package main
 
 import (
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -12,24 +12,26 @@
 	"tillerusher/internal/config"
 )
 
-const serveUsage = `catalogue-server is one catalogue server, configured by RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN.
+const serveUsage = `catalogue-server runs one catalogue server, configured by the environment variables RELAY_CONFIG,
+RELAY_NAME and RELAY_LISTEN.
 
 Usage:
   catalogue-server [serve] [flags]
-  catalogue-server route --config FILE [flags]    route to pools, see catalogue-server route --help
+  catalogue-server route --config FILE [flags]    run a router, see catalogue-server route --help
 
 Flags:
-  --settings FILE   the operators' own settings, S-expressions as in deploy/settings.sexp
-  --capture DIR     record into the directory what the decision module is told and decides
-  --state DIR       keep results of keyed requests in the directory, so that a restart does not run them again
+  --settings FILE   read the operators' settings from the file: S-expressions, as in deploy/settings.sexp
+  --capture DIR     record the decision module's events and actions in the directory
+  --state DIR       keep the results of requests with an idempotency key in the directory, so that a retry after a restart
+                    does not run the request again
 
 Examples:
   RELAY_CONFIG=/run/balancer/config.json catalogue-server
   RELAY_CONFIG=/run/balancer/config.json catalogue-server serve --capture /var/lib/tillerusher/capture
   RELAY_CONFIG=/run/balancer/config.json catalogue-server serve --state /var/lib/tillerusher/state
 
-SIGTERM drains the server, SIGHUP has RELAY_CONFIG read anew, SIGUSR1 logs the counters.
-Exit status: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.
+SIGTERM drains the server, SIGHUP reads RELAY_CONFIG again, SIGUSR1 logs the counters.
+Exit status: 0 after a drain, 1 if serving failed, 2 for invalid arguments, settings or configuration.
 `
 
 // The subcommands of catalogue-server.
@@ -38,14 +40,15 @@
 	routeCommand = "route"
 )
 
-// The programs that route and that keep state over restarts. They are separate, so that the catalogue server does not
-// link the router and the store.
+// The programs that replace this one for routing and for keeping state across restarts. They are separate programs, so
+// that the catalogue server does not link the router and the store.
 const (
 	routerProgram  = "catalogue-router"
 	durableProgram = "catalogue-server-durable"
 )
 
-// execProgram replaces this process by another program, from the directory of this one. It returns only on an error.
+// execProgram replaces this process with another program in the directory of this executable. It returns only on an error,
+// which it prints, with the exit status.
 func execProgram(program string, args []string, stderr io.Writer) int {
 	self, err := os.Executable()
 	if err == nil {
@@ -57,8 +60,8 @@
 	return ExitUsage
 }
 
-// parseServeArgs reads the command line into the operators' own settings. It returns flag.ErrHelp once it has printed
-// the help.
+// parseServeArgs parses the command line and returns the operators' settings, in which the flags override the settings
+// file. On --help it prints the usage text and returns flag.ErrHelp.
 func parseServeArgs(args []string, stderr io.Writer) (*config.OperatorConfig, error) {
 	if len(args) > 0 && args[0] == serveCommand {
 		args = args[1:]
--- a/internal/cli/log_test.go
+++ b/internal/cli/log_test.go
@@ -9,19 +9,19 @@
 	"tillerusher/internal/servertest"
 )
 
-// stuck is a writer that blocks until it is closed.
-type stuck chan bool
+// blockedWriter is a writer whose Write blocks until the channel is closed.
+type blockedWriter chan bool
 
-func (s stuck) Write(p []byte) (int, error) {
-	<-s
+func (w blockedWriter) Write(p []byte) (int, error) {
+	<-w
 	return len(p), nil
 }
 
-// TestLogNeverBlocks fills a log that nobody reads: neither logging nor flushing may block.
+// TestLogNeverBlocks checks that neither logging nor flushing blocks when the queue is full and nobody reads the log.
 func TestLogNeverBlocks(t *testing.T) {
-	to := make(stuck)
-	defer close(to)
-	log, flush := NewLogger(to)
+	out := make(blockedWriter)
+	defer close(out)
+	log, flush := NewLogger(out)
 	returned := make(chan bool)
 	go func() {
 		for i := range 10 * logQueueLines {
@@ -33,11 +33,11 @@
 	select {
 	case <-returned:
 	case <-time.After(servertest.WaitTimeout):
-		t.Fatal("the log blocked")
+		t.Fatal("logging or flushing blocked")
 	}
 }
 
-// TestLogFlush has all lines out before the end, and repeated ones only a few times.
+// TestLogFlush checks that flush writes all queued lines, and that a repeated message is logged only a few times.
 func TestLogFlush(t *testing.T) {
 	var out bytes.Buffer
 	log, flush := NewLogger(&out)
@@ -47,6 +47,6 @@
 	log.Info("last")
 	flush()
 	if n := strings.Count(out.String(), "again"); n == 0 || n > 100 || !strings.Contains(out.String(), `"msg":"last"`) {
-		t.Errorf("%d repeated lines in %q", n, out.String())
+		t.Errorf("%d repeated lines, want 1 to 100 and the last line in %q", n, out.String())
 	}
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -5,8 +5,8 @@
 	"tillerusher/internal/config"
 )
 
-// LoadOperator reads the operators' own settings from a file, where one is named. A capture directory on the command
-// line overrides the one in the file.
+// LoadOperator reads the operators' settings from a file; an empty file name means no settings. captureDirectory is the
+// command line's capture directory. If it is not empty, it overrides the directory in the file.
 func LoadOperator(file, captureDirectory string) (*config.OperatorConfig, error) {
 	operator := &config.OperatorConfig{}
 	if file != "" {
--- a/internal/cli/runtime.go
+++ b/internal/cli/runtime.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// heapPercent is the part of the process's memory that the Go runtime may take.
+	// heapPercent is the share of the process's memory limit that the Go runtime may use.
 	heapPercent = 75
-	// gcPercent is how much the heap may grow between collections while memory is far from the limit.
+	// gcPercent is the heap growth, in percent, that starts a collection while memory use is far from the limit.
 	gcPercent = 200
 )
 
-// TuneRuntime fits the Go runtime to the process's limits: collections are rare while memory is far from the limit and
-// frequent near it, and no more threads run Go code than there are cores.
+// TuneRuntime adapts the Go runtime to the process's limits. Garbage collections are rare while memory use is far from the
+// limit and frequent near it. No more threads run Go code than there are cores.
 func TuneRuntime(limits config.Limits) {
 	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapPercent / 100)
 	debug.SetGCPercent(gcPercent)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,33 +16,34 @@
 	"tillerusher/server"
 )
 
-// releaseSlack is how much longer than its stop timeout the previous process may keep the state directory.
+// releaseSlack is the time beyond its stop timeout for which the previous process may still use the state directory.
 const releaseSlack = 2 * time.Second
 
-// StateDirectory is where a server keeps its state over restarts.
+// StateDirectory describes the directory in which a server keeps state across restarts.
 type StateDirectory struct {
 	Path   string
-	Server string
-	Site   string // a fingerprint of the settings that idempotency keys depend on
-	OnWait func() // called once where opening has to wait for another process
+	Server string // name of the server
+	Site   string // fingerprint of the settings that the stored results depend on
+	OnWait func() // called once if another process uses the directory, before the wait for it
 }
 
-// OpenStore opens a state directory. It waits while another process uses the directory, until the context ends.
+// OpenStore opens a state directory. While another process uses the directory, it waits until the context ends.
 type OpenStore func(ctx context.Context, d StateDirectory) (server.DurableStore, error)
 
-// Serve runs one catalogue server: configured by the environment and the arguments, drained by SIGTERM or SIGINT, its
-// configuration read again on SIGHUP and its counters logged on SIGUSR1. It returns the exit status.
+// Serve runs a catalogue server, configured by the environment and the arguments, and returns the exit status. SIGTERM and
+// SIGINT drain the server, SIGHUP reloads its configuration and SIGUSR1 logs its counters.
 func Serve(args []string, getenv func(string) string, stderr io.Writer) int {
 	return serve(args, getenv, stderr, nil)
 }
 
-// ServeDurable is Serve in the program that keeps state over restarts. During a release the previous process still
-// drains and uses the directory: this one waits for it, for its stop timeout and releaseSlack.
+// ServeDurable is like Serve for a program that keeps state across restarts. During a release the previous process still
+// drains and uses the state directory. Therefore ServeDurable waits for the directory, at most for the stop timeout plus
+// releaseSlack.
 func ServeDurable(args []string, getenv func(string) string, stderr io.Writer, open OpenStore) int {
 	return serve(args, getenv, stderr, open)
 }
 
-// serve implements Serve and ServeDurable; open is nil in the program that keeps no state.
+// serve implements Serve and ServeDurable. open is nil in a program that keeps no state.
 func serve(args []string, getenv func(string) string, stderr io.Writer, open OpenStore) int {
 	signals := CatchSignals()
 	if len(args) > 0 && args[0] == routeCommand {
@@ -78,10 +79,10 @@
 	return Run(created, signals, stderr)
 }
 
-// errStopped is returned where a signal ended the process before it served.
+// errStopped is returned if a signal arrived during the wait for the state directory.
 var errStopped = errors.New("stopped while waiting for the state directory")
 
-// newServer returns a server that listens. With a state configuration it keeps results over restarts.
+// newServer returns a listening server. If state is not nil, the server keeps results across restarts.
 func newServer(cfg *server.Config, state *config.StateConfig, open OpenStore, log *zap.Logger) (*server.Server, error) {
 	var store server.DurableStore
 	if state != nil {
@@ -104,7 +105,7 @@
 	return created, nil
 }
 
-// openStore opens the state directory. It returns errStopped where a signal came while it waited.
+// openStore opens the state directory. It returns errStopped if SIGTERM or SIGINT arrives during the wait.
 func openStore(cfg *server.Config, path string, open OpenStore, log *zap.Logger) (server.DurableStore, error) {
 	signalled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -125,8 +126,8 @@
 	return store, err
 }
 
-// reloadOnSignal reads the configuration again on each SIGHUP. It runs on a goroutine of its own, since reading a file
-// may take long.
+// reloadOnSignal reloads the configuration on each SIGHUP. It runs on a separate goroutine, since reading a file may take
+// long.
 func reloadOnSignal(s *server.Server, signals Signals, getenv func(string) string, operator *config.OperatorConfig, log *zap.Logger) {
 	for range signals.Reload {
 		cfg, err := config.Load(getenv)
@@ -134,7 +135,7 @@
 			log.Error("configuration not reloaded", zap.Error(err))
 			continue
 		}
-		cfg.Capture = operator.Capture // needs a restart
+		cfg.Capture = operator.Capture // changes only at a restart
 		s.Reload(cfg)
 	}
 }
--- a/internal/cli/signals.go
+++ b/internal/cli/signals.go
@@ -8,23 +8,23 @@
 	"syscall"
 )
 
-// The exit statuses.
+// The exit statuses of the commands.
 const (
 	ExitOK     = 0 // after a drain, or for help
-	ExitFailed = 1 // when serving failed
-	ExitUsage  = 2 // for wrong arguments, settings or configuration
+	ExitFailed = 1 // serving failed
+	ExitUsage  = 2 // invalid arguments, settings or configuration
 )
 
-// Signals are the signals that a server handles. Each kind has a channel of its own, so that many of one kind can't
-// crowd out another. Signals of a kind that arrive while one is pending are merged with it.
+// Signals delivers the signals that a server handles. Each kind has a separate channel, so that many signals of one kind
+// cannot displace another kind. Signals that arrive while one of the same kind is pending are merged with it.
 type Signals struct {
 	Drain       <-chan os.Signal // SIGTERM, SIGINT
 	Reload      <-chan os.Signal // SIGHUP
 	LogCounters <-chan os.Signal // SIGUSR1
 }
 
-// CatchSignals redirects the signals to channels. It has to be called before anything else: the default action of each
-// is the end of the process.
+// CatchSignals redirects the signals to channels. Call it before anything else, since the default action of each of these
+// signals terminates the process.
 func CatchSignals() Signals {
 	return Signals{
 		Drain:       notify(syscall.SIGTERM, syscall.SIGINT),
@@ -33,7 +33,7 @@
 	}
 }
 
-// notify returns a channel to which signals are sent from now on.
+// notify returns a channel that receives the signals from now on.
 func notify(signals ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, signals...)
@@ -47,7 +47,8 @@
 	LogCounters()
 }
 
-// Run runs a server under the signals and returns the exit status.
+// Run runs a server until it ends and returns the exit status. It handles the signals Drain and LogCounters; the caller
+// handles Reload.
 func Run(server Runner, signals Signals, stderr io.Writer) int {
 	go func() {
 		for {
