--- a/cmd/catalogue-server/capture_test.go
+++ b/cmd/catalogue-server/capture_test.go
@@ -11,7 +11,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// replayCapture replays what a server recorded, from one end to the other and from each segment's state.
+// replayCapture replays a server's capture twice, once with the state continued between segments and once from the
+// snapshot of each segment. It fails the test if a decision differs.
 func replayCapture(t *testing.T, dir string) *replay.Result {
 	t.Helper()
 	segments, bad, err := capture.Open(dir)
@@ -24,18 +25,18 @@
 			t.Fatal(err)
 		}
 		if result.FirstDifference != nil {
-			t.Fatalf("fresh %t: %v", fresh, result.FirstDifference)
+			t.Fatalf("replay with fresh=%t differs: %v", fresh, result.FirstDifference)
 		}
 	}
 	return result
 }
 
-// TestCapture records a server that serves, replays results, rejects, loses its link, is reloaded and drained, and
-// replays that.
+// TestCapture records a server that serves requests, replays a result, loses its link to the interpreter, is reloaded and
+// drained, with one request rejected or failed. It checks the replay of the capture, its annotations and its keys.
 func TestCapture(t *testing.T) {
 	dir := t.TempDir()
 	interpreter := servertest.NewInterpreter(t)
-	server := servertest.Start(t, program+" serve --capture "+dir, interpreter, nil)
+	server := servertest.Start(t, serverCommand+" serve --capture "+dir, interpreter, nil)
 	server.WaitHealthy()
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewReserve(1, "x").Encode(2))
@@ -47,7 +48,7 @@
 	}
 	for id := range uint16(3) {
 		if a := g.WaitResponse(id + 1); a.Status != 200 {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v, want status 200", a)
 		}
 	}
 	server.Signal(syscall.SIGHUP)
@@ -56,43 +57,43 @@
 	server.WaitRuns(3)
 	server.Signal(syscall.SIGTERM)
 	if a := g.WaitResponse(1); a.Status != 500 && a.Status != 503 {
-		t.Errorf("answer in the drain %+v", a)
+		t.Errorf("response during the drain %+v, want status 500 or 503", a)
 	}
 	if code := server.WaitExit(); code != 0 {
 		t.Errorf("exit status %d", code)
 	}
 	r := replayCapture(t, dir)
 	if r.Requests != 4 || r.Runs != 3 || r.Rejected+r.Failed != 1 {
-		t.Errorf("replayed %+v", r)
+		t.Errorf("replay %+v, want 4 requests, 3 runs, 1 rejected or failed", r)
 	}
 	segments, _, _ := capture.Open(dir)
-	var notes []string
+	var annotations []string // and the keys of requests
 	for _, s := range segments {
 		s.ForEach(func(_ capture.Position, r *capture.Record) error {
 			if r.Kind == capture.KindAnnotation || r.Kind == capture.KindRequestNames && r.Key != "" {
-				notes = append(notes, r.Text+r.Key)
+				annotations = append(annotations, r.Text+r.Key)
 			}
 			return nil
 		})
 	}
 	for _, want := range []string{"link lost", "reloaded", "SIGTERM", "00000000000000000000000000000001"} {
-		if !strings.Contains(strings.Join(notes, "\n"), want) {
-			t.Errorf("no note of %q in %q", want, notes)
+		if !strings.Contains(strings.Join(annotations, "\n"), want) {
+			t.Errorf("annotations and keys lack %q: %q", want, annotations)
 		}
 	}
 	if !strings.Contains(server.Log(), `"msg":"capture"`) {
-		t.Error("the recording's counters were not logged")
+		t.Error("the capture's counters were not logged")
 	}
 }
 
-// TestArguments has wrong arguments reported in one line.
+// TestArguments checks that invalid arguments end the start with status 2 and one line that names the cause.
 func TestArguments(t *testing.T) {
 	interpreter := servertest.NewInterpreter(t)
 	for args, want := range map[string]string{"sreve": "want serve", "--sepia": "not defined",
 		"--settings /nowhere": "/nowhere", "--capture /dev/null/x": "capture:"} {
-		server := servertest.Start(t, program+" "+args, interpreter, nil)
+		server := servertest.Start(t, serverCommand+" "+args, interpreter, nil)
 		if code := server.WaitExit(); code != 2 || !strings.Contains(server.Log(), want) || strings.Count(server.Log(), "\n") != 1 {
-			t.Errorf("%s: exit status %d, log %q", args, code, server.Log())
+			t.Errorf("%s: exit status %d, want 2; log %q, want one line with the cause", args, code, server.Log())
 		}
 	}
 }
--- a/cmd/catalogue-server/descriptors_test.go
+++ b/cmd/catalogue-server/descriptors_test.go
@@ -16,59 +16,60 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestFullTable has idle callers take all the descriptors that gateways may have while the load report service is down
-// and the link to the interpreter breaks: the link is made again, open requests are answered, reports arrive as soon as
-// the service is back, and as soon as a new configuration names another one.
+// TestFullTable checks a server whose connection table is full: idle callers use all the descriptors that gateways may use,
+// the load report service is down, and the link to the interpreter breaks. The server must reconnect the link, answer open
+// requests, and send reports as soon as the service is back or a new configuration names another one.
 func TestFullTable(t *testing.T) {
 	interpreter := servertest.NewInterpreter(t)
-	server := servertest.Start(t, program, interpreter, func(c map[string]any) {
+	server := servertest.Start(t, serverCommand, interpreter, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 64}
-		// However slow the machine is, the open request does not reach its deadline meanwhile.
+		// With a long deadline the open request does not reach it during the test, even on a slow machine.
 		c["settings"] = json.RawMessage(strings.Replace(fake.SiteSettings, "6100000000", "600000000000", 1))
 	})
 	server.WaitHealthy()
 	gateway := servertest.Dial(t, server.Addr)
-	gateway.Write(fake.NewReserve(1, "under way").Encode(1))
+	gateway.Write(fake.NewReserve(1, "open").Encode(1))
 	id := interpreter.WaitRuns(1)[0].ID
-	down := server.CloseReportListener()
+	reportAddr := server.CloseReportListener()
 	for range 200 {
 		servertest.Dial(t, server.Addr)
 	}
-	servertest.WaitFor(t, "errors of reports", func() bool {
+	servertest.WaitFor(t, "load report errors", func() bool {
 		server.Signal(syscall.SIGUSR1)
 		return server.Counter("load_report_errors") > 0
 	})
 	links := interpreter.LinkCount()
 	interpreter.CutLink()
-	servertest.WaitFor(t, "a new link", func() bool { return interpreter.LinkCount() > links })
+	servertest.WaitFor(t, "a new link to the interpreter", func() bool { return interpreter.LinkCount() > links })
 	interpreter.EndRun(id, "OK", []byte("x"))
 	if a := gateway.WaitResponse(1); a.Status != 200 {
-		t.Errorf("the request that was under way: %+v", a)
+		t.Errorf("response to the open request %+v, want status 200", a)
 	}
-	back, err := net.ListenUDP("udp4", down)
+	reports, err := net.ListenUDP("udp4", reportAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer back.Close()
-	if got := servertest.ReadReport(t, back); got != "announce n3 true" {
-		t.Errorf("report %q", got)
+	defer reports.Close()
+	if got := servertest.ReadReport(t, reports); got != "announce n3 true" {
+		t.Errorf("report after the service is back %q", got)
 	}
-	moved := interpreter.AddListener()
-	other := servertest.NewReportListener(t)
-	server.Configure(func(c map[string]any) { c["vm"], c["announce"] = moved, other.LocalAddr().String() })
+	newAddr := interpreter.AddListener()
+	newReports := servertest.NewReportListener(t)
+	server.Configure(func(c map[string]any) { c["vm"], c["announce"] = newAddr, newReports.LocalAddr().String() })
 	server.Signal(syscall.SIGHUP)
-	if got := servertest.ReadReport(t, other); got != "announce n3 true" {
-		t.Errorf("report %q", got)
+	if got := servertest.ReadReport(t, newReports); got != "announce n3 true" {
+		t.Errorf("report at the new address %q", got)
 	}
-	servertest.WaitFor(t, "the link at its new address", func() bool { return interpreter.LinkAddr() == moved })
-	gateway.Write(fake.NewReserve(2, "after it").Encode(2))
+	servertest.WaitFor(t, "the link at the new address", func() bool { return interpreter.LinkAddr() == newAddr })
+	gateway.Write(fake.NewReserve(2, "after the reload").Encode(2))
 	interpreter.EndRun(interpreter.WaitRuns(2)[1].ID, "OK", []byte("y"))
 	if a := gateway.WaitResponse(2); a.Status != 200 {
-		t.Errorf("a request after it: %+v", a)
+		t.Errorf("response after the reload %+v, want status 200", a)
 	}
 }
 
-// TestOutOfDescriptors takes all descriptors away: callers are rejected at once, and accepted again later.
+// TestOutOfDescriptors lowers the process's descriptor limit to the descriptors in use. Callers must be rejected immediately,
+// and accepted again once the limit is restored.
 func TestOutOfDescriptors(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	server.WaitCounter("connections", 0)
@@ -76,8 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var before unix.Rlimit
-	if err := unix.Prlimit(server.Process.Pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
+	var original unix.Rlimit
+	if err := unix.Prlimit(server.Process.Pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
 		t.Fatal(err)
 	}
 	highest := 0
@@ -85,8 +86,8 @@
 		number, _ := strconv.Atoi(fd.Name())
 		highest = max(highest, number)
 	}
-	few := unix.Rlimit{Cur: uint64(highest + 1), Max: before.Max}
-	if err := unix.Prlimit(server.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
+	lowered := unix.Rlimit{Cur: uint64(highest + 1), Max: original.Max}
+	if err := unix.Prlimit(server.Process.Pid, unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		t.Fatal(err)
 	}
 	servertest.WaitFor(t, "a caller to be rejected", func() bool {
@@ -94,10 +95,10 @@
 		server.Signal(syscall.SIGUSR1)
 		return server.Counter("accept_errors") > 0
 	})
-	if err := unix.Prlimit(server.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
+	if err := unix.Prlimit(server.Process.Pid, unix.RLIMIT_NOFILE, &original, nil); err != nil {
 		t.Fatal(err)
 	}
-	// One that connected while none was free may still be rejected; the next ones are served.
+	// A caller that connected while no descriptor was free may still be rejected. Later callers are served.
 	servertest.WaitFor(t, "a caller to be served", func() bool {
 		g := servertest.Dial(t, server.Addr)
 		if g.Gateway.Write(fake.NewLookup("").Encode(1)) != nil {
--- a/cmd/catalogue-server/kill_test.go
+++ b/cmd/catalogue-server/kill_test.go
@@ -15,14 +15,14 @@
 	"tillerusher/internal/servertest"
 )
 
-// kills is how often TestKills kills a server; docs/design/capture.md has the figures of 200.
+// kills is the number of times that TestKills kills a server. docs/design/capture.md has the results of 200 kills.
 var kills = flag.Int("kills", 4, "how often TestKills kills a server")
 
-// maxKills bounds the kills of TestKills, which goes on until one leaves a record: early kills leave none.
+// maxKills is the maximum number of kills in TestKills, which continues until a kill leaves a record. Early kills leave none.
 const maxKills = 50
 
-// TestKills kills recording servers with SIGKILL at random points of a load: each capture is read up to its last complete
-// block, a start in the same directory overwrites nothing, and the replay makes the same decisions.
+// TestKills kills recording servers with SIGKILL at random times under load. Each capture must be readable up to its last
+// complete block, a start in the same directory must not overwrite records, and the replay must make the same decisions.
 func TestKills(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -30,26 +30,26 @@
 	dir := t.TempDir()
 	interpreter := servertest.NewInterpreter(t)
 	interpreter.FinishImmediately()
-	records, torn, unanswered, killedEarly := uint64(0), 0, 0, 0
+	records, torn, unreadable, killedEarly := uint64(0), 0, 0, 0
 	kill := 0
 	for ; kill < *kills || records == 0 && kill < maxKills; kill++ {
-		server := servertest.Start(t, program+" serve --capture "+dir, interpreter, nil)
+		server := servertest.Start(t, serverCommand+" serve --capture "+dir, interpreter, nil)
 		server.WaitHealthy()
-		var answers atomic.Int64
-		killAfter := rng.Int64N(3000) // answers before the kill
+		var responses atomic.Int64
+		killAfter := rng.Int64N(3000) // number of responses before the kill
 		ended := make(chan bool)
 		go func() {
 			defer close(ended)
-			sendContinuously(server.Addr, &answers)
+			sendContinuously(server.Addr, &responses)
 		}()
-		servertest.WaitFor(t, "answers", func() bool { return answers.Load() >= killAfter })
-		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // at a random time between two answers
+		servertest.WaitFor(t, "responses", func() bool { return responses.Load() >= killAfter })
+		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond) // at a random time between two responses
 		server.Signal(syscall.SIGKILL)
 		server.WaitExit()
 		<-ended
 		segments, bad, err := capture.Open(dir)
 		if records == 0 && len(segments) == 0 && (err == nil || errors.Is(err, capture.ErrNotCapture)) {
-			killedEarly++ // before the first state of a segment was written: nothing can be read yet
+			killedEarly++ // killed before the first segment's snapshot was written, so there is nothing to read
 			continue
 		}
 		if err != nil {
@@ -60,31 +60,32 @@
 			t.Fatal(err)
 		}
 		if r.FirstDifference != nil || r.Skipped > 0 {
-			t.Fatalf("kill %d after %d answers: %v, %d events skipped", kill, answers.Load(), r.FirstDifference, r.Skipped)
+			t.Fatalf("kill %d after %d responses: difference %v, %d events skipped", kill, responses.Load(), r.FirstDifference, r.Skipped)
 		}
 		if r.Records < records {
-			t.Fatalf("kill %d: %d records are left of %d", kill, r.Records, records)
+			t.Fatalf("kill %d: %d records, want at least the %d before it", kill, r.Records, records)
 		}
 		records = r.Records
 		last := segments[len(segments)-1]
 		if len(last.Damage) > 1 {
-			t.Errorf("kill %d: more than the end is torn: %v", kill, last.Damage)
+			t.Errorf("kill %d: damage at more than the end of the segment: %v", kill, last.Damage)
 		}
 		if last.Complete {
-			t.Errorf("kill %d: the segment looks as if it was ended in order", kill)
+			t.Errorf("kill %d: the segment is marked as complete", kill)
 		}
 		torn += len(last.Damage)
-		unanswered += len(bad)
+		unreadable += len(bad)
 	}
 	if records == 0 {
 		t.Errorf("%d kills left no record", kill)
 	}
-	t.Logf("%d kills: %d records are read, %d segments end in a torn block, %d are too short to be read, %d kills came before the first segment",
-		kill, records, torn, unanswered, killedEarly)
+	t.Logf("%d kills: %d records read, %d segments with a torn last block, %d too short to be read, %d kills before the first segment",
+		kill, records, torn, unreadable, killedEarly)
 }
 
-// sendContinuously keeps requests of all kinds open on one connection until that ends.
-func sendContinuously(addr string, answers *atomic.Int64) {
+// sendContinuously keeps 16 requests of both classes open on one connection until the connection ends, and counts the
+// responses.
+func sendContinuously(addr string, responses *atomic.Int64) {
 	g, err := fake.Dial(addr)
 	if err != nil {
 		return
@@ -106,6 +107,6 @@
 		if err != nil || send(a.ID) != nil {
 			return
 		}
-		answers.Add(1)
+		responses.Add(1)
 	}
 }
--- a/cmd/catalogue-server/link_test.go
+++ b/cmd/catalogue-server/link_test.go
@@ -7,8 +7,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestLinkLost loses the link while a request runs, which ends meanwhile: the notice is read on the next link, and
-// nothing runs twice.
+// TestLinkLost breaks the link to the interpreter while a request runs. The run ends while there is no link; its notice must
+// be read on the next link, and no request may run twice.
 func TestLinkLost(t *testing.T) {
 	server := startServer(t, nil)
 	g := servertest.Dial(t, server.Addr)
@@ -16,41 +16,42 @@
 	first := server.WaitRuns(1)[0].ID
 	server.RejectLinks(true)
 	server.CutLink()
-	server.EndRun(first, "OK", []byte("while away"))
-	g.Write(fake.NewReserve(2, "y").Encode(2)) // asked for while there is no link
+	server.EndRun(first, "OK", []byte("ended without a link"))
+	g.Write(fake.NewReserve(2, "y").Encode(2)) // sent while there is no link
 	server.WaitCounter("open_requests", 2)
 	server.RejectLinks(false)
-	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "while away" {
-		t.Errorf("answer %+v", a)
+	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "ended without a link" {
+		t.Errorf("response %+v, want status 200 and body ended without a link", a)
 	}
 	runs := server.WaitRuns(2)
-	server.CutLink() // the run goes on and is not begun again
+	server.CutLink() // the run continues and is not started again
 	server.WaitCounter("interpreter_connects", 3)
 	server.EndRun(runs[1].ID, "OK", []byte("second"))
 	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "second" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200 and body second", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 2 {
 		t.Errorf("runs %v", runs)
 	}
 }
 
-// TestNotYetUp has an interpreter that comes up late: health checks fail until then, and nothing is announced.
+// TestNotYetUp starts a server before its interpreter is up. Until then health checks and requests must get status 503, and
+// no load report may be sent.
 func TestNotYetUp(t *testing.T) {
 	interpreter := servertest.NewInterpreter(t)
 	interpreter.MarkDown()
-	server := servertest.Start(t, program, interpreter, nil)
+	server := servertest.Start(t, serverCommand, interpreter, nil)
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewHealthCheck(false).Encode(1), fake.NewLookup("").Encode(2))
 	if a := g.WaitResponse(1); a.Status != 503 {
-		t.Errorf("health check %+v", a)
+		t.Errorf("response to the health check %+v, want status 503", a)
 	}
 	if a := g.WaitResponse(2); a.Status != 503 {
-		t.Errorf("request %+v", a)
+		t.Errorf("response to the request %+v, want status 503", a)
 	}
 	interpreter.MarkUp()
 	server.WaitHealthy()
 	if got := server.WaitReport(); got != "announce n3 true" {
-		t.Errorf("report %q", got)
+		t.Errorf("first report %q", got)
 	}
 }
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -17,12 +17,12 @@
 	"tillerusher/internal/servertest"
 )
 
-// program is the shell command of the deploy file, with the path of the built binary: tests start it as the platform
-// does.
-var program string
+// serverCommand is the shell command in deploy/balancer.toml that runs the server, with the path of the built binary. Tests
+// start the server with the same command as the platform.
+var serverCommand string
 
-// kit is the path of cataloguectl, which runs servers with faulty disks.
-var kit string
+// cataloguectlPath is the path of the built cataloguectl, which runs servers with a faulty disk.
+var cataloguectlPath string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -46,30 +46,32 @@
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	line := regexp.MustCompile(`(?m)^run = "(.*bin/catalogue-server)"$`).FindSubmatch(deploy)
 	if err != nil || line == nil {
-		fmt.Fprintln(os.Stderr, "deploy/balancer.toml starts no bin/catalogue-server", err)
+		fmt.Fprintln(os.Stderr, "deploy/balancer.toml has no run command that ends in bin/catalogue-server:", err)
 		return 1
 	}
-	program = strings.Replace(string(line[1]), "bin/catalogue-server", binary, 1)
-	kit = filepath.Join(dir, "cataloguectl")
+	serverCommand = strings.Replace(string(line[1]), "bin/catalogue-server", binary, 1)
+	cataloguectlPath = filepath.Join(dir, "cataloguectl")
 	return m.Run()
 }
 
-// startServer starts a server whose interpreter is up, and waits until it is healthy.
+// startServer starts a server and its interpreter, and waits until the server is healthy. prepare may change the
+// interpreter before the server starts, and may be nil.
 func startServer(t *testing.T, prepare func(interpreter *servertest.Interpreter)) *servertest.Server {
 	t.Helper()
 	interpreter := servertest.NewInterpreter(t)
 	if prepare != nil {
 		prepare(interpreter)
 	}
-	server := servertest.Start(t, program, interpreter, nil)
+	server := servertest.Start(t, serverCommand, interpreter, nil)
 	server.WaitHealthy()
 	return server
 }
 
-// finishImmediately has an interpreter finish its runs at once.
+// finishImmediately configures an interpreter to finish each run when it starts.
 func finishImmediately(it *servertest.Interpreter) { it.FinishImmediately() }
 
-// TestServe has requests of both classes served, with any bytes, and checks the headers that are sent along.
+// TestServe checks that requests of both classes are served, that bodies may contain any bytes, that every response has the
+// load hint in Server-Hint, and that load reports are sent repeatedly.
 func TestServe(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	if got := server.WaitReport(); got != "announce n3 true" {
@@ -78,26 +80,26 @@
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("a\x00\xff").Encode(1), fake.NewReserve(1, "").Encode(2))
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "[a\x00\xff]" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200 and the request's body in brackets", a)
 	}
 	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "[]" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200 and an empty body in brackets", a)
 	}
 	for _, run := range server.StartedRuns() {
 		if run.Class == "part-lookup" && string(run.Body) != "a\x00\xff" {
-			t.Errorf("the body reached the interpreter as %q", run.Body)
+			t.Errorf("the interpreter received the body %q", run.Body)
 		}
 	}
-	// The module advertises the load from its first reading of the gauges on.
-	servertest.WaitFor(t, "the hint on an answer", func() bool {
+	// The decision module reports the load only after it has received the first gauge reading.
+	servertest.WaitFor(t, "a response with Server-Hint", func() bool {
 		g.Write(fake.NewLookup("").Encode(1))
 		return g.WaitResponse(1).Header.Get("Server-Hint") != ""
 	})
-	flawed := fake.NewLookup(strings.Repeat("b", 2049))
-	for _, r := range []fake.Request{fake.NewHealthCheck(false), flawed, fake.NewLookup("").WithHeader("Account", "")} {
+	tooLong := fake.NewLookup(strings.Repeat("b", 2049))
+	for _, r := range []fake.Request{fake.NewHealthCheck(false), tooLong, fake.NewLookup("").WithHeader("Account", "")} {
 		g.Write(r.Encode(1))
 		if a := g.WaitResponse(1); a.Header.Get("Server-Hint") == "" {
-			t.Errorf("answer without the hint %+v", a)
+			t.Errorf("response without Server-Hint: %+v", a)
 		}
 	}
 	if got := server.WaitReport(); got != "announce n3 true" {
@@ -105,25 +107,25 @@
 	}
 }
 
-// TestClassCounters has one request of a class served and one of another rejected: the counters of each class show it.
+// TestClassCounters checks the counters by class after a request of one class was served and one of the other rejected.
 func TestClassCounters(t *testing.T) {
 	server := startServer(t, func(interpreter *servertest.Interpreter) { interpreter.SetUtilization(1) })
 	g := servertest.Dial(t, server.Addr)
-	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
+	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one per core
 	runs := server.WaitRuns(2)
 	server.WaitGaugeReading()
-	old := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
-	g.Write(old.Encode(3))
+	queued := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
+	g.Write(queued.Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v, want status 503", a)
 	}
 	server.EndRun(runs[0].ID, "OK", []byte("a"))
 	if a := g.WaitResponse(1); a.Status != 200 {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v, want status 200", a)
 	}
 	type class struct{ Requests, Served, Rejected, Failed int }
 	var line struct{ Classes map[string]class }
-	servertest.WaitFor(t, "counters by class", func() bool {
+	servertest.WaitFor(t, "the counters by class in the log", func() bool {
 		server.Signal(syscall.SIGUSR1)
 		for _, text := range strings.Split(server.Log(), "\n") {
 			if strings.Contains(text, `"msg":"classes"`) {
@@ -135,44 +137,47 @@
 		return line.Classes["part-lookup"].Served == 1
 	})
 	if got := line.Classes["part-lookup"]; got != (class{Requests: 2, Served: 1}) {
-		t.Errorf("part-lookup: %+v", got)
+		t.Errorf("counters of part-lookup: %+v, want 2 requests, 1 served", got)
 	}
 	if got := line.Classes["stock-reserve"]; got != (class{Requests: 1, Rejected: 1}) {
-		t.Errorf("stock-reserve: %+v", got)
+		t.Errorf("counters of stock-reserve: %+v, want 1 request, 1 rejected", got)
 	}
 }
 
-// TestDeadline fails a request whose run does not end in time, counted from its arrival at the machine.
+// TestDeadline checks that a request fails if its run does not end before the deadline, which counts from the request's
+// arrival at the machine.
 func TestDeadline(t *testing.T) {
 	server := startServer(t, nil)
 	g := servertest.Dial(t, server.Addr)
-	const queueingDelay = 3300 * time.Millisecond // of 3.7 s
+	const queueingDelay = 3300 * time.Millisecond // of the 3.7 s until the deadline
 	sent := time.Now()
 	arrived := sent.Add(-queueingDelay)
 	g.Write(fake.NewLookup("").WithHeader("Received-At", strconv.FormatInt(arrived.UnixMilli(), 10)).Encode(1))
 	a := g.WaitResponse(1)
 	if a.Status != 500 && a.Status != 503 {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 500 or 503", a)
 	}
 	if took := time.Since(sent); took >= queueingDelay { // 0.4 s, or 3.7 s if the queueing delay did not count
-		t.Errorf("answered %v after it was sent", took)
+		t.Errorf("the response came %v after the request was sent", took)
 	}
-	// The run is stopped, and its end is no second answer.
+	// The run is stopped, and its end does not cause a second response.
 	server.WaitCounter("running", 0)
 	g.Write(fake.NewHealthCheck(false).Encode(2))
 	if a := g.WaitResponse(0); a.ID != 2 {
-		t.Errorf("second answer %+v", a)
+		t.Errorf("response %+v, want one to request 2", a)
 	}
 }
 
-// withDownstream changes what requests call while they run.
-func withDownstream(what string) func(c map[string]any) {
+// withDownstream returns a configuration change that sets family-info.below: the dependency that requests call while they
+// run.
+func withDownstream(dependency string) func(c map[string]any) {
 	return func(c map[string]any) {
-		c["settings"] = map[string]any{"servers": 2, "family-info": map[string]any{"below": what}}
+		c["settings"] = map[string]any{"servers": 2, "family-info": map[string]any{"below": dependency}}
 	}
 }
 
-// TestBadConfig ends with one line that names the field.
+// TestBadConfig checks that an invalid configuration or an address in use ends the start with one line on standard error,
+// which names the cause.
 func TestBadConfig(t *testing.T) {
 	for field, change := range map[string]func(c map[string]any){
 		"stop_ms":             func(c map[string]any) { delete(c, "stop_ms") },
@@ -186,9 +191,9 @@
 	} {
 		if change == nil {
 			interpreter := servertest.NewInterpreter(t)
-			first := servertest.Start(t, program, interpreter, nil)
+			first := servertest.Start(t, serverCommand, interpreter, nil)
 			first.WaitHealthy()
-			cmd := exec.Command("/bin/sh", "-c", program)
+			cmd := exec.Command("/bin/sh", "-c", serverCommand)
 			cmd.Env = append(os.Environ(), "RELAY_CONFIG="+first.ConfigPath, "RELAY_LISTEN="+first.Addr)
 			out, err := cmd.CombinedOutput()
 			if err == nil || !strings.Contains(string(out), field) || strings.Count(string(out), "\n") != 1 {
@@ -196,7 +201,7 @@
 			}
 			continue
 		}
-		server := servertest.Start(t, program, servertest.NewInterpreter(t), change)
+		server := servertest.Start(t, serverCommand, servertest.NewInterpreter(t), change)
 		status := server.WaitExit()
 		if log := server.Log(); status == 0 || !strings.Contains(log, field) || strings.Count(log, "\n") != 1 {
 			t.Errorf("%s: exit status %d, output %q", field, status, log)
--- a/cmd/catalogue-server/misbehaving_callers_test.go
+++ b/cmd/catalogue-server/misbehaving_callers_test.go
@@ -10,41 +10,41 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestIncompleteRequests has callers that are silent or stop half way, next to a gateway that pauses: they are closed
-// within 3 s, and it is not.
+// TestIncompleteRequests checks that the connections of callers that stay silent or stop in the middle of a request are
+// closed within 3 s, and that the connection of a gateway that only pauses within a request is not.
 func TestIncompleteRequests(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	gateway := servertest.Dial(t, server.Addr)
 	encoded := fake.NewLookup("x").Encode(1)
 	gateway.Write(encoded[:40])
-	begun := time.Now()
+	start := time.Now()
 	silent, half, halfSecond := servertest.Dial(t, server.Addr), servertest.Dial(t, server.Addr), servertest.Dial(t, server.Addr)
 	half.Write(encoded[:len(encoded)-8])
 	halfSecond.Write(fake.NewLookup("").Encode(1))
 	if a := halfSecond.WaitResponse(1); a.Status != 200 {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200", a)
 	}
 	halfSecond.Write(fake.NewLookup("").Encode(2)[:20])
-	servertest.WaitFor(t, "a pause", func() bool { return time.Since(begun) > 500*time.Millisecond })
+	servertest.WaitFor(t, "a pause", func() bool { return time.Since(start) > 500*time.Millisecond })
 	gateway.Write(encoded[40:])
 	if a := gateway.WaitResponse(1); a.Status != 200 {
-		t.Errorf("answer to the gateway that paused %+v", a)
+		t.Errorf("response to the gateway that paused %+v, want status 200", a)
 	}
-	for what, g := range map[string]*servertest.Gateway{"silent": silent, "half a request": half, "half a second request": halfSecond} {
+	for name, g := range map[string]*servertest.Gateway{"silent": silent, "half a request": half, "half a second request": halfSecond} {
 		g.WaitClosed()
-		if took := time.Since(begun); took < 2*time.Second {
-			t.Errorf("%s: closed after %v, too soon for a gateway that pauses", what, took)
+		if took := time.Since(start); took < 2*time.Second {
+			t.Errorf("%s: closed after %v, want at least 2s, as a gateway may pause", name, took)
 		}
 	}
 	server.WaitCounter("connection_timeouts", 3)
 	gateway.Write(fake.NewLookup("").Encode(2))
 	if a := gateway.WaitResponse(2); a.Status != 200 {
-		t.Errorf("answer to the gateway %+v", a)
+		t.Errorf("second response to the gateway %+v, want status 200", a)
 	}
 }
 
-// TestEndlessBody sends a body without end at full speed: it is answered at once, the answer arrives, and the connection
-// ends without all of the body being read.
+// TestEndlessBody sends a body without end at full speed. The server must respond immediately, the response must arrive, and
+// the connection must be closed before all of the body is read.
 func TestEndlessBody(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	g := servertest.Dial(t, server.Addr)
@@ -52,26 +52,26 @@
 	g.Write(fake.EncodeBeginRequest(1, 1, true), fake.EncodeRecord(fake.Params, 1, r.EncodeParams(), 0), fake.EncodeRecord(fake.Params, 1, nil, 0))
 	g.Write(bytes.Repeat(fake.EncodeRecord(fake.Stdin, 1, make([]byte, 65000), 0), 100))
 	if a := g.WaitResponse(1); a.Status != 413 {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 413", a)
 	}
 	g.WaitClosed()
 	server.WaitCounter("protocol_errors", 1)
 }
 
-// TestEviction has hundreds of callers connect and stay silent, or send one request and stay, where descriptors are
-// few: gateways still connect and are served, and one that was connected before is not evicted.
+// TestEviction opens hundreds of connections that stay silent or stay open after one request, while descriptors are few.
+// Gateways must still be able to connect and be served, and a gateway that was connected before must not be evicted.
 func TestEviction(t *testing.T) {
 	interpreter := servertest.NewInterpreter(t)
 	interpreter.FinishImmediately()
-	server := servertest.Start(t, program, interpreter, func(c map[string]any) {
+	server := servertest.Start(t, serverCommand, interpreter, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 64}
 	})
 	server.WaitHealthy()
-	resident := servertest.Dial(t, server.Addr)
-	// On a loaded machine a run may take long enough to look like a stall: then it is rejected, and sent again.
+	established := servertest.Dial(t, server.Addr)
+	// On a loaded machine a run may take so long that the server detects a stall and rejects the request. It is sent again.
 	serve := func(g *servertest.Gateway) {
 		t.Helper()
-		servertest.WaitFor(t, "the resident to be served", func() bool {
+		servertest.WaitFor(t, "the established gateway to be served", func() bool {
 			g.Write(fake.NewLookup("").Encode(1))
 			return g.WaitResponse(1).Status == 200
 		})
@@ -80,19 +80,19 @@
 		for range 20 {
 			servertest.Dial(t, server.Addr)
 		}
-		for range 10 { // ask once and stay, those that get in
+		for range 10 { // those that are accepted send one request and stay connected
 			g := servertest.Dial(t, server.Addr)
 			g.Write(fake.NewLookup("").Encode(1))
 			g.TryResponse(1)
 		}
-		servertest.WaitFor(t, "a newcomer to be served", func() bool {
+		servertest.WaitFor(t, "a new gateway to get a response", func() bool {
 			g := servertest.Dial(t, server.Addr)
 			g.Write(fake.NewLookup("").Encode(1))
 			_, err := g.TryResponse(1)
 			return err == nil
 		})
-		serve(resident)
+		serve(established)
 	}
 	server.Signal(syscall.SIGUSR1)
-	servertest.WaitFor(t, "the counters", func() bool { return server.Counter("connections_evicted") > 0 })
+	servertest.WaitFor(t, "an eviction in the counters", func() bool { return server.Counter("connections_evicted") > 0 })
 }
--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -11,8 +11,9 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestReload moves the interpreter and the load report service while a request runs and another is asked for: runs,
-// notices and keys go on at the new addresses, twice in a row, and the old ones are not used any more.
+// TestReload moves the interpreter and the load report service to new addresses twice while a request runs, and sends another
+// request afterwards. Runs, notices and idempotency keys must continue at the new addresses, and the old addresses must not
+// be used any more.
 func TestReload(t *testing.T) {
 	server := startServer(t, nil)
 	g := servertest.Dial(t, server.Addr)
@@ -33,12 +34,12 @@
 	server.EndRun(second, "OK", []byte("two"))
 	for id, want := range map[uint16]string{1: "one", 2: "two"} {
 		if a := g.WaitResponse(id); a.Status != 200 || string(a.Body) != want {
-			t.Errorf("answer to request %d: %+v", id, a)
+			t.Errorf("response to request %d: %+v, want status 200 and the run's result", id, a)
 		}
 	}
 	g.Write(fake.NewReserve(1, "x").Encode(3))
 	if a := g.WaitResponse(3); a.Status != 200 || string(a.Body) != "one" {
-		t.Errorf("answer to the repeat %+v", a)
+		t.Errorf("response to the retry %+v, want status 200 and body one", a)
 	}
 	server.WaitCounter("reloads", 2)
 	if runs := server.StartedRuns(); len(runs) != 2 {
@@ -46,7 +47,8 @@
 	}
 }
 
-// TestReloadBad keeps all of the old configuration where the new one is invalid, and logs the name of the field.
+// TestReloadBad checks that an invalid new configuration changes nothing, not even its valid fields, and that the log names
+// the invalid field.
 func TestReloadBad(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	addr := server.Addr
@@ -60,7 +62,7 @@
 			edit(c)
 		})
 		server.Signal(syscall.SIGHUP)
-		servertest.WaitFor(t, "the complaint about "+field, func() bool {
+		servertest.WaitFor(t, "the log line about "+field, func() bool {
 			for _, line := range strings.Split(server.Log(), "\n") {
 				if strings.Contains(line, "configuration not reloaded") && strings.Contains(line, field) {
 					return true
@@ -74,59 +76,59 @@
 	}
 	server.Signal(syscall.SIGHUP)
 	g := servertest.Dial(t, addr)
-	g.Write(fake.NewLookup("still here").Encode(1))
+	g.Write(fake.NewLookup("after invalid reloads").Encode(1))
 	if a := g.WaitResponse(1); a.Status != 200 {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200", a)
 	}
 	server.WaitCounter("interpreter_connects", 1)
 	server.WaitCounter("reloads", 0)
 }
 
-// TestReloadAnyTime sends SIGHUP when nothing can be done with it: before the interpreter is up, while the link is
-// down, and during a drain.
+// TestReloadAnyTime sends SIGHUP at times when the server cannot connect to the new address: before the interpreter is up
+// and while it rejects links. It also sends SIGHUP during a drain.
 func TestReloadAnyTime(t *testing.T) {
 	interpreter := servertest.NewInterpreter(t)
 	interpreter.MarkDown()
-	server := servertest.Start(t, program, interpreter, nil)
-	servertest.Dial(t, server.Addr) // a connection shows that it listens
-	hup := func() {
+	server := servertest.Start(t, serverCommand, interpreter, nil)
+	servertest.Dial(t, server.Addr) // the connection shows that the server listens
+	reload := func() {
 		addr := server.AddListener()
 		server.Configure(func(c map[string]any) { c["vm"] = addr })
 		server.Signal(syscall.SIGHUP)
 	}
-	hup()
+	reload()
 	server.WaitCounter("reloads", 1)
 	interpreter.MarkUp()
 	server.WaitHealthy()
 	server.RejectLinks(true)
 	server.CutLink()
-	hup()
+	reload()
 	server.WaitCounter("reloads", 2)
 	server.RejectLinks(false)
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1))
 	run := server.WaitRuns(1)[0].ID
 	server.Signal(syscall.SIGTERM)
-	servertest.WaitFor(t, "the drain", func() bool { return strings.Contains(server.Log(), `"draining"`) })
-	hup()
+	servertest.WaitFor(t, "the drain to begin", func() bool { return strings.Contains(server.Log(), `"draining"`) })
+	reload()
 	servertest.WaitFor(t, "the link at the last address", func() bool { return server.LinkAddr() == interpreter.Addr() })
 	server.EndRun(run, "OK", []byte("done"))
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "done" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200 and body done", a)
 	}
 	if status := server.WaitExit(); status != 0 {
 		t.Errorf("exit status %d", status)
 	}
 }
 
-// TestReloadEarly sends SIGHUP again and again from the first moment of the process on.
+// TestReloadEarly sends SIGHUP repeatedly from the start of the process. The process must not end, and must reload.
 func TestReloadEarly(t *testing.T) {
-	server := servertest.Start(t, program, servertest.NewInterpreter(t), nil)
-	servertest.WaitFor(t, "the shell to become the program", func() bool {
+	server := servertest.Start(t, serverCommand, servertest.NewInterpreter(t), nil)
+	servertest.WaitFor(t, "the shell to exec the server", func() bool {
 		name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", server.Process.Pid))
-		return err == nil && strings.TrimSpace(string(name)) == "catalogue-serve" // the kernel keeps 15 bytes of a name
+		return err == nil && strings.TrimSpace(string(name)) == "catalogue-serve" // the kernel truncates the name to 15 bytes
 	})
-	servertest.WaitFor(t, "a configuration to be taken over", func() bool {
+	servertest.WaitFor(t, "a reload", func() bool {
 		server.Signal(syscall.SIGHUP)
 		return strings.Contains(server.Log(), "configuration reloaded")
 	})
--- a/cmd/catalogue-server/retries_test.go
+++ b/cmd/catalogue-server/retries_test.go
@@ -9,8 +9,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestRetries sends two attempts of one request at once and a third after it was served: it runs once, and all are
-// answered by that run.
+// TestRetries sends two attempts of one request together, and a third after the request was served. The request must run
+// once, and all attempts must get the result of that run.
 func TestRetries(t *testing.T) {
 	server := startServer(t, nil)
 	g := servertest.Dial(t, server.Addr)
@@ -19,13 +19,13 @@
 	server.EndRun(server.WaitRuns(1)[0].ID, "OK", []byte("done"))
 	for id := range uint16(2) {
 		if a := g.WaitResponse(id + 1); a.Status != 200 || string(a.Body) != "done" {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v, want status 200 and body done", a)
 		}
 	}
 	other := servertest.Dial(t, server.Addr)
 	other.Write(fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1").Encode(1))
 	if a := other.WaitResponse(1); a.Status != 200 || string(a.Body) != "done" {
-		t.Errorf("answer to the later attempt %+v", a)
+		t.Errorf("response to the third attempt %+v, want status 200 and body done", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
@@ -33,18 +33,18 @@
 	server.WaitCounter("replayed", 2)
 }
 
-// TestRejectionFreesKey has a queued request with an idempotency key rejected as its deadline nears: it never ran, so a
-// retry counts as new and is run.
+// TestRejectionFreesKey checks that a retry runs if its request was rejected while queued, because its deadline was near. The
+// request never ran, so the retry counts as a new request.
 func TestRejectionFreesKey(t *testing.T) {
 	server := startServer(t, func(interpreter *servertest.Interpreter) { interpreter.SetUtilization(1) })
 	g := servertest.Dial(t, server.Addr)
-	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one a core
+	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one per core
 	runs := server.WaitRuns(2)
-	server.WaitGaugeReading() // by an older reading the cores have room
-	waiting := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
-	g.Write(waiting.Encode(3))
+	server.WaitGaugeReading() // by an older reading the cores still have free capacity
+	queued := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
+	g.Write(queued.Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v, want status 503 with Back-Off-Ms", a)
 	}
 	g.Write(fake.NewReserve(7, "x").WithHeader("Attempt-Again", "1").Encode(4))
 	for _, run := range runs {
@@ -52,29 +52,29 @@
 	}
 	server.EndRun(server.WaitRuns(3)[2].ID, "OK", []byte("new"))
 	if a := g.WaitResponse(4); a.Status != 200 || string(a.Body) != "new" {
-		t.Errorf("answer to the retry %+v", a)
+		t.Errorf("response to the retry %+v, want status 200 and body new", a)
 	}
 }
 
-// TestFailedRun answers a request whose run failed, and never runs a retry of it.
+// TestFailedRun checks that a request whose run failed gets status 500, and that a retry of it gets the same and never runs.
 func TestFailedRun(t *testing.T) {
 	server := startServer(t, nil)
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewReserve(7, "x").Encode(1))
 	server.EndRun(server.WaitRuns(1)[0].ID, "ERROR", nil)
 	if a := g.WaitResponse(1); a.Status != 500 {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 500", a)
 	}
 	g.Write(fake.NewReserve(7, "x").Encode(2))
 	if a := g.WaitResponse(2); a.Status != 500 || a.ProtocolStatus != 0 {
-		t.Errorf("answer to the second attempt %+v", a)
+		t.Errorf("response to the second attempt %+v, want status 500", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
 
-// TestCallerLost closes a connection whose request runs: the run goes on, and a retry gets the result of that
+// TestCallerLost closes a connection while its request runs. The run must continue, and a retry must get the result of that
 // run.
 func TestCallerLost(t *testing.T) {
 	server := startServer(t, nil)
@@ -87,52 +87,52 @@
 	g = servertest.Dial(t, server.Addr)
 	g.Write(fake.NewReserve(1, "x").Encode(1))
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "kept" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200 and body kept", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
 		t.Errorf("runs %v", runs)
 	}
 }
 
-// TestReusedIDOrKeyRejected sends a served request again under its ID, and with its key and another body: neither gets
-// the result, and copies of a rejected request do not count as retries.
+// TestReusedIDOrKeyRejected sends requests that reuse the ID of a served request, its key with another body, and the ID of a
+// rejected request. All must be rejected as invalid: none gets a stored result, and none counts as a retry.
 func TestReusedIDOrKeyRejected(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	g := servertest.Dial(t, server.Addr)
 	r := fake.NewReserve(1, "x")
 	g.Write(r.Encode(1))
 	if a := g.WaitResponse(1); a.Status != 200 {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v, want status 200", a)
 	}
 	other := fake.NewReserve(1, "y")
-	late := fake.NewLookup("").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5*time.Second).UnixMilli(), 10))
-	g.Write(late.Encode(1))
+	expired := fake.NewLookup("").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5*time.Second).UnixMilli(), 10))
+	g.Write(expired.Encode(1))
 	if a := g.WaitResponse(1); a.Status != 503 {
-		t.Errorf("answer to a request whose time is over %+v", a)
+		t.Errorf("response to a request after its deadline %+v, want status 503", a)
 	}
-	for what, r := range map[string]fake.Request{"its id": r, "its key with another body": other, "an id that was refused": late} {
+	for name, r := range map[string]fake.Request{"reused ID": r, "reused key with another body": other, "ID of a rejected request": expired} {
 		g.Write(r.Encode(1))
 		if a := g.WaitResponse(1); a.Status != 400 {
-			t.Errorf("%s: answer %+v", what, a)
+			t.Errorf("%s: response %+v, want status 400", name, a)
 		}
 	}
 	server.WaitCounter("replayed", 0)
 	server.WaitCounter("requests", 5)
 }
 
-// TestRejectedRunFreesKey has the interpreter reject a request that no gateway can have sent: nothing ran, so the request
-// that its key belongs to is served.
+// TestRejectedRunFreesKey has the interpreter reject the run of a request that no gateway can have sent, and whose key belongs
+// to another request. Nothing ran, so the key is free and the other request must be served.
 func TestRejectedRunFreesKey(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	g := servertest.Dial(t, server.Addr)
-	stray := fake.NewReserve(1, "x")
-	server.RejectRun(stray.ID())
-	g.Write(stray.Encode(1))
+	rejected := fake.NewReserve(1, "x")
+	server.RejectRun(rejected.ID())
+	g.Write(rejected.Encode(1))
 	if a := g.WaitResponse(1); a.Status != 500 {
-		t.Errorf("answer to the stray %+v", a)
+		t.Errorf("response to the rejected request %+v, want status 500", a)
 	}
 	g.Write(fake.NewReserve(1, "y").Encode(2))
 	if a := g.WaitResponse(2); a.Status != 200 || string(a.Body) != "[y]" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v, want status 200 and body [y]", a)
 	}
 }
