--- a/cmd/catalogue-server/bad_input_test.go
+++ b/cmd/catalogue-server/bad_input_test.go
@@ -10,8 +10,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestInvalidRequests checks that invalid requests get a response, that a connection is closed only after a protocol error,
-// and that both are counted.
+// TestInvalidRequests checks that invalid requests get a response, that a connection is closed only after a protocol
+// error, and that invalid requests and protocol errors are counted.
 func TestInvalidRequests(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	g := servertest.Dial(t, server.Addr)
--- a/cmd/catalogue-server/descriptors_test.go
+++ b/cmd/catalogue-server/descriptors_test.go
@@ -16,9 +16,10 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestFullTable checks a server whose connection table is full: idle callers use all the descriptors that gateways may use,
-// the load report service is down, and the link to the interpreter breaks. The server must reconnect the link, answer open
-// requests, and send reports as soon as the service is back or a new configuration names another one.
+// TestFullTable checks a server whose connection table is full: idle callers use all the descriptors that gateways may
+// use. Meanwhile the load report service is down and the link to the interpreter breaks. The server must reconnect to the
+// interpreter, answer open requests, and send load reports as soon as the service is back and as soon as a new
+// configuration names another service.
 func TestFullTable(t *testing.T) {
 	interpreter := servertest.NewInterpreter(t)
 	server := servertest.Start(t, serverCommand, interpreter, func(c map[string]any) {
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestOutOfDescriptors lowers the process's descriptor limit to the descriptors in use. Callers must be rejected immediately,
-// and accepted again once the limit is restored.
+// TestOutOfDescriptors lowers the process's descriptor limit to the descriptors in use. Callers must be rejected
+// immediately, and accepted again once the limit is restored.
 func TestOutOfDescriptors(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	server.WaitCounter("connections", 0)
--- a/cmd/catalogue-server/link_test.go
+++ b/cmd/catalogue-server/link_test.go
@@ -7,8 +7,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// TestLinkLost breaks the link to the interpreter while a request runs. The run ends while there is no link; its notice must
-// be read on the next link, and no request may run twice.
+// TestLinkLost breaks the link to the interpreter while a request runs, and the run ends while there is no link. The notice
+// must be read on the next link, and no request may run twice.
 func TestLinkLost(t *testing.T) {
 	server := startServer(t, nil)
 	g := servertest.Dial(t, server.Addr)
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -70,8 +70,8 @@
 // finishImmediately configures an interpreter to finish each run when it starts.
 func finishImmediately(it *servertest.Interpreter) { it.FinishImmediately() }
 
-// TestServe checks that requests of both classes are served, that bodies may contain any bytes, that every response has the
-// load hint in Server-Hint, and that load reports are sent repeatedly.
+// TestServe checks that requests of both classes are served, that bodies may contain any bytes, that load reports are sent
+// repeatedly, and that every response after the first gauge reading has the load hint in the header Server-Hint.
 func TestServe(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	if got := server.WaitReport(); got != "announce n3 true" {
--- a/cmd/catalogue-server/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -20,8 +20,8 @@
 // stateKills is the number of times that TestStateKills kills a server. docs/design/state.md has the results of 2,000 kills.
 var stateKills = flag.Int("statekills", 6, "how often TestStateKills kills a server")
 
-// keyedLoad sends requests with idempotency keys and records them with the checker. Most of the requests have one of a few
-// keys.
+// keyedLoad sends requests with idempotency keys, many of them with one of a few recent keys, and records them with the
+// checker.
 type keyedLoad struct {
 	checker *invariant.Checker
 	rng     *rand.Rand
@@ -39,7 +39,7 @@
 	case n == s.keys:
 		s.keys++
 	case s.rng.IntN(2) == 0:
-		n = max(s.keys-1-s.rng.IntN(5), 0) // half of the attempts use one of the 5 newest keys
+		n = max(s.keys-1-s.rng.IntN(5), 0) // half of the attempts with a used key have one of the 5 newest
 	}
 	body := fmt.Sprint("key ", n)
 	r := fake.NewReserve(n, body)
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -47,8 +47,8 @@
 	durableProgram = "catalogue-server-durable"
 )
 
-// execProgram replaces this process with another program in the directory of this executable. It returns only on an error,
-// which it prints, with the exit status.
+// execProgram replaces this process with another program in the directory of this executable. On an error it prints the
+// error and returns the exit status; otherwise it does not return.
 func execProgram(program string, args []string, stderr io.Writer) int {
 	self, err := os.Executable()
 	if err == nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/sexp"
 )
 
-// CaptureConfig configures the capture of the decision module's events and actions.
+// CaptureConfig configures how a server records the events and actions of its decision module, and in which directory.
 type CaptureConfig struct {
 	Directory string
 	capture.Config
@@ -32,7 +32,7 @@
 	maxMaxBytes     = 1 << 40
 )
 
-// DefaultStateConfig returns a StateConfig with the default limits and no directory.
+// DefaultStateConfig returns a StateConfig without a directory and with the limits that apply if the file sets none.
 func DefaultStateConfig() *StateConfig {
 	return &StateConfig{Limits: idempotency.Limits{MaxKeys: defaultMaxKeys, MaxBytes: defaultMaxBytes}}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -22,7 +22,7 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// platformLimits mirrors the key limits of the platform's configuration file.
+// platformLimits mirrors the object "limits" in the platform's configuration file.
 type platformLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
