--- a/server/actions.go
+++ b/server/actions.go
@@ -9,8 +9,8 @@
 	"tillerusher/admission"
 )
 
-// actions implements admission.Actions: it carries out what the module decides. Two rules hold whatever the module
-// decides: no at-most-once request is run twice, and none is rejected that may have run.
+// actions implements admission.Actions: it carries out the module's decisions. It enforces two rules whatever the module
+// decides: an at-most-once request is not run twice, and it is not rejected if it may have run.
 type actions struct{ *Server }
 
 // Run implements admission.Actions.
@@ -33,8 +33,8 @@
 	attempt.Runner.Run(&attempt.Request)
 }
 
-// preventSecondRun fails an attempt whose request has run already. The module gets the end of the run that it asked
-// for after it has returned: it must not be called while it acts.
+// preventSecondRun fails an attempt whose request has already run. The end of the run that the module ordered is
+// reported only after the module has returned, because the module must not be called while it acts.
 func (ac actions) preventSecondRun(a *attempt) {
 	ac.counters.secondRunsPrevented++
 	ac.log.Error("second run prevented", zap.String("request", a.RequestID))
@@ -50,7 +50,7 @@
 		return
 	}
 	if attempt.AtMostOnce && (attempt.state != runPending || attempt.HasKey && ac.keys.hasRun(attempt)) {
-		// A rejection tells the caller that nothing ran.
+		// To the caller, a rejection means that nothing ran.
 		ac.counters.rejectionsPrevented++
 		ac.log.Error("rejection after a run prevented", zap.String("request", attempt.RequestID))
 		ac.Annotate("refusal of %d after its run prevented", id)
@@ -69,14 +69,14 @@
 	}
 }
 
-// cancelRun withdraws the run of an attempt that was answered, where that is still possible.
+// cancelRun keeps the run of an answered attempt from starting if that is still possible.
 func (ac actions) cancelRun(a *attempt) {
 	a.isStopRequested = a.isIntentPending
 	ac.withdraw(a)
 	ac.removeIfDone(a)
 }
 
-// withdraw cancels a run that the backend has not begun, and returns whether it could.
+// withdraw cancels a run that the backend has not started, and reports whether it did.
 func (ac actions) withdraw(a *attempt) bool {
 	if a.state != runInFlight || a.isIntentPending || !ac.backend.Withdraw(a.RequestID) {
 		return false
@@ -125,7 +125,7 @@
 
 // AdvertiseLoad implements admission.Actions.
 func (ac actions) AdvertiseLoad(load float64) {
-	ac.load.advertised = strconv.FormatFloat(load, 'f', loadDigits, 64)
+	ac.load.advertised = strconv.FormatFloat(load, 'f', loadDecimals, 64)
 }
 
 // SetHealth implements admission.Actions.
@@ -144,14 +144,14 @@
 // Log implements admission.Actions.
 func (ac actions) Log(line string) { ac.log.Info("decision", zap.String("text", line)) }
 
-// Call implements admission.Actions. No call is ever reported to the module, because callRequested ends the requests
-// that want one, so the module decides on none.
+// Call implements admission.Actions. The module never calls it: callRequested ends each request whose run wants a
+// downstream call, and does not report the call to the module.
 func (ac actions) Call(id admission.RequestID, _ time.Duration) { ac.logUnexpectedCall(id) }
 
-// SkipCall implements admission.Actions; as with Call, the module never decides it.
+// SkipCall implements admission.Actions. As with Call, the module never calls it.
 func (ac actions) SkipCall(id admission.RequestID) { ac.logUnexpectedCall(id) }
 
-// logUnexpectedCall logs a decision on a call that was never reported.
+// logUnexpectedCall logs a decision on a downstream call that was not reported to the module.
 func (ac actions) logUnexpectedCall(id admission.RequestID) {
 	ac.log.Error("call without a dependency", zap.Uint32("id", uint32(id)))
 }
--- a/server/attempt.go
+++ b/server/attempt.go
@@ -11,18 +11,18 @@
 	"tillerusher/internal/gateway"
 )
 
-// runState is how far the run of an attempt has come.
+// runState is the progress of an attempt's run.
 type runState uint8
 
 const (
-	runPending   runState = iota // not begun
-	runInFlight                  // begun, not finished
+	runPending   runState = iota // not started
+	runInFlight                  // started, not finished
 	runSucceeded                 // finished with a result
 	runFailed                    // finished without a result
 )
 
-// attempt is one request of a gateway, from the time it is read until it is answered and its run has ended. Callers
-// retry, so several attempts may belong to one request of a caller.
+// attempt is one request of a gateway, from when it is read until it is answered and its run has ended. Callers retry,
+// so one request of a caller may have several attempts.
 type attempt struct {
 	Request
 
@@ -31,21 +31,21 @@
 	stream  gateway.StreamID
 	retryOf *attempt // the attempt whose run or result may answer this one, or nil
 
-	isAnswered bool // its answer was sent, or nobody waits for it
+	isAnswered bool // its answer was sent, or its caller no longer waits
 	state      runState
-	finishedAt time.Duration // by the module's clock, where the run succeeded
-	// isIntentPending says that the intent of the run is being written: the backend has not been asked for it yet.
+	finishedAt time.Duration // on the module's clock, if the run succeeded
+	// isIntentPending is set while the intent of the run is being written. The backend has not been asked for the run yet.
 	isIntentPending bool
-	// isStopRequested says that a run whose intent is pending will not be asked for.
+	// isStopRequested is set if the run must not start once its intent is written.
 	isStopRequested bool
 
-	result    gateway.Response // kept for retries
+	result    gateway.Response // stored for retries
 	hasResult bool
-	isExpired bool       // no retry can find it any more
+	isExpired bool       // retries no longer find it
 	waiters   []*attempt // retries that wait for the end of its run
 }
 
-// attemptTable holds the attempts that are not answered or whose run is in flight. Each is in both maps from add to
+// attemptTable holds the attempts that are unanswered or whose run is in flight. Each is in both maps from add to
 // remove.
 type attemptTable struct {
 	byID        map[admission.RequestID]*attempt
@@ -59,7 +59,7 @@
 	return attemptTable{byID: map[admission.RequestID]*attempt{}, byRequestID: map[string]*attempt{}, recent: recent}
 }
 
-// nextID returns an ID for the module that no attempt of this process has had.
+// nextID returns an ID for the module that no other attempt of this process has.
 func (t *attemptTable) nextID() admission.RequestID {
 	t.lastID++
 	return t.lastID
@@ -76,7 +76,7 @@
 	delete(t.byRequestID, a.RequestID)
 }
 
-// checkRequestID returns an error where the request ID is that of another attempt, open or recent.
+// checkRequestID adds a request ID to the recent ones. It returns an error if an open or recent attempt has the same ID.
 func (t *attemptTable) checkRequestID(requestID string, now time.Duration) error {
 	number, err := strconv.ParseUint(requestID, 16, 64)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// sortedByArrival returns attempts in the order of reading, so that what is done to several of them does not depend on
-// the iteration order of maps.
+// sortedByArrival returns attempts in the order in which they were read, so that loops over them do not depend on the
+// iteration order of maps.
 func sortedByArrival[K comparable](attempts map[K]*attempt) []*attempt {
 	list := make([]*attempt, 0, len(attempts))
 	for _, a := range attempts {
--- a/server/capture.go
+++ b/server/capture.go
@@ -9,18 +9,18 @@
 	"tillerusher/internal/capture"
 )
 
-// captureCloseTimeout is how long a stopping server waits for the disk. It is part of stopMargin, so that a drain that
-// takes all its time still ends before the process would be killed.
+// captureCloseTimeout is how long a stopping server waits for the disk. It is a fraction of stopMargin, so that a drain
+// that takes its full time still ends before the process is killed.
 const captureCloseTimeout = stopMargin / 4
 
-// captureState records the events reported to the module and its decisions. Both fields are nil where nothing is
-// recorded, and tap is nil until the module starts.
+// captureState records the events that are reported to the module, and its decisions. Both fields are nil if capturing is
+// off. tap is also nil until the module starts.
 type captureState struct {
 	recorder *capture.Recorder
 	tap      *capture.Tap
 }
 
-// openCapture starts recording, where the configuration says so.
+// openCapture starts recording if the configuration asks for it.
 func (s *Server) openCapture() error {
 	if s.cfg.Capture == nil {
 		return nil
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// newModule starts the decision module. Where events and decisions are recorded, a tap stands between it and the server.
+// newModule starts the decision module. If capturing is on, it puts a tap between the module and the server.
 func (s *Server) newModule(moduleSettings admission.Settings) (admission.Events, error) {
 	if s.capture.recorder == nil {
 		instance, err := s.newInstance(moduleSettings, actions{s})
@@ -58,30 +58,30 @@
 	return tap, nil
 }
 
-// newInstance returns a module that knows the run times that an earlier process measured.
-func (s *Server) newInstance(moduleSettings admission.Settings, act admission.Actions) (*admission.Instance, error) {
-	instance, err := admission.New(moduleSettings, act)
+// newInstance returns a module with the run times that an earlier process measured.
+func (s *Server) newInstance(moduleSettings admission.Settings, moduleActions admission.Actions) (*admission.Instance, error) {
+	instance, err := admission.New(moduleSettings, moduleActions)
 	if err != nil {
 		return nil, err
 	}
 	s.module.instance = instance
 	if s.durable != nil {
-		s.durable.restoreRunTimes(instance) // before the first state that is recorded
+		s.durable.restoreRunTimes(instance) // before the tap records the module's first state
 	}
 	return instance, nil
 }
 
-// Annotate adds a note to the capture, for what is not reported to the module.
+// Annotate adds a note to the capture, about an event that is not reported to the module.
 func (s *Server) Annotate(format string, args ...any) {
 	if s.capture.tap != nil {
 		s.capture.tap.Annotate(fmt.Sprintf(format, args...))
 	}
 }
 
-// closeCapture writes out the rest of the capture.
+// closeCapture writes the rest of the capture and closes the recorder.
 func (s *Server) closeCapture() {
 	if s.capture.recorder != nil && !s.capture.recorder.Close(captureCloseTimeout) {
-		s.log.Warn("capture not written", zap.String("error", "the disk did not take the end in time"))
+		s.log.Warn("capture not written", zap.String("error", "timed out writing the end of the capture"))
 	}
 }
 
--- a/server/catalogue_parser.go
+++ b/server/catalogue_parser.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/settings"
 )
 
-// classPathPrefix is the part of a path before the name of the class.
+// classPathPrefix precedes the class name in the path of a request.
 const classPathPrefix = "/v1/"
 
 // catalogueParser parses the requests of the platform's gateways.
@@ -23,7 +23,7 @@
 	tenantIndex map[string]int
 }
 
-// newCatalogueParser returns the parser of a server, whose requests the runner runs.
+// newCatalogueParser returns the parser of a server. It sets the runner in each request.
 func newCatalogueParser(s *Server, runner Runner) *catalogueParser {
 	return &catalogueParser{
 		server:      s,
@@ -48,17 +48,17 @@
 	if fields.err != nil {
 		return ParsedRequest{}, fields.err
 	}
-	// The time in the socket buffer counts: the caller has been waiting since Received-At.
+	// The caller has been waiting since Received-At, so the time in the socket buffer counts.
 	waited := max(unixNow.Sub(parsed.ReceivedAt), 0)
 	parsed.Admission.QueueingDelay = waited
 	parsed.ArrivedAt = now - waited
 	if hasBudget {
-		parsed.Admission.RemainingTime = max(budget-waited, time.Nanosecond) // zero would mean that it is not known
+		parsed.Admission.RemainingTime = max(budget-waited, time.Nanosecond) // zero would mean unknown
 	}
 	return parsed, nil
 }
 
-// class returns the index of the class that the path names.
+// class returns the index of the class that the path names, and checks the method.
 func (p *catalogueParser) class(fields *FieldReader, request gateway.Request) int {
 	class, isKnown := p.classIndex[strings.TrimPrefix(request.Path, classPathPrefix)]
 	if !isKnown || !strings.HasPrefix(request.Path, classPathPrefix) {
@@ -70,7 +70,7 @@
 	return class
 }
 
-// admissionRequest returns what is reported to the module of a request.
+// admissionRequest returns the request as it is reported to the module.
 func (p *catalogueParser) admissionRequest(fields *FieldReader, request gateway.Request, class int) admission.Request {
 	retry := request.Headers["attempt-again"]
 	if retry != "" && retry != "1" {
@@ -83,12 +83,12 @@
 		Work:    milliseconds(fields.Number("Work-Estimate", 0, maxWorkEstimateMS, 0)),
 		SizeKB:  fields.Number("Footprint-Kb", minFootprintKB, maxFootprintKB),
 	}
-	fields.Number("Priority-Rank", 0, 1, 0) // not used, but an invalid one did not come from a gateway
+	fields.Number("Priority-Rank", 0, 1, 0) // unused, but no gateway sends an invalid one
 	return reported
 }
 
-// budget returns how long after Received-At the caller waits, at sites where gateways tell it. The field is no field
-// of a request elsewhere.
+// budget returns how long after Received-At the caller waits, at sites whose requests have deadlines. Other sites ignore
+// the field.
 func (p *catalogueParser) budget(fields *FieldReader, request gateway.Request) (budget time.Duration, ok bool) {
 	if !p.site.Admission.HasDeadlines || request.Headers["budget-ms"] == "" {
 		return 0, false
@@ -96,7 +96,7 @@
 	return milliseconds(fields.Number("Budget-Ms", 0, maxBudgetMS)), true
 }
 
-// tenant reads the tenant, at sites that have any.
+// tenant reads the tenant, at sites that have tenants.
 func (p *catalogueParser) tenant(fields *FieldReader, reported *admission.Request) {
 	if len(p.tenantIndex) == 0 {
 		return
@@ -109,10 +109,11 @@
 	reported.Tenant = tenant
 }
 
-// key reads the idempotency key, or, for a read, the resource whose result may answer other reads.
+// key reads the idempotency key or, for a read, the resource. The result of a read may answer other reads of the
+// resource.
 func (p *catalogueParser) key(fields *FieldReader, request gateway.Request, parsed *ParsedRequest) {
-	set := &p.site.Admission
-	switch effect := set.Classes[parsed.Class].Effect; {
+	moduleSettings := &p.site.Admission
+	switch effect := moduleSettings.Classes[parsed.Class].Effect; {
 	case effect == admission.IdempotentByKey:
 		parsed.HasKey, parsed.AtMostOnce = true, true
 		parsed.Key = strings.ToLower(fields.Hex("Once-Key", idempotencyKeyDigits))
@@ -125,13 +126,13 @@
 			fields.Reject("Resource-Key", request.Headers["resource-key"], "a hexadecimal number")
 		}
 		parsed.Admission.ResourceID = resource
-		if set.ResultFreshness > 0 && resource != 0 {
-			// Reads of one resource that ask for different things have different answers.
+		if moduleSettings.ResultFreshness > 0 && resource != 0 {
+			// The body is part of the key, because reads of one resource with different bodies have different answers.
 			parsed.HasKey = true
 			parsed.Key = fmt.Sprintf("%x %x", resource, p.server.HashBody(request.Body))
 		}
 	}
 }
 
-// milliseconds converts a number of milliseconds.
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
--- a/server/conns.go
+++ b/server/conns.go
@@ -10,47 +10,49 @@
 	"tillerusher/internal/gateway"
 )
 
-// reservedSockets are kept from gateways: the loop's own, the backend's, logs and what the runtime holds.
+// reservedSockets is the number of descriptors that gateway connections must leave to the loop, the backend, the logs and
+// the runtime.
 const reservedSockets = 24
 
-// The bounds of the interval at which connections are scanned for idle ones.
+// Bounds of the interval between scans for idle connections.
 const (
-	minIdleScan = 10 * time.Millisecond
-	maxIdleScan = 250 * time.Millisecond
-	// idleScansPerTimeout is how many scans there are within the idle timeout.
+	minIdleScanInterval = 10 * time.Millisecond
+	maxIdleScanInterval = 250 * time.Millisecond
+	// idleScansPerTimeout is the number of scans within the idle timeout.
 	idleScansPerTimeout = 4
 )
 
 const (
 	// requestTimeout is how long a connection may take to send a complete request, the first or a later one. The
-	// platform's limit is 3 s. Gateways write a request at once, so only one whose machine is paused comes near it.
+	// platform's limit is 3 s. Gateways write a request without pauses, so only one on a paused machine comes near it.
 	requestTimeout = 2500 * time.Millisecond
-	// sendTimeout is how long a gateway may accept none of the bytes that are to be sent to it.
+	// sendTimeout is how long a gateway may accept none of the bytes that wait to be sent to it.
 	sendTimeout = 30 * time.Second
-	// newConnGrace is how long a new connection that has sent nothing is neither idle nor evicted.
+	// newConnGrace is how long a new connection that has sent nothing is not closed as idle. It is not evicted in this
+	// time either, unless too many connections are silent: see evict.
 	newConnGrace = 250 * time.Millisecond
-	// minIdleBeforeEviction is how long a connection that served its gateway must be idle before it may be evicted.
+	// minIdleBeforeEviction is how long a connection that has served requests must be idle before it may be evicted.
 	minIdleBeforeEviction = 50 * time.Millisecond
 )
 
-// connTable holds the gateways' connections. Each is in the list from accept until it is closed. The list is in order
-// of accepting: iterating in a random order would make scenarios impossible to repeat.
+// connTable holds the connections of gateways. Each is in the list from accept until it is closed. The list is in the
+// order of accepts, because a random iteration order would make scenarios impossible to repeat.
 type connTable struct {
 	loop          *eventloop.Loop
 	protocol      gateway.Protocol
 	max           int
 	list          list.List     // of *gatewayConn
-	idleTimeout   time.Duration // as the module set it; 0 means not yet
+	idleTimeout   time.Duration // set by the module; 0 until then
 	idleScanTimer *eventloop.Timer
 	counters      connCounters
 }
 
-// newConnTable returns an empty table for at most maxConns connections.
+// newConnTable returns an empty table with room for maxConns connections.
 func newConnTable(loop *eventloop.Loop, protocol gateway.Protocol, maxConns int) connTable {
 	return connTable{loop: loop, protocol: protocol, max: maxConns}
 }
 
-// add inserts an accepted connection.
+// add appends an accepted connection.
 func (t *connTable) add(g *gatewayConn) {
 	t.counters.accepted++
 	g.element = t.list.PushBack(g)
@@ -59,10 +61,10 @@
 // remove deletes a connection.
 func (t *connTable) remove(g *gatewayConn) { t.list.Remove(g.element) }
 
-// len is the number of connections.
+// len returns the number of connections.
 func (t *connTable) len() int { return t.list.Len() }
 
-// all iterates over the connections. The current one may be removed during the iteration.
+// all iterates over the connections. The loop body may remove the current connection.
 func (t *connTable) all() iter.Seq[*gatewayConn] {
 	return func(yield func(*gatewayConn) bool) {
 		for e := t.list.Front(); e != nil; {
@@ -75,7 +77,7 @@
 	}
 }
 
-// closeAfterFlush half-closes all connections, once pending answers are sent.
+// closeAfterFlush half-closes all connections once their pending answers are sent.
 func (t *connTable) closeAfterFlush() {
 	for g := range t.all() {
 		if !g.conn.IsClosing() {
@@ -84,33 +86,33 @@
 	}
 }
 
-// setIdleTimeout sets how long connections may be idle.
+// setIdleTimeout sets how long connections may be idle, and reschedules the next scan.
 func (t *connTable) setIdleTimeout(idle time.Duration) {
 	t.idleTimeout = idle
 	t.loop.CancelTimer(t.idleScanTimer)
 	t.scheduleIdleScan()
 }
 
-// scheduleIdleScan sets the time of the next scan for idle connections.
+// scheduleIdleScan schedules the next scan for idle connections.
 func (t *connTable) scheduleIdleScan() {
-	interval := maxIdleScan
+	interval := maxIdleScanInterval
 	if t.idleTimeout > 0 {
-		interval = min(max(t.idleTimeout/idleScansPerTimeout, minIdleScan), maxIdleScan)
+		interval = min(max(t.idleTimeout/idleScansPerTimeout, minIdleScanInterval), maxIdleScanInterval)
 	}
 	t.idleScanTimer = t.loop.AfterFunc(interval, t.closeIdle)
 }
 
-// closeIdle closes connections that are overdue or idle for the timeout, and sets the time of the next scan. Bytes may
-// be on their way at that very moment: closing the socket over them would reset the connection and take with it answers
-// that the gateway has not read yet. So this side is shut down first, and what still comes is read and discarded: a
-// gateway whose request crosses the shutdown sends it again on another connection.
+// closeIdle closes connections that are stalled, overdue or idle for the timeout, and schedules the next scan. Bytes may
+// arrive at the moment of the close. Closing a socket with unread bytes resets the connection, and the gateway loses
+// answers that it has not read yet. So this side is shut down first, and bytes that still arrive are read and discarded.
+// A gateway whose request crosses the shutdown sends it again on another connection.
 func (t *connTable) closeIdle() {
 	now := t.loop.Now()
 	for g := range t.all() {
 		switch {
 		case g.conn.IsWriteStalled(sendTimeout):
 			t.counters.timeouts++
-			g.close() // what it is sent goes nowhere
+			g.close() // the gateway does not read its answers
 		case g.isOverdue(now):
 			t.counters.timeouts++
 			g.closeAfterFlush()
@@ -122,7 +124,7 @@
 	t.scheduleIdleScan()
 }
 
-// ensureCapacity evicts a connection for a new one, if need be, and returns whether there is room.
+// ensureCapacity evicts a connection if the table is full, and reports whether there is room for a new connection.
 func (t *connTable) ensureCapacity() bool {
 	if t.len() < t.max || t.evict() {
 		return true
@@ -131,40 +133,40 @@
 	return false
 }
 
-// evictionPriority orders connections by how little is lost with them.
+// evictionPriority ranks connections for eviction: the higher it is, the less is lost with the connection.
 type evictionPriority uint8
 
 const (
-	priorityKeep    evictionPriority = iota // it must stay
-	priorityIdle                            // it served its gateway and is idle
-	prioritySilent                          // it has never sent a complete request, and is not new
-	priorityClosing                         // this side has half-closed it
+	priorityKeep    evictionPriority = iota // must not be evicted
+	priorityIdle                            // has served requests and is idle
+	prioritySilent                          // has never sent a complete request, and is not new
+	priorityClosing                         // half-closed by this side
 )
 
-// evictionScan is what one scan of all connections found.
+// evictionScan is the result of a scan of all connections.
 type evictionScan struct {
-	now          time.Time
-	candidate    *gatewayConn     // of the highest priority, the one that was active least lately
-	priority     evictionPriority // of the candidate
-	silent       int              // connections that never sent a complete request
-	oldest       *gatewayConn     // of the silent ones without unread bytes in the socket
-	firstPending *gatewayConn     // of the silent ones with unread bytes in the socket
+	now                time.Time
+	candidate          *gatewayConn     // least recently active connection of the highest priority
+	priority           evictionPriority // of the candidate
+	silentCount        int              // number of connections that have never sent a complete request
+	oldestSilent       *gatewayConn     // oldest silent connection without unread bytes in its socket
+	firstSilentPending *gatewayConn     // first silent connection found with unread bytes in its socket
 }
 
-// evict closes a connection to make room for a new one, and returns whether it could. Clients that open hundreds of
-// connections and stay silent, or send one request and stay connected, must not keep gateways out. The order is:
-// connections that this side has half-closed, then those that never sent a complete request, then the one that has
-// been idle longest. Where at least half of all connections never sent one, the oldest of these is evicted however new
-// it is, so that they can't take the half that gateways may need. A connection with unread bytes in its socket is kept
-// while there is another candidate: it may be a gateway whose request has just arrived.
+// evict closes a connection to make room for a new one, and reports whether it did. Clients that open hundreds of
+// connections and stay silent, or send one request and stay connected, must not keep gateways out. It prefers
+// connections that this side has half-closed, then silent ones, which have never sent a complete request, then the one
+// that has been idle longest. If at least half of all connections are silent, it evicts the oldest silent one however
+// new that is, so that silent connections can't take the half that gateways may need. A connection with unread bytes in
+// its socket is kept while there is another candidate: it may belong to a gateway whose request has just arrived.
 func (t *connTable) evict() bool {
 	scan := evictionScan{now: t.loop.Now()}
 	for g := range t.all() {
 		scan.add(g)
 	}
 	evicted := scan.candidate
-	if scan.priority < prioritySilent && 2*scan.silent >= t.len() {
-		evicted = cmp.Or(scan.oldest, scan.firstPending)
+	if scan.priority < prioritySilent && 2*scan.silentCount >= t.len() {
+		evicted = cmp.Or(scan.oldestSilent, scan.firstSilentPending)
 	} else if evicted == nil || scan.priority == priorityIdle && !evicted.conn.IsIdle(minIdleBeforeEviction) {
 		return false
 	}
@@ -173,7 +175,7 @@
 	return true
 }
 
-// add compares a connection with the candidate. Of two equal ones, the one that was accepted first is preferred.
+// add compares a connection with the candidate. Of two equal ones, the one accepted first stays the candidate.
 func (e *evictionScan) add(g *gatewayConn) {
 	isSilent := g.validRequests == 0 && !g.conn.IsClosing()
 	if isSilent && e.addSilent(g) {
@@ -187,18 +189,18 @@
 	}
 }
 
-// addSilent counts a connection that never sent a complete request, and returns true where unread bytes in its socket
-// keep it from being the candidate.
+// addSilent counts a connection that has never sent a complete request. It reports whether unread bytes in the socket
+// keep the connection from being the candidate.
 func (e *evictionScan) addSilent(g *gatewayConn) bool {
-	e.silent++
-	if e.oldest != nil && !g.incompleteSince.Before(e.oldest.incompleteSince) {
+	e.silentCount++
+	if e.oldestSilent != nil && !g.incompleteSince.Before(e.oldestSilent.incompleteSince) {
 		return false
 	}
 	if g.conn.HasPendingInput() {
-		e.firstPending = cmp.Or(e.firstPending, g)
+		e.firstSilentPending = cmp.Or(e.firstSilentPending, g)
 		return true
 	}
-	e.oldest = g
+	e.oldestSilent = g
 	return false
 }
 
--- a/server/counters.go
+++ b/server/counters.go
@@ -11,31 +11,31 @@
 // connCounters count gateway connections since the start.
 type connCounters struct {
 	accepted, acceptErrors uint64
-	rejected               uint64 // for want of descriptors
-	evicted                uint64 // for newer ones
+	rejected               uint64 // no descriptor was left
+	evicted                uint64 // to make room for new ones
 	idleClosed             uint64
-	timeouts               uint64 // of requests that stayed incomplete, and answers that the gateway did not read
+	timeouts               uint64 // of incomplete requests, and of answers that the gateway did not read
 	protocolErrors         uint64
 }
 
 // counters count requests and runs since the start.
 type counters struct {
 	requests, retries, aborted uint64
-	coalesced                  uint64 // retries that joined another attempt
-	requestsLost               uint64 // with their connection
-	directAnswers              uint64 // answers without a decision of the module
+	coalesced                  uint64 // retries that joined an earlier attempt
+	requestsLost               uint64 // their connection closed before they were answered
+	directAnswers              uint64 // answers that the parser gave, without the module
 
 	malformed, tooLarge, tooMany, badRole, invalid uint64 // invalid requests
 
 	served, rejected, failed uint64 // answers
-	replayed                 uint64 // answers from the run of another attempt, among those served
+	replayed                 uint64 // answers from the run of another attempt; also counted as served
 
 	runsStarted, runsFinished, runsFailed, runsStopped, runsNotStarted uint64
 
-	calls uint64 // runs that wanted a downstream call, which no server can make
-	// secondRunsPrevented and rejectionsPrevented count decisions that were not carried out: see actions.
+	calls uint64 // runs that wanted a downstream call, which this server can't make
+	// secondRunsPrevented and rejectionsPrevented count decisions of the module that were not carried out: see actions.
 	secondRunsPrevented, rejectionsPrevented uint64
-	resultsEvicted                           uint64 // kept results dropped for memory, as of the last expiry of keys
+	resultsEvicted                           uint64 // stored results evicted to free memory; updated by expireKeys
 	reloads                                  uint64 // configurations applied
 }
 
@@ -44,32 +44,31 @@
 	requests, served, rejected, failed uint64
 }
 
-// Counter is one counter by its name in the log.
+// Counter is the value of a counter and its name in the log.
 type Counter struct {
 	Name  string
 	Value uint64
 }
 
-// logReason is why counters are logged.
+// logReason is the reason for which counters are logged.
 type logReason string
 
 const (
-	reasonSignal logReason = "asked" // by a signal
+	reasonSignal logReason = "asked" // a signal asked for them
 	reasonExit   logReason = "exit"
 )
 
-// logCounters logs all counters and gauges, in a line for each kind.
-func (s *Server) logCounters(why logReason) {
-	s.logCounterLine("counters", []zap.Field{zap.String("why", string(why))}, s.Counters())
-	s.logClassCounters(why)
-	if s.durable != nil && why != reasonExit {
+// logCounters logs all counters and gauges, one line for each kind.
+func (s *Server) logCounters(reason logReason) {
+	s.logCounterLine("counters", []zap.Field{zap.String("why", string(reason))}, s.Counters())
+	s.logClassCounters(reason)
+	if s.durable != nil && reason != reasonExit {
 		s.logCounterLine("state", nil, s.durable.counters())
 	}
 	s.logCaptureCounters()
 }
 
-// Counters returns the server's and the backend's counters by their names in the log. It belongs to the loop's
-// goroutine.
+// Counters returns the counters of the server and the backend. Only the loop's goroutine may call it.
 func (s *Server) Counters() []Counter {
 	conns, requests := &s.conns.counters, &s.counters
 	return append([]Counter{
@@ -117,7 +116,7 @@
 	}, s.backend.Counters()...)
 }
 
-// logCounterLine logs counters in one line, after other fields.
+// logCounterLine logs counters in one line, after the given fields.
 func (s *Server) logCounterLine(msg string, fields []zap.Field, counters []Counter) {
 	for _, c := range counters {
 		fields = append(fields, zap.Uint64(c.Name, c.Value))
@@ -125,7 +124,7 @@
 	s.log.Info(msg, fields...)
 }
 
-// rejectionNames are the names in the log of the reasons for which the module rejects requests.
+// rejectionNames maps the module's reasons for rejections to their names in the log.
 var rejectionNames = map[admission.Reason]string{
 	admission.AfterDrainGrace:      "after_drain_grace",
 	admission.Stalled:              "stalled",
@@ -138,8 +137,8 @@
 	admission.LateWhileSaturated:   "late_while_saturated",
 }
 
-// logClassCounters logs the counters of each class, and the module's state of it, in one line.
-func (s *Server) logClassCounters(why logReason) {
+// logClassCounters logs the counters and the module's state of all classes in one line.
+func (s *Server) logClassCounters(reason logReason) {
 	var inspections []admission.ClassInspection
 	if s.module.instance != nil {
 		inspections = s.module.instance.Inspect().Classes
@@ -158,11 +157,10 @@
 		}
 		classes = append(classes, zap.Dict(name, fields...))
 	}
-	s.log.Info("classes", zap.String("why", string(why)), zap.Dict("classes", classes...))
+	s.log.Info("classes", zap.String("why", string(reason)), zap.Dict("classes", classes...))
 }
 
-// inspectionFields returns the module's current state of a class, and its counts of rejections by reason since the
-// start.
+// inspectionFields returns the module's current state of a class and its rejections by reason since the start.
 func inspectionFields(class *admission.ClassInspection) []zap.Field {
 	fields := []zap.Field{
 		zap.Bool("starved", class.Starved),
--- a/server/drain.go
+++ b/server/drain.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// drainPollInterval is the time between two checks of whether a draining server can stop.
+	// drainPollInterval is the interval at which a draining server checks whether it can stop.
 	drainPollInterval = 10 * time.Millisecond
-	// stopMargin is how long before it would be killed a server ends at the latest, or a part of the stop time where
-	// that is more.
+	// stopMargin is how long before the stop timeout, at which the process is killed, a draining server stops at the
+	// latest. If the stop timeout divided by stopMarginDivisor is longer, that is the margin instead.
 	stopMargin        = 100 * time.Millisecond
 	stopMarginDivisor = 32
 )
 
-// drain starts the graceful shutdown. Requests are still accepted for the drain grace period, in which they may run.
-// Then the listener closes, and the server stops when no connection is left: the module has idle ones closed.
+// drain starts the graceful shutdown. For the drain grace period, the server still accepts requests, which may run. Then
+// it closes the listener, and stops once no connection is left. The module has idle connections closed.
 func (s *Server) drain() {
 	if s.isDraining {
 		return
@@ -36,14 +36,14 @@
 	s.loop.AfterFunc(s.cfg.StopTimeout-margin, s.stopNow)
 }
 
-// stopListening closes the listener: a request that arrives now would not be run, and a caller whose connection is
-// refused knows that nothing ran. The loop stops once the connections are gone.
+// stopListening closes the listener. A request that arrives from now on would not be run, and a refused connection shows
+// the caller that nothing ran. The loop stops once all connections are closed.
 func (s *Server) stopListening() {
 	s.listener.Close()
 	s.stopWhenIdle()
 }
 
-// stopWhenIdle ends the loop when no connection is left.
+// stopWhenIdle stops the loop once no connection is left.
 func (s *Server) stopWhenIdle() {
 	if s.conns.len() == 0 {
 		s.loop.Stop()
@@ -52,9 +52,9 @@
 	s.loop.AfterFunc(drainPollInterval, s.stopWhenIdle)
 }
 
-// stopNow fails the attempts that are left, of which there should be none, and half-closes the connections. The loop
-// runs for a short while more, so that answers are sent and the gateways close their side, too: the kernel resets a
-// connection whose process exits with bytes unread.
+// stopNow fails the remaining attempts, of which there should be none, and half-closes the connections. The loop runs
+// for half of stopMargin longer, so that answers are sent and the gateways close their side, too: if the process exits
+// with unread bytes in a socket, the kernel resets the connection.
 func (s *Server) stopNow() {
 	for _, a := range sortedByArrival(s.attempts.byID) {
 		s.answerFailed(a)
--- a/server/durable.go
+++ b/server/durable.go
@@ -14,40 +14,40 @@
 	"tillerusher/internal/maintenance"
 )
 
-// DurableStore keeps records over restarts; internal/store is one.
+// DurableStore keeps records across restarts. Package internal/store implements it.
 type DurableStore interface {
-	// Write queues changes without waiting for the disk, and calls done from any goroutine with the outcome.
+	// Write queues changes without waiting for the disk. It calls done with the outcome, on any goroutine.
 	Write(changes []idempotency.Change, done func(error)) error
-	// ForEach visits the records whose names begin with a prefix.
+	// ForEach calls visit for each record whose name begins with the prefix.
 	ForEach(prefix string, visit func(name, value []byte) error) error
-	// Get returns the value of a record, or nil where there is none.
+	// Get returns the value of a record, or nil if there is none.
 	Get(name string) ([]byte, error)
-	// Secret is the store's own, the same over restarts.
+	// Secret returns a secret of the store, which is the same across restarts.
 	Secret() []byte
-	// Machine identifies the machine on which this process runs.
+	// Machine returns an identifier of the machine on which this process runs.
 	Machine() string
-	// Compact frees the space of removed records, where there is much, and returns how many bytes it rewrote. It may
-	// take long, and is called from a goroutine of its own.
+	// Compact frees the space of removed records if there is much of it, and returns how many bytes it rewrote. It may
+	// take long and is called on a separate goroutine.
 	Compact() (int64, error)
-	// Stats are the store's counters.
+	// Stats returns the store's counters.
 	Stats() idempotency.StoreStats
 	Close() error
 }
 
-// durability is what a server needs of durableResults. It is an interface so that a program that keeps no state does
-// not link them.
+// durability is the interface through which a server uses durableResults, so that a program that keeps no state does not
+// link them.
 type durability interface {
-	// hashBody is as Server.HashBody, the same over restarts.
+	// hashBody is like Server.HashBody, but its hashes stay the same across restarts.
 	hashBody(body []byte) uint64
 	// restoreRunTimes imports the run times that an earlier process measured into a new module.
 	restoreRunTimes(module *admission.Instance)
-	// shouldReject returns whether an attempt would run at most once but can't be protected now.
+	// shouldReject reports whether an attempt has an idempotency key but can't be protected against a second run now.
 	shouldReject(a *attempt) bool
-	// runAfterIntent writes the intent of a run, and starts the run once it is on the disk.
+	// runAfterIntent writes the intent of a run, and starts the run once the intent is on the disk.
 	runAfterIntent(a *attempt)
-	// storeResult keeps the result of a run.
+	// storeResult stores the result of a run.
 	storeResult(a *attempt, r gateway.Response)
-	// releaseKey frees the key of an attempt, since nothing ran.
+	// releaseKey frees the key of an attempt that did not run.
 	releaseKey(a *attempt)
 	// runMaintenance runs the maintenance tasks that are due.
 	runMaintenance()
@@ -55,25 +55,25 @@
 	close()
 }
 
-// durableResults keeps the results of requests with an idempotency key over restarts, by the rules of
-// internal/idempotency. Two orders hold: the intent of a run is on the disk before the backend is asked for the run,
-// and its result is handed to the store before the caller is answered.
+// durableResults keeps the results of requests with an idempotency key across restarts, by the rules of
+// internal/idempotency. It keeps two orders: the intent of a run is on the disk before the backend is asked for the run,
+// and the result of the run is queued in the store before the caller is answered.
 type durableResults struct {
 	server      *Server
 	store       DurableStore
 	table       *idempotency.Table
 	classIndex  map[string]int
-	machine     string                     // on which this process runs
-	runTimes    []idempotency.ClassRunTime // what an earlier process measured, as far as it counts here
+	machine     string                     // identifies the machine on which this process runs
+	runTimes    []idempotency.ClassRunTime // measured by an earlier process on this machine, weighted by age
 	maintenance *maintenance.Scheduler
 	startedAt   time.Time
-	// unprotected counts the requests that were rejected because they could not be protected, recovered those that an
-	// earlier process may have run, and unreadable the records that could not be read.
+	// unprotected counts the requests that were rejected because they could not be protected. recovered counts the
+	// requests that an earlier process may have run. unreadable counts the records that could not be read.
 	unprotected, recovered, unreadable uint64
 }
 
-// EnableDurableResults keeps the results of requests with an idempotency key over restarts, and restores those of an
-// earlier process. It has to be called before Run, which closes the store at its end.
+// EnableDurableResults has the server keep the results of requests with an idempotency key across restarts, and restores
+// the results of an earlier process. It must be called before Run, which closes the store before it returns.
 func (s *Server) EnableDurableResults(store DurableStore, limits idempotency.Limits) error {
 	durable := &durableResults{
 		server:     s,
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// readRecords reads the records of an earlier process. One that can't be read is skipped: the others are still
-// protected, and only retries of that one request may run again.
+// readRecords reads the records of an earlier process. It skips a record that can't be read: only retries of that one
+// request may run again, and all others are still protected.
 func (d *durableResults) readRecords() error {
 	return d.store.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
 		if err := d.table.Load(string(name), value); err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// restoreAttempt restores one request, as an attempt that is answered and finished.
+// restoreAttempt restores one request as an attempt that is answered and whose run has ended.
 func (d *durableResults) restoreAttempt(class int, entry idempotency.Entry) {
 	d.recovered++
 	request := Request{
@@ -163,8 +163,8 @@
 	return stored
 }
 
-// hashBody implements durability. The store's secret keeps hashes the same over restarts, and keeps senders from
-// constructing two bodies with one hash.
+// hashBody implements durability. The store's secret keeps hashes the same across restarts, and keeps senders from
+// constructing two bodies with the same hash.
 func (d *durableResults) hashBody(body []byte) uint64 {
 	h := sha256.New()
 	h.Write(d.store.Secret())
@@ -172,12 +172,12 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// key is an attempt's key as records have it.
+// key returns an attempt's key in the form that records use.
 func (d *durableResults) key(a *attempt) idempotency.Key {
 	return idempotency.Key{Class: d.server.site.ClassNames[a.Class], Key: a.Key}
 }
 
-// shouldReject implements durability. A retry is accepted: its key is in the table already.
+// shouldReject implements durability. It accepts retries, whose key is in the table already.
 func (d *durableResults) shouldReject(attempt *attempt) bool {
 	if !attempt.HasKey || !attempt.AtMostOnce || attempt.retryOf != nil {
 		return false
@@ -187,21 +187,21 @@
 		return false
 	}
 	d.unprotected++
-	if isPowerOfTwo(d.unprotected) { // many are rejected while a disk is full
+	if isPowerOfTwo(d.unprotected) { // limits the log: many are rejected while the disk is full
 		d.server.log.Warn("keyed request rejected", zap.Stringer("why", verdict), zap.Uint64("so_far", d.unprotected))
 	}
 	return true
 }
 
-// isPowerOfTwo returns whether a positive number is a power of two.
+// isPowerOfTwo reports whether a positive number is a power of two.
 func isPowerOfTwo(n uint64) bool { return n&(n-1) == 0 }
 
 // runAfterIntent implements durability.
 func (d *durableResults) runAfterIntent(a *attempt) {
 	a.isIntentPending = true
-	// An attempt runs until its deadline, so one that was received within the window may end so much after it.
-	until := a.ReceivedAt.Add(d.server.keyWindow(a.Class) + d.server.maxDeadline)
-	intent := idempotency.Entry{Key: d.key(a), ReceivedAt: a.ReceivedAt, ExpiresAt: until, BodyHash: a.BodyHash}
+	// An attempt may run until its deadline, so one received at the end of the window may end that much later.
+	expiresAt := a.ReceivedAt.Add(d.server.keyWindow(a.Class) + d.server.maxDeadline)
+	intent := idempotency.Entry{Key: d.key(a), ReceivedAt: a.ReceivedAt, ExpiresAt: expiresAt, BodyHash: a.BodyHash}
 	err := d.store.Write(d.table.Begin(intent), func(err error) {
 		d.server.loop.Post(func() { d.intentWritten(a, err) })
 	})
@@ -210,7 +210,7 @@
 	}
 }
 
-// intentWritten continues an attempt whose intent was written, or could not be.
+// intentWritten continues an attempt once the write of its intent has succeeded or failed.
 func (d *durableResults) intentWritten(attempt *attempt, err error) {
 	d.observeWrite(err)
 	attempt.isIntentPending = false
@@ -228,8 +228,7 @@
 	}
 }
 
-// rejectUnprotected ends an attempt whose intent could not be written. Nothing ran, so the caller may be
-// told to retry.
+// rejectUnprotected rejects an attempt whose intent could not be written. Nothing ran, so the caller may retry.
 func (d *durableResults) rejectUnprotected(a *attempt) {
 	d.table.RevertIntent(d.key(a))
 	if a.state != runInFlight {
@@ -248,7 +247,7 @@
 // releaseKey implements durability.
 func (d *durableResults) releaseKey(a *attempt) { d.write(d.table.Abort(d.key(a))) }
 
-// write writes changes in the background.
+// write writes changes without waiting for the disk. Only a failure is passed to observeWrite.
 func (d *durableResults) write(changes []idempotency.Change) {
 	if len(changes) == 0 {
 		return
@@ -263,7 +262,7 @@
 	}
 }
 
-// observeWrite records the outcome of a write in the table, and logs where the disk thereby failed or recovered.
+// observeWrite records the outcome of a write in the table, and logs when the disk starts to fail or recovers.
 func (d *durableResults) observeWrite(err error) {
 	if !d.table.ObserveWrite(err, d.server.loop.Now().Round(0)) {
 		return
@@ -303,7 +302,7 @@
 	}
 }
 
-// close implements durability. All writes are on the disk when it returns.
+// close implements durability. When it returns, all writes are on the disk.
 func (d *durableResults) close() {
 	d.saveRunTimes()
 	d.server.logCounterLine("state", nil, d.counters())
--- a/server/durable_maintenance.go
+++ b/server/durable_maintenance.go
@@ -10,23 +10,23 @@
 	"tillerusher/internal/maintenance"
 )
 
-// The maintenance tasks, and the time and bytes that they may use per second.
+// The maintenance tasks, and the time and bytes that all of them together may use per second.
 const (
-	taskExpire       = "expire"
-	taskSave         = "save"
-	taskCompact      = "compact"
-	maintenanceTime  = 20 * time.Millisecond
-	maintenanceBytes = 2 << 20
+	taskExpire                = "expire"
+	taskSaveRunTimes          = "save"
+	taskCompact               = "compact"
+	maintenanceTimePerSecond  = 20 * time.Millisecond
+	maintenanceBytesPerSecond = 2 << 20
 )
 
-// maxExpiredPerRun is how many expired records one run of the task removes.
+// maxExpiredPerRun is the maximum number of expired records that one run of taskExpire removes.
 const maxExpiredPerRun = 256
 
 // newMaintenance returns the scheduler of the maintenance tasks.
 func newMaintenance() (*maintenance.Scheduler, error) {
-	return maintenance.New(maintenance.Budget{TimePerSecond: maintenanceTime, BytesPerSecond: maintenanceBytes}, 0,
+	return maintenance.New(maintenance.Budget{TimePerSecond: maintenanceTimePerSecond, BytesPerSecond: maintenanceBytesPerSecond}, 0,
 		maintenance.Task{Name: taskExpire, Priority: 2, MinInterval: time.Second, MaxInterval: 10 * time.Second},
-		maintenance.Task{Name: taskSave, Priority: 1, MinInterval: 10 * time.Second, MaxInterval: 2 * time.Minute},
+		maintenance.Task{Name: taskSaveRunTimes, Priority: 1, MinInterval: 10 * time.Second, MaxInterval: 2 * time.Minute},
 		maintenance.Task{Name: taskCompact, Priority: 0, MinInterval: 5 * time.Second, MaxInterval: time.Minute})
 }
 
@@ -42,7 +42,7 @@
 		}
 		if task == taskCompact {
 			d.compact()
-			continue // it calls Finish when it is done
+			continue // compact calls Finish itself, when it is done
 		}
 		startedAt := time.Now()
 		bytes := d.runTask(task, now)
@@ -50,7 +50,7 @@
 	}
 }
 
-// runTask runs a task on the loop's goroutine and returns how many bytes it wrote.
+// runTask runs a task on the loop's goroutine, and returns how many bytes the task wrote.
 func (d *durableResults) runTask(task string, now time.Time) (bytes int64) {
 	switch task {
 	case taskExpire:
@@ -59,13 +59,13 @@
 			bytes += int64(len(change.Name))
 		}
 		d.write(changes)
-	case taskSave:
+	case taskSaveRunTimes:
 		bytes = d.saveRunTimes()
 	}
 	return bytes
 }
 
-// compact frees space on the disk, on a goroutine of its own.
+// compact frees space on the disk, on a separate goroutine.
 func (d *durableResults) compact() {
 	go func() {
 		startedAt := time.Now()
@@ -73,29 +73,29 @@
 		cost := maintenance.Cost{Duration: time.Since(startedAt), Bytes: bytes}
 		d.server.loop.Post(func() {
 			d.maintenance.Finish(taskCompact, d.server.loop.Now().Sub(d.startedAt), cost)
-			if err != nil { // the state of the disk is judged by writes alone
+			if err != nil { // not passed to observeWrite: only writes show whether the disk works
 				d.server.log.Warn("state not compacted", zap.Error(err))
 			}
 		})
 	}()
 }
 
-// readRunTimes reads the run times that an earlier process measured. What can't be read counts as none.
+// readRunTimes reads the run times that an earlier process measured. It ignores a record that can't be decoded.
 func (d *durableResults) readRunTimes() error {
-	text, err := d.store.Get(idempotency.RunTimesRecordName)
-	if err != nil || text == nil {
+	encoded, err := d.store.Get(idempotency.RunTimesRecordName)
+	if err != nil || encoded == nil {
 		return err
 	}
-	learned, err := idempotency.DecodeRunTimes(text)
+	saved, err := idempotency.DecodeRunTimes(encoded)
 	if err != nil {
 		d.unreadable++
 		d.server.log.Error("state record not read", zap.Error(err))
 		return nil
 	}
 	now := d.server.loop.Now()
-	d.runTimes = learned.WeightByAge(now.Round(0), d.machine)
+	d.runTimes = saved.WeightByAge(now.Round(0), d.machine)
 	d.server.log.Info("run times restored",
-		zap.Duration("age_ms", now.Sub(learned.SavedAt)),
+		zap.Duration("age_ms", now.Sub(saved.SavedAt)),
 		zap.Int("classes", len(d.runTimes)))
 	return nil
 }
@@ -111,22 +111,22 @@
 	module.ImportRunTimes(estimates)
 }
 
-// saveRunTimes writes the run times that the module measured, and returns their size.
+// saveRunTimes writes the run times that the module measured, and returns their encoded size.
 func (d *durableResults) saveRunTimes() (bytes int64) {
 	module := d.server.module.instance
 	if module == nil {
 		return 0
 	}
-	learned := idempotency.RunTimes{SavedAt: d.server.loop.Now().Round(0), Machine: d.machine}
+	runTimes := idempotency.RunTimes{SavedAt: d.server.loop.Now().Round(0), Machine: d.machine}
 	for class, c := range module.ExportRunTimes().Classes {
-		learned.Classes = append(learned.Classes, idempotency.ClassRunTime{
+		runTimes.Classes = append(runTimes.Classes, idempotency.ClassRunTime{
 			Name:     d.server.site.ClassNames[class],
 			CoreTime: c.CoreTime,
 			WallTime: c.WallTime,
 			Samples:  c.Samples,
 		})
 	}
-	text := learned.Encode()
-	d.write([]idempotency.Change{{Name: idempotency.RunTimesRecordName, Value: text}})
-	return int64(len(text))
+	encoded := runTimes.Encode()
+	d.write([]idempotency.Change{{Name: idempotency.RunTimesRecordName, Value: encoded}})
+	return int64(len(encoded))
 }
--- a/server/field_reader.go
+++ b/server/field_reader.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// FieldError is the error of an invalid field of a request.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
-	Field  string // as in the platform's documents
+	Field  string // name in the platform's documents
 	Value  string
-	Wanted string // what the field should have been
+	Wanted string // description of valid values
 }
 
-// Error implements error. What was wanted is left out: gateways log the text as it always was.
+// Error implements error. It omits Wanted, because gateways log the text and its form stays as it has always been.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %.40q", e.Field, e.Value) }
 
-// The bounds of numbers in requests. What is outside is no request of a gateway, and must not reach the module's
-// estimates: one time far in the past would look like a backlog, one in the future would keep a key for good.
+// Bounds of numbers in requests. A request with a number outside them is not from a gateway, and must not reach the
+// module's estimates: a time far in the past would look like a backlog, and one in the future would keep a key for ever.
 const (
 	minFootprintKB, maxFootprintKB = 1e-6, 2000
 	maxWorkEstimateMS              = 1e5
 	maxBudgetMS                    = 1e9
-	// MaxSender bounds the numbers of gateways, which take new ones whenever they restart.
+	// MaxSender bounds the numbers of gateways. A gateway takes a new number whenever it restarts.
 	MaxSender = 1e15
-	// maxUnixMS bounds times in milliseconds since 1970.
+	// maxUnixMS bounds Unix times in milliseconds.
 	maxUnixMS       = 1e15
 	maxClockSkew    = time.Second // between two machines
-	maxQueueingTime = time.Minute // stored request may wait in a socket buffer while the machine pauses
+	maxQueueingTime = time.Minute // a request may wait in a socket buffer while the machine is paused
 )
 
-// The numbers of digits of fields in hexadecimal.
+// Numbers of digits of hexadecimal fields.
 const (
 	requestIDDigits      = 16
 	idempotencyKeyDigits = 32
@@ -39,24 +39,24 @@
 
 // FieldReader reads the fields of a request and keeps the first error.
 type FieldReader struct {
-	fields map[string]string // by their names in lower case
+	fields map[string]string // by name in lower case
 	err    error
 }
 
-// NewFieldReader returns a reader of fields that have their names in lower case.
+// NewFieldReader returns a reader of fields, whose names must be in lower case.
 func NewFieldReader(fields map[string]string) *FieldReader { return &FieldReader{fields: fields} }
 
-// Err is the first error, or nil.
+// Err returns the first error, or nil.
 func (f *FieldReader) Err() error { return f.err }
 
-// Reject records that a field is invalid, where it is the first.
+// Reject records that a field is invalid, unless an error is recorded already.
 func (f *FieldReader) Reject(name, value, wanted string) {
 	if f.err == nil {
 		f.err = &FieldError{Field: name, Value: value, Wanted: wanted}
 	}
 }
 
-// Required returns a field that must be there.
+// Required returns the value of a field that must be present and not empty.
 func (f *FieldReader) Required(name string) string {
 	value := f.fields[strings.ToLower(name)]
 	if value == "" {
@@ -65,11 +65,12 @@
 	return value
 }
 
-// Number returns a number from low to below high. Where the field is absent, it returns the default, if there is one.
-func (f *FieldReader) Number(name string, low, high float64, absent ...float64) float64 {
+// Number returns a number that is at least low and less than high. If the field is absent, it returns the default if one
+// is given.
+func (f *FieldReader) Number(name string, low, high float64, ifAbsent ...float64) float64 {
 	text := f.fields[strings.ToLower(name)]
-	if text == "" && len(absent) > 0 {
-		return absent[0]
+	if text == "" && len(ifAbsent) > 0 {
+		return ifAbsent[0]
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(value >= low && value < high) {
@@ -78,7 +79,7 @@
 	return value
 }
 
-// Hex returns a field of so many hexadecimal digits.
+// Hex returns a field that has the given number of hexadecimal digits.
 func (f *FieldReader) Hex(name string, digits int) string {
 	text := f.Required(name)
 	for _, r := range text {
@@ -92,7 +93,8 @@
 	return text
 }
 
-// ReceivedAt returns the time at which the gateway received the request, which is near the time of now.
+// ReceivedAt returns the time at which the gateway received the request. The time must be at most maxQueueingTime before
+// now and at most maxClockSkew after it.
 func (f *FieldReader) ReceivedAt(now time.Time) time.Time {
 	received := time.UnixMilli(int64(f.Number("Received-At", 1, maxUnixMS)))
 	if waited := now.Sub(received); waited > maxQueueingTime || waited < -maxClockSkew {
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -10,22 +10,23 @@
 	"tillerusher/internal/gateway"
 )
 
-// gatewayConn is one connection of a gateway, with the requests that are open on it.
+// gatewayConn is a connection of a gateway, with its open requests.
 type gatewayConn struct {
 	server   *Server
 	element  *list.Element // in connTable
 	conn     *eventloop.Conn
 	session  gateway.Session
-	attempts map[gateway.StreamID]*attempt // not answered yet
-	// healthChecks are the deep health checks under way.
+	attempts map[gateway.StreamID]*attempt // unanswered
+	// healthChecks are the deep health checks that wait for the backend.
 	healthChecks map[gateway.StreamID]bool
-	// incompleteSince is when a request began that is still incomplete; zero means that there is none.
+	// incompleteSince is when a request that is still incomplete began. Until the first valid request, it is the time of
+	// the accept. Zero means that no request is incomplete.
 	incompleteSince time.Time
 	validRequests   uint64 // complete requests with valid fields
 }
 
-// accept implements the loop's callback for a new connection. It returns nil, which closes the connection, where the
-// descriptors are used up.
+// accept implements the loop's callback for a new connection. If no descriptor is left, it returns nil, which closes the
+// connection.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.ConnHandler {
 	if !s.conns.ensureCapacity() {
 		return nil
@@ -48,7 +49,7 @@
 	s.log.Warn("accept failed", zap.Error(err))
 }
 
-// Connected implements eventloop.ConnHandler. It is never called: gateways dial, not the server.
+// Connected implements eventloop.ConnHandler. It is never called, because the server does not dial gateways.
 func (g *gatewayConn) Connected(*eventloop.Conn) {}
 
 // Data implements eventloop.ConnHandler.
@@ -68,19 +69,19 @@
 	g.closeIfFinished()
 }
 
-// closeAfterFlush half-closes a connection, from which no more requests are read. Pending answers are still sent.
+// closeAfterFlush half-closes a connection once pending answers are sent. No more requests are read from it.
 func (g *gatewayConn) closeAfterFlush() {
 	g.abandonRequests()
 	g.conn.CloseAfterFlush()
 }
 
-// close closes a connection now.
+// close closes a connection immediately.
 func (g *gatewayConn) close() {
 	g.conn.Close()
 	g.remove()
 }
 
-// closeIfFinished closes a connection that the gateway did not want kept, once its answer is sent.
+// closeIfFinished closes a connection once its answer is sent, if the gateway did not ask to keep it open.
 func (g *gatewayConn) closeIfFinished() {
 	if g.session.ShouldClose() {
 		g.conn.CloseAfterFlush()
@@ -90,19 +91,19 @@
 // Closed implements eventloop.ConnHandler.
 func (g *gatewayConn) Closed(*eventloop.Conn, error) { g.remove() }
 
-// remove deletes a closed connection.
+// remove removes a closed connection from the table and cancels its open requests.
 func (g *gatewayConn) remove() {
 	g.server.conns.remove(g)
 	g.abandonRequests()
 }
 
-// abandonRequests cancels the open requests of a connection: nobody waits for their answers any more.
+// abandonRequests cancels the open requests of a connection, whose answers can no longer be sent.
 func (g *gatewayConn) abandonRequests() {
 	server := g.server
 	g.session.Close()
 	for _, attempt := range sortedByArrival(g.attempts) {
 		if attempt.isAnswered {
-			continue // the module answered it in response to an earlier Cancel of this loop
+			continue // the module answered it when an earlier iteration called Cancel
 		}
 		server.counters.requestsLost++
 		attempt.isAnswered = true
@@ -118,8 +119,8 @@
 	g.server.handleRequest(g, stream, r)
 }
 
-// RequestAborted implements gateway.Handler. The gateway wants no answer, but the protocol requires the end of the
-// request.
+// RequestAborted implements gateway.Handler. The gateway no longer wants an answer, but the protocol requires a response
+// that ends the request.
 func (g *gatewayConn) RequestAborted(_ gateway.Session, stream gateway.StreamID) {
 	server := g.server
 	server.counters.aborted++
@@ -162,7 +163,7 @@
 	}
 }
 
-// respond sends an answer, with the advertised load that callers read.
+// respond sends an answer. It adds the advertised load, which callers read.
 func (g *gatewayConn) respond(stream gateway.StreamID, r gateway.Response) {
 	if load := g.server.load.advertised; load != "" && !r.Overloaded {
 		r.Headers = append(r.Headers, gateway.Field{Name: "Server-Hint", Value: load})
@@ -171,23 +172,23 @@
 	g.closeIfFinished()
 }
 
-// hasOpenRequests returns whether the connection has unanswered requests.
+// hasOpenRequests reports whether the connection has unanswered requests.
 func (g *gatewayConn) hasOpenRequests() bool { return len(g.attempts)+len(g.healthChecks) > 0 }
 
-// isIdle returns whether the connection has no open request, and none that has arrived in part: gateways may write
+// isIdle reports whether the connection has no open request and no partially received one, since gateways may write
 // slowly.
 func (g *gatewayConn) isIdle() bool {
 	return g.session.OpenRequests() == 0 && !g.session.HasPartialInput()
 }
 
-// isOverdue returns whether a connection has not sent a complete request in time.
+// isOverdue reports whether a connection has not sent a complete request in time and waits for no answer.
 func (g *gatewayConn) isOverdue(now time.Time) bool {
 	return !g.conn.IsClosing() && !g.incompleteSince.IsZero() && now.Sub(g.incompleteSince) >= requestTimeout &&
 		!g.hasOpenRequests()
 }
 
-// idleAllowance is how long this connection may be idle, given the idle timeout of all. A new one gets longer: closed
-// right after accept, it would only be opened again.
+// idleAllowance returns how long this connection may be idle, given the idle timeout of all. A new connection gets at
+// least newConnGrace: if it were closed right after accept, the gateway would only open another one.
 func (g *gatewayConn) idleAllowance(idle time.Duration) time.Duration {
 	if g.validRequests == 0 {
 		return max(idle, newConnGrace)
--- a/server/idempotency_table.go
+++ b/server/idempotency_table.go
@@ -7,62 +7,63 @@
 	"tillerusher/internal/gateway"
 )
 
-// idempotencyKey names an entry: attempts of one request agree in both.
+// idempotencyKey identifies an entry. All attempts of one request have the same class and key.
 type idempotencyKey struct {
 	class int
 	key   string
 }
 
-// idempotencyKey is the entry of an attempt that has a key.
+// idempotencyKey returns the key of the attempt's entry. The attempt must have a key.
 func (a *attempt) idempotencyKey() idempotencyKey { return idempotencyKey{a.Class, a.Key} }
 
-// keyEntry is the entry of a key: who holds it, and what was run under it.
+// keyEntry is the entry of a key: its holder, and the attempts that were run under it.
 type keyEntry struct {
-	// holder is the attempt that the module keeps the key for, or nil; attempts that arrive until holdUntil, by the
+	// holder is the attempt for which the module keeps the key, or nil. Attempts that arrive until holdUntil, on the
 	// module's clock, are its retries.
 	holder    *attempt
 	holdUntil time.Duration
-	// lastRun is the attempt that was run, or nil; attempts that arrive until lastRunUntil, by the Unix clock, must not
-	// run again.
+	// lastRun is the attempt that was last run, or nil. Attempts that arrive until lastRunUntil, on the Unix clock, must
+	// not run again.
 	lastRun      *attempt
 	lastRunUntil time.Time
-	// previousRun is the run before lastRun: where lastRun is reverted, retries of the earlier one may still arrive.
+	// previousRun is the attempt that was run before lastRun. If lastRun is reverted, retries of previousRun may still
+	// arrive.
 	previousRun      *attempt
 	previousRunUntil time.Time
 }
 
-// dropPreviousRun removes the run before the last.
+// dropPreviousRun removes the run before lastRun.
 func (e *keyEntry) dropPreviousRun() {
 	if e.previousRun != nil {
 		e.previousRun.isExpired, e.previousRun = true, nil
 	}
 }
 
-// isEmpty returns whether the entry has neither a holder nor a run.
+// isEmpty reports whether the entry has neither a holder nor a run.
 func (e *keyEntry) isEmpty() bool { return e.holder == nil && e.lastRun == nil }
 
-// storedResult is a result that is kept for retries.
+// storedResult is a result that is stored for retries.
 type storedResult struct {
 	attempt *attempt
 	size    int
 }
 
-// idempotencyTable remembers attempts by class and key, and the results of those that were run. There are as many
-// entries as the module keeps keys. The memory of results has a limit of its own, over which the oldest are evicted:
-// their retries then fail, but don't run again.
+// idempotencyTable stores attempts by class and key, and the results of the attempts that were run. There are as many
+// entries as the module keeps keys. The memory of results has a separate limit, above which the oldest results are
+// evicted: retries of their requests then fail, but do not run again.
 //
-// An attempt is in holders while it is the holder of its entry. No entry is empty between two calls.
+// An attempt is in holders while it is the holder of its entry. Between two calls no entry is empty.
 type idempotencyTable struct {
 	entries        map[idempotencyKey]*keyEntry
-	holders        map[admission.RequestID]*attempt // answered or not
-	results        []storedResult                   // in the order of storing
+	holders        map[admission.RequestID]*attempt // including answered attempts
+	results        []storedResult                   // oldest first
 	resultBytes    int
 	maxResultBytes int
 	evicted        uint64
-	freshness      time.Duration // how long after its end the result of a read may answer others
+	freshness      time.Duration // how long after its run the result of a read may answer other reads
 }
 
-// newIdempotencyTable returns an empty table, with a limit of the memory of results and the freshness of reads.
+// newIdempotencyTable returns an empty table, with a limit in bytes for the memory of results and the freshness of reads.
 func newIdempotencyTable(maxResultBytes int, freshness time.Duration) idempotencyTable {
 	return idempotencyTable{
 		entries:        map[idempotencyKey]*keyEntry{},
@@ -72,9 +73,9 @@
 	}
 }
 
-// findOriginal returns the attempt that a new arrival is a retry of, or nil: the holder, or, where the module's entry
-// expired since the arrival, the one that was run. A read is answered from another that is under way, or that succeeded
-// no longer ago than results stay fresh.
+// findOriginal returns the attempt of which a new arrival is a retry, or nil: the holder of its key or, if the module's
+// entry has expired since the arrival, the attempt that was run. A read may be answered by a read that has not ended, or
+// by one that succeeded no longer ago than the freshness.
 func (t *idempotencyTable) findOriginal(arrival *attempt, now time.Duration) *attempt {
 	entry := t.entries[arrival.idempotencyKey()]
 	switch {
@@ -90,12 +91,12 @@
 	return nil
 }
 
-// isStale returns whether a read can't answer others any more.
+// isStale reports whether a read can no longer answer other reads.
 func (t *idempotencyTable) isStale(a *attempt, now time.Duration) bool {
 	return a.state == runFailed || a.state == runSucceeded && now-a.finishedAt > t.freshness
 }
 
-// entryFor returns the entry of an attempt's key, made where there is none.
+// entryFor returns the entry of an attempt's key, and creates it if there is none.
 func (t *idempotencyTable) entryFor(a *attempt) *keyEntry {
 	key := a.idempotencyKey()
 	e := t.entries[key]
@@ -106,7 +107,7 @@
 	return e
 }
 
-// hold makes an attempt the holder of its key.
+// hold makes an attempt the holder of its key until a time of the module's clock.
 func (t *idempotencyTable) hold(a *attempt, until time.Duration) {
 	e := t.entryFor(a)
 	t.clearHolder(e)
@@ -122,9 +123,9 @@
 	}
 }
 
-// release removes the holder of a key; the runs of its entry are kept. The holder is looked up in this table, not among
-// the open attempts: a rejected attempt has left those before the module releases its key, and a key that stayed held
-// would fail every retry of a request that never ran.
+// release removes the holder of a key, and keeps the runs of its entry. It looks the holder up in this table and not
+// among the open attempts, because a rejected attempt is removed from those before the module releases its key. If the
+// key stayed held, every retry of the request would fail although the request never ran.
 func (t *idempotencyTable) release(id admission.RequestID) {
 	a := t.holders[id]
 	if a == nil {
@@ -137,14 +138,14 @@
 	}
 }
 
-// hasRun returns whether a run counts as that of an attempt's request: its own, or another's within the window.
+// hasRun reports whether the request of an attempt has run: either this attempt, or another one within its window.
 func (t *idempotencyTable) hasRun(a *attempt) bool {
 	e := t.entries[a.idempotencyKey()]
 	return e != nil && e.lastRun != nil && !a.ReceivedAt.After(e.lastRunUntil)
 }
 
-// claim records that an attempt is run now. It returns false where another attempt of the request ran within its window:
-// then this one must not run, whatever the module decided.
+// claim records that an attempt is run now, and returns true. It returns false if another attempt of the request ran
+// within its window: then this one must not run, whatever the module decided.
 func (t *idempotencyTable) claim(a *attempt, window time.Duration) bool {
 	e := t.entryFor(a)
 	if e.lastRun != a && t.hasRun(a) {
@@ -158,13 +159,14 @@
 	return true
 }
 
-// restoreRun records an attempt of an earlier process as one that was run.
+// restoreRun records that an earlier process ran an attempt.
 func (t *idempotencyTable) restoreRun(a *attempt, until time.Time) {
 	e := t.entryFor(a)
 	e.lastRun, e.lastRunUntil = a, until
 }
 
-// unclaim reverts claim for an attempt that turned out not to have run: its entry is as it was before.
+// unclaim reverts claim for an attempt that turned out not to have run, so that the run before it is the last one again.
+// It also releases the attempt's key.
 func (t *idempotencyTable) unclaim(a *attempt) {
 	if e := t.entries[a.idempotencyKey()]; e != nil && e.lastRun == a {
 		e.lastRun, e.lastRunUntil, e.previousRun = e.previousRun, e.previousRunUntil, nil
@@ -183,7 +185,7 @@
 	return a.retryOf
 }
 
-// storeResult keeps the result of an attempt that was run, and evicts the oldest results over the limit.
+// storeResult stores the result of an attempt that was run, and evicts the oldest results above the limit.
 func (t *idempotencyTable) storeResult(attempt *attempt, result gateway.Response) {
 	if e := t.entries[attempt.idempotencyKey()]; e == nil || e.lastRun != attempt && e.holder != attempt {
 		return
@@ -199,7 +201,7 @@
 	}
 }
 
-// responseBytes is the memory that a response uses.
+// responseBytes returns how many bytes of memory a response uses.
 func responseBytes(r gateway.Response) int {
 	size := len(r.Body)
 	for _, f := range r.Headers {
@@ -214,17 +216,17 @@
 	t.resultBytes -= r.size
 }
 
-// expire removes entries that no arrival can find any more, and the results of expired runs. A request may wait
-// in a socket buffer, so entries are kept longer than their time by the slack.
-func (t *idempotencyTable) expire(now time.Duration, unix time.Time, slack time.Duration) {
+// expire removes entries that no arrival can find any more, and the results of expired runs. A request may wait in a
+// socket buffer, so each entry is kept for slack longer than its time.
+func (t *idempotencyTable) expire(now time.Duration, unixNow time.Time, slack time.Duration) {
 	for key, e := range t.entries {
 		if e.holder != nil && now > e.holdUntil+slack {
 			t.clearHolder(e)
 		}
-		if e.previousRun != nil && unix.After(e.previousRunUntil.Add(slack)) {
+		if e.previousRun != nil && unixNow.After(e.previousRunUntil.Add(slack)) {
 			e.dropPreviousRun()
 		}
-		if e.lastRun != nil && unix.After(e.lastRunUntil.Add(slack)) {
+		if e.lastRun != nil && unixNow.After(e.lastRunUntil.Add(slack)) {
 			e.lastRun.isExpired, e.lastRun = true, nil
 		}
 		if e.isEmpty() {
--- a/server/interpreter_backend.go
+++ b/server/interpreter_backend.go
@@ -38,13 +38,13 @@
 func (b *interpreterBackend) OpenRuns() int { return b.client.OpenRuns() }
 
 // QueryGauges implements Backend.
-func (b *interpreterBackend) QueryGauges(now time.Time, then func(values []float64, ok bool)) {
-	b.client.QueryGauges(now, then)
+func (b *interpreterBackend) QueryGauges(now time.Time, done func(values []float64, ok bool)) {
+	b.client.QueryGauges(now, done)
 }
 
 // CheckHealth implements Backend.
-func (b *interpreterBackend) CheckHealth(now time.Time, then func(ok bool)) {
-	b.client.CheckHealth(now, then)
+func (b *interpreterBackend) CheckHealth(now time.Time, done func(ok bool)) {
+	b.client.CheckHealth(now, done)
 }
 
 // Reconfigure implements Backend. Open runs continue over a link to the new address.
@@ -87,7 +87,7 @@
 	b.server.Annotate("%s: %v", text, err)
 }
 
-// runOutcome translates the outcome of a run.
+// runOutcome converts the outcome of a run.
 func runOutcome(outcome interpreter.Outcome) RunOutcome {
 	switch outcome {
 	case interpreter.OutcomeOK:
--- a/server/load.go
+++ b/server/load.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// endpointExpiry is how long after its last report the platform takes a server off the endpoint list.
+	// endpointExpiry is how long after its last report the platform removes a server from the endpoint list.
 	endpointExpiry = 3 * time.Second
-	// loadReportInterval is short against endpointExpiry: reports are datagrams, and where a quarter of them is lost,
-	// three in a row often are.
+	// loadReportInterval is short compared with endpointExpiry, because reports are datagrams: if a quarter of them is
+	// lost, three in a row are often lost.
 	loadReportInterval = 250 * time.Millisecond
-	// loadDigits is how many decimal digits the advertised load has.
-	loadDigits = 4
+	// loadDecimals is the number of digits of the advertised load after the decimal point.
+	loadDecimals = 4
 )
 
-// loadState is the load feedback to callers, and the load reports to the platform.
+// loadState is the state of the load feedback to callers and of the load reports to the platform.
 type loadState struct {
-	advertised string               // sent with each answer; empty means not yet set
-	reporter   *loadreport.Reporter // nil where there is no service to report to
+	advertised string               // sent with each answer; empty until the module sets it
+	reporter   *loadreport.Reporter // nil if no load report service is configured
 	reports    uint64
 	errors     uint64
 }
 
-// connect opens the reporter, where the configuration has a service to report to.
+// connect opens the reporter if the configuration has a load report service.
 func (l *loadState) connect(system eventloop.System, cfg *Config) error {
 	if !cfg.LoadReports.IsValid() {
 		return nil
@@ -45,10 +45,10 @@
 	}
 }
 
-// reportAccepting sends a report that the server accepts requests.
+// reportAccepting reports that the server accepts requests.
 func (l *loadState) reportAccepting() { l.report(true) }
 
-// reportDraining sends a report that the server accepts no more requests.
+// reportDraining reports that the server accepts no more requests.
 func (l *loadState) reportDraining() { l.report(false) }
 
 // report sends one report.
@@ -62,7 +62,7 @@
 	}
 }
 
-// reportLoad reports at intervals that this server accepts requests, until it drains.
+// reportLoad reports every loadReportInterval that this server accepts requests, until it drains.
 func (s *Server) reportLoad() {
 	if s.isDraining {
 		return
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,11 +8,11 @@
 	"tillerusher/internal/loadreport"
 )
 
-// Reload applies a configuration that was read again; any goroutine may call it. The addresses of the interpreter and
-// of the load report service and the stop timeout change; all else needs a restart.
+// Reload applies a configuration that was read again. Any goroutine may call it. It changes the addresses of the
+// interpreter and of the load report service, and the stop timeout. Other changes need a restart.
 func (s *Server) Reload(cfg *Config) { s.loop.Post(func() { s.reload(cfg) }) }
 
-// reload switches to the new addresses at once. A configuration that can't be applied as a whole changes nothing.
+// reload switches to the new addresses immediately. If the configuration can't be applied completely, nothing changes.
 func (s *Server) reload(cfg *Config) {
 	if err := validateSettings(cfg); err != nil {
 		s.log.Error("configuration not reloaded", zap.Error(err))
@@ -23,7 +23,7 @@
 		return
 	}
 	s.backend.Reconfigure(cfg)
-	next := *s.cfg // the caller keeps what it gave to New
+	next := *s.cfg // the caller of New still owns the old one
 	next.Interpreter, next.LoadReports, next.StopTimeout = cfg.Interpreter, cfg.LoadReports, cfg.StopTimeout
 	s.counters.reloads++
 	s.log.Info("configuration reloaded",
@@ -35,7 +35,7 @@
 	s.Annotate("configuration reloaded: vm %v, announce %v", next.Interpreter, next.LoadReports)
 }
 
-// moveLoadReports switches the load reports to the address of the new configuration, where it differs.
+// moveLoadReports sends load reports to the address in the new configuration from now on, if that differs.
 func (s *Server) moveLoadReports(cfg *Config) error {
 	if cfg.LoadReports == s.cfg.LoadReports {
 		return nil
@@ -47,20 +47,20 @@
 	s.load.close()
 	s.load.reporter = reporter
 	if s.module.events != nil && !s.isDraining {
-		s.load.reportAccepting() // the endpoint list must not wait for the next report
+		s.load.reportAccepting() // the server joins the endpoint list without waiting for the next report
 	}
 	return nil
 }
 
-// restartFields returns the names of the fields that differ and need a restart.
-func restartFields(current, read *Config) []string {
+// restartFields returns the names of the fields that differ and take effect only after a restart.
+func restartFields(current, reloaded *Config) []string {
 	fields := []string{}
 	for field, isSame := range map[string]bool{
-		"name":     current.Name == read.Name,
-		"listen":   current.Listen == read.Listen,
-		"limits":   current.Limits == read.Limits,
-		"capture":  reflect.DeepEqual(current.Capture, read.Capture),
-		"settings": reflect.DeepEqual(current.Settings, read.Settings),
+		"name":     current.Name == reloaded.Name,
+		"listen":   current.Listen == reloaded.Listen,
+		"limits":   current.Limits == reloaded.Limits,
+		"capture":  reflect.DeepEqual(current.Capture, reloaded.Capture),
+		"settings": reflect.DeepEqual(current.Settings, reloaded.Settings),
 	} {
 		if !isSame {
 			fields = append(fields, field)
@@ -69,5 +69,5 @@
 	return fields
 }
 
-// CountReload counts a configuration that a backend applied by itself.
+// CountReload counts a configuration that a backend reloaded itself.
 func (s *Server) CountReload() { s.counters.reloads++ }
--- a/server/requests.go
+++ b/server/requests.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/gateway"
 )
 
-// The statuses of answers.
+// Status codes of answers.
 const (
 	statusOK            = 200
 	statusBadRequest    = 400
@@ -18,8 +18,8 @@
 	statusUnavailable   = 503
 )
 
-// handleRequest handles a complete request: a health check, one that is answered at once, or one that becomes an
-// attempt on which the module decides.
+// handleRequest handles a complete request: a health check, a request that is answered immediately, or a request that
+// becomes an attempt, on which the module decides.
 func (s *Server) handleRequest(conn *gatewayConn, stream gateway.StreamID, request gateway.Request) {
 	if request.Path == healthPath {
 		s.checkHealth(conn, stream, request)
@@ -61,14 +61,14 @@
 	g.respond(stream, gateway.Response{Status: statusBadRequest, Body: []byte(err.Error() + "\n")})
 }
 
-// rejectEarly rejects a request that is not reported to the module.
+// rejectEarly rejects a request without reporting it to the module.
 func (s *Server) rejectEarly(g *gatewayConn, stream gateway.StreamID) {
 	s.counters.rejected++
 	g.respond(stream, rejection(s.site.Admission.MaxRetryAfter, retryElsewhere))
 }
 
-// identify finds the attempt that this one is a retry of. It returns an error for a request ID that was used before,
-// and for a key whose request had another body: the sender must not get the result of that.
+// identify sets retryOf to the attempt of which this one is a retry. It returns an error for a request ID that was used
+// before, and for a key that was used with another body: the sender must not get the result of that request.
 func (s *Server) identify(attempt *attempt, now time.Duration) error {
 	if !attempt.HasOwnID {
 		if err := s.attempts.checkRequestID(attempt.RequestID, now); err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// admit opens an attempt and reports it to the module, which decides on it.
+// admit registers an attempt and reports it to the module, which decides on it.
 func (s *Server) admit(attempt *attempt, request admission.Request, now time.Duration) {
 	attempt.id = s.attempts.nextID()
 	request.ID = attempt.id
@@ -105,12 +105,12 @@
 	s.module.events.Request(now, request)
 }
 
-// keyWindow is how long after the ReceivedAt of a run no attempt of its request must run again.
+// keyWindow returns how long after the ReceivedAt of a run no other attempt of its request may run.
 func (s *Server) keyWindow(class int) time.Duration {
 	return s.site.Admission.Classes[class].KeyWindow + keyWindowSlack
 }
 
-// HashBody returns the hash of a body by which attempts with one idempotency key must agree.
+// HashBody returns the hash of a body. Attempts with the same idempotency key must have the same hash.
 func (s *Server) HashBody(body []byte) uint64 {
 	if s.durable != nil {
 		return s.durable.hashBody(body)
@@ -118,13 +118,14 @@
 	return maphash.Bytes(s.bodyHashSeed, body)
 }
 
-// Whether a rejection is final: callers that honour that send the request to no other server.
+// Whether a rejection is final. Callers that honour a final rejection do not send the request to another server.
 const (
 	retryElsewhere = false
 	finalRejection = true
 )
 
-// rejection returns the answer to a rejected request, with the time after which callers may retry.
+// rejection returns the answer to a rejected request. If retryAfter is positive, the answer has the time after which the
+// caller may retry, rounded up to milliseconds.
 func rejection(retryAfter time.Duration, isFinal bool) gateway.Response {
 	r := gateway.Response{Status: statusUnavailable}
 	if retryAfter > 0 {
@@ -137,7 +138,7 @@
 	return r
 }
 
-// answer gives an attempt its only answer.
+// answer answers an attempt. It does nothing if the attempt is answered already.
 func (s *Server) answer(attempt *attempt, response gateway.Response) {
 	if attempt.isAnswered {
 		return
@@ -159,13 +160,13 @@
 	attempt.conn.respond(attempt.stream, response)
 }
 
-// answerFailed answers an attempt with status 500: it may have run or not.
+// answerFailed answers an attempt with status 500, which leaves open whether it ran.
 func (s *Server) answerFailed(a *attempt) {
 	s.answer(a, gateway.Response{Status: statusInternalError})
 }
 
-// removeIfDone removes an attempt that is answered and not running. The idempotency table may refer to it for long, so
-// its references to the connection, the body and the route are cleared.
+// removeIfDone removes an attempt that is answered and not running. The idempotency table may refer to the attempt for a
+// long time, so its references to the body, the connection and the route are cleared.
 func (s *Server) removeIfDone(a *attempt) {
 	if a.isAnswered && a.state != runInFlight {
 		s.attempts.remove(a)
--- a/server/runs.go
+++ b/server/runs.go
@@ -47,7 +47,8 @@
 	s.endRun(a, admission.OK, result)
 }
 
-// failRun ends a run without a result. The attempt fails where it is not answered yet: the run may have had an effect.
+// failRun ends a run without a result. If the attempt is not answered yet, it fails, because the run may have had an
+// effect.
 func (s *Server) failRun(a *attempt, outcome admission.Outcome) {
 	a.state = runFailed
 	s.answerFailed(a)
@@ -86,8 +87,8 @@
 	s.answerRetry(retry, admission.OK, original.result)
 }
 
-// answerRetry answers a retry with the outcome of the original attempt: its result where that is admission.OK, and else
-// a failure.
+// answerRetry answers a retry with the outcome of the original attempt: with its result if the outcome is admission.OK,
+// and otherwise with a failure.
 func (s *Server) answerRetry(retry *attempt, outcome admission.Outcome, result gateway.Response) {
 	if retry.isAnswered {
 		return
@@ -103,8 +104,8 @@
 }
 
 // callRequested ends a request whose run wants to call a downstream service. Requests may do so at some sites, but the
-// platform does not specify how a server makes such a call, so the run can't go on and its request is answered at once.
-// A request without an effect gets a final rejection: no other server could serve it either.
+// platform does not specify how a server makes such a call, so the run can't continue and its request is answered
+// immediately. A request without an effect gets a final rejection, because no other server could serve it either.
 func (s *Server) callRequested(requestID string) {
 	attempt := s.attempts.byRequestID[requestID]
 	if attempt == nil || attempt.state != runInFlight {
@@ -112,7 +113,7 @@
 	}
 	s.counters.calls++
 	if attempt.isAnswered {
-		return // the end of the run is reported as any other
+		return // the end of the run is reported like any other
 	}
 	if attempt.AtMostOnce {
 		s.answerFailed(attempt)
--- a/server/server.go
+++ b/server/server.go
@@ -1,12 +1,12 @@
-// Package server is a catalogue server around the decision module (package admission): it reads requests from
-// gateways, has a backend run them, and answers as the module decides.
+// Package server implements a catalogue server around the decision module (package admission). It reads requests from
+// gateways, runs them on a backend, and sends the answers that the module decides on.
 //
-// One goroutine, the event loop's, owns all state. In each round the loop reads what is ready; the server reports it
-// to the module in order, lets the module settle once, and the loop then writes the answers and commands. Methods that
-// other goroutines may call say so; they post their work to the loop.
+// The goroutine of the event loop owns all state. In each round, the loop reads the sockets that are ready, the server
+// reports the events to the module in order and then calls the module's Settle once, and the loop writes the answers
+// and commands. A method that other goroutines may call says so in its comment. It posts its work to the loop.
 //
-// The server is complete with a RequestParser and a Backend. New brings those of the catalogue server, which runs
-// requests in the platform's interpreter; internal/router brings others, which pass requests to pools of servers.
+// A server needs a RequestParser and a Backend. New uses those of the catalogue server, which runs requests in the
+// platform's interpreter. Package internal/router supplies others, which pass requests to pools of servers.
 package server
 
 import (
@@ -24,28 +24,28 @@
 )
 
 const (
-	// keyWindowSlack is added to the window in which a request must not run again: time limits on sockets are
-	// 50 ms longer, and as much again covers the clock's millisecond steps.
+	// keyWindowSlack is added to the window in which a request must not run again. Time limits on sockets are 50 ms
+	// longer, and another 50 ms cover the millisecond resolution of the clock.
 	keyWindowSlack = 100 * time.Millisecond
-	// keyExpiryInterval is the time between two removals of expired idempotency keys.
+	// keyExpiryInterval is the interval at which expired idempotency keys are removed.
 	keyExpiryInterval = time.Second
-	// minTick and maxTick bound the resolution of the loop's timers, which otherwise is the module's tick.
+	// minTick and maxTick bound the resolution of the loop's timers. Within these bounds, it is the module's tick.
 	minTick, maxTick = time.Millisecond, 10 * time.Millisecond
 )
 
-// The process's memory limit divided by these is what each kind of data may take.
+// Each kind of data may use the memory limit of the process divided by its constant.
 const (
-	resultMemoryDivisor    = 8  // results kept for retries
+	resultMemoryDivisor    = 8  // results stored for retries
 	requestMemoryDivisor   = 8  // unanswered requests
 	outputMemoryDivisor    = 8  // answers that gateways have not read
 	recentIDsMemoryDivisor = 32 // recent request IDs
 )
 
-// The limits of one gateway connection; requests of the platform's gateways are far smaller.
+// Limits of a gateway connection and its requests. The platform's gateways send far smaller requests.
 const (
-	// MaxOpenRequests is how many requests may be open on one connection.
+	// MaxOpenRequests is the maximum number of open requests on one connection.
 	MaxOpenRequests = 32
-	// MaxParamsBytes is the size of one request's parameters.
+	// MaxParamsBytes is the maximum size of the parameters of one request.
 	MaxParamsBytes = 16 << 10
 
 	maxBodyBytes = 2 << 10
@@ -54,18 +54,18 @@
 // Config is the configuration of a server.
 type Config = config.Config
 
-// Server is one catalogue server. All fields belong to the loop's goroutine. Each part of the state has an owner:
+// Server is one catalogue server. Only the loop's goroutine may use its fields. Each part of the state has its own type:
 //
-//   - connTable: the gateways' connections, their timeouts and evictions
+//   - connTable: the connections of gateways, their timeouts and evictions
 //   - attemptTable: the open attempts and the recent request IDs
-//   - idempotencyTable: which attempt holds a key, what was run under it, and the results kept for retries
+//   - idempotencyTable: the holder and the runs of each key, and the results stored for retries
 //   - moduleState: the decision module, and the events that wait to be reported to it
-//   - healthState and loadState: what the module last set for health checks and load feedback, and the load reports
+//   - healthState and loadState: the module's latest settings for health checks and load feedback, and the load reports
 //   - durability: intents and results that survive a restart
 //   - captureState: the recording of events and decisions
 //
-// Server itself takes a request from one part to the next: requests.go from its arrival to the module, actions.go from
-// the module's decision to the backend, runs.go from the end of a run to the answer.
+// Server itself passes a request from one part to the next: requests.go from its arrival to the module, actions.go from
+// the module's decision to the backend, and runs.go from the end of its run to the answer.
 type Server struct {
 	cfg      *config.Config
 	site     *settings.Site
@@ -76,39 +76,39 @@
 
 	parser      RequestParser
 	backend     Backend
-	isConnected bool // the backend's Connect was called
+	isConnected bool // Connect of the backend was called
 
 	module       moduleState
 	conns        connTable
 	attempts     attemptTable
 	keys         idempotencyTable
-	bodyHashSeed maphash.Seed // random, so that no sender can construct two bodies with one hash
+	bodyHashSeed maphash.Seed // random, so that no sender can construct two bodies with the same hash
 	health       healthState
 	load         loadState
-	durable      durability // nil where results do not outlast the process
+	durable      durability // nil if results are not kept across restarts
 	capture      captureState
 
 	isDraining bool
-	// maxDeadline is the longest deadline of a class, and so the longest time that an attempt may take.
+	// maxDeadline is the longest deadline of any class. No attempt may take longer.
 	maxDeadline   time.Duration
 	counters      counters
-	classCounters []classCounters // by the index of the class
+	classCounters []classCounters // by class index
 }
 
-// Parts are what differs between kinds of servers.
+// Parts are the components in which kinds of servers differ.
 type Parts struct {
-	// Limits are those of a gateway connection.
+	// Limits bounds the requests that gateway connections accept.
 	Limits fastcgi.Limits
-	// New returns the parser and the backend of a new server. Neither may use the server before Run.
+	// New returns the parser and the backend of a new server. They must not use the server before Run.
 	New func(s *Server) (RequestParser, Backend)
 }
 
-// New returns a catalogue server that listens at its address. Run has to be called next, or Close.
+// New returns a catalogue server that listens at the configured address. The caller must call Run or Close.
 func New(cfg *Config, log *zap.Logger) (*Server, error) {
 	return NewOnSystem(eventloop.Kernel{}, cfg, log)
 }
 
-// NewOnSystem is New with another system than the machine's, such as a simulated one.
+// NewOnSystem is like New, but uses the given system, for example a simulated one, in place of the machine's.
 func NewOnSystem(system eventloop.System, cfg *Config, log *zap.Logger) (*Server, error) {
 	limits := fastcgi.Limits{
 		OpenRequests: MaxOpenRequests,
@@ -122,7 +122,7 @@
 	}})
 }
 
-// NewWithParts returns a server that listens, with a parser and a backend of the caller's.
+// NewWithParts is like NewOnSystem, but the caller supplies the limits, the parser and the backend.
 func NewWithParts(system eventloop.System, cfg *Config, log *zap.Logger, parts Parts) (*Server, error) {
 	if err := validateSettings(cfg); err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	return server, nil
 }
 
-// open opens the sockets and files of a new server. The caller closes the server after an error.
+// open opens the sockets and files of a new server. If it returns an error, the caller must close the server.
 func (s *Server) open(system eventloop.System) error {
 	if err := s.load.connect(system, s.cfg); err != nil {
 		return err
@@ -170,8 +170,8 @@
 	return s.openCapture()
 }
 
-// validateSettings returns an error for settings with which the module can't work, so that they are found at the start
-// and not when the backend comes up. Any dependency is accepted, though no call to it can be made: see callRequested.
+// validateSettings returns an error for settings that the module rejects, so that they are reported at startup and not
+// when the backend comes up. Any dependency is accepted, although the server can't call it: see callRequested.
 func validateSettings(cfg *Config) error {
 	if _, err := admission.New(cfg.Settings.Admission, nil); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
@@ -179,13 +179,13 @@
 	return nil
 }
 
-// RequestMemory is how many bytes of a process's memory unanswered requests may use.
+// RequestMemory returns how many bytes unanswered requests may use in a process with a memory limit in megabytes.
 func RequestMemory(memoryMB int) int { return megabytes(memoryMB) / requestMemoryDivisor }
 
 // megabytes returns the number of bytes in n megabytes.
 func megabytes(n int) int { return n << 20 }
 
-// indexByName returns the index of each name.
+// indexByName returns a map from each name to its index.
 func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
@@ -194,7 +194,7 @@
 	return m
 }
 
-// Run serves until a drain has ended, which Drain starts.
+// Run serves requests until a drain, which Drain starts, has ended. It closes the server before it returns.
 func (s *Server) Run() error {
 	defer s.Close()
 	s.isConnected = true
@@ -211,7 +211,7 @@
 	return err
 }
 
-// Close releases the server's sockets. Run calls it at its end.
+// Close releases the server's sockets. Run calls it before it returns.
 func (s *Server) Close() {
 	if s.listener != nil {
 		s.listener.Close()
@@ -226,17 +226,17 @@
 	s.loop.Close()
 }
 
-// Drain starts the graceful shutdown; any goroutine may call it.
+// Drain starts the graceful shutdown. Any goroutine may call it.
 func (s *Server) Drain() { s.loop.Post(s.drain) }
 
-// LogCounters logs the counters; any goroutine may call it.
+// LogCounters logs the counters. Any goroutine may call it.
 func (s *Server) LogCounters() { s.loop.Post(func() { s.logCounters(reasonSignal) }) }
 
-// Post calls a function on the loop's goroutine in its next round; any goroutine may call Post. After the end of Run
-// the function is not called.
+// Post has the loop's goroutine call fn in its next round. Any goroutine may call Post. Once Run has returned, fn is not
+// called.
 func (s *Server) Post(fn func()) { s.loop.Post(fn) }
 
-// expireKeys removes expired idempotency keys, and runs the maintenance of durable results.
+// expireKeys removes expired idempotency keys and runs the maintenance of durable results, then schedules its next call.
 func (s *Server) expireKeys() {
 	s.keys.expire(s.clock.read(s.loop.Now()), s.loop.Now().Round(0), s.maxDeadline)
 	s.counters.resultsEvicted = s.keys.evicted
@@ -246,8 +246,8 @@
 	s.loop.AfterFunc(keyExpiryInterval, s.expireKeys)
 }
 
-// Loop is the server's event loop, for the backend's connections. It belongs to the loop's goroutine.
+// Loop returns the server's event loop, for the backend's connections. Only the loop's goroutine may call it.
 func (s *Server) Loop() *eventloop.Loop { return s.loop }
 
-// ModuleTime is the time of the last event by the module's clock. It belongs to the loop's goroutine.
+// ModuleTime returns the last reading of the module's clock. Only the loop's goroutine may call it.
 func (s *Server) ModuleTime() time.Duration { return s.clock.now }
