--- a/server/actions.go
+++ b/server/actions.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// cancelRun keeps the run of an answered attempt from starting if that is still possible.
+// cancelRun keeps the run of an answered attempt from starting, if that is still possible.
 func (ac actions) cancelRun(a *attempt) {
 	a.isStopRequested = a.isIntentPending
 	ac.withdraw(a)
--- a/server/actions_test.go
+++ b/server/actions_test.go
@@ -23,8 +23,9 @@
 func (s *recordingSession) ShouldClose() bool     { return false }
 func (s *recordingSession) HasPartialInput() bool { return false }
 
-// newGuardedServer returns a server without sockets with attempts of one request with an idempotency key.
-func newGuardedServer(t *testing.T, attempts int) (actions, *recordingSession) {
+// newServerWithAttempts returns the actions of a server without sockets, and the session that records its answers. The
+// server has the given number of attempts of one request with an idempotency key.
+func newServerWithAttempts(t *testing.T, attempts int) (actions, *recordingSession) {
 	t.Helper()
 	loop, err := eventloop.New(eventloop.Kernel{}, 5*time.Millisecond, 1<<20)
 	if err != nil {
@@ -55,23 +56,24 @@
 	return actions{server}, session
 }
 
-// TestSecondRunPrevented runs two attempts of one request, as the module might decide: the second does not run.
+// TestSecondRunPrevented checks that only the first of two attempts of one request runs, even if the module decides to
+// run both.
 func TestSecondRunPrevented(t *testing.T) {
-	a, session := newGuardedServer(t, 2)
+	a, session := newServerWithAttempts(t, 2)
 	a.Run(1)
 	a.Run(2)
 	if a.backend.OpenRuns() != 1 || a.counters.secondRunsPrevented != 1 || len(session.answers) != 1 || session.answers[0].Status != statusInternalError {
-		t.Errorf("%d runs, answers %+v", a.backend.OpenRuns(), session.answers)
+		t.Errorf("%d runs, answers %+v; want 1 run and one answer with status 500", a.backend.OpenRuns(), session.answers)
 	}
-	a.Run(1) // it runs already
+	a.Run(1) // already running
 	if a.backend.OpenRuns() != 1 || a.counters.secondRunsPrevented != 1 {
 		t.Error("a second command to run the same attempt had an effect")
 	}
 }
 
-// TestRejectionAfterRunPrevented rejects an attempt that runs, and a retry of it: both fail instead.
+// TestRejectionAfterRunPrevented checks that an attempt that is running and its retry fail if the module rejects them.
 func TestRejectionAfterRunPrevented(t *testing.T) {
-	a, session := newGuardedServer(t, 3)
+	a, session := newServerWithAttempts(t, 3)
 	a.Reject(3, time.Second, false)
 	a.Run(1)
 	a.Reject(2, time.Second, false)
@@ -81,7 +83,7 @@
 		got = append(got, answer.Status)
 	}
 	if len(got) != 3 || got[0] != statusUnavailable || got[1] != statusInternalError || got[2] != statusInternalError || a.counters.rejectionsPrevented != 2 {
-		t.Errorf("answers %v", got)
+		t.Errorf("statuses %v, want 503, 500, 500", got)
 	}
 	a.Fail(1)
 	a.Reject(3, 0, false)
--- a/server/durable_test.go
+++ b/server/durable_test.go
@@ -20,8 +20,8 @@
 type fakeStore struct {
 	mu        sync.Mutex
 	records   map[string][]byte
-	isBlocked bool // writes wait
-	fails     error
+	isBlocked bool // writes wait until set unblocks them
+	writeErr  error
 	waiting   []func()
 	closed    bool
 }
@@ -31,7 +31,7 @@
 	defer s.mu.Unlock()
 	write := func() {
 		s.mu.Lock()
-		err := s.fails
+		err := s.writeErr
 		if err == nil {
 			for _, c := range changes {
 				if c.Value == nil {
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// set changes the store's behavior. Blocked writes go on where it is not blocked any more.
-func (s *fakeStore) set(isBlocked bool, fails error) {
+// set changes the behavior of writes. If the store is no longer blocked, set carries out the waiting writes.
+func (s *fakeStore) set(isBlocked bool, writeErr error) {
 	s.mu.Lock()
-	s.isBlocked, s.fails = isBlocked, fails
+	s.isBlocked, s.writeErr = isBlocked, writeErr
 	waiting := s.waiting
 	if isBlocked {
 		waiting = nil
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// has returns whether there is a record in a state.
+// has reports whether there is a record in a state.
 func (s *fakeStore) has(state idempotency.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	return false
 }
 
-// startDurableServer starts a server that keeps its state.
+// startDurableServer starts a server that keeps results across restarts.
 func startDurableServer(t *testing.T, store *fakeStore, limits idempotency.Limits) (*Server, *servertest.Interpreter, *servertest.Gateway) {
 	t.Helper()
 	it := servertest.NewInterpreter(t)
@@ -126,7 +126,7 @@
 	if err := s.EnableDurableResults(store, limits); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // cleanups run in reverse order: this one after the drain
+	t.Cleanup(func() { // cleanups run in reverse order, so this one runs after the drain
 		if !store.closed {
 			t.Error("the store is not closed")
 		}
@@ -139,8 +139,8 @@
 
 var largeLimits = idempotency.Limits{MaxKeys: 100, MaxBytes: 1 << 20}
 
-// TestSlowDisk has a disk that does not respond delay runs with an idempotency key and nothing else: no run is asked
-// for before its intent is written, and lookups are served meanwhile.
+// TestSlowDisk checks that a disk that does not respond delays only runs with an idempotency key: the backend is not
+// asked for such a run before its intent is written, and lookups are served meanwhile.
 func TestSlowDisk(t *testing.T) {
 	store := &fakeStore{records: map[string][]byte{}, isBlocked: true}
 	_, it, g := startDurableServer(t, store, largeLimits)
@@ -149,56 +149,57 @@
 	for i := range 20 {
 		g.Write(fake.NewLookup("x").Encode(2))
 		if a := g.WaitResponse(2); a.Status != 200 {
-			t.Fatalf("lookup %d: %+v", i, a)
+			t.Fatalf("lookup %d: %+v, want status 200", i, a)
 		}
 	}
 	for _, a := range it.StartedRuns() {
 		if a.Class == "stock-reserve" {
-			t.Fatal("a keyed run was asked for before its intent was down")
+			t.Fatal("the backend was asked for a keyed run before its intent was written")
 		}
 	}
 	store.set(false, nil)
 	if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "[b]" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("answer %+v, want status 200 and body [b]", a)
 	}
 	servertest.WaitFor(t, "the result", func() bool { return store.has(idempotency.Completed) })
 }
 
-// TestFailingDisk has requests with an idempotency key rejected while writes fail, lookups served, and both served once
-// the disk works again.
+// TestFailingDisk checks that requests with an idempotency key are rejected while writes fail, that lookups are served,
+// and that both are served once the disk works again.
 func TestFailingDisk(t *testing.T) {
-	store := &fakeStore{records: map[string][]byte{}, fails: errors.New("no space left on device")}
+	store := &fakeStore{records: map[string][]byte{}, writeErr: errors.New("no space left on device")}
 	s, it, g := startDurableServer(t, store, largeLimits)
 	it.FinishImmediately()
-	ask := func(number int) fake.Response {
+	reserve := func(number int) fake.Response {
 		g.Write(fake.NewReserve(number, "b").Encode(1))
 		return g.WaitResponse(1)
 	}
 	for n := range 5 {
-		if a := ask(n); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
-			t.Errorf("keyed request %d with a failing disk: %+v", n, a)
+		if a := reserve(n); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
+			t.Errorf("keyed request %d with a failing disk: %+v, want a rejection", n, a)
 		}
 		g.Write(fake.NewLookup("x").Encode(2))
 		if a := g.WaitResponse(2); a.Status != 200 {
-			t.Errorf("lookup with a failing disk: %+v", a)
+			t.Errorf("lookup with a failing disk: %+v, want status 200", a)
 		}
 	}
 	if n := len(it.StartedRuns()); n != 5 {
 		t.Errorf("%d runs, want the five lookups", n)
 	}
 	store.set(false, nil)
-	servertest.WaitFor(t, "the disk to be asked again", func() bool { return ask(0).Status == 200 })
-	if a := ask(0); a.Status != 200 || string(a.Body) != "[b]" {
-		t.Errorf("a repeat: %+v", a)
+	servertest.WaitFor(t, "a successful probe of the disk", func() bool { return reserve(0).Status == 200 })
+	if a := reserve(0); a.Status != 200 || string(a.Body) != "[b]" {
+		t.Errorf("retry: %+v, want status 200 and body [b]", a)
 	}
 	var unprotected uint64
 	onLoop(s, func() { unprotected = s.durable.(*durableResults).unprotected })
 	if unprotected < 5 {
-		t.Errorf("%d unprotected requests are counted", unprotected)
+		t.Errorf("%d unprotected requests counted, want at least 5", unprotected)
 	}
 }
 
-// TestTooManyKeys has requests over the limit of keys rejected, not run without protection, and retries answered.
+// TestTooManyKeys checks that requests above the limit of keys are rejected, not run without protection, and that retries
+// are answered.
 func TestTooManyKeys(t *testing.T) {
 	store := &fakeStore{records: map[string][]byte{}}
 	_, it, g := startDurableServer(t, store, idempotency.Limits{MaxKeys: 3, MaxBytes: 1 << 20})
@@ -209,15 +210,16 @@
 		statuses[g.WaitResponse(1).Status]++
 	}
 	if statuses[200] != 3 || statuses[503] != 3 {
-		t.Errorf("statuses %v", statuses)
+		t.Errorf("statuses %v, want three of 200 and three of 503", statuses)
 	}
 	g.Write(fake.NewReserve(0, "b").Encode(1))
 	if a := g.WaitResponse(1); a.Status != 200 || len(it.StartedRuns()) != 3 {
-		t.Errorf("a repeat at the bound: %+v, %d runs", a, len(it.StartedRuns()))
+		t.Errorf("retry at the limit of keys: %+v, %d runs; want status 200 and 3 runs", a, len(it.StartedRuns()))
 	}
 }
 
-// TestDrainWithIntents answers requests that wait for a disk that does not respond before a drained server ends.
+// TestDrainWithIntents checks that a draining server answers requests whose intent waits for a disk that does not
+// respond, before it stops.
 func TestDrainWithIntents(t *testing.T) {
 	store := &fakeStore{records: map[string][]byte{}, isBlocked: true}
 	s, it, g := startDurableServer(t, store, largeLimits)
@@ -232,7 +234,7 @@
 	}
 }
 
-// TestBodyHashesOverRestarts has a key with another body rejected after a restart, too.
+// TestBodyHashesOverRestarts checks that a key with another body is also rejected after a restart.
 func TestBodyHashesOverRestarts(t *testing.T) {
 	store := &fakeStore{records: map[string][]byte{}}
 	t.Run("before", func(t *testing.T) {
--- a/server/interleave_conns_test.go
+++ b/server/interleave_conns_test.go
@@ -14,19 +14,19 @@
 	"tillerusher/internal/servertest/interleave"
 )
 
-// TestCrossIdleClose has a request, or half of one, arrive at the very moment at which an idle connection is closed:
-// the gateway reads the answer that it had not read yet, then a clean end and no reset, and the request is not run.
+// TestCrossIdleClose sends a request, or a part of one, at the moment at which an idle connection is closed. The gateway
+// must read the answer that it had not read yet, then the end of the stream without a reset. The request is not run.
 func TestCrossIdleClose(t *testing.T) {
 	whole := fake.NewLookup("crosses").Encode(2)
-	for what, late := range map[string][]byte{"a request": whole, "half a request": whole[:30], "a byte": whole[:1]} {
-		t.Run(what, func(t *testing.T) {
+	for name, late := range map[string][]byte{"a request": whole, "half a request": whole[:30], "a byte": whole[:1]} {
+		t.Run(name, func(t *testing.T) {
 			system := interleave.New()
 			s, it := startServerOn(t, system, testSite(t))
 			g := servertest.Dial(t, s.cfg.Listen.String())
 			done := beforeEnd(system, g.Conn(), func() { g.Write(late) })
 			g.Write(fake.NewLookup("answered").Encode(1))
 			it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("x"))
-			servertest.WaitFor(t, "the module's own setting", func() (set bool) {
+			servertest.WaitFor(t, "the module's idle timeout", func() (set bool) {
 				onLoop(s, func() { set = s.conns.idleTimeout > 0 })
 				return set
 			})
@@ -34,18 +34,18 @@
 			<-done
 			waitRound(s)
 			if a := g.WaitResponse(1); a.Status != 200 {
-				t.Errorf("answer before the end: %+v", a)
+				t.Errorf("answer before the end: %+v, want status 200", a)
 			}
 			waitCleanEnd(t, g)
 			if runs := it.StartedRuns(); len(runs) != 1 {
-				t.Errorf("what came after the end was run: %v", runs)
+				t.Errorf("runs %v, want none of the request after the end", runs)
 			}
 		})
 	}
 }
 
-// TestCrossSlowWriter has the first bytes of a request arrive as idle connections are closed: it arrives completely and
-// is answered.
+// TestCrossSlowWriter closes idle connections after the first bytes of a request have arrived. The request must be
+// received completely and answered.
 func TestCrossSlowWriter(t *testing.T) {
 	s, it := startServer(t)
 	it.FinishImmediately()
@@ -63,12 +63,13 @@
 		})
 		g.Write(whole[cut:])
 		if a, err := g.TryResponse(2); err != nil || a.Status != 200 && a.Status != 503 {
-			t.Fatalf("%d bytes before, the rest after: %+v, %v", cut, a, err)
+			t.Fatalf("%d bytes before the scan, the rest after it: %+v, %v", cut, a, err)
 		}
 	}
 }
 
-// TestCrossUnfinished has the rest of a request arrive as the connection is closed because it took too long.
+// TestCrossUnfinished sends the rest of a request at the moment at which the connection is closed because the request
+// took too long.
 func TestCrossUnfinished(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
@@ -88,12 +89,12 @@
 	<-done
 	waitCleanEnd(t, g)
 	if runs := it.StartedRuns(); len(runs) != 0 {
-		t.Errorf("what came after the end was run: %v", runs)
+		t.Errorf("runs %v, want none after the end", runs)
 	}
 }
 
-// TestCrossRoom has a gateway's first request wait unread as a connection is evicted for a new one: silent ones are
-// evicted before it.
+// TestCrossRoom evicts a connection for a new one while the first request of a gateway is unread. Silent connections
+// must be evicted before that of the gateway.
 func TestCrossRoom(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
@@ -102,28 +103,28 @@
 	for range maxConns - 1 {
 		servertest.Dial(t, s.cfg.Listen.String())
 	}
-	servertest.WaitFor(t, "all to be let in", func() (in bool) {
+	servertest.WaitFor(t, "the accept of all connections", func() (in bool) {
 		onLoop(s, func() { in = s.conns.len() == maxConns })
 		return in
 	})
 	onLoop(s, func() {
 		g.Write(fake.NewLookup("just came").Encode(1))
 		if !s.conns.evict() {
-			t.Error("no room was made")
+			t.Error("no connection was evicted")
 		}
 	})
 	it.EndRun(it.WaitRuns(1)[0].ID, "OK", []byte("x"))
 	if a := g.WaitResponse(1); a.Status != 200 {
-		t.Errorf("answer %+v", a)
+		t.Errorf("answer %+v, want status 200", a)
 	}
 }
 
-// TestCrossReset has callers reset their connection right after it was accepted, before and after it is first read,
-// with nothing, half a request or a complete one sent: the server goes on, and keeps nothing of them.
+// TestCrossReset has callers reset their connection before the server accepts it, and between the accept and the first
+// read, after they sent nothing, half a request or a complete one. The server must continue and keep no state of them.
 func TestCrossReset(t *testing.T) {
 	whole := fake.NewLookup("gone").Encode(1)
-	for what, sent := range map[string][]byte{"nothing": nil, "half a request": whole[:30], "a request": whole} {
-		t.Run(what, func(t *testing.T) {
+	for name, sent := range map[string][]byte{"nothing": nil, "half a request": whole[:30], "a request": whole} {
+		t.Run(name, func(t *testing.T) {
 			system := interleave.New()
 			s, it := startServerOn(t, system, testSite(t))
 			reset := func(c net.Conn) {
@@ -132,13 +133,13 @@
 			}
 			done := make(chan bool)
 			var g *servertest.Gateway
-			onLoop(s, func() { // one that is reset while it waits to be accepted
+			onLoop(s, func() { // the first is reset while it waits to be accepted
 				early := servertest.Dial(t, s.cfg.Listen.String())
 				early.Write(sent)
 				reset(early.Conn())
 				g = servertest.Dial(t, s.cfg.Listen.String())
 				g.Write(sent)
-				system.BeforeCall(func(call interleave.Syscall, fd int) bool { // and one between the accept and the read
+				system.BeforeCall(func(call interleave.Syscall, fd int) bool { // the second between the accept and the read
 					if call != interleave.Read || !interleave.IsPeer(fd, g.Conn()) {
 						return false
 					}
@@ -147,11 +148,11 @@
 					return true
 				})
 			})
-			if len(sent) == 0 { // nothing to be read would come
+			if len(sent) == 0 { // without a byte, the server would not read
 				onLoop(s, func() { g.Write([]byte{1}) })
 			}
 			<-done
-			servertest.WaitFor(t, "the connections to be forgotten", func() (gone bool) {
+			servertest.WaitFor(t, "the removal of the connections", func() (gone bool) {
 				onLoop(s, func() { gone = s.conns.len() <= 1 && len(s.attempts.byID) == 0 })
 				for _, r := range it.StartedRuns() {
 					it.EndRun(r.ID, "STOPPED", nil)
@@ -160,15 +161,15 @@
 			})
 			next := servertest.Dial(t, s.cfg.Listen.String())
 			if got := checkHealth(next, false); got != 200 {
-				t.Errorf("the next caller: %d", got)
+				t.Errorf("health check of the next caller: %d, want 200", got)
 			}
 		})
 	}
 }
 
-// TestCrossFullBuffer has a gateway that reads nothing be sent more than buffers hold as the server starts to drain:
-// once it reads, all answers arrive completely, and then the end. One that never reads doesn't keep the server from
-// ending, which the end of the test waits for.
+// TestCrossFullBuffer drains a server that has more to send to a gateway than the buffers hold, because the gateway
+// does not read. Once the gateway reads, all answers arrive completely, and then the end of the stream. A gateway that
+// never reads must not keep the server from stopping, for which the end of the test waits.
 func TestCrossFullBuffer(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reads %t", reads), func(t *testing.T) {
@@ -182,7 +183,7 @@
 				var open int
 				onLoop(s, func() { open = len(s.attempts.byID) })
 				if open > 0 {
-					return false // more than MaxOpenRequests at once would be rejected on a slow machine
+					return false // on a slow machine, more than MaxOpenRequests would be open and be rejected
 				}
 				for range MaxOpenRequests / 2 {
 					sent++
@@ -207,12 +208,12 @@
 			a, err := g.TryResponse(0)
 			for ; err == nil; a, err = g.TryResponse(0) {
 				if a.Status != 200 && a.Status != 503 {
-					t.Errorf("answer %+v", a)
+					t.Errorf("answer %+v, want status 200 or 503", a)
 				}
 				answers++
 			}
 			if !errors.Is(err, io.EOF) || answers != sent {
-				t.Errorf("%d answers to %d requests, then %v", answers, sent, err)
+				t.Errorf("%d answers to %d requests, then error %v; want an answer to each, then EOF", answers, sent, err)
 			}
 		})
 	}
--- a/server/interleave_drain_test.go
+++ b/server/interleave_drain_test.go
@@ -13,34 +13,34 @@
 	"tillerusher/internal/servertest/interleave"
 )
 
-// TestCrossExit has a request arrive as a drained server ends its connections, by either way: after the last one was
-// idle, and when the stop timeout is over.
+// TestCrossExit sends a request as a draining server ends its connections: when the last one is idle, when the stop
+// timeout is over, and when the interpreter is not up yet.
 func TestCrossExit(t *testing.T) {
-	for what, end := range map[string]func(s *Server){"resting": (*Server).drain, "time up": (*Server).stopNow,
+	for name, end := range map[string]func(s *Server){"idle": (*Server).drain, "stop timeout": (*Server).stopNow,
 		"not yet up": (*Server).drain} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			system := interleave.New()
 			it := servertest.NewInterpreter(t)
-			if what == "not yet up" {
+			if name == "not yet up" {
 				it.MarkDown()
 			}
 			s := startServerWith(t, system, testSite(t), it)
 			g := servertest.Dial(t, s.cfg.Listen.String())
-			servertest.WaitFor(t, "the interpreter", func() bool { return what == "not yet up" || checkHealth(g, false) == 200 })
+			servertest.WaitFor(t, "a healthy server", func() bool { return name == "not yet up" || checkHealth(g, false) == 200 })
 			checkHealth(g, false)
 			done := beforeEnd(system, g.Conn(), func() { g.Write(fake.NewLookup("crosses").Encode(2)) })
 			s.loop.Post(func() { end(s) })
 			<-done
 			waitCleanEnd(t, g)
 			if runs := it.StartedRuns(); len(runs) != 0 {
-				t.Errorf("what came after the end was run: %v", runs)
+				t.Errorf("runs %v, want none after the end", runs)
 			}
 		})
 	}
 }
 
-// TestCrossListener has a caller connect with a request just before the last accept: it is answered. One that connects
-// after that, as the listener closes, is not accepted, and nothing of it is run.
+// TestCrossListener has a caller connect and send a request just before the last accept: it is answered. A caller that
+// connects after that, as the listener closes, is not accepted, and its request is not run.
 func TestCrossListener(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
@@ -66,26 +66,26 @@
 	})
 	<-done
 	if a := g.WaitResponse(1); a.Status != 200 {
-		t.Errorf("a caller in time: %+v", a)
+		t.Errorf("caller before the last accept: %+v, want status 200", a)
 	}
 	if a, err := after.TryResponse(1); err == nil {
-		t.Errorf("a caller that was not let in was answered: %+v", a)
+		t.Errorf("a caller that was not accepted was answered: %+v", a)
 	}
 	for _, r := range it.StartedRuns() {
 		if string(r.Body) == "too late" {
-			t.Error("a request of a caller that was not let in was run")
+			t.Error("a request of a caller that was not accepted was run")
 		}
 	}
 }
 
-// isListener returns whether a descriptor is a listening socket.
+// isListener reports whether a descriptor is a listening socket.
 func isListener(fd int) bool {
 	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	return err == nil && listens == 1
 }
 
-// TestCrossDrain has requests read after the drain notice: those that arrived within the grace period are run, as are
-// the notice and a request in one round, in either order; later ones are rejected at once.
+// TestCrossDrain sends requests around the drain notice. A request sent in the round of the notice is run, as is one that
+// arrives within the grace period. A later one is rejected immediately.
 func TestCrossDrain(t *testing.T) {
 	site := testSite(t)
 	site.Admission.DrainGracePeriod = 500 * time.Millisecond
@@ -105,23 +105,23 @@
 	}
 	for id := range uint16(2) {
 		if a := g.WaitResponse(id + 1); a.Status != 200 {
-			t.Errorf("request %d: %+v", id+1, a)
+			t.Errorf("request %d: %+v, want status 200", id+1, a)
 		}
 	}
-	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // stored second passes
+	onLoop(s, func() { s.clock.origin = s.clock.origin.Add(-time.Second) }) // one second passes
 	g.Write(received(fake.NewLookup("after the grace"), 0).Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
-		t.Errorf("after the grace: %+v", a)
+		t.Errorf("after the grace period: %+v, want a rejection", a)
 	}
 	if runs := it.StartedRuns(); len(runs) != 2 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 2", runs)
 	}
 	waitCleanEnd(t, g)
 }
 
-// TestCrossReloadDrain has a new configuration and the drain notice in one round, in either order, while a run is in
-// flight and the notice of its end waits unread on the old link: the notice is read on the new one, the request is
-// answered once, and the server ends.
+// TestCrossReloadDrain reloads the configuration and drains in one round, in either order, while a run is in flight and
+// the notice of its end is unread on the old link. The notice is read on the new link, the request is answered once,
+// and the server stops.
 func TestCrossReloadDrain(t *testing.T) {
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
@@ -144,18 +144,18 @@
 				}
 			})
 			if a := g.WaitResponse(1); a.Status != 200 || string(a.Body) != "result" {
-				t.Errorf("answer %+v", a)
+				t.Errorf("answer %+v, want status 200 and body result", a)
 			}
 			waitCleanEnd(t, g)
 			if runs := it.StartedRuns(); len(runs) != 1 || it.LinkAddr() != moved {
-				t.Errorf("runs %v on the link at %s", runs, it.LinkAddr())
+				t.Errorf("runs %v, link to %s; want 1 run and the new link", runs, it.LinkAddr())
 			}
 		})
 	}
 }
 
-// TestCrossDrainRepeat has a retry arrive after the drain notice while the first attempt runs, and one after the end of
-// it: both have its result, and nothing runs again.
+// TestCrossDrainRepeat sends a retry after the drain notice while the first attempt runs, and another after the end of
+// the run. Both get its result, and nothing runs again.
 func TestCrossDrainRepeat(t *testing.T) {
 	site := testSite(t)
 	site.Admission.DrainGracePeriod = 500 * time.Millisecond
@@ -171,14 +171,14 @@
 	it.EndRun(id, "OK", []byte("result"))
 	for retry := range uint16(2) {
 		if a := g.WaitResponse(retry + 1); a.Status != 200 || string(a.Body) != "result" {
-			t.Errorf("attempt %d: %+v", retry+1, a)
+			t.Errorf("attempt %d: %+v, want the result", retry+1, a)
 		}
 	}
 	g.Write(fake.NewReserve(1, "x").Encode(3))
 	if a := g.WaitResponse(3); a.Status != 200 || string(a.Body) != "result" {
-		t.Errorf("an attempt after the end: %+v", a)
+		t.Errorf("attempt after the end of the run: %+v, want the result", a)
 	}
 	if runs := it.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 }
--- a/server/shared_reads_test.go
+++ b/server/shared_reads_test.go
@@ -9,13 +9,13 @@
 )
 
 // newRead returns a request that reads a resource.
-func newRead(subject, body string) fake.Request {
-	return fake.NewLookup(body).WithHeader("Resource-Key", subject)
+func newRead(resource, body string) fake.Request {
+	return fake.NewLookup(body).WithHeader("Resource-Key", resource)
 }
 
-// TestSharedReads reads one resource at a site where the result of a read may answer others: it answers a request for
-// the same thing while it is fresh, however the resource is written; for another thing it does not, as the sender would
-// get what no run made for it (seen 63 times in one simulated day).
+// TestSharedReads reads one resource at a site where the result of a read may answer other reads. While a result is
+// fresh, it answers requests with the same body, however the resource is written. It must not answer a request with
+// another body, whose sender would get a result that no run made for it (seen 63 times in one simulated day).
 func TestSharedReads(t *testing.T) {
 	site := testSite(t)
 	site.Admission.ResultFreshness = time.Hour
@@ -42,12 +42,12 @@
 	}
 	onLoop(s, func() {
 		if s.counters.replayed != 2 {
-			t.Errorf("%d answers served others, want 2", s.counters.replayed)
+			t.Errorf("%d answers replayed, want 2", s.counters.replayed)
 		}
 	})
 }
 
-// TestStaleReads reads again after a result went stale, and after a run without a result: both run again.
+// TestStaleReads reads a resource again after its result became stale, and after a run without a result. Both reads run.
 func TestStaleReads(t *testing.T) {
 	site := testSite(t)
 	site.Admission.ResultFreshness = time.Nanosecond
