--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -13,11 +13,11 @@
 
 // ConnHandler receives the events of a connection.
 type ConnHandler interface {
-	// Connected is called when a dialled connection is established.
+	// Connected is called when a dialled connection has been established.
 	Connected(c *Conn)
-	// Data passes received bytes, which are valid during the call only.
+	// Data is called with received bytes. p is valid only during the call.
 	Data(c *Conn, p []byte)
-	// Closed is called when the connection ended without Close; no other call follows.
+	// Closed is called when the connection has ended for a reason other than Close. It is the last call for c.
 	Closed(c *Conn, err error)
 }
 
@@ -26,40 +26,40 @@
 	loop         *Loop
 	fd           int
 	handler      ConnHandler
-	events       uint32 // that the descriptor is registered for
+	events       uint32 // epoll events that the descriptor is registered for
 	state        connState
 	isClosed     bool
 	lastActivity time.Time
-	pendingErr   error // reported by the next call of report
+	pendingErr   error // passed to the handler by the next call of report
 	in           connInput
 	out          connOutput
 }
 
-// connInput is what a round read from a connection: a part of the loop's arena.
+// connInput is the part of the loop's arena that holds the bytes read from a connection in the current round.
 type connInput struct{ start, end int }
 
-// connOutput is what a connection has to send.
+// connOutput is the output state of a connection.
 type connOutput struct {
-	unsent     []byte // nil while there is nothing, as idle connections are many and must hold no buffers
-	accounted  int    // bytes of unsent that are counted in the loop's total
-	isDirty    bool   // the loop flushes the connection at the end of the round
-	closeAfter bool   // end the connection once all is sent
+	unsent     []byte // nil if nothing is queued: there are many idle connections, and they must not hold buffers
+	accounted  int    // bytes of this connection that are included in the loop's unsentBytes
+	isDirty    bool   // the connection is in the loop's list of connections to flush at the end of the round
+	closeAfter bool   // close the connection once unsent is empty
 	linger     *Timer
 }
 
 // connState is the state of a connection.
 type connState uint8
 
-// The states of a connection, in order.
+// The states of a connection, in the order in which it passes through them.
 const (
-	stateConnecting   connState = iota // dialled, the outcome is not known
-	stateConnectEnded                  // the outcome is known and not reported
+	stateConnecting   connState = iota // dialled; the result of the connection attempt is not known
+	stateConnectEnded                  // the result is known but the handler has not been called
 	stateEstablished
-	// stateLingering is the state of a connection that this side has ended: what the peer still sends is discarded.
+	// stateLingering means that this side has shut down its sending direction. Input from the peer is discarded.
 	stateLingering
 )
 
-// Dial starts a connection; the outcome is reported to its handler in a later round.
+// Dial starts connecting to an address. A later round calls h.Connected or, if the attempt fails, h.Closed.
 func (l *Loop) Dial(to netip.AddrPort, h ConnHandler) (*Conn, error) {
 	fd, err := l.system.NewStreamSocket(to)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return l.newConn(fd, unix.EPOLLIN|unix.EPOLLOUT, stateConnecting, h)
 }
 
-// newConn registers a connected or connecting socket, and closes it if that fails.
+// newConn registers a connected or connecting socket with the loop. It closes the socket if the registration fails.
 func (l *Loop) newConn(fd int, events uint32, state connState, h ConnHandler) (*Conn, error) {
 	c := &Conn{loop: l, fd: fd, handler: h, events: events, state: state, lastActivity: l.now}
 	if err := l.register(fd, events, c); err != nil {
@@ -105,7 +105,8 @@
 	}
 }
 
-// read reads into the loop's arena. Where that is full, the socket is read in the next round.
+// read reads up to readSize bytes into the loop's arena. If the arena has less space left, the socket is read in a later
+// round.
 func (c *Conn) read() {
 	in := &c.loop.input
 	start := len(in.arena)
@@ -148,13 +149,15 @@
 	}
 }
 
-// fail reports the end of the connection in the next round: this one's reports are over.
+// fail makes the next round close the connection and report err to the handler. It is called after the report calls of the
+// current round.
 func (c *Conn) fail(err error) {
 	c.pendingErr = err
 	c.loop.output.failed = append(c.loop.output.failed, c)
 }
 
-// updateEvents registers the connection for the events it waits for. A peer that does not take its responses is not read.
+// updateEvents registers the connection for the events that it needs. It does not wait for input while the peer
+// leaves at least highWatermark bytes of output unread, nor after CloseAfterFlush until the connection lingers.
 func (c *Conn) updateEvents() {
 	var events uint32
 	if len(c.out.unsent) < highWatermark && !c.out.closeAfter || c.state == stateLingering {
@@ -169,21 +172,22 @@
 	}
 }
 
-// IsIdle reports whether nothing was read or written for so long, and neither input nor output is pending.
+// IsIdle reports whether the connection is open, nothing was read or written for at least the idle duration, and neither
+// input nor output is pending.
 func (c *Conn) IsIdle(idle time.Duration) bool {
 	return !c.isClosed && len(c.out.unsent) == 0 && c.loop.now.Sub(c.lastActivity) >= idle && !c.HasPendingInput()
 }
 
-// HasPendingInput reports whether the socket has something to read: bytes, or the connection's end.
+// HasPendingInput reports whether a read of the socket would not block: it has unread bytes, an end of stream or an error.
 func (c *Conn) HasPendingInput() bool {
-	_, err := c.loop.system.Peek(c.fd, c.loop.input.peeked[:])
+	_, err := c.loop.system.Peek(c.fd, c.loop.input.peekBuf[:])
 	return err != unix.EAGAIN
 }
 
 // LastActivity returns the time of the last read or write.
 func (c *Conn) LastActivity() time.Time { return c.lastActivity }
 
-// Close closes the connection immediately, without a call of its handler.
+// Close closes the connection immediately and discards its output. It does not call the handler.
 func (c *Conn) Close() {
 	if !c.isClosed {
 		c.isClosed = true
--- a/internal/eventloop/conn_output.go
+++ b/internal/eventloop/conn_output.go
@@ -9,11 +9,12 @@
 )
 
 var (
-	errLingerTimeout  = errors.New("eventloop: the peer did not close the connection in time")
+	errLingerTimeout  = errors.New("eventloop: peer did not close the connection before the linger timeout")
 	errOutputOverflow = errors.New("eventloop: too many bytes unsent to peers that do not read")
 )
 
-// Write queues bytes, which are sent at the end of the round.
+// Write queues a copy of p, which is sent at the end of the round or once the connection is established. On a closed or
+// lingering connection it does nothing.
 func (c *Conn) Write(p []byte) {
 	if c.isClosed || c.state == stateLingering {
 		return
@@ -25,7 +26,7 @@
 	c.markDirty()
 }
 
-// markDirty has the connection flushed at the end of the round.
+// markDirty schedules a flush of the connection at the end of the round.
 func (c *Conn) markDirty() {
 	if !c.out.isDirty && !c.isClosed {
 		c.out.isDirty = true
@@ -33,7 +34,7 @@
 	}
 }
 
-// flush sends the queued bytes, as far as the socket takes them.
+// flush sends the queued bytes that the socket accepts and updates the state of the connection.
 func (c *Conn) flush() {
 	c.out.isDirty = false
 	if c.isClosed || c.state != stateEstablished {
@@ -60,7 +61,7 @@
 	c.updateEvents()
 }
 
-// send writes as much of the queued bytes as the socket takes.
+// send passes the queued bytes to one write call and removes those that the socket accepted.
 func (c *Conn) send() error {
 	if len(c.out.unsent) == 0 {
 		return nil
@@ -77,26 +78,28 @@
 	return nil
 }
 
-// exceedsOutputShare reports whether the memory for output is used up and the connection holds a large share of it.
+// exceedsOutputShare reports whether the unsent output of all connections exceeds its limit and this connection holds more
+// than 1/unsentShareDivisor of the limit.
 func (c *Conn) exceedsOutputShare() bool {
 	out := &c.loop.output
 	return out.unsentBytes > out.maxUnsentBytes && len(c.out.unsent) > out.maxUnsentBytes/unsentShareDivisor
 }
 
-// accountUnsent updates the loop's total by what the peer has not taken.
+// accountUnsent updates the loop's total for a connection that now has unsentBytes of unsent output.
 func (c *Conn) accountUnsent(unsentBytes int) {
 	c.loop.output.unsentBytes += unsentBytes - c.out.accounted
 	c.out.accounted = unsentBytes
 }
 
-// releaseBuffer hands the empty output buffer back.
+// releaseBuffer returns the empty output buffer to the loop.
 func (c *Conn) releaseBuffer() {
 	c.loop.output.releaseBuffer(c.out.unsent)
 	c.out.unsent = nil
 }
 
-// startLinger ends this side of the connection and waits for the peer's end, for lingerTimeout at most. A socket that is
-// closed with input unread resets the connection, and the peer loses the response that it has not read yet.
+// startLinger shuts down the sending direction and waits for at most lingerTimeout until the peer closes the connection.
+// Closing a socket with unread input would reset the connection, and the peer would lose a response that it has not
+// read yet.
 func (c *Conn) startLinger() {
 	if err := c.loop.system.ShutdownWrite(c.fd); err != nil {
 		c.fail(err)
@@ -112,10 +115,10 @@
 	})
 }
 
-// discard reads and drops what the peer still sends while the connection lingers.
+// discard reads and drops input while the connection lingers, with at most lingerReads reads.
 func (c *Conn) discard() {
 	for range lingerReads {
-		n, err := c.loop.system.Read(c.fd, c.loop.input.discarded[:])
+		n, err := c.loop.system.Read(c.fd, c.loop.input.discardBuf[:])
 		switch {
 		case err == unix.EAGAIN || err == unix.EINTR:
 			return
@@ -129,20 +132,20 @@
 	}
 }
 
-// IsWriteStalled reports whether something is to be sent and the peer took none of it for the time.
+// IsWriteStalled reports whether output is queued and the connection has read and sent nothing for at least the timeout.
 func (c *Conn) IsWriteStalled(timeout time.Duration) bool {
 	return len(c.out.unsent) > 0 && c.loop.now.Sub(c.lastActivity) >= timeout
 }
 
-// UnsentBytes returns how many bytes wait to be sent.
+// UnsentBytes returns the number of queued output bytes.
 func (c *Conn) UnsentBytes() int { return len(c.out.unsent) }
 
-// CloseAfterFlush ends the connection once all that is queued is sent. What the peer still sends is discarded until it
-// ends the connection, too, for lingerTimeout at most; then the handler's Closed is called.
+// CloseAfterFlush shuts down the sending direction once all queued output is sent. Input is then discarded until the peer
+// closes the connection, for at most lingerTimeout, and the handler's Closed is called.
 func (c *Conn) CloseAfterFlush() {
 	c.out.closeAfter = true
 	c.markDirty()
 }
 
-// IsClosing reports whether CloseAfterFlush was called.
+// IsClosing reports whether CloseAfterFlush has been called.
 func (c *Conn) IsClosing() bool { return c.out.closeAfter }
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,7 +1,7 @@
-// Package eventloop runs one goroutine over epoll(7): connections, listeners, coarse timers and functions posted by other
-// goroutines.
+// Package eventloop implements a single-goroutine event loop on epoll(7) with connections, listeners, coarse timers and
+// functions posted by other goroutines.
 //
-// A round reads all that is ready, reads the clock once, reports events in order, fires timers, calls the owner's settle
-// function, and then sends the output of each connection in one write. Callbacks therefore see one time for a round, and a
-// burst of requests is decided upon as a whole.
+// Each round of the loop reads the ready descriptors, reads the clock once, calls the handlers in order, fires the timers
+// that are due, calls the endRound function passed to Run, and then sends the output of each connection in one write.
+// All callbacks of a round therefore see the same time, and endRound can decide on a burst of requests together.
 package eventloop
--- a/internal/eventloop/kernel.go
+++ b/internal/eventloop/kernel.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kernel is the System of the process's own operating system.
+// Kernel implements System with the system calls of the host's kernel.
 type Kernel struct{}
 
 // Now implements System.
@@ -29,7 +29,7 @@
 // Eventfd implements System.
 func (Kernel) Eventfd() (int, error) { return unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC) }
 
-// newSocket returns a socket of the address's family.
+// newSocket returns a non-blocking socket of the given type for the address family of addr.
 func newSocket(addr netip.AddrPort, kind int) (int, error) {
 	family := unix.AF_INET6
 	if addr.Addr().Unmap().Is4() {
@@ -38,7 +38,7 @@
 	return unix.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// sockaddr converts an address to the form of the system calls.
+// sockaddr converts an address to the type that package unix uses.
 func sockaddr(addr netip.AddrPort) unix.Sockaddr {
 	if ip := addr.Addr().Unmap(); ip.Is4() {
 		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
@@ -47,16 +47,16 @@
 }
 
 // NewStreamSocket implements System.
-func (Kernel) NewStreamSocket(family netip.AddrPort) (int, error) {
-	fd, err := newSocket(family, unix.SOCK_STREAM)
+func (Kernel) NewStreamSocket(addr netip.AddrPort) (int, error) {
+	fd, err := newSocket(addr, unix.SOCK_STREAM)
 	if err != nil {
 		return -1, err
 	}
 	return setNoDelay(fd)
 }
 
-// setNoDelay sets TCP_NODELAY, or closes the socket. Responses are small and written once a round: waiting for a full
-// segment would only delay them.
+// setNoDelay sets TCP_NODELAY and closes the socket if that fails. Responses are small and are written once per round, so
+// waiting for a full segment would only delay them.
 func setNoDelay(fd int) (int, error) {
 	if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1); err != nil {
 		unix.Close(fd)
@@ -66,23 +66,24 @@
 }
 
 // NewDatagramSocket implements System.
-func (Kernel) NewDatagramSocket(family netip.AddrPort) (int, error) {
-	return newSocket(family, unix.SOCK_DGRAM)
+func (Kernel) NewDatagramSocket(addr netip.AddrPort) (int, error) {
+	return newSocket(addr, unix.SOCK_DGRAM)
 }
 
-// Bind implements System. It sets SO_REUSEADDR, as a restart must not wait for the connections of the process before.
-func (Kernel) Bind(fd int, at netip.AddrPort) error {
+// Bind implements System. It sets SO_REUSEADDR because a restarted process must not wait for the connections of its
+// predecessor.
+func (Kernel) Bind(fd int, addr netip.AddrPort) error {
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return err
 	}
-	return unix.Bind(fd, sockaddr(at))
+	return unix.Bind(fd, sockaddr(addr))
 }
 
 // Listen implements System.
 func (Kernel) Listen(fd, backlog int) error { return unix.Listen(fd, backlog) }
 
-// Accept implements System. A connection on which TCP_NODELAY can't be set is broken already: its error is ECONNABORTED,
-// which does not concern the next connection.
+// Accept implements System. A connection on which TCP_NODELAY can't be set is already broken. The error is then
+// ECONNABORTED, which callers take as an error of this connection alone.
 func (Kernel) Accept(fd int) (int, error) {
 	conn, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -10,45 +10,46 @@
 
 const (
 	listenBacklog = 512
-	maxAccepts    = 64 // connections accepted in one round
-	// acceptPause is how long a listener pauses when no connection can be accepted, nor rejected for want of descriptors.
+	maxAccepts    = 64 // maximum number of accept attempts in one round
+	// acceptPause is how long a listener pauses when no connection can be accepted, or when descriptors have run out and no
+	// connection can be rejected either.
 	acceptPause = 50 * time.Millisecond
 )
 
-// AcceptCallbacks are called for new connections.
+// AcceptCallbacks holds the functions that a Listener calls for new connections.
 type AcceptCallbacks struct {
 	// OnConn returns the handler of a new connection, or nil to reject it.
 	OnConn func(c *Conn) ConnHandler
-	// OnError is called with the error of a connection that could not be accepted.
+	// OnError is called with the error if a connection could not be accepted.
 	OnError func(err error)
 }
 
-// Listener accepts connections.
+// Listener accepts stream connections.
 type Listener struct {
 	loop      *Loop
 	fd        int
-	spareFD   int // closed to accept and reject a connection when descriptors run out; -1 while there is none
+	spareFD   int // reserve descriptor, closed to accept and reject a connection when descriptors run out; -1 if there is none
 	callbacks AcceptCallbacks
-	accepted  []int   // descriptors of this round
-	errs      []error // of this round
+	accepted  []int   // descriptors accepted in this round
+	errs      []error // errors of this round
 	isClosed  bool
 	isPaused  bool
 }
 
-// Listen accepts connections at the address.
-func (l *Loop) Listen(at netip.AddrPort, callbacks AcceptCallbacks) (*Listener, error) {
-	fd, err := l.system.NewStreamSocket(at)
+// Listen starts accepting connections on the address.
+func (l *Loop) Listen(addr netip.AddrPort, callbacks AcceptCallbacks) (*Listener, error) {
+	fd, err := l.system.NewStreamSocket(addr)
 	if err != nil {
-		return nil, fmt.Errorf("listen at %v: %w", at, err)
+		return nil, fmt.Errorf("eventloop: listen on %v: %w", addr, err)
 	}
-	if err = l.system.Bind(fd, at); err == nil {
+	if err = l.system.Bind(fd, addr); err == nil {
 		err = l.system.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		l.system.Close(fd)
-		return nil, fmt.Errorf("listen at %v: %w", at, err)
+		return nil, fmt.Errorf("eventloop: listen on %v: %w", addr, err)
 	}
-	ln := &Listener{loop: l, fd: fd, callbacks: callbacks, spareFD: openSpare(l.system)}
+	ln := &Listener{loop: l, fd: fd, callbacks: callbacks, spareFD: openSpareFD(l.system)}
 	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		l.system.Close(fd)
 		return nil, err
@@ -56,17 +57,17 @@
 	return ln, nil
 }
 
-// Addr returns the address that is listened at.
+// Addr returns the address on which the listener accepts connections.
 func (ln *Listener) Addr() (netip.AddrPort, error) {
-	at, err := ln.loop.system.LocalAddr(ln.fd)
+	addr, err := ln.loop.system.LocalAddr(ln.fd)
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("listener: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("eventloop: address of listener: %w", err)
 	}
-	return at, nil
+	return addr, nil
 }
 
-// openSpare opens a descriptor that is held in reserve, or returns -1.
-func openSpare(system System) int {
+// openSpareFD opens a reserve descriptor. It returns -1 if that fails.
+func openSpareFD(system System) int {
 	fd, err := system.Eventfd()
 	if err != nil {
 		return -1
@@ -77,11 +78,12 @@
 // gather implements source.
 func (ln *Listener) gather(uint32) {
 	if !ln.accept() {
-		ln.pause() // otherwise the listener would stay ready and the loop spin
+		ln.pause() // the descriptor stays ready, so the loop would spin otherwise
 	}
 }
 
-// accept takes connections until none waits, and reports whether it could.
+// accept accepts waiting connections, in at most maxAccepts attempts. It reports whether the listener can continue without
+// a pause.
 func (ln *Listener) accept() bool {
 	for range maxAccepts {
 		fd, err := ln.loop.system.Accept(ln.fd)
@@ -96,8 +98,8 @@
 				return false
 			}
 		case err == unix.EINTR || err == unix.ECONNABORTED:
-			// It concerns this call or this connection alone.
-		default: // likely to recur immediately
+			// The error concerns only this call or this connection.
+		default: // the error is likely to recur immediately
 			ln.errs = append(ln.errs, err)
 			return false
 		}
@@ -105,8 +107,8 @@
 	return true
 }
 
-// rejectOne closes the spare descriptor to accept one connection and close it, so that the peer need not wait for
-// a timeout. It reports whether there is a spare descriptor again.
+// rejectOne closes the spare descriptor to accept one connection and close it, so that the peer does not have to wait for
+// a timeout. It reports whether it could open a spare descriptor again.
 func (ln *Listener) rejectOne() bool {
 	if ln.spareFD < 0 {
 		return false
@@ -116,11 +118,11 @@
 	if err == nil {
 		ln.loop.system.Close(fd)
 	}
-	ln.spareFD = openSpare(ln.loop.system)
+	ln.spareFD = openSpareFD(ln.loop.system)
 	return ln.spareFD >= 0
 }
 
-// pause stops accepting for acceptPause.
+// pause stops accepting connections for the duration acceptPause.
 func (ln *Listener) pause() {
 	if ln.isPaused {
 		return
@@ -130,14 +132,14 @@
 	ln.loop.AfterFunc(acceptPause, ln.resume)
 }
 
-// resume ends a pause.
+// resume starts accepting connections again after a pause.
 func (ln *Listener) resume() {
 	ln.isPaused = false
 	if ln.isClosed {
 		return
 	}
 	if ln.spareFD < 0 {
-		ln.spareFD = openSpare(ln.loop.system)
+		ln.spareFD = openSpareFD(ln.loop.system)
 	}
 	ln.loop.modify(ln.fd, unix.EPOLLIN)
 }
@@ -154,7 +156,7 @@
 	}
 }
 
-// open makes a connection of an accepted descriptor.
+// open creates the Conn of an accepted descriptor and asks OnConn for its handler.
 func (ln *Listener) open(fd int) {
 	c, err := ln.loop.newConn(fd, unix.EPOLLIN, stateEstablished, nil)
 	if err != nil {
@@ -167,7 +169,8 @@
 	}
 }
 
-// Close accepts what waits and then stops listening.
+// Close accepts waiting connections, in at most maxAccepts attempts, and stops listening. It calls the callbacks for the
+// accepted connections and the errors before it returns.
 func (ln *Listener) Close() {
 	if ln.isClosed {
 		return
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -7,30 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultySystem is a system on which Accept fails for a while.
+// faultySystem is a System whose Accept fails until isRecovered is set.
 type faultySystem struct {
 	Kernel
 	acceptErr   error
-	isRecovered bool // Accept works
+	isRecovered bool // Accept succeeds
 	acceptCalls int
 }
 
 func (s *faultySystem) Accept(fd int) (int, error) {
 	s.acceptCalls++
 	if !s.isRecovered {
-		// These two are of one connection or one call: the next may work.
+		// These two errors concern one connection or one call, so the next call may succeed.
 		s.isRecovered = s.acceptErr == unix.ECONNABORTED || s.acceptErr == unix.EINTR
 		return -1, s.acceptErr
 	}
 	return s.Kernel.Accept(fd)
 }
 
-// TestAcceptErrors has Accept fail, once or for a while: the next connection is still accepted, and the loop does
-// not spin on a listener that stays ready.
+// TestAcceptErrors makes Accept fail, either once or for a while. The connection must still be accepted afterwards, and the
+// loop must not spin on a listener that stays ready.
 func TestAcceptErrors(t *testing.T) {
 	for _, c := range []struct {
 		err        error
-		isReported bool // to the owner
+		isReported bool // OnError is called
 	}{{unix.EPROTO, true}, {unix.EPERM, true}, {unix.ECONNABORTED, false}, {unix.EINTR, false}} {
 		s := &faultySystem{acceptErr: c.err}
 		l, err := New(s, testTick, 1<<20)
@@ -53,8 +53,8 @@
 		if err := l.Run(func() bool { return false }); err != nil {
 			t.Fatal(err)
 		}
-		if (reported > 0) != c.isReported || s.acceptCalls > 20 { // however slow the machine, no more than one in each pause, and a few
-			t.Errorf("%v: %d errors reported, %d calls to accept one connection", c.err, reported, s.acceptCalls)
+		if (reported > 0) != c.isReported || s.acceptCalls > 20 { // at most one call per pause and a few more, however slow the machine is
+			t.Errorf("%v: %d errors reported, %d Accept calls for one connection", c.err, reported, s.acceptCalls)
 		}
 		ln.Close()
 		l.Close()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -10,84 +10,87 @@
 )
 
 const (
-	maxEvents = 256      // ready descriptors of one round
-	readSize  = 32 << 10 // bytes read from one connection in a round
-	// highWatermark is how many unsent bytes stop a connection from being read: a peer that does not take its responses
-	// may not ask for more.
+	maxEvents = 256      // maximum number of ready descriptors handled in one round
+	readSize  = 32 << 10 // maximum number of bytes read from one connection in one round
+	// highWatermark is the number of unsent bytes from which on a connection is not read: a peer that does not read its
+	// responses must not send further requests.
 	highWatermark = 64 << 10
-	// arenaSize bounds what one round reads from all connections: a flood of them must neither take the memory nor hold
-	// up a round for long.
+	// arenaSize is the maximum number of bytes that one round reads from all connections. It bounds the memory and the
+	// duration of a round when many connections send at the same time.
 	arenaSize = 16 * readSize
-	// unsentShareDivisor makes the share of the memory for output that one connection may hold while that is used up.
+	// unsentShareDivisor limits the output of one connection to the fraction 1/unsentShareDivisor of maxUnsentBytes while the
+	// output of all connections exceeds maxUnsentBytes.
 	unsentShareDivisor = 512
-	// lingerTimeout is how long a connection that this side has ended is still read, and lingerReads how many reads it
-	// gets in a round.
+	// lingerTimeout is how long a connection is still read after this side has shut down its sending direction.
+	// lingerReads is the maximum number of reads of such a connection in one round.
 	lingerTimeout = time.Second
 	lingerReads   = 8
-	// Output buffers are kept for use again, up to maxFreeBuffers, and none that grew beyond a few responses.
+	// At most maxFreeBuffers output buffers are kept for reuse, and none that has grown beyond a few responses
+	// (maxFreeBufferSize).
 	maxFreeBuffers    = 64
 	maxFreeBufferSize = 16 << 10
 	newBufferSize     = 512
 )
 
-// source handles the events of a descriptor.
+// source handles the events of a registered descriptor.
 type source interface {
-	gather(events uint32) // read what is ready, without calling the owner
-	report()              // call the owner
+	gather(events uint32) // reads the descriptor without calling any handler or callback
+	report()              // calls the handler or callbacks for the gathered events
 }
 
-// Loop owns all that is registered with it. Its methods belong to the goroutine in Run, but for Post.
+// Loop is an event loop. While Run is running, all methods except Post, and the methods of connections and listeners, must
+// be called on the goroutine of Run.
 type Loop struct {
 	system    System
 	epollFD   int
 	sources   map[int]source // by descriptor
 	timers    *timerWheel
-	now       time.Time // the clock reading of this round
+	now       time.Time // the time read from the clock in this round
 	isStopped bool
 	input     roundInput
 	output    outputState
 	posted    postQueue
 }
 
-// roundInput is what one round gathered.
+// roundInput holds the events and the input that a round gathered.
 type roundInput struct {
-	ready       []source // to be reported
-	arena       []byte   // bytes read from all connections
-	isArenaFull bool     // some connection was not read for lack of space
-	firstEvent  int      // index of the event that the next round begins with, modulo their number
-	discarded   [readSize]byte
-	peeked      [1]byte
+	ready       []source       // sources whose report is called in this round
+	arena       []byte         // bytes read from all connections
+	isArenaFull bool           // at least one connection was not read because the arena was full
+	firstEvent  int            // index of the event that the next round handles first, modulo the number of events
+	discardBuf  [readSize]byte // receives the input of lingering connections, which is not used
+	peekBuf     [1]byte        // receives the byte that HasPendingInput peeks at
 }
 
-// outputState is what connections have to send.
+// outputState is the output state of all connections.
 type outputState struct {
-	dirty          []*Conn  // to be flushed at the end of the round
-	failed         []source // connections that could not be written to, to be reported in the next round
-	freeBuffers    [][]byte // empty buffers for use again
-	unsentBytes    int      // that peers have not taken, of all connections
-	maxUnsentBytes int      // above which connections with a large share of them are closed
+	dirty          []*Conn  // connections to flush at the end of the round
+	failed         []source // connections that failed while flushing, to be reported in the next round
+	freeBuffers    [][]byte // empty buffers for reuse
+	unsentBytes    int      // total output of all connections that remained unsent after their last flush
+	maxUnsentBytes int      // limit of unsentBytes above which connections with a large share of it are closed
 }
 
-// postQueue hands functions of other goroutines to the loop.
+// postQueue holds the functions that Post passes from other goroutines to the loop.
 type postQueue struct {
-	wakeFD   int // an eventfd: a write ends the loop's wait
-	counter  [8]byte
+	wakeFD   int     // an eventfd; writing to it ends the loop's wait
+	counter  [8]byte // receives the counter of the eventfd, which is not used
 	mu       sync.Mutex
 	pending  []func()
 	isClosed bool
 }
 
-// New returns a loop whose timers fire on the tick, and which keeps about maxUnsentBytes at most for peers that do not
-// read.
+// New returns a loop whose timers have the resolution tick. maxUnsentBytes is the approximate limit of the output that is
+// buffered for all peers that do not read.
 func New(system System, tick time.Duration, maxUnsentBytes int) (*Loop, error) {
 	epollFD, err := system.EpollCreate()
 	if err != nil {
-		return nil, fmt.Errorf("eventloop: epoll: %w", err)
+		return nil, fmt.Errorf("eventloop: create the epoll descriptor: %w", err)
 	}
 	wakeFD, err := system.Eventfd()
 	if err != nil {
 		system.Close(epollFD)
-		return nil, fmt.Errorf("eventloop: eventfd: %w", err)
+		return nil, fmt.Errorf("eventloop: create the eventfd: %w", err)
 	}
 	now := system.Now()
 	loop := &Loop{system: system, epollFD: epollFD, sources: map[int]source{}, timers: newTimerWheel(tick, now), now: now}
@@ -101,7 +104,7 @@
 	return loop, nil
 }
 
-// Close closes the loop's own descriptors, after Run.
+// Close closes the descriptors of the loop itself, not those of connections and listeners. Run must not be running.
 func (l *Loop) Close() {
 	l.posted.mu.Lock()
 	defer l.posted.mu.Unlock()
@@ -112,37 +115,37 @@
 	}
 }
 
-// System returns the system that the loop runs on.
+// System returns the System on which the loop runs.
 func (l *Loop) System() System { return l.system }
 
-// Now returns the clock reading of this round.
+// Now returns the time at which the clock was read in the current round.
 func (l *Loop) Now() time.Time { return l.now }
 
-// AfterFunc calls callback on the loop's goroutine once the delay is over.
+// AfterFunc schedules a call of callback on the loop's goroutine after the delay.
 func (l *Loop) AfterFunc(delay time.Duration, callback func()) *Timer {
 	return l.timers.schedule(l.now, delay, callback)
 }
 
-// CancelTimer cancels a timer. It does nothing for nil and for one that fired.
+// CancelTimer cancels a timer. It does nothing if t is nil, has fired or was cancelled.
 func (l *Loop) CancelTimer(t *Timer) { l.timers.cancel(t) }
 
-// Stop ends Run after this round.
+// Stop makes Run return at the end of the current round.
 func (l *Loop) Stop() { l.isStopped = true }
 
-// Post has the loop call fn in its next round. Any goroutine may call it. A closed loop calls nothing.
+// Post makes the loop call fn in its next round. Any goroutine may call Post. After Close it does nothing.
 func (l *Loop) Post(fn func()) {
 	l.posted.mu.Lock()
 	defer l.posted.mu.Unlock()
 	if l.posted.isClosed {
-		return // the descriptor's number may be in use for another by now
+		return // the descriptor number may have been reused
 	}
 	l.posted.pending = append(l.posted.pending, fn)
-	l.system.Write(l.posted.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only while a wakeup is pending already
+	l.system.Write(l.posted.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only while a wakeup is already pending
 }
 
-// Run runs the loop until Stop. After the events of a round it calls settle, which reports whether it left events of its own
-// that need another round without a wait.
-func (l *Loop) Run(settle func() (hasEvents bool)) error {
+// Run runs the loop until Stop is called. After the events and timers of each round it calls endRound, which reports
+// whether it caused events that need another round without a wait.
+func (l *Loop) Run(endRound func() (hasEvents bool)) error {
 	events := make([]unix.EpollEvent, maxEvents)
 	hasEvents := false
 	for !l.isStopped {
@@ -156,14 +159,14 @@
 			s.report()
 		}
 		l.timers.advance(l.now)
-		hasEvents = settle()
+		hasEvents = endRound()
 		l.flush()
 	}
 	return nil
 }
 
-// wait waits until a descriptor is ready or a timer is due, and not at all where there is work already. It returns the
-// number of events.
+// wait waits until a descriptor is ready or a timer is due, and returns the number of events. It does not block if hasEvents
+// is true or if failed connections have to be reported.
 func (l *Loop) wait(events []unix.EpollEvent, hasEvents bool) (int, error) {
 	ms := 0
 	if !hasEvents && len(l.output.failed) == 0 {
@@ -177,8 +180,9 @@
 	return max(n, 0), nil
 }
 
-// gather reads what is ready and lists the sources to report. The order of the events rotates: were it the same each time, a
-// few connections that never pause could keep all others from being read.
+// gather reads the ready sources and lists those whose report is called. After a round that filled the arena, the next one
+// begins with a later event: in a fixed order, a few connections that always have input could keep all others from being
+// read.
 func (l *Loop) gather(events []unix.EpollEvent) {
 	in := &l.input
 	in.ready = append(in.ready[:0], l.output.failed...)
@@ -197,7 +201,7 @@
 	}
 }
 
-// flush sends what the round wrote, in one write for each connection.
+// flush sends the output of the round, with one write per connection.
 func (l *Loop) flush() {
 	for i := 0; i < len(l.output.dirty); i++ {
 		l.output.dirty[i].flush()
@@ -216,14 +220,14 @@
 	return buf
 }
 
-// releaseBuffer keeps an output buffer for use again.
+// releaseBuffer keeps an output buffer for reuse, unless it is too large or enough buffers are kept.
 func (o *outputState) releaseBuffer(buf []byte) {
 	if cap(buf) > 0 && cap(buf) <= maxFreeBufferSize && len(o.freeBuffers) < maxFreeBuffers {
 		o.freeBuffers = append(o.freeBuffers, buf[:0])
 	}
 }
 
-// register adds a descriptor.
+// register adds a descriptor to the epoll set. Its events go to s.
 func (l *Loop) register(fd int, events uint32, s source) error {
 	if err := l.system.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, events); err != nil {
 		return fmt.Errorf("eventloop: register: %w", err)
@@ -232,15 +236,15 @@
 	return nil
 }
 
-// modify changes the events that a descriptor is registered for.
+// modify changes the events for which a descriptor is registered.
 func (l *Loop) modify(fd int, events uint32) {
-	// It fails only for a descriptor that is not registered, which would be a bug of this package.
+	// EpollCtl fails only for a descriptor that is not registered, which would be a bug in this package.
 	if err := l.system.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, events); err != nil {
-		panic(fmt.Sprintf("eventloop: modify: %v", err))
+		panic(fmt.Sprintf("eventloop: modify the events of a descriptor: %v", err))
 	}
 }
 
-// unregister closes a registered descriptor, which takes it out of the epoll set, too.
+// unregister closes a registered descriptor, which also removes it from the epoll set.
 func (l *Loop) unregister(fd int) {
 	delete(l.sources, fd)
 	l.system.Close(fd)
@@ -254,7 +258,7 @@
 	w.loop.system.Read(w.loop.posted.wakeFD, w.loop.posted.counter[:])
 }
 
-// report implements source: it calls the posted functions.
+// report implements source. It calls the posted functions.
 func (w wakeup) report() {
 	w.loop.posted.mu.Lock()
 	pending := w.loop.posted.pending
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,14 +12,14 @@
 	"tillerusher/internal/servertest"
 )
 
-// echoHandler sends back what it reads, unless onData is replaced.
+// echoHandler sends received bytes back, unless onData is replaced.
 type echoHandler struct {
 	connected, closed chan error
 	onData            func(c *Conn, p []byte)
 }
 
 func newEchoHandler() *echoHandler {
-	// Room for all connections of a test: the loop must not wait for a test that has ended.
+	// The channels have room for all connections of a test, so that the loop never blocks on a test that has ended.
 	return &echoHandler{connected: make(chan error, 256), closed: make(chan error, 256), onData: func(c *Conn, p []byte) { c.Write(p) }}
 }
 
@@ -27,8 +27,8 @@
 func (e *echoHandler) Data(c *Conn, p []byte)    { e.onData(c, p) }
 func (e *echoHandler) Closed(_ *Conn, err error) { e.closed <- err }
 
-// serve runs a loop that listens, and ends it with the test.
-func serve(t *testing.T, h ConnHandler, settle func()) (*Loop, string) {
+// serve runs a loop with a listener and stops it at the end of the test.
+func serve(t *testing.T, h ConnHandler, endRound func()) (*Loop, string) {
 	t.Helper()
 	l, err := New(Kernel{}, testTick, 1<<20)
 	if err != nil {
@@ -43,13 +43,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
+	runErr := make(chan error, 1)
 	go func() {
-		ended <- l.Run(func() bool { settle(); return false })
+		runErr <- l.Run(func() bool { endRound(); return false })
 	}()
 	t.Cleanup(func() {
 		l.Post(l.Stop)
-		if err := <-ended; err != nil {
+		if err := <-runErr; err != nil {
 			t.Error(err)
 		}
 		ln.Close()
@@ -58,8 +58,8 @@
 	return l, addr.String()
 }
 
-// TestEcho sends more than any buffer holds both ways: a peer that does not read for a while loses nothing, and
-// what is queued for it stays bounded.
+// TestEcho sends more than any buffer holds in both directions. A peer that does not read for a while must not lose bytes,
+// and the output queued for it must stay bounded.
 func TestEcho(t *testing.T) {
 	unsent := 0
 	e := newEchoHandler()
@@ -88,21 +88,22 @@
 			break
 		}
 	}
-	// The peer's end of stream closes the connection: only what was read before it is certain to come back.
+	// The connection is closed at the peer's end of stream, so only bytes that were read before it are certain to come back.
 	if !bytes.HasPrefix(sent, got) || len(got) < len(sent)-highWatermark-readSize-8<<20 {
-		t.Errorf("%d bytes came back of %d", len(got), len(sent))
+		t.Errorf("%d bytes came back, %d were sent", len(got), len(sent))
 	}
 	if err := <-e.closed; !errors.Is(err, io.EOF) {
 		t.Errorf("closed with %v", err)
 	}
 	if unsent > highWatermark+readSize {
-		t.Errorf("%d bytes waited to be sent", unsent)
+		t.Errorf("%d bytes were queued for the peer, above the limit", unsent)
 	}
 }
 
-// TestRoundIsBatched reports all that is ready before it calls settle once, and sends all of a round together.
+// TestRoundIsBatched checks that a round reports all ready connections, then calls endRound once, and sends the output of
+// the round.
 func TestRoundIsBatched(t *testing.T) {
-	events, settled := 0, make(chan int, 1000)
+	events, eventCounts := 0, make(chan int, 1000)
 	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
 		for range p {
@@ -112,7 +113,7 @@
 	}
 	l, addr := serve(t, e, func() {
 		if events > 0 {
-			settled <- events
+			eventCounts <- events
 			events = 0
 		}
 	})
@@ -128,11 +129,11 @@
 		conns = append(conns, c)
 	}
 	block <- true
-	// All three connections are in the loop once each has got an answer.
+	// Once each of the three connections has received an answer, the loop has accepted all of them.
 	for _, c := range conns {
 		io.WriteString(c, "a")
 		io.ReadFull(c, make([]byte, 1))
-		<-settled
+		<-eventCounts
 	}
 	l.Post(func() { <-block })
 	for _, c := range conns {
@@ -141,7 +142,7 @@
 	block <- true
 	total := 0
 	for total < 9 {
-		total += <-settled
+		total += <-eventCounts
 	}
 	for _, c := range conns {
 		c.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
@@ -151,7 +152,7 @@
 	}
 }
 
-// TestDial connects, and reports a connection that is refused.
+// TestDial checks that Dial connects and that a refused connection is reported.
 func TestDial(t *testing.T) {
 	e := newEchoHandler()
 	l, addr := serve(t, newEchoHandler(), func() {})
@@ -178,7 +179,8 @@
 	}
 }
 
-// TestIdleAndCloseAfterFlush finds a connection idle only when nothing waits to be read, and sends before it closes.
+// TestIdleAndCloseAfterFlush checks that a connection with unread input is not idle, and that CloseAfterFlush sends the
+// queued output before it closes the connection.
 func TestIdleAndCloseAfterFlush(t *testing.T) {
 	var conn *Conn
 	e := newEchoHandler()
@@ -194,23 +196,23 @@
 	<-got
 	idle := make(chan bool)
 	l.Post(func() {
-		// Written while the loop is in this round: it waits in the socket.
+		// The loop is in the middle of a round, so the byte stays in the socket.
 		io.WriteString(c, "b")
 		for end := time.Now().Add(servertest.WaitTimeout); conn.IsIdle(0) && time.Now().Before(end); {
 		}
 		idle <- conn.IsIdle(0)
 	})
 	if <-idle {
-		t.Error("idle with a byte in the socket")
+		t.Error("the connection is idle with an unread byte in the socket")
 	}
 	<-got
 	l.Post(func() { idle <- conn.IsIdle(0) })
 	if !<-idle {
-		t.Error("not idle with nothing in the socket")
+		t.Error("the connection is not idle without input in the socket")
 	}
 	l.Post(func() { idle <- conn.IsIdle(time.Hour) })
 	if <-idle {
-		t.Error("idle before the time")
+		t.Error("the connection is idle before the duration has passed")
 	}
 	l.Post(func() {
 		conn.Write([]byte("bye"))
@@ -223,7 +225,7 @@
 	<-e.closed
 }
 
-// dial connects to a loop and ends the connection with the test.
+// dial connects to a loop and closes the connection at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -235,8 +237,8 @@
 	return c
 }
 
-// TestLinger ends a connection whose peer is in the middle of sending far more than buffers hold: the response still
-// arrives, and the connection of a peer that never stops is closed.
+// TestLinger closes a connection while its peer is sending far more than the buffers hold. The response must still arrive,
+// and the connection of a peer that never stops sending must be closed after the linger timeout.
 func TestLinger(t *testing.T) {
 	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) {
@@ -265,12 +267,12 @@
 		}
 	}()
 	if err := <-e.closed; !errors.Is(err, errLingerTimeout) {
-		t.Errorf("an endless peer was closed with %v", err)
+		t.Errorf("the connection of a peer that never stops sending was closed with %v", err)
 	}
 }
 
-// TestFloodIsFair has more senders at full speed than one round can read: one that connects later is still read,
-// and what a round reads stays within the arena.
+// TestFloodIsFair has more connections that always send than one round can read. A connection that is opened later must
+// still be read, and the input of a round must not outgrow the arena.
 func TestFloodIsFair(t *testing.T) {
 	e := newEchoHandler()
 	answered := make(chan bool, 1)
@@ -302,22 +304,22 @@
 	select {
 	case <-answered:
 	case <-time.After(servertest.WaitTimeout):
-		t.Error("a connection was not read beside many that never pause")
+		t.Error("a connection was not read while many others always send")
 	}
 	size := make(chan int)
 	l.Post(func() { size <- cap(l.input.arena) })
 	if got := <-size; got != arenaSize {
-		t.Errorf("the arena grew to %d", got)
+		t.Errorf("the capacity of the arena grew to %d bytes", got)
 	}
 }
 
-// TestUnreadOutputIsBounded sends to many peers that do not read: what is queued for all of them stays bounded, and the
-// connection of one that reads is not closed for it.
+// TestUnreadOutputIsBounded sends to many peers that do not read. The output queued for all of them must stay bounded, and
+// the connection of a peer that reads must not be closed.
 func TestUnreadOutputIsBounded(t *testing.T) {
 	e := newEchoHandler()
 	e.onData = func(c *Conn, p []byte) { c.Write(make([]byte, 1000*len(p))) }
 	l, addr := serve(t, e, func() {})
-	for range 16 { // 8 MB are sent to each, far more than its socket takes
+	for range 16 { // the loop writes 8 MB to each, far more than its socket accepts
 		c := dial(t, addr)
 		if _, err := c.Write(make([]byte, 8<<10)); err != nil {
 			t.Fatal(err)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// wheelSlots is how many ticks one turn of the wheel spans; timers that fire later stay in their slot for more turns.
+// wheelSlots is the number of ticks in one turn of the wheel. Timers with a longer delay stay in their slot for several
+// turns.
 const wheelSlots = 512
 
-// Timer is one scheduled callback.
+// Timer is a scheduled callback.
 type Timer struct {
-	tick       int64 // in which it fires
+	tick       int64 // the tick in which the timer fires
 	callback   func()
-	next, prev *Timer // in its slot's list; nil while it is not scheduled
+	next, prev *Timer // neighbours in the list of the slot; nil if the timer is not scheduled
 }
 
-// timerWheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and at most one tick late.
+// timerWheel fires timers in coarse ticks of the monotonic clock. A timer never fires early, and it fires at most one tick
+// late.
 type timerWheel struct {
 	tick      time.Duration
-	origin    time.Time // the beginning of tick 0
-	lastTick  int64     // the last tick whose timers were fired
-	slots     [wheelSlots]Timer
-	scheduled int // timers in all slots
+	origin    time.Time         // the start of tick 0
+	lastTick  int64             // the last tick whose timers have been fired
+	slots     [wheelSlots]Timer // list heads
+	scheduled int               // number of timers in all slots
 }
 
 // newTimerWheel returns an empty wheel whose tick 0 begins now.
@@ -31,10 +33,10 @@
 	return w
 }
 
-// schedule returns a timer that fires once the delay is over.
+// schedule returns a timer that fires after the delay, but not in a tick whose timers have been fired.
 func (w *timerWheel) schedule(now time.Time, delay time.Duration, callback func()) *Timer {
-	at := now.Sub(w.origin) + max(delay, 0)
-	tick := int64((at + w.tick - 1) / w.tick)
+	due := now.Sub(w.origin) + max(delay, 0)
+	tick := int64((due + w.tick - 1) / w.tick)
 	t := &Timer{tick: max(tick, w.lastTick+1), callback: callback}
 	head := &w.slots[t.tick%wheelSlots]
 	t.prev, t.next = head.prev, head
@@ -43,7 +45,7 @@
 	return t
 }
 
-// cancel removes a timer. It does nothing for nil and for one that fired or was cancelled.
+// cancel removes a timer. It does nothing if t is nil, has fired or was cancelled.
 func (w *timerWheel) cancel(t *Timer) {
 	if t == nil || t.next == nil {
 		return
@@ -53,13 +55,13 @@
 	w.scheduled--
 }
 
-// advance fires all timers due by now. Those that are scheduled meanwhile wait for a later call.
+// advance fires all timers that are due by now. Timers that their callbacks schedule fire in a later call.
 func (w *timerWheel) advance(now time.Time) {
 	current := int64(now.Sub(w.origin) / w.tick)
 	if current <= w.lastTick {
 		return
 	}
-	// After a long pause one turn passes every slot.
+	// After a pause of more than one turn, one turn is enough to visit every slot.
 	first := max(w.lastTick+1, current-wheelSlots+1)
 	w.lastTick = current
 	for tick := first; tick <= current; tick++ {
@@ -67,7 +69,7 @@
 	}
 }
 
-// fireSlot fires the timers of a slot that are due by the current tick.
+// fireSlot fires the timers of one slot that are due by the current tick.
 func (w *timerWheel) fireSlot(head *Timer, current int64) {
 	for t := head.next; t != head; {
 		if t.tick > current {
@@ -76,11 +78,11 @@
 		}
 		w.cancel(t)
 		t.callback()
-		t = head.next // the callback may have cancelled any other timer
+		t = head.next // restart, since the callback may have cancelled any other timer
 	}
 }
 
-// untilNext returns the time until the next timer is due, at most one turn of the wheel.
+// untilNext returns the time until the next timer is due, limited to one turn of the wheel.
 func (w *timerWheel) untilNext(now time.Time) time.Duration {
 	if w.scheduled == 0 {
 		return wheelSlots * w.tick
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -10,7 +10,8 @@
 
 const testTick = 5 * time.Millisecond
 
-// TestTimerWheel checks random timers: they fire once, never early, at most a tick late, and not after they are cancelled.
+// TestTimerWheel checks that random timers fire once, never early, not late by more than the tolerance of two ticks, and
+// not after they are cancelled.
 func TestTimerWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
@@ -23,8 +24,8 @@
 		}
 		var all []*entry
 		t.Repeat(map[string]func(*rapid.T){
-			"set": func(t *rapid.T) {
-				delay := time.Duration(rapid.Int64Range(-1e6, 8e9).Draw(t, "wait"))
+			"schedule": func(t *rapid.T) {
+				delay := time.Duration(rapid.Int64Range(-1e6, 8e9).Draw(t, "delay"))
 				e := &entry{deadline: now.Add(max(delay, 0))}
 				e.timer = w.schedule(now, delay, func() { e.fired++ })
 				all = append(all, e)
@@ -36,11 +37,11 @@
 					w.cancel(e.timer)
 				}
 			},
-			"pass": func(t *rapid.T) {
-				now = now.Add(time.Duration(rapid.Int64Range(0, 3e9).Draw(t, "time")))
+			"advance": func(t *rapid.T) {
+				now = now.Add(time.Duration(rapid.Int64Range(0, 3e9).Draw(t, "elapsed")))
 				w.advance(now)
 			},
-			"sleep": func(t *rapid.T) {
+			"advanceUntilNext": func(t *rapid.T) {
 				wait := w.untilNext(now)
 				w.advance(now.Add(wait - 1))
 				now = now.Add(wait)
@@ -52,22 +53,23 @@
 					late := now.Sub(e.deadline)
 					switch {
 					case e.fired > 1 || e.fired == 1 && (e.isCancelled || late < 0):
-						t.Fatalf("fired %d times, cancelled %t, %v after its deadline", e.fired, e.isCancelled, late)
+						t.Fatalf("timer fired %d times, cancelled %t, %v after its deadline", e.fired, e.isCancelled, late)
 					case e.fired == 0 && !e.isCancelled && late > 2*testTick:
-						t.Fatalf("not fired %v after its deadline", late)
+						t.Fatalf("timer has not fired %v after its deadline", late)
 					case e.fired == 0 && !e.isCancelled:
 						scheduled++
 					}
 				}
 				if w.scheduled != scheduled {
-					t.Fatalf("%d scheduled, want %d", w.scheduled, scheduled)
+					t.Fatalf("%d timers scheduled, want %d", w.scheduled, scheduled)
 				}
 			},
 		})
 	})
 }
 
-// TestTimerWheelOrder fires in the order of the ticks, and lets a callback schedule and cancel other timers.
+// TestTimerWheelOrder checks that timers fire in the order of their ticks and that a callback can schedule and cancel other
+// timers.
 func TestTimerWheelOrder(t *testing.T) {
 	now := time.Now()
 	w := newTimerWheel(testTick, now)
@@ -78,13 +80,13 @@
 	w.schedule(now, 10*time.Millisecond, func() {
 		record("first")()
 		w.cancel(cancelled)
-		w.schedule(now, 0, record("again"))
+		w.schedule(now, 0, record("rescheduled"))
 	})
 	w.cancel(cancelled)
 	w.cancel(cancelled)
 	w.advance(now.Add(40 * time.Millisecond))
 	w.advance(now.Add(50 * time.Millisecond))
-	if want := []string{"first", "late", "again"}; !slices.Equal(got, want) {
+	if want := []string{"first", "late", "rescheduled"}; !slices.Equal(got, want) {
 		t.Errorf("fired %q, want %q", got, want)
 	}
 }
