--- a/internal/interpreter/client.go
+++ b/internal/interpreter/client.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// minRedialInterval is the least time between two connection attempts. A connection that had been up for longer is
-	// dialled again immediately, since no run starts without it; one that fails again and again is not dialled in a busy loop.
+	// minRedialInterval is the minimum time from the start of a connection attempt to the next attempt after a loss. A
+	// connection that lasted longer is redialled immediately, since no run starts without one. The interval prevents a busy
+	// loop when connections fail repeatedly.
 	minRedialInterval = 50 * time.Millisecond
-	// connectTimeout is how long a connection attempt may take.
+	// connectTimeout is the maximum duration of a connection attempt.
 	connectTimeout = QueryTimeout
-	// tickInterval is the time between two checks for overdue queries.
+	// tickInterval is the time between two checks for overdue queries and an overdue connection attempt.
 	tickInterval = QueryTimeout / 10
 )
 
-// Client keeps a Link connected.
+// Client keeps a Link connected: it dials, and redials after each loss of the connection.
 type Client struct {
 	*Link
 	loop        *eventloop.Loop
 	addr        netip.AddrPort
-	conn        *eventloop.Conn // nil while waiting to dial again
+	conn        *eventloop.Conn // nil while there is no connection or connection attempt
 	tickTimer   *eventloop.Timer
 	redialTimer *eventloop.Timer
 	dialledAt   time.Time
 	isConnected bool
-	isReported  bool // the current loss of the connection was reported
+	isReported  bool // the current loss of the connection has been reported
 	isClosed    bool
 }
 
-// Dial starts connecting. The client reconnects after each loss until Close.
+// Dial returns a client that starts connecting to addr. The client reconnects after each loss until Close is called.
 func Dial(l *eventloop.Loop, addr netip.AddrPort, h Handler) *Client {
 	c := &Client{Link: NewLink(h), loop: l, addr: addr}
 	c.dial()
@@ -53,8 +54,8 @@
 	c.conn = conn
 }
 
-// Redirect connects to another address from now on. The old connection is closed immediately, so that nothing new is sent
-// on it; runs, their commands and the notice numbers are kept, as after any lost connection.
+// Redirect closes the connection immediately, so that nothing new is sent on it, and connects to addr from now on. Runs,
+// their commands and the notice numbers are kept, as after the loss of a connection. An unchanged address has no effect.
 func (c *Client) Redirect(addr netip.AddrPort) {
 	if c.isClosed || addr == c.addr {
 		return
@@ -64,7 +65,7 @@
 	c.dial()
 }
 
-// disconnect closes the connection, if there is one, and cancels the next attempt.
+// disconnect closes the connection, if there is one, and cancels a scheduled redial.
 func (c *Client) disconnect() {
 	c.loop.CancelTimer(c.redialTimer)
 	if c.conn != nil {
@@ -74,7 +75,7 @@
 	c.Disconnected()
 }
 
-// tick expires overdue queries and a connection attempt that takes too long.
+// tick fails overdue queries and a connection attempt that exceeds connectTimeout. It runs every tickInterval.
 func (c *Client) tick() {
 	if c.isClosed {
 		return
@@ -101,7 +102,7 @@
 	}
 }
 
-// Closed implements eventloop.ConnHandler. A loss is reported once, not for each attempt that fails after it.
+// Closed implements eventloop.ConnHandler. It reports a loss once, and not again for each failed attempt to reconnect.
 func (c *Client) Closed(_ *eventloop.Conn, err error) {
 	c.conn = nil
 	c.Disconnected()
@@ -112,7 +113,7 @@
 	c.redialTimer = c.loop.AfterFunc(minRedialInterval-c.loop.Now().Sub(c.dialledAt), c.dial)
 }
 
-// Close ends the link for good.
+// Close closes the connection. The client does not connect again.
 func (c *Client) Close() {
 	c.isClosed = true
 	c.loop.CancelTimer(c.tickTimer)
--- a/internal/interpreter/client_test.go
+++ b/internal/interpreter/client_test.go
@@ -9,9 +9,9 @@
 	"tillerusher/internal/eventloop"
 )
 
-// TestRedialsAtOnceAfterLoss loses a connection that was up for a while: it is redialled immediately, since no run starts
-// until then.
-func TestRedialsAtOnceAfterLoss(t *testing.T) {
+// TestRedialsImmediatelyAfterLoss loses a connection that lasted longer than minRedialInterval. The client must redial
+// immediately, since no run starts before it is connected.
+func TestRedialsImmediatelyAfterLoss(t *testing.T) {
 	l, err := eventloop.New(eventloop.Kernel{}, time.Millisecond, 1<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	l.AfterFunc(2*minRedialInterval, func() {
 		client.conn.Close()
 		client.Closed(client.conn, io.EOF)
-		l.AfterFunc(minRedialInterval/2, func() { // timers fire in order, however late
+		l.AfterFunc(minRedialInterval/2, func() { // timers fire in order, however late they are
 			dialled = client.conn != nil
 			l.Stop()
 		})
@@ -37,6 +37,6 @@
 		t.Fatal(err)
 	}
 	if !dialled {
-		t.Error("a lost connection was not dialled again at once")
+		t.Error("the client did not redial immediately after it lost the connection")
 	}
 }
--- a/internal/interpreter/codec_test.go
+++ b/internal/interpreter/codec_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCodecMatchesEncodingJSON checks the package's encoder and decoder against encoding/json, for any command, and for
-// any notice in any layout.
+// TestCodecMatchesEncodingJSON compares the package's encoder and decoder with encoding/json, for random commands and for
+// random notices, compact or indented.
 func TestCodecMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body, seq := rapid.SliceOf(rapid.Byte()).Draw(t, "body"), rapid.Uint64().Draw(t, "seq")
@@ -17,7 +17,7 @@
 			Class: rapid.String().Draw(t, "class"), Body: &body, Tag: rapid.String().Draw(t, "tag")}
 		var got command
 		if err := json.Unmarshal(c.appendTo(nil), &got); err != nil || !sameCommand(got, c) {
-			t.Fatalf("%s: %v", c.appendTo(nil), err)
+			t.Fatalf("encoding/json does not decode %s to the command that was encoded, error %v", c.appendTo(nil), err)
 		}
 		n := notice{Op: c.Op, Seq: seq, ID: c.ID, Detail: c.Class, Milliseconds: rapid.Float64().Draw(t, "ms"), Body: body, Tag: c.Tag,
 			Values: rapid.SliceOf(rapid.Float64()).Draw(t, "values")}
@@ -33,24 +33,24 @@
 		read, err := parseNotice(line)
 		var want notice
 		if json.Unmarshal(line, &want); err != nil || !reflect.DeepEqual(normalize(read), normalize(want)) {
-			t.Fatalf("%s: read %+v, %v, want %+v", line, read, err, want)
+			t.Fatalf("notice %s: parsed %+v, %v, want %+v", line, read, err, want)
 		}
 	})
 }
 
-// sameCommand compares commands whose pointers are set.
+// sameCommand reports whether two commands are equal. Their pointers must not be nil.
 func sameCommand(a, b command) bool {
 	return a.Op == b.Op && *a.Seq == *b.Seq && a.ID == b.ID && a.Class == b.Class && a.Tag == b.Tag &&
 		string(*a.Body) == string(*b.Body)
 }
 
-// normalize makes no difference between empty and absent lists.
+// normalize replaces nil slices by empty ones, so that both compare as equal.
 func normalize(n notice) notice {
 	n.Body, n.Values = append([]byte{}, n.Body...), append([]float64{}, n.Values...)
 	return n
 }
 
-// FuzzNotice makes sure that no line panics.
+// FuzzNotice checks that parseNotice does not panic on any line.
 func FuzzNotice(f *testing.F) {
 	f.Add([]byte(`{"op":"VALUE","seq":3,"id":"a1","end":"OK","ms":1.5,"body":"eA=="}`))
 	f.Add([]byte(` { "op" : "TOPS" , "values" : [ 0.5 , 3 ] , "tag" : "\u0031" } `))
--- a/internal/interpreter/decode.go
+++ b/internal/interpreter/decode.go
@@ -8,17 +8,18 @@
 	"strconv"
 )
 
-// maxExactInteger is the first float64 from which on not every integer has a value of its own.
+// maxExactInteger is 2^53. From this value on, several integers are represented by the same float64.
 const maxExactInteger = 1 << 53
 
-// scanner reads the tokens of one line. It is written by hand because every request causes a notice, and encoding/json
-// takes many times as long. encoding/json reads only what is rare in notices: strings with escapes, and unknown fields.
+// scanner reads the JSON tokens of one line. It is written by hand because every request causes a notice, and encoding/json
+// takes many times as long. encoding/json is used only for rare parts of notices: strings with escapes, null and the values
+// of unknown fields.
 type scanner struct {
 	line []byte
 	pos  int
 }
 
-// parseNotice reads one line. Its error is a *ProtocolError.
+// parseNotice parses one line. Its error is a *ProtocolError.
 func parseNotice(line []byte) (notice, error) {
 	var n notice
 	tokens := scanner{line: line}
@@ -47,8 +48,8 @@
 	return n, nil
 }
 
-// readField reads the value of the named field into the notice. A field that is not known is skipped, so that the
-// interpreter may add some.
+// readField reads the value of the named field into the notice. Unknown fields are skipped, so that the interpreter can add
+// fields to the protocol.
 func (s *scanner) readField(n *notice, name []byte) (err error) {
 	switch string(name) {
 	case "op":
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// readBody reads bytes in base64, or null.
+// readBody reads a base64 string into the body, or null, which leaves the body unchanged.
 func (s *scanner) readBody(n *notice) error {
 	if s.atNull() {
 		return s.skipValue()
@@ -99,7 +100,7 @@
 	return err
 }
 
-// readValues reads a list of numbers.
+// readValues appends an array of numbers to the values.
 func (s *scanner) readValues(n *notice) error {
 	if !s.accept('[') {
 		return ErrMalformed
@@ -117,23 +118,23 @@
 	return nil
 }
 
-// skipSpace passes over white space.
+// skipSpace skips white space.
 func (s *scanner) skipSpace() {
 	for s.pos < len(s.line) && isSpace(s.line[s.pos]) {
 		s.pos++
 	}
 }
 
-// isSpace reports whether c is white space in JSON.
+// isSpace reports whether c is JSON white space.
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// atNull reports whether the next value begins as null does.
+// atNull reports whether the next value starts with the letter n, which in valid JSON only null does.
 func (s *scanner) atNull() bool {
 	s.skipSpace()
 	return s.pos < len(s.line) && s.line[s.pos] == 'n'
 }
 
-// accept passes over c if it is the next token, and reports whether it was.
+// accept consumes c if it is the next token, and reports whether it was.
 func (s *scanner) accept(c byte) bool {
 	s.skipSpace()
 	if s.pos < len(s.line) && s.line[s.pos] == c {
@@ -143,7 +144,7 @@
 	return false
 }
 
-// readLiteral returns the bytes up to the end of a number or literal.
+// readLiteral consumes and returns the bytes up to the end of a number or literal.
 func (s *scanner) readLiteral() []byte {
 	s.skipSpace()
 	start := s.pos
@@ -160,7 +161,8 @@
 	return strconv.ParseFloat(string(s.readLiteral()), 64)
 }
 
-// readUint reads a whole number in any form that JSON has for one, such as 1e3.
+// readUint reads a non-negative integer in any JSON notation, such as 1e3. A number with an exponent or a fraction part
+// must be less than maxExactInteger.
 func (s *scanner) readUint() (uint64, error) {
 	literal := string(s.readLiteral())
 	n, err := strconv.ParseUint(literal, 10, 64)
@@ -174,7 +176,7 @@
 	return uint64(float), nil
 }
 
-// readString reads a string. What it returns is valid as long as the line.
+// readString reads a string. The result may alias the line and is valid only as long as the line.
 func (s *scanner) readString() ([]byte, error) {
 	if !s.accept('"') {
 		return nil, ErrMalformed
@@ -195,13 +197,13 @@
 	return nil, ErrMalformed
 }
 
-// skipValue passes over any value.
+// skipValue skips a value of any type.
 func (s *scanner) skipValue() error {
 	var value json.RawMessage
 	return s.decodeValue(&value)
 }
 
-// decodeValue reads the next value by encoding/json.
+// decodeValue reads the next value with encoding/json.
 func (s *scanner) decodeValue(to any) error {
 	s.skipSpace()
 	decoder := json.NewDecoder(bytes.NewReader(s.line[s.pos:]))
--- a/internal/interpreter/encode.go
+++ b/internal/interpreter/encode.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// appendTo appends the command as one line to buf. It is written out by hand because a command is sent for every
-// request, where encoding/json takes many times as long.
+// appendTo appends the command to buf as one line. It is written by hand because a command is sent for every request, and
+// encoding/json takes many times as long.
 func (c *command) appendTo(buf []byte) []byte {
 	buf = appendString(append(buf, `{"op":`...), c.Op)
 	if c.Seq != nil {
@@ -23,7 +23,7 @@
 	return append(buf, '}', '\n')
 }
 
-// appendOptional appends a member whose value is not empty; key holds the comma, the quoted name and the colon.
+// appendOptional appends an object member unless its value is empty. key consists of a comma, the quoted name and a colon.
 func appendOptional(buf []byte, key, value string) []byte {
 	if value == "" {
 		return buf
@@ -31,7 +31,8 @@
 	return appendString(append(buf, key...), value)
 }
 
-// appendString appends s as a JSON string. Only one with characters that need escapes is left to encoding/json.
+// appendString appends s as a JSON string. It uses encoding/json only if s has characters that need escapes or are not
+// printable ASCII.
 func appendString(buf []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
--- a/internal/interpreter/errors.go
+++ b/internal/interpreter/errors.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// ErrMalformed reports a line of the interpreter that is not a JSON object of the protocol.
+// ErrMalformed reports a line from the interpreter that is not a JSON object of the protocol.
 var ErrMalformed = errors.New("malformed notice")
 
 // ErrLineTooLong reports a line that is longer than any valid notice.
 var ErrLineTooLong = fmt.Errorf("line of over %d bytes", maxLineBytes)
 
-// errConnectTimeout reports a connection attempt that the interpreter's host did not answer in time.
+// errConnectTimeout reports a connection attempt that the interpreter's host did not answer within connectTimeout.
 var errConnectTimeout = errors.New("connection attempt timed out")
 
-// ProtocolError reports a line of the interpreter that could not be read. Its connection has to be closed, since the
+// ProtocolError reports a line from the interpreter that could not be parsed. The connection must be closed, since the
 // content of the line is lost.
 type ProtocolError struct {
-	Field string // the field whose value is invalid; empty where the line as a whole is
+	Field string // the field whose value is invalid; empty if the line as a whole is invalid
 	Err   error
 }
 
@@ -35,7 +35,7 @@
 // RejectedCommandError reports a command that the interpreter rejected.
 type RejectedCommandError struct {
 	Command string // the operation, such as APPLY
-	ID      string // of the run, or the tag of the query
+	ID      string // the ID of the run, or the tag of the query
 }
 
 // Error implements error.
--- a/internal/interpreter/link_test.go
+++ b/internal/interpreter/link_test.go
@@ -15,8 +15,8 @@
 	t        *testing.T
 	link     *Link
 	events   []string
-	commands []string          // but for queries
-	lastTags map[string]string // of queries, by command
+	commands []string          // without queries
+	lastTags map[string]string // the tag of the last query, by its operation
 }
 
 func newRecordingHandler(t *testing.T) *recordingHandler {
@@ -28,16 +28,18 @@
 func (h *recordingHandler) InterpreterStarted(cold bool, age time.Duration) {
 	h.events = append(h.events, fmt.Sprintf("up %t %v", cold, age))
 }
-func (h *recordingHandler) CallRequested(id string) { h.events = append(h.events, "awaits "+id) }
+func (h *recordingHandler) CallRequested(id string) {
+	h.events = append(h.events, "call requested by "+id)
+}
 
 func (h *recordingHandler) RunFinished(id string, outcome Outcome, result []byte) {
 	h.events = append(h.events, fmt.Sprintf("%s %s %q", id, outcome, result))
 }
 func (h *recordingHandler) ReportError(_ string, err error) {
-	h.events = append(h.events, "trouble "+err.Error())
+	h.events = append(h.events, "error "+err.Error())
 }
 
-// write records what the link sends.
+// write records the commands that the link sends.
 func (h *recordingHandler) write(p []byte) {
 	for _, line := range strings.Split(strings.TrimSuffix(string(p), "\n"), "\n") {
 		var c struct {
@@ -67,7 +69,7 @@
 
 var testStart = time.Unix(1e9, 0)
 
-// connect brings the link up: the banner, the notices that were missed, and the answer that shows that all were read.
+// connect connects the link and feeds it the banner, the missed notices, and the answer that makes it synced.
 func (h *recordingHandler) connect(missed ...string) {
 	h.t.Helper()
 	h.link.Connected(h.write, testStart)
@@ -79,7 +81,7 @@
 	}
 }
 
-// feed has the link read lines of the interpreter.
+// feed passes lines from the interpreter to the link.
 func (h *recordingHandler) feed(lines ...string) {
 	h.t.Helper()
 	for _, line := range lines {
@@ -89,11 +91,11 @@
 	}
 }
 
-// expect compares the commands and events since the last call.
+// expect compares the commands and events that were recorded since its last call with the given ones.
 func (h *recordingHandler) expect(commands, events []string) {
 	h.t.Helper()
 	if !slices.Equal(h.commands, commands) {
-		h.t.Errorf("sent %q, want %q", h.commands, commands)
+		h.t.Errorf("sent commands %q, want %q", h.commands, commands)
 	}
 	if !slices.Equal(h.events, events) {
 		h.t.Errorf("events %q, want %q", h.events, events)
@@ -103,7 +105,7 @@
 
 const startedWarm = "up false 20ms"
 
-// TestRunFinished finishes one run, with any bytes in its body and result.
+// TestRunFinished finishes one of two runs. The body and the result contain bytes that are not text.
 func TestRunFinished(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.connect()
@@ -112,12 +114,12 @@
 	h.feed(`{"op":"TRACE","seq":1,"end":"hello"}`, `{"op":"VALUE","seq":2,"id":"a1","end":"OK","ms":5,"body":"AP8="}`)
 	h.expect([]string{"CONNECT 0", `APPLY a1 look "\x00\xff"`, `APPLY a2 look ""`}, []string{startedWarm, `a1 OK "\x00\xff"`})
 	if h.link.OpenRuns() != 1 {
-		t.Errorf("%d runs", h.link.OpenRuns())
+		t.Errorf("%d open runs, want 1", h.link.OpenRuns())
 	}
 }
 
-// TestSyncsWhenInterpreterComesUp has an interpreter that is not up reject the query behind CONNECT, as the platform's does:
-// runs are submitted as soon as it is up, without a Tick in between.
+// TestSyncsWhenInterpreterComesUp connects to an interpreter that is not up and rejects the query sent after CONNECT, as the
+// platform's interpreter does. Runs must be submitted as soon as it is up, without a Tick in between.
 func TestSyncsWhenInterpreterComesUp(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Connected(h.write, testStart)
@@ -129,27 +131,27 @@
 	h.expect([]string{`APPLY a1 look ""`}, []string{"up true 0s"})
 }
 
-// TestGaugesNotAllowed has a site that allows no TOP: its rejection shows as well that the link is synced, and a gauge
-// query fails immediately.
+// TestGaugesNotAllowed uses a site that does not allow TOP. The rejection of TOP must make the link synced, as an answer
+// does, and a rejected gauge query must fail immediately.
 func TestGaugesNotAllowed(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Connected(h.write, testStart)
 	h.feed(`{"op":"BANNER","end":"WARM","ms":20}`, `{"op":"ERROR","end":"TOP","id":"1"}`)
 	h.link.Submit("a1", "look", nil)
-	h.expect([]string{"CONNECT 0", `APPLY a1 look ""`}, []string{startedWarm, "trouble TOP 1"})
+	h.expect([]string{"CONNECT 0", `APPLY a1 look ""`}, []string{startedWarm, "error TOP 1"})
 	answered, got := false, true
 	h.link.QueryGauges(testStart, func(_ []float64, ok bool) { answered, got = true, ok })
 	h.feed(fmt.Sprintf(`{"op":"ERROR","end":"TOP","id":%q}`, h.lastTags["TOP"]))
 	if !answered || got {
-		t.Errorf("gauges that can't be had: answered %t, ok %t", answered, got)
+		t.Errorf("gauge query that is not allowed: answered %t, ok %t, want true, false", answered, got)
 	}
-	h.feed(`{"op":"ERROR","end":"SMOKE","id":"77"}`) // of no pending query
+	h.feed(`{"op":"ERROR","end":"SMOKE","id":"77"}`) // no such query is pending
 	if h.link.Stats.UnknownNotices != 1 {
 		t.Errorf("%d unknown notices, want 1", h.link.Stats.UnknownNotices)
 	}
 }
 
-// TestLateBanner holds commands back until the interpreter has come up, and reports its start once.
+// TestLateBanner checks that commands are kept until the interpreter is up, and that its start is reported once.
 func TestLateBanner(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Connected(h.write, testStart)
@@ -157,20 +159,20 @@
 	h.expect([]string{"CONNECT 0"}, nil)
 	h.link.Tick(testStart.Add(time.Minute))
 	h.feed(`{"op":"BANNER","end":"COLD","ms":7}`)
-	h.link.Tick(testStart.Add(2 * time.Minute)) // the first TOP has expired: another is sent
+	h.link.Tick(testStart.Add(2 * time.Minute)) // the first TOP has expired, so another one is sent
 	h.feed(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, h.lastTags["TOP"]))
 	h.expect([]string{`APPLY a1 look ""`}, []string{"up true 7ms"})
 	h.connect()
 	h.expect([]string{"CONNECT 0", `APPLY a1 look ""`}, nil)
 }
 
-// TestReconnect loses the connection with one run that finishes meanwhile, one in flight, one that the interpreter never
-// received, and one to be stopped. Nothing is submitted before the missed notices were read: the run that has finished
-// must not start again.
+// TestReconnect loses the connection while there are four runs: one finishes before the reconnect, one is in flight, one was
+// never received by the interpreter, and one is to be stopped. Nothing may be submitted before the missed notices have been
+// read, since the finished run must not start again.
 func TestReconnect(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.connect()
-	for _, id := range []string{"ended", "going", "stopping"} {
+	for _, id := range []string{"finished", "running", "stopping"} {
 		h.link.Submit(id, "look", nil)
 	}
 	h.feed(`{"op":"TRACE","seq":1,"end":""}`)
@@ -181,44 +183,46 @@
 	h.link.Connected(h.write, testStart)
 	h.expect([]string{"CONNECT 1"}, nil)
 	h.feed(`{"op":"BANNER","end":"WARM","ms":9000}`)
-	h.feed(`{"op":"VALUE","seq":1,"id":"going","end":"OK","ms":1,"body":""}`) // was read before as number 1
-	h.feed(`{"op":"VALUE","seq":2,"id":"ended","end":"OK","ms":1,"body":"eA=="}`)
-	h.expect(nil, []string{`ended OK "x"`})
+	h.feed(`{"op":"VALUE","seq":1,"id":"running","end":"OK","ms":1,"body":""}`) // number 1 has already been read
+	h.feed(`{"op":"VALUE","seq":2,"id":"finished","end":"OK","ms":1,"body":"eA=="}`)
+	h.expect(nil, []string{`finished OK "x"`})
 	h.feed(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, h.lastTags["TOP"]))
-	h.expect([]string{`APPLY going look ""`, `APPLY stopping look ""`, "BREAK stopping", `APPLY new look ""`}, nil)
+	h.expect([]string{`APPLY running look ""`, `APPLY stopping look ""`, "BREAK stopping", `APPLY new look ""`}, nil)
 	if c := h.link.Stats; c.Resubmitted != 2 || c.Submitted != 4 || c.DuplicateNotices != 1 || c.Connects != 2 {
 		t.Errorf("counters %+v", c)
 	}
-	h.feed(`{"op":"VALUE","seq":3,"id":"going","end":"OK","ms":1,"body":""}`, `{"op":"VALUE","seq":4,"id":"going","end":"OK","ms":1,"body":""}`)
-	h.expect(nil, []string{`going OK ""`})
+	h.feed(`{"op":"VALUE","seq":3,"id":"running","end":"OK","ms":1,"body":""}`,
+		`{"op":"VALUE","seq":4,"id":"running","end":"OK","ms":1,"body":""}`)
+	h.expect(nil, []string{`running OK ""`})
 }
 
-// TestReceivedRunIsNotResubmitted loses the connection after the interpreter has answered a query sent behind an APPLY:
-// it has read that, so the run is not submitted again on the next connection, and only BREAK is sent.
+// TestReceivedRunIsNotResubmitted loses the connection after the interpreter has answered a query sent after an APPLY. The
+// interpreter has therefore read the APPLY, and the run must not be resubmitted on the next connection: only its BREAK is
+// sent.
 func TestReceivedRunIsNotResubmitted(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.connect()
-	h.link.Submit("taken", "look", nil)
+	h.link.Submit("received", "look", nil)
 	h.link.QueryGauges(testStart, func([]float64, bool) {})
-	h.link.Submit("unsure", "look", nil)
+	h.link.Submit("unconfirmed", "look", nil)
 	h.feed(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, h.lastTags["TOP"]))
-	h.link.Stop("taken")
+	h.link.Stop("received")
 	h.commands = nil
 	h.connect()
-	h.expect([]string{"CONNECT 0", "BREAK taken", `APPLY unsure look ""`}, []string{startedWarm})
+	h.expect([]string{"CONNECT 0", "BREAK received", `APPLY unconfirmed look ""`}, []string{startedWarm})
 }
 
-// TestWithdraw removes a run whose APPLY was not sent, and no other.
+// TestWithdraw checks that a run can be withdrawn once, and only before its APPLY is sent.
 func TestWithdraw(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.link.Submit("early", "look", nil)
 	if !h.link.Withdraw("early") || h.link.Withdraw("early") {
-		t.Error("a run that was not sent could not be taken back once")
+		t.Error("a run whose APPLY was not sent could not be withdrawn exactly once")
 	}
 	h.connect()
 	h.link.Submit("sent", "look", nil)
 	if h.link.Withdraw("sent") {
-		t.Error("a run that was sent was taken back")
+		t.Error("a run whose APPLY was sent was withdrawn")
 	}
 	h.link.Stop("sent")
 	h.link.Stop("sent")
@@ -227,7 +231,8 @@
 	h.expect(nil, []string{`sent STOPPED ""`})
 }
 
-// TestQueries has answers in any order, one too late, one never, and one on a connection that was lost.
+// TestQueries sends queries that are answered out of order, with the wrong type of notice, negatively, too late, or not at
+// all because there is no connection or it is lost.
 func TestQueries(t *testing.T) {
 	h := newRecordingHandler(t)
 	var got []string
@@ -242,7 +247,7 @@
 	queryGauges("a")
 	a := h.lastTags["TOP"]
 	checkHealth("b ")
-	h.feed(fmt.Sprintf(`{"op":"SMOKED","tag":%q,"end":"ERROR"}`, a)) // of the wrong kind
+	h.feed(fmt.Sprintf(`{"op":"SMOKED","tag":%q,"end":"ERROR"}`, a)) // the wrong type of answer
 	h.feed(fmt.Sprintf(`{"op":"SMOKED","tag":%q,"end":"OK"}`, h.lastTags["SMOKE"]))
 	h.feed(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[0.5,3]}`, a))
 	checkHealth("c ")
@@ -255,21 +260,21 @@
 	h.link.Disconnected()
 	want := []string{"unconnected false", "b true", "a[0.5 3] true", "c false", "d false", "e[] false"}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("query results %q, want %q", got, want)
 	}
 }
 
-// TestRejectedCommand finishes a run whose APPLY the interpreter rejected.
+// TestRejectedCommand checks that a rejected APPLY finishes its run and that rejected commands are reported.
 func TestRejectedCommand(t *testing.T) {
 	h := newRecordingHandler(t)
 	h.connect()
 	h.link.Submit("a1", "look", nil)
 	h.feed(`{"op":"ERROR","end":"APPLY","id":"a1"}`, `{"op":"ERROR","end":"BREAK","id":"a1"}`)
 	h.expect([]string{"CONNECT 0", `APPLY a1 look ""`},
-		[]string{startedWarm, "trouble APPLY a1", `a1 rejected ""`, "trouble BREAK a1"})
+		[]string{startedWarm, "error APPLY a1", `a1 rejected ""`, "error BREAK a1"})
 }
 
-// TestSplitLines feeds notices split at every place, and lines that are no notices.
+// TestSplitLines feeds two notices split at every position, and then lines that are not notices.
 func TestSplitLines(t *testing.T) {
 	text := `{"op":"VALUE","seq":1,"id":"a1","end":"OK","ms":1,"body":"eA=="}` + "\r\n\n" + `{"op":"NEW","x":1}` + "\n"
 	for cut := range text {
@@ -283,13 +288,13 @@
 			}
 		}
 		if !slices.Equal(h.events, []string{`a1 OK "x"`}) || h.link.Stats.UnknownNotices != 1 {
-			t.Fatalf("cut at %d: events %q", cut, h.events)
+			t.Fatalf("split at byte %d: events %q", cut, h.events)
 		}
 	}
 	h := newRecordingHandler(t)
 	h.connect()
 	if err := h.link.Feed([]byte("{]\n")); err == nil {
-		t.Error("a line that is no JSON was taken")
+		t.Error("a line that is not JSON was accepted")
 	}
 	h = newRecordingHandler(t)
 	h.connect()
@@ -298,11 +303,11 @@
 		err = h.link.Feed([]byte("xxxxxxxxxxxxxxxx"))
 	}
 	if err == nil {
-		t.Error("a line without an end was taken")
+		t.Error("an endless line was accepted")
 	}
 }
 
-// FuzzFeed makes sure that nothing the interpreter writes panics.
+// FuzzFeed checks that no input from the interpreter causes a panic or more events than its lines account for.
 func FuzzFeed(f *testing.F) {
 	f.Add([]byte(`{"op":"VALUE","seq":1,"id":"a1","end":"OK","ms":1,"body":"eA=="}` + "\n"))
 	f.Add([]byte(`{"op":"TOPS","tag":"1","values":[1,2]}` + "\n" + `{"op":"ERROR","end":"APPLY","id":"a1"}` + "\n"))
@@ -314,10 +319,10 @@
 			return
 		}
 		if events := len(h.events); events > 1+maxEvents(p) {
-			t.Errorf("%d events of %d lines", events, maxEvents(p))
+			t.Errorf("%d events, want at most 1 + %d", events, maxEvents(p))
 		}
 	})
 }
 
-// maxEvents is how many events the whole lines can cause: a rejected command causes two.
+// maxEvents returns the maximum number of events that the complete lines in p can cause. A rejected command causes two.
 func maxEvents(p []byte) int { return 2 * strings.Count(string(p), "\n") }
--- a/internal/interpreter/message.go
+++ b/internal/interpreter/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is how a run ended. Its values are those of the protocol.
+// Outcome is how a run ended. Its values are protocol values, except for OutcomeRejected.
 type Outcome string
 
 // The outcomes of a run.
@@ -10,16 +10,16 @@
 	OutcomeOK      Outcome = "OK"
 	OutcomeError   Outcome = "ERROR"
 	OutcomeStopped Outcome = "STOPPED"
-	// OutcomeNotStarted answers an APPLY for a run that had ended already: nothing was started by it.
+	// OutcomeNotStarted is the answer to an APPLY of a run that had already finished. The APPLY started nothing.
 	OutcomeNotStarted Outcome = "MOOT"
-	// OutcomeRejected is not sent by the interpreter: it stands for an APPLY that was rejected, so nothing ran.
+	// OutcomeRejected means that the interpreter rejected the APPLY, so nothing ran. The interpreter does not send this value.
 	OutcomeRejected Outcome = "rejected"
 )
 
-// String returns the protocol's name of the outcome.
+// String returns the value of the outcome.
 func (o Outcome) String() string { return string(o) }
 
-// The commands of the protocol, sent to the interpreter.
+// The commands of the protocol, which are sent to the interpreter.
 const (
 	opConnect = "CONNECT" // replay the notices after a number
 	opApply   = "APPLY"   // start a run
@@ -28,7 +28,7 @@
 	opSmoke   = "SMOKE"   // run a deep health check
 )
 
-// The notices of the protocol, sent by the interpreter.
+// The notices of the protocol, which the interpreter sends.
 const (
 	opBanner = "BANNER" // the interpreter is up
 	opValue  = "VALUE"  // a run finished
@@ -57,8 +57,8 @@
 	Op  string `json:"op"`
 	Seq uint64 `json:"seq"` // 0 for notices that are not replayed after a lost connection
 	ID  string `json:"id"`
-	// Detail depends on Op: the outcome of a VALUE or SMOKED, the temperature of a BANNER, the rejected command of an
-	// ERROR.
+	// Detail depends on Op. It is the outcome in a VALUE or SMOKED, the state of the caches in a BANNER, and the rejected
+	// command in an ERROR.
 	Detail       string    `json:"end"`
 	Milliseconds float64   `json:"ms"`
 	Body         []byte    `json:"body"`
@@ -66,7 +66,7 @@
 	Values       []float64 `json:"values"`
 }
 
-// age returns how long ago the interpreter started, of a BANNER.
+// age returns the time since the start of the interpreter. The notice must be a BANNER.
 func (n *notice) age() time.Duration {
 	return time.Duration(n.Milliseconds * float64(time.Millisecond))
 }
--- a/internal/interpreter/model_test.go
+++ b/internal/interpreter/model_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// fakeInterpreter is an interpreter whose connection can be lost at any time, with all that is in transit. It is the
-// link's Handler, too.
+// fakeInterpreter is an interpreter whose connection can be lost at any time, together with everything in transit. It is
+// also the link's Handler.
 type fakeInterpreter struct {
 	t           *rapid.T
 	link        *Link
-	isConnected bool             // it has read CONNECT on this connection
-	commands    []map[string]any // in transit to it
-	inTransit   []string         // lines from it
-	notices     []string         // all that it ever sent, by number
+	isConnected bool             // the interpreter has read CONNECT on this connection
+	commands    []map[string]any // commands in transit to the interpreter
+	inTransit   []string         // lines in transit from the interpreter
+	notices     []string         // all numbered notices sent so far, in the order of their numbers
 	startCount  map[string]int
 	running     []string
 	finished    map[string]bool
@@ -29,16 +29,16 @@
 func (f *fakeInterpreter) InterpreterStarted(bool, time.Duration) {}
 func (f *fakeInterpreter) ReportError(message string, err error)  { f.t.Fatalf("%s: %v", message, err) }
 
-func (f *fakeInterpreter) CallRequested(id string) { f.t.Fatalf("a call of %s", id) }
+func (f *fakeInterpreter) CallRequested(id string) { f.t.Fatalf("run %s requested a call", id) }
 
 func (f *fakeInterpreter) RunFinished(id string, outcome Outcome, _ []byte) {
 	f.finishCount[id]++
 	if outcome != OutcomeOK {
-		f.t.Fatalf("run %s ended %s", id, outcome)
+		f.t.Fatalf("run %s finished with outcome %s, want OK", id, outcome)
 	}
 }
 
-// write queues commands as in transit to the interpreter.
+// write adds commands to those in transit to the interpreter.
 func (f *fakeInterpreter) write(p []byte) {
 	for line := range strings.SplitSeq(strings.TrimSpace(string(p)), "\n") {
 		var c map[string]any
@@ -49,19 +49,19 @@
 	}
 }
 
-// connect makes a new connection in place of any other.
+// connect replaces the connection, if there is one, by a new one.
 func (f *fakeInterpreter) connect() {
 	f.commands, f.inTransit, f.isConnected = nil, nil, false
 	f.link.Connected(f.write, testStart)
 }
 
-// disconnect loses all that is in transit.
+// disconnect closes the connection and drops everything in transit.
 func (f *fakeInterpreter) disconnect() {
 	f.commands, f.inTransit, f.isConnected = nil, nil, false
 	f.link.Disconnected()
 }
 
-// handleCommand reads the next command, and reports whether there was one.
+// handleCommand processes the next command in transit, and reports whether there was one.
 func (f *fakeInterpreter) handleCommand() bool {
 	if len(f.commands) == 0 {
 		return false
@@ -92,14 +92,14 @@
 	return true
 }
 
-// finishRun finishes the i-th running run.
+// finishRun finishes running[i].
 func (f *fakeInterpreter) finishRun(i int) {
 	id := f.running[i]
 	f.running, f.finished[id] = slices.Delete(f.running, i, i+1), true
 	f.sendValue(id, "OK")
 }
 
-// sendValue sends a notice, and keeps it to be replayed on later connections.
+// sendValue sends a VALUE notice and stores it, so that it is replayed on later connections.
 func (f *fakeInterpreter) sendValue(id, outcome string) {
 	n := fmt.Sprintf(`{"op":"VALUE","seq":%d,"id":%q,"end":%q,"ms":1,"body":""}`, len(f.notices)+1, id, outcome)
 	f.notices = append(f.notices, n)
@@ -108,7 +108,7 @@
 	}
 }
 
-// deliverLine has the link read the next line, and reports whether there was one.
+// deliverLine passes the next line in transit to the link, and reports whether there was one.
 func (f *fakeInterpreter) deliverLine() bool {
 	if len(f.inTransit) == 0 {
 		return false
@@ -121,8 +121,8 @@
 	return true
 }
 
-// TestRandomDisconnects loses the connection at random, with commands and notices in transit: no run is started twice,
-// and the end of each is reported once.
+// TestRandomDisconnects loses the connection at random times, with commands and notices in transit. No run may start twice,
+// and the end of each run must be reported once.
 func TestRandomDisconnects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fake := &fakeInterpreter{t: t, startCount: map[string]int{}, finished: map[string]bool{}, finishCount: map[string]int{}}
@@ -130,7 +130,7 @@
 		submitted, withdrawn := 0, map[string]bool{}
 		drawID := func(t *rapid.T) string { return fmt.Sprint(rapid.IntRange(1, max(submitted, 1)).Draw(t, "id")) }
 		t.Repeat(map[string]func(*rapid.T){
-			"apply": func(*rapid.T) {
+			"submit": func(*rapid.T) {
 				submitted++
 				fake.link.Submit(fmt.Sprint(submitted), "look", nil)
 			},
@@ -138,18 +138,18 @@
 				id := drawID(t)
 				withdrawn[id] = fake.link.Withdraw(id) || withdrawn[id]
 			},
-			"break":   func(t *rapid.T) { fake.link.Stop(drawID(t)) },
-			"cut":     func(*rapid.T) { fake.disconnect() },
-			"connect": func(*rapid.T) { fake.connect() },
-			"take":    func(*rapid.T) { fake.handleCommand() },
-			"deliver": func(*rapid.T) { fake.deliverLine() },
-			"end": func(t *rapid.T) {
+			"stop":          func(t *rapid.T) { fake.link.Stop(drawID(t)) },
+			"disconnect":    func(*rapid.T) { fake.disconnect() },
+			"connect":       func(*rapid.T) { fake.connect() },
+			"handleCommand": func(*rapid.T) { fake.handleCommand() },
+			"deliverLine":   func(*rapid.T) { fake.deliverLine() },
+			"finishRun": func(t *rapid.T) {
 				if n := len(fake.running); n > 0 {
 					fake.finishRun(rapid.IntRange(0, n-1).Draw(t, "run"))
 				}
 			},
 		})
-		// In the end the connection stays up and all runs finish.
+		// Finally, keep the connection up until all runs have finished.
 		fake.connect()
 		for fake.handleCommand() || fake.deliverLine() || len(fake.running) > 0 {
 			if len(fake.commands) == 0 && len(fake.running) > 0 {
@@ -163,11 +163,11 @@
 				want = 0
 			}
 			if fake.startCount[id] != want || fake.finishCount[id] != want {
-				t.Fatalf("run %s: withdrawn %t, begun %d times, its end told %d times", id, withdrawn[id], fake.startCount[id], fake.finishCount[id])
+				t.Fatalf("run %s: withdrawn %t, started %d times, end reported %d times", id, withdrawn[id], fake.startCount[id], fake.finishCount[id])
 			}
 		}
 		if fake.link.OpenRuns() != 0 {
-			t.Fatalf("%d runs are left", fake.link.OpenRuns())
+			t.Fatalf("%d open runs are left, want 0", fake.link.OpenRuns())
 		}
 	})
 }
--- a/internal/interpreter/query.go
+++ b/internal/interpreter/query.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// query is a TOP or SMOKE without its answer. Exactly one of its callbacks is set.
+// query is a TOP or SMOKE that has not been answered. Exactly one of its callbacks is set.
 type query struct {
 	tag      string
-	number   uint64 // of the tag
+	number   uint64 // the tag as a number
 	deadline time.Time
-	onGauges func(values []float64, ok bool) // of a TOP
-	onHealth func(ok bool)                   // of a SMOKE
-	isSync   bool                            // any answer shows that the notices before it were read
+	onGauges func(values []float64, ok bool) // set for a TOP
+	onHealth func(ok bool)                   // set for a SMOKE
+	isSync   bool                            // sent by sync; any answer shows that the notices before it were read
 }
 
 // isGaugeQuery reports whether the query is a TOP.
@@ -29,13 +29,13 @@
 	}
 }
 
-// queryTable holds the queries without an answer.
+// queryTable holds the queries that have not been answered.
 type queryTable struct {
 	pending    []query
-	lastNumber uint64 // of the last query sent, over all connections
+	lastNumber uint64 // number of the last query sent on any connection
 }
 
-// take removes and returns the query with a tag, if it is of the kind.
+// take removes and returns the query with the tag, if its type matches isGaugeQuery.
 func (t *queryTable) take(tag string, isGaugeQuery bool) (query, bool) {
 	i := slices.IndexFunc(t.pending, func(q query) bool { return q.tag == tag })
 	if i < 0 || t.pending[i].isGaugeQuery() != isGaugeQuery {
@@ -46,18 +46,18 @@
 	return q, true
 }
 
-// QueryGauges asks for the gauges. It calls done once, with ok false where there is no answer.
+// QueryGauges requests the interpreter's gauges. It calls done once, with ok false if there is no answer.
 func (l *Link) QueryGauges(now time.Time, done func(values []float64, ok bool)) {
 	l.sendQuery(opTop, now, query{onGauges: done})
 }
 
-// CheckHealth has the interpreter run a deep health check. It calls done once, with ok false where the check failed or
-// there is no answer.
+// CheckHealth makes the interpreter run a deep health check. It calls done once, with ok false if the check failed or there
+// is no answer.
 func (l *Link) CheckHealth(now time.Time, done func(ok bool)) {
 	l.sendQuery(opSmoke, now, query{onHealth: done})
 }
 
-// sendQuery sends a query, which fails immediately where there is no connection.
+// sendQuery sends a query. Without a connection the query fails immediately.
 func (l *Link) sendQuery(op string, now time.Time, q query) {
 	if l.session.send == nil {
 		q.complete(nil, false)
@@ -71,7 +71,7 @@
 	l.write(command{Op: op, Tag: q.tag})
 }
 
-// expireQueries fails the queries for which isExpired holds. They are taken out before any callback is called, since a
+// expireQueries fails the queries for which isExpired returns true. It removes them before it calls any callback, since a
 // callback may send a query.
 func (l *Link) expireQueries(isExpired func(query) bool) {
 	pending := l.queries.pending
@@ -89,7 +89,7 @@
 	}
 }
 
-// takeQuery removes and returns the query that a notice answers; a notice without one is counted as unknown.
+// takeQuery removes and returns the query that a notice answers. If there is none, it counts the notice as unknown.
 func (l *Link) takeQuery(tag string, isGaugeQuery bool) (query, bool) {
 	q, found := l.queries.take(tag, isGaugeQuery)
 	if !found {
@@ -98,7 +98,7 @@
 	return q, found
 }
 
-// handleAnswer completes a query; an answer that comes too late is skipped.
+// handleAnswer completes the query that the notice answers. It ignores an answer that comes too late.
 func (l *Link) handleAnswer(n *notice) {
 	q, found := l.takeQuery(n.Tag, n.Op == opTops)
 	if !found {
@@ -108,8 +108,9 @@
 	q.complete(n.Values, n.Op == opTops || n.Detail == string(OutcomeOK))
 }
 
-// rejectQuery fails a query that the interpreter rejected, either because it is not up or because the site does not allow
-// the query. In the latter case the rejection proves that the link is synced, as an answer does.
+// rejectQuery fails a query that the interpreter rejected, either because the interpreter is not up or because the site
+// does not allow the query. In the second case the rejection of a query of sync shows that the link is synced, as an answer
+// does.
 func (l *Link) rejectQuery(n *notice) {
 	q, found := l.takeQuery(cmp.Or(n.Tag, n.ID), n.Detail == opTop)
 	if !found {
--- a/internal/interpreter/run.go
+++ b/internal/interpreter/run.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// compactSlack is how many finished runs the submission order may hold beyond as many as there are open ones.
+// compactSlack is added to the number of open runs to get the maximum number of finished runs in the submission order.
 const compactSlack = 16
 
-// run is a run that the owner submitted and that has not finished.
+// run is a submitted run that has not finished.
 type run struct {
 	id, class     string
 	body          []byte
-	isSent        bool   // APPLY was sent on some connection
-	isResent      bool   // APPLY was sent on more than one
-	isCurrent     bool   // APPLY was sent on this connection, or need not be
-	isReceived    bool   // the interpreter has read an APPLY
+	isSent        bool   // APPLY was sent on at least one connection
+	isResent      bool   // APPLY was sent on more than one connection
+	isApplyDone   bool   // APPLY was sent on this connection, or does not have to be sent
+	isReceived    bool   // the interpreter has read an APPLY of this run
 	lastQuery     uint64 // number of the last query sent before APPLY on this connection
 	stopRequested bool
 	isStopSent    bool // BREAK was sent on this connection
@@ -21,16 +21,16 @@
 // runTable holds the runs that have not finished.
 type runTable struct {
 	byID  map[string]*run
-	order []*run // by submission; finished runs stay until compact
+	order []*run // in the order of submission; finished runs are kept until compact is called
 }
 
-// add adds a run at the end of the order.
+// add appends a run to the submission order.
 func (t *runTable) add(r *run) {
 	t.byID[r.id] = r
 	t.order = append(t.order, r)
 }
 
-// remove takes out a run that has finished.
+// remove removes a finished run.
 func (t *runTable) remove(id string) {
 	delete(t.byID, id)
 	if len(t.order) > 2*len(t.byID)+compactSlack {
@@ -38,39 +38,39 @@
 	}
 }
 
-// compact drops the runs that have finished from the order.
+// compact removes finished runs from the submission order.
 func (t *runTable) compact() {
 	t.order = slices.DeleteFunc(t.order, func(r *run) bool { return t.byID[r.id] != r })
 }
 
-// disconnected records that commands sent on the connection may not have arrived.
+// disconnected records that commands sent on the last connection may not have arrived.
 func (t *runTable) disconnected() {
 	for _, r := range t.byID {
-		r.isCurrent, r.isStopSent = r.isReceived, false
+		r.isApplyDone, r.isStopSent = r.isReceived, false
 	}
 }
 
 // markReceived records that the interpreter has read all commands sent before the numbered query.
 func (t *runTable) markReceived(queryNumber uint64) {
 	for _, r := range t.byID {
-		r.isReceived = r.isReceived || r.isCurrent && r.lastQuery < queryNumber
+		r.isReceived = r.isReceived || r.isApplyDone && r.lastQuery < queryNumber
 	}
 }
 
-// OpenRuns returns how many runs have not finished.
+// OpenRuns returns the number of runs that have not finished.
 func (l *Link) OpenRuns() int { return len(l.runs.byID) }
 
-// Submit has the interpreter run a request, now or once the link is synced.
+// Submit sends a run to the interpreter, immediately or once the link is synced. The link retains body.
 func (l *Link) Submit(id, class string, body []byte) {
 	if body == nil {
-		body = []byte{} // an empty body is sent as one
+		body = []byte{} // sent as an empty body
 	}
 	r := &run{id: id, class: class, body: body}
 	l.runs.add(r)
 	l.sendPending(r)
 }
 
-// Withdraw removes a run if its APPLY was never sent, and reports whether it did.
+// Withdraw removes a run whose APPLY was never sent, and reports whether it did so.
 func (l *Link) Withdraw(id string) bool {
 	if r := l.runs.byID[id]; r == nil || r.isSent {
 		return false
@@ -87,7 +87,7 @@
 	}
 }
 
-// resume sends the pending commands of all runs, now that the link is synced.
+// resume marks the link as synced and sends the pending commands of all runs.
 func (l *Link) resume() {
 	l.session.isSynced = true
 	l.runs.compact()
@@ -96,12 +96,13 @@
 	}
 }
 
-// sendPending sends the commands that a run still needs on this connection.
+// sendPending sends the commands of a run that still have to be sent on this connection. It does nothing unless the link is
+// synced.
 func (l *Link) sendPending(r *run) {
 	if !l.session.isSynced {
 		return
 	}
-	if !r.isCurrent {
+	if !r.isApplyDone {
 		l.sendApply(r)
 	}
 	if r.stopRequested && !r.isStopSent {
@@ -119,13 +120,13 @@
 	} else {
 		l.Stats.Submitted++
 	}
-	r.isSent, r.isCurrent = true, true
+	r.isSent, r.isApplyDone = true, true
 	r.lastQuery = l.queries.lastNumber
 	l.write(command{Op: opApply, ID: r.id, Class: r.class, Body: &r.body})
 }
 
-// rejectRun finishes a run whose APPLY was rejected. Where it was sent more than once, an earlier one may have started
-// the run.
+// rejectRun finishes a run whose APPLY was rejected. If APPLY was sent more than once, an earlier one may have started the
+// run, so the outcome is OutcomeError.
 func (l *Link) rejectRun(id string) {
 	outcome := OutcomeRejected
 	if r := l.runs.byID[id]; r != nil && r.isResent {
@@ -134,7 +135,7 @@
 	l.finish(id, outcome, nil)
 }
 
-// finish reports the end of a run to the handler, if the run is known.
+// finish removes a run and reports its end to the handler. If the run is not known, it counts the notice as unknown.
 func (l *Link) finish(id string, outcome Outcome, result []byte) {
 	if l.runs.byID[id] == nil {
 		l.Stats.UnknownNotices++
