--- a/internal/loadreport/reporter.go
+++ b/internal/loadreport/reporter.go
@@ -1,5 +1,5 @@
-// Package loadreport reports to the platform's announce service whether this server accepts requests, with one UDP datagram
-// a report. It belongs to the event loop's goroutine.
+// Package loadreport sends load reports to the platform's announce service. A report is one UDP datagram that says whether
+// this server accepts requests. A Reporter must be used on the event loop's goroutine.
 package loadreport
 
 import (
@@ -9,40 +9,41 @@
 	"tillerusher/internal/eventloop"
 )
 
-// reportFormat is the content of a datagram: the server's name, and whether it accepts requests.
+// reportFormat is the format of a datagram. Its arguments are the server's name and whether the server accepts requests.
 const reportFormat = "announce %s %t"
 
-// Reporter sends reports for one server. Reports are not acknowledged, and one that can't be sent is dropped: the next
-// one follows soon.
+// Reporter sends the load reports of one server. Reports are not acknowledged. A report that can't be sent is dropped, since
+// the next one follows soon.
 type Reporter struct {
 	system eventloop.System
 	fd     int
 	name   string
 }
 
-// New returns a reporter to the service at the address.
+// New returns a reporter that sends to the service at the given address. name is the name of this server.
 func New(system eventloop.System, to netip.AddrPort, name string) (*Reporter, error) {
 	fd, err := system.NewDatagramSocket(to)
 	if err != nil {
-		return nil, fmt.Errorf("announce: %w", err)
+		return nil, fmt.Errorf("loadreport: open socket: %w", err)
 	}
 	if err := system.Connect(fd, to); err != nil {
 		system.Close(fd)
-		return nil, fmt.Errorf("announce: %w", err)
+		return nil, fmt.Errorf("loadreport: connect socket: %w", err)
 	}
 	return &Reporter{system: system, fd: fd, name: name}, nil
 }
 
-// Report sends one report. On a connected UDP socket a write fails with the ICMP error of the datagram before it, and sends
-// nothing, though the service may be back. So the report is then written once more, and the error is returned.
+// Report sends one report. A write to a connected UDP socket fails with the ICMP error of the previous datagram and sends
+// nothing, although the service may be available again. Report therefore writes the report once more after an error, and
+// returns the error of the first write.
 func (r *Reporter) Report(accepting bool) error {
 	report := fmt.Appendf(nil, reportFormat, r.name, accepting)
 	if _, err := r.system.Write(r.fd, report); err != nil {
-		r.system.Write(r.fd, report) // if this fails, too, the next report follows soon
-		return fmt.Errorf("announce: %w", err)
+		r.system.Write(r.fd, report) // an error is ignored, since the next report follows soon
+		return fmt.Errorf("loadreport: send report: %w", err)
 	}
 	return nil
 }
 
-// Close closes the socket.
+// Close closes the reporter's socket.
 func (r *Reporter) Close() { r.system.Close(r.fd) }
--- a/internal/loadreport/reporter_test.go
+++ b/internal/loadreport/reporter_test.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// startReporter returns a reporter, which is closed with the test, and the service that it reports to.
+// startReporter starts a service and returns it with its address and a reporter, which is closed at the end of the test.
 func startReporter(t *testing.T) (r *Reporter, service *net.UDPConn, addr *net.UDPAddr) {
 	t.Helper()
 	service, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -24,7 +24,7 @@
 	return r, service, addr
 }
 
-// TestReport sends both reports, and goes on after the service was down.
+// TestReport sends reports with both values, and checks that reports arrive again after the service was down.
 func TestReport(t *testing.T) {
 	r, service, addr := startReporter(t)
 	var err error
@@ -42,32 +42,33 @@
 	expect(true, "announce n3 true")
 	expect(false, "announce n3 false")
 	service.Close()
-	r.Report(true) // nobody receives it, and the socket may learn of that at the next
+	r.Report(true) // not received; the socket may return the ICMP error only for the next report
 	r.Report(true)
 	if service, err = net.ListenUDP("udp4", addr); err != nil {
-		t.Skip("the address is taken")
+		t.Skip("the address of the service is in use")
 	}
 	defer service.Close()
 	r.Report(true)
 	expect(true, "announce n3 true")
 }
 
-// TestServiceRestarted has the service come back after a report that nobody received: the next one arrives.
+// TestServiceRestarted restarts the service after a report that was not received. The next report must arrive, although
+// Report returns an error.
 func TestServiceRestarted(t *testing.T) {
 	r, service, addr := startReporter(t)
 	var err error
 	service.Close()
 	r.Report(true)
 	if service, err = net.ListenUDP("udp4", addr); err != nil {
-		t.Skip("the address is taken")
+		t.Skip("the address of the service is in use")
 	}
 	defer service.Close()
 	if err := r.Report(true); err == nil {
-		t.Error("no error for the report that nobody received")
+		t.Error("no error for the report that was not received")
 	}
 	service.SetReadDeadline(time.Now().Add(servertest.WaitTimeout))
 	buf := make([]byte, 100)
 	if n, err := service.Read(buf); err != nil || string(buf[:n]) != "announce n3 true" {
-		t.Errorf("read %q, %v", buf[:n], err)
+		t.Errorf("read %q, %v, want announce n3 true", buf[:n], err)
 	}
 }
