--- a/internal/idempotency/admit.go
+++ b/internal/idempotency/admit.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// Limits bounds the table. An intent is never dropped before it expires; at the bound responses are evicted, oldest first,
-// and retries of their requests fail; where even that does not free enough, new requests with a key are rejected.
+// Limits bounds the table. When MaxBytes is exceeded, responses are evicted, oldest first, and retries of their requests fail.
+// If eviction cannot free enough or MaxKeys is reached, new requests with a key are rejected. An intent is never dropped
+// before it expires.
 type Limits struct {
 	MaxKeys  int
-	MaxBytes int64 // of records
+	MaxBytes int64 // estimated size of all records
 }
 
-// DiskState is whether the last writes to the disk succeeded.
+// DiskState describes whether the last writes to the disk succeeded.
 type DiskState uint8
 
-// The states of the disk. While it fails, requests with a key are rejected, all others are served, and one write now and then
-// probes whether it works again.
+// The states of the disk. While the disk fails, requests with a key are rejected and all others are served; from time to time
+// one request with a key is admitted, and its write probes the disk.
 const (
 	DiskHealthy DiskState = iota
 	DiskFailing
 )
 
-// diskStateNames are the names that logs and tools print.
+// diskStateNames are the names that are recorded in captures.
 var diskStateNames = [...]string{
 	DiskHealthy: "sound",
 	DiskFailing: "failing",
 }
 
-// String returns the name that logs and tools print.
+// String returns the name that is recorded in captures.
 func (d DiskState) String() string { return diskStateNames[d] }
 
-// Decision is whether a request with a new key may run.
+// Decision is the outcome of Admit: whether a request with a new key may run, and if not, why.
 type Decision uint8
 
 // The decisions.
 const (
-	Admitted        Decision = iota // it may run once its intent is durable
-	TableFull                       // a limit is reached
-	DiskUnavailable                 // the disk fails
+	Admitted        Decision = iota // the request may run once its intent is durable
+	TableFull                       // rejected: a limit of the table is reached
+	DiskUnavailable                 // rejected: the disk is failing
 )
 
-// decisionReasons are the reasons that logs print.
+// decisionReasons are the reasons that are logged.
 var decisionReasons = [...]string{
 	Admitted:        "protected",
 	TableFull:       "no room for its key",
 	DiskUnavailable: "the disk fails",
 }
 
-// String returns the reason that logs print.
+// String returns the reason that is logged.
 func (d Decision) String() string { return decisionReasons[d] }
 
 // The bounds of the exponential backoff between two probes of a failing disk.
@@ -54,13 +55,13 @@
 	maxProbeBackoff = 10 * time.Second
 )
 
-// Counters counts decisions and state changes since the start.
+// Counters counts decisions and state changes since the table was created.
 type Counters struct {
 	Intents       uint64
 	Completed     uint64
 	Aborted       uint64
 	Expired       uint64
-	Evicted       uint64 // responses
+	Evicted       uint64 // responses that were evicted
 	RejectedFull  uint64
 	RejectedDisk  uint64
 	WriteFailures uint64
@@ -77,7 +78,7 @@
 		t.Counters.RejectedFull++
 		return TableFull
 	}
-	if t.diskState == DiskFailing { // this request probes the disk; others wait for what its write shows
+	if t.diskState == DiskFailing { // this request probes the disk; others are rejected until its write ends or the backoff passes
 		t.nextProbe = now.Add(t.probeBackoff)
 	}
 	return Admitted
@@ -96,7 +97,7 @@
 	return changed
 }
 
-// observeSuccess marks the disk as healthy, and reports whether it was failing.
+// observeSuccess marks the disk as healthy and reports whether it was failing.
 func (t *Table) observeSuccess() (changed bool) {
 	if t.diskState == DiskHealthy {
 		return false
--- a/internal/idempotency/codec.go
+++ b/internal/idempotency/codec.go
@@ -8,37 +8,42 @@
 	"time"
 )
 
-// ErrBadRecord reports bytes or a name that are no record of this package: damaged, cut short or of another version.
-var ErrBadRecord = errors.New("durable: not a record")
+// ErrBadRecord is returned for a name or a value that is not a valid record: it is damaged, truncated or of another version.
+var ErrBadRecord = errors.New("idempotency: not a record")
 
-// Bytes of a record's fixed parts.
+// The sizes of a record's fixed parts, in bytes.
 const (
 	checksumSize  = 4
 	timestampSize = 8
 )
 
-// The fixed part of an entry's record: version, state, both times and the hash of the body.
+// The offsets in an entry's record. The fixed part has the version, the state, both times and the hash of the body; the
+// response follows.
 const (
 	entryVersion = 1
 
-	entryStateAt    = 1
-	entryReceivedAt = 2
-	entryExpiresAt  = entryReceivedAt + timestampSize
-	entryBodyHashAt = entryExpiresAt + timestampSize
-	entryResponseAt = entryBodyHashAt + 8
+	entryStateOffset      = 1
+	entryReceivedAtOffset = 2
+	entryExpiresAtOffset  = entryReceivedAtOffset + timestampSize
+	entryBodyHashOffset   = entryExpiresAtOffset + timestampSize
+	entryResponseOffset   = entryBodyHashOffset + 8
 
-	minEntryBytes = entryResponseAt + checksumSize
+	minEntryBytes = entryResponseOffset + checksumSize
 )
 
-// maxRecordBytes bounds a record, so that a damaged length cannot ask for all memory.
+// maxRecordBytes bounds a record, so that a damaged length cannot exhaust the memory.
 const maxRecordBytes = 1 << 21
 
-// castagnoli is the polynomial of all checksums.
+// castagnoli is the CRC-32 table of all checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the record of an entry: its version, the state, both times in Unix nanoseconds and the body's hash (8 bytes
-// each, big endian), the response's status, its header fields and its body, each with its length as a varint, and a CRC-32
-// (Castagnoli) of all of that.
+// Encode returns the record of an entry:
+//
+//   - the version and the state, one byte each
+//   - ReceivedAt and ExpiresAt in Unix nanoseconds and the body's hash, 8 bytes each, big endian
+//   - the response's status and the number of its header fields, as varints
+//   - the names and values of the header fields and the body, each after its length as a varint
+//   - a CRC-32 (Castagnoli) of all bytes before it
 func (e *Entry) Encode() []byte {
 	record := []byte{entryVersion, byte(e.State)}
 	record = binary.BigEndian.AppendUint64(record, uint64(e.ReceivedAt.UnixNano()))
@@ -51,80 +56,80 @@
 		record = appendString(record, f.Value)
 	}
 	record = appendString(record, string(e.Response.Body))
-	return seal(record)
+	return appendChecksum(record)
 }
 
-// DecodeEntry reads a record that Encode made.
+// DecodeEntry decodes a record made by Entry.Encode. The error wraps ErrBadRecord if the name or the record is not valid.
 func DecodeEntry(name string, record []byte) (Entry, error) {
 	key, err := parseRecordName(name)
 	if err != nil {
 		return Entry{Key: key}, err
 	}
 	quotedName := fmt.Sprintf("%.60q", name)
-	body, err := openSealed(record, minEntryBytes, entryVersion, quotedName)
+	body, err := verifyRecord(record, minEntryBytes, entryVersion, quotedName)
 	if err != nil {
 		return Entry{}, err
 	}
-	entry := Entry{Key: key, State: State(body[entryStateAt])}
+	entry := Entry{Key: key, State: State(body[entryStateOffset])}
 	if entry.State < Intent || entry.State > Evicted {
-		return Entry{}, fmt.Errorf("%w: %s: state %d", ErrBadRecord, quotedName, entry.State)
+		return Entry{}, fmt.Errorf("%w: %s: unknown state %d", ErrBadRecord, quotedName, entry.State)
 	}
-	entry.ReceivedAt = decodeTime(body[entryReceivedAt:])
-	entry.ExpiresAt = decodeTime(body[entryExpiresAt:])
-	entry.BodyHash = binary.BigEndian.Uint64(body[entryBodyHashAt:])
-	fields := reader{rest: body[entryResponseAt:]}
+	entry.ReceivedAt = decodeTime(body[entryReceivedAtOffset:])
+	entry.ExpiresAt = decodeTime(body[entryExpiresAtOffset:])
+	entry.BodyHash = binary.BigEndian.Uint64(body[entryBodyHashOffset:])
+	fields := reader{rest: body[entryResponseOffset:]}
 	entry.Response.Status = int(fields.length())
 	for n := fields.length(); n > 0 && !fields.isMalformed; n-- {
 		entry.Response.Header = append(entry.Response.Header, HeaderField{string(fields.bytes()), string(fields.bytes())})
 	}
 	entry.Response.Body = append([]byte{}, fields.bytes()...)
 	if !fields.isAtEnd() {
-		return Entry{}, fmt.Errorf("%w: %s: its answer is cut short or goes on behind its end", ErrBadRecord, quotedName)
+		return Entry{}, fmt.Errorf("%w: %s: its response is truncated or has trailing bytes", ErrBadRecord, quotedName)
 	}
 	return entry, nil
 }
 
-// decodeTime reads Unix nanoseconds.
+// decodeTime decodes a time in Unix nanoseconds, 8 bytes big endian.
 func decodeTime(b []byte) time.Time { return time.Unix(0, int64(binary.BigEndian.Uint64(b))) }
 
-// appendString appends the length of a string and the string.
+// appendString appends the length of a string as a varint, then the string.
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// seal appends the checksum of a record.
-func seal(record []byte) []byte {
+// appendChecksum appends the checksum of a record.
+func appendChecksum(record []byte) []byte {
 	return binary.BigEndian.AppendUint32(record, crc32.Checksum(record, castagnoli))
 }
 
-// openSealed returns a record without its checksum. It checks the length, the checksum and the version; what names the
-// record in errors.
-func openSealed(record []byte, minBytes int, version byte, what string) ([]byte, error) {
+// verifyRecord checks the length, the checksum and the version of a record and returns it without the checksum. label names
+// the record in errors.
+func verifyRecord(record []byte, minBytes int, version byte, label string) ([]byte, error) {
 	if len(record) < minBytes || len(record) > maxRecordBytes {
-		return nil, fmt.Errorf("%w: %s: %d bytes", ErrBadRecord, what, len(record))
+		return nil, fmt.Errorf("%w: %s: invalid length of %d bytes", ErrBadRecord, label, len(record))
 	}
 	body := record[:len(record)-checksumSize]
 	checksum := binary.BigEndian.Uint32(record[len(body):])
 	if crc32.Checksum(body, castagnoli) != checksum {
-		return nil, fmt.Errorf("%w: %s: its checksum differs", ErrBadRecord, what)
+		return nil, fmt.Errorf("%w: %s: its checksum differs", ErrBadRecord, label)
 	}
 	if body[0] != version {
-		return nil, fmt.Errorf("%w: %s: version %d, this program reads %d", ErrBadRecord, what, body[0], version)
+		return nil, fmt.Errorf("%w: %s: version %d, this program reads %d", ErrBadRecord, label, body[0], version)
 	}
 	return body, nil
 }
 
-// reader takes numbers and strings off the variable part of a record. After the first malformed one it returns zeros.
+// reader decodes numbers and strings from the variable part of a record. Results are only valid while isMalformed is false.
 type reader struct {
 	rest        []byte
 	isMalformed bool
 }
 
-// length reads a length or another number that is no larger than a record.
-func (r *reader) length() uint64 { return r.upTo(maxRecordBytes) }
+// length reads a varint that is at most maxRecordBytes, such as a length or a count.
+func (r *reader) length() uint64 { return r.uvarint(maxRecordBytes) }
 
-// upTo reads a number that must not exceed a maximum.
-func (r *reader) upTo(maximum uint64) uint64 {
+// uvarint reads a varint that must not exceed maximum.
+func (r *reader) uvarint(maximum uint64) uint64 {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > maximum {
 		r.isMalformed = true
@@ -134,7 +139,7 @@
 	return n
 }
 
-// bytes reads a string behind its length. The result shares the record's memory.
+// bytes reads a length and as many bytes. The result shares the record's memory.
 func (r *reader) bytes() []byte {
 	n := r.length()
 	if r.isMalformed || n > uint64(len(r.rest)) {
@@ -146,5 +151,5 @@
 	return b
 }
 
-// isAtEnd reports whether everything was read and well formed.
+// isAtEnd reports whether all bytes were read and nothing was malformed.
 func (r *reader) isAtEnd() bool { return !r.isMalformed && len(r.rest) == 0 }
--- a/internal/idempotency/codec_test.go
+++ b/internal/idempotency/codec_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestEntryRoundTrip decodes what was encoded, and detects any flipped bit.
+// TestEntryRoundTrip checks that decoding an encoded entry returns the same entry, and that any flipped bit is detected.
 func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Entry{
@@ -33,17 +33,17 @@
 		record := e.Encode()
 		decoded, err := DecodeEntry(e.Key.RecordName(), record)
 		if err != nil || !reflect.DeepEqual(decoded, e) {
-			t.Fatalf("%v: %+v, want %+v", err, decoded, e)
+			t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, e)
 		}
 		bit := rapid.IntRange(0, len(record)*8-1).Draw(t, "bit")
 		record[bit/8] ^= 1 << (bit % 8)
 		if _, err := DecodeEntry(e.Key.RecordName(), record); !errors.Is(err, ErrBadRecord) {
-			t.Fatalf("a flipped bit: %v", err)
+			t.Fatalf("record with a flipped bit: error %v, want ErrBadRecord", err)
 		}
 	})
 }
 
-// FuzzDecodeEntry decodes any bytes without a panic.
+// FuzzDecodeEntry checks that decoding arbitrary bytes does not panic, and that an entry that decodes survives a round trip.
 func FuzzDecodeEntry(f *testing.F) {
 	e := Entry{Key: Key{"c", "k"}, State: Completed, ReceivedAt: start, ExpiresAt: start, Response: Response{Status: 200, Body: []byte("x")}}
 	f.Add(e.Key.RecordName(), e.Encode())
@@ -51,7 +51,7 @@
 	f.Fuzz(func(t *testing.T, name string, record []byte) {
 		if e, err := DecodeEntry(name, record); err == nil {
 			if decoded, err := DecodeEntry(e.Key.RecordName(), e.Encode()); err != nil || !reflect.DeepEqual(decoded, e) {
-				t.Errorf("%v: %+v, want %+v", err, decoded, e)
+				t.Errorf("error %v, decoded %+v, want %+v", err, decoded, e)
 			}
 		}
 	})
--- a/internal/idempotency/eviction.go
+++ b/internal/idempotency/eviction.go
@@ -1,13 +1,13 @@
 package idempotency
 
-// recordOverhead is about what a record takes beside its key and its response.
+// recordOverhead is an estimate of the bytes that a record takes in addition to its key and its response.
 const recordOverhead = 160
 
-// minQueueToCompact is the length from which an eviction queue is worth compacting.
+// minQueueToCompact is the length up to which the eviction queue is never compacted.
 const minQueueToCompact = 64
 
-// evictionSlot is a response's place in the eviction queue. The slot is stale once its entry has another evictionSeq: the
-// entry was removed, or got a newer response.
+// evictionSlot is a response's position in the eviction queue. The slot becomes stale when its entry's evictionSeq changes:
+// the entry was removed or has a newer response.
 type evictionSlot struct {
 	entry *trackedEntry
 	seq   uint64
@@ -16,14 +16,14 @@
 // isStale reports whether the slot no longer refers to a response.
 func (s evictionSlot) isStale() bool { return s.entry.evictionSeq != s.seq }
 
-// updateSize updates the accounting to an entry's current size.
+// updateSize recomputes the size of an entry and updates usedBytes.
 func (t *Table) updateSize(e *trackedEntry) {
 	t.usedBytes -= e.size
 	e.size = int64(recordOverhead + len(e.Key.Class) + len(e.Key.Key) + e.Response.approximateSize())
 	t.usedBytes += e.size
 }
 
-// enqueueForEviction makes an entry's response the last to be evicted.
+// enqueueForEviction appends an entry's response to the eviction queue.
 func (t *Table) enqueueForEviction(e *trackedEntry) {
 	t.lastEvictionSeq++
 	e.evictionSeq = t.lastEvictionSeq
@@ -31,7 +31,8 @@
 	t.evictionQueue = append(t.evictionQueue, evictionSlot{e, e.evictionSeq})
 }
 
-// dequeueFromEviction makes an entry's slot stale; the slot itself is dropped later.
+// dequeueFromEviction makes an entry's slot stale, if it has one. The slot stays in the queue until evictToFit or
+// compactEvictionQueue drops it.
 func (t *Table) dequeueFromEviction(e *trackedEntry) {
 	if e.evictionSeq == 0 {
 		return
@@ -40,7 +41,8 @@
 	e.evictionSeq = 0
 }
 
-// evictToFit evicts responses, oldest first, until all records fit, and returns the records to rewrite.
+// evictToFit evicts responses, oldest first, until the records fit into MaxBytes or no response is left, and returns the
+// records to rewrite.
 func (t *Table) evictToFit() (changes []Change) {
 	for t.usedBytes > t.limits.MaxBytes && len(t.evictionQueue) > 0 {
 		slot := t.evictionQueue[0]
@@ -58,7 +60,8 @@
 	return changes
 }
 
-// compactEvictionQueue drops stale slots once they are the larger part of a long queue.
+// compactEvictionQueue drops the stale slots of a long queue if it has more than twice as many slots as the table has
+// entries, so that most slots are stale.
 func (t *Table) compactEvictionQueue() {
 	if len(t.evictionQueue) <= minQueueToCompact || len(t.evictionQueue) <= 2*len(t.entries) {
 		return
--- a/internal/idempotency/expiry.go
+++ b/internal/idempotency/expiry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// expiryHeap orders entries by when they expire. It implements heap.Interface and keeps each entry's index in it.
+// expiryHeap is a min-heap of entries by ExpiresAt. It implements heap.Interface and updates each entry's heapIndex.
 type expiryHeap []*trackedEntry
 
 // Len implements heap.Interface.
@@ -31,12 +31,12 @@
 func (h *expiryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
-	old[len(old)-1] = nil // let the entry be collected
+	old[len(old)-1] = nil // allow garbage collection of the entry
 	*h = old[:len(old)-1]
 	return e
 }
 
-// Expire removes expired entries, limit of them at most, and returns the changes that remove their records.
+// Expire removes at most limit expired entries and returns the changes that remove their records.
 func (t *Table) Expire(now time.Time, limit int) (changes []Change) {
 	for len(t.byExpiry) > 0 && len(changes) < limit && now.After(t.byExpiry[0].ExpiresAt) {
 		e := t.byExpiry[0]
@@ -48,7 +48,7 @@
 	return changes
 }
 
-// insert adds an entry, in place of one with the same key.
+// insert adds an entry. It replaces an entry with the same key.
 func (t *Table) insert(e *trackedEntry) {
 	if old := t.entries[e.Key]; old != nil {
 		t.remove(old)
@@ -61,7 +61,7 @@
 	}
 }
 
-// remove takes an entry out of the table, the heap and the eviction queue.
+// remove removes an entry from the table, the heap and the eviction queue.
 func (t *Table) remove(e *trackedEntry) {
 	delete(t.entries, e.Key)
 	heap.Remove(&t.byExpiry, e.heapIndex)
--- a/internal/idempotency/runtimes.go
+++ b/internal/idempotency/runtimes.go
@@ -7,54 +7,60 @@
 	"time"
 )
 
-// RunTimes is the record of the run times that a server learned of its classes. A new process starts from them instead of
-// from nothing.
+// RunTimes is the record of the run times that a server learned for its classes. A new process starts with them instead of
+// without estimates.
 type RunTimes struct {
 	SavedAt time.Time
-	Machine string // on which they were measured
+	Machine string // the machine on which the run times were measured
 	Classes []ClassRunTime
 }
 
-// ClassRunTime is the run time that was learned of one class.
+// ClassRunTime is the learned run time of one class.
 type ClassRunTime struct {
 	Name               string
 	CoreTime, WallTime time.Duration
 	Samples            int
 }
 
-// RunTimesRecordName is the name of the record.
+// RunTimesRecordName is the name of the RunTimes record.
 const RunTimesRecordName = "l/classes"
 
-// The fixed part of the record: version and time of saving.
+// The offsets in a RunTimes record. The fixed part has the version and SavedAt; the machine and the classes follow.
 const (
 	runTimesVersion = 1
 
-	runTimesSavedAt   = 1
-	runTimesMachineAt = runTimesSavedAt + timestampSize
+	runTimesSavedAtOffset = 1
+	runTimesMachineOffset = runTimesSavedAtOffset + timestampSize
 
-	minRunTimesBytes = runTimesMachineAt + 2 + checksumSize // an empty machine and no classes
+	minRunTimesBytes = runTimesMachineOffset + 2 + checksumSize // an empty machine and no classes
 )
 
-// runTimesRecord names the record in errors.
-const runTimesRecord = "what was learned"
+// runTimesLabel names the record in errors.
+const runTimesLabel = "run times"
 
-// maxMicroseconds is the most that a time.Duration holds.
+// maxMicroseconds is the largest number of microseconds that a time.Duration can represent.
 const maxMicroseconds = math.MaxInt64 / 1000
 
 const (
-	// runTimesHalfLife is the age at which an estimate counts half: the sites' mixes of requests change by the hour.
+	// runTimesHalfLife is the age at which the weight of an estimate is halved: the request mixes of sites change within hours.
 	runTimesHalfLife = time.Hour
-	// maxSamples is the weight of a fresh estimate: it counts as much as three measured runs.
+	// maxSamples is the maximum weight of a fresh estimate: it counts as much as three measured runs.
 	maxSamples = 3
-	// maxRunTimesAge is the age from which estimates are not used at all.
+	// maxRunTimesAge is the maximum age of estimates; older ones are not used.
 	maxRunTimesAge = 24 * time.Hour
-	// maxClockStepBack is how far in the future they may have been saved: the clock was stepped back since.
+	// maxClockStepBack is how far SavedAt may lie in the future, which happens if the clock was stepped back after the save.
 	maxClockStepBack = 2 * time.Hour
 )
 
-// Encode returns the record: its version, the time of saving in Unix nanoseconds (8 bytes, big endian), the machine and the
-// number of classes, then for each its name, both times in microseconds and the samples, strings and numbers as varints with
-// lengths before strings, and a CRC-32 (Castagnoli) of all of that.
+// Encode returns the record:
+//
+//   - the version, one byte
+//   - SavedAt in Unix nanoseconds, 8 bytes, big endian
+//   - the machine and the number of classes
+//   - for each class its name, CoreTime and WallTime in microseconds, and Samples
+//   - a CRC-32 (Castagnoli) of all bytes before it
+//
+// Numbers after SavedAt are varints; each string follows its length as a varint.
 func (r *RunTimes) Encode() []byte {
 	record := binary.BigEndian.AppendUint64([]byte{runTimesVersion}, uint64(r.SavedAt.UnixNano()))
 	record = appendString(record, r.Machine)
@@ -65,41 +71,42 @@
 		record = appendCount(record, int64(c.WallTime/time.Microsecond))
 		record = appendCount(record, int64(c.Samples))
 	}
-	return seal(record)
+	return appendChecksum(record)
 }
 
-// appendCount adds a number as a varint; negative ones count as 0.
+// appendCount appends n as a varint, or 0 if n is negative.
 func appendCount(b []byte, n int64) []byte { return binary.AppendUvarint(b, uint64(max(n, 0))) }
 
-// DecodeRunTimes reads a record that Encode made.
+// DecodeRunTimes decodes a record made by RunTimes.Encode. The error wraps ErrBadRecord if the record is not valid.
 func DecodeRunTimes(record []byte) (*RunTimes, error) {
-	body, err := openSealed(record, minRunTimesBytes, runTimesVersion, runTimesRecord)
+	body, err := verifyRecord(record, minRunTimesBytes, runTimesVersion, runTimesLabel)
 	if err != nil {
 		return nil, err
 	}
-	runTimes := &RunTimes{SavedAt: decodeTime(body[runTimesSavedAt:])}
-	fields := reader{rest: body[runTimesMachineAt:]}
+	runTimes := &RunTimes{SavedAt: decodeTime(body[runTimesSavedAtOffset:])}
+	fields := reader{rest: body[runTimesMachineOffset:]}
 	runTimes.Machine = string(fields.bytes())
 	for n := fields.length(); n > 0 && !fields.isMalformed; n-- {
 		c := ClassRunTime{Name: string(fields.bytes())}
 		c.CoreTime = fields.microseconds()
 		c.WallTime = fields.microseconds()
-		c.Samples = int(fields.upTo(maxMicroseconds))
+		c.Samples = int(fields.uvarint(maxMicroseconds))
 		runTimes.Classes = append(runTimes.Classes, c)
 	}
 	if !fields.isAtEnd() {
-		return nil, fmt.Errorf("%w: %s: it is cut short or goes on behind its end", ErrBadRecord, runTimesRecord)
+		return nil, fmt.Errorf("%w: %s: truncated or with trailing bytes", ErrBadRecord, runTimesLabel)
 	}
 	return runTimes, nil
 }
 
-// microseconds reads a duration.
+// microseconds reads a duration that is stored in microseconds.
 func (r *reader) microseconds() time.Duration {
-	return time.Duration(r.upTo(maxMicroseconds)) * time.Microsecond
+	return time.Duration(r.uvarint(maxMicroseconds)) * time.Microsecond
 }
 
-// WeightByAge returns the run times for a start on the machine, with fewer samples the older they are. It returns none that
-// were measured on another machine, since run times depend on its cores.
+// WeightByAge returns the run times that a server starts with on the machine. The older they are, the smaller is their number
+// of samples. It returns nil if they are older than maxRunTimesAge, were saved later than maxClockStepBack after now, or were
+// measured on another machine, since run times depend on the machine's cores. It skips classes without a core time or samples.
 func (r *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
 	age := now.Sub(r.SavedAt)
 	if age < -maxClockStepBack || age > maxRunTimesAge || machine != r.Machine {
--- a/internal/idempotency/runtimes_test.go
+++ b/internal/idempotency/runtimes_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestRunTimes decodes what was encoded, detects any flipped bit, and gives less weight to older run times.
+// TestRunTimes checks that decoding an encoded record returns the same run times, that any flipped bit is detected, and that
+// older run times have fewer samples.
 func TestRunTimes(t *testing.T) {
 	runTimes := &RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{
 		{"a", 20 * time.Millisecond, 30 * time.Millisecond, 500},
@@ -17,12 +18,12 @@
 	record := runTimes.Encode()
 	decoded, err := DecodeRunTimes(record)
 	if err != nil || !reflect.DeepEqual(decoded, runTimes) {
-		t.Fatalf("%v: %+v", err, decoded)
+		t.Fatalf("error %v, decoded %+v", err, decoded)
 	}
 	for bit := range len(record) * 8 {
 		record[bit/8] ^= 1 << (bit % 8)
 		if _, err := DecodeRunTimes(record); !errors.Is(err, ErrBadRecord) {
-			t.Fatalf("bit %d flipped: %v", bit, err)
+			t.Fatalf("record with bit %d flipped: error %v, want ErrBadRecord", bit, err)
 		}
 		record[bit/8] ^= 1 << (bit % 8)
 	}
@@ -44,19 +45,20 @@
 			samples = append(samples, class.Samples)
 		}
 		if !reflect.DeepEqual(samples, c.samples) {
-			t.Errorf("aged %v on %s: counts as %v runs, want %v", c.age, c.machine, samples, c.samples)
+			t.Errorf("age %v on machine %s: %v samples, want %v", c.age, c.machine, samples, c.samples)
 		}
 	}
 }
 
-// FuzzDecodeRunTimes decodes any bytes without a panic.
+// FuzzDecodeRunTimes checks that decoding arbitrary bytes does not panic, and that a record that decodes survives a round
+// trip.
 func FuzzDecodeRunTimes(f *testing.F) {
 	f.Add((&RunTimes{SavedAt: start, Machine: "m", Classes: []ClassRunTime{{"a", time.Second, time.Second, 1}}}).Encode())
 	f.Fuzz(func(t *testing.T, record []byte) {
 		if runTimes, err := DecodeRunTimes(record); err == nil {
 			runTimes.WeightByAge(start, "m")
 			if decoded, err := DecodeRunTimes(runTimes.Encode()); err != nil || !reflect.DeepEqual(decoded, runTimes) {
-				t.Errorf("%v: %+v, want %+v", err, decoded, runTimes)
+				t.Errorf("error %v, decoded %+v, want %+v", err, decoded, runTimes)
 			}
 		}
 	})
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// trackedEntry is an Entry with its places in the table's indices.
+// trackedEntry is an Entry with its positions in the table's indexes.
 type trackedEntry struct {
 	Entry
 	heapIndex   int
-	evictionSeq uint64 // of its response in the eviction queue; 0 where it has none
-	size        int64
-	// replaced is the entry that an intent replaced. If the intent is aborted, attempts of the earlier run may still come.
+	evictionSeq uint64 // sequence number of its response in the eviction queue; 0 if it is not queued
+	size        int64  // estimated size of its record in bytes
+	// replaced is the entry that this intent replaced, without its response; nil if there was none. It is restored when the
+	// intent is aborted, since late attempts of the earlier request may still arrive.
 	replaced *Entry
 }
 
-// Table is the state of all keys that are kept. It has no lock: it belongs to the server's goroutine.
+// Table holds the entries of all keys until Expire removes them. It has no lock: only the server's goroutine may use it.
 type Table struct {
 	Counters Counters
 
@@ -20,13 +21,13 @@
 	entries  map[Key]*trackedEntry
 	byExpiry expiryHeap
 
-	// Eviction.
-	evictionQueue   []evictionSlot // completed entries, oldest first
+	// Size and eviction.
+	evictionQueue   []evictionSlot // responses of completed entries, oldest first
 	lastEvictionSeq uint64
-	usedBytes       int64
+	usedBytes       int64 // estimated size of all records
 	evictableBytes  int64 // the part of usedBytes that eviction can free
 
-	// The disk.
+	// Disk state.
 	diskState    DiskState
 	nextProbe    time.Time
 	probeBackoff time.Duration
@@ -37,7 +38,7 @@
 	return &Table{limits: limits, entries: map[Key]*trackedEntry{}}
 }
 
-// Load adds a record that was read at the start. If it has expired, the next Expire removes it.
+// Load adds a record that was read from the store at startup. If it has expired, a later call of Expire removes it.
 func (t *Table) Load(name string, value []byte) error {
 	e, err := DecodeEntry(name, value)
 	if err != nil {
@@ -56,13 +57,13 @@
 	return list
 }
 
-// Size returns the number of keys and an estimate of the bytes of their records.
+// Size returns the number of keys and the estimated size of their records in bytes.
 func (t *Table) Size() (keys int, bytes int64) { return len(t.entries), t.usedBytes }
 
-// DiskState reports whether the last writes to the disk succeeded.
+// DiskState returns whether the last writes to the disk succeeded.
 func (t *Table) DiskState() DiskState { return t.diskState }
 
-// Begin records the intent to run a request and returns the changes that have to be durable before it runs.
+// Begin records the intent to run a request and returns the changes that must be durable before the request runs.
 func (t *Table) Begin(e Entry) []Change {
 	e.State, e.Response = Intent, Response{}
 	intent := &trackedEntry{Entry: e}
@@ -74,7 +75,7 @@
 	return append(t.evictToFit(), Change{e.Key.RecordName(), intent.Encode()})
 }
 
-// Complete records the response of a run, to be replayed to retries, and returns the changes to write.
+// Complete records the response of a run, which is replayed to retries, and returns the changes to write.
 func (t *Table) Complete(key Key, response Response) []Change {
 	entry := t.entries[key]
 	if entry == nil {
@@ -87,14 +88,14 @@
 	t.enqueueForEviction(entry)
 	t.Counters.Completed++
 	changes := t.evictToFit()
-	if entry.State == Completed { // a response larger than the limit was evicted by evictToFit, and its change is among those
+	if entry.State == Completed { // else evictToFit evicted this response, too large for the limit, and returned the change
 		changes = append(changes, Change{key.RecordName(), entry.Encode()})
 	}
 	return changes
 }
 
-// Abort reverts an intent whose request did not run after all, and returns the change to write. The key gets back its earlier
-// entry, if it had one.
+// Abort reverts an intent whose request did not run and returns the change to write. It restores the entry that the intent
+// replaced, if there was one.
 func (t *Table) Abort(key Key) []Change {
 	e := t.entries[key]
 	if e == nil {
@@ -108,15 +109,15 @@
 	return []Change{{Name: key.RecordName()}}
 }
 
-// RevertIntent reverts an intent that could not be written. Its request does not run, so the key gets back its earlier entry,
-// which is still the one on the disk.
+// RevertIntent reverts an intent that could not be written and whose request therefore does not run. It restores the entry
+// that the intent replaced, if there was one. There is no change to write: the disk still has that entry.
 func (t *Table) RevertIntent(key Key) {
 	if e := t.entries[key]; e != nil && e.State == Intent {
 		t.revert(e)
 	}
 }
 
-// revert removes an entry and restores the one that it replaced.
+// revert removes an entry and restores the entry that it replaced, if there was one.
 func (t *Table) revert(e *trackedEntry) {
 	t.remove(e)
 	if e.replaced != nil {
