--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package faultfs wraps a file layer with the faults of a disk: one that stalls periodically and one that is full for a while.
-// Scenarios and measurements use it; the programs that serve do not link it.
+// Package faultfs wraps a file system and injects the faults of a disk that stalls periodically or is full for a while.
+// Scenarios and measurements use it; the production servers do not link it.
 package faultfs
 
 import (
@@ -12,22 +12,23 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// Profile is the faults of a disk; the zero value has none.
+// Profile describes the faults of a disk. The zero value has no faults.
 type Profile struct {
-	StallTime      time.Duration // how long each stall lasts
-	StallInterval  time.Duration // from the start of one stall to that of the next
-	FullMarkerFile string        // the disk is full while a file of this name exists; "" is never
+	StallTime      time.Duration // duration of each stall; 0 disables stalls
+	StallInterval  time.Duration // time from the start of one stall to the start of the next
+	FullMarkerFile string        // the disk is full while a file with this path exists; "" means never
 }
 
-// Validate reports the first value that makes no sense.
+// Validate returns an error if StallTime is negative or not shorter than StallInterval.
 func (p Profile) Validate() error {
 	if p.StallTime < 0 || p.StallTime > 0 && p.StallInterval <= p.StallTime {
-		return fmt.Errorf("sickdisk: a disk that stands still for %v every %v, want it to go on in between", p.StallTime, p.StallInterval)
+		return fmt.Errorf("faultfs: a disk that stalls for %v every %v, want it to go on in between", p.StallTime, p.StallInterval)
 	}
 	return nil
 }
 
-// remainingStall returns how long a call waits that comes at a time since the start.
+// remainingStall returns how long a call must wait that arrives at a time, counted from the start. Each interval begins with
+// a stall.
 func (p Profile) remainingStall(at time.Duration) time.Duration {
 	if p.StallTime <= 0 {
 		return 0
@@ -35,7 +36,7 @@
 	return max(p.StallTime-at%p.StallInterval, 0)
 }
 
-// isFull tells whether the disk has no space now.
+// isFull reports whether the disk is full now.
 func (p Profile) isFull() bool {
 	if p.FullMarkerFile == "" {
 		return false
@@ -44,7 +45,7 @@
 	return err == nil
 }
 
-// allocatesSpace tells whether an operation fails on a full disk.
+// allocatesSpace reports whether an operation fails on a full disk.
 func allocatesSpace(op errorfs.Op) bool {
 	switch op {
 	case errorfs.OpCreate, errorfs.OpFileWrite, errorfs.OpFileWriteAt, errorfs.OpFilePreallocate, errorfs.OpMkdirAll, errorfs.OpReuseForRewrite:
@@ -53,7 +54,9 @@
 	return false
 }
 
-// Wrap gives a file layer the faults. Operations that write wait during a stall.
+// Wrap returns a file system that adds the faults to fsys. During a stall, operations that modify the file system wait until
+// the stall ends. While the disk is full, operations that allocate space fail with ENOSPC. Stalls are timed from the call of
+// Wrap.
 func Wrap(fsys vfs.FS, profile Profile) vfs.FS {
 	start := time.Now()
 	return errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, _ string) error {
--- a/internal/faultfs/faultfs_test.go
+++ b/internal/faultfs/faultfs_test.go
@@ -11,21 +11,22 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// TestStalls has the disk stall at the start of each interval.
+// TestStalls checks that the disk stalls at the start of each interval, and that Validate rejects a stall as long as the
+// interval.
 func TestStalls(t *testing.T) {
 	profile := Profile{StallTime: 100 * time.Millisecond, StallInterval: time.Second}
 	for at, want := range map[time.Duration]time.Duration{0: 100 * time.Millisecond, 40 * time.Millisecond: 60 * time.Millisecond,
 		100 * time.Millisecond: 0, 999 * time.Millisecond: 0, 5*time.Second + 90*time.Millisecond: 10 * time.Millisecond} {
 		if got := profile.remainingStall(at); got != want {
-			t.Errorf("at %v it stalls for %v, want %v", at, got, want)
+			t.Errorf("stall remaining at %v is %v, want %v", at, got, want)
 		}
 	}
 	if (Profile{StallTime: time.Second, StallInterval: time.Second}).Validate() == nil || profile.Validate() != nil {
-		t.Error("a profile that makes no sense is accepted, or another is not")
+		t.Error("Validate accepts an invalid profile or rejects a valid one")
 	}
 }
 
-// TestFull has operations that allocate space fail while the marker file exists, and others go on.
+// TestFull checks that operations that allocate space fail while the marker file exists, and that others succeed.
 func TestFull(t *testing.T) {
 	fsys, marker := vfs.NewMem(), filepath.Join(t.TempDir(), "full")
 	disk := Wrap(fsys, Profile{FullMarkerFile: marker})
@@ -43,15 +44,15 @@
 		t.Fatal(err)
 	}
 	if err := create(); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("a new file on a full disk: %v", err)
+		t.Errorf("creating a file on a full disk: error %v, want ENOSPC", err)
 	}
 	if err := disk.Remove("new"); err != nil {
-		t.Errorf("a file removed: %v", err)
+		t.Errorf("removing a file on a full disk: %v", err)
 	}
 	if err := os.Remove(marker); err != nil {
 		t.Fatal(err)
 	}
 	if err := create(); err != nil {
-		t.Errorf("a new file once there is space: %v", err)
+		t.Errorf("creating a file after the disk has space again: %v", err)
 	}
 }
--- a/internal/maintenance/scheduler.go
+++ b/internal/maintenance/scheduler.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Budget limits the cost of all tasks together.
+// Budget limits the total cost of all tasks.
 type Budget struct {
 	TimePerSecond  time.Duration
 	BytesPerSecond int64
 }
 
-// burstSeconds is the size of the token buckets, in seconds of the budget.
+// burstSeconds is the capacity of the token buckets: the budget of so many seconds.
 const burstSeconds = 2
 
-// Scheduler decides which task runs. The caller's clock must never go back. A Scheduler belongs to one goroutine.
+// Scheduler decides which task runs. Times passed to it must not decrease. A Scheduler is not safe for concurrent use.
 type Scheduler struct {
 	budget     Budget
-	tasks      []*taskState // by priority, the highest first
+	tasks      []*taskState // in descending order of priority
 	refilledAt time.Duration
-	timeLeft   float64 // seconds; below 0 after a run that took more than expected
+	timeLeft   float64 // in seconds; negative after a run that cost more than expected
 	bytesLeft  float64
 }
 
-// New returns a scheduler of the tasks.
+// New returns a scheduler of the tasks with full token buckets. It returns an error if a task is invalid.
 func New(budget Budget, now time.Duration, tasks ...Task) (*Scheduler, error) {
 	scheduler := &Scheduler{budget: budget, refilledAt: now}
 	scheduler.timeLeft, scheduler.bytesLeft = scheduler.capacity()
@@ -40,12 +40,12 @@
 	return scheduler, nil
 }
 
-// capacity returns the sizes of the token buckets.
+// capacity returns the capacities of the token buckets.
 func (s *Scheduler) capacity() (seconds, bytes float64) {
 	return burstSeconds * s.budget.TimePerSecond.Seconds(), burstSeconds * float64(s.budget.BytesPerSecond)
 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens that accrued since the last refill.
 func (s *Scheduler) refill(now time.Duration) {
 	elapsed := max(now-s.refilledAt, 0).Seconds()
 	s.refilledAt = max(s.refilledAt, now)
@@ -54,7 +54,8 @@
 	s.bytesLeft = min(s.bytesLeft+elapsed*float64(s.budget.BytesPerSecond), maxBytes)
 }
 
-// Next returns the name of the task to run now, or "". The task counts as running until Finish.
+// Next returns the name of the task to run now, or "" if none should run. It marks the task as running; the caller must call
+// Finish when the run ends.
 func (s *Scheduler) Next(now time.Duration, overloaded bool) string {
 	s.refill(now)
 	for _, task := range s.tasks {
@@ -72,7 +73,7 @@
 			continue
 		}
 		if !s.canAfford(task.meanCost) {
-			return "" // a task of lower priority must not use up what this one waits for
+			return "" // a task of lower priority must not use the tokens that this one waits for
 		}
 		task.isRunning = true
 		return task.Name
@@ -80,13 +81,13 @@
 	return ""
 }
 
-// canAfford reports whether the budget has enough left for a run.
+// canAfford reports whether the token buckets have enough left for a run with the expected cost.
 func (s *Scheduler) canAfford(expected Cost) bool {
 	return s.timeLeft >= expected.Duration.Seconds() && s.bytesLeft >= float64(expected.Bytes) &&
 		s.timeLeft > 0 && s.bytesLeft > 0
 }
 
-// Finish records the end of a run and charges its cost to the budget.
+// Finish records the end of a run and charges its cost to the budget. It ignores a task that is not running.
 func (s *Scheduler) Finish(name string, now time.Duration, cost Cost) {
 	s.refill(now)
 	for _, task := range s.tasks {
@@ -94,13 +95,13 @@
 			continue
 		}
 		task.finish(now, cost)
-		s.timeLeft -= cost.Duration.Seconds() // may go below 0: later runs wait for it
+		s.timeLeft -= cost.Duration.Seconds() // may become negative: later runs wait until it is refilled
 		s.bytesLeft -= float64(cost.Bytes)
 		return
 	}
 }
 
-// Stats returns the statistics of all tasks, by priority.
+// Stats returns the statistics of all tasks, in descending order of priority.
 func (s *Scheduler) Stats() []TaskStats {
 	var list []TaskStats
 	for _, task := range s.tasks {
--- a/internal/maintenance/scheduler_test.go
+++ b/internal/maintenance/scheduler_test.go
@@ -8,36 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// usage is what the tasks of a test used.
+// usage is the cost of the tasks of a test.
 type usage struct {
 	budget  Budget
 	total   Cost
-	forced  Cost // of forced runs
-	biggest Cost // of one run
+	forced  Cost // of all forced runs
+	largest Cost // maximum duration and maximum bytes of a single run
 }
 
-// add adds a run.
+// add adds the cost of a run.
 func (u *usage) add(cost Cost, isForced bool) {
 	u.total = u.total.add(cost)
-	u.biggest.Duration, u.biggest.Bytes = max(u.biggest.Duration, cost.Duration), max(u.biggest.Bytes, cost.Bytes)
+	u.largest.Duration, u.largest.Bytes = max(u.largest.Duration, cost.Duration), max(u.largest.Bytes, cost.Bytes)
 	if isForced {
 		u.forced = u.forced.add(cost)
 	}
 }
 
-// check compares the usage with the budget: a burst and one run may come on top, and forced runs.
+// check fails the test if the usage exceeds the budget by more than a burst, one run and all forced runs.
 func (u *usage) check(t *rapid.T, now time.Duration) {
-	most := (now.Seconds() + burstSeconds) * u.budget.TimePerSecond.Seconds()
-	if (u.total.Duration - u.forced.Duration - u.biggest.Duration).Seconds() > most {
-		t.Fatalf("%v used after %v, %v of it forced, of %v a second", u.total.Duration, now, u.forced.Duration, u.budget.TimePerSecond)
+	maxSeconds := (now.Seconds() + burstSeconds) * u.budget.TimePerSecond.Seconds()
+	if (u.total.Duration - u.forced.Duration - u.largest.Duration).Seconds() > maxSeconds {
+		t.Fatalf("%v used after %v, %v of it by forced runs; the budget is %v per second",
+			u.total.Duration, now, u.forced.Duration, u.budget.TimePerSecond)
 	}
-	if float64(u.total.Bytes-u.forced.Bytes-u.biggest.Bytes) > (now.Seconds()+burstSeconds)*float64(u.budget.BytesPerSecond) {
-		t.Fatalf("%d bytes used after %v, %d of them forced, of %d a second", u.total.Bytes, now, u.forced.Bytes, u.budget.BytesPerSecond)
+	if float64(u.total.Bytes-u.forced.Bytes-u.largest.Bytes) > (now.Seconds()+burstSeconds)*float64(u.budget.BytesPerSecond) {
+		t.Fatalf("%d bytes used after %v, %d of them by forced runs; the budget is %d per second",
+			u.total.Bytes, now, u.forced.Bytes, u.budget.BytesPerSecond)
 	}
 }
 
-// TestBudgets runs random tasks on a virtual clock: over any time they take no more than the budget and a burst, but for
-// forced runs; none runs while the server is overloaded unless forced; none is later than its MaxInterval.
+// TestBudgets runs tasks of random cost on a virtual clock. Apart from forced runs, the tasks must never use more than the
+// budget, a burst and one run. While the server is overloaded, only forced runs may start. No task may be idle after its
+// MaxInterval has passed, and none may run again before its MinInterval has passed.
 func TestBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := Budget{
@@ -59,7 +62,7 @@
 			name := s.Next(now, overloaded)
 			for _, task := range tasks {
 				if task.MaxInterval > 0 && name == "" && now-last[task.Name] >= task.MaxInterval {
-					t.Fatalf("%s is %v late", task.Name, now-last[task.Name]-task.MaxInterval)
+					t.Fatalf("%s is not started %v after its MaxInterval", task.Name, now-last[task.Name]-task.MaxInterval)
 				}
 			}
 			if name == "" {
@@ -69,10 +72,10 @@
 			task := tasks[slices.IndexFunc(tasks, func(task Task) bool { return task.Name == name })]
 			isForced := task.MaxInterval > 0 && now-last[name] >= task.MaxInterval
 			if overloaded && !isForced {
-				t.Fatalf("%s runs while the server is overloaded", name)
+				t.Fatalf("%s starts while the server is overloaded, and the run is not forced", name)
 			}
 			if now-last[name] < task.MinInterval {
-				t.Fatalf("%s runs again after %v", name, now-last[name])
+				t.Fatalf("%s runs again after %v, before its MinInterval has passed", name, now-last[name])
 			}
 			s.Finish(name, now, cost)
 			last[name] = now
@@ -82,26 +85,27 @@
 	})
 }
 
-// TestPriorityOrder runs the task of higher priority first, and does not let a lower one starve it of the budget.
+// TestPriorityOrder checks that the task of higher priority runs first, that a task of lower priority cannot use up the budget
+// before it, and that New rejects invalid tasks.
 func TestPriorityOrder(t *testing.T) {
 	s, err := New(Budget{time.Second, 1000}, 0, Task{"low", 1, 0, 0}, Task{"high", 2, 0, 0})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := s.Next(10*time.Second, false); got != "high" {
-		t.Fatalf("%q goes first", got)
+		t.Fatalf("Next returns %q, want \"high\"", got)
 	}
 	s.Finish("high", 10*time.Second, Cost{Bytes: 2000})
 	if got := s.Next(20*time.Second, false); got != "high" {
-		t.Fatalf("%q goes first", got)
+		t.Fatalf("Next returns %q, want \"high\"", got)
 	}
 	s.Finish("high", 20*time.Second, Cost{Bytes: 2000})
 	if got := s.Next(20*time.Second+time.Millisecond, false); got != "" {
-		t.Errorf("%q runs without a budget", got)
+		t.Errorf("Next returns %q although the budget is used up", got)
 	}
 	for _, c := range []Task{{"", 1, 0, 0}, {"a", 1, time.Second, time.Millisecond}} {
 		if _, err := New(Budget{}, 0, c); err == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("New accepts the invalid task %+v", c)
 		}
 	}
 }
--- a/internal/maintenance/task.go
+++ b/internal/maintenance/task.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Task is one kind of background work and its schedule.
+// Task is one kind of background work and its schedule. Intervals are measured from the end of a run.
 type Task struct {
-	Name        string
-	Priority    int           // the higher goes first
-	MinInterval time.Duration // between two runs
-	MaxInterval time.Duration // between two runs, even while the server is overloaded or the budget is used up; 0 is no limit
+	Name        string        // unique among the tasks of a Scheduler
+	Priority    int           // a task of higher priority runs first
+	MinInterval time.Duration // minimum time between two runs
+	MaxInterval time.Duration // maximum time between two runs, even if the server is overloaded or the budget used up; 0: none
 }
 
-// Cost is the time and the I/O that a run took.
+// Cost is the time and the I/O of a run.
 type Cost struct {
 	Duration time.Duration
 	Bytes    int64
@@ -24,39 +24,39 @@
 	return Cost{c.Duration + other.Duration, c.Bytes + other.Bytes}
 }
 
-// TaskStats counts a task's runs since the start.
+// TaskStats counts a task's runs since the Scheduler was created.
 type TaskStats struct {
 	Name   string
 	Runs   uint64
-	Forced uint64 // runs at MaxInterval
-	Cost   Cost   // of all runs
+	Forced uint64 // runs that were forced by MaxInterval
+	Cost   Cost   // total of all runs
 }
 
 // meanCostWeight is the weight of the last run in the moving average of costs.
 const meanCostWeight = 0.3
 
-// taskState is a task with its history.
+// taskState is a task and its run history.
 type taskState struct {
 	Task
-	lastEnd    time.Duration
+	lastEnd    time.Duration // end of the last run; before the first run, the time at which the Scheduler was created
 	isRunning  bool
 	runs       uint64
 	forcedRuns uint64
 	totalCost  Cost
-	meanCost   Cost // exponentially weighted moving average
+	meanCost   Cost // exponentially weighted moving average, the expected cost of the next run
 }
 
-// isOverdue reports whether the task's MaxInterval has passed.
+// isOverdue reports whether the task is not running and its MaxInterval has passed.
 func (t *taskState) isOverdue(now time.Duration) bool {
 	return !t.isRunning && t.MaxInterval > 0 && now-t.lastEnd >= t.MaxInterval
 }
 
-// isDue reports whether the task's MinInterval has passed.
+// isDue reports whether the task is not running and its MinInterval has passed.
 func (t *taskState) isDue(now time.Duration) bool {
 	return !t.isRunning && now-t.lastEnd >= t.MinInterval
 }
 
-// finish records the end of a run.
+// finish records the end and the cost of a run.
 func (t *taskState) finish(now time.Duration, cost Cost) {
 	t.isRunning = false
 	t.lastEnd = now
@@ -69,13 +69,14 @@
 	t.totalCost = t.totalCost.add(cost)
 }
 
-// validate reports an invalid task; names are those of the tasks before it.
+// validate returns an error if the task is invalid. names has the names of the preceding tasks.
 func (t Task) validate(names map[string]bool) error {
 	switch {
 	case t.Name == "" || names[t.Name]:
-		return fmt.Errorf("maintenance: a task called %q, want a name of its own", t.Name)
+		return fmt.Errorf("maintenance: task name %q is empty or not unique", t.Name)
 	case t.MinInterval < 0 || t.MaxInterval != 0 && t.MaxInterval < t.MinInterval:
-		return fmt.Errorf("maintenance: %s runs every %v and has to after %v", t.Name, t.MinInterval, t.MaxInterval)
+		return fmt.Errorf("maintenance: task %s has MinInterval %v and MaxInterval %v, want 0 <= MinInterval <= MaxInterval or MaxInterval 0",
+			t.Name, t.MinInterval, t.MaxInterval)
 	}
 	return nil
 }
