--- a/cmd/catalogue-server/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -252,9 +252,9 @@
 	interpreter.WaitRuns(1)
 	old.Signal(syscall.SIGTERM)
 	successor := servertest.Start(t, program+" serve --state "+dir, interpreter, nil)
-	servertest.WaitFor(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
+	servertest.WaitFor(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the state directory") })
 	third := servertest.Start(t, program+" serve --state "+dir, interpreter, nil) // gets SIGTERM while it waits
-	servertest.WaitFor(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the folder") })
+	servertest.WaitFor(t, "the third to wait", func() bool { return strings.Contains(third.Log(), "waiting for the state directory") })
 	third.Signal(syscall.SIGTERM)
 	if status := third.WaitExit(); status != 0 {
 		t.Errorf("SIGTERM while it waits: status %d", status)
@@ -285,14 +285,14 @@
 		m := servertest.StartWithConfigName(t, program+" serve --state "+dir, interpreter, func(c map[string]any) { c["name"], c["stop_ms"] = name, 100 })
 		status := m.WaitExit()
 		lines := strings.Split(strings.TrimSpace(m.Log()), "\n")
-		if strings.Contains(lines[0], "waiting for the folder") {
+		if strings.Contains(lines[0], "waiting for the state directory") {
 			lines = lines[1:]
 		}
 		if status != 2 || len(lines) != 1 || !strings.Contains(lines[0], text) {
 			t.Errorf("status %d, want 2 and %q: %s", status, text, m.Log())
 		}
 	}
-	refused("n3", "another process uses the folder")
+	refused("n3", "another process uses the state directory")
 	server.Signal(syscall.SIGTERM)
 	server.WaitExit()
 	refused("n4", "it is n3's, not n4's")
--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -110,7 +110,7 @@
 		{"model worst testdata/small.sexp --rounds 1 --size 4 --cases 1", 0, "score 0."},
 		{"model show main.go", 3, "main.go:1: found"},
 		{"model hold --seeds 0", 2, "must be at least"},
-		{"state info /nowhere", 3, "the folder has no store"},
+		{"state info /nowhere", 3, "the state directory has no store"},
 		{"storm --daemon /nowhere", 3, "/nowhere"},
 		{"scenario list", 0, "rolling-deploy"},
 		{"scenario replay 1", 0, "drawn, seed 1"},
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _, stderr := call(t, "state", "info", dir); status != 3 || !strings.Contains(stderr, "another process uses the folder") {
-		t.Errorf("a folder in use: status %d, %s", status, stderr)
+	if status, _, stderr := call(t, "state", "info", dir); status != 3 || !strings.Contains(stderr, "another process uses the state directory") {
+		t.Errorf("a state directory in use: status %d, %s", status, stderr)
 	}
 	now := time.Now()
 	var changes []store.Change
@@ -53,7 +53,7 @@
 		{"state expire ", 0, "1 records whose window has passed are removed"},
 		{"state repair ", 0, "1 records that could not be read are removed"},
 		{"state verify ", 0, "2 records are whole, 0 are not"},
-		{"state verify /nowhere", 3, "the folder has no store"},
+		{"state verify /nowhere", 3, "the state directory has no store"},
 	} {
 		args := strings.Fields(c.args)
 		if len(args) == 2 {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -116,7 +116,7 @@
 		Server: cfg.Name,
 		Site:   cfg.Settings.IdempotencyFingerprint(),
 		OnWait: func() {
-			log.Info("waiting for the folder", zap.String("directory", path), zap.Duration("at_most_ms", maxWait))
+			log.Info("waiting for the state directory", zap.String("directory", path), zap.Duration("at_most_ms", maxWait))
 		},
 	})
 	if err != nil && signalled.Err() != nil {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/idempotency"
 )
 
-// randomEntry returns an entry whose response cannot be compressed.
+// randomEntry returns an entry with a random key. It fills body with random bytes, so that the response is not compressible.
 func randomEntry(rng *rand.Rand, body []byte) idempotency.Entry {
 	for i := range body {
 		body[i] = byte(rng.Uint32())
@@ -29,7 +29,7 @@
 	}
 }
 
-// fillStore writes so many entries, a thousand with each request, and compacts the store as an idle server does.
+// fillStore writes n entries, 1000 in each request, and compacts the store as an idle server does.
 func fillStore(b *testing.B, dir string, n int) {
 	b.Helper()
 	s, err := Open(Config{Dir: dir, Server: "n3", SiteFingerprint: "s"})
@@ -56,7 +56,7 @@
 	}
 }
 
-// readStore opens a store, reads its records, of which there must be n, and returns the bytes that it takes.
+// readStore opens a store, reads all records, checks that there are n, and returns the store's disk usage in bytes.
 func readStore(b *testing.B, dir string, n int) (size int64) {
 	b.Helper()
 	s, err := Open(Config{Dir: dir, Server: "n3", SiteFingerprint: "s"})
@@ -66,7 +66,7 @@
 	size = s.Size()
 	read := 0
 	if err := s.ForEach("", func(_, _ []byte) error { read++; return nil }); err != nil || read != n {
-		b.Fatalf("%d records, %v", read, err)
+		b.Fatalf("read %d records, error %v", read, err)
 	}
 	if err := s.Close(); err != nil {
 		b.Fatal(err)
@@ -74,7 +74,7 @@
 	return size
 }
 
-// BenchmarkRecovery opens directories with many records and reads them all.
+// BenchmarkRecovery measures opening a directory with many records and reading all of them.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkSyncs writes intents at fixed rates to a real directory, and reports the syncs that each took.
+// BenchmarkSyncs writes intents at fixed rates per second to a directory on disk and reports the number of syncs per write.
 func BenchmarkSyncs(b *testing.B) {
 	for _, rate := range []int{1, 50, 500, 5000} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -10,22 +10,23 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// FuzzIdentity parses any text as a directory's identity: an error is one of two, and an identity without an error is whole.
+// FuzzIdentity parses arbitrary text as a directory's identity. The result must be a valid identity, ErrCorrupt or
+// ErrNewerVersion.
 func FuzzIdentity(f *testing.F) {
 	f.Add([]byte(`{"version":1,"server":"n3","site":"s","secret":"AAAAAAAAAAAAAAAAAAAAAA==","made":"2026-12-01T12:00:00Z"}`))
 	f.Add([]byte(`{"version":2,"secret":7}`))
 	f.Add([]byte(`{"version":1,"secret":"AA=="}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		id, err := parseIdentity(text)
-		isWhole := id.Version == Version && len(id.Secret) == secretBytes
+		isValid := id.Version == Version && len(id.Secret) == secretBytes
 		isKnownError := errors.Is(err, ErrCorrupt) || errors.Is(err, ErrNewerVersion)
-		if err == nil && !isWhole || err != nil && !isKnownError {
+		if err == nil && !isValid || err != nil && !isKnownError {
 			t.Errorf("%+v, %v", id, err)
 		}
 	})
 }
 
-// copyFiles returns a file layer of its own with the files of a directory, each passed through damage.
+// copyFiles returns a new in-memory file system with the files of the directory /state, each passed through damage.
 func copyFiles(t testing.TB, from vfs.FS, damage func(name string, text []byte) []byte) vfs.FS {
 	t.Helper()
 	to := vfs.NewMem()
@@ -60,7 +61,7 @@
 	return to
 }
 
-// writeSample fills a store with 40 records, half of them in a table and half in a log.
+// writeSample fills a store with 40 records, about half of them in an sstable and the others in the write-ahead log.
 func writeSample(f *testing.F, fsys vfs.FS) {
 	f.Helper()
 	s := open(f, fsys)
@@ -69,7 +70,7 @@
 			f.Fatal(err)
 		}
 		if i == 20 {
-			if err := s.CompactAll(); err != nil { // half of them in a table, half in a log
+			if err := s.CompactAll(); err != nil { // moves the records so far to an sstable
 				f.Fatal(err)
 			}
 		}
@@ -79,7 +80,7 @@
 	}
 }
 
-// damage flips the bits of the mask in the byte at a place, or truncates the text there where the mask is 0.
+// damage returns the text with the bits of mask flipped in the byte at place, or truncated at place if mask is 0.
 func damage(text []byte, place int, mask byte) []byte {
 	if mask == 0 {
 		return text[:place]
@@ -89,8 +90,8 @@
 	return text
 }
 
-// FuzzFolder damages a byte of a file of a directory, or truncates the file there: opening and reading it yields the records as
-// they were written, with some missing at most, or an error. It never panics and never hangs.
+// FuzzFolder flips bits in a byte of a file of a state directory, or truncates the file there. Opening and reading the
+// directory must return an error, or records with the written values, of which some may be missing. It must not panic or hang.
 func FuzzFolder(f *testing.F) {
 	intact := vfs.NewMem()
 	writeSample(f, intact)
@@ -115,7 +116,7 @@
 			return
 		}
 		defer s.Close()
-		s.ForEach("", func(name, value []byte) error { // an error names the damage
+		s.ForEach("", func(name, value []byte) error { // an error is allowed: it reports the damage
 			if want := "value " + string(name[1:]); string(value) != want {
 				t.Errorf("%s is %q, want %q", name, value, want)
 			}
--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -12,17 +12,17 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// writeDeadline is how long a store may take to report how a write ended, far more than it needs.
+// writeDeadline is how long a store may take to report the outcome of a write, far more than it needs.
 const writeDeadline = 30 * time.Second
 
-// failingDisk is a file layer whose writes fail after so many calls.
+// failingDisk is a file system whose writes fail with cause once callsLeft is used up.
 type failingDisk struct {
 	vfs.FS
 	callsLeft atomic.Int64
 	cause     error
 }
 
-// unlimited is more calls than a test makes.
+// unlimited is a value of callsLeft that no test uses up.
 const unlimited = 1 << 40
 
 // newFailingDisk returns a disk that works until callsLeft is set.
@@ -38,7 +38,8 @@
 	return d
 }
 
-// failAndRecover has the disk fail until writes do, and work again, and returns how many writes failed.
+// failAndRecover makes the disk fail until writes fail, makes it work again, waits until a write succeeds and returns how many
+// writes failed before.
 func (d *failingDisk) failAndRecover(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) (failed int) {
 	t.Helper()
 	d.callsLeft.Store(rng.Int64N(300))
@@ -49,30 +50,30 @@
 	}
 	d.callsLeft.Store(unlimited)
 	if failed == 0 {
-		t.Fatal("a disk that fails was not noticed")
+		t.Fatal("no write failed although the disk failed")
 	}
 	for attempt := 0; !putRandom(t, s, rng, durable); attempt++ {
 		if attempt == 5 {
-			t.Fatal("the disk works, and writes fail")
+			t.Fatal("writes fail although the disk works again")
 		}
 	}
 	return failed
 }
 
-// checkDurable compares the records of a store with those that were reported as durable.
+// checkDurable checks that a store has the records that were reported as durable. An empty value in durable is not checked.
 func checkDurable(t *testing.T, s *Store, durable map[string]string, when string) {
 	t.Helper()
 	got := contents(t, s)
 	for name, value := range durable {
 		if value != "" && got[name] != value {
-			t.Fatalf("%s: %s was reported as durable and is %.20q, want %.20q", when, name, got[name], value)
+			t.Fatalf("%s: record %s was reported as durable and is %.20q, want %.20q", when, name, got[name], value)
 		}
 	}
 }
 
-// TestDiskRecovers has a disk that is full or fails from a random call to the file layer on, under enough writes for files to
-// be created and compacted: each write is reported, nothing that was reported as durable is lost, and the store writes again
-// once the disk works, without being opened anew.
+// TestDiskRecovers uses a disk that is full or fails from a random call to the file system on, under enough writes for files
+// to be created and compacted. The outcome of each write must be reported, nothing that was reported as durable may be lost,
+// and the store must write again once the disk works, without a call of Open.
 func TestDiskRecovers(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -85,19 +86,20 @@
 		for range 3 {
 			failures += disk.failAndRecover(t, s, rng, durable)
 		}
-		checkDurable(t, s, durable, fmt.Sprintf("round %d, open", round))
+		checkDurable(t, s, durable, fmt.Sprintf("round %d, before Close", round))
 		opened += int(s.Stats().Reopens)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 		s = open(t, disk)
-		checkDurable(t, s, durable, fmt.Sprintf("round %d, opened anew", round))
+		checkDurable(t, s, durable, fmt.Sprintf("round %d, after reopening", round))
 		s.Close()
 	}
-	t.Logf("%d writes failed, %d times the database was opened again", failures, opened)
+	t.Logf("%d writes failed, the database was reopened %d times", failures, opened)
 }
 
-// putRandom writes a record, and notes in durable what was reported: after a failure either value may be there.
+// putRandom writes a record and reports whether the write succeeded. It sets the record in durable to the new value, or to ""
+// if the write failed: the store may then have either value.
 func putRandom(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) bool {
 	t.Helper()
 	name := fmt.Sprint("k", rng.IntN(50))
@@ -116,7 +118,7 @@
 		}
 		return err == nil
 	case <-time.After(writeDeadline):
-		t.Fatal("the end of a write is not reported")
+		t.Fatal("the outcome of a write was not reported before writeDeadline")
 		return false
 	}
 }
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -12,43 +12,44 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// engine is one opening of a directory's database. Pebble does not continue after a failed write: it may call Fatalf to end
-// the process, or block with its locks held. So all work that may write runs on a goroutine that can be abandoned, a failed
-// engine is detached from the disk, and another replaces it once the disk works again.
+// engine is an open Pebble database. Pebble does not continue after a failed write: it may call Fatalf to end the process, or
+// block while it holds its locks. Therefore all work that may write runs on a goroutine that can be abandoned, a failed engine
+// is detached from the disk, and a new engine replaces it once the disk works again.
 type engine struct {
 	db     *pebble.DB
-	failed chan struct{} // closed by the first failure, which is in err
+	failed chan struct{} // closed on the first failure
 
 	mu       sync.Mutex
-	err      error
-	detached bool // every call to the disk fails from now on
+	err      error // the first failure
+	detached bool  // whether every call to the disk fails
 }
 
-// The share of a small server's memory that the database may take.
+// Limits that bound the memory and the open files of the database, since the server may have little memory.
 const (
 	cacheBytes    = 1 << 20
 	memTableBytes = 512 << 10
-	memTables     = 4
-	openFiles     = 32
+	maxMemTables  = 4
+	maxOpenFiles  = 32
 )
 
 const (
-	// closeTimeout is how long to wait for an engine or the writer to end.
+	// closeTimeout is how long to wait for an engine to close, or for the writer to finish.
 	closeTimeout = 500 * time.Millisecond
-	// hungWriteAfter is how long a write may take before the disk is probed, to distinguish a hung engine from a stalled disk.
-	hungWriteAfter = 5 * time.Second
-	// maxL0Files is how many files may wait for compaction before writes stall. It is so high that they never do: compaction
-	// speeds up reads, and the store reads only at the start.
+	// hungWriteTimeout is how long a write may take before the disk is probed, to distinguish a hung engine from a stalled disk.
+	hungWriteTimeout = 5 * time.Second
+	// maxL0Files is the number of files waiting for compaction at which Pebble stalls writes. It is too high to be reached:
+	// compaction only speeds up reads, and the store reads only at startup.
 	maxL0Files = 1 << 20
 )
 
-// lockedByStore is a file layer whose directory the store itself has locked, for longer than one engine lasts.
-type lockedByStore struct{ vfs.FS }
+// lockedFS is a file system whose Lock does nothing, since the Store already holds the directory's lock. The Store keeps the
+// lock when it replaces an engine.
+type lockedFS struct{ vfs.FS }
 
 // Lock implements vfs.FS.
-func (lockedByStore) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (lockedFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-// openEngine opens the database of a directory that is locked.
+// openEngine opens the database of a directory. The caller must hold the directory's lock.
 func openEngine(config Config) (*engine, error) {
 	opened := &engine{failed: make(chan struct{})}
 	cache := pebble.NewCache(cacheBytes)
@@ -67,25 +68,25 @@
 	return opened, nil
 }
 
-// options returns the options for Pebble.
+// options returns the Pebble options of the engine.
 func (e *engine) options(config Config, cache *pebble.Cache) *pebble.Options {
 	disk := errorfs.Wrap(config.FS, errorfs.InjectorFunc(e.checkAttached))
 	return &pebble.Options{
-		FS:                          lockedByStore{disk},
+		FS:                          lockedFS{disk},
 		Logger:                      e,
 		ReadOnly:                    config.ReadOnly,
 		ErrorIfNotExists:            config.ReadOnly,
 		Cache:                       cache,
-		MaxOpenFiles:                openFiles,
+		MaxOpenFiles:                maxOpenFiles,
 		MemTableSize:                memTableBytes,
-		MemTableStopWritesThreshold: memTables,
+		MemTableStopWritesThreshold: maxMemTables,
 		DisableAutomaticCompactions: true,
 		MaxConcurrentCompactions:    func() int { return 1 },
 		L0StopWritesThreshold:       maxL0Files,
 	}
 }
 
-// checkAttached fails all calls to the disk of an engine that was detached.
+// checkAttached returns errDetached if the engine was detached. It is called before each call to the disk.
 func (e *engine) checkAttached(errorfs.Op, string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,10 +102,11 @@
 // Errorf implements pebble.Logger. It discards the message, since failures are returned as errors.
 func (e *engine) Errorf(string, ...interface{}) {}
 
-// Fatalf implements pebble.Logger. It must not return, and its caller may hold Pebble's locks, so the goroutine is abandoned.
+// Fatalf implements pebble.Logger. It records the failure and blocks forever: it must not return, and since its caller may hold
+// Pebble's locks, the goroutine is abandoned.
 func (e *engine) Fatalf(format string, args ...interface{}) {
 	for _, arg := range args {
-		if err, ok := arg.(error); ok { // unlike the message, the cause works with errors.Is
+		if err, ok := arg.(error); ok { // unlike the formatted message, the cause works with errors.Is
 			e.fail(err)
 		}
 	}
@@ -112,7 +114,7 @@
 	select {}
 }
 
-// fail records the first failure.
+// fail records the first failure and closes e.failed. Later failures are ignored.
 func (e *engine) fail(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -122,14 +124,15 @@
 	}
 }
 
-// detach fails all calls to the disk from now on, so that an abandoned goroutine cannot disturb the next engine.
+// detach makes all further calls to the disk fail, so that an abandoned goroutine cannot interfere with the next engine.
 func (e *engine) detach() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.detached = true
 }
 
-// runAbandonable runs work, which may write, and returns once it is done or the engine failed.
+// runAbandonable runs work on a new goroutine and returns its error. If the engine fails before work ends, it abandons the
+// goroutine and returns the engine's failure.
 func (e *engine) runAbandonable(work func() error) error {
 	done := make(chan error, 1)
 	go func() {
@@ -146,7 +149,7 @@
 	}
 }
 
-// recoverPanic turns a panic into a failure. Pebble panics on violated invariants, which corruption may cause.
+// recoverPanic turns a panic into a failure of the engine. Pebble panics on violated invariants, which corruption may cause.
 func (e *engine) recoverPanic() {
 	reason := recover()
 	if reason == nil {
@@ -159,13 +162,14 @@
 	e.fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
 }
 
-// withDB runs work on the database, as runAbandonable does.
+// withDB calls runAbandonable with the engine's database.
 func (e *engine) withDB(work func(db *pebble.DB) error) error {
 	return e.runAbandonable(func() error { return work(e.db) })
 }
 
-// writeWithTimeout is withDB, but abandons a write that does not end although a probe of the disk does: Pebble may hang
-// after a write that failed. While the disk itself stalls, it waits.
+// writeWithTimeout is like withDB, but probes the disk if work takes longer than timeout. If the probe ends before work does,
+// the engine counts as failed and the write is abandoned: Pebble may hang after a failed write. While the disk itself stalls,
+// the probe does not end, and writeWithTimeout waits for the write.
 func (e *engine) writeWithTimeout(work func(db *pebble.DB) error, probe func() error, timeout time.Duration) error {
 	written := make(chan error, 1)
 	go func() { written <- e.withDB(work) }()
@@ -180,12 +184,12 @@
 	case err := <-written:
 		return err
 	case err := <-probed:
-		e.fail(cmp.Or(err, errWriteHung)) // the engine is replaced even if the write ended just now
+		e.fail(cmp.Or(err, errWriteHung)) // the engine is replaced even if the write ends at this moment
 		return <-written
 	}
 }
 
-// close ends an engine, or detaches it where that takes too long.
+// close closes the database. If that takes longer than closeTimeout, it detaches the engine and returns errDiskStalled.
 func (e *engine) close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- e.withDB((*pebble.DB).Close) }()
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -10,33 +10,33 @@
 	"syscall"
 )
 
-// The errors of opening a directory. They are wrapped with the directory's name and the details.
+// Errors returned by Open. They are wrapped with the directory's name and details.
 var (
-	ErrInUse        = errors.New("store: another process uses the folder")
-	ErrForeign      = errors.New("store: the folder is another server's")
-	ErrNewerVersion = errors.New("store: the folder is of a newer version")
-	ErrCorrupt      = errors.New("store: the folder is damaged")
-	ErrNoStore      = errors.New("store: the folder has no store")
+	ErrInUse        = errors.New("store: another process uses the state directory")
+	ErrForeign      = errors.New("store: the state directory belongs to another server or site")
+	ErrNewerVersion = errors.New("store: the state directory has a newer format version")
+	ErrCorrupt      = errors.New("store: the state directory is damaged")
+	ErrNoStore      = errors.New("store: the state directory has no store")
 )
 
-// The errors of Write.
+// Errors returned by Write.
 var (
-	ErrBusy   = errors.New("store: too much waits to be written")
-	ErrClosed = errors.New("store: it is closed")
+	ErrBusy   = errors.New("store: too many bytes are waiting to be written")
+	ErrClosed = errors.New("store: the store is closed")
 )
 
-// The errors of engines, which reach callers as the reason that a write failed.
+// Errors of engines. Callers get them as the reason why an operation failed.
 var (
-	errDetached     = errors.New("store: cut off after a failure")
-	errDiskStalled  = errors.New("store: the disk stands still")
-	errTooManyStuck = errors.New("store: it failed too often to be taken up again")
-	errWriteHung    = errors.New("store: a write does not end, though the disk takes others down")
+	errDetached     = errors.New("store: the database is closed, or detached from the disk after a failure")
+	errDiskStalled  = errors.New("store: the disk is stalled")
+	errTooManyStuck = errors.New("store: the database is not reopened: too many failed instances of it have not closed")
+	errWriteHung    = errors.New("store: a write hangs although the disk completes other writes")
 )
 
-// pebbleLockHeld is the error text of Pebble's in-process lock, which has no error value to compare with.
+// pebbleLockHeld is a part of the error text of Pebble's in-process lock, which has no error value to compare with.
 const pebbleLockHeld = "lock held by current process"
 
-// openError classifies why a directory could not be opened.
+// openError wraps the reason why a directory could not be opened. An unknown reason counts as ErrCorrupt.
 func openError(dir string, err error) error {
 	switch {
 	case isLockConflict(dir, err):
@@ -49,8 +49,8 @@
 	return fmt.Errorf("%s: %w: %w", dir, ErrCorrupt, err)
 }
 
-// isLockConflict reports whether an error means that another process has the directory's lock. EACCES may also mean missing
-// permissions, so the lock itself is tested.
+// isLockConflict reports whether an error means that the directory is locked, by another process or by another Store of this
+// one. EACCES may also mean missing permissions, so in that case the lock itself is tested.
 func isLockConflict(dir string, err error) bool {
 	return errors.Is(err, syscall.EAGAIN) ||
 		errors.Is(err, syscall.EACCES) && isLockedByOther(dir) ||
--- a/internal/store/hung_write_test.go
+++ b/internal/store/hung_write_test.go
@@ -10,24 +10,24 @@
 	"github.com/cockroachdb/pebble"
 )
 
-// TestHungWrite has a write never end: on a disk that works, and on one that fails, it is abandoned, so that another
-// engine replaces this one; while the disk itself stalls the write is waited for.
+// TestHungWrite checks that a write that never ends is abandoned, on a disk that works and on one that fails, so that a new
+// engine can replace this one. While the disk itself stalls, writeWithTimeout must wait for the write.
 func TestHungWrite(t *testing.T) {
 	const timeout = time.Millisecond
 	for _, disk := range []error{nil, syscall.ENOSPC} {
 		e := &engine{failed: make(chan struct{})}
 		err := e.writeWithTimeout(func(*pebble.DB) error { select {} }, func() error { return disk }, timeout)
 		if want := cmp.Or(disk, errWriteHung); !errors.Is(err, want) {
-			t.Errorf("a write that does not end: %v, want %v", err, want)
+			t.Errorf("write that never ends: error %v, want %v", err, want)
 		}
 	}
 	e := &engine{failed: make(chan struct{})}
-	slow := make(chan struct{})
-	stalledProbe := func() error { // until the write went on
-		close(slow)
+	probeStarted := make(chan struct{})
+	stalledProbe := func() error { // lets the write end and never returns
+		close(probeStarted)
 		select {}
 	}
-	if err := e.writeWithTimeout(func(*pebble.DB) error { <-slow; return nil }, stalledProbe, timeout); err != nil {
-		t.Errorf("a write on a disk that stalled: %v", err)
+	if err := e.writeWithTimeout(func(*pebble.DB) error { <-probeStarted; return nil }, stalledProbe, timeout); err != nil {
+		t.Errorf("write on a stalled disk: %v", err)
 	}
 }
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -10,26 +10,26 @@
 	"github.com/cockroachdb/pebble"
 )
 
-// Version is the version of the format that this package writes, and the newest it reads.
+// Version is the format version that this package writes, and the newest that it reads.
 const Version = 1
 
-// identityKey is the name of the directory's own record.
+// identityKey is the database key of the directory's identity.
 const identityKey = "\x00identity"
 
-// secretBytes is the length of a directory's secret.
+// secretBytes is the length of a directory's secret in bytes.
 const secretBytes = 16
 
-// Identity says which server and site a directory belongs to.
+// Identity identifies the server and the site that a directory belongs to.
 type Identity struct {
 	Version         int    `json:"version"`
 	Server          string `json:"server"`
 	SiteFingerprint string `json:"site"` // of the site's classes with idempotency keys and their windows
-	// Secret keys the hashes of request bodies, so that no sender can predict one.
+	// Secret keys the hashes of request bodies, so that a sender cannot predict a hash.
 	Secret    []byte    `json:"secret"`
 	CreatedAt time.Time `json:"made"`
 }
 
-// newSecret draws a directory's secret.
+// newSecret returns a random secret for a new directory.
 func newSecret() ([]byte, error) {
 	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
@@ -38,7 +38,7 @@
 	return secret, nil
 }
 
-// parseIdentity reads an identity. Of one with a newer version only the version is read.
+// parseIdentity decodes and validates an identity. If its version is newer, nothing but the version is checked.
 func parseIdentity(text []byte) (Identity, error) {
 	var id Identity
 	err := json.Unmarshal(text, &id)
@@ -46,14 +46,16 @@
 	case id.Version > Version:
 		return id, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, id.Version, Version)
 	case err != nil:
-		return id, fmt.Errorf("%w: its identity: %w", ErrCorrupt, err)
+		return id, fmt.Errorf("%w: invalid identity: %w", ErrCorrupt, err)
 	case id.Version < 1 || len(id.Secret) != secretBytes:
-		return id, fmt.Errorf("%w: its identity: version %d, a secret of %d bytes, want 1 and %d", ErrCorrupt, id.Version, len(id.Secret), secretBytes)
+		return id, fmt.Errorf("%w: invalid identity: version %d and a secret of %d bytes, want version 1 and %d bytes",
+			ErrCorrupt, id.Version, len(id.Secret), secretBytes)
 	}
 	return id, nil
 }
 
-// loadIdentity reads the directory's identity and compares it with the configuration. A new directory gets one.
+// loadIdentity reads the directory's identity and checks its owner. It writes an identity to a new directory, unless the
+// directory is opened read-only.
 func (s *Store) loadIdentity() error {
 	dir := s.config.Dir
 	text, closer, err := s.engine.db.Get([]byte(identityKey))
@@ -72,7 +74,8 @@
 	return s.checkOwner()
 }
 
-// checkOwner compares the directory's server and site with those of the configuration, where that names them.
+// checkOwner returns an error if the directory belongs to another server or site than the configuration names. A server or
+// site that the configuration leaves empty is not checked.
 func (s *Store) checkOwner() error {
 	dir, id, want := s.config.Dir, s.identity, s.config
 	if want.Server != "" && id.Server != want.Server {
@@ -113,7 +116,7 @@
 	return nil
 }
 
-// checkEmpty reports a directory that has records and no identity: the identity was lost, so its owner is unknown.
+// checkEmpty returns ErrCorrupt if a directory without an identity has records: the identity was lost, so the owner is unknown.
 func (s *Store) checkEmpty() error {
 	dir := s.config.Dir
 	it, err := s.engine.db.NewIter(nil)
@@ -125,12 +128,13 @@
 		return fmt.Errorf("%s: store: %w", dir, err)
 	}
 	if hasRecords {
-		return fmt.Errorf("%s: %w: it has records and no identity", dir, ErrCorrupt)
+		return fmt.Errorf("%s: %w: it has records but no identity", dir, ErrCorrupt)
 	}
 	return nil
 }
 
-// syncParent makes a new directory's entry in its parent survive a power cut; Pebble syncs only what is in the directory.
+// syncParent syncs the parent directory, so that the entry of a new directory survives a power cut. Pebble syncs only the
+// contents of the directory.
 func (s *Store) syncParent() error {
 	fs := s.config.FS
 	parent, err := fs.OpenDir(fs.PathDir(s.config.Dir))
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// registerOp is one operation on one record: a write of a value, or a read where it is nil.
+// registerOp is an operation on a record: a write of value, or a read if value is nil.
 type registerOp struct {
 	name  string
 	value []byte
 }
 
-// registerModel is a map of registers, each checked on its own.
+// registerModel models the store as one register per record. Each register is checked separately.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -60,8 +60,8 @@
 	return string(got)
 }
 
-// TestLinearizable has many goroutines write and read concurrently, over restarts: the history must be one that a map under a
-// lock could have had.
+// TestLinearizable reads and writes concurrently from several goroutines, over several restarts. The history must be
+// linearizable: a map protected by a lock could have produced it.
 func TestLinearizable(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -98,6 +98,6 @@
 		}
 	}
 	if result := porcupine.CheckOperationsTimeout(registerModel, history, time.Minute); result != porcupine.Ok {
-		t.Errorf("%d operations: %v", len(history), result)
+		t.Errorf("linearizability check of %d operations: %v", len(history), result)
 	}
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -7,16 +7,16 @@
 	"github.com/cockroachdb/pebble"
 )
 
-// recordPrefix begins the database keys of all records but the directory's own.
+// recordPrefix is the first byte of the database keys of all records. The key of the identity does not have it.
 const recordPrefix = 'u'
 
-// minCompactBytes is how much has to lie in files that were never rewritten before a compaction is worth it.
+// minCompactBytes is the total size of files that were never compacted from which Compact runs a compaction.
 const minCompactBytes = 1 << 20
 
-// recordKey returns the database's key of a record.
+// recordKey returns the database key of a record.
 func recordKey(name string) []byte { return append([]byte{recordPrefix}, name...) }
 
-// prefixEnd returns the first key behind all that begin with the prefix, or nil where there is none.
+// prefixEnd returns the smallest key that is greater than all keys with the prefix, or nil if there is none.
 func prefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// ForEach calls visit with all records whose names begin with the prefix, in the order of names, until it returns an error.
-// The bytes are valid during the call only.
+// ForEach calls visit for each record whose name begins with the prefix, in the order of names. It stops at the first error and
+// returns it. The slices passed to visit are valid only during the call.
 func (s *Store) ForEach(prefix string, visit func(name, value []byte) error) error {
 	lower := recordKey(prefix)
 	return s.withDB(func(db *pebble.DB) error {
@@ -47,7 +47,7 @@
 	})
 }
 
-// Get returns one record, or nil where there is none.
+// Get returns the value of a record, or nil if there is no such record.
 func (s *Store) Get(name string) (value []byte, err error) {
 	err = s.withDB(func(db *pebble.DB) error {
 		stored, closer, err := db.Get(recordKey(name))
@@ -66,8 +66,9 @@
 	return value, nil
 }
 
-// Compact rewrites all records without the removed ones, where much was written since the last time, and returns how many
-// bytes that was. Automatic compaction is off: when it may run is up to the caller.
+// Compact rewrites all records and drops the removed ones, if at least minCompactBytes are in files written since the last
+// compaction. It returns the size of these files, or 0 if it did nothing. Automatic compaction is off: the caller decides when
+// a compaction may run.
 func (s *Store) Compact() (bytes int64, err error) {
 	err = s.withDB(func(db *pebble.DB) error {
 		if bytes = db.Metrics().Levels[0].Size; bytes < minCompactBytes {
@@ -82,10 +83,10 @@
 	return bytes, nil
 }
 
-// CompactAll is Compact however little was written.
+// CompactAll is like Compact, but does not depend on how much was written.
 func (s *Store) CompactAll() error { return s.withDB(compact) }
 
-// compact rewrites all records.
+// compact compacts the key range of all records.
 func compact(db *pebble.DB) error {
 	if err := db.Compact([]byte{0}, []byte{0xff, 0xff}, false); err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -93,9 +94,9 @@
 	return nil
 }
 
-// Size returns about how many bytes the directory takes, or 0 while its database has failed.
+// Size returns the approximate disk usage of the directory in bytes, or 0 while its database has failed.
 func (s *Store) Size() (size int64) {
-	s.withDB(func(db *pebble.DB) error { // 0 stands for the error, too
+	s.withDB(func(db *pebble.DB) error { // the error is ignored: the result is 0
 		metrics := db.Metrics()
 		size = int64(metrics.DiskSpaceUsage())
 		return nil
--- a/internal/store/reopen.go
+++ b/internal/store/reopen.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxStuckEngines is how many engines may fail without ending. Each holds on to about a megabyte.
+	// maxStuckEngines is how many failed engines that have not closed are tolerated. Each retains about a megabyte of memory.
 	maxStuckEngines = 8
-	// probeBytes is how much a disk has to take before the database is opened again.
+	// probeBytes is how many bytes a probe writes: a disk must store them before the database is reopened.
 	probeBytes = 2 * memTableBytes
-	// probeName is the file that a probe writes.
+	// probeName is the name of the file that a probe writes.
 	probeName = "probe"
 )
 
-// withDB runs work on the current engine's database.
+// withDB runs work on the current engine's database, or returns errDetached if there is none.
 func (s *Store) withDB(work func(db *pebble.DB) error) error {
 	s.mu.RLock()
 	current := s.engine
@@ -27,8 +27,9 @@
 	return current.withDB(work)
 }
 
-// currentEngine returns the engine to write with. Where the last one failed, it opens another if the disk works again. That
-// may take long, so no lock is held meanwhile; only the writer's goroutine calls this, so no other opens one.
+// currentEngine returns the engine to write with. If the last one failed, it probes the disk and, if the disk works again,
+// opens a new engine. That may take long, so s.mu is not held meanwhile. No other goroutine opens an engine at the same time,
+// because only the writer's goroutine calls currentEngine.
 func (s *Store) currentEngine() (*engine, error) {
 	s.mu.RLock()
 	current, stuck := s.engine, s.stuckEngines
@@ -46,7 +47,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.stuckEngines++ // it may be half open, and hold memory
+		s.stuckEngines++ // it may be partly open and retain memory
 		return nil, err
 	}
 	s.engine = reopened
@@ -54,7 +55,7 @@
 	return reopened, nil
 }
 
-// abandonEngine detaches an engine that failed, and closes it in the background.
+// abandonEngine detaches a failed engine and closes it in the background.
 func (s *Store) abandonEngine(failed *engine) {
 	failed.detach()
 	s.mu.Lock()
@@ -64,21 +65,22 @@
 	}
 	s.engine = nil
 	s.stuckEngines++
-	go s.endAbandoned(failed)
+	go s.closeAbandoned(failed)
 }
 
-// endAbandoned closes an abandoned engine. If that never returns, the engine stays counted as stuck.
-func (s *Store) endAbandoned(failed *engine) {
+// closeAbandoned closes an abandoned engine. If the close never returns or panics, the engine stays counted as stuck.
+func (s *Store) closeAbandoned(failed *engine) {
 	defer func() {
 		recover() // the engine's failure was reported already
 	}()
-	failed.db.Close() // its error is of no interest for the same reason
+	failed.db.Close() // the error is ignored for the same reason
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stuckEngines--
 }
 
-// probeDisk checks that a disk that failed can store what opening the database needs.
+// probeDisk writes, syncs and removes a file of probeBytes, to check that a disk that failed can store as much as opening the
+// database needs.
 func (s *Store) probeDisk() error {
 	fs := s.config.FS
 	path := fs.PathJoin(s.config.Dir, probeName)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,38 +13,38 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// Config is how a directory is opened.
+// Config describes how a state directory is opened.
 type Config struct {
 	Dir             string
-	Server          string // that the directory must belong to; "" is any
-	SiteFingerprint string // of the site that the directory must belong to; "" is any
-	Machine         string // on which it is open
+	Server          string // the server that the directory must belong to; "" means any
+	SiteFingerprint string // fingerprint of the site that the directory must belong to; "" means any
+	Machine         string // identifies the machine on which the directory is opened
 	ReadOnly        bool
-	FS              vfs.FS // nil is the disk
+	FS              vfs.FS // nil means vfs.Default, the file system of the operating system
 }
 
-// Store is an open directory. Its methods may be called from any goroutine.
+// Store is an open state directory. Its methods are safe for concurrent use.
 type Store struct {
 	config   Config
 	lock     io.Closer
 	identity Identity
-	writer   *writer // nil where the directory is read only
+	writer   *writer // nil if the directory is opened read-only
 
 	mu           sync.RWMutex
 	engine       *engine // nil after a failure, until the disk works again
-	stuckEngines int     // that failed and did not end
+	stuckEngines int     // number of failed engines that have not closed
 }
 
-// lockName is the file in a directory whose lock keeps other processes out.
+// lockName is the name of the file in a directory whose lock excludes other processes.
 const lockName = "LOCK"
 
-// manifestPrefix begins the names of Pebble's manifests; a directory without one has no database.
+// manifestPrefix is the prefix of the names of Pebble's manifests. A directory without a manifest has no database.
 const manifestPrefix = "MANIFEST-"
 
-// openRetryInterval is how often a directory that another process uses is tried again.
+// openRetryInterval is the interval at which OpenWait retries to open a directory that another process uses.
 const openRetryInterval = 20 * time.Millisecond
 
-// Open opens a directory. It creates one that does not exist, unless it is opened read only.
+// Open opens a directory and locks it until Close. It creates a directory that does not exist, unless config.ReadOnly is set.
 func Open(config Config) (*Store, error) {
 	if config.FS == nil {
 		config.FS = vfs.Default
@@ -67,7 +67,7 @@
 	return opened, nil
 }
 
-// prepareDirectory makes sure that there is a directory to lock.
+// prepareDirectory creates the directory, or if it is opened read-only, checks that it has a store.
 func prepareDirectory(config Config) error {
 	if config.ReadOnly {
 		if !hasStore(config) {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// hasStore reports whether a directory has a store.
+// hasStore reports whether a directory has a store, which always has a manifest.
 func hasStore(config Config) bool {
 	names, err := config.FS.List(config.Dir)
 	return err == nil && slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, manifestPrefix) })
@@ -94,14 +94,14 @@
 		return err
 	}
 	if err := s.loadIdentity(); err != nil {
-		s.engine.close() // the caller needs the reason above, whatever this returns
+		s.engine.close() // its error is ignored: the caller needs the one above
 		return err
 	}
 	return nil
 }
 
-// OpenWait is Open, but waits for another process that uses the directory until the context ends: the process before this one
-// may still drain. It calls waiting once before it waits.
+// OpenWait is like Open, but while another process uses the directory, it retries until ctx is done: the previous process may
+// still be draining. It calls waiting once before it waits.
 func OpenWait(ctx context.Context, config Config, waiting func()) (*Store, error) {
 	opened, err := Open(config)
 	if !errors.Is(err, ErrInUse) {
@@ -113,7 +113,7 @@
 	for errors.Is(err, ErrInUse) {
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w, still at the end of the wait", err)
+			return nil, fmt.Errorf("%w; gave up waiting", err)
 		case <-retry.C:
 			opened, err = Open(config)
 		}
@@ -121,17 +121,17 @@
 	return opened, err
 }
 
-// Identity returns which server and site the directory belongs to.
+// Identity returns the directory's identity.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Machine identifies the machine on which the directory is open.
+// Machine returns Config.Machine, which identifies the machine on which the directory is open.
 func (s *Store) Machine() string { return s.config.Machine }
 
 // Secret returns the directory's secret, which keys the hashes of request bodies.
 func (s *Store) Secret() []byte { return s.identity.Secret }
 
-// Close writes the pending changes and releases the directory. It does not wait long for a stalled disk, so
-// changes that were not reported as durable may be lost.
+// Close writes the pending changes, closes the database and releases the directory's lock. It waits at most closeTimeout for
+// the writer and as long for the database, so on a stalled disk, changes that were not reported as durable may be lost.
 func (s *Store) Close() error {
 	var err error
 	if s.writer != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,15 +19,15 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// powerCuts is how many power cuts TestPowerCuts plays; docs/design/state.md has what more showed.
-var powerCuts = flag.Int("cuts", 150, "how many power cuts are played")
+// powerCuts is the number of power cuts of TestPowerCuts; docs/design/state.md has the results of runs with more.
+var powerCuts = flag.Int("cuts", 150, "number of power cuts to simulate")
 
-// config is that of the tests' directory.
+// config returns the configuration of the tests' directory on a file system.
 func config(fsys vfs.FS) Config {
 	return Config{Dir: "/state", Server: "n3", SiteFingerprint: "s", FS: fsys}
 }
 
-// open opens the directory of the tests.
+// open opens the tests' directory.
 func open(t testing.TB, fsys vfs.FS) *Store {
 	t.Helper()
 	s, err := Open(config(fsys))
@@ -37,7 +37,7 @@
 	return s
 }
 
-// contents returns all records.
+// contents returns all records of a store.
 func contents(t testing.TB, s *Store) map[string]string {
 	t.Helper()
 	m := map[string]string{}
@@ -47,7 +47,7 @@
 	return m
 }
 
-// write writes changes and waits until they are durable.
+// write writes changes, waits for the outcome and returns it.
 func write(s *Store, changes ...Change) error {
 	done := make(chan error, 1)
 	if err := s.Write(changes, func(err error) { done <- err }); err != nil {
@@ -56,8 +56,8 @@
 	return <-done
 }
 
-// tails returns the bytes of the directory's logs, including those that were never synced.
-func tails(t testing.TB, fsys *vfs.MemFS) map[string][]byte {
+// readLogs returns the bytes of the directory's write-ahead logs by name, including bytes that were never synced.
+func readLogs(t testing.TB, fsys *vfs.MemFS) map[string][]byte {
 	t.Helper()
 	names, err := fsys.List("/state")
 	if err != nil {
@@ -70,7 +70,7 @@
 		}
 		f, err := fsys.Open(fsys.PathJoin("/state", name))
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // it was removed meanwhile, behind the writer
+			continue // the database has removed it in the background
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -83,12 +83,13 @@
 	return logs
 }
 
-// sector is the unit that a disk writes atomically, in bytes; sectors may be written in any order.
-const sector = 512
+// sectorBytes is the unit that a disk writes atomically, in bytes; sectors may be written in any order.
+const sectorBytes = 512
 
-// tear keeps a part of the unsynced bytes, as a disk does that was writing at the power cut: a prefix, sometimes with
-// sectors missing before its end or a flipped bit. It returns how many logs it tore.
-func tear(t testing.TB, fsys *vfs.MemFS, before map[string][]byte, rng *rand.Rand) int {
+// tearLogs restores a part of the logs' unsynced bytes, as if the disk had been writing at the power cut: a prefix, sometimes
+// with sectors missing before its end or with a flipped bit. before has the logs' bytes at the power cut. It returns how many
+// logs it tore.
+func tearLogs(t testing.TB, fsys *vfs.MemFS, before map[string][]byte, rng *rand.Rand) int {
 	t.Helper()
 	torn := 0
 	for name, content := range before {
@@ -100,8 +101,8 @@
 		lost := append([]byte(nil), content[info.Size():]...)
 		lost = lost[:rng.IntN(len(lost)+1)]
 		if rng.IntN(3) == 0 {
-			for from := 0; from < len(lost); { // to the next border of a sector of the file
-				to := min(from+sector-int(info.Size()+int64(from))%sector, len(lost))
+			for from := 0; from < len(lost); { // up to the next sector boundary of the file
+				to := min(from+sectorBytes-int(info.Size()+int64(from))%sectorBytes, len(lost))
 				if rng.IntN(2) == 0 {
 					clear(lost[from:to])
 				}
@@ -127,7 +128,7 @@
 	return torn
 }
 
-// randomChanges returns changes of up to three records, as a list and by name.
+// randomChanges returns random changes of up to three records, as a list and as a map from name to value; "" is a removal.
 func randomChanges(rng *rand.Rand) ([]Change, map[string]string) {
 	byName := map[string]string{}
 	var list []Change
@@ -146,44 +147,47 @@
 	return list, byName
 }
 
-// writeLog is what was written to a store, and what of it was reported as durable.
-type writeLog struct {
+// writeHistory tracks the requests that were written to a store and which of them were reported as durable.
+type writeHistory struct {
 	mu         sync.Mutex
-	durable    map[string]string   // records as of the requests that were reported
-	unreported []map[string]string // requests that were not, in order
+	durable    map[string]string   // records after the requests that were reported as durable
+	unreported []map[string]string // requests whose outcome was not reported, in order
 }
 
-// writeRandom writes a request.
-func (l *writeLog) writeRandom(t *testing.T, s *Store, rng *rand.Rand) {
+// writeRandom writes a request with random changes.
+func (h *writeHistory) writeRandom(t *testing.T, s *Store, rng *rand.Rand) {
 	t.Helper()
 	list, changes := randomChanges(rng)
-	l.mu.Lock()
-	l.unreported = append(l.unreported, changes)
-	l.mu.Unlock()
+	h.mu.Lock()
+	h.unreported = append(h.unreported, changes)
+	h.mu.Unlock()
 	err := s.Write(list, func(err error) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if err == nil { // requests are written in order
-			apply(l.durable, l.unreported[0])
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		if err == nil { // requests are written and reported in order, so this is the first unreported one
+			apply(h.durable, h.unreported[0])
 		}
-		l.unreported = l.unreported[1:]
+		h.unreported = h.unreported[1:]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// cutPower lets nothing be synced from here on. It returns what was reported and what was not, and the bytes of the logs.
-func (l *writeLog) cutPower(t *testing.T, fsys *vfs.MemFS) (durable map[string]string, unreported []map[string]string, logs map[string][]byte) {
+// cutPower makes the file system ignore all further syncs. It returns the records that were reported as durable, the requests
+// that were not reported, and the bytes of the logs.
+func (h *writeHistory) cutPower(t *testing.T, fsys *vfs.MemFS) (
+	durable map[string]string, unreported []map[string]string, logs map[string][]byte,
+) {
 	t.Helper()
-	l.mu.Lock() // nothing is reported meanwhile
-	defer l.mu.Unlock()
+	h.mu.Lock() // prevents reports meanwhile
+	defer h.mu.Unlock()
 	fsys.SetIgnoreSyncs(true)
-	return maps.Clone(l.durable), append([]map[string]string(nil), l.unreported...), tails(t, fsys)
+	return maps.Clone(h.durable), append([]map[string]string(nil), h.unreported...), readLogs(t, fsys)
 }
 
-// TestPowerCuts cuts the power at random points of random writes: what was reported as durable is there after it, other
-// requests are there whole or not at all, and nothing else is.
+// TestPowerCuts cuts the power at random points of random writes. Afterwards the store must have all requests that were
+// reported as durable, each other request completely or not at all, and nothing else.
 func TestPowerCuts(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -194,9 +198,9 @@
 	for cut := range *powerCuts {
 		s := open(t, fsys)
 		if got := contents(t, s); !maps.Equal(got, durable) {
-			t.Fatalf("cut %d: %d records instead of %d", cut, len(got), len(durable))
+			t.Fatalf("cut %d: %d records after reopening, want the same %d records as before", cut, len(got), len(durable))
 		}
-		writes := &writeLog{durable: durable}
+		writes := &writeHistory{durable: durable}
 		for range rng.IntN(20) {
 			writes.writeRandom(t, s, rng)
 			if rng.IntN(3) == 0 {
@@ -207,24 +211,24 @@
 		s.Close()
 		fsys.ResetToSyncedState()
 		fsys.SetIgnoreSyncs(false)
-		torn += tear(t, fsys, logs, rng)
+		torn += tearLogs(t, fsys, logs, rng)
 		s = open(t, fsys)
 		got := contents(t, s)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		// What was reported is there, and of the rest a prefix, each request whole.
+		// The records must be the result of all reported requests and a prefix of the unreported ones, each applied completely.
 		durable = reported
 		for n := 0; !maps.Equal(got, durable); n++ {
 			if n == len(unreported) {
-				t.Fatalf("cut %d: what is there is no beginning of what was written: %d records", cut, len(got))
+				t.Fatalf("cut %d: the store does not have the state after a prefix of the requests: %d records", cut, len(got))
 			}
 			apply(durable, unreported[n])
 			kept++
 		}
 		dropped += len(unreported)
 	}
-	t.Logf("%d cuts, %d logs torn, %d requests open of which %d were durable", *powerCuts, torn, dropped, kept)
+	t.Logf("%d power cuts, %d logs torn, %d requests unreported at a cut, of which %d were durable", *powerCuts, torn, dropped, kept)
 }
 
 // apply applies a request's changes to a map.
@@ -238,17 +242,18 @@
 	}
 }
 
-// TestErrors has each call to the file layer fail in turn, once and from there on: no panic, nothing that was reported as
-// durable is lost, and the directory opens again once the disk works.
+// TestErrors makes each call to the file system fail in turn, either only this call or this and all later ones. There must be
+// no panic in the background, nothing that was reported as durable may be lost, and the directory must open again once the
+// disk works.
 func TestErrors(t *testing.T) {
 	for _, forever := range []bool{false, true} {
 		injected := 0
 		for index := int32(0); ; index++ {
 			fsys := vfs.NewMem()
 			at := errorfs.OnIndex(index)
-			var hit atomic.Bool // files are removed in the background
+			var hit atomic.Bool // atomic because the database removes files in the background
 			durable := map[string]string{}
-			err := script(errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, path string) error {
+			err := openAndWrite(errorfs.Wrap(fsys, errorfs.InjectorFunc(func(op errorfs.Op, path string) error {
 				if hit.Load() && forever {
 					return errorfs.ErrInjected
 				}
@@ -259,36 +264,36 @@
 				return err
 			})), durable)
 			if !hit.Load() {
-				break // the script has no more calls
+				break // openAndWrite makes no more calls
 			}
 			injected++
 			if err != nil && strings.Contains(err.Error(), "\n") {
-				t.Errorf("call %d: an error of more than one line: %v", index, err)
+				t.Errorf("call %d failed: the error has more than one line: %v", index, err)
 			}
 			s, err := Open(config(fsys))
 			if err != nil {
-				t.Fatalf("call %d failed, and the folder does not open again: %v", index, err)
+				t.Fatalf("call %d failed: the directory does not open again: %v", index, err)
 			}
 			got := contents(t, s)
 			for name, value := range durable {
 				if got[name] != value {
-					t.Fatalf("call %d: %s was reported as durable and is %q", index, name, got[name])
+					t.Fatalf("call %d failed: record %s was reported as durable and is now %q", index, name, got[name])
 				}
 			}
 			s.Close()
 		}
-		t.Logf("%d calls failed, forever after %t", injected, forever)
+		t.Logf("%d calls failed in turn; all later calls failed as well: %t", injected, forever)
 		if injected < 20 {
-			t.Errorf("only %d calls of the file layer", injected)
+			t.Errorf("%d calls to the file system failed in turn, want at least 20", injected)
 		}
 	}
 }
 
-// script opens a directory and writes; durable is what was reported to be there.
-func script(fsys vfs.FS, durable map[string]string) (err error) {
+// openAndWrite opens a directory, writes six times and closes it. It adds the records that were reported as durable to durable.
+func openAndWrite(fsys vfs.FS, durable map[string]string) (err error) {
 	defer func() {
-		if r := recover(); r != nil { // Pebble ends the process where its manifest can't be written
-			err = fmt.Errorf("the store gave up: %v", r)
+		if r := recover(); r != nil { // Pebble ends the process if it cannot write its manifest
+			err = fmt.Errorf("the store panicked: %v", r)
 		}
 	}()
 	s, err := Open(config(fsys))
@@ -299,7 +304,7 @@
 		name, value := fmt.Sprint("k", i%4), fmt.Sprint("v", i)
 		if other := write(s, Change{Name: name, Value: []byte(value)}); other != nil {
 			err = errors.Join(err, other)
-			delete(durable, name) // either value may be there
+			delete(durable, name) // the store may have the old or the new value
 		} else {
 			durable[name] = value
 		}
@@ -310,17 +315,18 @@
 	return nil
 }
 
-// TestIdentity opens a directory for its own server and site only.
+// TestIdentity checks that a directory keeps its secret over a restart, that it opens only for its own server and site, and
+// that a directory without a store does not open read-only.
 func TestIdentity(t *testing.T) {
 	fsys := vfs.NewMem()
 	s := open(t, fsys)
 	secret := string(s.Secret())
 	if err := s.Close(); err != nil || len(secret) != secretBytes {
-		t.Fatalf("%v, a secret of %d bytes", err, len(secret))
+		t.Fatalf("error %v on Close, the secret has %d bytes", err, len(secret))
 	}
 	s = open(t, fsys)
 	if string(s.Secret()) != secret {
-		t.Error("the secret is another after a restart")
+		t.Error("the secret differs after a restart")
 	}
 	s.Close()
 	for _, c := range []struct {
@@ -331,12 +337,13 @@
 		with := config(fsys)
 		c.change(&with)
 		if _, err := Open(with); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v, want %v", with, err, c.want)
+			t.Errorf("opening with %+v: error %v, want %v", with, err, c.want)
 		}
 	}
 }
 
-// TestGroupCommit checks that changes that arrive during a sync are written together with the next one.
+// TestGroupCommit checks that changes that arrive during a sync are written together with the next sync, and that Write
+// rejects a request larger than maxPendingBytes.
 func TestGroupCommit(t *testing.T) {
 	s := open(t, vfs.NewMem())
 	defer s.Close()
@@ -349,9 +356,9 @@
 	}
 	written.Wait()
 	if c := s.Stats(); c.Changes != 5000 || c.Syncs > 4000 {
-		t.Errorf("%+v", c)
+		t.Errorf("stats %+v, want 5000 changes and at most 4000 syncs", c)
 	}
 	if err := s.Write([]Change{{Name: "x", Value: make([]byte, maxPendingBytes+1)}}, nil); !errors.Is(err, ErrBusy) {
-		t.Errorf("more than may be pending: %v", err)
+		t.Errorf("writing more than maxPendingBytes: error %v, want ErrBusy", err)
 	}
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -10,41 +10,41 @@
 	"tillerusher/internal/idempotency"
 )
 
-// Change is one record to be written, or removed where its value is nil.
+// Change is one record to write, or to remove if Value is nil.
 type Change = idempotency.Change
 
 const (
-	// maxPendingBytes is how many bytes may wait to be written.
+	// maxPendingBytes is the maximum size of the changes that are enqueued or being written.
 	maxPendingBytes = 4 << 20
-	// maxBatchBytes is how many bytes are written with one sync.
+	// maxBatchBytes is the maximum size of the changes that are written with one sync. A larger request gets its own sync.
 	maxBatchBytes = 256 << 10
-	// changeOverhead is about what a change takes beside its name and value.
+	// changeOverhead is an estimate of the bytes that a change takes in addition to its name and value.
 	changeOverhead = 32
 )
 
-// writeRequest is changes that are written atomically, and the function that is called with the outcome.
+// writeRequest is a list of changes that are written atomically, and a callback that receives the outcome.
 type writeRequest struct {
 	changes []Change
-	bytes   int
+	bytes   int         // estimated size of the changes
 	done    func(error) // may be nil
 }
 
-// writer is the goroutine that writes (group commit). Changes that arrive during a sync are written with the next one, so
-// the higher the load, the fewer syncs each change takes.
+// writer writes changes on its own goroutine with group commit: changes that arrive during a sync are written with the next
+// one, so the number of syncs per change falls as the load rises.
 type writer struct {
 	store *Store
 
 	mu           sync.Mutex
 	wake         *sync.Cond
 	pending      []writeRequest
-	pendingBytes int // of pending requests and of the batch that is being written
+	pendingBytes int // size of the pending requests and of the batch that is being written
 	closed       bool
 	stats        idempotency.StoreStats
 
 	done chan struct{}
 }
 
-// startWriter starts the goroutine.
+// startWriter returns a writer and starts its goroutine.
 func startWriter(s *Store) *writer {
 	w := &writer{store: s, done: make(chan struct{})}
 	w.wake = sync.NewCond(&w.mu)
@@ -52,8 +52,9 @@
 	return w
 }
 
-// Write enqueues changes that are written atomically. It never waits: done is called from the writer's goroutine once they
-// are durable or could not be written, and not at all where Write returns an error.
+// Write enqueues changes to be written atomically; it does not wait for the disk. If Write returns nil, done is called from the
+// writer's goroutine once the changes are durable or could not be written. If Write returns an error, done is not called. done
+// may be nil. The store must not be read-only.
 func (s *Store) Write(changes []Change, done func(error)) error {
 	request := writeRequest{changes: changes, done: done}
 	for _, c := range changes {
@@ -62,7 +63,7 @@
 	return s.writer.enqueue(request)
 }
 
-// enqueue adds a request, unless the writer is closed or too much is pending.
+// enqueue adds a request. It returns ErrClosed if the writer is closed, or ErrBusy if too many bytes are pending.
 func (w *writer) enqueue(request writeRequest) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,14 +79,14 @@
 	return nil
 }
 
-// Stats returns what the store did since it was opened.
+// Stats returns counters of the operations since the store was opened. The store must not be read-only.
 func (s *Store) Stats() idempotency.StoreStats {
 	s.writer.mu.Lock()
 	defer s.writer.mu.Unlock()
 	return s.writer.stats
 }
 
-// run writes until it is stopped and nothing is pending.
+// run writes batches until the writer is closed and nothing is pending.
 func (w *writer) run() {
 	defer close(w.done)
 	for {
@@ -105,7 +106,8 @@
 	}
 }
 
-// nextBatch waits for requests and takes as many as one sync may write, at least one. It returns nil at the end.
+// nextBatch waits for requests and removes from the queue as many as one sync may write, at least one. It returns nil once the
+// writer is closed and nothing is pending.
 func (w *writer) nextBatch() (batch []writeRequest, bytes int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,7 +127,7 @@
 	return batch, bytes
 }
 
-// commit writes a batch with one sync.
+// commit writes a batch with one sync. If the write fails, it abandons the engine.
 func (w *writer) commit(batch []writeRequest) error {
 	current, err := w.store.currentEngine()
 	if err != nil {
@@ -136,7 +138,7 @@
 		changes += uint64(len(request.changes))
 	}
 	write := func(db *pebble.DB) error { return writeBatch(db, batch) }
-	if err := current.writeWithTimeout(write, w.store.probeDisk, hungWriteAfter); err != nil {
+	if err := current.writeWithTimeout(write, w.store.probeDisk, hungWriteTimeout); err != nil {
 		w.store.abandonEngine(current)
 		return fmt.Errorf("store: %w", err)
 	}
@@ -147,14 +149,14 @@
 	return nil
 }
 
-// countReopen counts an engine that took the place of one that failed.
+// countReopen counts an engine that replaced a failed one.
 func (w *writer) countReopen() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Reopens++
 }
 
-// writeBatch writes a batch's changes atomically.
+// writeBatch writes all changes of a batch atomically and syncs them.
 func writeBatch(db *pebble.DB, batch []writeRequest) error {
 	dbBatch := db.NewBatch()
 	for _, request := range batch {
@@ -170,7 +172,7 @@
 	return dbBatch.Close()
 }
 
-// addChange adds one change to a batch.
+// addChange adds one change to a database batch.
 func addChange(batch *pebble.Batch, c Change) error {
 	key := recordKey(c.Name)
 	if c.Value == nil {
@@ -179,7 +181,8 @@
 	return batch.Set(key, c.Value, nil)
 }
 
-// stop ends the writing once everything pending is written, or the disk stalls for too long.
+// stop closes the writer and waits until everything pending is written. It returns errDiskStalled if that takes longer than
+// closeTimeout.
 func (w *writer) stop() error {
 	w.mu.Lock()
 	w.closed = true
