--- a/internal/capture/arrivals.go
+++ b/internal/capture/arrivals.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ReadArrivals returns the times at which first attempts reached the machine in a capture, counted from the first of them,
-// for load tests and simulations to replay. Times that would go back are raised to the one before.
+// ReadArrivals returns the times at which the first attempts of a capture reached the machine, for load tests and simulations
+// to replay. The times are relative to the first one and never decrease: a time before its predecessor is replaced by it.
+// ReadArrivals returns an error if the capture has no first attempts.
 func ReadArrivals(path string) ([]time.Duration, error) {
 	segments, _, err := Open(path)
 	if err != nil {
@@ -25,7 +26,7 @@
 		}
 	}
 	if len(arrivals) == 0 {
-		return nil, fmt.Errorf("%s: found no requests, want some whose arrivals can be played", path)
+		return nil, fmt.Errorf("%s: capture has no first attempts, want at least one", path)
 	}
 	first := arrivals[0]
 	for i := range arrivals {
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -12,74 +12,76 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// Version is the version of the format that this package writes, and the newest it reads.
+// Version is the segment format version that this package writes, and the newest that it reads.
 const Version = 1
 
-// magic begins every segment; the version follows in two bytes.
+// magic is the first bytes of every segment. The version follows in two bytes.
 const magic = "tilcap"
 
 const preambleSize = len(magic) + 2
 
-// ErrNewerVersion reports a segment of a version that this program does not know.
+// ErrNewerVersion is returned for a segment whose format version is newer than Version.
 var ErrNewerVersion = errors.New("capture: written by a newer version")
 
-// ErrNotCapture reports a file that is no segment.
+// ErrNotCapture is returned for a file that is not a segment or has no readable meta, and for a directory without segment
+// files.
 var ErrNotCapture = errors.New("capture: not a capture")
 
-// errChecksum reports a block whose stored bytes are damaged.
+// errChecksum is returned for a block whose stored content does not match its checksum. Its text is a value of Damage.Reason.
 var errChecksum = errors.New("checksum differs")
 
-// blockKind is the kind of a block's content. The values are stored.
+// blockKind is the kind of a block's content. The values are part of the format.
 type blockKind uint8
 
 const (
-	blockMeta     blockKind = 1 + iota // Meta as JSON, the first block
-	blockSnapshot                      // the module's state, the second block
+	blockMeta     blockKind = 1 + iota // Meta as JSON; the first block
+	blockSnapshot                      // the module's state; the second block
 	blockRecords
-	blockEnd // empty: the last block of a segment that was closed in order
+	blockEnd // empty; the last block of a segment that was closed normally
 )
 
-// blockMarker begins every block, so that the next one can be found behind a damaged one.
+// blockMarker is the first bytes of every block. The parser searches for it to find the next block after damage.
 var blockMarker = [4]byte{0xf5, 'B', 'L', 'K'}
 
-// The fields of a block's header, little-endian, by their offset. The three bytes behind the kind are zero.
+// Offsets of the fields in a block header. The fields are little-endian. The three bytes after the kind are zero.
 const (
 	headerKindAt           = 4
-	headerStoredSizeAt     = 8  // of the compressed content
-	headerRawSizeAt        = 12 // of the content
-	headerFirstRecordAt    = 16 // number of the first record
-	headerBaseTimeAt       = 24 // time of the event before it, in nanoseconds
-	headerUnixTimeAt       = 32 // in nanoseconds
-	headerStoredChecksumAt = 40 // of the compressed content
-	headerChecksumAt       = 44 // of the header before this field
+	headerStoredSizeAt     = 8  // size of the compressed content in bytes
+	headerRawSizeAt        = 12 // size of the uncompressed content in bytes
+	headerFirstRecordAt    = 16 // number of the first record within the run
+	headerBaseTimeAt       = 24 // module's clock at the event before the block, in nanoseconds
+	headerUnixTimeAt       = 32 // nanoseconds since the Unix epoch
+	headerStoredChecksumAt = 40 // CRC-32C of the compressed content
+	headerChecksumAt       = 44 // CRC-32C of the preceding header fields
 
 	blockHeaderSize = headerChecksumAt + 4
 )
 
-// maxRawSize bounds a block, so that a damaged length cannot ask for all memory.
+// maxRawSize limits the uncompressed size of a block, so that a damaged size field cannot cause a huge allocation.
 const maxRawSize = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// blockHeader is the header of a block.
+// blockHeader is the decoded header of a block. Its checksums are not kept.
 type blockHeader struct {
 	kind        blockKind
-	storedSize  int           // of the content as it is stored, compressed
-	rawSize     int           // of the content
-	firstRecord uint64        // number of its first record, counted over all segments of a run
-	baseTime    time.Duration // the module's clock at the event before it
-	unixTime    time.Time     // when the block was begun
+	storedSize  int           // of the compressed content, in bytes
+	rawSize     int           // of the uncompressed content, in bytes
+	firstRecord uint64        // number of the first record within the run, over all its segments
+	baseTime    time.Duration // module's clock at the event before the block
+	unixTime    time.Time     // wall clock when the block was started
 }
 
-// size returns the bytes of the whole block.
+// size returns the size of the header and the compressed content in bytes.
 func (h blockHeader) size() int { return blockHeaderSize + h.storedSize }
 
-// appendPreamble begins a segment.
+// appendPreamble appends the magic and the version with which a segment starts.
 func appendPreamble(b []byte) []byte {
 	return binary.LittleEndian.AppendUint16(append(b, magic...), Version)
 }
 
-// readPreamble checks that the bytes begin a segment that can be read.
+// readPreamble checks that b starts with the preamble of a segment in a supported version. It returns ErrNotCapture or an
+// error that wraps ErrNewerVersion if not.
 func readPreamble(b []byte) error {
 	if len(b) < preambleSize || string(b[:len(magic)]) != magic {
 		return ErrNotCapture
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// appendBlock compresses the content and adds it as a block. The sizes in the header are set from the content.
+// appendBlock compresses the content and appends it to dst as a block. It sets the sizes in the header.
 func appendBlock(dst []byte, header blockHeader, content []byte) []byte {
 	start := len(dst)
 	dst = append(dst, make([]byte, blockHeaderSize)...)
@@ -105,7 +107,7 @@
 	return dst
 }
 
-// write sets the bytes of a header.
+// write encodes h into the first bytes of header. stored is the compressed content, which the header has a checksum of.
 func (h blockHeader) write(header, stored []byte) {
 	order := binary.LittleEndian
 	copy(header, blockMarker[:])
@@ -119,7 +121,7 @@
 	order.PutUint32(header[headerChecksumAt:], crc32.Checksum(header[:headerChecksumAt], castagnoli))
 }
 
-// readBlockHeader reads the header at the start of the bytes; ok is false where there is no intact one.
+// readBlockHeader decodes the header at the start of block; ok reports whether it is intact and its sizes are valid.
 func readBlockHeader(block []byte) (header blockHeader, ok bool) {
 	if len(block) < blockHeaderSize || !bytes.Equal(block[:len(blockMarker)], blockMarker[:]) {
 		return blockHeader{}, false
@@ -139,7 +141,8 @@
 	return header, header.rawSize <= maxRawSize && header.storedSize <= s2.MaxEncodedLen(header.rawSize)
 }
 
-// readBlockContent checks and decompresses the content of the block that begins the bytes.
+// readBlockContent verifies and decompresses the content of the block at the start of block, which must have header.size()
+// bytes or more. The texts of its errors are values of Damage.Reason.
 func readBlockContent(header blockHeader, block []byte) ([]byte, error) {
 	stored := block[blockHeaderSize:header.size()]
 	if crc32.Checksum(stored, castagnoli) != binary.LittleEndian.Uint32(block[headerStoredChecksumAt:]) {
--- a/internal/capture/codec_test.go
+++ b/internal/capture/codec_test.go
@@ -15,7 +15,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// loadTestRecords returns those of a real load test.
+// loadTestRecords returns the segment captured during a load test, and its records.
 func loadTestRecords(b *testing.B) (*Segment, []Record) {
 	b.Helper()
 	s, err := ReadSegment("../replay/testdata/overload.capture")
@@ -25,7 +25,8 @@
 	return s, readRecords(b, s, nil)
 }
 
-// BenchmarkCompression compares compressions of a load test's blocks: bytes a second, and the share that is left.
+// BenchmarkCompression compares compression algorithms on a block of a load test's records: throughput in uncompressed bytes,
+// and the compressed share as the metric left.
 func BenchmarkCompression(b *testing.B) {
 	s, records := loadTestRecords(b)
 	last := s.Meta.ModuleTime
@@ -35,7 +36,7 @@
 	}
 	raw = raw[:min(len(raw), maxBlockSize)]
 	dst := make([]byte, 2*len(raw))
-	zstdOf := func(level zstd.EncoderLevel) func() int {
+	newZstdCompressor := func(level zstd.EncoderLevel) func() int {
 		e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(level), zstd.WithEncoderConcurrency(1))
 		if err != nil {
 			b.Fatal(err)
@@ -50,7 +51,7 @@
 		"snappy":       func() int { return len(snappy.Encode(dst, raw)) },
 		"s2":           func() int { return len(s2.Encode(dst, raw)) },
 		"s2-better":    func() int { return len(s2.EncodeBetter(dst, raw)) },
-		"zstd-fastest": zstdOf(zstd.SpeedFastest), "zstd-default": zstdOf(zstd.SpeedDefault),
+		"zstd-fastest": newZstdCompressor(zstd.SpeedFastest), "zstd-default": newZstdCompressor(zstd.SpeedDefault),
 		"flate-1": func() int {
 			var out bytes.Buffer
 			fast.Reset(&out)
@@ -70,19 +71,19 @@
 	}
 }
 
-// BenchmarkEncoding compares serializations of a load test's records: time and bytes a record.
+// BenchmarkEncoding compares serialization formats on a load test's records: time and bytes per record.
 func BenchmarkEncoding(b *testing.B) {
 	_, records := loadTestRecords(b)
 	var out bytes.Buffer
-	own := make([]byte, 0, 1<<20)
+	encoded := make([]byte, 0, 1<<20)
 	for name, encode := range map[string]func() (int, error){
 		"own": func() (int, error) {
 			last := records[0].At
-			own = own[:0]
+			encoded = encoded[:0]
 			for i := range records {
-				own = appendRecord(own, &last, &records[i])
+				encoded = appendRecord(encoded, &last, &records[i])
 			}
-			return len(own), nil
+			return len(encoded), nil
 		},
 		"cbor": func() (int, error) { return encodeAll(&out, cbor.NewEncoder(&out), records) },
 		"gob":  func() (int, error) { return encodeAll(&out, gob.NewEncoder(&out), records) },
@@ -103,7 +104,7 @@
 	}
 }
 
-// encodeAll returns the bytes that an encoder makes of the records.
+// encodeAll encodes the records and returns the size of the result in bytes. The encoder e must write to out.
 func encodeAll(out *bytes.Buffer, e interface{ Encode(any) error }, records []Record) (int, error) {
 	out.Reset()
 	for i := range records {
@@ -114,7 +115,7 @@
 	return out.Len(), nil
 }
 
-// TestBlockOfLoadTest compresses and decompresses a block of a real load test.
+// TestBlockOfLoadTest checks that a load test's capture is unchanged after it was encoded and decoded as a block.
 func TestBlockOfLoadTest(t *testing.T) {
 	raw, err := os.ReadFile("../replay/testdata/overload.capture")
 	if err != nil {
@@ -123,9 +124,9 @@
 	b := appendBlock(nil, blockHeader{kind: blockRecords, firstRecord: 7}, raw)
 	h, ok := readBlockHeader(b)
 	if !ok || h.firstRecord != 7 || h.rawSize != len(raw) {
-		t.Fatalf("head %+v", h)
+		t.Fatalf("header %+v", h)
 	}
 	if back, err := readBlockContent(h, b); err != nil || !bytes.Equal(back, raw) {
-		t.Errorf("the content does not come back: %v", err)
+		t.Errorf("decoded content differs from the original: %v", err)
 	}
 }
--- a/internal/capture/config.go
+++ b/internal/capture/config.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Config is how a recorder writes. All sizes are in bytes.
+// Config configures a recorder. All sizes are in bytes.
 type Config struct {
-	SegmentBytes  int64         // size at which a new segment is begun
-	SegmentAge    time.Duration // age at which a new segment is begun
-	MaxBytes      int64         // of all segments of the directory together
-	BufferBytes   int           // of blocks that wait for the disk
-	FlushInterval time.Duration // longest time that a record waits to be written, while events come
+	SegmentBytes  int64         // size at which a new segment is started
+	SegmentAge    time.Duration // age at which a new segment is started
+	MaxBytes      int64         // limit on the total size of all segments in the directory
+	BufferBytes   int           // memory for the blocks that are filled or wait to be written
+	FlushInterval time.Duration // age at which a block that is not full is written; checked after each round of events
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		SegmentBytes:  8 << 20,
@@ -25,29 +25,30 @@
 	}
 }
 
-// Bounds of a configuration.
+// Limits on the values of a configuration.
 const (
 	minSegmentBytes = 4 << 10
 	minBufferBytes  = minBlocks * minBlockSize
-	minBlocks       = 8 // into which the buffer is divided
+	minBlocks       = 8 // minimum number of blocks into which the buffer is divided
 	minBlockSize    = 2 * maxRecordSize
 	maxBlockSize    = 64 << 10
 )
 
-// minMaxBytes returns the least MaxBytes: the segment that is written and the one before it must fit.
+// minMaxBytes returns the minimum valid MaxBytes: the current segment and the previous one must fit.
 func (c Config) minMaxBytes() int64 { return 2 * (c.SegmentBytes + int64(c.BufferBytes)) }
 
-// Validate reports the first invalid value.
+// Validate returns an error for the first invalid value.
 func (c Config) Validate() error {
 	switch {
 	case c.SegmentBytes < minSegmentBytes:
-		return fmt.Errorf("capture: a segment of %d bytes, want at least %d", c.SegmentBytes, minSegmentBytes)
+		return fmt.Errorf("capture: segment size is %d bytes, want at least %d", c.SegmentBytes, minSegmentBytes)
 	case c.MaxBytes < c.minMaxBytes():
-		return fmt.Errorf("capture: %d bytes are kept, want at least twice a segment and the memory, %d", c.MaxBytes, c.minMaxBytes())
+		return fmt.Errorf("capture: limit on all segments is %d bytes, want at least %d: twice the segment size and the buffer size",
+			c.MaxBytes, c.minMaxBytes())
 	case c.BufferBytes < minBufferBytes:
-		return fmt.Errorf("capture: %d bytes of memory, want at least %d", c.BufferBytes, minBufferBytes)
+		return fmt.Errorf("capture: buffer size is %d bytes, want at least %d", c.BufferBytes, minBufferBytes)
 	case c.SegmentAge <= 0 || c.FlushInterval <= 0:
-		return fmt.Errorf("capture: age %v and flush %v, want more than 0", c.SegmentAge, c.FlushInterval)
+		return fmt.Errorf("capture: segment age is %v and flush interval is %v, want both to be more than 0", c.SegmentAge, c.FlushInterval)
 	}
 	return nil
 }
--- a/internal/capture/decode.go
+++ b/internal/capture/decode.go
@@ -11,20 +11,21 @@
 	"tillerusher/admission"
 )
 
-// errBadRecord reports bytes that are no record.
+// errBadRecord is returned for bytes that are not a valid record. Its text is part of values of Damage.Reason.
 var errBadRecord = errors.New("capture: not a record")
 
-// floatSize is the bytes of a float64, the longest number of fixed size.
+// floatSize is the encoded size of a float64 in bytes. It is the largest of the fixed-size fields.
 const floatSize = 8
 
-// decoder takes records from the bytes of a block. After malformed bytes all its values are zero.
+// decoder decodes records from the content of a block. After malformed input isMalformed stays true, and decoded values are
+// meaningless.
 type decoder struct {
-	rest        []byte
-	lastEvent   time.Duration
+	rest        []byte        // not decoded yet
+	lastEvent   time.Duration // time of the previous event
 	isMalformed bool
 }
 
-// next decodes one record.
+// next decodes the next record. It returns an error that wraps errBadRecord if the input is malformed.
 func (d *decoder) next(record *Record) error {
 	*record = Record{Kind: Kind(d.byte())}
 	switch {
@@ -111,7 +112,7 @@
 	}
 }
 
-// note decodes the fields of a note; a kind that is none either is unknown.
+// note decodes the fields of a note. A record of any other kind is malformed.
 func (d *decoder) note(record *Record) {
 	switch record.Kind {
 	case KindRequestNames:
@@ -125,7 +126,8 @@
 	}
 }
 
-// take returns the next bytes, or zeros where there are too few.
+// take returns the next n bytes. If there are fewer, or earlier input was malformed, it sets isMalformed and returns zeros, at
+// most floatSize of them.
 func (d *decoder) take(n int) []byte {
 	if d.isMalformed || n > len(d.rest) {
 		d.isMalformed = true
@@ -171,7 +173,7 @@
 	return string(d.take(int(n)))
 }
 
-// hex decodes what appendHex wrote.
+// hex decodes a text that appendHex encoded.
 func (d *decoder) hex() string {
 	n := d.uvarint()
 	length, isHex := n>>1, n&1 == 1
--- a/internal/capture/directory.go
+++ b/internal/capture/directory.go
@@ -12,20 +12,20 @@
 	"strings"
 )
 
-// Directory is where segments are written. Tests replace it by one that fills up, stalls or fails.
+// Directory stores segment files. Tests replace it by one that is full, stalls or fails.
 type Directory interface {
-	// Create creates a file that must not exist yet.
+	// Create creates a file. If the file exists, it returns an error that wraps fs.ErrExist.
 	Create(name string) (io.WriteCloser, error)
 	// List returns the names and sizes of all files.
 	List() (map[string]int64, error)
-	// Remove deletes a file.
+	// Remove deletes a file. If the file does not exist, it returns an error that wraps fs.ErrNotExist.
 	Remove(name string) error
 }
 
-// directoryPath is a directory of the file system.
+// directoryPath is the path of a directory in the file system.
 type directoryPath string
 
-// OpenDirectory returns a directory of the file system, and creates it where it does not exist.
+// OpenDirectory returns the directory at the path in the file system. It creates the directory if it does not exist.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -53,7 +53,7 @@
 	for _, name := range names {
 		info, err := os.Lstat(filepath.Join(string(d), name))
 		switch {
-		case errors.Is(err, fs.ErrNotExist): // removed since
+		case errors.Is(err, fs.ErrNotExist): // removed after its name was read
 		case err != nil:
 			return nil, err
 		case info.Mode().IsRegular():
@@ -66,18 +66,18 @@
 // Remove implements Directory.
 func (d directoryPath) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// segmentSuffix ends the names of segment files.
+// segmentSuffix is the suffix of segment file names.
 const segmentSuffix = ".capture"
 
-// minSegmentDigits is the least number of digits in the name of a segment file.
+// minSegmentDigits is the minimum number of digits in the name of a segment file. Smaller numbers have leading zeros.
 const minSegmentDigits = 10
 
-// segmentName returns the name of the file with the number.
+// segmentName returns the name of the segment file with the number.
 func segmentName(number int) string {
 	return fmt.Sprintf("%0*d%s", minSegmentDigits, number, segmentSuffix)
 }
 
-// segmentNumber is the inverse of segmentName; ok is false for the names of other files.
+// segmentNumber is the inverse of segmentName; ok reports whether name is the name of a segment file.
 func segmentNumber(name string) (number int, ok bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) < minSegmentDigits {
@@ -87,7 +87,7 @@
 	return number, err == nil && number > 0
 }
 
-// listSegments returns the sizes of a directory's segments by their numbers, and the numbers in order.
+// listSegments returns the sizes of a directory's segment files by number, and the numbers in ascending order.
 func listSegments(directory Directory) (sizes map[int]int64, numbers []int, err error) {
 	files, err := directory.List()
 	if err != nil {
--- a/internal/capture/encode.go
+++ b/internal/capture/encode.go
@@ -8,14 +8,14 @@
 	"tillerusher/admission"
 )
 
-// maxText bounds the texts of a record; longer ones are truncated.
+// maxText is the maximum length of a text of a record in bytes. Longer texts are truncated.
 const maxText = 1 << 10
 
-// maxRecordSize is more than the bytes of any record.
+// maxRecordSize is larger than the encoded size of any record, in bytes.
 const maxRecordSize = 2*maxText + 256
 
-// appendRecord adds the bytes of a record. Times are stored as the difference to lastEvent, the time of the event before,
-// which becomes that of this one.
+// appendRecord appends the encoded record to dst. The time of an event is stored as the difference to *lastEvent, the time of
+// the previous event; appendRecord then sets *lastEvent to the time of this event.
 func appendRecord(dst []byte, lastEvent *time.Duration, record *Record) []byte {
 	dst = append(dst, byte(record.Kind))
 	if record.Kind.IsEvent() {
@@ -29,7 +29,7 @@
 	return appendNote(dst, record)
 }
 
-// appendEvent adds the fields of an event.
+// appendEvent appends the fields of an event.
 func appendEvent(dst []byte, record *Record) []byte {
 	switch record.Kind {
 	case KindRequest:
@@ -51,7 +51,7 @@
 	return dst
 }
 
-// appendRequest adds the fields of a request.
+// appendRequest appends the fields of a request.
 func appendRequest(dst []byte, request *admission.Request) []byte {
 	dst = appendID(dst, request.ID)
 	dst = appendInt(dst, int64(request.Class))
@@ -66,7 +66,7 @@
 	return appendInt(dst, int64(request.Work))
 }
 
-// appendAction adds the fields of an action.
+// appendAction appends the fields of an action.
 func appendAction(dst []byte, record *Record) []byte {
 	switch record.Kind {
 	case KindRun, KindFail, KindSkipCall, KindStop, KindReleaseKey, KindReplayResult:
@@ -91,7 +91,7 @@
 	return dst
 }
 
-// appendNote adds the fields of a note.
+// appendNote appends the fields of a note.
 func appendNote(dst []byte, record *Record) []byte {
 	switch record.Kind {
 	case KindRequestNames:
@@ -105,7 +105,7 @@
 
 func appendID(b []byte, id admission.RequestID) []byte { return appendUint(b, uint64(id)) }
 
-// appendInt and appendUint must not be inlined, or the compiler would repeat their loops thirty times in the encoder.
+// appendInt and appendUint must not be inlined: the compiler would copy their loops into the encoder thirty times.
 //
 //go:noinline
 func appendInt(b []byte, v int64) []byte { return binary.AppendVarint(b, v) }
@@ -129,8 +129,8 @@
 	return append(appendUint(b, uint64(len(s))), s...)
 }
 
-// appendHex adds a text that is mostly hex digits. Where it is, the number is twice the length in bytes plus one, and the
-// bytes that the digits stand for follow; else it is twice the length, and the text itself follows.
+// appendHex appends a text that usually is an even number of lower-case hex digits. Such a text is stored as its decoded bytes,
+// after a uvarint of twice their number plus one. Any other text is stored unchanged, after a uvarint of twice its length.
 func appendHex(b []byte, s string) []byte {
 	s = s[:min(len(s), maxText)]
 	if len(s)%2 != 0 || !isLowerHex(s) {
@@ -143,7 +143,8 @@
 	return b
 }
 
-// isLowerHex reports whether a text consists of lower-case hex digits, which decode to the same text.
+// isLowerHex reports whether a text consists of lower-case hex digits only, so that decoding and encoding it returns the same
+// text.
 func isLowerHex(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -10,7 +10,7 @@
 	"tillerusher/admission"
 )
 
-// testSettings returns those of a server with two cores.
+// testSettings returns the module settings of a server with two cores.
 func testSettings() admission.Settings {
 	return admission.Settings{Servers: 2, Callers: 3, Cores: 2, Tick: 5 * time.Millisecond, MemoryKB: 40000, KeyKB: 50,
 		RunningMemoryFactor: 16, MaxConcurrencyFactor: 8, MaxRetryAfter: time.Second, CallerIdleTimeout: 15 * time.Second,
@@ -19,7 +19,7 @@
 		Tenants: []admission.Tenant{{Quota: 55}, {Quota: 26}}}
 }
 
-// recordedModule is a module that is recorded.
+// recordedModule is a decision module whose events and actions are recorded.
 type recordedModule struct {
 	*Recorder
 	tap *Tap
@@ -27,7 +27,7 @@
 	id  admission.RequestID
 }
 
-// startRecording starts a module and its recording.
+// startRecording creates a module and starts recording it.
 func startRecording(t testing.TB, directory Directory, config Config, reportError func(error)) *recordedModule {
 	t.Helper()
 	recorder, err := NewRecorder(directory, config, Meta{Server: "n3", Classes: []string{"look", "take"}}, time.Now, reportError)
@@ -43,7 +43,8 @@
 	return &recordedModule{Recorder: recorder, tap: tap}
 }
 
-// round is a typical round: a request arrives, an earlier one ends, and in some rounds a timer fires.
+// round passes a typical round of events to the module: a request arrives, an earlier run ends, and a timer fires in every
+// thirtieth round.
 func (m *recordedModule) round() {
 	m.now += 3 * time.Millisecond
 	m.id++
@@ -58,15 +59,15 @@
 	m.tap.Settle(m.now)
 }
 
-// smallConfig makes many small blocks and segments.
+// smallConfig returns a configuration with many small blocks and segments.
 func smallConfig() Config {
 	return Config{SegmentBytes: minSegmentBytes, SegmentAge: time.Hour, MaxBytes: 1 << 30, BufferBytes: minBufferBytes, FlushInterval: time.Hour}
 }
 
-// ignoreError is for tests that expect errors of the disk.
+// ignoreError ignores disk errors, for tests that expect them.
 func ignoreError(error) {}
 
-// faultyDirectory is a directory on a disk that can be full, or stall while a test holds the lock.
+// faultyDirectory is a directory on a disk that can be full. Writes stall while a test holds mu.
 type faultyDirectory struct {
 	Directory
 	mu     sync.Mutex
@@ -96,7 +97,7 @@
 	file      io.WriteCloser
 }
 
-// Write implements io.Writer. On a full disk it writes half.
+// Write implements io.Writer. On a full disk it writes half of p and returns errFull.
 func (f faultyFile) Write(p []byte) (int, error) {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
--- a/internal/capture/kind.go
+++ b/internal/capture/kind.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind is the kind of a record: which event, action or note it is. The values are stored.
+// Kind identifies the event, action or note of a record. The values are part of the format.
 type Kind uint8
 
 // The events of the module's interface.
@@ -37,8 +37,8 @@
 
 // The host's notes.
 const (
-	KindRequestNames Kind = 40 + iota // the Request-Id and key of the next request
-	KindAnnotation                    // anything else worth knowing of the host
+	KindRequestNames Kind = 40 + iota // the Request-Id and the idempotency key of the next request
+	KindAnnotation                    // any other information from the host
 )
 
 // kindNames are the names of kinds in text and JSON. They are part of the format: scripts select records by them.
@@ -86,14 +86,14 @@
 			return Kind(k), nil
 		}
 	}
-	return 0, fmt.Errorf("capture: no kind of record is called %q", name)
+	return 0, fmt.Errorf("capture: unknown kind of record %q", name)
 }
 
 // MarshalText implements encoding.TextMarshaler with the kind's name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// IsEvent reports whether the kind is that of an event.
+// IsEvent reports whether k is the kind of an event.
 func (k Kind) IsEvent() bool { return k >= KindRequest && k <= KindSettle }
 
-// IsAction reports whether the kind is that of an action.
+// IsAction reports whether k is the kind of an action.
 func (k Kind) IsAction() bool { return k >= KindRun && k <= KindLog }
--- a/internal/capture/meta.go
+++ b/internal/capture/meta.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Meta describes a segment. It is stored as JSON.
+// Meta describes a segment. It is stored as JSON in the first block.
 type Meta struct {
-	Server      string        `json:"server"`            // the server's name
-	Run         string        `json:"run"`               // identifies a start of the process
-	Arch        string        `json:"arch"`              // floating point may differ in the last bit on another
+	Server      string        `json:"server"`            // name of the server
+	Run         string        `json:"run"`               // identifies one start of the server process
+	Arch        string        `json:"arch"`              // floating-point results may differ in the last bit between architectures
 	Segment     int           `json:"segment"`           // number within the run, from 1
-	FirstRecord uint64        `json:"first"`             // number of its first record within the run
-	ModuleTime  time.Duration `json:"module"`            // the module's clock at its start, in nanoseconds
-	UnixTime    time.Time     `json:"unix"`              // the wall clock then
-	Classes     []string      `json:"classes"`           // names, by index
-	Tenants     []string      `json:"tenants"`           // names, by index
-	Gap         *Gap          `json:"gap,omitempty"`     // what is missing before it
-	Comment     string        `json:"comment,omitempty"` // of an excerpt
+	FirstRecord uint64        `json:"first"`             // number of the first record within the run
+	ModuleTime  time.Duration `json:"module"`            // module's clock at the start of the segment, in nanoseconds
+	UnixTime    time.Time     `json:"unix"`              // wall clock at the start of the segment
+	Classes     []string      `json:"classes"`           // class names, by index
+	Tenants     []string      `json:"tenants"`           // tenant names, by index
+	Gap         *Gap          `json:"gap,omitempty"`     // missing records before the segment
+	Comment     string        `json:"comment,omitempty"` // describes an excerpt
 }
 
-// Gap describes the records that are missing before a segment.
+// Gap is a period before a segment in which records were dropped.
 type Gap struct {
-	Records uint64        `json:"records"` // how many are missing
-	From    time.Duration `json:"from"`    // the module's clock at the first of them
+	Records uint64        `json:"records"` // dropped during the gap, without the lost blocks of an abandoned segment
+	From    time.Duration `json:"from"`    // module's clock at the start of the gap
 	Cause   string        `json:"cause"`
 }
 
-// header returns the header of a block at the segment's start.
+// header returns the header of a block at the start of the segment.
 func (m *Meta) header(kind blockKind) blockHeader {
 	return blockHeader{kind: kind, firstRecord: m.FirstRecord, baseTime: m.ModuleTime, unixTime: m.UnixTime}
 }
--- a/internal/capture/open.go
+++ b/internal/capture/open.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// UnreadableFile is a file that has a segment's name and cannot be read as one.
+// UnreadableFile is a file that has the name of a segment file but cannot be read as a segment.
 type UnreadableFile struct {
 	Path string
 	Err  error
 }
 
-// ReadSegment reads one file, as Parse does.
+// ReadSegment reads and parses a segment file. Damage and errors are those of Parse.
 func ReadSegment(path string) (*Segment, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -29,8 +29,9 @@
 	return s, nil
 }
 
-// Open reads a capture: a directory's segments in their order, or one file. Files of the directory that cannot be read are
-// returned apart; an error means that there is nothing to read.
+// Open reads a capture, which is a directory of segment files or a single one. It returns the segments of a directory in the
+// order of their file names, and separately the files that cannot be read. It returns an error if the path cannot be read, has
+// no segment files or has a segment of a newer version.
 func Open(path string) ([]*Segment, []UnreadableFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -62,13 +63,13 @@
 		}
 	}
 	if len(names) == 0 {
-		return nil, nil, fmt.Errorf("%w: no *%s in %s", ErrNotCapture, segmentSuffix, path)
+		return nil, nil, fmt.Errorf("%w: no *%s files in %s", ErrNotCapture, segmentSuffix, path)
 	}
 	return segments, unreadable, nil
 }
 
-// segmentFiles returns the names of a directory's segments in order. Unlike listSegments it takes any name with the suffix,
-// such as those of excerpts.
+// segmentFiles returns the sorted names of a directory's segment files. Unlike listSegments it accepts any name with the
+// suffix, such as the name of an excerpt.
 func segmentFiles(path string) ([]string, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
--- a/internal/capture/parse.go
+++ b/internal/capture/parse.go
@@ -6,40 +6,40 @@
 	"fmt"
 )
 
-// Reasons of damage.
+// Values of Damage.Reason.
 const (
 	reasonNoBlock  = "no block begins here"
 	reasonTornTail = "the last block is torn"
 )
 
-// Parse reads the bytes of a segment. Damaged parts are left out and listed in the segment; an error means that the bytes are
-// no segment, are of a newer version, or that not even the meta can be read.
-func Parse(text []byte) (*Segment, error) {
-	if err := readPreamble(text); err != nil {
+// Parse parses the bytes of a segment. It skips damaged parts and lists them in Segment.Damage. It returns an error if the
+// bytes are not a segment, are a segment of a newer version, or have no readable meta.
+func Parse(raw []byte) (*Segment, error) {
+	if err := readPreamble(raw); err != nil {
 		return nil, err
 	}
-	parser := segmentParser{data: text, at: preambleSize, segment: &Segment{Size: int64(len(text))}}
-	for parser.at < len(text) {
+	parser := segmentParser{data: raw, at: preambleSize, segment: &Segment{Size: int64(len(raw))}}
+	for parser.at < len(raw) {
 		if err := parser.next(); err != nil {
 			return nil, err
 		}
 	}
 	if !parser.hasMeta {
-		return nil, fmt.Errorf("%w: its description is damaged", ErrNotCapture)
+		return nil, fmt.Errorf("%w: its meta block is missing or damaged", ErrNotCapture)
 	}
 	return parser.segment, nil
 }
 
-// segmentParser reads a segment block by block.
+// segmentParser parses a segment block by block.
 type segmentParser struct {
 	data       []byte
 	at         int // offset of the next block
 	segment    *Segment
-	nextRecord uint64 // number that the next block's first record has if nothing is missing
-	hasMeta    bool
+	nextRecord uint64 // expected number of the next block's first record; another number means that records are missing
+	hasMeta    bool   // a meta block was parsed
 }
 
-// next reads the block at the current offset, or skips what is damaged there.
+// next parses the block at the current offset, or skips the damaged bytes there.
 func (p *segmentParser) next() error {
 	rest := p.data[p.at:]
 	header, ok := readBlockHeader(rest)
@@ -48,7 +48,7 @@
 		return nil
 	}
 	if header.size() > len(rest) {
-		// The block is torn, or a copy of the file lost bytes of it and another block follows.
+		// Either the end of the file is missing, or bytes of the block were lost in a copy of the file and other blocks follow.
 		p.skipDamage(1+findNextHeader(rest[1:]), fmt.Sprintf("a block of %d bytes ends early", header.size()))
 		return nil
 	}
@@ -72,7 +72,7 @@
 	switch header.kind {
 	case blockMeta:
 		if err := json.Unmarshal(content, &p.segment.Meta); err != nil {
-			return fmt.Errorf("%w: its description: %w", ErrNotCapture, err)
+			return fmt.Errorf("%w: its meta block is not valid JSON: %w", ErrNotCapture, err)
 		}
 		p.nextRecord = p.segment.Meta.FirstRecord
 		p.hasMeta = true
@@ -107,7 +107,7 @@
 	p.segment.Blocks = append(p.segment.Blocks, block)
 }
 
-// skipDamage skips so many bytes that are no block. Damage up to the end of the file is a torn block.
+// skipDamage skips size bytes that are not a block. Damage that extends to the end of the file is reported as a torn block.
 func (p *segmentParser) skipDamage(size int, reason string) {
 	if p.at+size == len(p.data) {
 		reason = reasonTornTail
@@ -116,12 +116,12 @@
 	p.at += size
 }
 
-// addDamage lists so many bytes at the current offset as damaged.
+// addDamage adds size bytes at the current offset to the damaged parts.
 func (p *segmentParser) addDamage(size int, reason string) {
 	p.segment.Damage = append(p.segment.Damage, Damage{Offset: int64(p.at), Bytes: int64(size), Reason: reason})
 }
 
-// findNextHeader returns the distance to the next intact header behind the first byte, or the length where there is none.
+// findNextHeader returns the offset of the first intact header after the first byte of data, or len(data) if there is none.
 func findNextHeader(data []byte) int {
 	for at := 1; at < len(data); at++ {
 		i := bytes.Index(data[at:], blockMarker[:])
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// retryInterval is how long a recorder waits after the disk failed before it begins a new segment.
+// retryInterval is the time after a disk error before the recorder starts a new segment.
 const retryInterval = time.Second
 
-// Causes of gaps, as segments store them.
+// Values of Gap.Cause. They are stored in segments.
 const (
 	causeSlowDisk   = "the disk is too slow"
 	causeFailedDisk = "the disk failed"
 )
 
-// Counters counts what a recorder wrote and dropped since its start.
+// Counters counts the records that a recorder wrote and dropped, its segments, bytes and disk errors, since its creation.
 type Counters struct {
-	Records           uint64 // recorded
-	Dropped           uint64 // not recorded, since the disk was slow, full or broken
-	Gaps              uint64 // stretches of dropped records
-	Segments          uint64 // begun
+	Records           uint64 // recorded and not dropped later
+	Dropped           uint64 // dropped because the disk was slow, full or failing
+	Gaps              uint64 // periods in which records were dropped
+	Segments          uint64 // started
 	WrittenBytes      uint64
-	UncompressedBytes uint64 // of what was written
+	UncompressedBytes uint64 // size of the written snapshots and records before compression
 	DiskErrors        uint64
 }
 
-// buffer is a block that is being filled, or waits to be written.
+// buffer holds a block that is being filled or waits to be written.
 type buffer struct {
 	header   blockHeader
-	meta     *Meta // of the segment that this block begins, else nil
-	records  uint64
+	meta     *Meta  // meta of the segment that this block starts; nil for other blocks
+	records  uint64 // number of records in data
 	data     []byte
-	freeList chan *buffer // to which it returns; it has room for all its buffers
+	freeList chan *buffer // receives the buffer on release; its capacity is enough for all its buffers
 }
 
-// release returns a buffer to its free list.
+// release empties the buffer and returns it to its free list.
 func (b *buffer) release() {
 	b.meta, b.records, b.data = nil, 0, b.data[:0]
 	b.freeList <- b
 }
 
-// Recorder writes records. Its methods belong to the goroutine that owns the module, and none of them waits: a record is
-// appended to a block in memory, and a goroutine writes full blocks. While no block is free, records are dropped and counted;
-// after that a new segment begins, with a snapshot of its own.
+// Recorder writes records to segments. Its methods must be called from the goroutine that owns the module. Except for Close,
+// they do not wait for the disk: the recorder appends records to a block in memory, and another goroutine writes the blocks.
+// While no block is free, the recorder drops and counts records. It then starts a new segment with a new snapshot.
 type Recorder struct {
 	config   Config
-	meta     Meta // of the current segment
+	meta     Meta // meta of the current segment
 	unixTime func() time.Time
 	writer   *writer
 	isClosed bool
@@ -54,18 +54,18 @@
 
 	// Buffers.
 	freeBlocks    chan *buffer
-	freeSnapshots chan *buffer // has one buffer, which grows to the size of the snapshots
+	freeSnapshots chan *buffer // has a single buffer, which grows to the size of the snapshots
 	blockSize     int
 	current       *buffer // nil during a gap
 
 	lastEvent    time.Duration
 	segmentStart time.Duration
-	gap          *Gap // nil while nothing is dropped
-	retryAt      time.Duration
+	gap          *Gap          // nil while no records are dropped
+	retryAt      time.Duration // earliest time for a new segment after a disk error
 }
 
-// NewRecorder returns a recorder that writes to the directory. The meta names the server, its classes and its tenants. Errors
-// of the disk are passed to reportError, from another goroutine.
+// NewRecorder returns a recorder that writes to the directory. The meta must have the names of the server, its classes and its
+// tenants. reportError is called with disk errors, from another goroutine.
 func NewRecorder(directory Directory, config Config, meta Meta, unixTime func() time.Time, reportError func(error)) (*Recorder, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	r.counters.Records++
 }
 
-// beginGap drops the current block and all records until the next segment.
+// beginGap starts a gap: the current block and all records until the next segment are dropped.
 func (r *Recorder) beginGap(cause string, now time.Duration) {
 	if r.current != nil {
 		r.counters.Records -= r.current.records
@@ -125,9 +125,9 @@
 	}
 }
 
-// nextBlock passes the current block to the writer and takes a free one; it returns false where there is none.
+// nextBlock passes the current block to the writer and starts the next one. It returns false if no buffer is free.
 func (r *Recorder) nextBlock() bool {
-	r.writer.blocks <- r.current // never blocks: it has room for all buffers
+	r.writer.blocks <- r.current // never blocks: the capacity of the channel is enough for all buffers
 	r.current = nil
 	select {
 	case r.current = <-r.freeBlocks:
@@ -138,12 +138,13 @@
 	}
 }
 
-// beginBlock sets the header of a block.
+// beginBlock sets the header of a block that starts at the next record.
 func (r *Recorder) beginBlock(b *buffer, kind blockKind) {
 	b.header = blockHeader{kind: kind, firstRecord: r.counters.Records, baseTime: r.lastEvent, unixTime: r.unixTime()}
 }
 
-// endRound ends a group of events. The module is between events here, so a snapshot may be taken.
+// endRound ends a round of events. It starts a new segment or writes the current block if that is due. A snapshot can be taken
+// because the module is between two events.
 func (r *Recorder) endRound(now time.Duration, snapshot func([]byte) []byte) {
 	if r.current != nil && r.writer.failedSegment.Load() == int64(r.meta.Segment) {
 		r.beginGap(causeFailedDisk, now)
@@ -167,16 +168,16 @@
 	if now-r.segmentStart >= r.config.SegmentAge {
 		return true
 	}
-	isWriting := r.writer.segmentNumber.Load() == int64(r.meta.Segment) // else its size is that of the one before
+	isWriting := r.writer.segmentNumber.Load() == int64(r.meta.Segment) // otherwise segmentBytes is the size of the previous segment
 	return isWriting && r.writer.segmentBytes.Load() >= r.config.SegmentBytes
 }
 
-// isFlushDue reports whether the current block has to be written before it is full.
+// isFlushDue reports whether the current block has reached the age at which it is written although it is not full.
 func (r *Recorder) isFlushDue() bool {
 	return len(r.current.data) > 0 && r.unixTime().Sub(r.current.header.unixTime) >= r.config.FlushInterval
 }
 
-// startSegment begins a segment if there are buffers for it; else the current segment, or the gap, continues.
+// startSegment starts a segment if the buffers for it are free. Otherwise the current segment or the gap continues.
 func (r *Recorder) startSegment(now time.Duration, snapshot func([]byte) []byte) {
 	state, block := r.takeSegmentBuffers()
 	if state == nil {
@@ -198,12 +199,13 @@
 	r.current = block
 }
 
-// takeSegmentBuffers takes the buffers for a segment's snapshot and its first block, or none where one is missing.
+// takeSegmentBuffers takes free buffers for the snapshot and the first block of a segment. If one of them is not free, it
+// returns nil for both.
 func (r *Recorder) takeSegmentBuffers() (state, block *buffer) {
 	select {
 	case state = <-r.freeSnapshots:
 	default:
-		return nil, nil // the one before is not written yet
+		return nil, nil // the previous snapshot is not written yet
 	}
 	select {
 	case block = <-r.freeBlocks:
@@ -214,7 +216,7 @@
 	}
 }
 
-// Counters returns the counters so far.
+// Counters returns the current counters.
 func (r *Recorder) Counters() Counters {
 	counters, w := r.counters, r.writer
 	dropped := w.droppedRecords.Load()
@@ -227,8 +229,8 @@
 	return counters
 }
 
-// Close writes the rest and closes the segment. It waits for the disk no longer than the timeout, and returns whether
-// everything was written.
+// Close passes the current block to the writer and waits until the writer has written all blocks and closed the segment, but no
+// longer than the timeout. It returns false if the timeout expired. Further calls return true immediately.
 func (r *Recorder) Close(timeout time.Duration) bool {
 	if r.isClosed {
 		return true
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -10,8 +10,8 @@
 	"tillerusher/admission"
 )
 
-// TestRotation keeps the directory within its limit, begins each segment with a snapshot, and overwrites nothing of an earlier
-// start.
+// TestRotation checks that the directory stays within its size limit, that each segment starts with a snapshot, and that a
+// second start of the recorder overwrites no segment of the first.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
 	directory, err := OpenDirectory(filepath.Join(dir, "new"))
@@ -32,24 +32,24 @@
 			}
 		}
 		if !b.Close(time.Minute) {
-			t.Fatal("not closed")
+			t.Fatal("the recorder was not closed within a minute")
 		}
 		if c := b.Counters(); c.Segments < 3 || c.Records == 0 || c.Dropped > 0 {
 			t.Errorf("counters %+v", c)
 		}
-		total := checkRotated(t, filepath.Join(dir, "new"), runs)
+		total := checkSegments(t, filepath.Join(dir, "new"), runs)
 		if total > config.MaxBytes {
-			t.Errorf("%d bytes are kept, %d are allowed", total, config.MaxBytes)
+			t.Errorf("segments have %d bytes, want at most %d", total, config.MaxBytes)
 		}
 	}
 	if len(runs) != 2 {
-		t.Errorf("segments of %d starts were found", len(runs))
+		t.Errorf("found segments of %d runs, want 2", len(runs))
 	}
 }
 
-// checkRotated checks that the segments of a directory are whole and continue each other. It adds their runs and returns
-// their bytes.
-func checkRotated(t *testing.T, dir string, runs map[string]bool) (total int64) {
+// checkSegments checks that the segments of a directory are complete and that each continues the previous one of its run. It
+// adds their runs to the set and returns their total size in bytes.
+func checkSegments(t *testing.T, dir string, runs map[string]bool) (total int64) {
 	t.Helper()
 	segments, unreadable, err := Open(dir)
 	if err != nil || len(unreadable) > 0 {
@@ -58,20 +58,20 @@
 	for i, s := range segments {
 		total += s.Size
 		if !s.Complete || len(s.Damage) > 0 || s.Snapshot == nil || s.Meta.Server != "n3" {
-			t.Errorf("%s: complete %t, damage %v", s.Path, s.Complete, s.Damage)
+			t.Errorf("%s: complete %t, damage %v, want a complete segment of n3 with a snapshot", s.Path, s.Complete, s.Damage)
 		}
 		if _, err := admission.Restore(s.Snapshot, admission.NoActions{}); err != nil {
 			t.Error(err)
 		}
 		if i > 0 && s.Meta.Run == segments[i-1].Meta.Run && !s.IsContinuationOf(segments[i-1]) {
-			t.Errorf("%s does not go on where the one before ended", s.Path)
+			t.Errorf("%s does not continue the previous segment", s.Path)
 		}
 		runs[s.Meta.Run] = true
 	}
 	return total
 }
 
-// checkGaps reads a capture that has gaps and compares it with the counters.
+// checkGaps reads a capture that must have gaps, and compares its records and gaps with the counters.
 func checkGaps(t *testing.T, dir string, c Counters) {
 	t.Helper()
 	segments, _, err := Open(dir)
@@ -86,7 +86,7 @@
 		if s.Meta.Gap != nil {
 			gaps++
 			if s.Meta.Gap.Cause == "" || s.Snapshot == nil {
-				t.Errorf("gap %+v", s.Meta.Gap)
+				t.Errorf("gap %+v, want a cause and a snapshot after it", s.Meta.Gap)
 			}
 		}
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestStalledDisk has the disk stall: the loop continues, memory stays bounded, and the next segment states what was
-// dropped.
+// TestStalledDisk checks that the event loop continues while the disk stalls, that the number of buffers stays bounded, and
+// that the next segment has the gap.
 func TestStalledDisk(t *testing.T) {
 	dir := t.TempDir()
 	directory, err := OpenDirectory(dir)
@@ -113,7 +113,7 @@
 		b.round() // would not return if it waited for the disk
 	}
 	if waiting := len(b.writer.blocks) + len(b.freeBlocks); waiting > 10 {
-		t.Errorf("%d buffers are in use", waiting)
+		t.Errorf("%d buffers are free or wait to be written, want at most 10", waiting)
 	}
 	disk.mu.Unlock()
 	for b.current == nil {
@@ -124,13 +124,13 @@
 		b.round()
 	}
 	if !b.Close(time.Minute) {
-		t.Fatal("not closed")
+		t.Fatal("the recorder was not closed within a minute")
 	}
 	checkGaps(t, dir, b.Counters())
 }
 
-// TestFullDisk has the disk be full for a while: the segment is abandoned, the error is reported, and a new segment follows
-// once there is space.
+// TestFullDisk checks that the segment is abandoned and the error reported while the disk is full, and that a new segment
+// starts when the disk has space again.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	directory, err := OpenDirectory(dir)
@@ -146,10 +146,10 @@
 	disk.setFull(true)
 	for len(reported) == 0 {
 		b.round()
-		time.Sleep(time.Millisecond) // the writer needs the processor, too
+		time.Sleep(time.Millisecond) // let the writer run
 	}
 	if err := <-reported; !errors.Is(err, errFull) {
-		t.Errorf("reported %v", err)
+		t.Errorf("reported error %v, want that of a full disk", err)
 	}
 	for b.current != nil {
 		b.round()
@@ -164,19 +164,19 @@
 		b.round()
 	}
 	if !b.Close(time.Minute) {
-		t.Fatal("not closed")
+		t.Fatal("the recorder was not closed within a minute")
 	}
 	if c := b.Counters(); c.DiskErrors == 0 {
 		t.Errorf("counters %+v", c)
 	}
 	checkGaps(t, dir, b.Counters())
 	if countAbandoned(t, dir) == 0 {
-		t.Error("the abandoned segment looks whole")
+		t.Error("found no torn or unreadable segment, want the abandoned one")
 	}
 }
 
-// countAbandoned returns how many segments of a capture are torn, or cannot be read since they were abandoned in their first
-// bytes.
+// countAbandoned returns the number of segments of a capture that are torn, or unreadable because they were abandoned in their
+// first bytes.
 func countAbandoned(t *testing.T, dir string) int {
 	t.Helper()
 	segments, unreadable, err := Open(dir)
@@ -192,7 +192,7 @@
 	return abandoned
 }
 
-// TestCloseDoesNotWait closes a recorder whose disk stalls for good: the end of the process must not wait for it.
+// TestCloseDoesNotWait checks that Close returns after its timeout while the disk stalls, so that the process can exit.
 func TestCloseDoesNotWait(t *testing.T) {
 	directory, err := OpenDirectory(t.TempDir())
 	if err != nil {
@@ -203,13 +203,13 @@
 	b := startRecording(t, disk, smallConfig(), ignoreError)
 	b.round()
 	if b.Close(time.Millisecond) {
-		t.Error("it was closed")
+		t.Error("Close returned true while the disk stalled")
 	}
 	disk.mu.Unlock()
 	<-b.writer.done
 }
 
-// TestConfig rejects values that make no sense.
+// TestConfig checks that the default configuration is valid and that invalid values are rejected.
 func TestConfig(t *testing.T) {
 	if err := DefaultConfig().Validate(); err != nil {
 		t.Error(err)
@@ -219,15 +219,15 @@
 		c := DefaultConfig()
 		change(&c)
 		if c.Validate() == nil {
-			t.Errorf("change %d is accepted", i)
+			t.Errorf("change %d: Validate accepts an invalid value", i)
 		}
 	}
 	if _, err := OpenDirectory(filepath.Join(os.DevNull, "x")); err == nil {
-		t.Error("a directory in a file")
+		t.Error("OpenDirectory accepts a path below a file")
 	}
 }
 
-// BenchmarkRecord measures what a round with one request costs the loop, recorded and not.
+// BenchmarkRecord measures the time that a round with one request takes in the event loop, with and without recording.
 func BenchmarkRecord(b *testing.B) {
 	b.Run("on", func(b *testing.B) {
 		directory, err := OpenDirectory(b.TempDir())
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Segment is one file of a capture, as far as it can be read.
+// Segment is the readable content of one file of a capture.
 type Segment struct {
 	Path              string
 	Size              int64
 	Meta              Meta
-	Snapshot          []byte   // nil where it is damaged: a replay cannot begin here
-	Blocks            []Block  // of records, in order
-	Damage            []Damage // what could not be read
-	Complete          bool     // it was closed in order
-	CompressedBytes   int64    // of all blocks as they are stored
-	UncompressedBytes int64
+	Snapshot          []byte   // module's state; nil if damaged, then no replay can start here
+	Blocks            []Block  // blocks of records, in order
+	Damage            []Damage // parts that could not be read
+	Complete          bool     // the segment was closed normally
+	CompressedBytes   int64    // size of all intact blocks, headers included
+	UncompressedBytes int64    // size of the content of all intact blocks
 }
 
-// Block is one block of records.
+// Block is a block of records.
 type Block struct {
-	Offset      int64         // in the file
-	FirstRecord uint64        // number of its first record within the run
-	BaseTime    time.Duration // the module's clock before it
-	UnixTime    time.Time     // when it was begun
-	AfterDamage bool          // the records before it are missing
+	Offset      int64         // offset in the file
+	FirstRecord uint64        // number of the first record within the run
+	BaseTime    time.Duration // module's clock at the event before the block
+	UnixTime    time.Time     // wall clock when the block was started
+	AfterDamage bool          // records directly before the block are missing
 	content     []byte
 }
 
@@ -36,18 +36,19 @@
 	Reason string `json:"what"`
 }
 
-// String returns the place and the reason.
+// String returns the size, the offset and the reason.
 func (d Damage) String() string {
 	return fmt.Sprintf("%d bytes at %d: %s", d.Bytes, d.Offset, d.Reason)
 }
 
-// countRecords decodes all records, so that a block with a malformed one is rejected as a whole.
+// countRecords decodes and counts all records. It returns an error if one is malformed, so that the parser rejects the entire
+// block.
 func (b *Block) countRecords() (uint64, error) {
 	n := uint64(0)
 	return n, b.forEach(func(*Record) error { n++; return nil })
 }
 
-// forEach calls visit with the block's records; a record is valid until visit returns.
+// forEach calls visit with each record of the block. The record is valid until visit returns.
 func (b *Block) forEach(visit func(record *Record) error) error {
 	records := decoder{rest: b.content, lastEvent: b.BaseTime}
 	var record Record
@@ -62,19 +63,19 @@
 	return nil
 }
 
-// Position locates a record in a capture.
+// Position is the position of a record in a capture.
 type Position struct {
 	Segment     *Segment
 	Block       *Block
-	Number      uint64 // within the run
-	AfterDamage bool   // it is the first behind a damaged part
+	Number      uint64 // number within the run
+	AfterDamage bool   // records directly before this one are missing
 }
 
-// ErrStop ends ForEach without an error.
+// ErrStop is returned by a visit function to end ForEach without an error.
 var ErrStop = errors.New("capture: stop")
 
-// ForEach calls visit with the records that can be read, in order, until it returns an error; a record is valid until visit
-// returns.
+// ForEach calls visit with each readable record in order. It stops at the first error of visit and returns it, or nil for
+// ErrStop. The record is valid until visit returns.
 func (s *Segment) ForEach(visit func(p Position, r *Record) error) error {
 	for i := range s.Blocks {
 		b := &s.Blocks[i]
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// UnixTime returns the wall clock at a time of the module's clock, by the blocks of the segment.
+// UnixTime converts a time of the module's clock to wall clock time. It adds the time since the last block that starts no
+// later to the wall clock of that block, or of the segment if there is no such block.
 func (s *Segment) UnixTime(at time.Duration) time.Time {
 	unix := s.Meta.UnixTime.Add(at - s.Meta.ModuleTime)
 	for i := range s.Blocks {
@@ -106,7 +108,8 @@
 	return unix
 }
 
-// ModuleTime returns the module's clock at a time of the wall clock, by the blocks of the segment.
+// ModuleTime converts a wall clock time to the module's clock. It adds the time since the last block that starts no later to
+// the module's clock at that block, or at the start of the segment if there is no such block.
 func (s *Segment) ModuleTime(unix time.Time) time.Duration {
 	at := s.Meta.ModuleTime + unix.Sub(s.Meta.UnixTime)
 	for i := range s.Blocks {
@@ -117,7 +120,8 @@
 	return at
 }
 
-// IsContinuationOf reports whether the segment continues where the one before ended, with nothing missing in between.
+// IsContinuationOf reports whether the segment follows the segment before with no record missing between them. before may be
+// nil.
 func (s *Segment) IsContinuationOf(before *Segment) bool {
 	if before == nil || s.Meta.Gap != nil || !before.Complete || len(before.Damage) > 0 {
 		return false
@@ -129,7 +133,7 @@
 	return err == nil && end == s.Meta.FirstRecord
 }
 
-// endRecord returns the number of the record behind the segment's last.
+// endRecord returns the number after the last record's number.
 func (s *Segment) endRecord() (uint64, error) {
 	if len(s.Blocks) == 0 {
 		return s.Meta.FirstRecord, nil
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// sampleSegment returns the bytes of one segment with a few blocks, and its records.
+// sampleSegment returns the bytes of a complete segment with several blocks, and its records.
 func sampleSegment(t testing.TB) ([]byte, []Record) {
 	t.Helper()
 	dir := t.TempDir()
@@ -25,7 +25,7 @@
 	for range 300 {
 		b.round()
 		for len(b.freeBlocks) < 2 {
-			time.Sleep(time.Millisecond) // wait for the disk: nothing may be dropped here
+			time.Sleep(time.Millisecond) // wait for the writer, so that no record is dropped
 		}
 	}
 	b.tap.Annotate("the end")
@@ -36,18 +36,19 @@
 	}
 	s, err := Parse(raw)
 	if err != nil || len(s.Damage) > 0 || !s.Complete || len(s.Blocks) < 5 {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("error %v, segment %+v, want a complete segment with 5 blocks or more", err, s)
 	}
 	return raw, readRecords(t, s, nil)
 }
 
-// readRecords returns a segment's records. Where whole is given, each must equal the one there with its number.
-func readRecords(t testing.TB, s *Segment, whole []Record) []Record {
+// readRecords returns the readable records of a segment. Unless want is nil, each record must equal the element of want with
+// its number.
+func readRecords(t testing.TB, s *Segment, want []Record) []Record {
 	t.Helper()
 	var list []Record
 	err := s.ForEach(func(p Position, r *Record) error {
-		if whole != nil && (p.Number >= uint64(len(whole)) || !reflect.DeepEqual(whole[p.Number], *r)) {
-			t.Errorf("record %d was never written: %+v", p.Number, *r)
+		if want != nil && (p.Number >= uint64(len(want)) || !reflect.DeepEqual(want[p.Number], *r)) {
+			t.Errorf("record %d differs from the written one: %+v", p.Number, *r)
 		}
 		list = append(list, *r)
 		return nil
@@ -58,7 +59,7 @@
 	return list
 }
 
-// TestRecordRoundTrip encodes and decodes every kind of record.
+// TestRecordRoundTrip checks that records of every kind are unchanged after encoding and decoding.
 func TestRecordRoundTrip(t *testing.T) {
 	_, records := sampleSegment(t)
 	kinds := map[Kind]bool{}
@@ -71,7 +72,7 @@
 		KindRequestNames, KindAnnotation,
 	} {
 		if !kinds[k] {
-			t.Errorf("the sample has no record of %v", k)
+			t.Errorf("the sample segment has no record of kind %v", k)
 		}
 	}
 	for k := KindRequest; k <= KindAnnotation; k++ {
@@ -84,49 +85,49 @@
 		d := decoder{rest: appendRecord(nil, &last, &in)}
 		var out Record
 		if err := d.next(&out); err != nil || len(d.rest) > 0 || out.Kind != k {
-			t.Errorf("%v: %v, %d bytes left", k, err, len(d.rest))
+			t.Errorf("%v: error %v, %d bytes not decoded", k, err, len(d.rest))
 		}
 		if b := appendRecord(nil, new(time.Duration), &out); !slices.Equal(b, appendRecord(nil, new(time.Duration), &in)) {
-			t.Errorf("%v does not come back: %+v", k, out)
+			t.Errorf("%v: the decoded record is encoded differently: %+v", k, out)
 		}
 	}
 }
 
-// TestTorn truncates a segment at every length: the complete blocks are read, and nothing else.
-func TestTorn(t *testing.T) {
+// TestTruncatedSegment truncates a segment at many lengths, and checks that only the records of complete blocks are read.
+func TestTruncatedSegment(t *testing.T) {
 	raw, records := sampleSegment(t)
 	for n := 0; n < len(raw); n += 1 + n%7 {
 		s, err := Parse(raw[:n])
 		if err != nil {
 			if !errors.Is(err, ErrNotCapture) {
-				t.Fatalf("cut at %d: %v", n, err)
+				t.Fatalf("truncated at %d: %v", n, err)
 			}
 			continue
 		}
 		got := readRecords(t, s, records)
 		if s.Complete || len(got) > len(records) {
-			t.Fatalf("cut at %d: complete %t, %d records", n, s.Complete, len(got))
+			t.Fatalf("truncated at %d: complete %t, %d records", n, s.Complete, len(got))
 		}
 		if len(s.Damage) == 0 && s.Size != s.CompressedBytes+int64(preambleSize) {
-			t.Fatalf("cut at %d: the torn end is not reported", n)
+			t.Fatalf("truncated at %d: the incomplete end is not listed as damage", n)
 		}
 	}
 }
 
-// TestFlippedBits flips a bit anywhere: its block is found to be damaged, and the rest is read.
+// TestFlippedBits flips one random bit of a segment, and checks that only the block with the bit is damaged.
 func TestFlippedBits(t *testing.T) {
 	raw, records := sampleSegment(t)
 	whole, err := Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := uint64(0) // records of a block
+	maxBlockRecords := uint64(0) // records of a block
 	for i := range whole.Blocks {
 		n, err := whole.Blocks[i].countRecords()
 		if err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, n)
+		maxBlockRecords = max(maxBlockRecords, n)
 	}
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -137,19 +138,19 @@
 		b[at] ^= 1 << rng.IntN(8)
 		s, err := Parse(b)
 		if err != nil {
-			continue // the preamble or the meta, without which nothing can be read
+			continue // the preamble or the meta is damaged, and nothing can be read without them
 		}
 		got := readRecords(t, s, records)
 		if len(s.Damage) == 0 {
-			t.Fatalf("a bit flipped at %d of %d is not found", at, len(raw))
+			t.Fatalf("bit flipped in byte %d of %d: no damage is listed", at, len(raw))
 		}
-		if lost := uint64(len(records) - len(got)); lost > most {
-			t.Fatalf("a bit flipped at %d loses %d of %d records, a block has %d", at, lost, len(records), most)
+		if lost := uint64(len(records) - len(got)); lost > maxBlockRecords {
+			t.Fatalf("bit flipped in byte %d: %d of %d records are lost, want at most the %d of one block", at, lost, len(records), maxBlockRecords)
 		}
 	}
 }
 
-// TestNewerVersion reports a segment of an unknown version.
+// TestNewerVersion checks that a segment of a newer version is rejected with ErrNewerVersion.
 func TestNewerVersion(t *testing.T) {
 	raw, _ := sampleSegment(t)
 	b := slices.Clone(raw)
@@ -159,14 +160,14 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("error %v", err)
+		t.Errorf("file: error %v, want ErrNewerVersion", err)
 	}
 	if _, _, err := Open(filepath.Dir(path)); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("error for the directory %v", err)
+		t.Errorf("directory: error %v, want ErrNewerVersion", err)
 	}
 }
 
-// TestSkippedBytes reads a segment before and behind foreign bytes in its middle.
+// TestSkippedBytes checks that all records are read from a segment with foreign bytes between two blocks.
 func TestSkippedBytes(t *testing.T) {
 	raw, records := sampleSegment(t)
 	s, _ := Parse(raw)
@@ -174,14 +175,14 @@
 	b := slices.Concat(raw[:at], []byte("foreign bytes"), raw[at:])
 	s, err := Parse(b)
 	if err != nil || len(s.Damage) != 1 || s.Damage[0].Offset != at || s.Damage[0].Bytes != 13 {
-		t.Fatalf("%v, damage %v", err, s.Damage)
+		t.Fatalf("error %v, damage %v, want the 13 foreign bytes", err, s.Damage)
 	}
 	if got := readRecords(t, s, records); len(got) != len(records) {
-		t.Errorf("%d of %d records are read", len(got), len(records))
+		t.Errorf("read %d of %d records", len(got), len(records))
 	}
 }
 
-// FuzzSegment parses any bytes without a panic, and can read all records of what it parsed.
+// FuzzSegment checks that Parse does not panic for any bytes, and that all records of a parsed segment can be read.
 func FuzzSegment(f *testing.F) {
 	raw, _ := sampleSegment(f)
 	f.Add(raw)
@@ -193,7 +194,7 @@
 			return
 		}
 		if err := s.ForEach(func(Position, *Record) error { return nil }); err != nil {
-			t.Errorf("a record was counted and can't be read: %v", err)
+			t.Errorf("cannot read a record of a parsed segment: %v", err)
 		}
 	})
 }
--- a/internal/capture/segment_write.go
+++ b/internal/capture/segment_write.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// writtenBlockSize is the size of the blocks that WriteSegment makes: small, so that little is lost where one is damaged.
+// writtenBlockSize is the uncompressed size in bytes at which WriteSegment ends a block. It is small, so that a damaged block
+// loses few records.
 const writtenBlockSize = 8 << 10
 
-// segmentMode is the mode of segment files.
+// segmentMode is the permission mode of segment files.
 const segmentMode = 0o640
 
-// WriteSegment writes a segment that is made from another: its meta, its snapshot, and the records that forEach passes to its
-// function. The file must not exist; after an error none is left.
+// WriteSegment writes a segment that is derived from another one. The segment has the meta, the snapshot, and the records that
+// forEach passes to add. The file must not exist. If WriteSegment returns an error, it has not created the file.
 func WriteSegment(path string, meta Meta, snapshot []byte, forEach func(add func(*Record)) error) error {
 	text, err := json.Marshal(meta)
 	if err != nil {
@@ -40,14 +41,14 @@
 // blockBuilder packs records into blocks.
 type blockBuilder struct {
 	meta       *Meta
-	segment    []byte // with all blocks that ended
+	segment    []byte // preamble and finished blocks
 	header     blockHeader
-	content    []byte // of the block that is being filled
-	lastEvent  time.Duration
+	content    []byte        // uncompressed records of the current block
+	lastEvent  time.Duration // time of the last event
 	nextRecord uint64
 }
 
-// add adds a record, and ends the block where it is full.
+// add appends a record to the current block, and ends the block if it is full.
 func (b *blockBuilder) add(r *Record) {
 	b.content = appendRecord(b.content, &b.lastEvent, r)
 	b.nextRecord++
@@ -56,7 +57,7 @@
 	}
 }
 
-// endBlock adds the block to the segment and begins another.
+// endBlock appends the current block to the segment and starts the next one.
 func (b *blockBuilder) endBlock() {
 	b.segment = appendBlock(b.segment, b.header, b.content)
 	b.content = b.content[:0]
@@ -68,7 +69,8 @@
 	}
 }
 
-// createExclusively writes a file under a temporary name and links it, so that it is there whole or not at all.
+// createExclusively writes a file under a temporary name and then links it to the path, so that the file is either complete or
+// does not exist. It returns an error if the path exists.
 func createExclusively(path string, content []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".capture-*")
 	if err != nil {
@@ -83,7 +85,7 @@
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Link(file.Name(), path) // fails where the file exists
+		err = os.Link(file.Name(), path) // fails if the path exists
 	}
 	return err
 }
--- a/internal/capture/tap.go
+++ b/internal/capture/tap.go
@@ -6,44 +6,46 @@
 	"tillerusher/admission"
 )
 
-// Module is what a tap records: the decision module, of which snapshots can be taken.
+// Module is the decision module as a tap uses it: it receives events, and Snapshot appends its state to a slice.
 type Module interface {
 	admission.Events
 	Snapshot(to []byte) []byte
 }
 
-// Tap is placed between a host and its module and implements the interfaces of both: it records each event before it passes
-// it to the module, and each action before it passes it to the host. Like the module it belongs to one goroutine.
+// Tap records the events and actions that a host and its module exchange. It implements the interfaces of both: it records
+// each event before it passes it to the module, and each action before it passes it to the host. Like the module, it must be
+// used by one goroutine only.
 type Tap struct {
 	recorder *Recorder
 	module   Module
 	actions  admission.Actions
-	now      time.Duration // of the last event
+	now      time.Duration // time of the last event
 }
 
-// NewTap returns a tap in front of the host's actions. The module is created with the tap as its actions and then passed to
-// Attach.
+// NewTap returns a tap that passes actions to the host's actions. The caller must create the module with the tap as its
+// actions, and then pass the module to Attach.
 func NewTap(recorder *Recorder, actions admission.Actions) *Tap {
 	return &Tap{recorder: recorder, actions: actions}
 }
 
-// Attach sets the module. The record begins with its state before its first event.
+// Attach sets the module and starts the recording with a snapshot of its state. It must be called before the module's first
+// event.
 func (t *Tap) Attach(m Module, now time.Duration) {
 	t.module, t.now = m, now
 	t.recorder.endRound(now, m.Snapshot)
 }
 
-// NameRequest records the Request-Id of the next request, and its idempotency key where it has one.
+// NameRequest records the Request-Id of the next request and its idempotency key, if any.
 func (t *Tap) NameRequest(id admission.RequestID, requestID, key string) {
 	t.recorder.add(&Record{Kind: KindRequestNames, At: t.now, ID: id, Text: requestID, Key: key})
 }
 
-// Annotate records a text of the host, such as a change of the interpreter's link.
+// Annotate records a note of the host, such as a change of the interpreter's link.
 func (t *Tap) Annotate(text string) {
 	t.recorder.add(&Record{Kind: KindAnnotation, At: t.now, Text: text})
 }
 
-// record adds the record of an event or an action.
+// record passes the record of an event or an action to the recorder.
 func (t *Tap) record(r Record) {
 	t.now = r.At
 	t.recorder.add(&r)
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -9,37 +9,39 @@
 	"sync/atomic"
 )
 
-// writer owns the directory. It runs in a goroutine of its own and may block as long as the disk does.
+// writer owns the directory: it writes blocks to segments and removes old segments. It runs in a separate goroutine and may
+// block on the disk.
 type writer struct {
 	directory     Directory
-	maxBytes      int64 // of all segments together
-	reservedBytes int64 // of them, for the segment that is written, beside its snapshot
+	maxBytes      int64 // limit on the size of all segments
+	reservedBytes int64 // part of maxBytes for the current segment, except its snapshot
 	reportError   func(error)
 
-	blocks chan *buffer // to be written, in order; closed at the end
-	done   chan struct{}
+	blocks chan *buffer  // blocks to write, in order; closed by Recorder.Close
+	done   chan struct{} // closed when run returns
 
-	file           io.WriteCloser // of the segment that is written; nil before the first and after a failure
-	fileNumber     int
-	currentSegment int // number within the run, also of a segment that could not be begun
+	file           io.WriteCloser // current segment; nil before the first segment and after an error
+	fileNumber     int            // in the name of the last file
+	currentSegment int            // number within the run, set even if the segment could not be created
 	scratch        []byte
 
 	progress
 }
 
-// progress is the writer's state that the recorder reads from its own goroutine.
+// progress is the part of the writer's state that the recorder reads from another goroutine.
 type progress struct {
-	segmentNumber  atomic.Int64  // within the run, of the segment that is written
-	segmentBytes   atomic.Int64  // written of it
-	failedSegment  atomic.Int64  // the last segment that could not be continued; only a new one helps
-	droppedRecords atomic.Uint64 // of such segments
-	segments       atomic.Uint64 // begun
-	totalBytes     atomic.Uint64 // of all segments
-	rawBytes       atomic.Uint64 // of all segments before compression
+	segmentNumber  atomic.Int64  // number of the current segment within the run
+	segmentBytes   atomic.Int64  // bytes written to the current segment
+	failedSegment  atomic.Int64  // number of the last segment that failed; recording continues only in a new segment
+	droppedRecords atomic.Uint64 // records of the blocks that could not be written
+	segments       atomic.Uint64 // started segments
+	totalBytes     atomic.Uint64 // bytes written to all segments
+	rawBytes       atomic.Uint64 // size of the snapshots and records in all segments before compression
 	errorCount     atomic.Uint64
 }
 
-// newWriter returns a writer; run starts it. So many buffers are for blocks, one more is for a snapshot.
+// newWriter returns a writer. The caller must call run in a goroutine. blocks is the number of buffers for blocks of records;
+// the channel also has room for the buffer of a snapshot.
 func newWriter(directory Directory, config Config, blocks int, reportError func(error)) *writer {
 	return &writer{
 		directory:     directory,
@@ -51,7 +53,7 @@
 	}
 }
 
-// run writes blocks until the recorder has no more.
+// run writes blocks until the channel is closed, and then closes the segment.
 func (w *writer) run() {
 	defer close(w.done)
 	for b := range w.blocks {
@@ -63,7 +65,7 @@
 	w.closeSegment()
 }
 
-// write writes one block, as the first of a new segment where it has a meta.
+// write writes one block. A block with a meta starts a new segment.
 func (w *writer) write(block *buffer) error {
 	if block.meta != nil {
 		w.closeSegment()
@@ -72,7 +74,7 @@
 		}
 	}
 	if w.file == nil {
-		w.droppedRecords.Add(block.records) // nothing can be replayed before the next segment's snapshot
+		w.droppedRecords.Add(block.records) // records cannot be replayed before the next segment's snapshot
 		return nil
 	}
 	w.rawBytes.Add(uint64(len(block.data)))
@@ -83,13 +85,13 @@
 	return nil
 }
 
-// writeBlock compresses a block and writes it.
+// writeBlock compresses a block and writes it to the current segment.
 func (w *writer) writeBlock(h blockHeader, content []byte) error {
 	w.scratch = appendBlock(w.scratch[:0], h, content)
 	return w.writeBytes(w.scratch)
 }
 
-// writeBytes writes bytes to the segment.
+// writeBytes writes p to the current segment and counts the bytes.
 func (w *writer) writeBytes(p []byte) error {
 	n, err := w.file.Write(p)
 	w.segmentBytes.Add(int64(n))
@@ -100,7 +102,7 @@
 	return err
 }
 
-// openSegment begins a segment, after removing old ones to make space for it and a snapshot of so many bytes.
+// openSegment starts a segment. It first removes old segments to make room for the segment and for a snapshot of snapshotBytes.
 func (w *writer) openSegment(meta *Meta, snapshotBytes int64) error {
 	w.currentSegment = meta.Segment
 	sizes, numbers, err := listSegments(w.directory)
@@ -129,7 +131,7 @@
 	return w.writeBlock(meta.header(blockMeta), text)
 }
 
-// createFile creates a file under the next number that no file has.
+// createFile creates a segment file with the next number that no existing file has.
 func (w *writer) createFile() error {
 	for {
 		w.fileNumber++
@@ -145,7 +147,7 @@
 	}
 }
 
-// removeOldest removes the oldest segments until all take no more than so many bytes.
+// removeOldest removes the oldest segments until the others take at most maxBytes. numbers must be in ascending order.
 func (w *writer) removeOldest(sizes map[int]int64, numbers []int, maxBytes int64) error {
 	total := int64(0)
 	for _, size := range sizes {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// closeSegment ends the segment in order.
+// closeSegment writes the end block of the current segment, if any, and closes the file.
 func (w *writer) closeSegment() {
 	if w.file == nil {
 		return
@@ -179,11 +181,12 @@
 	w.file = nil
 }
 
-// abandonSegment closes the segment after a failure. Its end may be torn, so the blocks that follow need a new segment.
+// abandonSegment closes the current segment after an error. The last block may be incomplete, so later blocks need a new
+// segment.
 func (w *writer) abandonSegment(err error) {
 	w.errorCount.Add(1)
 	if w.file != nil {
-		w.file.Close() // the first error is the one to report
+		w.file.Close() // only the first error is reported
 		w.file = nil
 	}
 	w.failedSegment.Store(int64(w.currentSegment))
