--- a/internal/replay/action_recorder.go
+++ b/internal/replay/action_recorder.go
@@ -7,13 +7,13 @@
 	"tillerusher/internal/capture"
 )
 
-// ActionRecorder implements admission.Actions for a replay: it records the actions of the last event, and carries out none.
+// ActionRecorder implements admission.Actions for a replay. It records the actions of the last event and has no other effect.
 type ActionRecorder struct {
 	Actions []capture.Record
-	now     time.Duration
+	now     time.Duration // time of the last event
 }
 
-// reset drops the actions of the previous event and sets the time of the next ones.
+// reset removes the actions of the previous event and sets the time of the next actions.
 func (a *ActionRecorder) reset(now time.Duration) { a.Actions, a.now = a.Actions[:0], now }
 
 func (a *ActionRecorder) add(r capture.Record) {
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -8,21 +8,21 @@
 	"tillerusher/internal/capture"
 )
 
-// EndStatus is how an attempt ended.
+// EndStatus is the status of an attempt at its end, or at the end of the capture.
 type EndStatus string
 
-// The end statuses.
+// The end statuses. Their texts are values in JSON.
 const (
-	StatusOpen      EndStatus = "open"    // no answer is in the capture
-	StatusServed    EndStatus = "served"  // by its own run
-	StatusReplayed  EndStatus = "reused"  // by the result of another attempt's run
-	StatusRejected  EndStatus = "refused" // without a run
-	StatusFailed    EndStatus = "failed"  // by the module, whether it ran or not
-	StatusCancelled EndStatus = "left"    // its caller no longer waits
+	StatusOpen      EndStatus = "open"    // the capture has no answer
+	StatusServed    EndStatus = "served"  // with the result of its own run
+	StatusReplayed  EndStatus = "reused"  // served with the result of another attempt's run
+	StatusRejected  EndStatus = "refused" // rejected without a run
+	StatusFailed    EndStatus = "failed"  // answered as failed by the module, whether it ran or not
+	StatusCancelled EndStatus = "left"    // the caller no longer waits
 	StatusErrored   EndStatus = "errored" // its run ended without a result
 )
 
-// statusAfter returns the status of an open attempt after the next record of it, and whether that record ends the attempt.
+// statusAfter returns the status of an open attempt after its next record, and whether that record ends the attempt.
 func statusAfter(status EndStatus, record *capture.Record) (after EndStatus, hasEnded bool) {
 	switch record.Kind {
 	case capture.KindReject:
@@ -45,30 +45,31 @@
 	return status, false
 }
 
-// Attempt is the outcome of one attempt of a request. Times are by the module's clock.
+// Attempt is the outcome of one attempt of a request. Times are those of the module's clock.
 type Attempt struct {
 	ID        admission.RequestID `json:"id"`
 	WireID    string              `json:"request_id,omitempty"`
 	Class     int                 `json:"class"`
 	Tenant    int                 `json:"tenant"`
 	IsRetry   bool                `json:"retry,omitempty"`
-	ArrivedAt time.Duration       `json:"arrived"` // at the machine
-	ReadAt    time.Duration       `json:"read"`
-	RunStart  time.Duration       `json:"run_at,omitempty"` // 0: it was not run
+	ArrivedAt time.Duration       `json:"arrived"`          // arrival at the machine
+	ReadAt    time.Duration       `json:"read"`             // when the server read it
+	RunStart  time.Duration       `json:"run_at,omitempty"` // 0 if it was not run
 	RunEnd    time.Duration       `json:"run_end,omitempty"`
-	CoreTime  time.Duration       `json:"work,omitempty"` // of its run, if the cores were shared evenly
+	CoreTime  time.Duration       `json:"work,omitempty"` // core time of the run, assuming that all runs share the cores evenly
 	Status    EndStatus           `json:"ending"`
 	EndAt     time.Duration       `json:"end_at,omitempty"`
 }
 
-// OnTime reports whether the attempt was served within its class's latency objective.
+// OnTime reports whether the attempt was served within the latency objective of its class.
 func (a *Attempt) OnTime(classes []admission.Class) bool {
 	return a.wasServed() && a.Class < len(classes) && a.EndAt-a.ArrivedAt <= classes[a.Class].LatencyObjective
 }
 
 func (a *Attempt) wasServed() bool { return a.Status == StatusServed || a.Status == StatusReplayed }
 
-// RecordedAttempts returns all attempts of one run of the server, as they were recorded.
+// RecordedAttempts returns the recorded attempts of one run of the server, of which all segments must be. cores is the number of
+// cores that the server had.
 func RecordedAttempts(segments []*capture.Segment, cores int) ([]*Attempt, error) {
 	tracker := newAttemptTracker(cores)
 	names := map[admission.RequestID]string{}
@@ -91,7 +92,7 @@
 	return tracker.attempts, nil
 }
 
-// RecordedSettings returns the module's settings in the first segment whose state can be read.
+// RecordedSettings returns the module's settings in the first segment with a readable snapshot, or ErrNoState if there is none.
 func RecordedSettings(segments []*capture.Segment) (admission.Settings, error) {
 	for _, s := range segments {
 		if s.Snapshot == nil {
@@ -108,17 +109,17 @@
 
 // attemptTracker builds attempts from their records.
 //
-// Core times come from a virtual clock: it advances by the core time that each run gets, so a run's core time is the
-// difference of the clock between its start and its end, however many ran beside it.
+// Core times are computed from a virtual clock, which advances by the core time that each run gets. The core time of a run is
+// thus the time of the virtual clock between its start and its end, whatever the number of concurrent runs.
 type attemptTracker struct {
-	attempts []*Attempt // in the order in which they were read
+	attempts []*Attempt // in the order in which the server read them
 	byID     map[admission.RequestID]*Attempt
 
 	cores        float64
-	running      int
+	running      int // number of runs
 	now          time.Duration
-	virtualClock float64 // seconds
-	runStarts    map[admission.RequestID]float64
+	virtualClock float64                         // seconds
+	runStarts    map[admission.RequestID]float64 // virtual clock at the start of each run
 }
 
 func newAttemptTracker(cores int) *attemptTracker {
@@ -126,7 +127,7 @@
 		runStarts: map[admission.RequestID]float64{}}
 }
 
-// advance moves both clocks.
+// advance moves both clocks forward to now.
 func (t *attemptTracker) advance(now time.Duration) {
 	if now <= t.now {
 		return
@@ -137,7 +138,7 @@
 	t.now = now
 }
 
-// record takes an event or an action. wireID is that of a request's event.
+// record updates the attempts by an event or an action. wireID is used only for the event of a request's arrival.
 func (t *attemptTracker) record(record *capture.Record, wireID string) {
 	t.advance(record.At)
 	if record.Kind == capture.KindRequest {
@@ -162,11 +163,11 @@
 		t.runStarts[record.ID] = t.virtualClock
 	case capture.KindRunFinished:
 		t.finishRun(attempt, record.At)
-		delete(t.byID, record.ID) // nothing more can happen to it
+		delete(t.byID, record.ID) // no further record changes it
 	}
 }
 
-// add adds the attempt that a request's event begins.
+// add adds the attempt of a request's arrival.
 func (t *attemptTracker) add(event *capture.Record, wireID string) {
 	request := event.Request
 	attempt := &Attempt{
--- a/internal/replay/comparison.go
+++ b/internal/replay/comparison.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/capture"
 )
 
-// StatusChange is an attempt that ends otherwise.
+// StatusChange is an attempt whose end status differs between two simulations.
 type StatusChange struct {
 	ID     admission.RequestID `json:"id"`
 	WireID string              `json:"request_id,omitempty"`
@@ -21,17 +21,17 @@
 	To     EndStatus           `json:"to"`
 }
 
-// Comparison is the difference of two simulations of one capture.
+// Comparison is the difference between two simulations of one capture.
 type Comparison struct {
 	Changes []StatusChange `json:"changes"`
 	Before  []Summary      `json:"before"`
 	After   []Summary      `json:"after"`
 }
 
-// Compare compares two simulations of the same attempts.
+// Compare compares two simulations of the same attempts. Its Changes omit attempts that only one simulation has.
 func Compare(before, after []*Attempt, meta capture.Meta, classes []admission.Class) Comparison {
 	comparison := Comparison{
-		Changes: []StatusChange{}, // not nil, for JSON
+		Changes: []StatusChange{}, // not nil, so that JSON has [] instead of null
 		Before:  Summarize(before, meta, classes),
 		After:   Summarize(after, meta, classes),
 	}
@@ -47,7 +47,7 @@
 	return comparison
 }
 
-// attemptsHeader is the first line of a file of attempts. It identifies the capture.
+// attemptsHeader is the first line of a simulation file. It identifies the capture.
 type attemptsHeader struct {
 	Run        string        `json:"run"`
 	ModuleTime time.Duration `json:"module"`
@@ -56,7 +56,8 @@
 
 const attemptsVersion = 1
 
-// WriteAttempts writes a simulation, so that another build's can be compared with it: JSON, one object a line.
+// WriteAttempts writes the attempts of a simulation as JSON, one object per line, so that the simulation of another build can
+// be compared with them.
 func WriteAttempts(writer io.Writer, meta capture.Meta, attempts []*Attempt) error {
 	buf := bufio.NewWriter(writer)
 	encoder := json.NewEncoder(buf)
@@ -71,18 +72,19 @@
 	return buf.Flush()
 }
 
-// ReadAttempts reads what WriteAttempts wrote of the same capture.
+// ReadAttempts reads the attempts that WriteAttempts wrote. It returns an error if they have another version or belong to a
+// capture other than that of the meta.
 func ReadAttempts(reader io.Reader, meta capture.Meta) ([]*Attempt, error) {
 	decoder := json.NewDecoder(bufio.NewReader(reader))
 	var header attemptsHeader
 	if err := decoder.Decode(&header); err != nil {
-		return nil, fmt.Errorf("replay: no modelled replay: %w", err)
+		return nil, fmt.Errorf("replay: header of the simulation file: %w", err)
 	}
 	if header.Version != attemptsVersion {
-		return nil, fmt.Errorf("replay: a modelled replay of version %d, want %d", header.Version, attemptsVersion)
+		return nil, fmt.Errorf("replay: simulation file has version %d, want %d", header.Version, attemptsVersion)
 	}
 	if header.Run != meta.Run || header.ModuleTime != meta.ModuleTime {
-		return nil, errors.New("replay: the modelled replay is of another capture")
+		return nil, errors.New("replay: simulation file belongs to another capture")
 	}
 	var attempts []*Attempt
 	for {
@@ -93,7 +95,7 @@
 		}
 		if err != nil {
 			line := len(attempts) + 2
-			return nil, fmt.Errorf("replay: line %d of the modelled replay: %w", line, err)
+			return nil, fmt.Errorf("replay: line %d of the simulation file: %w", line, err)
 		}
 		attempts = append(attempts, a)
 	}
--- a/internal/replay/event_queue.go
+++ b/internal/replay/event_queue.go
@@ -8,18 +8,18 @@
 	"tillerusher/internal/capture"
 )
 
-// eventQueue holds future events in the order of their times, and those of the same time in the order of their pushes.
+// eventQueue is a priority queue of future events, ordered by time. Events of the same time are ordered by their pushes.
 type eventQueue struct {
 	heap   eventHeap
-	pushed int
+	pushed int // number of pushes
 }
 
-// queuedEvent is a future event.
+// queuedEvent is an event in an eventQueue.
 type queuedEvent struct {
 	at     time.Duration
-	number int // of the push
+	number int // sequence number of the push
 	event  capture.Record
-	wireID string // of a request
+	wireID string // wire ID of the request; empty for other events
 }
 
 func (q *eventQueue) push(at time.Duration, event capture.Record, wireID string) {
@@ -27,10 +27,10 @@
 	heap.Push(&q.heap, queuedEvent{at, q.pushed, event, wireID})
 }
 
-// pop takes the next event off the queue, which must not be empty.
+// pop removes and returns the next event. The queue must not be empty.
 func (q *eventQueue) pop() queuedEvent { return heap.Pop(&q.heap).(queuedEvent) }
 
-// nextTime returns the time of the next event, or the latest possible time where there is none.
+// nextTime returns the time of the next event, or math.MaxInt64 if the queue is empty.
 func (q *eventQueue) nextTime() time.Duration {
 	if len(q.heap) == 0 {
 		return math.MaxInt64
--- a/internal/replay/excerpt.go
+++ b/internal/replay/excerpt.go
@@ -9,13 +9,14 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrEmptySpan is returned where a span has no records.
+// ErrEmptySpan is returned if a span has no records.
 var ErrEmptySpan = errors.New("replay: the span has no records")
 
-// Span is a time span by the module's clock.
+// Span is a period of the module's clock.
 type Span struct{ From, To time.Duration }
 
-// SpanOf returns the span from the reading of the first of the attempts to the last of their answers.
+// SpanOf returns the span from the time at which the first attempt was read to the last end of an attempt. traces must not be
+// empty.
 func SpanOf(traces []*RequestTrace) Span {
 	span := Span{From: traces[0].ReadAt}
 	for _, t := range traces {
@@ -25,15 +26,16 @@
 	return span
 }
 
-// Excerpt is a part of a capture in memory: the module's state at its start, and its records.
+// Excerpt is a part of a capture in memory. It has a snapshot of the module at its start, and the records from there.
 type Excerpt struct {
 	Meta     capture.Meta
 	Snapshot []byte
 	Records  []capture.Record
 }
 
-// Cut returns the smallest excerpt that holds a span: from the last time before it at which the module was between two
-// rounds of events, to the end of the round in which the span ends. The segments are those of one run of the server.
+// Cut returns the smallest excerpt with the rounds of events of a span. The excerpt starts between two rounds, before the
+// first round that starts in the span or after it, and ends with the round in which the span ends. Cut replays the segments,
+// which must be of one run of the server, and returns an error if the decisions differ before the span ends.
 func Cut(segments []*capture.Segment, span Span) (*Excerpt, error) {
 	cut := cutter{span: span, isBetweenRounds: true}
 	result, err := Run(segments, false, Visitor{
@@ -45,7 +47,7 @@
 	case err != nil:
 		return nil, err
 	case result.FirstDifference != nil:
-		return nil, fmt.Errorf("replay: this program decides otherwise before the span ends, use --redecide: %v",
+		return nil, fmt.Errorf("replay: decisions differ from the recorded ones before the span ends, use --redecide: %v",
 			result.FirstDifference)
 	case cut.excerpt == nil || len(cut.excerpt.Records) == 0:
 		return nil, ErrEmptySpan
@@ -56,12 +58,12 @@
 // cutter collects an excerpt during a replay.
 type cutter struct {
 	span            Span
-	excerpt         *Excerpt         // nil before it begins
-	annotations     []capture.Record // since the last event, while the excerpt has not begun
+	excerpt         *Excerpt         // nil before its first event
+	annotations     []capture.Record // notes since the last event, while excerpt is nil
 	isBetweenRounds bool
 }
 
-// beforeEvent begins the excerpt with the first event of the span.
+// beforeEvent starts the excerpt at the first event of the span that starts a round.
 func (c *cutter) beforeEvent(at capture.Position, event *capture.Record, module *admission.Instance) error {
 	if c.excerpt == nil && c.isBetweenRounds && event.At >= c.span.From {
 		meta := at.Segment.Meta
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// onAnnotation adds an annotation, or keeps it for the excerpt's first event.
+// onAnnotation adds a note to the excerpt, or keeps it until the next event, which may start the excerpt.
 func (c *cutter) onAnnotation(_ capture.Position, annotation *capture.Record) error {
 	if c.excerpt != nil {
 		c.excerpt.Records = append(c.excerpt.Records, *annotation)
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// afterEvent adds the event and its actions, and stops the replay at the end of the span.
+// afterEvent adds the event and its actions to the excerpt, and stops the replay at the end of the span.
 func (c *cutter) afterEvent(_ capture.Position, event *capture.Record, actions []capture.Record, _ *admission.Instance) error {
 	c.isBetweenRounds = event.Kind == capture.KindSettle
 	if c.excerpt == nil {
@@ -98,10 +100,10 @@
 	return nil
 }
 
-// LoadExcerpt reads a whole segment, which must not be damaged.
+// LoadExcerpt returns an excerpt with all records of a segment. It returns an error if the segment is damaged.
 func LoadExcerpt(s *capture.Segment) (*Excerpt, error) {
 	if s.Snapshot == nil || len(s.Damage) > 0 {
-		return nil, fmt.Errorf("%s: damaged", s.Path)
+		return nil, fmt.Errorf("%s: segment is damaged", s.Path)
 	}
 	e := &Excerpt{Meta: s.Meta, Snapshot: s.Snapshot}
 	err := s.ForEach(func(_ capture.Position, r *capture.Record) error {
@@ -111,8 +113,8 @@
 	return e, err
 }
 
-// Join reads whole segments into one excerpt that holds a span, whatever the recorded actions were. A span that ends at 0
-// has no end.
+// Join joins complete segments into one excerpt with the events of a span. Unlike Cut, it does not replay the segments, so the
+// recorded actions do not matter. A span whose end is 0 extends to the end of the last segment.
 func Join(segments []*capture.Segment, span Span) (*Excerpt, error) {
 	var joined *Excerpt
 	for i, s := range segments {
@@ -137,7 +139,8 @@
 	return joined, nil
 }
 
-// lastBlockTime returns the module's clock at the start of the segment's last block.
+// lastBlockTime returns the module's clock at the event before the segment's last block, or at the segment's start if it has no
+// blocks.
 func lastBlockTime(s *capture.Segment) time.Duration {
 	if n := len(s.Blocks); n > 0 {
 		return s.Blocks[n-1].BaseTime
@@ -145,7 +148,7 @@
 	return s.Meta.ModuleTime
 }
 
-// truncate drops the records behind the first round that ends at the time or later; 0 drops nothing.
+// truncate removes the records after the first round that ends at or after the end. It removes nothing if the end is 0.
 func (e *Excerpt) truncate(end time.Duration) {
 	if end <= 0 {
 		return
@@ -158,7 +161,7 @@
 	}
 }
 
-// Write writes the excerpt to a new file, as a segment with the comment.
+// Write writes the excerpt to a new file as a segment with the comment. It returns an error if the file exists.
 func (e *Excerpt) Write(path, comment string) error {
 	meta := e.Meta
 	meta.Comment = comment
@@ -170,14 +173,14 @@
 	})
 }
 
-// EventObserver receives each event of an excerpt while it is replayed.
+// EventObserver observes the events of an excerpt during a replay.
 type EventObserver interface {
 	// ObserveEvent is called after the event, with the actions that it caused and the module in its new state.
 	ObserveEvent(event *capture.Record, actions []capture.Record, module *admission.Instance)
 }
 
-// Replay passes the excerpt's events to the module, and returns the excerpt with the module's actions in place of the
-// recorded ones. The observer may be nil.
+// Replay passes the excerpt's events to a module that is restored from its snapshot. It returns an excerpt that has the actions
+// of this module instead of the recorded ones. The observer may be nil.
 func (e *Excerpt) Replay(observer EventObserver) (*Excerpt, error) {
 	var recorder ActionRecorder
 	module, err := admission.Restore(e.Snapshot, &recorder)
--- a/internal/replay/memory_dir_test.go
+++ b/internal/replay/memory_dir_test.go
@@ -15,7 +15,7 @@
 	files map[string]*bytes.Buffer
 }
 
-// memoryFile is a file of it that is being written.
+// memoryFile is a file of a memoryDir that is being written.
 type memoryFile struct {
 	dir     *memoryDir
 	content *bytes.Buffer
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// segments parses all files.
+// segments parses all files in the order of their numbers. It fails the test if one is missing or cannot be parsed.
 func (d *memoryDir) segments(t interface{ Fatal(...any) }) []*capture.Segment {
 	var segments []*capture.Segment
 	for i := range len(d.files) {
 		content := d.files[fmt.Sprintf("%010d.capture", i+1)]
 		if content == nil {
-			t.Fatal("a segment is missing")
+			t.Fatal("a segment is missing, want numbers from 1 without gaps")
 		}
 		segment, err := capture.Parse(content.Bytes())
 		if err != nil {
--- a/internal/replay/predicate.go
+++ b/internal/replay/predicate.go
@@ -10,14 +10,14 @@
 	"tillerusher/internal/capture"
 )
 
-// Predicate is a property of a replay of an excerpt.
+// Predicate is a condition on the replay of an excerpt, which it observes.
 type Predicate interface {
 	EventObserver
-	// Matched reports whether the replay had the property.
+	// Matched reports whether the condition was true for the replay so far.
 	Matched() bool
 }
 
-// The kinds of predicates.
+// The kinds of predicates, as ParsePredicate reads them.
 const (
 	predicateRejected     = "refused"
 	predicateFailed       = "failed"
@@ -26,25 +26,25 @@
 	predicateStuckBacklog = "jam"
 )
 
-// predicateActions are the actions that predicates on a request match.
+// predicateActions are the kinds of actions that the predicates on a request match.
 var predicateActions = map[string]capture.Kind{
 	predicateRejected: capture.KindReject,
 	predicateFailed:   capture.KindFail,
 	predicateRun:      capture.KindRun,
 }
 
-// ParsePredicate reads a predicate and returns a function that makes a new one for each replay:
+// ParsePredicate parses a predicate. It returns a function that returns a new predicate, because each replay needs its own:
 //
-//	refused:ID  failed:ID  run:ID    the module's request ID is rejected, failed or run
-//	log:TEXT                          the module logs a line with the text
-//	jam:DURATION                      for so long requests are queued and none runs, though nothing is stalled
+//	refused:ID  failed:ID  run:ID    the request with the module's number ID is rejected, failed or run
+//	log:TEXT                         the module logs a line that contains TEXT
+//	jam:DURATION                     for DURATION, requests are queued and none runs, although the module sees no stall
 func ParsePredicate(text string) (func() Predicate, error) {
 	kind, argument, _ := strings.Cut(text, ":")
 	switch {
 	case predicateActions[kind] != 0:
 		id, err := strconv.ParseUint(strings.TrimPrefix(argument, "#"), 10, 32)
 		if err != nil {
-			return nil, fmt.Errorf("predicate %q: %q is no number of a request", text, argument)
+			return nil, fmt.Errorf("predicate %q: %q is not the number of a request", text, argument)
 		}
 		return newActionPredicate(func(a *capture.Record) bool {
 			return a.Kind == predicateActions[kind] && a.ID == admission.RequestID(id)
@@ -56,14 +56,14 @@
 	case kind == predicateStuckBacklog:
 		duration, err := time.ParseDuration(argument)
 		if err != nil || duration <= 0 {
-			return nil, fmt.Errorf("predicate %q: %q is no time such as 500ms", text, argument)
+			return nil, fmt.Errorf("predicate %q: %q is not a positive duration such as 500ms", text, argument)
 		}
 		return func() Predicate { return &StuckBacklog{MinDuration: duration} }, nil
 	}
 	return nil, fmt.Errorf("predicate %q: want refused:ID, failed:ID, run:ID, log:TEXT or jam:DURATION", text)
 }
 
-// actionPredicate matches a replay with an action that the function returns true for.
+// actionPredicate matches a replay if the function matches returns true for one of its actions.
 type actionPredicate struct {
 	matches func(action *capture.Record) bool
 	matched bool
@@ -83,12 +83,13 @@
 // Matched implements Predicate.
 func (p *actionPredicate) Matched() bool { return p.matched }
 
-// StuckBacklog matches a replay in which requests are queued and none runs, although the module does not see a stall.
+// StuckBacklog matches a replay in which requests are queued for a minimum duration while none runs and none waits for a call,
+// although the module does not detect a stall.
 type StuckBacklog struct {
-	MinDuration time.Duration // how long it has to last
+	MinDuration time.Duration // minimum duration of the backlog
 
-	longest time.Duration
-	since   time.Duration // when the current backlog got stuck
+	longest time.Duration // longest duration so far
+	since   time.Duration // start of the current stuck backlog
 	isStuck bool
 }
 
--- a/internal/replay/record_text.go
+++ b/internal/replay/record_text.go
@@ -8,10 +8,10 @@
 	"tillerusher/internal/capture"
 )
 
-// outcomeTexts are the texts of outcomes, by admission.Outcome.
+// outcomeTexts are the texts of outcomes, by admission.Outcome. They are part of values in JSON.
 var outcomeTexts = [...]string{"ok", "errored", "rejected", "timed out", "unreachable", "reset", "cancelled", "moot"}
 
-// formatOutcome returns the text of an outcome that may come from a damaged capture.
+// formatOutcome returns the text of an outcome, or its number if it is unknown, as in a damaged capture.
 func formatOutcome(o admission.Outcome) string {
 	if int(o) < len(outcomeTexts) {
 		return outcomeTexts[o]
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("outcome %d", o)
 }
 
-// FormatRecord returns a record as a line of text.
+// FormatRecord formats a record as a line of text. A nil record is formatted as "nothing".
 func FormatRecord(record *capture.Record) string {
 	if record == nil {
 		return "nothing"
@@ -34,9 +34,9 @@
 	case capture.KindTimer:
 		return fmt.Sprintf("timer busy=%g runnable=%g", record.Gauges.Utilization, record.Gauges.Runnable)
 	case capture.KindReject:
-		text := fmt.Sprintf("refuse %d, stay away %v", record.ID, record.Duration)
+		text := fmt.Sprintf("refuse %d, retry after %v", record.ID, record.Duration)
 		if record.Flag {
-			text += ", try nowhere else"
+			text += ", not at another server"
 		}
 		return text
 	case capture.KindCall, capture.KindKeepKey:
@@ -73,7 +73,7 @@
 	return text
 }
 
-// stepText returns a record of a request as a step of its trace.
+// stepText formats a record of a request as the text of a step in its trace. The texts are values in JSON.
 func stepText(record *capture.Record) string {
 	switch record.Kind {
 	case capture.KindRun:
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay feeds captures to the decision module again, in virtual time: to check that its decisions are the same
-// (Run), to explain them (Explain, InspectAt), to simulate other settings or another version (Simulate), and to reduce
-// captures to the relevant part (Cut, Shrink).
+// Package replay passes the events of captures to the decision module again, in virtual time. It checks that the module's
+// decisions are the recorded ones (Run), explains them (Explain, InspectAt), simulates other settings or another version of the
+// module (Simulate), and reduces captures to the relevant part (Cut, Shrink).
 package replay
 
 import (
@@ -23,10 +23,10 @@
 	Rejected         uint64        `json:"refused"`
 	Failed           uint64        `json:"failed"`
 	Runs             uint64        `json:"runs"`
-	Restarts         int           `json:"restarts"` // times that it began from a snapshot instead of continuing
-	Duration         time.Duration `json:"spanned"`  // by the module's clock
-	Skipped          uint64        `json:"skipped"`  // events behind damage, before which the module's state is unknown
-	MatchedSnapshots int           `json:"states"`   // snapshots that were equal to the state that the replay had reached
+	Restarts         int           `json:"restarts"` // segments at which it restarted from the snapshot instead of continuing
+	Duration         time.Duration `json:"spanned"`  // on the module's clock
+	Skipped          uint64        `json:"skipped"`  // events that are not replayed since the module's state is unknown after damage
+	MatchedSnapshots int           `json:"states"`   // snapshots that are equal to the replayed module's state
 	FirstDifference  *Difference   `json:"first,omitempty"`
 }
 
@@ -43,42 +43,43 @@
 	}
 }
 
-// Difference is a record at which the replayed decisions differ from the recorded ones.
+// Difference is a difference between the replayed decisions and the recorded ones.
 type Difference struct {
 	Segment      string               `json:"segment"`
-	RecordNumber uint64               `json:"number"` // of the event's record, within the run of the server
+	RecordNumber uint64               `json:"number"` // number of the event's record within the run of the server
 	Event        *capture.Record      `json:"event,omitempty"`
-	Recorded     *capture.Record      `json:"recorded,omitempty"` // nil: no further action was recorded
-	Replayed     *capture.Record      `json:"replayed,omitempty"` // nil: no further action was decided
-	StateDiffers bool                 `json:"state,omitempty"`    // the difference is in the snapshot at the segment's start
-	StateBefore  admission.Inspection `json:"before"`             // before the event
+	Recorded     *capture.Record      `json:"recorded,omitempty"` // nil if no further action was recorded
+	Replayed     *capture.Record      `json:"replayed,omitempty"` // nil if the module decided on no further action
+	StateDiffers bool                 `json:"state,omitempty"`    // the snapshot at the segment's start differs
+	StateBefore  admission.Inspection `json:"before"`             // module's state before the event
 }
 
-// String names the place and both actions.
+// String returns the segment, the number of the record, the event and both actions, or the segment whose snapshot differs.
 func (d *Difference) String() string {
 	if d.StateDiffers {
-		return fmt.Sprintf("%s: the state at its start is not the one that the replay had come to", d.Segment)
+		return fmt.Sprintf("%s: the snapshot at its start differs from the state that the replay reached", d.Segment)
 	}
-	return fmt.Sprintf("%s: record %d: at %s the record has %s, the replay has %s", d.Segment, d.RecordNumber,
+	return fmt.Sprintf("%s: record %d: event %s: recorded %s, replayed %s", d.Segment, d.RecordNumber,
 		FormatRecord(d.Event), FormatRecord(d.Recorded), FormatRecord(d.Replayed))
 }
 
-// Visitor follows a replay. Its functions may be nil. An error that one returns ends the replay, capture.ErrStop without an
-// error of Run.
+// Visitor is a set of functions that Run calls during a replay. Each may be nil. If one returns an error, Run stops and returns
+// an error that wraps it, or nil for capture.ErrStop.
 type Visitor struct {
-	// BeforeEvent is called with the module in its state before the event.
+	// BeforeEvent is called before the event is passed to the module.
 	BeforeEvent func(at capture.Position, event *capture.Record, module *admission.Instance) error
-	// AfterEvent is called with the actions that the event caused, if they are the recorded ones.
+	// AfterEvent is called after the event if the actions that it caused are the recorded ones.
 	AfterEvent func(at capture.Position, event *capture.Record, actions []capture.Record, module *admission.Instance) error
-	// OnAnnotation is called with records that are neither events nor actions.
+	// OnAnnotation is called for each note, which is a record that is neither an event nor an action.
 	OnAnnotation func(at capture.Position, annotation *capture.Record) error
 }
 
 // errDiffers ends a replay at its first difference.
 var errDiffers = errors.New("replay: the decisions differ")
 
-// Run replays the segments in order. It keeps the module's state from one segment to the next where no record is missing
-// between them. Elsewhere, and at every segment if fresh is set, it begins from the segment's snapshot.
+// Run replays the segments in order, until the first difference between the module's actions and the recorded ones. It keeps
+// the module's state from one segment to the next if no record is missing between them. Otherwise, and for every segment if
+// fresh is set, it restores the module from the segment's snapshot.
 func Run(segments []*capture.Segment, fresh bool, visitor Visitor) (*Result, error) {
 	replay := &replayer{visitor: visitor}
 	var previous *capture.Segment
@@ -99,14 +100,14 @@
 type replayer struct {
 	visitor     Visitor
 	result      Result
-	module      *admission.Instance // nil where its state is not known
+	module      *admission.Instance // nil while its state is unknown
 	recorder    ActionRecorder
 	snapshotBuf []byte // scratch buffer of compareSnapshot
 
-	isComparing bool           // an event was delivered, whose actions are being compared
-	event       capture.Record // that event
+	isComparing bool           // event was delivered, and its actions are being compared
+	event       capture.Record // the last delivered event
 	eventAt     capture.Position
-	compared    int // actions of the recorder that were compared
+	compared    int // number of actions of the recorder that were compared
 }
 
 // replaySegment replays one segment.
@@ -129,11 +130,11 @@
 	if segment.Complete {
 		return r.finishEvent()
 	}
-	r.isComparing = false // the last event's actions may not all have been recorded
+	r.isComparing = false // the record of the last event's actions may be incomplete
 	return nil
 }
 
-// compareSnapshot compares the state that the replay has reached with the segment's snapshot.
+// compareSnapshot compares the module's state with the segment's snapshot.
 func (r *replayer) compareSnapshot(segment *capture.Segment) error {
 	r.snapshotBuf = r.module.Snapshot(r.snapshotBuf[:0])
 	if !bytes.Equal(r.snapshotBuf, segment.Snapshot) {
@@ -145,12 +146,12 @@
 	return nil
 }
 
-// restore sets the module's state to the segment's snapshot.
+// restore restores the module from the segment's snapshot. Without a snapshot, the module is nil.
 func (r *replayer) restore(segment *capture.Segment) error {
 	r.module, r.isComparing = nil, false
 	r.result.Restarts++
 	if segment.Snapshot == nil {
-		return nil // it is damaged, and the segment's events are skipped
+		return nil // the snapshot is damaged, and the segment's events are skipped
 	}
 	module, err := admission.Restore(segment.Snapshot, &r.recorder)
 	if err != nil {
@@ -163,10 +164,10 @@
 // replayRecords replays the records of a segment.
 func (r *replayer) replayRecords(segment *capture.Segment) error {
 	last := segment.Meta.ModuleTime
-	var recordErr error // kept, since ForEach returns nil where it is stopped by capture.ErrStop
+	var recordErr error // kept because ForEach returns nil for capture.ErrStop
 	err := segment.ForEach(func(at capture.Position, record *capture.Record) error {
 		if at.AfterDamage {
-			r.module, r.isComparing = nil, false // the state behind missing records is unknown
+			r.module, r.isComparing = nil, false // the state after missing records is unknown
 		}
 		last = max(last, record.At)
 		recordErr = r.replayRecord(at, record)
@@ -219,7 +220,7 @@
 	return nil
 }
 
-// compareAction compares a recorded action with the next one that the module decided.
+// compareAction compares a recorded action with the module's next action.
 func (r *replayer) compareAction(recorded *capture.Record) error {
 	if !r.isComparing {
 		return nil
@@ -231,7 +232,8 @@
 	return nil
 }
 
-// finishEvent ends an event: the module may not have decided more actions than were recorded.
+// finishEvent ends the comparison of an event's actions. It reports a difference if the module decided on more actions than
+// were recorded.
 func (r *replayer) finishEvent() error {
 	if !r.isComparing {
 		return nil
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// reportDifference sets the result's difference. recorded is nil where no further action was recorded.
+// reportDifference sets Result.FirstDifference and returns errDiffers. recorded is nil if no further action was recorded.
 func (r *replayer) reportDifference(recorded *capture.Record) error {
 	event := r.event
 	difference := &Difference{Segment: r.eventAt.Segment.Path, RecordNumber: r.eventAt.Number, Event: &event}
@@ -263,19 +265,19 @@
 	return errDiffers
 }
 
-// inspectBeforeEvent replays the segment again, up to the event that differs, and returns the module's state there.
+// inspectBeforeEvent replays the segment again up to the event whose actions differ, and returns the module's state before it.
 func (r *replayer) inspectBeforeEvent() (state admission.Inspection) {
-	second := replayer{}
-	if second.restore(r.eventAt.Segment) != nil || second.module == nil {
+	rerun := replayer{}
+	if rerun.restore(r.eventAt.Segment) != nil || rerun.module == nil {
 		return state
 	}
 	r.eventAt.Segment.ForEach(func(at capture.Position, record *capture.Record) error {
 		if at.Number == r.eventAt.Number {
-			state = second.module.Inspect()
+			state = rerun.module.Inspect()
 			return capture.ErrStop
 		}
 		if record.Kind.IsEvent() {
-			Deliver(second.module, record)
+			Deliver(rerun.module, record)
 		}
 		return nil
 	})
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -32,11 +32,11 @@
 	}
 }
 
-// drawEvents passes a random sequence of events, legal or not, to a module behind a tap.
+// drawEvents passes random events, legal and illegal ones, to a module or to the tap in front of it.
 func drawEvents(t *rapid.T, module admission.Events) {
 	now, last := time.Duration(0), admission.RequestID(0)
 	for range rapid.IntRange(1, 60).Draw(t, "rounds") {
-		// The clock stands still, advances, or jumps by minutes.
+		// The clock does not change, advances by milliseconds, or jumps by minutes.
 		now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 7 * time.Millisecond, 90 * time.Millisecond,
 			3 * time.Minute}).Draw(t, "wait")
 		for range rapid.IntRange(1, 6).Draw(t, "events") {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestRandomEventsReplayTheSame records random events and replays them: what the module decides must depend on its events
-// alone, also from every segment's snapshot.
+// TestRandomEventsReplayTheSame records random events, and checks that a replay makes the same decisions, continuously and from
+// every segment's snapshot: the module's decisions may depend only on its events.
 func TestRandomEventsReplayTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir := &memoryDir{files: map[string]*bytes.Buffer{}}
@@ -95,7 +95,7 @@
 				t.Fatal(err)
 			}
 			if r.FirstDifference != nil || r.Skipped > 0 {
-				t.Fatalf("fresh %t: %v, %d skipped", fresh, r.FirstDifference, r.Skipped)
+				t.Fatalf("fresh %t: difference %v, %d events skipped, want none", fresh, r.FirstDifference, r.Skipped)
 			}
 		}
 		from := time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond
@@ -111,12 +111,12 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(again.Records, excerpt.Records) {
-			t.Fatal("a piece replays to other decisions")
+			t.Fatal("the replay of an excerpt differs from its records")
 		}
 	})
 }
 
-// TestTamperedRecordIsFound expects a difference at the event of a record that was changed, with the state before it.
+// TestTamperedRecordIsFound checks that a replay finds a changed action, and returns its event and the state before the event.
 func TestTamperedRecordIsFound(t *testing.T) {
 	segments := []*capture.Segment{stormSegment(t)}
 	excerpt, err := LoadExcerpt(segments[0])
@@ -141,10 +141,10 @@
 	d := r.FirstDifference
 	if err != nil || d == nil || d.Recorded.Kind != capture.KindFail || d.Replayed.Kind != capture.KindReject ||
 		d.StateBefore.Queued == 0 || d.Event == nil {
-		t.Errorf("%v, %v", err, d)
+		t.Errorf("error %v, difference %v, want recorded fail, replayed refuse and queued requests", err, d)
 	}
 	if err := excerpt.Write(path, "again"); err == nil {
-		t.Error("a file was overwritten")
+		t.Error("Write succeeded for an existing file")
 	}
 }
 
@@ -158,7 +158,8 @@
 	return s
 }
 
-// TestExplainRequestsOfStorm explains requests with every end status in the capture of a load test.
+// TestExplainRequestsOfStorm explains two requests of each end status in the capture of a load test, an unknown request, and the
+// state at a time.
 func TestExplainRequestsOfStorm(t *testing.T) {
 	segments := []*capture.Segment{stormSegment(t)}
 	attempts, err := RecordedAttempts(segments, 2)
@@ -176,26 +177,27 @@
 		}
 		trace := traces[0]
 		text := strings.Join(trace.Lines(), "\n")
-		if !strings.Contains(text, a.WireID) || !strings.Contains(text, "before it in the hold") {
-			t.Errorf("told: %s", text)
+		if !strings.Contains(text, a.WireID) || !strings.Contains(text, "queued ahead of it") {
+			t.Errorf("trace without the Request-Id or the requests ahead: %s", text)
 		}
 		if a.Status == StatusRejected && trace.EndedOnRead && trace.AdmissionCheck.Reason == admission.Admitted {
-			t.Errorf("%s was refused as it was read, and no reason is told", a.WireID)
+			t.Errorf("%s was rejected when it was read, but the reason is Admitted", a.WireID)
 		}
 	}
 	if counts[StatusRejected] == 0 || counts[StatusServed] == 0 {
-		t.Errorf("the storm has %v", counts)
+		t.Errorf("end statuses %v, want rejected and served attempts", counts)
 	}
 	if _, err := Explain(segments, "0123456789abcdef"); !errors.Is(err, ErrNotInCapture) {
-		t.Errorf("of an unknown request: %v", err)
+		t.Errorf("unknown request: error %v, want ErrNotInCapture", err)
 	}
 	state, err := InspectAt(segments, segments[0].Meta.ModuleTime+time.Second, 50*time.Millisecond)
 	if err != nil || state.State.Now == 0 || len(state.Decisions) == 0 {
-		t.Errorf("of a moment: %v, %+v", err, state)
+		t.Errorf("state at a time: error %v, %+v", err, state)
 	}
 }
 
-// TestSimulate expects a simulation without changes to come near what was recorded, and one with more cores to serve more.
+// TestSimulate checks that a simulation without changes serves about as many attempts as were recorded, and that one with more
+// cores serves more.
 func TestSimulate(t *testing.T) {
 	segments := []*capture.Segment{stormSegment(t)}
 	recorded, err := RecordedAttempts(segments, 2)
@@ -204,25 +206,25 @@
 	}
 	base, settings, err := Simulate(segments, nil)
 	if err != nil || len(base) != len(recorded) {
-		t.Fatalf("%v, %d of %d outcomes", err, len(base), len(recorded))
+		t.Fatalf("error %v, %d of %d attempts", err, len(base), len(recorded))
 	}
 	again, _, _ := Simulate(segments, nil)
 	if !reflect.DeepEqual(base, again) {
-		t.Error("two modelled replays differ")
+		t.Error("two simulations of the same capture differ")
 	}
 	served := func(list []*Attempt) float64 {
 		return float64(Summarize(list, segments[0].Meta, settings.Classes)[0].Served) / float64(len(list))
 	}
 	if difference := served(base) - served(recorded); difference > 0.1 || difference < -0.1 {
-		t.Errorf("modelled %.3f, recorded %.3f", served(base), served(recorded))
+		t.Errorf("share served: simulated %.3f, recorded %.3f, want a difference of at most 0.1", served(base), served(recorded))
 	}
 	eightCores, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"cores", "8"}}, segments[0].Meta))
 	if err != nil || served(eightCores) <= served(base) {
-		t.Errorf("8 cores serve %.3f, 2 serve %.3f: %v", served(eightCores), served(base), err)
+		t.Errorf("share served: %.3f with 8 cores, %.3f with 2, want more with 8: error %v", served(eightCores), served(base), err)
 	}
 	comparison := Compare(base, eightCores, segments[0].Meta, settings.Classes)
 	if len(comparison.Changes) == 0 {
-		t.Error("no request ends otherwise")
+		t.Error("8 cores change the end status of no attempt")
 	}
 	var file bytes.Buffer
 	if err := WriteAttempts(&file, segments[0].Meta, base); err != nil {
@@ -230,14 +232,15 @@
 	}
 	read, err := ReadAttempts(&file, segments[0].Meta)
 	if err != nil || !reflect.DeepEqual(read, base) {
-		t.Errorf("outcomes do not come back: %v", err)
+		t.Errorf("attempts differ after they were written and read: error %v", err)
 	}
 	if _, _, err := Simulate(segments, ApplySettingChanges([]SettingChange{{"quota.nowhere", "8"}}, segments[0].Meta)); err == nil {
-		t.Error("a tenant that is not there is changed")
+		t.Error("the quota of an unknown tenant was changed without an error")
 	}
 }
 
-// TestCutAndShrink cuts around one rejection, shrinks the capture to it, and replays both.
+// TestCutAndShrink cuts an excerpt around one rejection and shrinks the capture to the rejection. It checks that both excerpts
+// are smaller and replay without a difference.
 func TestCutAndShrink(t *testing.T) {
 	segments := []*capture.Segment{stormSegment(t)}
 	attempts, err := RecordedAttempts(segments, 2)
@@ -264,11 +267,11 @@
 	}
 	whole, err := LoadExcerpt(segments[0])
 	if err != nil || len(excerpt.Records) >= len(whole.Records) {
-		t.Fatalf("%v: the cut has %d of %d records", err, len(excerpt.Records), len(whole.Records))
+		t.Fatalf("error %v, the cut excerpt has %d of %d records, want fewer", err, len(excerpt.Records), len(whole.Records))
 	}
 	small, _, err := Shrink(whole, predicate)
 	if err != nil || len(small.Records) >= len(whole.Records)/2 {
-		t.Fatalf("%v: %d of %d records are left", err, len(small.Records), len(whole.Records))
+		t.Fatalf("error %v, the shrunk excerpt has %d of %d records, want less than half", err, len(small.Records), len(whole.Records))
 	}
 	for name, e := range map[string]*Excerpt{"cut": excerpt, "small": small} {
 		path := t.TempDir() + "/" + name + ".capture"
@@ -281,11 +284,11 @@
 		}
 		r, err := Run([]*capture.Segment{s}, false, Visitor{})
 		if err != nil || r.FirstDifference != nil || r.Rejected == 0 {
-			t.Errorf("%s: %v, %+v", name, err, r)
+			t.Errorf("%s: error %v, result %+v, want a rejection and no difference", name, err, r)
 		}
 	}
 	newNeverMatching := func() Predicate { return &StuckBacklog{MinDuration: time.Hour} }
 	if _, _, err := Shrink(whole, newNeverMatching); !errors.Is(err, ErrNotMatched) {
-		t.Errorf("a predicate that never holds: %v", err)
+		t.Errorf("predicate that never holds: error %v, want ErrNotMatched", err)
 	}
 }
--- a/internal/replay/replaytest/replaytest.go
+++ b/internal/replay/replaytest/replaytest.go
@@ -1,4 +1,4 @@
-// Package replaytest turns captures into ordinary tests, one line each.
+// Package replaytest has assertions with which a test of a capture is one line.
 package replaytest
 
 import (
@@ -8,8 +8,8 @@
 	"tillerusher/internal/replay"
 )
 
-// AssertSameDecisions fails the test where the module decides otherwise than was recorded, when the capture is replayed as a
-// whole or from each segment's snapshot. It returns the result of the latter.
+// AssertSameDecisions replays the capture twice: continuously, and from each segment's snapshot. It fails the test if the
+// decisions differ from the recorded ones, and returns the result of the second replay.
 func AssertSameDecisions(t *testing.T, path string) *replay.Result {
 	t.Helper()
 	segments := open(t, path)
@@ -27,8 +27,8 @@
 	return result
 }
 
-// AssertNeverMatches fails the test where the predicate (see replay.ParsePredicate) holds when the module gets the capture's
-// events, whatever the recorded decisions were: a failure that was captured once must not come back.
+// AssertNeverMatches passes the capture's events to the module and fails the test if the predicate (see replay.ParsePredicate)
+// holds. It ignores the recorded decisions. It is for regression tests of failures that were captured.
 func AssertNeverMatches(t *testing.T, path, predicate string) {
 	t.Helper()
 	newPredicate, err := replay.ParsePredicate(predicate)
@@ -44,11 +44,11 @@
 		t.Fatal(err)
 	}
 	if observer.Matched() {
-		t.Errorf("%s: %s holds again", path, predicate)
+		t.Errorf("%s: predicate %s holds, want that it does not", path, predicate)
 	}
 }
 
-// open reads a capture, which must not be damaged.
+// open reads a capture and fails the test if it is damaged.
 func open(t *testing.T, path string) []*capture.Segment {
 	t.Helper()
 	segments, bad, err := capture.Open(path)
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -10,18 +10,18 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNotInCapture is returned where a capture does not have the request or the time that is searched for.
+// ErrNotInCapture is returned if a capture does not have the requested request or time.
 var ErrNotInCapture = errors.New("replay: not in the capture")
 
-// Step is one thing that happened to a request.
+// Step is one event of, or action on, a request.
 type Step struct {
 	At       time.Duration `json:"at"`
 	UnixTime time.Time     `json:"unix"`
 	Text     string        `json:"text"`
 }
 
-// RequestTrace is the history of one attempt, and the module's state when it decided on it. Times are by the module's clock
-// unless stated otherwise.
+// RequestTrace is the history of one attempt, with the module's state when it decided on the attempt. Times are those of the
+// module's clock unless their names say Unix.
 type RequestTrace struct {
 	ID                admission.RequestID       `json:"id"`
 	WireID            string                    `json:"request_id,omitempty"`
@@ -30,16 +30,16 @@
 	Tenant            string                    `json:"tenant,omitempty"`
 	Request           admission.Request         `json:"asked"`
 	ReadAt            time.Duration             `json:"at"`
-	UnixTime          time.Time                 `json:"unix"`               // when it was read
-	AdmissionCheck    *admission.AdmissionCheck `json:"weighing,omitempty"` // nil where the module's state is not known
+	UnixTime          time.Time                 `json:"unix"`               // wall clock when it was read
+	AdmissionCheck    *admission.AdmissionCheck `json:"weighing,omitempty"` // nil if the module's state is unknown
 	StateOnRead       *admission.Inspection     `json:"known,omitempty"`
 	Steps             []Step                    `json:"steps"`
 	Status            EndStatus                 `json:"ending"`
 	EndAt             time.Duration             `json:"end_at"`
-	EndedOnRead       bool                      `json:"on_read"`             // it was answered in the event of its arrival
-	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // where it was answered later
-	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // where it was answered later
-	Lateness          time.Duration             `json:"late,omitempty"`      // time after its objective at which it was served
+	EndedOnRead       bool                      `json:"on_read"`             // it ended by the event of its arrival
+	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // set only if it ended by a later event
+	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // set only if it ended by a later event
+	Lateness          time.Duration             `json:"late,omitempty"`      // how long after its latency objective it was served
 	ObjectiveDeadline time.Duration             `json:"aim_at,omitempty"`
 
 	hasEnded  bool
@@ -47,25 +47,25 @@
 	endEvent  eventRef
 }
 
-// eventRef identifies an event's record.
+// eventRef identifies the record of an event.
 type eventRef struct {
 	segment *capture.Segment
 	number  uint64
 }
 
-// requestRef identifies a request over several runs of the server.
+// requestRef identifies a request in a capture that may be of several runs of the server.
 type requestRef struct {
 	run string
 	id  admission.RequestID
 }
 
-// Explain returns the traces of all attempts with the Request-Id or the idempotency key, or of the request with the module's
-// number where name is #NUMBER.
+// Explain returns the traces of all attempts that have name as their Request-Id or idempotency key, or if name is #NUMBER, of
+// the requests with the module's number. It returns an error that wraps ErrNotInCapture if there are none.
 func Explain(segments []*capture.Segment, name string) ([]*RequestTrace, error) {
 	collector := traceCollector{name: name, byRequest: map[requestRef]*RequestTrace{}}
 	if text, ok := strings.CutPrefix(name, "#"); ok {
 		if _, err := fmt.Sscanf(text, "%d", &collector.number); err != nil {
-			return nil, fmt.Errorf("replay: %q is no number of a request", name)
+			return nil, fmt.Errorf("replay: %q is not the number of a request", name)
 		}
 	}
 	for _, s := range segments {
@@ -79,19 +79,19 @@
 	return collector.traces, addDecisions(segments, collector.traces)
 }
 
-// traceCollector collects the traces of requests from a capture's records.
+// traceCollector builds the traces of the matching requests from a capture's records.
 type traceCollector struct {
 	name   string              // Request-Id or idempotency key
-	number admission.RequestID // 0 is none
+	number admission.RequestID // 0 if requests are not selected by number
 
 	traces    []*RequestTrace
 	byRequest map[requestRef]*RequestTrace
 	event     eventRef // the last event, whose actions follow
 }
 
-// collect reads the records of a segment.
+// collect adds the records of a segment to the traces.
 func (c *traceCollector) collect(segment *capture.Segment) error {
-	names := map[admission.RequestID]capture.Record{} // of requests that come next
+	names := map[admission.RequestID]capture.Record{} // names of matching requests whose arrival follows
 	return segment.ForEach(func(at capture.Position, record *capture.Record) error {
 		if record.Kind.IsEvent() {
 			c.event = eventRef{segment, at.Number}
@@ -118,12 +118,12 @@
 	})
 }
 
-// matches reports whether one of a request's names is the one that is searched for.
+// matches reports whether names has the wanted Request-Id, idempotency key or number.
 func (c *traceCollector) matches(names *capture.Record) bool {
 	return strings.EqualFold(names.Text, c.name) || names.Key != "" && strings.EqualFold(names.Key, c.name) || names.ID == c.number
 }
 
-// begin begins a trace with the event of the request's arrival. name is the record of its names, or empty.
+// begin starts a trace with the event of a request's arrival. name is the record of the request's names, or the zero Record.
 func (c *traceCollector) begin(segment *capture.Segment, event *capture.Record, name capture.Record) {
 	trace := &RequestTrace{
 		ID:        event.ID,
@@ -141,7 +141,7 @@
 	c.byRequest[requestRef{segment.Meta.Run, event.ID}] = trace
 }
 
-// addStep adds a record of the request to its trace.
+// addStep adds a record of the request to its trace. event is the event that the record is or belongs to.
 func (t *RequestTrace) addStep(segment *capture.Segment, record *capture.Record, event eventRef) {
 	t.Steps = append(t.Steps, Step{record.At, segment.UnixTime(record.At), stepText(record)})
 	if t.hasEnded {
@@ -155,7 +155,7 @@
 	}
 }
 
-// addDecisions replays the capture and adds the module's state when it decided on the requests.
+// addDecisions replays the capture and adds the module's state when it decided on the requests to their traces.
 func addDecisions(segments []*capture.Segment, traces []*RequestTrace) error {
 	readBy, endedBy := map[eventRef][]*RequestTrace{}, map[eventRef][]*RequestTrace{}
 	for _, t := range traces {
@@ -184,14 +184,15 @@
 	return err
 }
 
-// inspectOnRead stores the module's state before the event of the request's arrival.
+// inspectOnRead stores the module's state before the event of the request's arrival, and the admission check.
 func (t *RequestTrace) inspectOnRead(now time.Duration, module *admission.Instance) {
 	check, state := module.CheckAdmission(now, t.Request), module.Inspect()
 	t.AdmissionCheck, t.StateOnRead = &check, &state
 	t.ObjectiveDeadline = check.ObjectiveDeadline
 }
 
-// inspectAtEnd stores the module's state before the event that ended the request.
+// inspectAtEnd stores the module's state before the event that ended the request, and the decision on the request if the
+// module still has it.
 func (t *RequestTrace) inspectAtEnd(now time.Duration, module *admission.Instance) {
 	state := module.Inspect()
 	t.StateAtEnd = &state
--- a/internal/replay/setting_change.go
+++ b/internal/replay/setting_change.go
@@ -12,15 +12,16 @@
 	"tillerusher/internal/capture"
 )
 
-// SettingChange is a changed value of the module's settings.
+// SettingChange is a new value for one of the module's settings.
 type SettingChange struct{ Name, Value string }
 
-// errUnknownSetting lists the settings that can be changed.
-var errUnknownSetting = errors.New("want cores, servers, memory-kb, key-kb, crowd-factor, retry-after, fresh, aim.CLASS, " +
+// errUnknownSetting is returned for an unknown setting. Its text lists the settings that can be changed.
+var errUnknownSetting = errors.New("unknown name, want cores, servers, memory-kb, key-kb, crowd-factor, retry-after, fresh, aim.CLASS, " +
 	"deadline.CLASS, worth.CLASS or quota.TENANT")
 
-// ParseSettingChanges reads NAME=VALUE pairs. The names are cores, servers, memory-kb, key-kb, crowd-factor, retry-after and
-// fresh; of a class aim.CLASS, deadline.CLASS and worth.CLASS; of a tenant quota.TENANT.
+// ParseSettingChanges parses NAME=VALUE pairs. The names are cores, servers, memory-kb, key-kb, crowd-factor, retry-after and
+// fresh; aim.CLASS, deadline.CLASS and worth.CLASS for a class; and quota.TENANT for a tenant. Unknown names and invalid values
+// are found only when the changes are applied.
 func ParseSettingChanges(pairs []string) ([]SettingChange, error) {
 	var changes []SettingChange
 	for _, pair := range pairs {
@@ -33,8 +34,8 @@
 	return changes, nil
 }
 
-// ApplySettingChanges returns a function for Simulate that makes the changes. The capture's meta names the classes and
-// tenants.
+// ApplySettingChanges returns a function for Simulate that applies the changes. The names of the classes and tenants are those of
+// the capture's meta.
 func ApplySettingChanges(changes []SettingChange, meta capture.Meta) func(*admission.Settings) error {
 	return func(settings *admission.Settings) error {
 		for _, c := range changes {
@@ -46,20 +47,20 @@
 	}
 }
 
-// apply makes one change.
+// apply applies the change to the settings.
 func (c SettingChange) apply(settings *admission.Settings, meta capture.Meta) error {
 	name, object, _ := strings.Cut(c.Name, ".")
 	switch name {
 	case "aim", "deadline", "worth":
 		i := slices.Index(meta.Classes, object)
 		if i < 0 || i >= len(settings.Classes) {
-			return fmt.Errorf("no class %q, want one of %s", object, strings.Join(meta.Classes, ", "))
+			return fmt.Errorf("unknown class %q, want one of %s", object, strings.Join(meta.Classes, ", "))
 		}
 		return c.applyToClass(name, &settings.Classes[i])
 	case "quota":
 		i := slices.Index(meta.Tenants, object)
 		if i < 0 || i >= len(settings.Tenants) {
-			return fmt.Errorf("no tenant %q, want one of %s", object, strings.Join(meta.Tenants, ", "))
+			return fmt.Errorf("unknown tenant %q, want one of %s", object, strings.Join(meta.Tenants, ", "))
 		}
 		return parseFloat(c.Value, &settings.Tenants[i].Quota)
 	case "cores":
@@ -80,7 +81,7 @@
 	return errUnknownSetting
 }
 
-// applyToClass changes a setting of a class.
+// applyToClass applies the change to the setting of a class: its aim, deadline or worth.
 func (c SettingChange) applyToClass(name string, class *admission.Class) error {
 	switch name {
 	case "aim":
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -8,12 +8,13 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNotMatched is returned where a predicate does not hold for the excerpt that is to be shrunk.
-var ErrNotMatched = errors.New("replay: the predicate does not hold for the whole")
+// ErrNotMatched is returned if the predicate does not hold for the excerpt to shrink.
+var ErrNotMatched = errors.New("replay: the predicate does not hold for the unshrunk excerpt")
 
-// Shrink drops events as long as the predicate holds, by the delta-debugging algorithm ddmin (Zeller and Hildebrandt,
-// Simplifying and Isolating Failure-Inducing Input, 2002). All events of a request are dropped together. The result has this
-// program's own actions; replays is how often the excerpt was replayed.
+// Shrink removes events from the excerpt as long as the predicate holds. It uses the delta-debugging algorithm ddmin (Zeller and
+// Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002), and removes all events of a request together. The
+// returned excerpt has the actions of this program instead of the recorded ones. replays is the number of replays that tested
+// the predicate.
 func Shrink(excerpt *Excerpt, newPredicate func() Predicate) (small *Excerpt, replays int, err error) {
 	shrink := shrinker{excerpt: excerpt, newPredicate: newPredicate}
 	if ok, err := shrink.holds(excerpt); err != nil {
@@ -25,7 +26,7 @@
 	if err != nil {
 		return nil, shrink.replays, err
 	}
-	small, err = excerpt.only(units).Replay(nil)
+	small, err = excerpt.withUnits(units).Replay(nil)
 	return small, shrink.replays, err
 }
 
@@ -36,7 +37,7 @@
 	replays      int
 }
 
-// holds reports whether the predicate holds for an excerpt.
+// holds replays an excerpt and reports whether the predicate holds for it.
 func (s *shrinker) holds(e *Excerpt) (bool, error) {
 	s.replays++
 	predicate := s.newPredicate()
@@ -44,8 +45,8 @@
 	return err == nil && predicate.Matched(), err
 }
 
-// minimize returns units of which none of the last tried parts can be dropped: it tries to drop parts of the units, and
-// smaller ones where no part can be dropped.
+// minimize removes parts of the units while the predicate holds. If no part can be removed, it tries smaller parts, down to
+// single units. Of the returned units no single one can be removed, unless one unit is left.
 func (s *shrinker) minimize(units []unit) ([]unit, error) {
 	for parts := 2; len(units) > 1; {
 		size := (len(units) + parts - 1) / parts
@@ -65,12 +66,12 @@
 	return units, nil
 }
 
-// dropOnePart returns the units without the first part of the size that can be dropped, and false where there is none.
+// dropOnePart removes the first part of the size, in units, that can be removed. It returns false if there is none.
 func (s *shrinker) dropOnePart(units []unit, size int) ([]unit, bool, error) {
 	for from := 0; from < len(units); from += size {
 		to := min(from+size, len(units))
 		rest := slices.Concat(units[:from], units[to:])
-		ok, err := s.holds(s.excerpt.only(rest))
+		ok, err := s.holds(s.excerpt.withUnits(rest))
 		if err != nil {
 			return nil, false, err
 		}
@@ -81,13 +82,13 @@
 	return nil, false, nil
 }
 
-// unit is dropped as a whole: a request with all its events, or one other record by its index.
+// unit is what Shrink removes together: all events of the request id, or if id is 0, the record with the index.
 type unit struct {
 	id    admission.RequestID
 	index int
 }
 
-// unitOf returns the unit that a record belongs to, and false for the end of a round and for actions.
+// unitOf returns the unit of a record. It returns false for the end of a round and for actions, which belong to no unit.
 func unitOf(index int, record *capture.Record) (unit, bool) {
 	switch {
 	case record.Kind == capture.KindSettle || record.Kind.IsAction():
@@ -98,7 +99,7 @@
 	return unit{index: index}, true
 }
 
-// unitsOf returns an excerpt's units in order.
+// unitsOf returns the units of an excerpt in the order of their first records.
 func unitsOf(e *Excerpt) []unit {
 	var units []unit
 	isListed := map[unit]bool{}
@@ -111,8 +112,8 @@
 	return units
 }
 
-// only returns the excerpt with the units alone. Rounds of which nothing is left are dropped too.
-func (e *Excerpt) only(units []unit) *Excerpt {
+// withUnits returns the excerpt with only the given units. It removes actions and the ends of empty rounds.
+func (e *Excerpt) withUnits(units []unit) *Excerpt {
 	keep := make(map[unit]bool, len(units))
 	for _, u := range units {
 		keep[u] = true
--- a/internal/replay/simulated_cores.go
+++ b/internal/replay/simulated_cores.go
@@ -9,17 +9,17 @@
 	"tillerusher/internal/capture"
 )
 
-// utilizationWindow is the time constant of the cores' gauge, an exponential moving average.
+// utilizationWindow is the time constant of the exponential moving average that is the utilization gauge.
 const utilizationWindow = 500 * time.Millisecond
 
-// simulatedCores are cores that are shared evenly by all runs.
+// simulatedCores simulates processor cores that all runs share evenly.
 type simulatedCores struct {
 	count       int
 	runs        []*simulatedRun
-	utilization float64
+	utilization float64 // moving average, 0 to 1
 }
 
-// simulatedRun is a run and the core time that it still takes.
+// simulatedRun is a run with its remaining core time.
 type simulatedRun struct {
 	id        admission.RequestID
 	remaining time.Duration
@@ -30,7 +30,7 @@
 	c.runs = append(c.runs, &simulatedRun{id, coreTime})
 }
 
-// remove ends a run, and returns whether there was one.
+// remove removes the run of a request and reports whether there was one.
 func (c *simulatedCores) remove(id admission.RequestID) bool {
 	i := c.index(id)
 	if i < 0 {
@@ -47,12 +47,12 @@
 	return slices.IndexFunc(c.runs, func(r *simulatedRun) bool { return r.id == id })
 }
 
-// share returns the part of a core that each run gets.
+// share returns the share of a core that each run gets, at most 1.
 func (c *simulatedCores) share() float64 {
 	return min(1, float64(c.count)/float64(max(len(c.runs), 1)))
 }
 
-// next returns the run that ends next and the time until then, or nil.
+// next returns the run that ends next and the time until its end. The run is nil if there is none.
 func (c *simulatedCores) next() (*simulatedRun, time.Duration) {
 	var next *simulatedRun
 	for _, r := range c.runs {
@@ -66,7 +66,7 @@
 	return next, time.Duration(math.Ceil(float64(next.remaining) / c.share()))
 }
 
-// advance spends the core time of an elapsed time on the runs.
+// advance reduces the remaining core time of all runs by their share of the elapsed time, and updates the utilization.
 func (c *simulatedCores) advance(elapsed time.Duration) {
 	spent := time.Duration(float64(elapsed) * c.share())
 	for _, r := range c.runs {
@@ -76,14 +76,15 @@
 	c.utilization = c.utilization*decay + (1-decay)*min(1, float64(len(c.runs))/float64(c.count))
 }
 
-// coreTimes are the recorded core times of runs, and their means.
+// coreTimes has the recorded core times of runs and their means.
 type coreTimes struct {
 	byID      map[admission.RequestID]time.Duration
 	classMean []time.Duration
-	mean      time.Duration // of all classes
+	mean      time.Duration // over all classes
 }
 
-// newCoreTimes computes the core times of recorded attempts. A class without runs has the mean of all.
+// newCoreTimes returns the core times of the recorded runs that ended, except those of errored attempts. A class without such
+// runs has the mean over all classes.
 func newCoreTimes(recorded []*Attempt, classes int) coreTimes {
 	times := coreTimes{byID: map[admission.RequestID]time.Duration{}, classMean: make([]time.Duration, classes)}
 	counts := make([]int, classes)
@@ -110,8 +111,9 @@
 	return times
 }
 
-// of returns the core time of a run; request is its record, or nil for one from before the recording.
-func (t *coreTimes) of(id admission.RequestID, request *capture.Record) time.Duration {
+// forRun returns the core time of a run: the recorded one, else the mean of its class, else 0. request is the record of the
+// request, or nil if the request arrived before the recording.
+func (t *coreTimes) forRun(id admission.RequestID, request *capture.Record) time.Duration {
 	if coreTime, ok := t.byID[id]; ok {
 		return coreTime
 	}
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -9,15 +9,15 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNoState is returned where a capture has no state to begin from.
-var ErrNoState = errors.New("replay: the first segment has no readable state")
+// ErrNoState is returned if a capture has no snapshot to start from.
+var ErrNoState = errors.New("replay: the first segment has no readable snapshot")
 
-// Simulate passes the recorded events of one run of the server to a module that may decide differently, and returns the
-// outcome of each attempt and the module's settings. change alters the settings, and may be nil.
+// Simulate simulates one run of the server with a module that may decide differently than the recorded one. It returns the
+// outcome of each attempt and the module's settings. change changes the settings before the simulation, and may be nil.
 //
-// Arrivals, cancellations and drains happen as recorded. Runs take their recorded core time, or the mean of their class if
-// they did not run; the cores are shared evenly, and the gauges are computed from that. Callers do not react to different
-// answers: retries happen as recorded, no more and no fewer.
+// Arrivals, cancellations and drains happen as recorded. A run takes its recorded core time, or the mean core time of its
+// class if there is no recorded one. All runs share the cores evenly, and the gauges are computed from the simulated cores.
+// Callers do not react to different answers: retries happen exactly as recorded.
 func Simulate(segments []*capture.Segment, change func(*admission.Settings) error) ([]*Attempt, admission.Settings, error) {
 	if len(segments) == 0 || segments[0].Snapshot == nil {
 		return nil, admission.Settings{}, ErrNoState
@@ -49,23 +49,23 @@
 
 // simulation is the state of Simulate. It implements admission.Actions.
 type simulation struct {
-	admission.NoActions // for the actions without effect here
+	admission.NoActions // for the actions that have no effect in a simulation
 
 	module    *admission.Instance
-	now       time.Duration // by the module's clock
-	end       time.Duration // of the recording
+	now       time.Duration // module's clock
+	end       time.Duration // module's clock at the end of the recording
 	cores     simulatedCores
 	coreTimes coreTimes
 	tracker   *attemptTracker
 	events    eventQueue       // future events
-	followUps []capture.Record // events caused by actions, delivered before time advances
+	followUps []capture.Record // events caused by actions, delivered before the clock advances
 
-	requests  map[admission.RequestID]*capture.Record       // that were passed to the module
-	hasResult map[admission.RequestID]bool                  // requests whose run made a result
-	waiting   map[admission.RequestID][]admission.RequestID // coalesced requests, by the one whose run they wait for
+	requests  map[admission.RequestID]*capture.Record       // events of the requests that were passed to the module
+	hasResult map[admission.RequestID]bool                  // requests whose run ended with a result
+	waiting   map[admission.RequestID][]admission.RequestID // coalesced requests by the request whose run they wait for
 }
 
-// resume starts the runs that are in flight in the initial state, with the mean core time, and the module's timer.
+// resume starts the runs in progress in the snapshot, with the mean core time, and queues the event of the module's timer.
 func (s *simulation) resume() {
 	_, running := s.module.Queue()
 	for _, id := range running {
@@ -74,7 +74,7 @@
 	s.events.push(s.now, capture.Record{Kind: capture.KindTimer}, "")
 }
 
-// queueRecorded queues the recorded events that do not depend on decisions.
+// queueRecorded queues the recorded events that do not depend on the module's decisions.
 func (s *simulation) queueRecorded(segments []*capture.Segment) error {
 	s.waiting = map[admission.RequestID][]admission.RequestID{}
 	s.requests, s.hasResult = map[admission.RequestID]*capture.Record{}, map[admission.RequestID]bool{}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// run processes events until the end of the recording. Attempts that are open then stay open.
+// run processes events until the end of the recording. Attempts that have not ended by then stay open.
 func (s *simulation) run() {
 	s.module.Settle(s.now)
 	for {
@@ -118,7 +118,7 @@
 	}
 }
 
-// nextRunEnd returns the run that ends next, and when.
+// nextRunEnd returns the run that ends next and the time of its end, or nil and math.MaxInt64 if there is none.
 func (s *simulation) nextRunEnd() (*simulatedRun, time.Duration) {
 	run, wait := s.cores.next()
 	if run == nil {
@@ -127,7 +127,7 @@
 	return run, s.now + wait
 }
 
-// advance moves the clock forward, and the runs with it.
+// advance moves the clock and the simulated cores forward.
 func (s *simulation) advance(to time.Duration) {
 	if to > s.now {
 		s.cores.advance(to - s.now)
@@ -146,7 +146,7 @@
 	s.deliver(next.event, next.wireID)
 }
 
-// deliverFollowUps passes to the module the events that its actions caused, and those that these cause in turn.
+// deliverFollowUps passes the events that actions caused to the module, until its actions cause no more events.
 func (s *simulation) deliverFollowUps() {
 	for len(s.followUps) > 0 {
 		event := s.followUps[0]
@@ -156,7 +156,7 @@
 	}
 }
 
-// deliver passes an event to the module.
+// deliver passes an event to the tracker and the module.
 func (s *simulation) deliver(event capture.Record, wireID string) {
 	if event.Kind == capture.KindRequest {
 		request := event
@@ -166,7 +166,7 @@
 	Deliver(s.module, &event)
 }
 
-// finishRun ends a run, and answers the requests that wait for it.
+// finishRun ends a run and queues the events that answer the requests waiting for it.
 func (s *simulation) finishRun(id admission.RequestID) {
 	s.cores.remove(id)
 	s.hasResult[id] = true
@@ -174,7 +174,7 @@
 	s.releaseWaiting(id, admission.OK)
 }
 
-// releaseWaiting answers the requests that waited for a run.
+// releaseWaiting queues the events that answer the requests waiting for a run.
 func (s *simulation) releaseWaiting(id admission.RequestID, outcome admission.Outcome) {
 	for _, waiting := range s.waiting[id] {
 		s.followUp(capture.KindRunFinished, waiting, outcome)
@@ -182,12 +182,12 @@
 	delete(s.waiting, id)
 }
 
-// followUp adds an event that is delivered before time advances.
+// followUp queues an event that is delivered before the clock advances.
 func (s *simulation) followUp(kind capture.Kind, id admission.RequestID, outcome admission.Outcome) {
 	s.followUps = append(s.followUps, capture.Record{Kind: kind, ID: id, Outcome: outcome})
 }
 
-// track records an action.
+// track passes an action to the tracker.
 func (s *simulation) track(kind capture.Kind, id admission.RequestID) {
 	s.tracker.record(&capture.Record{Kind: kind, At: s.now, ID: id}, "")
 }
@@ -195,7 +195,7 @@
 // Run implements admission.Actions.
 func (s *simulation) Run(id admission.RequestID) {
 	s.track(capture.KindRun, id)
-	s.cores.start(id, s.coreTimes.of(id, s.requests[id]))
+	s.cores.start(id, s.coreTimes.forRun(id, s.requests[id]))
 }
 
 // Reject implements admission.Actions.
@@ -228,7 +228,8 @@
 	}
 }
 
-// resultSource follows the chain of earlier attempts to the one that runs or has a result.
+// resultSource follows the chain of earlier attempts of a request to the first one found that runs or has a result. If there is
+// none, it returns the last one of the chain.
 func (s *simulation) resultSource(id admission.RequestID) admission.RequestID {
 	for {
 		r := s.requests[id]
--- a/internal/replay/state_at.go
+++ b/internal/replay/state_at.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/capture"
 )
 
-// StateAt is the module's state at a time, and its decisions around that time.
+// StateAt is the module's state at a time, with its decisions around that time.
 type StateAt struct {
 	At        time.Duration         `json:"at"`
 	UnixTime  time.Time             `json:"unix"`
@@ -19,7 +19,7 @@
 	Decisions []Decision            `json:"near"`
 }
 
-// Decision is one answer to a request, or the start of its run.
+// Decision is an answer to a request or the start of its run.
 type Decision struct {
 	At     time.Duration       `json:"at"`
 	ID     admission.RequestID `json:"id"`
@@ -27,11 +27,12 @@
 	Text   string              `json:"text"`
 }
 
-// maxDecisions bounds StateAt.Decisions.
+// maxDecisions is the maximum number of StateAt.Decisions.
 const maxDecisions = 200
 
-// InspectAt returns the module's state before the first event at or after the time of its clock, and its decisions within
-// the span before and after that time. The segments are those of one run of the server.
+// InspectAt returns the module's state before the first event at or after a time of its clock, and the first maxDecisions
+// decisions from span before that time to span after it. All segments must be of one run of the server. InspectAt returns an
+// error that wraps ErrNotInCapture if there is no such event.
 func InspectAt(segments []*capture.Segment, at, span time.Duration) (*StateAt, error) {
 	inspection := inspector{at: at, span: span, wireIDs: map[admission.RequestID]string{}}
 	_, err := Run(segments, false, Visitor{
@@ -49,7 +50,7 @@
 	return inspection.found, nil
 }
 
-// inspector follows a replay for InspectAt.
+// inspector has the functions of InspectAt's Visitor and their state.
 type inspector struct {
 	at, span  time.Duration
 	found     *StateAt
@@ -94,8 +95,8 @@
 	return false
 }
 
-// Locate returns the segments of the run of the server that was active at a Unix time, and the time of its module's clock
-// then.
+// Locate returns the segments of the run of the server that was active at a wall clock time, and that time converted to the
+// module's clock. It returns an error that wraps ErrNotInCapture if the time is before the first segment.
 func Locate(segments []*capture.Segment, unix time.Time) ([]*capture.Segment, time.Duration, error) {
 	for _, s := range slices.Backward(segments) {
 		if !unix.Before(s.Meta.UnixTime) {
@@ -105,7 +106,7 @@
 	return nil, 0, fmt.Errorf("%w: %v is before its first segment", ErrNotInCapture, unix.UTC().Format(time.RFC3339))
 }
 
-// SegmentsOfRun returns the segments of one run of the server; "" is the run of the last segment.
+// SegmentsOfRun returns the segments of one run of the server. An empty run is the run of the last segment.
 func SegmentsOfRun(segments []*capture.Segment, run string) []*capture.Segment {
 	if run == "" && len(segments) > 0 {
 		run = segments[len(segments)-1].Meta.Run
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -12,27 +12,27 @@
 	"tillerusher/internal/capture"
 )
 
-// Summary counts how a group of attempts ended. Times are in milliseconds.
+// Summary counts the attempts of a group by their end status. Latencies are in milliseconds.
 type Summary struct {
 	Class     string  `json:"class"`
 	Tenant    string  `json:"tenant"`
 	Attempts  int     `json:"tries"`
 	Retries   int     `json:"retries"`
 	Served    int     `json:"served"`
-	Replayed  int     `json:"reused"`  // of those served
-	OnTime    int     `json:"on_time"` // of those served
+	Replayed  int     `json:"reused"`  // part of Served
+	OnTime    int     `json:"on_time"` // part of Served
 	Rejected  int     `json:"refused"`
 	Failed    int     `json:"failed"`
 	Other     int     `json:"other"` // cancelled, errored or open
 	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"` // of those served, from their arrival at the machine
-	QueuedP99 float64 `json:"held_p99_ms"`
+	P99       float64 `json:"p99_ms"`      // of the served attempts, from their arrival at the machine to their end
+	QueuedP99 float64 `json:"held_p99_ms"` // from the time at which an attempt was read to the start of its run
 }
 
-// allGroups is the class and the tenant of the summary of all attempts.
+// allGroups is the class name and the tenant name in the summary of all attempts.
 const allGroups = "all"
 
-// Summarize returns a summary of all attempts, followed by those of each class and tenant in the order of the settings.
+// Summarize returns the summary of all attempts, followed by the summary of each class and tenant in the order of the settings.
 func Summarize(attempts []*Attempt, meta capture.Meta, classes []admission.Class) []Summary {
 	type group struct{ class, tenant int }
 	all, byGroup := newSummaryBuilder(allGroups, allGroups), map[group]*summaryBuilder{}
@@ -57,12 +57,13 @@
 }
 
 const (
-	// maxLatency is the longest latency that the histograms resolve, and latencyDigits their precision in decimal digits.
+	// maxLatency is the longest latency in the histograms; longer ones are counted as maxLatency. latencyDigits is the
+	// precision of the histograms in decimal digits.
 	maxLatency    = 10 * time.Minute
 	latencyDigits = 3
 )
 
-// summaryBuilder collects what a summary is computed from.
+// summaryBuilder computes a summary from attempts.
 type summaryBuilder struct {
 	summary         Summary
 	latency, queued *hdrhistogram.Histogram // microseconds
@@ -75,7 +76,7 @@
 	return &summaryBuilder{summary: Summary{Class: class, Tenant: tenant}, latency: newHistogram(), queued: newHistogram()}
 }
 
-// microseconds returns a duration within the range of the histograms.
+// microseconds converts a duration to microseconds, limited to the range of the histograms.
 func microseconds(d time.Duration) int64 {
 	return min(max(d.Microseconds(), 1), maxLatency.Microseconds())
 }
@@ -119,7 +120,7 @@
 	return s
 }
 
-// nameOf returns the name of a class or tenant. A number without a name is written as such, where any has a name.
+// nameOf returns the name of the class or tenant i. If i has no name it returns the number, or "" if names is empty.
 func nameOf(names []string, i int) string {
 	if i >= 0 && i < len(names) {
 		return names[i]
--- a/internal/replay/trace_text.go
+++ b/internal/replay/trace_text.go
@@ -8,13 +8,13 @@
 	"tillerusher/admission"
 )
 
-// timeOfDay is the layout of times of day.
+// timeOfDay is the layout of the time of day for time.Format.
 const timeOfDay = "15:04:05.000"
 
-// maxNamedRequests is how many requests a line names.
+// maxNamedRequests is the maximum number of requests that a line names.
 const maxNamedRequests = 10
 
-// Lines returns the trace as text, a line each.
+// Lines returns the trace as lines of text.
 func (t *RequestTrace) Lines() []string {
 	lines := []string{t.arrivalLine(), t.endLine()}
 	if t.AdmissionCheck != nil {
@@ -26,7 +26,7 @@
 		lines = append(lines, indent(describeDecision(t.DecisionAtEnd, t.EndAt, t.StateAtEnd))...)
 	}
 	if len(t.Steps) > 0 {
-		lines = append(lines, "Step by step:")
+		lines = append(lines, "Steps:")
 		for _, step := range t.Steps {
 			clock, sinceRead := step.UnixTime.UTC().Format(timeOfDay), milliseconds(step.At-t.ReadAt)
 			lines = append(lines, fmt.Sprintf("  %s  +%s  %s", clock, sinceRead, step.Text))
@@ -46,13 +46,13 @@
 		kind += " of " + t.Tenant
 	}
 	if t.Request.IsRetry {
-		kind += ", a further try"
+		kind += ", a retry"
 	}
 	return fmt.Sprintf("%s, %s, was read at %s UTC (%v of the module's clock), %s after it reached the machine.", id, kind,
 		t.UnixTime.UTC().Format(timeOfDay), t.ReadAt.Round(time.Millisecond), milliseconds(t.Request.QueueingDelay))
 }
 
-// endLine describes how and why the request ended.
+// endLine describes the end of the request and its reason.
 func (t *RequestTrace) endLine() string {
 	after := milliseconds(t.EndAt - t.ReadAt)
 	switch t.Status {
@@ -63,18 +63,18 @@
 	case StatusServed:
 		return t.servedLine("It was served by its own run after " + after)
 	case StatusReplayed:
-		return t.servedLine("It was served by the run of another try after " + after)
+		return t.servedLine("It was served by the run of another attempt after " + after)
 	case StatusCancelled:
 		return "Its caller went away after " + after + "."
 	case StatusErrored:
 		return "Its run ended without a result after " + after + "."
 	}
-	return "No answer to it is in the capture."
+	return "The capture has no answer to it."
 }
 
 func (t *RequestTrace) rejectionLine(how, after string) string {
 	if t.EndedOnRead && t.AdmissionCheck != nil {
-		return fmt.Sprintf("It was %s at once: %s.", how, t.AdmissionCheck.Reason)
+		return fmt.Sprintf("It was %s when it was read: %s.", how, t.AdmissionCheck.Reason)
 	}
 	if d := t.DecisionAtEnd; d != nil && d.Reason != admission.Admitted {
 		return fmt.Sprintf("It was %s after %s while it was %s: %s.", how, after, d.Phase, d.Reason)
@@ -84,7 +84,7 @@
 
 func (t *RequestTrace) servedLine(text string) string {
 	if t.Lateness > 0 {
-		return fmt.Sprintf("%s, %s later than its aim.", text, milliseconds(t.Lateness))
+		return fmt.Sprintf("%s, %s after its latency objective.", text, milliseconds(t.Lateness))
 	}
 	return text + ", in time."
 }
@@ -96,41 +96,41 @@
 	return lines
 }
 
-// describeCheck describes the admission check of an arrival and the module's state then.
+// describeCheck describes the admission check of an arrival and the module's state at the check.
 func describeCheck(check *admission.AdmissionCheck, now time.Duration, state *admission.Inspection) []string {
-	rate := fmt.Sprintf("N %.2f with it counted, T %s before; rate %.1f/s", check.ImpulseSize, milliseconds(now-check.LastArrival),
+	rate := fmt.Sprintf("N %.2f with it counted, T %s ago; rate %.1f/s", check.ImpulseSize, milliseconds(now-check.LastArrival),
 		check.Rate)
 	if check.Threshold > 0 {
-		rate += fmt.Sprintf(" over a threshold of %.1f/s: %.2f times it", check.Threshold, check.RateRatio)
+		rate += fmt.Sprintf(", threshold %.1f/s, ratio %.2f", check.Threshold, check.RateRatio)
 	}
 	lines := []string{rate}
 	if check.Coalesced {
-		lines = append(lines, "it repeats a known try and is answered by what becomes of that")
+		lines = append(lines, "it repeats a known attempt and is answered with the result of that one")
 	}
-	lines = append(lines, fmt.Sprintf("predicted wait %s; it could wait %s and still meet its aim; its answer was due in %s",
+	lines = append(lines, fmt.Sprintf("predicted wait %s; it could wait %s and still meet its latency objective; its deadline was in %s",
 		milliseconds(check.PredictedWait), milliseconds(check.Slack), milliseconds(check.Deadline-now)))
 	lines = append(lines, DescribeState(state)...)
 	return append(lines, describeRequestsAhead(check.QueuedAhead, check.Running)...)
 }
 
-// describeDecision describes the decision on a request that was queued or ran, and the module's state then. decision is nil
-// where the module no longer had the request.
+// describeDecision describes the decision on a request that was queued or running, and the module's state at that time.
+// decision is nil if the module no longer had the request.
 func describeDecision(decision *admission.QueueDecision, now time.Duration, state *admission.Inspection) []string {
 	if decision == nil {
 		return DescribeState(state)
 	}
-	lines := []string{fmt.Sprintf("%s; a run of it was expected to take %s; its aim was %s, its due time %s", decision.Phase,
+	lines := []string{fmt.Sprintf("%s; expected run time %s; its latency objective was %s, its deadline %s", decision.Phase,
 		milliseconds(decision.ExpectedRunTime), relativeTime(decision.ObjectiveDeadline-now), relativeTime(decision.Deadline-now))}
 	lines = append(lines, DescribeState(state)...)
 	return append(lines, describeRequestsAhead(decision.QueuedAhead, decision.Running)...)
 }
 
-// DescribeState describes the module's state, as lines of text.
+// DescribeState describes the module's state in lines of text.
 func DescribeState(state *admission.Inspection) []string {
 	lines := []string{
-		fmt.Sprintf("held %d, running %d of a limit of %.1f (at most %.1f), at calls %d%s", state.Queued, state.Running,
+		fmt.Sprintf("queued %d, running %d of a limit of %.1f (at most %.1f), waiting for calls %d%s", state.Queued, state.Running,
 			state.ConcurrencyLimit, state.MaxConcurrency, state.Calling, describeConditions(state)),
-		fmt.Sprintf("gauges: busy %.2f, runnable %g; memory %.0f of %.0f kB, %d keys; further tries %.0f %% of arrivals, unread for %s",
+		fmt.Sprintf("gauges: utilization %.2f, runnable %g; memory %.0f of %.0f kB, %d keys; retries %.0f %% of arrivals, read delay %s",
 			state.Utilization, state.Runnable, state.MemoryKB, state.MaxMemoryKB, state.Keys, 100*state.RetryShare,
 			milliseconds(state.ReadDelay)),
 	}
@@ -139,23 +139,23 @@
 			continue
 		}
 		lines = append(lines, fmt.Sprintf(
-			"class %d: a run takes %s of a core, %s in all (%d runs); held %d within their slices, %d over", i,
+			"class %d: a run takes %s of core time, %s of wall time (%d runs); queued %d within quota, %d over", i,
 			milliseconds(class.CoreTime), milliseconds(class.WallTime), class.Samples, class.QueuedWithinQuota, class.QueuedOverQuota))
 	}
 	return lines
 }
 
-// describeConditions lists the conditions that hold, each after a comma.
+// describeConditions lists the conditions that are true, each after a comma.
 func describeConditions(state *admission.Inspection) string {
 	conditions := []struct {
 		holds bool
 		text  string
 	}{
-		{state.Saturated, "cores full"},
-		{state.Overloaded, "pressed"},
+		{state.Saturated, "cores saturated"},
+		{state.Overloaded, "overloaded"},
 		{state.Stalled, "stalled"},
 		{state.Draining, "draining"},
-		{state.RetryStorm, "a storm of tries"},
+		{state.RetryStorm, "retry storm"},
 	}
 	var list strings.Builder
 	for _, c := range conditions {
@@ -166,9 +166,9 @@
 	return list.String()
 }
 
-// describeRequestsAhead lists the requests that were queued ahead of one, and those that ran.
+// describeRequestsAhead lists the requests that were queued ahead of a request, and the running ones.
 func describeRequestsAhead(queued, running []admission.RequestID) []string {
-	return []string{"before it in the hold: " + formatIDs(queued), "on the cores: " + formatIDs(running)}
+	return []string{"queued ahead of it: " + formatIDs(queued), "running: " + formatIDs(running)}
 }
 
 func formatIDs(ids []admission.RequestID) string {
@@ -185,7 +185,7 @@
 	return strings.TrimSpace(list.String())
 }
 
-// relativeTime formats a time as seen from now.
+// relativeTime formats a time relative to now, which is in the past if fromNow is negative.
 func relativeTime(fromNow time.Duration) string {
 	if fromNow < 0 {
 		return milliseconds(-fromNow) + " ago"
