--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -18,8 +18,8 @@
 	"tillerusher/server"
 )
 
-// backend passes requests to the members of pools. It implements server.RequestParser and server.Backend for the core,
-// and forward.Handler for the connections to members.
+// backend forwards requests to the members of pools. It implements server.RequestParser, server.Backend and
+// forward.Handler.
 type backend struct {
 	server    *server.Server
 	log       *zap.Logger
@@ -28,8 +28,9 @@
 	forwarder *forward.Forwarder // nil until Connect
 	inFlight  map[string]*routedRequest
 	random    *rand.Rand
-	// initial are the routes at the start; routes, table and pools those in force, of one configuration.
-	initial       *routeconfig.Config
+	// initial is the configuration that Connect applies.
+	initial *routeconfig.Config
+	// routes is the configuration in force; table and pools are built from it.
 	routes        *routeconfig.Config
 	table         *route.Table
 	pools         map[string]*routeconfig.Pool
@@ -37,7 +38,7 @@
 	utilization   utilizationGauge
 }
 
-// randomStream selects the stream of the generator that seeds those of the pools.
+// randomStream is the PCG stream of backend.random, which seeds the generators of the pools.
 const randomStream = 1
 
 // newBackend returns the backend of a server.
@@ -53,20 +54,21 @@
 	}
 }
 
-// Connect implements server.Backend. Pools need no time to come up: the module starts in the loop's first round.
+// Connect implements server.Backend. Pools need no warm-up, so the decision module starts in the first iteration of the
+// event loop.
 func (b *backend) Connect() {
 	b.forwarder = forward.New(b.server.Loop(), b)
 	if err := b.update(b.initial); err != nil {
-		b.log.Error("routes", zap.Error(err)) // should not happen: New has validated them
+		b.log.Error("routes", zap.Error(err)) // unexpected: New has validated the routes
 	}
 	b.server.Post(func() { b.server.BackendStarted(false, 0) })
 }
 
-// errClassesChanged is returned for a reload that changes classes or the capacity: the module gets both only at its
-// start.
-var errClassesChanged = errors.New("classes and capacity need a restart")
+// errClassesChanged is returned for a reload that changes classes or the capacity. The decision module receives both only
+// when it starts.
+var errClassesChanged = errors.New("router: changed classes or capacity need a restart")
 
-// update applies other routes and pools, or changes nothing and returns an error.
+// update applies new routes and pools. On an error the present ones stay in force.
 func (b *backend) update(routes *routeconfig.Config) error {
 	if b.routes != nil && !hasSameClasses(b.routes, routes) {
 		return errClassesChanged
@@ -89,12 +91,13 @@
 	return nil
 }
 
-// newRandom returns a source of random numbers for one pool.
+// newRandom returns a random number generator for one pool.
 func (b *backend) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(b.random.Uint64(), b.random.Uint64()))
 }
 
-// hasSameClasses returns whether two configurations agree in what the module gets of them.
+// hasSameClasses reports whether two configurations have the same classes and capacity, which are their settings of the
+// decision module.
 func hasSameClasses(a, b *routeconfig.Config) bool {
 	isSame := func(a, b routeconfig.Class) bool {
 		a.Pos = b.Pos // the position in the file does not matter
@@ -103,7 +106,7 @@
 	return a.Capacity == b.Capacity && slices.EqualFunc(a.Classes, b.Classes, isSame)
 }
 
-// Reconfigure implements server.Backend. Routes are read from a file of their own: see Router.Reload.
+// Reconfigure implements server.Backend. It does nothing: routes have a separate file, which Router.Reload applies.
 func (b *backend) Reconfigure(*server.Config) {}
 
 // Withdraw implements server.Backend.
@@ -127,8 +130,8 @@
 // CheckHealth implements server.Backend.
 func (b *backend) CheckHealth(_ time.Time, then func(bool)) { then(len(b.routes.Pools) > 0) }
 
-// QueryGauges implements server.Backend. Requests at members count as running work, and the capacity of the pools as
-// cores.
+// QueryGauges implements server.Backend. The open runs at members are the runnable work. The utilization is the share of
+// the pools' capacity that they use, averaged over time.
 func (b *backend) QueryGauges(_ time.Time, then func([]float64, bool)) {
 	openRuns := float64(b.OpenRuns())
 	utilization := b.utilization.sample(b.server.ModuleTime(), min(1, openRuns/float64(b.routes.Capacity)))
@@ -174,11 +177,11 @@
 	}
 }
 
-// runFallback handles the end of a request by the location's fallback, and returns false where there is none. A request
-// that must not run twice and may have run is not sent to a second pool.
+// runFallback handles a finished request with the location's fallback, and returns false if none applies. A request that
+// must not run twice and may have run is not sent to a second pool.
 func (b *backend) runFallback(routed *routedRequest, outcome forward.Outcome, status int) bool {
 	before := *routed
-	if outcome == forward.Responded && !routed.location.InterceptErrors || !routed.takeFallback(status) {
+	if outcome == forward.Responded && !routed.location.InterceptErrors || !routed.applyFallback(status) {
 		return false
 	}
 	location := routed.location
@@ -198,8 +201,9 @@
 	return true
 }
 
-// respond ends a request with an answer. Gateways take 429 and 503 to mean that nothing ran, and send the request again.
-// A member's 429 or 503 does not prove that, so for a request that must not run twice it becomes 502.
+// respond finishes a request with a response. Gateways interpret 429 and 503 as proof that nothing ran, and retry the
+// request. A member's 429 or 503 does not prove it, so respond changes that status to 502 for a request that must not run
+// twice.
 func (b *backend) respond(routed *routedRequest, outcome forward.Outcome, response gateway.Response) {
 	if outcome == forward.NotStarted {
 		b.finish(routed, server.RunAnswered, response)
@@ -211,7 +215,7 @@
 	b.finish(routed, server.RunSucceeded, response)
 }
 
-// finish removes a request and reports its end to the core.
+// finish removes a request from inFlight and reports the end of its run to the server.
 func (b *backend) finish(routed *routedRequest, outcome server.RunOutcome, response gateway.Response) {
 	delete(b.inFlight, routed.attempt.RequestID)
 	b.server.RunFinished(routed.attempt.RequestID, outcome, response)
@@ -226,19 +230,19 @@
 		zap.String("cause", change.Cause))
 }
 
-// utilizationWindow is the time over which the gauge averages.
+// utilizationWindow is the time constant of the moving average.
 const utilizationWindow = 500 * time.Millisecond
 
-// utilizationGauge averages the utilization of the pools over time.
+// utilizationGauge is a moving average of the pools' utilization.
 type utilizationGauge struct {
 	average   float64
-	sampledAt time.Duration // by the module's clock
+	sampledAt time.Duration // by the decision module's clock
 }
 
-// sample adds a reading and returns the average.
+// sample adds a sample taken at time now and returns the average.
 func (g *utilizationGauge) sample(now time.Duration, utilization float64) float64 {
-	part := min(float64(now-g.sampledAt)/float64(utilizationWindow), 1)
+	weight := min(float64(now-g.sampledAt)/float64(utilizationWindow), 1)
 	g.sampledAt = now
-	g.average += (utilization - g.average) * part
+	g.average += (utilization - g.average) * weight
 	return g.average
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -18,8 +18,8 @@
 	"tillerusher/internal/servertest"
 )
 
-// plainRequest encodes a read as a common gateway sends it.
-func plainRequest(id uint16) []byte {
+// encodePlainGET encodes a GET request without the platform's fields, as a common gateway sends it.
+func encodePlainGET(id uint16) []byte {
 	b := fake.EncodeBeginRequest(id, 1, true)
 	var params []byte
 	for _, p := range [][2]string{{"REQUEST_METHOD", "GET"}, {"SCRIPT_NAME", "/p"}, {"REQUEST_URI", "/p"},
@@ -31,8 +31,8 @@
 	return append(b, fake.EncodeRecord(fake.Stdin, id, nil, 0)...)
 }
 
-// BenchmarkHop compares requests sent directly to a responder of net/http/fcgi that does nothing with those that go
-// through the router, 16 at a time.
+// BenchmarkHop measures the latency that the router adds. It sends requests to a trivial net/http/fcgi responder, once
+// directly and once through the router, with 16 requests in flight.
 func BenchmarkHop(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,8 @@
 	}
 	defer listener.Close()
 	go fcgi.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
-	text := strings.Replace(twoMembers, "(member @A) (member @B) (keepalive 4)", "(member "+listener.Addr().String()+") (keepalive 32)", 1)
+	text := strings.Replace(twoMemberRoutes, "(member @A) (member @B) (keepalive 4)",
+		"(member "+listener.Addr().String()+") (keepalive 32)", 1)
 	text = strings.Replace(text, "(capacity 8)", "(capacity 64)", 1)
 	routes, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
@@ -48,12 +49,12 @@
 	}
 	r, _ := startRouter(b, routes)
 	for name, addr := range map[string]string{"direct": listener.Addr().String(), "routed": listenAddr(r)} {
-		b.Run(name, func(b *testing.B) { loadHop(b, addr) })
+		b.Run(name, func(b *testing.B) { measureLatency(b, addr) })
 	}
 }
 
-// loadHop sends the benchmark's requests over 16 connections, and reports the quantiles of their latency.
-func loadHop(b *testing.B, addr string) {
+// measureLatency sends b.N requests over 16 connections and reports the median and the 99th percentile of their latency.
+func measureLatency(b *testing.B, addr string) {
 	const conns = 16
 	total := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	var mu sync.Mutex
@@ -69,22 +70,22 @@
 				return
 			}
 			defer g.Close()
-			own := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+			callerHistogram := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 			for n := caller; n < b.N; n += conns {
-				begun := time.Now()
-				if g.Write(plainRequest(1)) != nil {
-					b.Error("not sent")
+				sentAt := time.Now()
+				if g.Write(encodePlainGET(1)) != nil {
+					b.Error("the request could not be written")
 					return
 				}
-				if a, err := g.ReadResponse(1, begun.Add(time.Minute)); err != nil || a.Status != 200 {
+				if a, err := g.ReadResponse(1, sentAt.Add(time.Minute)); err != nil || a.Status != 200 {
 					b.Errorf("%v, %+v", err, a)
 					return
 				}
-				own.RecordValue(max(time.Since(begun).Microseconds(), 1))
+				callerHistogram.RecordValue(max(time.Since(sentAt).Microseconds(), 1))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			total.Merge(own)
+			total.Merge(callerHistogram)
 		}()
 	}
 	callers.Wait()
@@ -92,15 +93,15 @@
 	b.ReportMetric(float64(total.ValueAtQuantile(99)), "p99us")
 }
 
-// BenchmarkOpenRequest measures the heap of a request that is open at a member which has not answered.
+// BenchmarkOpenRequest measures the heap memory of one open request that waits for a member's response.
 func BenchmarkOpenRequest(b *testing.B) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // its connections wait in the kernel: none is accepted here
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // never accepts: connections stay in the kernel's backlog
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer listener.Close()
 	const gateways, streams = 8, 32
-	text := strings.Replace(twoMembers, "(member @A) (member @B)", "(member "+listener.Addr().String()+")", 1)
+	text := strings.Replace(twoMemberRoutes, "(member @A) (member @B)", "(member "+listener.Addr().String()+")", 1)
 	text = strings.Replace(strings.Replace(text, "(capacity 8)", "(capacity 1000)", 1), "(read 300ms)", "(read 1m)", 1)
 	routes, err := routeconfig.Parse("f", []byte(text))
 	if err != nil {
@@ -108,29 +109,29 @@
 	}
 	for b.Loop() {
 		r, g := startRouter(b, routes)
-		before := heap()
+		before := heapInUse()
 		conns := []*servertest.Gateway{g}
 		for range gateways - 1 {
 			conns = append(conns, servertest.Dial(b, listenAddr(r)))
 		}
 		for _, c := range conns {
 			for id := range streams {
-				c.Write(plainRequest(uint16(id + 1)))
+				c.Write(encodePlainGET(uint16(id + 1)))
 			}
 		}
-		servertest.WaitFor(b, "all requests at members", func() (all bool) {
+		servertest.WaitFor(b, "all requests to reach the member", func() (all bool) {
 			onLoop(r, func() { all = r.backend.OpenRuns() == gateways*streams })
 			return all
 		})
-		b.ReportMetric(float64(heap()-before)/(gateways*streams), "B/open")
+		b.ReportMetric(float64(heapInUse()-before)/(gateways*streams), "B/open")
 		for _, c := range conns {
 			c.Close()
 		}
 	}
 }
 
-// heap returns the heap in use after a collection.
-func heap() uint64 {
+// heapInUse returns the number of bytes of live heap objects after a garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/router/corpus_test.go
+++ b/internal/router/corpus_test.go
@@ -14,58 +14,60 @@
 	"tillerusher/internal/route/routemodel"
 )
 
-// nginxConfig is a configuration's directives, read by a model of nginx's manual.
+// nginxConfig contains the directives of an nginx configuration. It computes the expected result of a request by a model
+// of nginx that follows the manual. The slices are indexed by server.
 type nginxConfig struct {
-	names   [][]string
-	servers [][]routemodel.Location
-	before  [][]routemodel.Rewrite // of the servers
-	merge   []bool
-	none    []*nginxLocation          // of the servers, for what none of their locations takes
-	does    map[string]*nginxLocation // by location
+	serverNames     [][]string
+	serverLocations [][]routemodel.Location
+	serverRewrites  [][]routemodel.Rewrite // at server level
+	mergeSlashes    []bool
+	unmatched       []*locationActions          // the actions for a path without a location
+	actions         map[string]*locationActions // by the location's name
 }
 
-// nginxLocation is what a location does, read from its directives and those around it.
-type nginxLocation struct {
-	pool      string // or ""
-	status    string // of its return, or ""
-	text      bool   // the return has a text of its own
-	rewrites  []routemodel.Rewrite
-	pages     [][]string // error_page
-	intercept bool
-	files     string // the last argument of try_files
-	named     map[string]*nginxLocation
+// locationActions are the effects of a location's own directives and of those that it inherits.
+type locationActions struct {
+	pool            string // or ""
+	returnStatus    string // of its return directive, or ""
+	hasReturnText   bool   // the return directive has a text
+	rewrites        []routemodel.Rewrite
+	errorPages      [][]string // error_page
+	interceptErrors bool
+	tryFilesLast    string // the last argument of try_files, or ""
+	namedLocations  map[string]*locationActions
 }
 
-// blockContext is what a block inherits.
+// blockContext contains the directives that a block inherits.
 type blockContext struct {
-	pages     [][]string
-	intercept map[string]bool // by protocol
-	named     map[string]*nginxLocation
+	errorPages      [][]string
+	interceptErrors map[string]bool // by protocol
+	namedLocations  map[string]*locationActions
 }
 
-// enter returns the context inside a block: what it sets, and what it inherits.
+// enter returns the context inside a block: the block's own directives and those that it inherits. As in nginx, a block
+// with an error_page directive inherits none.
 func (a blockContext) enter(block []*nginx.Directive) blockContext {
-	own := blockContext{pages: nil, intercept: map[string]bool{}, named: a.named}
-	for k, v := range a.intercept {
-		own.intercept[k] = v
+	inner := blockContext{errorPages: nil, interceptErrors: map[string]bool{}, namedLocations: a.namedLocations}
+	for k, v := range a.interceptErrors {
+		inner.interceptErrors[k] = v
 	}
 	for _, c := range block {
 		switch c.Name {
 		case "error_page":
-			own.pages = append(own.pages, c.ArgTexts())
+			inner.errorPages = append(inner.errorPages, c.ArgTexts())
 		case "fastcgi_intercept_errors", "scgi_intercept_errors":
-			own.intercept[strings.Split(c.Name, "_")[0]] = c.Arg(0) == "on"
+			inner.interceptErrors[strings.Split(c.Name, "_")[0]] = c.Arg(0) == "on"
 		}
 	}
-	if own.pages == nil {
-		own.pages = a.pages
+	if inner.errorPages == nil {
+		inner.errorPages = a.errorPages
 	}
-	return own
+	return inner
 }
 
-// readNginxConfig reads the directives of a configuration.
+// readNginxConfig reads the directives of a configuration. An http block at the end replaces the top level.
 func readNginxConfig(list []*nginx.Directive) *nginxConfig {
-	config := &nginxConfig{does: map[string]*nginxLocation{}}
+	config := &nginxConfig{actions: map[string]*locationActions{}}
 	if len(list) > 0 && list[len(list)-1].Name == "http" {
 		list = list[len(list)-1].Block
 	}
@@ -74,7 +76,7 @@
 		if d.Name != "server" {
 			continue
 		}
-		names, merge, before := []string{}, true, []routemodel.Rewrite(nil)
+		names, merge, rewrites := []string{}, true, []routemodel.Rewrite(nil)
 		for _, c := range d.Block {
 			switch c.Name {
 			case "server_name":
@@ -82,27 +84,28 @@
 			case "merge_slashes":
 				merge = c.Arg(0) != "off"
 			case "rewrite":
-				before = append(before, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
+				rewrites = append(rewrites, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
 			}
 		}
-		config.names, config.merge, config.before = append(config.names, names), append(config.merge, merge), append(config.before, before)
-		here := base.enter(d.Block)
-		here.named = map[string]*nginxLocation{}
-		config.servers = append(config.servers, config.locations(d.Block, here))
-		config.none = append(config.none, &nginxLocation{pages: here.pages, named: here.named})
+		config.serverNames, config.mergeSlashes, config.serverRewrites = append(config.serverNames, names),
+			append(config.mergeSlashes, merge), append(config.serverRewrites, rewrites)
+		context := base.enter(d.Block)
+		context.namedLocations = map[string]*locationActions{}
+		config.serverLocations = append(config.serverLocations, config.readLocations(d.Block, context))
+		config.unmatched = append(config.unmatched, &locationActions{errorPages: context.errorPages, namedLocations: context.namedLocations})
 	}
 	return config
 }
 
-// locations reads the location blocks of a block.
-func (o *nginxConfig) locations(block []*nginx.Directive, outer blockContext) []routemodel.Location {
-	var list []routemodel.Location
+// readLocations returns the location blocks of a block, without named locations, and stores the actions of all of them.
+func (o *nginxConfig) readLocations(block []*nginx.Directive, outer blockContext) []routemodel.Location {
+	var blockLocations []routemodel.Location
 	for _, d := range block {
 		if d.Name != "location" {
 			continue
 		}
-		here := outer.enter(d.Block)
-		l := routemodel.Location{Pattern: d.Arg(0), Name: fmt.Sprint(d.Pos), Locations: o.locations(d.Block, here)}
+		context := outer.enter(d.Block)
+		l := routemodel.Location{Pattern: d.Arg(0), Name: fmt.Sprint(d.Pos), Locations: o.readLocations(d.Block, context)}
 		if len(d.Args) == 2 {
 			l.Modifier, l.Pattern = d.Arg(0), d.Arg(1)
 		} else {
@@ -112,35 +115,35 @@
 				}
 			}
 		}
-		does := &nginxLocation{pages: here.pages, named: here.named}
-		returned := false
+		actions := &locationActions{errorPages: context.errorPages, namedLocations: context.namedLocations}
+		hasReturn := false
 		for _, c := range d.Block {
 			switch c.Name {
 			case "fastcgi_pass", "scgi_pass":
 				l.PassesToPool = true
-				does.pool, does.intercept = c.Arg(0), here.intercept[strings.Split(c.Name, "_")[0]]
+				actions.pool, actions.interceptErrors = c.Arg(0), context.interceptErrors[strings.Split(c.Name, "_")[0]]
 			case "return":
-				does.status, does.text, returned = c.Arg(0), len(c.Args) > 1, true
+				actions.returnStatus, actions.hasReturnText, hasReturn = c.Arg(0), len(c.Args) > 1, true
 			case "rewrite":
-				if !returned {
-					does.rewrites = append(does.rewrites, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
+				if !hasReturn {
+					actions.rewrites = append(actions.rewrites, routemodel.Rewrite{Regex: c.Arg(0), Replacement: c.Arg(1), Flag: c.Arg(2)})
 				}
 			case "try_files":
-				does.files = c.Arg(len(c.Args) - 1)
+				actions.tryFilesLast = c.Arg(len(c.Args) - 1)
 			}
 		}
 		if strings.HasPrefix(d.Arg(0), "@") {
-			here.named[d.Arg(0)] = does
+			context.namedLocations[d.Arg(0)] = actions
 			continue
 		}
-		o.does[l.Name] = does
+		o.actions[l.Name] = actions
 		l.PassesToPool = l.PassesToPool && strings.HasSuffix(l.Pattern, "/")
-		list = append(list, l)
+		blockLocations = append(blockLocations, l)
 	}
-	return list
+	return blockLocations
 }
 
-// memberStatus is the status with which members of the corpus answer for a path.
+// memberStatus returns the status that the members of the corpus send for a path.
 func memberStatus(path string) int {
 	for suffix, status := range map[string]int{".gone": 404, ".broken": 500, ".busy": 503} {
 		if strings.HasSuffix(path, suffix) {
@@ -150,59 +153,60 @@
 	return 200
 }
 
-// expect is where a request belongs, with the status of its answer.
-func (o *nginxConfig) expect(host, raw string) string {
-	i := routemodel.FindServer(o.names, host)
-	path, ok := routemodel.NormalizePath(raw, o.merge[i])
+// expectedResult returns the expected member and status of a request, or only the status if no member responds.
+func (o *nginxConfig) expectedResult(host, raw string) string {
+	i := routemodel.FindServer(o.serverNames, host)
+	path, ok := routemodel.NormalizePath(raw, o.mergeSlashes[i])
 	if !ok {
 		return "400"
 	}
 	rewrites := map[string][]routemodel.Rewrite{}
-	for name, does := range o.does {
-		rewrites[name] = does.rewrites
+	for name, actions := range o.actions {
+		rewrites[name] = actions.rewrites
 	}
 	_, query, _ := strings.Cut(raw, "?")
-	r := routemodel.Resolve(o.before[i], rewrites, o.servers[i], path, query)
+	r := routemodel.Resolve(o.serverRewrites[i], rewrites, o.serverLocations[i], path, query)
 	name, _, _ := strings.Cut(r.Target, " ")
 	switch {
 	case name == "":
-		return o.none[i].expect(r.Path, false, true)
+		return o.unmatched[i].expectedResult(r.Path, false, true)
 	case name == "301" || name == "302" || name == "500":
 		return name
 	}
-	does := o.does[r.Target]
-	if does.files != "" && does.pool == "" && does.status == "" { // there are no files
-		if status, ok := strings.CutPrefix(does.files, "="); ok {
+	actions := o.actions[r.Target]
+	if actions.tryFilesLast != "" && actions.pool == "" && actions.returnStatus == "" { // no file exists
+		if status, ok := strings.CutPrefix(actions.tryFilesLast, "="); ok {
 			return status
 		}
-		does = does.named[does.files]
+		actions = actions.namedLocations[actions.tryFilesLast]
 	}
-	return does.expect(r.Path, r.StoppedByBreak, true)
+	return actions.expectedResult(r.Path, r.StoppedByBreak, true)
 }
 
-// expect is the member that answers a location's request, and the status.
-func (d *nginxLocation) expect(path string, settled, mayFall bool) string {
-	status, member, falls := "404", "", mayFall
+// expectedResult returns the expected member and status of a request to the location, or only the status if no member
+// responds. stoppedByBreak means that a rewrite with the flag break disables the location's return directive.
+func (d *locationActions) expectedResult(path string, stoppedByBreak, allowFallback bool) string {
+	status, member, canFallBack := "404", "", allowFallback
 	switch {
-	case d.status != "" && !settled:
-		status, falls = d.status, falls && !d.text
+	case d.returnStatus != "" && !stoppedByBreak:
+		status, canFallBack = d.returnStatus, canFallBack && !d.hasReturnText
 	case d.pool != "":
-		status, member, falls = fmt.Sprint(memberStatus(path)), d.pool, falls && d.intercept
+		status, member, canFallBack = fmt.Sprint(memberStatus(path)), d.pool, canFallBack && d.interceptErrors
 	}
-	for _, page := range d.pages {
+	for _, page := range d.errorPages {
 		target, codes := page[len(page)-1], page[:len(page)-1]
-		if !falls || !slices.Contains(codes, status) {
+		if !canFallBack || !slices.Contains(codes, status) {
 			continue
 		}
-		after := d.named[target].expect(path, false, false)
-		switch as := codes[len(codes)-1]; {
-		case as == "=":
-			return after
-		case strings.HasPrefix(as, "="):
-			status = as[1:]
+		fallbackResult := d.namedLocations[target].expectedResult(path, false, false)
+		switch responseCode := codes[len(codes)-1]; {
+		case responseCode == "=":
+			return fallbackResult
+		case strings.HasPrefix(responseCode, "="):
+			status = responseCode[1:]
 		}
-		if who, _, ok := strings.Cut(after, " "); ok {
-			return who + " " + status
+		if fallbackMember, _, ok := strings.Cut(fallbackResult, " "); ok {
+			return fallbackMember + " " + status
 		}
 		return status
 	}
@@ -212,7 +216,7 @@
 	return status
 }
 
-// corpusPaths and corpusHosts are the requests sent to each configuration.
+// corpusPaths and corpusHosts are the paths and hosts of the requests. Each configuration receives every combination.
 var (
 	corpusPaths = []string{"/", "/a", "/a/", "/a/b", "/a/b.php", "/x.php", "/x.PHP", "/images/x.gif", "/images", "/images/",
 		"/docs", "/docs/", "/docs/old/x", "/docs/x.php", "/x.gone", "/a/x.gone", "/x.broken", "/a/b.broken", "/x.busy", "/old/x.gone", "/old/x?k=v", "/api/v1/x", "/api", "//a//b", "/a/../images/x.gif", "/%61", "/a%2Fb",
@@ -220,12 +224,12 @@
 	corpusHosts = []string{"shop.example", "www.shop.example", "api.other.example", "unknown"}
 )
 
-// TestCorpus sends the same requests to a router with the imported form of each configuration of the corpus, over
-// loopback: they must reach the pools that the original form says.
+// TestCorpus imports each nginx configuration of the corpus into a router and sends it the same requests over loopback.
+// Each request must reach the pool and have the status that the model of nginx computes from the original configuration.
 func TestCorpus(t *testing.T) {
 	names, err := filepath.Glob("testdata/corpus/*.conf")
 	if err != nil || len(names) < 40 {
-		t.Fatalf("%d configurations, %v", len(names), err)
+		t.Fatalf("found %d configurations, want at least 40; error %v", len(names), err)
 	}
 	for _, name := range names {
 		t.Run(filepath.Base(name), func(t *testing.T) {
@@ -256,7 +260,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := range routes.Servers { // the fake gateway does not send the address at which it was reached
+			for i := range routes.Servers { // the fake gateway does not send SERVER_ADDR and SERVER_PORT
 				for l := range routes.Servers[i].Listen {
 					routes.Servers[i].Listen[l].Addr = netip.MustParseAddrPort("0.0.0.0:0")
 				}
@@ -269,8 +273,8 @@
 					g.Write(r.Encode(1))
 					a := g.WaitResponse(1)
 					got := strings.TrimSpace(a.Header.Get("X-Member") + " " + fmt.Sprint(a.Status))
-					if want := config.expect(host, path); got != want {
-						t.Errorf("%s%s: %s, the original reading says %s", host, path, got, want)
+					if want := config.expectedResult(host, path); got != want {
+						t.Errorf("%s%s: got %s, the nginx model expects %s", host, path, got, want)
 					}
 				}
 			}
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -15,10 +15,11 @@
 	"tillerusher/internal/servertest"
 )
 
-// rounds is how many rounds TestRandomFaults runs; docs/design/routes.md has the results of 100.
-var rounds = flag.Int("storms", 2, "how often TestRandomFaults is played")
+// rounds is the number of rounds of TestRandomFaults; docs/design/routes.md has the results of 100.
+var rounds = flag.Int("storms", 2, "the number of rounds of TestRandomFaults")
 
-// faultRoutes are the routes of TestRandomFaults: timeouts are short, so that silent members are tried often.
+// faultRoutes are the routes of TestRandomFaults. Timeouts are short, so that a round makes many attempts at silent
+// members.
 const faultRoutes = `(capacity 16)
 (class web (aim 1s) (deadline 4s) (effect by-method))
 (class book (aim 1s) (deadline 4s) (effect keyed) (window 30s))
@@ -32,29 +33,29 @@
   (location named sorry (return 503)))
 (pool spare SPARE (read 80ms) (connect 80ms))`
 
-// TestRandomFaults has members die, slow down, send malformed answers and come back, and pools reloaded, at random
-// under a mixed load: nothing is lost, answered twice or run twice.
+// TestRandomFaults stops, slows down and restarts members, makes them send malformed responses, and reloads pools, all at
+// random under a mixed load. No request may be lost, have two responses, or run twice if it must not.
 func TestRandomFaults(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	totals := map[invariant.Outcome]int{}
-	for run := range *rounds {
-		start, protocol := startMember, "" // by turns
-		if run%2 == 1 {
+	for round := range *rounds {
+		start, protocol := startMember, "" // FastCGI and SCGI alternate
+		if round%2 == 1 {
 			start, protocol = startSCGIMember, "(protocol scgi)"
 		}
-		t.Run(fmt.Sprint(run, protocol), func(t *testing.T) {
-			playFaults(t, rand.New(rand.NewPCG(seed, uint64(run))), totals, start, protocol)
+		t.Run(fmt.Sprint(round, protocol), func(t *testing.T) {
+			runFaultRound(t, rand.New(rand.NewPCG(seed, uint64(round))), totals, start, protocol)
 		})
 	}
-	t.Logf("%d storms: %d served, %d refused, %d failed", *rounds, totals[invariant.Served], totals[invariant.Rejected], totals[invariant.Failed])
+	t.Logf("%d rounds: %d served, %d rejected, %d failed", *rounds, totals[invariant.Served], totals[invariant.Rejected], totals[invariant.Failed])
 	if totals[invariant.Served] < 100**rounds {
-		t.Error("the storms were none")
+		t.Errorf("%d requests served, want at least %d", totals[invariant.Served], 100**rounds)
 	}
 }
 
-// playFaults runs TestRandomFaults once.
-func playFaults(t *testing.T, rng *rand.Rand, totals map[invariant.Outcome]int,
+// runFaultRound runs one round of TestRandomFaults with members of one protocol and adds its outcomes to totals.
+func runFaultRound(t *testing.T, rng *rand.Rand, totals map[invariant.Outcome]int,
 	start func(testing.TB, string) *fake.Member, protocol string) {
 	checker := invariant.New(30 * time.Second)
 	var members []*fake.Member
@@ -81,11 +82,11 @@
 		if n > 0 {
 			conn = servertest.Dial(t, listenAddr(r))
 		}
-		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
+		callerRand := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			counts := sendRequests(t, conn, checker, own, n, stop)
+			counts := sendRequests(t, conn, checker, callerRand, n, stop)
 			mu.Lock()
 			defer mu.Unlock()
 			for k, v := range counts {
@@ -97,14 +98,14 @@
 	close(stop)
 	callers.Wait()
 	if b := checker.Violations(time.Now().Add(time.Minute)); len(b) > 0 {
-		t.Errorf("%d rules were broken, the first: %s", len(b), b[0])
+		t.Errorf("%d invariant violations, the first: %s", len(b), b[0])
 	}
 }
 
-// faultsPerRound is how many faults and reloads there are in one round.
+// faultsPerRound is the number of faults, recoveries and reloads in one round.
 const faultsPerRound = 60
 
-// injectFaults changes members and routes under the callers' load.
+// injectFaults changes the behavior of members and reloads routes while callers send requests.
 func injectFaults(rng *rand.Rand, r *Router, all, members []*fake.Member, routesTo func([]*fake.Member) *routeconfig.Config) {
 	down := map[*fake.Member]bool{}
 	for range faultsPerRound {
@@ -132,26 +133,26 @@
 	}
 }
 
-// sendRequests sends requests of all kinds on one connection, four at a time, until stop is closed, and counts the
-// answers.
+// sendRequests sends requests of all kinds on one connection, four at a time, until stop is closed and at least 60 were
+// sent. It returns the number of responses by outcome.
 func sendRequests(t *testing.T, g *servertest.Gateway, checker *invariant.Checker, rng *rand.Rand, caller int, stop <-chan bool) map[invariant.Outcome]int {
 	counts := map[invariant.Outcome]int{}
 	open := map[uint16]string{}
 	send := func(stream uint16, n int) {
 		id := fmt.Sprintf("%d-%d", caller, n)
-		sent := invariant.Attempt{ID: id, Received: time.Now(), Deadline: time.Now().Add(4*time.Second + 500*time.Millisecond)}
+		attempt := invariant.Attempt{ID: id, Received: time.Now(), Deadline: time.Now().Add(4*time.Second + 500*time.Millisecond)}
 		r := newRequest("/r", "")
 		switch rng.IntN(4) {
 		case 0:
-			r, sent.AtMostOnce = newRequest("/w", "w"+id), true
+			r, attempt.AtMostOnce = newRequest("/w", "w"+id), true
 		case 2:
-			r, sent.AtMostOnce = newRequest("/kept", "k"+id), true
+			r, attempt.AtMostOnce = newRequest("/kept", "k"+id), true
 		case 1:
-			sent.Key, sent.AtMostOnce = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
-			r = newRequest("/book", "of "+sent.Key).WithHeader("Once-Key", sent.Key)
+			attempt.Key, attempt.AtMostOnce = fmt.Sprintf("k%d-%d", caller, rng.IntN(40)), true
+			r = newRequest("/book", "of "+attempt.Key).WithHeader("Once-Key", attempt.Key)
 		}
-		sent.ExpectedBody = r.Path + " " + string(r.Body)
-		checker.RecordSent(sent)
+		attempt.ExpectedBody = r.Path + " " + string(r.Body)
+		checker.RecordSent(attempt)
 		open[stream] = id
 		g.Write(r.WithHeader("X-Try", id).Encode(stream))
 	}
@@ -166,16 +167,16 @@
 			t.Errorf("caller %d: %v", caller, err)
 			return counts
 		}
-		kind, body := invariant.Failed, ""
+		outcome, body := invariant.Failed, ""
 		switch {
 		case a.Status == 200:
-			kind = invariant.Served
-			_, body, _ = strings.Cut(string(a.Body), " ") // without the member's name
+			outcome = invariant.Served
+			_, body, _ = strings.Cut(string(a.Body), " ") // removes the member's name
 		case a.Status == 503:
-			kind = invariant.Rejected
+			outcome = invariant.Rejected
 		}
-		counts[kind]++
-		checker.RecordAnswer(open[a.ID], kind, body, time.Now())
+		counts[outcome]++
+		checker.RecordAnswer(open[a.ID], outcome, body, time.Now())
 		delete(open, a.ID)
 		select {
 		case <-stop:
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -14,7 +14,7 @@
 	"tillerusher/internal/servertest"
 )
 
-// startMember starts a FastCGI member that ends with the test.
+// startMember starts a FastCGI member. The test's cleanup stops it.
 func startMember(t testing.TB, name string) *fake.Member {
 	t.Helper()
 	m, err := fake.NewMember(name)
@@ -25,7 +25,7 @@
 	return m
 }
 
-// startSCGIMember starts a member that speaks SCGI and ends with the test.
+// startSCGIMember starts an SCGI member. The test's cleanup stops it.
 func startSCGIMember(t testing.TB, name string) *fake.Member {
 	t.Helper()
 	m, err := fake.NewSCGIMember(name)
@@ -36,7 +36,7 @@
 	return m
 }
 
-// parseRoutes reads routes in which @A, @B and @C stand for the members' addresses.
+// parseRoutes parses routes after it has replaced @A, @B and so on by the members' addresses.
 func parseRoutes(t testing.TB, text string, members ...*fake.Member) *routeconfig.Config {
 	t.Helper()
 	for i, m := range members {
@@ -49,8 +49,9 @@
 	return routes
 }
 
-// twoMembers are routes to two members, with a class of requests with an idempotency key and one by method.
-const twoMembers = `(capacity 8)
+// twoMemberRoutes are routes to two members, with a class whose effect depends on the method and a class with an
+// idempotency key.
+const twoMemberRoutes = `(capacity 8)
 (class web (aim 1s) (deadline 3s) (effect by-method))
 (class book (aim 1s) (deadline 3s) (effect keyed) (window 10s))
 (pool app (member @A) (member @B) (keepalive 4) (next error timeout http_500) (read 300ms) (connect 300ms))
@@ -60,13 +61,13 @@
   (location exact /hello (return 200 "hi"))
   (location prefix /docs/ (pool app) (class web)))`
 
-// startRouter starts a router, and returns it with a gateway. It drains with the test.
+// startRouter starts a router and returns it with a connected gateway. The test's cleanup drains it.
 func startRouter(t testing.TB, routes *routeconfig.Config) (*Router, *servertest.Gateway) {
 	t.Helper()
 	return startRouterOn(t, eventloop.Kernel{}, routes)
 }
 
-// startRouterOn is startRouter with another system than the machine's.
+// startRouterOn is like startRouter, with an event loop on the given system.
 func startRouterOn(t testing.TB, system eventloop.System, routes *routeconfig.Config) (*Router, *servertest.Gateway) {
 	t.Helper()
 	listen := netip.MustParseAddrPort(servertest.FreeAddr(t))
@@ -86,10 +87,10 @@
 	return r, servertest.Dial(t, listen.String())
 }
 
-// listenAddr is where a router listens.
+// listenAddr returns the address that a router listens on.
 func listenAddr(r *Router) string { return r.backend.listen.String() }
 
-// onLoop calls a function on the router's goroutine, and waits for it.
+// onLoop calls a function on the goroutine of the router's event loop and waits for its return.
 func onLoop(r *Router, step func()) {
 	done := make(chan bool)
 	r.Post(func() {
@@ -99,7 +100,7 @@
 	<-done
 }
 
-// counter returns a counter by its name in the log.
+// counter returns the value of the counter with the given name in the log.
 func counter(t testing.TB, r *Router, name string) (value uint64) {
 	t.Helper()
 	isFound := false
@@ -111,12 +112,12 @@
 		}
 	})
 	if !isFound {
-		t.Fatalf("no counter %s", name)
+		t.Fatalf("counter %s not found", name)
 	}
 	return value
 }
 
-// newRequest is a request without any of the platform's fields.
+// newRequest returns a request without the platform's fields: a POST if it has a body, else a GET.
 func newRequest(path, body string) fake.Request {
 	r := fake.Request{Method: "GET", Path: path, Body: []byte(body), Headers: map[string]string{"Host": "x"}}
 	if body != "" {
--- a/internal/router/parse.go
+++ b/internal/router/parse.go
@@ -14,7 +14,7 @@
 	"tillerusher/server"
 )
 
-// The statuses that the router answers with by itself.
+// The HTTP statuses that the router sends itself or handles specially.
 const (
 	statusMovedPermanently   = 301
 	statusBadRequest         = 400
@@ -24,17 +24,17 @@
 	statusServiceUnavailable = 503
 )
 
-// The size of a request in memory, as it is reported to the module.
+// The estimate of a request's memory use, which is reported to the decision module.
 const (
-	requestOverheadKB = 1 // beside the body
+	requestOverheadKB = 1 // in addition to the body
 	bytesPerKB        = 1024
 )
 
-// safeMethods are those that change nothing (RFC 9110, section 9.2.1).
+// safeMethods are the HTTP methods that are essentially read-only (RFC 9110, section 9.2.1).
 var safeMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
-// Parse implements server.RequestParser: it finds the request's route. Where that leads to no pool, the route's own
-// answer is returned.
+// Parse implements server.RequestParser. It resolves the request's route and parses the request's fields. If the route has
+// no pool, the result is the route's response.
 func (b *backend) Parse(r gateway.Request, now time.Duration) (server.ParsedRequest, error) {
 	routed, response := b.resolve(r)
 	if response != nil {
@@ -43,7 +43,7 @@
 	return b.parseAttempt(routed, now)
 }
 
-// resolve returns the route of a request, or the answer of a route that leads to no pool.
+// resolve returns the request with its route, or the response of a route without a pool.
 func (b *backend) resolve(request gateway.Request) (*routedRequest, *gateway.Response) {
 	virtualServer, _ := b.table.FindServer(b.localAddress(request), request.Headers["host"])
 	if virtualServer == nil {
@@ -51,7 +51,7 @@
 	}
 	requestedPath := request.Path
 	if request.URI != "" {
-		requestedPath = request.URI // SCRIPT_NAME may have been changed on its way
+		requestedPath = request.URI // the gateway may have changed SCRIPT_NAME
 	}
 	resolution, err := virtualServer.Resolve(requestedPath, request.Query)
 	if err != nil {
@@ -70,14 +70,14 @@
 		query:         resolution.Query,
 		isRewritten:   resolution.Rewritten,
 	}
-	if response := routed.directAnswer(resolution.StoppedByBreak); response != nil {
+	if response := routed.directResponse(resolution.StoppedByBreak); response != nil {
 		return nil, response
 	}
 	return routed, nil
 }
 
-// resolvedResponse returns the answer to a request whose resolution is a redirect or a status, or nil where it is a
-// location.
+// resolvedResponse returns the response of a resolution that is a redirect, a status or has no location. It returns nil
+// for a resolution with a location.
 func resolvedResponse(resolution route.Resolution) *gateway.Response {
 	if resolution.RedirectTrailingSlash {
 		resolution.Status, resolution.RedirectURL = statusMovedPermanently, resolution.Path+"/"
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// localAddress returns the address at which the gateway's caller reached it, where the gateway sends that, and else that
-// of this server.
+// localAddress returns the address on which the gateway accepted the client's connection, or the router's listen address if
+// the gateway does not send a valid one.
 func (b *backend) localAddress(r gateway.Request) netip.AddrPort {
 	address, err := netip.ParseAddrPort(net.JoinHostPort(r.Params["SERVER_ADDR"], r.Params["SERVER_PORT"]))
 	if err != nil {
@@ -107,8 +107,8 @@
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// parseAttempt parses the fields that are reported to the module. Gateways may send the platform's fields, but need
-// not.
+// parseAttempt parses the fields that are reported to the decision module. The platform's fields are optional, except for
+// the idempotency key of a class that has one.
 func (b *backend) parseAttempt(routed *routedRequest, now time.Duration) (server.ParsedRequest, error) {
 	request := routed.request
 	fields := server.NewFieldReader(request.Headers)
@@ -144,7 +144,7 @@
 	return parsed, nil
 }
 
-// forMethod returns the module's class of a request, and whether it must not run twice.
+// forMethod returns the decision module's class of a request with the method, and whether the request must not run twice.
 func (m classMapping) forMethod(method string) (class int, atMostOnce bool) {
 	if !m.atMostOnce || !m.hasKey && slices.Contains(safeMethods, method) {
 		return m.safe, m.atMostOnce && m.safe == m.other
--- a/internal/router/routed_request.go
+++ b/internal/router/routed_request.go
@@ -14,25 +14,26 @@
 	"tillerusher/server"
 )
 
-// routedRequest is a request with its route.
+// routedRequest is a request and its route. It implements server.Runner.
 type routedRequest struct {
 	backend  *backend
 	request  gateway.Request
 	server   *route.Server
 	location *routeconfig.Location
-	// requestedPath is the path that the caller sent; path and query are normalized and rewritten.
+	// requestedPath is the path that the client sent. path is normalized; rewrites are applied to path and query.
 	requestedPath string
 	path          string
 	query         string
 	isRewritten   bool
-	// isFallback says that location is a fallback. Its answer gets fallbackStatus, or, where that is 0, keeps its own.
+	// isFallback is set if location is a fallback. The response then gets fallbackStatus, or keeps its own status if
+	// fallbackStatus is 0.
 	isFallback     bool
 	fallbackStatus int
-	// attempt is the request in the core; nil until it runs.
+	// attempt is the server's record of the request; nil until Run is called.
 	attempt *server.Request
 }
 
-// Run implements server.Runner: the request goes to the pool of its location.
+// Run implements server.Runner. It submits the request to the pool of its location.
 func (q *routedRequest) Run(r *server.Request) {
 	q.attempt = r
 	q.backend.inFlight[r.RequestID] = q
@@ -46,22 +47,22 @@
 	})
 }
 
-// directAnswer returns the answer of a route without a pool, or nil where the request goes to one. A status without a
-// text of its own may lead to a fallback location, which then replaces the route. hasBreak says that a rewrite with the
-// flag break ended the location's directives: its return is then ignored.
-func (q *routedRequest) directAnswer(hasBreak bool) *gateway.Response {
+// directResponse returns the response of a route without a pool, or nil if the request goes to a pool. A status without a
+// text may have a fallback location, which then replaces the location of the route. stoppedByBreak reports that a rewrite
+// with the flag break ended the location's directives; the location's return is then ignored.
+func (q *routedRequest) directResponse(stoppedByBreak bool) *gateway.Response {
 	location := q.location
-	if location.Pool != "" && (location.ReturnStatus == 0 || hasBreak) {
+	if location.Pool != "" && (location.ReturnStatus == 0 || stoppedByBreak) {
 		return nil
 	}
 	response := &gateway.Response{Status: statusNotFound}
-	if location.ReturnStatus != 0 && !hasBreak {
+	if location.ReturnStatus != 0 && !stoppedByBreak {
 		response = returnResponse(location)
 		if location.ReturnText != "" {
 			return response
 		}
 	}
-	if !q.takeFallback(response.Status) {
+	if !q.applyFallback(response.Status) {
 		return response
 	}
 	if q.location.Pool != "" {
@@ -75,9 +76,9 @@
 	return &final
 }
 
-// takeFallback replaces the route by the location's fallback for a status, and returns false where there is none. As in
-// nginx, a request takes one fallback at most, whatever the status of that one.
-func (q *routedRequest) takeFallback(status int) bool {
+// applyFallback replaces the location by its fallback for a status, and returns false if there is none. As in nginx, a
+// request uses at most one fallback, whatever the status of the fallback's response.
+func (q *routedRequest) applyFallback(status int) bool {
 	if q.isFallback {
 		return false
 	}
@@ -87,7 +88,7 @@
 		}
 		named := q.server.NamedLocation(fallback.Location)
 		if named == nil {
-			return false // should not happen: the configuration was validated
+			return false // unexpected: the configuration was validated
 		}
 		q.location, q.isFallback = named.Value.(*routeconfig.Location), true
 		q.fallbackStatus = fallback.ResponseStatus
@@ -99,7 +100,7 @@
 	return false
 }
 
-// finalStatus returns the status of the caller's answer, given that of the location's answer.
+// finalStatus returns the status to send to the client, given the status of the location's response.
 func (q *routedRequest) finalStatus(status int) int {
 	if q.fallbackStatus != 0 {
 		return q.fallbackStatus
@@ -107,7 +108,7 @@
 	return status
 }
 
-// returnResponse returns the answer of a location with a return directive.
+// returnResponse returns the response of a location with a return directive.
 func returnResponse(location *routeconfig.Location) *gateway.Response {
 	response := &gateway.Response{Status: location.ReturnStatus}
 	isRedirect := location.ReturnStatus >= 300 && location.ReturnStatus < 400
@@ -122,7 +123,8 @@
 	return response
 }
 
-// hashKey returns the key by which the hash methods of the location's pool choose a member.
+// hashKey returns the key that the hash methods of the location's pool use to choose a member. It is nil if the pool has
+// none.
 func (q *routedRequest) hashKey() []byte {
 	target := q.backend.pools[q.location.Pool]
 	if target == nil {
@@ -150,7 +152,7 @@
 	}
 }
 
-// requestedURI returns the path and query that the caller sent.
+// requestedURI returns the path and query that the client sent.
 func (q *routedRequest) requestedURI() string {
 	if q.request.Query == "" {
 		return q.requestedPath
@@ -158,7 +160,7 @@
 	return q.requestedPath + "?" + q.request.Query
 }
 
-// clientAddress returns the address of the gateway's caller, or that of loopback where it can't be parsed.
+// clientAddress returns the bytes of the client's IP address, or of 127.0.0.1 if REMOTE_ADDR can't be parsed.
 func (q *routedRequest) clientAddress() []byte {
 	if address, err := netip.ParseAddr(q.request.Params["REMOTE_ADDR"]); err == nil {
 		return address.Unmap().AsSlice()
@@ -166,8 +168,8 @@
 	return []byte{127, 0, 0, 1}
 }
 
-// memberParams returns the parameters for a member: the location's, and those of the gateway that the location does
-// not set. REQUEST_URI stays as the caller sent it, whatever was rewritten.
+// memberParams returns the parameters for a member: the location's parameters, then the gateway's parameters that the
+// location does not set. Rewrites do not change REQUEST_URI, which is the URI that the client sent.
 func (q *routedRequest) memberParams() []gateway.Field {
 	params := make([]gateway.Field, 0, len(q.request.Params)+len(q.location.Params))
 	isSet := map[string]bool{}
@@ -188,7 +190,7 @@
 	return params
 }
 
-// rewrittenParam returns the value of a parameter after a rewrite.
+// rewrittenParam returns the value of a gateway's parameter after a rewrite.
 func (q *routedRequest) rewrittenParam(name, value string) string {
 	switch name {
 	case "SCRIPT_NAME", "DOCUMENT_URI":
--- a/internal/router/routed_request_test.go
+++ b/internal/router/routed_request_test.go
@@ -8,7 +8,7 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// TestHashKey checks the key of each kind that pools may hash by.
+// TestHashKey checks the hash key for each kind of key that a pool can have, and for ip-hash.
 func TestHashKey(t *testing.T) {
 	for hashKey, want := range map[string]string{
 		routeconfig.HashByURI:                     "/raw%20path?k=v",
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,9 +1,9 @@
-// Package router is a reverse proxy on the core of package server: it takes requests of gateways over FastCGI, has the
-// decision module admit them, and passes them to the members of pools over FastCGI or SCGI.
+// Package router implements a reverse proxy on top of package server. It receives requests from gateways over FastCGI,
+// admits them with the decision module, and forwards them to the members of pools over FastCGI or SCGI.
 //
-// The package brings the core a parser, which finds a request's route, and a backend, which passes the request to the
-// route's pool and chooses fallbacks. All state belongs to the goroutine of the server's loop. Packages route and pool
-// choose routes and members, and package forward keeps the connections to members.
+// The package provides the server's RequestParser, which resolves a request's route, and its Backend, which forwards the
+// request to the route's pool and applies fallbacks. Only the goroutine of the server's event loop accesses the state.
+// Package route chooses routes, package pool chooses members, and package forward manages the connections to members.
 package router
 
 import (
@@ -20,7 +20,7 @@
 	"tillerusher/server"
 )
 
-// maxBodyBytes is the largest size of a request's body.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 1 << 20
 
 // Config is the configuration of a router.
@@ -31,23 +31,23 @@
 	MemoryMB    int
 	Sockets     int
 	Routes      *routeconfig.Config
-	Seed        uint64                 // of random choices
-	Operator    *config.OperatorConfig // nil where there is none
+	Seed        uint64                 // of the random number generators
+	Operator    *config.OperatorConfig // may be nil
 }
 
-// Router is a server that routes to pools.
+// Router is a server that forwards requests to pools.
 type Router struct {
 	*server.Server
 	log     *zap.Logger
 	backend *backend
 }
 
-// New returns a router that listens at its address. Run has to be called next, or Close.
+// New returns a router that listens on cfg.Listen. The caller must call Run or Close next.
 func New(cfg *Config, log *zap.Logger) (*Router, error) {
 	return NewOnSystem(eventloop.Kernel{}, cfg, log)
 }
 
-// NewOnSystem is New with another system than the machine's, such as a simulated one.
+// NewOnSystem is like New, with an event loop on the given system, such as a simulated one.
 func NewOnSystem(system eventloop.System, cfg *Config, log *zap.Logger) (*Router, error) {
 	if err := validate(cfg.Routes); err != nil {
 		return nil, err
@@ -75,10 +75,10 @@
 	return created, nil
 }
 
-// errNoRoutes is returned for a configuration without a server or a class.
-var errNoRoutes = errors.New("routes: a description without (server ...) or (class ...)")
+// errNoRoutes is returned for a configuration without a server or without a class.
+var errNoRoutes = errors.New("router: the routes have no (server ...) or no (class ...)")
 
-// validate returns an error for routes that can't be served.
+// validate returns an error if the routes have no server or no class.
 func validate(routes *routeconfig.Config) error {
 	if len(routes.Servers) == 0 || len(routes.Classes) == 0 {
 		return errNoRoutes
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Reload applies other routes; any goroutine may call it. Open requests continue on their routes. Routes that can't be
-// applied, or change classes or the capacity, change nothing and are logged.
+// Reload applies new routes asynchronously; any goroutine may call it. Open requests keep their present routes. If the new
+// routes are invalid or change the classes or the capacity, Reload logs the error and the present routes stay in force.
 func (r *Router) Reload(routes *routeconfig.Config) {
 	r.Post(func() {
 		if err := r.backend.update(routes); err != nil {
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -10,7 +10,7 @@
 	"tillerusher/server"
 )
 
-// The settings of the decision module that the configuration of a router does not have.
+// The settings of the decision module that a router's configuration can't change.
 const (
 	tick                 = 5 * time.Millisecond
 	drainGracePeriod     = 300 * time.Millisecond
@@ -20,23 +20,24 @@
 	runningMemoryFactor  = 2
 	maxConcurrencyFactor = 2
 	keyKB                = 1
-	// queueMemoryDivisor: the memory limit divided by it is for requests that are queued or at members.
+	// queueMemoryDivisor is the divisor of the memory limit that yields the memory for requests that are queued or sent
+	// to members.
 	queueMemoryDivisor = 4
-	// cores is how many cores the process itself may use.
+	// cores is the number of CPU cores that the router process may use.
 	cores = 1
 )
 
-// gaugeNames are the gauges, in the order of backend.QueryGauges.
+// gaugeNames are the names of the gauges, in the order of the values from backend.QueryGauges.
 var gaugeNames = []string{"cpu_busy", "runnable"}
 
-// classMapping maps a class of the routes to those of the module, which have one effect each.
+// classMapping maps a class of the routes to classes of the decision module, each of which has one effect.
 type classMapping struct {
-	safe, other int // by the request's method; equal where the method does not matter
+	safe, other int // indexes of the classes for safe and for other methods; equal if the method does not matter
 	hasKey      bool
 	atMostOnce  bool // requests of the class other must not run twice
 }
 
-// serverConfig returns the configuration of the core.
+// serverConfig returns the configuration of the server.
 func serverConfig(cfg *Config, site *settings.Site) *server.Config {
 	core := &server.Config{
 		Name:        cfg.Name,
@@ -51,8 +52,8 @@
 	return core
 }
 
-// siteSettings returns the settings of the module, and the mapping of the routes' classes to its own. The capacity of
-// the pools takes the place of the interpreter's cores.
+// siteSettings returns the settings of the decision module, and by name the mapping of the routes' classes to the module's
+// classes. The capacity of the pools replaces the number of the interpreter's cores.
 func siteSettings(cfg *Config) (*settings.Site, map[string]classMapping) {
 	site := &settings.Site{GaugeNames: gaugeNames}
 	site.Admission = admission.Settings{
@@ -77,7 +78,8 @@
 	return site, classes
 }
 
-// addClass adds a class of the routes to the module's: two where the effect depends on the method.
+// addClass adds a class of the routes to the classes of the decision module. A class whose effect depends on the method
+// becomes two classes.
 func addClass(site *settings.Site, class routeconfig.Class) classMapping {
 	switch class.Effect {
 	case routeconfig.EffectSafe:
@@ -96,7 +98,7 @@
 	}
 }
 
-// addModuleClass adds one class with one effect and returns its index.
+// addModuleClass adds one class of the decision module and returns its index.
 func addModuleClass(site *settings.Site, class routeconfig.Class, name string, effect admission.Effect) int {
 	site.ClassNames = append(site.ClassNames, name)
 	site.Admission.Classes = append(site.Admission.Classes, admission.Class{
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -7,17 +7,17 @@
 	"tillerusher/server"
 )
 
-// Stats are the counters of a router's backend and the state of its pools.
+// Stats contains the counters of a router's backend and the state of its pools.
 type Stats struct {
 	Counters []server.Counter
 	Pools    []forward.PoolState
 }
 
-// statsTimeout is how long the loop may take to answer.
+// statsTimeout limits how long Stats waits for the event loop.
 const statsTimeout = time.Second
 
-// Stats asks the loop for the stats; any goroutine may call it. It returns false where the server has ended, or does not
-// answer in time.
+// Stats returns the counters and the state of the pools; any goroutine may call it. It returns false if the event loop has
+// ended or does not respond within statsTimeout.
 func (r *Router) Stats() (Stats, bool) {
 	answer := make(chan Stats, 1)
 	r.Post(func() {
