--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,75 +1,76 @@
-// Package gateway is the interface between the server and the protocols that gateways speak: a Session reads bytes and
-// hands over requests, and is given the response of each. The package owns no sockets and no goroutine. FastCGI is the
-// protocol there is; another one would implement Session beside it.
+// Package gateway defines the interface between the server and the protocols of gateways. A Session parses the bytes of a
+// connection, passes requests to a Handler, and encodes the response to each request. The package has no sockets and no
+// goroutines. FastCGI is the only protocol at present; another protocol would need its own implementation of Session.
 package gateway
 
 //go:generate go tool stringer -type=RejectReason
 
-// StreamID identifies an open request of a connection.
+// StreamID identifies an open request on a connection.
 type StreamID uint32
 
-// Request is one whole request as a gateway sent it.
+// Request is a complete request from a gateway.
 type Request struct {
 	Method, Path, Query string
-	URI                 string            // as the gateway's client sent it, where the protocol passes that on
-	Headers             map[string]string // by their names in lower case
-	Params              map[string]string // all parameters as they came, where the protocol is told to keep them
+	URI                 string            // as the gateway's client sent it; "" if the gateway does not send it
+	Headers             map[string]string // by name in lower case
+	Params              map[string]string // all parameters, unchanged; nil unless the protocol is configured to keep them
 	Body                []byte            // not shared with the session
 }
 
-// Field is a name and a value: a header of a response, or a parameter of a request to a member.
+// Field is a name-value pair: a header field of a response, or a parameter of a request to a member.
 type Field struct{ Name, Value string }
 
 // Response is the response to one request.
 type Response struct {
 	Status     int
-	Overloaded bool // the protocol's own way to say that too many requests are open, in place of Status
+	Overloaded bool // send the protocol's own status for too many open requests instead of Status, Headers and Body
 	Headers    []Field
 	Body       []byte
 }
 
-// RejectReason is why a request can't be handed over.
+// RejectReason is the reason why a session rejects a request.
 type RejectReason uint8
 
 // The reasons for which a session rejects a request.
 const (
-	Malformed       RejectReason = iota // its parts contradict each other
-	TooLarge                            // its parameters or body are over the limits
-	TooManyRequests                     // more requests than may be open, on one connection or in memory
-	UnsupportedRole                     // a role that is not served
+	Malformed       RejectReason = iota // it is incomplete, or its parameters can't be parsed
+	TooLarge                            // its parameters or body exceed a limit
+	TooManyRequests                     // too many requests are open on the connection, or too many bytes are in memory
+	UnsupportedRole                     // its role is not implemented
 )
 
-// Handler is told what sessions read.
+// Handler handles the requests that sessions read.
 type Handler interface {
-	// RequestReceived hands over a whole request, which must be given one Response.
+	// RequestReceived is called with a complete request. The handler must call Session.Respond once for it.
 	RequestReceived(s Session, id StreamID, r Request)
-	// RequestAborted says that the gateway gave up an open request, which must be given its Response all the same.
+	// RequestAborted is called if the gateway aborts an open request. The handler must still respond to the request.
 	RequestAborted(s Session, id StreamID)
-	// RequestInvalid says that a request can't be handed over. It must be given its Response all the same; what still
-	// comes of it is skipped.
+	// RequestInvalid is called if a request is invalid, instead of RequestReceived. The handler must still respond to the
+	// request; the session skips the rest of its input.
 	RequestInvalid(s Session, id StreamID, reason RejectReason)
-	// RequestRejected says that the session rejected a request at its first record, and needs no Response.
+	// RequestRejected is called after the session itself has rejected a request at its first record. The handler must not
+	// respond to it.
 	RequestRejected(reason RejectReason)
 }
 
-// Output takes bytes for the peer; what is written in one round is sent together.
+// Output buffers bytes for the peer. Bytes that are written in one iteration of the event loop are sent together.
 type Output interface{ Write(p []byte) }
 
-// Session is the state of one connection of a gateway.
+// Session is the protocol state of one connection from a gateway.
 type Session interface {
-	// Feed reads the next bytes; after an error the connection can only be closed.
+	// Feed parses the next bytes of the connection. After an error the caller must close the connection.
 	Feed(p []byte) error
-	// Respond ends an open request; one that is not open any more is left alone.
+	// Respond sends the response to an open request and ends the request. It does nothing if the request is not open.
 	Respond(id StreamID, r Response)
-	// OpenRequests returns how many requests were begun and have no response.
+	// OpenRequests returns the number of requests that have begun and have no response, complete or not.
 	OpenRequests() int
-	// HasPartialInput reports whether a record or request was begun that has not come whole.
+	// HasPartialInput reports whether an incomplete record or request was read.
 	HasPartialInput() bool
-	// Close drops what is open, since the connection has ended.
+	// Close discards the open requests. The caller calls it when the connection has ended.
 	Close()
-	// ShouldClose reports whether the connection is to be closed once its output is sent.
+	// ShouldClose reports whether the caller must close the connection once its output is sent.
 	ShouldClose() bool
 }
 
-// Protocol starts a session on a new connection.
+// Protocol returns the session of a new connection.
 type Protocol func(out Output, h Handler) Session
