--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -8,14 +8,15 @@
 	"tillerusher/internal/gateway"
 )
 
-// ErrResponse reports an invalid response of a responder; errors of ResponseParser wrap it.
+// ErrResponse reports an invalid response of a responder. All errors of ResponseParser wrap it.
 var ErrResponse = errors.New("fastcgi: invalid response")
 
-// protocolStatusOffset is where the protocol status is in the content of an END_REQUEST record.
+// protocolStatusOffset is the offset of the protocol status in the content of an END_REQUEST record.
 const protocolStatusOffset = 4
 
-// AppendRequest appends a whole request to a responder, on a connection that is to be kept open. Most responders take one
-// request at a time on a connection; a new ID for each distinguishes its response from a late one to another.
+// AppendRequest appends to buf a complete request that asks the responder to keep the connection open. Most responders
+// accept only one request at a time on a connection. The caller should use a new ID for each request, so that its response
+// can be distinguished from a late response to an earlier one.
 func AppendRequest(buf []byte, id uint16, params []gateway.Field, body []byte) []byte {
 	buf = appendHeader(buf, typeBeginRequest, id, beginRequestSize)
 	buf = append(buf, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
@@ -30,7 +31,7 @@
 // ResponseParser assembles the response to one request from the bytes that are read from its connection.
 type ResponseParser struct {
 	RequestID      uint16
-	MaxBytes       int // of the response
+	MaxBytes       int // maximum size of the response
 	reader         recordReader
 	stdout         []byte
 	protocolStatus byte
@@ -38,11 +39,11 @@
 	err            error
 }
 
-// Feed reads the next bytes and reports whether the response is complete. Bytes behind its end are an error, as they
-// answer no request.
+// Feed reads the next bytes and reports whether the response is complete. Bytes after its end are an error, since they
+// belong to no request.
 func (r *ResponseParser) Feed(p []byte) (complete bool, err error) {
 	if r.isComplete {
-		return true, fmt.Errorf("%w: bytes behind its end", ErrResponse)
+		return true, fmt.Errorf("%w: bytes after its end", ErrResponse)
 	}
 	if err := r.reader.feed(p, r); err != nil {
 		return false, fmt.Errorf("%w: %w", ErrResponse, err)
@@ -58,16 +59,16 @@
 	switch {
 	case header.recordType == typeStdout && !r.isComplete:
 		if len(r.stdout)+len(part) > r.MaxBytes {
-			r.err = fmt.Errorf("%w: over %d bytes", ErrResponse, r.MaxBytes)
+			r.err = fmt.Errorf("%w: longer than %d bytes", ErrResponse, r.MaxBytes)
 			return
 		}
 		r.stdout = append(r.stdout, part...)
 	case header.isEndRequest():
-		r.stdout = append(r.stdout, part...) // removed again by endRecord
+		r.stdout = append(r.stdout, part...) // temporary: endRecord removes it
 	}
 }
 
-// isEndRequest reports whether the record is an END_REQUEST of the right length.
+// isEndRequest reports whether the record is an END_REQUEST with content of the specified length.
 func (h recordHeader) isEndRequest() bool {
 	return h.recordType == typeEndRequest && h.contentLength == endRequestSize
 }
@@ -76,13 +77,13 @@
 func (r *ResponseParser) endRecord(header recordHeader) error {
 	switch {
 	case r.isComplete:
-		return errors.New("a record behind the end")
+		return errors.New("record after END_REQUEST")
 	case header.requestID != r.RequestID && header.requestID != managementID:
-		return fmt.Errorf("a record of request %d", header.requestID)
+		return fmt.Errorf("record of another request with ID %d", header.requestID)
 	case header.recordType == typeStdout, header.recordType == typeStderr, header.requestID == managementID:
 		return nil
 	case !header.isEndRequest() || len(r.stdout) < endRequestSize:
-		return fmt.Errorf("a record of type %d and %d bytes", header.recordType, header.contentLength)
+		return fmt.Errorf("unexpected record of type %d with %d bytes of content", header.recordType, header.contentLength)
 	}
 	responseBytes := len(r.stdout) - endRequestSize
 	r.protocolStatus = r.stdout[responseBytes+protocolStatusOffset]
@@ -95,10 +96,11 @@
 	return r.isComplete && r.protocolStatus == statusOverloaded
 }
 
-// CompleteAtEOF reports whether the response is complete at the end of the connection. In FastCGI that end completes none.
+// CompleteAtEOF reports whether the response is complete at the end of the connection. In FastCGI the end of the
+// connection does not complete a response.
 func (r *ResponseParser) CompleteAtEOF() bool { return r.isComplete }
 
-// Response returns the complete response.
+// Response returns the complete response. It must not be called before the response is complete.
 func (r *ResponseParser) Response() (gateway.Response, error) {
 	if r.protocolStatus != statusComplete {
 		return gateway.Response{}, fmt.Errorf("%w: protocol status %d", ErrResponse, r.protocolStatus)
--- a/internal/fastcgi/model_test.go
+++ b/internal/fastcgi/model_test.go
@@ -17,15 +17,15 @@
 	isComplete   bool
 }
 
-// sessionModel is the expected state of a session, beside the session itself.
+// sessionModel is a session together with its expected state.
 type sessionModel struct {
 	*testGateway
 	open      map[uint16]*expectedRequest
-	responses int // that the gateway should have read
-	aborts    int // that the handler should have received
+	responses int // number that the gateway should have received
+	aborts    int // number that the handler should have received
 }
 
-// send feeds a record in pieces of any size.
+// send feeds a record in pieces of random size.
 func (m *sessionModel) send(t *rapid.T, b []byte) {
 	for len(b) > 0 {
 		n := rapid.IntRange(1, len(b)).Draw(t, "piece")
@@ -37,24 +37,24 @@
 	}
 }
 
-// drawID draws an ID, of which a few are in use again and again.
+// drawID draws a request ID from a small range, so that IDs are reused.
 func drawID(t *rapid.T) uint16 { return rapid.Uint16Range(1, 6).Draw(t, "id") }
 
-// drawPadding draws the padding of a record.
+// drawPadding draws the padding length of a record.
 func drawPadding(t *rapid.T) byte {
 	return rapid.SampledFrom([]byte{0, 0, 1, 7, 255}).Draw(t, "padding")
 }
 
 // TestRandomSessions checks random steps of a gateway and a handler against the model.
 func TestRandomSessions(t *testing.T) {
-	list := lookup("").EncodeParams()
+	list := newLookupRequest("").EncodeParams()
 	rapid.Check(t, func(t *rapid.T) {
 		m := &sessionModel{testGateway: newTestGateway(t), open: map[uint16]*expectedRequest{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				id := drawID(t)
 				if m.open[id] != nil {
-					t.Skip("a second begin breaks the stream")
+					t.Skip("a second BEGIN_REQUEST is a protocol error")
 				}
 				role := rapid.SampledFrom([]uint16{1, 1, 1, 3}).Draw(t, "role")
 				m.send(t, fake.EncodeBeginRequest(id, role, true))
@@ -84,7 +84,7 @@
 					}
 				}
 			},
-			"last": func(t *rapid.T) {
+			"end body": func(t *rapid.T) {
 				id := drawID(t)
 				m.send(t, fake.EncodeRecord(fake.Stdin, id, nil, drawPadding(t)))
 				request := m.open[id]
@@ -96,7 +96,7 @@
 				default:
 					request.isComplete = true
 					if got := m.received[gateway.StreamID(id)]; !bytes.Equal(got.Body, request.body) || got.Headers["sent-by"] != "4" {
-						t.Fatalf("handed over %+v, want the body %q", got, request.body)
+						t.Fatalf("the handler received %+v, want the body %q", got, request.body)
 					}
 				}
 			},
@@ -112,7 +112,7 @@
 					m.responses++
 				}
 			},
-			"answer": func(t *rapid.T) {
+			"respond": func(t *rapid.T) {
 				id := drawID(t)
 				m.session.Respond(gateway.StreamID(id), gateway.Response{Status: 200, Body: []byte{byte(id)},
 					Overloaded: rapid.Bool().Draw(t, "overloaded")})
@@ -122,7 +122,7 @@
 					m.responses++
 				}
 			},
-			"manage": func(t *rapid.T) {
+			"management": func(t *rapid.T) {
 				kind := rapid.SampledFrom([]byte{fake.GetValues, 50}).Draw(t, "kind")
 				m.send(t, fake.EncodeRecord(kind, 0, fake.EncodePair("FCGI_MAX_REQS", "", false), drawPadding(t)))
 				m.responses++
@@ -135,10 +135,10 @@
 					}
 				}
 				if m.session.HasPartialInput() != (complete < len(m.open)) {
-					t.Fatalf("partial input %t, %d of %d requests complete", m.session.HasPartialInput(), complete, len(m.open))
+					t.Fatalf("HasPartialInput is %t with %d of %d open requests complete", m.session.HasPartialInput(), complete, len(m.open))
 				}
 				if len(m.testGateway.responses) != m.responses || m.session.OpenRequests() != len(m.open) || len(m.received) != complete || len(m.aborted) != m.aborts {
-					t.Fatalf("%d answers, %d open, %d handed over, %d aborts; want %d, %d, %d, %d", len(m.testGateway.responses),
+					t.Fatalf("%d responses, %d open requests, %d received by the handler, %d aborts; want %d, %d, %d, %d", len(m.testGateway.responses),
 						m.session.OpenRequests(), len(m.received), len(m.aborted), m.responses, len(m.open), complete, m.aborts)
 				}
 			},
@@ -146,9 +146,10 @@
 	})
 }
 
-// FuzzFeed makes sure that no bytes of a gateway panic, and that the split of a stream changes nothing.
+// FuzzFeed checks that a session does not panic for any input, and that splitting the input changes neither whether
+// it is an error nor the numbers of responses and requests.
 func FuzzFeed(f *testing.F) {
-	f.Add(lookup("body").Encode(1), 9)
+	f.Add(newLookupRequest("body").Encode(1), 9)
 	f.Add(append(fake.EncodeBeginRequest(2, 1, false), fake.EncodeRecord(fake.AbortRequest, 2, nil, 9)...), 17)
 	f.Add(fake.EncodeRecord(fake.GetValues, 0, fake.EncodePair("FCGI_MAX_REQS", "", true), 1), 3)
 	f.Fuzz(func(t *testing.T, stream []byte, cut int) {
@@ -160,7 +161,7 @@
 			split.feed(stream[cut:])
 		}
 		if (whole.err == nil) != (split.err == nil) || len(whole.responses) != len(split.responses) || len(whole.received) != len(split.received) {
-			t.Errorf("whole: %v, %d answers, %d handed over; cut at %d: %v, %d, %d", whole.err, len(whole.responses),
+			t.Errorf("unsplit: error %v, %d responses, %d requests received; split at %d: error %v, %d, %d", whole.err, len(whole.responses),
 				len(whole.received), cut, split.err, len(split.responses), len(split.received))
 		}
 	})
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -27,7 +27,7 @@
 	statusUnknownRole = 3
 )
 
-// The application statuses that this package writes, as of a program that exits.
+// The application statuses that this package writes. They correspond to the exit status of a CGI program.
 const (
 	appSuccess = 0
 	appFailure = 1
@@ -40,28 +40,31 @@
 
 	headerSize       = 8
 	beginRequestSize = 8 // of the content
-	endRequestSize   = 8
-	unknownTypeSize  = 8
+	endRequestSize   = 8 // of the content
+	unknownTypeSize  = 8 // of the content
 	maxContent       = 65535
 
-	// A length in a name-value pair takes one byte below this, and four bytes with the highest bit set otherwise.
+	// Lengths in name-value pairs below minLongLength are encoded in one byte. Longer ones are encoded in four bytes with
+	// the highest bit set.
 	minLongLength = 128
 	longLengthBit = 1 << 31
 
-	// managementID is the request ID of management records, which concern no request.
+	// managementID is the request ID of management records, which belong to no request.
 	managementID = 0
 )
 
-// errTruncatedPair reports a list of name-value pairs that ends in the middle of one.
+// errTruncatedPair reports a list of name-value pairs that ends in the middle of a pair.
 var errTruncatedPair = errors.New("fastcgi: truncated name-value pair")
 
-// VersionError reports a record of a version other than 1: what follows it can't be read.
+// VersionError reports a record whose version is not 1. The bytes after its header can't be parsed.
 type VersionError struct{ Version byte }
 
 // Error implements error.
-func (e *VersionError) Error() string { return fmt.Sprintf("fastcgi: record of version %d", e.Version) }
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("fastcgi: record version %d, want 1", e.Version)
+}
 
-// recordHeader is the header of one record.
+// recordHeader is the header of a record.
 type recordHeader struct {
 	recordType    byte
 	requestID     uint16
@@ -69,7 +72,7 @@
 	paddingLength int
 }
 
-// parseHeader reads a header.
+// parseHeader parses a record header.
 func parseHeader(p *[headerSize]byte) (recordHeader, error) {
 	if p[0] != version {
 		return recordHeader{}, &VersionError{Version: p[0]}
@@ -82,28 +85,28 @@
 	}, nil
 }
 
-// recordHandler receives what a recordReader reads: parts of a record's content in order, then the end of the record.
+// recordHandler handles the records of a recordReader. For each record, content is called with the parts of its content in
+// order, and then endRecord.
 type recordHandler interface {
 	content(h recordHeader, p []byte)
 	endRecord(h recordHeader) error
 }
 
-// recordReader splits a byte stream into records. Content is passed on as it is read, so that nothing but a header is ever
-// buffered.
+// recordReader splits a byte stream into records. It passes content to the handler as it is read and buffers only headers.
 type recordReader struct {
 	header      [headerSize]byte
-	headerBytes int // read of header
+	headerBytes int // number of bytes in header
 	current     recordHeader
 	inRecord    bool // the header of current was read
 	contentLeft int
 	paddingLeft int
 }
 
-// hasPartialRecord reports whether a part of a record was read, and not all of it.
+// hasPartialRecord reports whether a record was read partially.
 func (r *recordReader) hasPartialRecord() bool { return r.inRecord || r.headerBytes > 0 }
 
-// feed reads the next bytes.
-func (r *recordReader) feed(data []byte, to recordHandler) error {
+// feed reads the next bytes. It returns the first error of a header or of the handler.
+func (r *recordReader) feed(data []byte, handler recordHandler) error {
 	for len(data) > 0 || r.inRecord && r.contentLeft == 0 && r.paddingLeft == 0 {
 		if !r.inRecord {
 			var err error
@@ -111,14 +114,14 @@
 				return err
 			}
 		}
-		data = r.readContent(data, to)
+		data = r.readContent(data, handler)
 		if r.contentLeft > 0 {
 			continue
 		}
 		data = r.skipPadding(data)
 		if r.paddingLeft == 0 {
 			r.inRecord = false
-			if err := to.endRecord(r.current); err != nil {
+			if err := handler.endRecord(r.current); err != nil {
 				return err
 			}
 		}
@@ -126,7 +129,7 @@
 	return nil
 }
 
-// readHeader reads bytes of a header, begins the record once it is whole, and returns the bytes behind it.
+// readHeader reads bytes of a header, begins the record once the header is complete, and returns the bytes after it.
 func (r *recordReader) readHeader(data []byte) ([]byte, error) {
 	n := copy(r.header[r.headerBytes:], data)
 	r.headerBytes += n
@@ -142,17 +145,17 @@
 	return data[n:], nil
 }
 
-// readContent passes bytes of the content to the handler, and returns those behind it.
-func (r *recordReader) readContent(data []byte, to recordHandler) []byte {
+// readContent passes bytes of the content to the handler and returns the bytes after the content.
+func (r *recordReader) readContent(data []byte, handler recordHandler) []byte {
 	n := min(r.contentLeft, len(data))
 	if n > 0 {
-		to.content(r.current, data[:n])
+		handler.content(r.current, data[:n])
 		r.contentLeft -= n
 	}
 	return data[n:]
 }
 
-// skipPadding returns the bytes behind the padding.
+// skipPadding skips bytes of the padding and returns the bytes after it.
 func (r *recordReader) skipPadding(data []byte) []byte {
 	n := min(r.paddingLeft, len(data))
 	r.paddingLeft -= n
@@ -165,7 +168,7 @@
 		byte(contentLength>>8), byte(contentLength), 0, 0)
 }
 
-// appendStream appends a stream's content as records, and the empty record that ends it.
+// appendStream appends the content of a stream as records, followed by the empty record that ends the stream.
 func appendStream(buf []byte, recordType byte, requestID uint16, content []byte) []byte {
 	for len(content) > 0 {
 		n := min(len(content), maxContent)
@@ -182,7 +185,7 @@
 	return append(buf, protocolStatus, 0, 0, 0)
 }
 
-// appendUnknownType appends the answer to a management record of a type that is not known.
+// appendUnknownType appends an UNKNOWN_TYPE record, which is the response to a management record of an unknown type.
 func appendUnknownType(buf []byte, recordType byte) []byte {
 	buf = appendHeader(buf, typeUnknownType, managementID, unknownTypeSize)
 	return append(buf, recordType, 0, 0, 0, 0, 0, 0, 0)
@@ -204,7 +207,7 @@
 	return binary.BigEndian.AppendUint32(buf, uint32(n)|longLengthBit)
 }
 
-// parsePairs calls yield for each name-value pair of a list.
+// parsePairs calls yield for each name-value pair of a list. The slices share memory with list.
 func parsePairs(list []byte, yield func(name, value []byte)) error {
 	for len(list) > 0 {
 		nameLength, afterNameLength, err := parseLength(list)
@@ -226,7 +229,7 @@
 	return nil
 }
 
-// parseLength reads the length of a name or value, and returns the bytes behind it.
+// parseLength parses the length of a name or value. It returns the length and the bytes after it.
 func parseLength(p []byte) (int, []byte, error) {
 	switch {
 	case len(p) >= 1 && p[0] < minLongLength:
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// TestRecordReaderSplits feeds the same records split at every place, and one byte at a time.
+// TestRecordReaderSplits feeds the same records split at every position, and byte by byte.
 func TestRecordReaderSplits(t *testing.T) {
 	stream := appendHeader(nil, typeParams, 7, 0)
 	padded := appendHeader(nil, typeStdin, 258, 3)
@@ -42,7 +42,7 @@
 			}
 		}
 		if got := log.text.String(); got != want {
-			t.Fatalf("cut at %d: %s, want %s", cut, got, want)
+			t.Fatalf("split at %d: got %s, want %s", cut, got, want)
 		}
 	}
 	var reader recordReader
@@ -53,19 +53,19 @@
 		}
 	}
 	if got := log.text.String(); got != want {
-		t.Errorf("byte by byte: %s, want %s", got, want)
+		t.Errorf("byte by byte: got %s, want %s", got, want)
 	}
 }
 
-// TestRecordVersion rejects a version that is not known.
+// TestRecordVersion rejects a record with an unknown version.
 func TestRecordVersion(t *testing.T) {
 	var reader recordReader
 	if err := reader.feed([]byte{2, 1, 0, 1, 0, 0, 0, 0}, &recordLog{}); err == nil {
-		t.Error("a record of version 2 was taken")
+		t.Error("a record of version 2 was accepted")
 	}
 }
 
-// TestParsePairs covers both forms of a length and lists that end in the middle.
+// TestParsePairs covers both encodings of a length and truncated lists.
 func TestParsePairs(t *testing.T) {
 	long := strings.Repeat("v", 300)
 	list := appendPair(appendPair(appendPair(nil, "A", "1"), "LONG", long), long, "")
@@ -75,23 +75,23 @@
 		t.Fatal(err)
 	}
 	if want := []string{"A=1", "LONG=" + long, long + "="}; fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("pairs %q", got)
+		t.Errorf("pairs %q, want %q", got, want)
 	}
 	for cut := 1; cut < len(list); cut++ {
 		if cut == 4 || cut == 4+1+4+4+300 {
 			continue // between two pairs
 		}
 		if err := parsePairs(list[:cut], func(_, _ []byte) {}); !errors.Is(err, errTruncatedPair) {
-			t.Fatalf("list cut at %d: %v", cut, err)
+			t.Fatalf("list truncated at %d: error %v, want errTruncatedPair", cut, err)
 		}
 	}
-	// A length near the end of the range must not be taken for a small one.
+	// Lengths near the maximum must not be read as small ones.
 	if err := parsePairs([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 'x'}, record); !errors.Is(err, errTruncatedPair) {
-		t.Errorf("huge lengths: %v", err)
+		t.Errorf("huge lengths: error %v, want errTruncatedPair", err)
 	}
 }
 
-// TestAppendStream cuts content that is longer than a record.
+// TestAppendStream checks that content longer than a record is split into several records.
 func TestAppendStream(t *testing.T) {
 	content := bytes.Repeat([]byte("0123456789"), 14000)
 	var reader recordReader
@@ -106,7 +106,7 @@
 	}
 }
 
-// handlerFuncs is a recordHandler of two functions.
+// handlerFuncs implements recordHandler with two functions.
 type handlerFuncs struct {
 	onContent func(p []byte)
 	onEnd     func(h recordHeader)
--- a/internal/fastcgi/request.go
+++ b/internal/fastcgi/request.go
@@ -7,9 +7,9 @@
 	"tillerusher/internal/gateway"
 )
 
-// The CGI variables that a gateway.Request has fields for (RFC 3875, section 4.1).
+// The CGI variables that are parsed into fields of gateway.Request (RFC 3875, section 4.1).
 const (
-	varRequestURI    = "REQUEST_URI" // of no RFC, but sent by nginx and Apache
+	varRequestURI    = "REQUEST_URI" // not in the RFC, but sent by nginx and Apache
 	varRequestMethod = "REQUEST_METHOD"
 	varScriptName    = "SCRIPT_NAME"
 	varQueryString   = "QUERY_STRING"
@@ -22,14 +22,14 @@
 	varMultiplexesConns = "FCGI_MPXS_CONNS"
 )
 
-// typicalParams is how many parameters of a request a map has room for at first.
-const typicalParams = 16
+// initialParamsCapacity is the initial capacity of a request's maps of headers and parameters.
+const initialParamsCapacity = 16
 
-// parseRequest reads the parameters of a request that is not invalid.
+// parseRequest parses the parameters of a request. It does not parse those of an invalid request.
 func (s *Session) parseRequest(req *request) (gateway.Request, error) {
-	r := gateway.Request{Body: req.body, Headers: make(map[string]string, typicalParams)}
+	r := gateway.Request{Body: req.body, Headers: make(map[string]string, initialParamsCapacity)}
 	if s.limits.KeepParams {
-		r.Params = make(map[string]string, typicalParams)
+		r.Params = make(map[string]string, initialParamsCapacity)
 	}
 	if req.isInvalid {
 		return r, nil
@@ -38,7 +38,7 @@
 	return r, err
 }
 
-// setParam stores one parameter.
+// setParam stores one parameter in the request: in Params if they are kept, and in the field or header that it sets.
 func setParam(request *gateway.Request, name, value string) {
 	if request.Params != nil {
 		request.Params[name] = value
@@ -75,7 +75,7 @@
 	s.finish(id, req, appendEndRequest(records, id, appSuccess, statusComplete))
 }
 
-// appendCGIResponse appends a response in the form of RFC 3875, section 6.
+// appendCGIResponse appends a response in the format of RFC 3875, section 6.
 func appendCGIResponse(buf []byte, response *gateway.Response) []byte {
 	buf = append(buf, "Status: "...)
 	buf = strconv.AppendInt(buf, int64(response.Status), 10)
@@ -90,7 +90,7 @@
 	return append(buf, response.Body...)
 }
 
-// write sends records that were assembled in the shared buffer, which is kept for the next ones.
+// write sends records that were assembled in the shared buffer, and keeps the buffer for reuse.
 func (s *Session) write(records []byte) {
 	s.out.Write(records)
 	s.shared.recordBuf = records[:0]
@@ -100,11 +100,11 @@
 func (s *Session) finish(id uint16, req *request, records []byte) {
 	s.write(records)
 	delete(s.open, id)
-	s.shared.bytesLeft += req.heldBytes
+	s.shared.bytesLeft += req.reservedBytes
 	s.hasEnded = s.hasEnded || !req.keepConn
 }
 
-// handleManagement answers a management record.
+// handleManagement responds to a management record.
 func (s *Session) handleManagement(header recordHeader, content []byte) error {
 	if header.recordType != typeGetValues {
 		s.write(appendUnknownType(s.shared.recordBuf[:0], header.recordType))
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxSkippedBytes is how many bytes are skipped between two whole requests: the rest of a body that was rejected for
-	// its length, and records of requests that have ended. A body without end exceeds it soon.
+	// maxSkippedBytes is the maximum number of bytes that are skipped between two valid requests: the rest of a body that
+	// was rejected for its length, and records of requests that have ended. An endless body soon exceeds it.
 	maxSkippedBytes = 64 << 10
-	// maxKeptControl is the largest buffer for management records that a connection keeps.
-	maxKeptControl = 64
+	// maxRetainedControlBytes is the capacity of the largest buffer for control records that a connection keeps.
+	maxRetainedControlBytes = 64
 )
 
 var (
-	// errSessionEnded ends the parsing of a connection that is to be closed.
+	// errSessionEnded stops the record reader of a connection that is to be closed. Feed does not return it.
 	errSessionEnded = errors.New("fastcgi: session ended")
-	// errTooManySkipped ends a connection that sends only records of no open request.
+	// errTooManySkipped is returned once more than maxSkippedBytes were skipped since the last valid request.
 	errTooManySkipped = errors.New("fastcgi: too many bytes that belong to no request")
 )
 
-// RequestError reports a record that breaks the protocol. Its connection can only be closed.
+// RequestError reports a record that violates the protocol. The connection must be closed.
 type RequestError struct {
 	ID     uint16
 	Reason string
@@ -32,36 +32,36 @@
 // Error implements error.
 func (e *RequestError) Error() string { return fmt.Sprintf("fastcgi: request %d: %s", e.ID, e.Reason) }
 
-// Limits bounds the requests that sessions accept.
+// Limits configures the requests that sessions accept.
 type Limits struct {
-	OpenRequests int  // of one session
-	ParamBytes   int  // of one request's parameters
-	BodyBytes    int  // of one request's body
-	TotalBytes   int  // of all requests without a response, of all sessions
-	KeepParams   bool // pass all parameters with a request, too
+	OpenRequests int  // maximum number of open requests of one session
+	ParamBytes   int  // maximum size of one request's parameters
+	BodyBytes    int  // maximum size of one request's body
+	TotalBytes   int  // maximum size of all open requests of all sessions
+	KeepParams   bool // store all parameters in Request.Params
 }
 
-// sharedState is what all sessions of a protocol have in common. The buffers are here because idle sessions are many and
-// must hold none.
+// sharedState is the state that all sessions of a protocol share. It contains the buffers because there are many idle
+// sessions, which must not have buffers.
 type sharedState struct {
-	bytesLeft int    // of Limits.TotalBytes
+	bytesLeft int    // unused part of Limits.TotalBytes
 	cgiBuf    []byte // the CGI response being assembled
 	recordBuf []byte // the records being assembled
 }
 
-// request is one open request of a session.
+// request is an open request of a session.
 type request struct {
-	keepConn     bool // the connection stays open after the response
-	params       []byte
-	body         []byte
-	hasAllParams bool
-	isComplete   bool // it was passed to the handler, as a request or as invalid
-	isInvalid    bool
-	reason       gateway.RejectReason // if isInvalid
-	heldBytes    int                  // of sharedState.bytesLeft
+	keepConn      bool // keep the connection open after the response
+	params        []byte
+	body          []byte
+	hasAllParams  bool
+	isComplete    bool // it was passed to the handler, as a valid or as an invalid request
+	isInvalid     bool
+	reason        gateway.RejectReason // valid if isInvalid is set
+	reservedBytes int                  // bytes taken from sharedState.bytesLeft
 }
 
-// invalidate records the first reason why a request is invalid.
+// invalidate marks the request as invalid. Only the first reason is recorded.
 func (r *request) invalidate(reason gateway.RejectReason) {
 	if !r.isInvalid {
 		r.isInvalid, r.reason = true, reason
@@ -75,14 +75,15 @@
 	handler      gateway.Handler
 	reader       recordReader
 	open         map[uint16]*request
-	control      []byte // content of a BEGIN_REQUEST or management record
-	skippedBytes int    // since the last whole request
-	incomplete   int    // open requests that are incomplete
-	hasEnded     bool   // no more requests are read, and the connection is closed once the open ones have a response
+	controlBuf   []byte // content of a BEGIN_REQUEST or management record
+	skippedBytes int    // since the last valid request
+	incomplete   int    // number of open requests that are incomplete
+	hasEnded     bool   // input is ignored, and the connection is closed once the complete requests have responses
 	shared       *sharedState
 }
 
-// NewProtocol returns a protocol whose sessions keep to the limits.
+// NewProtocol returns a protocol whose sessions enforce the limits. The sessions share state without a lock, so they must
+// not be used concurrently.
 func NewProtocol(limits Limits) gateway.Protocol {
 	shared := &sharedState{bytesLeft: limits.TotalBytes}
 	return func(out gateway.Output, h gateway.Handler) gateway.Session {
@@ -93,7 +94,7 @@
 // Feed implements gateway.Session.
 func (s *Session) Feed(p []byte) error {
 	if s.hasEnded {
-		return nil // the response that ends the connection is on its way
+		return nil // the connection closes once the last response is sent
 	}
 	if err := s.reader.feed(p, s); err != errSessionEnded {
 		return err
@@ -107,7 +108,7 @@
 // HasPartialInput implements gateway.Session.
 func (s *Session) HasPartialInput() bool { return s.incomplete > 0 || s.reader.hasPartialRecord() }
 
-// ShouldClose implements gateway.Session. Incomplete requests are dropped with the connection.
+// ShouldClose implements gateway.Session. Incomplete requests do not keep the connection open.
 func (s *Session) ShouldClose() bool {
 	if !s.hasEnded {
 		return false
@@ -124,12 +125,12 @@
 func (s *Session) Close() {
 	for id, req := range s.open {
 		delete(s.open, id)
-		s.shared.bytesLeft += req.heldBytes
+		s.shared.bytesLeft += req.reservedBytes
 	}
 	s.hasEnded, s.incomplete = true, 0
 }
 
-// content implements recordHandler. Content over a limit is dropped and invalidates its request.
+// content implements recordHandler. Content over a limit is discarded and invalidates its request.
 func (s *Session) content(header recordHeader, part []byte) {
 	req := s.open[header.requestID]
 	isReading := req != nil && !req.isComplete
@@ -138,40 +139,41 @@
 		req.params = s.appendWithinLimits(req, req.params, part, s.limits.ParamBytes)
 	case header.recordType == typeStdin && isReading:
 		req.body = s.appendWithinLimits(req, req.body, part, s.limits.BodyBytes)
-	case header.hasControl() && len(s.control)+len(part) <= s.limits.ParamBytes:
-		s.control = append(s.control, part...)
+	case header.hasControl() && len(s.controlBuf)+len(part) <= s.limits.ParamBytes:
+		s.controlBuf = append(s.controlBuf, part...)
 	default:
 		s.skippedBytes += len(part)
 	}
-	// A request over a limit is rejected without waiting for its end, which may never come.
+	// A request over a limit is rejected before its end, which may never arrive.
 	if isReading && req.isInvalid {
 		s.complete(header.requestID, req)
 	}
 }
 
-// hasControl reports whether the record's content is buffered until the record is complete.
+// hasControl reports whether the record is a control record, whose content is buffered until the record is complete.
 func (h recordHeader) hasControl() bool {
 	return h.recordType == typeBeginRequest || h.requestID == managementID
 }
 
-// appendWithinLimits appends to a part of a request, or invalidates the request.
+// appendWithinLimits returns the collected part of a request with the added bytes. If they exceed a limit, it invalidates
+// the request and returns collected unchanged.
 func (s *Session) appendWithinLimits(req *request, collected, added []byte, limit int) []byte {
 	if len(collected)+len(added) > limit {
 		req.invalidate(gateway.TooLarge)
 		return collected
 	}
-	// Many connections that send requests slowly must not exhaust the memory.
+	// Many connections that send requests slowly must not exhaust the process's memory.
 	if len(added) > s.shared.bytesLeft {
 		req.invalidate(gateway.TooManyRequests)
 		return collected
 	}
 	s.shared.bytesLeft -= len(added)
-	req.heldBytes += len(added)
+	req.reservedBytes += len(added)
 	return append(collected, added...)
 }
 
-// endRecord implements recordHandler. What follows the record that ends the connection is ignored, whether it comes in the
-// same read or in a later one.
+// endRecord implements recordHandler. Input after the record that ends the session is ignored, in the same read and in
+// later ones.
 func (s *Session) endRecord(header recordHeader) error {
 	err := s.handleRecord(header)
 	switch {
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// handleRecord acts on a complete record. Records of requests that are not open are skipped, as the gateway may have sent
+// handleRecord handles the end of a record. It skips records of requests that are not open, as the gateway may have sent
 // them before it read the response.
 func (s *Session) handleRecord(header recordHeader) error {
 	control := s.takeControl()
@@ -217,23 +219,24 @@
 	return nil
 }
 
-// takeControl returns the content of a control record, valid until the next one. A large buffer is not kept.
+// takeControl returns the content of a control record, which is valid until the next control record, and empties the
+// buffer. It does not keep a large buffer.
 func (s *Session) takeControl() []byte {
-	control := s.control
-	s.control = s.control[:0]
-	if cap(control) > maxKeptControl {
-		s.control = nil
+	control := s.controlBuf
+	s.controlBuf = s.controlBuf[:0]
+	if cap(control) > maxRetainedControlBytes {
+		s.controlBuf = nil
 	}
 	return control
 }
 
-// beginRequest opens a request.
+// beginRequest opens a request, or rejects it if its role is not implemented or too many requests are open.
 func (s *Session) beginRequest(id uint16, content []byte) error {
 	if len(content) < beginRequestSize {
-		return &RequestError{ID: id, Reason: fmt.Sprintf("BEGIN_REQUEST of %d bytes", len(content))}
+		return &RequestError{ID: id, Reason: fmt.Sprintf("BEGIN_REQUEST content has %d bytes, want at least 8", len(content))}
 	}
 	if s.open[id] != nil {
-		return &RequestError{ID: id, Reason: "begun while it is open"}
+		return &RequestError{ID: id, Reason: "BEGIN_REQUEST for a request that is already open"}
 	}
 	role := binary.BigEndian.Uint16(content)
 	keepConn := content[2]&flagKeepConn != 0
@@ -249,14 +252,14 @@
 	return nil
 }
 
-// reject ends a request that was not opened.
+// reject sends the END_REQUEST record of a request that is not opened, and reports the reason to the handler.
 func (s *Session) reject(id uint16, keepConn bool, reason gateway.RejectReason, protocolStatus byte) {
 	s.write(appendEndRequest(s.shared.recordBuf[:0], id, appFailure, protocolStatus))
 	s.hasEnded = s.hasEnded || !keepConn
 	s.handler.RequestRejected(reason)
 }
 
-// abort ends an incomplete request, or passes the abort of a complete one to the handler.
+// abort ends an incomplete request, or reports the abort of a complete request to the handler.
 func (s *Session) abort(id uint16, req *request) {
 	if req.isComplete {
 		s.handler.RequestAborted(s, gateway.StreamID(id))
@@ -266,7 +269,8 @@
 	s.finish(id, req, appendEndRequest(s.shared.recordBuf[:0], id, appFailure, statusComplete))
 }
 
-// complete passes a request to the handler once its last byte was read, or the reason why it is invalid.
+// complete passes a request to the handler after its last byte was read. If the request is invalid, it passes the reason
+// instead; an invalid request may be completed before its last byte.
 func (s *Session) complete(id uint16, req *request) {
 	req.isComplete = true
 	s.incomplete--
