--- a/internal/cgi/response.go
+++ b/internal/cgi/response.go
@@ -1,4 +1,4 @@
-// Package cgi reads the responses of CGI programs (RFC 3875, section 6), which members send over FastCGI and SCGI alike.
+// Package cgi parses CGI responses (RFC 3875, section 6), which members send over both FastCGI and SCGI.
 package cgi
 
 import (
@@ -11,26 +11,26 @@
 	"tillerusher/internal/gateway"
 )
 
-// ErrResponse says that a response can't be read; errors of ParseResponse wrap it.
+// ErrResponse reports an invalid response. All errors of ParseResponse wrap it.
 var ErrResponse = errors.New("cgi: invalid response")
 
-// defaultStatus is the status of a response without a Status field (section 6.3.3).
+// defaultStatus is the status of a response without a Status field (RFC 3875, section 6.3.3).
 const defaultStatus = 200
 
-// The statuses that HTTP has.
+// The range of HTTP status codes.
 const (
 	minStatus = 100
 	maxStatus = 599
 )
 
-// ParseResponse reads a whole response. The body is a copy.
+// ParseResponse parses a complete response. The body of the result is a copy.
 func ParseResponse(response []byte) (gateway.Response, error) {
 	parsed := gateway.Response{Status: defaultStatus}
 	rest := response
 	for {
 		line, after, found := bytes.Cut(rest, []byte{'\n'})
 		if !found {
-			return parsed, fmt.Errorf("%w: no empty line behind its header", ErrResponse)
+			return parsed, fmt.Errorf("%w: no empty line after the header", ErrResponse)
 		}
 		rest = after
 		text := strings.TrimSuffix(string(line), "\r")
@@ -45,11 +45,11 @@
 	return parsed, nil
 }
 
-// parseField reads one header field.
+// parseField parses one header field and stores it in the response.
 func parseField(response *gateway.Response, text string) error {
 	name, value, found := strings.Cut(text, ":")
 	if !found || name == "" || strings.ContainsAny(name, " \t") {
-		return fmt.Errorf("%w: header line %.40q", ErrResponse, text)
+		return fmt.Errorf("%w: invalid header line %.40q", ErrResponse, text)
 	}
 	value = strings.TrimSpace(value)
 	if !strings.EqualFold(name, "Status") {
@@ -59,7 +59,7 @@
 	code, _, _ := strings.Cut(value, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || status < minStatus || status > maxStatus {
-		return fmt.Errorf("%w: status %.40q", ErrResponse, value)
+		return fmt.Errorf("%w: invalid status %.40q, want a number from 100 to 599", ErrResponse, value)
 	}
 	response.Status = status
 	return nil
