--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,7 +1,7 @@
-// Package invariant checks a server from outside against the rules that hold whatever the server decides: each request is
-// answered once and by its deadline, a successful answer carries the result of its own run, an idempotency key runs once
-// within its window, and a request with an effect is never both run and rejected. The checker records what was sent,
-// answered and run, and lists every violation. It shares no state and no code with the server.
+// Package invariant checks a server from outside against rules that do not depend on the server's decisions: each request
+// is answered exactly once and by its deadline, a successful answer carries the result of its own run, an idempotency key
+// runs at most once within its window, and a request that must not take effect twice is never both run and rejected. The
+// checker records the attempts, answers and runs, and lists every violation. It shares no state and no code with the server.
 package invariant
 
 import (
@@ -11,48 +11,48 @@
 	"time"
 )
 
-// Outcome is how an attempt was answered.
+// Outcome is the result that an answer reports to the caller.
 type Outcome uint8
 
 // The outcomes that the rules distinguish.
 const (
-	Served   Outcome = iota // with the result of a run
-	Rejected                // without a run: the caller may send the request again
-	Failed                  // otherwise; the request may have taken effect
+	Served   Outcome = iota // the answer carries the result of a run
+	Rejected                // the request did not run: the caller may send it again
+	Failed                  // any other answer: the request may have taken effect
 )
 
-// Attempt is one attempt of a request, as its caller knows it.
+// Attempt describes one attempt of a request from the caller's side.
 type Attempt struct {
-	ID           string // differs for every attempt, retries of one request included
-	Key          string // the idempotency key that all attempts of a request share; "" without one
-	AtMostOnce   bool   // whether its effect must not come twice
+	ID           string // unique for every attempt, also among retries of one request
+	Key          string // idempotency key, which all attempts of a request share; "" if it has none
+	AtMostOnce   bool   // whether the request must not take effect twice
 	ExpectedBody string // the only correct body of a successful answer
 	Received     time.Time
-	Deadline     time.Time // the latest time of its answer
+	Deadline     time.Time // latest time of the answer
 }
 
-// attemptState is the recorded state of an attempt that was sent.
+// attemptState is the state of an attempt that was sent.
 type attemptState struct {
 	Attempt
-	pausesBefore time.Duration // the checker's pauses when the attempt was sent
-	answers      int
-	outcome      Outcome // of the last answer
-	runs         int
-	isClosed     bool // its final violation was reported, or no answer can come
+	pauseWhenSent time.Duration // the checker's totalPause when the attempt was sent
+	answers       int
+	outcome       Outcome // of the last answer
+	runs          int
+	isClosed      bool // Violations ignores the attempt: it has reported it, or no answer can arrive
 }
 
 // Checker collects the violations of one server. It is safe for concurrent use.
 type Checker struct {
 	mu         sync.Mutex
-	window     time.Duration            // in which an idempotency key must not run twice
-	pauses     time.Duration            // total time for which the machine stood still
+	window     time.Duration            // an idempotency key must not run twice within it
+	totalPause time.Duration            // total time for which the machine was paused
 	attempts   map[string]*attemptState // by attempt ID
 	order      []*attemptState          // all attempts in the order in which they were sent
 	lastRun    map[string]*attemptState // by idempotency key
 	violations []string
 }
 
-// New returns a checker. An idempotency key may run again once the window has passed.
+// New returns a checker. An idempotency key may run again after the window.
 func New(window time.Duration) *Checker {
 	return &Checker{window: window, attempts: map[string]*attemptState{}, lastRun: map[string]*attemptState{}}
 }
@@ -62,11 +62,12 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// ExcusePause extends the deadlines of all unanswered attempts by a time for which the whole machine stood still.
+// ExcusePause extends the deadlines of all unanswered attempts by a time for which the whole machine was paused.
+// RecordAnswer applies the extension; Violations does not apply it to attempts without an answer.
 func (c *Checker) ExcusePause(pause time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pauses += pause
+	c.totalPause += pause
 }
 
 // RecordSent records that an attempt was completely written to the server.
@@ -77,12 +78,12 @@
 		c.addViolation("try %s was sent twice: the caller is at fault", attempt.ID)
 		return
 	}
-	state := &attemptState{Attempt: attempt, pausesBefore: c.pauses}
+	state := &attemptState{Attempt: attempt, pauseWhenSent: c.totalPause}
 	c.attempts[attempt.ID] = state
 	c.order = append(c.order, state)
 }
 
-// RecordAnswer records an answer of the server to the attempt with the ID.
+// RecordAnswer records an answer of the server to the attempt with the ID, and checks it.
 func (c *Checker) RecordAnswer(id string, outcome Outcome, body string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,13 +100,13 @@
 	if outcome == Served && body != attempt.ExpectedBody {
 		c.addViolation("try %s was served with %q, which no run of it made", id, body)
 	}
-	pausedMeanwhile := c.pauses - attempt.pausesBefore
+	pausedMeanwhile := c.totalPause - attempt.pauseWhenSent
 	if deadline := attempt.Deadline.Add(pausedMeanwhile); at.After(deadline) {
 		c.addViolation("try %s was answered %v late", id, at.Sub(deadline))
 	}
 }
 
-// RecordLost records that no answer to the attempt can come any more, since the server was killed.
+// RecordLost records that no answer to the attempt can arrive any more, for example because the server was killed.
 func (c *Checker) RecordLost(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +115,7 @@
 	}
 }
 
-// RecordRun records that the interpreter began to run the attempt.
+// RecordRun records that the interpreter started to run the attempt, and checks that it may.
 func (c *Checker) RecordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +138,8 @@
 	c.lastRun[attempt.Key] = attempt
 }
 
-// Violations adds those that show only afterwards, which are attempts without an answer by their deadline and rejected
-// attempts that ran, and returns all violations so far.
+// Violations returns all violations so far. It first adds those that no single event shows: attempts that have no answer
+// and whose deadline is before now, and attempts with AtMostOnce that ran and were rejected.
 func (c *Checker) Violations(now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
