--- a/internal/simnet/process.go
+++ b/internal/simnet/process.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// firstDescriptor is the lowest one a process gets: 0 to 2 are the standard streams.
+	// firstDescriptor is the lowest descriptor that a process allocates: 0 to 2 are the standard streams.
 	firstDescriptor = 3
-	// iterationCost is how long a process works on what one EpollWait returned. What arrives meanwhile is seen by the next.
+	// iterationCost is the time that a process takes for one iteration of its event loop. The next EpollWait returns the
+	// events that occur meanwhile.
 	iterationCost = 20 * time.Microsecond
 )
 
-// Process is one program: a coroutine that runs until it waits. It implements eventloop.System.
+// Process is a simulated process: a coroutine that runs until it waits in EpollWait. It implements eventloop.System.
 type Process struct {
 	sim  *Simulation
 	name string
@@ -27,22 +28,23 @@
 	maxDescriptors int
 
 	resume func() (struct{}, bool) // runs the coroutine until it waits
-	stop   func()                  // ends it: its pending yield returns false
-	yield  func(struct{}) bool     // suspends it; called by the coroutine itself
+	stop   func()                  // ends the coroutine: its pending yield returns false
+	yield  func(struct{}) bool     // suspends the coroutine; only the coroutine itself calls it
 
 	isWaiting   bool // in EpollWait
-	isScheduled bool // an event that continues it is queued
+	isScheduled bool // the event queue has an event that resumes the process
 	isKilled    bool
 	hasExited   bool
 	exitErr     error
-	busyUntil   time.Duration // by the work of the current iteration
+	busyUntil   time.Duration // end of the current event loop iteration
 	pausedUntil time.Duration
 }
 
-// killSignal unwinds the coroutine of a process that was killed.
+// killSignal is the panic value that unwinds the coroutine of a killed process.
 type killSignal struct{}
 
-// Start starts a program on the machine with an address. It may have up to maxDescriptors open.
+// Start starts a process that runs main on the machine with the address. The process may have at most maxDescriptors
+// descriptors open.
 func (s *Simulation) Start(name string, addr netip.Addr, maxDescriptors int, main func(p *Process) error) *Process {
 	p := &Process{sim: s, name: name, addr: addr, maxDescriptors: maxDescriptors, descriptors: map[int]*descriptor{}}
 	p.resume, p.stop = iter.Pull(func(yield func(struct{}) bool) {
@@ -54,7 +56,8 @@
 	return p
 }
 
-// exit ends the coroutine. It is deferred, and recovers from the panic by which a killed process unwinds.
+// exit records that the process has ended and closes its descriptors. It is deferred in the coroutine and recovers the
+// panic of a killed process; any other panic is raised again with the name of the process and the virtual time.
 func (p *Process) exit() {
 	p.hasExited = true
 	p.isWaiting = false
@@ -66,7 +69,7 @@
 	}
 }
 
-// step runs the program until it waits, or later if it is paused.
+// step runs the process until it waits. If the process is paused, step schedules itself for the end of the pause instead.
 func (p *Process) step() {
 	if p.hasExited || p.isKilled {
 		return
@@ -80,7 +83,7 @@
 	p.resume()
 }
 
-// wake schedules a waiting program to run as soon as it is neither busy nor paused.
+// wake schedules a waiting process to run as soon as it is neither busy nor paused.
 func (p *Process) wake() {
 	if !p.isWaiting || p.isScheduled || p.isKilled {
 		return
@@ -89,7 +92,8 @@
 	p.sim.After(max(p.busyUntil, p.pausedUntil)-p.sim.now, p.step)
 }
 
-// wait suspends the program until something is ready, for at most timeout; a negative timeout is infinite.
+// wait suspends the process until it is woken or the timeout has passed. A negative timeout is infinite. A pause extends the
+// timeout to its end.
 func (p *Process) wait(timeout time.Duration) {
 	p.isWaiting = true
 	cancel := func() {}
@@ -107,7 +111,7 @@
 	p.isWaiting = false
 }
 
-// Kill ends the program at once, as SIGKILL does.
+// Kill ends the process immediately, as SIGKILL does.
 func (p *Process) Kill() {
 	if p.hasExited || p.isKilled {
 		return
@@ -118,19 +122,20 @@
 	p.stop()
 }
 
-// Pause stops the program for a while, as on a machine that gives it no processor.
+// Pause suspends the process for a duration, as if its machine gave it no processor time.
 func (p *Process) Pause(length time.Duration) {
 	p.sim.Stats.Pauses++
 	p.pausedUntil = max(p.pausedUntil, p.sim.now+length)
 }
 
-// Exited reports whether the program has ended or was killed, and the error that it returned.
+// Exited reports whether the process has ended or was killed, and returns the error that its main function returned.
 func (p *Process) Exited() (hasExited bool, err error) { return p.hasExited || p.isKilled, p.exitErr }
 
-// OpenDescriptors returns how many descriptors are open.
+// OpenDescriptors returns the number of open descriptors.
 func (p *Process) OpenDescriptors() int { return len(p.descriptors) }
 
-// closeAll closes all sockets, in the order of their descriptors so that a run can be repeated.
+// closeAll closes all descriptors. It closes the sockets in ascending order of their descriptors, so that a simulation can
+// be repeated exactly.
 func (p *Process) closeAll() {
 	for _, fd := range p.sortedDescriptors() {
 		if sk := p.descriptors[fd].socket; sk != nil {
@@ -140,7 +145,7 @@
 	p.descriptors = map[int]*descriptor{}
 }
 
-// sortedDescriptors returns the descriptors that are open, in ascending order.
+// sortedDescriptors returns the open descriptors in ascending order.
 func (p *Process) sortedDescriptors() []int {
 	list := make([]int, 0, len(p.descriptors))
 	for fd := range p.descriptors {
@@ -150,7 +155,8 @@
 	return list
 }
 
-// allocate gives desc the lowest descriptor that is free.
+// allocate assigns the lowest free descriptor to desc and returns it. It returns EMFILE if the process has no descriptor
+// left, and EBADF if the process was killed.
 func (p *Process) allocate(desc *descriptor) (int, error) {
 	switch {
 	case p.isKilled:
--- a/internal/simnet/simulation.go
+++ b/internal/simnet/simulation.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// The default delay of a segment, as on one Ethernet segment.
+// The default delays of a segment, as on one Ethernet segment.
 const (
 	defaultDelay  = 50 * time.Microsecond
 	defaultJitter = 150 * time.Microsecond
 )
 
-// streamSeed separates the simulation's random numbers from those that its user draws from the same seed.
-const streamSeed = 0x5eed
+// rngStream is the second seed of the simulation's random number generator. It makes the simulation's random numbers
+// independent of those that its user draws from the same seed.
+const rngStream = 0x5eed
 
 // Simulation is the clock, the event queue and the network that all processes and handlers share. It is not safe for
 // concurrent use: processes are coroutines of the goroutine that calls Run.
@@ -30,16 +31,16 @@
 
 	listeners        map[netip.AddrPort]*socket
 	datagramHandlers map[netip.AddrPort]func(payload []byte)
-	partitions       map[[2]netip.Addr]bool // pairs of machines that can't reach each other, in both orders
-	lastPort         uint16                 // of the ephemeral ports given out
+	partitions       map[[2]netip.Addr]bool // pairs of machines that cannot reach each other, in both orders
+	lastPort         uint16                 // ephemeral port that was allocated last
 }
 
 // New returns an empty simulation whose clock shows startTime.
 func New(seed uint64, startTime time.Time) *Simulation {
 	return &Simulation{
 		Network:          NetworkConfig{Delay: defaultDelay, Jitter: defaultJitter},
-		startTime:        startTime.Round(0), // without the monotonic reading
-		rng:              rand.New(rand.NewPCG(seed, streamSeed)),
+		startTime:        startTime.Round(0), // strips the monotonic clock reading
+		rng:              rand.New(rand.NewPCG(seed, rngStream)),
 		listeners:        map[netip.AddrPort]*socket{},
 		datagramHandlers: map[netip.AddrPort]func([]byte){},
 		partitions:       map[[2]netip.Addr]bool{},
@@ -49,10 +50,11 @@
 // Now returns the virtual wall-clock time.
 func (s *Simulation) Now() time.Time { return s.startTime.Add(s.now) }
 
-// Elapsed returns the virtual time since the simulation began.
+// Elapsed returns the virtual time since the start of the simulation.
 func (s *Simulation) Elapsed() time.Duration { return s.now }
 
-// After schedules fire to be called once wait has passed, unless cancel is called before.
+// After schedules a call of fire after a delay. A negative delay counts as zero. cancel prevents the call if it has not
+// happened yet.
 func (s *Simulation) After(wait time.Duration, fire func()) (cancel func()) {
 	s.seq++
 	e := &event{at: s.now + max(wait, 0), seq: s.seq, fire: fire}
@@ -60,7 +62,8 @@
 	return func() { e.fire = nil }
 }
 
-// Run processes all events up to the time until, which counts from the simulation's begin.
+// Run processes all events up to and including the time until, which is measured from the start of the simulation, and
+// advances the clock to it.
 func (s *Simulation) Run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(*event)
@@ -74,11 +77,11 @@
 	s.now = max(s.now, until)
 }
 
-// event is a scheduled call. Events of the same time run in the order in which they were scheduled.
+// event is a scheduled call. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at   time.Duration
 	seq  uint64
-	fire func() // nil once it is cancelled
+	fire func() // nil if the event was cancelled
 }
 
 // eventQueue is a min-heap of events by time and sequence number.
--- a/internal/simnet/socket.go
+++ b/internal/simnet/socket.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// receiveWindow is how many bytes may be sent to a peer that has not read them yet.
+	// receiveWindow is the maximum number of sent bytes that the peer has not read yet.
 	receiveWindow = 64 << 10
-	// retransmitInterval is the time between two attempts to deliver a segment across a partition.
+	// retransmitInterval is the time between two attempts to deliver a segment during a partition.
 	retransmitInterval = 200 * time.Millisecond
-	// connectRetryInterval is the time between two attempts to connect to an address that does not answer.
+	// connectRetryInterval is the time between two attempts to connect to an address that does not respond.
 	connectRetryInterval = time.Second
-	// connectTimeout is the time after which such a connect fails with ETIMEDOUT.
+	// connectTimeout is the time after which a connect to such an address fails with ETIMEDOUT.
 	connectTimeout = 3 * time.Second
 )
 
-// segment is what one write sent: bytes, or the end of the stream.
+// segment carries the bytes of one write, or the end of the stream (FIN).
 type segment struct {
 	bytes []byte
 	isFIN bool
@@ -36,31 +36,31 @@
 	isConnecting bool
 	isConnected  bool
 	isClosed     bool
-	err          error // why the connection broke; handed to the owner once
+	err          error // why the connection failed; reported to the owner once
 
-	// Of a listener.
+	// State of a listener.
 	isListening bool
-	accept      func(*Stream) StreamHandler // of a handler that listens
+	accept      func(*Stream) StreamHandler // nil if a process listens
 	backlog     []*socket
 	maxBacklog  int
 
 	// Receiving.
-	received       []byte // not read yet
+	received       []byte // bytes that the owner has not read yet
 	hasReceivedEOF bool
 
 	// Sending.
 	inFlight     []segment
-	isDelivering bool // an event that delivers the first segment in flight is queued
+	isDelivering bool // the event queue has an event that delivers the first segment in flight
 	hasSentFIN   bool
-	unreadByPeer int // bytes sent that the peer has not read
+	unreadByPeer int // number of sent bytes that the peer has not read
 
-	// Of a handler's socket.
+	// State of a handler's socket.
 	isNotified  bool // the handler's Connected was called
 	readsPaused bool
-	readSize    int // bytes that the handler reads at a time; 0 is all
+	readSize    int // maximum number of bytes that the handler reads at a time; 0 means no limit
 }
 
-// send puts a segment in flight, behind those before it.
+// send queues a segment for delivery behind the segments in flight.
 func (sk *socket) send(g segment) {
 	sk.inFlight = append(sk.inFlight, g)
 	if !sk.isDelivering {
@@ -69,7 +69,8 @@
 	}
 }
 
-// deliverNext delivers the first segment in flight to the peer, or sends it again later across a partition.
+// deliverNext delivers the first segment in flight to the peer. During a partition, it tries again after
+// retransmitInterval.
 func (sk *socket) deliverNext() {
 	sim := sk.sim
 	if !sim.isReachable(sk.local.Addr(), sk.remote.Addr()) {
@@ -89,7 +90,7 @@
 	case peer.isClosed && first.isFIN:
 		return
 	case peer.isClosed:
-		sk.fail(unix.ECONNRESET) // data for a closed socket is answered by RST
+		sk.fail(unix.ECONNRESET) // a closed socket responds to data with RST
 		return
 	case first.isFIN:
 		peer.hasReceivedEOF = true
@@ -99,7 +100,7 @@
 	peer.notify()
 }
 
-// fail breaks the connection at this end.
+// fail breaks this end of the connection with an error, and notifies the owner.
 func (sk *socket) fail(err error) {
 	if sk.isClosed || sk.err != nil {
 		return
@@ -109,7 +110,7 @@
 	sk.notify()
 }
 
-// notify wakes the owner: the socket's state has changed.
+// notify informs the owner that the socket's state has changed.
 func (sk *socket) notify() {
 	if sk.process != nil {
 		sk.process.wake()
@@ -120,7 +121,7 @@
 	}
 }
 
-// read takes received bytes.
+// read moves received bytes to buf. With NetworkConfig.PartialIO, it may move fewer than it could.
 func (sk *socket) read(buf []byte) (int, error) {
 	switch {
 	case len(sk.received) > 0:
@@ -136,7 +137,7 @@
 	return -1, unix.EAGAIN
 }
 
-// takeError returns the error that broke the connection. It is reported once; after it the stream is at its end.
+// takeError returns the error that broke the connection and clears it. After the error, reads report the end of the stream.
 func (sk *socket) takeError() error {
 	err := sk.err
 	sk.err = nil
@@ -144,7 +145,7 @@
 	return err
 }
 
-// consume drops what was read and notifies the peer if that opens its window again.
+// consume removes n bytes that were read, and notifies the peer if the receive window was full.
 func (sk *socket) consume(n int) {
 	sk.received = sk.received[n:]
 	if len(sk.received) == 0 {
@@ -157,7 +158,7 @@
 	}
 }
 
-// write sends as much as the peer's window has room for.
+// write sends as many bytes as fit into the peer's receive window. With NetworkConfig.PartialIO, it may send fewer.
 func (sk *socket) write(buf []byte) (int, error) {
 	switch {
 	case sk.err != nil:
@@ -173,7 +174,7 @@
 	return n, nil
 }
 
-// shutdown ends the sending direction.
+// shutdown closes the sending direction of the connection.
 func (sk *socket) shutdown() {
 	if !sk.hasSentFIN && sk.isConnected && !sk.isClosed {
 		sk.hasSentFIN = true
@@ -181,7 +182,8 @@
 	}
 }
 
-// close closes this end. If received bytes were not read, the peer is reset; see RFC 2525, section 2.17.
+// close closes this end of the connection. If it has received bytes that were not read, the connection is reset; see
+// RFC 2525, section 2.17. Closing a listener resets the connections in its backlog.
 func (sk *socket) close() {
 	if sk.isClosed {
 		return
@@ -202,7 +204,7 @@
 	sk.isClosed = true
 }
 
-// reset breaks the connection: at this end at once, at the peer after a segment's delay.
+// reset breaks the connection: this end immediately, the peer's end after the delay of a segment.
 func (sk *socket) reset() {
 	sk.isClosed = true
 	if peer := sk.peer; peer != nil {
@@ -210,7 +212,7 @@
 	}
 }
 
-// readiness returns the events that epoll reports for the socket.
+// readiness returns the events that epoll reports for the socket if they were registered.
 func (sk *socket) readiness() (events uint32) {
 	if sk.isListening {
 		if len(sk.backlog) > 0 {
@@ -236,7 +238,8 @@
 	return events
 }
 
-// connect starts a connection. Its outcome is reported later, by readiness or to the handler.
+// connect starts to connect to an address. The owner learns of the outcome later: a process through readiness, a handler
+// through dispatch.
 func (sk *socket) connect(to netip.AddrPort) {
 	sk.isConnecting = true
 	sk.remote = to
@@ -266,7 +269,7 @@
 	sk.sim.After(sk.sim.segmentDelay(), attempt)
 }
 
-// establish makes the listener's end of a connection at once, and completes this end after a segment's delay.
+// establish creates the listener's end of the connection immediately, and connects this end after the delay of a segment.
 func (sk *socket) establish(listener *socket) {
 	sim := sk.sim
 	sim.Stats.Connections++
@@ -275,7 +278,7 @@
 	sim.After(sim.segmentDelay(), func() {
 		sk.isConnecting = false
 		if sk.isClosed {
-			peer.fail(unix.ECONNRESET) // this end was closed meanwhile
+			peer.fail(unix.ECONNRESET) // this end was closed before it was connected
 			return
 		}
 		sk.isConnected = true
--- a/internal/simnet/stats.go
+++ b/internal/simnet/stats.go
@@ -1,7 +1,7 @@
 package simnet
 
-// Stats counts what happened in a simulation, faults by their kind. The names of the fields are JSON keys of reports and are
-// printed by cataloguectl.
+// Stats counts the events of a simulation, and its faults by kind. The names of the fields are JSON keys of reports, and
+// cataloguectl prints them.
 type Stats struct {
 	Events           uint64
 	Rounds           uint64 // calls of EpollWait
@@ -9,17 +9,17 @@
 	Connections      uint64
 	PartialReads     uint64
 	PartialWrites    uint64
-	Refused          uint64 // connects to an address where nobody listens
+	Refused          uint64 // connects to an address without a listener
 	Resets           uint64
 	OutOfFiles       uint64 // calls that failed with EMFILE
 	DatagramsLost    uint64
 	DatagramsDoubled uint64
 	Pauses           uint64
 	Kills            uint64
-	PartitionsHeld   uint64 // segments that a partition held up, once for each retransmission
+	PartitionsHeld   uint64 // attempts to deliver a segment that failed because of a partition
 }
 
-// Add adds the counts of another simulation.
+// Add adds the counts of other to s.
 func (s *Stats) Add(other Stats) {
 	s.Events += other.Events
 	s.Rounds += other.Rounds
--- a/internal/simnet/stream.go
+++ b/internal/simnet/stream.go
@@ -8,22 +8,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// handlerBacklog is the backlog of a listening handler, which accepts at once: no connect ever finds it full.
+// handlerBacklog is the maximum backlog of a handler's listener. Handlers accept immediately, so no connect finds it full.
 const handlerBacklog = 1 << 20
 
-// StreamHandler is called with what happens at its end of a stream.
+// StreamHandler handles the events at its end of a stream.
 type StreamHandler interface {
+	// Connected is called when the stream is established.
 	Connected()
-	// Data passes bytes, which are valid during the call only.
+	// Data is called with received bytes, which are valid only during the call.
 	Data(p []byte)
-	// Closed says that the peer ended the stream (io.EOF) or that it broke. It is the last call.
+	// Closed is called when the peer has ended the stream (io.EOF) or the stream has failed. It is the last call.
 	Closed(err error)
 }
 
-// Stream is a handler's end of a stream.
+// Stream is the end of a stream that belongs to a handler.
 type Stream struct{ socket *socket }
 
-// Dial connects a handler from a machine to an address.
+// Dial starts to connect from a machine to an address, and returns the stream. h handles its events.
 func (s *Simulation) Dial(from netip.Addr, to netip.AddrPort, h StreamHandler) *Stream {
 	local := netip.AddrPortFrom(from, s.ephemeralPort())
 	sk := &socket{sim: s, handler: h, local: local}
@@ -31,18 +32,18 @@
 	return &Stream{sk}
 }
 
-// ephemeralPort returns the next free port. They begin at 1 and are shared by all machines.
+// ephemeralPort returns the next ephemeral port. Ports start at 1, and all machines share them.
 func (s *Simulation) ephemeralPort() uint16 {
 	s.lastPort++
 	return s.lastPort
 }
 
-// Listen accepts streams at an address; accept returns the handler of each.
+// Listen accepts all streams at an address. accept is called with each stream and returns its handler.
 func (s *Simulation) Listen(at netip.AddrPort, accept func(*Stream) StreamHandler) {
 	s.listeners[at] = &socket{sim: s, local: at, isListening: true, maxBacklog: handlerBacklog, accept: accept}
 }
 
-// Write sends bytes. A handler's sending buffer is unlimited: the window never refuses its bytes.
+// Write sends bytes. A handler's send buffer is unlimited, so the peer's receive window does not limit Write.
 func (st *Stream) Write(p []byte) (int, error) {
 	sk := st.socket
 	if sk.isClosed || sk.hasSentFIN {
@@ -55,16 +56,16 @@
 	return len(p), nil
 }
 
-// Close ends the stream.
+// Close closes this end of the stream.
 func (st *Stream) Close() error {
 	st.socket.close()
 	return nil
 }
 
-// Reset breaks the stream.
+// Reset breaks the stream, as RST does. Closed is not called at this end.
 func (st *Stream) Reset() { st.socket.reset() }
 
-// ThrottleReads limits the handler from now on to one read of so many bytes in each interval.
+// ThrottleReads limits the handler from now on to one read of at most this number of bytes per interval.
 func (st *Stream) ThrottleReads(bytes int, interval time.Duration) {
 	sk := st.socket
 	sk.readSize = bytes
@@ -82,7 +83,7 @@
 	sk.sim.After(interval, readOnce)
 }
 
-// dispatch calls the handler with everything that it has not seen yet.
+// dispatch calls the handler for every event that it was not called for yet, unless its reads are paused.
 func (sk *socket) dispatch() {
 	if sk.isClosed || sk.readsPaused {
 		return
@@ -105,7 +106,8 @@
 	}
 }
 
-// dispatchData passes received bytes to the handler, until it closes the stream or pauses its reads.
+// dispatchData passes received bytes to the handler until the stream is closed or reads are paused. If readSize is set, it
+// passes only one chunk.
 func (sk *socket) dispatchData() {
 	for len(sk.received) > 0 && !sk.isClosed && !sk.readsPaused {
 		n := len(sk.received)
--- a/internal/simnet/syscalls.go
+++ b/internal/simnet/syscalls.go
@@ -8,24 +8,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// eventfdSize is how many bytes a read or write of an eventfd transfers; see eventfd(2).
+// eventfdSize is the number of bytes that a read or write of an eventfd transfers; see eventfd(2).
 const eventfdSize = 8
 
-// descriptor is what a descriptor number stands for: exactly one of these.
+// descriptor is the object that a descriptor number refers to. Exactly one field is set.
 type descriptor struct {
 	socket       *socket
 	epoll        *epoll
-	eventCounter *uint64         // of an eventfd
-	datagramPeer *netip.AddrPort // of a datagram socket
+	eventCounter *uint64         // counter of an eventfd
+	datagramPeer *netip.AddrPort // destination of a datagram socket
 }
 
-// epoll is an interest list.
+// epoll is the interest list of an epoll instance.
 type epoll struct {
 	interest map[int]uint32 // events by descriptor
-	order    []int          // of registration, in which descriptors are reported
+	order    []int          // descriptors in the order of their registration, in which pollReady reports them
 }
 
-// socketFor returns the socket behind a descriptor.
+// socketFor returns the stream socket of a descriptor, or EBADF if there is none.
 func (p *Process) socketFor(fd int) (*socket, error) {
 	if desc := p.descriptors[fd]; desc != nil && desc.socket != nil {
 		return desc.socket, nil
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// pollReady fills events with what is ready and returns how many there are.
+// pollReady writes the ready descriptors to events and returns their number.
 func (p *Process) pollReady(ep *epoll, events []unix.EpollEvent) (n int) {
 	for _, fd := range ep.order {
 		desc := p.descriptors[fd]
@@ -71,7 +71,7 @@
 		case desc.socket != nil:
 			ready = desc.socket.readiness()
 		}
-		// Errors and hangups are reported without being asked for.
+		// epoll reports errors and hangups even if they are not registered.
 		ready &= ep.interest[fd] | unix.EPOLLERR | unix.EPOLLHUP
 		if ready != 0 && n < len(events) {
 			events[n] = unix.EpollEvent{Events: ready, Fd: int32(fd)}
@@ -91,7 +91,7 @@
 	p.busyUntil = p.sim.now + iterationCost
 	timeout := time.Duration(timeoutMs) * time.Millisecond
 	if timeoutMs == 0 || p.sim.now >= p.pausedUntil && p.pollReady(desc.epoll, events) > 0 {
-		timeout = iterationCost // an iteration that waits for nothing takes its time as well
+		timeout = iterationCost // an iteration takes this time even if it does not wait for events
 	}
 	p.wait(timeout)
 	return p.pollReady(desc.epoll, events), nil
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	err, sk.err = sk.err, nil // as SO_ERROR, which is cleared by reading it
+	err, sk.err = sk.err, nil // reading SO_ERROR clears it
 	return err
 }
 
@@ -268,7 +268,7 @@
 	return nil
 }
 
-// remove takes a closed descriptor off the interest list.
+// remove removes a closed descriptor from the interest list.
 func (e *epoll) remove(fd int) {
 	if _, isRegistered := e.interest[fd]; !isRegistered {
 		return
