--- a/internal/scenario/conn.go
+++ b/internal/scenario/conn.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// maxRequestsPerConn is how many requests a gateway has in flight on one connection. Their FastCGI ids are 1 to it.
+	// maxRequestsPerConn is the maximum number of requests that a gateway has in flight on one connection. Their FastCGI
+	// request IDs are 1 to maxRequestsPerConn.
 	maxRequestsPerConn = 32
-	// redialDelay is how long a gateway waits before it replaces a connection that ended.
+	// redialDelay is the time that a gateway waits before it replaces a connection that ended.
 	redialDelay = 100 * time.Millisecond
-	// maxReadDelay is how long after it was sent a request has surely been read by a server that runs.
+	// maxReadDelay is the time after which a running server has certainly read a request that was sent to it.
 	maxReadDelay = 100 * time.Millisecond
-	// slowReadSize and slowReadInterval are how a gateway reads slowly.
+	// slowReadSize is the number of bytes that a slow gateway reads in each slowReadInterval.
 	slowReadSize     = 1
 	slowReadInterval = time.Second
 )
 
-// conn is a gateway's connection to a server. It is dialed again whenever it ends.
+// conn is a gateway's connection to a server. The gateway dials again when it ends.
 type conn struct {
 	gateway     *gateway
 	node        *node
 	stream      *simnet.Stream
 	reader      fake.ResponseReader
 	isConnected bool
-	readsSlowly bool // so slowly that the time of an answer says nothing about the server
-	inFlight    map[uint16]*attempt
-	freeIDs     []uint16 // the last one is taken next
+	readsSlowly bool                // so slowly that an answer's time of arrival does not show when the server sent it
+	inFlight    map[uint16]*attempt // by FastCGI request ID
+	freeIDs     []uint16            // free FastCGI request IDs; send uses the last one
 }
 
-// dial connects, and forgets everything of the last connection.
+// dial starts to connect and resets the state of the previous connection.
 func (c *conn) dial() {
 	c.reader = fake.ResponseReader{}
 	c.readsSlowly = false
@@ -44,10 +45,10 @@
 	c.stream = c.gateway.runner.sim.Dial(c.gateway.addr, c.node.addr(), c)
 }
 
-// canSend reports whether a request can be sent now.
+// canSend reports whether send may be called.
 func (c *conn) canSend() bool { return c.isConnected && !c.readsSlowly && len(c.freeIDs) > 0 }
 
-// send writes an attempt and returns its FastCGI id.
+// send writes an attempt and returns its FastCGI request ID. The caller has checked canSend.
 func (c *conn) send(attempt *attempt) (id uint16) {
 	last := len(c.freeIDs) - 1
 	id = c.freeIDs[last]
@@ -68,10 +69,10 @@
 
 // Data implements simnet.StreamHandler.
 func (c *conn) Data(data []byte) {
-	run := c.gateway.runner
+	r := c.gateway.runner
 	answers, err := c.reader.Feed(data)
 	if err != nil {
-		run.recordViolation("%s sent what is no record: %v", c.node.name(), err)
+		r.recordViolation("%s sent what is no record: %v", c.node.name(), err)
 		c.stream.Reset()
 		c.Closed(err)
 		return
@@ -79,12 +80,12 @@
 	for _, answer := range answers {
 		attempt := c.inFlight[answer.ID]
 		if attempt == nil {
-			run.recordViolation("%s answered request %d, which is not open", c.node.name(), answer.ID)
+			r.recordViolation("%s answered request %d, which is not open", c.node.name(), answer.ID)
 			continue
 		}
 		delete(c.inFlight, answer.ID)
 		c.freeIDs = append(c.freeIDs, answer.ID)
-		arrivedAt := run.sim.Now()
+		arrivedAt := r.sim.Now()
 		if c.readsSlowly {
 			arrivedAt = startTime // before any deadline
 		}
@@ -95,25 +96,26 @@
 // Closed implements simnet.StreamHandler.
 func (c *conn) Closed(err error) {
 	c.isConnected = false
-	run := c.gateway.runner
+	r := c.gateway.runner
 	for id := uint16(1); id <= maxRequestsPerConn; id++ {
 		attempt := c.inFlight[id]
 		if attempt == nil {
 			continue
 		}
 		if err == io.EOF && c.isDroppedByServer(attempt) {
-			openFor := run.sim.Elapsed() - attempt.sentAt
-			run.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), attempt.id, openFor)
+			openFor := r.sim.Elapsed() - attempt.sentAt
+			r.recordViolation("%s ended a connection with try %s open, which it had for %v", c.node.name(), attempt.id, openFor)
 		}
 		c.gateway.handleLoss(attempt)
 	}
 	clear(c.inFlight)
-	if !run.isFinished {
-		run.sim.After(redialDelay, c.dial)
+	if !r.isFinished {
+		r.sim.After(redialDelay, c.dial)
 	}
 }
 
-// isDroppedByServer reports whether a server that runs ended a connection without answering an attempt that it has surely read.
+// isDroppedByServer reports whether a running server ended the connection without an answer to an attempt that it has
+// certainly read.
 func (c *conn) isDroppedByServer(attempt *attempt) bool {
 	n := c.node
 	now := c.gateway.runner.sim.Elapsed()
@@ -121,7 +123,8 @@
 	return isRunning && !c.readsSlowly && now-attempt.sentAt > maxReadDelay && now-n.pausedUntil > maxReadDelay
 }
 
-// startSlowReads throttles the connection from now on. Its attempts count as lost: their callers do not wait any longer.
+// startSlowReads throttles the connection's reads until it ends. The checker records its attempts as lost, because their
+// callers no longer wait for answers.
 func (c *conn) startSlowReads() {
 	c.readsSlowly = true
 	for id := uint16(1); id <= maxRequestsPerConn; id++ {
@@ -132,7 +135,7 @@
 	c.stream.ThrottleReads(slowReadSize, slowReadInterval)
 }
 
-// reset breaks the connection.
+// reset resets the connection.
 func (c *conn) reset() {
 	c.stream.Reset()
 	c.Closed(errReset)
--- a/internal/scenario/counters.go
+++ b/internal/scenario/counters.go
@@ -4,10 +4,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// countersMessage is the message with which a server logs its counters.
+// countersMessage is the log message with which a server logs its counters.
 const countersMessage = "counters"
 
-// counterLog is a log that keeps the server's latest counters and drops everything else.
+// counterLog is a zapcore.Core that keeps the server's latest counters and discards all other log entries.
 type counterLog struct{ latest map[string]uint64 }
 
 // Enabled implements zapcore.Core.
@@ -38,14 +38,15 @@
 // Sync implements zapcore.Core.
 func (*counterLog) Sync() error { return nil }
 
-// totals returns how many requests a server took in and how many it accounted for: served, rejected, failed, lost with their
-// connection, invalid, or answered by a route. They are equal once a server has ended.
-func (c *counterLog) totals() (in, out uint64, isLogged bool) {
+// totals returns how many requests a server received and how many it accounted for: served, rejected, failed, lost with
+// their connection, invalid, or answered by a route. The two are equal after a server has exited. isLogged reports whether
+// the server has logged its counters.
+func (c *counterLog) totals() (received, accounted uint64, isLogged bool) {
 	if c.latest == nil {
 		return 0, 0, false
 	}
 	for _, outcome := range []string{"served", "rejected", "failed", "requests_lost", "invalid", "direct_responses"} {
-		out += c.latest[outcome]
+		accounted += c.latest[outcome]
 	}
-	return c.latest["requests"], out, true
+	return c.latest["requests"], accounted, true
 }
--- a/internal/scenario/explore.go
+++ b/internal/scenario/explore.go
@@ -16,7 +16,7 @@
 	Report *Report `json:"report"`
 }
 
-// Exploration is the sum of the runs of Explore.
+// Exploration holds the sums over all scenarios that Explore ran, and its findings.
 type Exploration struct {
 	Seeds      int          `json:"seeds"`
 	Requests   int          `json:"requests"`
@@ -27,20 +27,20 @@
 	Failed     int          `json:"failed"`
 	Lost       int          `json:"lost"`
 	Simulation simnet.Stats `json:"world"`
-	Findings   []Finding    `json:"found"` // in the order of their seeds
+	Findings   []Finding    `json:"found"` // sorted by seed
 }
 
-// ExploreConfig bounds an exploration.
+// ExploreConfig configures an exploration.
 type ExploreConfig struct {
 	FirstSeed   uint64
-	Seeds       int // how many
-	MaxFindings int // that end it
-	Parallel    int // scenarios at a time
-	Progress    func(done, of int)
+	Seeds       int                   // number of consecutive seeds
+	MaxFindings int                   // number of findings at which the exploration ends
+	Parallel    int                   // number of scenarios that run at a time
+	Progress    func(done, total int) // called after each scenario with the seeds done and Seeds; may be nil
 }
 
-// Explore runs the scenarios that consecutive seeds generate, until all seeds are done, there are enough findings, a run
-// fails or the context ends. Scenarios that run at that time are finished and count.
+// Explore runs the scenarios that consecutive seeds generate, until all seeds are done, there are MaxFindings findings, a
+// scenario cannot be run or the context ends. Scenarios that are running at that time finish, and their results count.
 func Explore(ctx context.Context, cfg ExploreConfig) (*Exploration, error) {
 	e := &explorer{cfg: cfg}
 	workerpool.Run(cfg.Parallel, func() (uint64, bool) { return e.nextSeed(ctx) }, e.runSeed)
@@ -52,32 +52,32 @@
 type explorer struct {
 	cfg ExploreConfig
 
-	mu     sync.Mutex
-	taken  int // how many seeds have been handed out
-	result Exploration
-	err    error
+	mu           sync.Mutex
+	startedSeeds int // number of seeds that nextSeed has returned
+	result       Exploration
+	err          error
 }
 
-// nextSeed returns the seed of the next scenario, if there is one.
+// nextSeed returns the seed of the next scenario, and false if no further scenario is to run.
 func (e *explorer) nextSeed(ctx context.Context) (uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	isDone := e.taken >= e.cfg.Seeds || len(e.result.Findings) >= e.cfg.MaxFindings
+	isDone := e.startedSeeds >= e.cfg.Seeds || len(e.result.Findings) >= e.cfg.MaxFindings
 	if isDone || e.err != nil || ctx.Err() != nil {
 		return 0, false
 	}
-	seed := e.cfg.FirstSeed + uint64(e.taken)
-	e.taken++
+	seed := e.cfg.FirstSeed + uint64(e.startedSeeds)
+	e.startedSeeds++
 	return seed, true
 }
 
-// runSeed runs the scenario that a seed generates and records its result.
+// runSeed runs the scenario that a seed generates, and records its result.
 func (e *explorer) runSeed(seed uint64) {
 	report, err := Run(Generate(seed), seed)
 	e.record(seed, report, err)
 }
 
-// record adds a run's result and reports the progress.
+// record adds the result of a seed's scenario and reports the progress.
 func (e *explorer) record(seed uint64, report *Report, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// add adds the counts of a report, and a finding if it has violations.
+// add adds the counts of a seed's report, and a finding if the report has violations.
 func (e *Exploration) add(seed uint64, report *Report) {
 	e.Seeds++
 	e.Requests += report.Requests
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// concurrencyWindow is the time over which the platform takes the mean of a server's running requests.
+	// concurrencyWindow is the time over which the platform averages the number of a server's running requests.
 	concurrencyWindow = 1500 * time.Millisecond
-	// sampleInterval is how often the running requests are counted.
+	// sampleInterval is the time between two counts of the running requests.
 	sampleInterval = 25 * time.Millisecond
 )
 
-// TestFleetTerms restarts a third of 20 and of 30 servers within a second, cold and as slow as the settings allow, while
-// gateways send near the cluster's capacity and retry after rejections. No server runs more than the concurrency that it
-// survives by the settings at its age, nine in ten are ready within 10 s, each serves someone, and no more than one
-// request in 500, and five, stays without an answer.
-func TestFleetTerms(t *testing.T) {
+// TestFleetColdRestart crashes a third of 20 and of 30 servers within a second. They restart cold and as slow as the
+// settings allow, while gateways send at nearly the cluster's capacity and retry rejected requests. The test checks that no
+// server runs more requests, averaged over concurrencyWindow, than it survives according to the settings at its age, that
+// nine in ten restarted servers are ready within 10 s, that each server runs requests before and after its restart, and
+// that the number of unanswered attempts is at most 5 plus one for each 500 requests.
+func TestFleetColdRestart(t *testing.T) {
 	for _, servers := range []int{20, 30} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) { testFleet(t, servers) })
 	}
@@ -26,41 +27,42 @@
 
 func testFleet(t *testing.T, servers int) {
 	spec := fleetScenario(servers)
-	run, err := newRunner(&spec, uint64(servers))
+	r, err := newRunner(&spec, uint64(servers))
 	if err != nil {
 		t.Fatal(err)
 	}
-	run.coldRestarts = true
-	ready := watchReadiness(run)
-	sampler := &fleetSampler{t: t, runner: run, before: make([]int, servers), running: make([][]int, servers)}
-	run.sim.After(0, sampler.sample)
-	report := run.execute()
+	r.coldRestarts = true
+	ready := watchReadiness(r)
+	sampler := &fleetSampler{t: t, runner: r, runsBeforeRestart: make([]int, servers), runningSamples: make([][]int, servers)}
+	r.sim.After(0, sampler.sample)
+	report := r.execute()
 	if report.ViolationCount > 0 {
-		t.Errorf("%d rules were broken, the first: %s", report.ViolationCount, report.Violations[0])
+		t.Errorf("%d violations, want none; the first: %s", report.ViolationCount, report.Violations[0])
 	}
-	if most := report.Requests/500 + 5; report.Unanswered > most {
-		t.Errorf("%d of %d requests stayed without an answer, %d may", report.Unanswered, report.Requests, most)
+	if maxUnanswered := report.Requests/500 + 5; report.Unanswered > maxUnanswered {
+		t.Errorf("%d unanswered attempts of %d requests, want at most %d", report.Unanswered, report.Requests, maxUnanswered)
 	}
-	late := servers / 3
+	notReady := servers / 3
 	for name, after := range ready {
 		if after <= 10*time.Second {
-			late--
+			notReady--
 		} else {
 			t.Logf("%s was ready after %v", name, after)
 		}
 	}
-	if 10*late > servers/3 {
-		t.Errorf("%d of %d restarted servers were not ready within 10 s", late, servers/3)
+	if 10*notReady > servers/3 {
+		t.Errorf("%d of %d restarted servers were not ready within 10 s, want at most a tenth", notReady, servers/3)
 	}
-	for i, n := range run.nodes {
-		if n.runs == sampler.before[i] || n.incarnation > 1 && sampler.before[i] == 0 {
-			t.Errorf("%s ran nothing in one of its lives: %d before the restart, %d in all", n.name(), sampler.before[i], n.runs)
+	for i, n := range r.nodes {
+		if n.runs == sampler.runsBeforeRestart[i] || n.incarnation > 1 && sampler.runsBeforeRestart[i] == 0 {
+			t.Errorf("%s: %d runs before the restart, %d in total, want runs both before and after it", n.name(),
+				sampler.runsBeforeRestart[i], n.runs)
 		}
 	}
-	t.Logf("%d requests, share %.3f, %d unanswered, %d lost", report.Requests, report.ServedShare, report.Unanswered, report.Lost)
+	t.Logf("%d requests, served share %.3f, %d unanswered, %d lost", report.Requests, report.ServedShare, report.Unanswered, report.Lost)
 }
 
-// fleetScenario crashes every third server within a second.
+// fleetScenario returns a scenario in which every third server crashes, all within a second.
 func fleetScenario(servers int) Scenario {
 	s := Defaults()
 	s.Name = "fleet"
@@ -78,7 +80,8 @@
 	return s
 }
 
-// watchReadiness returns how long after its restart each server reported that it accepts requests, by its name.
+// watchReadiness observes load reports while the scenario runs. It returns a map, which it fills meanwhile, from the name of
+// each restarted server to the time between its restart and its first report that it accepts requests.
 func watchReadiness(r *runner) map[string]time.Duration {
 	ready := map[string]time.Duration{}
 	r.sim.HandleDatagrams(loadReportAddr, func(payload []byte) {
@@ -93,15 +96,16 @@
 	return ready
 }
 
-// fleetSampler slows restarted servers down as far as the settings allow at their age, and checks their concurrency.
+// fleetSampler slows restarted servers down as far as the settings allow at their age, and checks the concurrency of all
+// servers.
 type fleetSampler struct {
-	t       *testing.T
-	runner  *runner
-	before  []int   // runs of each server until it was restarted
-	running [][]int // samples of each server
+	t                 *testing.T
+	runner            *runner
+	runsBeforeRestart []int   // by server: runs until its restart, or until the latest sample if it was not restarted
+	runningSamples    [][]int // by server: the number of running requests at each sample
 }
 
-// sample samples all servers, and again after an interval until the load ends.
+// sample samples all servers, and schedules the next sample until the load ends.
 func (f *fleetSampler) sample() {
 	now := f.runner.sim.Elapsed()
 	for i, n := range f.runner.nodes {
@@ -113,22 +117,23 @@
 }
 
 func (f *fleetSampler) sampleNode(i int, n *node, now time.Duration) {
-	set := f.runner.site.Admission
+	admission := f.runner.site.Admission
 	speed := 1.0 // as a share of full speed
 	if n.incarnation == 1 {
-		f.before[i] = n.runs
+		f.runsBeforeRestart[i] = n.runs
 	} else if n.incarnation > 1 {
-		speed = min(1, set.InitialCapacity+(1-set.InitialCapacity)*float64(now-n.startedAt)/float64(set.WarmUpTime))
+		speed = min(1, admission.InitialCapacity+(1-admission.InitialCapacity)*float64(now-n.startedAt)/float64(admission.WarmUpTime))
 		n.slowdown = 1 / speed
 	}
-	f.running[i] = append(f.running[i], n.interpreter.RunningCount())
-	window := f.running[i][max(0, len(f.running[i])-int(concurrencyWindow/sampleInterval)):]
+	f.runningSamples[i] = append(f.runningSamples[i], n.interpreter.RunningCount())
+	window := f.runningSamples[i][max(0, len(f.runningSamples[i])-int(concurrencyWindow/sampleInterval)):]
 	sum := 0
 	for _, running := range window {
 		sum += running
 	}
-	most := float64(set.Cores) * (1 + (set.MaxConcurrencyFactor-1)*speed)
-	if mean := float64(sum) / float64(len(window)); mean > most {
-		f.t.Errorf("%s ran %.1f in the mean of %v until %v, it survives %.1f", n.name(), mean, concurrencyWindow, now, most)
+	maxConcurrency := float64(admission.Cores) * (1 + (admission.MaxConcurrencyFactor-1)*speed)
+	if mean := float64(sum) / float64(len(window)); mean > maxConcurrency {
+		f.t.Errorf("%s: mean of %.1f running requests in the %v before %v, want at most %.1f", n.name(), mean, concurrencyWindow, now,
+			maxConcurrency)
 	}
 }
--- a/internal/scenario/gateway.go
+++ b/internal/scenario/gateway.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// answerTolerance is how long after its deadline an answer may arrive: it crosses the network, and timers are coarse.
+	// answerTolerance is how long after its deadline an answer may arrive, because of the network's delay and the coarse
+	// resolution of timers.
 	answerTolerance = 100 * time.Millisecond
-	// maxHedgeDelay and maxAbortDelay are how long after an attempt it is hedged or aborted at the latest.
+	// maxHedgeDelay and maxAbortDelay are the maximum times from an attempt to its hedge and to its abort.
 	maxHedgeDelay = 100 * time.Millisecond
 	maxAbortDelay = 200 * time.Millisecond
 )
@@ -25,16 +26,16 @@
 	id          string // Request-Id
 	request     *request
 	sentAt      time.Duration
-	incarnation int // of the node that it was sent to
+	incarnation int // of the node to which the attempt was sent
 }
 
-// gateway sends the requests of callers over one connection to each server.
+// gateway sends the requests of callers to the servers, over one connection to each.
 type gateway struct {
 	runner           *runner
 	rng              *rand.Rand
 	addr             netip.Addr
 	honorsRetryAfter bool
-	conns            []*conn // by server
+	conns            []*conn // by index of the server
 }
 
 // newGateway returns a gateway that dials all servers.
@@ -48,7 +49,8 @@
 	return g
 }
 
-// pickConn chooses the server of an attempt: the same one for all attempts with a key, any one that accepts for the others.
+// pickConn returns the connection for an attempt. All attempts with the same key go to the same server. An attempt without a
+// key goes to a server that accepts requests, if there is one; the search starts at a random server.
 func (g *gateway) pickConn(req *request) *conn {
 	if req.hasKey() {
 		return g.conns[hashKey(req.key)%len(g.conns)]
@@ -63,7 +65,7 @@
 	return g.conns[first]
 }
 
-// hashKey returns a hash of a key that is not negative.
+// hashKey returns a non-negative hash of a key.
 func hashKey(key string) int {
 	sum := 0
 	for _, b := range []byte(key) {
@@ -90,8 +92,8 @@
 	g.maybeAbort(conn, streamID, attempt)
 }
 
-// expectation returns what the invariant checker has to know of an attempt. A key counts for one incarnation of a server only:
-// without a store, its idempotency table is lost with it.
+// expectation returns an attempt as the invariant checker records it. A key counts only for one incarnation of a server:
+// servers have no store here, so a restart loses the idempotency table.
 func (g *gateway) expectation(attempt *attempt, n *node) invariant.Attempt {
 	req := attempt.request
 	now := g.runner.sim.Now()
@@ -108,7 +110,7 @@
 	return expected
 }
 
-// maybeHedge sends some attempts with a key again while they are in flight.
+// maybeHedge hedges a random share of the attempts with a key: it sends the request again while the attempt is in flight.
 func (g *gateway) maybeHedge(conn *conn, streamID uint16, attempt *attempt) {
 	if !attempt.request.hasKey() || g.rng.Float64() >= g.runner.scenario.HedgeShare {
 		return
@@ -116,13 +118,13 @@
 	delay := time.Duration(g.rng.Int64N(int64(maxHedgeDelay)))
 	g.runner.sim.After(delay, func() {
 		if conn.inFlight[streamID] == attempt && !g.runner.isFinished {
-			attempt.request.attempts-- // a hedge takes no attempt away from the caller
+			attempt.request.attempts-- // a hedge does not count against the caller's attempts
 			g.send(attempt.request)
 		}
 	})
 }
 
-// maybeAbort has the gateway abort some attempts while they are in flight.
+// maybeAbort aborts a random share of the attempts while they are in flight.
 func (g *gateway) maybeAbort(conn *conn, streamID uint16, attempt *attempt) {
 	if g.rng.Float64() >= g.runner.scenario.AbortShare {
 		return
@@ -135,7 +137,8 @@
 	})
 }
 
-// handleAnswer processes an answer that arrived at a time, and retries if the caller would.
+// handleAnswer records an answer that arrived at the given time. It retries the request after a rejection that is not final,
+// and after a failure if the request has no key.
 func (g *gateway) handleAnswer(attempt *attempt, answer fake.Response, at time.Time) {
 	req := attempt.request
 	outcome := answer.Outcome()
@@ -152,13 +155,14 @@
 		}
 	default:
 		g.runner.report.Failed++
-		if !req.hasKey() { // with a key it is not known whether it ran, and the answer says so
+		if !req.hasKey() { // with a key, it is unknown whether the request ran, and the answer states that
 			g.retry(req, g.runner.scenario.RetryDelay)
 		}
 	}
 }
 
-// retryDelay returns how long the gateway waits after a rejection. Those that honor the server's advice add jitter to it.
+// retryDelay returns how long the gateway waits after a rejection before it retries. A gateway that honors the server's
+// retry-after advice adds jitter of up to the same length.
 func (g *gateway) retryDelay(answer fake.Response) time.Duration {
 	advice, err := strconv.Atoi(strings.TrimSpace(answer.Header.Get("Back-Off-Ms")))
 	if err != nil || !g.honorsRetryAfter {
@@ -167,7 +171,7 @@
 	return time.Duration(float64(advice)*(1+g.rng.Float64())) * time.Millisecond
 }
 
-// handleLoss processes that the connection of an attempt ended.
+// handleLoss records that an attempt was lost with its connection, and retries the request.
 func (g *gateway) handleLoss(attempt *attempt) {
 	g.runner.checker.RecordLost(attempt.id)
 	delete(g.runner.inFlight, attempt.id)
@@ -175,7 +179,7 @@
 	g.retry(attempt.request, g.runner.scenario.RetryDelay)
 }
 
-// retry makes a further attempt after a delay, unless the caller has no attempts or no time left.
+// retry sends a request again after a delay, unless the caller has no attempts or no time left.
 func (g *gateway) retry(req *request, delay time.Duration) {
 	waited := g.runner.sim.Elapsed() + delay - req.arrivedAt
 	if req.attempts >= g.runner.scenario.MaxAttempts || waited > req.deadline() || g.runner.isFinished {
--- a/internal/scenario/generate.go
+++ b/internal/scenario/generate.go
@@ -7,21 +7,23 @@
 	"tillerusher/internal/simnet"
 )
 
-// generatorStream separates the generator's random numbers from those of the run with the same seed.
+// generatorStream is the second seed of the generator's random numbers. It makes them independent of the random numbers that
+// the scenario's run draws from the same seed.
 const generatorStream = 0xda7
 
-// The smallest generated limit of descriptors, near which a server has to close idle connections.
+// The range of the generated descriptor limits: from minGeneratedFiles up to but excluding
+// minGeneratedFiles+generatedFilesSpan. Near these limits, a server has to close idle connections.
 const (
 	minGeneratedFiles  = 340
 	generatedFilesSpan = 30
 )
 
-// generatedKinds are the kinds of incidents that Generate chooses from. LinkLoss is twice as likely as the others.
+// generatedKinds are the kinds of incidents from which Generate chooses. LinkLoss is twice as likely as any other.
 var generatedKinds = []IncidentKind{Crash, Restart, SlowInterpreter, LoadSpike, Partition, ConfigReload, MachinePause, SlowReaders,
 	ConnectionResets, MalformedInput, LinkLoss, LinkLoss, ConnectionFlood}
 
-// Generate returns a short scenario with network faults and incidents that a seed determines. The order of the draws is part of
-// that: a change makes every known seed another scenario.
+// Generate returns a short scenario with network faults and incidents, which the seed determines. Changing the order of the
+// random draws changes the scenario of every known seed.
 func Generate(seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, generatorStream))
 	scenario := Defaults()
@@ -47,7 +49,7 @@
 	return &scenario
 }
 
-// generateNetwork draws the network's behavior.
+// generateNetwork draws the delays and faults of the network.
 func generateNetwork(rng *rand.Rand) simnet.NetworkConfig {
 	return simnet.NetworkConfig{
 		Delay:               time.Duration(rng.IntN(500)) * time.Microsecond,
@@ -58,7 +60,7 @@
 	}
 }
 
-// generateIncident draws an incident of a scenario.
+// generateIncident draws an incident for a scenario whose duration and number of servers are set.
 func generateIncident(rng *rand.Rand, scenario *Scenario) Incident {
 	return Incident{
 		Kind:     generatedKinds[rng.IntN(len(generatedKinds))],
--- a/internal/scenario/inject.go
+++ b/internal/scenario/inject.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// reloadsPerIncident is how many reloads one ConfigReload makes.
+	// reloadsPerIncident is the number of reloads in a ConfigReload.
 	reloadsPerIncident = 10
-	// malformedClients is how many clients one MalformedInput connects.
+	// malformedClients is the number of clients that a MalformedInput connects.
 	malformedClients = 5
-	// floodExcess is how many more connections a ConnectionFlood opens than the server has descriptors.
+	// floodExcess is the number of connections that a ConnectionFlood opens beyond the server's descriptors.
 	floodExcess = 50
-	// maxRandomBytes is the largest malformed input that is nothing but random bytes.
+	// maxRandomBytes is the maximum length of a malformed input of random bytes.
 	maxRandomBytes = 200
 )
 
-// errReset is the cause that a gateway notes for a connection that it reset itself.
+// errReset is the cause of the end of a connection that the gateway itself reset.
 var errReset = errors.New("reset")
 
-// scheduleIncident has an incident happen at its time.
+// scheduleIncident schedules an incident for its time, on every server that it affects.
 func (r *runner) scheduleIncident(i Incident) {
 	begin := startupTime + i.At
 	if i.Kind == LoadSpike {
@@ -39,7 +39,7 @@
 	}
 }
 
-// applyIncident has an incident happen to a server now.
+// applyIncident starts an incident on a server now, and schedules its end.
 func (r *runner) applyIncident(i Incident, n *node) {
 	switch i.Kind {
 	case Crash:
@@ -78,7 +78,7 @@
 	}
 }
 
-// eachConn calls do with every gateway's connection to a server that is up.
+// eachConn calls do with every established connection from a gateway to the server.
 func (r *runner) eachConn(n *node, do func(*conn)) {
 	for _, g := range r.gateways {
 		if c := g.conns[n.number-1]; c.isConnected {
@@ -87,7 +87,8 @@
 	}
 }
 
-// cutLink breaks a server's connection to its interpreter. Every second time it is reset first, and what is in flight is lost.
+// cutLink breaks a server's connection to its interpreter. With probability 1/2 it resets the connection first, so that data
+// in flight is lost.
 func (r *runner) cutLink(n *node) {
 	if r.rng.IntN(2) == 0 && n.latestLink != nil {
 		n.latestLink.Reset()
@@ -95,7 +96,7 @@
 	n.interpreter.CutLink()
 }
 
-// malformedRequest returns random bytes, the begin of a request, or a request with one byte changed.
+// malformedRequest returns random bytes, a prefix of a request, or a request with one byte changed.
 func (r *runner) malformedRequest() []byte {
 	valid := fake.Request{
 		Method:  "POST",
@@ -117,13 +118,13 @@
 	return valid
 }
 
-// rogueClient is a connection that no gateway makes. It sends something or nothing and stays open until it is closed.
+// rogueClient is a client that is not a gateway. It sends its payload, which may be empty, and reads no answers.
 type rogueClient struct {
 	stream  *simnet.Stream
 	payload []byte
 }
 
-// newRogueClient connects a client to a server for a while.
+// newRogueClient connects a client to a server. The client closes the connection after its lifetime.
 func newRogueClient(r *runner, n *node, payload []byte, lifetime time.Duration) {
 	c := &rogueClient{payload: payload}
 	c.stream = r.sim.Dial(rogueClientHost, n.addr(), c)
--- a/internal/scenario/library.go
+++ b/internal/scenario/library.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// fileExtension is what the name of a scenario's file ends in.
+// fileExtension is the extension of scenario files.
 const fileExtension = ".sexp"
 
 //go:embed scenarios/*.sexp
 var libraryFiles embed.FS
 
-// Library returns the built-in scenarios, in the order of their files' names.
+// Library returns the built-in scenarios, sorted by file name.
 func Library() ([]*Scenario, error) {
 	files, err := fs.Glob(libraryFiles, "scenarios/*"+fileExtension)
 	if err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	var list []*Scenario
 	for _, file := range files {
 		text, err := libraryFiles.ReadFile(file)
 		if err != nil {
-			return nil, fmt.Errorf("rehearsal: %w", err)
+			return nil, fmt.Errorf("scenario: %w", err)
 		}
 		s, err := Parse(path.Base(file), text)
 		if err != nil {
@@ -35,7 +35,7 @@
 	return list, nil
 }
 
-// Find returns the built-in scenario of a name, or the scenario of a file if the name ends in .sexp.
+// Find returns the built-in scenario with a name. A name that ends in .sexp is the path of a scenario file, which is loaded.
 func Find(name string) (*Scenario, error) {
 	if strings.HasSuffix(name, fileExtension) {
 		return Load(name)
@@ -49,5 +49,5 @@
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("rehearsal: no scenario %q; `cataloguectl scenario list` names them, and a file ends in .sexp", name)
+	return nil, fmt.Errorf("scenario: no scenario %q: want a name from `cataloguectl scenario list`, or the path of a .sexp file", name)
 }
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -23,11 +23,11 @@
 const (
 	// stopTimeout is the time between SIGTERM and SIGKILL.
 	stopTimeout = 3200 * time.Millisecond
-	// exitPollInterval is how often it is checked whether a draining server has exited.
+	// exitPollInterval is the time between two checks whether a draining server has exited.
 	exitPollInterval = 10 * time.Millisecond
 )
 
-// node is a server with its interpreter, over any number of restarts of both.
+// node is a server with its interpreter, across all their restarts.
 type node struct {
 	runner          *runner
 	number          int
@@ -35,15 +35,15 @@
 	interpreterHost netip.Addr
 
 	interpreter    *fake.Interpreter
-	slowdown       float64        // by which the interpreter multiplies the time of a run
-	latestLink     *simnet.Stream // from the server to the interpreter
-	addressChanges uint16         // of the interpreter, between its two ports
-	runs           int            // in all incarnations
+	slowdown       float64        // factor by which the interpreter multiplies the time of a run
+	latestLink     *simnet.Stream // newest connection from the server to the interpreter
+	addressChanges uint16         // number of times that the interpreter moved between its ports
+	runs           int            // number of runs in all incarnations
 
-	// Of the current incarnation of the server.
-	incarnation    int // from 1
+	// State of the server's current incarnation.
+	incarnation    int // number of the incarnation, from 1
 	process        *simnet.Process
-	server         *server.Server // nil before it listens and when it has gone
+	server         *server.Server // nil until the server was created, and after it was killed or drained
 	counters       *counterLog
 	startedAt      time.Duration
 	isKilled       bool
@@ -52,7 +52,7 @@
 	pausedUntil    time.Duration
 }
 
-// newNode starts a server and its interpreter, which can be reached at both of its ports.
+// newNode starts a server and its interpreter, which listens on all of its ports.
 func newNode(runner *runner, number int) *node {
 	node := &node{
 		runner:          runner,
@@ -73,10 +73,10 @@
 // name returns the server's name in load reports.
 func (n *node) name() string { return fmt.Sprint("n", n.number) }
 
-// addr returns where the server listens.
+// addr returns the address on which the server listens.
 func (n *node) addr() netip.AddrPort { return netip.AddrPortFrom(n.host, serverPort) }
 
-// interpreterAddr returns where the interpreter is now.
+// interpreterAddr returns the interpreter's current address.
 func (n *node) interpreterAddr() netip.AddrPort {
 	return netip.AddrPortFrom(n.interpreterHost, interpreterPort+n.addressChanges%interpreterPorts)
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// startInterpreter replaces the interpreter for links that are made from now on.
+// startInterpreter starts an interpreter. It replaces the previous one for links that are accepted from now on.
 func (n *node) startInterpreter() {
 	interpreter := fake.NewInterpreterWithClock(n.runner.sim)
 	interpreter.SimulateWork(n.runner.scenario.Cores, func(c fake.RunCommand) time.Duration {
@@ -110,7 +110,7 @@
 	n.interpreter = interpreter
 }
 
-// start starts the server, unless it runs.
+// start starts a new incarnation of the server, unless the server is running.
 func (n *node) start() {
 	if n.process != nil {
 		if hasExited, _ := n.process.Exited(); !hasExited {
@@ -135,7 +135,8 @@
 	return s.Run()
 }
 
-// reload moves the interpreter to its other port and has the server reload its configuration, as on SIGHUP.
+// reload moves the interpreter to its other port and reloads the server's configuration, as on SIGHUP. It does nothing if
+// there is no server.
 func (n *node) reload() {
 	if n.server != nil {
 		n.addressChanges++
@@ -143,7 +144,7 @@
 	}
 }
 
-// kill ends the server and its interpreter at once, and replaces the interpreter.
+// kill kills the server, closes its interpreter and replaces it.
 func (n *node) kill() {
 	n.isKilled = true
 	n.process.Kill()
@@ -153,8 +154,8 @@
 	n.runner.markDown(n)
 }
 
-// drain has the server drain, as on SIGTERM, and kills it if it does not exit in time. onExit, which may be nil, is called once it
-// has exited.
+// drain starts to drain the server, as on SIGTERM, and kills it if it does not exit within stopTimeout. onExit, which may be
+// nil, is called after the server has exited. drain does nothing if there is no server or it is already draining.
 func (n *node) drain(onExit func()) {
 	if n.server == nil || n.isDraining {
 		return
@@ -167,7 +168,8 @@
 	n.awaitExit(incarnation, onExit)
 }
 
-// killOverdue kills the server if it has not exited within stopTimeout, which is a violation unless its machine was paused.
+// killOverdue kills an incarnation of the server that has not exited within stopTimeout. This is a violation unless the
+// server's machine was paused during the drain.
 func (n *node) killOverdue(incarnation int) {
 	if hasExited, _ := n.process.Exited(); hasExited || n.incarnation != incarnation {
 		return
@@ -179,7 +181,7 @@
 	n.process.Kill()
 }
 
-// awaitExit polls until the incarnation has exited.
+// awaitExit polls until the incarnation has exited. Then it checks the exit, marks the server as down and calls onExit.
 func (n *node) awaitExit(incarnation int, onExit func()) {
 	if n.incarnation != incarnation {
 		return
@@ -197,7 +199,8 @@
 	}
 }
 
-// checkExit checks what a server that drained has left behind.
+// checkExit checks a server that has exited after a drain: it returned no error and has no open descriptors. If it was not
+// killed, it has also accounted for all requests that it received.
 func (n *node) checkExit(err error) {
 	if err != nil {
 		n.runner.recordViolation("%s ended with %v", n.name(), err)
@@ -208,20 +211,20 @@
 	if err != nil || n.isKilled {
 		return
 	}
-	in, out, isLogged := n.counters.totals()
-	if !isLogged || in != out {
+	received, accounted, isLogged := n.counters.totals()
+	if !isLogged || received != accounted {
 		n.runner.recordViolation("%s took %d requests in, and %d were served, refused, failed, invalid or lost with their connection",
-			n.name(), in, out)
+			n.name(), received, accounted)
 	}
 }
 
-// link is a server's connection to the interpreter, as the interpreter sees it.
+// link is the interpreter's end of a connection from the server.
 type link struct {
 	interpreter *fake.Link
 	stream      *simnet.Stream
 }
 
-// acceptLink accepts a server's connection to the interpreter.
+// acceptLink accepts a connection from the server to the interpreter.
 func (n *node) acceptLink(s *simnet.Stream) simnet.StreamHandler {
 	n.latestLink = s
 	return &link{interpreter: n.interpreter.Attach(s), stream: s}
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -9,31 +9,31 @@
 	"tillerusher/internal/sexp"
 )
 
-// The limits of a scenario's file.
+// The maximum values in a scenario file.
 const (
 	maxDuration = time.Hour
 	maxServers  = 200
 )
 
-// The values of an incident that a file does not set.
+// The values that an incident has if the file does not set them.
 const (
 	defaultFactor           = 3
 	defaultIncidentDuration = 2 * time.Second
 )
 
-// fieldParsers are the forms that a form may hold, by their first word.
+// fieldParsers are the parsers of the forms that a file or a form may contain, by the form's first word.
 type fieldParsers = map[string]func(sexp.Node) error
 
-// Load reads a scenario's file.
+// Load reads and parses a scenario file.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	return Parse(path, text)
 }
 
-// Parse reads the text of a scenario. The file's name is for error messages.
+// Parse parses the text of a scenario file. The name of the file is only used in error messages.
 func Parse(file string, text []byte) (*Scenario, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
@@ -49,17 +49,17 @@
 		return nil, err
 	}
 	if scenario.Name == "" {
-		return nil, fmt.Errorf("%s: a scenario without (name ...)", file)
+		return nil, fmt.Errorf("%s: the scenario has no (name ...)", file)
 	}
 	for _, incident := range scenario.Incidents {
 		if incident.Server > scenario.Servers {
-			return nil, fmt.Errorf("%s: an incident at server %d of %d", file, incident.Server, scenario.Servers)
+			return nil, fmt.Errorf("%s: an incident has server %d, want at most %d, the number of servers", file, incident.Server, scenario.Servers)
 		}
 	}
 	return &scenario, nil
 }
 
-// formParsers returns the parsers of the forms that a file may hold once.
+// formParsers returns the parsers of the forms that a file may contain at most once.
 func (s *Scenario) formParsers() fieldParsers {
 	return fieldParsers{
 		"name":     sexp.Text(&s.Name),
@@ -84,7 +84,7 @@
 	}
 }
 
-// parseNetwork reads (network ...).
+// parseNetwork parses (network ...).
 func (s *Scenario) parseNetwork(form sexp.Node) error {
 	return sexp.ReadFields(form.Args(), fieldParsers{
 		"delay":   sexp.Duration(&s.Network.Delay, 0, time.Second),
@@ -95,7 +95,7 @@
 	})
 }
 
-// parseExpect reads (expect ...).
+// parseExpect parses (expect ...).
 func (s *Scenario) parseExpect(form sexp.Node) error {
 	return sexp.ReadFields(form.Args(), fieldParsers{
 		"share":     sexp.Number(&s.Expect.MinServedShare, 0, 1),
@@ -103,10 +103,10 @@
 	})
 }
 
-// parseIncident reads (incident KIND ...).
+// parseIncident parses (incident KIND ...).
 func parseIncident(form sexp.Node) (Incident, error) {
 	i := Incident{Factor: defaultFactor, Duration: defaultIncidentDuration}
-	word, err := form.WordAt(1, "what happens, such as death")
+	word, err := form.WordAt(1, "the kind of the incident, such as death")
 	if err != nil {
 		return i, err
 	}
--- a/internal/scenario/probe.go
+++ b/internal/scenario/probe.go
@@ -9,27 +9,27 @@
 	"tillerusher/internal/simnet"
 )
 
-// probesPerServer is how many requests a probe sends: a lookup and a reservation.
+// probesPerServer is the number of requests that a probe sends: a lookup and a reservation.
 const probesPerServer = 2
 
-// probe sends a lookup and a reservation to a server after the load, on a connection of its own. A server that is idle and has its
-// interpreter must serve both.
+// probe sends a lookup and a reservation to a server after the load, on a separate connection. An idle server that is
+// connected to its interpreter must serve both.
 type probe struct {
 	runner      *runner
 	node        *node
 	stream      *simnet.Stream
 	reader      fake.ResponseReader
 	servedCount int
-	log         []string // what arrived, for the violation's text
+	log         []string // answers and errors, for the text of the violation
 }
 
-// startProbes probes every server that runs and has not been paused since the load ended.
+// startProbes probes every server that is running, is not draining and was not paused during the cooldown.
 func (r *runner) startProbes() []*probe {
 	var probes []*probe
 	for _, n := range r.nodes {
 		hasExited, _ := n.process.Exited()
-		isRested := r.sim.Elapsed()-n.pausedUntil > r.scenario.Cooldown
-		if hasExited || n.isDraining || !isRested {
+		hasCooledDown := r.sim.Elapsed()-n.pausedUntil > r.scenario.Cooldown
+		if hasExited || n.isDraining || !hasCooledDown {
 			continue
 		}
 		p := &probe{runner: r, node: n}
@@ -45,7 +45,7 @@
 	p.send(2, fmt.Sprintf("%032x", p.runner.attempts+1))
 }
 
-// send sends a request with a FastCGI id and an idempotency key, which may be empty.
+// send sends a request with a FastCGI request ID and an idempotency key, which may be empty.
 func (p *probe) send(streamID uint16, key string) {
 	id := p.runner.nextAttemptID()
 	p.runner.probeIDs[id] = true
@@ -74,7 +74,7 @@
 	}
 }
 
-// verify checks that both requests were served.
+// verify records a violation unless both requests were served, and closes the connection.
 func (p *probe) verify() {
 	if p.servedCount != probesPerServer {
 		p.runner.recordViolation("%s, left alone after the day, served %d of 2 probes: %v", p.node.name(), p.servedCount, p.log)
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// maxNamedViolations is how many violations a report names; the others are counted.
+	// maxNamedViolations is the maximum number of violations that a report lists; further ones are only counted.
 	maxNamedViolations = 20
-	// recoveredShare is the part of the served share before the first incident at which a cluster has recovered.
+	// recoveredShare is the fraction of the served share before the first incident that a recovered cluster reaches.
 	recoveredShare = 0.95
-	// notRecovered is the RecoverySeconds of a cluster that did not recover.
+	// notRecovered is the value of RecoverySeconds if the cluster did not recover.
 	notRecovered = -1
 )
 
-// SecondStats is the outcome of the requests that arrived in one second.
+// SecondStats counts the requests that arrived in one second, and those of them that were served.
 type SecondStats struct {
 	Requests int `json:"requests"`
-	Served   int `json:"served"` // by any of their attempts
+	Served   int `json:"served"` // served by any of their attempts
 }
 
-// share returns the share of requests served.
+// share returns the share of the requests that were served.
 func (s SecondStats) share() float64 { return float64(s.Served) / float64(max(s.Requests, 1)) }
 
-// Report is the result of a scenario. Latencies are in milliseconds, of served requests, from their arrival.
+// Report is the result of a scenario. P50 and P99 are latencies of served requests from their arrival, in milliseconds.
 type Report struct {
 	Scenario          string        `json:"scenario"`
 	Seed              uint64        `json:"seed"`
 	Requests          int           `json:"requests"`
 	Attempts          int           `json:"tries"`
-	Served            int           `json:"served"` // attempts, as the four below
+	Served            int           `json:"served"` // attempts, as in the five fields below
 	Rejected          int           `json:"refused"`
 	Failed            int           `json:"failed"`
-	Lost              int           `json:"lost"` // with their connection
+	Lost              int           `json:"lost"` // attempts lost with their connection
 	Unsent            int           `json:"unsent"`
 	Unanswered        int           `json:"unanswered"`
 	Runs              int           `json:"runs"`
-	ServedShare       float64       `json:"share"` // of requests
+	ServedShare       float64       `json:"share"` // share of the requests that were served
 	P50               float64       `json:"p50_ms"`
 	P99               float64       `json:"p99_ms"`
-	RecoverySeconds   float64       `json:"recovered_s"` // after the last incident; -1 is never, and 0 where there is none
-	Violations        []string      `json:"breaches"`    // the first ones
+	RecoverySeconds   float64       `json:"recovered_s"` // after the last incident; -1 if the cluster did not recover, 0 without incidents
+	Violations        []string      `json:"breaches"`    // the first maxNamedViolations
 	ViolationCount    int           `json:"breaches_in_all"`
 	UnmetExpectations []string      `json:"missed"`
 	Seconds           []SecondStats `json:"seconds"`
 	Simulation        simnet.Stats  `json:"world"`
 }
 
-// HasViolations reports whether a rule was violated. An attempt that is never answered is a violation.
+// HasViolations reports whether a rule was violated. An unanswered attempt is a violation.
 func (r *Report) HasViolations() bool { return r.ViolationCount > 0 || r.Unanswered > 0 }
 
-// addViolation counts a violation and names it if there is room.
+// addViolation counts a violation, and lists it unless there are maxNamedViolations already.
 func (r *Report) addViolation(at time.Duration, text string) {
 	r.ViolationCount++
 	if len(r.Violations) < maxNamedViolations {
@@ -60,7 +60,7 @@
 	}
 }
 
-// buildReport completes the report when everything has ended.
+// buildReport completes the report after the last phase.
 func (r *runner) buildReport() *Report {
 	report := r.report
 	report.Requests = len(r.requests)
@@ -98,8 +98,8 @@
 	return served
 }
 
-// countUnanswered returns how many attempts have no answer. Those on connections that are read slowly may have one that is not
-// read yet, and do not count.
+// countUnanswered returns the number of attempts without an answer. Attempts on connections that are read slowly do not
+// count, because their answers may not have been read yet.
 func (r *runner) countUnanswered() int {
 	unanswered := len(r.inFlight)
 	for _, g := range r.gateways {
@@ -112,7 +112,7 @@
 	return unanswered
 }
 
-// checkExpectations names the expectations that the result does not meet.
+// checkExpectations lists the expectations that the result does not meet.
 func (r *Report) checkExpectations(expect Expectations) {
 	if r.ServedShare < expect.MinServedShare {
 		text := fmt.Sprintf("a share of %.3f, expected at least %.3f", r.ServedShare, expect.MinServedShare)
@@ -125,8 +125,8 @@
 	}
 }
 
-// recoverySeconds returns how long after the end of the last incident the served share was back to recoveredShare of the share
-// before the first incident.
+// recoverySeconds returns the number of full seconds after the end of the last incident until the served share reached
+// recoveredShare of the share before the first incident, or notRecovered if it did not. Without incidents it returns 0.
 func recoverySeconds(scenario *Scenario, seconds []SecondStats) float64 {
 	if len(scenario.Incidents) == 0 {
 		return 0
@@ -144,7 +144,7 @@
 			before.Served += second.Served
 		}
 	}
-	from := int((last + time.Second - 1) / time.Second) // the first whole second after it
+	from := int((last + time.Second - 1) / time.Second) // the first full second after the last incident
 	for n := from; n < len(seconds); n++ {
 		if seconds[n].Requests > 0 && seconds[n].share() >= recoveredShare*before.share() {
 			return float64(n - from)
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -15,26 +15,28 @@
 	"tillerusher/internal/simnet"
 )
 
-// loadReportAddr is where servers report their load.
+// loadReportAddr is the address to which servers send load reports.
 var loadReportAddr = netip.MustParseAddrPort("10.9.0.1:7000")
 
 // startTime is the wall-clock time at which every simulation begins.
 var startTime = time.Date(2026, 3, 16, 1, 0, 0, 0, time.UTC)
 
-// The phases of a run, in the order in which they follow the start: startup, load, the longest deadline, cooldown, probes, drain.
+// The lengths of the phases that the scenario does not set. The phases are, in this order: startup, load, the longest
+// deadline of a request, cooldown, probes, drain.
 const (
 	startupTime  = time.Second     // until the first request
 	probeTimeout = 3 * time.Second // for the answers to the probes
-	settleTime   = 5 * time.Second // for the drain of all servers
+	drainTime    = 5 * time.Second // for the drain of all servers
 )
 
-// trafficStream is the stream of the seed's random numbers that draws requests and incidents. Those of the gateways follow it.
+// trafficStream is the second seed of the random numbers for requests and incidents. The second seeds of the gateways follow
+// it.
 const trafficStream = 1
 
-// maxLatency is the largest latency that the histogram holds; larger ones count as it.
+// maxLatency is the maximum latency in the histogram. Higher latencies are recorded as maxLatency.
 const maxLatency = time.Minute
 
-// runner is a scenario that is running.
+// runner is the state of a running scenario.
 type runner struct {
 	scenario *Scenario
 	site     *settings.Site
@@ -43,14 +45,14 @@
 
 	nodes        []*node
 	gateways     []*gateway
-	accepting    map[string]bool // by server, as it last reported
-	coldRestarts bool            // whether interpreters that come back after a crash are cold, as the platform's are
+	accepting    map[string]bool // by name of the server, from its latest load report
+	coldRestarts bool            // whether interpreters are cold after a crash, as on the platform
 
 	requests   []*request
-	attempts   int                 // sent so far, probes included; the last one's Request-Id
+	attempts   int                 // number of attempts so far, including probes; also the Request-Id of the last one
 	inFlight   map[string]*attempt // by Request-Id
-	probeIDs   map[string]bool     // Request-Ids of probes, of which the checker knows nothing
-	loadFactor float64             // of the load spikes of the moment
+	probeIDs   map[string]bool     // Request-Ids of probes, which the checker does not record
+	loadFactor float64             // product of the factors of the current load spikes
 	isFinished bool                // no further attempts are made
 
 	checker *invariant.Checker
@@ -58,7 +60,7 @@
 	report  *Report
 }
 
-// Run runs a scenario. The same seed gives the same report.
+// Run runs a scenario and returns its report. The same scenario and seed give the same report.
 func Run(scenario *Scenario, seed uint64) (*Report, error) {
 	r, err := newRunner(scenario, seed)
 	if err != nil {
@@ -67,13 +69,13 @@
 	return r.execute(), nil
 }
 
-// newRunner builds the cluster and its callers, and schedules the load and the incidents.
+// newRunner creates the cluster and its gateways, and schedules the load and the incidents.
 func newRunner(scenario *Scenario, seed uint64) (*runner, error) {
 	site, err := settings.Parse([]byte(fake.SiteSettings))
 	if err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	run := &runner{
+	r := &runner{
 		scenario:   scenario,
 		site:       site,
 		sim:        simnet.New(seed, startTime),
@@ -86,24 +88,24 @@
 		latency:    hdrhistogram.New(1, maxLatency.Microseconds(), 3),
 		report:     &Report{Scenario: scenario.Name, Seed: seed},
 	}
-	run.sim.Network = scenario.Network
-	run.sim.HandleDatagrams(loadReportAddr, run.handleLoadReport)
+	r.sim.Network = scenario.Network
+	r.sim.HandleDatagrams(loadReportAddr, r.handleLoadReport)
 	for n := range scenario.Servers {
-		run.nodes = append(run.nodes, newNode(run, n+1))
+		r.nodes = append(r.nodes, newNode(r, n+1))
 	}
 	for n := range scenario.Gateways {
 		rng := rand.New(rand.NewPCG(seed, trafficStream+1+uint64(n)))
 		honorsRetryAfter := float64(n) < scenario.RetryAfterShare*float64(scenario.Gateways)
-		run.gateways = append(run.gateways, newGateway(run, n+1, honorsRetryAfter, rng))
+		r.gateways = append(r.gateways, newGateway(r, n+1, honorsRetryAfter, rng))
 	}
 	for _, incident := range scenario.Incidents {
-		run.scheduleIncident(incident)
+		r.scheduleIncident(incident)
 	}
-	run.sim.After(startupTime, run.generateRequest)
-	return run, nil
+	r.sim.After(startupTime, r.generateRequest)
+	return r, nil
 }
 
-// execute runs all phases.
+// execute runs all phases and returns the report.
 func (r *runner) execute() *Report {
 	end := startupTime + r.scenario.Duration + fake.ReserveDeadline
 	r.sim.Run(end)
@@ -119,11 +121,11 @@
 	for _, n := range r.nodes {
 		n.drain(nil)
 	}
-	r.sim.Run(end + settleTime)
+	r.sim.Run(end + drainTime)
 	return r.buildReport()
 }
 
-// handleLoadReport notes whether a server accepts requests: "announce NAME true".
+// handleLoadReport records whether a server accepts requests. A load report is "announce NAME true" or "announce NAME false".
 func (r *runner) handleLoadReport(payload []byte) {
 	fields := strings.Fields(string(payload))
 	if len(fields) == 3 && fields[0] == "announce" {
@@ -131,15 +133,15 @@
 	}
 }
 
-// markDown notes that a server has gone and accepts nothing.
+// markDown records that a server has exited and accepts no requests.
 func (r *runner) markDown(n *node) { r.accepting[n.name()] = false }
 
-// recordViolation notes that a rule was violated now.
+// recordViolation adds a violation at the current time to the report.
 func (r *runner) recordViolation(format string, args ...any) {
 	r.report.addViolation(r.sim.Elapsed(), fmt.Sprintf(format, args...))
 }
 
-// recordRun notes that an interpreter was commanded to run an attempt.
+// recordRun records that an interpreter started to run an attempt.
 func (r *runner) recordRun(id string) {
 	r.report.Runs++
 	if !r.probeIDs[id] {
@@ -147,7 +149,7 @@
 	}
 }
 
-// nextAttemptID returns a Request-Id that was not used before.
+// nextAttemptID returns a new Request-Id.
 func (r *runner) nextAttemptID() string {
 	r.attempts++
 	return fmt.Sprintf("%016x", r.attempts)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -9,46 +9,45 @@
 	"tillerusher/internal/simnet"
 )
 
-// Scenario describes a cluster, its load and its incidents. Shares are between 0 and 1. The JSON keys are printed by
-// cataloguectl.
+// Scenario describes a cluster, its load and its incidents. Shares are between 0 and 1. cataloguectl prints the JSON keys.
 type Scenario struct {
 	Name    string
-	Purpose string `json:"Teaches"` // what a reader learns from it
+	Purpose string `json:"Teaches"` // what the scenario demonstrates
 
 	Duration time.Duration `json:"Length"` // of the load
-	// Cooldown is the time without load before servers are probed. Kept idempotency keys count as memory, and may take all of it
-	// until their window has passed.
+	// Cooldown is the time without load before servers are probed. Remembered idempotency keys count against a server's memory
+	// and may use all of it until their window has passed.
 	Cooldown time.Duration `json:"Calm"`
 
 	Servers         int
 	Cores           int           // of each server's interpreter
 	MeanRunTime     time.Duration `json:"Work"` // core time of a run, drawn from an exponential distribution
-	Rate            float64       // requests a second, over all servers
+	Rate            float64       // requests per second to all servers together
 	IdempotentShare float64       `json:"Keyed"` // share of requests with an idempotency key
 
 	Gateways        int
-	MaxAttempts     int           `json:"Tries"`   // of one request, the first included
+	MaxAttempts     int           `json:"Tries"`   // maximum number of attempts of a request, including the first
 	RetryAfterShare float64       `json:"Heeds"`   // share of gateways that honor the server's retry-after advice
-	RetryDelay      time.Duration `json:"Pause"`   // of the other gateways, and where there is no advice
-	DuplicateShare  float64       `json:"Repeats"` // share of served requests with a key that are sent again
+	RetryDelay      time.Duration `json:"Pause"`   // retry delay without such advice, and of gateways that do not honor it
+	DuplicateShare  float64       `json:"Repeats"` // share of served attempts with a key whose requests are sent again
 	HedgeShare      float64       `json:"Hedges"`  // share of attempts with a key that are sent again while they are in flight
 	AbortShare      float64       `json:"Aborts"`  // share of attempts that their gateway aborts
 
-	MaxOpenFiles int                  `json:"Files"` // descriptors of each server
+	MaxOpenFiles int                  `json:"Files"` // maximum number of open descriptors of each server
 	Network      simnet.NetworkConfig `json:"Net"`
 	Incidents    []Incident
 	Expect       Expectations
 }
 
-// Expectations are what a scenario's result must satisfy. The zero value of a field expects nothing.
+// Expectations are conditions that a scenario's result must meet. A zero field is no condition.
 type Expectations struct {
 	MinServedShare float64 `json:"Share"`
-	// MaxRecoveryTime runs from the end of the last incident until the share of requests served is back to 95 % of the share
-	// before the first incident.
+	// MaxRecoveryTime is the maximum time from the end of the last incident until the share of requests served is back to
+	// 95 % of the share before the first incident.
 	MaxRecoveryTime time.Duration `json:"Recovered"`
 }
 
-// Defaults returns the values of what a scenario's file does not set.
+// Defaults returns a scenario with the values that apply where a file does not set them.
 func Defaults() Scenario {
 	return Scenario{
 		Duration:        20 * time.Second,
@@ -74,7 +73,7 @@
 	}
 }
 
-// String returns the one-line form that cataloguectl prints. Its names are those of the JSON keys.
+// String returns the one-line form that cataloguectl prints, with the names of the JSON keys.
 func (s Scenario) String() string {
 	incidents := make([]string, len(s.Incidents))
 	for n, incident := range s.Incidents {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSameSeed runs a scenario with every kind of incident twice, on one processor and on four: the reports are the same, byte
-// for byte, and no rule is violated.
+// TestSameSeed runs a scenario with every kind of incident except LinkLoss twice, with a GOMAXPROCS of one and of four. It
+// checks that the reports are identical byte for byte and that no rule is violated.
 func TestSameSeed(t *testing.T) {
 	s := Defaults()
 	s.Name, s.Duration, s.Rate = "all", 12*time.Second, 900
@@ -35,26 +35,27 @@
 			t.Logf("%.3000s", text)
 		}
 		if len(r.Violations) > 0 {
-			t.Errorf("%d rules were broken, the first: %s", r.ViolationCount, r.Violations[0])
+			t.Errorf("%d violations, want none; the first: %s", r.ViolationCount, r.Violations[0])
 		}
 	}
 	if texts[0] != texts[1] {
-		t.Errorf("two days of one seed differ:\n%.2000s\n%.2000s", texts[0], texts[1])
+		t.Errorf("the reports of two runs with the same seed differ:\n%.2000s\n%.2000s", texts[0], texts[1])
 	}
 }
 
-// TestLibrary runs the built-in scenarios, the largest left out: no rule is violated, and what each expects holds.
+// TestLibrary runs the built-in scenarios with at most 10 servers. It checks that no rule is violated and that the
+// expectations of each scenario are met.
 func TestLibrary(t *testing.T) {
 	list, err := Library()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(list) < 15 {
-		t.Errorf("%d scenarios", len(list))
+		t.Errorf("%d built-in scenarios, want at least 15", len(list))
 	}
 	for _, s := range list {
 		if s.Purpose == "" {
-			t.Errorf("%s teaches nothing", s.Name)
+			t.Errorf("%s: the purpose is empty", s.Name)
 		}
 		if s.Servers > 10 {
 			continue
@@ -64,48 +65,52 @@
 			t.Fatal(err)
 		}
 		if r.HasViolations() || len(r.UnmetExpectations) > 0 {
-			t.Errorf("%s: %v %v, %d unanswered", s.Name, r.Violations, r.UnmetExpectations, r.Unanswered)
+			t.Errorf("%s: violations %v, unmet expectations %v, %d unanswered attempts, want none", s.Name, r.Violations, r.UnmetExpectations,
+				r.Unanswered)
 		}
 	}
 }
 
-// TestExplore runs scenarios that seeds generate; `cataloguectl scenario explore` runs many more.
+// TestExplore runs 40 generated scenarios from a random seed on. `cataloguectl scenario explore` runs many more.
 func TestExplore(t *testing.T) {
 	first := rand.Uint64() >> 1
-	t.Logf("from seed %d", first)
+	t.Logf("first seed: %d", first)
 	e, err := Explore(t.Context(), ExploreConfig{FirstSeed: first, Seeds: 40, MaxFindings: 1, Parallel: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range e.Findings {
-		t.Errorf("seed %d: %v, %d unanswered; again: cataloguectl scenario replay %d", f.Seed, f.Report.Violations, f.Report.Unanswered, f.Seed)
+		t.Errorf("seed %d: violations %v, %d unanswered attempts, want none; to repeat: cataloguectl scenario replay %d", f.Seed,
+			f.Report.Violations, f.Report.Unanswered, f.Seed)
 	}
 	if e.Seeds == 0 || e.Served == 0 || e.Simulation.Kills == 0 || e.Simulation.Resets == 0 {
-		t.Errorf("nothing happened: %+v", e)
+		t.Errorf("exploration %+v, want at least one seed, served attempt, kill and reset", e)
 	}
 }
 
-// TestFirstAfterIdling has a lookup arrive at a server that was idle for a while, shortly before its next reading of the
-// gauges: the idle time counted as time without progress, and the run was stopped for a stall.
+// TestFirstAfterIdling guards against a run that is stopped as stalled because the server was idle before: a lookup arrives
+// at a server that has been idle for some time, shortly before the server next reads the gauges. The server counted the
+// idle time as time without progress.
 func TestFirstAfterIdling(t *testing.T) {
 	s := Generate(262)
 	s.Cooldown = time.Second
 	r, err := Run(s, 262)
 	if err != nil || r.HasViolations() {
-		t.Errorf("%v, %v", r, err)
+		t.Errorf("report %v, error %v, want no violations", r, err)
 	}
 }
 
-// TestLostAfterAnswer breaks a connection whose requests wait for each other: the end of one answered another, which was then
-// counted as lost as well, and reported to the module as cancelled.
+// TestLostAfterAnswer breaks a connection with requests that wait for each other. The end of one request answered another
+// one, which was then also counted as lost and reported to the admission module as cancelled.
 func TestLostAfterAnswer(t *testing.T) {
 	r, err := Run(Generate(346), 346)
 	if err != nil || r.HasViolations() {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("report %+v, error %v, want no violations", r, err)
 	}
 }
 
-// TestScenarioText pins the text and the JSON that `cataloguectl scenario shrink` prints: their names are not those of the fields.
+// TestScenarioText checks the text and the JSON that `cataloguectl scenario shrink` prints. Their names differ from those of
+// the fields.
 func TestScenarioText(t *testing.T) {
 	s := Defaults()
 	s.Name, s.Purpose, s.Cooldown, s.MaxOpenFiles = "x", "y", 28*time.Second, 384
@@ -115,7 +120,7 @@
 		"Incidents:[{At:1s For:500ms Kind:cut Server:2 Times:1.5 Apart:0s} {At:0s For:0s Kind:death Server:0 Times:0 Apart:0s}] " +
 		"Expect:{Share:0 Recovered:0s}}"
 	if got := s.String(); got != text {
-		t.Errorf("text %s\nwant %s", got, text)
+		t.Errorf("got text %s\nwant %s", got, text)
 	}
 	const encoded = `{"Name":"x","Teaches":"y","Length":20000000000,"Calm":28000000000,"Servers":3,"Cores":2,"Work":4000000,"Rate":600,` +
 		`"Keyed":0.2,"Gateways":4,"Tries":3,"Heeds":1,"Pause":100000000,"Repeats":0.05,"Hedges":0,"Aborts":0,"Files":384,` +
@@ -123,11 +128,12 @@
 		`"Incidents":[{"At":1000000000,"For":500000000,"Kind":"cut","Server":2,"Times":1.5,"Apart":0},` +
 		`{"At":0,"For":0,"Kind":"death","Server":0,"Times":0,"Apart":0}],"Expect":{"Share":0,"Recovered":0}}`
 	if got, err := json.Marshal(s); err != nil || string(got) != encoded {
-		t.Errorf("JSON %s, %v\nwant %s", got, err, encoded)
+		t.Errorf("got JSON %s, error %v\nwant %s", got, err, encoded)
 	}
 }
 
-// FuzzParse reads any text as a scenario: it is accepted or the error names what is wrong, and what is accepted can be run.
+// FuzzParse parses any text as a scenario. Parse returns an error, or a scenario that can be run: it has a name, a server, a
+// positive rate and a positive duration.
 func FuzzParse(f *testing.F) {
 	f.Add("(name x) (servers 2) (incident death (at 1s) (server 2))")
 	f.Add("(name x) (incident fire)")
@@ -135,7 +141,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("x.sexp", []byte(text))
 		if err == nil && (s.Servers < 1 || !(s.Rate > 0) || s.Duration <= 0 || s.Name == "") {
-			t.Errorf("%+v", s)
+			t.Errorf("Parse accepted %+v, want a name and a positive number of servers, rate and duration", s)
 		}
 	})
 }
--- a/internal/scenario/shrink.go
+++ b/internal/scenario/shrink.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// The load and the length below which Shrink reduces no further.
+// Shrink does not reduce the rate and the duration of a scenario further once they are at or below these values.
 const (
 	minShrunkRate     = 2
 	minShrunkDuration = 2 * time.Second
 )
 
-// Shrink reduces a scenario for as long as it still violates a rule with the seed: it takes away incidents, servers, gateways,
+// Shrink reduces a scenario as long as it still violates a rule with the seed. It removes incidents, servers, gateways,
 // attempts, network faults, load and time. The result is a local minimum.
 func Shrink(scenario *Scenario, seed uint64) (*Scenario, error) {
 	smallest := scenario.clone()
@@ -27,7 +27,7 @@
 	}
 }
 
-// findViolation returns the first scenario of a list that violates a rule with the seed, or nil.
+// findViolation returns the first scenario of the list that violates a rule with the seed, or nil if there is none.
 func findViolation(list []*Scenario, seed uint64) (*Scenario, error) {
 	for _, s := range list {
 		report, err := Run(s, seed)
@@ -41,14 +41,14 @@
 	return nil, nil
 }
 
-// clone returns a copy with incidents of its own.
+// clone returns a copy that does not share its list of incidents.
 func (s *Scenario) clone() *Scenario {
 	c := *s
 	c.Incidents = slices.Clone(s.Incidents)
 	return &c
 }
 
-// smallerVariants returns the scenarios that are one step smaller than s.
+// smallerVariants returns the scenarios that are one step smaller than the scenario.
 func smallerVariants(scenario *Scenario) []*Scenario {
 	var list []*Scenario
 	add := func(change func(smaller *Scenario)) {
@@ -84,7 +84,7 @@
 	return list
 }
 
-// useOneServer removes all servers but one, to which all incidents move.
+// useOneServer removes all servers except the first, and moves all incidents to it.
 func (s *Scenario) useOneServer() {
 	s.Servers = 1
 	for n := range s.Incidents {
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -7,34 +7,34 @@
 	"tillerusher/internal/fake"
 )
 
-// The tenants of requests; the second one sends secondTenantShare of them.
+// The tenants of requests. The second tenant sends secondTenantShare of all requests.
 const (
 	firstTenant       = "central"
 	secondTenant      = "northern"
 	secondTenantShare = 0.3
 )
 
-// maxDuplicateDelay is how long after it was served a request is sent again at the latest.
+// maxDuplicateDelay is the maximum time between the answer to a request and its duplicate.
 const maxDuplicateDelay = 2 * time.Second
 
-// request is what a caller wants. Any number of attempts are made for it.
+// request is a request of a caller, which gateways send in one or more attempts.
 type request struct {
-	key       string // of an idempotent request; "" otherwise
+	key       string // idempotency key; "" if the request has none
 	tenant    string
 	body      []byte
 	arrivedAt time.Duration
-	attempts  int // so far, hedges and duplicates left out
+	attempts  int // number of attempts so far, without hedges and duplicates
 	isServed  bool
 }
 
 // hasKey reports whether the request has an idempotency key.
 func (q *request) hasKey() bool { return q.key != "" }
 
-// deadline returns how long after its arrival the caller waits for an answer.
+// deadline returns the time after the request's arrival within which the caller expects an answer.
 func (q *request) deadline() time.Duration { return fake.Deadline(q.hasKey()) }
 
-// generateRequest sends the next request of the load and schedules the one after it. The times between requests are drawn from
-// an exponential distribution, so arrivals are a Poisson process.
+// generateRequest sends the next request of the load and schedules the one after it, until the load ends. The times between
+// requests have an exponential distribution, so arrivals are a Poisson process.
 func (r *runner) generateRequest() {
 	if r.sim.Elapsed() >= startupTime+r.scenario.Duration {
 		return
@@ -50,17 +50,17 @@
 	work := time.Duration(r.rng.ExpFloat64() * float64(r.scenario.MeanRunTime))
 	req.body = fake.WorkBody(fmt.Sprint(number), work)
 	r.requests = append(r.requests, req)
-	r.secondOf(req).Requests++
+	r.secondStatsOf(req).Requests++
 	r.randomGateway().send(req)
 	rate := r.scenario.Rate * r.loadFactor
 	r.sim.After(time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.generateRequest)
 }
 
-// randomGateway draws a gateway.
+// randomGateway returns a random gateway.
 func (r *runner) randomGateway() *gateway { return r.gateways[r.rng.IntN(len(r.gateways))] }
 
-// secondOf returns the statistics of the second in which a request arrived.
-func (r *runner) secondOf(req *request) *SecondStats {
+// secondStatsOf returns the statistics of the second in which a request arrived.
+func (r *runner) secondStatsOf(req *request) *SecondStats {
 	n := int((req.arrivedAt - startupTime) / time.Second)
 	for len(r.report.Seconds) <= n {
 		r.report.Seconds = append(r.report.Seconds, SecondStats{})
@@ -68,7 +68,8 @@
 	return &r.report.Seconds[n]
 }
 
-// recordServed notes that an attempt of a request was served, and sends some requests again.
+// recordServed records that an attempt of a request was served. It schedules a duplicate for a random share of the requests
+// with a key.
 func (r *runner) recordServed(req *request) {
 	if req.hasKey() && !r.isFinished && r.rng.Float64() < r.scenario.DuplicateShare {
 		delay := time.Duration(r.rng.Int64N(int64(maxDuplicateDelay)))
@@ -78,16 +79,16 @@
 		return
 	}
 	req.isServed = true
-	r.secondOf(req).Served++
+	r.secondStatsOf(req).Served++
 	latency := (r.sim.Elapsed() - req.arrivedAt).Microseconds()
 	r.latency.RecordValue(min(max(latency, 1), maxLatency.Microseconds()))
 }
 
-// sendDuplicate sends a request that was served again, by any gateway.
+// sendDuplicate sends a served request once more, through a random gateway.
 func (r *runner) sendDuplicate(req *request) {
 	if r.isFinished {
 		return
 	}
-	req.attempts-- // a duplicate takes no attempt away from the caller
+	req.attempts-- // a duplicate does not count against the caller's attempts
 	r.randomGateway().send(req)
 }
