--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// Process generates arrivals.
+// Process generates the times of arrivals.
 type Process interface {
-	// Next returns the time of the next arrival since the start, never before that of the last call; false at the end.
+	// Next returns the time of the next arrival, measured from the start. Times never decrease from one call to the
+	// next. It returns false when there are no more arrivals.
 	Next() (time.Duration, bool)
 }
 
-// rateFunc returns the rate of a process at a time, in arrivals a second.
+// rateFunc returns the rate of a process at time t, in arrivals per second.
 type rateFunc func(t time.Duration) float64
 
-// New returns a process that draws its random numbers from rng.
+// New returns the process that config describes, or an error if config is invalid. The process draws its random numbers
+// from rng; a Replay process draws none.
 func New(config Config, rng *rand.Rand) (Process, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -25,38 +27,40 @@
 		return &recordedArrivals{times: config.Times, speed: max(config.Speed, 0)}, nil
 	case Bursty:
 		bursts := &modulatedRate{config: config, rng: rng}
-		return newThinned(config, rng, config.Rate*config.BurstFactor, bursts.rate), nil
+		return newThinnedPoisson(config, rng, config.Rate*config.BurstFactor, bursts.rate), nil
 	case Diurnal:
-		return newThinned(config, rng, config.Rate*(1+config.Amplitude), config.diurnalRate), nil
+		return newThinnedPoisson(config, rng, config.Rate*(1+config.Amplitude), config.diurnalRate), nil
 	}
 	constant := func(time.Duration) float64 { return config.Rate }
-	return newThinned(config, rng, config.Rate, constant), nil
+	return newThinnedPoisson(config, rng, config.Rate, constant), nil
 }
 
-// diurnalRate is the rate of a Diurnal process.
+// diurnalRate implements rateFunc for a Diurnal process.
 func (c *Config) diurnalRate(t time.Duration) float64 {
 	return c.Rate * (1 + c.Amplitude*math.Sin(2*math.Pi*float64(t)/float64(c.Period)))
 }
 
-// thinned is a Poisson process with a variable rate, made by thinning one with the maximum rate (Lewis and Shedler, 1979).
-type thinned struct {
+// thinnedPoisson is a Poisson process with a variable rate. It generates candidates at the maximum rate and accepts
+// each with the probability rate/maxRate (thinning; Lewis and Shedler, 1979).
+type thinnedPoisson struct {
 	rng     *rand.Rand
 	maxRate float64
 	rate    rateFunc
 	surges  []Surge
-	seconds float64 // time of the last candidate
+	seconds float64 // time of the last candidate arrival, accepted or not
 }
 
-// newThinned returns the process; maxRate is the maximum of rate.
-func newThinned(config Config, rng *rand.Rand, maxRate float64, rate rateFunc) *thinned {
+// newThinnedPoisson returns a process with the given rate, multiplied by the factors of the configuration's surges.
+// maxRate is the maximum of rate, without surges.
+func newThinnedPoisson(config Config, rng *rand.Rand, maxRate float64, rate rateFunc) *thinnedPoisson {
 	for _, s := range config.Surges {
 		maxRate *= max(s.Factor, 1)
 	}
-	return &thinned{rng: rng, maxRate: maxRate, rate: rate, surges: config.Surges}
+	return &thinnedPoisson{rng: rng, maxRate: maxRate, rate: rate, surges: config.Surges}
 }
 
 // Next implements Process.
-func (p *thinned) Next() (time.Duration, bool) {
+func (p *thinnedPoisson) Next() (time.Duration, bool) {
 	for {
 		p.seconds += p.rng.ExpFloat64() / p.maxRate
 		t := time.Duration(p.seconds * float64(time.Second))
@@ -70,8 +74,8 @@
 	}
 }
 
-// modulatedRate is the rate of a Markov-modulated Poisson process with two states. Its method rate must be
-// called with ascending times.
+// modulatedRate is the rate of a Markov-modulated Poisson process with two states. Its rate method must be called with
+// ascending times.
 type modulatedRate struct {
 	config   Config
 	rng      *rand.Rand
@@ -85,7 +89,7 @@
 	config := &m.config
 	if !m.started {
 		m.started = true
-		m.inBurst = m.rng.Float64() >= config.BurstFraction // the loop below enters the other state
+		m.inBurst = m.rng.Float64() >= config.BurstFraction // the loop below switches to the other state
 	}
 	for at >= m.stateEnd {
 		m.inBurst = !m.inBurst
@@ -101,11 +105,11 @@
 	return config.Rate * (1 - config.BurstFactor*config.BurstFraction) / (1 - config.BurstFraction)
 }
 
-// recordedArrivals is a Replay process.
+// recordedArrivals is a Replay process. It replays recorded times.
 type recordedArrivals struct {
 	times []time.Duration
-	speed float64 // 0 is 1
-	next  int
+	speed float64 // how many times as fast as recorded; 0 means 1
+	next  int     // index of the next time
 }
 
 // Next implements Process.
--- a/internal/arrival/config.go
+++ b/internal/arrival/config.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Kind is a kind of arrival process. The values are those of configuration files and flags.
+// Kind is a kind of arrival process. Configuration files and command-line flags use the same values.
 type Kind string
 
-// The kinds.
+// The kinds of arrival process.
 const (
-	Poisson Kind = "poisson" // independent arrivals at one rate
-	Bursty  Kind = "bursty"  // a Markov-modulated Poisson process of two states
-	Diurnal Kind = "diurnal" // a Poisson process whose rate is a sine
+	Poisson Kind = "poisson" // independent arrivals at a constant rate
+	Bursty  Kind = "bursty"  // a Markov-modulated Poisson process with two states
+	Diurnal Kind = "diurnal" // a Poisson process whose rate is a sine wave
 	Replay  Kind = "replay"  // recorded arrivals
 )
 
-// Config are the parameters of a process. The JSON keys are those of experiment headers.
+// Config holds the parameters of a process. The JSON keys are those of experiment headers.
 type Config struct {
 	Kind          Kind
-	Rate          float64       // mean arrivals a second
+	Rate          float64       // mean arrivals per second; not used by Replay
 	BurstFactor   float64       `json:"Burst"` // Bursty: rate of a burst as a multiple of the mean
-	BurstFraction float64       `json:"Part"`  // Bursty: fraction of the time that is bursts
-	MeanBurst     time.Duration `json:"Stay"`  // Bursty: mean length of a burst
-	Amplitude     float64       `json:"Swing"` // Diurnal: of the rate, as a fraction of the mean
-	Period        time.Duration `json:"Day"`   // Diurnal
-	Surges        []Surge       `json:"Jumps"` // of any kind but Replay
+	BurstFraction float64       `json:"Part"`  // Bursty: fraction of the time that is spent in bursts
+	MeanBurst     time.Duration `json:"Stay"`  // Bursty: mean duration of a burst
+	Amplitude     float64       `json:"Swing"` // Diurnal: amplitude of the rate, relative to the mean rate
+	Period        time.Duration `json:"Day"`   // Diurnal: period of the sine wave
+	Surges        []Surge       `json:"Jumps"` // all kinds except Replay
 
-	Times []time.Duration `json:"Recorded"` // Replay
-	Speed float64         `json:"Factor"`   // Replay: how many times as fast as recorded; 0 is 1
+	Times []time.Duration `json:"Recorded"` // Replay: recorded times, ascending, from the start
+	Speed float64         `json:"Factor"`   // Replay: how many times as fast as recorded; 0 means 1
 }
 
-// Surge is a time in which the rate is multiplied by a factor. It ramps up and down linearly.
+// Surge multiplies the rate by Factor for a time. The factor ramps up and down linearly.
 type Surge struct {
 	Start    time.Duration `json:"From"`
 	Duration time.Duration `json:"For"`
 	Factor   float64
-	RampUp   time.Duration `json:"Rise"` // at the start of Duration
-	RampDown time.Duration `json:"Fall"` // at the end of Duration
+	RampUp   time.Duration `json:"Rise"` // part of Duration, at its start
+	RampDown time.Duration `json:"Fall"` // part of Duration, at its end
 }
 
-// factorAt returns the factor at a time.
+// factorAt returns the factor of the rate at a time; it is 1 outside the surge.
 func (s Surge) factorAt(at time.Duration) float64 {
 	elapsed := at - s.Start
 	left := s.Start + s.Duration - at
@@ -58,7 +58,7 @@
 	return 1 + (s.Factor-1)*ramp
 }
 
-// Validate reports the first parameter that makes no sense.
+// Validate returns an error for the first invalid parameter.
 func (c *Config) Validate() error {
 	if err := c.validateKind(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// validateKind checks the parameters that the kind uses.
+// validateKind checks the kind and the parameters that it uses, except Surges.
 func (c *Config) validateKind() error {
 	switch c.Kind {
 	case Poisson:
@@ -99,7 +99,7 @@
 	return fmt.Errorf("arrival: no process is called %q, want poisson, bursty, diurnal or replay", c.Kind)
 }
 
-// validateRate checks the mean rate.
+// validateRate checks that the mean rate is positive and finite.
 func (c *Config) validateRate() error {
 	if !(c.Rate > 0) || math.IsInf(c.Rate, 0) {
 		return fmt.Errorf("arrival: a rate of %v, want more than 0", c.Rate)
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// hasValidBursts checks the parameters of Bursty. Bursts alone must not exceed the mean rate.
+// hasValidBursts reports whether the parameters of Bursty are valid. The arrivals in bursts alone must not exceed the
+// mean rate: BurstFactor*BurstFraction is at most 1.
 func (c *Config) hasValidBursts() bool {
 	return c.BurstFraction > 0 && c.BurstFraction < 1 && !(c.BurstFactor < 1) &&
 		!(c.BurstFactor*c.BurstFraction > 1) && c.MeanBurst > 0
