--- a/internal/clustersim/balancing.go
+++ b/internal/clustersim/balancing.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	maxDraws  = 16   // servers that are drawn before all are scanned in turn
-	minWeight = 0.01 // of a server that advertises full load
-	hashShift = 33   // the upper bits of the product are mixed best
+	maxRandomDraws     = 16   // random draws of a server before the subset is scanned in order
+	minBalancingWeight = 0.01 // weight of a server that advertises full load
+	hashShift          = 33   // selects the upper bits of the product, which are mixed best
 )
 
-// isEligible reports whether the gateway would send a request to a server.
+// isEligible reports whether the gateway may send a request to a server.
 func (g *gateway) isEligible(server int, req *request) bool {
 	view, now := &g.views[server], g.sim.now
 	switch {
@@ -16,7 +16,7 @@
 		return false
 	case g.config.UsesHealthChecks && view.unhealthy:
 		return false
-	case view.consecutiveMisses >= ejectionThreshold && view.avoidUntil > now:
+	case view.consecutiveConnectionFailures >= ejectionThreshold && view.avoidUntil > now:
 		return false
 	case g.config.HonorsFeedback && (view.avoidUntil > now || view.loadUntil > now && !g.passesFeedback(view, req)):
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// passesFeedback reports whether a server accepts a request by the load that it advertised.
+// passesFeedback reports whether the load that a server advertised allows the gateway to send it a request.
 func (g *gateway) passesFeedback(view *serverView, req *request) bool {
 	switch g.sim.config.Servers.Feedback {
 	case FeedbackCredit:
@@ -37,51 +37,52 @@
 	return req.priority >= view.load
 }
 
-// isCandidate reports whether a server is eligible for a request and was not attempted by it.
+// isCandidate reports whether a server is eligible for a request and is not among its attempted servers.
 func (g *gateway) isCandidate(server int, req *request) bool {
 	return !slices.Contains(req.attemptedServers, server) && g.isEligible(server, req)
 }
 
-// chooseServer returns the server for the next attempt of a request, or -1.
+// chooseServer returns the server that the balancing policy chooses for the next attempt of a request, or -1.
 func (g *gateway) chooseServer(req *request) int {
 	if len(g.subset) == 0 {
 		return -1
 	}
 	switch g.config.Balancing {
 	case RoundRobin:
-		return g.chooseInTurn(req)
+		return g.chooseRoundRobin(req)
 	case ResourceHash:
 		return g.chooseByHash(req)
 	case Random:
 		return g.drawServer(req, -1)
 	case PowerOfTwo:
-		return g.chooseOfTwo(req)
+		return g.choosePowerOfTwo(req)
 	case WeightedRandom:
 		return g.chooseByWeight(req)
 	}
 	return g.chooseLowestScore(req)
 }
 
-// chooseInTurn returns the next server in turn.
-func (g *gateway) chooseInTurn(req *request) int {
+// chooseRoundRobin returns the next candidate in round-robin order, or -1.
+func (g *gateway) chooseRoundRobin(req *request) int {
 	n := len(g.subset)
 	for range n {
-		g.lastTurn = (g.lastTurn + 1) % n
-		if i := g.subset[g.lastTurn]; g.isCandidate(i, req) {
+		g.roundRobinPosition = (g.roundRobinPosition + 1) % n
+		if i := g.subset[g.roundRobinPosition]; g.isCandidate(i, req) {
 			return i
 		}
 	}
 	return -1
 }
 
-// chooseByHash returns the server that the resource ID hashes to, or the next one after it.
+// chooseByHash returns the first candidate at or after the position to which the resource ID hashes, or -1.
 func (g *gateway) chooseByHash(req *request) int {
 	hash := req.resourceID * goldenRatio >> hashShift
-	return g.firstFrom(int(hash%uint64(len(g.subset))), req, -1)
+	return g.firstCandidateFrom(int(hash%uint64(len(g.subset))), req, -1)
 }
 
-// firstFrom returns the first server from a position of the subset on, except the excluded one, or -1.
-func (g *gateway) firstFrom(start int, req *request, excluded int) int {
+// firstCandidateFrom returns the first candidate at or after a position of the subset, which wraps around, or -1. It
+// skips the excluded server.
+func (g *gateway) firstCandidateFrom(start int, req *request, excluded int) int {
 	n := len(g.subset)
 	for k := range n {
 		if i := g.subset[(start+k)%n]; i != excluded && g.isCandidate(i, req) {
@@ -91,8 +92,8 @@
 	return -1
 }
 
-// chooseOfTwo draws two servers and returns the one with fewer open attempts.
-func (g *gateway) chooseOfTwo(req *request) int {
+// choosePowerOfTwo draws two candidates and returns the one with fewer open attempts, or -1.
+func (g *gateway) choosePowerOfTwo(req *request) int {
 	first := g.drawServer(req, -1)
 	if first < 0 {
 		return first
@@ -104,41 +105,42 @@
 	return first
 }
 
-// chooseByWeight draws a server with a probability that falls with its advertised load.
+// chooseByWeight draws a candidate with a probability that falls with its advertised load, or returns -1.
 func (g *gateway) chooseByWeight(req *request) int {
-	weights, isAny := make([]float64, len(g.subset)), false
+	weights, hasCandidate := make([]float64, len(g.subset)), false
 	for k, i := range g.subset {
 		if !g.isCandidate(i, req) {
 			continue
 		}
-		weights[k], isAny = 1, true
+		weights[k], hasCandidate = 1, true
 		if view := &g.views[i]; view.loadUntil > g.sim.now {
-			weights[k] = max(1-view.load, minWeight)
+			weights[k] = max(1-view.load, minBalancingWeight)
 		}
 	}
-	if !isAny {
+	if !hasCandidate {
 		return -1
 	}
 	return g.subset[pickWeighted(g.balancingRandom, weights)]
 }
 
-// drawServer draws a server, except the excluded one, or returns -1.
+// drawServer draws a candidate, except the excluded server, or returns -1.
 func (g *gateway) drawServer(req *request, excluded int) int {
 	n := len(g.subset)
-	for range maxDraws {
+	for range maxRandomDraws {
 		if i := g.subset[g.balancingRandom.IntN(n)]; i != excluded && g.isCandidate(i, req) {
 			return i
 		}
 	}
-	return g.firstFrom(g.balancingRandom.IntN(n), req, excluded)
+	return g.firstCandidateFrom(g.balancingRandom.IntN(n), req, excluded)
 }
 
-// chooseLowestScore returns the server with the lowest score; of equal ones they take turns.
+// chooseLowestScore returns the candidate with the lowest score, or -1. Each search starts one position after the last,
+// so that servers with equal scores take turns.
 func (g *gateway) chooseLowestScore(req *request) int {
 	best, n := -1, len(g.subset)
-	g.lastTurn = (g.lastTurn + 1) % n
+	g.roundRobinPosition = (g.roundRobinPosition + 1) % n
 	for k := range n {
-		i := g.subset[(g.lastTurn+k)%n]
+		i := g.subset[(g.roundRobinPosition+k)%n]
 		if !g.isCandidate(i, req) {
 			continue
 		}
@@ -149,7 +151,7 @@
 	return best
 }
 
-// score is the number of open attempts at a server, or the latency that one more of them is expected to have.
+// score returns the number of open attempts at a server or, for LowestLatency, the expected latency of one more attempt.
 func (g *gateway) score(server int) float64 {
 	view := &g.views[server]
 	if g.config.Balancing == LowestLatency {
--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// Rule is one of the invariants that hold whatever a server's policy decides.
+// Rule is an invariant that must hold for any policy of the servers.
 type Rule string
 
 // The rules.
 const (
 	RuleLost      Rule = "lost"      // each request gets exactly one final response, in time
-	RuleDuplicate Rule = "duplicate" // a keyed request runs once within its window, and is not rejected after it ran
-	RuleDrain     Rule = "drain"     // nothing runs that arrived after the grace period, and all is answered before the end
-	RuleCrash     Rule = "fall-over" // memory and cores are not overloaded until the server crashes
+	RuleDuplicate Rule = "duplicate" // a request with a key runs once within its window and is not rejected after it ran
+	RuleDrain     Rule = "drain"     // no attempt that arrived after the grace period runs; all that were read are answered before exit
+	RuleCrash     Rule = "fall-over" // a server does not crash from an overload of its memory or cores
 )
 
-// maxViolationMessages is the number of violations that are described. All are counted.
+// maxViolationMessages is the number of violations that are described by a message. All violations are counted.
 const maxViolationMessages = 20
 
-// ruleChecker checks the rules from outside: it is notified of what happens and keeps its own account, which shares no
-// state with the servers that it checks.
+// ruleChecker checks the rules. It is notified of events and keeps its own records, which share no state with the servers
+// that it checks.
 type ruleChecker struct {
 	config       *Config
 	attempts     map[uint64]*checkedAttempt // by number
 	servers      []checkedServer
-	openAttempts int // that arrived and have no response
+	openAttempts int // attempts that arrived and have no response
 	violations   map[Rule]int
 	messages     []string
 }
 
-// checkedAttempt is the checker's account of an attempt.
+// checkedAttempt is the checker's record of an attempt.
 type checkedAttempt struct {
-	key          uint64
-	isKeyed      bool
-	window       time.Duration // of the key
-	deadline     time.Duration
-	sizeKB       float64
-	server       int
-	arrivedAt    time.Duration
-	pausedBefore time.Duration // checkedServer.pausedTime at the arrival
-	readAt       time.Duration
-	arrived      bool
-	read         bool
-	running      bool
-	ran          bool
-	answered     bool
+	key                 uint64
+	isKeyed             bool
+	window              time.Duration // time for which the key is remembered
+	deadline            time.Duration
+	sizeKB              float64
+	server              int
+	arrivedAt           time.Duration
+	pausedTimeAtArrival time.Duration // checkedServer.pausedTime at the arrival
+	readAt              time.Duration
+	arrived             bool
+	read                bool
+	running             bool
+	ran                 bool
+	answered            bool
 }
 
-// checkedServer is the checker's account of a server's process.
+// checkedServer is the checker's record of a server and of its current process.
 type checkedServer struct {
-	memoryKB        float64                  // of queued and running requests
-	keyExpiries     []time.Duration          // ascending but for a few
-	expiryByAttempt map[uint64]time.Duration // of kept keys
-	lastRunArrival  map[uint64]time.Duration // by key: arrival of the attempt that ran
-	attempts        map[uint64]bool          // that the process has and that have not ended
-	graceEnd        time.Duration            // if draining
+	memoryKB        float64                  // memory of queued and running requests
+	keyExpiries     []time.Duration          // of kept keys, nearly in ascending order
+	expiryByAttempt map[uint64]time.Duration // of kept keys, by number of the attempt
+	lastRunArrival  map[uint64]time.Duration // arrival of the attempt that ran last, by key
+	attempts        map[uint64]bool          // attempts of the process that have not ended, by number
+	graceEnd        time.Duration            // if draining: end of the grace period
 	draining        bool
-	pausedTime      time.Duration // for which the machine stood still; it survives the process
+	pausedTime      time.Duration // total time for which the machine was paused; it is kept when a new process starts
 }
 
 func newRuleChecker(c *Config) *ruleChecker {
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordViolation counts a violation and describes it if there are not too many.
+// recordViolation counts a violation and adds a message for it up to maxViolationMessages.
 func (c *ruleChecker) recordViolation(r Rule, format string, args ...any) {
 	c.violations[r]++
 	if len(c.messages) < maxViolationMessages {
@@ -104,7 +104,7 @@
 	a.arrived = true
 	a.arrivedAt = now
 	a.server = server
-	a.pausedBefore = s.pausedTime
+	a.pausedTimeAtArrival = s.pausedTime
 	s.attempts[number] = true
 	c.openAttempts++
 }
@@ -116,7 +116,7 @@
 	c.servers[a.server].memoryKB += a.sizeKB
 }
 
-// attemptAnswered is called for every result of an attempt, including refused connections.
+// attemptAnswered is called for every result of an attempt, including a refused connection.
 func (c *ruleChecker) attemptAnswered(number uint64, result outcome, now time.Duration) {
 	checked := c.attempts[number]
 	switch {
@@ -144,14 +144,14 @@
 	}
 }
 
-// latestResponse is the time until which an attempt must be answered. What is read after its deadline can't be answered
-// sooner, and the time for which the machine was paused doesn't count.
+// latestResponse returns the time until which an attempt must be answered. An attempt that was read after its deadline
+// can't be answered before it was read. Time for which the machine was paused does not count.
 func (c *ruleChecker) latestResponse(a *checkedAttempt) time.Duration {
 	deadline := max(a.arrivedAt+a.deadline, a.readAt)
-	return deadline + c.config.Servers.ResponseTolerance + c.servers[a.server].pausedTime - a.pausedBefore
+	return deadline + c.config.Servers.ResponseTolerance + c.servers[a.server].pausedTime - a.pausedTimeAtArrival
 }
 
-// release removes an attempt that is answered and does not run.
+// release removes an attempt that is answered and not running.
 func (c *ruleChecker) release(number uint64, a *checkedAttempt) {
 	s := &c.servers[a.server]
 	if a.read {
@@ -163,22 +163,22 @@
 
 // runStarted is called when an attempt starts to run.
 func (c *ruleChecker) runStarted(number uint64, server int, now time.Duration) {
-	checked, account := c.attempts[number], &c.servers[server]
+	checked, srv := c.attempts[number], &c.servers[server]
 	if checked == nil {
 		c.recordViolation(RuleLost, "try %d runs after its end, at %v", number, now)
 		return
 	}
 	if checked.isKeyed {
-		if first, ok := account.lastRunArrival[checked.key]; ok && checked.arrivedAt < first+checked.window {
+		if first, ok := srv.lastRunArrival[checked.key]; ok && checked.arrivedAt < first+checked.window {
 			c.recordViolation(RuleDuplicate, "key %d runs again on server %d at %v, %v after the first came", checked.key, server, now, checked.arrivedAt-first)
 		}
-		account.lastRunArrival[checked.key] = checked.arrivedAt
+		srv.lastRunArrival[checked.key] = checked.arrivedAt
 	}
-	if account.draining && checked.arrivedAt > account.graceEnd {
-		c.recordViolation(RuleDrain, "try %d came %v after the grace and runs", number, checked.arrivedAt-account.graceEnd)
+	if srv.draining && checked.arrivedAt > srv.graceEnd {
+		c.recordViolation(RuleDrain, "try %d came %v after the grace and runs", number, checked.arrivedAt-srv.graceEnd)
 	}
 	checked.running, checked.ran = true, true
-	account.memoryKB += checked.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
+	srv.memoryKB += checked.sizeKB * (c.config.Servers.RunningMemoryFactor - 1)
 }
 
 // runEnded is called when a run ends or is stopped.
@@ -194,7 +194,7 @@
 	}
 }
 
-// keyKept is called when a server keeps an attempt's key, or keeps it for longer.
+// keyKept is called when a server keeps the key of an attempt, or changes the time until which it keeps the key.
 func (c *ruleChecker) keyKept(server int, number uint64, until time.Duration) {
 	s := &c.servers[server]
 	if _, isKept := s.expiryByAttempt[number]; !isKept {
@@ -205,29 +205,29 @@
 
 // keyReleased is called when a server releases an attempt's key.
 func (c *ruleChecker) keyReleased(server int, number uint64) {
-	account := &c.servers[server]
-	until, ok := account.expiryByAttempt[number]
+	srv := &c.servers[server]
+	until, ok := srv.expiryByAttempt[number]
 	if !ok {
 		return
 	}
-	delete(account.expiryByAttempt, number)
-	for i := len(account.keyExpiries) - 1; i >= 0; i-- {
-		if account.keyExpiries[i] == until {
-			account.keyExpiries = append(account.keyExpiries[:i], account.keyExpiries[i+1:]...)
+	delete(srv.expiryByAttempt, number)
+	for i := len(srv.keyExpiries) - 1; i >= 0; i-- {
+		if srv.keyExpiries[i] == until {
+			srv.keyExpiries = append(srv.keyExpiries[:i], srv.keyExpiries[i+1:]...)
 			return
 		}
 	}
 }
 
-// expiredKeysKept is how many attempts with expired keys are remembered at least before they are removed.
-const expiredKeysKept = 1000
+// minKeysToSweep is the number of attempts with expired keys below which they are not removed from expiryByAttempt.
+const minKeysToSweep = 1000
 
 // removeExpiredKeys removes the keys that expired before now.
 func (s *checkedServer) removeExpiredKeys(now time.Duration) {
 	for len(s.keyExpiries) > 0 && s.keyExpiries[0] < now {
 		s.keyExpiries = s.keyExpiries[1:]
 	}
-	if len(s.expiryByAttempt) <= 2*len(s.keyExpiries)+expiredKeysKept {
+	if len(s.expiryByAttempt) <= 2*len(s.keyExpiries)+minKeysToSweep {
 		return
 	}
 	for number, until := range s.expiryByAttempt { // the order of the map does not matter
@@ -237,7 +237,7 @@
 	}
 }
 
-// exceedsMemory reports whether a server needs more memory than it has, which violates a rule.
+// exceedsMemory reports whether a server needs more memory than it has. It records that as a violation of RuleCrash.
 func (c *ruleChecker) exceedsMemory(server int, now time.Duration) bool {
 	s := &c.servers[server]
 	s.removeExpiredKeys(now)
@@ -249,7 +249,7 @@
 	return true
 }
 
-// serverCrashed is called when a server crashes by its own load.
+// serverCrashed is called when a server crashes due to its load.
 func (c *ruleChecker) serverCrashed(server int, now time.Duration, cause string) {
 	c.recordViolation(RuleCrash, "server %d fell over at %v by %s", server, now, cause)
 }
@@ -260,14 +260,14 @@
 	s.draining, s.graceEnd = true, graceEnd
 }
 
-// machinePaused is called after a machine was paused.
+// machinePaused is called after a machine was paused for the duration d.
 func (c *ruleChecker) machinePaused(server int, d time.Duration) { c.servers[server].pausedTime += d }
 
-// serverStopped is called when a process ends. A drained process must have answered all requests that it has read; unread
-// ones were never accepted. A killed process is exempt.
+// serverStopped is called when a process ends. A drained process must have answered all attempts that it has read; unread
+// attempts were never accepted. A killed process is exempt.
 func (c *ruleChecker) serverStopped(server int, now time.Duration, exit processExit) {
-	account, unanswered := &c.servers[server], 0
-	for number := range account.attempts { // the order of the map does not matter: they are only counted
+	srv, unanswered := &c.servers[server], 0
+	for number := range srv.attempts { // the order of the map does not matter: attempts are only counted
 		attempt := c.attempts[number]
 		if attempt.read && !attempt.answered && exit == exitDrained {
 			unanswered++
@@ -282,10 +282,10 @@
 	if unanswered > 0 {
 		c.recordViolation(RuleDrain, "server %d ended at %v with %d tries that it had read unanswered", server, now, unanswered)
 	}
-	account.memoryKB, account.attempts = 0, map[uint64]bool{}
+	srv.memoryKB, srv.attempts = 0, map[uint64]bool{}
 }
 
-// finish records the attempts that were never answered.
+// finish records a violation for each attempt that was never answered.
 func (c *ruleChecker) finish(now time.Duration) {
 	if c.openAttempts <= 0 {
 		return
--- a/internal/clustersim/checker_test.go
+++ b/internal/clustersim/checker_test.go
@@ -33,7 +33,7 @@
 		checker.attemptArrived(1, 0, 0)
 		checker.attemptRead(1, 0)
 		if violate(checker); checker.violations[rule] == 0 {
-			t.Errorf("%s: not seen", rule)
+			t.Errorf("no violation of rule %s was recorded", rule)
 		}
 	}
 	checker := newRuleChecker(&config)
@@ -45,10 +45,10 @@
 		checker.runStarted(n, 0, 1)
 	}
 	if checker.violations[RuleDuplicate] == 0 {
-		t.Error("a second run of one key is not seen")
+		t.Error("a second run for the same key was not recorded as a violation")
 	}
 	checker.finish(time.Hour)
 	if checker.violations[RuleLost] == 0 {
-		t.Error("what is never answered is not seen")
+		t.Error("an attempt that was never answered was not recorded as a violation")
 	}
 }
--- a/internal/clustersim/config.go
+++ b/internal/clustersim/config.go
@@ -7,18 +7,18 @@
 	"tillerusher/internal/arrival"
 )
 
-// Config describes a cluster and its workload: all that a run depends on besides the servers' policy and the seed.
+// Config describes a cluster and its workload. A run depends only on it, the servers' policy and the seed.
 //
-// The checksum of an experiment's plan, which stands in its results file, is computed over the JSON encoding of this type
-// and of those that it holds. Field order and JSON keys are therefore part of a stored format: a field is renamed by
-// keeping its old key in the tag.
+// The results file of an experiment holds a checksum of the experiment's plan, which is computed over the JSON encoding
+// of this type and of the types of its fields. Field order and JSON keys are therefore part of a stored format: when a
+// field is renamed, its tag keeps the old key.
 type Config struct {
 	Name     string
-	Duration time.Duration `json:"For"` // time in which new requests arrive; a run ends with the last of them
+	Duration time.Duration `json:"For"` // time during which new requests arrive; a run ends when all of them have ended
 	Servers  ServerConfig
 	Classes  []Class
 	Tenants  []Tenant
-	Gateways []GatewayConfig `json:"Callers"` // one entry for each kind of gateway
+	Gateways []GatewayConfig `json:"Callers"` // one entry per kind of gateway
 	Arrival  arrival.Config
 
 	ResourceCount int     `json:"Subjects"` // number of distinct resources
@@ -28,81 +28,82 @@
 	EndpointListDelay time.Duration `json:"ListDelay"` // time until gateways see a change of the endpoint list
 	Incidents         []Incident
 
-	// RecordRejectReasons asks the module for the reason of each rejection. A run takes about twice as long with it.
+	// RecordRejectReasons counts the module's reasons for rejections in the result. A run takes about twice as long
+	// with it.
 	RecordRejectReasons bool `json:"Reasons"`
 }
 
-// ServerConfig describes the servers of a cluster. All of them are alike but for their speed.
+// ServerConfig describes the servers of a cluster. They differ only in their speed.
 type ServerConfig struct {
 	Count            int `json:"N"`
-	InitialEndpoints int `json:"Listed"` // number of servers that a module is started with; 0 means Count
+	InitialEndpoints int `json:"Listed"` // number of servers in the settings of a module; 0 means Count
 	CoreConfig
 	MemoryConfig
 	WarmUpConfig
 	ConcurrencyConfig
 	ShutdownConfig
-	BacklogPerCore      int           `json:"Unread"` // accepted requests that may wait to be read; further ones get no connection
-	Tick                time.Duration // interval of the module's own timers
-	FeedbackTTL         time.Duration `json:"Heeded"`     // time for which a gateway follows the load that a server advertised
+	BacklogPerCore      int           `json:"Unread"` // requests per core that may wait to be read; beyond it connections are refused
+	Tick                time.Duration // shortest delay of a module's timer
+	FeedbackTTL         time.Duration `json:"Heeded"`     // time for which a gateway uses an advertised load
 	MaxRetryAfter       time.Duration `json:"RetryAfter"` // longest retry-after that is honored; 0 disables it
-	ResponseTolerance   time.Duration `json:"Slack"`      // how long after its deadline a response may come without a violation
-	HealthCheckInterval time.Duration `json:"CheckEvery"` // of gateways that use health checks
-	CallerIdleTimeout   time.Duration `json:"CallerIdle"`
-	OverQuotaWeight     float64       `json:"OverWorth"` // factor on the weight of a request beyond its tenant's quota
+	ResponseTolerance   time.Duration `json:"Slack"`      // time after its deadline at which a response is still no violation
+	HealthCheckInterval time.Duration `json:"CheckEvery"` // time between two health checks by a gateway
+	CallerIdleTimeout   time.Duration `json:"CallerIdle"` // how long callers keep an idle connection; 0 means unknown
+	OverQuotaWeight     float64       `json:"OverWorth"`  // factor on the weight of a request that exceeds its tenant's quota
 	Feedback            Feedback
-	CannotStopRuns      bool `json:"NoStop"`     // started work runs to its end
-	OmitRunnableGauge   bool `json:"NoRunnable"` // the module does not get the gauge of work that wants a core
+	CannotStopRuns      bool `json:"NoStop"`     // the module can't stop a run
+	OmitRunnableGauge   bool `json:"NoRunnable"` // the module gets no gauge of jobs that need a core
 }
 
 // CoreConfig describes the cores of a server.
 type CoreConfig struct {
 	Cores           int
-	Speed           float64 // mean speed of a core: seconds of work done in a second
-	SpeedCV         float64 // coefficient of variation of the speed between servers
+	Speed           float64 // mean speed of a core: seconds of work per second
+	SpeedCV         float64 // coefficient of variation of the speed among the servers
 	ThrashFactor    float64 `json:"Thrash"`   // loss of efficiency for each run per core above ThrashThreshold
-	ThrashThreshold float64 `json:"ThrashAt"` // runs per core
-	ReadCost        float64 `json:"Read"`     // work of reading a request, relative to the mean work of a request
+	ThrashThreshold float64 `json:"ThrashAt"` // runs per core above which a server thrashes
+	ReadCost        float64 `json:"Read"`     // work to read a request, relative to the mean work of a request
 }
 
 // MemoryConfig describes the memory of a server, which queued and running requests and idempotency keys share.
 type MemoryConfig struct {
 	MemoryKB            float64
-	KeyKB               float64    // of one key
-	RequestKB           [2]float64 `json:"HoldKB"`    // smallest and largest size of a queued request
+	KeyKB               float64    // memory of one idempotency key
+	RequestKB           [2]float64 `json:"HoldKB"`    // smallest and largest memory of a queued request
 	RunningMemoryFactor float64    `json:"RunFactor"` // memory of a running request relative to that of a queued one
 }
 
 // WarmUpConfig describes the slow start of a new process.
 type WarmUpConfig struct {
 	InitialCapacity float64       `json:"ColdShare"` // speed at the start relative to the full speed
-	WarmUpTime      time.Duration `json:"ColdFor"`
+	WarmUpTime      time.Duration `json:"ColdFor"`   // time from the start to the full speed
 }
 
-// ConcurrencyConfig says how much concurrency a server survives.
+// ConcurrencyConfig holds the limit on concurrency above which a server crashes.
 type ConcurrencyConfig struct {
-	MaxConcurrencyFactor float64       `json:"CrowdFactor"` // running requests per core of a warm server
+	MaxConcurrencyFactor float64       `json:"CrowdFactor"` // limit on the running requests per core of a warm server
 	ConcurrencyWindow    time.Duration `json:"CrowdOver"`   // time over which the concurrency is averaged
 }
 
-// ShutdownConfig holds the times of a graceful shutdown and of a restart.
+// ShutdownConfig holds the durations of a graceful shutdown and of a restart.
 type ShutdownConfig struct {
-	DrainGracePeriod time.Duration `json:"DrainGrace"` // time for which a draining server still accepts requests
+	DrainGracePeriod time.Duration `json:"DrainGrace"` // time after the drain notice during which a server still accepts requests
 	DrainTimeout     time.Duration `json:"Stop"`       // time from the drain notice to the end of the process
-	RestartDelay     time.Duration `json:"Restart"`    // time until a crashed server starts again
+	RestartDelay     time.Duration `json:"Restart"`    // time from a crash due to overload to the start of a new process
 }
 
-// Feedback is how gateways interpret the load that servers advertise. The zero value means FeedbackLevel.
+// Feedback selects how gateways interpret the load that servers advertise. The zero value means FeedbackLevel.
 type Feedback string
 
 // The kinds of feedback.
 const (
-	FeedbackLevel  Feedback = "level"  // requests of a rank below the value are not sent
-	FeedbackCredit Feedback = "credit" // the value is the limit of a gateway's open requests at the server
+	FeedbackLevel  Feedback = "level"  // requests with a priority below the value are not sent
+	FeedbackCredit Feedback = "credit" // the value limits the open attempts of a gateway at the server
 	FeedbackWeight Feedback = "weight" // the value is the probability with which a gateway considers the server
 	FeedbackNone   Feedback = "none"   // servers advertise nothing
 )
 
-// admissionFeedback translates the feedback for the module's settings; ok is false where it is unknown.
+// admissionFeedback converts the feedback for the module's settings; ok is false if it is unknown.
 func (f Feedback) admissionFeedback() (feedback admission.Feedback, ok bool) {
 	switch f {
 	case "", FeedbackLevel:
@@ -128,76 +129,76 @@
 	Pareto      Distribution = "pareto" // heavy-tailed; Class.CV is its exponent (alpha)
 )
 
-// Class is a class of requests with common work, objective and weight.
+// Class is a class of requests that have the same distribution of work, latency objective, deadline and weight.
 type Class struct {
 	Name             string
-	Share            float64       // of all requests
+	Share            float64       // share of all requests
 	MeanWork         time.Duration `json:"Work"` // on a core of speed 1
 	Distribution     Distribution  `json:"Dist"`
 	CV               float64       // coefficient of variation of the work
 	LatencyObjective time.Duration `json:"Aim"`
 	Deadline         time.Duration
 	Weight           float64       `json:"Worth"`
-	LateWeight       float64       `json:"LateWorth"` // factor on the weight of a response after the objective
+	LateWeight       float64       `json:"LateWorth"` // factor on the weight of a response later than the objective
 	IdempotentByKey  bool          `json:"Keyed"`
-	NonIdempotent    bool          `json:"Unsafe"` // must run at most once, and repeats can't be recognized
+	NonIdempotent    bool          `json:"Unsafe"` // must run at most once, and the server can't recognize a repeat
 	KeyWindow        time.Duration `json:"Window"` // time for which a key is remembered
 }
 
 // mustRunOnce reports whether a request of the class must not run a second time.
 func (c *Class) mustRunOnce() bool { return c.IdempotentByKey || c.NonIdempotent }
 
-// Tenant is one of those who share the cluster.
+// Tenant is one of the customers who share the cluster.
 type Tenant struct {
 	Name  string
-	Share float64 // of all requests
-	Quota float64 // requests per second of full weight, over the whole cluster; 0 means unlimited
+	Share float64 // share of all requests
+	Quota float64 // requests per second with full weight, over all servers; 0 means unlimited
 }
 
-// BalancingPolicy is how a gateway chooses a server for an attempt.
+// BalancingPolicy selects how a gateway chooses the server for an attempt.
 type BalancingPolicy string
 
 // The balancing policies.
 const (
 	RoundRobin     BalancingPolicy = "round"
-	LeastRequest   BalancingPolicy = "least"   // fewest open requests of this gateway
-	PowerOfTwo     BalancingPolicy = "two"     // fewer open requests of two servers drawn at random
-	ResourceHash   BalancingPolicy = "hash"    // by the resource ID
-	LowestLatency  BalancingPolicy = "fastest" // by observed latency and open requests
-	WeightedRandom BalancingPolicy = "weight"  // at random, weighted by advertised load
+	LeastRequest   BalancingPolicy = "least"   // fewest open attempts of this gateway
+	PowerOfTwo     BalancingPolicy = "two"     // fewer open attempts of this gateway, of two servers drawn at random
+	ResourceHash   BalancingPolicy = "hash"    // by a hash of the resource ID
+	LowestLatency  BalancingPolicy = "fastest" // lowest product of the observed latency and the open attempts plus one
+	WeightedRandom BalancingPolicy = "weight"  // at random, with a probability that falls with the advertised load
 	Random         BalancingPolicy = "random"
 )
 
-// RetryPolicy is when and where a gateway retries a request.
+// RetryPolicy selects when and where a gateway retries a request.
 type RetryPolicy string
 
 // The retry policies.
 const (
 	RetryNever     RetryPolicy = "never"
 	RetryUnbounded RetryPolicy = "unbounded" // immediately, at another server, up to MaxAttempts
-	RetryBudgeted  RetryPolicy = "budgeted"  // likewise, limited to a share of the requests
-	RetryOnTimeout RetryPolicy = "hasty"     // likewise, and also after a timeout shorter than the latency objective
-	RetryHedged    RetryPolicy = "copies"    // a second copy of a slow request without a key
+	RetryBudgeted  RetryPolicy = "budgeted"  // like RetryUnbounded, limited to RetryBudget retries per request
+	RetryOnTimeout RetryPolicy = "hasty"     // like RetryUnbounded, and also after a timeout shorter than the latency objective
+	RetryHedged    RetryPolicy = "copies"    // like RetryUnbounded, and also sends a copy of a slow request without a key
 	RetryBackoff   RetryPolicy = "patient"   // after the server's retry-after, with jitter of up to the same length
 )
 
 // GatewayConfig describes one kind of gateway.
 type GatewayConfig struct {
 	Count                int             `json:"N"`
-	Share                float64         // of all requests, for all gateways of this kind together
+	Share                float64         // share of all requests, for all gateways of this kind together
 	Balancing            BalancingPolicy `json:"Choice"`
 	Retry                RetryPolicy     `json:"Again"`
-	MaxAttempts          int             `json:"Tries"`   // of one request
-	RetryBudget          float64         `json:"Budget"`  // RetryBudgeted: retries per request
+	MaxAttempts          int             `json:"Tries"`   // maximum for one request
+	RetryBudget          float64         `json:"Budget"`  // RetryBudgeted: retries earned by each request
 	AttemptTimeoutFactor float64         `json:"Wait"`    // RetryOnTimeout, RetryHedged: timeout relative to the latency objective
 	HonorsFeedback       bool            `json:"Heeds"`   // obeys advertised load, retry-after and requests not to retry
 	SubsetSize           int             `json:"Subset"`  // number of servers that a gateway uses; 0 means all
 	UsesHealthChecks     bool            `json:"Checked"` // avoids servers that fail health checks
-	NoClientTimeout      bool            `json:"Endless"` // clients wait without limit
-	ResendShare          float64         `json:"Repeats"` // share of the served keyed requests that clients send again
+	NoClientTimeout      bool            `json:"Endless"` // clients wait without a deadline
+	ResendShare          float64         `json:"Repeats"` // share of the served requests with a key that clients send again
 }
 
-// meanWork is the mean work of a request in seconds, without the work of reading it.
+// meanWork returns the mean work of a request in seconds, without the work to read it.
 func (c *Config) meanWork() float64 {
 	sum, shares := 0.0, 0.0
 	for i := range c.Classes {
@@ -208,16 +209,17 @@
 	return sum / shares
 }
 
-// Capacity returns the requests per second that the whole cluster can serve, reading included, when it is warm and does
-// not thrash.
+// Capacity returns the requests per second that all servers together can read and run when they are warm and do not
+// thrash.
 func (c *Config) Capacity() float64 {
 	return float64(c.Servers.Count*c.Servers.Cores) * c.Servers.Speed / (c.meanWork() * (1 + c.Servers.ReadCost))
 }
 
-// quotaShareOfCapacity is what the tenants' quotas sum up to, relative to the capacity of the cluster.
+// quotaShareOfCapacity is the sum of the tenants' quotas relative to the capacity of the cluster.
 const quotaShareOfCapacity = 0.8
 
-// SetLoad sets the arrival rate relative to the capacity of the cluster, and the tenants' quotas by their shares of it.
+// SetLoad sets the arrival rate to load times the capacity of the cluster. It divides quotaShareOfCapacity of the
+// capacity into the tenants' quotas in proportion to their shares.
 func (c *Config) SetLoad(load float64) {
 	capacity := c.Capacity()
 	c.Arrival.Rate = load * capacity
@@ -226,7 +228,7 @@
 	}
 }
 
-// admissionSettings are the settings that a server's module is started with.
+// admissionSettings returns the settings of a server's module.
 func (c *Config) admissionSettings() admission.Settings {
 	servers := &c.Servers
 	settings := admission.Settings{
@@ -263,7 +265,7 @@
 	return settings
 }
 
-// admissionClass translates a class for the module's settings.
+// admissionClass converts a class for the module's settings.
 func (c *Class) admissionClass() admission.Class {
 	class := admission.Class{
 		LatencyObjective: c.LatencyObjective,
--- a/internal/clustersim/default_config.go
+++ b/internal/clustersim/default_config.go
@@ -6,11 +6,12 @@
 	"tillerusher/internal/arrival"
 )
 
-// defaultMemoryKB holds 18 running requests a core of mean size, on 6 cores: sizes have a mean of 38 KB, and running takes
-// 16 times as much.
+// defaultMemoryKB is the memory of 18 running requests of mean size per core, on 6 cores. The mean size of a queued
+// request is 38 KB, and a running request takes 16 times as much.
 const defaultMemoryKB = 18 * 6 * 38 * 16
 
-// DefaultConfig returns the middle of the ranges in the operators' brief, for a cluster of the size that they run.
+// DefaultConfig returns the middle of each range in the operators' brief, for a cluster of the size of the operators'
+// own.
 func DefaultConfig() Config {
 	config := Config{
 		Name:              "brief",
--- a/internal/clustersim/event.go
+++ b/internal/clustersim/event.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// eventHandler receives events when they are due.
+// eventHandler handles events when they are due.
 type eventHandler interface {
 	handle(e *event)
 }
 
-// eventKind is the kind of an event; each target handles its own kinds.
+// eventKind is the kind of an event. Each target handles its own kinds.
 type eventKind uint8
 
 // The kinds of event, by target.
 const (
-	// Of the simulation itself.
+	// Events of the simulation itself.
 	eventRequestArrival eventKind = iota
 	eventEndpointChange           // payload endpointChange
 	eventIncidentBegin            // payload *activeIncident
 	eventIncidentEnd              // payload *activeIncident
 	eventDeployStep               // payload *activeIncident
 
-	// Of a gateway.
+	// Events of a gateway.
 	eventAttemptResult  // payload *attemptResult
 	eventClientDeadline // payload *request
 	eventAttemptTimeout // payload *attempt
@@ -27,40 +27,40 @@
 	eventHealthCheck
 	eventResend // payload *request
 
-	// Of a server.
+	// Events of a server.
 	eventAttemptArrival // payload *attempt
 	eventJobsDone       // a job may be done
 	eventModuleTimer    // payload timerToken
 	eventDeferred       // payload func()
 	eventConcurrencyCheck
-	eventWarmUp // the speed of a server that warms up has changed
+	eventWarmUp // the speed of a server that warms up changes
 	eventStart
 	eventListenerClose
 	eventStop
 )
 
-// event is something that happens at a time. It can be moved and canceled while it waits.
+// event is scheduled for a time. It can be rescheduled and canceled while it is in the queue.
 type event struct {
 	at         time.Duration
-	seq        uint64 // breaks ties: what was scheduled first happens first
-	index      int    // in the queue's heap; -1 while it does not wait
+	seq        uint64 // breaks ties: of events at the same time, the one scheduled first comes first
+	index      int    // in the queue's heap; -1 while the event is not in the queue
 	target     eventHandler
 	kind       eventKind
 	payload    any
-	generation uint32 // of the server's process that the event is for
+	generation uint32 // of the server process that scheduled the event
 }
 
-// eventQueue is an indexed d-ary heap of events in the order of time.
+// eventQueue is a priority queue of events, ordered by time: an indexed d-ary heap.
 type eventQueue struct {
 	heap []*event
-	seq  uint64
-	free []*event
+	seq  uint64   // of the next event that is scheduled
+	free []*event // released events, to be reused
 }
 
-// heapArity is the number of children of a node. Four keep the heap shallow.
+// heapArity is the number of children of a node. Four children keep the heap shallow.
 const heapArity = 4
 
-// before reports whether a happens before b.
+// before reports whether a comes before b.
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
 // schedule adds a new event.
@@ -77,7 +77,7 @@
 	return e
 }
 
-// reschedule moves an event to another time, or adds it again if it does not wait.
+// reschedule moves an event to another time, or adds it again if it is not in the queue.
 func (q *eventQueue) reschedule(event *event, at time.Duration) {
 	event.at = at
 	event.seq = q.seq
@@ -93,7 +93,8 @@
 	}
 }
 
-// cancel removes an event; nil and an event that does not wait are ignored. The queue does not reuse the event.
+// cancel removes an event from the queue. It ignores nil and an event that is not in the queue. It does not release the
+// event for reuse.
 func (q *eventQueue) cancel(event *event) {
 	if event == nil || event.index < 0 {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// pop removes and returns the first event, or nil.
+// pop removes and returns the first event, or returns nil if the queue is empty.
 func (q *eventQueue) pop() *event {
 	if len(q.heap) == 0 {
 		return nil
@@ -118,12 +119,12 @@
 	return e
 }
 
-// hasEventAt reports whether another event is due at the time or earlier.
+// hasEventAt reports whether an event is due now or earlier.
 func (q *eventQueue) hasEventAt(now time.Duration) bool {
 	return len(q.heap) > 0 && q.heap[0].at <= now
 }
 
-// release hands back an event that nothing refers to any more, so that it is reused.
+// release returns an event to the queue for reuse. Nothing may refer to the event any more.
 func (q *eventQueue) release(e *event) {
 	e.payload = nil
 	q.free = append(q.free, e)
--- a/internal/clustersim/event_test.go
+++ b/internal/clustersim/event_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-// TestEventQueue compares the queue with a sorted list.
+// TestEventQueue compares the queue with a list that is searched for the first event.
 func TestEventQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q eventQueue
 		var waiting []*event
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at"))
-			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
-			case what < 3 || len(waiting) == 0:
+			switch operation := rapid.IntRange(0, 5).Draw(t, "operation"); {
+			case operation < 3 || len(waiting) == 0:
 				waiting = append(waiting, q.schedule(at, nil, 0, nil))
-			case what == 3:
-				q.reschedule(waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "moved")], at)
-			case what == 4:
-				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "dropped")
+			case operation == 3:
+				q.reschedule(waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "rescheduled")], at)
+			case operation == 4:
+				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "canceled")
 				q.cancel(waiting[i])
 				q.cancel(waiting[i])
 				waiting = slices.Delete(waiting, i, i+1)
@@ -33,13 +33,13 @@
 					}
 				}
 				if got := q.pop(); got != waiting[i] {
-					t.Fatalf("%v comes next, want %v", got.at, waiting[i].at)
+					t.Fatalf("pop returned the event at %v, want the event at %v", got.at, waiting[i].at)
 				}
 				waiting = slices.Delete(waiting, i, i+1)
 			}
 		}
 		if len(q.heap) != len(waiting) {
-			t.Fatalf("%d wait, want %d", len(q.heap), len(waiting))
+			t.Fatalf("%d events in the queue, want %d", len(q.heap), len(waiting))
 		}
 	})
 }
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -7,20 +7,20 @@
 
 const ms = time.Millisecond
 
-// The size of the deployments in this file. Only a part of the servers is simulated: each of them gets the load that it
-// would get in the whole fleet, and its settings name the whole.
+// The size of the deployments in this file. Only some of the servers are simulated. Each of them gets the load that it
+// would get in the whole fleet, and its settings give the size of the fleet.
 const (
 	fleetServers     = 300
 	fleetGateways    = 150
 	simulatedServers = 6
 )
 
-// minFairShare is the part of its fair share that each class must get. The operators' standing test requires half of what a
-// policy serves that sees the true state with a delay.
+// minFairShare is the fraction of its fair share that each class must get. The operators' regular test requires half of
+// what is served by a policy that sees the true state with a delay.
 const minFairShare = 0.5
 
-// testClass returns a class whose requests meet their objective on an idle server: their work varies little, and the objective
-// is long compared with it.
+// testClass returns a class whose requests meet their objective on an idle server: their work varies little, and the
+// objective is long compared with the work.
 func testClass(name string, share float64, work, objective time.Duration, weight float64) Class {
 	return Class{
 		Name:             name,
@@ -49,32 +49,36 @@
 	return c
 }
 
-// Mixes of classes, by what sets them apart.
+// objectivesTenfold returns classes whose latency objectives differ by a factor of ten.
 func objectivesTenfold() []Class {
 	return []Class{testClass("quick", 0.4, 80*ms, 600*ms, 1), testClass("slow", 0.6, 500*ms, 6000*ms, 1)}
 }
 
+// weightsTwentyfold returns classes whose weights differ by a factor of up to twenty.
 func weightsTwentyfold() []Class {
 	return []Class{testClass("cheap", 0.5, 80*ms, 600*ms, 1), testClass("middle", 0.3, 250*ms, 2000*ms, 4),
 		withKeyWindow(withLateWeight(testClass("rich", 0.2, 600*ms, 6000*ms, 20), 0.2), 30*time.Second)}
 }
 
+// heavyAndNonIdempotent returns classes of which the one with the highest weight must not run twice.
 func heavyAndNonIdempotent() []Class {
 	return []Class{withoutIdempotency(testClass("rich", 0.2, 80*ms, 700*ms, 20)), testClass("cheap", 0.4, 600*ms, 6000*ms, 1),
 		testClass("middle", 0.4, 300*ms, 1800*ms, 4)}
 }
 
+// rareWithShortObjective returns a rare class with a short latency objective and a frequent one with a long objective.
 func rareWithShortObjective() []Class {
 	return []Class{testClass("rare", 0.06, 150*ms, 900*ms, 1), testClass("bulk", 0.94, 300*ms, 4000*ms, 1)}
 }
 
+// fiveClasses returns classes of equal shares with different work, objectives and weights.
 func fiveClasses() []Class {
 	return []Class{testClass("a", 0.2, 100*ms, 800*ms, 1), testClass("b", 0.2, 200*ms, 1600*ms, 2),
 		withKeyWindow(testClass("c", 0.2, 300*ms, 2400*ms, 4), 20*time.Second), testClass("d", 0.2, 400*ms, 3200*ms, 8),
 		withLateWeight(testClass("e", 0.2, 500*ms, 4000*ms, 20), 1)}
 }
 
-// equalTenants returns tenants of equal shares.
+// equalTenants returns n tenants with equal shares.
 func equalTenants(n int) []Tenant {
 	tenants := make([]Tenant, n)
 	for i := range tenants {
@@ -87,12 +91,12 @@
 	return []Tenant{{Name: "large", Share: 0.9}, {Name: "small", Share: 0.06}, {Name: "smaller", Share: 0.04}}
 }
 
-// deployment is a configuration under which no class may starve.
+// deployment is a configuration in which no class may starve.
 type deployment struct {
 	name    string
 	classes []Class
 	tenants []Tenant
-	load    float64 // relative to the capacity; 0 means 1.25
+	load    float64 // relative to the capacity of the cluster; 0 means 1.25
 	change  func(config *Config)
 }
 
@@ -151,7 +155,7 @@
 	}
 }
 
-// config returns the deployment's configuration with the simulated part of its servers.
+// config returns the deployment's configuration, with only the simulated servers.
 func (d *deployment) config() Config {
 	config := DefaultConfig()
 	config.Name, config.Duration = d.name, 30*time.Second
@@ -181,20 +185,21 @@
 	return config
 }
 
-// TestNoClassStarves checks that in an overload and after a fault each class is served at least half of the part that the
-// cluster can serve of all requests.
+// TestNoClassStarves checks that, in an overload and after a fault, the goodput share of each class is at least half of
+// the share of all requests that the cluster can serve.
 func TestNoClassStarves(t *testing.T) {
 	for _, d := range deployments() {
 		t.Run(d.name, func(t *testing.T) {
 			r := mustRun(t, d.config(), AdmissionModule, 1)
 			if len(r.ViolationMessages) > 0 {
-				t.Errorf("rules broken: %v", r.ViolationMessages)
+				t.Errorf("violations %v, want none", r.ViolationMessages)
 			}
 			possible := min(1, 1/r.Load)
 			for _, c := range r.Classes {
-				t.Logf("%s: served %.3f, the fleet can serve %.3f of all", c.Name, c.GoodputShare, possible)
+				t.Logf("class %s: goodput share %.3f; the cluster can serve %.3f of all requests", c.Name, c.GoodputShare, possible)
 				if c.GoodputShare < minFairShare*possible {
-					t.Errorf("class %s is hardly served: %.3f of it, where the fleet can serve %.3f of all", c.Name, c.GoodputShare, possible)
+					t.Errorf("class %s starves: goodput share %.3f, want at least half of the possible %.3f",
+						c.Name, c.GoodputShare, possible)
 				}
 			}
 		})
--- a/internal/clustersim/gateway.go
+++ b/internal/clustersim/gateway.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Behavior of gateways that a configuration does not set.
+// Parameters of gateways that are not configurable.
 const (
-	retryBudgetBurst  = 10              // retries that may be made at once
-	ejectionThreshold = 3               // consecutive attempts that a server did not take
-	ejectionTime      = 2 * time.Second // for which such a server is avoided
-	latencySmoothing  = 0.2             // weight of one response in the observed latency
-	resendWindow      = 2 * time.Second // in which clients send a served request again
-	minRetryAfter     = time.Millisecond
+	retryBudgetBurst  = 10               // retries that the budget allows in a burst
+	ejectionThreshold = 3                // consecutive connection failures at which a server is ejected
+	ejectionTime      = 2 * time.Second  // time for which an ejected server is avoided
+	latencySmoothing  = 0.2              // weight of the newest response in the smoothed latency
+	resendWindow      = 2 * time.Second  // time within which a client sends a served request again
+	minRetryAfter     = time.Millisecond // lower bound of the retry-after for RetryBackoff
 )
 
-// retryAdvice is what a rejection says about retries.
+// retryAdvice is the advice about retries in a rejection.
 type retryAdvice struct {
 	retryAfter time.Duration
-	noRetry    bool // at any server
+	noRetry    bool // asks not to retry at any server
 }
 
-// advertisedLoad is the value that a server advertises to gateways; its meaning is given by ServerConfig.Feedback.
+// advertisedLoad is the value that a server advertises to gateways. ServerConfig.Feedback defines its meaning.
 type advertisedLoad struct {
 	value float64
 	isSet bool
 }
 
-// attemptResult is the result of an attempt, as its gateway receives it.
+// attemptResult is the result of an attempt that its gateway receives.
 type attemptResult struct {
 	attempt *attempt
 	outcome outcome
@@ -36,15 +36,15 @@
 	load    advertisedLoad
 }
 
-// serverView is a gateway's view of a server.
+// serverView is the state of a server as a gateway sees it.
 type serverView struct {
-	openAttempts      int
-	latency           float64 // seconds, smoothed
-	avoidUntil        time.Duration
-	load              float64 // as advertised, valid until loadUntil
-	loadUntil         time.Duration
-	consecutiveMisses int // attempts that it did not take
-	unhealthy         bool
+	openAttempts                  int
+	latency                       float64       // seconds, smoothed
+	avoidUntil                    time.Duration // end of the ejection or of the retry-after
+	load                          float64       // last advertised value, valid until loadUntil
+	loadUntil                     time.Duration
+	consecutiveConnectionFailures int // attempts in a row that it refused or lost
+	unhealthy                     bool
 }
 
 // gateway sends clients' requests to servers.
@@ -53,10 +53,10 @@
 	index  int
 	config *GatewayConfig
 
-	subset      []int        // servers that it uses
-	views       []serverView // of all servers
-	lastTurn    int          // position in the subset of the last server chosen in turn
-	retryTokens float64
+	subset             []int        // indices of the servers that it uses, ascending
+	views              []serverView // of all servers, by index
+	roundRobinPosition int          // position in the subset of the last round-robin choice, or of the start of the last search by score
+	retryTokens        float64
 
 	balancingRandom *rand.Rand
 	retryRandom     *rand.Rand
@@ -83,7 +83,7 @@
 		slices.Sort(gw.subset)
 	}
 	if len(gw.subset) > 0 {
-		gw.lastTurn = gw.balancingRandom.IntN(len(gw.subset))
+		gw.roundRobinPosition = gw.balancingRandom.IntN(len(gw.subset))
 	}
 	if config.UsesHealthChecks {
 		offset := gw.balancingRandom.Int64N(int64(sim.config.Servers.HealthCheckInterval))
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkHealth reads the health of all servers in the subset, until the run's duration is over.
+// checkHealth updates the health of all servers in the subset. It schedules the next check until Config.Duration is over.
 func (g *gateway) checkHealth() {
 	for _, i := range g.subset {
 		g.views[i].unhealthy = !g.sim.servers[i].isHealthy()
@@ -126,14 +126,14 @@
 	}
 }
 
-// accept sends the first attempt of a client's new request.
+// accept sends the first attempt of a new request of a client.
 func (g *gateway) accept(req *request) {
 	g.retryTokens = min(g.retryTokens+g.config.RetryBudget, retryBudgetBurst)
 	g.setClientDeadline(req)
 	g.sendAttempt(req, outcomeUnreachable)
 }
 
-// setClientDeadline schedules the end of the client's wait.
+// setClientDeadline schedules the deadline of the client, unless clients wait without one.
 func (g *gateway) setClientDeadline(req *request) {
 	req.deadlineEvent = nil
 	if !g.config.NoClientTimeout {
@@ -142,7 +142,7 @@
 	}
 }
 
-// resend sends a request again that was served. It must not run again.
+// resend sends a served request again, for its client. The request must not run a second time.
 func (g *gateway) resend(served *request) {
 	r := *served
 	r.createdAt = g.sim.now
@@ -154,8 +154,8 @@
 	g.sendAttempt(&r, outcomeRejected)
 }
 
-// sendAttempt sends a request to a server. If no server is eligible and no attempt is open, the request ends with the
-// outcome of the attempt before.
+// sendAttempt sends the next attempt of a request. If no server is available and no attempt is open, the request ends
+// with the previous outcome.
 func (g *gateway) sendAttempt(req *request, previous outcome) {
 	chosen := g.nextServer(req)
 	if chosen < 0 {
@@ -174,7 +174,8 @@
 	}
 }
 
-// nextServer returns the server for the next attempt of a request, its sticky one if it has one, or -1.
+// nextServer returns the server for the next attempt of a request, or -1. A request with a sticky server is sent only
+// to it.
 func (g *gateway) nextServer(req *request) int {
 	switch {
 	case req.stickyServer < 0:
@@ -185,16 +186,16 @@
 	return -1
 }
 
-// newAttempt returns a new attempt of a request at a server, and counts it.
+// newAttempt creates and counts an attempt of a request at a server.
 func (g *gateway) newAttempt(req *request, target *server) *attempt {
-	g.sim.attempts++
+	g.sim.attemptCount++
 	g.sim.result.Attempts++
 	g.views[target.index].openAttempts++
 	req.attempts++
 	req.openAttempts++
 	req.attemptedServers = append(req.attemptedServers, target.index)
 	return &attempt{
-		number:     g.sim.attempts,
+		number:     g.sim.attemptCount,
 		request:    req,
 		server:     target,
 		generation: target.generation,
@@ -203,7 +204,7 @@
 	}
 }
 
-// hasAttemptTimeout reports whether the gateway sends another attempt if the last one of a request takes long.
+// hasAttemptTimeout reports whether the gateway sends another attempt of a request if the last one exceeds a timeout.
 func (g *gateway) hasAttemptTimeout(req *request, class *Class) bool {
 	if g.config.AttemptTimeoutFactor <= 0 || req.attempts >= g.config.MaxAttempts {
 		return false
@@ -211,8 +212,8 @@
 	return g.config.Retry == RetryOnTimeout || g.config.Retry == RetryHedged && !class.IdempotentByKey
 }
 
-// handleAttemptTimeout sends another attempt while one is open. A keyed request goes to the same server again, because it
-// may be running there.
+// handleAttemptTimeout sends another attempt although one is open. A request with a key is sent to the same server again,
+// because it may be running there.
 func (g *gateway) handleAttemptTimeout(a *attempt) {
 	a.timeoutEvent = nil
 	req := a.request
@@ -226,7 +227,7 @@
 	g.sendAttempt(req, outcomeTimedOut)
 }
 
-// handleResult handles the result of an attempt.
+// handleResult handles the result of an attempt: it ends the request or retries it.
 func (g *gateway) handleResult(result *attemptResult) {
 	attempt := result.attempt
 	req := attempt.request
@@ -250,13 +251,13 @@
 	now, view := g.sim.now, &g.views[result.attempt.server.index]
 	view.openAttempts--
 	if result.outcome == outcomeUnreachable || result.outcome == outcomeConnectionLost {
-		view.consecutiveMisses++
-		if view.consecutiveMisses >= ejectionThreshold {
+		view.consecutiveConnectionFailures++
+		if view.consecutiveConnectionFailures >= ejectionThreshold {
 			view.avoidUntil = now + ejectionTime
 		}
 		return
 	}
-	view.consecutiveMisses = 0
+	view.consecutiveConnectionFailures = 0
 	if result.load.isSet {
 		view.load = result.load.value
 		view.loadUntil = now + g.sim.config.Servers.FeedbackTTL
@@ -267,12 +268,12 @@
 	}
 }
 
-// completeServed ends a request that was served. Its client may send it again after a while.
+// completeServed ends a request that was served. Its client may send it again within resendWindow.
 func (g *gateway) completeServed(req *request) {
 	g.finish(req)
 	g.sim.result.recordServed(req, g.sim.now)
-	isResent := req.key != 0 && !req.isResend && g.config.ResendShare > 0 && g.retryRandom.Float64() < g.config.ResendShare
-	if isResent && g.sim.now < g.sim.config.Duration {
+	willResend := req.key != 0 && !req.isResend && g.config.ResendShare > 0 && g.retryRandom.Float64() < g.config.ResendShare
+	if willResend && g.sim.now < g.sim.config.Duration {
 		req.stickyServer = req.attemptedServers[len(req.attemptedServers)-1]
 		delay := time.Duration(g.retryRandom.Float64() * float64(resendWindow))
 		g.sim.events.schedule(g.sim.now+delay, g, eventResend, req)
@@ -280,12 +281,12 @@
 }
 
 // completeUnserved ends a request that was not served.
-func (g *gateway) completeUnserved(req *request, why outcome) {
+func (g *gateway) completeUnserved(req *request, finalOutcome outcome) {
 	if req.finished {
 		return
 	}
 	g.finish(req)
-	g.sim.result.recordUnserved(req, why, g.sim.now)
+	g.sim.result.recordUnserved(req, finalOutcome, g.sim.now)
 }
 
 // finish ends a request and cancels its timers.
@@ -297,9 +298,10 @@
 	g.sim.result.openRequests--
 }
 
-// retryOrComplete decides whether a request is retried after an attempt that did not serve it.
+// retryOrComplete retries a request after an unsuccessful attempt if its policy allows that. Otherwise it ends the
+// request, unless another attempt is open.
 func (g *gateway) retryOrComplete(req *request, result *attemptResult) {
-	if !g.takeRetry(req, result) {
+	if !g.consumeRetry(req, result) {
 		if req.openAttempts == 0 {
 			g.completeUnserved(req, result.outcome)
 		}
@@ -316,8 +318,8 @@
 	req.retryEvent = g.sim.events.schedule(g.sim.now+wait, g, eventRetry, req)
 }
 
-// takeRetry reports whether the gateway's policy allows a retry, and takes it out of the budget.
-func (g *gateway) takeRetry(req *request, result *attemptResult) bool {
+// consumeRetry reports whether the gateway's policy allows a retry, and deducts it from the retry budget.
+func (g *gateway) consumeRetry(req *request, result *attemptResult) bool {
 	mayHaveRun := result.outcome == outcomeFailed || result.outcome == outcomeConnectionLost
 	if mayHaveRun && g.sim.config.Classes[req.class].mustRunOnce() {
 		return false
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -12,15 +12,15 @@
 
 // The kinds of incident.
 const (
-	RateJump           IncidentKind = "jump"    // the arrival rate is multiplied by Magnitude, with ramps of RampTime
-	ServerCrash        IncidentKind = "death"   // servers crash at once and start again at the end
-	HalfOutage         IncidentKind = "half"    // like ServerCrash for every second server: one half of the data center
+	RateJump           IncidentKind = "jump"    // the arrival rate is multiplied by Magnitude; it ramps up and down in RampTime
+	ServerCrash        IncidentKind = "death"   // servers crash at the same time and start again at the end
+	HalfOutage         IncidentKind = "half"    // like ServerCrash for every second server, as if one half of a data center failed
 	SlowServers        IncidentKind = "slow"    // servers are slower by the factor Magnitude
-	HungWork           IncidentKind = "hang"    // work on servers makes no progress, but they accept requests
-	MachinePause       IncidentKind = "pause"   // machines are paused with all that runs on them
-	RollingDeploy      IncidentKind = "deploy"  // servers are replaced in batches of Magnitude, a share of all servers
+	HungWork           IncidentKind = "hang"    // work on servers makes no progress, but they still accept requests
+	MachinePause       IncidentKind = "pause"   // machines are paused, with all processes on them
+	RollingDeploy      IncidentKind = "deploy"  // servers are replaced in batches; Magnitude is the batch size as a share of all servers
 	EndpointListFreeze IncidentKind = "freeze"  // the endpoint list doesn't change
-	FailingRuns        IncidentKind = "failing" // the share Magnitude of the runs on servers ends with an error
+	FailingRuns        IncidentKind = "failing" // a share Magnitude of the runs on servers ends with an error
 )
 
 // IncidentKinds returns all kinds of incident.
@@ -33,15 +33,15 @@
 	Kind        IncidentKind  `json:"What"`
 	Start       time.Duration `json:"From"`
 	Duration    time.Duration `json:"For"`
-	ServerShare float64       `json:"Part"` // share of the servers that it affects
+	ServerShare float64       `json:"Part"` // share of all servers that are affected
 	Magnitude   float64       `json:"Size"` // its meaning depends on the kind
 	RampTime    time.Duration `json:"Rise"`
 }
 
-// IsKnown reports whether the incident is of a kind that there is.
+// IsKnown reports whether the kind of the incident is one of IncidentKinds.
 func (i Incident) IsKnown() bool { return slices.Contains(IncidentKinds(), i.Kind) }
 
-// String describes the incident in a few words.
+// String returns a short description of the incident.
 func (i Incident) String() string {
 	text := fmt.Sprintf("%s at %v for %v", i.Kind, i.Start.Round(10*time.Millisecond), i.Duration.Round(10*time.Millisecond))
 	if i.ServerShare > 0 {
@@ -81,12 +81,12 @@
 	return true
 }
 
-// activeIncident is an incident of a run.
+// activeIncident is an incident in a run.
 type activeIncident struct {
 	*Incident
 	sim     *simulation
 	index   int
-	servers []*server // affected, or still to be replaced by a deploy
+	servers []*server // affected servers, or those that a deploy has yet to replace
 }
 
 func newActiveIncident(s *simulation, index int, i *Incident) *activeIncident {
@@ -96,7 +96,7 @@
 // begin starts the incident.
 func (i *activeIncident) begin() {
 	if i.Kind == RateJump {
-		return // the arrival process has it
+		return // the arrival process contains it as a surge
 	}
 	rng := newRandom(i.sim.seed, "incident", i.index)
 	i.chooseServers(rng)
@@ -114,7 +114,7 @@
 	}
 }
 
-// chooseServers chooses the servers that are affected.
+// chooseServers chooses the affected servers.
 func (i *activeIncident) chooseServers(rng *rand.Rand) {
 	switch i.Kind {
 	case HalfOutage:
@@ -130,7 +130,7 @@
 	}
 }
 
-// applyTo applies the fault to a server.
+// applyTo applies the incident's fault to a server.
 func (i *activeIncident) applyTo(srv *server) {
 	srv.advance()
 	switch i.Kind {
@@ -139,7 +139,7 @@
 	case SlowServers:
 		srv.slowdown = max(srv.slowdown, 1) * i.Magnitude
 	case HungWork:
-		srv.hangs++
+		srv.hangCount++
 	case FailingRuns:
 		srv.failureShare = i.Magnitude
 	case MachinePause:
@@ -150,7 +150,7 @@
 	srv.rescheduleCores()
 }
 
-// deployNextBatch drains a batch of a deploy and schedules the next.
+// deployNextBatch drains the next batch of servers of a deploy and schedules the one after it.
 func (i *activeIncident) deployNextBatch() {
 	total := len(i.sim.servers)
 	batchSize := max(roundShare(i.Magnitude, total), 1)
@@ -178,7 +178,7 @@
 	}
 }
 
-// removeFrom removes the fault from a server.
+// removeFrom removes the incident's fault from a server.
 func (i *activeIncident) removeFrom(srv *server) {
 	srv.advance()
 	switch i.Kind {
@@ -189,7 +189,7 @@
 	case SlowServers:
 		srv.slowdown /= i.Magnitude
 	case HungWork:
-		srv.hangs--
+		srv.hangCount--
 	case FailingRuns:
 		srv.failureShare = 0
 	case MachinePause:
--- a/internal/clustersim/keys.go
+++ b/internal/clustersim/keys.go
@@ -6,18 +6,18 @@
 	"tillerusher/admission"
 )
 
-// keySweepInterval is the least time between two searches for expired keys.
+// keySweepInterval is the minimum time between two sweeps of expired keys.
 const keySweepInterval = time.Second
 
 // keyEntry is the state of an idempotency key at a server.
 type keyEntry struct {
-	holder       *attempt // that the module keeps the key for, until holderUntil
+	holder       *attempt // attempt for which the module keeps the key until holderUntil
 	holderUntil  time.Duration
-	lastRun      *attempt // that ran; attempts that arrive until lastRunUntil must not run again
+	lastRun      *attempt // attempt that ran; no other attempt that arrives until lastRunUntil may run
 	lastRunUntil time.Duration
 }
 
-// isExpired reports whether nothing of the entry is valid any more.
+// isExpired reports whether the entry has neither a valid holder nor a valid last run.
 func (e *keyEntry) isExpired(now time.Duration) bool {
 	return (e.holder == nil || now > e.holderUntil) && (e.lastRun == nil || now > e.lastRunUntil)
 }
@@ -25,7 +25,7 @@
 // keyTable is a server's table of idempotency keys.
 type keyTable struct {
 	entries map[uint64]*keyEntry
-	held    map[admission.RequestID]uint64 // the keys by the attempt that holds them
+	held    map[admission.RequestID]uint64 // keys by the ID of the attempt that holds them
 	sweptAt time.Duration
 }
 
@@ -35,7 +35,7 @@
 	t.held = map[admission.RequestID]uint64{}
 }
 
-// entry returns the entry of a key, which it creates if there is none.
+// entry returns the entry of a key and creates it if necessary.
 func (t *keyTable) entry(key uint64) *keyEntry {
 	e := t.entries[key]
 	if e == nil {
@@ -45,7 +45,7 @@
 	return e
 }
 
-// findOriginal returns the attempt that one with the same key, which arrived at the given time, repeats, or nil.
+// findOriginal returns the original of a repeat with the given key and time of arrival, or nil if there is none.
 func (t *keyTable) findOriginal(key uint64, arrivedAt time.Duration) *attempt {
 	e := t.entries[key]
 	switch {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// hold makes an attempt the holder of its key, in place of the previous holder.
+// hold makes an attempt the holder of its key until the given time. It replaces the previous holder.
 func (t *keyTable) hold(a *attempt, until time.Duration) {
 	e := t.entry(a.request.key)
 	if e.holder != nil {
@@ -91,7 +91,7 @@
 		return
 	}
 	t.sweptAt = now
-	for key, e := range t.entries { // the order of the map does not matter: each entry stands by itself
+	for key, e := range t.entries { // the order of the map does not matter, since entries are independent
 		if !e.isExpired(now) {
 			continue
 		}
--- a/internal/clustersim/queueing_theory_test.go
+++ b/internal/clustersim/queueing_theory_test.go
@@ -13,7 +13,8 @@
 	"tillerusher/internal/baseline"
 )
 
-// bareConfig returns a cluster in which nothing but arrivals and cores matters, so that queueing theory holds exactly.
+// bareConfig returns a cluster whose latencies depend only on the arrivals and the cores, so that queueing theory holds
+// exactly.
 func bareConfig(servers, cores int, work time.Duration, distribution Distribution, cv, load float64, duration time.Duration) Config {
 	config := Config{Name: "bare", Duration: duration,
 		Servers: ServerConfig{
@@ -43,8 +44,8 @@
 	return config
 }
 
-// meanLatency returns the mean latency over several seeds and the half width of its interval at 99 % (Student's t over the
-// seeds).
+// meanLatency returns the mean latency in seconds over several seeds, and half the width of its 99 % confidence interval
+// (Student's t over the seeds).
 func meanLatency(t *testing.T, config Config, policy PolicyFactory, seeds int) (mean, halfWidth float64) {
 	t.Helper()
 	var latencies []float64
@@ -54,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if r.Served != r.Requests || len(r.ViolationMessages) > 0 {
-			t.Fatalf("%d of %d served, %v", r.Served, r.Requests, r.ViolationMessages)
+			t.Fatalf("%d of %d requests served, want all; violations %v, want none", r.Served, r.Requests, r.ViolationMessages)
 		}
 		latencies = append(latencies, r.meanSeconds())
 	}
@@ -72,21 +73,22 @@
 	return mean, quantile * math.Sqrt(squares/(n-1)/n)
 }
 
-// erlangC is the probability that an arrival waits, of c servers with an offered load of a (Erlang, 1917).
+// erlangC returns the probability that an arrival has to wait at c servers with an offered load of a (Erlang, 1917).
 func erlangC(c int, a float64) float64 {
 	b := 1.0
-	for k := 1; k <= c; k++ { // Erlang B by its recursion
+	for k := 1; k <= c; k++ { // the recursion of Erlang B
 		b = a * b / (float64(k) + a*b)
 	}
 	rho := a / float64(c)
 	return b / (1 - rho*(1-b))
 }
 
-// durationScale lengthens the runs that are compared with theory; docs/design/model.md has the result of 20.
-var durationScale = flag.Float64("scale", 1, "how much longer the worlds of theory are played")
+// durationScale is the factor on the length of the runs that are compared with theory. docs/design/model.md has the
+// results for 20.
+var durationScale = flag.Float64("scale", 1, "factor on the duration of the simulations that are compared with queueing theory")
 
-// TestQueueingTheory compares the simulation with exact formulas: the mean must be within 1 % of each, or within its
-// own confidence interval if that is wider.
+// TestQueueingTheory compares the simulation with exact formulas. The mean latency must be within 1 % of the formula,
+// or the formula within the confidence interval of the mean if that is wider.
 func TestQueueingTheory(t *testing.T) {
 	const work = 100 * time.Millisecond
 	s := work.Seconds()
@@ -104,20 +106,21 @@
 		{"M/G/1 by Pollaczek and Khinchine", bareConfig(1, 1, work, LogNormal, 1.2, 0.6, 8*time.Hour), baseline.BoundedQueue(1, -1),
 			s + 0.6*s*(1+1.2*1.2)/(2*(1-0.6))},
 		{"M/M/1-PS", bareConfig(1, 1, work, Exponential, 1, 0.7, 8*time.Hour), baseline.NoLimit, s / (1 - 0.7)},
-		{"M/G/1-PS, which work's spread does not change", bareConfig(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
+		{"M/G/1-PS, independent of the variance of work", bareConfig(1, 1, work, LogNormal, 1.5, 0.6, 8*time.Hour), baseline.NoLimit, s / (1 - 0.6)},
 	} {
 		c.config.Duration = time.Duration(float64(c.config.Duration) / 20 * *durationScale)
 		mean, halfWidth := meanLatency(t, c.config, c.policy, 12)
-		off := math.Abs(mean-c.want) / c.want
-		t.Logf("%-48s %.5f s +- %.5f, the formula %.5f, %.2f %% off", c.name, mean, halfWidth, c.want, 100*off)
-		if off > max(0.01, halfWidth/c.want) {
-			t.Errorf("%s: %.5f s, the formula says %.5f", c.name, mean, c.want)
+		relativeError := math.Abs(mean-c.want) / c.want
+		t.Logf("%-48s mean latency %.5f s +- %.5f, formula %.5f s, relative error %.2f %%",
+			c.name, mean, halfWidth, c.want, 100*relativeError)
+		if relativeError > max(0.01, halfWidth/c.want) {
+			t.Errorf("%s: mean latency %.5f s, want %.5f s by the formula", c.name, mean, c.want)
 		}
 	}
 }
 
-// TestPowerOfTwo compares balancing by the power of two choices with the limit for many servers (Mitzenmacher, 1996): the mean
-// latency is the sum of rho^(2^i-2).
+// TestPowerOfTwo compares balancing by the power of two choices with its limit for many servers (Mitzenmacher, 1996),
+// where the mean latency in units of the mean work is the sum of rho^(2^i-2) over i from 1.
 func TestPowerOfTwo(t *testing.T) {
 	const work = 100 * time.Millisecond
 	for _, rho := range []float64{0.5, 0.7} {
@@ -129,10 +132,11 @@
 			want += term * work.Seconds()
 		}
 		mean, halfWidth := meanLatency(t, config, baseline.BoundedQueue(1, -1), 4)
-		off := math.Abs(mean-want) / want
-		t.Logf("load %.1f: %.5f s +- %.5f, the limit %.5f, %.2f %% off", rho, mean, halfWidth, want, 100*off)
-		if off > max(0.02, halfWidth/want) { // it starts empty
-			t.Errorf("load %.1f: %.5f s, the limit %.5f", rho, mean, want)
+		relativeError := math.Abs(mean-want) / want
+		t.Logf("load %.1f: mean latency %.5f s +- %.5f, limit %.5f s, relative error %.2f %%",
+			rho, mean, halfWidth, want, 100*relativeError)
+		if relativeError > max(0.02, halfWidth/want) { // not 1 %, because the simulation starts with empty servers
+			t.Errorf("load %.1f: mean latency %.5f s, want the limit %.5f s", rho, mean, want)
 		}
 	}
 }
--- a/internal/clustersim/random.go
+++ b/internal/clustersim/random.go
@@ -7,15 +7,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Parameters of 64-bit FNV-1a, and the golden ratio as a 64-bit fraction, which spreads consecutive numbers over all bits.
+// Parameters of 64-bit FNV-1a, and the golden ratio as a 64-bit fraction, which spreads consecutive numbers over all
+// bits.
 const (
 	fnvOffset   = 14695981039346656037
 	fnvPrime    = 1099511628211
 	goldenRatio = 0x9e3779b97f4a7c15
 )
 
-// newRandom returns the random numbers of one cause and index. Those of one seed are independent of each other, so that an
-// additional draw in one place doesn't shift the draws of all others.
+// newRandom returns the random number generator of a cause and an index. The generators of one seed are independent of
+// each other, so that an additional draw in one place does not shift the draws of all others.
 func newRandom(seed uint64, cause string, index int) *rand.Rand {
 	h := uint64(fnvOffset)
 	for i := range len(cause) {
@@ -31,7 +32,7 @@
 	case Exponential:
 		return distuv.Exponential{Rate: 1 / mean, Src: rng}.Rand
 	case LogNormal:
-		variance := math.Log(1 + c.CV*c.CV) // of the logarithm
+		variance := math.Log(1 + c.CV*c.CV) // variance of the logarithm
 		return distuv.LogNormal{Mu: math.Log(mean) - variance/2, Sigma: math.Sqrt(variance), Src: rng}.Rand
 	case Pareto:
 		return distuv.Pareto{Xm: mean * (c.CV - 1) / c.CV, Alpha: c.CV, Src: rng}.Rand
--- a/internal/clustersim/recovery.go
+++ b/internal/clustersim/recovery.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Recovery reports whether the goodput of the cluster recovered after its incidents.
+// Recovery describes whether and when the goodput of the cluster recovered after its incidents.
 type Recovery struct {
 	HadIncidents    bool    `json:"incidents"`
 	ShareBefore     float64 `json:"before"` // goodput share before the first incident
@@ -17,8 +17,9 @@
 	recoveredShare        = 0.95 // of the goodput share before the first incident
 )
 
-// detectRecovery finds the first second after the last incident from which on each window keeps most of the goodput share
-// before the first incident. A metastable overload, which lasts though its trigger is gone, shows as no recovery.
+// detectRecovery finds the first second after the last incident from which on the goodput share of each window is at
+// least recoveredShare of the share before the first incident. A metastable overload, which persists after its trigger
+// has ended, shows as no recovery.
 func (r *Result) detectRecovery() Recovery {
 	first, last := math.Inf(1), 0.0
 	for _, i := range r.config.Incidents {
--- a/internal/clustersim/request.go
+++ b/internal/clustersim/request.go
@@ -6,48 +6,48 @@
 	"tillerusher/admission"
 )
 
-// request is a request of a client, with its first attempt and all retries that its gateway makes.
+// request is a request of a client. Its gateway sends a first attempt and may send retries.
 type request struct {
 	number     uint64
 	class      int
 	tenant     int
 	resourceID uint64
-	key        uint64  // of a class that is idempotent by key, otherwise 0
+	key        uint64  // idempotency key; 0 if the class is not idempotent by key
 	work       float64 // seconds on a core of speed 1
 	sizeKB     float64
-	priority   float64 // 0 to 1, by class weight and chance; compared with advertised load
-	weight     float64 // earned by a response within the objective
+	priority   float64 // 0 to 1, drawn from the band of its class; compared with the advertised load
+	weight     float64 // earned in full by a response within the objective
 	createdAt  time.Duration
-	isResend   bool // sent again by a client that was served; only checks that nothing runs twice
+	isResend   bool // sent again by a client that was served; it only checks that nothing runs twice
 	gateway    *gateway
 	requestProgress
 }
 
-// requestProgress is a gateway's state of a request.
+// requestProgress is the state of a request at its gateway.
 type requestProgress struct {
-	attemptedServers []int // in order
+	attemptedServers []int // indices, in the order of the attempts
 	attempts         int
 	openAttempts     int
-	stickyServer     int // the only server that may have run the request and may get a retry, or -1
+	stickyServer     int // the only server that may get a retry, since it may have run the request; -1 means any
 	finished         bool
-	deadlineEvent    *event // the end of the client's wait
-	retryEvent       *event // when the next attempt starts
+	deadlineEvent    *event // deadline of the client
+	retryEvent       *event // delayed start of the next attempt
 }
 
 // attempt is one transmission of a request to a server.
 type attempt struct {
-	number       uint64 // over the whole run
+	number       uint64 // unique in the run
 	request      *request
 	server       *server
-	generation   int // of the server's process when the attempt was sent
+	generation   int // generation of the server process to which it was sent
 	isRetry      bool
 	sentAt       time.Duration
-	resultKnown  bool   // to the gateway
-	timeoutEvent *event // when the gateway sends another attempt meanwhile
+	resultKnown  bool   // the gateway has received the result
+	timeoutEvent *event // timeout after which the gateway sends another attempt
 	attemptHandling
 }
 
-// attemptHandling is a server's state of an attempt.
+// attemptHandling is the state of an attempt at its server.
 type attemptHandling struct {
 	id           admission.RequestID
 	arrivedAt    time.Duration
@@ -55,13 +55,14 @@
 	state        attemptState
 	job          *job
 	answered     bool
-	succeeded    bool             // it ran to its end
-	original     *attempt         // that this one repeats
-	followers    []*attempt       // repeats that wait for the end of this one
-	rejectReason admission.Reason // for which the module would reject it when it is read
+	succeeded    bool             // its run completed successfully
+	original     *attempt         // earlier attempt that this one repeats
+	followers    []*attempt       // repeats that wait for the outcome of this one
+	rejectReason admission.Reason // the module's reason for rejecting it when it was read
 }
 
-// rejectReasonText is the reason of a rejection, as far as it is known.
+// rejectReasonText returns the key of a rejection's reason in results. The module's reason is known only for a
+// rejection at the time when the attempt was read.
 func (a *attempt) rejectReasonText(now time.Duration) string {
 	switch {
 	case now > a.readAt:
@@ -79,20 +80,20 @@
 	statePending attemptState = iota
 	stateQueued
 	stateRunning
-	stateFollowing // waiting for the end of the attempt that it repeats
+	stateFollowing // waiting for the outcome of the attempt that it repeats
 	stateEnded
 )
 
-// outcome is how an attempt, or a request that wasn't served, ended.
+// outcome is the result of an attempt, or of a request that was not served.
 type outcome uint8
 
 const (
 	outcomeServed outcome = iota
 	outcomeRejected
 	outcomeFailed
-	outcomeConnectionLost // the server died
-	outcomeUnreachable    // the server took no connection, so nothing ran
-	outcomeTimedOut       // no response within the time that the client waits
+	outcomeConnectionLost // the server process ended
+	outcomeUnreachable    // the server refused the connection, so nothing ran
+	outcomeTimedOut       // no response before the client's deadline
 	outcomeCount
 )
 
--- a/internal/clustersim/request_source.go
+++ b/internal/clustersim/request_source.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// requestSource creates the clients' requests. Each property is drawn from random numbers of its own.
+// requestSource creates the requests of clients. Their properties are drawn from separate random number generators.
 type requestSource struct {
 	sim *simulation
 
-	classShares    []float64
-	priorityBands  []int // by class, see classPriorityBands
-	tenantShares   []float64
-	gatewayShares  []float64
-	workSamplers   []func() float64 // by class
-	quotas         []tokenBucket    // by tenant
-	resourceZipf   *rand.Zipf       // nil for a uniform distribution
-	classRandom    *rand.Rand       // of classes, ranks and tenants
-	sizeRandom     *rand.Rand
-	gatewayRandom  *rand.Rand
-	resourceRandom *rand.Rand
+	classShares         []float64
+	priorityBandByClass []int // see classPriorityBands
+	tenantShares        []float64
+	gatewayShares       []float64
+	workSamplers        []func() float64 // by class
+	quotas              []tokenBucket    // by tenant
+	resourceZipf        *rand.Zipf       // nil for a uniform distribution
+	classRandom         *rand.Rand       // for classes, priorities and tenants
+	sizeRandom          *rand.Rand
+	gatewayRandom       *rand.Rand
+	resourceRandom      *rand.Rand
 
 	count uint64
 }
 
-// tokenBucket limits a tenant's traffic of full weight to a rate, with a burst of one second.
+// tokenBucket limits the rate of a tenant's requests that have full weight. It holds the tokens of one second at most.
 type tokenBucket struct {
 	rate       float64 // tokens per second; 0 means unlimited
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// take takes a token and reports whether there was one.
+// take takes a token and reports whether one was available.
 func (b *tokenBucket) take(now time.Duration) bool {
 	if b.rate == 0 {
 		return true
@@ -47,12 +47,12 @@
 
 func newRequestSource(sim *simulation) *requestSource {
 	source := &requestSource{
-		sim:            sim,
-		priorityBands:  classPriorityBands(sim.config.Classes),
-		classRandom:    newRandom(sim.seed, "kinds", 0),
-		sizeRandom:     newRandom(sim.seed, "sizes", 0),
-		gatewayRandom:  newRandom(sim.seed, "ways", 0),
-		resourceRandom: newRandom(sim.seed, "subjects", 0),
+		sim:                 sim,
+		priorityBandByClass: classPriorityBands(sim.config.Classes),
+		classRandom:         newRandom(sim.seed, "kinds", 0),
+		sizeRandom:          newRandom(sim.seed, "sizes", 0),
+		gatewayRandom:       newRandom(sim.seed, "ways", 0),
+		resourceRandom:      newRandom(sim.seed, "subjects", 0),
 	}
 	for i := range sim.config.Classes {
 		class := &sim.config.Classes[i]
@@ -74,8 +74,8 @@
 	return source
 }
 
-// classPriorityBands returns the position of each class in the order of weights, the lowest first. Priorities of requests lie in
-// bands of equal width in that order.
+// classPriorityBands returns the priority band of each class. There is one band for each class; they have equal width and
+// ascend with the weight of the class. Classes of equal weight are in the order of their indices.
 func classPriorityBands(classes []Class) []int {
 	positions := make([]int, len(classes))
 	for i := range classes {
@@ -88,7 +88,7 @@
 	return positions
 }
 
-// nextRequest creates a request that arrives now.
+// nextRequest creates the request that arrives now.
 func (s *requestSource) nextRequest() *request {
 	config := &s.sim.config
 	s.count++
@@ -99,7 +99,7 @@
 		requestProgress: requestProgress{stickyServer: -1},
 	}
 	class := &config.Classes[req.class]
-	req.priority = (float64(s.priorityBands[req.class]) + s.classRandom.Float64()) / float64(len(s.priorityBands))
+	req.priority = (float64(s.priorityBandByClass[req.class]) + s.classRandom.Float64()) / float64(len(s.priorityBandByClass))
 	req.work = s.workSamplers[req.class]()
 	smallest, largest := config.Servers.RequestKB[0], config.Servers.RequestKB[1]
 	req.sizeKB = smallest + (largest-smallest)*s.sizeRandom.Float64()
@@ -118,7 +118,7 @@
 	return req
 }
 
-// drawResource draws a resource ID, from 1.
+// drawResource draws a resource ID; IDs start at 1.
 func (s *requestSource) drawResource() uint64 {
 	if s.resourceZipf != nil {
 		return s.resourceZipf.Uint64() + 1
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -7,13 +7,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency is the longest latency that is recorded; longer ones count as this long.
+// maxLatency is the longest latency that is recorded; longer latencies are recorded as maxLatency.
 const maxLatency = 5 * time.Minute
 
 // latencyDigits is the number of significant decimal digits of recorded latencies.
 const latencyDigits = 3
 
-// Result is the outcome of a run. Its JSON keys and their order are read by the operators' tools.
+// Result is the result of a run. The operators' tools depend on its JSON keys and on their order.
 type Result struct {
 	RunInfo
 	RequestCounts
@@ -30,12 +30,12 @@
 	tally
 }
 
-// RunInfo says what was run, and how long.
+// RunInfo identifies the run and gives its length.
 type RunInfo struct {
 	ConfigName string  `json:"world"`
 	Seed       uint64  `json:"seed"`
 	Servers    int     `json:"servers"`
-	Seconds    float64 `json:"seconds"` // virtual time until the last response
+	Seconds    float64 `json:"seconds"` // virtual time of the last event
 	Events     uint64  `json:"events"`
 }
 
@@ -48,18 +48,18 @@
 	Retries         int            `json:"again"`
 	Resends         int            `json:"repeats"` // served requests that clients sent again
 	AttemptOutcomes map[string]int `json:"answers"`
-	Unserved        map[string]int `json:"unserved"`          // requests by the outcome of the last attempt
-	RejectReasons   map[string]int `json:"reasons,omitempty"` // with Config.RecordRejectReasons
+	Unserved        map[string]int `json:"unserved"`          // number of unserved requests, by outcome
+	RejectReasons   map[string]int `json:"reasons,omitempty"` // only with Config.RecordRejectReasons
 }
 
-// GoodputSummary holds the goodput, which is the weight of the requests that were served within their objectives, and what it
-// cost. Shares are relative to the offered weight.
+// GoodputSummary holds the goodput and its cost. Goodput is the weight of the requests that were served within their
+// objectives, plus the late weight of those served later. Shares are relative to the offered weight.
 type GoodputSummary struct {
 	GoodputShare     float64 `json:"share"`
-	WorstWindowShare float64 `json:"worst_10s"` // goodput share of the worst ten seconds
+	WorstWindowShare float64 `json:"worst_10s"` // goodput share of the worst window of ten seconds
 	WorstClassShare  float64 `json:"worst_class"`
 	WorstTenantShare float64 `json:"worst_tenant"`
-	WastedWork       float64 `json:"waste"` // work for which no client got a response, relative to the offered work
+	WastedWork       float64 `json:"waste"` // work done that served no request, relative to the offered work
 	LateShare        float64 `json:"late"`  // weight of unserved requests that ended after their objectives
 	Score            float64 `json:"g"`     // the operators' score
 }
@@ -71,42 +71,42 @@
 	P999 float64 `json:"p999_ms"`
 }
 
-// ClusterSummary holds figures of the servers.
+// ClusterSummary holds figures about the servers.
 type ClusterSummary struct {
-	Load     float64 `json:"load"`   // offered work relative to the capacity of the cluster
-	WorkDone float64 `json:"worked"` // core seconds
-	Crashes  int     `json:"fell"`
-	LogLines int     `json:"remarks"` // that modules logged
+	Load     float64 `json:"load"`    // offered work relative to the capacity of the cluster
+	WorkDone float64 `json:"worked"`  // core seconds of all jobs
+	Crashes  int     `json:"fell"`    // due to overload
+	LogLines int     `json:"remarks"` // lines that modules logged
 }
 
 // RuleSummary holds the violations of rules.
 type RuleSummary struct {
-	PreventedReruns   int          `json:"prevented"` // second runs of a key that servers prevented
+	PreventedReruns   int          `json:"prevented"` // second runs for a key that servers prevented
 	Violations        map[Rule]int `json:"broken"`
-	ViolationMessages []string     `json:"breaches"` // the first of them
+	ViolationMessages []string     `json:"breaches"` // the first maxViolationMessages of them
 }
 
-// tally holds the counts from which finalize computes the figures of a run.
+// tally holds the counts and sums from which finalize computes the figures of a run.
 type tally struct {
 	config        *Config
 	openRequests  int
 	latency       *hdrhistogram.Histogram // microseconds, of the served requests
-	servedWork    float64                 // core seconds of served requests, with reading
-	readWork      float64                 // core seconds of reading a request
-	lateWeight    float64
-	servedSeconds float64 // sum of the latencies of served requests
+	servedWork    float64                 // core seconds of the served requests, including reading
+	readWork      float64                 // core seconds to read a request
+	lateWeight    float64                 // of unserved requests that ended after their objectives
+	servedSeconds float64                 // sum of the latencies of served requests
 }
 
-// SecondStats are the figures of one second of a run. Offered and earned weight count in the second in which the request
-// arrived, all else when it happened.
+// SecondStats are the figures of one second of a run. Offered weight, goodput weight and offered work count in the
+// second in which the request arrived; attempts count in the second in which they ended.
 type SecondStats struct {
 	OfferedWeight float64 `json:"asked"`
-	GoodputWeight float64 `json:"earned"` // of what was served within its objective, and the late weight of the rest
+	GoodputWeight float64 `json:"earned"` // weight of requests served within the objective, and late weight of those served later
 	OfferedWork   float64 `json:"work"`   // core seconds
-	Attempts      int     `json:"tries"`  // that ended
+	Attempts      int     `json:"tries"`  // attempts that ended
 	Served        int     `json:"served"`
 	Rejected      int     `json:"refused"`
-	Failed        int     `json:"failed"` // with any other outcome
+	Failed        int     `json:"failed"` // attempts with any other outcome
 }
 
 // GroupResult is the result of a class or of a tenant.
@@ -149,12 +149,13 @@
 	return result
 }
 
-// secondAt returns the statistics of the second at a time. What happens after the run's duration counts in the last one.
+// secondAt returns the statistics of the second that contains a time. Times after Config.Duration count in the last
+// second.
 func (r *Result) secondAt(at time.Duration) *SecondStats {
 	return &r.Timeline[min(int(at/time.Second), len(r.Timeline)-1)]
 }
 
-// groupsOf returns the class and the tenant of a request.
+// groupsOf returns the results of a request's class and, if there are tenants, of its tenant.
 func (r *Result) groupsOf(req *request) []*GroupResult {
 	groups := []*GroupResult{&r.Classes[req.class]}
 	if len(r.Tenants) > 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// recordServed counts a request that was served.
+// recordServed counts a request that was served. It ignores requests that were sent again by their clients.
 func (r *Result) recordServed(req *request, now time.Duration) {
 	if req.isResend {
 		return
@@ -215,12 +216,12 @@
 	}
 }
 
-// recordUnserved counts a request that was not served.
-func (r *Result) recordUnserved(req *request, why outcome, now time.Duration) {
+// recordUnserved counts a request that was not served. It ignores requests that were sent again by their clients.
+func (r *Result) recordUnserved(req *request, finalOutcome outcome, now time.Duration) {
 	if req.isResend {
 		return
 	}
-	r.Unserved[why.String()]++
+	r.Unserved[finalOutcome.String()]++
 	if now-req.createdAt > r.config.Classes[req.class].LatencyObjective {
 		r.lateWeight += req.weight
 	}
@@ -239,7 +240,7 @@
 // worstWindowSeconds is the length of the window of Result.WorstWindowShare.
 const worstWindowSeconds = 10
 
-// finalize computes the figures that follow from the counts.
+// finalize computes the figures of the result from the counts at the end of the run.
 func (r *Result) finalize(sim *simulation) {
 	r.Seconds = sim.now.Seconds()
 	sim.checker.finish(sim.now)
@@ -267,14 +268,14 @@
 	r.Recovery = r.detectRecovery()
 }
 
-// score computes the operators' score.
+// score returns the operators' score.
 func (r *Result) score() float64 {
 	return scoreWeightTotal*r.GoodputShare + scoreWeightWorstWindow*r.WorstWindowShare +
 		scoreWeightWorstClass*r.WorstClassShare + scoreWeightWorstTenant*r.WorstTenantShare -
 		scorePenaltyWaste*min(r.WastedWork, 1) - scorePenaltyLate*r.LateShare
 }
 
-// ratio is a/b, or 1 if b is 0: all of nothing was served.
+// ratio returns a/b, or 1 if b is 0: if nothing was offered, the share served counts as 1.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 1
@@ -282,7 +283,7 @@
 	return a / b
 }
 
-// goodputShare is the goodput share of the seconds from one on, up to another one, which is excluded.
+// goodputShare returns the goodput share of the seconds [from, to).
 func (r *Result) goodputShare(from, to int) float64 {
 	offered, earned := 0.0, 0.0
 	for i := from; i < to; i++ {
@@ -292,7 +293,7 @@
 	return ratio(earned, offered)
 }
 
-// findWorstWindow returns the goodput share of the worst window.
+// findWorstWindow returns the smallest goodput share of any window of worstWindowSeconds.
 func (r *Result) findWorstWindow() float64 {
 	worst := 1.0
 	for from := range r.Timeline {
@@ -322,13 +323,14 @@
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// quantiles returns the common quantiles of a histogram in milliseconds.
+// quantiles returns the quantiles of a histogram that results contain, in milliseconds.
 func quantiles(h *hdrhistogram.Histogram) (p50, p99, p999 float64) {
 	return quantileMillis(h, 50), quantileMillis(h, 99), quantileMillis(h, 99.9)
 }
 
-// Quantile returns a latency of the served requests in milliseconds; the quantile is in percent.
+// Quantile returns a quantile of the latency of served requests in milliseconds; percent is 0 to 100.
 func (r *Result) Quantile(percent float64) float64 { return quantileMillis(r.latency, percent) }
 
-// meanSeconds is the mean latency of the served requests, not rounded as those of the histogram are.
+// meanSeconds returns the mean latency of the served requests in seconds. Unlike the histogram's values it is not
+// rounded.
 func (r *Result) meanSeconds() float64 { return r.servedSeconds / float64(max(r.Served, 1)) }
--- a/internal/clustersim/server.go
+++ b/internal/clustersim/server.go
@@ -6,10 +6,10 @@
 	"tillerusher/admission"
 )
 
-// timerToken is the module's token of a timer.
+// timerToken is the token by which the module identifies a timer.
 type timerToken uint32
 
-// warmUpSteps is how often the speed of a server that warms up is adjusted.
+// warmUpSteps is the number of times that the speed of a process is updated during its warm-up.
 const warmUpSteps = 40
 
 // server is one catalogue server. It implements admission.Actions for its module.
@@ -18,27 +18,27 @@
 	index int
 	machine
 
-	generation  int // counts the processes; events of an earlier one are ignored
+	generation  int // number of processes so far; events of earlier processes are ignored
 	isUp        bool
 	lastID      admission.RequestID
 	keys        keyTable
-	coresEvent  *event // when the first job is done
-	isUnsettled bool   // it stands in simulation.unsettled
+	coresEvent  *event // due when the next job is done
+	isUnsettled bool   // the server is in simulation.unsettledServers
 	process
 }
 
-// machine is the part of a server that outlives its processes, with the faults that incidents cause.
+// machine is the state of a server that persists across its processes, with the faults that incidents cause.
 type machine struct {
 	fullSpeed    float64 // of a core when warm
-	slowdown     float64 // factor; 0 means none
-	hangs        int     // incidents under which work makes no progress
-	pauses       int     // incidents that pause the whole machine
+	slowdown     float64 // factor by which the cores are slower; 0 means none
+	hangCount    int     // active incidents under which work makes no progress
+	pauseCount   int     // active incidents that pause the machine
 	pausedAt     time.Duration
-	pausedEvents []*event // that became due during a pause
+	pausedEvents []*event // events that became due during a pause
 	failureShare float64  // share of runs that end with an error
 }
 
-// process is the state of the running process.
+// process is the state of the current process.
 type process struct {
 	module         admission.Events
 	startedAt      time.Duration
@@ -48,11 +48,11 @@
 	reportsHealthy bool
 	load           advertisedLoad
 
-	cores       cores
-	backlog     []*attempt
-	reading     int // requests that are being read
-	attempts    map[admission.RequestID]*attempt
-	concurrency concurrencyMonitor
+	cores        cores
+	backlog      []*attempt
+	readingCount int // requests that are being read
+	attempts     map[admission.RequestID]*attempt
+	concurrency  concurrencyMonitor
 }
 
 // newServer returns a server that is down.
@@ -64,11 +64,11 @@
 type processStart uint8
 
 const (
-	startWarm processStart = iota // at full speed, like one that has run for long
-	startCold                     // with a warm-up
+	startWarm processStart = iota // at full speed, as if it had run for a long time
+	startCold                     // slow, with a warm-up
 )
 
-// start starts a process.
+// start starts a process with a new module and adds the server to the endpoint list.
 func (s *server) start(from processStart) {
 	config := &s.sim.config.Servers
 	s.generation++
@@ -95,7 +95,7 @@
 	}
 	settings := s.sim.config.admissionSettings()
 	settings.WarmingUp = s.startedCold
-	module, err := s.sim.newModule(settings, s)
+	module, err := s.sim.newPolicy(settings, s)
 	if err != nil {
 		s.sim.fail(err)
 		return
@@ -106,28 +106,28 @@
 	s.sim.checker.serverStarted(s.index)
 }
 
-// schedule schedules an event of the current process.
+// schedule schedules an event of the current process after a delay.
 func (s *server) schedule(wait time.Duration, kind eventKind, payload any) {
 	e := s.sim.events.schedule(s.sim.now+max(wait, 0), s, kind, payload)
 	e.generation = uint32(s.generation)
 }
 
-// deferCall calls a function at the end of the current handler, as an event of the current process: the module must not be
-// called from within its own actions.
+// deferCall calls a function after the current handler, as an event of the current process. It is needed because the
+// module must not be called from within its own actions.
 func (s *server) deferCall(f func()) { s.schedule(0, eventDeferred, f) }
 
-// markUnsettled has the module settle at the end of this instant.
+// markUnsettled makes the simulation settle the server at the end of this instant.
 func (s *server) markUnsettled() {
 	if !s.isUnsettled {
 		s.isUnsettled = true
-		s.sim.unsettled = append(s.sim.unsettled, s)
+		s.sim.unsettledServers = append(s.sim.unsettledServers, s)
 	}
 }
 
-// settle ends an instant.
+// settle calls the module's Settle at the end of an instant, unless the process is down or paused.
 func (s *server) settle() {
 	s.isUnsettled = false
-	if s.isUp && s.pauses == 0 {
+	if s.isUp && s.pauseCount == 0 {
 		s.module.Settle(s.sim.now)
 		s.rescheduleCores()
 	}
@@ -135,12 +135,12 @@
 
 // isHealthy reports whether a health check of the server succeeds.
 func (s *server) isHealthy() bool {
-	return s.isUp && !s.listenerClosed && s.reportsHealthy && s.pauses == 0
+	return s.isUp && !s.listenerClosed && s.reportsHealthy && s.pauseCount == 0
 }
 
 // handle implements eventHandler.
 func (s *server) handle(event *event) {
-	if s.pauses > 0 && event.kind != eventStart {
+	if s.pauseCount > 0 && event.kind != eventStart {
 		postponed := *event // the queue reuses the event
 		s.pausedEvents = append(s.pausedEvents, &postponed)
 		return
@@ -181,11 +181,11 @@
 		s.stopIfDrained()
 	case eventStop:
 		s.terminate(exitDrained)
-		s.sim.events.schedule(s.sim.now, s, eventStart, nil) // its successor
+		s.sim.events.schedule(s.sim.now, s, eventStart, nil) // starts the next process
 	}
 }
 
-// gauges are the readings that the module gets, as far as the configuration has them.
+// gauges returns the gauges that the module gets. Runnable is -1 if the configuration omits it.
 func (s *server) gauges() admission.Gauges {
 	g := admission.Gauges{Utilization: s.cores.utilization, Runnable: float64(len(s.cores.jobs))}
 	if s.sim.config.Servers.OmitRunnableGauge {
@@ -194,18 +194,19 @@
 	return g
 }
 
-// advance accounts for the work that the cores have done up to now.
+// advance updates the work done and the concurrency to now. It must be called before the jobs or the speed change.
 func (s *server) advance() {
 	elapsed := max(s.sim.now-s.cores.updatedAt, 0).Seconds()
 	s.concurrency.runSeconds += float64(s.cores.runCount) * elapsed
 	s.cores.advance(s.sim.now)
 }
 
-// rescheduleCores sets the event of the next job that is done, after jobs or the speed of the cores changed.
+// rescheduleCores updates the event for the next job that is done. It is called after the jobs or the speed of the cores
+// have changed.
 func (s *server) rescheduleCores() {
 	at, ok := s.cores.nextFinish()
 	switch {
-	case !ok || !s.isUp || s.pauses > 0:
+	case !ok || !s.isUp || s.pauseCount > 0:
 		s.sim.events.cancel(s.coresEvent)
 	case s.coresEvent == nil:
 		s.coresEvent = s.sim.events.schedule(at, s, eventJobsDone, nil)
@@ -214,7 +215,7 @@
 	}
 }
 
-// warmUpShare is the share of its full speed that the process has reached since its start.
+// warmUpShare returns the share of the full speed that the process has reached.
 func (s *server) warmUpShare() float64 {
 	config := &s.sim.config.Servers
 	if !s.startedCold || config.WarmUpTime == 0 {
@@ -223,15 +224,15 @@
 	return min(1, config.InitialCapacity+(1-config.InitialCapacity)*float64(s.sim.now-s.startedAt)/float64(config.WarmUpTime))
 }
 
-// updateSpeed sets the speed of the cores by warm-up and faults.
+// updateSpeed sets the speed of the cores from the warm-up and the faults.
 func (s *server) updateSpeed() {
 	s.cores.speed = s.fullSpeed * s.warmUpShare() / max(s.slowdown, 1)
-	if s.hangs > 0 {
+	if s.hangCount > 0 {
 		s.cores.speed = 0
 	}
 }
 
-// warmUp adjusts the speed of a process that warms up.
+// warmUp updates the speed of a process that warms up and schedules the next update.
 func (s *server) warmUp() {
 	s.advance()
 	s.updateSpeed()
--- a/internal/clustersim/server_actions.go
+++ b/internal/clustersim/server_actions.go
@@ -9,7 +9,7 @@
 // minTimerDelay is the shortest delay of a module's timer.
 const minTimerDelay = time.Microsecond
 
-// openAttempt returns the attempt of a request that has no response yet, or nil.
+// openAttempt returns the attempt with an ID if it has no response yet, or nil.
 func (s *server) openAttempt(id admission.RequestID) *attempt {
 	if a := s.attempts[id]; a != nil && !a.answered {
 		return a
@@ -36,8 +36,9 @@
 	s.checkMemory()
 }
 
-// claimKey records that an attempt runs under its key. If another one ran under it before, the attempt fails instead: the
-// server prevents second runs whatever the module decides.
+// claimKey records that an attempt runs under its key and returns true. If another attempt ran under the key before and
+// its window has not ended, claimKey fails the attempt and returns false: the server prevents second runs, whatever the
+// module decides.
 func (s *server) claimKey(attempt *attempt, class *Class) bool {
 	entry := s.keys.entry(attempt.request.key)
 	if entry.lastRun != nil && entry.lastRun != attempt && attempt.arrivedAt <= entry.lastRunUntil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// ReplayResult implements admission.Actions. If the original has not ended, the attempt follows it.
+// ReplayResult implements admission.Actions. If the original has not ended, the attempt waits for its outcome.
 func (s *server) ReplayResult(id admission.RequestID) {
 	attempt := s.openAttempt(id)
 	if attempt == nil || attempt.original == nil {
--- a/internal/clustersim/server_lifecycle.go
+++ b/internal/clustersim/server_lifecycle.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// concurrencySamples is how often the concurrency is checked within the window over which it is averaged.
+// concurrencySamples is the number of checks of the concurrency per ConcurrencyWindow.
 const concurrencySamples = 6
 
-// concurrencyMonitor measures the mean number of running requests over a window.
+// concurrencyMonitor measures the mean number of running requests over a sliding window.
 type concurrencyMonitor struct {
 	runSeconds float64   // integral of the number of running requests since the start of the process
-	samples    []float64 // of the integral, the last concurrencySamples of them
+	samples    []float64 // last concurrencySamples values of runSeconds
 }
 
-// sample takes a sample and returns the mean over the window; ok is false until the window is full.
+// sample takes a sample and returns the mean over the window; ok is false until there are enough samples for a window.
 func (m *concurrencyMonitor) sample(window time.Duration) (mean float64, ok bool) {
 	m.samples = append(m.samples, m.runSeconds)
 	if len(m.samples) <= concurrencySamples {
@@ -26,7 +26,8 @@
 	return mean, true
 }
 
-// checkConcurrency crashes a server whose cores had too many runs for too long.
+// checkConcurrency crashes the server if the mean number of runs over ConcurrencyWindow exceeds its limit, which rises
+// during the warm-up. Otherwise it schedules the next check.
 func (s *server) checkConcurrency() {
 	config := &s.sim.config.Servers
 	s.advance()
@@ -41,30 +42,30 @@
 	s.schedule(config.ConcurrencyWindow/concurrencySamples, eventConcurrencyCheck, nil)
 }
 
-// checkMemory crashes a server that needs more memory than it has. It crashes after the current handler, which may be the
-// module's.
+// checkMemory crashes the server if it needs more memory than it has. The crash is deferred until after the current
+// handler, because the module may be the caller.
 func (s *server) checkMemory() {
 	if s.sim.checker.exceedsMemory(s.index, s.sim.now) {
 		s.deferCall(s.crash)
 	}
 }
 
-// crash ends the process, which starts again after a while.
+// crash ends the process and schedules the start of a new one after RestartDelay.
 func (s *server) crash() {
 	s.sim.result.Crashes++
 	s.terminate(exitKilled)
 	s.sim.events.schedule(s.sim.now+s.sim.config.Servers.RestartDelay, s, eventStart, nil)
 }
 
-// processExit is how a process ends.
+// processExit is the way in which a process ends.
 type processExit uint8
 
 const (
 	exitDrained processExit = iota // after a graceful shutdown
-	exitKilled                     // at once
+	exitKilled                     // immediately
 )
 
-// terminate ends the process with all that it has in memory.
+// terminate ends the process. Its memory is lost, and its open attempts end with outcomeConnectionLost.
 func (s *server) terminate(exit processExit) {
 	if !s.isUp {
 		return
@@ -73,7 +74,7 @@
 	s.advance()
 	s.sim.result.WorkDone += s.cores.workDone
 	s.sim.events.cancel(s.coresEvent)
-	lost := s.ownedAttempts()
+	lost := s.allAttempts()
 	s.sim.checker.serverStopped(s.index, s.sim.now, exit)
 	for _, a := range lost {
 		s.respond(a, outcomeConnectionLost, retryAdvice{})
@@ -84,9 +85,9 @@
 	s.sim.removeEndpoint(s)
 }
 
-// ownedAttempts returns the attempts that the process knows of: unread ones, those that are being read, and all others in
-// the order in which they were read.
-func (s *server) ownedAttempts() []*attempt {
+// allAttempts returns all attempts of the process: first those that are waiting to be read, then those that are being
+// read, then all others in the order in which they were read.
+func (s *server) allAttempts() []*attempt {
 	owned := slices.Clone(s.backlog)
 	for _, j := range s.cores.jobs {
 		if j.isRead {
@@ -114,31 +115,32 @@
 	s.schedule(config.DrainTimeout, eventStop, nil)
 }
 
-// stopIfDrained ends a draining process that has nothing left to do.
+// stopIfDrained ends a draining process before its timeout if its listener is closed and it has no attempts left.
 func (s *server) stopIfDrained() {
-	if s.draining && s.listenerClosed && len(s.attempts) == 0 && len(s.backlog) == 0 && s.reading == 0 {
+	if s.draining && s.listenerClosed && len(s.attempts) == 0 && len(s.backlog) == 0 && s.readingCount == 0 {
 		s.schedule(0, eventStop, nil)
 	}
 }
 
-// pauseMachine pauses the whole machine. Each call needs one of resumeMachine.
+// pauseMachine pauses the machine until the matching call of resumeMachine. Calls may nest.
 func (s *server) pauseMachine() {
-	s.pauses++
-	if s.pauses == 1 && s.isUp {
+	s.pauseCount++
+	if s.pauseCount == 1 && s.isUp {
 		s.advance()
 		s.pausedAt = s.sim.now
 		s.sim.events.cancel(s.coresEvent)
 	}
 }
 
-// resumeMachine ends a pause and handles the events that became due during it.
+// resumeMachine undoes one call of pauseMachine. After the last one, the events that became due during the pause are
+// handled.
 func (s *server) resumeMachine() {
-	s.pauses--
-	if s.pauses > 0 {
+	s.pauseCount--
+	if s.pauseCount > 0 {
 		return
 	}
 	s.sim.checker.machinePaused(s.index, s.sim.now-s.pausedAt)
-	s.cores.updatedAt = s.sim.now // nothing was done meanwhile
+	s.cores.updatedAt = s.sim.now // no work was done during the pause
 	postponed := s.pausedEvents
 	s.pausedEvents = nil
 	for _, e := range postponed {
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -6,12 +6,12 @@
 	"tillerusher/admission"
 )
 
-// admissionChecker is a module that can report how it would decide on an arrival.
+// admissionChecker is a module that can report what its decision on an arrival would be.
 type admissionChecker interface {
 	CheckAdmission(now time.Duration, r admission.Request) admission.AdmissionCheck
 }
 
-// acceptAttempt accepts an attempt that reached the machine, or refuses the connection.
+// acceptAttempt adds an attempt that has arrived to the backlog, or refuses the connection.
 func (s *server) acceptAttempt(attempt *attempt) {
 	config := &s.sim.config.Servers
 	isBacklogFull := len(s.backlog) >= config.BacklogPerCore*config.Cores
@@ -27,9 +27,9 @@
 	s.rescheduleCores()
 }
 
-// startReading starts to read requests of the backlog, at most one per core at a time.
+// startReading starts reading requests from the backlog. At most one request per core is read at a time.
 func (s *server) startReading() {
-	for s.reading < s.sim.config.Servers.Cores && len(s.backlog) > 0 {
+	for s.readingCount < s.sim.config.Servers.Cores && len(s.backlog) > 0 {
 		a := s.backlog[0]
 		s.backlog[0] = nil
 		s.backlog = s.backlog[1:]
@@ -37,18 +37,18 @@
 			s.submitRequest(a)
 			continue
 		}
-		s.reading++
+		s.readingCount++
 		s.cores.add(&job{attempt: a, isRead: true}, s.sim.readWork)
 	}
 }
 
-// completeJobs ends the jobs that are done.
+// completeJobs completes the jobs that are done.
 func (s *server) completeJobs() {
 	s.advance()
 	for j := s.cores.firstFinished(); j != nil; j = s.cores.firstFinished() {
 		s.cores.remove(j)
 		if j.isRead {
-			s.reading--
+			s.readingCount--
 			s.submitRequest(j.attempt)
 			s.startReading()
 		} else {
@@ -58,7 +58,7 @@
 	s.rescheduleCores()
 }
 
-// submitRequest passes a request that was read to the module.
+// submitRequest passes an attempt that was read to the module.
 func (s *server) submitRequest(arrived *attempt) {
 	now := s.sim.now
 	s.lastID++
@@ -79,7 +79,7 @@
 	s.checkMemory()
 }
 
-// admissionRequest describes an attempt that was read to the module.
+// admissionRequest converts an attempt that was read for the module. Only a request without a key has a resource ID.
 func (a *attempt) admissionRequest(classes []Class) admission.Request {
 	req := admission.Request{
 		ID:            a.id,
@@ -99,7 +99,7 @@
 	return req
 }
 
-// finishRun ends a run whose work is done.
+// finishRun ends a run whose work is done. The run fails with the probability failureShare.
 func (s *server) finishRun(a *attempt) {
 	a.job = nil
 	s.sim.checker.runEnded(a.number, s.index)
@@ -110,7 +110,7 @@
 	s.completeRun(a, o)
 }
 
-// completeRun reports the end of a run to the gateway and the module, and answers the attempts that follow it.
+// completeRun reports the end of a run to the gateway and the module, and answers the attempts that wait for its outcome.
 func (s *server) completeRun(attempt *attempt, result admission.Outcome) {
 	attempt.state, attempt.succeeded = stateEnded, result == admission.OK
 	if attempt.succeeded {
@@ -144,7 +144,7 @@
 	s.markUnsettled()
 }
 
-// respond sends the final response of an attempt, once.
+// respond sends the final response of an attempt. It does nothing if the attempt has been answered.
 func (s *server) respond(a *attempt, o outcome, advice retryAdvice) {
 	if a.answered {
 		return
@@ -153,14 +153,14 @@
 	s.sim.deliverResult(a, o, advice)
 }
 
-// releaseIfDone removes an attempt that is answered and does not run.
+// releaseIfDone removes an attempt that is answered and not running.
 func (s *server) releaseIfDone(a *attempt) {
 	if a.answered && a.state != stateRunning {
 		delete(s.attempts, a.id)
 	}
 }
 
-// completeWithoutRun answers an attempt that does not run, or that runs on without its caller.
+// completeWithoutRun answers an attempt that does not run, or whose run continues after its answer.
 func (s *server) completeWithoutRun(a *attempt, o outcome, advice retryAdvice) {
 	s.respond(a, o, advice)
 	if a.state == stateQueued || a.state == stateFollowing {
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -11,35 +11,35 @@
 	"tillerusher/internal/arrival"
 )
 
-// PolicyFactory creates the policy of a server: the admission module or one to compare it with. It is called for each
-// process that starts.
+// PolicyFactory creates the policy of a server: the admission module or a policy that it is compared with. It is called
+// for each process that starts.
 type PolicyFactory func(s admission.Settings, a admission.Actions) (admission.Events, error)
 
-// AdmissionModule is the PolicyFactory of the real decision module.
+// AdmissionModule is the PolicyFactory of the real admission module.
 func AdmissionModule(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	return admission.New(s, a)
 }
 
-// cancelCheckInterval is the number of events between two checks of the context.
+// cancelCheckInterval is the number of events between two checks whether the context has ended.
 const cancelCheckInterval = 8192
 
-// simulation is the state of a run. One goroutine owns it and all that it refers to.
+// simulation is the state of a run. It and everything that it refers to are used by one goroutine only.
 type simulation struct {
 	config    Config
 	seed      uint64
-	newModule PolicyFactory
-	err       error // ends the run
-
-	now       time.Duration
-	events    eventQueue
-	servers   []*server
-	gateways  []*gateway
-	unsettled []*server // on which something happened at this instant, in that order
-	endpoints endpointList
-	source    *requestSource
-	arrivals  arrival.Process
-	readWork  float64 // seconds of work to read a request
-	attempts  uint64  // number of the last attempt
+	newPolicy PolicyFactory
+	err       error // first error; it ends the run
+
+	now              time.Duration
+	events           eventQueue
+	servers          []*server
+	gateways         []*gateway
+	unsettledServers []*server // had an event at the current instant; in the order in which they were marked
+	endpoints        endpointList
+	source           *requestSource
+	arrivals         arrival.Process
+	readWork         float64 // seconds of work to read a request
+	attemptCount     uint64  // attempts sent so far; also the number of the last one
 
 	networkRandom *rand.Rand
 	faultRandom   *rand.Rand
@@ -48,8 +48,8 @@
 	result  *Result
 }
 
-// Run simulates a configuration to its end. The same configuration, policy and seed give the same result. It returns an
-// error if the configuration makes no sense, if the policy can't be created, or if the context ends.
+// Run simulates a configuration until all requests have ended. The same configuration, policy and seed give the same
+// result. Run returns an error if the configuration is invalid, if a policy can't be created, or if the context ends.
 func Run(ctx context.Context, config Config, newModule PolicyFactory, seed uint64) (*Result, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	sim := &simulation{
 		config:        config,
 		seed:          seed,
-		newModule:     newModule,
+		newPolicy:     newModule,
 		checker:       newRuleChecker(&config),
 		networkRandom: newRandom(seed, "network", 0),
 		faultRandom:   newRandom(seed, "faults", 0),
@@ -68,15 +68,15 @@
 	if sim.arrivals, err = arrival.New(config.arrivalConfig(), newRandom(seed, "arrivals", 0)); err != nil {
 		return nil, err
 	}
-	sim.populate()
-	if err := sim.playEvents(ctx); err != nil {
+	sim.setUp()
+	if err := sim.processEvents(ctx); err != nil {
 		return nil, err
 	}
 	sim.finish()
 	return sim.result, nil
 }
 
-// arrivalConfig is the configuration of arrivals with the surges of incidents.
+// arrivalConfig returns the configuration of the arrivals, with a surge for each RateJump incident.
 func (c *Config) arrivalConfig() arrival.Config {
 	config := c.Arrival
 	for _, i := range c.Incidents {
@@ -89,28 +89,28 @@
 	return config
 }
 
-// playEvents handles events until the run is over.
-func (s *simulation) playEvents(ctx context.Context) error {
+// processEvents handles events until the run is over. It returns the error that ended the run, if any.
+func (s *simulation) processEvents(ctx context.Context) error {
 	for n := uint64(0); s.err == nil; n++ {
 		if n%cancelCheckInterval == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if !s.step() {
+		if !s.handleNextEvent() {
 			break
 		}
 	}
 	return s.err
 }
 
-// fail ends the run with its first error.
+// fail ends the run with an error. The first error is kept.
 func (s *simulation) fail(err error) {
 	if s.err == nil {
 		s.err = err
 	}
 }
 
-// populate creates servers and gateways and schedules the incidents and the first request.
-func (s *simulation) populate() {
+// setUp creates the servers and gateways and schedules the incidents and the first request.
+func (s *simulation) setUp() {
 	s.startServers()
 	for k := range s.config.Gateways {
 		for range s.config.Gateways[k].Count {
@@ -127,11 +127,12 @@
 }
 
 const (
-	maxSpeedDeviation = 2.5 // standard deviations at which the speed of a server is cut off
-	minSpeedDivisor   = 10  // no server is slower than the mean speed divided by this
+	maxSpeedDeviation = 2.5 // largest deviation of a server's speed from the mean, in standard deviations
+	minSpeedDivisor   = 10  // no server is slower than the mean speed divided by minSpeedDivisor
 )
 
-// startServers creates the servers. They are warm and in the endpoint list, as if they had run for long.
+// startServers creates and starts the servers. They are warm and in the endpoint list, as if they had run for a long
+// time.
 func (s *simulation) startServers() {
 	speedRandom := newRandom(s.seed, "speeds", 0)
 	config := &s.config.Servers
@@ -147,40 +148,40 @@
 	}
 }
 
-// scheduleNextRequest schedules the next request of a client, if one arrives within the run's duration.
+// scheduleNextRequest schedules the arrival of the next client request, if it is within Config.Duration.
 func (s *simulation) scheduleNextRequest() {
 	if at, ok := s.arrivals.Next(); ok && at < s.config.Duration {
 		s.events.schedule(at, s, eventRequestArrival, nil)
 	}
 }
 
-// step handles the next event and reports whether there was one that counts.
-func (s *simulation) step() bool {
+// handleNextEvent handles the next event. It returns false if the run is over.
+func (s *simulation) handleNextEvent() bool {
 	event := s.events.pop()
 	if event == nil {
 		return false
 	}
 	if event.at > s.config.Duration && s.checker.openAttempts == 0 && s.result.openRequests == 0 {
-		return false // all requests have ended: only the modules' own timers are left
+		return false // all requests have ended; only timers of the modules are left
 	}
 	s.now = event.at
 	s.result.Events++
 	event.target.handle(event)
-	if event.kind != eventJobsDone { // a server keeps that event and schedules it again
+	if event.kind != eventJobsDone { // the server keeps this event and reschedules it
 		s.events.release(event)
 	}
-	if len(s.unsettled) > 0 && !s.events.hasEventAt(s.now) {
+	if len(s.unsettledServers) > 0 && !s.events.hasEventAt(s.now) {
 		s.settleAll()
 	}
 	return true
 }
 
-// settleAll ends an instant for the servers on which something happened, in the order in which it did.
+// settleAll settles the servers that had an event at this instant, in the order in which they were marked.
 func (s *simulation) settleAll() {
-	for i := 0; i < len(s.unsettled); i++ { // settling a server may add others
-		s.unsettled[i].settle()
+	for i := 0; i < len(s.unsettledServers); i++ { // settling a server may mark others
+		s.unsettledServers[i].settle()
 	}
-	s.unsettled = s.unsettled[:0]
+	s.unsettledServers = s.unsettledServers[:0]
 }
 
 // handle implements eventHandler.
@@ -212,12 +213,13 @@
 	s.changeEndpoints(endpointChange{server: srv.index, present: false})
 }
 
-// changeEndpoints schedules a change of the endpoint list, which gateways see after the list's delay.
+// changeEndpoints schedules a change of the endpoint list, which gateways see after Config.EndpointListDelay.
 func (s *simulation) changeEndpoints(change endpointChange) {
 	s.events.schedule(s.now+s.config.EndpointListDelay, s, eventEndpointChange, change)
 }
 
-// networkDelay draws the time that a message takes: half of the mean at least, and the rest distributed exponentially.
+// networkDelay draws the one-way delay of a message: half of the mean, plus an exponentially distributed time whose
+// mean is the other half.
 func (s *simulation) networkDelay() time.Duration {
 	mean := float64(s.config.NetworkDelay)
 	return time.Duration(mean/2 + s.networkRandom.ExpFloat64()*mean/2)
@@ -234,8 +236,8 @@
 	})
 }
 
-// drawServers draws a share of all servers among those for which the filter holds, all of them if it is nil. They are
-// returned in the order of their indices.
+// drawServers draws servers at random from those that the filter accepts; a nil filter accepts all. Their number is a
+// share of all servers, or fewer if the filter accepts fewer. They are returned in ascending order of their indices.
 func (s *simulation) drawServers(rng *rand.Rand, share float64, filter func(*server) bool) []*server {
 	var candidates []*server
 	for _, srv := range s.servers {
@@ -249,10 +251,10 @@
 	return drawn
 }
 
-// roundShare is a share of n, rounded to the nearest whole number.
+// roundShare returns a share of n, rounded to the nearest whole number.
 func roundShare(share float64, n int) int { return int(share*float64(n) + 0.5) }
 
-// finish completes the result.
+// finish adds the work of the servers that are up to the result and finalizes it.
 func (s *simulation) finish() {
 	for _, srv := range s.servers {
 		if srv.isUp {
@@ -263,35 +265,35 @@
 	s.result.finalize(s)
 }
 
-// endpointList is the list of servers as gateways see it.
+// endpointList is the list of servers that gateways see.
 type endpointList struct {
-	present []bool // by server
-	freezes int    // incidents under which the list doesn't change
-	pending []endpointChange
+	present     []bool // by index of the server
+	freezeCount int    // active incidents that freeze the list
+	pending     []endpointChange
 }
 
-// endpointChange is a server that was added to the endpoint list or removed from it.
+// endpointChange is the addition of a server to the endpoint list, or its removal.
 type endpointChange struct {
 	server  int
 	present bool
 }
 
-// apply changes the list, or keeps the change until the list is no longer frozen.
+// apply makes a change, or holds it back while the list is frozen.
 func (l *endpointList) apply(c endpointChange) {
-	if l.freezes > 0 {
+	if l.freezeCount > 0 {
 		l.pending = append(l.pending, c)
 		return
 	}
 	l.present[c.server] = c.present
 }
 
-// freeze stops changes of the list. Each call needs one of unfreeze.
-func (l *endpointList) freeze() { l.freezes++ }
+// freeze holds back changes of the list until a matching call of unfreeze. Calls may nest.
+func (l *endpointList) freeze() { l.freezeCount++ }
 
-// unfreeze applies the changes that were made while the list was frozen.
+// unfreeze undoes one call of freeze. After the last one, the changes that were held back are applied.
 func (l *endpointList) unfreeze() {
-	l.freezes--
-	if l.freezes > 0 {
+	l.freezeCount--
+	if l.freezeCount > 0 {
 		return
 	}
 	for _, c := range l.pending {
--- a/internal/clustersim/validate.go
+++ b/internal/clustersim/validate.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Limits of a configuration that can be simulated.
+// Limits on a configuration.
 const (
 	maxDuration       = 24 * time.Hour
 	maxServers        = 100_000
-	maxScannedServers = 256 // that a gateway may scan for each attempt
+	maxScannedServers = 256 // servers that a gateway may scan for each attempt
 )
 
-// Validate returns an error for the first thing in the configuration that makes no sense.
+// Validate returns an error for the first invalid parameter of the configuration.
 func (c *Config) Validate() error {
 	if err := c.validate(); err != nil {
 		return fmt.Errorf("model: world %s: %w", c.Name, err)
@@ -62,7 +62,7 @@
 	switch {
 	case s.Count < 0 || s.Count > maxServers || s.Cores < 1:
 		return fmt.Errorf("%d servers of %d cores, want 0 to 100,000 of at least 1", s.Count, s.Cores)
-	case !(s.Speed > 0) || s.SpeedCV < 0 || s.ThrashFactor < 0 || s.ReadCost < 0: // a NaN speed is wrong as well
+	case !(s.Speed > 0) || s.SpeedCV < 0 || s.ThrashFactor < 0 || s.ReadCost < 0: // the negation rejects a NaN speed too
 		return fmt.Errorf("speed %v with %v, thrash %v, read %v, want a speed over 0 and none below 0",
 			s.Speed, s.SpeedCV, s.ThrashFactor, s.ReadCost)
 	case !s.MemoryConfig.fitsOneRequest():
@@ -75,11 +75,11 @@
 	return nil
 }
 
-// fitsOneRequest reports whether the sizes make sense and the largest request can run.
+// fitsOneRequest reports whether the sizes are valid and the largest request fits in the memory while it runs.
 func (m *MemoryConfig) fitsOneRequest() bool {
 	smallest, largest := m.RequestKB[0], m.RequestKB[1]
-	isWrong := smallest <= 0 || largest < smallest || m.RunningMemoryFactor < 1 || m.MemoryKB < largest*m.RunningMemoryFactor
-	return !isWrong
+	isInvalid := smallest <= 0 || largest < smallest || m.RunningMemoryFactor < 1 || m.MemoryKB < largest*m.RunningMemoryFactor
+	return !isInvalid
 }
 
 func (c *Class) validate() error {
--- a/internal/clustersim/workload.go
+++ b/internal/clustersim/workload.go
@@ -8,7 +8,7 @@
 	"tillerusher/internal/arrival"
 )
 
-// WorkloadKind is one of the kinds of workload in the operators' brief, who call them days.
+// WorkloadKind is a kind of workload in the operators' brief. The operators call workloads days.
 type WorkloadKind string
 
 // The kinds of workload.
@@ -17,7 +17,7 @@
 	WorkloadRough    WorkloadKind = "rough"    // up to two thirds of the capacity, and one to three recorded incidents
 	WorkloadOverload WorkloadKind = "overload" // 0.9 to 1.1 of the capacity
 	WorkloadBig      WorkloadKind = "big"      // more servers and gateways, and incidents
-	WorkloadStorm    WorkloadKind = "storm"    // overload and incidents at once
+	WorkloadStorm    WorkloadKind = "storm"    // both overload and incidents
 )
 
 // WorkloadKinds returns all kinds of workload.
@@ -30,7 +30,7 @@
 	return k == WorkloadRough || k == WorkloadBig || k == WorkloadStorm
 }
 
-// loadRange is the range of the load, relative to the capacity of the cluster.
+// loadRange returns the range of the load relative to the capacity of the cluster.
 func (k WorkloadKind) loadRange() (low, high float64) {
 	switch k {
 	case WorkloadQuiet:
@@ -47,16 +47,16 @@
 	return 0, 0
 }
 
-// drawUniform draws a number of a range.
+// drawUniform draws a number from low to high with a uniform distribution.
 func drawUniform(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
 
-// drawDuration draws a duration of a range in seconds.
+// drawDuration draws a duration with a uniform distribution; low and high are in seconds.
 func drawDuration(rng *rand.Rand, low, high float64) time.Duration {
 	return time.Duration(drawUniform(rng, low, high) * float64(time.Second))
 }
 
-// GenerateConfig draws a configuration for a kind of workload from the ranges in the operators' brief. The same number gives
-// the same configuration; the order of the draws is part of that.
+// GenerateConfig draws a configuration for a kind of workload from the ranges in the operators' brief. The same number
+// gives the same configuration, so the order of the draws must not change.
 func GenerateConfig(kind WorkloadKind, number uint64) Config {
 	rng := newRandom(number, "day "+string(kind), 0)
 	config := DefaultConfig()
@@ -85,7 +85,7 @@
 	return config
 }
 
-// drawClusterSize draws the number of servers and returns that of gateways.
+// drawClusterSize draws and sets the number of servers. It draws and returns the number of gateways.
 func (c *Config) drawClusterSize(rng *rand.Rand, kind WorkloadKind) (gateways int) {
 	c.Servers.Count = 11 + rng.IntN(4)
 	gateways = 3 + rng.IntN(3)
@@ -124,7 +124,7 @@
 	s.KeyKB = drawUniform(rng, 0.15, 0.33) * s.MemoryKB / keys
 }
 
-// drawArrival draws the shape of the arrivals: bursts or a slow swing.
+// drawArrival draws the kind of the arrival process, bursty or a slow sine wave, and its parameters.
 func (c *Config) drawArrival(rng *rand.Rand) {
 	shape := &c.Arrival
 	if rng.IntN(2) == 0 {
@@ -139,7 +139,7 @@
 	shape.Period = 2 * c.Duration
 }
 
-// gatewayKinds are the kinds of gateway that the operators know of.
+// gatewayKinds returns the kinds of gateway that are known to the operators.
 func gatewayKinds() []GatewayConfig {
 	return []GatewayConfig{
 		{Balancing: RoundRobin, Retry: RetryUnbounded, MaxAttempts: 4},
@@ -150,10 +150,10 @@
 	}
 }
 
-// honorShare is the probability that a second kind of gateway honors feedback; the first always does.
+// honorShare is the probability that the second kind of gateway honors feedback. The first kind always does.
 const honorShare = 0.8
 
-// drawGateways draws one or two kinds of gateway and spreads the requests evenly over them.
+// drawGateways draws one or two kinds of gateway and distributes the gateways and the requests evenly over them.
 func (c *Config) drawGateways(rng *rand.Rand, gateways int) {
 	kinds := gatewayKinds()
 	c.Gateways = nil
@@ -166,7 +166,7 @@
 	}
 }
 
-// drawIncident draws an incident of the operators' record.
+// drawIncident draws an incident from the kinds and ranges in the operators' records.
 func (c *Config) drawIncident(rng *rand.Rand) Incident {
 	i := Incident{Start: drawDuration(rng, 5, c.Duration.Seconds()*0.6)}
 	switch rng.IntN(4) {
