--- a/internal/servertest/gateway.go
+++ b/internal/servertest/gateway.go
@@ -8,13 +8,14 @@
 	"tillerusher/internal/fake"
 )
 
-// Gateway is one connection to a server. Its methods fail the test on errors.
+// Gateway is a fake gateway's connection to a server. Its own methods, except TryResponse, fail the test on errors.
 type Gateway struct {
 	t testing.TB
 	*fake.Gateway
 }
 
-// Dial connects to a server, which may still be starting.
+// Dial connects to a server. It retries until WaitTimeout, since the server may still be starting. The connection is closed
+// when the test ends.
 func Dial(t testing.TB, addr string) *Gateway {
 	t.Helper()
 	var g *fake.Gateway
@@ -27,7 +28,7 @@
 	return &Gateway{t, g}
 }
 
-// Write sends bytes as they are.
+// Write sends the parts unchanged, each in a write of its own.
 func (g *Gateway) Write(parts ...[]byte) {
 	g.t.Helper()
 	for _, p := range parts {
@@ -37,29 +38,30 @@
 	}
 }
 
-// WaitResponse returns the next response to the request, or to any request where id is 0.
+// WaitResponse waits for the next response to the request with the FastCGI request ID, or to any request if id is 0.
 func (g *Gateway) WaitResponse(id uint16) fake.Response {
 	g.t.Helper()
 	response, err := g.TryResponse(id)
 	if err != nil {
-		g.t.Fatalf("no answer to request %d: %v", id, err)
+		g.t.Fatalf("no response to request %d: %v", id, err)
 	}
 	return response
 }
 
-// TryResponse is WaitResponse for a response that may not come.
+// TryResponse is like WaitResponse, but returns an error if there is no response within WaitTimeout or the connection ends.
 func (g *Gateway) TryResponse(id uint16) (fake.Response, error) {
 	return g.ReadResponse(id, time.Now().Add(WaitTimeout))
 }
 
-// WaitClosed waits for the end of the connection, before which no further response may come.
+// WaitClosed waits for the end of the connection; any error other than a timeout counts as the end. It fails the test if a
+// response arrives before, or if the connection is still open after WaitTimeout.
 func (g *Gateway) WaitClosed() {
 	g.t.Helper()
 	response, err := g.TryResponse(0)
 	if err == nil {
-		g.t.Fatalf("answer %+v instead of the end of the connection", response)
+		g.t.Fatalf("got response %+v, want the end of the connection", response)
 	}
 	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
-		g.t.Fatal("the connection was not closed")
+		g.t.Fatal("the server did not close the connection")
 	}
 }
--- a/internal/servertest/interleave/interleave.go
+++ b/internal/servertest/interleave/interleave.go
@@ -1,5 +1,6 @@
-// Package interleave lets a test act between two system calls of an event loop: a byte arrives after the last check of a
-// socket and before its close, a connection after the last accept. The test decides the order; no sleep is involved.
+// Package interleave lets a test run code between two system calls of an event loop. A test can thereby force an order of
+// events without sleeping: for example, a byte arrives after the last check of a socket and before its close, or a
+// connection arrives after the last accept.
 package interleave
 
 import (
@@ -12,10 +13,10 @@
 	"tillerusher/internal/eventloop"
 )
 
-// Syscall is a system call before which a test may act.
+// Syscall is a system call before which a System calls the test's function.
 type Syscall string
 
-// The system calls that are intercepted.
+// The intercepted system calls.
 const (
 	Accept   Syscall = "accept"
 	Read     Syscall = "read"
@@ -25,24 +26,27 @@
 	Close    Syscall = "close"
 )
 
-// System is the system of an event loop. It calls the test's function before system calls.
+// System implements eventloop.System with the operating system's calls, and calls the test's function before the
+// intercepted ones.
 type System struct {
 	eventloop.System
-	mu         sync.Mutex
+	mu         sync.Mutex // guards beforeCall and is held while it runs
 	beforeCall func(call Syscall, fd int) (done bool)
 }
 
-// New returns the operating system itself, with no function to call yet.
+// New returns a System that intercepts nothing until BeforeCall is called.
 func New() *System { return &System{System: eventloop.Kernel{}} }
 
-// BeforeCall has the function called before each system call until it returns true, on the goroutine that makes the call.
+// BeforeCall replaces the function that is called before each intercepted system call. f is called on the goroutine that
+// makes the system call, until it returns true. f must not call BeforeCall or an intercepted method of s, which would
+// deadlock.
 func (s *System) BeforeCall(f func(call Syscall, fd int) (done bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beforeCall = f
 }
 
-// intercept calls the test's function.
+// intercept calls the test's function, if there is one, and removes it once it returns true.
 func (s *System) intercept(call Syscall, fd int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +91,7 @@
 	return s.System.Close(fd)
 }
 
-// IsPeer reports whether a descriptor of this process is the other end of the connection.
+// IsPeer reports whether fd, a descriptor of this process, is the other end of conn, a TCP connection over IPv4.
 func IsPeer(fd int, conn net.Conn) bool {
 	name, err := unix.Getpeername(fd)
 	if err != nil {
--- a/internal/servertest/interpreter.go
+++ b/internal/servertest/interpreter.go
@@ -1,4 +1,5 @@
-// Package servertest starts servers, and fakes of the services they use, for tests. Its functions fail the test on errors.
+// Package servertest starts servers, and fakes of the services that they use, for tests. Its functions fail the test on
+// errors, except those that return an error.
 package servertest
 
 import (
@@ -10,29 +11,31 @@
 )
 
 const (
-	// WaitTimeout is how long a test waits for an expected event. On a loaded machine that may take long.
+	// WaitTimeout is how long a test waits for an expected event. It is long because events are slow on a loaded machine.
 	WaitTimeout = 20 * time.Second
 	// pollInterval is the time between two checks of a condition.
 	pollInterval = time.Millisecond
 )
 
-// WaitFor polls until the condition holds.
-func WaitFor(t testing.TB, what string, holds func() bool) {
+// WaitFor polls until holds returns true, and fails the test after WaitTimeout. condition describes the awaited condition in
+// the failure message.
+func WaitFor(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
 }
 
-// Interpreter is a fake interpreter that ends with its test.
+// Interpreter is a fake interpreter that is closed when its test ends.
 type Interpreter struct {
 	t testing.TB
 	*fake.Interpreter
 }
 
-// NewInterpreter starts an interpreter that is up and ends runs only by EndRun.
+// NewInterpreter starts a fake interpreter that is up. It ends a run only when the test calls EndRun or the server stops
+// the run.
 func NewInterpreter(t testing.TB) *Interpreter {
 	t.Helper()
 	it, err := fake.NewInterpreter()
@@ -43,7 +46,7 @@
 	return &Interpreter{t, it}
 }
 
-// AddListener has the interpreter accept links at a new address too, and returns that.
+// AddListener makes the interpreter accept links at an additional address, and returns that address.
 func (it *Interpreter) AddListener() string {
 	it.t.Helper()
 	addr, err := it.Interpreter.AddListener()
@@ -53,15 +56,16 @@
 	return addr
 }
 
-// WaitGaugeReading waits until the server has what the gauges read now. The server asks again only after it has read an
-// answer, so it has the first of two further readings once the second is sent.
+// WaitGaugeReading waits until the server has received the current gauge values. The server sends its next query only after
+// it has read the answer to the previous one, unless that query timed out. Once the interpreter has sent two more answers,
+// the server has therefore read the first of them.
 func (it *Interpreter) WaitGaugeReading() {
 	it.t.Helper()
 	before := it.GaugeReadings()
-	WaitFor(it.t, "readings of the gauges", func() bool { return it.GaugeReadings() >= before+2 })
+	WaitFor(it.t, "two more answers to gauge queries", func() bool { return it.GaugeReadings() >= before+2 })
 }
 
-// WaitRuns waits until n runs have started, and returns all that have.
+// WaitRuns waits until at least n runs have started, and returns the commands of all started runs.
 func (it *Interpreter) WaitRuns(n int) []fake.RunCommand {
 	it.t.Helper()
 	WaitFor(it.t, fmt.Sprintf("%d runs", n), func() bool { return len(it.StartedRuns()) >= n })
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -14,15 +14,16 @@
 	"tillerusher/internal/fake"
 )
 
-// serverName and serverSeed identify the server towards the platform; memoryMB is its memory limit.
+// serverName, serverSeed and memoryMB are the name, the seed and the memory limit with which the platform would configure
+// the server.
 const (
 	serverName = "n3"
 	serverSeed = "8c1f30d27a5be964"
 	memoryMB   = 192
 )
 
-// Server is a running server process with the interpreter and the load report service that it talks to. It ends with its
-// test.
+// Server is a running server process, with the interpreter and the load report service that it uses. The process is killed
+// when its test ends.
 type Server struct {
 	*Interpreter
 	Addr       string
@@ -36,14 +37,15 @@
 	log     daemon.Log
 }
 
-// Start starts the program with an interpreter. The program is a shell command, as on the platform. change may edit
-// the configuration, and may be nil.
+// Start starts a server that uses the interpreter. program is a shell command, as on the platform. change edits the
+// configuration before the start, and may be nil.
 func Start(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
 	return start(t, program, it, change, serverName)
 }
 
-// StartWithConfigName is Start with no name in the environment, so that the configuration's name counts.
+// StartWithConfigName is like Start with an empty name in the environment, so that the server uses the name in its
+// configuration file.
 func StartWithConfigName(t testing.TB, program string, it *Interpreter, change func(config map[string]any)) *Server {
 	t.Helper()
 	return start(t, program, it, change, "")
@@ -69,16 +71,16 @@
 	t.Cleanup(func() {
 		process.Kill()
 		if t.Failed() {
-			t.Logf("log of the node:\n%s", server.Log())
+			t.Logf("log of the server:\n%s", server.Log())
 		}
 	})
 	return server
 }
 
-// Log returns what the server has logged so far.
+// Log returns the server's log so far.
 func (s *Server) Log() string { return s.log.String() }
 
-// Configure replaces the configuration file by an edited copy of the configuration that the server was started with.
+// Configure replaces the configuration file with an edited copy of the configuration that the server was started with.
 func (s *Server) Configure(edit func(config map[string]any)) {
 	s.t.Helper()
 	config := maps.Clone(s.config)
@@ -96,12 +98,12 @@
 	}
 }
 
-// WaitExit waits for the end of the process and returns its exit status.
+// WaitExit waits until the process exits and returns its exit status.
 func (s *Server) WaitExit() int {
 	s.t.Helper()
 	state, err := s.process.Wait(WaitTimeout)
 	if err != nil {
-		s.t.Fatal("the process did not end")
+		s.t.Fatal("timed out waiting for the server process to exit")
 		return -1
 	}
 	return state.ExitCode()
@@ -110,7 +112,7 @@
 // WaitHealthy waits until the server passes a health check.
 func (s *Server) WaitHealthy() {
 	s.t.Helper()
-	WaitFor(s.t, "a healthy node", func() bool {
+	WaitFor(s.t, "the server to pass a health check", func() bool {
 		g := Dial(s.t, s.Addr)
 		defer g.Close()
 		g.Write(fake.NewHealthCheck(false).Encode(1))
@@ -118,7 +120,7 @@
 	})
 }
 
-// Counter returns a counter of the newest line of counters in the log, or -1 before the first.
+// Counter returns the value of a counter in the newest log entry of counters that has it, or -1 if there is none.
 func (s *Server) Counter(name string) int {
 	isNumber := func(e daemon.Entry) bool {
 		_, ok := e[name].(float64)
@@ -130,7 +132,7 @@
 	return -1
 }
 
-// WaitCounter has the server log its counters until the counter has the value.
+// WaitCounter makes the server log its counters, by SIGUSR1, until the counter has the wanted value.
 func (s *Server) WaitCounter(name string, want int) {
 	s.t.Helper()
 	WaitFor(s.t, fmt.Sprintf("counter %s to be %d", name, want), func() bool {
@@ -139,20 +141,20 @@
 	})
 }
 
-// WaitReport waits for the next load report.
+// WaitReport waits for the next load report and returns it.
 func (s *Server) WaitReport() string {
 	s.t.Helper()
 	return ReadReport(s.t, s.reports)
 }
 
-// CloseReportListener closes the load report service, and returns its address.
+// CloseReportListener closes the load report service and returns the address that it listened on.
 func (s *Server) CloseReportListener() *net.UDPAddr {
 	addr := s.reports.LocalAddr().(*net.UDPAddr)
 	s.reports.Close()
 	return addr
 }
 
-// FreeAddr returns a loopback address that nothing listens at.
+// FreeAddr returns a loopback TCP address that nothing listens on.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := fake.FreeAddr()
@@ -162,7 +164,7 @@
 	return addr
 }
 
-// NewReportListener opens a load report service on loopback. It is closed with the test.
+// NewReportListener opens the UDP socket of a load report service on loopback. It is closed when the test ends.
 func NewReportListener(t testing.TB) *net.UDPConn {
 	t.Helper()
 	reports, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -173,7 +175,7 @@
 	return reports
 }
 
-// ReadReport waits for the next report to a load report service.
+// ReadReport waits for the next report to a load report service and returns it.
 func ReadReport(t testing.TB, reports *net.UDPConn) string {
 	t.Helper()
 	buf := make([]byte, 256)
