--- a/internal/fake/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -28,23 +28,25 @@
 const (
 	protocolVersion  = 1
 	recordHeaderSize = 8
-	beginRequestSize = 8 // of the content
+	beginRequestSize = 8 // of the content, in bytes
 	roleResponder    = 1
 	flagKeepConn     = 1
 
-	// maxRecordContent is the longest content of a record that is written; the protocol allows 65535 bytes.
+	// maxRecordContent is the maximum content length, in bytes, of the records that bodies and responses are split into; the
+	// protocol allows 65535.
 	maxRecordContent = 60000
-	// maxShortLength is the longest name or value whose length takes one byte.
+	// maxShortLength is the maximum length of a name or value, in bytes, that is encoded in one byte.
 	maxShortLength = 127
-	// longLengthBit marks a length of four bytes.
+	// longLengthBit marks a length that is encoded in four bytes.
 	longLengthBit = 1 << 31
-	// endRequestMinSize is the part of an END_REQUEST record's content that is read: application and protocol status.
+	// endRequestMinSize is the size, in bytes, of the part of an END_REQUEST record's content that is used: the application
+	// status and the protocol status.
 	endRequestMinSize = 5
-	// protocolStatusOffset is where the protocol status is in that content.
+	// protocolStatusOffset is the offset of the protocol status in that content.
 	protocolStatusOffset = 4
 )
 
-// EncodeRecord returns a record of the type with so many bytes of padding.
+// EncodeRecord returns a FastCGI record with the given number of padding bytes. content must not exceed 65535 bytes.
 func EncodeRecord(recordType byte, id uint16, content []byte, padding byte) []byte {
 	b := []byte{protocolVersion, recordType}
 	b = binary.BigEndian.AppendUint16(b, id)
@@ -53,7 +55,7 @@
 	return append(append(b, content...), make([]byte, padding)...)
 }
 
-// EncodeBeginRequest returns a BEGIN_REQUEST record; keepConn asks the server to keep the connection afterwards.
+// EncodeBeginRequest returns a BEGIN_REQUEST record. keepConn asks the server to keep the connection open after its response.
 func EncodeBeginRequest(id uint16, role uint16, keepConn bool) []byte {
 	content := make([]byte, beginRequestSize)
 	binary.BigEndian.PutUint16(content, role)
@@ -63,7 +65,8 @@
 	return EncodeRecord(BeginRequest, id, content, 0)
 }
 
-// EncodePair returns a name-value pair, with four-byte lengths where longLengths is set or a length needs it.
+// EncodePair returns an encoded name-value pair. A length is encoded in four bytes if longLengths is set or the length
+// exceeds 127, and in one byte otherwise.
 func EncodePair(name, value string, longLengths bool) []byte {
 	var b []byte
 	for _, length := range []int{len(name), len(value)} {
@@ -77,14 +80,14 @@
 	return append(b, value...)
 }
 
-// Request is a request as a gateway sends it.
+// Request is a request that a gateway sends.
 type Request struct {
 	Method, Path, Query string
 	Headers             map[string]string // by HTTP header name
 	Body                []byte
 }
 
-// EncodeParams returns the request's parameters as a list of name-value pairs. Equal requests give equal bytes.
+// EncodeParams returns the request's parameters as an encoded list of name-value pairs. Equal requests have equal encodings.
 func (r Request) EncodeParams() []byte {
 	b := EncodePair("REQUEST_METHOD", r.Method, false)
 	b = append(b, EncodePair("SCRIPT_NAME", r.Path, true)...)
@@ -96,7 +99,7 @@
 	return b
 }
 
-// Encode returns all records of the request, which asks the server to keep the connection.
+// Encode returns all records of the request. The request asks the server to keep the connection open.
 func (r Request) Encode(id uint16) []byte {
 	b := EncodeBeginRequest(id, roleResponder, true)
 	b = append(b, EncodeRecord(Params, id, r.EncodeParams(), 3)...)
@@ -107,24 +110,25 @@
 	return append(b, EncodeRecord(Stdin, id, nil, 0)...)
 }
 
-// Response is a server's response to a request, or a management record where ID is 0.
+// Response is a server's response to a request, or a management record if ID is 0.
 type Response struct {
-	ID             uint16
+	ID             uint16 // FastCGI request ID
 	ProtocolStatus byte
-	Status         int
+	Status         int // HTTP status; 0 if the server answered with the protocol status alone
 	Header         textproto.MIMEHeader
 	Body           []byte
 	RecordType     byte   // of a management record
 	Content        []byte // of a management record
 }
 
-// ResponseReader assembles responses from the bytes that a server wrote on one connection. Its zero value is usable.
+// ResponseReader assembles responses from the bytes received on one connection. Its zero value is ready to use.
 type ResponseReader struct {
-	rest   []byte            // an incomplete record
-	stdout map[uint16][]byte // by request ID
+	rest   []byte            // received bytes that are not parsed yet
+	stdout map[uint16][]byte // content of the STDOUT records of open requests, by request ID
 }
 
-// Feed takes the next bytes and returns the responses that they complete.
+// Feed processes the next received bytes and returns the responses that they complete. Together with an error it returns the
+// responses before the error.
 func (r *ResponseReader) Feed(data []byte) ([]Response, error) {
 	if r.stdout == nil {
 		r.stdout = map[uint16][]byte{}
@@ -153,7 +157,7 @@
 	}
 }
 
-// nextRecord takes the first record off the bytes that are left, and returns false while it is incomplete.
+// nextRecord removes the first record from the unparsed bytes. ok is false if that record is incomplete.
 func (r *ResponseReader) nextRecord() (recordType byte, id uint16, content []byte, ok bool) {
 	if len(r.rest) < recordHeaderSize {
 		return 0, 0, nil, false
@@ -169,7 +173,7 @@
 	return recordType, id, content, true
 }
 
-// endResponse returns the response that an END_REQUEST record completes.
+// endResponse returns the response that an END_REQUEST record with the content completes.
 func (r *ResponseReader) endResponse(id uint16, content []byte) (Response, error) {
 	response, err := parseResponse(r.stdout[id])
 	if err != nil {
@@ -183,7 +187,7 @@
 	return response, nil
 }
 
-// parseResponse reads a CGI response. An empty one stands for an answer by the protocol status alone.
+// parseResponse parses a CGI response. It accepts an empty one: the server answered with the protocol status alone.
 func parseResponse(text []byte) (Response, error) {
 	if len(text) == 0 {
 		return Response{}, nil
--- a/internal/fake/gateway.go
+++ b/internal/fake/gateway.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Gateway is one connection of a gateway to a server. One goroutine may write while another reads.
+// Gateway is a gateway's connection to a server. One goroutine may write while another one reads.
 type Gateway struct {
 	conn    net.Conn
 	reader  ResponseReader
-	pending []Response // received, and not returned yet
+	pending []Response // received, but not returned yet
 	buf     []byte
 }
 
@@ -23,17 +23,18 @@
 	return &Gateway{conn: conn, buf: make([]byte, readBufferSize)}, nil
 }
 
-// Conn returns the connection itself.
+// Conn returns the underlying connection.
 func (g *Gateway) Conn() net.Conn { return g.conn }
 
-// Write sends bytes as they are.
+// Write sends p unchanged.
 func (g *Gateway) Write(p []byte) error {
 	_, err := g.conn.Write(p)
 	return err
 }
 
-// ReadResponse waits for a response to the request, or for any response where id is 0. It fails at the deadline, unless that
-// is zero, and at the end of the connection.
+// ReadResponse waits for a response to the request with the FastCGI request ID, or for any response or management record if
+// id is 0. Other responses that arrive are kept for later calls. ReadResponse returns an error at the deadline, at the end of
+// the connection and if the server breaks the protocol. A zero deadline is no deadline.
 func (g *Gateway) ReadResponse(id uint16, deadline time.Time) (Response, error) {
 	if err := g.conn.SetReadDeadline(deadline); err != nil {
 		return Response{}, err
--- a/internal/fake/interpreter.go
+++ b/internal/fake/interpreter.go
@@ -12,57 +12,58 @@
 	Body      []byte
 }
 
-// Interpreter is a fake interpreter. It starts a run for each command and ends it when a test calls EndRun, immediately
-// (FinishImmediately) or after simulated work (SimulateWork). It is safe for concurrent use.
+// Interpreter is a fake interpreter. It starts a run for each APPLY command. A run ends when a test calls EndRun, when the
+// server stops it, immediately (FinishImmediately) or after simulated work (SimulateWork). It is safe for concurrent use.
 type Interpreter struct {
 	clock Clock
 
-	mu        sync.Mutex     // guards all that follows
-	listener  net.Listener   // the newest
-	listeners []net.Listener // all there were, to be closed
+	mu        sync.Mutex     // guards the fields below
+	listener  net.Listener   // the newest listener
+	listeners []net.Listener // all listeners, which Close closes
 	behavior  behavior
 	session   session
 	runs      runTable
-	work      *simulatedWork // nil while runs take no time of their own
+	work      *simulatedWork // nil unless work is simulated
 	onRun     func(RunCommand)
 
-	linkCount     int
+	linkCount     int // CONNECT commands executed
 	attachCount   int // links added by Attach
-	gaugeReadings int // answers to TOP
+	gaugeReadings int // answers sent to TOP
 }
 
-// behavior is what tests may change in how the interpreter answers.
+// behavior holds the settings by which tests change the interpreter's answers.
 type behavior struct {
-	isUp              bool    // BANNER may be sent
+	isUp              bool    // the interpreter has started: it sends BANNER and answers SMOKE and TOP
 	wasCold           bool    // BANNER states that the interpreter started without warm caches
 	ignoresQueries    bool    // SMOKE and TOP get no answer
-	finishImmediately bool    // runs end as they start
-	rejectsLinks      bool    // links are closed at their first command
-	rejectedID        string  // the request whose APPLY gets an error
-	utilization       float64 // the first gauge
+	finishImmediately bool    // a run ends as soon as it starts
+	rejectsLinks      bool    // a link is closed when a command arrives on it
+	rejectedID        string  // ID of the request whose APPLY is answered with ERROR
+	utilization       float64 // value of the first gauge, the utilization of the cores
 }
 
 // runTable is the state of all runs.
 type runTable struct {
-	started  []RunCommand // all commands that started a run, in order
-	running  []string     // request IDs in the order of their start
-	bodies   map[string][]byte
-	finished map[string]bool
+	started  []RunCommand      // all commands that started a run, in order
+	running  []string          // request IDs in the order in which the runs started
+	bodies   map[string][]byte // bodies of the running requests, by request ID
+	finished map[string]bool   // by request ID
 }
 
-// NewInterpreter starts an interpreter that listens on loopback, is up and ends runs only by EndRun.
+// NewInterpreter starts an interpreter that listens on loopback and is up. It ends a run only when a test calls EndRun or
+// the server stops the run.
 func NewInterpreter() (*Interpreter, error) {
 	it := NewInterpreterWithClock(wallClock{})
 	return it, it.listen()
 }
 
-// NewInterpreterWithClock returns an interpreter that uses the clock and has no sockets: links are added by Attach.
+// NewInterpreterWithClock returns an interpreter that uses the clock and has no sockets. Attach adds its links.
 func NewInterpreterWithClock(clock Clock) *Interpreter {
 	return &Interpreter{clock: clock, behavior: behavior{isUp: true},
 		runs: runTable{bodies: map[string][]byte{}, finished: map[string]bool{}}}
 }
 
-// Close stops listening, ends simulated work and closes the link.
+// Close closes the listeners and the current link, and stops the simulation of work.
 func (it *Interpreter) Close() {
 	it.update(func() {
 		for _, l := range it.listeners {
@@ -73,30 +74,30 @@
 	it.CutLink()
 }
 
-// update changes the interpreter under its lock.
+// update calls change with the interpreter locked.
 func (it *Interpreter) update(change func()) {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	change()
 }
 
-// FinishImmediately has every run end as it starts, with the body of its request in brackets as result.
+// FinishImmediately makes each later run end as soon as it starts. The result is the body of its request in brackets.
 func (it *Interpreter) FinishImmediately() {
 	it.update(func() { it.behavior.finishImmediately = true })
 }
 
-// IgnoreQueries leaves health checks and gauge queries without an answer from now on.
+// IgnoreQueries makes the interpreter send no answers to health checks and gauge queries from now on.
 func (it *Interpreter) IgnoreQueries() { it.update(func() { it.behavior.ignoresQueries = true }) }
 
-// SetUtilization sets the gauge of the cores.
-func (it *Interpreter) SetUtilization(part float64) {
-	it.update(func() { it.behavior.utilization = part })
+// SetUtilization sets the gauge of the cores' utilization, a fraction.
+func (it *Interpreter) SetUtilization(fraction float64) {
+	it.update(func() { it.behavior.utilization = fraction })
 }
 
-// MarkDown has the interpreter behave as one that is still starting.
+// MarkDown makes the interpreter behave as if it were still starting.
 func (it *Interpreter) MarkDown() { it.update(func() { it.behavior.isUp = false }) }
 
-// MarkUp reverts MarkDown: the interpreter has started, and sends its banner.
+// MarkUp reverts MarkDown. The interpreter sends its banner to a server that waits for it.
 func (it *Interpreter) MarkUp() {
 	it.update(func() {
 		it.behavior.isUp = true
@@ -104,45 +105,47 @@
 	})
 }
 
-// MarkCold has the interpreter's banner state that it started without warm caches.
+// MarkCold makes later banners state that the interpreter started without warm caches.
 func (it *Interpreter) MarkCold() { it.update(func() { it.behavior.wasCold = true }) }
 
-// RejectRun answers commands to run the request with an error.
+// RejectRun makes the interpreter answer commands to run the request with an error. It replaces the request of an earlier
+// call.
 func (it *Interpreter) RejectRun(id string) { it.update(func() { it.behavior.rejectedID = id }) }
 
-// RejectLinks sets whether links are closed at their first command.
+// RejectLinks sets whether the interpreter closes a link when the next command arrives on it.
 func (it *Interpreter) RejectLinks(reject bool) {
 	it.update(func() { it.behavior.rejectsLinks = reject })
 }
 
-// OnRun has the function called with each run as it starts. It is called with the interpreter locked and must not call it.
+// OnRun sets the function that is called with the command of each run that starts. The interpreter is locked during the
+// call, so started must not call its methods.
 func (it *Interpreter) OnRun(started func(RunCommand)) { it.update(func() { it.onRun = started }) }
 
-// EndRun ends a run with a status and a result.
+// EndRun ends a run with a status and a result. It does nothing if the request with the ID is not running.
 func (it *Interpreter) EndRun(id, status string, result []byte) {
 	it.update(func() { it.endRun(id, status, result) })
 }
 
-// AwaitCall has a run wait for a call to a server downstream.
+// AwaitCall sends the notice that a run waits for a call to a downstream server.
 func (it *Interpreter) AwaitCall(id string, body []byte) {
 	it.update(func() { it.sendNotice(message{Op: opAwait, ID: id, Body: body}) })
 }
 
-// StartedRuns returns the commands that started a run so far.
+// StartedRuns returns the commands that have started runs so far, in order.
 func (it *Interpreter) StartedRuns() []RunCommand {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return slices.Clone(it.runs.started)
 }
 
-// RunningCount returns how many runs have started and not ended.
+// RunningCount returns the number of runs that have started but not ended.
 func (it *Interpreter) RunningCount() int {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return len(it.runs.running)
 }
 
-// GaugeReadings returns how often the gauges were sent.
+// GaugeReadings returns how many answers to gauge queries the interpreter has sent.
 func (it *Interpreter) GaugeReadings() int {
 	it.mu.Lock()
 	defer it.mu.Unlock()
@@ -152,7 +155,7 @@
 // startRun starts a run. The caller holds the lock.
 func (it *Interpreter) startRun(command RunCommand) {
 	if it.work != nil {
-		it.spendWork(it.work) // what ran before had the cores to itself until now
+		it.advanceWork(it.work) // until now the earlier runs did not share the cores with this one
 	}
 	it.runs.started = append(it.runs.started, command)
 	it.runs.running = append(it.runs.running, command.ID)
@@ -169,7 +172,8 @@
 	}
 }
 
-// endRun ends a run, if it has not ended, and sends the notice of it. The caller holds the lock.
+// endRun ends a run and sends the notice of its end. It does nothing if the request with the ID is not running. The caller
+// holds the lock.
 func (it *Interpreter) endRun(id, status string, result []byte) {
 	i := slices.Index(it.runs.running, id)
 	if i < 0 {
--- a/internal/fake/interpreter_link.go
+++ b/internal/fake/interpreter_link.go
@@ -32,7 +32,7 @@
 	bannerCold       = "COLD"
 )
 
-// readBufferSize is the size of the buffers that connections are read into.
+// readBufferSize is the size, in bytes, of the buffers for reading from connections.
 const readBufferSize = 32 << 10
 
 // message is one line of the protocol, in either direction.
@@ -48,35 +48,35 @@
 	Values []float64 `json:"values,omitempty"`
 }
 
-// session is the connection state that lasts over links: notices are numbered, and a server that connects again is sent
-// those that it has not seen.
+// session is the state that outlives a link. Notices are numbered, and a server that reconnects is sent the notices that it
+// has not received.
 type session struct {
-	link         *Link     // the newest, nil after it was cut
+	link         *Link     // the newest link, or nil after CutLink
 	order        linkOrder // of the newest link
-	lastReceived uint64    // the number of the last notice that the server had received, by its newest CONNECT
-	awaitsBanner bool      // CONNECT was received and BANNER was not sent
-	notices      []message
+	lastReceived uint64    // number of the last notice that the server had received, as stated in its newest CONNECT
+	awaitsBanner bool      // CONNECT was received, but BANNER is not sent yet
+	notices      []message // all notices, in the order of their numbers, which start at 1
 }
 
-// linkOrder orders links by the address and the time at which they were accepted. A link replaces those before it in
-// the order, and what is still read on one of those is ignored.
+// linkOrder orders links by listener, oldest first, and the links of one listener by the time of acceptance. When a link
+// sends CONNECT, it replaces the links before it in this order. Commands that are read from a replaced link are ignored.
 type linkOrder struct{ listener, accepted int }
 
-// isBelow reports whether the link comes before the other in the order.
-func (r linkOrder) isBelow(other linkOrder) bool {
+// isBefore reports whether a link with order r comes before a link with the other order.
+func (r linkOrder) isBefore(other linkOrder) bool {
 	return r.listener < other.listener || r.listener == other.listener && r.accepted < other.accepted
 }
 
-// Link is one connection of a server to an interpreter. What is read on it must be passed to Feed, in order.
+// Link is a server's connection to an interpreter. The caller must pass all bytes that are read from it to Feed, in order.
 type Link struct {
 	interpreter *Interpreter
 	peer        io.WriteCloser
 	order       linkOrder
-	localAddr   string // the address at which it was accepted; "" without a socket
-	partialLine []byte // an incomplete line
+	localAddr   string // the address at which the link was accepted; "" without a socket
+	partialLine []byte // received bytes of an incomplete line
 }
 
-// Attach adds a link without a socket; it is newer than all others.
+// Attach adds a link without a socket. The link is newer than all links attached before.
 func (it *Interpreter) Attach(peer io.WriteCloser) *Link {
 	l := &Link{interpreter: it, peer: peer}
 	it.update(func() {
@@ -86,12 +86,12 @@
 	return l
 }
 
-// Feed takes the next bytes, and returns whether the link is to be kept.
+// Feed processes the next bytes and reports whether the link is to be kept open.
 func (l *Link) Feed(data []byte) bool {
 	l.partialLine = append(l.partialLine, data...)
 	for {
-		line, rest, whole := bytes.Cut(l.partialLine, []byte{'\n'})
-		if !whole {
+		line, rest, found := bytes.Cut(l.partialLine, []byte{'\n'})
+		if !found {
 			return true
 		}
 		var m message
@@ -102,7 +102,7 @@
 	}
 }
 
-// listen accepts links at a new address.
+// listen starts to accept links at a new loopback address.
 func (it *Interpreter) listen() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,7 +128,8 @@
 	return nil
 }
 
-// read reads the link's connection until it ends or is to end.
+// read passes the bytes from the link's connection to Feed until the connection ends or Feed returns false. It then closes
+// the connection.
 func (l *Link) read(conn net.Conn) {
 	defer conn.Close()
 	buf := make([]byte, readBufferSize)
@@ -140,20 +141,20 @@
 	}
 }
 
-// AddListener has the interpreter accept links at a new address too, and returns that.
+// AddListener makes the interpreter accept links at an additional address, and returns that address.
 func (it *Interpreter) AddListener() (string, error) {
 	err := it.listen()
 	return it.Addr(), err
 }
 
-// Addr returns the newest address at which links are accepted.
+// Addr returns the address of the newest listener.
 func (it *Interpreter) Addr() string {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return it.listener.Addr().String()
 }
 
-// LinkAddr returns the address at which the newest link was accepted, or "" while there is none.
+// LinkAddr returns the address at which the current link was accepted, or "" if there is no link.
 func (it *Interpreter) LinkAddr() string {
 	it.mu.Lock()
 	defer it.mu.Unlock()
@@ -163,14 +164,14 @@
 	return it.session.link.localAddr
 }
 
-// LinkCount returns how many links have connected.
+// LinkCount returns how many links have connected, by the number of CONNECT commands executed.
 func (it *Interpreter) LinkCount() int {
 	it.mu.Lock()
 	defer it.mu.Unlock()
 	return it.linkCount
 }
 
-// CutLink closes the link. The server may connect again, unless RejectLinks forbids it.
+// CutLink closes the current link, if there is one. The server can reconnect unless RejectLinks is set.
 func (it *Interpreter) CutLink() {
 	it.update(func() {
 		if it.session.link != nil {
@@ -180,15 +181,15 @@
 	})
 }
 
-// handle carries out a command, and returns whether the link is to be kept. A command on a link that was replaced or cut is
+// handle executes a command and reports whether the link is to be kept open. A command on a link that was replaced or cut is
 // ignored.
 func (it *Interpreter) handle(link *Link, command message) bool {
 	it.mu.Lock()
 	defer it.mu.Unlock()
-	if it.behavior.rejectsLinks || link.order.isBelow(it.session.order) || command.Op != opConnect && it.session.link != link {
+	if it.behavior.rejectsLinks || link.order.isBefore(it.session.order) || command.Op != opConnect && it.session.link != link {
 		return false
 	}
-	if !it.behavior.isUp && (command.Op == opGauges || command.Op == opCheck) { // as the platform's interpreter does
+	if !it.behavior.isUp && (command.Op == opGauges || command.Op == opCheck) { // the platform's interpreter does the same
 		it.send(message{Op: opError, End: command.Op, ID: command.Tag})
 		return true
 	}
@@ -211,7 +212,8 @@
 	return true
 }
 
-// connect makes the link the newest; lastReceived is the number of the last notice that the server has.
+// connect makes l the current link. lastReceived is the number of the last notice that the server has received. The caller
+// holds the lock.
 func (it *Interpreter) connect(l *Link, lastReceived uint64) {
 	s := &it.session
 	if s.link != nil && s.link != l {
@@ -222,7 +224,8 @@
 	it.sendBanner()
 }
 
-// sendBanner answers CONNECT once the interpreter is up, and sends the notices that the server has missed.
+// sendBanner answers a pending CONNECT if the interpreter is up, and then sends the notices that the server has not received.
+// The caller holds the lock.
 func (it *Interpreter) sendBanner() {
 	if !it.behavior.isUp || !it.session.awaitsBanner {
 		return
@@ -240,7 +243,7 @@
 	}
 }
 
-// handleRun starts a run, unless it was started before.
+// handleRun starts a run, unless the request is already running, is rejected or has finished. The caller holds the lock.
 func (it *Interpreter) handleRun(m message) {
 	switch {
 	case slices.Contains(it.runs.running, m.ID):
@@ -253,10 +256,10 @@
 	}
 }
 
-// handleGauges answers with the gauges as they are now.
+// handleGauges answers a gauge query with the current values. The caller holds the lock.
 func (it *Interpreter) handleGauges(m message) {
 	if it.work != nil {
-		it.spendWork(it.work)
+		it.advanceWork(it.work)
 	}
 	if !it.behavior.ignoresQueries {
 		it.gaugeReadings++
@@ -265,21 +268,22 @@
 	}
 }
 
-// sendNotice numbers a notice, keeps it for links to come and sends it.
+// sendNotice numbers a notice, stores it for later links and sends it. The caller holds the lock.
 func (it *Interpreter) sendNotice(notice message) {
 	notice.Seq = uint64(len(it.session.notices) + 1)
 	it.session.notices = append(it.session.notices, notice)
 	it.send(notice)
 }
 
-// send writes a line to the link, if there is one. A notice that is lost is sent again on the next link.
+// send writes a message as a line to the current link, if there is one. It ignores write errors: a lost notice is sent
+// again on the next link. The caller holds the lock.
 func (it *Interpreter) send(m message) {
 	if it.session.link == nil {
 		return
 	}
 	text, err := json.Marshal(m)
 	if err != nil {
-		return // a message of texts and finite numbers can always be marshalled
+		return // does not happen: a message with only strings and finite numbers can always be marshaled
 	}
 	it.session.link.peer.Write(append(text, '\n'))
 }
--- a/internal/fake/member.go
+++ b/internal/fake/member.go
@@ -14,34 +14,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Behavior is how a member treats requests.
+// Behavior is the way in which a member handles requests.
 type Behavior uint8
 
 // The behaviors of members.
 const (
-	Healthy    Behavior = iota // it answers with its name and the request's path
-	Silent                     // it takes requests and never answers
-	Truncated                  // it sends half of a response and closes the connection
-	Duplicated                 // it answers twice
-	Failing                    // it answers with status 500
-	Overloaded                 // it rejects requests with the protocol's status for overload
+	Healthy    Behavior = iota // it answers with its name and the request's path and body
+	Silent                     // it reads requests and never answers them
+	Truncated                  // it sends half of a response, in SCGI half of the body, and closes the connection
+	Duplicated                 // it sends each response twice
+	Failing                    // it answers with HTTP status 500
+	Overloaded                 // it rejects requests as overloaded: by FastCGI's protocol status, or in SCGI by HTTP status 503
 	Closing                    // it closes the connection as soon as it has read a request
-	Malformed                  // it sends bytes that are no response
+	Malformed                  // it sends bytes that are not a valid response
 	NotReading                 // it accepts connections and reads nothing
 )
 
-// Member is a server of a pool, on loopback. It speaks FastCGI or SCGI and treats each request by its behavior. It is
-// safe for concurrent use.
+// Member is a member of a pool, on loopback. It speaks FastCGI or SCGI and handles each request according to its behavior.
+// It is safe for concurrent use.
 type Member struct {
 	Name   string
 	isSCGI bool
 
-	mu        sync.Mutex // guards all that follows
+	mu        sync.Mutex // guards the fields below
 	behavior  Behavior
-	delay     time.Duration
+	delay     time.Duration       // before each answer
 	received  []map[string]string // parameters of the requests, in order
 	onRequest func(params map[string]string)
-	statusOf  func(params map[string]string) int // nil: 200
+	statusOf  func(params map[string]string) int // HTTP status of a response; nil is always 200
 	listener  net.Listener
 	conns     map[net.Conn]bool
 	addr      string
@@ -61,12 +61,12 @@
 }
 
 const (
-	smallSegment       = 536 // bytes; the TCP default of RFC 1122
-	smallReceiveBuffer = 4 << 10
+	smallSegment       = 536     // bytes; the TCP default of RFC 1122
+	smallReceiveBuffer = 4 << 10 // bytes
 )
 
-// limitBuffers has both sides of a listener's connections buffer little for a peer that does not read: by small segments,
-// which kernels measure their buffers by, and a small window.
+// limitBuffers makes both sides of a listener's connections buffer little data for a peer that does not read. It sets a small
+// segment size, since kernels size their buffers by the segment, and a small receive buffer, which keeps the window small.
 func limitBuffers(_, _ string, conn syscall.RawConn) error {
 	var err error
 	controlErr := conn.Control(func(fd uintptr) {
@@ -79,7 +79,8 @@
 	return err
 }
 
-// Start listens, at the address that the member had before if there is one.
+// Start starts listening, at the previous address if the member has listened before. If the behavior is NotReading at that
+// time, connections get small buffers.
 func (m *Member) Start() error {
 	addr := m.Addr()
 	if addr == "" {
@@ -135,37 +136,39 @@
 	return m.addr
 }
 
-// SetBehavior sets how requests are treated from now on, and how long each waits for that.
+// SetBehavior sets the behavior for later requests, and the delay before each of them is answered.
 func (m *Member) SetBehavior(behavior Behavior, delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.behavior, m.delay = behavior, delay
 }
 
-// OnRequest has the function called with each request that is not rejected, before it is answered.
+// OnRequest sets the function that is called with the parameters of each request before it is answered. Requests that are
+// rejected by FastCGI's protocol status are left out.
 func (m *Member) OnRequest(received func(params map[string]string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.onRequest = received
 }
 
-// SetStatusFunc has a healthy member answer with the status that the function returns.
+// SetStatusFunc sets the function that returns the HTTP status of a healthy member's responses. The member is locked during
+// the call, so statusOf must not call its methods.
 func (m *Member) SetStatusFunc(statusOf func(params map[string]string) int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.statusOf = statusOf
 }
 
-// ReceivedParams returns the parameters of all requests that were read completely.
+// ReceivedParams returns the parameters of all requests that were read completely, in order.
 func (m *Member) ReceivedParams() []map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.received)
 }
 
-// memberRequest is a request as a member reads it.
+// memberRequest is a request that a member has read.
 type memberRequest struct {
-	id     uint16 // of FastCGI
+	id     uint16 // FastCGI request ID
 	params map[string]string
 	body   []byte
 }
@@ -193,7 +196,7 @@
 	}
 }
 
-// read reads one request.
+// read reads one request in the member's protocol.
 func (m *Member) read(r io.Reader) (memberRequest, error) {
 	if m.isSCGI {
 		return readSCGI(r)
@@ -201,7 +204,7 @@
 	return readFastCGI(r)
 }
 
-// handle answers one request, and reports whether the connection is kept.
+// handle answers one request and reports whether the connection is to be kept open.
 func (m *Member) handle(conn net.Conn, request memberRequest) bool {
 	m.mu.Lock()
 	m.received = append(m.received, request.params)
@@ -217,7 +220,7 @@
 	time.Sleep(delay)
 	if m.isSCGI {
 		m.answerSCGI(conn, behavior, status, request)
-		return false // the end of the connection ends the response
+		return false // an SCGI response ends with its connection
 	}
 	return m.answerFastCGI(conn, behavior, status, request)
 }
--- a/internal/fake/member_fastcgi.go
+++ b/internal/fake/member_fastcgi.go
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// malformedResponse is no response of FastCGI or SCGI.
+// malformedResponse is not a valid response in FastCGI or SCGI.
 const malformedResponse = "HTTP/1.1 200 OK\r\n\r\n"
 
-// endRequestSize is the length of an END_REQUEST record's content.
+// endRequestSize is the length, in bytes, of an END_REQUEST record's content.
 const endRequestSize = 8
 
 // endOverloaded is the content of an END_REQUEST record that rejects the request with FCGI_OVERLOADED.
 var endOverloaded = []byte{0, 0, 0, 0, 2, 0, 0, 0}
 
-// answerFastCGI answers one request, and reports whether the connection is kept.
+// answerFastCGI answers one request and reports whether the connection is to be kept open.
 func (m *Member) answerFastCGI(conn net.Conn, behavior Behavior, status int, request memberRequest) bool {
 	end := EncodeRecord(EndRequest, request.id, make([]byte, endRequestSize), 0)
 	text := fmt.Sprintf("Status: %d\r\nX-Member: %s\r\n\r\n%s %s %s", status, m.Name, m.Name, request.params["SCRIPT_NAME"],
@@ -53,7 +53,7 @@
 	return true
 }
 
-// readFastCGI reads one request.
+// readFastCGI reads the records of one request.
 func readFastCGI(reader io.Reader) (memberRequest, error) {
 	var params, body []byte
 	for {
@@ -72,7 +72,7 @@
 			params = append(params, content...)
 		case Stdin:
 			body = append(body, content...)
-			if len(content) == 0 { // the end of the request
+			if len(content) == 0 { // an empty STDIN record ends the request
 				id := binary.BigEndian.Uint16(header[2:])
 				return memberRequest{id: id, params: decodePairs(params), body: body}, nil
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-// decodePairs reads a list of name-value pairs.
+// decodePairs decodes a list of name-value pairs.
 func decodePairs(p []byte) map[string]string {
 	pairs := map[string]string{}
 	for len(p) > 1 {
@@ -93,7 +93,7 @@
 	return pairs
 }
 
-// decodeLength reads a length of one or four bytes, and returns the bytes behind it.
+// decodeLength decodes a length of one or four bytes. It returns the length and the bytes after it.
 func decodeLength(p []byte) (int, []byte) {
 	if p[0] <= maxShortLength {
 		return int(p[0]), p[1:]
--- a/internal/fake/member_scgi.go
+++ b/internal/fake/member_scgi.go
@@ -9,13 +9,15 @@
 	"strconv"
 )
 
-// errSCGI is returned for a request that breaks the SCGI protocol.
-var errSCGI = errors.New("fake: no SCGI request")
+// errSCGI is the error for a request that violates the SCGI protocol.
+var errSCGI = errors.New("fake: invalid SCGI request")
 
-// maxSCGIHeader is about the longest header that is read.
+// maxSCGIHeader limits the header's length, in bytes. A length above it must not have another digit, so the limit is not
+// exact.
 const maxSCGIHeader = 1 << 20
 
-// answerSCGI answers the one request of a connection. SCGI cannot express overload, so that is an HTTP status.
+// answerSCGI answers the only request of a connection. SCGI has no status for overload, so an overloaded member answers with
+// HTTP status 503.
 func (m *Member) answerSCGI(conn net.Conn, behavior Behavior, status int, request memberRequest) {
 	text := fmt.Sprintf("%s %s %s", m.Name, request.params["SCRIPT_NAME"], request.body)
 	response := fmt.Appendf(nil, "Status: %d\r\nContent-Length: %d\r\nX-Member: %s\r\n\r\n%s", status, len(text), m.Name, text)
@@ -38,7 +40,7 @@
 	}
 }
 
-// readSCGI reads one request: a netstring of names and values, of which CONTENT_LENGTH comes first, and the body.
+// readSCGI reads one request: a netstring of header names and values, with CONTENT_LENGTH first, and the body.
 func readSCGI(reader io.Reader) (memberRequest, error) {
 	header, err := readNetstring(reader)
 	if err != nil {
@@ -50,14 +52,14 @@
 	}
 	size, err := strconv.Atoi(params["CONTENT_LENGTH"])
 	if err != nil || size < 0 {
-		return memberRequest{}, fmt.Errorf("%w: CONTENT_LENGTH", errSCGI)
+		return memberRequest{}, fmt.Errorf("%w: CONTENT_LENGTH is not a non-negative number", errSCGI)
 	}
 	body := make([]byte, size)
 	_, err = io.ReadFull(reader, body)
 	return memberRequest{id: 1, params: params, body: body}, err
 }
 
-// readNetstring reads the header, which must end with a zero byte, and returns it without that.
+// readNetstring reads a netstring that ends with a zero byte, and returns it without that byte.
 func readNetstring(reader io.Reader) ([]byte, error) {
 	size, err := readNetstringLength(reader)
 	if err != nil {
@@ -68,12 +70,12 @@
 		return nil, err
 	}
 	if size == 0 || header[size] != ',' || header[size-1] != 0 {
-		return nil, fmt.Errorf("%w: the end of its header", errSCGI)
+		return nil, fmt.Errorf("%w: the header does not end with a zero byte and a comma", errSCGI)
 	}
 	return header[:size-1], nil
 }
 
-// readNetstringLength reads the decimal number before the colon.
+// readNetstringLength reads the decimal length of a netstring and the colon after it.
 func readNetstringLength(reader io.Reader) (int, error) {
 	size := 0
 	for {
@@ -85,17 +87,17 @@
 			return size, nil
 		}
 		if digit[0] < '0' || digit[0] > '9' || size > maxSCGIHeader {
-			return 0, fmt.Errorf("%w: length", errSCGI)
+			return 0, fmt.Errorf("%w: the header's length is malformed or too large", errSCGI)
 		}
 		size = size*10 + int(digit[0]-'0')
 	}
 }
 
-// parseSCGIHeader reads names and values that are separated by zero bytes.
+// parseSCGIHeader parses names and values that are separated by zero bytes.
 func parseSCGIHeader(header []byte) (map[string]string, error) {
 	fields := bytes.Split(header, []byte{0})
 	if len(fields)%2 != 0 || string(fields[0]) != "CONTENT_LENGTH" {
-		return nil, fmt.Errorf("%w: header", errSCGI)
+		return nil, fmt.Errorf("%w: the header does not start with CONTENT_LENGTH, or a name has no value", errSCGI)
 	}
 	params := map[string]string{}
 	for i := 0; i < len(fields); i += 2 {
@@ -106,7 +108,7 @@
 		params[name] = string(fields[i+1])
 	}
 	if params["SCGI"] != "1" {
-		return nil, fmt.Errorf("%w: version", errSCGI)
+		return nil, fmt.Errorf("%w: the header SCGI is not 1", errSCGI)
 	}
 	return params, nil
 }
--- a/internal/fake/requests.go
+++ b/internal/fake/requests.go
@@ -11,10 +11,10 @@
 	"tillerusher/internal/invariant"
 )
 
-// attemptCount numbers the attempts of a process, for IDs that differ.
+// attemptCount counts the attempts that this process has created, which makes their IDs unique.
 var attemptCount atomic.Uint64
 
-// NewHealthCheck returns a health check; a deep one asks whether work gets done.
+// NewHealthCheck returns a health check. A deep check asks whether the server's backend can do work.
 func NewHealthCheck(deep bool) Request {
 	r := Request{Method: "GET", Path: "/healthz"}
 	if deep {
@@ -23,21 +23,22 @@
 	return r
 }
 
-// NewLookup returns a request of the safe class that is received now.
+// NewLookup returns an attempt of the safe class that the gateway receives now.
 func NewLookup(body string) Request {
 	return NewAttempt(nextID(), "", time.Now(), []byte(body))
 }
 
-// NewReserve returns an attempt of the class with idempotency keys that is received now. Attempts of one request have the
-// same number.
+// NewReserve returns an attempt of the class with idempotency keys that the gateway receives now. The key is derived from
+// number, so attempts of one request must have the same number.
 func NewReserve(number int, body string) Request {
 	return NewAttempt(nextID(), fmt.Sprintf("%032x", number), time.Now(), []byte(body))
 }
 
+// nextID returns a unique Request-Id.
 func nextID() string { return fmt.Sprintf("%016x", attemptCount.Add(1)) }
 
-// NewAttempt returns an attempt that a gateway received at the time. It is of the class with idempotency keys where it has a
-// key, and else of the safe class.
+// NewAttempt returns an attempt that a gateway received at the given time. With a key it belongs to the class with
+// idempotency keys, and with an empty key to the safe class.
 func NewAttempt(id, key string, received time.Time, body []byte) Request {
 	request := Request{Method: "POST", Path: "/v1/part-lookup", Body: body, Headers: map[string]string{
 		"Request-Id":    id,
@@ -54,7 +55,7 @@
 	return request
 }
 
-// Deadline returns how long after it was received an attempt has to be answered.
+// Deadline returns the time within which an attempt must be answered after the gateway received it.
 func Deadline(hasKey bool) time.Duration {
 	if hasKey {
 		return ReserveDeadline
@@ -62,7 +63,7 @@
 	return LookupDeadline
 }
 
-// Outcome returns what the response means to the caller.
+// Outcome returns the outcome that the response has for the caller.
 func (r Response) Outcome() invariant.Outcome {
 	switch {
 	case r.Status == http.StatusOK:
@@ -76,7 +77,7 @@
 // ID returns the request's Request-Id.
 func (r Request) ID() string { return r.Headers["Request-Id"] }
 
-// WithHeader returns the request with a header changed, or removed where the value is empty.
+// WithHeader returns a copy of the request with the header set to the value, or removed if the value is empty.
 func (r Request) WithHeader(name, value string) Request {
 	headers := maps.Clone(r.Headers)
 	if headers == nil {
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -17,14 +17,14 @@
  "limits": {"max-retry-after-ns": 1000000000, "retry-after": true},
  "obligations": {"cold-ns": 16000000000, "cold-share": 0.22, "drain-grace-ns": 300000000, "overload-factor": 8}}`
 
-// The time limits in SiteSettings, for callers and checkers.
+// The time limits of SiteSettings, for code that sends or checks requests.
 const (
 	LookupDeadline    = 3700 * time.Millisecond
 	ReserveDeadline   = 6100 * time.Millisecond
-	IdempotencyWindow = 18354 * time.Millisecond // in which a reserve must not run twice
+	IdempotencyWindow = 18354 * time.Millisecond // in which a key of a reserve must not run twice
 )
 
-// FreeAddr returns a loopback address that nothing listens at.
+// FreeAddr returns a loopback TCP address that nothing listens on.
 func FreeAddr() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fake/work.go
+++ b/internal/fake/work.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// maxWorkInterval and minWorkInterval bound the time between two updates of runs that take time.
+	// maxWorkInterval and minWorkInterval bound the time between two updates of the simulation while requests run.
 	maxWorkInterval = time.Millisecond
 	minWorkInterval = 20 * time.Microsecond
-	// utilizationWindow is the time constant of the cores' gauge, an exponential moving average.
+	// utilizationWindow is the time constant of the gauge of the cores' utilization, an exponential moving average.
 	utilizationWindow = 500 * time.Millisecond
 )
 
-// simulatedWork is the processor time that runs take: the cores are shared evenly by all that run.
+// simulatedWork simulates the processor time of runs. All running requests share the cores evenly.
 type simulatedWork struct {
 	cores       int
 	runTime     func(RunCommand) time.Duration
-	remaining   map[string]time.Duration // core time, by request ID
-	spentUntil  time.Time                // the time of the last update
+	remaining   map[string]time.Duration // core time that each run still needs, by request ID
+	updatedAt   time.Time                // the time of the last update
 	cancelTimer func()
-	onTimer     func() // spends time, and sets the timer again while something runs
+	onTimer     func() // updates the simulation, and sets the timer again while requests run
 	isIdle      bool   // no timer is set
 }
 
-// Clock is the source of time of an interpreter.
+// Clock is the time source of an interpreter.
 type Clock interface {
 	Now() time.Time
-	// After has the function called after the wait, unless it is cancelled before.
+	// After calls fire after the wait, unless cancel is called before.
 	After(wait time.Duration, fire func()) (cancel func())
 }
 
@@ -45,18 +45,19 @@
 	return func() { t.Stop() }
 }
 
-// SimulateWork has each run take the core time that runTime returns, on cores that are shared evenly by all that run, and
-// end with WorkResult of its request's body. Runs are updated when the next of them is to end, so that no core time is lost
-// between two updates.
+// SimulateWork makes each run take the core time that runTime returns, on cores that all running requests share evenly. The
+// result of a run is WorkResult of its request's body. The simulation is updated when the next run is due to end, so that no
+// core time is lost between two updates. The interpreter is locked during a call of runTime, so runTime must not call its
+// methods.
 func (it *Interpreter) SimulateWork(cores int, runTime func(RunCommand) time.Duration) {
-	work := &simulatedWork{cores: cores, runTime: runTime, remaining: map[string]time.Duration{}, spentUntil: it.clock.Now()}
+	work := &simulatedWork{cores: cores, runTime: runTime, remaining: map[string]time.Duration{}, updatedAt: it.clock.Now()}
 	work.cancelTimer = func() {}
 	work.onTimer = func() {
 		it.update(func() {
 			if it.work != work {
 				return
 			}
-			it.spendWork(work)
+			it.advanceWork(work)
 			work.isIdle = len(it.runs.running) == 0
 			if !work.isIdle {
 				work.cancelTimer = it.clock.After(it.untilNextEnd(work), work.onTimer)
@@ -65,11 +66,11 @@
 	}
 	it.update(func() {
 		it.work, work.isIdle = work, true
-		it.scheduleWork(work) // for what runs already
+		it.scheduleWork(work) // requests may be running already
 	})
 }
 
-// StopSimulatingWork has runs end as they start, as FinishImmediately does.
+// StopSimulatingWork stops the simulation. Each later run ends as soon as it starts, as after FinishImmediately.
 func (it *Interpreter) StopSimulatingWork() {
 	it.update(func() {
 		it.stopWork()
@@ -77,7 +78,7 @@
 	})
 }
 
-// stopWork ends simulated work. The caller holds the lock.
+// stopWork stops the simulation of work, if there is one. The caller holds the lock.
 func (it *Interpreter) stopWork() {
 	if it.work != nil {
 		it.work.cancelTimer()
@@ -85,7 +86,7 @@
 	}
 }
 
-// scheduleWork sets the timer if something runs and no timer is set. The caller holds the lock.
+// scheduleWork sets the timer if requests are running and no timer is set. The caller holds the lock.
 func (it *Interpreter) scheduleWork(w *simulatedWork) {
 	if w.isIdle && len(it.runs.running) > 0 {
 		w.isIdle = false
@@ -93,7 +94,8 @@
 	}
 }
 
-// untilNextEnd returns the time until the first run is to end, within the bounds of the timer.
+// untilNextEnd returns the time until the next run is due to end, limited to the range from minWorkInterval to
+// maxWorkInterval. The caller holds the lock.
 func (it *Interpreter) untilNextEnd(w *simulatedWork) time.Duration {
 	runsPerCore := max(1, float64(len(it.runs.running))/float64(w.cores))
 	wait := maxWorkInterval
@@ -103,11 +105,12 @@
 	return max(wait, minWorkInterval)
 }
 
-// spendWork spends the time since the last update on the running requests, and ends the runs whose core time is used up.
-func (it *Interpreter) spendWork(work *simulatedWork) {
+// advanceWork simulates the time since the last update: it reduces the core time that the runs still need, updates the
+// utilization and ends the runs that need no more core time. The caller holds the lock.
+func (it *Interpreter) advanceWork(work *simulatedWork) {
 	now := it.clock.Now()
-	elapsed := now.Sub(work.spentUntil)
-	work.spentUntil = now
+	elapsed := now.Sub(work.updatedAt)
+	work.updatedAt = now
 	running := len(it.runs.running)
 	decay := math.Exp(-elapsed.Seconds() / utilizationWindow.Seconds())
 	it.behavior.utilization = it.behavior.utilization*decay + (1-decay)*min(1, float64(running)/float64(work.cores))
@@ -130,12 +133,12 @@
 // WorkResult returns the result of a run with simulated work.
 func WorkResult(body []byte) []byte { return append([]byte("done "), body...) }
 
-// WorkBody returns a request body that names the request and the core time of its run, which ParseWork reads.
+// WorkBody returns a request body with the request's name and the core time of its run, which ParseWork parses.
 func WorkBody(name string, coreTime time.Duration) []byte {
 	return fmt.Appendf(nil, "%s work=%d", name, coreTime.Microseconds())
 }
 
-// ParseWork returns the core time that the command's body names, or 0 where it names none.
+// ParseWork returns the core time that the command's body states, or 0 if it states none.
 func ParseWork(command RunCommand) time.Duration {
 	_, text, _ := bytes.Cut(command.Body, []byte("work="))
 	microseconds := 0
