--- a/internal/loadtest/attempt.go
+++ b/internal/loadtest/attempt.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// request is what a caller wants. It has one attempt or several.
+// request is a caller's request, which is sent in one or more attempts.
 type request struct {
 	key           string // idempotency key, or ""
 	tenant        string
 	body          []byte
-	firstIntended time.Time // when its first attempt was meant to be sent
-	attempts      int
+	firstIntended time.Time // when its first attempt was due to be sent
+	attempts      int       // attempts so far, including a queued one
 	wasServed     bool
 }
 
@@ -16,12 +16,12 @@
 type attempt struct {
 	id       string
 	request  *request
-	number   int       // among the attempts of its request, from 1
-	intended time.Time // when it was meant to be sent
-	received time.Time // the time of its Received-At
+	number   int       // position among the attempts of its request, from 1
+	intended time.Time // when it was due to be sent
+	received time.Time // the value of its Received-At header
 }
 
-// attemptQueue is a heap of attempts by the time at which they are meant to be sent.
+// attemptQueue is a min-heap of attempts, ordered by the time at which they are due to be sent.
 type attemptQueue []*attempt
 
 // Len implements heap.Interface.
--- a/internal/loadtest/capturecost.go
+++ b/internal/loadtest/capturecost.go
@@ -7,17 +7,18 @@
 	"path/filepath"
 )
 
-// CaptureCost compares throughputs with the capture on and off that were measured in turn.
+// CaptureCost compares the throughput of a daemon with the capture on and off, measured in alternating rounds.
 type CaptureCost struct {
 	Rounds []Throughput       `json:"rounds"`
-	Ratio  map[string]float64 `json:"ratio"` // median over the pairs of on over off
+	Ratio  map[string]float64 `json:"ratio"` // median over the pairs of the ratio on to off, by figure
 }
 
-// MeasureCaptureCost measures what a daemon on one core does under a saturating load, with the capture on and off in turn.
+// MeasureCaptureCost measures the throughput of a daemon on one core under a saturating load, in pairs of rounds with the
+// capture on and off.
 func MeasureCaptureCost(ctx context.Context, config SaturationConfig) (*CaptureCost, error) {
 	dir, err := os.MkdirTemp("", "tillerusher-cost")
 	if err != nil {
-		return nil, fmt.Errorf("storm: %w", err)
+		return nil, fmt.Errorf("loadtest: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	cost := &CaptureCost{Ratio: map[string]float64{}}
@@ -26,7 +27,7 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		// Capturing comes first in every other pair, so that a machine that slows down favours neither.
+		// The order alternates between pairs, so that a machine that slows down favours neither on nor off.
 		isCapturing := (n+n/2)%2 == 0
 		args := []string{"serve"}
 		if isCapturing {
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -1,6 +1,9 @@
-// Package loadtest starts a real daemon with the project's own fakes on loopback and drives a bounded, mixed load at it:
-// first attempts at an open rate, retries, repeats of what was served, a lost link, a reload and a drain. Latency counts
-// from the time at which a request was meant to be sent, so a server that stands still cannot hide it.
+// Package loadtest starts a real daemon with the fakes of package fake on loopback and sends it a bounded, mixed load: first
+// attempts at a rate that does not depend on the answers (open loop), retries, repeats of served requests, link losses, a
+// reload and a drain. Latency is measured from the time at which a request was due to be sent, so that a stalled server
+// cannot hide it.
+//
+// The package also measures the cost of the capture and of keeping state, and the recovery after a restart.
 package loadtest
 
 import (
@@ -12,32 +15,32 @@
 	"tillerusher/internal/daemon"
 )
 
-// Config is a load test.
+// Config configures a load test.
 type Config struct {
-	Daemon string   // the daemon's program
-	Args   []string // its arguments
+	Daemon string   // program of the daemon
+	Args   []string // arguments of the program
 
 	Requests        int            // number of requests, each of which has a first attempt
 	Rate            float64        // first attempts per second
-	Arrival         arrival.Config // when first attempts come, at the rate above; a kind of "" is Poisson
-	Gateways        int            // connections, of MaxOpenRequests each
+	Arrival         arrival.Config // process of the first attempts; Rate overrides its rate, and the kind "" is Poisson
+	Gateways        int            // connections, each with up to MaxOpenRequests open requests
 	IdempotentShare float64        // share of the requests that have an idempotency key
 	RepeatShare     float64        // share of the served requests with a key that are sent again
-	MaxAttempts     int            // of one request, the first included
-	Seed            uint64         // of all random numbers
+	MaxAttempts     int            // of one request, including the first
+	Seed            uint64         // seed of all random numbers
 
 	InterpreterCores int
 	MeanWork         time.Duration // mean core time of a run
 
-	DrainRequests  int    // requests that come while the daemon drains
-	CutLink        bool   // whether the interpreter's link is cut three times
-	Reload         bool   // whether SIGHUP comes half way
+	DrainRequests  int    // requests that are sent while the daemon drains
+	CutLink        bool   // whether the interpreter's link is cut after every Requests/4 requests, except the last: as a rule three times
+	Reload         bool   // whether the daemon is reloaded half way, by SIGHUP
 	Restart        bool   // whether the daemon is killed half way and started again
-	RemoveStateDir string // a directory that is removed while the daemon is down; "" is none
+	RemoveStateDir string // directory that is removed while the daemon is down; "" is none
 
-	PinnedCore int                // the daemon's only core; -1 is any
+	PinnedCore int                // the only core that the daemon may use, or daemon.AnyCore
 	MemoryMB   int                // the daemon's configured memory limit
-	Progress   func(done, of int) // called after each first attempt; nil is none
+	Progress   func(done, of int) // called after each first attempt; may be nil
 }
 
 // Limits of what Validate accepts.
@@ -59,27 +62,28 @@
 	}
 }
 
-// Validate returns an error for the first value that is out of range.
+// Validate returns an error for the first setting that is out of range.
 func (c Config) Validate() error {
 	switch {
 	case c.Requests < 1 || c.Requests > maxRequests:
-		return fmt.Errorf("storm: %d requests, want 1 to 10,000,000", c.Requests)
+		return fmt.Errorf("loadtest: %d requests, want 1 to 10,000,000", c.Requests)
 	case !(c.Rate > 0) || c.Rate > maxRate:
-		return fmt.Errorf("storm: a rate of %v, want more than 0 and at most 1,000,000 a second", c.Rate)
+		return fmt.Errorf("loadtest: a rate of %v requests/s, want more than 0 and at most 1,000,000", c.Rate)
 	case c.Arrival.Kind != "" && c.arrivals().Validate() != nil:
-		return fmt.Errorf("storm: %w", c.arrivals().Validate())
+		return fmt.Errorf("loadtest: %w", c.arrivals().Validate())
 	case c.Gateways < 1 || c.Gateways > maxGateways:
-		return fmt.Errorf("storm: %d gateways, want 1 to 256", c.Gateways)
+		return fmt.Errorf("loadtest: %d gateways, want 1 to 256", c.Gateways)
 	case c.IdempotentShare < 0 || c.IdempotentShare > 1 || c.RepeatShare < 0 || c.RepeatShare > 1:
-		return fmt.Errorf("storm: parts of %v and %v, want 0 to 1", c.IdempotentShare, c.RepeatShare)
+		return fmt.Errorf("loadtest: an idempotent share of %v and a repeat share of %v, want 0 to 1", c.IdempotentShare, c.RepeatShare)
 	case c.DrainRequests < 0 || c.MaxAttempts < 1 || c.InterpreterCores < 1 || c.MeanWork < 0 || c.MemoryMB < minMemoryMB:
-		return fmt.Errorf("storm: %d tries, %d cores, %v of work and %d MB, want at least 1, 1, 0 and 16", c.MaxAttempts,
-			c.InterpreterCores, c.MeanWork, c.MemoryMB)
+		return fmt.Errorf(
+			"loadtest: %d attempts, %d cores, %v of work and %d MB, want at least 1, 1, 0 and 16, and no negative DrainRequests",
+			c.MaxAttempts, c.InterpreterCores, c.MeanWork, c.MemoryMB)
 	}
 	return nil
 }
 
-// arrivals returns the process by which first attempts come.
+// arrivals returns the configuration of the first attempts' arrival process, with Rate as its rate.
 func (c Config) arrivals() *arrival.Config {
 	a := c.Arrival
 	if a.Kind == "" {
@@ -89,11 +93,12 @@
 	return &a
 }
 
-// ArrivalTimes returns the times of the first n first attempts in a load test with the seed, counted from its start.
+// ArrivalTimes returns the times at which the first n requests of a load test with the seed arrive, measured from its start.
+// It returns fewer if the process ends before.
 func ArrivalTimes(config arrival.Config, seed uint64, n int) ([]time.Duration, error) {
 	process, err := arrival.New(config, newArrivalRand(seed))
 	if err != nil {
-		return nil, fmt.Errorf("storm: %w", err)
+		return nil, fmt.Errorf("loadtest: %w", err)
 	}
 	times := make([]time.Duration, 0, n)
 	for range n {
@@ -106,6 +111,6 @@
 	return times, nil
 }
 
-// newArrivalRand returns the random numbers of arrivals, which have a stream of their own: what is drawn elsewhere does not
-// move them.
+// newArrivalRand returns the random number generator of the arrivals. It is separate from the load test's other generator, so
+// that random numbers drawn for other purposes do not change the arrivals.
 func newArrivalRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -9,13 +9,13 @@
 	"tillerusher/internal/fake"
 )
 
-// drainTime is how long attempts go on after SIGTERM, well within the drain grace period of the settings.
+// drainTime is how long attempts are sent after SIGTERM. It is well within the drain grace period of the settings.
 const drainTime = 120 * time.Millisecond
 
-// drain has the daemon stop under load, and waits for all answers and for its end.
+// drain stops the daemon under load. It waits until the daemon has exited and the readers of all connections have ended.
 func (l *loadTest) drain() error {
 	if err := l.target.process.Signal(syscall.SIGTERM); err != nil {
-		return fmt.Errorf("storm: %w", err)
+		return fmt.Errorf("loadtest: %w", err)
 	}
 	l.mu.Lock()
 	l.isDraining = true
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// waitForExit waits for the daemon's end and records its exit status and what it used.
+// waitForExit waits until the daemon exits, and records its exit status, processor time and peak memory.
 func (l *loadTest) waitForExit() error {
 	state, err := l.target.wait()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// summarize completes the result after the daemon has ended.
+// summarize completes the result after the daemon has exited.
 func (l *loadTest) summarize() *Result {
 	result := &l.result
 	result.Seconds = time.Since(l.begin).Seconds()
--- a/internal/loadtest/gateway.go
+++ b/internal/loadtest/gateway.go
@@ -7,20 +7,20 @@
 	"tillerusher/internal/fake"
 )
 
-// MaxOpenRequests is how many requests a connection may have open.
+// MaxOpenRequests is the maximum number of open requests on a connection.
 const MaxOpenRequests = 32
 
-// gateway is a connection to the daemon, which is made again after it ended.
+// gateway is a connection to the daemon. It is opened again when an attempt is sent after the connection has ended.
 type gateway struct {
 	loadTest *loadTest
 
-	mu      sync.Mutex          // guards all that follows
-	conn    *fake.Gateway       // nil until the first attempt and after an end
+	mu      sync.Mutex          // guards the fields below
+	conn    *fake.Gateway       // nil before the first attempt and after the connection has ended
 	open    map[uint16]*attempt // by FastCGI request ID
 	freeIDs []uint16
 }
 
-// newGateway returns a gateway without a connection: the first attempt makes it.
+// newGateway returns a gateway without a connection. The first attempt opens the connection.
 func newGateway(l *loadTest) *gateway {
 	g := &gateway{loadTest: l, open: map[uint16]*attempt{}}
 	for id := uint16(MaxOpenRequests); id > 0; id-- {
@@ -29,7 +29,7 @@
 	return g
 }
 
-// send writes an attempt, and returns false where the connection has no room or can't be made.
+// send writes an attempt. It returns false if the connection already has MaxOpenRequests open requests or can't be opened.
 func (g *gateway) send(attempt *attempt) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -52,7 +52,7 @@
 	records := g.loadTest.encode(attempt, id)
 	g.loadTest.recordSent(attempt)
 	if g.conn.Write(records) != nil {
-		g.disconnect(g.conn) // the reader finds the end too, and finds this done
+		g.disconnect(g.conn) // the reader calls disconnect too; the second call does nothing
 	}
 	return true
 }
@@ -81,8 +81,8 @@
 	}
 }
 
-// disconnect closes a connection and counts the attempts that were open on it as lost, which the checker reports as
-// unanswered. The caller holds the lock.
+// disconnect closes a connection and counts the attempts that were open on it as lost. The checker reports them as
+// unanswered, unless the load test restarts the daemon. The caller holds the lock.
 func (g *gateway) disconnect(conn *fake.Gateway) {
 	conn.Close()
 	if g.conn != conn {
@@ -96,7 +96,7 @@
 	}
 }
 
-// close closes the connection, which its reader finds ended.
+// close closes the connection, which ends its reader.
 func (g *gateway) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// answerTolerance is how much later than its deadline an answer may be seen here.
+	// answerTolerance is how long after its deadline an answer may arrive here and still count as in time.
 	answerTolerance = 150 * time.Millisecond
-	// maxRepeatDelay bounds the time after which a served request with a key is sent again.
+	// maxRepeatDelay is the maximum delay before a served request with a key is sent again.
 	maxRepeatDelay = 2 * time.Second
-	// defaultBackOffMS is the back-off before a retry where the answer names none.
+	// defaultBackOffMS is the back-off before a retry, in milliseconds, if the answer advises none.
 	defaultBackOffMS = 50
 	// secondTenantShare is the share of the requests that come from secondTenant.
 	secondTenantShare = 0.3
-	// linkCutParts is the number of equal parts of the load between which the link is cut.
+	// linkCutParts is the number of equal parts into which the link cuts divide the load.
 	linkCutParts = 4
 )
 
@@ -34,27 +34,28 @@
 	secondTenant = "northern"
 )
 
-// loadTest is a load test that is under way. One goroutine sends; each connection has one that reads.
+// loadTest is a running load test. One goroutine sends all attempts, and each connection has a goroutine that reads.
 type loadTest struct {
 	config      Config
 	target      *target
 	checker     *invariant.Checker
 	gateways    []*gateway
-	nextGateway int            // of the sending goroutine
-	readers     sync.WaitGroup // of the connections
+	lastGateway int            // index of the gateway tried last; used only by the sending goroutine
+	readers     sync.WaitGroup // the reading goroutines
 	begin       time.Time
-	restarted   chan error // has one error or nil after a restart; nil until one begins
+	restarted   chan error // receives the result of the restart; nil until a restart begins
 
-	mu             sync.Mutex // guards all that follows
+	mu             sync.Mutex // guards the fields below
 	rng            *rand.Rand
-	queue          attemptQueue // retries and repeats that are to be sent
-	isDraining     bool         // no further attempts are queued
+	queue          attemptQueue // retries and repeats to be sent
+	isDraining     bool         // no further retries and repeats are queued
 	result         Result
 	latencies      latencies
 	servedRequests int
 }
 
-// Run runs a load test to its end, or until the context ends it sooner. The daemon is drained either way.
+// Run runs a load test until all requests are sent or ctx is canceled. In both cases it drains the daemon and returns the
+// result of the requests that were sent. On an error it kills the daemon.
 func Run(ctx context.Context, config Config) (*Result, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -93,11 +94,12 @@
 	return test.summarize(), nil
 }
 
-// sendAll sends all first attempts, and the retries and repeats that come meanwhile.
+// sendAll sends all first attempts, and the retries and repeats that become due in the meantime. It returns nil if ctx is
+// canceled.
 func (l *loadTest) sendAll(ctx context.Context) error {
 	arrivals, err := arrival.New(*l.config.arrivals(), newArrivalRand(l.config.Seed))
 	if err != nil {
-		return fmt.Errorf("storm: %w", err)
+		return fmt.Errorf("loadtest: %w", err)
 	}
 	for n := range l.config.Requests {
 		at, more := arrivals.Next()
@@ -138,12 +140,12 @@
 		l.result.RestartSeconds = time.Since(l.begin).Seconds()
 		l.mu.Unlock()
 		l.restarted = make(chan error, 1)
-		go func() { l.restarted <- l.target.restart(l.config) }() // requests go on meanwhile
+		go func() { l.restarted <- l.target.restart(l.config) }() // requests are sent during the restart
 	}
 	return nil
 }
 
-// sendQueuedUntil sends the queued attempts that are meant to be sent before the end, and waits for that.
+// sendQueuedUntil sends the queued attempts that are due by end, each at its time, and returns at end.
 func (l *loadTest) sendQueuedUntil(end time.Time) {
 	for {
 		l.mu.Lock()
@@ -161,7 +163,7 @@
 	}
 }
 
-// newRequest returns the first attempt of a new request. The caller holds the lock.
+// newRequest returns the first attempt of the n-th request. The caller holds the lock.
 func (l *loadTest) newRequest(n int, intended time.Time) *attempt {
 	request := &request{tenant: firstTenant, firstIntended: intended}
 	if l.config.Restart {
@@ -184,7 +186,8 @@
 	return &attempt{id: fmt.Sprintf("%016x", l.rng.Uint64()), request: request, number: request.attempts, intended: intended}
 }
 
-// seriesPoint returns the point that a time belongs to. The caller holds the lock.
+// seriesPoint returns the point of the series that covers a time; it extends the series if necessary. The caller holds the
+// lock.
 func (l *loadTest) seriesPoint(at time.Time) *SeriesPoint {
 	n := max(int(at.Sub(l.begin)/SeriesStep), 0)
 	for len(l.result.Series) <= n {
@@ -193,11 +196,11 @@
 	return &l.result.Series[n]
 }
 
-// send writes an attempt to the next connection with room.
+// send writes an attempt to the next connection that accepts it, or counts it as unsent if none does.
 func (l *loadTest) send(attempt *attempt) {
 	for range l.gateways {
-		l.nextGateway = (l.nextGateway + 1) % len(l.gateways)
-		if l.gateways[l.nextGateway].send(attempt) {
+		l.lastGateway = (l.lastGateway + 1) % len(l.gateways)
+		if l.gateways[l.lastGateway].send(attempt) {
 			l.mu.Lock()
 			l.result.Attempts++
 			if attempt.number == 1 {
@@ -212,7 +215,7 @@
 	l.mu.Unlock()
 }
 
-// encode returns an attempt as it is written to a connection.
+// encode returns the FastCGI records of an attempt with the FastCGI request ID.
 func (l *loadTest) encode(attempt *attempt, id uint16) []byte {
 	message := fake.NewAttempt(attempt.id, attempt.request.key, attempt.received, attempt.request.body)
 	message.Headers["Account"] = attempt.request.tenant
@@ -235,7 +238,7 @@
 	})
 }
 
-// handleResponse takes a response, and queues a repeat or a retry where one follows.
+// handleResponse records a response and queues the repeat or retry that follows from it, if any.
 func (l *loadTest) handleResponse(attempt *attempt, response fake.Response, now time.Time) {
 	outcome := response.Outcome()
 	l.checker.RecordAnswer(attempt.id, outcome, string(response.Body), now)
@@ -253,7 +256,8 @@
 	}
 }
 
-// handleServed counts a request that was served, and queues a repeat of one with a key at random. The caller holds the lock.
+// handleServed counts a request the first time that it is served. With the probability RepeatShare it queues a repeat of a
+// request with a key, unless the daemon is draining. The caller holds the lock.
 func (l *loadTest) handleServed(request *request, now time.Time) {
 	if !request.wasServed {
 		request.wasServed = true
@@ -270,8 +274,8 @@
 	}
 }
 
-// handleRejected queues a retry after the advised back-off, with jitter, unless the request has had all its attempts or the
-// answer says that no retry will do. The caller holds the lock.
+// handleRejected queues a retry after the advised back-off, with jitter. It does not if the request has used all its
+// attempts, the answer advises against retries or the daemon is draining. The caller holds the lock.
 func (l *loadTest) handleRejected(request *request, response fake.Response, now time.Time) {
 	if request.attempts >= l.config.MaxAttempts || response.Header.Get("Final-Refusal") != "" || l.isDraining {
 		return
@@ -287,7 +291,7 @@
 // handleLost counts an attempt whose connection ended before its answer.
 func (l *loadTest) handleLost(attempt *attempt) {
 	if l.config.Restart {
-		l.checker.RecordLost(attempt.id) // a daemon that was killed is not expected to answer
+		l.checker.RecordLost(attempt.id) // a killed daemon is not expected to answer
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/loadtest/pause.go
+++ b/internal/loadtest/pause.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	// pauseCheckInterval is how often pauses of the machine are looked for, and minPause the shortest that counts.
+	// pauseCheckInterval is the interval between two checks for pauses of the machine. minPause is the shortest pause that is
+	// reported.
 	pauseCheckInterval = 5 * time.Millisecond
 	minPause           = 20 * time.Millisecond
 )
 
-// watchPauses reports the times for which this process got no processor, until done is closed. The daemon gets none in such
-// a time either, so an answer may be late through no fault of its own.
+// watchPauses reports the durations for which this process got no processor time, until done is closed. The daemon gets none
+// during such a pause either, so an answer may be late without a fault of the daemon.
 func watchPauses(report func(time.Duration), done <-chan struct{}) {
 	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
--- a/internal/loadtest/recovery.go
+++ b/internal/loadtest/recovery.go
@@ -12,46 +12,49 @@
 	"tillerusher/internal/workerpool"
 )
 
-// RecoveryConfig is the measurement of the time that a daemon takes after a restart to serve as before.
+// RecoveryConfig configures a measurement of how long a daemon takes after a restart to serve as before.
 type RecoveryConfig struct {
-	Config       // of each load test; its seed is that of the first pair
-	Pairs    int // of load tests with the same seed, one without and one with the state that was left
-	Parallel int // load tests at a time
+	Config       // of each load test; Seed is the seed of the first pair
+	Pairs    int // pairs of load tests with the same seed; the first of a pair removes the daemon's state during the restart
+	Parallel int // maximum number of load tests at a time
 }
 
-// Recovery is one load test with a restart half way.
+// Recovery is the result of one load test with a restart half way.
 type Recovery struct {
 	Seed            uint64        `json:"seed"`
-	StateRemoved    bool          `json:"cold"`     // while the daemon was down
-	ServedBefore    float64       `json:"before"`   // share of the requests that was served before the restart
-	ServedAfter     float64       `json:"after"`    // and from it on
-	RecoverySeconds float64       `json:"seconds"`  // until the share was back; -1 is never
-	Series          []SeriesPoint `json:"series"`   // by SeriesStep, from the start of the load test
-	RestartStep     int           `json:"at"`       // the index in Series of the restart
+	StateRemoved    bool          `json:"cold"`     // whether the state was removed while the daemon was down
+	ServedBefore    float64       `json:"before"`   // served share of the requests due before the restart
+	ServedAfter     float64       `json:"after"`    // served share of the requests due after the restart
+	RecoverySeconds float64       `json:"seconds"`  // from the restart until the share recovered; -1 if it did not
+	Series          []SeriesPoint `json:"series"`   // one point per SeriesStep, from the start of the load test
+	RestartStep     int           `json:"at"`       // index of the restart in Series
 	Violations      []string      `json:"breaches"` // a daemon without its state forgets keys, and may run them twice
 }
 
-// The served share has recovered when it is at least recoveredShare of what it was, over recoveryWindow steps. The first steps
-// fill queues and those just before the restart are affected by it; the retries of the last ones are cut off by the end.
+// The served share has recovered when, over recoveryWindow steps, it is at least recoveredShare of the share before the
+// restart. Some steps are not counted: the skippedFirstSteps at the start of the load test, in which queues fill; the
+// skippedLastSteps before the restart, which the restart affects; and the skippedLastSteps at the end of the load test, whose
+// retries are cut off by the end.
 const (
-	recoveredShare = 0.95
-	recoveryWindow = 4
-	firstSteps     = 12
-	lastSteps      = 8
+	recoveredShare    = 0.95
+	recoveryWindow    = 4
+	skippedFirstSteps = 12
+	skippedLastSteps  = 8
 )
 
 // notRecovered is the RecoverySeconds of a daemon that did not recover.
 const notRecovered = -1
 
-// MeasureRecovery runs load tests in pairs of the same seed in which the daemon is killed half way and started again, with
-// and without the state that it left.
+// MeasureRecovery runs load tests in which the daemon is killed half way and started again. They come in pairs with the same
+// seed, one with and one without the state that the daemon left. It returns the results of a pair next to each other, the
+// one without the state first. With an error, the first that occurred, the results are incomplete.
 func MeasureRecovery(ctx context.Context, config RecoveryConfig) ([]Recovery, error) {
 	if config.Pairs < 1 || config.Parallel < 1 {
-		return nil, fmt.Errorf("storm: %d pairs, %d at a time, want at least 1", config.Pairs, config.Parallel)
+		return nil, fmt.Errorf("loadtest: %d pairs and %d load tests at a time, want at least 1 of each", config.Pairs, config.Parallel)
 	}
 	dir, err := os.MkdirTemp("", "tillerusher-recovery")
 	if err != nil {
-		return nil, fmt.Errorf("storm: %w", err)
+		return nil, fmt.Errorf("loadtest: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	measurement := &recoveryMeasurement{config: config, dir: dir, recoveries: make([]Recovery, 2*config.Pairs)}
@@ -62,19 +65,20 @@
 	return measurement.recoveries, measurement.firstErr
 }
 
-// recoveryMeasurement is a call of MeasureRecovery. Load tests 2i and 2i+1 are a pair; the first one's state is removed.
+// recoveryMeasurement is the state of a call of MeasureRecovery. Load tests 2i and 2i+1 are a pair; the daemon's state is
+// removed in load test 2i.
 type recoveryMeasurement struct {
 	config RecoveryConfig
-	dir    string // has a directory of its own for the state of each load test
+	dir    string // contains one state directory per load test
 
-	mu         sync.Mutex // guards all that follows
+	mu         sync.Mutex // guards the fields below
 	started    int
 	finished   int
 	recoveries []Recovery
 	firstErr   error
 }
 
-// next returns the index of the next load test, or false if all have started.
+// next returns the index of the next load test. ok is false if all have started.
 func (m *recoveryMeasurement) next() (index int, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,7 +109,7 @@
 	}
 }
 
-// measureRecovery runs one load test whose daemon keeps its state in a directory.
+// measureRecovery runs one load test with a restart, whose daemon keeps its state in stateDir.
 func measureRecovery(ctx context.Context, config Config, stateDir string, seed uint64, removeState bool) (*Recovery, error) {
 	config.Seed = seed
 	config.Restart = true
@@ -131,12 +135,12 @@
 	return recovery, nil
 }
 
-// findRecovery computes the served shares and when they were back.
+// findRecovery computes ServedBefore, ServedAfter and RecoverySeconds from Series.
 func (r *Recovery) findRecovery() {
-	r.ServedBefore, _ = r.servedShare(firstSteps, r.RestartStep-lastSteps)
-	r.ServedAfter, _ = r.servedShare(r.RestartStep, len(r.Series)-lastSteps)
+	r.ServedBefore, _ = r.servedShare(skippedFirstSteps, r.RestartStep-skippedLastSteps)
+	r.ServedAfter, _ = r.servedShare(r.RestartStep, len(r.Series)-skippedLastSteps)
 	r.RecoverySeconds = notRecovered
-	for n := r.RestartStep; n+recoveryWindow <= len(r.Series)-lastSteps; n++ {
+	for n := r.RestartStep; n+recoveryWindow <= len(r.Series)-skippedLastSteps; n++ {
 		share, ok := r.servedShare(n, n+recoveryWindow)
 		if ok && share >= recoveredShare*r.ServedBefore {
 			r.RecoverySeconds = (time.Duration(n-r.RestartStep) * SeriesStep).Seconds()
@@ -145,7 +149,8 @@
 	}
 }
 
-// servedShare returns the served share of the requests in a range of steps, and false where there were none.
+// servedShare returns the served share of the requests in a range of steps, whose end is excluded. ok is false if there were
+// no requests.
 func (r *Recovery) servedShare(from, to int) (share float64, ok bool) {
 	var sum SeriesPoint
 	for _, point := range r.Series[max(from, 0):min(max(to, 0), len(r.Series))] {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -6,47 +6,48 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what came of a load test. Latencies are in milliseconds, of served requests from the time at which their first
-// attempt was meant to be sent.
+// Result is the result of a load test. Latencies are those of served requests, in milliseconds, measured from the time at
+// which their first attempt was due to be sent.
 type Result struct {
 	Seed             uint64         `json:"seed"`
-	Requests         int            `json:"requests"` // whose first attempt was sent
-	Attempts         int            `json:"tries"`    // that were sent
-	Unsent           int            `json:"unsent"`   // attempts for which no connection had room
-	Served           int            `json:"served"`   // attempts
+	Requests         int            `json:"requests"` // requests whose first attempt was sent
+	Attempts         int            `json:"tries"`    // attempts that were sent
+	Unsent           int            `json:"unsent"`   // attempts that no connection accepted
+	Served           int            `json:"served"`   // attempts, as are the next three
 	Rejected         int            `json:"refused"`
 	Failed           int            `json:"failed"`
-	Lost             int            `json:"lost"`    // attempts whose connection ended
-	ServedShare      float64        `json:"share"`   // of the requests, served by any of their attempts
-	Repeats          int            `json:"repeats"` // attempts of requests with a key that were served before
-	LinkCount        int            `json:"links"`   // links that the interpreter saw
+	Lost             int            `json:"lost"`    // attempts whose connection ended before the answer
+	ServedShare      float64        `json:"share"`   // share of the requests that were served by any of their attempts
+	Repeats          int            `json:"repeats"` // further attempts that were queued for served requests with a key
+	LinkCount        int            `json:"links"`   // links that connected to the interpreter
 	Seconds          float64        `json:"seconds"`
 	Rate             float64        `json:"rate"` // attempts answered per second
 	P50              float64        `json:"p50_ms"`
 	P99              float64        `json:"p99_ms"`
 	P999             float64        `json:"p999_ms"`
 	ExitStatus       int            `json:"exit"`
-	Violations       []string       `json:"breaches"` // of package invariant's rules
-	Counters         map[string]any `json:"counters"` // the daemon's own, at its end
-	RestartSeconds   float64        `json:"restart_at_s,omitempty"`
-	Series           []SeriesPoint  `json:"shares,omitempty"`  // by SeriesStep, where the daemon was restarted
-	Capture          map[string]any `json:"capture,omitempty"` // the daemon's own summary of its capture
-	DaemonCPUSeconds float64        `json:"daemon_cpu_s"`
-	DaemonPeakKB     int64          `json:"daemon_peak_kb"`
+	Violations       []string       `json:"breaches"`               // violations of package invariant's rules, and a nonzero exit status
+	Counters         map[string]any `json:"counters"`               // the last counters in the daemon's log
+	RestartSeconds   float64        `json:"restart_at_s,omitempty"` // time of the restart, from the start of the load test
+	Series           []SeriesPoint  `json:"shares,omitempty"`       // one point per SeriesStep, if the daemon was restarted
+	Capture          map[string]any `json:"capture,omitempty"`      // the last summary of its capture in the daemon's log
+	DaemonCPUSeconds float64        `json:"daemon_cpu_s"`           // processor time; after a restart, of the second process only
+	DaemonPeakKB     int64          `json:"daemon_peak_kb"`         // peak resident memory of that process
 }
 
 // SeriesStep is the time that each SeriesPoint covers.
 const SeriesStep = 250 * time.Millisecond
 
-// SeriesPoint counts the requests whose first attempt was meant to be sent in a step, and those of them that were served by
-// any of their attempts.
+// SeriesPoint counts the requests whose first attempt was due to be sent in a step, and how many of these requests were
+// served by any of their attempts.
 type SeriesPoint struct {
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
 }
 
 const (
-	// maxLatency is the longest latency that the histogram holds, and latencyDigits the precision in decimal digits.
+	// maxLatency is the maximum latency in the histogram; longer latencies are recorded as maxLatency. latencyDigits is the
+	// histogram's precision in decimal digits.
 	maxLatency    = time.Minute
 	latencyDigits = 3
 )
@@ -61,13 +62,13 @@
 
 // record adds one latency.
 func (l latencies) record(latency time.Duration) {
-	l.histogram.RecordValue(min(max(latency.Microseconds(), 1), maxLatency.Microseconds())) // never out of range
+	l.histogram.RecordValue(min(max(latency.Microseconds(), 1), maxLatency.Microseconds())) // the value is always in range
 }
 
-// merge adds all of another histogram's latencies.
+// merge adds the latencies of another histogram.
 func (l latencies) merge(other latencies) { l.histogram.Merge(other.histogram) }
 
-// count returns how many latencies were recorded.
+// count returns the number of recorded latencies.
 func (l latencies) count() int64 { return l.histogram.TotalCount() }
 
 // percentiles returns p50, p99 and p99.9 in milliseconds.
--- a/internal/loadtest/saturation.go
+++ b/internal/loadtest/saturation.go
@@ -10,36 +10,36 @@
 	"tillerusher/internal/fake"
 )
 
-// SaturationConfig is a load whose callers always have as many requests open as they may. Runs take no time, so that the
-// daemon's own work is all there is to measure.
+// SaturationConfig configures a saturating load: each connection always keeps OpenRequests requests open. Runs end as soon as
+// they start, so that only the daemon's own work is measured.
 type SaturationConfig struct {
-	Daemon        string
-	Gateways      int           // connections
-	OpenRequests  int           // that each connection keeps open
-	RoundDuration time.Duration // of each round
-	Rounds        int           // comparisons, each of which takes a round of everything that is compared
-	PinnedCore    int           // the daemon's only core
-	Progress      func(done, of int)
+	Daemon        string             // program of the daemon
+	Gateways      int                // connections
+	OpenRequests  int                // requests that each connection keeps open
+	RoundDuration time.Duration      // length of each round
+	Rounds        int                // comparisons, each with one round of every compared variant
+	PinnedCore    int                // the only core that the daemon may use
+	Progress      func(done, of int) // called after each round; may be nil
 }
 
-// Throughput is what a daemon did under a saturating load. Latencies are in milliseconds.
+// Throughput is the performance of a daemon in one round under a saturating load. Latencies are in milliseconds.
 type Throughput struct {
 	Capturing   bool    `json:"capture"`
 	Rate        float64 `json:"rate"` // answers per second
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 	P999        float64 `json:"p999_ms"`
-	CPUMicros   float64 `json:"cpu_us"` // processor time of the daemon per answer
-	LostRecords float64 `json:"lost"`   // that were not captured
+	CPUMicros   float64 `json:"cpu_us"` // processor time of the daemon per answer, in microseconds
+	LostRecords float64 `json:"lost"`   // capture records that were lost
 }
 
-// setLatencies fills in the rate and the percentiles of latencies that were measured over a time.
-func (t *Throughput) setLatencies(l latencies, over time.Duration) {
-	t.Rate = float64(l.count()) / over.Seconds()
+// setLatencies sets the rate and the percentiles from the latencies that were measured in a period.
+func (t *Throughput) setLatencies(l latencies, period time.Duration) {
+	t.Rate = float64(l.count()) / period.Seconds()
 	t.P50, t.P99, t.P999 = l.percentiles()
 }
 
-// ratiosTo returns each figure over that of another throughput.
+// ratiosTo returns the ratio of each figure to the same figure of base, by name.
 func (t *Throughput) ratiosTo(base *Throughput) map[string]float64 {
 	return map[string]float64{
 		"rate": t.Rate / base.Rate,
@@ -50,7 +50,7 @@
 	}
 }
 
-// median returns the middle of a list, which it sorts.
+// median returns the median of a list, which must not be empty. It sorts the list.
 func median(list []float64) float64 {
 	slices.Sort(list)
 	return (list[(len(list)-1)/2] + list[len(list)/2]) / 2
@@ -59,23 +59,23 @@
 // requestBody is the body of all requests of a saturating load.
 const requestBody = "a body of a usual length, say"
 
-// round is one run of a daemon under a saturating load.
+// round is one round: a daemon under a saturating load until end.
 type round struct {
 	config SaturationConfig
 	target *target
 	end    time.Time
 
 	callers   sync.WaitGroup
-	mu        sync.Mutex // guards all that follows
+	mu        sync.Mutex // guards the fields below
 	latencies latencies
 	errs      []error
 }
 
-// additionalCaller loads a target beside the connections of a round, until the end.
+// additionalCaller sends a target load in addition to that of a round's connections, until end.
 type additionalCaller func(t *target, end time.Time) error
 
-// runRound runs one round with a daemon that is started with the arguments. The additional caller may be nil. It returns the
-// target as well, whose daemon has ended.
+// runRound runs one round with a daemon that is started with the arguments. additional may be nil. runRound also returns the
+// target, whose daemon has exited.
 func runRound(config SaturationConfig, args []string, additional additionalCaller) (*Throughput, *target, error) {
 	targetConfig := DefaultConfig()
 	targetConfig.Daemon = config.Daemon
@@ -96,7 +96,7 @@
 	}
 	round.callers.Wait()
 	if len(round.errs) > 0 {
-		return nil, nil, fmt.Errorf("storm: %w", round.errs[0])
+		return nil, nil, fmt.Errorf("loadtest: %w", round.errs[0])
 	}
 	throughput, err := round.stop()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return throughput, target, nil
 }
 
-// startCaller starts a goroutine and collects its error.
+// startCaller calls a function on a new goroutine and collects its error.
 func (r *round) startCaller(call func() error) {
 	r.callers.Add(1)
 	go func() {
@@ -118,7 +118,7 @@
 	}()
 }
 
-// call loads the daemon over one connection and collects the latencies.
+// call sends load over one connection until the end of the round and collects the latencies.
 func (r *round) call() error {
 	l, err := keepOpen(r.target.addr, r.config.OpenRequests, r.end)
 	if err != nil {
@@ -130,16 +130,17 @@
 	return nil
 }
 
-// stop drains the daemon and returns what it did.
+// stop drains the daemon and returns its throughput. An exit status other than 0 is an error, and so is a
+// daemon that does not exit in time.
 func (r *round) stop() (*Throughput, error) {
-	r.target.process.Signal(syscall.SIGTERM) // the exit status shows whether it came
+	r.target.process.Signal(syscall.SIGTERM) // if this fails, the daemon exits with another status or not at all
 	exitStatus := -1
 	state, err := r.target.wait()
 	if err == nil {
 		exitStatus = state.ExitCode()
 	}
 	if exitStatus != 0 {
-		return nil, fmt.Errorf("storm: the daemon ended with status %d: %w", exitStatus, err)
+		return nil, fmt.Errorf("loadtest: the daemon exited with status %d: %w", exitStatus, err)
 	}
 	answers := max(r.latencies.count(), 1)
 	throughput := &Throughput{CPUMicros: float64(cpuTime(state).Microseconds()) / float64(answers)}
@@ -150,7 +151,8 @@
 	return throughput, nil
 }
 
-// keepOpen keeps so many requests open on one connection until the end, and returns how long each took.
+// keepOpen keeps openRequests requests open on one connection until end, then waits for the remaining answers, and returns
+// the latency of each request.
 func keepOpen(addr string, openRequests int, end time.Time) (latencies, error) {
 	conn, err := fake.Dial(addr)
 	if err != nil {
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -13,53 +13,55 @@
 	"tillerusher/internal/faultfs"
 )
 
-// Disk is what a server keeps its state on in a comparison.
+// Disk is the disk on which a server keeps its state in a comparison.
 type Disk string
 
 // The disks that are compared.
 const (
 	NoDisk      Disk = "none"     // no state is kept
-	HealthyDisk Disk = "sound"    // the machine's own
-	FaultyDisk  Disk = "stalling" // one that stalls now and then
+	HealthyDisk Disk = "sound"    // the disk of the machine's temporary directory
+	FaultyDisk  Disk = "stalling" // the same disk, which stalls periodically
 )
 
-// The classes of requests, as they are named in StateCost.Ratio.
+// The names of the classes of requests in StateCost.Ratio.
 const (
 	LookupClass     = "lookups"
 	IdempotentClass = "keyed"
 )
 
-// StateCostConfig is the measurement of what keeping state costs. The daemon is a program with the command line of
-// `cataloguectl state serve`, so that one program plays all disks.
+// StateCostConfig configures a measurement of the cost of keeping state. Daemon must be a program with the command line of
+// `cataloguectl state serve`, so that one program covers all disks.
 type StateCostConfig struct {
 	SaturationConfig
-	IdempotentRate float64 // requests with an idempotency key per second, on a connection of their own
+	IdempotentRate float64 // requests with an idempotency key per second, on a separate connection
 	FaultProfile   faultfs.Profile
 }
 
-// StateThroughput is a round on one disk. Lookups come as fast as they are answered, requests with an idempotency key at
-// their rate; the latency of these counts from the time at which they were meant to be sent.
+// StateThroughput is the result of one round on one disk. Lookups are sent as fast as they are answered, and requests with an
+// idempotency key at their configured rate. The latency of the latter is measured from the time at which they were due to be
+// sent.
 type StateThroughput struct {
 	Disk       Disk       `json:"disk"`
 	Lookups    Throughput `json:"lookups"`
 	Idempotent Throughput `json:"keyed"`
-	Rejected   int        `json:"refused"` // requests with a key that were not served
-	Syncs      float64    `json:"syncs"`   // per request with a key that was served
+	Rejected   int        `json:"refused"` // requests with an idempotency key that were not served
+	Syncs      float64    `json:"syncs"`   // per served request with an idempotency key
 }
 
-// StateCost compares disks that were measured in turn.
+// StateCost compares the disks, which were measured in alternating rounds.
 type StateCost struct {
 	Rounds []StateThroughput `json:"rounds"`
-	// Ratio has the medians over the rounds of a disk's figures over those without a disk, by disk, class and figure.
+	// Ratio has the median over the comparisons of the ratio of a figure to the same figure without a disk, by disk, class and
+	// figure.
 	Ratio map[Disk]map[string]map[string]float64 `json:"ratio"`
 }
 
-// MeasureStateCost measures how many lookups a daemon on one core answers beside requests with an idempotency key at a rate,
-// on each disk in turn.
+// MeasureStateCost measures how many lookups a daemon on one core answers while it also receives requests with an idempotency
+// key at a fixed rate. Each comparison has one round on each disk.
 func MeasureStateCost(ctx context.Context, config StateCostConfig) (*StateCost, error) {
 	dir, err := os.MkdirTemp("", "catalogue-server-durable")
 	if err != nil {
-		return nil, fmt.Errorf("storm: %w", err)
+		return nil, fmt.Errorf("loadtest: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	disks := []Disk{NoDisk, HealthyDisk, FaultyDisk}
@@ -71,7 +73,8 @@
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			disk := disks[(i+n)%len(disks)] // each comes first as often, so that a machine that slows down favours none
+			// The order rotates: each disk comes first equally often, so that a machine that slows down favours none.
+			disk := disks[(i+n)%len(disks)]
 			throughput, err := runStateRound(config, disk, filepath.Join(dir, fmt.Sprint(n, disk)))
 			if err != nil {
 				return nil, err
@@ -91,10 +94,10 @@
 	return cost, nil
 }
 
-// stateRatios collects ratios by disk, class and figure.
+// stateRatios has the ratios of all comparisons, by disk, class and figure.
 type stateRatios map[Disk]map[string]map[string][]float64
 
-// add adds the ratios of a class's figures on a disk.
+// add adds the ratios of a class's figures on a disk to those of base.
 func (r stateRatios) add(disk Disk, class string, t, base *Throughput) {
 	if r[disk] == nil {
 		r[disk] = map[string]map[string][]float64{}
@@ -107,7 +110,7 @@
 	}
 }
 
-// medians returns the median of each figure.
+// medians returns the median of each figure's ratios.
 func (r stateRatios) medians() map[Disk]map[string]map[string]float64 {
 	medians := map[Disk]map[string]map[string]float64{}
 	for disk, classes := range r {
@@ -116,7 +119,7 @@
 			medians[disk][class] = map[string]float64{}
 			for figure, list := range figures {
 				if figure == "cpu" && class == IdempotentClass {
-					continue // the daemon's processor time is counted with the lookups
+					continue // Lookups.CPUMicros has the daemon's processor time for both classes
 				}
 				medians[disk][class][figure] = median(list)
 			}
@@ -125,7 +128,7 @@
 	return medians
 }
 
-// runStateRound runs one round on a disk.
+// runStateRound runs one round on a disk, which keeps its state in dir.
 func runStateRound(config StateCostConfig, disk Disk, dir string) (*StateThroughput, error) {
 	args := []string{"state", "serve"}
 	if disk != NoDisk {
@@ -156,7 +159,7 @@
 	return throughput, nil
 }
 
-// pacedSender sends requests with an idempotency key at a rate on one connection.
+// pacedSender sends requests with an idempotency key at a fixed rate on one connection.
 type pacedSender struct {
 	rate    float64
 	end     time.Time
@@ -164,13 +167,13 @@
 	freeIDs chan uint16
 	readErr chan error
 
-	mu        sync.Mutex           // guards all that follows
-	intended  map[uint16]time.Time // by FastCGI request ID
+	mu        sync.Mutex           // guards the fields below
+	intended  map[uint16]time.Time // when the open requests were due to be sent, by FastCGI request ID
 	latencies latencies
 	served    int
 }
 
-// run sends until the end and waits for all responses.
+// run sends requests until end and waits for all responses.
 func (s *pacedSender) run(addr string) error {
 	conn, err := fake.Dial(addr)
 	if err != nil {
@@ -188,7 +191,7 @@
 	if err := s.sendAll(); err != nil {
 		return err
 	}
-	for range MaxOpenRequests { // once all are free, all are answered
+	for range MaxOpenRequests { // once all IDs are free, all requests are answered
 		if _, err := s.takeID(); err != nil {
 			return err
 		}
@@ -196,7 +199,7 @@
 	return nil
 }
 
-// sendAll sends requests at the rate until the end.
+// sendAll sends requests at the rate until end. It waits when all request IDs are in use.
 func (s *pacedSender) sendAll() error {
 	interval := time.Duration(float64(time.Second) / s.rate)
 	n := 0
@@ -217,7 +220,7 @@
 	return nil
 }
 
-// takeID waits for a request ID that is free, or for the reader's error.
+// takeID waits for a free FastCGI request ID and returns it, or returns the reader's error.
 func (s *pacedSender) takeID() (uint16, error) {
 	select {
 	case err := <-s.readErr:
--- a/internal/loadtest/target.go
+++ b/internal/loadtest/target.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// daemonTimeout is how long a daemon may take to start, and to end after its stop time.
+	// daemonTimeout is how long a daemon may take to become healthy, and to exit in addition to its stop time. It also bounds
+	// the wait for the last answers of a round.
 	daemonTimeout = 20 * time.Second
-	// healthCheckTimeout bounds one health check, and healthCheckInterval is the time between two while a daemon starts.
+	// healthCheckTimeout is the timeout of one health check. healthCheckInterval is the time between two health checks while a
+	// daemon starts.
 	healthCheckTimeout  = time.Second
 	healthCheckInterval = 5 * time.Millisecond
 )
 
-// target is the daemon under test, with the fakes that it talks to.
+// target is the daemon under test, with the fakes that it connects to.
 type target struct {
 	interpreter *fake.Interpreter
-	reports     *net.UDPConn // the load report service, which nobody reads
+	reports     *net.UDPConn // socket of the load report service; the reports are not read
 	addr        string
-	dir         string // of the configuration file
+	dir         string // directory of the configuration file
 	config      map[string]any
 	process     *daemon.Process
 	log         daemon.Log
 }
 
-// startTarget starts a daemon and waits until it serves.
+// startTarget starts a daemon and waits until it passes a health check. On an error nothing is left running.
 func startTarget(config Config) (t *target, err error) {
 	t = &target{}
 	defer func() {
@@ -53,48 +55,48 @@
 	return t, t.waitHealthy()
 }
 
-// startFakes starts what the daemon talks to.
+// startFakes starts the interpreter and the load report service.
 func (t *target) startFakes(c Config) (err error) {
 	if t.interpreter, err = fake.NewInterpreter(); err != nil {
-		return fmt.Errorf("storm: interpreter: %w", err)
+		return fmt.Errorf("loadtest: interpreter: %w", err)
 	}
 	t.interpreter.SimulateWork(c.InterpreterCores, fake.ParseWork)
 	if t.reports, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
-		return fmt.Errorf("storm: announce service: %w", err)
+		return fmt.Errorf("loadtest: load report service: %w", err)
 	}
 	return nil
 }
 
-// prepareConfig chooses an address and writes the configuration file.
+// prepareConfig chooses the daemon's address and writes the configuration file.
 func (t *target) prepareConfig(c Config) (err error) {
 	if t.addr, err = fake.FreeAddr(); err != nil {
-		return fmt.Errorf("storm: %w", err)
+		return fmt.Errorf("loadtest: %w", err)
 	}
 	if t.dir, err = os.MkdirTemp("", "tillerusher-storm"); err != nil {
-		return fmt.Errorf("storm: %w", err)
+		return fmt.Errorf("loadtest: %w", err)
 	}
 	endpoints := daemon.Endpoints{Listen: t.addr, Interpreter: t.interpreter.Addr(), LoadReport: t.reports.LocalAddr().String()}
 	t.config = daemon.NewConfig("storm", endpoints, c.MemoryMB, fake.SiteSettings)
 	return t.writeConfig()
 }
 
-// launch starts the process.
+// launch starts the daemon's process.
 func (t *target) launch(c Config) error {
 	process, err := daemon.Start(daemon.Command{Program: c.Daemon, Args: c.Args, Core: c.PinnedCore,
 		Env: []string{"RELAY_CONFIG=" + t.configPath(), "RELAY_NAME=", "RELAY_LISTEN="}}, &t.log)
 	if err != nil {
-		return fmt.Errorf("storm: %w", err)
+		return fmt.Errorf("loadtest: %w", err)
 	}
 	t.process = process
 	return nil
 }
 
-// restart kills the daemon and starts it again, without the state that it left where the configuration says so.
+// restart kills the daemon and starts it again. It removes RemoveStateDir, if set, before the start.
 func (t *target) restart(c Config) error {
 	t.process.Kill()
 	if c.RemoveStateDir != "" {
 		if err := os.RemoveAll(c.RemoveStateDir); err != nil {
-			return fmt.Errorf("storm: %w", err)
+			return fmt.Errorf("loadtest: %w", err)
 		}
 	}
 	return t.launch(c)
@@ -103,10 +105,10 @@
 // configPath returns the path of the configuration file.
 func (t *target) configPath() string { return filepath.Join(t.dir, "config.json") }
 
-// writeConfig writes the configuration file, in place of the one before.
+// writeConfig writes the configuration file and replaces the previous one.
 func (t *target) writeConfig() error {
 	if err := daemon.ConfigFile(t.configPath()).Write(t.config); err != nil {
-		return fmt.Errorf("storm: configuration: %w", err)
+		return fmt.Errorf("loadtest: configuration: %w", err)
 	}
 	return nil
 }
@@ -116,7 +118,7 @@
 	for end := time.Now().Add(daemonTimeout); time.Now().Before(end); {
 		select {
 		case <-t.process.Exited():
-			return fmt.Errorf("storm: the daemon ended at its start: %s", bytes.TrimSpace([]byte(t.log.String())))
+			return fmt.Errorf("loadtest: the daemon exited before it was healthy: %s", bytes.TrimSpace([]byte(t.log.String())))
 		default:
 		}
 		if t.isHealthy() {
@@ -124,7 +126,7 @@
 		}
 		time.Sleep(healthCheckInterval)
 	}
-	return fmt.Errorf("storm: the daemon does not serve after %v", daemonTimeout)
+	return fmt.Errorf("loadtest: the daemon is not healthy after %v", daemonTimeout)
 }
 
 // isHealthy reports whether the daemon passes a health check now.
@@ -141,11 +143,12 @@
 	return err == nil && response.Status == http.StatusOK
 }
 
-// reload moves the interpreter to a new address and has the daemon read its configuration again.
+// reload makes the interpreter listen at a new address, writes this address to the configuration and makes the daemon reload
+// it.
 func (t *target) reload() error {
 	addr, err := t.interpreter.AddListener()
 	if err != nil {
-		return fmt.Errorf("storm: %w", err)
+		return fmt.Errorf("loadtest: %w", err)
 	}
 	t.config["vm"] = addr
 	if err := t.writeConfig(); err != nil {
@@ -154,19 +157,19 @@
 	return t.process.Signal(syscall.SIGHUP)
 }
 
-// wait waits for the daemon's end and returns its state then.
+// wait waits until the daemon exits and returns its final state.
 func (t *target) wait() (*os.ProcessState, error) {
 	state, err := t.process.Wait(daemon.StopTime + daemonTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("storm: %w", err)
+		return nil, fmt.Errorf("loadtest: %w", err)
 	}
 	return state, nil
 }
 
-// cpuTime returns the processor time that an ended process used.
+// cpuTime returns the processor time that an exited process used.
 func cpuTime(state *os.ProcessState) time.Duration { return state.UserTime() + state.SystemTime() }
 
-// kill ends the process and the fakes at once, and removes the configuration.
+// kill kills the process, closes the fakes and removes the configuration file's directory.
 func (t *target) kill() {
 	if t.process != nil {
 		t.process.Kill()
