--- a/internal/workerpool/workerpool.go
+++ b/internal/workerpool/workerpool.go
@@ -1,5 +1,5 @@
-// Package workerpool runs independent tasks on a limited number of goroutines. Run leaves the order of the results to the
-// tasks; RunOrdered delivers results in the order of the tasks.
+// Package workerpool runs independent tasks on a limited number of goroutines. Run processes items in no
+// guaranteed order and collects no results. RunOrdered delivers the results of tasks in the order of their indices.
 package workerpool
 
 import (
@@ -7,24 +7,24 @@
 	"sync"
 )
 
-// windowPerWorker limits how many tasks may have started without their results being delivered, per worker: it bounds the
-// memory of results that wait for a slow task before them.
+// windowPerWorker is the limit, per worker, of tasks that were dispatched and whose results were not delivered yet. It
+// bounds the memory of the results that wait behind a slow task.
 const windowPerWorker = 4
 
-// taskResult is what a task returned.
+// taskResult is the value and the error that a task returned.
 type taskResult[T any] struct {
 	value T
 	err   error
 }
 
-// Run passes each item that next returns to work, on a number of goroutines, until next reports that there are no more
-// items, and returns after all of them have ended. next and work are called concurrently.
+// Run starts a number of goroutines that pass each item from next to work, until next returns false. It returns when all
+// calls of work have returned. next and work must be safe for concurrent use.
 func Run[T any](workers int, next func() (T, bool), work func(T)) {
-	start(workers, next, work).Wait()
+	startWorkers(workers, next, work).Wait()
 }
 
-// start starts the goroutines of Run and returns the group that they belong to.
-func start[T any](workers int, next func() (T, bool), work func(T)) *sync.WaitGroup {
+// startWorkers starts the goroutines of Run and returns the WaitGroup to wait for them.
+func startWorkers[T any](workers int, next func() (T, bool), work func(T)) *sync.WaitGroup {
 	running := &sync.WaitGroup{}
 	for range workers {
 		running.Go(func() {
@@ -36,17 +36,17 @@
 	return running
 }
 
-// RunOrdered runs the tasks with the indices from first up to end, which is excluded, on a number of workers, and delivers
-// their results in the order of the indices. Only the caller's goroutine calls deliver.
+// RunOrdered runs the tasks with the indices from first to end-1 on a number of workers, and passes their results to
+// deliver in the order of the indices. It calls deliver on the caller's goroutine only.
 //
-// It stops at the first error of a task, of deliver or of the context, and returns it after all workers have ended. Tasks
-// that run at that time see their context canceled.
+// RunOrdered stops at the first error of a task in that order, of deliver or of the context. It then cancels the context
+// of the tasks that are still running, waits for all workers to end, and returns the error.
 func RunOrdered[T any](ctx context.Context, first, end, workers int,
 	task func(ctx context.Context, index int) (T, error), deliver func(T) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	results := make([]chan taskResult[T], end)
 	for i := first; i < end; i++ {
-		results[i] = make(chan taskResult[T], 1) // so that a worker never waits for the receiver
+		results[i] = make(chan taskResult[T], 1) // buffered, so that a worker never waits for the receiver
 	}
 	indices := make(chan int)
 	window := make(chan struct{}, windowPerWorker*workers)
@@ -56,7 +56,7 @@
 		i, ok := <-indices
 		return i, ok
 	}
-	running := start(workers, nextIndex, func(i int) {
+	running := startWorkers(workers, nextIndex, func(i int) {
 		value, err := task(ctx, i)
 		results[i] <- taskResult[T]{value, err}
 	})
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// dispatch sends the indices to the workers, as far as the window allows, until the context ends.
+// dispatch sends the indices to the workers in order, and waits while the window is full. It closes indices after the last
+// one or when the context ends.
 func dispatch(ctx context.Context, first, end int, indices chan<- int, window chan<- struct{}) {
 	defer close(indices)
 	for i := first; i < end; i++ {
--- a/internal/workerpool/workerpool_test.go
+++ b/internal/workerpool/workerpool_test.go
@@ -10,11 +10,11 @@
 
 func TestRunOrderedDeliversInOrder(t *testing.T) {
 	const first, end, workers = 3, 200, 7
-	var running, most atomic.Int64
+	var running, peak atomic.Int64
 	var got []int
 	err := RunOrdered(context.Background(), first, end, workers, func(_ context.Context, i int) (int, error) {
 		n := running.Add(1)
-		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+		for m := peak.Load(); n > m && !peak.CompareAndSwap(m, n); m = peak.Load() {
 		}
 		defer running.Add(-1)
 		return i, nil
@@ -26,10 +26,10 @@
 		t.Fatal(err)
 	}
 	if len(got) != end-first || !slices.IsSorted(got) || got[0] != first {
-		t.Errorf("results are delivered as %v", got)
+		t.Errorf("got results %v, want one for each index in ascending order", got)
 	}
-	if most.Load() > workers {
-		t.Errorf("%d tasks ran at once, want at most %d", most.Load(), workers)
+	if peak.Load() > workers {
+		t.Errorf("%d tasks ran concurrently, want at most %d", peak.Load(), workers)
 	}
 }
 
@@ -37,8 +37,8 @@
 	errTask, errDeliver := errors.New("task"), errors.New("deliver")
 	for _, c := range []struct {
 		name      string
-		fail      int // index of the task that fails
-		reject    int // result that deliver rejects
+		fail      int // index of the task that returns an error
+		reject    int // result for which deliver returns an error
 		want      error
 		delivered int
 	}{
@@ -60,13 +60,13 @@
 				return nil
 			})
 			if !errors.Is(err, c.want) || delivered != c.delivered {
-				t.Errorf("%d results and %v, want %d and %v", delivered, err, c.delivered, c.want)
+				t.Errorf("got %d results and error %v, want %d and %v", delivered, err, c.delivered, c.want)
 			}
 		})
 	}
 }
 
-func TestRunOrderedStopsWithItsContext(t *testing.T) {
+func TestRunOrderedStopsWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	err := RunOrdered(ctx, 0, 100, 3, func(ctx context.Context, i int) (int, error) {
 		if i == 10 {
@@ -76,7 +76,7 @@
 		return i, ctx.Err()
 	}, func(int) error { return nil })
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("%v, want %v", err, context.Canceled)
+		t.Errorf("got error %v, want %v", err, context.Canceled)
 	}
 }
 
@@ -96,13 +96,13 @@
 	})
 	for i := range seen {
 		if n := seen[i].Load(); n != 1 {
-			t.Errorf("item %d was worked on %d times", i, n)
+			t.Errorf("item %d was processed %d times, want once", i, n)
 		}
 	}
 	if most.Load() > workers {
-		t.Errorf("%d items were worked on at once, want at most %d", most.Load(), workers)
+		t.Errorf("%d items were processed concurrently, want at most %d", most.Load(), workers)
 	}
 	if running.Load() != 0 {
-		t.Errorf("%d workers run on after Run has returned", running.Load())
+		t.Errorf("%d calls of work have not returned when Run returns, want 0", running.Load())
 	}
 }
