--- a/internal/retrysim/retrysim.go
+++ b/internal/retrysim/retrysim.go
@@ -1,5 +1,6 @@
-// Package retrysim simulates a retry storm on the decisions of a pool in virtual time. It shows without sockets what a retry
-// budget is for: with it the load on the members stays near what is offered, without it retries multiply the load.
+// Package retrysim simulates a retry storm in virtual time, with the decisions of a real pool and without sockets. It shows
+// the effect of a retry budget: with a budget the load on the members stays near the offered load, and without one retries
+// multiply it.
 package retrysim
 
 import (
@@ -10,18 +11,18 @@
 	"tillerusher/internal/pool"
 )
 
-// Config is a simulation of an outage in which members fail a share of their attempts.
+// Config is the configuration of a simulated outage, in which all members fail a share of their attempts.
 type Config struct {
 	Members                int
 	RequestRate            float64       // requests per second
-	Duration               time.Duration // of the simulation
-	OutageStart, OutageEnd time.Duration
-	FailureShare           float64 // share of the attempts that fail in the outage
-	BudgetShare            float64 // retries per first attempt that the budget allows; 0 is no budget
+	Duration               time.Duration // length of the simulation
+	OutageStart, OutageEnd time.Duration // since the start of the simulation
+	FailureShare           float64       // share of the attempts that fail during the outage
+	BudgetShare            float64       // retries per first attempt that the budget allows; 0 is no budget
 	Seed                   uint64
 }
 
-// DefaultConfig returns an outage of ten seconds in which every member fails 30 % of its attempts.
+// DefaultConfig returns the configuration of an outage of ten seconds, in which every member fails 30 % of its attempts.
 func DefaultConfig() Config {
 	return Config{
 		Members:      5,
@@ -35,28 +36,29 @@
 	}
 }
 
-// Sample is what came in one interval of the simulation.
+// Sample is the load and the served share of one interval of the simulation.
 type Sample struct {
-	EndSeconds  float64 `json:"at"`     // the end of the interval
-	LoadFactor  float64 `json:"load"`   // attempts over requests
-	ServedShare float64 `json:"served"` // of the requests
+	EndSeconds  float64 `json:"at"`     // end of the interval
+	LoadFactor  float64 `json:"load"`   // attempts per request
+	ServedShare float64 `json:"served"` // share of the requests that were served
 }
 
 const (
 	sampleInterval  = 500 * time.Millisecond
-	attemptDuration = time.Millisecond // as reported to the pool
+	attemptDuration = time.Millisecond // duration of each attempt that is reported to the pool
 )
 
-// simulation is a simulation that is under way.
+// simulation is the state of a simulation.
 type simulation struct {
 	config Config
 	rng    *rand.Rand
 	pool   *pool.Pool
 
-	requests, attempts, served int // of the current interval
+	requests, attempts, served int // in the current interval
 }
 
-// Run runs a simulation and returns its complete intervals.
+// Run runs a simulation and returns a sample of each complete interval. An interval is complete when a request arrives
+// after its end, so the last one is left out.
 func Run(config Config) ([]Sample, error) {
 	sim := &simulation{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0))}
 	members, err := pool.New(poolConfig(config), sim.rng, 0)
@@ -66,7 +68,7 @@
 	sim.pool = members
 	var samples []Sample
 	intervalEnd := sampleInterval
-	for now := time.Duration(0); now < config.Duration; now += sim.nextWait() {
+	for now := time.Duration(0); now < config.Duration; now += sim.nextInterarrivalTime() {
 		for now >= intervalEnd {
 			samples = append(samples, sim.takeSample(intervalEnd))
 			intervalEnd += sampleInterval
@@ -76,7 +78,8 @@
 	return samples, nil
 }
 
-// poolConfig returns a pool that ejects no member, since all fail alike and none stands out.
+// poolConfig returns the configuration of a pool that ejects no member: all members fail at the same rate, so none is an
+// outlier.
 func poolConfig(c Config) pool.Config {
 	config := pool.DefaultConfig()
 	config.Name = "storm"
@@ -92,12 +95,12 @@
 	return config
 }
 
-// nextWait draws the time until the next request.
-func (s *simulation) nextWait() time.Duration {
+// nextInterarrivalTime draws the time until the next request from an exponential distribution.
+func (s *simulation) nextInterarrivalTime() time.Duration {
 	return time.Duration(s.rng.ExpFloat64() / s.config.RequestRate * float64(time.Second))
 }
 
-// takeSample returns the interval that ends, and begins the next.
+// takeSample returns the sample of the interval that ends at end, and resets the counters for the next interval.
 func (s *simulation) takeSample(end time.Duration) Sample {
 	requests := float64(max(s.requests, 1))
 	sample := Sample{end.Seconds(), float64(s.attempts) / requests, float64(s.served) / requests}
@@ -107,8 +110,8 @@
 	return sample
 }
 
-// simulateRequest makes attempts of one request until one succeeds or the pool allows no further one. Attempts take no
-// virtual time.
+// simulateRequest makes attempts for one request until one succeeds or the pool refuses another. Attempts take no virtual
+// time.
 func (s *simulation) simulateRequest(now time.Duration) {
 	s.requests++
 	request := &pool.Request{}
--- a/internal/retrysim/retrysim_test.go
+++ b/internal/retrysim/retrysim_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// peakAndServed returns the highest load factor of the samples, and the served share of the requests in the outage.
+// peakAndServed returns the highest load factor of the samples, and the mean served share of the intervals in the outage.
 func peakAndServed(samples []Sample, c Config) (peak, served float64) {
 	n := 0.0
 	for _, s := range samples {
@@ -18,31 +18,32 @@
 	return peak, served / n
 }
 
-// TestRetryBudgetBoundsLoad keeps the load on the members under 1.2 of what is offered with the budget, and expects the same
-// samples of the same seed.
+// TestRetryBudgetBoundsLoad checks that with a retry budget the load on the members stays below 1.2 times the offered load
+// in every interval, whether 30 % or 90 % of the attempts fail in the outage. Without a budget and with 90 % of failures
+// the load must reach 3 times the offered load. The same seed must give the same samples.
 func TestRetryBudgetBoundsLoad(t *testing.T) {
 	c := DefaultConfig()
-	with, err := Run(c)
+	withBudget, err := Run(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again, _ := Run(c)
-	if !reflect.DeepEqual(with, again) {
-		t.Error("one seed gives two storms")
+	if !reflect.DeepEqual(withBudget, again) {
+		t.Error("two runs with the same seed gave different samples")
 	}
 	c.FailureShare = 0.9
 	worse, _ := Run(c)
 	c.BudgetShare = 0
-	without, _ := Run(c)
-	peak, _ := peakAndServed(with, c)
+	withoutBudget, _ := Run(c)
+	peak, _ := peakAndServed(withBudget, c)
 	worsePeak, _ := peakAndServed(worse, c)
-	withoutPeak, _ := peakAndServed(without, c)
-	t.Logf("highest load in half a second: %.3f at 30 %% of failures, %.3f at 90 %%, %.3f there without a budget", peak, worsePeak,
-		withoutPeak)
-	if withoutPeak < 3 {
-		t.Errorf("without a budget the load is %.3f only", withoutPeak)
+	withoutBudgetPeak, _ := peakAndServed(withoutBudget, c)
+	t.Logf("highest load factor: %.3f with 30 %% of failures, %.3f with 90 %%, %.3f with as many and no budget", peak, worsePeak,
+		withoutBudgetPeak)
+	if withoutBudgetPeak < 3 {
+		t.Errorf("without a budget the highest load factor is %.3f, want at least 3", withoutBudgetPeak)
 	}
 	if peak >= 1.2 || worsePeak >= 1.2 {
-		t.Errorf("with the budget the load is %.3f and %.3f of what is offered in half a second", peak, worsePeak)
+		t.Errorf("with a budget the highest load factors are %.3f and %.3f, want less than 1.2", peak, worsePeak)
 	}
 }
