--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -12,20 +12,20 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size and the line widths of a picture.
+// Dimensions and shades of gray of a chart. The dimensions of the legend and of lines are in points.
 const (
-	chartWidth      = 16 * vg.Centimeter
-	chartHeight     = 9 * vg.Centimeter
-	legendPadding   = 4 // points
-	legendWidth     = 14
-	seriesWidth     = 1.5
-	thresholdDash   = 3
-	spanOverlap     = 1.05 // a shaded span is so much higher than the highest point
-	thresholdGray   = 90
-	spanShadingGray = 235
+	chartWidth           = 16 * vg.Centimeter
+	chartHeight          = 9 * vg.Centimeter
+	legendPadding        = 4
+	legendThumbnailWidth = 14
+	seriesLineWidth      = 1.5
+	thresholdDash        = 3
+	spanHeightFactor     = 1.05 // height of a shaded span relative to the highest point
+	thresholdGray        = 90
+	spanShadingGray      = 235
 )
 
-// palette is distinguishable for color-blind readers (Okabe and Ito, "Color universal design", 2008).
+// palette has colors that color-blind readers can tell apart (Okabe and Ito, "Color universal design", 2008).
 var palette = [...]color.RGBA{
 	{0, 114, 178, 255},
 	{213, 94, 0, 255},
@@ -38,28 +38,28 @@
 // Point is one measured point.
 type Point struct{ X, Y float64 }
 
-// Span is a stretch of the X axis.
+// Span is an interval on the X axis.
 type Span struct{ From, To float64 }
 
 // Series is one curve.
 type Series struct {
 	Name   string
 	Points []Point
-	Low    []float64 // of the interval around each point, with High; nil draws no intervals
-	High   []float64
+	Low    []float64 // lower ends of the points' error bars; nil draws no error bars
+	High   []float64 // upper ends; as many as Low
 }
 
-// Chart draws series over a common axis.
+// Chart is a line chart of series over a common X axis.
 type Chart struct {
 	Title     string
 	XLabel    string
 	YLabel    string
 	Series    []Series
-	Shaded    []Span  // for example incidents
-	Threshold float64 // drawn across unless it is 0
+	Shaded    []Span  // spans with a gray background, such as incidents
+	Threshold float64 // Y of a dashed horizontal line; 0 draws none
 }
 
-// SVG draws the chart as an SVG document.
+// SVG writes the chart as an SVG document.
 func (c Chart) SVG(out io.Writer) error {
 	figure := plot.New()
 	figure.Title.Text = c.Title
@@ -67,7 +67,7 @@
 	figure.Y.Label.Text = c.YLabel
 	figure.Legend.Top = true
 	figure.Legend.Padding = vg.Points(legendPadding)
-	figure.Legend.ThumbnailWidth = vg.Points(legendWidth)
+	figure.Legend.ThumbnailWidth = vg.Points(legendThumbnailWidth)
 	if err := c.addShading(figure); err != nil {
 		return err
 	}
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// addShading adds the shaded spans, behind the series.
+// addShading adds the shaded spans. It must be called before the series are added, so that these are drawn over the spans.
 func (c Chart) addShading(figure *plot.Plot) error {
-	top := c.highest() * spanOverlap
+	top := c.maxY() * spanHeightFactor
 	for _, span := range c.Shaded {
 		corners := plotter.XYs{{X: span.From}, {X: span.From, Y: top}, {X: span.To, Y: top}, {X: span.To}}
 		shade, err := plotter.NewPolygon(corners)
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// highest returns the largest Y of all series, at least 0.
-func (c Chart) highest() float64 {
+// maxY returns the largest Y of all points, or 0 if all are negative.
+func (c Chart) maxY() float64 {
 	highest := 0.0
 	for _, series := range c.Series {
 		for _, point := range series.Points {
@@ -118,7 +118,7 @@
 	return highest
 }
 
-// addTo adds the curve, its intervals and its entry in the legend.
+// addTo adds the curve, its error bars and its legend entry to the plot.
 func (s Series) addTo(figure *plot.Plot, lineColor color.Color) error {
 	xys := make(plotter.XYs, len(s.Points))
 	for n, point := range s.Points {
@@ -129,7 +129,7 @@
 		return err
 	}
 	line.Color = lineColor
-	line.Width = vg.Points(seriesWidth)
+	line.Width = vg.Points(seriesLineWidth)
 	if s.Low != nil {
 		bars, err := plotter.NewYErrorBars(errorBars{xys, s})
 		if err != nil {
@@ -143,13 +143,13 @@
 	return nil
 }
 
-// errorBars is a series with its intervals.
+// errorBars is a series with the ends of its error bars, in the form that plotter.NewYErrorBars requires.
 type errorBars struct {
 	plotter.XYs
 	series Series
 }
 
-// YError implements plotter.YErrorer.
+// YError implements plotter.YErrorer. It returns the lengths of a point's error bar below and above the point.
 func (b errorBars) YError(n int) (low, high float64) {
 	y := b.series.Points[n].Y
 	return y - b.series.Low[n], b.series.High[n] - y
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -1,4 +1,4 @@
-// Package report renders measurements for people: charts as SVG, and pages of tables and charts as one HTML file.
+// Package report renders measurements as SVG charts, and as HTML pages with tables and charts.
 package report
 
 import (
@@ -8,22 +8,23 @@
 	"io"
 )
 
-// Page is a report in one HTML file that holds its pictures.
+// Page is a report that is written as a single HTML file with inline charts.
 type Page struct {
 	Title    string
 	Intro    string
 	Sections []Section
 }
 
-// Section is a part of a page: a text, a table and charts, each of which may be missing.
+// Section is a part of a page. Its text, table and charts are optional.
 type Section struct {
 	Title  string
 	Text   string
-	Header []string // of the table
-	Rows   [][]string
+	Header []string   // of the table; without a header the rows are not written either
+	Rows   [][]string // of the table
 	Charts []Chart
 }
 
+// pageTemplate is the template of a page. It is executed with a pageData.
 var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em;color:#222}
@@ -38,20 +39,20 @@
 {{end}}{{end}}</body></html>
 `))
 
-// pageData is what the template reads.
+// pageData is the input of pageTemplate.
 type pageData struct {
 	Title    string
 	Intro    string
 	Sections []renderedSection
 }
 
-// renderedSection is a section with its charts drawn.
+// renderedSection is a section with its charts rendered as SVG elements.
 type renderedSection struct {
 	Section
 	Pictures []template.HTML
 }
 
-// HTML writes the page.
+// HTML writes the page as an HTML document.
 func (p Page) HTML(out io.Writer) error {
 	data := pageData{Title: p.Title, Intro: p.Intro}
 	for _, section := range p.Sections {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// render draws the section's charts.
+// render renders the section's charts as SVG.
 func (s Section) render() (renderedSection, error) {
 	rendered := renderedSection{Section: s}
 	for _, chart := range s.Charts {
@@ -81,7 +82,7 @@
 	return rendered, nil
 }
 
-// withoutProlog strips the XML declaration, which HTML can't contain, from an SVG document.
+// withoutProlog removes everything before the svg element of an SVG document, since HTML can't contain an XML declaration.
 func withoutProlog(svg []byte) []byte {
 	if n := bytes.Index(svg, []byte("<svg")); n >= 0 {
 		return svg[n:]
--- a/internal/report/page_test.go
+++ b/internal/report/page_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestPage checks that a page contains its tables and pictures, and that no text is taken for markup.
+// TestPage checks that a page contains its tables and charts, and that texts are escaped.
 func TestPage(t *testing.T) {
 	series := Series{Name: "l", Points: []Point{{0, 1}, {3, 2}}, Low: []float64{0.5, 1}, High: []float64{1.5, 3}}
 	p := Page{
@@ -24,10 +24,10 @@
 	}
 	for _, want := range []string{"a &lt;b&gt;", "1 &lt; 2", "<figure><svg", "</svg>"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("no %q in the page", want)
+			t.Errorf("the page doesn't contain %q", want)
 		}
 	}
 	if strings.Count(b.String(), "<?xml") > 0 {
-		t.Error("a prolog stands inside the page")
+		t.Error("the page contains an XML declaration")
 	}
 }
