--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -8,8 +8,8 @@
 	"tillerusher/admission"
 )
 
-// TestGradient checks that the library's limiter uses the virtual clock: with four cores that all runs share, its limit settles
-// near the number of cores, whatever the wall clock says, and no permit is lost.
+// TestGradient checks that the library's limiter uses the virtual clock. All runs share four cores, so the limit must
+// change and end near the number of cores, independently of the wall clock. No permit may be leaked.
 func TestGradient(t *testing.T) {
 	settings := admission.Settings{Cores: 4, MaxConcurrencyFactor: 1000, MemoryKB: 1e9, RunningMemoryFactor: 1,
 		Classes: []admission.Class{{LatencyObjective: time.Second, Deadline: time.Hour}}}
@@ -20,7 +20,7 @@
 	h := events.(*host)
 	g := h.policy.(*gradient)
 	now, id, limits := time.Duration(0), admission.RequestID(0), map[int]int{}
-	var runs []admission.RequestID // one of them ends after each 10 ms of core time
+	var runs []admission.RequestID // running requests; one of them ends after each 10 ms of core time
 	for range 40_000 {
 		for len(h.queue) < 4 {
 			id++
@@ -39,9 +39,9 @@
 		limits[g.limiter.Limit()]++
 	}
 	limit := g.limiter.Limit()
-	t.Logf("the limit is %d after %v", limit, now)
+	t.Logf("the limit is %d after %v of virtual time", limit, now)
 	if len(limits) < 3 || limit < 4 || limit > 40 {
-		t.Errorf("the limit is %d, and took %d values", limit, len(limits))
+		t.Errorf("the limit is %d, want 4 to 40; it took %d values, want at least 3", limit, len(limits))
 	}
 	for _, id := range runs[1:] {
 		h.RunFinished(now, id, admission.OK)
@@ -50,14 +50,14 @@
 		h.Cancel(now, r.ID)
 	}
 	if n := g.limiter.Inflight(); n != 0 {
-		t.Errorf("%d permits are not handed back", n)
+		t.Errorf("%d permits are still held after all requests ended, want 0", n)
 	}
 }
 
-// TestSetPrivateFieldErrors checks that a missing field of the library is an error: without it the limiter would silently use
-// the wall clock.
+// TestSetPrivateFieldErrors checks that a missing field and a value of the wrong type are errors. Otherwise the limiter
+// would silently use the wall clock with a version of the library that has other fields.
 func TestSetPrivateFieldErrors(t *testing.T) {
 	if setPrivateField(&struct{ a int }{}, "b", 1) == nil || setPrivateField(&struct{ a int }{}, "a", "text") == nil {
-		t.Error("a field that is not there can be set")
+		t.Error("no error for a missing field or a value of the wrong type")
 	}
 }
--- a/internal/baseline/bounded_queue.go
+++ b/internal/baseline/bounded_queue.go
@@ -2,16 +2,16 @@
 
 import "tillerusher/admission"
 
-// boundedQueue is a plain worker pool: a limited number of requests runs, a limited number waits in the order of reading,
-// and all others are rejected.
+// boundedQueue is a worker pool with a bounded FIFO queue. A limited number of requests runs, a limited number waits in the
+// order of reading, and all others are rejected.
 type boundedQueue struct {
 	*host
 	runLimit   int
 	queueLimit int // negative means unlimited
 }
 
-// BoundedQueue returns a worker pool with a bounded queue. Both limits are per core; a negative queuePerCore means a queue
-// without a limit.
+// BoundedQueue returns the factory of a worker pool with a bounded FIFO queue. Both limits are per core. A negative
+// queuePerCore means an unlimited queue.
 func BoundedQueue(runPerCore, queuePerCore int) func(admission.Settings, admission.Actions) (admission.Events, error) {
 	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
 		h := newHost(s, a)
--- a/internal/baseline/codel.go
+++ b/internal/baseline/codel.go
@@ -8,21 +8,23 @@
 
 // Parameters of CoDel with an adaptive LIFO as Facebook uses them (Maurer, "Fail at Scale", ACM Queue 13(8), 2015).
 const (
-	codelTarget   = 5 * time.Millisecond   // queueing delay that is allowed while a queue stands
-	codelInterval = 100 * time.Millisecond // queueing delay otherwise, and how long a queue must not have been empty to stand
+	codelTarget   = 5 * time.Millisecond   // longest time in the queue while there is a standing queue
+	codelInterval = 100 * time.Millisecond // longest time in the queue otherwise; a queue not empty for longer is standing
 )
 
-// runsPerTwoCores bounds the running requests of CoDel and WeightPriority.
+// runsPerTwoCores is the limit of running requests per two cores in CoDel and WeightPriority.
 const runsPerTwoCores = 3
 
-// codel rejects requests that waited for too long, and runs the newest first while a queue stands.
+// codel rejects requests that were queued for too long. While there is a standing queue it allows less time in the queue
+// and runs the newest request first.
 type codel struct {
 	*host
 	runLimit  int
-	lastEmpty time.Duration // when the queue was empty last
+	lastEmpty time.Duration // when the queue was last empty
 }
 
-// CoDel is controlled delay with an adaptive LIFO. It runs three requests per two cores.
+// CoDel returns a policy that implements controlled delay with an adaptive LIFO. It runs up to three requests per two
+// cores.
 func CoDel(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	h := newHost(s, a)
 	h.policy = &codel{host: h, runLimit: max(s.Cores*runsPerTwoCores/2, 1)}
@@ -31,7 +33,7 @@
 
 func (c *codel) admit(*request) verdict { return verdictQueue }
 
-// hasStandingQueue reports whether the queue has not been empty for an interval.
+// hasStandingQueue reports whether the queue has not been empty for longer than codelInterval.
 func (c *codel) hasStandingQueue() bool { return c.now-c.lastEmpty > codelInterval }
 
 func (c *codel) nextToRun() *request {
@@ -48,7 +50,7 @@
 	return c.queue[0]
 }
 
-// rejectExpired rejects requests that waited for too long.
+// rejectExpired rejects requests that were queued for too long. The delay before they were read doesn't count.
 func (c *codel) rejectExpired() {
 	limit := codelInterval
 	if c.hasStandingQueue() {
--- a/internal/baseline/doc.go
+++ b/internal/baseline/doc.go
@@ -1,7 +1,7 @@
-// Package baseline has policies to compare the admission module with. Each implements admission.Events and can take the
-// module's place in a simulated server.
+// Package baseline implements admission policies to compare the admission module with. Each implements admission.Events
+// and can replace the module in a simulated server.
 //
-// A host implements what all policies need to keep the rules: responses by the deadline, idempotency keys, the limits of
-// memory and concurrency, and draining. A policy only decides how requests are admitted, ordered and limited, so that this is
-// all that differs between two runs.
+// All policies share a host, which enforces the rules of a server: responses before the deadline, idempotency keys, memory
+// and concurrency limits, and draining. A policy only decides which requests to admit, in which order to run them and how
+// many to run concurrently, so that two runs differ in nothing else.
 package baseline
--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -21,7 +21,7 @@
 	gradientMinSamples   = 20
 )
 
-// gradient runs as many requests as an adaptive limiter allows. Its queue is short.
+// gradient runs as many requests as an adaptive limiter allows, behind a short queue.
 type gradient struct {
 	*host
 	limiter    adaptivelimiter.AdaptiveLimiter[any]
@@ -29,11 +29,12 @@
 	queueLimit int
 }
 
-// Gradient is the adaptive concurrency limit of failsafe-go (github.com/failsafe-go/failsafe-go/adaptivelimiter), the
-// library itself, behind a queue of four requests per core.
+// Gradient returns a policy that uses the adaptive concurrency limiter of the failsafe-go library
+// (github.com/failsafe-go/failsafe-go/adaptivelimiter) behind a queue of four requests per core.
 //
-// The limiter reads the wall clock and accepts no other, so its permits are given this package's clock. That writes to
-// unexported fields of the library, and returns an error if a later version has other ones.
+// The limiter reads the wall clock and has no option for another clock. The policy therefore sets unexported fields of the
+// limiter and its permits to a virtual clock and its times. Gradient returns an error if a later version of the library has
+// other fields in the limiter.
 func Gradient(settings admission.Settings, actions admission.Actions) (admission.Events, error) {
 	policyHost := newHost(settings, actions)
 	adaptive := &gradient{host: policyHost, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * settings.Cores}
@@ -48,21 +49,22 @@
 	return policyHost, nil
 }
 
-// epoch is the wall time at which the virtual clock begins.
+// epoch is the time that the virtual clock returns at virtual time 0.
 var epoch = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// virtualClock is a clock as the limiter wants one.
+// virtualClock implements the library's clock interface with virtual time.
 type virtualClock struct{ now time.Duration }
 
 // Now returns the virtual time.
 func (c *virtualClock) Now() time.Time { return epoch.Add(c.now) }
 
-// setPrivateField sets an unexported field of a struct of the library.
-func setPrivateField(of any, name string, value any) error {
-	v := reflect.Indirect(reflect.ValueOf(of))
+// setPrivateField sets the unexported field name of the struct that target points to. It returns an error if there is no
+// such field or if it has another type.
+func setPrivateField(target any, name string, value any) error {
+	v := reflect.Indirect(reflect.ValueOf(target))
 	field := v.FieldByName(name)
 	if !field.IsValid() || !reflect.TypeOf(value).AssignableTo(field.Type()) {
-		return fmt.Errorf("peer: %T has no field %s that takes a %T", of, name, value)
+		return fmt.Errorf("peer: %T has no field %s that takes a %T", target, name, value)
 	}
 	reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem().Set(reflect.ValueOf(value))
 	return nil
@@ -85,7 +87,7 @@
 		return nil // TestGradient fails if the library no longer has these fields
 	}
 	next := g.oldest()
-	if next.permit != nil { // the host could not run the request the last time
+	if next.permit != nil { // the host could not run the request after the previous call
 		next.permit.(adaptivelimiter.Permit).Drop()
 	}
 	next.permit = permit
--- a/internal/baseline/host.go
+++ b/internal/baseline/host.go
@@ -7,19 +7,21 @@
 	"tillerusher/admission"
 )
 
-// policy is the part of a baseline that differs from the others.
+// policy makes the decisions in which the baselines differ.
 type policy interface {
-	// admit decides on a request that was read.
+	// admit decides whether to queue or reject a request that was read.
 	admit(r *request) verdict
-	// nextToRun returns the queued request that runs next, or nil if none should run now. The queue is not empty.
+	// nextToRun returns the queued request to run next, or nil if none should run now. The host calls it only if the queue
+	// is not empty.
 	nextToRun() *request
-	// runEnded is called when a run ends, and when a request ends that nextToRun has returned but that could not run.
+	// runEnded is called when a run ends. It is also called, as not succeeded, when a request with a permit ends that
+	// nextToRun has returned but that the host could not run.
 	runEnded(r *request, succeeded bool)
-	// poll is called every pollInterval with the gauges.
+	// poll is called every pollInterval with the server's gauges.
 	poll(g admission.Gauges)
 }
 
-// verdict is the decision on a request that was read.
+// verdict is a policy's decision on a request that was read.
 type verdict uint8
 
 const (
@@ -27,52 +29,52 @@
 	verdictReject
 )
 
-// Tokens of timers.
+// Timer tokens.
 const (
-	pollToken     = 0
+	pollToken     = 0 // the periodic timer
 	deadlineToken = 1 // the deadline of one request is near
 )
 
 const (
-	pollInterval     = 100 * time.Millisecond // between two readings of the gauges
-	deadlineMargin   = 10 * time.Millisecond  // by which a response comes before the deadline
+	pollInterval     = 100 * time.Millisecond // time between two readings of the gauges
+	deadlineMargin   = 10 * time.Millisecond  // time by which a response precedes the deadline
 	minTimerDelay    = time.Millisecond
-	concurrencyShare = 0.75                   // of the concurrency that a server survives, that is used
-	memoryShare      = 0.92                   // of the memory, that is used
-	retryAfter       = 250 * time.Millisecond // sent with rejections, if the settings allow any
-	noDeadline       = 1 << 62                // of a request that was answered while its run goes on
+	concurrencyShare = 0.75                   // used share of the concurrency that a server survives
+	memoryShare      = 0.92                   // used share of the server's memory
+	retryAfter       = 250 * time.Millisecond // of rejections, at most Settings.MaxRetryAfter
+	noDeadline       = 1 << 62                // deadline of a request that was answered while its run continues
 )
 
-// request is a request that the host knows of.
+// request is a request with its state in the host.
 type request struct {
 	admission.Request
-	arrivedAt time.Duration // at the machine
+	arrivedAt time.Duration // when it reached the machine
 	deadline  time.Duration
-	startedAt time.Duration // of its run
+	startedAt time.Duration // when its run started
 	running   bool
 	finished  bool
-	permit    any // of a policy's own limiter
+	permit    any // from the policy's limiter, if it has one
 }
 
-// host implements admission.Events around a policy.
+// host implements admission.Events and leaves the decisions of the policy interface to a policy.
 type host struct {
 	settings admission.Settings
 	actions  admission.Actions
 	policy   policy
 
 	now       time.Duration
-	started   bool // the first event was reported, at startedAt
-	startedAt time.Duration
+	started   bool          // whether an event was reported
+	startedAt time.Duration // time of the first event
 
 	queue    []*request // in the order of reading
 	requests map[admission.RequestID]*request
 	running  int
 	memoryKB float64   // of queued and running requests
-	keptKeys []keptKey // by expiry, the next first
+	keptKeys []keptKey // in the order of keeping; expired keys are removed from the front
 
-	draining  bool
-	drainedAt time.Duration // when the drain began
-	stopAt    time.Duration // when the process ends
+	draining   bool
+	drainStart time.Duration // when the drain notice came
+	stopAt     time.Duration // when the process ends
 }
 
 // keptKey is an idempotency key that the server remembers.
@@ -85,7 +87,8 @@
 	return &host{settings: s, actions: a, requests: map[admission.RequestID]*request{}}
 }
 
-// advance sets the time. It never goes back.
+// advance sets the current time, which never decreases, and forgets expired keys. On the first event it also sets the
+// health and starts the periodic timer.
 func (h *host) advance(now time.Duration) {
 	if !h.started {
 		h.started, h.startedAt = true, now
@@ -100,12 +103,13 @@
 	h.keptKeys = h.keptKeys[expired:]
 }
 
-// hasMemoryFor reports whether there is memory for so much more.
+// hasMemoryFor reports whether kb more fit into the used share of the memory, with the requests and the kept keys.
 func (h *host) hasMemoryFor(kb float64) bool {
 	return h.memoryKB+kb+float64(len(h.keptKeys))*h.settings.KeyKB <= memoryShare*h.settings.MemoryKB
 }
 
-// maxRunning is the number of requests that may run. It assumes the slowest warm-up that the settings allow.
+// maxRunning returns the number of requests that may run concurrently. It assumes the slowest warm-up that the settings
+// allow.
 func (h *host) maxRunning() int {
 	warmUpShare := 1.0
 	if s := &h.settings; s.WarmingUp && s.WarmUpTime > 0 {
@@ -114,14 +118,14 @@
 	return max(int(concurrencyShare*float64(h.settings.Cores)*(1+(h.settings.MaxConcurrencyFactor-1)*warmUpShare)), 1)
 }
 
-// isKeyed reports whether requests of a class are idempotent by a key.
+// isKeyed reports whether the requests of a class are idempotent by key.
 func (h *host) isKeyed(class int) bool {
 	return h.settings.Classes[class].Effect == admission.IdempotentByKey
 }
 
-// isAfterGrace reports whether a request arrived after the grace period of a drain.
+// isAfterGrace reports whether a request arrived after the grace period of a drain. It must not run then.
 func (h *host) isAfterGrace(r *request) bool {
-	return h.draining && r.arrivedAt > h.drainedAt+h.settings.DrainGracePeriod
+	return h.draining && r.arrivedAt > h.drainStart+h.settings.DrainGracePeriod
 }
 
 // Request implements admission.Events.
@@ -133,7 +137,7 @@
 		h.actions.Fail(arrival.ID)
 		return
 	}
-	if left := req.deadline - deadlineMargin - now; left < 2*pollInterval { // sooner than poll would see it
+	if left := req.deadline - deadlineMargin - now; left < 2*pollInterval { // the periodic timer could be too late
 		h.actions.SetTimer(max(left, minTimerDelay), deadlineToken)
 	}
 	if arrival.RetryOf != 0 {
@@ -150,7 +154,7 @@
 	h.queue = append(h.queue, req)
 }
 
-// keySize is the memory in KB of the key of a request of a class, 0 if it has none.
+// keySize returns the memory in KB of the idempotency key of a request, or 0 if its class has no keys.
 func (h *host) keySize(class int) float64 {
 	if h.isKeyed(class) {
 		return h.settings.KeyKB
@@ -158,14 +162,14 @@
 	return 0
 }
 
-// keepKey remembers the key of a request for the window of its class.
+// keepKey keeps the key of a request for the key window of its class, counted from the request's arrival.
 func (h *host) keepKey(now time.Duration, req *request) {
 	until := req.arrivedAt + h.settings.Classes[req.Class].KeyWindow
 	h.actions.KeepKey(req.ID, until-now)
 	h.keptKeys = append(h.keptKeys, keptKey{req.ID, until})
 }
 
-// addRequest registers a request with its deadline and memory.
+// addRequest adds a request to the host, sets its deadline and counts its memory.
 func (h *host) addRequest(now time.Duration, arrival admission.Request) *request {
 	req := &request{Request: arrival, arrivedAt: now - arrival.QueueingDelay}
 	req.deadline = req.arrivedAt + h.settings.Classes[arrival.Class].Deadline
@@ -177,7 +181,7 @@
 	return req
 }
 
-// reject rejects a request that has not run.
+// reject rejects a request that has not run, and releases its key if it is kept.
 func (h *host) reject(req *request) {
 	if h.isKeyed(req.Class) {
 		if i := slices.IndexFunc(h.keptKeys, func(k keptKey) bool { return k.id == req.ID }); i >= 0 {
@@ -189,7 +193,8 @@
 	h.actions.Reject(req.ID, min(retryAfter, h.settings.MaxRetryAfter), false)
 }
 
-// remove removes a finished request from all lists.
+// remove marks a request as finished, removes it from all lists and releases its memory. It does nothing for a request that
+// is finished already.
 func (h *host) remove(req *request) {
 	if req.finished {
 		return
@@ -205,12 +210,13 @@
 	if i := slices.Index(h.queue, req); i >= 0 {
 		h.queue = slices.Delete(h.queue, i, i+1)
 	}
-	if req.permit != nil { // nextToRun returned it, and it could not run
+	if req.permit != nil { // nextToRun returned it, but it could not run
 		h.policy.runEnded(req, false)
 	}
 }
 
-// Settle implements admission.Events. It starts what the policy wants to run.
+// Settle implements admission.Events. It runs the requests that the policy selects, within the limits of concurrency and
+// memory.
 func (h *host) Settle(now time.Duration) {
 	h.advance(now)
 	for len(h.queue) > 0 && h.running < h.maxRunning() {
@@ -256,7 +262,7 @@
 // Drain implements admission.Events.
 func (h *host) Drain(now, left time.Duration) {
 	h.advance(now)
-	h.draining, h.drainedAt, h.stopAt = true, now, now+left
+	h.draining, h.drainStart, h.stopAt = true, now, now+left
 	for _, r := range h.requests { // the order of the map does not matter
 		r.deadline = min(r.deadline, h.stopAt-deadlineMargin)
 	}
@@ -280,7 +286,7 @@
 	}
 }
 
-// nearDeadline returns the requests that must be answered before the next poll, by ID.
+// nearDeadline returns the requests that must be answered before the next poll, in the order of their IDs.
 func (h *host) nearDeadline() []*request {
 	var near []*request
 	for _, r := range h.requests {
@@ -292,7 +298,8 @@
 	return near
 }
 
-// failRunning answers a request whose run goes on, or is stopped if that is safe.
+// failRunning answers a running request as failed. It stops the run if the settings allow that and the class is safe;
+// otherwise the run continues.
 func (h *host) failRunning(r *request) {
 	h.actions.Fail(r.ID)
 	if h.settings.StopMode != admission.StopNone && h.settings.Classes[r.Class].Effect == admission.Safe {
--- a/internal/baseline/no_limit.go
+++ b/internal/baseline/no_limit.go
@@ -2,10 +2,11 @@
 
 import "tillerusher/admission"
 
-// noLimit runs whatever the host allows, at once.
+// noLimit runs requests in the order of reading, as soon as the host allows.
 type noLimit struct{ *host }
 
-// NoLimit runs each request at once and rejects none but for lack of memory.
+// NoLimit returns a policy that runs each request as soon as the host allows and never rejects one. The host itself still
+// rejects requests for lack of memory and after the grace period of a drain.
 func NoLimit(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	h := newHost(s, a)
 	h.policy = noLimit{h}
--- a/internal/baseline/weight_priority.go
+++ b/internal/baseline/weight_priority.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	runTimeSmoothing = 1.0 / 12 // weight of one run in the learned run time of its class
-	minRunSeconds    = 1e-3     // run time that is assumed at least, before any is learned
+	runTimeSmoothing = 1.0 / 12 // weight of a new run in the moving average of its class's run time
+	minRunSeconds    = 1e-3     // lower bound of the run time, which applies until runs have been measured
 )
 
-// weightPriority runs the requests of the highest weight per second of run time first, and rejects those that would miss
-// their objective behind them.
+// weightPriority runs the requests with the highest weight per second of run time first. It rejects requests that would
+// miss their latency objective because of the requests before them.
 type weightPriority struct {
 	*host
-	runSeconds []float64 // learned, by class
+	runSeconds []float64 // moving average of the run time, by class
 }
 
-// WeightPriority orders the queue by the weight of a class per second of run time. A request is rejected if it would wait
-// beyond its latency objective behind those before it.
+// WeightPriority returns a policy that orders the queue by the weight of a class per second of run time. It rejects a
+// request if the expected wait behind the requests before it exceeds its latency objective.
 func WeightPriority(s admission.Settings, a admission.Actions) (admission.Events, error) {
 	h := newHost(s, a)
 	h.policy = &weightPriority{host: h, runSeconds: make([]float64, len(s.Classes))}
 	return h, nil
 }
 
-// weightPerSecond is the weight that a class earns per second of run time.
+// weightPerSecond returns the weight of a class per second of run time.
 func (w *weightPriority) weightPerSecond(class int) float64 {
 	return w.settings.Classes[class].Weight / max(w.runSeconds[class], minRunSeconds)
 }
@@ -58,7 +58,8 @@
 	return best
 }
 
-// runEnded learns the time that the run would have taken on a core of its own.
+// runEnded updates the run time of the request's class with an estimate of the time that the run would have taken on a core
+// that it didn't share.
 func (w *weightPriority) runEnded(r *request, succeeded bool) {
 	if !succeeded {
 		return
@@ -68,7 +69,7 @@
 	w.runSeconds[r.Class] += (coreSeconds - w.runSeconds[r.Class]) * runTimeSmoothing
 }
 
-// poll rejects queued requests that have missed their objective.
+// poll rejects queued requests that have waited longer than their latency objective and the run time of their class.
 func (w *weightPriority) poll(admission.Gauges) {
 	for i := 0; i < len(w.queue); {
 		r := w.queue[i]
