--- a/internal/calibration/cases.go
+++ b/internal/calibration/cases.go
@@ -12,14 +12,14 @@
 	Name        string
 	Load        float64 // relative to the capacity of the interpreter
 	MeanWork    time.Duration
-	Cores       int
-	KeyedShare  float64
-	ResendShare float64
-	MaxAttempts int
+	Cores       int     // of the interpreter
+	KeyedShare  float64 // share of the requests that have an idempotency key
+	ResendShare float64 // share of the served keyed requests that clients send again
+	MaxAttempts int     // of one request
 	ArrivalKind arrival.Kind
 }
 
-// Cases returns twelve cases, from a low load to overload.
+// Cases returns twelve cases, from low load to overload.
 func Cases() []Case {
 	const ms = time.Millisecond
 	return []Case{
@@ -38,15 +38,15 @@
 	}
 }
 
-// requestRate is the number of new requests per second.
+// requestRate returns the number of requests per second, without retries.
 func (c Case) requestRate() float64 { return c.Load * float64(c.Cores) / c.MeanWork.Seconds() }
 
-// requestCount is the number of requests in a run of a duration.
+// requestCount returns the number of requests in a run of the duration, without retries.
 func (c Case) requestCount(duration time.Duration) int {
 	return int(duration.Seconds() * c.requestRate())
 }
 
-// arrivalConfig is the arrival process of both.
+// arrivalConfig returns the arrival process, which is the same for the daemon and the simulation.
 func (c Case) arrivalConfig() arrival.Config {
 	return arrival.Config{
 		Kind:          c.ArrivalKind,
@@ -58,16 +58,16 @@
 }
 
 const (
-	// loopbackDelay is what a request takes on loopback in addition to its run, which passes sockets four times.
+	// loopbackDelay is the time that a request takes on loopback in addition to its run. A request passes sockets four
+	// times.
 	loopbackDelay = 600 * time.Microsecond
 
 	// interpreterIdle is the time for which a core of the interpreter is idle between the end of a run and the command for
-	// the next. It was measured in a load test at one and a half times the capacity with runs of 20 ms, in which the
-	// interpreter's utilization was 0.989.
+	// the next. It follows from a utilization of 0.989 in a load test at 1.5 times the capacity with runs of 20 ms.
 	interpreterIdle = 220 * time.Microsecond
 )
 
-// clusterConfig is the case for the simulation: one server with the settings of a load test.
+// clusterConfig returns the configuration of the case for the simulation: one server with the settings of a load test.
 func (c Case) clusterConfig(duration time.Duration) clustersim.Config {
 	config := clustersim.DefaultConfig()
 	config.Name = c.Name
@@ -98,7 +98,8 @@
 	return config
 }
 
-// setServers sets the server of a load test, whose settings name two servers. Reading costs nothing, and cores don't thrash.
+// setServers configures the server of a load test. The module starts with two endpoints, because the settings of a load
+// test name two servers. Reading a request takes no time, and cores don't thrash.
 func (c Case) setServers(servers *clustersim.ServerConfig) {
 	servers.Count = 1
 	servers.InitialEndpoints = 2
--- a/internal/calibration/compare.go
+++ b/internal/calibration/compare.go
@@ -12,7 +12,7 @@
 	"tillerusher/internal/workerpool"
 )
 
-// Metrics are the figures that are compared.
+// Metrics are the metrics that are compared. Latencies are in milliseconds.
 type Metrics struct {
 	ServedShare        float64 `json:"share"`
 	P50                float64 `json:"p50_ms"`
@@ -20,38 +20,41 @@
 	AttemptsPerRequest float64 `json:"tries"`
 }
 
-// Comparison is the result of a case.
+// Comparison compares the metrics of the daemon and of the simulation in one case.
 type Comparison struct {
 	CaseName  string  `json:"world"`
 	Daemon    Metrics `json:"real"`
 	Simulated Metrics `json:"model"`
-	Deviation string  `json:"miss,omitempty"` // what differs by more than the bounds
+	Deviation string  `json:"miss,omitempty"` // metrics that differ by more than the bounds
 }
 
-// The bounds within which the daemon and the simulation should agree.
+// Bounds of the deviation of the simulation from the daemon.
 const (
-	maxShareDifference  = 0.03
+	maxShareDifference  = 0.03 // absolute
 	maxLatencyDeviation = 0.15 // relative to the daemon
 )
 
-// measured is a case with one seed, measured by both.
-type measured struct {
+// measurement is the result of a case with one seed.
+type measurement struct {
 	daemon, simulated Metrics
 	err               error
 }
 
-// Compare runs all cases by both, some of them at once, and returns a comparison of each. The metrics are means over the
-// seeds, which give both the same arrivals. Progress, if it is not nil, is called with the number of runs that are done.
+// Compare runs all cases with the daemon and in the simulation, and returns a comparison for each case. daemon is the path
+// of the daemon's binary, and parallel the number of runs that are made concurrently. The metrics are means over the seeds.
+// The daemon and the simulation get the same arrivals from a seed. Compare calls progress, if it is not nil, with the
+// number of runs that are done.
 //
-// All runs are made even if one fails; the error is that of the first that failed in the order of cases and seeds.
-func Compare(ctx context.Context, daemon string, duration time.Duration, seeds, atOnce int,
+// Compare makes all runs even if one fails. It then returns the error of the first failed run in the order of cases and
+// seeds.
+func Compare(ctx context.Context, daemon string, duration time.Duration, seeds, parallel int,
 	progress func(done, of int)) ([]Comparison, error) {
 	cases := Cases()
-	measure := func(_ context.Context, i int) (measured, error) {
+	measure := func(_ context.Context, i int) (measurement, error) {
 		return cases[i/seeds].measure(ctx, daemon, duration, uint64(i%seeds+1)), nil
 	}
-	runs := make([]measured, 0, len(cases)*seeds)
-	collect := func(m measured) error {
+	runs := make([]measurement, 0, len(cases)*seeds)
+	collect := func(m measurement) error {
 		runs = append(runs, m)
 		if progress != nil {
 			progress(len(runs), cap(runs))
@@ -59,7 +62,7 @@
 		return nil
 	}
 	uncanceled := context.WithoutCancel(ctx) // so that all runs are made
-	if err := workerpool.RunOrdered(uncanceled, 0, cap(runs), max(atOnce, 1), measure, collect); err != nil {
+	if err := workerpool.RunOrdered(uncanceled, 0, cap(runs), max(parallel, 1), measure, collect); err != nil {
 		return nil, err
 	}
 	comparisons := make([]Comparison, len(cases))
@@ -72,8 +75,9 @@
 	return comparisons, nil
 }
 
-// compute sets the means over runs of the case and what deviates.
-func (c *Comparison) compute(runs []measured) error {
+// compute sets the metrics to the means over the runs of the case, and describes their deviation. It returns the error of
+// the first run that failed.
+func (c *Comparison) compute(runs []measurement) error {
 	for _, m := range runs {
 		if m.err != nil {
 			return m.err
@@ -85,7 +89,7 @@
 	return nil
 }
 
-// addToMean adds one of n values to a mean.
+// addToMean adds one of n values to the mean m.
 func (m *Metrics) addToMean(value Metrics, n int) {
 	count := float64(n)
 	m.ServedShare += value.ServedShare / count
@@ -94,15 +98,15 @@
 	m.AttemptsPerRequest += value.AttemptsPerRequest / count
 }
 
-// measure runs the case with one seed by both.
-func (c Case) measure(ctx context.Context, daemon string, duration time.Duration, seed uint64) (m measured) {
+// measure runs the case with one seed, first with the daemon and then in the simulation.
+func (c Case) measure(ctx context.Context, daemon string, duration time.Duration, seed uint64) (m measurement) {
 	if m.daemon, m.err = c.measureDaemon(ctx, daemon, duration, seed); m.err == nil {
 		m.simulated, m.err = c.simulate(ctx, duration, seed)
 	}
 	return m
 }
 
-// measureDaemon runs the case over loopback.
+// measureDaemon runs the case with the daemon, in a load test over loopback. A violated invariant is an error.
 func (c Case) measureDaemon(ctx context.Context, daemon string, duration time.Duration, seed uint64) (Metrics, error) {
 	config := loadtest.DefaultConfig()
 	config.Daemon = daemon
@@ -124,7 +128,7 @@
 		return Metrics{}, err
 	}
 	if len(result.Violations) > 0 {
-		return Metrics{}, fmt.Errorf("fidelity: %s: %s", c.Name, result.Violations[0])
+		return Metrics{}, fmt.Errorf("calibration: %s: %s", c.Name, result.Violations[0])
 	}
 	return Metrics{
 		ServedShare:        result.ServedShare,
@@ -156,7 +160,8 @@
 	}, nil
 }
 
-// describeDeviation names the metrics that differ by more than the bounds.
+// describeDeviation returns the names and deviations of the metrics that differ by more than the bounds, or "". The text is
+// part of the JSON output.
 func (c *Comparison) describeDeviation() string {
 	text := ""
 	if d := c.Simulated.ServedShare - c.Daemon.ServedShare; math.Abs(d) > maxShareDifference {
@@ -167,7 +172,7 @@
 	return text
 }
 
-// describeLatency names a latency with its relative deviation if that is beyond the bound.
+// describeLatency returns the name and the relative deviation of a latency if the deviation exceeds the bound, or "".
 func describeLatency(name string, daemon, simulated float64) string {
 	if deviation := simulated/daemon - 1; math.Abs(deviation) > maxLatencyDeviation {
 		return fmt.Sprintf(" %s %+.0f %%", name, 100*deviation)
--- a/internal/calibration/doc.go
+++ b/internal/calibration/doc.go
@@ -1,3 +1,3 @@
-// Package calibration compares the cluster simulation with the real daemon: the same small workloads run over loopback, in a
-// load test with its fake interpreter, and in virtual time.
+// Package calibration compares the cluster simulation with the real daemon. It runs the same small workloads in virtual
+// time and over loopback, in a load test with a fake interpreter.
 package calibration
