--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -2,42 +2,43 @@
 
 import "fmt"
 
-// Difference is the difference of a measure between two policies in runs of the same points and seeds.
+// Difference is the difference of a measure between two policies, over pairs of runs with the same point and seed.
 type Difference struct {
 	Measure        string  `json:"measure"`
-	Label          string  `json:"of"` // as of Group
+	Label          string  `json:"of"` // as in Group
 	PolicyA        string  `json:"a"`
 	PolicyB        string  `json:"b"`
 	Pairs          int     `json:"pairs"`
 	MeanA          float64 `json:"mean_a"`
 	MeanB          float64 `json:"mean_b"`
 	MeanDifference float64 `json:"mean"` // of A minus B
-	Lower          float64 `json:"low"`  // of the interval at 95 %
-	Upper          float64 `json:"high"`
-	WinShare       float64 `json:"wins"` // share of the pairs in which A has more
+	Lower          float64 `json:"low"`  // lower bound of the 95 % confidence interval of the mean difference
+	Upper          float64 `json:"high"` // upper bound
+	WinShare       float64 `json:"wins"` // share of the pairs in which A has the higher value
 }
 
-// IsSignificant reports whether the interval excludes that there is no difference.
+// IsSignificant reports whether the confidence interval excludes 0.
 func (d Difference) IsSignificant() bool { return d.Lower > 0 || d.Upper < 0 }
 
 // String describes the difference in one line.
 func (d Difference) String() string {
-	text := fmt.Sprintf("%s, %s: %s %.4f, %s %.4f; difference %+.4f, 95 %% in %+.4f to %+.4f over %d pairs",
+	text := fmt.Sprintf("%s, %s: %s %.4f, %s %.4f; difference %+.4f, 95 %% interval %+.4f to %+.4f over %d pairs",
 		d.Measure, d.Label, d.PolicyA, d.MeanA, d.PolicyB, d.MeanB, d.MeanDifference, d.Lower, d.Upper, d.Pairs)
 	if !d.IsSignificant() {
-		return text + ": no difference seen"
+		return text + ": not significant"
 	}
 	return text
 }
 
-// Compare compares two policies in pairs of runs of the same point and seed, for each label that by gives (see Groups).
+// Compare compares two policies in pairs of runs with the same point and seed. It groups the runs as Groups does and returns
+// a difference for each label. Labels without pairs are left out. It is an error if there are no pairs at all.
 func (r *Results) Compare(measure, by, policyA, policyB string) ([]Difference, error) {
 	groups, err := r.Groups(measure, by)
 	if err != nil {
 		return nil, err
 	}
 	byLabel := map[string]map[string]*Group{policyA: {}, policyB: {}}
-	var labels []string // of A, in the order of the groups
+	var labels []string // of the groups of A, in their order
 	for i := range groups {
 		g := &groups[i]
 		if ofPolicy, ok := byLabel[g.Policy]; ok {
@@ -65,7 +66,7 @@
 	return differences, nil
 }
 
-// compute sets the figures from the pairs of runs in two groups.
+// compute sets the number of pairs, the means, the interval and the win share from the pairs of runs in two groups.
 func (d *Difference) compute(groupA, groupB *Group) {
 	valuesB := map[pairKey]float64{}
 	for _, v := range groupB.values {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -8,40 +8,40 @@
 	"tillerusher/internal/sexp"
 )
 
-// Experiment is the content of an experiment's file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name      string
 	Config    clustersim.Config
 	Workloads WorkloadRange // used in place of Config if its Count is not 0
 	Policies  []string
-	Seeds     uint64 // number of seeds at each point; they count from 1
+	Seeds     uint64 // number of seeds at each point; the first seed is 1
 	Sweep     Sweep
 
-	configForm string
+	configForm string // see ConfigForm
 }
 
-// WorkloadRange is a range of generated workloads.
+// WorkloadRange is a range of generated workloads. A workload is identified by its kind and its number.
 type WorkloadRange struct {
 	Kinds []clustersim.WorkloadKind
-	Count int    // of each kind
-	From  uint64 // number of the first
+	Count int    // workloads of each kind
+	From  uint64 // number of the first workload of each kind
 }
 
-// SweepMethod is how the points of a sweep are chosen.
+// SweepMethod is the method by which the points of a sweep are chosen.
 type SweepMethod string
 
-// The sweep methods, by the words that files use.
+// The sweep methods, with the words that experiment files use.
 const (
 	Grid           SweepMethod = "grid"
 	RandomPoints   SweepMethod = "random"
 	LatinHypercube SweepMethod = "latin"
 )
 
-// Sweep says what is varied.
+// Sweep defines the points of an experiment: the variables, their ranges and the method that chooses values.
 type Sweep struct {
 	Method    SweepMethod
-	Count     int // of points; a grid has its own
-	Seed      uint64
+	Count     int    // number of points; ignored by a grid, which has one for each combination of steps
+	Seed      uint64 // of the random points
 	Variables []Variable
 }
 
@@ -49,14 +49,14 @@
 type Variable struct {
 	Name     string
 	Min, Max float64
-	Steps    int // on a grid
-	apply    applyFunc
+	Steps    int       // number of values on a grid
+	apply    applyFunc // sets the variable
 }
 
-// ConfigForm returns the text of the form that describes the configuration, or "" if the file has none.
+// ConfigForm returns the source text of the (world ...) form, or "" if the file has none.
 func (e *Experiment) ConfigForm() string { return e.configForm }
 
-// Load reads an experiment from a file and all that the file includes.
+// Load reads an experiment from a file and the files that it includes.
 func Load(path string) (*Experiment, error) {
 	forms, err := sexp.ParseFiles(path, os.ReadFile, filepath.Glob)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return readExperiment(path, forms)
 }
 
-// Parse reads an experiment from a text without includes. The file's name is used for errors and as the default name.
+// Parse reads an experiment from a text without includes. file is the file's name, for error messages and for the default
+// name of the experiment.
 func Parse(file string, text []byte) (*Experiment, error) {
 	forms, err := sexp.Parse(file, text)
 	if err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// smallExperiment is an experiment of short runs.
+// smallExperiment is an experiment with short runs.
 const smallExperiment = `(name small)
 (world (for 3s) (servers (n 2) (cores 2)) (load 0.8))
 (policies module line) (seeds 2)
@@ -29,8 +29,8 @@
 	return e
 }
 
-// runTo runs an experiment into a file and returns the file's content.
-func runTo(t testing.TB, e *Experiment, path string, workers int) []byte {
+// mustRun runs an experiment and returns the content of the results file at path. It fails the test on an error.
+func mustRun(t testing.TB, e *Experiment, path string, workers int) []byte {
 	t.Helper()
 	if err := Run(context.Background(), e, path, workers, nil); err != nil {
 		t.Fatal(err)
@@ -42,13 +42,13 @@
 	return text
 }
 
-// TestResume interrupts a run anywhere, also in the middle of a line, and resumes it: the file is the same in the end, with any
-// number of workers.
+// TestResume checks that an experiment resumes from a file that was cut anywhere, also in the middle of a line, and after a
+// canceled run. The final file must be the same with any number of workers. A file of another plan must be rejected.
 func TestResume(t *testing.T) {
 	e, dir := mustParse(t, smallExperiment), t.TempDir()
-	want := runTo(t, e, filepath.Join(dir, "whole"), 1)
+	want := mustRun(t, e, filepath.Join(dir, "whole"), 1)
 	if lines := bytes.Count(want, []byte{'\n'}); lines != 1+3*2*2*2 {
-		t.Fatalf("%d lines", lines)
+		t.Fatalf("the results have %d lines, want a header and 24 rows", lines)
 	}
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -58,13 +58,13 @@
 		if err := os.WriteFile(path, want[:rng.IntN(len(want)+1)], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := runTo(t, e, path, 1+rng.IntN(8)); !bytes.Equal(got, want) {
-			t.Errorf("cut %d: the file is another", i)
+		if got := mustRun(t, e, path, 1+rng.IntN(8)); !bytes.Equal(got, want) {
+			t.Errorf("cut %d: the resumed file differs from an uninterrupted one", i)
 		}
 	}
 	other := mustParse(t, strings.Replace(smallExperiment, "1.1", "1.2", 1))
 	if err := Run(context.Background(), other, filepath.Join(dir, "whole"), 1, nil); !errors.Is(err, ErrPlanMismatch) {
-		t.Errorf("the results of another plan: %v", err)
+		t.Errorf("run into the results of another plan: got error %v, want ErrPlanMismatch", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	err := Run(ctx, e, filepath.Join(dir, "stopped"), 2, func(done, _ int) {
@@ -73,14 +73,15 @@
 		}
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("canceled run: got error %v, want context.Canceled", err)
 	}
-	if got := runTo(t, e, filepath.Join(dir, "stopped"), 3); !bytes.Equal(got, want) {
-		t.Error("a run that was stopped leaves another file")
+	if got := mustRun(t, e, filepath.Join(dir, "stopped"), 3); !bytes.Equal(got, want) {
+		t.Error("the file resumed after a canceled run differs from an uninterrupted one")
 	}
 }
 
-// TestPlanChecksum pins the checksum of plans: results files that were written before must still be recognized.
+// TestPlanChecksum checks the checksums of two plans against fixed values, so that existing results files are still
+// recognized.
 func TestPlanChecksum(t *testing.T) {
 	for text, want := range map[string]string{
 		smallExperiment: "d1469f2f01c5b17d",
@@ -92,27 +93,28 @@
 			t.Fatal(err)
 		}
 		if got, err := planChecksum(jobs); got != want || err != nil {
-			t.Errorf("checksum %s, %v, want %s of\n%s", got, err, want, text)
+			t.Errorf("got checksum %s, error %v, want %s for\n%s", got, err, want, text)
 		}
 	}
 }
 
-// TestInfeasible checks that a configuration that is not feasible is reported in its row, and that the others are run.
+// TestInfeasible checks that an infeasible configuration is reported in its row, and that the other runs are made.
 func TestInfeasible(t *testing.T) {
 	e := mustParse(t, `(world (for 2s) (servers (n 2) (cores 1)) (load 0.5)) (seeds 1)
 (sweep (vary skew 0.5 1.5 2))`)
 	path := filepath.Join(t.TempDir(), "r")
-	runTo(t, e, path, 2)
+	mustRun(t, e, path, 2)
 	r, err := ReadResults(path)
 	if err != nil || len(r.Rows) != 2 {
-		t.Fatalf("%v, %+v", err, r)
+		t.Fatalf("got error %v and results %+v, want 2 rows", err, r)
 	}
 	if !strings.Contains(r.Rows[0].Error, "skew of 0.5") || r.Rows[1].Error != "" || r.Rows[1].Measures["share"] == 0 {
-		t.Errorf("rows %+v", r.Rows)
+		t.Errorf("got rows %+v, want an error about the skew in the first row and measures in the second", r.Rows)
 	}
 }
 
-// TestCompare checks that a difference is found if there is one, and none if a policy is compared with itself.
+// TestCompare checks that a difference is significant if there is one. It must not be significant if a policy is compared
+// with itself, or with one that differs from it only by noise.
 func TestCompare(t *testing.T) {
 	results := &Results{}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -123,19 +125,20 @@
 		}
 	}
 	for _, c := range []struct {
-		a, b string
-		seen bool
+		a, b        string
+		significant bool
 	}{{"a", "b", true}, {"b", "a", true}, {"a", "a", false}, {"b", "c", false}} {
 		d, err := results.Compare("g", "", c.a, c.b)
-		if err != nil || d[0].Pairs != 40 || d[0].IsSignificant() != c.seen || strings.Contains(d[0].String(), "no difference seen") == c.seen {
-			t.Errorf("%s and %s: %v, %v", c.a, c.b, d, err)
+		if err != nil || d[0].Pairs != 40 || d[0].IsSignificant() != c.significant ||
+			strings.Contains(d[0].String(), ": not significant") == c.significant {
+			t.Errorf("%s and %s: got %v and error %v", c.a, c.b, d, err)
 		}
 	}
 	if _, err := results.Compare("sepia", "", "a", "b"); err == nil {
-		t.Error("a measure that there is not")
+		t.Error("no error for an unknown measure")
 	}
 	if _, err := results.Compare("g", "load", "a", "b"); err == nil {
-		t.Error("a variable that was not varied")
+		t.Error("no error for a variable that was not varied")
 	}
 }
 
@@ -147,76 +150,77 @@
 		points, err := e.Sweep.drawPoints()
 		again, _ := mustParse(t, text).Sweep.drawPoints()
 		if err != nil || len(points) != count || !reflect.DeepEqual(points, again) {
-			t.Fatalf("%s: %d points, %v", how, len(points), err)
+			t.Fatalf("%s: got %d points and error %v, or other points from the same seed", how, len(points), err)
 		}
 		strata := map[int]bool{}
 		for _, p := range points {
 			if p[0] < 0.5 || p[0] > 1 || p[1] < 1 || p[1] > 3 {
-				t.Errorf("%s: point %v", how, p)
+				t.Errorf("%s: point %v is outside the ranges", how, p)
 			}
 			strata[int((p[0]-0.5)/0.5*39.9999)] = true
 		}
 		if how == "latin" && len(strata) < 39 {
-			t.Errorf("%d of 40 strata are met", len(strata))
+			t.Errorf("the points cover %d of 40 strata, want at least 39", len(strata))
 		}
 	}
 }
 
-// TestExplore checks that an exploration finds where a policy does badly, and that it can be repeated.
+// TestExplore checks that an exploration finds a point at which a policy does badly, that the same exploration finds the
+// same points, and that a formatted candidate is an experiment with that point.
 func TestExplore(t *testing.T) {
 	experiment := mustParse(t, `(world (for 3s) (servers (n 2) (cores 2))) (seeds 2) (sweep (vary load 0.3 1.5) (vary tries 1 4))`)
 	exploration := Exploration{Policy: "nolimit", Measure: "share", Rounds: 4, PointsPerRound: 10, Seed: 3}
 	candidates, err := experiment.Explore(context.Background(), exploration, nil)
 	if err != nil || len(candidates) != 40 {
-		t.Fatalf("%d finds, %v", len(candidates), err)
+		t.Fatalf("got %d candidates and error %v, want 40", len(candidates), err)
 	}
 	if candidates[0].Values["load"] < 1 || candidates[0].Score >= candidates[39].Score {
-		t.Errorf("the worst is %+v, the best %+v", candidates[0], candidates[39])
+		t.Errorf("the worst is %+v, the best %+v, want a load of at least 1 and a lower score for the worst", candidates[0], candidates[39])
 	}
 	again, _ := experiment.Explore(context.Background(), exploration, nil)
 	if !reflect.DeepEqual(again, candidates) {
-		t.Error("the same hunt finds other points")
+		t.Error("the same exploration found other points")
 	}
 	text := experiment.FormatCandidate("found", "(world (for 3s) (servers (n 2) (cores 2)))", candidates[0], []string{"module", "nolimit"})
 	back := mustParse(t, text)
 	jobs, err := back.Plan()
 	if err != nil || len(jobs) != 4 || jobs[0].Values["load"] != candidates[0].Values["load"] {
-		t.Errorf("%v: the case\n%s", err, text)
+		t.Errorf("error %v or another plan of the formatted candidate\n%s", err, text)
 	}
 }
 
-// TestParseErrors checks that errors name the place and what was expected.
+// TestParseErrors checks that errors start with the position and name what was expected.
 func TestParseErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"(wurld)":                             "f:1:1: found (wurld ...), want",
-		"(policies best)":                     "f:1:11: found best, want a policy of [module",
+		"(policies best)":                     "f:1:11: found best, want one of the policies [module",
 		"(policies line line)":                "policy line is given twice",
-		"(policies)":                          "has none",
+		"(policies)":                          "(policies ...) is empty",
 		"(seeds 0)":                           "found 0 in (seeds ...), want a whole number of 1",
-		"(sweep)":                             "(sweep ...) varies nothing",
-		"(sweep (vary colour 1 2))":           "f:1:8: nothing is called \"colour\" that could be varied",
-		"(sweep (vary jump.colour 1 2))":      "nothing is called \"jump.colour\"",
+		"(sweep)":                             "(sweep ...) has no variables",
+		"(sweep (vary colour 1 2))":           "f:1:8: no variable is called \"colour\", want one of",
+		"(sweep (vary jump.colour 1 2))":      "no variable is called \"jump.colour\"",
 		"(sweep (vary load 2 1))":             "goes from 2 to 1",
 		"(sweep (vary load 1))":               "want (vary NAME FROM TO)",
 		"(sweep (vary load a b))":             "f:1:19: found a, want a number",
-		"(sweep (how latin) (vary load 1 2))": "(sweep ...) by latin needs (count N)",
+		"(sweep (how latin) (vary load 1 2))": "(sweep (how latin) ...) needs (count N)",
 		"(world (load much))":                 "found much in (load ...), want a number",
 		"(world (for 3))":                     "found 3 in (for ...), want a time with its unit",
 		"(world (day sunny))":                 "no kind of day is called \"sunny\"",
 		"(world (incident flood))":            "no incident is called \"flood\"",
 		"(world (gateways (choice best)))":    "found best in (choice ...), want round, least",
 		"(world (class a (dist odd)))":        "found odd in (dist ...), want constant, exponential",
-		"(days (kinds sunny))":                "found sunny, want a kind of day",
-		"(days)":                              "(days ...) without (count N)",
+		"(days (kinds sunny))":                "found sunny, want one of the kinds of day",
+		"(days)":                              "(days ...) needs (count N)",
 	} {
 		_, err := Parse("f", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want %q", text, err, want)
+			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// FuzzParse reads any text without a panic.
+// FuzzParse checks that no text makes Parse or Plan panic.
 func FuzzParse(f *testing.F) {
 	f.Add(smallExperiment)
 	f.Add("(days (count 3) (kinds storm)) (world (day rough) (number 3) (incident pause (part 0.1)))")
@@ -227,7 +231,7 @@
 	})
 }
 
-// FuzzResults reads any file of results without a panic.
+// FuzzResults checks that no content of a results file makes parseResults or Groups panic.
 func FuzzResults(f *testing.F) {
 	f.Add([]byte("{\"experiment\":\"a\",\"plan\":\"b\",\"runs\":1}\n{\"run\":0}\n{\"ru"))
 	f.Add([]byte("{}\n"))
--- a/internal/experiment/explore.go
+++ b/internal/experiment/explore.go
@@ -15,40 +15,41 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Exploration is a search in the ranges of a sweep for the points at which a policy does worst.
+// Exploration holds the parameters of a search in the ranges of a sweep for the points at which a policy does worst.
 type Exploration struct {
 	Policy         string
-	BaselinePolicy string // if set, points count by how far the policy stays below this one
-	Measure        string // of which little is bad
+	BaselinePolicy string // if set, a point's score is the policy's measure minus the measure of this policy
+	Measure        string // low values are bad
 	Rounds         int
 	PointsPerRound int
 	Seed           uint64
 	Workers        int // 0 means one per core
 }
 
-// Candidate is a point that an exploration has tried.
+// Candidate is a point that an exploration has evaluated.
 type Candidate struct {
 	Values map[string]float64 `json:"values"`
-	Score  float64            `json:"score"` // the measure's mean over the seeds, minus that of the baseline policy
+	Score  float64            `json:"score"` // mean of the measure over the seeds, minus the baseline policy's if there is one
 	Error  string             `json:"error,omitempty"`
 }
 
-// errNothingVaried is returned for an exploration without ranges.
-var errNothingVaried = errors.New("experiment: a hunt needs (sweep (vary ...)): the ranges in which to look")
+// errNoVariables is returned for an exploration of an experiment without variables.
+var errNoVariables = errors.New("experiment: a search needs ranges: want (sweep (vary NAME FROM TO) ...)")
 
 const (
-	eliteShare        = 0.2 // of the points of a round, to which the next round is fitted
-	minElite          = 2
+	eliteShare        = 0.2   // share of a round's points, the worst, to which the next round's distribution is fitted
+	minElite          = 2     // smallest number of these points
 	minStdDev         = 1e-12 // keeps a distribution from collapsing to a point
-	explorationStream = 7     // second seed of the random numbers
+	explorationStream = 7     // second seed of the random number generator
 )
 
 // Explore searches for the worst points by the cross-entropy method (Rubinstein, 1999): each round draws points from a
-// normal distribution within the ranges and fits it to those that did worst. The same exploration finds the same points. It
-// returns all points, the worst first, and calls progress after each round if it is not nil.
+// normal distribution within the ranges of the variables and fits the distribution to the worst of the points. The same
+// exploration finds the same points. Explore returns all points, the worst first. It calls progress, if it is not nil,
+// after each round with the numbers of finished rounds and of all rounds.
 func (e *Experiment) Explore(ctx context.Context, exploration Exploration, progress func(done, of int)) ([]Candidate, error) {
 	if len(e.Sweep.Variables) == 0 {
-		return nil, errNothingVaried
+		return nil, errNoVariables
 	}
 	if exploration.Workers <= 0 {
 		exploration.Workers = runtime.GOMAXPROCS(0)
@@ -71,11 +72,11 @@
 	return all, nil
 }
 
-// compareScores orders candidates by their scores, the worst first.
+// compareScores compares candidates by their scores. The worst candidate has the lowest score and sorts first.
 func compareScores(a, b Candidate) int { return cmp.Compare(a.Score, b.Score) }
 
-// proposal is the distribution from which an exploration draws points: independent normal distributions, cut off at the
-// ranges of the variables.
+// proposal is the distribution from which an exploration draws points: one independent normal distribution for each
+// variable. Values outside the range of a variable are set to its nearest bound.
 type proposal struct {
 	variables []Variable
 	mean      []float64
@@ -83,7 +84,8 @@
 	rng       *rand.Rand
 }
 
-// newProposal returns the distribution of the first round, which covers the ranges.
+// newProposal returns the distribution of the first round, which covers the ranges: its means are the centers of the ranges
+// and its standard deviations half their widths.
 func newProposal(variables []Variable, seed uint64) *proposal {
 	initial := &proposal{
 		variables: variables,
@@ -98,7 +100,7 @@
 	return initial
 }
 
-// draw draws points.
+// draw draws n points.
 func (p *proposal) draw(n int) [][]float64 {
 	points := make([][]float64, n)
 	for k := range points {
@@ -110,7 +112,8 @@
 	return points
 }
 
-// fit fits the distribution to the worst of the points.
+// fit fits the distribution to the worst of the points. It skips infeasible points among them, and leaves the distribution
+// as it is if fewer than two points remain.
 func (p *proposal) fit(points [][]float64, candidates []Candidate) {
 	order := make([]int, len(candidates))
 	for i := range order {
@@ -131,7 +134,8 @@
 	}
 }
 
-// scorePoints runs points with all seeds and with both policies.
+// scorePoints runs the points with all seeds and with the policy and the baseline policy, and returns a candidate for each
+// point.
 func (e *Experiment) scorePoints(ctx context.Context, exploration Exploration, points [][]float64) ([]Candidate, error) {
 	policies := []string{exploration.Policy}
 	if exploration.BaselinePolicy != "" {
@@ -154,7 +158,7 @@
 		switch {
 		case r.Error != "":
 			c.Error = r.Error
-			c.Score = math.MaxFloat64 // an infeasible point is none of the worst
+			c.Score = math.MaxFloat64 // an infeasible point must not be among the worst
 		case !ok:
 			return fmt.Errorf("experiment: no run has the measure %q", exploration.Measure)
 		case r.Policy == exploration.Policy:
@@ -167,8 +171,8 @@
 	return candidates, err
 }
 
-// FormatCandidate writes a candidate as an experiment of its own. The configuration is the form that it was found with, see
-// ConfigForm.
+// FormatCandidate returns the text of an experiment file that has the candidate as its only point. configForm is the
+// configuration of the exploration, see ConfigForm.
 func (e *Experiment) FormatCandidate(name, configForm string, candidate Candidate, policies []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; Found by a hunt: score %.4f.\n(name %s)\n", candidate.Score, name)
--- a/internal/experiment/groups.go
+++ b/internal/experiment/groups.go
@@ -18,43 +18,44 @@
 	Runs               int     `json:"runs"`
 	Infeasible         int     `json:"failed"` // runs whose configuration was rejected
 	Mean               float64 `json:"mean"`
-	Lower              float64 `json:"low"` // of the interval at 95 %
-	Upper              float64 `json:"high"`
-	RunsWithViolations int     `json:"broken"`
+	Lower              float64 `json:"low"`    // lower bound of the 95 % confidence interval of the mean
+	Upper              float64 `json:"high"`   // upper bound
+	RunsWithViolations int     `json:"broken"` // runs in which a rule was violated
 	Measure            string  `json:"measure"`
 
 	values []runValue
 }
 
-// runValue is the measure of one run.
+// runValue is the value of a measure in one run.
 type runValue struct {
 	pair  pairKey
 	value float64
 }
 
-// pairKey identifies the runs of different policies that are compared with each other.
+// pairKey identifies a pair of runs. Runs of two policies with the same key are compared with each other.
 type pairKey struct {
 	point int
 	seed  uint64
 }
 
-// ByWorkload groups results by the kind of workload, where the name of a variable is expected.
+// ByWorkload groups results by the kind of workload. It is used in place of the name of a variable.
 const ByWorkload = "day"
 
-// labelAll is the label of a group of all runs.
+// labelAll is the label of a group of all runs of a policy.
 const labelAll = "all"
 
-// resamples is the number of resamples of a bootstrap.
+// resamples is the number of bootstrap resamples.
 const resamples = 5000
 
-// Bounds of the interval at 95 %.
+// Quantiles of the bootstrap distribution that bound the 95 % confidence interval.
 const (
 	lowerQuantile = 0.025
 	upperQuantile = 0.975
 )
 
-// ConfidenceInterval returns the mean of values and its interval at 95 % by the percentile bootstrap (Efron and Tibshirani,
-// 1993). The same values give the same interval.
+// ConfidenceInterval returns the mean of values and its 95 % confidence interval by the percentile bootstrap (Efron and
+// Tibshirani, 1993). The same values give the same interval. All results are NaN without values, and the interval of a
+// single value is infinite.
 func ConfidenceInterval(values []float64) (mean, lower, upper float64) {
 	n := len(values)
 	if n == 0 {
@@ -79,7 +80,8 @@
 	return mean, lower, upper
 }
 
-// Groups returns the means of a measure by policy and by a variable, by the kind of workload, or of all runs if by is empty.
+// Groups groups the rows by policy and by the variable by, and returns the mean of a measure in each group. If by is
+// ByWorkload it groups by policy and kind of workload, and if by is empty by policy alone.
 func (r *Results) Groups(measure, by string) ([]Group, error) {
 	type groupKey struct{ policy, label string }
 	index := map[groupKey]int{}
@@ -111,7 +113,7 @@
 	return groups, nil
 }
 
-// labelBy returns the label of the group that a row belongs to, and the value of the variable.
+// labelBy returns the label of the row's group, and the value of the variable if by names one.
 func (r *Row) labelBy(by string) (label string, x float64, err error) {
 	switch by {
 	case "":
@@ -126,7 +128,7 @@
 	return fmt.Sprintf("%.4g", value), value, nil
 }
 
-// workloadKind is the kind in the name of a generated workload, which ends with a hyphen and a number.
+// workloadKind returns the kind of a generated workload, whose name is the kind, a hyphen and a number.
 func workloadKind(name string) string {
 	if i := strings.LastIndexByte(name, '-'); i >= 0 {
 		return name[:i]
@@ -134,7 +136,7 @@
 	return name
 }
 
-// add adds a row to the group and reports whether it has the measure.
+// add adds a row to the group and reports whether the row has the measure.
 func (g *Group) add(row *Row) bool {
 	if row.Error != "" {
 		g.Infeasible++
@@ -152,7 +154,7 @@
 	return true
 }
 
-// computeMean sets the mean and its interval from the values.
+// computeMean sets the mean and its confidence interval from the values.
 func (g *Group) computeMean() {
 	values := make([]float64, len(g.values))
 	for i, v := range g.values {
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -11,11 +11,11 @@
 	"tillerusher/internal/sexp"
 )
 
-// maxDuration is the longest time that a file may state.
+// maxDuration is the longest duration that a file may give.
 const maxDuration = 24 * time.Hour
 
-// readConfig reads the forms of a configuration and changes what they give. A generated workload is the base of the other
-// forms, wherever it stands among them.
+// readConfig reads the forms of a configuration and sets the fields that they give. If (day KIND) is among the forms, at
+// any position, the generated workload replaces the configuration before the other forms are applied.
 func readConfig(forms []sexp.Node, config *clustersim.Config) error {
 	kind, number := "", firstWorkload
 	base := fields{"day": sexp.Text(&kind), "number": sexp.Int(&number, 0, math.MaxInt32)}
@@ -37,9 +37,9 @@
 	return readConfigForms(forms, base, config)
 }
 
-// readConfigForms reads all forms of a configuration; those of the base have been read before and are read again, so that
-// one that is given twice is an error. Lists that are not given stay as they are, and the load stays relative to the
-// capacity.
+// readConfigForms reads all forms of a configuration. The forms in base have been read before; they are read again, so that
+// a form that is given twice is an error. Lists that are not given keep their values, and the load, unless it is given,
+// stays the same relative to the capacity.
 func readConfigForms(forms []sexp.Node, base fields, config *clustersim.Config) error {
 	load := config.Arrival.Rate / config.Capacity()
 	changed := *config
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// keepIfNil sets a list that was not given to that of the base.
+// keepIfNil sets a list that was not given to the base's list.
 func keepIfNil[T any](list *[]T, base []T) {
 	if *list == nil {
 		*list = base
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// readArrivals reads (arrivals ...). A capture replaces the kind.
+// readArrivals reads (arrivals ...). With (capture PATH) the arrivals are replayed from the capture, whatever the kind.
 func readArrivals(n sexp.Node, arrivals *arrival.Config) error {
 	kind, path := string(arrivals.Kind), ""
 	err := sexp.ReadFields(n.Args(), fields{
@@ -195,7 +195,7 @@
 	return err
 }
 
-// The words of a choice between two.
+// The words for true and false.
 const (
 	wordYes = "yes"
 	wordNo  = "no"
--- a/internal/experiment/persistent_module.go
+++ b/internal/experiment/persistent_module.go
@@ -8,8 +8,9 @@
 	"tillerusher/internal/idempotency"
 )
 
-// newPersistentModule returns the admission module on servers with durable state: a process that starts imports the run times
-// that an earlier process of the same run learned. It keeps state between processes, so that each run needs one of its own.
+// newPersistentModule returns a factory of the admission module on servers with durable state: a process that starts
+// imports the run times that an earlier process of the same run learned. The factory keeps state between processes, so each
+// run needs a new factory.
 func newPersistentModule() clustersim.PolicyFactory {
 	var earlier []*admission.Instance
 	return func(s admission.Settings, a admission.Actions) (admission.Events, error) {
@@ -28,8 +29,8 @@
 	}
 }
 
-// storedRunTimes returns the run times of an instance as they are after they have been stored and read again at once; ok is
-// false if they don't count for all classes.
+// storedRunTimes returns the run times of an instance as they are after being stored and read again without delay. ok is
+// false if there are not usable run times for all classes.
 func storedRunTimes(instance *admission.Instance, classes int) (estimates admission.RunTimeEstimates, ok bool) {
 	var stored idempotency.RunTimes
 	for i, c := range instance.ExportRunTimes().Classes {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,17 +15,17 @@
 	"tillerusher/internal/clustersim"
 )
 
-// Job is one run of a plan. Its JSON encoding is part of the plan's checksum, see planChecksum.
+// Job is one run of a plan. Its JSON encoding determines the plan's checksum, see planChecksum.
 type Job struct {
 	Point    int                // index of the point
-	Values   map[string]float64 // of the variables at the point
+	Values   map[string]float64 // values of the variables at the point
 	Workload string             `json:"Day"` // name of the generated workload, if there is one
 	Policy   string
 	Seed     uint64
 	config   clustersim.Config
 }
 
-// Plan returns all runs in their order: by point, then by policy, then by seed.
+// Plan returns all runs of the experiment in order: by point, then by policy, then by seed.
 func (e *Experiment) Plan() ([]Job, error) {
 	points, err := e.Sweep.drawPoints()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return configs
 }
 
-// withPoliciesAndSeeds returns the runs of a point with each policy and seed.
+// withPoliciesAndSeeds returns the runs of a point: job with each policy and seed.
 func (e *Experiment) withPoliciesAndSeeds(job Job) []Job {
 	var jobs []Job
 	for _, policy := range e.Policies {
@@ -83,8 +83,8 @@
 	return jobs[0].config, nil
 }
 
-// planChecksum returns a checksum over all jobs and their configurations. It stands in the first line of results files, so
-// the JSON encoding of these types must not change.
+// planChecksum returns a checksum of all jobs and their configurations. It is stored in the first line of results files, so
+// the JSON encodings of Job and of clustersim.Config must not change.
 func planChecksum(jobs []Job) (string, error) {
 	hash := fnv.New64a()
 	encoder := json.NewEncoder(hash)
@@ -102,11 +102,11 @@
 
 const (
 	maxGridPoints = 1_000_000
-	sweepStream   = 1     // second seed of the random numbers
-	minRange      = 1e-12 // a uniform distribution of one value has no width
+	sweepStream   = 1     // second seed of the random number generator
+	minRange      = 1e-12 // width of the range of a variable with Min equal to Max, as a uniform distribution of one value has no width
 )
 
-// apply sets the variables of a configuration and returns their values by name.
+// apply sets the variables of a configuration to the values of a point and returns the values by name.
 func (s *Sweep) apply(c *clustersim.Config, point []float64) map[string]float64 {
 	values := map[string]float64{}
 	for i, v := range s.Variables {
@@ -116,7 +116,7 @@
 	return values
 }
 
-// drawPoints returns the points of the sweep: the values of all variables in the order of the variables.
+// drawPoints returns the points of the sweep. A point is the values of all variables, in the order of the variables.
 func (s *Sweep) drawPoints() ([][]float64, error) {
 	if len(s.Variables) == 0 {
 		return [][]float64{nil}, nil
@@ -146,12 +146,12 @@
 	return points, nil
 }
 
-// gridPoints returns all combinations of the variables' steps; the last variable changes first.
+// gridPoints returns all combinations of the variables' steps. The last variable varies fastest.
 func (s *Sweep) gridPoints() ([][]float64, error) {
 	points := [][]float64{nil}
 	for _, v := range s.Variables {
 		if len(points)*v.Steps > maxGridPoints {
-			return nil, fmt.Errorf("experiment: the grid has over %d points", maxGridPoints)
+			return nil, fmt.Errorf("experiment: the grid has more than %d points", maxGridPoints)
 		}
 		var extended [][]float64
 		for _, point := range points {
@@ -164,7 +164,7 @@
 	return points, nil
 }
 
-// step returns the value of a step on a grid.
+// step returns the value of the variable at step i of a grid. The first step is 0.
 func (v *Variable) step(i int) float64 {
 	if v.Steps == 1 {
 		return v.Min
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -13,14 +13,14 @@
 // modulePolicy is the name of the admission module among the policies.
 const modulePolicy = "module"
 
-// PolicyNames returns the names of all policies, the module's first.
+// PolicyNames returns the names of all policies in alphabetical order, except that the module's name is first.
 func PolicyNames() []string {
 	names := slices.Sorted(maps.Keys(policyFactories()))
 	i := slices.Index(names, modulePolicy)
 	return append([]string{modulePolicy}, slices.Delete(names, i, i+1)...)
 }
 
-// policyFactories returns all policies by the names that files and commands use.
+// policyFactories returns the factories of all policies, by the names that files and commands use.
 func policyFactories() map[string]clustersim.PolicyFactory {
 	return map[string]clustersim.PolicyFactory{
 		modulePolicy:  clustersim.AdmissionModule,
@@ -33,8 +33,8 @@
 	}
 }
 
-// LookupPolicy returns the policy of a name. It must be called anew for each run, because some policies keep state between
-// the processes of a run.
+// LookupPolicy returns the factory of the policy with the name. It must be called again for each run, because some
+// factories keep state between the processes of a run.
 func LookupPolicy(name string) (clustersim.PolicyFactory, error) {
 	if p, ok := policyFactories()[name]; ok {
 		return p, nil
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -10,9 +10,9 @@
 	"os"
 )
 
-// Row is one line of a results file: a run with its measures, or why it could not be made.
+// Row is one line of a results file: a run with its measures, or with the error that prevented it.
 type Row struct {
-	Index      int                `json:"run"` // in the plan
+	Index      int                `json:"run"` // index in the plan
 	Point      int                `json:"point"`
 	Values     map[string]float64 `json:"values,omitempty"`
 	Workload   string             `json:"day,omitempty"`
@@ -20,30 +20,31 @@
 	Seed       uint64             `json:"seed"`
 	Error      string             `json:"error,omitempty"`
 	Measures   map[string]float64 `json:"measures,omitempty"`
-	Violations map[string]int     `json:"broken,omitempty"` // by rule
+	Violations map[string]int     `json:"broken,omitempty"` // number of violations by rule
 }
 
 // header is the first line of a results file.
 type header struct {
 	Experiment string `json:"experiment"`
 	Plan       string `json:"plan"` // checksum of the plan
-	Runs       int    `json:"runs"`
+	Runs       int    `json:"runs"` // number of runs in the plan
 }
 
-// Results are the rows of a results file.
+// Results is the content of a results file.
 type Results struct {
 	Experiment  string
 	PlannedRuns int
 	Rows        []Row
 }
 
-// ErrPlanMismatch is returned if a results file is that of another experiment.
+// ErrPlanMismatch is returned if a results file belongs to another plan.
 var ErrPlanMismatch = errors.New("experiment: the results are of another plan")
 
-// resultsMode are the permissions of a new results file.
+// resultsMode is the permission bits of a new results file.
 const resultsMode = 0o644
 
-// openResults opens or creates a results file, removes a last line that was cut off, and returns the number of its rows.
+// openResults opens or creates a results file, removes an incomplete last line, and returns the file, positioned at its
+// end, and the number of its rows. It returns an error that wraps ErrPlanMismatch if the file belongs to another plan.
 func openResults(experiment *Experiment, jobs []Job, path string) (file *os.File, rows int, err error) {
 	checksum, err := planChecksum(jobs)
 	if err != nil {
@@ -57,7 +58,7 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("experiment: %w", err)
 	}
-	rows, err = resumeAt(file, append(firstLine, '\n'))
+	rows, err = prepareResults(file, append(firstLine, '\n'))
 	switch {
 	case errors.Is(err, ErrPlanMismatch):
 		err = fmt.Errorf("%s: %w", path, err)
@@ -71,9 +72,9 @@
 	return file, rows, nil
 }
 
-// resumeAt checks or writes the first line, truncates the file after its last whole line, moves to its end and returns the
-// number of rows.
-func resumeAt(file *os.File, firstLine []byte) (rows int, err error) {
+// prepareResults checks the first line of a results file, or writes it if the file has no complete line. It then truncates
+// the file after its last complete line, moves to the end and returns the number of rows.
+func prepareResults(file *os.File, firstLine []byte) (rows int, err error) {
 	text, err := io.ReadAll(file)
 	if err != nil {
 		return 0, err
@@ -97,7 +98,7 @@
 	return rows, err
 }
 
-// ReadResults reads a results file. A last line that was cut off is ignored.
+// ReadResults reads a results file. It ignores an incomplete last line.
 func ReadResults(path string) (*Results, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return parseResults(path, file)
 }
 
-// parseResults reads the lines of a results file. The path is for error messages.
+// parseResults reads the lines of a results file. path is used in error messages.
 func parseResults(path string, from io.Reader) (*Results, error) {
 	reader := bufio.NewReader(from)
 	results := &Results{}
@@ -115,7 +116,7 @@
 		line, err := reader.ReadBytes('\n')
 		if err == io.EOF {
 			if number == 1 {
-				return nil, fmt.Errorf("%s:1: found nothing, want the results of an experiment", path)
+				return nil, fmt.Errorf("%s:1: found no complete line, want the results of an experiment", path)
 			}
 			return results, nil
 		}
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// parseRow parses any other line and appends its row.
+// parseRow parses a line after the first and appends its row. number is the line's number, counted from 1.
 func (r *Results) parseRow(path string, number int, line []byte) error {
 	var row Row
 	if err := json.Unmarshal(line, &row); err != nil {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/workerpool"
 )
 
-// measuresOf returns the figures of a result by the names that results files, plots and comparisons use.
+// measuresOf returns the measures of a result by the names that results files, plots and comparisons use.
 func measuresOf(result *clustersim.Result) map[string]float64 {
 	measures := map[string]float64{
 		"g":            result.Score,
@@ -46,8 +46,8 @@
 	return measures
 }
 
-// run makes one run. A configuration that is not feasible is reported in its row, so that the other runs go on; an error
-// ends the experiment.
+// run makes the run of the job, whose index in the plan is index. An error of the simulation, such as an infeasible
+// configuration, is reported in the row, so that the other runs continue. An error that run returns ends the experiment.
 func (j *Job) run(ctx context.Context, index int) (Row, error) {
 	row := Row{Index: index, Point: j.Point, Values: j.Values, Workload: j.Workload, Policy: j.Policy, Seed: j.Seed}
 	policy, err := LookupPolicy(j.Policy)
@@ -72,9 +72,10 @@
 	return row, nil
 }
 
-// Run runs an experiment into a results file, with a number of workers (0 means one per core). If the file holds a part of
-// the same plan, Run resumes after that. Rows are written in the order of the plan, so that an interrupted run that is
-// resumed leaves the same file. Progress, if it is not nil, is called with the number of runs that are done.
+// Run makes the runs of an experiment on a number of workers (0 means one per core) and writes their rows to the results
+// file at path. If the file has rows of the same plan, Run resumes after them. Rows are written in the order of the plan,
+// so an experiment that was interrupted and resumed leaves the same file as one that was not. Run calls progress, if it is
+// not nil, with the numbers of finished runs and of all runs.
 func Run(ctx context.Context, experiment *Experiment, path string, workers int, progress func(done, of int)) error {
 	jobs, err := experiment.Plan()
 	if err != nil {
@@ -105,7 +106,7 @@
 	})
 }
 
-// runInOrder makes the runs of the jobs from one on and hands over their rows in the order of the jobs.
+// runInOrder makes the runs of the jobs from index first on, and calls write with their rows in the order of the jobs.
 func runInOrder(ctx context.Context, jobs []Job, first, workers int, write func(Row) error) error {
 	run := func(ctx context.Context, i int) (Row, error) { return jobs[i].run(ctx, i) }
 	return workerpool.RunOrdered(ctx, first, len(jobs), workers, run, write)
--- a/internal/experiment/variables.go
+++ b/internal/experiment/variables.go
@@ -11,16 +11,16 @@
 	"tillerusher/internal/clustersim"
 )
 
-// applyFunc sets a variable of a configuration.
+// applyFunc sets a variable of a configuration to a value.
 type applyFunc func(*clustersim.Config, float64)
 
-// toInt returns the whole number that is nearest to a variable's value.
+// toInt rounds the value of a variable to the nearest integer.
 func toInt(v float64) int { return int(math.Round(v)) }
 
-// toSeconds returns a time, given in seconds.
+// toSeconds converts the value of a variable, in seconds, to a duration.
 func toSeconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// applyToGateways sets a variable of all kinds of gateway.
+// applyToGateways returns a function that sets a variable of all kinds of gateway.
 func applyToGateways(apply func(*clustersim.GatewayConfig, float64)) applyFunc {
 	return func(c *clustersim.Config, v float64) {
 		for i := range c.Gateways {
@@ -29,7 +29,8 @@
 	}
 }
 
-// atConstantLoad sets a variable that changes the capacity, and keeps the load relative to it.
+// atConstantLoad returns a function that sets a variable that affects the capacity, and keeps the load relative to the
+// capacity.
 func atConstantLoad(apply applyFunc) applyFunc {
 	return func(c *clustersim.Config, v float64) {
 		load := c.Arrival.Rate / c.Capacity()
@@ -38,14 +39,14 @@
 	}
 }
 
-// setWorkSpread sets the coefficient of variation of all classes.
+// setWorkSpread sets the coefficient of variation of the work of all classes.
 func setWorkSpread(c *clustersim.Config, v float64) {
 	for i := range c.Classes {
 		c.Classes[i].CV = v
 	}
 }
 
-// setKeyedShare sets the share of keyed classes, and of the others to the rest.
+// setKeyedShare sets the share of each class that is idempotent by key to v, and of each other class to 1 - v.
 func setKeyedShare(c *clustersim.Config, v float64) {
 	for i := range c.Classes {
 		if c.Classes[i].IdempotentByKey {
@@ -56,8 +57,8 @@
 	}
 }
 
-// applyFuncs are the variables of a configuration by the names that files use. Those of incidents are not among them, see
-// findIncidentVariable.
+// applyFuncs returns the functions that set the variables of a configuration, by the names that files use. It doesn't have
+// the variables of incidents, see findIncidentVariable.
 func applyFuncs() map[string]applyFunc {
 	return map[string]applyFunc{
 		"load":         func(c *clustersim.Config, v float64) { c.SetLoad(v) },
@@ -80,7 +81,8 @@
 	}
 }
 
-// incidentFields are the variables of incidents by the names that files use after the kind and a dot.
+// incidentFields are the functions that set the variables of incidents, by the names that files use after the kind and a
+// dot.
 var incidentFields = map[string]func(*clustersim.Incident, float64){
 	"part": func(i *clustersim.Incident, v float64) { i.ServerShare = v },
 	"size": func(i *clustersim.Incident, v float64) { i.Magnitude = v },
@@ -88,7 +90,7 @@
 	"from": func(i *clustersim.Incident, v float64) { i.Start = toSeconds(v) },
 }
 
-// findVariable returns the function that sets a variable.
+// findVariable returns the function that sets the variable with the name.
 func findVariable(name string) (applyFunc, error) {
 	variables := applyFuncs()
 	if apply, ok := variables[name]; ok {
@@ -97,19 +99,19 @@
 	if apply, ok := findIncidentVariable(name); ok {
 		return apply, nil
 	}
-	return nil, fmt.Errorf("nothing is called %q that could be varied, want one of %s, "+
+	return nil, fmt.Errorf("no variable is called %q, want one of %s, "+
 		"or KIND.part, KIND.size, KIND.for or KIND.from of an incident", name, strings.Join(slices.Sorted(maps.Keys(variables)), ", "))
 }
 
-// Values of an incident that a variable adds, as far as it does not set them.
+// Defaults of an incident that findIncidentVariable adds. The variable then sets one of its fields.
 const (
 	addedServerShare = 0.1
 	addedMagnitude   = 1
-	addedTimeDivisor = 4 // it starts after a quarter of the run and lasts for another
+	addedTimeDivisor = 4 // the incident starts after a quarter of the run and lasts for a quarter
 )
 
-// findIncidentVariable returns the function that sets a variable KIND.FIELD of the first incident of the kind. It adds the
-// incident to a configuration that has none of the kind.
+// findIncidentVariable returns the function that sets a variable KIND.FIELD of the first incident of the kind. The function
+// adds an incident to a configuration that has none of the kind.
 func findIncidentVariable(name string) (apply applyFunc, ok bool) {
 	kind, field, _ := strings.Cut(name, ".")
 	added := clustersim.Incident{Kind: clustersim.IncidentKind(kind), ServerShare: addedServerShare, Magnitude: addedMagnitude}
--- a/internal/experiment/worst_runs.go
+++ b/internal/experiment/worst_runs.go
@@ -9,19 +9,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Deviation says how the worst runs differ from all runs in one variable or measure.
+// Deviation is the difference between the worst runs and all runs in one variable or measure.
 type Deviation struct {
 	Name        string  `json:"name"`
 	OverallMean float64 `json:"all"`
 	WorstMean   float64 `json:"worst"`
-	StdDevs     float64 `json:"spreads"` // standard deviations of all runs between the two means
+	StdDevs     float64 `json:"spreads"` // WorstMean - OverallMean, in standard deviations of all runs
 }
 
-// describingMeasures are the measures that, besides the variables, may explain why runs are bad.
-var describingMeasures = []string{"load", "tries", "waste"}
+// explanatoryMeasures are the measures that, like the variables, may explain why runs are bad.
+var explanatoryMeasures = []string{"load", "tries", "waste"}
 
-// WorstRuns returns the n rows of a policy with the least of a measure, and how they differ from all rows of the policy, the
-// largest deviation first.
+// WorstRuns returns the n rows of a policy with the lowest values of a measure, the lowest first, and their deviations from
+// all rows of the policy, the largest first.
 func (r *Results) WorstRuns(policy, measure string, n int) ([]Row, []Deviation) {
 	var rows []Row
 	for _, row := range r.Rows {
@@ -32,7 +32,7 @@
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(a.Measures[measure], b.Measures[measure]) })
 	worst := rows[:min(n, len(rows))]
 	var deviations []Deviation
-	for name := range describingNames(rows) {
+	for name := range explanatoryNames(rows) {
 		if d, ok := deviationOf(name, rows, worst); ok {
 			deviations = append(deviations, d)
 		}
@@ -43,14 +43,14 @@
 	return worst, deviations
 }
 
-// describingNames are the names of all variables and describing measures that any row has.
-func describingNames(rows []Row) map[string]bool {
+// explanatoryNames returns the names of all variables and explanatory measures that any of the rows has.
+func explanatoryNames(rows []Row) map[string]bool {
 	names := map[string]bool{}
 	for _, row := range rows {
 		for name := range row.Values {
 			names[name] = true
 		}
-		for _, name := range describingMeasures {
+		for _, name := range explanatoryMeasures {
 			if _, ok := row.Measures[name]; ok {
 				names[name] = true
 			}
@@ -59,11 +59,12 @@
 	return names
 }
 
-// deviationOf compares the means of a variable or measure; ok is false if it doesn't vary or the worst rows don't have it.
+// deviationOf compares the means of a variable or measure in all rows and in the worst rows. ok is false if it doesn't vary
+// or if the worst rows don't have it.
 func deviationOf(name string, all, worst []Row) (d Deviation, ok bool) {
 	allValues, worstValues := valuesOf(name, all), valuesOf(name, worst)
 	stdDev := stat.StdDev(allValues, nil)
-	if len(worstValues) == 0 || !(stdDev > 0) { // also without a standard deviation
+	if len(worstValues) == 0 || !(stdDev > 0) { // the standard deviation may be NaN
 		return Deviation{}, false
 	}
 	d = Deviation{
@@ -75,7 +76,7 @@
 	return d, true
 }
 
-// valuesOf returns a variable or, if it was not varied, a measure of all rows that have it.
+// valuesOf returns the values of a variable or measure in all rows that have it. The variable counts in a row that has both.
 func valuesOf(name string, rows []Row) []float64 {
 	var values []float64
 	for _, row := range rows {
