--- a/internal/nginx/diagnostic.go
+++ b/internal/nginx/diagnostic.go
@@ -6,17 +6,17 @@
 	"tillerusher/internal/sexp"
 )
 
-// Severity is how much it matters that something is not imported.
+// Severity is the severity of a Diagnostic.
 type Severity uint8
 
 // The severities.
 const (
-	Harmless        Severity = iota // it has no part in which pool gets a request, or none here
-	ChangesBehavior                 // requests may be answered otherwise
-	Unsafe                          // requests may go where they must not: someone has to look at it first
+	Harmless        Severity = iota // the directive does not affect which pool gets a request, or not in this router
+	ChangesBehavior                 // requests may be answered differently
+	Unsafe                          // requests may go where they must not; an operator has to review it before use
 )
 
-// severityNames are the severities in output.
+// severityNames are the names of the severities in output.
 var severityNames = [...]string{
 	Harmless:        "harmless",
 	ChangesBehavior: "changes behaviour",
@@ -29,7 +29,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Severity) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Diagnostic reports something that is not imported, or not as it was.
+// Diagnostic reports a directive that is not imported, or is imported with a change.
 type Diagnostic struct {
 	Pos       sexp.Pos `json:"at"`
 	Directive string   `json:"what"`
@@ -37,7 +37,7 @@
 	Reason    string   `json:"reason"`
 }
 
-// String returns the diagnostic in one line.
+// String returns the diagnostic as one line.
 func (d Diagnostic) String() string {
 	return fmt.Sprintf("%v: %s: %v: %s", d.Pos, d.Directive, d.Severity, d.Reason)
 }
@@ -52,7 +52,7 @@
 	})
 }
 
-// reportUnsupported adds a diagnostic about a directive that is not imported at all.
+// reportUnsupported adds a diagnostic about a directive that the importer does not support.
 func (im *importer) reportUnsupported(d *Directive) {
 	if u, ok := unsupported[d.Name]; ok {
 		im.report(d, u.severity, "%s", u.reason)
--- a/internal/nginx/files.go
+++ b/internal/nginx/files.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// FileReader reads files and finds those that match a pattern.
+// FileReader reads files and finds the files that match a pattern.
 type FileReader interface {
 	Read(name string) ([]byte, error)
 	Glob(pattern string) ([]string, error)
@@ -21,7 +21,7 @@
 func (r FSReader) Read(name string) ([]byte, error) {
 	text, err := fs.ReadFile(r.FS, relativeToRoot(name))
 	var pathError *fs.PathError
-	if errors.As(err, &pathError) { // it has the name without the slash
+	if errors.As(err, &pathError) { // its path lacks the leading slash
 		return nil, fmt.Errorf("%s: %w", name, pathError.Err)
 	}
 	return text, err
@@ -38,5 +38,5 @@
 	return names, err
 }
 
-// relativeToRoot returns a name as an fs.FS wants it.
+// relativeToRoot converts a name to the form that fs.FS requires: clean and without a leading slash.
 func relativeToRoot(name string) string { return strings.TrimPrefix(path.Clean(name), "/") }
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -6,11 +6,12 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// className is the class of all imported locations. nginx has no classes; operators define better ones afterwards.
+// className is the class of all imported locations. nginx has no classes; operators define suitable ones after the
+// import.
 const className = "imported"
 
-// Import turns directives into a configuration, with a diagnostic for all that is not imported. The error, a *sexp.Error,
-// is for directives that can't be read at all.
+// Import converts directives into a route configuration. It returns a diagnostic for each directive that is not
+// imported, or is imported with a change. For an invalid directive it returns an error of type *sexp.Error.
 func Import(directives []*Directive) (*routeconfig.Config, []Diagnostic, error) {
 	im := newImporter()
 	if err := im.importHTTP(im.findHTTP(directives)); err != nil {
@@ -19,17 +20,17 @@
 	return im.config, im.diagnostics, nil
 }
 
-// importer is an import under way.
+// importer holds the state of one import.
 type importer struct {
-	config      *routeconfig.Config
-	diagnostics []Diagnostic
-	upstreams   map[string]*upstreamBlock
-	poolNames   map[poolKey]string // of the pools so far
-	usedNames   map[string]bool    // values of poolNames
-	passedTo    map[*routeconfig.Location]namedTarget
+	config       *routeconfig.Config
+	diagnostics  []Diagnostic
+	upstreams    map[string]*upstreamBlock
+	poolNames    map[poolKey]string                    // of the pools added so far
+	usedNames    map[string]bool                       // the values of poolNames
+	namedTargets map[*routeconfig.Location]namedTarget // by the location with the try_files
 }
 
-// newImporter returns an importer with a configuration that has only the class.
+// newImporter returns an importer whose configuration has the class className and nothing else.
 func newImporter() *importer {
 	return &importer{
 		config: &routeconfig.Config{
@@ -42,15 +43,15 @@
 				Weight:           1,
 			}},
 		},
-		upstreams: map[string]*upstreamBlock{},
-		poolNames: map[poolKey]string{},
-		usedNames: map[string]bool{},
-		passedTo:  map[*routeconfig.Location]namedTarget{},
+		upstreams:    map[string]*upstreamBlock{},
+		poolNames:    map[poolKey]string{},
+		usedNames:    map[string]bool{},
+		namedTargets: map[*routeconfig.Location]namedTarget{},
 	}
 }
 
-// findHTTP returns the directives of the http block and reports all others, or returns all directives if there is no such
-// block: files of conf.d have only its contents.
+// findHTTP returns the directives of the first http block and reports all directives outside it. Without an http block
+// it returns all directives, because the files in conf.d hold only the contents of the block.
 func (im *importer) findHTTP(directives []*Directive) []*Directive {
 	for _, directive := range directives {
 		if directive.Name != "http" {
@@ -66,7 +67,8 @@
 	return directives
 }
 
-// importHTTP imports the contents of the http block. Upstreams come first: servers may stand before them.
+// importHTTP imports the contents of the http block. It imports the upstreams first, because a server may precede the
+// upstreams that it uses.
 func (im *importer) importHTTP(directives []*Directive) error {
 	for _, directive := range directives {
 		if directive.Name == "upstream" {
--- a/internal/nginx/lexer.go
+++ b/internal/nginx/lexer.go
@@ -10,14 +10,14 @@
 // Word is an argument of a directive.
 type Word struct {
 	Pos    sexp.Pos
-	Text   string // without quotes, escapes resolved
-	Quoted bool   // it stood in quotes
+	Text   string // without quotes and with escapes resolved
+	Quoted bool   // whether the word was in quotes
 }
 
 // tokenKind is the kind of a token.
 type tokenKind uint8
 
-// The kinds of token.
+// The kinds of tokens.
 const (
 	tokenWord tokenKind = iota
 	tokenOpen
@@ -26,7 +26,7 @@
 	tokenEOF
 )
 
-// tokenNames are the kinds of token in messages.
+// tokenNames are the names of the kinds in messages.
 var tokenNames = [...]string{
 	tokenWord:      "a word",
 	tokenOpen:      `"{"`,
@@ -35,22 +35,22 @@
 	tokenEOF:       "the end of the file",
 }
 
-// String returns the kind as messages have it.
+// String returns the name of the kind in messages.
 func (k tokenKind) String() string { return tokenNames[k] }
 
 // token is a token of a file.
 type token struct {
 	kind tokenKind
-	Word // its text is empty unless kind is tokenWord
+	Word // Text is empty unless kind is tokenWord
 }
 
-// space are the characters that separate words.
-const space = " \t\r\n"
+// spaceChars are the characters that separate words.
+const spaceChars = " \t\r\n"
 
 // lexer splits a file into tokens.
 type lexer struct {
-	rest string   // the text that is not read yet
-	pos  sexp.Pos // of rest
+	rest string   // the text that has not been read yet
+	pos  sexp.Pos // the position at which rest begins
 }
 
 // advance reads the next character.
@@ -61,7 +61,7 @@
 	return r
 }
 
-// skipSpace reads spaces and comments.
+// skipSpace skips white space and comments.
 func (l *lexer) skipSpace() {
 	for l.rest != "" {
 		switch l.rest[0] {
@@ -102,20 +102,21 @@
 	return next, nil
 }
 
-// readQuoted reads a word in quotes. A space, a semicolon, an opening brace or a closing parenthesis has to follow it.
+// readQuoted reads a word in quotes. White space, a semicolon, an opening brace, a closing parenthesis or the end of the
+// file must follow it.
 func (l *lexer) readQuoted(word *token) error {
 	quote := l.advance()
 	var text strings.Builder
 	for {
 		if l.rest == "" {
-			return sexp.Errorf(word.Pos, "found the end of the file, want the %c that ends this word", quote)
+			return sexp.Errorf(word.Pos, "found the end of the file, want the closing %c of this word", quote)
 		}
 		switch r := l.advance(); r {
 		case quote:
 			word.Text = text.String()
-			if l.rest != "" && !strings.ContainsRune(space+";{)", rune(l.rest[0])) {
+			if l.rest != "" && !strings.ContainsRune(spaceChars+";{)", rune(l.rest[0])) {
 				r, _ := utf8.DecodeRuneInString(l.rest)
-				return sexp.Errorf(l.pos, "found %q behind a quoted word, want a space, \";\" or \"{\"", r)
+				return sexp.Errorf(l.pos, "found %q after a quoted word, want a space, \";\" or \"{\"", r)
 			}
 			return nil
 		case '\\':
@@ -126,8 +127,8 @@
 	}
 }
 
-// readEscape resolves what follows a backslash as nginx does: before quotes and backslashes it is dropped, \t, \r and \n
-// become the characters that they stand for, and before anything else it stays.
+// readEscape appends the escape sequence after a backslash to text, resolved as nginx does. A backslash before a quote
+// or a backslash is dropped, \t, \r and \n become control characters, and any other sequence keeps its backslash.
 func (l *lexer) readEscape(text *strings.Builder) {
 	if l.rest == "" {
 		text.WriteByte('\\')
@@ -160,7 +161,7 @@
 			if err := l.readVariable(&text); err != nil {
 				return err
 			}
-		case strings.IndexByte(space+";{", c) >= 0:
+		case strings.IndexByte(spaceChars+";{", c) >= 0:
 			word.Text = text.String()
 			return nil
 		default:
@@ -171,11 +172,11 @@
 	return nil
 }
 
-// readVariable reads ${NAME}, whose braces are no block's.
+// readVariable reads ${NAME}. Its braces do not delimit a block.
 func (l *lexer) readVariable(text *strings.Builder) error {
 	end := strings.IndexByte(l.rest, '}')
-	if end < 0 || strings.ContainsAny(l.rest[:end], space+";") {
-		return sexp.Errorf(l.pos, "found ${ without the } that ends the variable")
+	if end < 0 || strings.ContainsAny(l.rest[:end], spaceChars+";") {
+		return sexp.Errorf(l.pos, "found ${ without the } that closes the variable")
 	}
 	for range end + 1 {
 		text.WriteRune(l.advance())
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/sexp"
 )
 
-// importLocation imports a location block and what is nested in it.
+// importLocation imports a location block and the locations nested in it.
 func (im *importer) importLocation(directive *Directive, outer levelSettings) (*routeconfig.Location, error) {
 	location := &routeconfig.Location{InterceptErrors: true, Pos: directive.Pos}
 	if err := parsePattern(location, directive); err != nil {
@@ -23,7 +23,7 @@
 	}
 	location.Fallbacks = settings.fallbacks
 	rewrites := rewriteContext{rewrites: &location.Rewrites, location: location}
-	var tryFiles *Directive // imported last: what it means depends on the other directives
+	var tryFiles *Directive // imported last because its effect depends on the other directives
 	for _, inner := range directive.Block {
 		if inner.Name == "try_files" {
 			tryFiles = inner
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// modifiers are the modifiers of patterns. One comes before those that it begins with.
+// modifiers are the modifiers of patterns. "~*" precedes "~" because parseModifiedPattern uses the first that matches.
 var modifiers = []struct {
 	text string
 	kind route.Kind
@@ -73,7 +73,7 @@
 	{"^~", route.PrefixNoRegex},
 }
 
-// parsePattern reads a location's modifier and pattern, which may stand in one word.
+// parsePattern reads a location's modifier and pattern, which may be joined in one word.
 func parsePattern(location *routeconfig.Location, directive *Directive) error {
 	args := directive.ArgTexts()
 	switch len(args) {
@@ -93,7 +93,7 @@
 	return directive.errorf("location has %d arguments, want a pattern with or without a modifier", len(args))
 }
 
-// parseModifiedPattern reads a pattern in one word with its modifier, if it has one.
+// parseModifiedPattern reads a pattern from a word that may begin with a modifier, or with the @ of a named location.
 func parseModifiedPattern(location *routeconfig.Location, word string) {
 	for _, m := range modifiers {
 		if pattern, ok := strings.CutPrefix(word, m.text); ok {
@@ -110,10 +110,10 @@
 	location.Pattern = word
 }
 
-// statusFound is the status of return with a URL alone.
+// statusFound is the HTTP status of a return that has a URL and no status.
 const statusFound = 302
 
-// importReturn reads return STATUS [TEXT] and return URL. The first one of a location counts.
+// importReturn reads return STATUS [TEXT] and return URL. A location uses its first return whose text has no variables.
 func (im *importer) importReturn(location *routeconfig.Location, directive *Directive) error {
 	first, text := directive.Arg(0), directive.Arg(1)
 	status, isStatus := routeconfig.ParseStatus(first, routeconfig.MinStatus)
@@ -123,7 +123,7 @@
 		isStatus = true
 	}
 	if !isStatus {
-		return directive.errorf("found %q in return, want a status", first)
+		return directive.errorf("found %q in return, want a status of 100 to 599", first)
 	}
 	if strings.Contains(text, "$") {
 		im.report(directive, Unsafe, "its text is made of variables, which are not computed")
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// poolKey is what makes a pool of its own.
+// poolKey identifies a pool. Locations with equal keys share a pool.
 type poolKey struct {
 	upstream string
 	protocol string
@@ -166,18 +166,19 @@
 	location.Pool = name
 	location.Class = className
 	location.Params = settings.params
-	location.InterceptErrors = settings.interceptErrors || len(location.Fallbacks) == 0 // without fallbacks it means nothing
+	location.InterceptErrors = settings.interceptErrors || len(location.Fallbacks) == 0 // no effect without fallbacks
 	return nil
 }
 
-// findUpstream returns the upstream of a target, or one for the address that the target is.
+// findUpstream returns the upstream that is named target. If target is an address instead, findUpstream returns an
+// upstream with that address as its only member.
 func (im *importer) findUpstream(target string, directive *Directive) (*upstreamBlock, error) {
 	if upstream := im.upstreams[target]; upstream != nil {
 		return upstream, nil
 	}
 	addr, ok := memberAddress(target)
 	if !ok {
-		return nil, directive.errorf("upstream %s is not defined, and names are not looked up", target)
+		return nil, directive.errorf("upstream %s is not defined, and host names are not resolved", target)
 	}
 	upstream := &upstreamBlock{pos: directive.Pos, config: pool.DefaultConfig()}
 	upstream.config.Name = target
@@ -185,8 +186,8 @@
 	return upstream, nil
 }
 
-// addPool adds the pool of an upstream with the settings of a key and returns its name, with a number behind it if the
-// upstream has a pool with other settings.
+// addPool adds a pool with the members of an upstream and the settings of a key, and returns the name of the pool. The
+// name is the name of the upstream; if another pool has it already, a number is appended to it.
 func (im *importer) addPool(key poolKey, upstream *upstreamBlock, directive *Directive) (string, error) {
 	name := key.upstream
 	for n := 2; im.usedNames[name]; n++ {
--- a/internal/nginx/named.go
+++ b/internal/nginx/named.go
@@ -7,14 +7,14 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// namedTarget is the named location that try_files sends a location's requests to.
+// namedTarget is the named location to which try_files sends the requests of a location.
 type namedTarget struct {
 	name     string
 	tryFiles *Directive
 }
 
-// importTryFiles reads try_files. There are no files, so its last argument counts, unless the location passes requests to
-// a pool.
+// importTryFiles reads try_files. The router serves no files, so the last argument applies to all requests, unless the
+// location passes requests to a pool or has a return.
 func (im *importer) importTryFiles(location *routeconfig.Location, directive *Directive) {
 	last := directive.Arg(len(directive.Args) - 1)
 	name, isNamed := strings.CutPrefix(last, "@")
@@ -26,7 +26,7 @@
 	case location.Pool != "":
 		im.report(directive, Unsafe, "no files are looked for, and its last address is not gone to")
 	case isNamed && location.ReturnStatus == 0:
-		im.passedTo[location] = namedTarget{name, directive}
+		im.namedTargets[location] = namedTarget{name, directive}
 		im.report(directive, ChangesBehavior, "no files are looked for: all requests go to @%s", name)
 	case hasStatus && isStatus && location.ReturnStatus == 0:
 		location.ReturnStatus = status
@@ -36,32 +36,32 @@
 	}
 }
 
-// resolveNamedTargets has the locations of a server whose requests go to a named location do what that one does. It runs
-// once all locations of the server are known.
+// resolveNamedTargets copies the settings of a named location to the locations of the server whose try_files leads to
+// it. It must be called after all locations of the server are imported.
 func (im *importer) resolveNamedTargets(server *routeconfig.Server) {
 	named := namedLocations(server)
 	walkLocations(server.Locations, func(location *routeconfig.Location) {
-		target, ok := im.passedTo[location]
+		target, ok := im.namedTargets[location]
 		if !ok {
 			return
 		}
-		to := named[target.name]
-		if to == nil {
+		source := named[target.name]
+		if source == nil {
 			im.report(target.tryFiles, Unsafe, "its server has no location @%s", target.name)
 			return
 		}
-		location.Pool = to.Pool
-		location.Class = to.Class
-		location.ReturnStatus = to.ReturnStatus
-		location.ReturnText = to.ReturnText
-		location.Params = to.Params
-		location.Fallbacks = to.Fallbacks
-		location.InterceptErrors = to.InterceptErrors
+		location.Pool = source.Pool
+		location.Class = source.Class
+		location.ReturnStatus = source.ReturnStatus
+		location.ReturnText = source.ReturnText
+		location.Params = source.Params
+		location.Fallbacks = source.Fallbacks
+		location.InterceptErrors = source.InterceptErrors
 	})
 }
 
-// dropUnknownFallbacks removes fallbacks to named locations that the server does not have: an error_page around several
-// servers may be meant for some of them only.
+// dropUnknownFallbacks removes and reports fallbacks to named locations that the server does not have. An error_page in
+// the http block applies to all servers, but the named location may exist in only some of them.
 func (im *importer) dropUnknownFallbacks(directive *Directive, server *routeconfig.Server) {
 	named := namedLocations(server)
 	reported := map[string]bool{}
@@ -84,8 +84,8 @@
 	})
 }
 
-// namedLocations returns the named locations of a server. Of two with the same name the last one counts; reading the
-// configuration rejects them.
+// namedLocations returns the named locations of a server by name. If two have the same name, it returns the last one;
+// the parser of route configurations rejects such a server.
 func namedLocations(s *routeconfig.Server) map[string]*routeconfig.Location {
 	named := map[string]*routeconfig.Location{}
 	for _, l := range s.Locations {
@@ -96,7 +96,7 @@
 	return named
 }
 
-// walkLocations calls a function for each location, the nested ones before the one that they stand in.
+// walkLocations calls visit for each location, and for nested locations before the location that contains them.
 func walkLocations(locations []*routeconfig.Location, visit func(*routeconfig.Location)) {
 	for _, l := range locations {
 		walkLocations(l.Locations, visit)
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -8,20 +8,20 @@
 	"tillerusher/internal/routeconfig"
 )
 
-// rewriteContext is where the rewrites of a level are added.
+// rewriteContext is the server or location to which rewrites are added.
 type rewriteContext struct {
 	rewrites    *[]routeconfig.Rewrite
-	location    *routeconfig.Location // nil in a server
-	afterReturn bool                  // a return stands before: later rewrites are never reached
+	location    *routeconfig.Location // nil for a server
+	afterReturn bool                  // whether a return precedes: later rewrites are never reached
 }
 
-// What a rewrite's replacement may hold of variables.
+// The variables in the replacement of a rewrite: references to groups of its regex, and all others.
 var (
 	groupReference = regexp.MustCompile(`\$[1-9]`)
 	otherVariable  = regexp.MustCompile(`\$([^1-9]|$)`)
 )
 
-// importRewrite adds a rewrite whose replacement needs no variables but the groups of its regex; others are reported.
+// importRewrite adds a rewrite whose replacement has no variables except the groups of its regex. It reports all others.
 func (im *importer) importRewrite(level *rewriteContext, directive *Directive) error {
 	flag := route.FlagNone
 	var err error
--- a/internal/nginx/server.go
+++ b/internal/nginx/server.go
@@ -26,7 +26,7 @@
 	}
 	im.resolveNamedTargets(&server)
 	if len(settings.fallbacks) > 0 && !hasRootPrefix(server.Locations) {
-		// Requests that no location takes are answered with 404, for which the server may have a fallback.
+		// Requests that match no location are answered with 404, for which the server may have a fallback.
 		server.Locations = append(server.Locations, &routeconfig.Location{Kind: route.Prefix, Pattern: "/",
 			Fallbacks: settings.fallbacks, Pos: directive.Pos})
 	}
@@ -62,14 +62,14 @@
 	return nil
 }
 
-// hasRootPrefix reports whether a server has a prefix location for all paths.
+// hasRootPrefix reports whether one of the locations is a prefix location for /, which matches all paths.
 func hasRootPrefix(locations []*routeconfig.Location) bool {
 	return slices.ContainsFunc(locations, func(l *routeconfig.Location) bool {
 		return l.Pattern == "/" && (l.Kind == route.Prefix || l.Kind == route.PrefixNoRegex)
 	})
 }
 
-// importListen adds an address of a server.
+// importListen adds the address of a listen directive to a server.
 func (im *importer) importListen(server *routeconfig.Server, directive *Directive) {
 	addr, ok := listenAddress(directive.Arg(0))
 	if !ok {
@@ -90,7 +90,7 @@
 	server.Listen = append(server.Listen, listen)
 }
 
-// listenAddress reads a port, an address, or both, with * for any address.
+// listenAddress reads a port, an IP address, or both. The address * means 0.0.0.0.
 func listenAddress(text string) (netip.AddrPort, bool) {
 	const anyAddress = "0.0.0.0:"
 	if _, err := strconv.Atoi(text); err == nil {
--- a/internal/nginx/settings.go
+++ b/internal/nginx/settings.go
@@ -11,22 +11,22 @@
 	"tillerusher/internal/sexp"
 )
 
-// levelSettings are what a level (http, server or location) passes on to the levels in it.
+// levelSettings are the settings that a level (http, server or location) passes to the levels nested in it.
 type levelSettings struct {
 	mergeSlashes bool
 	fallbacks    []routeconfig.Fallback
-	byProtocol   map[string]protocolSettings // FastCGI and SCGI have directives of their own
+	byProtocol   map[string]protocolSettings // FastCGI and SCGI have separate directives
 }
 
-// protocolSettings are how requests are passed on by one protocol.
+// protocolSettings are the settings of requests that are passed to members by one protocol.
 type protocolSettings struct {
 	poolSettings
 	params          []routeconfig.Param
 	interceptErrors bool
 }
 
-// poolSettings are what nginx has by location and the router has by pool. They are comparable: locations whose settings
-// are the same share a pool.
+// poolSettings are the settings that nginx has per location and the router has per pool. They are comparable: locations
+// with equal settings for the same upstream share a pool.
 type poolSettings struct {
 	retryOn        pool.RetryCondition
 	maxAttempts    int
@@ -36,7 +36,7 @@
 	sendTimeout    time.Duration
 }
 
-// protocols are those that members may speak; their names are the prefixes of nginx's directives.
+// protocols are the protocols of members. Their names are the prefixes of nginx's directives.
 var protocols = []string{routeconfig.ProtocolFastCGI, routeconfig.ProtocolSCGI}
 
 // defaultSettings returns nginx's defaults.
@@ -53,7 +53,8 @@
 	return s
 }
 
-// cutProtocol splits a directive's name into the protocol that it begins with, or "", and the rest.
+// cutProtocol splits a directive's name into the protocol that is its prefix and the rest after the underscore. Without
+// such a prefix it returns "" and the name.
 func cutProtocol(name string) (protocol, rest string) {
 	protocol, rest, _ = strings.Cut(name, "_")
 	if !slices.Contains(protocols, protocol) {
@@ -62,7 +63,7 @@
 	return protocol, rest
 }
 
-// isInherited reports whether inherit reads a directive.
+// isInherited reports whether inherit reads the directive with the name.
 func isInherited(name string) bool {
 	switch protocol, rest := cutProtocol(name); rest {
 	case "merge_slashes", "error_page":
@@ -74,11 +75,12 @@
 	return false
 }
 
-// inherit returns the settings of a level: those of the level around it, changed by its own directives. As in nginx, a
-// level with parameters or error pages of its own inherits none of them.
+// inherit returns the settings of a level: the settings of the enclosing level, changed by the directives of the level.
+// As in nginx, a level that sets parameters of a protocol inherits none of that protocol's parameters, and a level that
+// sets error pages inherits none.
 func (im *importer) inherit(outer levelSettings, directives []*Directive) (levelSettings, error) {
 	level := levelSettings{mergeSlashes: outer.mergeSlashes, byProtocol: maps.Clone(outer.byProtocol)}
-	ownParams := map[string][]routeconfig.Param{} // by protocol; not nil for one that has any directive
+	ownParams := map[string][]routeconfig.Param{} // by protocol; has an entry for each protocol with a param directive
 	hasErrorPages := false
 	for _, directive := range directives {
 		if !isInherited(directive.Name) {
@@ -114,7 +116,7 @@
 	return level, nil
 }
 
-// apply changes one setting. The name is that of the directive without the protocol.
+// apply changes one setting. name is the directive's name without the protocol.
 func (s *protocolSettings) apply(name string, directive *Directive) (err error) {
 	switch name {
 	case "intercept_errors":
@@ -135,7 +137,7 @@
 	return err
 }
 
-// importParam adds a parameter for members, unless its value is made of variables.
+// importParam adds a request parameter for members, unless its value contains variables.
 func (im *importer) importParam(params []routeconfig.Param, directive *Directive) ([]routeconfig.Param, error) {
 	if len(directive.Args) < 2 || len(directive.Args) > 3 {
 		return nil, directive.errorf("%s has %d arguments, want a name and a value", directive.Name, len(directive.Args))
@@ -153,8 +155,8 @@
 	return append(params, routeconfig.Param{Name: name, Value: value}), nil
 }
 
-// gatewayParams are the parameters that members get from the gateway's request in any case, as nginx's fastcgi_params
-// sets them.
+// gatewayParams are the parameters that the gateway always sends to members, with the values that nginx's fastcgi_params
+// file gives them. importParam does not report them.
 var gatewayParams = map[string]bool{
 	"QUERY_STRING":    true,
 	"REQUEST_METHOD":  true,
@@ -173,7 +175,7 @@
 	"HTTPS":           true,
 }
 
-// importErrorPage adds a fallback to a named location; other targets are reported.
+// importErrorPage adds a fallback to a named location. It reports other targets.
 func (im *importer) importErrorPage(level *levelSettings, directive *Directive) error {
 	args := directive.ArgTexts()
 	if len(args) < 2 {
@@ -192,7 +194,7 @@
 		if response != "" {
 			status, ok := routeconfig.ParseStatus(response, routeconfig.MinStatus)
 			if !ok {
-				return directive.errorf("found \"=%s\" in error_page, want = and a status", response)
+				return directive.errorf("found \"=%s\" in error_page, want = and a status of 100 to 599", response)
 			}
 			fallback.ResponseStatus = status
 		}
@@ -205,13 +207,13 @@
 		fallback.Statuses = append(fallback.Statuses, status)
 	}
 	if len(fallback.Statuses) == 0 {
-		return directive.errorf("error_page has no status")
+		return directive.errorf("error_page has no status, want at least one of 300 to 599")
 	}
 	level.fallbacks = append(level.fallbacks, fallback)
 	return nil
 }
 
-// parseRetryConditions reads the arguments of next_upstream.
+// parseRetryConditions reads the arguments of a next_upstream directive.
 func (d *Directive) parseRetryConditions() (set pool.RetryCondition, err error) {
 	for _, arg := range d.Args {
 		condition, err := routeconfig.ParseRetryCondition(arg.Text)
--- a/internal/nginx/unsupported.go
+++ b/internal/nginx/unsupported.go
@@ -1,12 +1,13 @@
 package nginx
 
-// unsupportedDirective says what it means that a directive is not imported.
+// unsupportedDirective is the severity and reason of the diagnostic for a directive that is not imported.
 type unsupportedDirective struct {
 	severity Severity
 	reason   string
 }
 
-// unsupported are the directives that are known and not imported. docs/nginx.md has the same table.
+// unsupported are the directives that the importer recognizes but does not import, by name. docs/nginx.md has the same
+// table.
 var unsupported = map[string]unsupportedDirective{
 	"access_log":                    {Harmless, "logs are kept by the gateway"},
 	"error_log":                     {Harmless, "logs are kept by the gateway"},
--- a/internal/nginx/upstream.go
+++ b/internal/nginx/upstream.go
@@ -12,14 +12,14 @@
 	"tillerusher/internal/sexp"
 )
 
-// defaultPort is the port of addresses without one.
+// defaultPort is the port of addresses that have none.
 const defaultPort = 80
 
 // upstreamBlock is an upstream block.
 type upstreamBlock struct {
 	pos          sexp.Pos
 	config       pool.Config
-	hashKey      string // as routeconfig.Pool.HashKey
+	hashKey      string // in the format of routeconfig.Pool.HashKey
 	maxIdleConns int
 }
 
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(upstream.config.Members) == 0 {
-		return directive.errorf("upstream %s has no servers that can be carried over", name)
+		return directive.errorf("upstream %s has no servers that can be imported", name)
 	}
 	im.upstreams[name] = upstream
 	return nil
@@ -69,7 +69,8 @@
 	return err
 }
 
-// importRandom reads random. Only random two least_conn is known, which stands for all others.
+// importRandom reads random. Every variant is imported as random two least_conn, the only one that pools have; a variant
+// that differs from it is reported.
 func (im *importer) importRandom(upstream *upstreamBlock, directive *Directive) {
 	upstream.config.BalancingPolicy = pool.RandomTwo
 	if directive.Arg(0) != "two" {
@@ -79,8 +80,8 @@
 	}
 }
 
-// hashKeys maps the variables that may be hashed to the keys of route configurations. Header fields ($http_NAME) are not
-// among them, see importHash.
+// hashKeys maps the nginx variables that a pool can hash to the hash keys of route configurations. importHash handles
+// header fields ($http_NAME).
 var hashKeys = map[string]string{
 	"$request_uri":        routeconfig.HashByURI,
 	"$uri":                routeconfig.HashByPath,
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// parseNumber reads the value of an argument NAME=NUMBER.
+// parseNumber reads the value of an argument NAME=NUMBER, an integer of 0 or more.
 func (w Word) parseNumber(name, value string, to *int) (err error) {
 	if *to, err = strconv.Atoi(value); err != nil || *to < 0 {
 		return sexp.Errorf(w.Pos, "found %q, want %s=NUMBER", w.Text, name)
@@ -168,8 +169,8 @@
 	return nil
 }
 
-// memberAddress returns a member's IP address and port, or false for a name that would have to be resolved. localhost
-// needs no resolver.
+// memberAddress returns a member's IP address and port, or false for a host name, which would need a resolver. It maps
+// localhost with a port to 127.0.0.1.
 func memberAddress(text string) (string, bool) {
 	if _, err := netip.ParseAddrPort(text); err == nil {
 		return text, true
--- a/internal/nginx/values.go
+++ b/internal/nginx/values.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// parseOnOff reads a directive's argument on or off.
+// parseOnOff reads a directive's first argument, which must be on or off.
 func (d *Directive) parseOnOff() (bool, error) {
 	switch d.Arg(0) {
 	case "on":
@@ -19,25 +19,25 @@
 	return false, d.errorf("found %q in %s, want on or off", d.Arg(0), d.Name)
 }
 
-// parseCount reads a directive's argument that is a whole number.
+// parseCount reads a directive's first argument, which must be an integer of 0 or more.
 func (d *Directive) parseCount() (int, error) {
 	n, err := strconv.Atoi(d.Arg(0))
 	if err != nil || n < 0 {
-		return 0, d.errorf("found %q in %s, want a number", d.Arg(0), d.Name)
+		return 0, d.errorf("found %q in %s, want an integer of 0 or more", d.Arg(0), d.Name)
 	}
 	return n, nil
 }
 
-// parseDuration reads a directive's argument that is a time.
+// parseDuration reads a directive's first argument, which must be a time in nginx's format.
 func (d *Directive) parseDuration() (time.Duration, error) {
 	t, err := ParseDuration(d.Arg(0))
 	if err != nil {
-		return 0, d.errorf("found %q in %s, want a time", d.Arg(0), d.Name)
+		return 0, d.errorf("found %q in %s, want a time such as 250ms or 1m30s", d.Arg(0), d.Name)
 	}
 	return t, nil
 }
 
-// durationUnits are nginx's units of times. A unit comes before those that its name begins with.
+// durationUnits are nginx's units of time. "ms" precedes "m" because cutUnit returns the first unit that matches.
 var durationUnits = []struct {
 	name string
 	unit time.Duration
@@ -52,11 +52,11 @@
 	{"y", 365 * 24 * time.Hour},
 }
 
-// ParseDuration reads a time as nginx writes it: whole numbers with the units ms, s, m, h, d, w, M and y, one after the
-// other. The last number may have no unit: it counts seconds.
+// ParseDuration parses a time in nginx's format: a sequence of integers, each followed by a unit (ms, s, m, h, d, w, M
+// or y). A last integer without a unit is in seconds.
 func ParseDuration(text string) (time.Duration, error) {
 	if text == "" {
-		return 0, errors.New("an empty time")
+		return 0, errors.New("empty time, want a number with a unit, such as 250ms")
 	}
 	total := time.Duration(0)
 	for rest := text; rest != ""; {
@@ -71,7 +71,7 @@
 		}
 		name, unit := cutUnit(rest)
 		if unit == 0 {
-			return 0, fmt.Errorf("%q is no unit", rest)
+			return 0, fmt.Errorf("unknown unit %q, want ms, s, m, h, d, w, M or y", rest)
 		}
 		total += time.Duration(n) * unit
 		rest = strings.TrimPrefix(rest[len(name):], " ")
@@ -79,7 +79,7 @@
 	return total, nil
 }
 
-// cutUnit returns the unit that a text begins with, or zero.
+// cutUnit returns the unit with which text begins, or "" and 0.
 func cutUnit(text string) (name string, unit time.Duration) {
 	for _, u := range durationUnits {
 		if strings.HasPrefix(text, u.name) {
