--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -192,7 +192,7 @@
 		"(policies best)":                     "f:1:11: found best, want a policy of [module",
 		"(policies line line)":                "policy line is given twice",
 		"(policies)":                          "has none",
-		"(seeds 0)":                           "found 0 in (seeds ...), want a whole number of 1",
+		"(seeds 0)":                           "found 0 in (seeds ...), want an integer from 1",
 		"(sweep)":                             "(sweep ...) varies nothing",
 		"(sweep (vary colour 1 2))":           "f:1:8: nothing is called \"colour\" that could be varied",
 		"(sweep (vary jump.colour 1 2))":      "nothing is called \"jump.colour\"",
--- a/internal/routeconfig/config_test.go
+++ b/internal/routeconfig/config_test.go
@@ -28,7 +28,7 @@
 		"(pool p)":                   "f:1:1: pool p has no members",
 		"(pool p (member 10.0.0.1))": "f:1:9: member \"10.0.0.1\": want an IP address and a port",
 		"(pool p (member 10.0.0.1:1) (member 10.0.0.1:1))":                                                "pool p has the member 10.0.0.1:1 twice",
-		"(pool p (member 10.0.0.1:1 (weight 0)))":                                                         "found 0 in (weight ...), want a whole number of 1 to",
+		"(pool p (member 10.0.0.1:1 (weight 0)))":                                                         "found 0 in (weight ...), want an integer from 1 to",
 		"(pool p (member 10.0.0.1:1 (fail-timeout 3)))":                                                   "found 3 in (fail-timeout ...), want a time with its unit",
 		"(pool p (member 10.0.0.1:1 (backup yes)))":                                                       "found yes, want nothing in (backup)",
 		"(pool p (member 10.0.0.1:1 (backup)))":                                                           "pool p has only backups",
@@ -91,7 +91,7 @@
 		t.Errorf("error %v, configuration %+v, want the pools a and b and one class", err, c)
 	}
 	write("more.sexp", "\n(include pools/../main.sexp)")
-	if _, err := Load(main); err == nil || !strings.Contains(err.Error(), "more.sexp:2:1: the includes go round: ") {
+	if _, err := Load(main); err == nil || !strings.Contains(err.Error(), "more.sexp:2:1: include cycle: ") {
 		t.Errorf("include cycle: error %v, want one at more.sexp:2:1", err)
 	}
 	write("more.sexp", "(include nowhere.sexp)")
--- a/internal/sexp/fields.go
+++ b/internal/sexp/fields.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// ReadFields reads the forms in a list, each name at most once, by the function under its name. The error for an unknown name
-// lists the known ones.
+// ReadFields calls, for each form, the function that fields has for the form's name. Each name may occur at most once.
+// The error for an unknown name lists the known names.
 func ReadFields(forms []Node, fields map[string]func(form Node) error) error {
 	return ReadForms(forms, fields, nil)
 }
 
-// ReadForms reads the forms in a list: names of once at most once, names of repeated any number of times.
+// ReadForms reads forms like ReadFields. The names in once may occur at most once, and the names in repeated any number
+// of times.
 func ReadForms(forms []Node, once, repeated map[string]func(form Node) error) error {
 	known := map[string]func(Node) error{}
 	for name, read := range once {
@@ -31,7 +32,7 @@
 		if !isKnown {
 			return Errorf(form.Pos, "found (%s ...), want %s", name, strings.Join(sortedNames(known), ", "))
 		}
-		if pos, isRepeated := first[name]; isRepeated && once[name] != nil {
+		if pos, isDuplicate := first[name]; isDuplicate && once[name] != nil {
 			return Errorf(form.Pos, "(%s ...) is given twice, first at %v", name, pos)
 		}
 		first[name] = form.Pos
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// sortedNames returns the names of fields, for messages.
+// sortedNames returns the names of fields in order, for messages.
 func sortedNames(fields map[string]func(Node) error) []string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
@@ -52,7 +53,7 @@
 	return names
 }
 
-// singleValue returns the only value of a form, which must not be a list.
+// singleValue returns the only value of a form, which must not be a list. wanted describes the value in errors.
 func singleValue(form Node, wanted string) (Node, error) {
 	args := form.Args()
 	if len(args) != 1 {
@@ -64,19 +65,19 @@
 	return args[0], nil
 }
 
-// Text returns a function for ReadFields that reads one text that is not empty.
+// Text returns a function for ReadFields that reads one non-empty text.
 func Text(to *string) func(Node) error {
 	return func(form Node) error {
 		value, err := singleValue(form, "a text")
 		if err == nil && value.Text == "" {
-			err = Errorf(value.Pos, "found an empty text in (%s ...), want some", form.Name())
+			err = Errorf(value.Pos, "found an empty text in (%s ...), want a non-empty text", form.Name())
 		}
 		*to = value.Text
 		return err
 	}
 }
 
-// OneOf returns a function for ReadFields that reads one of the words.
+// OneOf returns a function for ReadFields that reads one word, which must be one of the choices.
 func OneOf(to *string, choices ...string) func(Node) error {
 	return func(form Node) error {
 		wanted := strings.Join(choices, ", ")
@@ -89,7 +90,7 @@
 	}
 }
 
-// Number returns a function for ReadFields that reads one number without a unit, from a minimum to a maximum.
+// Number returns a function for ReadFields that reads one number without a unit. minimum and maximum are inclusive.
 func Number(to *float64, minimum, maximum float64) func(Node) error {
 	return func(form Node) error {
 		value, err := singleValue(form, "a number")
@@ -98,23 +99,23 @@
 		}
 		v, err := strconv.ParseFloat(value.Text, 64)
 		if err != nil || value.Kind != Atom || !(v >= minimum && v <= maximum) {
-			return Errorf(value.Pos, "found %v in (%s ...), want a number of %v to %v", value, form.Name(), minimum, maximum)
+			return Errorf(value.Pos, "found %v in (%s ...), want a number from %v to %v", value, form.Name(), minimum, maximum)
 		}
 		*to = v
 		return nil
 	}
 }
 
-// Int returns a function for ReadFields that reads one whole number, from a minimum to a maximum.
+// Int returns a function for ReadFields that reads one integer. minimum and maximum are inclusive.
 func Int(to *int, minimum, maximum int) func(Node) error {
 	return func(form Node) error {
-		value, err := singleValue(form, "a whole number")
+		value, err := singleValue(form, "an integer")
 		if err != nil {
 			return err
 		}
 		v, err := strconv.Atoi(value.Text)
 		if err != nil || value.Kind != Atom || v < minimum || v > maximum {
-			return Errorf(value.Pos, "found %v in (%s ...), want a whole number of %d to %d", value, form.Name(), minimum, maximum)
+			return Errorf(value.Pos, "found %v in (%s ...), want an integer from %d to %d", value, form.Name(), minimum, maximum)
 		}
 		*to = v
 		return nil
--- a/internal/sexp/include.go
+++ b/internal/sexp/include.go
@@ -6,35 +6,36 @@
 	"strings"
 )
 
-// ParseFiles parses a file and all that it includes: (include PATTERN) stands for the forms of the files that the pattern
-// matches, in the order of their names; a pattern without wildcards must name a file. Patterns are relative to the directory
-// of the file that they stand in.
+// ParseFiles parses a file and the files that it includes. It replaces (include PATTERN) by the forms of the files that
+// match the pattern, in the order of their names. A pattern without wildcards must name an existing file. Patterns are
+// relative to the directory of the file that contains the include.
 func ParseFiles(path string, read func(string) ([]byte, error), glob func(string) ([]string, error)) ([]Node, error) {
 	in := includer{read: read, glob: glob}
 	return in.parseFile(path, nil, Pos{})
 }
 
-// includer parses files and what they include.
+// includer parses files and the files that they include.
 type includer struct {
 	read func(path string) ([]byte, error)
 	glob func(pattern string) ([]string, error)
 }
 
-// parseFile parses a file that the last one of the chain includes at a position; the first file has no chain.
-func (in *includer) parseFile(path string, chain []string, from Pos) ([]Node, error) {
+// parseFile parses one file. chain lists the files from the first one to the file that includes this one, and
+// includedAt is the position of that include; both are empty for the first file.
+func (in *includer) parseFile(path string, chain []string, includedAt Pos) ([]Node, error) {
 	path = filepath.Clean(path)
 	if slices.Contains(chain, path) {
-		return nil, Errorf(from, "the includes go round: %s", strings.Join(append(chain, path), " -> "))
+		return nil, Errorf(includedAt, "include cycle: %s", strings.Join(append(chain, path), " -> "))
 	}
 	if len(chain) >= maxDepth {
-		return nil, Errorf(from, "includes stand over %d deep in each other", maxDepth)
+		return nil, Errorf(includedAt, "include chain has more than %d files", maxDepth)
 	}
 	text, err := in.read(path)
 	if err != nil {
 		if len(chain) == 0 {
 			return nil, err
 		}
-		return nil, Errorf(from, "%v", err)
+		return nil, Errorf(includedAt, "%v", err)
 	}
 	forms, err := Parse(path, text)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return all, nil
 }
 
-// parseInclude parses the files that an (include ...) of the chain's last file names.
+// parseInclude parses the files that an (include ...) names. form is in the last file of the chain.
 func (in *includer) parseInclude(form Node, chain []string) ([]Node, error) {
 	files, err := in.includedFiles(form, filepath.Dir(chain[len(chain)-1]))
 	if err != nil {
@@ -73,7 +74,7 @@
 	return all, nil
 }
 
-// includedFiles returns the files that an (include ...) names, relative to a directory.
+// includedFiles returns the paths of the files that an (include ...) names. dir is the directory of the including file.
 func (in *includer) includedFiles(form Node, dir string) ([]string, error) {
 	pattern, err := form.WordAt(1, "a file or a pattern")
 	if err != nil {
--- a/internal/sexp/node.go
+++ b/internal/sexp/node.go
@@ -8,10 +8,10 @@
 	"unicode/utf8"
 )
 
-// Kind says what a node is.
+// Kind is the kind of a node.
 type Kind uint8
 
-// The kinds of node.
+// The kinds of nodes.
 const (
 	Atom Kind = iota
 	String
@@ -26,7 +26,7 @@
 	Items []Node // of a list
 }
 
-// Name returns the first atom of a list, or "".
+// Name returns the first item of a list if it is an atom, otherwise "".
 func (n Node) Name() string {
 	if n.Kind == List && len(n.Items) > 0 && n.Items[0].Kind == Atom {
 		return n.Items[0].Text
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// Args returns the values behind the name of a list.
+// Args returns the items of a list after the first one, which is the name of a form.
 func (n Node) Args() []Node {
 	if n.Kind != List || len(n.Items) == 0 {
 		return nil
@@ -42,7 +42,8 @@
 	return n.Items[1:]
 }
 
-// WordAt returns the text of a form's item, which must be an atom or a string. The error says what was wanted.
+// WordAt returns the text of item i of a form, counted from 0 with the name. The item must be an atom or a non-empty
+// string. wanted describes the item in errors.
 func (n Node) WordAt(i int, wanted string) (string, error) {
 	if i >= len(n.Items) {
 		return "", Errorf(n.Pos, "(%s ...) ends early, want %s", n.Name(), wanted)
@@ -54,10 +55,10 @@
 	return item.Text, nil
 }
 
-// ItemsFrom returns a form's items from an index on.
+// ItemsFrom returns the items of a form from index i on, or none if the form has fewer items.
 func (n Node) ItemsFrom(i int) []Node { return n.Items[min(i, len(n.Items)):] }
 
-// RequireNoArgs reports values in a form that takes none.
+// RequireNoArgs returns an error if the form has values.
 func (n Node) RequireNoArgs() error {
 	if args := n.Args(); len(args) > 0 {
 		return Errorf(args[0].Pos, "found %v, want nothing in (%s)", args[0], n.Name())
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// Float returns the number that an atom is.
+// Float returns the value of an atom that is a finite number.
 func (n Node) Float() (float64, error) {
 	v, err := strconv.ParseFloat(n.Text, 64)
 	if err != nil || n.Kind != Atom || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -87,7 +88,7 @@
 	return n.Text
 }
 
-// Source returns the node as Parse reads it again.
+// Source returns the node in the syntax that Parse reads. Strings are written as atoms if they are valid atoms.
 func (n Node) Source() string {
 	if n.Kind != List {
 		return Quote(n.Text)
@@ -99,13 +100,13 @@
 	return "(" + strings.Join(parts, " ") + ")"
 }
 
-// del is the control character that is not below the space.
+// del is the ASCII control character DEL, the only one above the space.
 const del = 0x7f
 
 // stringEscaper escapes the text of a string.
 var stringEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`)
 
-// Quote returns a text as an atom where it can be one, else as a string.
+// Quote returns a text as an atom if it is a valid atom, otherwise as a string in quotes.
 func Quote(text string) string {
 	needsQuotes := func(r rune) bool {
 		return r <= ' ' || r == del || r == utf8.RuneError || strings.ContainsRune(`();"`, r)
--- a/internal/sexp/parser.go
+++ b/internal/sexp/parser.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// maxDepth bounds the nesting of lists and of includes.
+// maxDepth is the maximum nesting depth of lists, and of includes.
 const maxDepth = 64
 
 // delimiters are the characters that end an atom.
@@ -31,13 +31,13 @@
 	}
 }
 
-// parser is a position in a file and the text from there on.
+// parser parses the text of one file.
 type parser struct {
-	rest []byte
-	pos  Pos
+	rest []byte // the text that has not been parsed yet
+	pos  Pos    // the position at which rest begins
 }
 
-// peek returns the next character.
+// peek returns the next character without consuming it.
 func (p *parser) peek() rune {
 	r, _ := utf8.DecodeRune(p.rest)
 	return r
@@ -51,18 +51,18 @@
 	return r
 }
 
-// isInvalidUTF8 reports whether the next byte is no part of a character.
+// isInvalidUTF8 reports whether the next byte does not begin a valid UTF-8 character.
 func (p *parser) isInvalidUTF8() bool {
 	r, size := utf8.DecodeRune(p.rest)
 	return r == utf8.RuneError && size == 1
 }
 
-// errNotText reports the next byte.
+// errNotText returns an error for the next byte, which is not text.
 func (p *parser) errNotText() error {
 	return Errorf(p.pos, "found the byte 0x%02x, want text in UTF-8", p.rest[0])
 }
 
-// skipBlank consumes spaces and comments.
+// skipBlank consumes white space and comments.
 func (p *parser) skipBlank() {
 	for len(p.rest) > 0 {
 		switch p.peek() {
@@ -78,13 +78,13 @@
 	}
 }
 
-// parseNode parses one node; the text must not be at its end.
+// parseNode parses one node that is nested in depth lists. rest must not be empty.
 func (p *parser) parseNode(depth int) (Node, error) {
 	switch p.peek() {
 	case '(':
 		return p.parseList(depth)
 	case ')':
-		return Node{}, Errorf(p.pos, "found ) without its (")
+		return Node{}, Errorf(p.pos, "found ) without a matching (")
 	case '"':
 		return p.parseString()
 	}
@@ -105,17 +105,17 @@
 	return atom, nil
 }
 
-// parseList parses a list.
+// parseList parses a list that is nested in depth lists.
 func (p *parser) parseList(depth int) (Node, error) {
 	list := Node{Pos: p.pos, Kind: List}
 	if depth >= maxDepth {
-		return list, Errorf(list.Pos, "lists stand over %d deep in each other", maxDepth)
+		return list, Errorf(list.Pos, "lists are nested more than %d deep", maxDepth)
 	}
 	p.next()
 	for {
 		p.skipBlank()
 		if len(p.rest) == 0 {
-			return list, Errorf(list.Pos, "found the end of the file, want the ) of this (")
+			return list, Errorf(list.Pos, "found the end of the file, want the ) that closes this list")
 		}
 		if p.peek() == ')' {
 			p.next()
@@ -129,13 +129,13 @@
 	}
 }
 
-// escapes maps the character behind a backslash to the one that it means.
+// escapes maps the character after a backslash to the character that the escape sequence represents.
 var escapes = map[rune]rune{'"': '"', '\\': '\\', 'n': '\n', 't': '\t'}
 
 // parseString parses a string.
 func (p *parser) parseString() (Node, error) {
 	str := Node{Pos: p.pos, Kind: String}
-	errUnterminated := Errorf(str.Pos, "found the end of the file, want the \" that ends this string")
+	errUnterminated := Errorf(str.Pos, "found the end of the file, want the \" that closes this string")
 	p.next()
 	var text strings.Builder
 	for len(p.rest) > 0 {
@@ -152,11 +152,11 @@
 				return str, errUnterminated
 			}
 			escaped := p.next()
-			meant, ok := escapes[escaped]
+			unescaped, ok := escapes[escaped]
 			if !ok {
 				return str, Errorf(pos, "found \\%c, want \\\", \\\\, \\n or \\t", escaped)
 			}
-			text.WriteRune(meant)
+			text.WriteRune(unescaped)
 		default:
 			text.WriteRune(r)
 		}
--- a/internal/sexp/quantity.go
+++ b/internal/sexp/quantity.go
@@ -11,16 +11,17 @@
 // unit is a unit of a quantity.
 type unit struct {
 	name   string
-	factor float64 // how many base units it is
+	factor float64 // the unit in base units
 }
 
-// quantity is a kind of number with a unit.
+// quantity is a kind of value that is written as a number with a unit.
 type quantity struct {
-	units  []unit // the largest first, the base unit last
-	wanted string // for messages
+	units  []unit // from the largest to the smallest
+	wanted string // describes a value in errors
 }
 
-// The quantities. Base units are nanoseconds, which cannot be written, and bytes.
+// The quantities. The base unit of durations is the nanosecond, which has no notation; the base unit of sizes is the
+// byte.
 var (
 	durations = quantity{
 		units:  []unit{{"h", 3600e9}, {"m", 60e9}, {"s", 1e9}, {"ms", 1e6}, {"us", 1e3}},
@@ -32,7 +33,7 @@
 	}
 )
 
-// Duration returns a function for ReadFields that reads one duration, such as 250ms, from a minimum to a maximum.
+// Duration returns a function for ReadFields that reads one duration, such as 250ms. minimum and maximum are inclusive.
 func Duration(to *time.Duration, minimum, maximum time.Duration) func(Node) error {
 	return func(form Node) error {
 		v, err := durations.read(form, float64(minimum), float64(maximum))
@@ -43,7 +44,7 @@
 	}
 }
 
-// Bytes returns a function for ReadFields that reads one size, such as 16MB, from a minimum to a maximum.
+// Bytes returns a function for ReadFields that reads one size in bytes, such as 16MB. minimum and maximum are inclusive.
 func Bytes(to *int64, minimum, maximum int64) func(Node) error {
 	return func(form Node) error {
 		v, err := sizes.read(form, float64(minimum), float64(maximum))
@@ -54,7 +55,8 @@
 	}
 }
 
-// read reads the only value of a form, rounded to whole base units. Digits may have a decimal point and no exponent.
+// read returns the only value of a form in base units, rounded to an integer. The number may have a decimal point, but
+// no sign and no exponent.
 func (q quantity) read(form Node, minimum, maximum float64) (float64, error) {
 	value, err := singleValue(form, q.wanted)
 	if err != nil {
@@ -74,10 +76,11 @@
 	return number, nil
 }
 
-// isLetter reports whether a character may stand in the name of a unit.
+// isLetter reports whether a character may occur in the name of a unit.
 func isLetter(r rune) bool { return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' }
 
-// format returns a number of base units in the largest unit of which it is a whole number.
+// format formats v base units in the largest unit in which v is a positive integer. Any other value is formatted
+// unscaled with the name of the smallest unit, so a duration must be 0 or a multiple of 1us.
 func (q quantity) format(v float64) string {
 	for _, u := range q.units {
 		if n := v / u.factor; n >= 1 && n == math.Trunc(n) {
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// TestErrorPlaces checks that each broken sample is reported with its position and what was wanted.
-func TestErrorPlaces(t *testing.T) {
+// TestErrorPositions checks that the error for each invalid sample is one line with the position, the value that was
+// found and the value that was expected.
+func TestErrorPositions(t *testing.T) {
 	for text, want := range map[string]string{
-		"(a":                    "f:1:1: found the end of the file, want the ) of this (",
-		"(a))":                  "f:1:4: found ) without its (",
+		"(a":                    "f:1:1: found the end of the file, want the ) that closes this list",
+		"(a))":                  "f:1:4: found ) without a matching (",
 		"a":                     "f:1:1: found a, want a form in parentheses",
-		"(a \"b":                "f:1:4: found the end of the file, want the \" that ends this string",
+		"(a \"b":                "f:1:4: found the end of the file, want the \" that closes this string",
 		"(a \"\\q\")":           "f:1:5: found \\q, want",
 		"(a \xff)":              "f:1:4: found the byte 0xff, want text in UTF-8",
 		"; ok\n (time 3)":       "f:2:8: found 3 in (time ...), want a time with its unit, such as 250ms or 2s",
@@ -27,28 +28,28 @@
 		"(size 3ms)":            "f:1:7: found 3ms in (size ...), want a size with its unit, such as 64kB or 16MB",
 		"(size 1e3kB)":          "f:1:7: found 1e3kB in (size ...), want a size",
 		"(size 99GiB)":          "f:1:7: found 99GiB in (size ...), want 1B to 1GB",
-		"(name \"\")":           "f:1:7: found an empty text in (name ...), want some",
+		"(name \"\")":           "f:1:7: found an empty text in (name ...), want a non-empty text",
 		"(nmae x)":              "f:1:1: found (nmae ...), want name, size, time",
 		"(\"x\")":               "f:1:1: found a list, want a form such as (name ...)",
 		"(name a)\n\n(name b)":  "f:3:1: (name ...) is given twice, first at f:1:1",
-		strings.Repeat("(", 99): "lists stand over 64 deep",
+		strings.Repeat("(", 99): "lists are nested more than 64 deep",
 	} {
 		_, err := parseSample(text)
-		var place *Error
-		if !errors.As(err, &place) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		var posErr *Error
+		if !errors.As(err, &posErr) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// sampleValues are the fields of the samples.
+// sampleValues holds the fields of a sample.
 type sampleValues struct {
 	name string
 	wait time.Duration
 	size int64
 }
 
-// parseSample reads the fields of a sample.
+// parseSample parses a sample and reads its fields.
 func parseSample(text string) (v sampleValues, err error) {
 	forms, err := Parse("f", []byte(text))
 	if err != nil {
@@ -58,7 +59,7 @@
 		"time": Duration(&v.wait, time.Millisecond, time.Minute), "size": Bytes(&v.size, 1, 1e9)})
 }
 
-// TestUnits reads numbers with their units.
+// TestUnits checks that numbers with units are read, with comments between the forms and escapes in strings.
 func TestUnits(t *testing.T) {
 	for text, want := range map[string]sampleValues{
 		"(time 1.5s) ; a comment\n(size 64kB)(name x)": {"x", 1500 * time.Millisecond, 64000},
@@ -66,21 +67,21 @@
 		"(time 250ms)(size 7B)":                        {"", 250 * time.Millisecond, 7},
 	} {
 		if got, err := parseSample(text); err != nil || got != want {
-			t.Errorf("%q: %+v, %v", text, got, err)
+			t.Errorf("%q: values %+v, error %v, want %+v", text, got, err, want)
 		}
 	}
 }
 
-// FuzzParse parses any text without a panic, and every error has a position in it.
+// FuzzParse checks that parsing any text does not panic, and that every error has a position on a line of the text.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"(a b (c \"d\") 3ms) ; e", "(a", "\"\\", "(((", "(time 3s)(time 4s)"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		_, err := parseSample(text)
-		var place *Error
-		if err != nil && (!errors.As(err, &place) || place.Pos.Line < 1 || place.Pos.Line > strings.Count(text, "\n")+1) {
-			t.Errorf("error without its place: %v", err)
+		var posErr *Error
+		if err != nil && (!errors.As(err, &posErr) || posErr.Pos.Line < 1 || posErr.Pos.Line > strings.Count(text, "\n")+1) {
+			t.Errorf("error %v, want one with a position in the text", err)
 		}
 	})
 }
