--- a/internal/simulatorwire/event.go
+++ b/internal/simulatorwire/event.go
@@ -10,18 +10,18 @@
 	"tillerusher/admission"
 )
 
-// EventCode is the kind of an event.
+// EventCode is the code of a kind of event.
 type EventCode uint8
 
-// The events.
+// The codes of events.
 const (
-	EventAttach        EventCode = 1 // an instance starts with the settings
+	EventAttach        EventCode = 1 // an instance starts; carries its settings
 	EventCallFinished  EventCode = 2 // a downstream call ended
 	EventDetach        EventCode = 3 // the instance's process died
-	EventDrain         EventCode = 4 // the process is stopped after the duration
+	EventDrain         EventCode = 4 // the process will be stopped after the duration
 	EventRunFinished   EventCode = 5 // a run or a replay ended
 	EventCallRequested EventCode = 6 // a run waits for a decision on a downstream call
-	EventTimer         EventCode = 7 // the timer fired; carries the gauges
+	EventTimer         EventCode = 7 // a timer fired; carries the gauges
 	EventRequest       EventCode = 8 // a request was read
 	EventCancel        EventCode = 9 // a request's caller no longer waits
 )
@@ -32,7 +32,7 @@
 	flagIsRetry = 1 << 1
 )
 
-// Offsets of an event's fields in its record. Those after the instance differ by the kind of event.
+// Offsets of the fields in an event's record. The fields after the instance depend on the kind of event.
 const (
 	offsetCode     = 0
 	offsetInstance = 1
@@ -62,7 +62,7 @@
 	offsetWork          = 50
 )
 
-// outcomes translates the codes of the wire.
+// outcomes maps the outcome codes of the protocol to outcomes.
 var outcomes = map[byte]admission.Outcome{
 	0:   admission.OK,
 	255: admission.Failed,
@@ -74,23 +74,23 @@
 	249: admission.NotStarted,
 }
 
-// errSettingsOutside reports an attach event that refers to settings beyond the end of the batch.
-var errSettingsOutside = errors.New("settings lie outside the tail")
+// errSettingsOutside is the error for an attach event whose settings extend past the end of the batch.
+var errSettingsOutside = errors.New("settings extend outside the tail of the batch")
 
-// Event is one decoded record; which fields are set depends on the code.
+// Event is a decoded event. The code determines which fields are set.
 type Event struct {
 	Code       EventCode
 	InstanceID uint32
 	RequestID  admission.RequestID
 	TimerToken uint32
-	Duration   time.Duration // that a run or call took, or until the process stops
+	Duration   time.Duration // how long a run or call took, or the time until the process is stopped
 	Outcome    admission.Outcome
 	Request    admission.Request
 	Gauges     []float64
 	Settings   []byte // valid until the next batch is read
 }
 
-// eventRecord is the bytes of one event.
+// eventRecord is the encoded record of one event.
 type eventRecord []byte
 
 func (r eventRecord) uint16(offset int) uint16 { return binary.LittleEndian.Uint16(r[offset:]) }
@@ -105,7 +105,7 @@
 
 func (r eventRecord) duration(offset int) time.Duration { return time.Duration(r.uint64(offset)) }
 
-// decodeEvent reads one event record. Texts are in the batch's tail.
+// decodeEvent decodes one event. tail is the tail of its batch, which holds the settings of attach events.
 func decodeEvent(record eventRecord, tail []byte) (Event, error) {
 	event := Event{
 		Code:       EventCode(record[offsetCode]),
@@ -143,20 +143,20 @@
 	return tail[from : from+length], nil
 }
 
-// outcome returns how a run or call ended.
+// outcome returns the outcome of a run or call.
 func (r eventRecord) outcome() (admission.Outcome, error) {
 	outcome, isKnown := outcomes[r[offsetOutcome]]
 	if !isKnown {
-		return outcome, fmt.Errorf("unknown outcome %d", r[offsetOutcome])
+		return outcome, fmt.Errorf("unknown outcome code %d", r[offsetOutcome])
 	}
 	return outcome, nil
 }
 
-// gauges returns the readings of a timer event.
+// gauges returns the gauge readings of a timer event.
 func (r eventRecord) gauges() ([]float64, error) {
 	count := int(r[offsetGaugeCount])
 	if offsetGauges+gaugeSize*count > len(r) {
-		return nil, fmt.Errorf("%d gauges do not fit", count)
+		return nil, fmt.Errorf("%d gauges do not fit in the record", count)
 	}
 	var gauges []float64
 	for i := range count {
@@ -165,7 +165,7 @@
 	return gauges, nil
 }
 
-// request returns the request that was read.
+// request returns the request of a request event.
 func (r eventRecord) request(id admission.RequestID) admission.Request {
 	flags := r.uint16(offsetFlags)
 	request := admission.Request{
--- a/internal/simulatorwire/reader.go
+++ b/internal/simulatorwire/reader.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Errors of a stream that ends within a frame.
+// Errors for input that ends within a batch.
 var (
-	errShortHeader = errors.New("frame: input ends within a header")
-	errShortBatch  = errors.New("frame: input ends within a batch")
+	errShortHeader = errors.New("simulatorwire: input ends within a header")
+	errShortBatch  = errors.New("simulatorwire: input ends within a batch")
 )
 
 // Offsets of the fields in a batch's header.
@@ -21,9 +21,9 @@
 	offsetBatchCount  = 12
 )
 
-// Batch is one decoded frame: the events of one time.
+// Batch is a decoded batch: the events that occurred at the same time.
 type Batch struct {
-	Now    time.Duration
+	Now    time.Duration // the time of the events
 	Events []Event
 }
 
@@ -36,8 +36,8 @@
 // NewReader returns a Reader of the stream.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Next fills the batch with the next frame; it returns io.EOF at a clean end of input. The events' byte slices are
-// valid until the next call.
+// Next decodes the next batch into batch. It returns io.EOF if the input ends between batches. The Settings of the
+// events are valid until the next call.
 func (r *Reader) Next(batch *Batch) error {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r.in, header[:]); err != nil {
@@ -50,10 +50,10 @@
 	size := int64(binary.LittleEndian.Uint32(header[offsetBatchLength:])) - countSize
 	count := int64(binary.LittleEndian.Uint32(header[offsetBatchCount:]))
 	if size < 0 || size > maxBatchSize {
-		return fmt.Errorf("frame: impossible length %d", size+countSize)
+		return fmt.Errorf("simulatorwire: batch length %d, want %d to %d", size+countSize, countSize, maxBatchSize+countSize)
 	}
 	if count*eventSize > size {
-		return fmt.Errorf("frame: %d records do not fit in %d bytes", count, size)
+		return fmt.Errorf("simulatorwire: %d records do not fit in %d bytes", count, size)
 	}
 	if err := r.readBody(size); err != nil {
 		return err
@@ -64,14 +64,14 @@
 	for i := range count {
 		event, err := decodeEvent(r.body[i*eventSize:(i+1)*eventSize], tail)
 		if err != nil {
-			return fmt.Errorf("frame: record %d: %w", i, err)
+			return fmt.Errorf("simulatorwire: record %d: %w", i, err)
 		}
 		batch.Events = append(batch.Events, event)
 	}
 	return nil
 }
 
-// readBody reads what follows the header. The buffer is reused.
+// readBody reads the records and the tail of a batch, size bytes, into the reused buffer r.body.
 func (r *Reader) readBody(size int64) error {
 	if int64(cap(r.body)) < size {
 		r.body = make([]byte, size)
--- a/internal/simulatorwire/reply.go
+++ b/internal/simulatorwire/reply.go
@@ -9,10 +9,10 @@
 	"tillerusher/admission"
 )
 
-// actionCode is the kind of a record of a reply.
+// actionCode is the code of a kind of record in a reply.
 type actionCode byte
 
-// The records of replies.
+// The codes of records in replies.
 const (
 	actionLog                  actionCode = 65
 	actionSkipCall             actionCode = 66
@@ -31,14 +31,14 @@
 	actionFail                 actionCode = 79
 )
 
-// Offsets of an action's fields in its record. A request's ID comes first where there is one.
+// Offsets of the fields in an action's record. The ID of the request is the first field of an action about a request.
 const (
-	offsetFirst       = 5 // the ID of the request, or the first field of the others
-	offsetAfterID     = 9
-	offsetNoRetry     = 17
-	offsetTextLength  = 9
-	offsetFromStore   = 6
-	offsetActionToken = 13
+	offsetFirstField    = 5 // the first field after the instance
+	offsetAfterID       = 9 // the field after the ID of the request
+	offsetNoRetry       = 17
+	offsetTextLength    = 9
+	offsetFromStore     = 6
+	offsetSetTimerToken = 13
 )
 
 // Offsets of the fields in a reply's header.
@@ -54,14 +54,14 @@
 	count   uint32
 }
 
-// Reset empties the reply.
+// Reset removes all records and texts from the reply.
 func (r *Reply) Reset() {
 	r.records = r.records[:0]
 	r.tail = r.tail[:0]
 	r.count = 0
 }
 
-// add appends one record and returns its bytes, which are valid until the next record.
+// add appends a record and returns its bytes, which are valid until the next record is added.
 func (r *Reply) add(code actionCode, instance uint32) []byte {
 	var blank [actionSize]byte
 	r.records = append(r.records, blank[:]...)
@@ -72,20 +72,20 @@
 	return record
 }
 
-// addText appends a record whose text is in the tail.
+// addText appends a record and adds its text to the tail.
 func (r *Reply) addText(code actionCode, instance uint32, text string) {
 	record := r.add(code, instance)
-	binary.LittleEndian.PutUint32(record[offsetFirst:], uint32(len(r.tail)))
+	binary.LittleEndian.PutUint32(record[offsetFirstField:], uint32(len(r.tail)))
 	binary.LittleEndian.PutUint32(record[offsetTextLength:], uint32(len(text)))
 	r.tail = append(r.tail, text...)
 }
 
-// AddException reports that the decision code of the instance failed.
+// AddException adds a record that reports a failure of the instance, such as rejected settings or a panic.
 func (r *Reply) AddException(instance uint32, text string) {
 	r.addText(actionException, instance, text)
 }
 
-// Flush writes the reply by one call of Write.
+// Flush writes the reply with a single call of Write.
 func (r *Reply) Flush(out io.Writer) error {
 	size := len(r.records) + len(r.tail)
 	frame := make([]byte, replyHeaderSize, replyHeaderSize+size)
@@ -97,7 +97,7 @@
 	return err
 }
 
-// Actions writes one instance's actions into a reply; it implements admission.Actions.
+// Actions adds the actions of one instance to a reply. It implements admission.Actions.
 type Actions struct {
 	Reply      *Reply
 	InstanceID uint32
@@ -105,22 +105,22 @@
 
 var _ admission.Actions = (*Actions)(nil)
 
-// add appends a record about no request.
+// add appends a record that is not about a request.
 func (a *Actions) add(code actionCode) []byte { return a.Reply.add(code, a.InstanceID) }
 
 // addRequest appends a record about a request.
 func (a *Actions) addRequest(code actionCode, id admission.RequestID) []byte {
 	record := a.add(code)
-	binary.LittleEndian.PutUint32(record[offsetFirst:], uint32(id))
+	binary.LittleEndian.PutUint32(record[offsetFirstField:], uint32(id))
 	return record
 }
 
-// putDuration writes a time that is not negative.
+// putDuration writes a duration in nanoseconds. It writes a negative duration as 0.
 func putDuration(to []byte, d time.Duration) {
 	binary.LittleEndian.PutUint64(to, uint64(max(d, 0)))
 }
 
-// putBool writes 1 for true.
+// putBool writes 1 for true. The byte must be 0 before, which is the value for false.
 func putBool(to []byte, value bool) {
 	if value {
 		to[0] = 1
@@ -167,27 +167,27 @@
 // AdvertiseLoad implements admission.Actions.
 func (a *Actions) AdvertiseLoad(value float64) {
 	record := a.add(actionAdvertiseLoad)
-	binary.LittleEndian.PutUint32(record[offsetFirst:], math.Float32bits(float32(value)))
+	binary.LittleEndian.PutUint32(record[offsetFirstField:], math.Float32bits(float32(value)))
 }
 
 // SetHealth implements admission.Actions.
 func (a *Actions) SetHealth(healthy, fromStore bool) {
 	record := a.add(actionSetHealth)
-	putBool(record[offsetFirst:], healthy)
+	putBool(record[offsetFirstField:], healthy)
 	putBool(record[offsetFromStore:], fromStore)
 }
 
 // CloseIdleConnections implements admission.Actions.
 func (a *Actions) CloseIdleConnections(idle time.Duration) {
 	record := a.add(actionCloseIdleConnections)
-	putDuration(record[offsetFirst:], idle)
+	putDuration(record[offsetFirstField:], idle)
 }
 
 // SetTimer implements admission.Actions.
 func (a *Actions) SetTimer(wait time.Duration, token uint32) {
 	record := a.add(actionSetTimer)
-	putDuration(record[offsetFirst:], wait)
-	binary.LittleEndian.PutUint32(record[offsetActionToken:], token)
+	putDuration(record[offsetFirstField:], wait)
+	binary.LittleEndian.PutUint32(record[offsetSetTimerToken:], token)
 }
 
 // Log implements admission.Actions.
--- a/internal/simulatorwire/reply_test.go
+++ b/internal/simulatorwire/reply_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-func TestPrintedReply(t *testing.T) {
+// TestExampleReply checks the encoding of the example reply in the description of the protocol.
+func TestExampleReply(t *testing.T) {
 	var r Reply
 	a := Actions{Reply: &r, InstanceID: 3}
 	a.Run(0x5d3a91c4)
@@ -16,16 +17,17 @@
 	if err := r.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := frame(t, `03000000 59000000
+	want := decodeHex(t, `03000000 59000000
 4d 03000000 c4913a5d +15
 45 03000000 0065cd1d00000000 4d000000 +7
 41 05000000 00000000 11000000 +11`)
 	want = append(want, "two servers known"...)
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
+		t.Errorf("reply\n got %x\nwant %x", out.Bytes(), want)
 	}
 }
 
+// TestEachActionsBytes checks the encoding of the actions that the example reply lacks.
 func TestEachActionsBytes(t *testing.T) {
 	for _, c := range []struct {
 		do   func(a *Actions)
@@ -46,12 +48,13 @@
 	} {
 		var r Reply
 		c.do(&Actions{Reply: &r, InstanceID: 3})
-		if want := frame(t, c.want); !bytes.Equal(r.records, want) {
-			t.Errorf("got %x, want %x", r.records, want)
+		if want := decodeHex(t, c.want); !bytes.Equal(r.records, want) {
+			t.Errorf("record %x, want %x", r.records, want)
 		}
 	}
 }
 
+// TestExceptionText checks the encoding of an exception, whose text is in the tail.
 func TestExceptionText(t *testing.T) {
 	var r Reply
 	r.AddException(2, "no cores")
@@ -59,8 +62,8 @@
 	if err := r.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := append(frame(t, "01000000 20000000 4b 02000000 00000000 08000000 +11"), "no cores"...)
+	want := append(decodeHex(t, "01000000 20000000 4b 02000000 00000000 08000000 +11"), "no cores"...)
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("got %x, want %x", out.Bytes(), want)
+		t.Errorf("reply %x, want %x", out.Bytes(), want)
 	}
 }
