--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -11,25 +11,26 @@
 	"tillerusher/internal/simulatorwire"
 )
 
-// hostedInstance is one instance with its actions and its site's settings.
+// hostedInstance is an instance of the decision module with its actions and the settings of its site.
 type hostedInstance struct {
-	instance   *admission.Instance // nil once it is detached
+	instance   *admission.Instance // nil after the instance is detached
 	actions    *simulatorwire.Actions
 	site       *settings.Site
-	isAffected bool // it had an event in the batch
+	isAffected bool // whether the instance has an event in the current batch
 }
 
-// host holds all instances of this process.
+// host holds all instances of this process by ID.
 type host struct {
 	reply     simulatorwire.Reply
 	instances map[uint32]*hostedInstance
-	affected  []*hostedInstance // those with an event in the batch, in the order of their first
+	affected  []*hostedInstance // the instances with an event in the current batch, in the order of their first events
 }
 
 // newHost returns a host without instances.
 func newHost() *host { return &host{instances: map[uint32]*hostedInstance{}} }
 
-// handle dispatches the events of a batch and settles each instance that had one.
+// handle dispatches the events of a batch and then calls Settle on each instance that had an event. An instance that was
+// detached in the batch is skipped.
 func (h *host) handle(batch *simulatorwire.Batch) error {
 	h.affected = h.affected[:0]
 	for i := range batch.Events {
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// handleEvent dispatches one event. An event for an instance that does not exist is an error, unless its settings
-// were rejected in the same event, which the reply reports.
+// handleEvent dispatches one event. An event for an instance that does not exist is an error, except an attach event
+// whose settings were rejected: the reply reports that as an exception.
 func (h *host) handleEvent(now time.Duration, event *simulatorwire.Event) error {
 	switch event.Code {
 	case simulatorwire.EventAttach:
@@ -71,18 +72,19 @@
 	return nil
 }
 
-// guard reports a panic of the decision code in the reply and on standard error.
+// guard calls step and recovers from a panic in it. It reports the panic in the reply and on standard error.
 func (h *host) guard(instance uint32, step func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			h.reply.AddException(instance, fmt.Sprintf("panic: %v", cause))
-			fmt.Fprintf(os.Stderr, "adapter: panic: %v\n%s", cause, debug.Stack())
+			fmt.Fprintf(os.Stderr, "simulator-adapter: panic: %v\n%s", cause, debug.Stack())
 		}
 	}()
 	step()
 }
 
-// attach starts an instance in place of any earlier one with its ID.
+// attach starts an instance. It replaces an instance with the same ID. If the settings are rejected, it adds an
+// exception to the reply.
 func (h *host) attach(event *simulatorwire.Event) {
 	h.detach(event.InstanceID)
 	hosted, err := h.newInstance(event)
@@ -93,7 +95,7 @@
 	h.instances[event.InstanceID] = hosted
 }
 
-// newInstance returns an instance with the event's settings.
+// newInstance returns an instance with the settings of an attach event.
 func (h *host) newInstance(event *simulatorwire.Event) (*hostedInstance, error) {
 	site, err := settings.Parse(event.Settings)
 	if err != nil {
@@ -107,7 +109,7 @@
 	return &hostedInstance{instance: instance, actions: actions, site: site}, nil
 }
 
-// detach drops the instance of a process that died.
+// detach removes an instance if it exists.
 func (h *host) detach(instance uint32) {
 	if hosted := h.instances[instance]; hosted != nil {
 		hosted.instance = nil
@@ -115,7 +117,7 @@
 	}
 }
 
-// dispatch reports one event to the instance.
+// dispatch passes an event to the instance.
 func (i *hostedInstance) dispatch(now time.Duration, event *simulatorwire.Event) {
 	switch event.Code {
 	case simulatorwire.EventRequest:
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts many instances of the decision module for the simulator: it reads batches of events
-// on standard input and writes one flushed reply for each on standard output.
+// Command simulator-adapter hosts the simulator's instances of the decision module. It reads batches of events from
+// standard input and writes one reply for each batch to standard output, without buffering.
 package main
 
 import (
@@ -12,12 +12,12 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// serve answers batches until the input ends.
+// serve reads batches from in and writes the replies to out until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	host := newHost()
 	reader := simulatorwire.NewReader(in)
@@ -35,7 +35,7 @@
 			return err
 		}
 		if err := host.reply.Flush(out); err != nil {
-			return fmt.Errorf("reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
