--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -196,7 +196,7 @@
 		"(policies best)":                     "f:1:11: found best, want one of the policies [module",
 		"(policies line line)":                "policy line is given twice",
 		"(policies)":                          "(policies ...) is empty",
-		"(seeds 0)":                           "found 0 in (seeds ...), want a whole number of 1",
+		"(seeds 0)":                           "found 0 in (seeds ...), want an integer from 1",
 		"(sweep)":                             "(sweep ...) has no variables",
 		"(sweep (vary colour 1 2))":           "f:1:8: no variable is called \"colour\", want one of",
 		"(sweep (vary jump.colour 1 2))":      "no variable is called \"jump.colour\"",
