--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -40,14 +40,14 @@
 func (l *Loop) Listen(addr netip.AddrPort, callbacks AcceptCallbacks) (*Listener, error) {
 	fd, err := l.system.NewStreamSocket(addr)
 	if err != nil {
-		return nil, fmt.Errorf("eventloop: listen on %v: %w", addr, err)
+		return nil, fmt.Errorf("listen at %v: %w", addr, err)
 	}
 	if err = l.system.Bind(fd, addr); err == nil {
 		err = l.system.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		l.system.Close(fd)
-		return nil, fmt.Errorf("eventloop: listen on %v: %w", addr, err)
+		return nil, fmt.Errorf("listen at %v: %w", addr, err)
 	}
 	ln := &Listener{loop: l, fd: fd, callbacks: callbacks, spareFD: openSpareFD(l.system)}
 	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
