--- a/admission/admission.go
+++ b/admission/admission.go
@@ -65,8 +65,8 @@
 }
 
 // requestDeadline returns the time by which the request must be answered: the deadline that the request
-// states, or otherwise the deadline of its class. While draining it is no later than stopAt, before the
-// process is stopped.
+// states, or otherwise the deadline of its class. While draining it is no later than stopAt, which is
+// before the process is stopped.
 func (in *Instance) requestDeadline(req *request, arrival Request) time.Duration {
 	deadline := req.arrivedAt + in.settings.Classes[req.class].Deadline
 	if in.settings.HasDeadlines && arrival.RemainingTime > 0 {
@@ -178,10 +178,11 @@
 	return Admitted
 }
 
-// isOverThreshold applies EARRRL's rate threshold, which rises as the predicted wait in seconds falls, and
-// reports whether the request is rejected. A tenant just over its quota share is rejected if the wait
-// exceeds half an objective, a tenant at twice its share if it exceeds a quarter, and a tenant within its
-// share never. The objective is the longest of all classes, so that the threshold does not favour a class.
+// isOverThreshold reports whether the tenant's rate is too high for the predicted wait, which is in seconds.
+// The shorter the wait, the higher is the rate that EARRRL allows. A tenant just over its threshold is
+// rejected if the wait exceeds half an objective, and a tenant at twice its threshold if it exceeds a
+// quarter. A tenant within its threshold is never rejected. The objective is the longest of all classes, so
+// that no class is favoured.
 func (in *Instance) isOverThreshold(req *request, wait float64) bool {
 	return req.rateRatio > 1 && req.rateRatio*wait > in.longestObjective.Seconds()/thresholdWaitDivisor
 }
@@ -243,8 +244,8 @@
 }
 
 // retryAfter returns the Retry-After of a rejection. While the server is stalled or draining it is the
-// longest that callers honour. Otherwise it is the predicted wait, or for a tenant over its quota share the
-// time in which its rate estimate decays to the share. In a retry storm it is half of the longest
+// longest that callers honour. Otherwise it is the predicted wait, or for a tenant over its threshold the
+// time in which its rate estimate decays to the threshold. In a retry storm it is half of the longest
 // objective, which is also the maximum: after a longer delay all callers would leave the cores idle and
 // then return at the same time.
 func (in *Instance) retryAfter(req *request) time.Duration {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -25,8 +25,8 @@
 	expectActions(t, rec, "reject", "reject 100 1s false") // it is far over its quota share
 }
 
-// TestRetryAfterOfRejections checks the Retry-After of rejections. For a tenant over its quota share it is the time
-// in which its rate estimate decays to the share.
+// TestRetryAfterOfRejections checks the Retry-After of rejections. For a tenant over its threshold it is the time in
+// which its rate estimate decays to the threshold.
 func TestRetryAfterOfRejections(t *testing.T) {
 	settings := testSettings()
 	in, _ := newTestInstance(t, settings)
@@ -53,10 +53,10 @@
 	for range 40 {
 		e.count(now, in.rates.decay)
 	}
-	const quotaShare = 12
-	delay := in.retryAfter(&request{rateRatio: e.rate(now, in.rates.decay) / quotaShare})
-	if r := e.rate(now+delay, in.rates.decay); delay >= settings.MaxRetryAfter || r > quotaShare*1.001 || r < quotaShare*0.999 {
-		t.Errorf("after the Retry-After of %v the rate is %v, want %v", delay, r, quotaShare)
+	const threshold = 12
+	delay := in.retryAfter(&request{rateRatio: e.rate(now, in.rates.decay) / threshold})
+	if r := e.rate(now+delay, in.rates.decay); delay >= settings.MaxRetryAfter || r > threshold*1.001 || r < threshold*0.999 {
+		t.Errorf("after the Retry-After of %v the rate is %v, want %v", delay, r, threshold)
 	}
 }
 
--- a/admission/events.go
+++ b/admission/events.go
@@ -11,7 +11,8 @@
 	// pollInterval is the interval at which the gauges are used: a fifth of the time over which they
 	// average.
 	pollInterval = 100 * time.Millisecond
-	// answerMarginTicks is how many ticks before its deadline a request is answered.
+	// answerMarginTicks is how many ticks before its deadline a request without an answer is rejected or
+	// failed.
 	answerMarginTicks = 2
 	// maxSweepInterval is the longest interval between two sweeps.
 	maxSweepInterval = time.Hour
@@ -51,7 +52,7 @@
 	return in, nil
 }
 
-// advanceClock advances the clocks to now. At the first event it starts the service.
+// advanceClock advances the clocks to now. The first event starts the clocks and sets the server healthy.
 func (in *Instance) advanceClock(now time.Duration) {
 	if !in.clock.isStarted {
 		in.clock.isStarted = true
@@ -121,7 +122,7 @@
 	in.rates.completions.count(now, in.rates.decay)
 }
 
-// answerMargin returns how long before its deadline a request is answered.
+// answerMargin returns how long before its deadline a request without an answer is rejected or failed.
 func (in *Instance) answerMargin() time.Duration { return answerMarginTicks * in.settings.Tick }
 
 // Timer reports that the time of SetTimer has passed, with the server's gauges. The gauges are used at most
--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -96,7 +96,7 @@
 	ImpulseSize       float64       `json:"n"`          // EARRRL's N of its tenant or caller, including this arrival
 	LastArrival       time.Duration `json:"t"`          // EARRRL's T, when its sender's previous arrival was counted
 	Rate              float64       `json:"rate"`       // arrivals per second of its tenant or caller, including this one
-	Threshold         float64       `json:"threshold"`  // of the rate at a predicted wait of a full objective; 0 = none
+	Threshold         float64       `json:"threshold"`  // of the rate, from a predicted wait of half an objective on; 0 = none
 	RateRatio         float64       `json:"excess"`     // rate divided by threshold
 	PredictedWait     time.Duration `json:"wait"`       // in the queue
 	Slack             time.Duration `json:"spare"`      // longest wait after which it would meet its objective
--- a/admission/instance.go
+++ b/admission/instance.go
@@ -35,7 +35,9 @@
 	isStarted bool
 	startedAt time.Duration
 	now       time.Duration
-	core      float64 // core clock: core time in seconds of a request that ran whenever any request ran
+	// core is the core clock: the core time, in seconds, that a request would have had so far if it had run all the
+	// time during which any request ran.
+	core float64
 }
 
 // schedule holds the times of the next scheduled work.
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -8,8 +8,8 @@
 	saturatedUtilization = 0.92
 	// spareUtilization is the utilization below which there is capacity for more runs.
 	spareUtilization = 0.88
-	// limitGrowthDivisor and limitReductionDivisor: in each poll the limit grows or falls by the number of
-	// cores divided by them.
+	// limitGrowthDivisor and limitReductionDivisor divide the number of cores. The quotients are the steps
+	// by which the limit grows and falls in one poll.
 	limitGrowthDivisor    = 8
 	limitReductionDivisor = 2
 	// usableConcurrencyFraction is the fraction that is used of the running requests that a server
--- a/admission/order.go
+++ b/admission/order.go
@@ -64,7 +64,7 @@
 // runPriority is the position of a request in the order of runs: by tier, then by urgency.
 type runPriority struct {
 	tier    priorityTier
-	urgency float64 // seconds left until the objective, divided by the weight; the lowest runs first
+	urgency float64 // seconds left until the objective, divided by the weight; the lowest value runs first
 }
 
 // isBefore reports whether a request of this priority runs before a request of the other priority.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -5,8 +5,8 @@
 
 import "slices"
 
-// maxWithinQuotaShare bounds the share of runs that are assumed to precede requests over their quota, so
-// that their predicted wait has a bound.
+// maxWithinQuotaShare bounds withinQuotaShare in the predicted wait of a request over its quota, so that the
+// wait has a bound.
 const maxWithinQuotaShare = 0.75
 
 // requestQueue holds the requests in stateQueued in the order in which they were queued. The order of runs
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -19,7 +19,7 @@
 	versionFairShares = 3
 )
 
-// ErrSnapshot is wrapped by the errors for bytes that are not a snapshot of a known version.
+// ErrSnapshot is wrapped by errors about bytes that are not a valid snapshot of a known version.
 var ErrSnapshot = errors.New("admission: invalid snapshot")
 
 // errClassCount is returned for changed settings that would leave parts of the state without their class or tenant.
@@ -127,8 +127,8 @@
 	}
 }
 
-// scalars encodes or decodes the single numbers of all parts of the state. Their order is that of the format, not by
-// part.
+// scalars encodes or decodes the single numbers of all parts of the state. They are in the order of the format and not
+// grouped by part.
 func (c *coder) scalars(in *Instance) {
 	c.times(&in.clock.startedAt, &in.clock.now, &in.longestObjective, &in.feedback.idleTimeout,
 		&in.drain.noticedAt, &in.drain.stopAt,
