--- a/server/backend.go
+++ b/server/backend.go
@@ -46,5 +46,5 @@
 	RunFailed                       // it has no result, and may have had an effect
 	RunStopped                      // it was stopped before its end
 	RunRejected                     // the backend rejected it and nothing ran
-	RunNotStarted                   // it was stopped before it started
+	RunNotStarted                   // nothing was started: the run had already ended
 )
--- a/server/conns.go
+++ b/server/conns.go
@@ -26,7 +26,7 @@
 	// requestTimeout is how long a connection may take to send a complete request, the first or a later one. The
 	// platform's limit is 3 s. Gateways write a request without pauses, so only one on a paused machine comes near it.
 	requestTimeout = 2500 * time.Millisecond
-	// sendTimeout is how long a gateway may accept none of the bytes that wait to be sent to it.
+	// sendTimeout is how long a connection with unsent output may neither send nor receive a byte before it is closed.
 	sendTimeout = 30 * time.Second
 	// newConnGrace is how long a new connection that has sent nothing is not closed as idle. It is not evicted in this
 	// time either, unless too many connections are silent: see evict.
@@ -77,7 +77,7 @@
 	}
 }
 
-// closeAfterFlush half-closes all connections once their pending answers are sent.
+// closeAfterFlush cancels all open requests, and half-closes each connection once its queued answers are sent.
 func (t *connTable) closeAfterFlush() {
 	for g := range t.all() {
 		if !g.conn.IsClosing() {
--- a/server/counters.go
+++ b/server/counters.go
@@ -11,7 +11,7 @@
 // connCounters count gateway connections since the start.
 type connCounters struct {
 	accepted, acceptErrors uint64
-	rejected               uint64 // no descriptor was left
+	rejected               uint64 // the table was full, and no connection could be evicted
 	evicted                uint64 // to make room for new ones
 	idleClosed             uint64
 	timeouts               uint64 // of incomplete requests, and of answers that the gateway did not read
--- a/server/drain.go
+++ b/server/drain.go
@@ -9,8 +9,8 @@
 const (
 	// drainPollInterval is the interval at which a draining server checks whether it can stop.
 	drainPollInterval = 10 * time.Millisecond
-	// stopMargin is how long before the stop timeout, at which the process is killed, a draining server stops at the
-	// latest. If the stop timeout divided by stopMarginDivisor is longer, that is the margin instead.
+	// stopMargin is the time between the latest stop of a draining server and the end of the stop timeout, when the
+	// platform kills the process. The stop timeout divided by stopMarginDivisor is used instead if it is longer.
 	stopMargin        = 100 * time.Millisecond
 	stopMarginDivisor = 32
 )
--- a/server/gateway_conn.go
+++ b/server/gateway_conn.go
@@ -25,8 +25,8 @@
 	validRequests   uint64 // complete requests with valid fields
 }
 
-// accept implements the loop's callback for a new connection. If no descriptor is left, it returns nil, which closes the
-// connection.
+// accept implements the loop's callback for a new connection. If the table is full and no connection can be evicted, it
+// returns nil, which closes the new connection.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.ConnHandler {
 	if !s.conns.ensureCapacity() {
 		return nil
@@ -69,7 +69,8 @@
 	g.closeIfFinished()
 }
 
-// closeAfterFlush half-closes a connection once pending answers are sent. No more requests are read from it.
+// closeAfterFlush cancels the open requests of a connection, and half-closes the connection once its queued answers are
+// sent. No more requests are read from it.
 func (g *gatewayConn) closeAfterFlush() {
 	g.abandonRequests()
 	g.conn.CloseAfterFlush()
