--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -43,7 +43,7 @@
 	unsent     []byte // nil if nothing is queued: there are many idle connections, and they must not hold buffers
 	accounted  int    // bytes of this connection that are included in the loop's unsentBytes
 	isDirty    bool   // the connection is in the loop's list of connections to flush at the end of the round
-	closeAfter bool   // close the connection once unsent is empty
+	closeAfter bool   // CloseAfterFlush was called: half-close the connection once unsent is empty
 	linger     *Timer
 }
 
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -15,14 +15,15 @@
 // Handler receives the outcomes of requests and state changes of pool members.
 type Handler interface {
 	// RequestFinished is called once for each request, unless Withdraw or Close removed it. If no member responded, the
-	// response has only a status, as in nginx: 504 if the request failed on a timeout, otherwise 502.
+	// response has only a status, as in nginx: 504 if the last attempt timed out and the pool decided against a retry,
+	// otherwise 502.
 	RequestFinished(id string, outcome Outcome, r gateway.Response)
 	// MemberChanged reports a change of the state of a pool member.
 	MemberChanged(pool string, c pool.StateChange)
 }
 
-// retryDecisionSlots is the length of Stats.RetryDecisions. Every slot is reported as a counter, whether used or not, so
-// there must be more slots than decisions.
+// retryDecisionSlots is the length of Stats.RetryDecisions, which is indexed by decision, so there must be a slot for each
+// decision. All slots are reported as counters, including the unused ones.
 const retryDecisionSlots = 8
 
 // Stats counts attempts, their failures and connections.
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -18,7 +18,7 @@
 const (
 	Responded    Outcome = iota // a member responded
 	ResponseLost                // no response was received, and a member may have run the request
-	NotStarted                  // no member has run the request
+	NotStarted                  // no response was received, and no member has run the request if it is NonIdempotent
 )
 
 // The response statuses of requests without a response from a member, as in nginx.
--- a/internal/interpreter/run.go
+++ b/internal/interpreter/run.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// compactSlack is added to the number of open runs to get the maximum number of finished runs in the submission order.
+// compactSlack is how many more finished runs than open runs the submission order may hold before it is compacted.
 const compactSlack = 16
 
 // run is a submitted run that has not finished.
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -112,7 +112,7 @@
 	case !hasPrimary:
 		return c.errorf("", "pool %s has only backups", c.Name)
 	case !c.RetryPolicy.isValid():
-		return c.errorf("", "pool %s: tries, try-for and the budget's share and least must be at least 0, its burst at least 1",
+		return c.errorf("", "pool %s: tries, try-for and the budget settings share and least must be at least 0, burst at least 1",
 			c.Name)
 	case isOutsideUnitInterval(c.MaxEjectedRatio) || isOutsideUnitInterval(c.PanicThreshold):
 		return c.errorf("", "pool %s: the eject settings most and panic-under must be from 0 to 1", c.Name)
--- a/internal/pool/config_test.go
+++ b/internal/pool/config_test.go
@@ -21,7 +21,7 @@
 			"pool p: member b is a backup, which the method ip-hash does not support"},
 		{func(c *Config) { c.Members[0].Backup, c.Members[1].Backup = true, true }, "", "pool p has only backups"},
 		{func(c *Config) { c.RetryBurst = 0 }, "",
-			"pool p: tries, try-for and the budget's share and least must be at least 0, its burst at least 1"},
+			"pool p: tries, try-for and the budget settings share and least must be at least 0, burst at least 1"},
 		{func(c *Config) { c.PanicThreshold = 2 }, "", "pool p: the eject settings most and panic-under must be from 0 to 1"},
 	} {
 		config := DefaultConfig()
