--- a/cmd/catalogue-server/misbehaving_callers_test.go
+++ b/cmd/catalogue-server/misbehaving_callers_test.go
@@ -80,7 +80,7 @@
 		for range 20 {
 			servertest.Dial(t, server.Addr)
 		}
-		for range 10 { // those that are accepted send one request and stay connected
+		for range 10 { // each accepted caller sends one request and stays connected
 			g := servertest.Dial(t, server.Addr)
 			g.Write(fake.NewLookup("").Encode(1))
 			g.TryResponse(1)
--- a/cmd/catalogue-server/retries_test.go
+++ b/cmd/catalogue-server/retries_test.go
@@ -40,7 +40,7 @@
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one per core
 	runs := server.WaitRuns(2)
-	server.WaitGaugeReading() // by an older reading the cores still have free capacity
+	server.WaitGaugeReading() // an older reading would still show free capacity on the cores
 	queued := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
 	g.Write(queued.Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
