--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -140,7 +140,7 @@
 	in, _ := newTestInstance(t, testSettings())
 	for rateRatio, want := range map[float64]bool{0.9: false, 1.1: true} {
 		if got := in.isOverThreshold(&request{rateRatio: rateRatio}, 1.5); got != want {
-			t.Errorf("rate ratio %v, wait of three quarters of an objective: over the threshold %v", rateRatio, got)
+			t.Errorf("rate ratio %v, wait of three quarters of an objective: over the threshold %v, want %v", rateRatio, got, want)
 		}
 	}
 }
--- a/admission/feedback_test.go
+++ b/admission/feedback_test.go
@@ -20,7 +20,7 @@
 			in.updateFeedback()
 		}
 		if in.feedback.trafficWeight < c.least || in.feedback.trafficWeight > c.most {
-			t.Errorf("read delay %v s: traffic weight %v", c.readDelay, in.feedback.trafficWeight)
+			t.Errorf("read delay %v s: traffic weight %v, want %v to %v", c.readDelay, in.feedback.trafficWeight, c.least, c.most)
 		}
 	}
 }
@@ -106,6 +106,6 @@
 		return advertised[len(advertised)-1]
 	}
 	if a, b := credit(0.1, 1), credit(1, 0.1); a != b {
-		t.Errorf("with the short runs first: %s; with the long runs first: %s", a, b)
+		t.Errorf("credit with the short runs first: %s; with the long runs first: %s; want the same", a, b)
 	}
 }
--- a/admission/keys_test.go
+++ b/admission/keys_test.go
@@ -84,7 +84,7 @@
 	in.Request(0, testRequest(2, 0))
 	in.Settle(0)
 	if got := rec.take("reject", "run", "keep-key"); len(got) != 2 || !strings.HasPrefix(got[0], "reject 1 ") || got[1] != "run 2" {
-		t.Errorf("got %q", got)
+		t.Errorf("actions %q, want a rejection of request 1 and a run of request 2", got)
 	}
 }
 
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -86,7 +86,7 @@
 	l.setGauges(Gauges{Utilization: 0.5, Runnable: 3})
 	l.setGauges(Gauges{Utilization: -1, Runnable: -1})
 	if l.utilization != 0.5 || l.runnable != 3 {
-		t.Errorf("utilization %v, runnable %v", l.utilization, l.runnable)
+		t.Errorf("utilization %v, runnable %v, want 0.5 and 3", l.utilization, l.runnable)
 	}
 	if l.isSaturated(4) || !l.isSaturated(3) {
 		t.Error("three runnable tasks saturate four cores, or do not saturate three cores")
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -19,7 +19,7 @@
 	expectActions(t, rec, "reject")
 	in.Settle(objective + ms)
 	if got := rec.take("reject", "run"); len(got) != 1 || !strings.HasPrefix(got[0], "reject 100 ") {
-		t.Errorf("got %q", got)
+		t.Errorf("actions %q, want a rejection of request 100", got)
 	}
 }
 
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -40,7 +40,7 @@
 	// The 21st arrival of caller 0 at one instant: r = 21λ. With a quota share of 4λ the rate has a mean of 5λ and a
 	// standard deviation of √2·λ.
 	if e := in.measureRateRatio(testRequest(99, 0)); math.Abs(e-21/(5+2*math.Sqrt2)) > 1e-9 {
-		t.Errorf("rate ratio %v", e)
+		t.Errorf("rate ratio %v, want %v", e, 21/(5+2*math.Sqrt2))
 	}
 }
 
--- a/admission/retrystorm_test.go
+++ b/admission/retrystorm_test.go
@@ -24,7 +24,7 @@
 		in.Request(0, testRequest(id, 0))
 	}
 	if got := rec.take("reject"); got[len(got)-1] != "reject 80 1s false" {
-		t.Errorf("after the storm: %q", got[len(got)-1])
+		t.Errorf("after the storm: %q, want reject 80 1s false", got[len(got)-1])
 	}
 }
 
@@ -47,10 +47,10 @@
 	var m trafficMonitor
 	m.countArrival(true, 12*time.Second)
 	if math.Abs(m.retryShare-learnWeight) > 1e-12 || math.Abs(m.readDelay-1) > 1e-12 {
-		t.Errorf("after one retry: share %v, delay %v", m.retryShare, m.readDelay)
+		t.Errorf("after one retry: share %v, delay %v, want %v and 1", m.retryShare, m.readDelay, learnWeight)
 	}
 	m.countArrival(false, -time.Second)
 	if math.Abs(m.retryShare-learnWeight*(1-learnWeight)) > 1e-12 || math.Abs(m.readDelay-(1-learnWeight)) > 1e-12 {
-		t.Errorf("after one more arrival: share %v, delay %v", m.retryShare, m.readDelay)
+		t.Errorf("after one more arrival: share %v, delay %v, want both multiplied by %v", m.retryShare, m.readDelay, 1-learnWeight)
 	}
 }
