--- a/server/durable_test.go
+++ b/server/durable_test.go
@@ -230,7 +230,7 @@
 		t.Errorf("answer %+v without a run", a)
 	}
 	if n := len(it.StartedRuns()); n != 0 {
-		t.Errorf("%d runs", n)
+		t.Errorf("%d runs, want 0", n)
 	}
 }
 
@@ -253,6 +253,6 @@
 		}
 	}
 	if n := len(it.StartedRuns()); n != 0 {
-		t.Errorf("%d runs", n)
+		t.Errorf("%d runs, want 0", n)
 	}
 }
--- a/server/idempotency_table_test.go
+++ b/server/idempotency_table_test.go
@@ -181,7 +181,7 @@
 			},
 			"": func(t *rapid.T) {
 				if table.resultBytes > 200 || len(table.entries) > 2 || len(table.holders) > 2 {
-					t.Fatalf("%d bytes, %d entries, %d holders", table.resultBytes, len(table.entries), len(table.holders))
+					t.Fatalf("%d bytes, %d entries, %d holders; want at most 200, 2 and 2", table.resultBytes, len(table.entries), len(table.holders))
 				}
 			},
 		})
--- a/server/interleave_conns_test.go
+++ b/server/interleave_conns_test.go
@@ -63,7 +63,7 @@
 		})
 		g.Write(whole[cut:])
 		if a, err := g.TryResponse(2); err != nil || a.Status != 200 && a.Status != 503 {
-			t.Fatalf("%d bytes before the scan, the rest after it: %+v, %v", cut, a, err)
+			t.Fatalf("%d bytes before the scan, the rest after it: %+v, error %v; want status 200 or 503", cut, a, err)
 		}
 	}
 }
