--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -93,7 +93,7 @@
 		t.Errorf("%d bytes came back, %d were sent", len(got), len(sent))
 	}
 	if err := <-e.closed; !errors.Is(err, io.EOF) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("closed with error %v, want EOF", err)
 	}
 	if unsent > highWatermark+readSize {
 		t.Errorf("%d bytes were queued for the peer, above the limit", unsent)
@@ -255,7 +255,7 @@
 	}
 	c.Close()
 	if err := <-e.closed; !errors.Is(err, io.EOF) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("closed with error %v, want EOF", err)
 	}
 	endless := dial(t, addr)
 	go func() {
@@ -327,7 +327,7 @@
 	}
 	for range 8 {
 		if err := <-e.closed; !errors.Is(err, errOutputOverflow) {
-			t.Errorf("closed with %v", err)
+			t.Errorf("closed with error %v, want %v", err, errOutputOverflow)
 		}
 	}
 	reader := dial(t, addr)
--- a/internal/interpreter/link_test.go
+++ b/internal/interpreter/link_test.go
@@ -189,7 +189,7 @@
 	h.feed(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[]}`, h.lastTags["TOP"]))
 	h.expect([]string{`APPLY running look ""`, `APPLY stopping look ""`, "BREAK stopping", `APPLY new look ""`}, nil)
 	if c := h.link.Stats; c.Resubmitted != 2 || c.Submitted != 4 || c.DuplicateNotices != 1 || c.Connects != 2 {
-		t.Errorf("counters %+v", c)
+		t.Errorf("counters %+v, want 2 resubmitted, 4 submitted, 1 duplicate notice, 2 connects", c)
 	}
 	h.feed(`{"op":"VALUE","seq":3,"id":"running","end":"OK","ms":1,"body":""}`,
 		`{"op":"VALUE","seq":4,"id":"running","end":"OK","ms":1,"body":""}`)
