--- a/cmd/catalogue-server/capture_test.go
+++ b/cmd/catalogue-server/capture_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("response during the drain %+v, want status 500 or 503", a)
 	}
 	if code := server.WaitExit(); code != 0 {
-		t.Errorf("exit status %d", code)
+		t.Errorf("exit status %d, want 0", code)
 	}
 	r := replayCapture(t, dir)
 	if r.Requests != 4 || r.Runs != 3 || r.Rejected+r.Failed != 1 {
--- a/cmd/catalogue-server/descriptors_test.go
+++ b/cmd/catalogue-server/descriptors_test.go
@@ -52,14 +52,14 @@
 	}
 	defer reports.Close()
 	if got := servertest.ReadReport(t, reports); got != "announce n3 true" {
-		t.Errorf("report after the service is back %q", got)
+		t.Errorf("report after the service is back %q, want announce n3 true", got)
 	}
 	newAddr := interpreter.AddListener()
 	newReports := servertest.NewReportListener(t)
 	server.Configure(func(c map[string]any) { c["vm"], c["announce"] = newAddr, newReports.LocalAddr().String() })
 	server.Signal(syscall.SIGHUP)
 	if got := servertest.ReadReport(t, newReports); got != "announce n3 true" {
-		t.Errorf("report at the new address %q", got)
+		t.Errorf("report at the new address %q, want announce n3 true", got)
 	}
 	servertest.WaitFor(t, "the link at the new address", func() bool { return interpreter.LinkAddr() == newAddr })
 	gateway.Write(fake.NewReserve(2, "after the reload").Encode(2))
--- a/cmd/catalogue-server/drain_test.go
+++ b/cmd/catalogue-server/drain_test.go
@@ -33,10 +33,10 @@
 	}
 	g.WaitClosed()
 	if status := server.WaitExit(); status != 0 {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status %d, want 0", status)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 	if server.Counter("served") != 1 || server.Counter("rejected") != 1 {
 		t.Errorf("counters at the exit: %d served, %d rejected, want 1 and 1", server.Counter("served"), server.Counter("rejected"))
@@ -55,6 +55,6 @@
 	}
 	g.WaitClosed()
 	if status := server.WaitExit(); status != 0 {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status %d, want 0", status)
 	}
 }
--- a/cmd/catalogue-server/link_test.go
+++ b/cmd/catalogue-server/link_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("response %+v, want status 200 and body second", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 2 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 2", runs)
 	}
 }
 
@@ -52,6 +52,6 @@
 	interpreter.MarkUp()
 	server.WaitHealthy()
 	if got := server.WaitReport(); got != "announce n3 true" {
-		t.Errorf("first report %q", got)
+		t.Errorf("first report %q, want announce n3 true", got)
 	}
 }
--- a/cmd/catalogue-server/main_test.go
+++ b/cmd/catalogue-server/main_test.go
@@ -75,7 +75,7 @@
 func TestServe(t *testing.T) {
 	server := startServer(t, finishImmediately)
 	if got := server.WaitReport(); got != "announce n3 true" {
-		t.Errorf("report %q", got)
+		t.Errorf("report %q, want announce n3 true", got)
 	}
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("a\x00\xff").Encode(1), fake.NewReserve(1, "").Encode(2))
@@ -103,7 +103,7 @@
 		}
 	}
 	if got := server.WaitReport(); got != "announce n3 true" {
-		t.Errorf("second report %q", got)
+		t.Errorf("second report %q, want announce n3 true", got)
 	}
 }
 
--- a/cmd/catalogue-server/reload_test.go
+++ b/cmd/catalogue-server/reload_test.go
@@ -25,7 +25,7 @@
 		server.Signal(syscall.SIGHUP)
 		servertest.WaitFor(t, "the link at the new address", func() bool { return server.LinkAddr() == addr })
 		if got := servertest.ReadReport(t, reports); got != "announce n3 true" {
-			t.Errorf("report at the new address %q", got)
+			t.Errorf("report at the new address %q, want announce n3 true", got)
 		}
 	}
 	g.Write(fake.NewReserve(2, "y").Encode(2))
@@ -43,7 +43,7 @@
 	}
 	server.WaitCounter("reloads", 2)
 	if runs := server.StartedRuns(); len(runs) != 2 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 2", runs)
 	}
 }
 
@@ -117,7 +117,7 @@
 		t.Errorf("response %+v, want status 200 and body done", a)
 	}
 	if status := server.WaitExit(); status != 0 {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status %d, want 0", status)
 	}
 }
 
--- a/cmd/catalogue-server/retries_test.go
+++ b/cmd/catalogue-server/retries_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("response to the third attempt %+v, want status 200 and body done", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 	server.WaitCounter("replayed", 2)
 }
@@ -70,7 +70,7 @@
 		t.Errorf("response to the second attempt %+v, want status 500", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 }
 
@@ -90,7 +90,7 @@
 		t.Errorf("response %+v, want status 200 and body kept", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 }
 
