--- a/cmd/catalogue-server/retries_test.go
+++ b/cmd/catalogue-server/retries_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("response to the third attempt %+v, want status 200 and body done", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 	server.WaitCounter("replayed", 2)
 }
@@ -40,7 +40,7 @@
 	g := servertest.Dial(t, server.Addr)
 	g.Write(fake.NewLookup("").Encode(1), fake.NewLookup("").Encode(2)) // one per core
 	runs := server.WaitRuns(2)
-	server.WaitGaugeReading() // by an older reading the cores still have free capacity
+	server.WaitGaugeReading() // an older reading would still show free capacity on the cores
 	queued := fake.NewReserve(7, "x").WithHeader("Received-At", strconv.FormatInt(time.Now().Add(-5900*time.Millisecond).UnixMilli(), 10))
 	g.Write(queued.Encode(3))
 	if a := g.WaitResponse(3); a.Status != 503 || a.Header.Get("Back-Off-Ms") == "" {
@@ -70,7 +70,7 @@
 		t.Errorf("response to the second attempt %+v, want status 500", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 }
 
@@ -90,7 +90,7 @@
 		t.Errorf("response %+v, want status 200 and body kept", a)
 	}
 	if runs := server.StartedRuns(); len(runs) != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs %v, want 1", runs)
 	}
 }
 
