--- a/cmd/catalogue-server/state_test.go
+++ b/cmd/catalogue-server/state_test.go
@@ -254,9 +254,9 @@
 	interpreter.WaitRuns(1)
 	previous.Signal(syscall.SIGTERM)
 	successor := servertest.Start(t, serverCommand+" serve --state "+dir, interpreter, nil)
-	servertest.WaitFor(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the folder") })
+	servertest.WaitFor(t, "the successor to wait", func() bool { return strings.Contains(successor.Log(), "waiting for the state directory") })
 	waiting := servertest.Start(t, serverCommand+" serve --state "+dir, interpreter, nil) // gets SIGTERM during the wait
-	servertest.WaitFor(t, "the third process to wait", func() bool { return strings.Contains(waiting.Log(), "waiting for the folder") })
+	servertest.WaitFor(t, "the third process to wait", func() bool { return strings.Contains(waiting.Log(), "waiting for the state directory") })
 	waiting.Signal(syscall.SIGTERM)
 	if status := waiting.WaitExit(); status != 0 {
 		t.Errorf("exit status %d after SIGTERM during the wait, want 0", status)
@@ -289,14 +289,14 @@
 			func(c map[string]any) { c["name"], c["stop_ms"] = serverName, 100 })
 		status := second.WaitExit()
 		lines := strings.Split(strings.TrimSpace(second.Log()), "\n")
-		if strings.Contains(lines[0], "waiting for the folder") {
+		if strings.Contains(lines[0], "waiting for the state directory") {
 			lines = lines[1:]
 		}
 		if status != 2 || len(lines) != 1 || !strings.Contains(lines[0], wantText) {
 			t.Errorf("exit status %d, want 2 and one line with %q: %s", status, wantText, second.Log())
 		}
 	}
-	checkStartFails("n3", "another process uses the folder")
+	checkStartFails("n3", "another process uses the state directory")
 	server.Signal(syscall.SIGTERM)
 	server.WaitExit()
 	checkStartFails("n4", "it is n3's, not n4's")
