--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -14,7 +14,7 @@
 	cmd := &cobra.Command{
 		Use:   "capture",
 		Short: "Inspect, check and cut captures",
-		Long:  "A capture is a directory of segments, or one of them, as `catalogue-server serve --capture DIR` writes it.",
+		Long:  "A capture is a directory of segment files that `catalogue-server serve --capture DIR` writes, or a single segment file.",
 	}
 	cmd.AddCommand(
 		newCaptureInfoCommand(),
@@ -27,20 +27,20 @@
 	return cmd
 }
 
-// segmentInfo is the JSON of a segment.
+// segmentInfo is the JSON form of a segment.
 type segmentInfo struct {
 	Path     string           `json:"path"`
 	Bytes    int64            `json:"bytes"`
 	Raw      int64            `json:"raw_bytes"`
 	Meta     capture.Meta     `json:"meta"`
 	Records  uint64           `json:"records"`
-	Until    time.Duration    `json:"until"` // the module's clock at its last record
+	Until    time.Duration    `json:"until"` // the decision module's clock at the last record
 	Complete bool             `json:"complete"`
-	State    bool             `json:"state"` // whether its snapshot can be read
+	State    bool             `json:"state"` // whether the snapshot of the module's state is readable
 	Damage   []capture.Damage `json:"damage,omitempty"`
 }
 
-// describeSegment reads all records of a segment.
+// describeSegment reads all records of a segment and returns its description.
 func describeSegment(segment *capture.Segment) (segmentInfo, error) {
 	info := segmentInfo{
 		Path:     segment.Path,
@@ -60,20 +60,20 @@
 	return info, err
 }
 
-// isFlawed reports whether anything of the segment is damaged or missing.
+// isFlawed reports whether the segment is damaged, has no readable snapshot or follows a gap.
 func (i segmentInfo) isFlawed() bool { return len(i.Damage) > 0 || !i.State || i.Meta.Gap != nil }
 
-// condition describes how complete the segment is.
+// condition describes for people whether the segment is complete, and what is damaged or missing.
 func (i segmentInfo) condition() string {
-	text := "whole"
+	text := "complete"
 	if !i.Complete {
-		text = "not ended in order"
+		text = "not closed normally"
 	}
 	if !i.State {
-		text += ", its state is lost"
+		text += ", snapshot unreadable"
 	}
 	if gap := i.Meta.Gap; gap != nil {
-		text += fmt.Sprintf(", %d records are missing before it: %s", gap.Records, gap.Cause)
+		text += fmt.Sprintf(", %d records missing before it: %s", gap.Records, gap.Cause)
 	}
 	for _, d := range i.Damage {
 		text += "; " + d.String()
@@ -84,14 +84,14 @@
 func newCaptureInfoCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "info CAPTURE...",
-		Short:   "Describe captures, one line for each segment",
+		Short:   "Describe captures, one line per segment",
 		Example: "  cataloguectl capture info /var/lib/tillerusher/capture\n  cataloguectl capture info --json 0000000007.capture",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    withCaptures(printSegments),
 	}
 }
 
-// printSegments prints one line for each segment.
+// printSegments prints one line per segment.
 func printSegments(out printer, segments []*capture.Segment, _ int) error {
 	for _, segment := range segments {
 		info, err := describeSegment(segment)
@@ -114,7 +114,7 @@
 	return &cobra.Command{
 		Use:     "verify CAPTURE...",
 		Short:   "Check captures for damage and gaps",
-		Long:    "verify reads every block of captures and names what is damaged or missing." + statusHelp,
+		Long:    "verify reads every block of the captures and prints the segments that are damaged or incomplete." + statusHelp,
 		Example: "  cataloguectl capture verify /var/lib/tillerusher/capture && echo undamaged",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    withCaptures(verifySegments),
@@ -137,29 +137,29 @@
 			return err
 		}
 	}
-	out.linef("%d segments, %d with flaws", len(segments)+unreadable, flawed)
-	return foundIf(flawed > 0)
+	out.linef("%d segments, %d damaged or incomplete", len(segments)+unreadable, flawed)
+	return problemFoundIf(flawed > 0)
 }
 
 // captureCatOptions are the flags of capture cat.
 type captureCatOptions struct {
 	from  time.Duration
-	to    time.Duration // 0 is the end
-	kinds []string      // none is all
+	to    time.Duration // 0 means the end of the capture
+	kinds []string      // empty means all
 }
 
 func newCaptureCatCommand() *cobra.Command {
 	var opts captureCatOptions
 	cmd := &cobra.Command{
 		Use:     "cat CAPTURE...",
-		Short:   "Print records, one a line",
+		Short:   "Print records, one per line",
 		Example: "  cataloguectl capture cat DIR --from 2m --to 2m10s\n  cataloguectl capture cat --json --kind refuse,fail DIR",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    withCaptures(opts.run),
 	}
-	cmd.Flags().DurationVar(&opts.from, "from", 0, "first time of the module's clock")
-	cmd.Flags().DurationVar(&opts.to, "to", 0, "last time of the module's clock; 0 is the end")
-	cmd.Flags().StringSliceVar(&opts.kinds, "kind", nil, "kinds of record, such as refuse")
+	cmd.Flags().DurationVar(&opts.from, "from", 0, "start of the records to print, as time on the decision module's clock")
+	cmd.Flags().DurationVar(&opts.to, "to", 0, "end of the records to print, as time on the decision module's clock; 0 means the end of the capture")
+	cmd.Flags().StringSliceVar(&opts.kinds, "kind", nil, "comma-separated kinds of records to print, such as refuse; all if empty")
 	return cmd
 }
 
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// printRecord prints a record. Actions are indented below the events that caused them.
+// printRecord prints a record. Actions are indented and follow the event that caused them.
 func printRecord(out printer, at capture.Position, record *capture.Record) error {
 	indent := ""
 	if !record.Kind.IsEvent() {
--- a/cmd/cataloguectl/capture_cut.go
+++ b/cmd/cataloguectl/capture_cut.go
@@ -11,19 +11,19 @@
 	"tillerusher/internal/replay"
 )
 
-// excerptOptions are the flags of the commands that write a capture.
+// excerptOptions are the common flags of the commands that write an excerpt of a capture.
 type excerptOptions struct {
 	output  string
 	comment string
 }
 
 func (o *excerptOptions) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVarP(&o.output, "output", "o", "", "the file to write, which must not exist")
-	cmd.Flags().StringVar(&o.comment, "comment", "", "what the excerpt is, kept in it")
-	cmd.MarkFlagRequired("output") // fails only for a flag that is not there
+	cmd.Flags().StringVarP(&o.output, "output", "o", "", "output file, which must not exist")
+	cmd.Flags().StringVar(&o.comment, "comment", "", "description of the excerpt, which is stored in it")
+	cmd.MarkFlagRequired("output") // ignore the error: the flag is defined above
 }
 
-// write writes an excerpt and prints what is in it.
+// write writes an excerpt to a new file and prints its description.
 func (o *excerptOptions) write(out printer, excerpt *replay.Excerpt) error {
 	if err := excerpt.Write(o.output, o.comment); err != nil {
 		return inputError{err}
@@ -45,7 +45,7 @@
 type captureCutOptions struct {
 	excerptOptions
 	span     replay.Span
-	around   string // a request's
+	around   string // Request-Id, key or #number of a request; empty means the span
 	redecide bool
 }
 
@@ -53,26 +53,27 @@
 	var opts captureCutOptions
 	cmd := &cobra.Command{
 		Use:   "cut CAPTURE... -o FILE",
-		Short: "Cut out the smallest capture that still replays the same",
-		Long: "cut takes a part of a capture, by the module's clock or around all attempts of a request, from the last boundary\n" +
-			"between two rounds before it to the end of its last round, with the state at its start. With --redecide the\n" +
-			"events are kept and this program's own decisions replace the recorded ones." + statusHelp,
+		Short: "Cut out the smallest capture that replays with the same decisions",
+		Long: "cut writes an excerpt of a capture, with the module's state at its start. The span is given by the module's clock or\n" +
+			"by a request, whose attempts it covers. The excerpt starts with the first round of events that starts in the span\n" +
+			"or after it, and ends with the round in which the span ends. With --redecide the excerpt starts with a segment\n" +
+			"instead, its events are kept, and this program's decisions replace the recorded ones." + statusHelp,
 		Example: "  cataloguectl capture cut DIR --around 9b1f03aa5c7e2d41 -o complaint.capture\n" +
 			"  cataloguectl capture cut DIR --from 2m --to 2m30s -o half-minute.capture",
 		Args: cobra.MinimumNArgs(1),
 		RunE: withCaptures(opts.run),
 	}
-	cmd.Flags().DurationVar(&opts.span.From, "from", 0, "first time of the module's clock")
-	cmd.Flags().DurationVar(&opts.span.To, "to", 0, "last time of the module's clock; 0 is the end")
-	cmd.Flags().StringVar(&opts.around, "around", "", "Request-Id, key or #number of a request")
-	cmd.Flags().BoolVar(&opts.redecide, "redecide", false, "replace the recorded decisions by this program's")
+	cmd.Flags().DurationVar(&opts.span.From, "from", 0, "start of the span, as time on the decision module's clock")
+	cmd.Flags().DurationVar(&opts.span.To, "to", 0, "end of the span, as time on the decision module's clock; 0 means the end of the capture")
+	cmd.Flags().StringVar(&opts.around, "around", "", "Request-Id, key or #number of the request whose attempts the span covers")
+	cmd.Flags().BoolVar(&opts.redecide, "redecide", false, "replace the recorded decisions with those of this program")
 	opts.addFlags(cmd)
 	return cmd
 }
 
 func (o *captureCutOptions) run(out printer, segments []*capture.Segment, _ int) error {
 	segments = replay.SegmentsOfRun(segments, "")
-	span, err := o.wantedSpan(segments)
+	span, err := o.requestedSpan(segments)
 	if err != nil {
 		return err
 	}
@@ -83,8 +84,8 @@
 	return o.write(out, excerpt)
 }
 
-// wantedSpan returns the span that the flags ask for.
-func (o *captureCutOptions) wantedSpan(segments []*capture.Segment) (replay.Span, error) {
+// requestedSpan returns the span that the flags select.
+func (o *captureCutOptions) requestedSpan(segments []*capture.Segment) (replay.Span, error) {
 	if o.around != "" {
 		traces, err := replay.Explain(segments, o.around)
 		if err != nil {
@@ -99,7 +100,7 @@
 	return span, nil
 }
 
-// cut cuts a span out of a capture.
+// cut returns the excerpt for a span.
 func (o *captureCutOptions) cut(segments []*capture.Segment, span replay.Span) (*replay.Excerpt, error) {
 	if !o.redecide {
 		return replay.Cut(segments, span)
@@ -121,18 +122,19 @@
 	var opts captureShrinkOptions
 	cmd := &cobra.Command{
 		Use:   "shrink FILE -o FILE --keep PREDICATE",
-		Short: "Remove events for as long as a predicate holds",
-		Long: "shrink removes requests and timers from a capture for as long as a predicate holds when the events are replayed to\n" +
-			"this program's module, and writes what is left with this program's decisions. The predicates:\n" +
-			"  refused:N, failed:N, run:N  the module's request N is refused, failed or run\n" +
-			"  log:TEXT                    the module logs a line with the text\n" +
-			"  jam:500ms                   requests are queued for so long while none runs and nothing is stalled" + statusHelp,
+		Short: "Remove events from a capture while a predicate still holds",
+		Long: "shrink removes requests and timers from a capture as long as a predicate holds when the remaining events are\n" +
+			"replayed to this program's decision module. It writes the remaining events with this program's decisions.\n" +
+			"Predicates:\n" +
+			"  refused:N, failed:N, run:N  the request with the module's number N is rejected, failed or run\n" +
+			"  log:TEXT                    the module logs a line that contains TEXT\n" +
+			"  jam:500ms                   requests are queued and none runs for 500ms, although the module sees no stall" + statusHelp,
 		Example: "  cataloguectl capture shrink complaint.capture --keep refused:4711 -o small.capture",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args) },
 	}
-	cmd.Flags().StringVar(&opts.predicate, "keep", "", "the predicate that must go on to hold")
-	cmd.MarkFlagRequired("keep") // fails only for a flag that is not there
+	cmd.Flags().StringVar(&opts.predicate, "keep", "", "the predicate that must still hold for the shrunk capture")
+	cmd.MarkFlagRequired("keep") // ignore the error: the flag is defined above
 	opts.addFlags(cmd)
 	return cmd
 }
@@ -153,11 +155,11 @@
 	smallest, runs, err := replay.Shrink(excerpt, predicate)
 	if errors.Is(err, replay.ErrNotMatched) {
 		out.warnf("%v", err)
-		return errFound
+		return errProblemFound
 	}
 	if err != nil {
 		return inputError{err}
 	}
-	out.linef("%d records of %d are left after %d runs of the module", len(smallest.Records), len(excerpt.Records), runs)
+	out.linef("kept %d of %d records after %d replays", len(smallest.Records), len(excerpt.Records), runs)
 	return o.write(out, smallest)
 }
--- a/cmd/cataloguectl/capture_stats.go
+++ b/cmd/cataloguectl/capture_stats.go
@@ -10,14 +10,14 @@
 func newCaptureStatsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "stats CAPTURE...",
-		Short:   "Count the outcomes of requests by class and tenant",
+		Short:   "Count the outcomes of attempts by class and tenant",
 		Example: "  cataloguectl capture stats DIR\n  cataloguectl capture stats --json DIR",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    withCaptures(printRunStats),
 	}
 }
 
-// printRunStats prints the statistics of each run of the server.
+// printRunStats prints the statistics of each run of a server.
 func printRunStats(out printer, segments []*capture.Segment, _ int) error {
 	for n, s := range segments {
 		if n > 0 && s.Meta.Run == segments[n-1].Meta.Run {
@@ -30,13 +30,13 @@
 	return nil
 }
 
-// runStats is the JSON of a run's statistics.
+// runStats is the JSON form of the statistics of one run of a server.
 type runStats struct {
 	Meta    capture.Meta     `json:"meta"`
 	Tallies []replay.Summary `json:"tallies"`
 }
 
-// printStats prints the statistics of one run of the server.
+// printStats prints the statistics of one run of a server. segments must be the segments of that run.
 func printStats(out printer, segments []*capture.Segment) error {
 	settings, err := replay.RecordedSettings(segments)
 	if err != nil {
@@ -49,10 +49,10 @@
 	meta := segments[0].Meta
 	stats := runStats{meta, replay.Summarize(attempts, meta, settings.Classes)}
 	out.linef("%s, started %s UTC", meta.Server, meta.UnixTime.UTC().Format("2006-01-02 15:04:05"))
-	out.linef("%-16s %-12s %7s %7s %7s %7s %7s %7s %9s %9s %9s", "class", "tenant", "tries", "served", "reused", "on time",
-		"refused", "failed", "p50 ms", "p99 ms", "held p99")
+	out.linef("%-16s %-12s %8s %7s %7s %7s %8s %7s %9s %9s %12s", "class", "tenant", "attempts", "served", "reused", "on time",
+		"rejected", "failed", "p50 ms", "p99 ms", "queue p99 ms")
 	for _, s := range stats.Tallies {
-		out.linef("%-16s %-12s %7d %7d %7d %7d %7d %7d %9.1f %9.1f %9.1f", s.Class, s.Tenant, s.Attempts, s.Served, s.Replayed,
+		out.linef("%-16s %-12s %8d %7d %7d %7d %8d %7d %9.1f %9.1f %12.1f", s.Class, s.Tenant, s.Attempts, s.Served, s.Replayed,
 			s.OnTime, s.Rejected, s.Failed, s.P50, s.P99, s.QueuedP99)
 	}
 	return out.encode(stats)
--- a/cmd/cataloguectl/captures.go
+++ b/cmd/cataloguectl/captures.go
@@ -6,7 +6,7 @@
 	"tillerusher/internal/capture"
 )
 
-// openCaptures reads captures. It returns how many of their files can't be read, which it names on standard error.
+// openCaptures reads captures. unreadable is the number of files that can't be read; openCaptures prints each to standard error.
 func openCaptures(out printer, paths []string) (segments []*capture.Segment, unreadable int, err error) {
 	for _, path := range paths {
 		list, bad, err := capture.Open(path)
@@ -16,14 +16,14 @@
 		segments = append(segments, list...)
 		unreadable += len(bad)
 		for _, b := range bad {
-			out.warnf("%s: left out: %v", b.Path, b.Err)
+			out.warnf("%s: skipped: %v", b.Path, b.Err)
 		}
 	}
 	return segments, unreadable, nil
 }
 
-// withCaptures adapts a function to a command whose arguments are all captures. The function also gets the number of their files
-// that can't be read.
+// withCaptures returns the RunE function of a command whose arguments are all captures. It opens them and calls run with their
+// segments and the number of files that can't be read.
 func withCaptures(run func(out printer, segments []*capture.Segment, unreadable int) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		out := newPrinter(cmd)
--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/replay"
 )
 
-// requestPattern is what the names of a request look like: the module's number, a Request-Id or an idempotency key.
+// requestPattern matches the identifiers of a request: #number of the decision module, a Request-Id or an idempotency key.
 var requestPattern = regexp.MustCompile(`^(#[0-9]+|[0-9a-fA-F]{16}|[0-9a-fA-F]{32})$`)
 
 // explainOptions are the flags of explain.
@@ -24,16 +24,17 @@
 	cmd := &cobra.Command{
 		Use:   "explain {ID | KEY | TIME} CAPTURE...",
 		Short: "Explain the outcome of a request, or print the module's state at a time",
-		Long: "explain replays a capture and explains why all attempts with a Request-Id (16 hex digits), a key (32) or the module's\n" +
-			"number (#N) were rejected, failed or late: the module's state and the requests ahead of them.\n" +
-			"For a time (14:05:03.2 UTC on the capture's day, RFC 3339, or 2m3s of the module's clock) it prints the module's\n" +
-			"state then and its decisions around it." + statusHelp,
+		Long: "explain replays a capture. For a Request-Id (16 hex digits), an idempotency key (32 hex digits) or the module's number\n" +
+			"of a request (#N), it explains why its attempts were rejected, failed or late: it prints the module's state and the\n" +
+			"requests ahead of them. For a time (14:05:03.2 in UTC on the day of the capture, RFC 3339, or 2m3s on the module's\n" +
+			"clock), it prints the module's state at that time and the decisions around it." + statusHelp,
 		Example: "  cataloguectl explain 9b1f03aa5c7e2d41 DIR\n  cataloguectl explain '#4711' DIR --json\n" +
 			"  cataloguectl explain 14:05:03 DIR --around 20ms",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args[0], args[1:]) },
 	}
-	cmd.Flags().DurationVar(&opts.around, "around", 20*time.Millisecond, "with a TIME: print the decisions from so long before it to so long after it")
+	cmd.Flags().DurationVar(&opts.around, "around", 20*time.Millisecond,
+		"with TIME: print the decisions of this duration before TIME and after it")
 	return cmd
 }
 
@@ -48,7 +49,7 @@
 	return o.explainTime(out, segments, subject)
 }
 
-// explainRequest prints the traces of all attempts of a request.
+// explainRequest prints the traces of all attempts of the request with the ID.
 func explainRequest(out printer, segments []*capture.Segment, id string) error {
 	traces, err := replay.Explain(segments, id)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// explainTime prints the module's state at a time.
+// explainTime prints the module's state at a time and the decisions around it.
 func (o *explainOptions) explainTime(out printer, segments []*capture.Segment, text string) error {
 	segments, at, err := parseTime(segments, text)
 	if err != nil {
@@ -78,18 +79,18 @@
 	if err != nil {
 		return inputError{err}
 	}
-	out.linef("At %s UTC (%v of the module's clock):", state.UnixTime.UTC().Format("15:04:05.000"), state.At.Round(time.Millisecond))
+	out.linef("State at %s UTC (%v on the module's clock):", state.UnixTime.UTC().Format("15:04:05.000"), state.At.Round(time.Millisecond))
 	for _, line := range replay.DescribeState(&state.State) {
 		out.linef("  %s", line)
 	}
-	out.linef("Decided within %v:", o.around)
+	out.linef("Decisions within %v of that time:", o.around)
 	for _, d := range state.Decisions {
 		out.linef("  %+v  %s (#%d) %s", (d.At - state.At).Round(100*time.Microsecond), d.WireID, d.ID, d.Text)
 	}
 	return out.encode(state)
 }
 
-// parseTime reads a time. It returns the segments of the run that it belongs to, and the time of the module's clock.
+// parseTime parses a time. It returns the segments of the server's run that includes the time, and the time on the module's clock.
 func parseTime(segments []*capture.Segment, text string) ([]*capture.Segment, time.Duration, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return replay.SegmentsOfRun(segments, ""), d, nil
@@ -99,7 +100,7 @@
 		unix, err = parseTimeOfDay(text, segments[len(segments)-1].Meta.UnixTime)
 	}
 	if err != nil {
-		return nil, 0, fmt.Errorf("%q is no Request-Id, key, #number or time", text)
+		return nil, 0, fmt.Errorf("%q is not a Request-Id, key, #number or time", text)
 	}
 	run, at, err := replay.Locate(segments, unix)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return run, at, nil
 }
 
-// parseTimeOfDay reads a time of a day in UTC, such as 14:05:03.2 or 14:05.
+// parseTimeOfDay parses a time of day in UTC, such as 14:05:03.2 or 14:05, on the given day.
 func parseTimeOfDay(text string, day time.Time) (time.Time, error) {
 	clock, err := time.Parse("15:04:05", text)
 	if err != nil {
--- a/cmd/cataloguectl/import.go
+++ b/cmd/cataloguectl/import.go
@@ -26,10 +26,10 @@
 
 // importNginxOptions are the flags of import nginx.
 type importNginxOptions struct {
-	output  string
-	strict  bool
-	explain string // a path
-	host    string
+	output        string
+	strict        bool
+	explainedPath string // a path
+	host          string
 }
 
 func newImportNginxCommand() *cobra.Command {
@@ -49,7 +49,7 @@
 	flags := cmd.Flags()
 	flags.StringVarP(&opts.output, "output", "o", "", "file for the route configuration, which must not exist; standard output if empty")
 	flags.BoolVar(&opts.strict, "strict", false, "end with status 1 if anything is not carried over")
-	flags.StringVar(&opts.explain, "explain", "", "explain step by step which location serves a path")
+	flags.StringVar(&opts.explainedPath, "explain", "", "explain step by step which location serves a path")
 	flags.StringVar(&opts.host, "host", "", "the Host of the path that is explained")
 	return cmd
 }
@@ -75,8 +75,8 @@
 	if err != nil {
 		return inputError{err}
 	}
-	if o.explain != "" {
-		return explainPath(out, cfg, o.host, o.explain)
+	if o.explainedPath != "" {
+		return explainPath(out, cfg, o.host, o.explainedPath)
 	}
 	if err := writeRouteConfig(out, cfg, o.output); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	if err := out.encode(importDiagnostics{diagnostics}); err != nil {
 		return err
 	}
-	return foundIf(o.strict && len(diagnostics) > 0)
+	return problemFoundIf(o.strict && len(diagnostics) > 0)
 }
 
 // writeRouteConfig writes a route configuration to a new file, or to standard output if the path is empty.
--- a/cmd/cataloguectl/load.go
+++ b/cmd/cataloguectl/load.go
@@ -13,12 +13,12 @@
 
 // loadOptions are the flags of load.
 type loadOptions struct {
-	config      loadtest.Config
-	captureDir  string
-	stateDir    string
-	settings    string
-	arrivalsOf  string // capture whose arrivals are replayed
-	arrivalKind string
+	config          loadtest.Config
+	captureDir      string
+	stateDir        string
+	settings        string
+	arrivalsCapture string // capture whose arrivals are replayed
+	arrivalKind     string
 }
 
 func newLoadCommand() *cobra.Command {
@@ -58,7 +58,7 @@
 	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
 	flags.StringVar(&o.arrivalKind, "arrivals", string(arrival.Poisson),
 		"arrival process: poisson, bursty, diurnal, or replay of --arrivals-of")
-	flags.StringVar(&o.arrivalsOf, "arrivals-of", "", "capture whose arrivals are replayed")
+	flags.StringVar(&o.arrivalsCapture, "arrivals-of", "", "capture whose arrivals are replayed")
 	flags.Float64Var(&cfg.Arrival.Speed, "arrivals-factor", 1, "how many times as fast")
 	flags.IntVar(&cfg.Gateways, "gateways", cfg.Gateways, "connections, each of up to 32 requests in flight")
 	flags.Float64Var(&cfg.IdempotentShare, "keyed", cfg.IdempotentShare, "share of the requests with an idempotency key")
@@ -85,11 +85,11 @@
 	if err := o.config.Validate(); err != nil {
 		return err
 	}
-	if err := findDaemon(&o.config.Daemon); err != nil {
+	if err := setDefaultDaemon(&o.config.Daemon); err != nil {
 		return err
 	}
 	o.config.Args = o.daemonArgs()
-	o.config.Progress = newProgress("requests", o.config.Requests)
+	o.config.Progress = newProgressBar("requests", o.config.Requests)
 	result, err := loadtest.Run(cmd.Context(), o.config)
 	if err != nil {
 		return inputError{err}
@@ -98,17 +98,17 @@
 	if err := out.encode(result); err != nil {
 		return err
 	}
-	return foundIf(len(result.Violations) > 0)
+	return problemFoundIf(len(result.Violations) > 0)
 }
 
 // setArrivals sets the arrival process. A capture bounds the number of requests.
 func (o *loadOptions) setArrivals() error {
 	cfg := &o.config
 	cfg.Arrival.Kind = arrival.Kind(o.arrivalKind)
-	if o.arrivalsOf == "" {
+	if o.arrivalsCapture == "" {
 		return nil
 	}
-	times, err := capture.ReadArrivals(o.arrivalsOf)
+	times, err := capture.ReadArrivals(o.arrivalsCapture)
 	if err != nil {
 		return inputError{err}
 	}
--- a/cmd/cataloguectl/load_cost.go
+++ b/cmd/cataloguectl/load_cost.go
@@ -35,10 +35,10 @@
 	if !isValidSaturation(&o.config) {
 		return errors.New("rounds, gateways and time must be more than 0, open requests 1 to 32")
 	}
-	if err := findDaemon(&o.config.Daemon); err != nil {
+	if err := setDefaultDaemon(&o.config.Daemon); err != nil {
 		return err
 	}
-	o.config.Progress = newProgress("requests", 2*o.config.Rounds)
+	o.config.Progress = newProgressBar("requests", 2*o.config.Rounds)
 	result, err := loadtest.MeasureCaptureCost(cmd.Context(), o.config)
 	if err != nil {
 		return inputError{err}
--- a/cmd/cataloguectl/main.go
+++ b/cmd/cataloguectl/main.go
@@ -1,9 +1,9 @@
-// Command cataloguectl is the operators' command line beside the daemon. It inspects and replays captures, checks and imports route
-// configurations, load-tests a daemon on loopback, runs scenarios and simulations in virtual time, and inspects the state that
-// servers keep over restarts.
+// Command cataloguectl is the operators' command-line tool for catalogue servers. It inspects and replays captures, checks and
+// imports route configurations, load-tests a daemon over loopback, runs scenarios and simulations in virtual time, and inspects the
+// state that servers keep across restarts.
 //
-// A command's function builds the cobra command; its run method does the work, and print functions write the result as text, or the
-// printer as JSON.
+// Each new...Command function builds a cobra command. The run method of the command's options does the work. Print functions write
+// the result as text, and printer.encode writes it as JSON.
 package main
 
 import (
@@ -15,30 +15,31 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit statuses, which scripts may rely on.
+// Exit statuses. Scripts may rely on them.
 const (
-	statusOK      = 0
-	statusFound   = 1 // the command did its work and found what it looks for: damage, a difference, a violated invariant
-	statusUsage   = 2 // wrong arguments
-	statusNoInput = 3 // what it should read is missing or can't be read
+	statusOK           = 0
+	statusProblemFound = 1 // the command succeeded and found damage, a difference or a violated invariant
+	statusUsage        = 2 // wrong arguments
+	statusNoInput      = 3 // the input is missing or can't be read
 )
 
 const statusHelp = `
 Exit status: 0 success, 1 the command found damage, a difference or a violated invariant, 2 wrong arguments,
 3 the input is missing or can't be read.`
 
-// errFound ends a command that did its work with statusFound. What was found is printed already.
-var errFound = errors.New("found")
+// errProblemFound is returned by a command that succeeded and found a problem, which it has printed. The exit status is
+// statusProblemFound.
+var errProblemFound = errors.New("problem found")
 
-// inputError is an error whose cause is the input. It ends a command with statusNoInput.
+// inputError is an error caused by the input. The exit status is statusNoInput.
 type inputError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e inputError) Unwrap() error { return e.error }
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// execute runs one command line and returns its exit status.
+// execute runs a command line, without the program's name, and returns the exit status.
 func execute(args []string, stdout, stderr io.Writer) int {
 	root := newRootCommand()
 	root.SetArgs(args)
@@ -47,17 +48,18 @@
 	return exitStatus(root.Execute(), root.ErrOrStderr())
 }
 
-// newRootCommand builds the command tree. Commands that were renamed keep their old names as aliases, for scripts.
+// newRootCommand builds the command tree. Renamed commands keep their old names as aliases, because scripts use them.
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cataloguectl",
 		Short: "Inspect, replay, test and simulate catalogue servers",
-		Long: "cataloguectl inspects what a catalogue server recorded and keeps, replays it, and tests and simulates servers.\n" +
+		Long: "cataloguectl inspects and replays the captures of catalogue servers, inspects their stored state, and tests and\n" +
+			"simulates servers.\n" +
 			statusHelp,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.PersistentFlags().Bool("json", false, "print JSON, one object a line where there are many")
+	root.PersistentFlags().Bool("json", false, "print JSON, one object per line if there are several")
 	root.AddCommand(
 		newCaptureCommand(),
 		newReplayCommand(),
@@ -73,17 +75,18 @@
 	return root
 }
 
-// exitStatus prints an error, unless it was printed already, and returns the exit status that it stands for.
+// exitStatus returns the exit status for the error, which may be nil. It prints the error unless the command or the server has
+// printed it.
 func exitStatus(err error, stderr io.Writer) int {
 	var input inputError
-	var served serverExitError
+	var serverExit serverExitError
 	switch {
 	case err == nil:
 		return statusOK
-	case errors.Is(err, errFound):
-		return statusFound
-	case errors.As(err, &served):
-		return served.status // the server printed the reason
+	case errors.Is(err, errProblemFound):
+		return statusProblemFound
+	case errors.As(err, &serverExit):
+		return serverExit.status // the server printed the reason
 	case errors.As(err, &input):
 		fmt.Fprintln(stderr, err)
 		return statusNoInput
--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -10,39 +10,41 @@
 	"testing"
 )
 
-// testdata holds captures of real load tests.
-const testdata = "../../internal/replay/testdata/"
+// replayTestdata is a directory of captures that were recorded in load tests of a real server.
+const replayTestdata = "../../internal/replay/testdata/"
 
-// call runs a command line as the program does.
-func call(t *testing.T, args ...string) (status int, stdout, stderr string) {
+// runCommand runs a command line as the program does, and returns its exit status and output.
+func runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	var out, err bytes.Buffer
 	return execute(args, &out, &err), out.String(), err.String()
 }
 
-// damaged writes a copy of a capture with a bit flipped in its middle, and one that is truncated.
-func damaged(t *testing.T) (flipped, cut string) {
+// writeDamagedCaptures writes two damaged copies of a capture, one with a flipped bit in its middle and one that is truncated, and
+// returns their paths.
+func writeDamagedCaptures(t *testing.T) (flipped, truncated string) {
 	t.Helper()
-	b, err := os.ReadFile(testdata + "storm.capture")
+	b, err := os.ReadFile(replayTestdata + "storm.capture")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	flipped, cut = filepath.Join(dir, "flipped.capture"), filepath.Join(dir, "cut.capture")
-	if err := os.WriteFile(cut, b[:len(b)*3/4], 0o600); err != nil {
+	flipped, truncated = filepath.Join(dir, "flipped.capture"), filepath.Join(dir, "truncated.capture")
+	if err := os.WriteFile(truncated, b[:len(b)*3/4], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	b[len(b)/2] ^= 4
 	if err := os.WriteFile(flipped, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return flipped, cut
+	return flipped, truncated
 }
 
-// TestStatuses checks the exit status of each command, and the output that goes with it. Old verbs stand beside new ones.
+// TestStatuses checks the exit status of commands and a part of their output. It uses the names of earlier versions, which are aliases,
+// as well as the present ones.
 func TestStatuses(t *testing.T) {
-	flipped, cut := damaged(t)
-	storm, out := testdata+"storm.capture", filepath.Join(t.TempDir(), "x.capture")
+	flipped, truncated := writeDamagedCaptures(t)
+	recorded, out := replayTestdata+"storm.capture", filepath.Join(t.TempDir(), "x.capture")
 	results := filepath.Join(t.TempDir(), "small.results")
 	for _, c := range []struct {
 		args   string
@@ -59,29 +61,29 @@
 		{"rehearse hunt --seeds 2", 0, "2 days"},
 		{"state cost --rounds 0", 2, "more than 0"},
 		{"state serve --stall 2s --every 1s", 2, "want it to go on in between"},
-		{"capture info " + storm, 0, "5417 records"},
+		{"capture info " + recorded, 0, "5417 records"},
 		{"capture info " + flipped, 0, "checksum differs"},
-		{"capture verify " + storm, 0, "1 segments, 0 with flaws"},
+		{"capture verify " + recorded, 0, "1 segments, 0 damaged or incomplete"},
 		{"capture verify " + flipped, 1, "bytes at"},
-		{"capture verify " + cut, 1, "torn"},
+		{"capture verify " + truncated, 1, "torn"},
 		{"capture verify /nowhere", 3, "no such file"},
 		{"capture verify main.go", 3, "not a capture"},
 		{"capture verify", 2, "requires at least 1 arg"},
-		{"capture cat --kind remark " + storm, 0, "configuration reloaded"},
-		{"capture cat --kind sepia " + storm, 2, "sepia"},
-		{"capture stats " + storm, 0, "stock-reserve"},
-		{"replay " + storm, 0, "every decision that was replayed is the recorded one"},
-		{"replay " + flipped, 1, "events behind damaged parts were skipped"},
-		{"replay --set cores=8 " + storm, 0, "tries end otherwise"},
-		{"replay --set cores=many " + storm, 2, "setting cores=many"},
-		{"explain #7 " + storm, 0, "was read at"},
-		{"explain 0123456789abcdef " + storm, 3, "not in the capture"},
-		{"explain 1s " + storm, 0, "Decided within"},
-		{"explain yesterday " + storm, 2, "no Request-Id, key, #number or time"},
-		{"capture cut " + storm + " --around #900 -o " + out, 0, "records over"},
-		{"capture cut " + storm + " --around #900 -o " + out, 3, "file exists"},
-		{"capture shrink " + storm + " --keep jam:1h -o " + out + "2", 1, "does not hold"},
-		{"capture shrink " + storm + " --keep sepia -o " + out + "2", 2, "want refused:ID"},
+		{"capture cat --kind remark " + recorded, 0, "configuration reloaded"},
+		{"capture cat --kind nonexistent " + recorded, 2, "nonexistent"},
+		{"capture stats " + recorded, 0, "stock-reserve"},
+		{"replay " + recorded, 0, "all replayed decisions match the recorded ones"},
+		{"replay " + flipped, 1, "events after damaged parts were skipped"},
+		{"replay --set cores=8 " + recorded, 0, "attempts have a different outcome"},
+		{"replay --set cores=many " + recorded, 2, "setting cores=many"},
+		{"explain #7 " + recorded, 0, "was read at"},
+		{"explain 0123456789abcdef " + recorded, 3, "not in the capture"},
+		{"explain 1s " + recorded, 0, "Decisions within"},
+		{"explain yesterday " + recorded, 2, "is not a Request-Id, key, #number or time"},
+		{"capture cut " + recorded + " --around #900 -o " + out, 0, "records over"},
+		{"capture cut " + recorded + " --around #900 -o " + out, 3, "file exists"},
+		{"capture shrink " + recorded + " --keep jam:1h -o " + out + "2", 1, "does not hold"},
+		{"capture shrink " + recorded + " --keep nonexistent -o " + out + "2", 2, "want refused:ID"},
 		{"config check testdata/routes.sexp", 0, "1 servers, 1 pools with 2 members, 1 classes"},
 		{"config show testdata/routes.sexp", 0, "(member 127.0.0.1:9001 (weight 2))"},
 		{"config check testdata/shop.conf", 3, "testdata/shop.conf:1:1: found #, want a form in parentheses"},
@@ -125,27 +127,27 @@
 		{"storm cost --rounds 0", 2, "more than 0"},
 		{"sepia", 2, "unknown command"},
 	} {
-		status, stdout, stderr := call(t, strings.Fields(c.args)...)
+		status, stdout, stderr := runCommand(t, strings.Fields(c.args)...)
 		if status != c.status || !strings.Contains(stdout+stderr, c.text) {
 			t.Errorf("%s: status %d, want %d and %q: %s%s", c.args, status, c.status, c.text, stdout, stderr)
 		}
 		if status > 1 && strings.Count(stderr, "\n") != 1 {
-			t.Errorf("%s: told in more than one line: %q", c.args, stderr)
+			t.Errorf("%s: error output %q, want one line", c.args, stderr)
 		}
 	}
 }
 
-// TestJSON checks that commands print JSON and nothing else with --json.
+// TestJSON checks that commands with --json print JSON and nothing else.
 func TestJSON(t *testing.T) {
-	storm := testdata + "storm.capture"
+	recorded := replayTestdata + "storm.capture"
 	for _, args := range []string{"capture info", "capture verify", "capture cat --kind refuse", "capture stats", "replay",
 		"replay --set cores=8", "explain #7", "explain 1s"} {
-		_, stdout, stderr := call(t, append(strings.Fields(args), storm, "--json")...)
+		_, stdout, stderr := runCommand(t, append(strings.Fields(args), recorded, "--json")...)
 		d := json.NewDecoder(strings.NewReader(stdout))
 		for n := 0; d.More() || n == 0; n++ {
 			var v map[string]any
 			if err := d.Decode(&v); err != nil || len(v) == 0 || stderr != "" {
-				t.Errorf("%s: object %d: %v, %s", args, n, err, stderr)
+				t.Errorf("%s: object %d: error %v, stderr %q, want a non-empty object and empty stderr", args, n, err, stderr)
 				break
 			}
 		}
@@ -160,7 +162,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	args := []string{"load", "--daemon", daemon, "--requests", "400", "--capture", filepath.Join(dir, "c"), "--json"}
-	status, stdout, stderr := call(t, args...)
+	status, stdout, stderr := runCommand(t, args...)
 	var r struct {
 		Served, Refused, Failed, Lost, Tries, Exit int
 		Breaches                                   []string
@@ -171,7 +173,7 @@
 	if r.Served == 0 || r.Served+r.Refused+r.Failed+r.Lost != r.Tries || len(r.Breaches) > 0 || r.Exit != 0 {
 		t.Errorf("result %+v", r)
 	}
-	if status, stdout, _ := call(t, "replay", filepath.Join(dir, "c")); status != 0 {
+	if status, stdout, _ := runCommand(t, "replay", filepath.Join(dir, "c")); status != 0 {
 		t.Errorf("the replay: %s", stdout)
 	}
 }
--- a/cmd/cataloguectl/output.go
+++ b/cmd/cataloguectl/output.go
@@ -11,33 +11,33 @@
 	"github.com/spf13/cobra"
 )
 
-// printer writes a command's result, as text or as JSON.
+// printer writes the result of a command as text or as JSON.
 type printer struct {
 	cmd    *cobra.Command
 	asJSON bool
 }
 
-// newPrinter returns the printer that the command's flags ask for.
+// newPrinter returns a printer for the command. It prints JSON if the flag --json is set.
 func newPrinter(cmd *cobra.Command) printer {
 	asJSON, err := cmd.Flags().GetBool("json")
 	return printer{cmd: cmd, asJSON: err == nil && asJSON}
 }
 
-// linef prints a line of text, unless JSON is wanted.
+// linef prints a line of text. It prints nothing in JSON mode.
 func (p printer) linef(format string, args ...any) {
 	if !p.asJSON {
 		fmt.Fprintf(p.cmd.OutOrStdout(), format+"\n", args...)
 	}
 }
 
-// text prints text as it is, unless JSON is wanted.
+// text prints text without formatting it or adding a newline. It prints nothing in JSON mode.
 func (p printer) text(s string) {
 	if !p.asJSON {
 		fmt.Fprint(p.cmd.OutOrStdout(), s)
 	}
 }
 
-// encode prints a value as one line of JSON, if JSON is wanted.
+// encode prints a value as one line of JSON. It prints nothing in text mode.
 func (p printer) encode(v any) error {
 	if !p.asJSON {
 		return nil
@@ -45,20 +45,20 @@
 	return json.NewEncoder(p.cmd.OutOrStdout()).Encode(v)
 }
 
-// warnf prints a line on standard error.
+// warnf prints a line to standard error in both modes.
 func (p printer) warnf(format string, args ...any) {
 	fmt.Fprintf(p.cmd.ErrOrStderr(), format+"\n", args...)
 }
 
-// foundIf returns errFound if the condition holds.
-func foundIf(isFound bool) error {
+// problemFoundIf returns errProblemFound if a problem was found, and nil otherwise.
+func problemFoundIf(isFound bool) error {
 	if isFound {
-		return errFound
+		return errProblemFound
 	}
 	return nil
 }
 
-// writeFile creates a file and writes it.
+// writeFile creates or truncates a file, calls write with it and closes it.
 func writeFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return errors.Join(write(f), f.Close())
 }
 
-// writeOutput is writeFile for a path from the command line: if that fails, the input is wrong.
+// writeOutput is like writeFile for a path from the command line: it returns errors as an inputError.
 func writeOutput(path string, write func(io.Writer) error) error {
 	if err := writeFile(path, write); err != nil {
 		return inputError{err}
@@ -75,5 +75,5 @@
 	return nil
 }
 
-// formatFixed formats a figure of a table with a number of decimals.
+// formatFixed formats a number with the given number of decimals.
 func formatFixed(v float64, decimals int) string { return strconv.FormatFloat(v, 'f', decimals, 64) }
--- a/cmd/cataloguectl/progress.go
+++ b/cmd/cataloguectl/progress.go
@@ -12,11 +12,12 @@
 	"golang.org/x/term"
 )
 
-// daemonProgram is the daemon's file, which lies beside this program's.
+// daemonProgram is the file name of the daemon's executable, which is in the directory of this program's executable.
 const daemonProgram = "catalogue-server"
 
-// newProgress returns a function that draws a bar with the time left, or nil if standard error is no terminal.
-func newProgress(unit string, total int) func(done, of int) {
+// newProgressBar returns a function that draws a progress bar with the estimated remaining time. It returns nil if standard error is
+// not a terminal.
+func newProgressBar(unit string, total int) func(done, of int) {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		return nil
 	}
@@ -28,17 +29,17 @@
 		progressbar.OptionClearOnFinish(),
 	)
 	return func(done, _ int) {
-		bar.Set(done) // the error is ignored: a bar that can't be drawn is no reason to stop
+		bar.Set(done) // ignore the error: the command must not fail because a bar can't be drawn
 	}
 }
 
-// interruptible returns a context that ends with the first SIGINT or SIGTERM.
-func interruptible(cmd *cobra.Command) (context.Context, context.CancelFunc) {
+// interruptibleContext returns a context that is cancelled by the first SIGINT or SIGTERM.
+func interruptibleContext(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 }
 
-// findDaemon sets an empty path to the daemon that lies beside this program.
-func findDaemon(path *string) error {
+// setDefaultDaemon sets an empty path to the path of the daemon in the directory of this program.
+func setDefaultDaemon(path *string) error {
 	if *path != "" {
 		return nil
 	}
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// addDaemonFlag adds the flag that findDaemon completes.
+// addDaemonFlag adds the flag for the path of the daemon. The command must pass the path to setDefaultDaemon.
 func addDaemonFlag(cmd *cobra.Command, path *string) {
-	cmd.Flags().StringVar(path, "daemon", "", "the daemon's program; the catalogue-server beside this one if empty")
+	cmd.Flags().StringVar(path, "daemon", "", "path of the daemon; if empty, catalogue-server in the directory of this program")
 }
--- a/cmd/cataloguectl/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -17,7 +17,7 @@
 // replayOptions are the flags of replay.
 type replayOptions struct {
 	fresh   bool
-	changes []string // of settings
+	changes []string // NAME=VALUE of changed settings
 	write   string
 	against string
 }
@@ -27,23 +27,23 @@
 	cmd := &cobra.Command{
 		Use:   "replay CAPTURE...",
 		Short: "Replay captures to the decision module and compare every action",
-		Long: "replay feeds what was recorded to this program's decision module, in virtual time and as fast as the machine\n" +
-			"can, and compares every action with the recorded one.\n\n" +
-			"With --set, --write or --against it simulates what would have happened instead: requests arrive as recorded, runs\n" +
-			"take as long as recorded, and callers do not react to other answers. --set changes settings\n" +
-			"(cores=4, quota.northern=40, aim.part-lookup=1s; an unknown name lists those that exist), --write writes this build's\n" +
-			"outcomes to a file, and --against compares this build with such a file of another one." + statusHelp,
+		Long: "replay passes the recorded events to this program's decision module, in virtual time and as fast as possible, and\n" +
+			"compares every action with the recorded one.\n\n" +
+			"With --set, --write or --against it simulates other decisions instead: requests arrive as recorded, runs take as\n" +
+			"long as recorded, and callers do not react to changed answers. --set changes settings (cores=4, quota.northern=40,\n" +
+			"aim.part-lookup=1s; the error for an unknown name lists the known names). --write writes the outcomes of this build\n" +
+			"to a file. --against compares the outcomes of this build with such a file from another build." + statusHelp,
 		Example: "  cataloguectl replay /var/lib/tillerusher/capture\n" +
-			"  cataloguectl replay --fresh DIR   # from every segment's snapshot\n" +
+			"  cataloguectl replay --fresh DIR   # restart at the snapshot of each segment\n" +
 			"  cataloguectl replay DIR --set quota.northern=40\n" +
 			"  old/cataloguectl replay DIR --write old.json; new/cataloguectl replay DIR --against old.json",
 		Args: cobra.MinimumNArgs(1),
 		RunE: withCaptures(opts.run),
 	}
-	cmd.Flags().BoolVar(&opts.fresh, "fresh", false, "begin each segment from its own snapshot")
-	cmd.Flags().StringArrayVar(&opts.changes, "set", nil, "NAME=VALUE of a setting to be changed; may be given again")
-	cmd.Flags().StringVar(&opts.write, "write", "", "file for the outcome of every request")
-	cmd.Flags().StringVar(&opts.against, "against", "", "file that another build wrote with --write")
+	cmd.Flags().BoolVar(&opts.fresh, "fresh", false, "start each segment from its own snapshot")
+	cmd.Flags().StringArrayVar(&opts.changes, "set", nil, "NAME=VALUE of a setting to change; may be repeated")
+	cmd.Flags().StringVar(&opts.write, "write", "", "output file for the outcome of every attempt")
+	cmd.Flags().StringVar(&opts.against, "against", "", "file of outcomes that another build wrote with --write")
 	return cmd
 }
 
@@ -64,20 +64,20 @@
 	printReplay(out, result, time.Since(startedAt))
 	damaged := printDamage(out, segments)
 	if result.Skipped > 0 {
-		out.linef("%d events behind damaged parts were skipped", result.Skipped)
+		out.linef("%d events after damaged parts were skipped", result.Skipped)
 	}
 	printDifference(out, result.FirstDifference)
 	if err := out.encode(result); err != nil {
 		return err
 	}
-	return foundIf(result.FirstDifference != nil || damaged > 0)
+	return problemFoundIf(result.FirstDifference != nil || damaged > 0)
 }
 
-// printReplay prints what was replayed and how fast.
+// printReplay prints counts of the replayed records and the speed of the replay.
 func printReplay(out printer, result *replay.Result, took time.Duration) {
-	out.linef("%d segments, %d records, %d events, %d actions: %d requests, %d runs, %d refused, %d failed", result.Segments,
+	out.linef("%d segments, %d records, %d events, %d actions: %d requests, %d runs, %d rejected, %d failed", result.Segments,
 		result.Records, result.Events, result.Actions, result.Requests, result.Runs, result.Rejected, result.Failed)
-	out.linef("%v of the server's time in %v: %.0f events/s, %.0f times as fast", result.Duration.Round(time.Millisecond),
+	out.linef("replayed %v of server time in %v: %.0f events/s, %.0f times real time", result.Duration.Round(time.Millisecond),
 		took.Round(time.Millisecond), float64(result.Events)/took.Seconds(), result.Duration.Seconds()/took.Seconds())
 }
 
@@ -96,17 +96,18 @@
 // printDifference prints the first action that differs from the recorded one, with the module's state before it.
 func printDifference(out printer, d *replay.Difference) {
 	if d == nil {
-		out.linef("every decision that was replayed is the recorded one")
+		out.linef("all replayed decisions match the recorded ones")
 		return
 	}
 	out.linef("the decisions differ: %v", d)
-	out.linef("before it:")
+	out.linef("module state before it:")
 	for _, line := range replay.DescribeState(&d.StateBefore) {
 		out.linef("  %s", line)
 	}
 }
 
-// simulate replays the recorded arrivals with changed settings or another build, and compares the outcomes of requests.
+// simulate replays the recorded arrivals to this build, with changed settings if there are any. It writes the outcomes if that is
+// wanted, and compares them with the baseline if there is one.
 func (o *replayOptions) simulate(out printer, segments []*capture.Segment) error {
 	meta := segments[0].Meta
 	changes, err := replay.ParseSettingChanges(o.changes)
@@ -130,7 +131,7 @@
 		}
 	}
 	if before == nil {
-		out.linef("%d outcomes are in %s", len(after), o.write)
+		out.linef("wrote %d outcomes to %s", len(after), o.write)
 		return nil
 	}
 	comparison := replay.Compare(before, after, meta, settings.Classes)
@@ -138,7 +139,8 @@
 	return out.encode(comparison)
 }
 
-// baseline returns the outcomes to compare with: the other build's, or this one's without changes. Without either it is nil.
+// baseline returns the outcomes to compare with: those of the other build with --against, those of this build without changes with
+// --set, and otherwise nil.
 func (o *replayOptions) baseline(segments []*capture.Segment, meta capture.Meta) ([]*replay.Attempt, error) {
 	if o.against != "" {
 		return readAttempts(o.against, meta)
@@ -154,13 +156,13 @@
 // printComparison prints the attempts whose outcome changed, and the counts by class and tenant.
 func printComparison(out printer, comparison replay.Comparison, attempts int) {
 	for _, change := range comparison.Changes {
-		out.linef("%12v  %s (#%d)  %s, now %s", change.At.Round(time.Millisecond), change.WireID, change.ID, change.From, change.To)
+		out.linef("%12v  %s (#%d)  %s -> %s", change.At.Round(time.Millisecond), change.WireID, change.ID, change.From, change.To)
 	}
-	out.linef("%d of %d tries end otherwise", len(comparison.Changes), attempts)
-	out.linef("%-16s %-12s %7s  %15s  %15s  %15s  %15s", "class", "tenant", "tries", "served", "on time", "refused", "failed")
+	out.linef("%d of %d attempts have a different outcome", len(comparison.Changes), attempts)
+	out.linef("%-16s %-12s %8s  %15s  %15s  %15s  %15s", "class", "tenant", "attempts", "served", "on time", "rejected", "failed")
 	for n := range min(len(comparison.Before), len(comparison.After)) {
 		before, after := comparison.Before[n], comparison.After[n]
-		out.linef("%-16s %-12s %7d  %15s  %15s  %15s  %15s", after.Class, after.Tenant, after.Attempts,
+		out.linef("%-16s %-12s %8d  %15s  %15s  %15s  %15s", after.Class, after.Tenant, after.Attempts,
 			formatChange(before.Served, after.Served),
 			formatChange(before.OnTime, after.OnTime),
 			formatChange(before.Rejected, after.Rejected),
@@ -168,7 +170,7 @@
 	}
 }
 
-// formatChange formats a count that may have changed.
+// formatChange formats a count, or both counts if they differ.
 func formatChange(before, after int) string {
 	if before == after {
 		return fmt.Sprint(after)
@@ -176,7 +178,7 @@
 	return fmt.Sprintf("%d -> %d", before, after)
 }
 
-// readAttempts reads outcomes that another build wrote of the same capture.
+// readAttempts reads the outcomes that another build wrote for the same capture.
 func readAttempts(path string, meta capture.Meta) ([]*replay.Attempt, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -190,7 +192,7 @@
 	return attempts, nil
 }
 
-// writeAttempts writes outcomes for another build.
+// writeAttempts writes outcomes to a file that another build can compare with.
 func writeAttempts(path string, meta capture.Meta, attempts []*replay.Attempt) error {
 	return writeFile(path, func(w io.Writer) error { return replay.WriteAttempts(w, meta, attempts) })
 }
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -27,7 +27,7 @@
 // retriesOptions are the flags of retries simulate.
 type retriesOptions struct {
 	config  retrysim.Config
-	picture string
+	svgPath string
 }
 
 func newRetriesSimulateCommand() *cobra.Command {
@@ -49,7 +49,7 @@
 	flags.Float64Var(&opts.config.BudgetShare, "share", opts.config.BudgetShare,
 		"retries that the budget allows, as a share of first attempts")
 	flags.Uint64Var(&opts.config.Seed, "seed", opts.config.Seed, "seed of all random numbers")
-	flags.StringVar(&opts.picture, "output", "", "file for a picture (SVG)")
+	flags.StringVar(&opts.svgPath, "output", "", "file for a picture (SVG)")
 	return cmd
 }
 
@@ -84,8 +84,8 @@
 		chart.Series = append(chart.Series, loadSeries(variant.name, samples))
 		printOutage(out, variant.name, samples, cfg)
 	}
-	if o.picture != "" {
-		if err := writeOutput(o.picture, chart.SVG); err != nil {
+	if o.svgPath != "" {
+		if err := writeOutput(o.svgPath, chart.SVG); err != nil {
 			return err
 		}
 	}
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -56,8 +56,8 @@
 
 // scenarioRunOptions are the flags of scenario run.
 type scenarioRunOptions struct {
-	seed uint64
-	page string
+	seed     uint64
+	htmlPath string
 }
 
 func newScenarioRunCommand() *cobra.Command {
@@ -75,10 +75,10 @@
 				return inputError{err}
 			}
 			repeat := fmt.Sprintf("cataloguectl scenario run %s --seed %d", args[0], opts.seed)
-			return runScenario(newPrinter(cmd), s, opts.seed, repeat, opts.page)
+			return runScenario(newPrinter(cmd), s, opts.seed, repeat, opts.htmlPath)
 		},
 	}
-	cmd.Flags().StringVar(&opts.page, "page", "", "file for a page (HTML) with the figures and charts over time")
+	cmd.Flags().StringVar(&opts.htmlPath, "page", "", "file for a page (HTML) with the figures and charts over time")
 	cmd.Flags().Uint64Var(&opts.seed, "seed", opts.seed, "seed of all random numbers")
 	return cmd
 }
@@ -103,7 +103,7 @@
 	if err := out.encode(result); err != nil {
 		return err
 	}
-	return foundIf(isBad)
+	return problemFoundIf(isBad)
 }
 
 // printReport prints a scenario's report.
@@ -168,7 +168,7 @@
 func (o *scenarioExploreOptions) run(cmd *cobra.Command) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), o.duration)
 	defer cancel()
-	o.config.Progress = newProgress("seeds", o.config.Seeds)
+	o.config.Progress = newProgressBar("seeds", o.config.Seeds)
 	result, err := scenario.Explore(ctx, o.config)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	if err := out.encode(result); err != nil {
 		return err
 	}
-	return foundIf(len(result.Findings) > 0)
+	return problemFoundIf(len(result.Findings) > 0)
 }
 
 // printExploration prints the sums and the findings of an exploration.
--- a/cmd/cataloguectl/simulate_calibrate.go
+++ b/cmd/cataloguectl/simulate_calibrate.go
@@ -42,12 +42,12 @@
 	if o.length < time.Second || o.seeds < 1 || o.parallel < 1 {
 		return errors.New("for, seeds and at-once must be at least 1s, 1 and 1")
 	}
-	if err := findDaemon(&o.daemon); err != nil {
+	if err := setDefaultDaemon(&o.daemon); err != nil {
 		return err
 	}
-	ctx, stop := interruptible(cmd)
+	ctx, stop := interruptibleContext(cmd)
 	defer stop()
-	progress := newProgress("worlds", len(calibration.Cases()))
+	progress := newProgressBar("worlds", len(calibration.Cases()))
 	rows, err := calibration.Compare(ctx, o.daemon, o.length, o.seeds, o.parallel, progress)
 	if err != nil {
 		return inputError{err}
@@ -63,5 +63,5 @@
 			return err
 		}
 	}
-	return foundIf(hasDeviation)
+	return problemFoundIf(hasDeviation)
 }
--- a/cmd/cataloguectl/simulate_results.go
+++ b/cmd/cataloguectl/simulate_results.go
@@ -14,8 +14,8 @@
 	"tillerusher/internal/report"
 )
 
-// byHelp is the help of the flag that groups results.
-const byHelp = "what to group by: a variable, or \"day\" for the kind of workload"
+// groupByHelp is the help of the flag that groups results.
+const groupByHelp = "what to group by: a variable, or \"day\" for the kind of workload"
 
 // withResults adapts a function to a command whose argument is a file of results.
 func withResults(run func(out printer, results *experiment.Results) error) func(*cobra.Command, []string) error {
@@ -45,7 +45,7 @@
 		RunE:    withResults(opts.run),
 	}
 	cmd.Flags().StringSliceVar(&opts.measures, "measure", []string{"g"}, "measures")
-	cmd.Flags().StringVar(&opts.by, "by", "", byHelp)
+	cmd.Flags().StringVar(&opts.by, "by", "", groupByHelp)
 	return cmd
 }
 
@@ -89,7 +89,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringSliceVar(&opts.measures, "measure", []string{"g"}, "measures")
-	flags.StringVar(&opts.by, "by", "", byHelp)
+	flags.StringVar(&opts.by, "by", "", groupByHelp)
 	flags.StringVar(&opts.policy, "a", "module", "the policy")
 	flags.StringVar(&opts.baseline, "b", "codel", "the policy to compare it with")
 	flags.IntVar(&opts.worstRuns, "worst", 0, "print the runs in which the first policy does worst, and what they have in common")
--- a/cmd/cataloguectl/simulate_run.go
+++ b/cmd/cataloguectl/simulate_run.go
@@ -16,14 +16,14 @@
 
 // simulateRunOptions are the flags of simulate run.
 type simulateRunOptions struct {
-	policies []string
-	seed     uint64
-	load     float64
-	kind     string // of a generated workload
-	number   uint64 // of that kind
-	page     string
-	picture  string
-	table    string
+	policies       []string
+	seed           uint64
+	load           float64
+	workloadKind   string // of a generated workload
+	workloadNumber uint64 // of that kind
+	htmlPath       string
+	svgPath        string
+	csvPath        string
 }
 
 func newSimulateRunCommand() *cobra.Command {
@@ -42,11 +42,11 @@
 	flags.StringSliceVar(&opts.policies, "policy", []string{"module"}, "policies, of "+strings.Join(experiment.PolicyNames(), ", "))
 	flags.Uint64Var(&opts.seed, "seed", 1, "seed of all random numbers")
 	flags.Float64Var(&opts.load, "load", 0, "offered load as a share of the cluster's capacity; the workload's own if 0")
-	flags.StringVar(&opts.kind, "day", "", "kind of a generated workload: quiet, rough, overload, big or storm")
-	flags.Uint64Var(&opts.number, "number", 1, "which workload of that kind")
-	flags.StringVar(&opts.page, "html", "", "file for a page with pictures")
-	flags.StringVar(&opts.picture, "svg", "", "file for a picture of the served share over time")
-	flags.StringVar(&opts.table, "csv", "", "file for the figures of each second")
+	flags.StringVar(&opts.workloadKind, "day", "", "kind of a generated workload: quiet, rough, overload, big or storm")
+	flags.Uint64Var(&opts.workloadNumber, "number", 1, "which workload of that kind")
+	flags.StringVar(&opts.htmlPath, "html", "", "file for a page with pictures")
+	flags.StringVar(&opts.svgPath, "svg", "", "file for a picture of the served share over time")
+	flags.StringVar(&opts.csvPath, "csv", "", "file for the figures of each second")
 	return cmd
 }
 
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible(cmd)
+	ctx, stop := interruptibleContext(cmd)
 	defer stop()
 	results, err := o.simulate(ctx, newPrinter(cmd), cfg)
 	if err != nil {
@@ -65,14 +65,14 @@
 		return err
 	}
 	hasViolation := func(r *clustersim.Result) bool { return len(r.ViolationMessages) > 0 }
-	return foundIf(slices.ContainsFunc(results, hasViolation))
+	return problemFoundIf(slices.ContainsFunc(results, hasViolation))
 }
 
 // clusterConfig returns the cluster and workload that the arguments name, or the default.
 func (o *simulateRunOptions) clusterConfig(args []string) (clustersim.Config, error) {
 	cfg := clustersim.DefaultConfig()
 	switch {
-	case len(args) == 1 && o.kind != "":
+	case len(args) == 1 && o.workloadKind != "":
 		return cfg, errors.New("a file and --day are two worlds: want one of them")
 	case len(args) == 1:
 		e, err := experiment.Load(args[0])
@@ -82,12 +82,12 @@
 		if cfg, err = e.FirstConfig(); err != nil {
 			return cfg, inputError{err}
 		}
-	case o.kind != "":
-		kind := clustersim.WorkloadKind(o.kind)
+	case o.workloadKind != "":
+		kind := clustersim.WorkloadKind(o.workloadKind)
 		if !slices.Contains(clustersim.WorkloadKinds(), kind) {
-			return cfg, fmt.Errorf("no kind of day is called %q, want one of %v", o.kind, clustersim.WorkloadKinds())
+			return cfg, fmt.Errorf("no kind of day is called %q, want one of %v", o.workloadKind, clustersim.WorkloadKinds())
 		}
-		cfg = clustersim.GenerateConfig(kind, o.number)
+		cfg = clustersim.GenerateConfig(kind, o.workloadNumber)
 	}
 	if o.load > 0 {
 		cfg.SetLoad(o.load)
@@ -126,19 +126,19 @@
 // writeFiles writes the page, the table and the picture that are wanted.
 func (o *simulateRunOptions) writeFiles(cfg clustersim.Config, results []*clustersim.Result) error {
 	page := simulationPage{cfg, o.policies, results}
-	if o.page != "" {
-		if err := writeOutput(o.page, page.build().HTML); err != nil {
+	if o.htmlPath != "" {
+		if err := writeOutput(o.htmlPath, page.build().HTML); err != nil {
 			return err
 		}
 	}
-	if o.table != "" {
+	if o.csvPath != "" {
 		writeTable := func(w io.Writer) error { return writeTimeline(w, o.policies, results) }
-		if err := writeOutput(o.table, writeTable); err != nil {
+		if err := writeOutput(o.csvPath, writeTable); err != nil {
 			return err
 		}
 	}
-	if o.picture != "" {
-		return writeOutput(o.picture, page.shareChart().SVG)
+	if o.svgPath != "" {
+		return writeOutput(o.svgPath, page.shareChart().SVG)
 	}
 	return nil
 }
--- a/cmd/cataloguectl/simulate_search.go
+++ b/cmd/cataloguectl/simulate_search.go
@@ -14,9 +14,9 @@
 
 // simulateSearchOptions are the flags of simulate search.
 type simulateSearchOptions struct {
-	search experiment.Exploration
-	cases  int
-	dir    string
+	search        experiment.Exploration
+	printedPoints int
+	outputDir     string
 }
 
 func newSimulateSearchCommand() *cobra.Command {
@@ -38,8 +38,8 @@
 	flags.IntVar(&opts.search.Rounds, "rounds", opts.search.Rounds, "rounds of the search")
 	flags.IntVar(&opts.search.PointsPerRound, "size", opts.search.PointsPerRound, "points a round")
 	flags.Uint64Var(&opts.search.Seed, "seed", opts.search.Seed, "seed of the search")
-	flags.IntVar(&opts.cases, "cases", 5, "how many of the worst points are printed")
-	flags.StringVar(&opts.dir, "dir", "", "directory in which they are written as experiments")
+	flags.IntVar(&opts.printedPoints, "cases", 5, "how many of the worst points are printed")
+	flags.StringVar(&opts.outputDir, "dir", "", "directory in which they are written as experiments")
 	return cmd
 }
 
@@ -56,28 +56,28 @@
 	if err != nil {
 		return inputError{err}
 	}
-	ctx, stop := interruptible(cmd)
+	ctx, stop := interruptibleContext(cmd)
 	defer stop()
-	candidates, err := exp.Explore(ctx, o.search, newProgress("rounds", o.search.Rounds))
+	candidates, err := exp.Explore(ctx, o.search, newProgressBar("rounds", o.search.Rounds))
 	if err != nil {
 		return inputError{err}
 	}
 	out := newPrinter(cmd)
-	for n, candidate := range candidates[:min(o.cases, len(candidates))] {
+	for n, candidate := range candidates[:min(o.printedPoints, len(candidates))] {
 		out.linef("score %.4f at %s", candidate.Score, formatValues(candidate.Values))
 		if err := out.encode(candidate); err != nil {
 			return err
 		}
-		if err := o.writeCase(exp, n+1, candidate); err != nil {
+		if err := o.writeExperiment(exp, n+1, candidate); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeCase writes a point as an experiment, if a directory is given.
-func (o *simulateSearchOptions) writeCase(exp *experiment.Experiment, number int, candidate experiment.Candidate) error {
-	if o.dir == "" {
+// writeExperiment writes a point as an experiment, if a directory is given.
+func (o *simulateSearchOptions) writeExperiment(exp *experiment.Experiment, number int, candidate experiment.Candidate) error {
+	if o.outputDir == "" {
 		return nil
 	}
 	policies := []string{o.search.Policy}
@@ -86,7 +86,7 @@
 	}
 	name := fmt.Sprintf("worst-%d", number)
 	text := exp.FormatCandidate(name, exp.ConfigForm(), candidate, policies)
-	return writeOutput(filepath.Join(o.dir, name+".sexp"), func(w io.Writer) error {
+	return writeOutput(filepath.Join(o.outputDir, name+".sexp"), func(w io.Writer) error {
 		_, err := io.WriteString(w, text)
 		return err
 	})
--- a/cmd/cataloguectl/simulate_sweep.go
+++ b/cmd/cataloguectl/simulate_sweep.go
@@ -47,9 +47,9 @@
 	if err != nil {
 		return inputError{err}
 	}
-	ctx, stop := interruptible(cmd)
+	ctx, stop := interruptibleContext(cmd)
 	defer stop()
-	if err := experiment.Run(ctx, exp, output, o.workers, newProgress("runs", len(plan))); err != nil {
+	if err := experiment.Run(ctx, exp, output, o.workers, newProgressBar("runs", len(plan))); err != nil {
 		return inputError{err}
 	}
 	results, err := experiment.ReadResults(output)
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -41,7 +41,7 @@
 // The modes in which withStore opens a directory.
 const (
 	readOnly  = true
-	writeable = false
+	readWrite = false
 )
 
 // withStore adapts a function to a command whose argument is a state directory.
@@ -153,7 +153,7 @@
 	if err := out.encode(result); err != nil {
 		return err
 	}
-	return foundIf(len(result.Bad) > 0)
+	return problemFoundIf(len(result.Bad) > 0)
 }
 
 func newStateDumpCommand() *cobra.Command {
--- a/cmd/cataloguectl/state_cost.go
+++ b/cmd/cataloguectl/state_cost.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	o.config.Daemon = self // it runs as the server by state serve
-	o.config.Progress = newProgress("rounds", 3*o.config.Rounds)
+	o.config.Progress = newProgressBar("rounds", 3*o.config.Rounds)
 	result, err := loadtest.MeasureStateCost(cmd.Context(), o.config)
 	if err != nil {
 		return inputError{err}
--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -11,7 +11,7 @@
 // stateRecoveryOptions are the flags of state recovery.
 type stateRecoveryOptions struct {
 	config  loadtest.RecoveryConfig
-	picture string
+	svgPath string
 }
 
 func newStateRecoveryCommand() *cobra.Command {
@@ -37,7 +37,7 @@
 	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of the first pair")
 	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "maximum number of attempts of one request")
-	flags.StringVar(&opts.picture, "picture", "", "file for a picture (SVG) of the share over time")
+	flags.StringVar(&opts.svgPath, "picture", "", "file for a picture (SVG) of the share over time")
 	return cmd
 }
 
@@ -45,11 +45,11 @@
 	if err := o.config.Validate(); err != nil {
 		return err
 	}
-	if err := findDaemon(&o.config.Daemon); err != nil {
+	if err := setDefaultDaemon(&o.config.Daemon); err != nil {
 		return err
 	}
 	o.config.Args = []string{"serve"}
-	o.config.Progress = newProgress("storms", 2*o.config.Pairs)
+	o.config.Progress = newProgressBar("storms", 2*o.config.Pairs)
 	recoveries, err := loadtest.MeasureRecovery(cmd.Context(), o.config)
 	if err != nil {
 		return inputError{err}
@@ -57,15 +57,15 @@
 	out := newPrinter(cmd)
 	violations := printRecoveries(out, recoveries)
 	printDifferences(out, recoveries)
-	if o.picture != "" {
-		if err := writeFile(o.picture, recoveryChart(recoveries).SVG); err != nil {
+	if o.svgPath != "" {
+		if err := writeFile(o.svgPath, recoveryChart(recoveries).SVG); err != nil {
 			return err
 		}
 	}
 	if err := out.encode(recoveries); err != nil {
 		return err
 	}
-	return foundIf(violations > 0)
+	return problemFoundIf(violations > 0)
 }
 
 // recoveryName returns what a restart is called in texts and pictures.
--- a/cmd/cataloguectl/state_remove.go
+++ b/cmd/cataloguectl/state_remove.go
@@ -17,7 +17,7 @@
 		Long: "repair removes the records that verify names. Duplicates of their requests may run again: that is why a server\n" +
 			"leaves them in place and says so, and does not do this by itself." + statusHelp,
 		Args: cobra.ExactArgs(1),
-		RunE: withStore(writeable, recordRemoval{isUnreadable, "that could not be read are removed"}.run),
+		RunE: withStore(readWrite, recordRemoval{isUnreadable, "that could not be read are removed"}.run),
 	}
 }
 
@@ -29,7 +29,7 @@
 		Long: "expire removes what no duplicate can ask for any more; a server does so by itself, a second after the window has\n" +
 			"passed." + statusHelp,
 		Args: cobra.ExactArgs(1),
-		RunE: withStore(writeable, recordRemoval{hasExpired, "whose window has passed are removed"}.run),
+		RunE: withStore(readWrite, recordRemoval{hasExpired, "whose window has passed are removed"}.run),
 	}
 }
 
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _, stderr := call(t, "state", "info", dir); status != 3 || !strings.Contains(stderr, "another process uses the state directory") {
+	if status, _, stderr := runCommand(t, "state", "info", dir); status != 3 || !strings.Contains(stderr, "another process uses the state directory") {
 		t.Errorf("a state directory in use: status %d, %s", status, stderr)
 	}
 	now := time.Now()
@@ -65,7 +65,7 @@
 					continue
 				}
 			}
-			status, stdout, stderr := call(t, args...)
+			status, stdout, stderr := runCommand(t, args...)
 			if status != c.status || !json && !strings.Contains(stdout+stderr, c.text) || json && status < 2 && !strings.HasPrefix(stdout, "{") {
 				t.Errorf("%v: status %d, want %d and %q: %s%s", args, status, c.status, c.text, stdout, stderr)
 			}
