--- a/cmd/cataloguectl/load.go
+++ b/cmd/cataloguectl/load.go
@@ -17,7 +17,7 @@
 	captureDir      string
 	stateDir        string
 	settings        string
-	arrivalsCapture string // capture whose arrivals are replayed
+	arrivalsCapture string // path of a capture whose arrival times are used; empty means none
 	arrivalKind     string
 }
 
@@ -33,10 +33,11 @@
 	cmd := &cobra.Command{
 		Use:     "load",
 		Aliases: []string{"storm"},
-		Short:   "Load-test a daemon on loopback, with a fake interpreter and fake gateways",
-		Long: "load starts the daemon with the project's own interpreter, gateways and load report receiver on loopback, and drives\n" +
-			"a mixed load at it that exceeds the interpreter's capacity: requests, retries, duplicates, a broken link, a reload\n" +
-			"and a drain. It checks the invariants from outside. Nothing but loopback is used." + statusHelp,
+		Short:   "Load-test a daemon over loopback, with a fake interpreter and fake gateways",
+		Long: "load starts the daemon with a fake interpreter, fake gateways and a fake load report receiver on loopback. It sends\n" +
+			"a mixed load that exceeds the interpreter's capacity: requests, retries and duplicates. It cuts the interpreter's\n" +
+			"link, reloads the configuration and drains the daemon. It checks the invariants from outside the daemon. It uses no\n" +
+			"network but loopback." + statusHelp,
 		Example: "  cataloguectl load\n  cataloguectl load --capture /tmp/capture && cataloguectl replay /tmp/capture\n" +
 			"  cataloguectl load --requests 2000 --rate 300 --json",
 		Args: cobra.NoArgs,
@@ -52,29 +53,30 @@
 	cfg := &o.config
 	addDaemonFlag(cmd, &cfg.Daemon)
 	flags.StringVar(&o.captureDir, "capture", "", "directory in which the daemon records its inputs and decisions")
-	flags.StringVar(&o.stateDir, "state", "", "directory in which the daemon keeps results of idempotent requests")
-	flags.StringVar(&o.settings, "settings", "", "file of operators' settings for the daemon")
-	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "requests, retries left out")
-	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
+	flags.StringVar(&o.stateDir, "state", "", "directory in which the daemon stores results of idempotent requests")
+	flags.StringVar(&o.settings, "settings", "", "operators' settings file for the daemon")
+	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "number of requests, without retries")
+	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests per second")
 	flags.StringVar(&o.arrivalKind, "arrivals", string(arrival.Poisson),
 		"arrival process: poisson, bursty, diurnal, or replay of --arrivals-of")
-	flags.StringVar(&o.arrivalsCapture, "arrivals-of", "", "capture whose arrivals are replayed")
-	flags.Float64Var(&cfg.Arrival.Speed, "arrivals-factor", 1, "how many times as fast")
-	flags.IntVar(&cfg.Gateways, "gateways", cfg.Gateways, "connections, each of up to 32 requests in flight")
+	flags.StringVar(&o.arrivalsCapture, "arrivals-of", "", "capture whose arrival times are replayed")
+	flags.Float64Var(&cfg.Arrival.Speed, "arrivals-factor", 1, "speed of the replayed arrivals, as a multiple of the recorded speed")
+	flags.IntVar(&cfg.Gateways, "gateways", cfg.Gateways, "number of connections, each with up to 32 requests in flight")
 	flags.Float64Var(&cfg.IdempotentShare, "keyed", cfg.IdempotentShare, "share of the requests with an idempotency key")
-	flags.Float64Var(&cfg.RepeatShare, "repeat", cfg.RepeatShare, "share of those that are sent again after they were served")
+	flags.Float64Var(&cfg.RepeatShare, "repeat", cfg.RepeatShare,
+		"share of the requests with a key that are sent again after they were served")
 	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "maximum number of attempts of one request")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all random numbers")
-	flags.IntVar(&cfg.InterpreterCores, "cores", cfg.InterpreterCores, "cores of the interpreter")
+	flags.IntVar(&cfg.InterpreterCores, "cores", cfg.InterpreterCores, "number of cores of the interpreter")
 	flags.DurationVar(&cfg.MeanWork, "work", cfg.MeanWork, "mean core time of a run")
-	flags.BoolVar(&cfg.CutLink, "cut-link", cfg.CutLink, "cut the interpreter's link three times")
-	flags.BoolVar(&cfg.Reload, "reload", cfg.Reload, "move the interpreter and send SIGHUP half way")
+	flags.BoolVar(&cfg.CutLink, "cut-link", cfg.CutLink, "cut the link to the interpreter three times")
+	flags.BoolVar(&cfg.Reload, "reload", cfg.Reload, "halfway, move the interpreter to another address and send SIGHUP")
 	addPinFlag(cmd, &cfg.PinnedCore)
 }
 
-// addPinFlag adds the flag for the core on which the daemon runs.
+// addPinFlag adds the flag for the core to which the daemon is pinned.
 func addPinFlag(cmd *cobra.Command, core *int) {
-	cmd.Flags().IntVar(core, "pin", *core, "core to which the daemon is pinned; -1 is none")
+	cmd.Flags().IntVar(core, "pin", *core, "number of the core to which the daemon is pinned; -1 means no pinning")
 }
 
 func (o *loadOptions) run(cmd *cobra.Command) error {
@@ -101,7 +103,7 @@
 	return problemFoundIf(len(result.Violations) > 0)
 }
 
-// setArrivals sets the arrival process. A capture bounds the number of requests.
+// setArrivals sets the arrival process. With a capture, the number of requests is at most the number of recorded arrivals.
 func (o *loadOptions) setArrivals() error {
 	cfg := &o.config
 	cfg.Arrival.Kind = arrival.Kind(o.arrivalKind)
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// daemonArgs returns the daemon's command line.
+// daemonArgs returns the daemon's command-line arguments.
 func (o *loadOptions) daemonArgs() []string {
 	args := []string{"serve"}
 	for _, flag := range []struct{ name, value string }{
@@ -133,28 +135,29 @@
 	return args
 }
 
-// printLoad prints the summary of a load test.
+// printLoad prints the result of a load test.
 func printLoad(out printer, result *loadtest.Result) {
-	out.linef("%d requests in %d tries over %.1f s (seed %d), %.0f tries answered a second", result.Requests, result.Attempts, result.Seconds,
-		result.Seed, result.Rate)
-	out.linef("served %d, refused %d, failed %d, connection lost %d, no room to send %d", result.Served, result.Rejected, result.Failed,
-		result.Lost, result.Unsent)
-	out.linef("share of requests served %.3f; %d repeats; %d interpreter links", result.ServedShare, result.Repeats, result.LinkCount)
-	out.linef("latency of the served: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms", result.P50, result.P99, result.P999)
-	out.linef("daemon: exit status %d, %.2f s of CPU, peak memory %d kB", result.ExitStatus, result.DaemonCPUSeconds, result.DaemonPeakKB)
+	out.linef("%d requests in %d attempts over %.1f s (seed %d), %.0f attempts answered per second", result.Requests, result.Attempts,
+		result.Seconds, result.Seed, result.Rate)
+	out.linef("attempts: %d served, %d rejected, %d failed, %d lost with their connection, %d not sent because all connections were full",
+		result.Served, result.Rejected, result.Failed, result.Lost, result.Unsent)
+	out.linef("served share of requests %.3f; %d repeats of served requests; %d interpreter links", result.ServedShare, result.Repeats,
+		result.LinkCount)
+	out.linef("latency of served requests: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms", result.P50, result.P99, result.P999)
+	out.linef("daemon: exit status %d, %.2f s of CPU time, peak memory %d kB", result.ExitStatus, result.DaemonCPUSeconds, result.DaemonPeakKB)
 	if result.Capture != nil {
-		out.linef("capture: %v records, %v lost, %v bytes, %v before compression", formatLogged(result.Capture["records"]),
+		out.linef("capture: %v records, %v lost, %v bytes, %v bytes before compression", formatLogged(result.Capture["records"]),
 			formatLogged(result.Capture["lost"]), formatLogged(result.Capture["bytes"]), formatLogged(result.Capture["raw"]))
 	}
 	for _, violation := range result.Violations {
-		out.linef("broken rule: %s", violation)
+		out.linef("invariant violated: %s", violation)
 	}
 	if len(result.Violations) == 0 {
-		out.linef("all rules were kept")
+		out.linef("no invariant was violated")
 	}
 }
 
-// formatLogged formats a number of the daemon's log, which is ? if it is missing.
+// formatLogged formats a number from the daemon's log. A missing number is formatted as "?".
 func formatLogged(v any) string {
 	n, ok := v.(float64)
 	if !ok {
--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestLoad runs a small load test of the daemon and replays what it captured.
+// TestLoad runs a small load test of a daemon and replays the capture that the daemon records.
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
 	daemon := filepath.Join(dir, "catalogue-server")
@@ -171,9 +171,9 @@
 		t.Fatalf("status %d, %v: %s%s", status, err, stdout, stderr)
 	}
 	if r.Served == 0 || r.Served+r.Refused+r.Failed+r.Lost != r.Tries || len(r.Breaches) > 0 || r.Exit != 0 {
-		t.Errorf("result %+v", r)
+		t.Errorf("result %+v, want served attempts, every attempt with one outcome, no violations and exit status 0", r)
 	}
 	if status, stdout, _ := runCommand(t, "replay", filepath.Join(dir, "c")); status != 0 {
-		t.Errorf("the replay: %s", stdout)
+		t.Errorf("replay of the capture ended with a status other than 0: %s", stdout)
 	}
 }
