--- a/cmd/cataloguectl/simulate.go
+++ b/cmd/cataloguectl/simulate.go
@@ -8,9 +8,9 @@
 	cmd := &cobra.Command{
 		Use:     "simulate",
 		Aliases: []string{"model"},
-		Short:   "Simulate clusters in virtual time, and compare policies",
-		Long: "simulate runs clusters of catalogue servers in virtual time, with the real decision module or with other policies, and\n" +
-			"runs experiments on them; docs/experiments.md goes through one." + statusHelp,
+		Short:   "Simulate clusters in virtual time and compare policies",
+		Long: "simulate runs clusters of catalogue servers in virtual time, with the real decision module or with other policies. It\n" +
+			"also runs and evaluates experiments; docs/experiments.md describes one step by step." + statusHelp,
 	}
 	cmd.AddCommand(
 		newSimulateRunCommand(),
--- a/cmd/cataloguectl/simulate_page.go
+++ b/cmd/cataloguectl/simulate_page.go
@@ -13,10 +13,11 @@
 	"tillerusher/internal/report"
 )
 
-// minCapacity keeps the load of a cluster without capacity finite.
+// minCapacity is the least capacity, in core seconds per second, by which offered work is divided, so that the load of a cluster
+// without capacity is finite.
 const minCapacity = 1e-9
 
-// simulationPage is a page about simulations of one cluster, one with each policy.
+// simulationPage builds a page about simulations of one cluster. results has one simulation for each of policies.
 type simulationPage struct {
 	config   clustersim.Config
 	policies []string
@@ -26,29 +27,29 @@
 // build returns the page.
 func (s simulationPage) build() report.Page {
 	return report.Page{
-		Title:    "World " + s.config.Name,
+		Title:    "Simulation of " + s.config.Name,
 		Intro:    s.intro(),
 		Sections: []report.Section{s.summary(), s.classes(), s.outcomes(), s.rejections()},
 	}
 }
 
-// intro describes the cluster and its incidents.
+// intro returns a description of the cluster and its incidents.
 func (s simulationPage) intro() string {
 	var incidents []string
 	for _, incident := range s.config.Incidents {
 		incidents = append(incidents, incident.String())
 	}
-	incidents = append(incidents, "none beyond these")
+	incidents = append(incidents, "no others")
 	return fmt.Sprintf("%d servers of %d cores, incidents (shaded): %s", s.config.Servers.Count, s.config.Servers.Cores,
 		strings.Join(incidents, "; "))
 }
 
-// summary is the section with a row for each policy, and with the charts.
+// summary returns the section with a row for each policy and with the charts.
 func (s simulationPage) summary() report.Section {
 	section := report.Section{
 		Title: "Result",
-		Header: []string{"policy", "score", "share", "worst 10 s", "p50 ms", "p99 ms", "waste", "tries a request", "recovered after",
-			"broken rules"},
+		Header: []string{"policy", "score", "goodput share", "worst 10 s", "p50 ms", "p99 ms", "wasted work",
+			"attempts per request", "recovered after", "violated invariants"},
 		Charts: s.charts(),
 	}
 	for n, r := range s.results {
@@ -72,20 +73,23 @@
 	return section
 }
 
-// formatRecovery formats the time until a cluster recovered.
+// formatRecovery formats the time from the end of the last incident to the recovery, which is "-" without incidents.
 func formatRecovery(r clustersim.Recovery) string {
 	switch {
 	case !r.HadIncidents:
 		return "-"
 	case !r.Recovered:
-		return "not"
+		return "never"
 	}
 	return fmt.Sprintf("%.0f s", r.RecoverySeconds)
 }
 
-// classes is the section with a row for each class and tenant.
+// classes returns the section with a row for each class and tenant.
 func (s simulationPage) classes() report.Section {
-	section := report.Section{Title: "Classes and tenants", Header: []string{"policy", "who", "requests", "share", "p50 ms", "p99 ms"}}
+	section := report.Section{
+		Title:  "Classes and tenants",
+		Header: []string{"policy", "class or tenant", "requests", "goodput share", "p50 ms", "p99 ms"},
+	}
 	for n, r := range s.results {
 		for _, group := range append(slices.Clone(r.Classes), r.Tenants...) {
 			section.Rows = append(section.Rows, []string{
@@ -101,9 +105,9 @@
 	return section
 }
 
-// outcomes is the section with a row for each outcome of attempts.
+// outcomes returns the section with a row for each outcome of attempts.
 func (s simulationPage) outcomes() report.Section {
-	section := report.Section{Title: "How tries ended", Header: []string{"policy", "how", "tries"}}
+	section := report.Section{Title: "Outcomes of attempts", Header: []string{"policy", "outcome", "attempts"}}
 	for n, r := range s.results {
 		for _, text := range strings.Split(formatCounts(r.AttemptOutcomes), ", ") {
 			space := strings.LastIndexByte(text, ' ')
@@ -113,9 +117,9 @@
 	return section
 }
 
-// rejections is the section with a row for each reason.
+// rejections returns the section with a row for each reason of rejections.
 func (s simulationPage) rejections() report.Section {
-	section := report.Section{Title: "Refusals by reason", Header: []string{"policy", "because", "refusals"}}
+	section := report.Section{Title: "Rejections by reason", Header: []string{"policy", "reason", "rejections"}}
 	for n, r := range s.results {
 		for _, reason := range slices.Sorted(maps.Keys(r.RejectReasons)) {
 			section.Rows = append(section.Rows, []string{s.policies[n], reason, strconv.Itoa(r.RejectReasons[reason])})
@@ -124,22 +128,22 @@
 	return section
 }
 
-// charts are the four charts over time.
+// charts returns the four charts over time.
 func (s simulationPage) charts() []report.Chart {
 	capacity := max(s.config.Capacity()*meanWork(s.results), minCapacity)
 	return []report.Chart{
 		s.shareChart(),
-		s.chart("Work asked for over what the fleet can do", "load", func(second clustersim.SecondStats) float64 {
+		s.chart("Offered work relative to the capacity of the cluster", "load", func(second clustersim.SecondStats) float64 {
 			return second.OfferedWork / capacity
 		}),
-		s.chart("Tries that ended", "tries a second", func(second clustersim.SecondStats) float64 { return float64(second.Attempts) }),
-		s.chart("Refusals", "refusals a second", func(second clustersim.SecondStats) float64 { return float64(second.Rejected) }),
+		s.chart("Attempts that ended", "attempts per second", func(second clustersim.SecondStats) float64 { return float64(second.Attempts) }),
+		s.chart("Rejections", "rejections per second", func(second clustersim.SecondStats) float64 { return float64(second.Rejected) }),
 	}
 }
 
-// shareChart is the goodput over time.
+// shareChart returns the chart of the goodput share over time.
 func (s simulationPage) shareChart() report.Chart {
-	return s.chart("Share of the worth asked for, served in its aim", "share", func(second clustersim.SecondStats) float64 {
+	return s.chart("Goodput share of the offered weight", "share", func(second clustersim.SecondStats) float64 {
 		if second.OfferedWeight == 0 {
 			return 1
 		}
@@ -147,7 +151,7 @@
 	})
 }
 
-// chart draws a figure of each second for all policies, with the incidents shaded.
+// chart returns a chart of one value per second for each policy, with the incidents shaded.
 func (s simulationPage) chart(title, yLabel string, value func(clustersim.SecondStats) float64) report.Chart {
 	chart := report.Chart{Title: title, XLabel: "seconds", YLabel: yLabel}
 	for _, incident := range s.config.Incidents {
@@ -164,7 +168,7 @@
 	return chart
 }
 
-// meanWork returns the mean work of the requests that were generated in all runs.
+// meanWork returns the mean work, in core seconds, of the requests that were generated in all runs.
 func meanWork(results []*clustersim.Result) float64 {
 	work, requests := 0.0, 0
 	for _, r := range results {
@@ -176,7 +180,7 @@
 	return work / float64(max(requests, 1))
 }
 
-// writeTimeline writes the figures of each second as CSV.
+// writeTimeline writes the values of each second as CSV. The column names are part of the file format.
 func writeTimeline(out io.Writer, policies []string, results []*clustersim.Result) error {
 	rows := [][]string{{"policy", "second", "asked", "earned", "work", "tries", "served", "refused", "failed"}}
 	for n, r := range results {
--- a/cmd/cataloguectl/simulate_results.go
+++ b/cmd/cataloguectl/simulate_results.go
@@ -14,10 +14,10 @@
 	"tillerusher/internal/report"
 )
 
-// groupByHelp is the help of the flag that groups results.
-const groupByHelp = "what to group by: a variable, or \"day\" for the kind of workload"
+// groupByHelp is the help text of the flag that groups results.
+const groupByHelp = "variable to group by, or \"day\" to group by the kind of workload"
 
-// withResults adapts a function to a command whose argument is a file of results.
+// withResults returns the RunE function of a command whose argument is a results file. It reads the file and calls run.
 func withResults(run func(out printer, results *experiment.Results) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		results, err := experiment.ReadResults(args[0])
@@ -38,13 +38,13 @@
 	var opts simulateShowOptions
 	cmd := &cobra.Command{
 		Use:     "show RESULTS",
-		Short:   "Print means of measures with their confidence intervals",
-		Long:    "show prints the mean of measures by policy, with the 95 % confidence interval by the bootstrap." + statusHelp,
+		Short:   "Print the means of measures with confidence intervals",
+		Long:    "show prints the mean of each measure by policy, with its 95 % bootstrap confidence interval." + statusHelp,
 		Example: "  cataloguectl simulate show days.results --by day --measure g,share,p99",
 		Args:    cobra.ExactArgs(1),
 		RunE:    withResults(opts.run),
 	}
-	cmd.Flags().StringSliceVar(&opts.measures, "measure", []string{"g"}, "measures")
+	cmd.Flags().StringSliceVar(&opts.measures, "measure", []string{"g"}, "comma-separated measures")
 	cmd.Flags().StringVar(&opts.by, "by", "", groupByHelp)
 	return cmd
 }
@@ -56,7 +56,7 @@
 			return inputError{err}
 		}
 		for _, g := range groups {
-			out.linef("%-12s %-10s %-10s %10.4f  %10.4f to %.4f  %d runs, %d broke rules, %d not feasible", g.Measure, g.Label, g.Policy,
+			out.linef("%-12s %-10s %-10s %10.4f  %10.4f to %.4f  %d runs, %d with violated invariants, %d infeasible", g.Measure, g.Label, g.Policy,
 				g.Mean, g.Lower, g.Upper, g.Runs, g.RunsWithViolations, g.Infeasible)
 			if err := out.encode(g); err != nil {
 				return err
@@ -79,20 +79,21 @@
 	var opts simulateCompareOptions
 	cmd := &cobra.Command{
 		Use:   "compare RESULTS",
-		Short: "Compare two policies in pairs of equal points and seeds",
-		Long: "compare prints the difference of two policies in runs of the same point and seed, with the 95 % confidence interval by\n" +
-			"the bootstrap over the pairs, and says so if it is not significant." + statusHelp,
+		Short: "Compare two policies in pairs of runs with the same point and seed",
+		Long: "compare prints the difference between two policies in runs of the same point and seed, with its 95 % bootstrap\n" +
+			"confidence interval over the pairs. It marks differences that are not significant." + statusHelp,
 		Example: "  cataloguectl simulate compare days.results --by day --b codel\n" +
 			"  cataloguectl simulate compare days.results --b codel --worst 10",
 		Args: cobra.ExactArgs(1),
 		RunE: withResults(opts.run),
 	}
 	flags := cmd.Flags()
-	flags.StringSliceVar(&opts.measures, "measure", []string{"g"}, "measures")
+	flags.StringSliceVar(&opts.measures, "measure", []string{"g"}, "comma-separated measures")
 	flags.StringVar(&opts.by, "by", "", groupByHelp)
-	flags.StringVar(&opts.policy, "a", "module", "the policy")
-	flags.StringVar(&opts.baseline, "b", "codel", "the policy to compare it with")
-	flags.IntVar(&opts.worstRuns, "worst", 0, "print the runs in which the first policy does worst, and what they have in common")
+	flags.StringVar(&opts.policy, "a", "module", "policy to compare")
+	flags.StringVar(&opts.baseline, "b", "codel", "baseline policy")
+	flags.IntVar(&opts.worstRuns, "worst", 0,
+		"number of the worst runs of policy --a to print, with what they have in common; 0 means none")
 	return cmd
 }
 
@@ -115,13 +116,13 @@
 	return o.printWorst(out, results)
 }
 
-// worstRuns is the JSON of the runs in which a policy does worst.
+// worstRuns is the JSON form of the runs in which a policy does worst.
 type worstRuns struct {
 	Worst  []experiment.Row       `json:"worst"`
 	Common []experiment.Deviation `json:"common"`
 }
 
-// printWorst prints the runs in which the policy does worst by the first measure.
+// printWorst prints the runs in which the policy has the lowest values of the first measure, and how they differ from all its runs.
 func (o *simulateCompareOptions) printWorst(out printer, results *experiment.Results) error {
 	measure := o.measures[0]
 	rows, common := results.WorstRuns(o.policy, measure, o.worstRuns)
@@ -129,7 +130,8 @@
 		out.linef("worst for %s: %s %.4f in point %d %s, seed %d", o.policy, measure, row.Measures[measure], row.Point, row.Workload, row.Seed)
 	}
 	for _, d := range common {
-		out.linef("there %s is %.4g, %.4g in all: %+.1f spreads", d.Name, d.WorstMean, d.OverallMean, d.StdDevs)
+		out.linef("mean of %s: %.4g in the worst runs, %.4g in all runs: %+.1f standard deviations", d.Name, d.WorstMean,
+			d.OverallMean, d.StdDevs)
 	}
 	return out.encode(worstRuns{rows, common})
 }
@@ -146,16 +148,16 @@
 	cmd := &cobra.Command{
 		Use:   "plot RESULTS",
 		Short: "Plot a measure over a variable, with confidence intervals",
-		Long: "plot draws the mean of a measure for each policy over a variable, with its 95 % confidence interval: as a picture (.svg),\n" +
-			"a page with the figures (.html) or a table (.csv), by the file's extension." + statusHelp,
+		Long: "plot draws the mean of a measure over a variable for each policy, with its 95 % confidence interval. The extension of\n" +
+			"the output file selects a chart (.svg), a page with chart and table (.html) or a table (.csv)." + statusHelp,
 		Example: "  cataloguectl simulate plot load.results --x load --measure g --output load.svg",
 		Args:    cobra.ExactArgs(1),
 		RunE:    withResults(opts.run),
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&opts.measure, "measure", "g", "measure on the Y axis")
-	flags.StringVar(&opts.variable, "x", "load", "variable on the X axis")
-	flags.StringVarP(&opts.output, "output", "o", "plot.svg", "file: .svg, .html or .csv")
+	flags.StringVar(&opts.measure, "measure", "g", "measure on the y axis")
+	flags.StringVar(&opts.variable, "x", "load", "variable on the x axis")
+	flags.StringVarP(&opts.output, "output", "o", "plot.svg", "output file: .svg, .html or .csv")
 	return cmd
 }
 
@@ -183,8 +185,8 @@
 	return out.encode(groups)
 }
 
-// plot returns a section with a table of the groups and a chart with a series for each policy. Groups without runs have a series,
-// but no point.
+// plot returns a section with a table of the groups and a chart with a series for each policy. Groups without runs add a series for
+// their policy, but no point and no table row.
 func (o *simulatePlotOptions) plot(title string, groups []experiment.Group) report.Section {
 	chart := report.Chart{Title: title, XLabel: o.variable, YLabel: o.measure}
 	section := report.Section{Title: o.measure, Header: []string{"policy", o.variable, "mean", "low", "high", "runs"}}
--- a/cmd/cataloguectl/simulate_run.go
+++ b/cmd/cataloguectl/simulate_run.go
@@ -19,8 +19,8 @@
 	policies       []string
 	seed           uint64
 	load           float64
-	workloadKind   string // of a generated workload
-	workloadNumber uint64 // of that kind
+	workloadKind   string // of a generated workload; empty means none
+	workloadNumber uint64 // among the generated workloads of that kind
 	htmlPath       string
 	svgPath        string
 	csvPath        string
@@ -30,23 +30,25 @@
 	var opts simulateRunOptions
 	cmd := &cobra.Command{
 		Use:   "run [FILE]",
-		Short: "Simulate one workload and print the result",
-		Long: "run simulates the workload of an experiment's file, or a generated one of a kind, once with each policy, and prints\n" +
-			"served shares, latencies, outcomes of attempts, violated invariants and whether the cluster recovered from its incidents." + statusHelp,
+		Short: "Simulate one workload and print the results",
+		Long: "run simulates the first workload of an experiment file, a generated workload or the default workload, once with each\n" +
+			"policy. It prints goodput shares, latencies, outcomes of attempts, violated invariants and whether the cluster\n" +
+			"recovered from its incidents." + statusHelp,
 		Example: "  cataloguectl simulate run --day storm --number 3 --policy module,codel --html storm.html\n" +
 			"  cataloguectl simulate run examples/metastable.sexp --policy module,nolimit --json",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return opts.run(cmd, args) },
 	}
 	flags := cmd.Flags()
-	flags.StringSliceVar(&opts.policies, "policy", []string{"module"}, "policies, of "+strings.Join(experiment.PolicyNames(), ", "))
+	flags.StringSliceVar(&opts.policies, "policy", []string{"module"},
+		"comma-separated policies, of "+strings.Join(experiment.PolicyNames(), ", "))
 	flags.Uint64Var(&opts.seed, "seed", 1, "seed of all random numbers")
-	flags.Float64Var(&opts.load, "load", 0, "offered load as a share of the cluster's capacity; the workload's own if 0")
+	flags.Float64Var(&opts.load, "load", 0, "offered load as a multiple of the cluster's capacity; 0 means the load of the workload")
 	flags.StringVar(&opts.workloadKind, "day", "", "kind of a generated workload: quiet, rough, overload, big or storm")
-	flags.Uint64Var(&opts.workloadNumber, "number", 1, "which workload of that kind")
-	flags.StringVar(&opts.htmlPath, "html", "", "file for a page with pictures")
-	flags.StringVar(&opts.svgPath, "svg", "", "file for a picture of the served share over time")
-	flags.StringVar(&opts.csvPath, "csv", "", "file for the figures of each second")
+	flags.Uint64Var(&opts.workloadNumber, "number", 1, "number of the generated workload of that kind")
+	flags.StringVar(&opts.htmlPath, "html", "", "output file for an HTML page with tables and charts")
+	flags.StringVar(&opts.svgPath, "svg", "", "output file for an SVG chart of the goodput share over time")
+	flags.StringVar(&opts.csvPath, "csv", "", "output file for a CSV table with the values of each second")
 	return cmd
 }
 
@@ -68,12 +70,12 @@
 	return problemFoundIf(slices.ContainsFunc(results, hasViolation))
 }
 
-// clusterConfig returns the cluster and workload that the arguments name, or the default.
+// clusterConfig returns the cluster and workload that the arguments select, or the default.
 func (o *simulateRunOptions) clusterConfig(args []string) (clustersim.Config, error) {
 	cfg := clustersim.DefaultConfig()
 	switch {
 	case len(args) == 1 && o.workloadKind != "":
-		return cfg, errors.New("a file and --day are two worlds: want one of them")
+		return cfg, errors.New("FILE and --day both select a workload: want one of them")
 	case len(args) == 1:
 		e, err := experiment.Load(args[0])
 		if err != nil {
@@ -85,7 +87,7 @@
 	case o.workloadKind != "":
 		kind := clustersim.WorkloadKind(o.workloadKind)
 		if !slices.Contains(clustersim.WorkloadKinds(), kind) {
-			return cfg, fmt.Errorf("no kind of day is called %q, want one of %v", o.workloadKind, clustersim.WorkloadKinds())
+			return cfg, fmt.Errorf("--day %q is not a kind of workload: want one of %v", o.workloadKind, clustersim.WorkloadKinds())
 		}
 		cfg = clustersim.GenerateConfig(kind, o.workloadNumber)
 	}
@@ -96,13 +98,13 @@
 	return cfg, nil
 }
 
-// policyResult is one line of JSON.
+// policyResult is the JSON form of the result with one policy.
 type policyResult struct {
 	Policy string `json:"policy"`
 	*clustersim.Result
 }
 
-// simulate runs the cluster once with each policy, and prints each result when it is there.
+// simulate runs the cluster once with each policy, and prints each result as soon as its run has ended.
 func (o *simulateRunOptions) simulate(ctx context.Context, out printer, cfg clustersim.Config) ([]*clustersim.Result, error) {
 	var results []*clustersim.Result
 	for _, name := range o.policies {
@@ -123,7 +125,7 @@
 	return results, nil
 }
 
-// writeFiles writes the page, the table and the picture that are wanted.
+// writeFiles writes the page, the table and the chart whose paths are set.
 func (o *simulateRunOptions) writeFiles(cfg clustersim.Config, results []*clustersim.Result) error {
 	page := simulationPage{cfg, o.policies, results}
 	if o.htmlPath != "" {
@@ -143,33 +145,34 @@
 	return nil
 }
 
-// printSimulation prints the summary of a simulation.
+// printSimulation prints a summary of the result with one policy.
 func printSimulation(out printer, policy string, result *clustersim.Result) {
 	out.linef("%s in %s (seed %d): %d servers, %d requests in %.0f s, load %.2f", policy, result.ConfigName, result.Seed,
 		result.Servers, result.Requests, result.Seconds, result.Load)
-	out.linef("  share %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f, waste %.3f, score %.4f", result.GoodputShare,
-		result.WorstWindowShare, result.WorstClassShare, result.WorstTenantShare, result.WastedWork, result.Score)
-	out.linef("  latency of the served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms", result.P50, result.P99, result.P999)
-	out.linef("  tries: %d, of them further ones %d; %s", result.Attempts, result.Retries, formatCounts(result.AttemptOutcomes))
+	out.linef("  goodput share %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f, wasted work %.3f, score %.4f",
+		result.GoodputShare, result.WorstWindowShare, result.WorstClassShare, result.WorstTenantShare, result.WastedWork, result.Score)
+	out.linef("  latency of served requests: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms", result.P50, result.P99, result.P999)
+	out.linef("  attempts: %d, of which %d retries; %s", result.Attempts, result.Retries, formatCounts(result.AttemptOutcomes))
 	if len(result.RejectReasons) > 0 {
-		out.linef("  refused because: %s", formatCounts(result.RejectReasons))
+		out.linef("  rejection reasons: %s", formatCounts(result.RejectReasons))
 	}
 	if len(result.Unserved) > 0 {
-		out.linef("  requests not served: %s", formatCounts(result.Unserved))
+		out.linef("  unserved requests by the outcome of the last attempt: %s", formatCounts(result.Unserved))
 	}
 	switch recovery := result.Recovery; {
 	case recovery.HadIncidents && recovery.Recovered:
-		out.linef("  recovered %.0f s after the last incident: share before %.3f, behind it %.3f", recovery.RecoverySeconds, recovery.ShareBefore,
-			recovery.ShareAfter)
+		out.linef("  recovered %.0f s after the last incident: goodput share %.3f before the incidents, %.3f after them",
+			recovery.RecoverySeconds, recovery.ShareBefore, recovery.ShareAfter)
 	case recovery.HadIncidents:
-		out.linef("  did not recover: share before the incidents %.3f, behind them %.3f", recovery.ShareBefore, recovery.ShareAfter)
+		out.linef("  did not recover: goodput share %.3f before the incidents, %.3f after them", recovery.ShareBefore,
+			recovery.ShareAfter)
 	}
 	for _, violation := range result.ViolationMessages {
-		out.linef("  broken rule: %s", violation)
+		out.linef("  invariant violated: %s", violation)
 	}
 }
 
-// formatCounts formats counts by name, in the order of the resulting texts.
+// formatCounts formats counts by name as a comma-separated list, sorted as text.
 func formatCounts(counts map[string]int) string {
 	var list []string
 	for name, count := range counts {
--- a/cmd/cataloguectl/simulate_search.go
+++ b/cmd/cataloguectl/simulate_search.go
@@ -24,22 +24,24 @@
 	cmd := &cobra.Command{
 		Use:     "search FILE",
 		Aliases: []string{"worst"},
-		Short:   "Search a sweep's ranges for the points at which a policy does worst",
-		Long: "search looks within the ranges of an experiment's (vary ...) forms for the points at which a policy does worst, or stays\n" +
-			"furthest below another one, by the cross-entropy method, and writes the worst as experiments of their own." + statusHelp,
+		Short:   "Search the ranges of a sweep for the points at which a policy does worst",
+		Long: "search uses the cross-entropy method to find points within the ranges of an experiment's (vary ...) forms at which a\n" +
+			"policy does worst, or worst relative to a baseline policy. It prints the worst points, and with --dir writes each of\n" +
+			"them as an experiment." + statusHelp,
 		Example: "  cataloguectl simulate search examples/hunt.sexp --against codel --cases 3 --dir found",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return opts.run(cmd, args[0]) },
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&opts.search.Policy, "policy", opts.search.Policy, "the policy")
-	flags.StringVar(&opts.search.BaselinePolicy, "against", "", "baseline policy: points count by how far the policy stays below it")
+	flags.StringVar(&opts.search.Policy, "policy", opts.search.Policy, "policy for which to search")
+	flags.StringVar(&opts.search.BaselinePolicy, "against", "",
+		"baseline policy: the score of a point is the policy's measure minus the baseline's")
 	flags.StringVar(&opts.search.Measure, "measure", opts.search.Measure, "measure whose low values are bad")
-	flags.IntVar(&opts.search.Rounds, "rounds", opts.search.Rounds, "rounds of the search")
-	flags.IntVar(&opts.search.PointsPerRound, "size", opts.search.PointsPerRound, "points a round")
-	flags.Uint64Var(&opts.search.Seed, "seed", opts.search.Seed, "seed of the search")
-	flags.IntVar(&opts.printedPoints, "cases", 5, "how many of the worst points are printed")
-	flags.StringVar(&opts.outputDir, "dir", "", "directory in which they are written as experiments")
+	flags.IntVar(&opts.search.Rounds, "rounds", opts.search.Rounds, "number of rounds of the search")
+	flags.IntVar(&opts.search.PointsPerRound, "size", opts.search.PointsPerRound, "number of points per round")
+	flags.Uint64Var(&opts.search.Seed, "seed", opts.search.Seed, "seed of the search's random numbers")
+	flags.IntVar(&opts.printedPoints, "cases", 5, "number of the worst points to print")
+	flags.StringVar(&opts.outputDir, "dir", "", "directory in which these points are written as experiments; empty means none")
 	return cmd
 }
 
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// writeExperiment writes a point as an experiment, if a directory is given.
+// writeExperiment writes a point as an experiment file, if an output directory is set.
 func (o *simulateSearchOptions) writeExperiment(exp *experiment.Experiment, number int, candidate experiment.Candidate) error {
 	if o.outputDir == "" {
 		return nil
@@ -92,7 +94,7 @@
 	})
 }
 
-// formatValues formats the variables of a point.
+// formatValues formats the values of a point's variables as a comma-separated list, sorted by name.
 func formatValues(values map[string]float64) string {
 	var list []string
 	for name, value := range values {
--- a/cmd/cataloguectl/simulate_sweep.go
+++ b/cmd/cataloguectl/simulate_sweep.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/experiment"
 )
 
-// resultsExtension is what the name of a file of results ends in.
+// resultsExtension is the extension of the default name of a results file.
 const resultsExtension = ".results"
 
 // simulateSweepOptions are the flags of simulate sweep.
@@ -22,15 +22,16 @@
 	var opts simulateSweepOptions
 	cmd := &cobra.Command{
 		Use:   "sweep FILE",
-		Short: "Run an experiment on all cores; one that was stopped continues",
-		Long: "sweep does all runs of an experiment and keeps their measures in a file, one line of JSON a run, in the order of the\n" +
-			"plan. If the file is there already, it continues after its last whole line." + statusHelp,
+		Short: "Run an experiment on all cores, or resume an interrupted one",
+		Long: "sweep makes all runs of an experiment and writes their measures to a results file, one line of JSON per run, in the\n" +
+			"order of the plan. If the file exists, sweep resumes after its last complete line." + statusHelp,
 		Example: "  cataloguectl simulate sweep examples/load.sexp --output load.results",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return opts.run(cmd, args[0]) },
 	}
-	cmd.Flags().StringVarP(&opts.output, "output", "o", "", "file of the results; the experiment's name with .results if empty")
-	cmd.Flags().IntVar(&opts.workers, "workers", 0, "runs at once; 0 is one a core")
+	cmd.Flags().StringVarP(&opts.output, "output", "o", "",
+		"results file; if empty, FILE with the extension .results in the current directory")
+	cmd.Flags().IntVar(&opts.workers, "workers", 0, "number of runs at a time; 0 means one per core")
 	return cmd
 }
 
@@ -59,26 +60,27 @@
 	return printSweep(newPrinter(cmd), output, results)
 }
 
-// sweepSummary is the JSON of a sweep.
+// sweepSummary is the JSON form of the summary of a sweep.
 type sweepSummary struct {
-	File        string `json:"file"`
-	Runs        int    `json:"runs"`
-	NotFeasible int    `json:"not_feasible"`
-	Broken      int    `json:"broken"`
+	File           string `json:"file"`
+	Runs           int    `json:"runs"`
+	Infeasible     int    `json:"not_feasible"`
+	WithViolations int    `json:"broken"`
 }
 
-// printSweep prints a sweep's summary, and the errors of its runs on standard error.
+// printSweep prints a summary of a sweep, and the errors of its runs to standard error.
 func printSweep(out printer, path string, results *experiment.Results) error {
 	summary := sweepSummary{File: path, Runs: len(results.Rows)}
 	for _, row := range results.Rows {
 		if row.Error != "" {
-			summary.NotFeasible++
+			summary.Infeasible++
 			out.warnf("run %d, point %d: %s", row.Index, row.Point, row.Error)
 		}
 		if len(row.Violations) > 0 {
-			summary.Broken++
+			summary.WithViolations++
 		}
 	}
-	out.linef("%s: %d runs, %d of them not feasible, %d with broken rules", summary.File, summary.Runs, summary.NotFeasible, summary.Broken)
+	out.linef("%s: %d runs, %d infeasible, %d with violated invariants", summary.File, summary.Runs, summary.Infeasible,
+		summary.WithViolations)
 	return out.encode(summary)
 }
