--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -13,9 +13,9 @@
 func newStateCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "state",
-		Short: "Inspect, check and repair what a server keeps over restarts",
-		Long: "state inspects the directory of `catalogue-server serve --state DIR`; docs/state.md says what is in it. A directory that\n" +
-			"a server uses can't be opened: stop the server, or copy the directory." + statusHelp,
+		Short: "Inspect, check and repair the state that a server keeps across restarts",
+		Long: "state inspects and changes the state directory of `catalogue-server serve --state DIR`; docs/state.md describes its\n" +
+			"contents. A directory that a server uses can't be opened: stop the server, or copy the directory." + statusHelp,
 	}
 	cmd.AddCommand(
 		newStateInfoCommand(),
@@ -30,7 +30,8 @@
 	return cmd
 }
 
-// forEachRecord reads all records of a store. Those that can't be decoded are visited with their error.
+// forEachRecord calls visit for each record of a store, with the size of its value in bytes. If a record can't be decoded, err is not
+// nil.
 func forEachRecord(db *store.Store, visit func(name string, e idempotency.Entry, size int, err error) error) error {
 	return db.ForEach(idempotency.RecordPrefix, func(name, value []byte) error {
 		e, err := idempotency.DecodeEntry(string(name), value)
@@ -38,13 +39,14 @@
 	})
 }
 
-// The modes in which withStore opens a directory.
+// Modes in which withStore opens a state directory.
 const (
 	readOnly  = true
 	readWrite = false
 )
 
-// withStore adapts a function to a command whose argument is a state directory.
+// withStore returns the RunE function of a command whose argument is a state directory. It opens the directory, calls run and closes
+// the store.
 func withStore(isReadOnly bool, run func(out printer, db *store.Store) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) (err error) {
 		db, err := store.Open(store.Config{Dir: args[0], ReadOnly: isReadOnly})
@@ -63,29 +65,29 @@
 func newStateInfoCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "info DIR",
-		Short: "Print which server a directory belongs to and how much it keeps",
-		Long: "info prints which server a directory belongs to, when it was created, how many records it has by state, and how many\n" +
-			"have expired." + statusHelp,
+		Short: "Print the server and the number of records of a state directory",
+		Long: "info prints the server to which a state directory belongs, its time of creation, the number of records by state, the\n" +
+			"number of expired and unreadable records, and the sizes." + statusHelp,
 		Example: "  cataloguectl state info /var/lib/tillerusher/state",
 		Args:    cobra.ExactArgs(1),
 		RunE:    withStore(readOnly, printStateInfo),
 	}
 }
 
-// stateInfo is the JSON of a directory.
+// stateInfo is the JSON form of the description of a state directory.
 type stateInfo struct {
 	Server     string         `json:"server"`
 	Version    int            `json:"version"`
 	Site       string         `json:"site"`
 	CreatedAt  time.Time      `json:"made"`
-	States     map[string]int `json:"states"` // records by state
+	States     map[string]int `json:"states"` // unexpired records by state
 	Expired    int            `json:"ran_out"`
 	Unreadable int            `json:"unread"`
 	Bytes      int            `json:"bytes"`
 	Disk       int64          `json:"disk"`
 }
 
-// printStateInfo prints what is in a directory.
+// printStateInfo prints the description of a state directory.
 func printStateInfo(out printer, db *store.Store) error {
 	id := db.Identity()
 	info := stateInfo{Server: id.Server, Version: id.Version, Site: id.SiteFingerprint, CreatedAt: id.CreatedAt, States: map[string]int{}}
@@ -106,10 +108,10 @@
 		return inputError{err}
 	}
 	info.Disk = db.Size()
-	out.linef("the folder of %s, format version %d, made %s", info.Server, info.Version, info.CreatedAt.Format(time.RFC3339))
+	out.linef("state directory of %s, format version %d, created %s", info.Server, info.Version, info.CreatedAt.Format(time.RFC3339))
 	out.linef("site: %s", info.Site)
-	out.linef("in their window: %d done, %d intents, %d whose answers were given up; %d ran out, %d can't be read; "+
-		"%d bytes of records, %d on the disk", info.States["done"], info.States["intent"], info.States["answer given up"], info.Expired,
+	out.linef("unexpired records: %d done, %d intents, %d with evicted responses; %d records expired, %d unreadable; "+
+		"%d bytes of records, %d bytes on disk", info.States["done"], info.States["intent"], info.States["answer given up"], info.Expired,
 		info.Unreadable, info.Bytes, info.Disk)
 	return out.encode(info)
 }
@@ -117,20 +119,21 @@
 func newStateVerifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Read everything in a directory and name what is damaged",
-		Long:  "verify reads every record with its checksum, and names those that can't be read: exit status 1 if there are any." + statusHelp,
-		Args:  cobra.ExactArgs(1),
-		RunE:  withStore(readOnly, verifyState),
+		Short: "Read all records of a state directory and print the damaged ones",
+		Long: "verify reads every record, checks its checksum and prints an error for each record that can't be read. The exit status\n" +
+			"is 1 if there are any." + statusHelp,
+		Args: cobra.ExactArgs(1),
+		RunE: withStore(readOnly, verifyState),
 	}
 }
 
-// stateVerification is the JSON of a verification.
+// stateVerification is the JSON form of the result of state verify.
 type stateVerification struct {
 	Whole int      `json:"whole"`
 	Bad   []string `json:"bad"` // errors
 }
 
-// verifyState prints the records that can't be read.
+// verifyState prints an error for each record that can't be read, and the counts.
 func verifyState(out printer, db *store.Store) error {
 	result := stateVerification{Bad: []string{}}
 	err := forEachRecord(db, func(_ string, _ idempotency.Entry, _ int, err error) error {
@@ -149,7 +152,7 @@
 	for _, text := range result.Bad {
 		out.linef("%s", text)
 	}
-	out.linef("%d records are whole, %d are not", result.Whole, len(result.Bad))
+	out.linef("%d records intact, %d damaged", result.Whole, len(result.Bad))
 	if err := out.encode(result); err != nil {
 		return err
 	}
@@ -159,16 +162,16 @@
 func newStateDumpCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "dump DIR",
-		Short: "Print all records, one a line",
-		Long: "dump prints the class, the key, the state, when the attempt that ran was received, until when it must not run again, and\n" +
-			"the size of its answer, in the order of classes and keys." + statusHelp,
+		Short: "Print all records, one per line",
+		Long: "dump prints each record's class, key and state, the time at which the attempt that ran was received, the time until\n" +
+			"which the request must not run again, and the size of the response body. Records are sorted by class and key." + statusHelp,
 		Example: "  cataloguectl state dump /var/lib/tillerusher/state --json",
 		Args:    cobra.ExactArgs(1),
 		RunE:    withStore(readOnly, dumpState),
 	}
 }
 
-// dumpedRecord is the JSON of a record. One that can't be read has its name as key and an error.
+// dumpedRecord is the JSON form of a record. An unreadable record has only its name, as Key, and an error.
 type dumpedRecord struct {
 	Class    string    `json:"class"`
 	Key      string    `json:"key"`
@@ -180,7 +183,7 @@
 	Error    string    `json:"error,omitempty"`
 }
 
-// dumpState prints all records.
+// dumpState prints all records in the order of their names.
 func dumpState(out printer, db *store.Store) error {
 	err := forEachRecord(db, func(name string, e idempotency.Entry, _ int, err error) error {
 		r := dumpedRecord{
@@ -195,7 +198,7 @@
 		if err != nil {
 			r = dumpedRecord{Key: name, Error: err.Error()}
 		}
-		out.linef("%s %s %s received %s, until %s, %d bytes %s", r.Class, r.Key, r.State, r.Received.Format(time.RFC3339Nano),
+		out.linef("%s %s %s received %s, expires %s, %d bytes %s", r.Class, r.Key, r.State, r.Received.Format(time.RFC3339Nano),
 			r.Until.Format(time.RFC3339Nano), r.Bytes, r.Error)
 		return out.encode(r)
 	})
--- a/cmd/cataloguectl/state_cost.go
+++ b/cmd/cataloguectl/state_cost.go
@@ -24,23 +24,23 @@
 	}}
 	cmd := &cobra.Command{
 		Use:   "cost",
-		Short: "Measure what keeping state costs a daemon on one core",
-		Long: "cost saturates a daemon on one core with lookups, beside idempotent requests at a rate on a connection of their own:\n" +
-			"with nothing kept, on the disk of the temporary directory, and on that disk with stalls, in turn. It prints the medians\n" +
-			"of the ratios to nothing kept." + statusHelp,
+		Short: "Measure the cost of keeping state for a daemon on one core",
+		Long: "cost saturates a daemon on one core with lookups, and sends idempotent requests at a fixed rate on a separate\n" +
+			"connection. It measures, in turn, a daemon that keeps no state, one that keeps it on the disk of the temporary\n" +
+			"directory, and one that keeps it on that disk with injected stalls. It prints the median ratios to no state." + statusHelp,
 		Example: "  cataloguectl state cost --keyed-rate 500 --rounds 3\n  cataloguectl state cost --stall 100ms --every 500ms",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
 	}
 	addStallFlags(cmd, &opts.config.FaultProfile)
-	cmd.Flags().Float64Var(&opts.config.IdempotentRate, "keyed-rate", opts.config.IdempotentRate, "idempotent requests a second")
-	addSaturationFlags(cmd, &opts.config.SaturationConfig, "connections of lookups", "rounds of each disk")
+	cmd.Flags().Float64Var(&opts.config.IdempotentRate, "keyed-rate", opts.config.IdempotentRate, "idempotent requests per second")
+	addSaturationFlags(cmd, &opts.config.SaturationConfig, "number of connections for lookups", "number of rounds per disk")
 	return cmd
 }
 
 func (o *stateCostOptions) run(cmd *cobra.Command) error {
 	if !isValidSaturation(&o.config.SaturationConfig) || !(o.config.IdempotentRate > 0) {
-		return errors.New("rounds, gateways, time and the rate must be more than 0, open requests 1 to 32")
+		return errors.New("--rounds, --gateways, --for and --keyed-rate must be more than 0, and --open must be 1 to 32")
 	}
 	if err := o.config.FaultProfile.Validate(); err != nil {
 		return err
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	o.config.Daemon = self // it runs as the server by state serve
+	o.config.Daemon = self // state serve runs this program as the server
 	o.config.Progress = newProgressBar("rounds", 3*o.config.Rounds)
 	result, err := loadtest.MeasureStateCost(cmd.Context(), o.config)
 	if err != nil {
@@ -64,16 +64,16 @@
 func printStateCost(out printer, rounds int, result *loadtest.StateCost) {
 	for _, round := range result.Rounds {
 		out.linef("disk %-8s  lookups %8.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms  "+
-			"keyed %5.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms, %d not served, %.2f syncs each", round.Disk,
+			"idempotent %5.0f/s p50 %7.3f p99 %7.3f p99.9 %7.3f ms, %d not served, %.2f syncs per request", round.Disk,
 			round.Lookups.Rate, round.Lookups.P50, round.Lookups.P99, round.Lookups.P999,
 			round.Idempotent.Rate, round.Idempotent.P50, round.Idempotent.P99, round.Idempotent.P999, round.Rejected, round.Syncs)
 	}
 	for _, disk := range []loadtest.Disk{loadtest.HealthyDisk, loadtest.FaultyDisk} {
 		for _, class := range []string{loadtest.LookupClass, loadtest.IdempotentClass} {
 			ratio := result.Ratio[disk][class]
-			out.linef("%s over none, %s, median of %d: rate %.3f, p50 %.3f, p99 %.3f, p99.9 %.3f", disk, class, rounds,
+			out.linef("disk %s relative to none, %s, median of %d rounds: rate %.3f, p50 %.3f, p99 %.3f, p99.9 %.3f", disk, class, rounds,
 				ratio["rate"], ratio["p50"], ratio["p99"], ratio["p999"])
 		}
-		out.linef("%s over none, CPU a lookup: %.3f", disk, result.Ratio[disk][loadtest.LookupClass]["cpu"])
+		out.linef("disk %s relative to none, CPU time per lookup: %.3f", disk, result.Ratio[disk][loadtest.LookupClass]["cpu"])
 	}
 }
--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -20,10 +20,10 @@
 	opts.config.DrainRequests = 0
 	cmd := &cobra.Command{
 		Use:   "recovery",
-		Short: "Measure how soon a daemon recovers from a crash, with its state and without",
-		Long: "recovery runs load tests in pairs of one seed. Half way the daemon is killed and started again: with the directory that it\n" +
-			"left, and with none. It prints how long it took until the share of requests served was back to 95 % of before, with\n" +
-			"95 % confidence intervals." + statusHelp,
+		Short: "Measure the time that a daemon takes to recover from a crash, with and without its state",
+		Long: "recovery runs pairs of load tests with the same seed. Halfway through each, the daemon is killed and restarted: in one\n" +
+			"with the state directory that it left, in the other without it. recovery prints the time until the served share of\n" +
+			"requests was back at 95 % of its value before the kill, and the differences with 95 % confidence intervals." + statusHelp,
 		Example: "  cataloguectl state recovery --pairs 20 --picture recovery.svg",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
@@ -31,13 +31,13 @@
 	flags := cmd.Flags()
 	cfg := &opts.config
 	addDaemonFlag(cmd, &cfg.Daemon)
-	flags.IntVar(&cfg.Pairs, "pairs", cfg.Pairs, "pairs of load tests")
-	flags.IntVar(&cfg.Parallel, "parallel", cfg.Parallel, "load tests at a time")
-	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "requests of each load test, retries left out")
-	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second")
+	flags.IntVar(&cfg.Pairs, "pairs", cfg.Pairs, "number of pairs of load tests")
+	flags.IntVar(&cfg.Parallel, "parallel", cfg.Parallel, "number of load tests that run at a time")
+	flags.IntVar(&cfg.Requests, "requests", cfg.Requests, "number of requests of each load test, without retries")
+	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests per second")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of the first pair")
 	flags.IntVar(&cfg.MaxAttempts, "tries", cfg.MaxAttempts, "maximum number of attempts of one request")
-	flags.StringVar(&opts.svgPath, "picture", "", "file for a picture (SVG) of the share over time")
+	flags.StringVar(&opts.svgPath, "picture", "", "output file for an SVG chart of the served share over time")
 	return cmd
 }
 
@@ -49,7 +49,7 @@
 		return err
 	}
 	o.config.Args = []string{"serve"}
-	o.config.Progress = newProgressBar("storms", 2*o.config.Pairs)
+	o.config.Progress = newProgressBar("load tests", 2*o.config.Pairs)
 	recoveries, err := loadtest.MeasureRecovery(cmd.Context(), o.config)
 	if err != nil {
 		return inputError{err}
@@ -68,32 +68,33 @@
 	return problemFoundIf(violations > 0)
 }
 
-// recoveryName returns what a restart is called in texts and pictures.
+// recoveryName returns the name of a restart with or without state in texts and charts.
 func recoveryName(isStateRemoved bool) string {
 	if isStateRemoved {
-		return "cold"
+		return "without state"
 	}
-	return "remembered"
+	return "with state"
 }
 
-// printRecoveries prints a line for each restart. It returns the number of violations by servers that kept their state: without it,
-// requests may run twice.
+// printRecoveries prints a line for each restart and its violations. It returns the number of violations by daemons that kept their
+// state. Other violations don't count, because requests may run twice without the state.
 func printRecoveries(out printer, recoveries []loadtest.Recovery) int {
 	violations := 0
 	for _, r := range recoveries {
 		name := recoveryName(r.StateRemoved)
-		out.linef("seed %-4d %-10s before %.3f after %.3f back after %5.2f s", r.Seed, name, r.ServedBefore, r.ServedAfter, r.RecoverySeconds)
+		out.linef("seed %-4d %-13s served share %.3f before, %.3f after the kill; recovered after %5.2f s", r.Seed, name,
+			r.ServedBefore, r.ServedAfter, r.RecoverySeconds)
 		if !r.StateRemoved {
 			violations += len(r.Violations)
 		}
 		for _, violation := range r.Violations {
-			out.linef("  %s: broken rule: %s", name, violation)
+			out.linef("  %s: invariant violated: %s", name, violation)
 		}
 	}
 	return violations
 }
 
-// printDifferences prints the differences within the pairs, and how many restarts never recovered.
+// printDifferences prints the mean differences within the pairs, and the numbers of restarts that did not recover.
 func printDifferences(out printer, recoveries []loadtest.Recovery) {
 	var seconds, after []float64
 	unrecovered := map[bool]int{} // by StateRemoved
@@ -110,23 +111,23 @@
 		}
 	}
 	mean, low, high := experiment.ConfidenceInterval(seconds)
-	out.linef("remembered less cold: back after %+.2f s (%+.2f to %+.2f) over %d pairs", mean, low, high, len(seconds))
+	out.linef("with minus without state: recovery time %+.2f s (%+.2f to %+.2f) over %d pairs", mean, low, high, len(seconds))
 	mean, low, high = experiment.ConfidenceInterval(after)
-	out.linef("remembered less cold: share from the restart on %+.4f (%+.4f to %+.4f)", mean, low, high)
-	out.linef("not back by the end: %d cold, %d remembered", unrecovered[true], unrecovered[false])
+	out.linef("with minus without state: served share after the kill %+.4f (%+.4f to %+.4f)", mean, low, high)
+	out.linef("not recovered by the end: %d without state, %d with state", unrecovered[true], unrecovered[false])
 }
 
-// recoveryChart draws the mean shares with and without the state over time, which counts from the restart.
+// recoveryChart returns a chart of the mean served shares with and without the state, over the time since the kill.
 func recoveryChart(recoveries []loadtest.Recovery) report.Chart {
 	return report.Chart{
-		Title:  "Share of requests served round a restart",
+		Title:  "Served share of requests around a restart",
 		XLabel: "seconds after the kill",
 		YLabel: "share",
 		Series: []report.Series{recoverySeries(recoveries, true), recoverySeries(recoveries, false)},
 	}
 }
 
-// recoverySeries sums the steps of restarts of one kind, aligned at the restart.
+// recoverySeries returns the served share per step over all restarts with or without state, aligned at the restart.
 func recoverySeries(recoveries []loadtest.Recovery, isStateRemoved bool) report.Series {
 	sums := map[int]loadtest.SeriesPoint{} // by steps since the restart
 	first, last := 0, 0
--- a/cmd/cataloguectl/state_remove.go
+++ b/cmd/cataloguectl/state_remove.go
@@ -14,10 +14,10 @@
 	return &cobra.Command{
 		Use:   "repair DIR",
 		Short: "Remove records that can't be read",
-		Long: "repair removes the records that verify names. Duplicates of their requests may run again: that is why a server\n" +
-			"leaves them in place and says so, and does not do this by itself." + statusHelp,
+		Long: "repair removes the records that verify reports. Duplicates of their requests may run again afterwards. For that reason\n" +
+			"a server does not remove them; it leaves them in place and logs them." + statusHelp,
 		Args: cobra.ExactArgs(1),
-		RunE: withStore(readWrite, recordRemoval{isUnreadable, "that could not be read are removed"}.run),
+		RunE: withStore(readWrite, recordRemoval{isUnreadable, "that could not be read were removed"}.run),
 	}
 }
 
@@ -25,26 +25,26 @@
 	hasExpired := func(e idempotency.Entry, err error, now time.Time) bool { return err == nil && now.After(e.ExpiresAt) }
 	return &cobra.Command{
 		Use:   "expire DIR",
-		Short: "Remove records whose window has passed",
-		Long: "expire removes what no duplicate can ask for any more; a server does so by itself, a second after the window has\n" +
-			"passed." + statusHelp,
+		Short: "Remove expired records",
+		Long: "expire removes the records whose idempotency window has passed, so that no duplicate can need them. A running server\n" +
+			"does this itself a second after the window has passed." + statusHelp,
 		Args: cobra.ExactArgs(1),
-		RunE: withStore(readWrite, recordRemoval{hasExpired, "whose window has passed are removed"}.run),
+		RunE: withStore(readWrite, recordRemoval{hasExpired, "whose window has passed were removed"}.run),
 	}
 }
 
 // recordRemoval removes the records that match a condition.
 type recordRemoval struct {
 	matches func(e idempotency.Entry, err error, now time.Time) bool
-	summary string // what is printed after the number of records
+	summary string // printed after the number of removed records
 }
 
-// removedRecords is the JSON of a removal.
+// removedRecords is the JSON form of a removal.
 type removedRecords struct {
 	Removed int `json:"removed"`
 }
 
-// run removes the records and compacts the store, so that nothing of them is left on the disk.
+// run removes the matching records and compacts the store, so that none of their data remains on the disk.
 func (r recordRemoval) run(out printer, db *store.Store) error {
 	var names []string
 	now := time.Now()
@@ -71,7 +71,7 @@
 	return out.encode(removedRecords{len(names)})
 }
 
-// removeRecords removes records and waits until that is durable.
+// removeRecords removes records and waits until the removal is durable.
 func removeRecords(db *store.Store, names []string) error {
 	if len(names) == 0 {
 		return nil
--- a/cmd/cataloguectl/state_serve.go
+++ b/cmd/cataloguectl/state_serve.go
@@ -15,12 +15,13 @@
 	"tillerusher/server"
 )
 
-// serverExitError is the exit status of a server that this program ran as. The server has printed the reason.
+// serverExitError is returned when this program ran as a server that exited with a status other than 0. The server has printed the
+// reason.
 type serverExitError struct{ status int }
 
 // Error implements error.
 func (e serverExitError) Error() string {
-	return fmt.Sprintf("the server ended with status %d", e.status)
+	return fmt.Sprintf("the server exited with status %d", e.status)
 }
 
 // stateServeOptions are the flags of state serve.
@@ -34,25 +35,27 @@
 	cmd := &cobra.Command{
 		Use:   "serve",
 		Short: "Run a catalogue server that keeps its state on a faulty disk",
-		Long: "serve is `catalogue-server serve --state DIR` over a disk that stalls now and then or is full at times, to test what a\n" +
-			"server does then. Without --dir nothing is kept. It is configured as catalogue-server is, and its exit status is\n" +
-			"catalogue-server's: 0 after a drain, 1 when serving failed, 2 for wrong arguments, settings or configuration.",
+		Long: "serve runs `catalogue-server serve --state DIR` with injected disk faults: the disk stalls periodically or is full for\n" +
+			"a while. It is for tests of a server's behaviour during the faults. Without --dir the server keeps no state. serve has\n" +
+			"the configuration of catalogue-server, and its exit statuses: 0 after a drain, 1 if serving failed, 2 for wrong\n" +
+			"arguments, settings or configuration.",
 		Example: "  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --stall 100ms --every 1s\n" +
 			"  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --full-while /tmp/full  # touch /tmp/full",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return opts.run() },
 	}
 	addStallFlags(cmd, &opts.faults)
-	cmd.Flags().StringVar(&opts.dir, "dir", "", "directory in which results of idempotent requests are kept")
-	cmd.Flags().StringVar(&opts.faults.FullMarkerFile, "full-while", "", "file while whose presence the disk is full")
+	cmd.Flags().StringVar(&opts.dir, "dir", "", "directory in which the server stores results of idempotent requests")
+	cmd.Flags().StringVar(&opts.faults.FullMarkerFile, "full-while", "", "path of a marker file: the disk is full while it exists")
 	return cmd
 }
 
-// addStallFlags adds the flags of a disk's stalls.
+// addStallFlags adds the flags for the injected stalls of a disk.
 func addStallFlags(cmd *cobra.Command, faults *faultfs.Profile) {
 	flags := cmd.Flags()
-	flags.DurationVar(&faults.StallTime, "stall", faults.StallTime, "how long the disk stalls at a time")
-	flags.DurationVar(&faults.StallInterval, "every", max(faults.StallInterval, time.Second), "from the begin of one stall to the next")
+	flags.DurationVar(&faults.StallTime, "stall", faults.StallTime, "duration of each stall of the disk; 0 disables stalls")
+	flags.DurationVar(&faults.StallInterval, "every", max(faults.StallInterval, time.Second),
+		"time from the start of one stall to the start of the next")
 }
 
 func (o *stateServeOptions) run() error {
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// openStore opens the server's store over the faulty disk.
+// openStore opens the server's store on the faulty disk.
 func (o *stateServeOptions) openStore(ctx context.Context, d cli.StateDirectory) (server.DurableStore, error) {
 	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.Site, FS: faultfs.Wrap(vfs.Default, o.faults)}
 	return store.OpenWait(ctx, cfg, d.OnWait)
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -10,7 +10,8 @@
 	"tillerusher/internal/store"
 )
 
-// TestState checks that the commands on state directories print what is there, find what is damaged and remove only what they say.
+// TestState checks that the state commands print the records of a state directory, report damaged records, and remove only expired or
+// unreadable records.
 func TestState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	s, err := store.Open(store.Config{Dir: dir, Server: "n3", SiteFingerprint: "stock-reserve 18s"})
@@ -47,12 +48,12 @@
 		status int
 		text   string
 	}{
-		{"state info ", 0, "1 done, 1 intents, 0 whose answers were given up; 1 ran out, 1 can't be read"},
+		{"state info ", 0, "1 done, 1 intents, 0 with evicted responses; 1 records expired, 1 unreadable"},
 		{"state verify ", 1, "its checksum differs"},
 		{"state dump ", 0, "stock-reserve aa done received"},
-		{"state expire ", 0, "1 records whose window has passed are removed"},
-		{"state repair ", 0, "1 records that could not be read are removed"},
-		{"state verify ", 0, "2 records are whole, 0 are not"},
+		{"state expire ", 0, "1 records whose window has passed were removed"},
+		{"state repair ", 0, "1 records that could not be read were removed"},
+		{"state verify ", 0, "2 records intact, 0 damaged"},
 		{"state verify /nowhere", 3, "the state directory has no store"},
 	} {
 		args := strings.Fields(c.args)
