--- a/cmd/cataloguectl/aliases_test.go
+++ b/cmd/cataloguectl/aliases_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestOldVerbs finds each command by the verbs of earlier versions as well, nested ones included: scripts use them.
+// TestOldVerbs checks that the commands and their subcommands are found by the names of earlier versions, which scripts use.
 func TestOldVerbs(t *testing.T) {
 	root := newRootCommand()
 	for old, want := range map[string]string{
--- a/cmd/cataloguectl/config.go
+++ b/cmd/cataloguectl/config.go
@@ -10,7 +10,7 @@
 	cmd := &cobra.Command{
 		Use:   "config",
 		Short: "Check and show route configurations",
-		Long:  "A route configuration is what `catalogue-server route --config FILE` reads; docs/routes.md states its grammar.",
+		Long:  "A route configuration is a file that `catalogue-server route --config FILE` reads; docs/routes.md defines its grammar.",
 	}
 	cmd.AddCommand(newConfigCheckCommand(), newConfigShowCommand())
 	return cmd
@@ -19,8 +19,8 @@
 func newConfigCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check whether a route configuration can be served, or what is wrong and where",
-		Long:    "check reads a route configuration and all that it includes." + statusHelp,
+		Short:   "Check whether a route configuration can be served, and print the error with its position if not",
+		Long:    "check reads a route configuration with all included files." + statusHelp,
 		Example: "  cataloguectl config check routes.sexp && kill -HUP $PID",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -43,7 +43,7 @@
 func newConfigShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "show FILE",
-		Short:   "Print a route configuration with its includes in canonical form",
+		Short:   "Print a route configuration with its included files in canonical form",
 		Example: "  cataloguectl config show routes.sexp | diff - routes.sexp",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/cataloguectl/import.go
+++ b/cmd/cataloguectl/import.go
@@ -18,7 +18,7 @@
 func newImportCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "import",
-		Short: "Convert other programs' configurations to route configurations",
+		Short: "Convert configurations of other programs to route configurations",
 	}
 	cmd.AddCommand(newImportNginxCommand())
 	return cmd
@@ -28,7 +28,7 @@
 type importNginxOptions struct {
 	output        string
 	strict        bool
-	explainedPath string // a path
+	explainedPath string // request path to explain; empty means none
 	host          string
 }
 
@@ -37,9 +37,9 @@
 	cmd := &cobra.Command{
 		Use:   "nginx FILE",
 		Short: "Convert an nginx configuration to a route configuration",
-		Long: "nginx reads a configuration and all that it includes, and prints a route configuration. Everything that is not carried\n" +
-			"over is named on standard error by file, line and column, with the reason and its severity: harmless, changes\n" +
-			"behaviour, or unsafe. docs/nginx.md lists every directive." + statusHelp,
+		Long: "nginx reads an nginx configuration with all included files, and prints a route configuration. For everything that it\n" +
+			"does not convert, it prints the file, line and column to standard error, with the reason and the severity: harmless,\n" +
+			"changes behaviour, or unsafe. docs/nginx.md lists every directive." + statusHelp,
 		Example: "  cataloguectl import nginx /etc/nginx/nginx.conf -o routes.sexp\n" +
 			"  cataloguectl import nginx nginx.conf --strict >/dev/null\n" +
 			"  cataloguectl import nginx nginx.conf --explain /docs/a.php --host www.example.org",
@@ -47,14 +47,16 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args[0]) },
 	}
 	flags := cmd.Flags()
-	flags.StringVarP(&opts.output, "output", "o", "", "file for the route configuration, which must not exist; standard output if empty")
-	flags.BoolVar(&opts.strict, "strict", false, "end with status 1 if anything is not carried over")
-	flags.StringVar(&opts.explainedPath, "explain", "", "explain step by step which location serves a path")
-	flags.StringVar(&opts.host, "host", "", "the Host of the path that is explained")
+	flags.StringVarP(&opts.output, "output", "o", "",
+		"output file for the route configuration, which must not exist; standard output if empty")
+	flags.BoolVar(&opts.strict, "strict", false, "exit with status 1 if anything is not converted")
+	flags.StringVar(&opts.explainedPath, "explain", "",
+		"request path; explain step by step which location serves it, instead of printing the configuration")
+	flags.StringVar(&opts.host, "host", "", "Host header of the request to explain")
 	return cmd
 }
 
-// importDiagnostics is the JSON of an import.
+// importDiagnostics is the JSON form of the diagnostics of an import.
 type importDiagnostics struct {
 	Diagnostics []nginx.Diagnostic `json:"remarks"`
 }
@@ -101,7 +103,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// explainPath explains how a path finds its location, once for each listening address.
+// explainPath prints how the location for a path is found, once for each listening address.
 func explainPath(out printer, cfg *routeconfig.Config, host, path string) error {
 	table, err := cfg.BuildTable()
 	if err != nil {
@@ -115,7 +117,7 @@
 			}
 			isExplained[listen.Addr] = true
 			server, reason := table.FindServer(listen.Addr, host)
-			out.linef("at %v: the server of %s, by %s", listen.Addr, server.Source, reason)
+			out.linef("at %v: server at %s, selected by %s", listen.Addr, server.Source, reason)
 			if err := explainAtServer(out, server, path); err != nil {
 				return err
 			}
@@ -124,16 +126,16 @@
 	return nil
 }
 
-// explainAtServer explains how a path finds its location in a server.
+// explainAtServer prints how the location for a path is found in a server.
 func explainAtServer(out printer, server *route.Server, path string) error {
 	rawPath, query, _ := strings.Cut(path, "?")
 	resolution, steps, err := server.Explain(rawPath, query)
 	if err != nil {
-		out.linef("  %s is a bad request: %v", path, err)
+		out.linef("  the path %s is invalid: %v", path, err)
 		return nil
 	}
 	if normalized, err := route.NormalizePath(rawPath, server.MergeSlashes); err == nil {
-		out.linef("  %s is looked up as %s", path, normalized)
+		out.linef("  %s is normalized to %s", path, normalized)
 	}
 	for _, step := range steps {
 		out.linef("  %v", step)
@@ -141,7 +143,7 @@
 	return printResolution(out, resolution)
 }
 
-// resolutionInfo is the JSON of a resolution.
+// resolutionInfo is the JSON form of a resolution.
 type resolutionInfo struct {
 	Path     string `json:"path"`
 	Location string `json:"location,omitempty"`
@@ -151,7 +153,7 @@
 	To       string `json:"to,omitempty"`
 }
 
-// printResolution prints how a request is answered at the location that was found.
+// printResolution prints how a request with the resolution is answered.
 func printResolution(out printer, resolution route.Resolution) error {
 	info := resolutionInfo{Path: resolution.Path}
 	switch {
@@ -164,14 +166,14 @@
 		out.linef("  no location: 404")
 	case resolution.RedirectTrailingSlash:
 		info.Status = http.StatusMovedPermanently
-		out.linef("  a redirect to %s/", resolution.Path)
+		out.linef("  redirected to %s/", resolution.Path)
 	default:
 		printLocation(out, resolution, &info)
 	}
 	return out.encode(info)
 }
 
-// printLocation prints what the location does with a request, and notes it.
+// printLocation prints how the location of the resolution answers a request, and sets the fields of info.
 func printLocation(out printer, resolution route.Resolution, info *resolutionInfo) {
 	location := resolution.Location.Value.(*routeconfig.Location)
 	info.Location = resolution.Location.String()
@@ -182,9 +184,9 @@
 	case location.ReturnStatus != 0 && !resolution.StoppedByBreak:
 		out.linef("  answered with %d", location.ReturnStatus)
 	case location.Pool != "":
-		out.linef("  goes to the pool %s as %s", location.Pool, resolution.Path)
+		out.linef("  passed to the pool %s as %s", location.Pool, resolution.Path)
 	default:
 		info.Status = http.StatusNotFound
-		out.linef("  the location passes to no pool: 404")
+		out.linef("  the location has no pool: 404")
 	}
 }
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -11,14 +11,14 @@
 	"tillerusher/internal/retrysim"
 )
 
-// maxLoadFactor is drawn in the chart: a retry budget should keep the load below it.
+// maxLoadFactor is the threshold in the chart. A retry budget should keep the load, relative to the offered load, below it.
 const maxLoadFactor = 1.2
 
 func newRetriesCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "retries",
 		Aliases: []string{"pool"},
-		Short:   "Simulate the retries of a pool of servers",
+		Short:   "Simulate the retries in a pool of servers",
 	}
 	cmd.AddCommand(newRetriesSimulateCommand())
 	return cmd
@@ -36,35 +36,35 @@
 		Use:     "simulate",
 		Aliases: []string{"storm"},
 		Short:   "Simulate a retry storm with and without the retry budget",
-		Long: "simulate has every member fail a share of its attempts for a while, in virtual time, and prints the load on the\n" +
-			"members relative to the offered load, with the retry budget and without." + statusHelp,
+		Long: "simulate runs an outage in virtual time, in which every member of a pool fails a share of its attempts. It prints the\n" +
+			"load on the members relative to the offered load, with the retry budget and without." + statusHelp,
 		Example: "  cataloguectl retries simulate --fails 0.3 --output retries.svg",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(newPrinter(cmd)) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&opts.config.Members, "members", opts.config.Members, "members of the pool")
-	flags.Float64Var(&opts.config.RequestRate, "rate", opts.config.RequestRate, "requests a second")
-	flags.Float64Var(&opts.config.FailureShare, "fails", opts.config.FailureShare, "share of the attempts that fail in the outage")
+	flags.IntVar(&opts.config.Members, "members", opts.config.Members, "number of members of the pool")
+	flags.Float64Var(&opts.config.RequestRate, "rate", opts.config.RequestRate, "requests per second")
+	flags.Float64Var(&opts.config.FailureShare, "fails", opts.config.FailureShare, "share of the attempts that fail during the outage")
 	flags.Float64Var(&opts.config.BudgetShare, "share", opts.config.BudgetShare,
-		"retries that the budget allows, as a share of first attempts")
+		"retries that the budget allows per first attempt")
 	flags.Uint64Var(&opts.config.Seed, "seed", opts.config.Seed, "seed of all random numbers")
-	flags.StringVar(&opts.svgPath, "output", "", "file for a picture (SVG)")
+	flags.StringVar(&opts.svgPath, "output", "", "output file for an SVG chart")
 	return cmd
 }
 
-// run simulates the outage with the budget and without, prints both and draws them.
+// run simulates the outage with the budget and without, prints the results and writes the chart.
 func (o *retriesOptions) run(out printer) error {
 	cfg := o.config
 	if cfg.Members < 1 || !(cfg.RequestRate > 0) || cfg.FailureShare < 0 || cfg.FailureShare > 1 || cfg.BudgetShare <= 0 {
-		return errors.New("members and rate must be more than 0, fails 0 to 1, share more than 0")
+		return errors.New("--members, --rate and --share must be more than 0, and --fails must be 0 to 1")
 	}
 	withoutBudget := cfg
 	withoutBudget.BudgetShare = 0
 	chart := report.Chart{
-		Title:     fmt.Sprintf("%.0f %% of all tries fail", 100*cfg.FailureShare),
+		Title:     fmt.Sprintf("Outage in which %.0f %% of all attempts fail", 100*cfg.FailureShare),
 		XLabel:    "seconds",
-		YLabel:    "load on the members over what is offered",
+		YLabel:    "load on the members relative to the offered load",
 		Shaded:    []report.Span{{From: cfg.OutageStart.Seconds(), To: cfg.OutageEnd.Seconds()}},
 		Threshold: maxLoadFactor,
 	}
@@ -92,7 +92,7 @@
 	return out.encode(result)
 }
 
-// loadSeries returns the load over time.
+// loadSeries returns the relative load over time.
 func loadSeries(name string, samples []retrysim.Sample) report.Series {
 	series := report.Series{Name: name}
 	for _, s := range samples {
@@ -101,7 +101,7 @@
 	return series
 }
 
-// printOutage prints the means over the samples of the outage.
+// printOutage prints the mean load and the mean served share over the samples of the outage.
 func printOutage(out printer, name string, samples []retrysim.Sample, cfg retrysim.Config) {
 	load, served, count := 0.0, 0.0, 0.0
 	for _, s := range samples {
@@ -112,5 +112,5 @@
 			count++
 		}
 	}
-	out.linef("%-16s in the outage: load %.3f of what is offered, %.3f of the requests served", name, load/count, served/count)
+	out.linef("%-16s during the outage: load %.3f relative to the offered load, served share of requests %.3f", name, load/count, served/count)
 }
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -12,14 +12,14 @@
 	"tillerusher/internal/scenario"
 )
 
-// newScenarioCommand builds the commands on scenarios. Its alias and those below it are the verbs of earlier versions.
+// newScenarioCommand builds the scenario commands. The aliases of scenario and of its subcommands are the names of earlier versions.
 func newScenarioCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "scenario",
 		Aliases: []string{"rehearse"},
-		Short:   "Run incidents through the real server on a simulated system",
-		Long: "scenario runs a load and incidents through the real server, with its event loop and its connections, on a simulated\n" +
-			"operating system and network, in virtual time. The same seed gives the same report." + statusHelp,
+		Short:   "Run incidents against the real server on a simulated operating system",
+		Long: "scenario runs a load and incidents against the real server, with its event loop and its connections, on a simulated\n" +
+			"operating system and network in virtual time. The same seed gives the same report." + statusHelp,
 	}
 	cmd.AddCommand(
 		newScenarioListCommand(),
@@ -35,7 +35,7 @@
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the built-in scenarios",
-		Long:  "list prints the name of each scenario and what it shows." + statusHelp,
+		Long:  "list prints the name and the purpose of each scenario." + statusHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := newPrinter(cmd)
@@ -65,8 +65,8 @@
 	cmd := &cobra.Command{
 		Use:   "run NAME",
 		Short: "Run a scenario",
-		Long: "run runs a built-in scenario, or that of a file that ends in .sexp. The exit status is 1 if an invariant is violated\n" +
-			"or an expectation is not met." + statusHelp,
+		Long: "run runs a built-in scenario, or the scenario in a file whose name ends in .sexp. The exit status is 1 if an invariant\n" +
+			"is violated or an expectation is not met." + statusHelp,
 		Example: "  cataloguectl scenario run rolling-deploy --seed 7\n  cataloguectl scenario run friday.sexp --page friday.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -78,13 +78,13 @@
 			return runScenario(newPrinter(cmd), s, opts.seed, repeat, opts.htmlPath)
 		},
 	}
-	cmd.Flags().StringVar(&opts.htmlPath, "page", "", "file for a page (HTML) with the figures and charts over time")
+	cmd.Flags().StringVar(&opts.htmlPath, "page", "", "output file for an HTML page with the result and charts over time")
 	cmd.Flags().Uint64Var(&opts.seed, "seed", opts.seed, "seed of all random numbers")
 	return cmd
 }
 
-// runScenario runs a scenario and prints its report, with the command that repeats it if something is wrong. A page is written unless
-// its path is empty.
+// runScenario runs a scenario and prints its report. If an invariant is violated or an expectation is not met, it also prints repeat,
+// the command that runs the scenario again. It writes a page unless pagePath is empty.
 func runScenario(out printer, spec *scenario.Scenario, seed uint64, repeat, pagePath string) error {
 	result, err := scenario.Run(spec, seed)
 	if err != nil {
@@ -98,7 +98,7 @@
 	printReport(out, result)
 	isBad := result.HasViolations() || len(result.UnmetExpectations) > 0
 	if isBad {
-		out.linef("again: %s", repeat)
+		out.linef("to repeat: %s", repeat)
 	}
 	if err := out.encode(result); err != nil {
 		return err
@@ -106,25 +106,25 @@
 	return problemFoundIf(isBad)
 }
 
-// printReport prints a scenario's report.
+// printReport prints the report of a scenario.
 func printReport(out printer, result *scenario.Report) {
-	out.linef("%s, seed %d: %d requests in %d tries; share served %.3f, p50 %.1f ms, p99 %.1f ms", result.Scenario, result.Seed,
-		result.Requests, result.Attempts, result.ServedShare, result.P50, result.P99)
-	out.linef("tries: served %d, refused %d, failed %d, lost with their connection %d, not sent %d, unanswered %d; %d runs", result.Served,
-		result.Rejected, result.Failed, result.Lost, result.Unsent, result.Unanswered, result.Runs)
-	out.linef("share by second, blank is under 0.1 and @ from 0.9: |%s|", sparkline(result.Seconds))
+	out.linef("%s, seed %d: %d requests in %d attempts; served share %.3f, p50 %.1f ms, p99 %.1f ms", result.Scenario,
+		result.Seed, result.Requests, result.Attempts, result.ServedShare, result.P50, result.P99)
+	out.linef("attempts: %d served, %d rejected, %d failed, %d lost with their connection, %d not sent, %d unanswered; %d runs",
+		result.Served, result.Rejected, result.Failed, result.Lost, result.Unsent, result.Unanswered, result.Runs)
+	out.linef("served share by second, from blank (below 0.1) to @ (0.9 or more): |%s|", sparkline(result.Seconds))
 	for _, violation := range result.Violations {
-		out.linef("broken rule: %s", violation)
+		out.linef("invariant violated: %s", violation)
 	}
 	if unnamed := result.ViolationCount - len(result.Violations); unnamed > 0 {
-		out.linef("and %d more", unnamed)
+		out.linef("and %d more violations", unnamed)
 	}
 	for _, expectation := range result.UnmetExpectations {
-		out.linef("not as expected: %s", expectation)
+		out.linef("expectation not met: %s", expectation)
 	}
 }
 
-// sparkline draws the served share of each second as one character.
+// sparkline returns a text with one character per second, which shows the served share of the requests that arrived in it.
 func sparkline(seconds []scenario.SecondStats) string {
 	const shades = " .:-=+*#%@"
 	line := make([]byte, len(seconds))
@@ -150,8 +150,8 @@
 		Use:     "explore",
 		Aliases: []string{"hunt"},
 		Short:   "Run generated scenarios until an invariant is violated",
-		Long: "explore runs short scenarios whose cluster, load, network faults and incidents are generated from a seed, one seed after\n" +
-			"the other, and prints those that violate an invariant, with the command that repeats them." + statusHelp,
+		Long: "explore runs short scenarios with consecutive seeds. It generates the cluster, load, network faults and incidents of\n" +
+			"each from its seed. It prints the scenarios that violate an invariant, with the command that repeats them." + statusHelp,
 		Example: "  cataloguectl scenario explore --for 10m\n  cataloguectl scenario explore --first 1 --seeds 1000",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
@@ -159,9 +159,9 @@
 	flags := cmd.Flags()
 	flags.Uint64Var(&opts.config.FirstSeed, "first", opts.config.FirstSeed, "first seed")
 	flags.IntVar(&opts.config.Seeds, "seeds", opts.config.Seeds, "number of seeds")
-	flags.DurationVar(&opts.duration, "for", opts.duration, "maximum duration")
-	flags.IntVar(&opts.config.MaxFindings, "most", opts.config.MaxFindings, "number of findings after which it ends")
-	flags.IntVar(&opts.config.Parallel, "parallel", opts.config.Parallel, "scenarios that run at a time")
+	flags.DurationVar(&opts.duration, "for", opts.duration, "maximum duration of the exploration")
+	flags.IntVar(&opts.config.MaxFindings, "most", opts.config.MaxFindings, "number of findings after which the exploration ends")
+	flags.IntVar(&opts.config.Parallel, "parallel", opts.config.Parallel, "number of scenarios that run at a time")
 	return cmd
 }
 
@@ -181,25 +181,25 @@
 	return problemFoundIf(len(result.Findings) > 0)
 }
 
-// printExploration prints the sums and the findings of an exploration.
+// printExploration prints the totals and the findings of an exploration.
 func printExploration(out printer, e *scenario.Exploration) {
-	out.linef("%d days: %d requests, %d tries, %d runs; served %d, refused %d, failed %d, lost with their connection %d", e.Seeds,
-		e.Requests, e.Attempts, e.Runs, e.Served, e.Rejected, e.Failed, e.Lost)
-	out.linef("faults: %+v", e.Simulation)
+	out.linef("%d scenarios: %d requests, %d attempts, %d runs; attempts: %d served, %d rejected, %d failed, %d lost with their connection",
+		e.Seeds, e.Requests, e.Attempts, e.Runs, e.Served, e.Rejected, e.Failed, e.Lost)
+	out.linef("simulated events and faults: %+v", e.Simulation)
 	for _, finding := range e.Findings {
-		what := fmt.Sprintf("%d tries unanswered", finding.Report.Unanswered)
+		what := fmt.Sprintf("%d attempts unanswered", finding.Report.Unanswered)
 		if len(finding.Report.Violations) > 0 {
 			what = finding.Report.Violations[0]
 		}
-		out.linef("seed %d: %s\n  again: cataloguectl scenario replay %d", finding.Seed, what, finding.Seed)
+		out.linef("seed %d: %s\n  to repeat: cataloguectl scenario replay %d", finding.Seed, what, finding.Seed)
 	}
 }
 
-// parseSeed reads a seed.
+// parseSeed parses a seed.
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("found %q, want a seed: a whole number", text)
+		return 0, fmt.Errorf("found %q, want a seed: an integer from 0 to 2^64-1", text)
 	}
 	return seed, nil
 }
@@ -225,8 +225,9 @@
 	return &cobra.Command{
 		Use:   "shrink SEED",
 		Short: "Find a smaller scenario that violates an invariant with the same seed",
-		Long:  "shrink reduces the scenario that explore generates from a seed for as long as it violates an invariant." + statusHelp,
-		Args:  cobra.ExactArgs(1),
+		Long: "shrink reduces the scenario that explore generates from a seed as long as it violates an invariant, and prints the\n" +
+			"reduced scenario and its report." + statusHelp,
+		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			seed, err := parseSeed(args[0])
 			if err != nil {
--- a/cmd/cataloguectl/scenario_page.go
+++ b/cmd/cataloguectl/scenario_page.go
@@ -9,7 +9,7 @@
 	"tillerusher/internal/scenario"
 )
 
-// newScenarioPage returns the page of a scenario's report.
+// newScenarioPage returns a page with the report of a scenario.
 func newScenarioPage(spec *scenario.Scenario, result *scenario.Report) report.Page {
 	return report.Page{
 		Title:    spec.Name + ", seed " + strconv.FormatUint(result.Seed, 10),
@@ -18,25 +18,25 @@
 	}
 }
 
-// scenarioResult is the section with the figures and the charts.
+// scenarioResult returns the section with the results and the charts.
 func scenarioResult(spec *scenario.Scenario, result *scenario.Report) report.Section {
 	section := report.Section{
 		Title:  "Result",
-		Header: []string{"what", "figure"},
+		Header: []string{"result", "value"},
 		Rows: [][]string{
 			{"requests", strconv.Itoa(result.Requests)},
-			{"share served", fmt.Sprintf("%.3f", result.ServedShare)},
+			{"served share", fmt.Sprintf("%.3f", result.ServedShare)},
 			{"p50", fmt.Sprintf("%.1f ms", result.P50)},
 			{"p99", fmt.Sprintf("%.1f ms", result.P99)},
 			{"recovered after", fmt.Sprintf("%.0f s", result.RecoverySeconds)},
-			{"tries", strconv.Itoa(result.Attempts)},
-			{"refused", strconv.Itoa(result.Rejected)},
+			{"attempts", strconv.Itoa(result.Attempts)},
+			{"rejected", strconv.Itoa(result.Rejected)},
 			{"failed", strconv.Itoa(result.Failed)},
 			{"lost with their connection", strconv.Itoa(result.Lost)},
 			{"not sent", strconv.Itoa(result.Unsent)},
 			{"unanswered", strconv.Itoa(result.Unanswered)},
-			{"broken rules", strconv.Itoa(result.ViolationCount)},
-			{"expectations that do not hold", strconv.Itoa(len(result.UnmetExpectations))},
+			{"violated invariants", strconv.Itoa(result.ViolationCount)},
+			{"expectations not met", strconv.Itoa(len(result.UnmetExpectations))},
 		},
 		Charts: scenarioCharts(spec, result),
 	}
@@ -46,9 +46,9 @@
 	return section
 }
 
-// scenarioCharts are the served share and the load over time, with the incidents shaded.
+// scenarioCharts returns charts of the served share and the load over time, with the incidents shaded.
 func scenarioCharts(spec *scenario.Scenario, result *scenario.Report) []report.Chart {
-	share := report.Series{Name: "share of requests served"}
+	share := report.Series{Name: "served share of requests"}
 	load := report.Series{Name: "requests"}
 	for n, second := range result.Seconds {
 		served := float64(second.Served) / float64(max(second.Requests, 1))
@@ -60,14 +60,14 @@
 		shaded = append(shaded, report.Span{From: incident.At.Seconds(), To: (incident.At + incident.Duration).Seconds()})
 	}
 	return []report.Chart{
-		{Title: "Share served", XLabel: "seconds", YLabel: "share", Series: []report.Series{share}, Shaded: shaded},
-		{Title: "Load", XLabel: "seconds", YLabel: "requests a second", Series: []report.Series{load}, Shaded: shaded},
+		{Title: "Served share", XLabel: "seconds", YLabel: "share", Series: []report.Series{share}, Shaded: shaded},
+		{Title: "Load", XLabel: "seconds", YLabel: "requests per second", Series: []report.Series{load}, Shaded: shaded},
 	}
 }
 
-// scenarioIncidents is the section with a row for each incident.
+// scenarioIncidents returns the section with a row for each incident.
 func scenarioIncidents(spec *scenario.Scenario) report.Section {
-	section := report.Section{Title: "Incidents", Header: []string{"what", "at", "for", "server"}}
+	section := report.Section{Title: "Incidents", Header: []string{"incident", "start", "duration", "server"}}
 	for _, incident := range spec.Incidents {
 		server := "all"
 		if incident.Server > 0 {
