--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -63,7 +63,7 @@
 // isFlawed reports whether the segment is damaged, has no readable snapshot or follows a gap.
 func (i segmentInfo) isFlawed() bool { return len(i.Damage) > 0 || !i.State || i.Meta.Gap != nil }
 
-// condition describes for people whether the segment is complete, and what is damaged or missing.
+// condition returns a text that says whether the segment is complete, and lists missing records and damage.
 func (i segmentInfo) condition() string {
 	text := "complete"
 	if !i.Complete {
@@ -158,7 +158,8 @@
 		RunE:    withCaptures(opts.run),
 	}
 	cmd.Flags().DurationVar(&opts.from, "from", 0, "start of the records to print, as time on the decision module's clock")
-	cmd.Flags().DurationVar(&opts.to, "to", 0, "end of the records to print, as time on the decision module's clock; 0 means the end of the capture")
+	cmd.Flags().DurationVar(&opts.to, "to", 0,
+		"end of the records to print, as time on the decision module's clock; 0 means the end of the capture")
 	cmd.Flags().StringSliceVar(&opts.kinds, "kind", nil, "comma-separated kinds of records to print, such as refuse; all if empty")
 	return cmd
 }
--- a/cmd/cataloguectl/capture_cut.go
+++ b/cmd/cataloguectl/capture_cut.go
@@ -56,8 +56,8 @@
 		Short: "Cut out the smallest capture that replays with the same decisions",
 		Long: "cut writes an excerpt of a capture, with the module's state at its start. The span is given by the module's clock or\n" +
 			"by a request, whose attempts it covers. The excerpt starts with the first round of events that starts in the span\n" +
-			"or after it, and ends with the round in which the span ends. With --redecide the excerpt starts with a segment\n" +
-			"instead, its events are kept, and this program's decisions replace the recorded ones." + statusHelp,
+			"or after it, and ends with the round in which the span ends. With --redecide the excerpt starts at the start of\n" +
+			"a segment, its events are kept, and this program's decisions replace the recorded ones." + statusHelp,
 		Example: "  cataloguectl capture cut DIR --around 9b1f03aa5c7e2d41 -o complaint.capture\n" +
 			"  cataloguectl capture cut DIR --from 2m --to 2m30s -o half-minute.capture",
 		Args: cobra.MinimumNArgs(1),
--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -25,8 +25,8 @@
 		Use:   "explain {ID | KEY | TIME} CAPTURE...",
 		Short: "Explain the outcome of a request, or print the module's state at a time",
 		Long: "explain replays a capture. For a Request-Id (16 hex digits), an idempotency key (32 hex digits) or the module's number\n" +
-			"of a request (#N), it explains why its attempts were rejected, failed or late: it prints the module's state and the\n" +
-			"requests ahead of them. For a time (14:05:03.2 in UTC on the day of the capture, RFC 3339, or 2m3s on the module's\n" +
+			"of a request (#N), it explains why all its attempts were rejected, failed or late: it prints the module's state and\n" +
+			"the requests ahead of them. For a time (14:05:03.2 in UTC on the day of the capture, RFC 3339, or 2m3s on the module's\n" +
 			"clock), it prints the module's state at that time and the decisions around it." + statusHelp,
 		Example: "  cataloguectl explain 9b1f03aa5c7e2d41 DIR\n  cataloguectl explain '#4711' DIR --json\n" +
 			"  cataloguectl explain 14:05:03 DIR --around 20ms",
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -187,11 +187,11 @@
 		e.Seeds, e.Requests, e.Attempts, e.Runs, e.Served, e.Rejected, e.Failed, e.Lost)
 	out.linef("simulated events and faults: %+v", e.Simulation)
 	for _, finding := range e.Findings {
-		what := fmt.Sprintf("%d attempts unanswered", finding.Report.Unanswered)
+		problem := fmt.Sprintf("%d attempts unanswered", finding.Report.Unanswered)
 		if len(finding.Report.Violations) > 0 {
-			what = finding.Report.Violations[0]
+			problem = finding.Report.Violations[0]
 		}
-		out.linef("seed %d: %s\n  to repeat: cataloguectl scenario replay %d", finding.Seed, what, finding.Seed)
+		out.linef("seed %d: %s\n  to repeat: cataloguectl scenario replay %d", finding.Seed, problem, finding.Seed)
 	}
 }
 
--- a/cmd/cataloguectl/scenario_page.go
+++ b/cmd/cataloguectl/scenario_page.go
@@ -28,7 +28,7 @@
 			{"served share", fmt.Sprintf("%.3f", result.ServedShare)},
 			{"p50", fmt.Sprintf("%.1f ms", result.P50)},
 			{"p99", fmt.Sprintf("%.1f ms", result.P99)},
-			{"recovered after", fmt.Sprintf("%.0f s", result.RecoverySeconds)},
+			{"recovered after (-1: never)", fmt.Sprintf("%.0f s", result.RecoverySeconds)},
 			{"attempts", strconv.Itoa(result.Attempts)},
 			{"rejected", strconv.Itoa(result.Rejected)},
 			{"failed", strconv.Itoa(result.Failed)},
--- a/cmd/cataloguectl/state_recovery.go
+++ b/cmd/cataloguectl/state_recovery.go
@@ -82,7 +82,7 @@
 	violations := 0
 	for _, r := range recoveries {
 		name := recoveryName(r.StateRemoved)
-		out.linef("seed %-4d %-13s served share %.3f before, %.3f after the kill; recovered after %5.2f s", r.Seed, name,
+		out.linef("seed %-4d %-13s served share %.3f before, %.3f after the kill; recovered after %5.2f s (-1: never)", r.Seed, name,
 			r.ServedBefore, r.ServedAfter, r.RecoverySeconds)
 		if !r.StateRemoved {
 			violations += len(r.Violations)
