--- a/internal/idempotency/admit.go
+++ b/internal/idempotency/admit.go
@@ -32,7 +32,7 @@
 // Decision is the outcome of Admit: whether a request with a new key may run, and if not, why.
 type Decision uint8
 
-// The decisions.
+// The outcomes of Admit.
 const (
 	Admitted        Decision = iota // the request may run once its intent is durable
 	TableFull                       // rejected: a limit of the table is reached
@@ -78,7 +78,7 @@
 		t.Counters.RejectedFull++
 		return TableFull
 	}
-	if t.diskState == DiskFailing { // this request probes the disk; others are rejected until its write ends or the backoff passes
+	if t.diskState == DiskFailing { // this request probes the disk; others are rejected until a write succeeds or the backoff passes
 		t.nextProbe = now.Add(t.probeBackoff)
 	}
 	return Admitted
--- a/internal/idempotency/eviction.go
+++ b/internal/idempotency/eviction.go
@@ -60,8 +60,8 @@
 	return changes
 }
 
-// compactEvictionQueue drops the stale slots of a long queue if it has more than twice as many slots as the table has
-// entries, so that most slots are stale.
+// compactEvictionQueue drops the stale slots of a long queue if most of its slots are stale: it has more than twice as many
+// slots as the table has entries.
 func (t *Table) compactEvictionQueue() {
 	if len(t.evictionQueue) <= minQueueToCompact || len(t.evictionQueue) <= 2*len(t.entries) {
 		return
--- a/internal/idempotency/runtimes.go
+++ b/internal/idempotency/runtimes.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// RunTimes is the record of the run times that a server learned for its classes. A new process starts with them instead of
-// without estimates.
+// RunTimes is the record of the run times that a server learned for its classes. A new process starts with them as its first
+// estimates.
 type RunTimes struct {
 	SavedAt time.Time
 	Machine string // the machine on which the run times were measured
@@ -105,8 +105,9 @@
 }
 
 // WeightByAge returns the run times that a server starts with on the machine. The older they are, the smaller is their number
-// of samples. It returns nil if they are older than maxRunTimesAge, were saved later than maxClockStepBack after now, or were
-// measured on another machine, since run times depend on the machine's cores. It skips classes without a core time or samples.
+// of samples. It returns nil if they are older than maxRunTimesAge, or if SavedAt is more than maxClockStepBack after now. It
+// also returns nil if they were measured on another machine, since run times depend on the machine's cores. It skips classes
+// without a core time or samples.
 func (r *RunTimes) WeightByAge(now time.Time, machine string) []ClassRunTime {
 	age := now.Sub(r.SavedAt)
 	if age < -maxClockStepBack || age > maxRunTimesAge || machine != r.Machine {
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -88,7 +88,8 @@
 	t.enqueueForEviction(entry)
 	t.Counters.Completed++
 	changes := t.evictToFit()
-	if entry.State == Completed { // else evictToFit evicted this response, too large for the limit, and returned the change
+	// If evicting all older responses did not free enough, evictToFit has also evicted this one and returned its change.
+	if entry.State == Completed {
 		changes = append(changes, Change{key.RecordName(), entry.Encode()})
 	}
 	return changes
--- a/internal/maintenance/scheduler.go
+++ b/internal/maintenance/scheduler.go
@@ -12,7 +12,7 @@
 	BytesPerSecond int64
 }
 
-// burstSeconds is the capacity of the token buckets: the budget of so many seconds.
+// burstSeconds is the time in seconds whose budget the token buckets can hold.
 const burstSeconds = 2
 
 // Scheduler decides which task runs. Times passed to it must not decrease. A Scheduler is not safe for concurrent use.
--- a/internal/maintenance/task.go
+++ b/internal/maintenance/task.go
@@ -10,7 +10,9 @@
 	Name        string        // unique among the tasks of a Scheduler
 	Priority    int           // a task of higher priority runs first
 	MinInterval time.Duration // minimum time between two runs
-	MaxInterval time.Duration // maximum time between two runs, even if the server is overloaded or the budget used up; 0: none
+	// MaxInterval is the maximum time between two runs, even if the server is overloaded or the budget is used up. 0 means no
+	// maximum.
+	MaxInterval time.Duration
 }
 
 // Cost is the time and the I/O of a run.
--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -38,8 +38,9 @@
 	return d
 }
 
-// failAndRecover makes the disk fail until writes fail, makes it work again, waits until a write succeeds and returns how many
-// writes failed before.
+// failAndRecover makes the disk fail after a random number of calls and writes records until three writes have failed. It then
+// makes the disk work again and checks that a write succeeds within six attempts. It returns the number of writes that failed
+// on the failing disk.
 func (d *failingDisk) failAndRecover(t *testing.T, s *Store, rng *rand.Rand, durable map[string]string) (failed int) {
 	t.Helper()
 	d.callsLeft.Store(rng.Int64N(300))
--- a/internal/store/engine.go
+++ b/internal/store/engine.go
@@ -162,7 +162,7 @@
 	e.fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
 }
 
-// withDB calls runAbandonable with the engine's database.
+// withDB runs work on the engine's database, as runAbandonable does.
 func (e *engine) withDB(work func(db *pebble.DB) error) error {
 	return e.runAbandonable(func() error { return work(e.db) })
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -10,7 +10,7 @@
 // recordPrefix is the first byte of the database keys of all records. The key of the identity does not have it.
 const recordPrefix = 'u'
 
-// minCompactBytes is the total size of files that were never compacted from which Compact runs a compaction.
+// minCompactBytes is the minimum total size of files that were never compacted at which Compact runs a compaction.
 const minCompactBytes = 1 << 20
 
 // recordKey returns the database key of a record.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,7 +19,7 @@
 	"github.com/cockroachdb/pebble/vfs/errorfs"
 )
 
-// powerCuts is the number of power cuts of TestPowerCuts; docs/design/state.md has the results of runs with more.
+// powerCuts is the number of power cuts of TestPowerCuts; docs/design/state.md has the results of runs with more cuts.
 var powerCuts = flag.Int("cuts", 150, "number of power cuts to simulate")
 
 // config returns the configuration of the tests' directory on a file system.
