--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -58,7 +58,7 @@
 		{"rehearse replay one", 2, "want a seed"},
 		{"rehearse hunt --seeds 2", 0, "2 days"},
 		{"state cost --rounds 0", 2, "more than 0"},
-		{"state serve --stall 2s --every 1s", 2, "want it to go on in between"},
+		{"state serve --stall 2s --every 1s", 2, "want at least 0 and less than the stall interval of 1s"},
 		{"capture info " + storm, 0, "5417 records"},
 		{"capture info " + flipped, 0, "checksum differs"},
 		{"capture verify " + storm, 0, "1 segments, 0 with flaws"},
--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -22,13 +22,13 @@
 // Validate returns an error if StallTime is negative or not shorter than StallInterval.
 func (p Profile) Validate() error {
 	if p.StallTime < 0 || p.StallTime > 0 && p.StallInterval <= p.StallTime {
-		return fmt.Errorf("faultfs: a disk that stalls for %v every %v, want it to go on in between", p.StallTime, p.StallInterval)
+		return fmt.Errorf("faultfs: stall time is %v, want at least 0 and less than the stall interval of %v", p.StallTime, p.StallInterval)
 	}
 	return nil
 }
 
-// remainingStall returns how long a call must wait that arrives at a time, counted from the start. Each interval begins with
-// a stall.
+// remainingStall returns how long a call must wait for the end of a stall. The call arrives at the given time since the start.
+// Each interval begins with a stall.
 func (p Profile) remainingStall(at time.Duration) time.Duration {
 	if p.StallTime <= 0 {
 		return 0
