--- a/internal/capture/arrivals.go
+++ b/internal/capture/arrivals.go
@@ -6,7 +6,8 @@
 )
 
 // ReadArrivals returns the times at which the first attempts of a capture reached the machine, for load tests and simulations
-// to replay. The times are relative to the first one and never decrease: a time before its predecessor is replaced by it.
+// to replay. The times are relative to the first one and never decrease: a time before its predecessor is raised to the
+// predecessor.
 // ReadArrivals returns an error if the capture has no first attempts.
 func ReadArrivals(path string) ([]time.Duration, error) {
 	segments, _, err := Open(path)
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -107,7 +107,7 @@
 	return dst
 }
 
-// write encodes h into the first bytes of header. stored is the compressed content, which the header has a checksum of.
+// write encodes h into the first bytes of header. The encoded header has a checksum of stored, the compressed content.
 func (h blockHeader) write(header, stored []byte) {
 	order := binary.LittleEndian
 	copy(header, blockMarker[:])
--- a/internal/capture/config.go
+++ b/internal/capture/config.go
@@ -10,7 +10,7 @@
 	SegmentBytes  int64         // size at which a new segment is started
 	SegmentAge    time.Duration // age at which a new segment is started
 	MaxBytes      int64         // limit on the total size of all segments in the directory
-	BufferBytes   int           // memory for the blocks that are filled or wait to be written
+	BufferBytes   int           // memory for the blocks that are being filled or wait to be written
 	FlushInterval time.Duration // age at which a block that is not full is written; checked after each round of events
 }
 
--- a/internal/capture/meta.go
+++ b/internal/capture/meta.go
@@ -19,7 +19,7 @@
 
 // Gap is a period before a segment in which records were dropped.
 type Gap struct {
-	Records uint64        `json:"records"` // dropped during the gap, without the lost blocks of an abandoned segment
+	Records uint64        `json:"records"` // number dropped during the gap; the lost blocks of an abandoned segment are not counted
 	From    time.Duration `json:"from"`    // module's clock at the start of the gap
 	Cause   string        `json:"cause"`
 }
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -21,7 +21,7 @@
 	config := smallConfig()
 	config.MaxBytes = 4 * (config.SegmentBytes + int64(config.BufferBytes))
 	runs := map[string]bool{}
-	for range 2 { // starts
+	for range 2 { // two starts of the recorder
 		b := startRecording(t, directory, config, func(err error) { t.Error(err) })
 		for range 40 {
 			for range 100 {
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// UnixTime converts a time of the module's clock to wall clock time. It adds the time since the last block that starts no
-// later to the wall clock of that block, or of the segment if there is no such block.
+// UnixTime converts a time of the module's clock to wall clock time. Its reference is the last block that starts at or before
+// that time, or the start of the segment if there is no such block.
 func (s *Segment) UnixTime(at time.Duration) time.Time {
 	unix := s.Meta.UnixTime.Add(at - s.Meta.ModuleTime)
 	for i := range s.Blocks {
@@ -108,8 +108,8 @@
 	return unix
 }
 
-// ModuleTime converts a wall clock time to the module's clock. It adds the time since the last block that starts no later to
-// the module's clock at that block, or at the start of the segment if there is no such block.
+// ModuleTime converts a wall clock time to the module's clock. Its reference is the last block that starts at or before that
+// time, or the start of the segment if there is no such block.
 func (s *Segment) ModuleTime(unix time.Time) time.Duration {
 	at := s.Meta.ModuleTime + unix.Sub(s.Meta.UnixTime)
 	for i := range s.Blocks {
--- a/internal/capture/segment_test.go
+++ b/internal/capture/segment_test.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	maxBlockRecords := uint64(0) // records of a block
+	maxBlockRecords := uint64(0) // largest number of records in a block
 	for i := range whole.Blocks {
 		n, err := whole.Blocks[i].countRecords()
 		if err != nil {
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -68,8 +68,8 @@
 
 func (a *Attempt) wasServed() bool { return a.Status == StatusServed || a.Status == StatusReplayed }
 
-// RecordedAttempts returns the recorded attempts of one run of the server, of which all segments must be. cores is the number of
-// cores that the server had.
+// RecordedAttempts returns the recorded attempts of one run of the server. All segments must be of this run. cores is the number
+// of cores that the server had.
 func RecordedAttempts(segments []*capture.Segment, cores int) ([]*Attempt, error) {
 	tracker := newAttemptTracker(cores)
 	names := map[admission.RequestID]string{}
@@ -110,7 +110,7 @@
 // attemptTracker builds attempts from their records.
 //
 // Core times are computed from a virtual clock, which advances by the core time that each run gets. The core time of a run is
-// thus the time of the virtual clock between its start and its end, whatever the number of concurrent runs.
+// thus how far the virtual clock advances between the run's start and its end, whatever the number of concurrent runs.
 type attemptTracker struct {
 	attempts []*Attempt // in the order in which the server read them
 	byID     map[admission.RequestID]*Attempt
--- a/internal/replay/predicate.go
+++ b/internal/replay/predicate.go
@@ -37,7 +37,8 @@
 //
 //	refused:ID  failed:ID  run:ID    the request with the module's number ID is rejected, failed or run
 //	log:TEXT                         the module logs a line that contains TEXT
-//	jam:DURATION                     for DURATION, requests are queued and none runs, although the module sees no stall
+//	jam:DURATION                     for DURATION, requests are queued and none runs or waits for a call, although the
+//	                                 module detects no stall
 func ParsePredicate(text string) (func() Predicate, error) {
 	kind, argument, _ := strings.Cut(text, ":")
 	switch {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -23,7 +23,7 @@
 	Rejected         uint64        `json:"refused"`
 	Failed           uint64        `json:"failed"`
 	Runs             uint64        `json:"runs"`
-	Restarts         int           `json:"restarts"` // segments at which it restarted from the snapshot instead of continuing
+	Restarts         int           `json:"restarts"` // segments at which it restored the module from the snapshot instead of continuing
 	Duration         time.Duration `json:"spanned"`  // on the module's clock
 	Skipped          uint64        `json:"skipped"`  // events that are not replayed since the module's state is unknown after damage
 	MatchedSnapshots int           `json:"states"`   // snapshots that are equal to the replayed module's state
@@ -77,9 +77,9 @@
 // errDiffers ends a replay at its first difference.
 var errDiffers = errors.New("replay: the decisions differ")
 
-// Run replays the segments in order, until the first difference between the module's actions and the recorded ones. It keeps
-// the module's state from one segment to the next if no record is missing between them. Otherwise, and for every segment if
-// fresh is set, it restores the module from the segment's snapshot.
+// Run replays the segments in order. It stops at the first difference between the module's actions and the recorded ones, or
+// between the module's state and a segment's snapshot. It keeps the module's state from one segment to the next if no record is
+// missing between them. Otherwise, and for every segment if fresh is set, it restores the module from the segment's snapshot.
 func Run(segments []*capture.Segment, fresh bool, visitor Visitor) (*Result, error) {
 	replay := &replayer{visitor: visitor}
 	var previous *capture.Segment
--- a/internal/replay/replaytest/replaytest.go
+++ b/internal/replay/replaytest/replaytest.go
@@ -1,4 +1,4 @@
-// Package replaytest has assertions with which a test of a capture is one line.
+// Package replaytest provides assertions for tests that replay a capture.
 package replaytest
 
 import (
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -10,7 +10,7 @@
 	"tillerusher/internal/capture"
 )
 
-// ErrNotInCapture is returned if a capture does not have the requested request or time.
+// ErrNotInCapture is returned if a capture does not contain the request or the time that the caller asks for.
 var ErrNotInCapture = errors.New("replay: not in the capture")
 
 // Step is one event of, or action on, a request.
@@ -36,9 +36,9 @@
 	Steps             []Step                    `json:"steps"`
 	Status            EndStatus                 `json:"ending"`
 	EndAt             time.Duration             `json:"end_at"`
-	EndedOnRead       bool                      `json:"on_read"`             // it ended by the event of its arrival
-	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // set only if it ended by a later event
-	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // set only if it ended by a later event
+	EndedOnRead       bool                      `json:"on_read"`             // the event of its arrival ended it
+	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // set only if a later event ended it
+	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // set only if a later event ended it
 	Lateness          time.Duration             `json:"late,omitempty"`      // how long after its latency objective it was served
 	ObjectiveDeadline time.Duration             `json:"aim_at,omitempty"`
 
--- a/internal/replay/shrink.go
+++ b/internal/replay/shrink.go
@@ -46,7 +46,7 @@
 }
 
 // minimize removes parts of the units while the predicate holds. If no part can be removed, it tries smaller parts, down to
-// single units. Of the returned units no single one can be removed, unless one unit is left.
+// single units. No single unit can be removed from the result. If only one unit is left, its removal is not tried.
 func (s *shrinker) minimize(units []unit) ([]unit, error) {
 	for parts := 2; len(units) > 1; {
 		size := (len(units) + parts - 1) / parts
@@ -82,7 +82,7 @@
 	return nil, false, nil
 }
 
-// unit is what Shrink removes together: all events of the request id, or if id is 0, the record with the index.
+// unit identifies records that Shrink removes together: all events of the request id or, if id is 0, the record at the index.
 type unit struct {
 	id    admission.RequestID
 	index int
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -12,8 +12,8 @@
 // ErrNoState is returned if a capture has no snapshot to start from.
 var ErrNoState = errors.New("replay: the first segment has no readable snapshot")
 
-// Simulate simulates one run of the server with a module that may decide differently than the recorded one. It returns the
-// outcome of each attempt and the module's settings. change changes the settings before the simulation, and may be nil.
+// Simulate simulates one run of the server with a module whose decisions may differ from the recorded ones. It returns the
+// outcome of each attempt and the module's settings. change modifies the settings before the simulation; it may be nil.
 //
 // Arrivals, cancellations and drains happen as recorded. A run takes its recorded core time, or the mean core time of its
 // class if there is no recorded one. All runs share the cores evenly, and the gauges are computed from the simulated cores.
--- a/internal/replay/trace_text.go
+++ b/internal/replay/trace_text.go
@@ -98,8 +98,8 @@
 
 // describeCheck describes the admission check of an arrival and the module's state at the check.
 func describeCheck(check *admission.AdmissionCheck, now time.Duration, state *admission.Inspection) []string {
-	rate := fmt.Sprintf("N %.2f with it counted, T %s ago; rate %.1f/s", check.ImpulseSize, milliseconds(now-check.LastArrival),
-		check.Rate)
+	rate := fmt.Sprintf("impulse size N %.2f including this arrival, T %s since the last arrival; rate %.1f/s", check.ImpulseSize,
+		milliseconds(now-check.LastArrival), check.Rate)
 	if check.Threshold > 0 {
 		rate += fmt.Sprintf(", threshold %.1f/s, ratio %.2f", check.Threshold, check.RateRatio)
 	}
