--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// isEndRequest reports whether the record is an END_REQUEST with content of the specified length.
+// isEndRequest reports whether the record is an END_REQUEST whose content has endRequestSize bytes.
 func (h recordHeader) isEndRequest() bool {
 	return h.recordType == typeEndRequest && h.contentLength == endRequestSize
 }
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -43,7 +43,7 @@
 // TestInvalidResponses rejects responses with errors in the records and in the CGI header.
 func TestInvalidResponses(t *testing.T) {
 	end := fake.EncodeRecord(fake.EndRequest, 1, make([]byte, 8), 0)
-	for what, b := range map[string][]byte{
+	for name, b := range map[string][]byte{
 		"record of another request":     encodeResponse(2, "Status: 200\r\n\r\n"),
 		"record after the end":          append(encodeResponse(1, "\r\nx"), end...),
 		"response longer than MaxBytes": fake.EncodeRecord(fake.Stdout, 1, make([]byte, 1001), 0),
@@ -53,7 +53,7 @@
 	} {
 		r := ResponseParser{RequestID: 1, MaxBytes: 1000}
 		if _, err := r.Feed(b); !errors.Is(err, ErrResponse) {
-			t.Errorf("%s: error %v, want ErrResponse", what, err)
+			t.Errorf("%s: error %v, want ErrResponse", name, err)
 		}
 	}
 	for text, want := range map[string]string{"Status: 200\r\n": "no empty line", "nonsense\r\n\r\n": "header line",
--- a/internal/fastcgi/session.go
+++ b/internal/fastcgi/session.go
@@ -41,8 +41,8 @@
 	KeepParams   bool // store all parameters in Request.Params
 }
 
-// sharedState is the state that all sessions of a protocol share. It contains the buffers because there are many idle
-// sessions, which must not have buffers.
+// sharedState is the state that all sessions of a protocol share. It contains the buffers, since there are many idle
+// sessions and an idle session must not hold a buffer.
 type sharedState struct {
 	bytesLeft int    // unused part of Limits.TotalBytes
 	cgiBuf    []byte // the CGI response being assembled
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,7 +33,7 @@
 
 // The reasons for which a session rejects a request.
 const (
-	Malformed       RejectReason = iota // it is incomplete, or its parameters can't be parsed
+	Malformed       RejectReason = iota // its parameters are incomplete or can't be parsed
 	TooLarge                            // its parameters or body exceed a limit
 	TooManyRequests                     // too many requests are open on the connection, or too many bytes are in memory
 	UnsupportedRole                     // its role is not implemented
@@ -62,7 +62,7 @@
 	Feed(p []byte) error
 	// Respond sends the response to an open request and ends the request. It does nothing if the request is not open.
 	Respond(id StreamID, r Response)
-	// OpenRequests returns the number of requests that have begun and have no response, complete or not.
+	// OpenRequests returns the number of requests without a response, whether they were read completely or not.
 	OpenRequests() int
 	// HasPartialInput reports whether an incomplete record or request was read.
 	HasPartialInput() bool
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -96,8 +96,8 @@
 	return rand.New(rand.NewPCG(b.random.Uint64(), b.random.Uint64()))
 }
 
-// hasSameClasses reports whether two configurations have the same classes and capacity, which are their settings of the
-// decision module.
+// hasSameClasses reports whether two configurations have the same classes and capacity, which are all that the decision
+// module receives of a configuration.
 func hasSameClasses(a, b *routeconfig.Config) bool {
 	isSame := func(a, b routeconfig.Class) bool {
 		a.Pos = b.Pos // the position in the file does not matter
@@ -106,7 +106,7 @@
 	return a.Capacity == b.Capacity && slices.EqualFunc(a.Classes, b.Classes, isSame)
 }
 
-// Reconfigure implements server.Backend. It does nothing: routes have a separate file, which Router.Reload applies.
+// Reconfigure implements server.Backend. It does nothing: routes are in a separate file and are changed by Router.Reload.
 func (b *backend) Reconfigure(*server.Config) {}
 
 // Withdraw implements server.Backend.
--- a/internal/router/corpus_test.go
+++ b/internal/router/corpus_test.go
@@ -184,7 +184,8 @@
 }
 
 // expectedResult returns the expected member and status of a request to the location, or only the status if no member
-// responds. stoppedByBreak means that a rewrite with the flag break disables the location's return directive.
+// responds. stoppedByBreak means that a rewrite with the flag break disables the location's return directive. allowFallback
+// is false for a location that is itself a fallback.
 func (d *locationActions) expectedResult(path string, stoppedByBreak, allowFallback bool) string {
 	status, member, canFallBack := "404", "", allowFallback
 	switch {
--- a/internal/router/parse.go
+++ b/internal/router/parse.go
@@ -108,7 +108,7 @@
 }
 
 // parseAttempt parses the fields that are reported to the decision module. The platform's fields are optional, except for
-// the idempotency key of a class that has one.
+// the idempotency key of a class that requires one.
 func (b *backend) parseAttempt(routed *routedRequest, now time.Duration) (server.ParsedRequest, error) {
 	request := routed.request
 	fields := server.NewFieldReader(request.Headers)
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -20,8 +20,8 @@
 	runningMemoryFactor  = 2
 	maxConcurrencyFactor = 2
 	keyKB                = 1
-	// queueMemoryDivisor is the divisor of the memory limit that yields the memory for requests that are queued or sent
-	// to members.
+	// queueMemoryDivisor determines the memory for requests that are queued or at members: it is the memory limit divided
+	// by queueMemoryDivisor.
 	queueMemoryDivisor = 4
 	// cores is the number of CPU cores that the router process may use.
 	cores = 1
@@ -52,8 +52,8 @@
 	return core
 }
 
-// siteSettings returns the settings of the decision module, and by name the mapping of the routes' classes to the module's
-// classes. The capacity of the pools replaces the number of the interpreter's cores.
+// siteSettings returns the settings of the decision module, and the mappings of the routes' classes to the module's classes,
+// by class name. The capacity of the pools replaces the number of the interpreter's cores.
 func siteSettings(cfg *Config) (*settings.Site, map[string]classMapping) {
 	site := &settings.Site{GaugeNames: gaugeNames}
 	site.Admission = admission.Settings{
