--- a/internal/arrival/config.go
+++ b/internal/arrival/config.go
@@ -65,7 +65,8 @@
 	}
 	for _, s := range c.Surges {
 		if s.Factor < 0 || s.Duration < 0 || s.RampUp < 0 || s.RampDown < 0 {
-			return fmt.Errorf("arrival: a jump to %v for %v, want none below 0", s.Factor, s.Duration)
+			return fmt.Errorf("arrival: surge factor %v, duration %v, ramp up %v, ramp down %v, want no negative value",
+				s.Factor, s.Duration, s.RampUp, s.RampDown)
 		}
 	}
 	return nil
@@ -81,8 +82,8 @@
 			return err
 		}
 		if !c.hasValidBursts() {
-			return fmt.Errorf("arrival: bursts of %v times the rate in %v of the time for %v, want at least 1, a part between 0 and 1, "+
-				"their product at most 1, and a time", c.BurstFactor, c.BurstFraction, c.MeanBurst)
+			return fmt.Errorf("arrival: burst factor %v, burst fraction %v, mean burst %v, want a factor of at least 1, "+
+				"a fraction between 0 and 1, their product at most 1, and a positive duration", c.BurstFactor, c.BurstFraction, c.MeanBurst)
 		}
 		return nil
 	case Diurnal:
@@ -90,7 +91,7 @@
 			return err
 		}
 		if c.Amplitude < 0 || c.Amplitude > 1 || c.Period <= 0 {
-			return fmt.Errorf("arrival: a swing of %v over %v, want 0 to 1 and a time", c.Amplitude, c.Period)
+			return fmt.Errorf("arrival: amplitude %v, period %v, want an amplitude of 0 to 1 and a positive period", c.Amplitude, c.Period)
 		}
 		return nil
 	case Replay:
@@ -102,7 +103,7 @@
 // validateRate checks that the mean rate is positive and finite.
 func (c *Config) validateRate() error {
 	if !(c.Rate > 0) || math.IsInf(c.Rate, 0) {
-		return fmt.Errorf("arrival: a rate of %v, want more than 0", c.Rate)
+		return fmt.Errorf("arrival: a rate of %v, want a finite rate above 0", c.Rate)
 	}
 	return nil
 }
@@ -117,10 +118,10 @@
 // validateReplay checks the parameters of Replay.
 func (c *Config) validateReplay() error {
 	if len(c.Times) == 0 {
-		return fmt.Errorf("arrival: nothing is recorded")
+		return fmt.Errorf("arrival: no recorded times, want at least one")
 	}
 	if c.Speed < 0 {
-		return fmt.Errorf("arrival: a factor of %v, want more than 0", c.Speed)
+		return fmt.Errorf("arrival: speed %v, want at least 0", c.Speed)
 	}
 	return nil
 }
--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -64,7 +64,7 @@
 	v := reflect.Indirect(reflect.ValueOf(target))
 	field := v.FieldByName(name)
 	if !field.IsValid() || !reflect.TypeOf(value).AssignableTo(field.Type()) {
-		return fmt.Errorf("peer: %T has no field %s that takes a %T", target, name, value)
+		return fmt.Errorf("baseline: %T has no field %s that takes a %T", target, name, value)
 	}
 	reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem().Set(reflect.ValueOf(value))
 	return nil
--- a/internal/clustersim/incident.go
+++ b/internal/clustersim/incident.go
@@ -56,13 +56,14 @@
 func (i *Incident) validate() error {
 	switch {
 	case !i.IsKnown():
-		return fmt.Errorf("no incident is called %q, want one of %v", i.Kind, IncidentKinds())
+		return fmt.Errorf("unknown incident kind %q, want one of %v", i.Kind, IncidentKinds())
 	case i.Start < 0 || i.Duration < 0 || i.RampTime < 0:
-		return fmt.Errorf("incident %v: a time below 0", i)
+		return fmt.Errorf("incident %v: ramp time %v, want no negative start, duration or ramp time", i, i.RampTime)
 	case i.ServerShare < 0 || i.ServerShare > 1:
-		return fmt.Errorf("incident %v: a part of %v, want 0 to 1", i, i.ServerShare)
+		return fmt.Errorf("incident %v: share of the servers %v, want 0 to 1", i, i.ServerShare)
 	case !i.hasValidMagnitude():
-		return fmt.Errorf("incident %v: a size of %v makes no sense", i, i.Magnitude)
+		return fmt.Errorf("incident %v: size %v, want at least 0 for jump, at least 1 for slow, more than 0 for deploy, 0 to 1 for failing",
+			i, i.Magnitude)
 	}
 	return nil
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -207,7 +207,7 @@
 		"(world (load much))":                 "found much in (load ...), want a number",
 		"(world (for 3))":                     "found 3 in (for ...), want a time with its unit",
 		"(world (day sunny))":                 "no kind of day is called \"sunny\"",
-		"(world (incident flood))":            "no incident is called \"flood\"",
+		"(world (incident flood))":            "f:1:8: unknown incident kind \"flood\", want one of",
 		"(world (gateways (choice best)))":    "found best in (choice ...), want round, least",
 		"(world (class a (dist odd)))":        "found odd in (dist ...), want constant, exponential",
 		"(days (kinds sunny))":                "found sunny, want one of the kinds of day",
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -237,7 +237,7 @@
 	}
 	incident := clustersim.Incident{Kind: clustersim.IncidentKind(kind), Start: 10 * time.Second, Duration: 10 * time.Second, Magnitude: 1}
 	if !incident.IsKnown() {
-		return sexp.Errorf(n.Pos, "no incident is called %q, want one of %v", kind, clustersim.IncidentKinds())
+		return sexp.Errorf(n.Pos, "unknown incident kind %q, want one of %v", kind, clustersim.IncidentKinds())
 	}
 	err = sexp.ReadFields(n.ItemsFrom(2), fields{
 		"from": sexp.Duration(&incident.Start, 0, maxDuration),
