--- a/internal/baseline/gradient.go
+++ b/internal/baseline/gradient.go
@@ -32,9 +32,9 @@
 // Gradient returns a policy that uses the adaptive concurrency limiter of the failsafe-go library
 // (github.com/failsafe-go/failsafe-go/adaptivelimiter) behind a queue of four requests per core.
 //
-// The limiter reads the wall clock and has no option for another clock. The policy therefore sets unexported fields of the
-// limiter and its permits to a virtual clock and its times. Gradient returns an error if a later version of the library has
-// other fields in the limiter.
+// The limiter reads the wall clock and has no option for another clock. The policy therefore overwrites unexported fields of
+// the library: the time of the limiter's next update, and the clock and the start time of each permit. Gradient returns an
+// error if a later version of the library has another limiter; TestGradient fails if it has other permits.
 func Gradient(settings admission.Settings, actions admission.Actions) (admission.Events, error) {
 	policyHost := newHost(settings, actions)
 	adaptive := &gradient{host: policyHost, clock: &virtualClock{}, queueLimit: gradientQueuePerCore * settings.Cores}
--- a/internal/calibration/cases.go
+++ b/internal/calibration/cases.go
@@ -63,7 +63,8 @@
 	loopbackDelay = 600 * time.Microsecond
 
 	// interpreterIdle is the time for which a core of the interpreter is idle between the end of a run and the command for
-	// the next. It follows from a utilization of 0.989 in a load test at 1.5 times the capacity with runs of 20 ms.
+	// the next. It follows from the interpreter's utilization of 0.989 in a load test at 1.5 times the capacity with runs of
+	// 20 ms.
 	interpreterIdle = 220 * time.Microsecond
 )
 
--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -219,7 +219,8 @@
 	}
 }
 
-// minKeysToSweep is the number of attempts with expired keys below which they are not removed from expiryByAttempt.
+// minKeysToSweep delays the removal of expired keys from expiryByAttempt: keys are removed only while it has more than
+// this number of entries in addition to twice the number of kept keys.
 const minKeysToSweep = 1000
 
 // removeExpiredKeys removes the keys that expired before now.
--- a/internal/clustersim/config.go
+++ b/internal/clustersim/config.go
@@ -43,7 +43,7 @@
 	ConcurrencyConfig
 	ShutdownConfig
 	BacklogPerCore      int           `json:"Unread"` // requests per core that may wait to be read; beyond it connections are refused
-	Tick                time.Duration // shortest delay of a module's timer
+	Tick                time.Duration // admission.Settings.Tick of the modules
 	FeedbackTTL         time.Duration `json:"Heeded"`     // time for which a gateway uses an advertised load
 	MaxRetryAfter       time.Duration `json:"RetryAfter"` // longest retry-after that is honored; 0 disables it
 	ResponseTolerance   time.Duration `json:"Slack"`      // time after its deadline at which a response is still no violation
--- a/internal/clustersim/fairness_test.go
+++ b/internal/clustersim/fairness_test.go
@@ -16,7 +16,7 @@
 )
 
 // minFairShare is the fraction of its fair share that each class must get. The operators' regular test requires half of
-// what is served by a policy that sees the true state with a delay.
+// the share that a policy with a delayed view of the true state serves.
 const minFairShare = 0.5
 
 // testClass returns a class whose requests meet their objective on an idle server: their work varies little, and the
--- a/internal/clustersim/server_actions.go
+++ b/internal/clustersim/server_actions.go
@@ -6,7 +6,7 @@
 	"tillerusher/admission"
 )
 
-// minTimerDelay is the shortest delay of a module's timer.
+// minTimerDelay is the lower bound that a server applies to the delay of a module's timer.
 const minTimerDelay = time.Microsecond
 
 // openAttempt returns the attempt with an ID if it has no response yet, or nil.
--- a/internal/clustersim/server_requests.go
+++ b/internal/clustersim/server_requests.go
@@ -6,7 +6,7 @@
 	"tillerusher/admission"
 )
 
-// admissionChecker is a module that can report what its decision on an arrival would be.
+// admissionChecker is a module that can return the decision that it would make on an arrival, without making it.
 type admissionChecker interface {
 	CheckAdmission(now time.Duration, r admission.Request) admission.AdmissionCheck
 }
--- a/internal/fake/member_scgi.go
+++ b/internal/fake/member_scgi.go
@@ -12,8 +12,8 @@
 // errSCGI is the error for a request that violates the SCGI protocol.
 var errSCGI = errors.New("fake: invalid SCGI request")
 
-// maxSCGIHeader limits the header's length, in bytes. A length above it must not have another digit, so the limit is not
-// exact.
+// maxSCGIHeader limits the header's length in bytes. The limit is checked before a further digit of the length is added, so
+// a length of up to 10*maxSCGIHeader+9 is accepted.
 const maxSCGIHeader = 1 << 20
 
 // answerSCGI answers the only request of a connection. SCGI has no status for overload, so an overloaded member answers with
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -21,7 +21,7 @@
 const (
 	LookupDeadline    = 3700 * time.Millisecond
 	ReserveDeadline   = 6100 * time.Millisecond
-	IdempotencyWindow = 18354 * time.Millisecond // in which a key of a reserve must not run twice
+	IdempotencyWindow = 18354 * time.Millisecond // a reserve must not run twice with the same key within it
 )
 
 // FreeAddr returns a loopback TCP address that nothing listens on.
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -38,7 +38,7 @@
 	answers       int
 	outcome       Outcome // of the last answer
 	runs          int
-	isClosed      bool // Violations ignores the attempt: it has reported it, or no answer can arrive
+	isClosed      bool // Violations skips the attempt: its violation was reported, or no answer can arrive
 }
 
 // Checker collects the violations of one server. It is safe for concurrent use.
@@ -115,7 +115,7 @@
 	}
 }
 
-// RecordRun records that the interpreter started to run the attempt, and checks that it may.
+// RecordRun records that the interpreter started to run the attempt, and checks that it may run.
 func (c *Checker) RecordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -33,7 +33,7 @@
 	MeanWork         time.Duration // mean core time of a run
 
 	DrainRequests  int    // requests that are sent while the daemon drains
-	CutLink        bool   // whether the interpreter's link is cut after every Requests/4 requests, except the last: as a rule three times
+	CutLink        bool   // whether the interpreter's link is cut after every Requests/4 requests, but not after the last request
 	Reload         bool   // whether the daemon is reloaded half way, by SIGHUP
 	Restart        bool   // whether the daemon is killed half way and started again
 	RemoveStateDir string // directory that is removed while the daemon is down; "" is none
@@ -43,7 +43,7 @@
 	Progress   func(done, of int) // called after each first attempt; may be nil
 }
 
-// Limits of what Validate accepts.
+// Limits that Validate checks.
 const (
 	maxRequests = 10_000_000
 	maxRate     = 1e6
@@ -76,9 +76,9 @@
 	case c.IdempotentShare < 0 || c.IdempotentShare > 1 || c.RepeatShare < 0 || c.RepeatShare > 1:
 		return fmt.Errorf("loadtest: an idempotent share of %v and a repeat share of %v, want 0 to 1", c.IdempotentShare, c.RepeatShare)
 	case c.DrainRequests < 0 || c.MaxAttempts < 1 || c.InterpreterCores < 1 || c.MeanWork < 0 || c.MemoryMB < minMemoryMB:
-		return fmt.Errorf(
-			"loadtest: %d attempts, %d cores, %v of work and %d MB, want at least 1, 1, 0 and 16, and no negative DrainRequests",
-			c.MaxAttempts, c.InterpreterCores, c.MeanWork, c.MemoryMB)
+		return fmt.Errorf("loadtest: %d attempts, %d cores, %d MB, mean work %v, %d requests in the drain, "+
+			"want at least 1 attempt, 1 core and 16 MB, and no negative value",
+			c.MaxAttempts, c.InterpreterCores, c.MemoryMB, c.MeanWork, c.DrainRequests)
 	}
 	return nil
 }
--- a/internal/loadtest/recovery.go
+++ b/internal/loadtest/recovery.go
@@ -28,7 +28,7 @@
 	RecoverySeconds float64       `json:"seconds"`  // from the restart until the share recovered; -1 if it did not
 	Series          []SeriesPoint `json:"series"`   // one point per SeriesStep, from the start of the load test
 	RestartStep     int           `json:"at"`       // index of the restart in Series
-	Violations      []string      `json:"breaches"` // a daemon without its state forgets keys, and may run them twice
+	Violations      []string      `json:"breaches"` // a daemon without its state forgets keys, and may run a request with a key twice
 }
 
 // The served share has recovered when, over recoveryWindow steps, it is at least recoveredShare of the share before the
@@ -47,7 +47,7 @@
 
 // MeasureRecovery runs load tests in which the daemon is killed half way and started again. They come in pairs with the same
 // seed, one with and one without the state that the daemon left. It returns the results of a pair next to each other, the
-// one without the state first. With an error, the first that occurred, the results are incomplete.
+// one without the state first. If a load test fails, it returns the first error and incomplete results.
 func MeasureRecovery(ctx context.Context, config RecoveryConfig) ([]Recovery, error) {
 	if config.Pairs < 1 || config.Parallel < 1 {
 		return nil, fmt.Errorf("loadtest: %d pairs and %d load tests at a time, want at least 1 of each", config.Pairs, config.Parallel)
--- a/internal/loadtest/saturation.go
+++ b/internal/loadtest/saturation.go
@@ -71,7 +71,7 @@
 	errs      []error
 }
 
-// additionalCaller sends a target load in addition to that of a round's connections, until end.
+// additionalCaller sends requests to a target until end, in addition to those of a round's connections.
 type additionalCaller func(t *target, end time.Time) error
 
 // runRound runs one round with a daemon that is started with the arguments. additional may be nil. runRound also returns the
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// stop drains the daemon and returns its throughput. An exit status other than 0 is an error, and so is a
-// daemon that does not exit in time.
+// stop drains the daemon and returns its throughput. It is an error if the exit status is not 0 or the daemon does not exit
+// in time.
 func (r *round) stop() (*Throughput, error) {
 	r.target.process.Signal(syscall.SIGTERM) // if this fails, the daemon exits with another status or not at all
 	exitStatus := -1
--- a/internal/scenario/conn.go
+++ b/internal/scenario/conn.go
@@ -123,8 +123,8 @@
 	return isRunning && !c.readsSlowly && now-attempt.sentAt > maxReadDelay && now-n.pausedUntil > maxReadDelay
 }
 
-// startSlowReads throttles the connection's reads until it ends. The checker records its attempts as lost, because their
-// callers no longer wait for answers.
+// startSlowReads throttles the reads from the connection until the connection ends. The checker records the attempts on it
+// as lost, because their callers no longer wait for answers.
 func (c *conn) startSlowReads() {
 	c.readsSlowly = true
 	for id := uint16(1); id <= maxRequestsPerConn; id++ {
--- a/internal/servertest/gateway.go
+++ b/internal/servertest/gateway.go
@@ -28,7 +28,7 @@
 	return &Gateway{t, g}
 }
 
-// Write sends the parts unchanged, each in a write of its own.
+// Write sends the parts unchanged, each in a separate write.
 func (g *Gateway) Write(parts ...[]byte) {
 	g.t.Helper()
 	for _, p := range parts {
