--- a/internal/clustersim/checker.go
+++ b/internal/clustersim/checker.go
@@ -16,7 +16,7 @@
 	RuleCrash     Rule = "fall-over" // a server does not crash from an overload of its memory or cores
 )
 
-// maxViolationMessages is the number of violations that are described by a message. All violations are counted.
+// maxViolationMessages is the number of messages from which on recordViolation adds no more. All violations are counted.
 const maxViolationMessages = 20
 
 // ruleChecker checks the rules. It is notified of events and keeps its own records, which share no state with the servers
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordViolation counts a violation and adds a message for it up to maxViolationMessages.
+// recordViolation counts a violation, and adds a message for it unless there are maxViolationMessages already.
 func (c *ruleChecker) recordViolation(r Rule, format string, args ...any) {
 	c.violations[r]++
 	if len(c.messages) < maxViolationMessages {
@@ -286,7 +286,7 @@
 	srv.memoryKB, srv.attempts = 0, map[uint64]bool{}
 }
 
-// finish records a violation for each attempt that was never answered.
+// finish counts a violation for each attempt that was never answered, and adds one message for all of them.
 func (c *ruleChecker) finish(now time.Duration) {
 	if c.openAttempts <= 0 {
 		return
--- a/internal/clustersim/result.go
+++ b/internal/clustersim/result.go
@@ -83,7 +83,7 @@
 type RuleSummary struct {
 	PreventedReruns   int          `json:"prevented"` // second runs for a key that servers prevented
 	Violations        map[Rule]int `json:"broken"`
-	ViolationMessages []string     `json:"breaches"` // the first maxViolationMessages of them
+	ViolationMessages []string     `json:"breaches"` // of the first maxViolationMessages, and one for all unanswered attempts
 }
 
 // tally holds the counts and sums from which finalize computes the figures of a run.
--- a/internal/clustersim/simulation.go
+++ b/internal/clustersim/simulation.go
@@ -34,7 +34,7 @@
 	events           eventQueue
 	servers          []*server
 	gateways         []*gateway
-	unsettledServers []*server // had an event at the current instant; in the order in which they were marked
+	unsettledServers []*server // servers that had an event at the current instant, in the order in which they were marked
 	endpoints        endpointList
 	source           *requestSource
 	arrivals         arrival.Process
@@ -50,14 +50,14 @@
 
 // Run simulates a configuration until all requests have ended. The same configuration, policy and seed give the same
 // result. Run returns an error if the configuration is invalid, if a policy can't be created, or if the context ends.
-func Run(ctx context.Context, config Config, newModule PolicyFactory, seed uint64) (*Result, error) {
+func Run(ctx context.Context, config Config, newPolicy PolicyFactory, seed uint64) (*Result, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	sim := &simulation{
 		config:        config,
 		seed:          seed,
-		newPolicy:     newModule,
+		newPolicy:     newPolicy,
 		checker:       newRuleChecker(&config),
 		networkRandom: newRandom(seed, "network", 0),
 		faultRandom:   newRandom(seed, "faults", 0),
--- a/internal/loadtest/capturecost.go
+++ b/internal/loadtest/capturecost.go
@@ -9,8 +9,10 @@
 
 // CaptureCost compares the throughput of a daemon with the capture on and off, measured in alternating rounds.
 type CaptureCost struct {
-	Rounds []Throughput       `json:"rounds"`
-	Ratio  map[string]float64 `json:"ratio"` // median over the pairs of the ratio on to off, by figure
+	Rounds []Throughput `json:"rounds"`
+	// Ratio has the median over the pairs of the ratio of a figure with the capture on to the same figure with it off, by
+	// figure.
+	Ratio map[string]float64 `json:"ratio"`
 }
 
 // MeasureCaptureCost measures the throughput of a daemon on one core under a saturating load, in pairs of rounds with the
--- a/internal/loadtest/statecost.go
+++ b/internal/loadtest/statecost.go
@@ -73,7 +73,7 @@
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			// The order rotates: each disk comes first equally often, so that a machine that slows down favours none.
+			// The order rotates from one comparison to the next, so that a machine that slows down favours no disk.
 			disk := disks[(i+n)%len(disks)]
 			throughput, err := runStateRound(config, disk, filepath.Join(dir, fmt.Sprint(n, disk)))
 			if err != nil {
--- a/internal/loadtest/target.go
+++ b/internal/loadtest/target.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// daemonTimeout is how long a daemon may take to become healthy, and to exit in addition to its stop time. It also bounds
-	// the wait for the last answers of a round.
+	// daemonTimeout is the longest time that a daemon may take to become healthy, and to exit after its stop time. It also
+	// bounds the wait for the last answers of a round.
 	daemonTimeout = 20 * time.Second
 	// healthCheckTimeout is the timeout of one health check. healthCheckInterval is the time between two health checks while a
 	// daemon starts.
--- a/internal/retrysim/retrysim_test.go
+++ b/internal/retrysim/retrysim_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// peakAndServed returns the highest load factor of the samples, and the mean served share of the intervals in the outage.
+// peakAndServed returns the highest load factor of the samples, and the mean served share of the intervals in the outage
+// after the first one.
 func peakAndServed(samples []Sample, c Config) (peak, served float64) {
 	n := 0.0
 	for _, s := range samples {
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -80,8 +80,8 @@
 	return s
 }
 
-// watchReadiness observes load reports while the scenario runs. It returns a map, which it fills meanwhile, from the name of
-// each restarted server to the time between its restart and its first report that it accepts requests.
+// watchReadiness observes the load reports of a scenario. While the scenario runs, the returned map is filled with the time
+// from the restart of each server to its first report that it accepts requests, by the server's name.
 func watchReadiness(r *runner) map[string]time.Duration {
 	ready := map[string]time.Duration{}
 	r.sim.HandleDatagrams(loadReportAddr, func(payload []byte) {
