--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -47,8 +47,8 @@
 	lastResponse   *gateway.Response // of the previous attempt, if its status led to a retry, or nil
 }
 
-// OpenRuns returns the number of requests that have not finished.
-func (f *Forwarder) OpenRuns() int { return len(f.requests) }
+// OpenRequests returns the number of requests that have not finished.
+func (f *Forwarder) OpenRequests() int { return len(f.requests) }
 
 // Submit sends a request to a member of its pool. The outcome is reported by Handler.RequestFinished, possibly before
 // Submit returns.
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -125,7 +125,7 @@
 func (b *backend) IsReady() bool { return true }
 
 // OpenRuns implements server.Backend.
-func (b *backend) OpenRuns() int { return b.forwarder.OpenRuns() }
+func (b *backend) OpenRuns() int { return b.forwarder.OpenRequests() }
 
 // CheckHealth implements server.Backend.
 func (b *backend) CheckHealth(_ time.Time, then func(bool)) { then(len(b.routes.Pools) > 0) }
