--- a/internal/interpreter/link.go
+++ b/internal/interpreter/link.go
@@ -93,9 +93,9 @@
 	l.expireQueries(func(query) bool { return true })
 }
 
-// Ready reports whether the link is synced. If it is not, commands of runs are kept until it is, instead of being sent
-// immediately.
-func (l *Link) Ready() bool { return l.session.isSynced }
+// IsSynced reports whether the link is synced. If it is not, commands of runs are kept until it is, instead of being
+// sent immediately.
+func (l *Link) IsSynced() bool { return l.session.isSynced }
 
 // Tick fails queries whose answer is overdue. If the interpreter is up and the link is not synced, Tick sends the query of
 // sync again once the previous one is no longer pending.
--- a/internal/interpreter/link_test.go
+++ b/internal/interpreter/link_test.go
@@ -76,7 +76,7 @@
 	h.feed(`{"op":"BANNER","end":"WARM","ms":20}`)
 	h.feed(missed...)
 	h.feed(fmt.Sprintf(`{"op":"TOPS","tag":%q,"values":[0,0,0,0]}`, h.lastTags["TOP"]))
-	if !h.link.Ready() {
+	if !h.link.IsSynced() {
 		h.t.Fatal("the link is not synced")
 	}
 }
--- a/server/interpreter_backend.go
+++ b/server/interpreter_backend.go
@@ -32,7 +32,7 @@
 func (b *interpreterBackend) Stop(requestID string) { b.client.Stop(requestID) }
 
 // IsReady implements Backend.
-func (b *interpreterBackend) IsReady() bool { return b.client.Ready() }
+func (b *interpreterBackend) IsReady() bool { return b.client.IsSynced() }
 
 // OpenRuns implements Backend.
 func (b *interpreterBackend) OpenRuns() int { return b.client.OpenRuns() }
