--- a/server/module.go
+++ b/server/module.go
@@ -30,9 +30,9 @@
 // deferEvent queues an event that an action caused. It is reported once the module has returned.
 func (s *Server) deferEvent(event func()) { s.module.deferred = append(s.module.deferred, event) }
 
-// settle ends a round of the loop: it calls the module's Settle if events were reported. It reports whether the module's
-// actions caused further events, which the next round reports.
-func (s *Server) settle() (hasEvents bool) {
+// endRound ends a round of the loop: it calls the module's Settle if events were reported. It reports whether the
+// module's actions caused further events, which the next round reports.
+func (s *Server) endRound() (hasEvents bool) {
 	s.runDeferredEvents()
 	if s.module.needsSettle && s.module.events != nil {
 		s.module.needsSettle = false
--- a/server/server.go
+++ b/server/server.go
@@ -202,7 +202,7 @@
 	s.loop.AfterFunc(keyExpiryInterval, s.expireKeys)
 	s.conns.scheduleIdleScan()
 	s.log.Info("listening", zap.String("name", s.cfg.Name), zap.Stringer("address", s.cfg.Listen))
-	err := s.loop.Run(s.settle)
+	err := s.loop.Run(s.endRound)
 	s.closeCapture()
 	s.logCounters(reasonExit)
 	if s.durable != nil {
