--- a/admission/inspect.go
+++ b/admission/inspect.go
@@ -140,8 +140,8 @@
 	return check
 }
 
-// QueueDecision is the decision that an Instance would make now on a request in its table.
-type QueueDecision struct {
+// RequestDecision is the decision that an Instance would make now on a request in its table.
+type RequestDecision struct {
 	Reason            Reason        `json:"reason"` // why it would be rejected or failed now, or Admitted
 	Phase             string        `json:"phase"`
 	Arrived           time.Duration `json:"arrived"`
@@ -155,14 +155,14 @@
 
 // InspectRequest returns the decision that the Instance would make now on a request in its table, and false if the ID
 // is unknown.
-func (in *Instance) InspectRequest(now time.Duration, id RequestID) (QueueDecision, bool) {
+func (in *Instance) InspectRequest(now time.Duration, id RequestID) (RequestDecision, bool) {
 	trial, err := in.clone()
 	if err != nil || trial.requests.byID[id] == nil {
-		return QueueDecision{}, false
+		return RequestDecision{}, false
 	}
 	trial.advanceClock(now)
 	req := trial.requests.byID[id]
-	decision := QueueDecision{
+	decision := RequestDecision{
 		Reason:            trial.currentReason(req),
 		Phase:             req.state.String(),
 		Arrived:           req.arrivedAt,
--- a/internal/replay/request_trace.go
+++ b/internal/replay/request_trace.go
@@ -23,24 +23,24 @@
 // RequestTrace is the history of one attempt, with the module's state when it decided on the attempt. Times are those of the
 // module's clock unless their names say Unix.
 type RequestTrace struct {
-	ID                admission.RequestID       `json:"id"`
-	WireID            string                    `json:"request_id,omitempty"`
-	Key               string                    `json:"key,omitempty"`
-	Class             string                    `json:"class"`
-	Tenant            string                    `json:"tenant,omitempty"`
-	Request           admission.Request         `json:"asked"`
-	ReadAt            time.Duration             `json:"at"`
-	UnixTime          time.Time                 `json:"unix"`               // wall clock when it was read
-	AdmissionCheck    *admission.AdmissionCheck `json:"weighing,omitempty"` // nil if the module's state is unknown
-	StateOnRead       *admission.Inspection     `json:"known,omitempty"`
-	Steps             []Step                    `json:"steps"`
-	Status            EndStatus                 `json:"ending"`
-	EndAt             time.Duration             `json:"end_at"`
-	EndedOnRead       bool                      `json:"on_read"`             // the event of its arrival ended it
-	DecisionAtEnd     *admission.QueueDecision  `json:"judged,omitempty"`    // set only if a later event ended it
-	StateAtEnd        *admission.Inspection     `json:"end_known,omitempty"` // set only if a later event ended it
-	Lateness          time.Duration             `json:"late,omitempty"`      // how long after its latency objective it was served
-	ObjectiveDeadline time.Duration             `json:"aim_at,omitempty"`
+	ID                admission.RequestID        `json:"id"`
+	WireID            string                     `json:"request_id,omitempty"`
+	Key               string                     `json:"key,omitempty"`
+	Class             string                     `json:"class"`
+	Tenant            string                     `json:"tenant,omitempty"`
+	Request           admission.Request          `json:"asked"`
+	ReadAt            time.Duration              `json:"at"`
+	UnixTime          time.Time                  `json:"unix"`               // wall clock when it was read
+	AdmissionCheck    *admission.AdmissionCheck  `json:"weighing,omitempty"` // nil if the module's state is unknown
+	StateOnRead       *admission.Inspection      `json:"known,omitempty"`
+	Steps             []Step                     `json:"steps"`
+	Status            EndStatus                  `json:"ending"`
+	EndAt             time.Duration              `json:"end_at"`
+	EndedOnRead       bool                       `json:"on_read"`             // the event of its arrival ended it
+	DecisionAtEnd     *admission.RequestDecision `json:"judged,omitempty"`    // set only if a later event ended it
+	StateAtEnd        *admission.Inspection      `json:"end_known,omitempty"` // set only if a later event ended it
+	Lateness          time.Duration              `json:"late,omitempty"`      // how long after its latency objective it was served
+	ObjectiveDeadline time.Duration              `json:"aim_at,omitempty"`
 
 	hasEnded  bool
 	readEvent eventRef
--- a/internal/replay/trace_text.go
+++ b/internal/replay/trace_text.go
@@ -115,7 +115,7 @@
 
 // describeDecision describes the decision on a request that was queued or running, and the module's state at that time.
 // decision is nil if the module no longer had the request.
-func describeDecision(decision *admission.QueueDecision, now time.Duration, state *admission.Inspection) []string {
+func describeDecision(decision *admission.RequestDecision, now time.Duration, state *admission.Inspection) []string {
 	if decision == nil {
 		return DescribeState(state)
 	}
