--- a/admission/admission.go
+++ b/admission/admission.go
@@ -284,7 +284,7 @@
 	in.classes[req.class].runTime.countFailure(in.clock.now)
 	// A request in a call ends without a Stop, but the dependency may continue the call.
 	if req.state == stateCalling {
-		in.calls.addLinger(in.settings.CallLinger)
+		in.calls.chargeAbandonedCall(in.settings.AbandonedCallDuration)
 	}
 	canStop := in.settings.StopMode != StopNone && in.settings.Classes[req.class].Effect == Safe
 	if req.state == stateRunning && canStop {
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -51,8 +51,8 @@
 	c.debt = max(0, c.debt+elapsed.Seconds()*(float64(inFlight)-share))
 }
 
-// addLinger charges the time for which the dependency may continue an abandoned call.
-func (c *downstreamCalls) addLinger(linger time.Duration) { c.debt += linger.Seconds() }
+// chargeAbandonedCall charges the time for which the dependency may continue an abandoned call.
+func (c *downstreamCalls) chargeAbandonedCall(duration time.Duration) { c.debt += duration.Seconds() }
 
 // CallRequested reports that a running request waits for a decision on a downstream call.
 func (in *Instance) CallRequested(now time.Duration, id RequestID) {
@@ -80,7 +80,7 @@
 		return
 	}
 	if outcome == TimedOut {
-		in.calls.addLinger(in.settings.CallLinger)
+		in.calls.chargeAbandonedCall(in.settings.AbandonedCallDuration)
 	}
 	in.setState(req, stateCallPending)
 	req.call.failures++
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -28,10 +28,11 @@
 	}
 }
 
-func TestLingeringCallAccruesDebt(t *testing.T) {
+func TestAbandonedCallAccruesDebt(t *testing.T) {
 	for _, end := range []string{"cancelled", "deadline"} {
 		settings := testSettings()
-		settings.Downstream, settings.FairCallShare, settings.CallAveragingTime, settings.CallLinger = DependencyShared, 1, 5*time.Second, 200*ms
+		settings.Downstream, settings.FairCallShare, settings.CallAveragingTime,
+			settings.AbandonedCallDuration = DependencyShared, 1, 5*time.Second, 200*ms
 		in, rec := newTestInstance(t, settings)
 		first := testRequest(1, 0)
 		first.RemainingTime = 500 * ms
@@ -117,7 +118,7 @@
 	if calls.debt != 4 {
 		t.Errorf("debt %v, want 4", calls.debt)
 	}
-	calls.addLinger(500 * ms)
+	calls.chargeAbandonedCall(500 * ms)
 	calls.accrueDebt(time.Second, 0, 1)
 	if calls.debt != 3.5 {
 		t.Errorf("debt %v, want 3.5", calls.debt)
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -96,16 +96,16 @@
 	MaxConcurrencyFactor float64       // running requests per core that a warm server survives
 	DrainGracePeriod     time.Duration // arrivals later than this after the drain notice must not run
 
-	StopMode          StopMode      // what Actions.Stop does
-	Downstream        Dependency    // what requests call while they run
-	FairCallShare     float64       // DependencyShared: this server's share of the calls in flight that the service survives
-	CallAveragingTime time.Duration // DependencyShared: time over which the service averages its calls in flight
-	CallLinger        time.Duration // how long the dependency may continue an abandoned call
-	Feedback          Feedback      // how callers interpret Actions.AdvertiseLoad
-	MaxRetryAfter     time.Duration // longest Retry-After that callers honour; 0 = they honour none
-	ResultFreshness   time.Duration // how long the result of a safe read may answer other requests
-	HasDeadlines      bool          // requests state how long their callers wait
-	CallerIdleTimeout time.Duration // how long callers keep an idle connection; 0 = not known
+	StopMode              StopMode      // what Actions.Stop does
+	Downstream            Dependency    // what requests call while they run
+	FairCallShare         float64       // DependencyShared: this server's share of the calls in flight that the service survives
+	CallAveragingTime     time.Duration // DependencyShared: time over which the service averages its calls in flight
+	AbandonedCallDuration time.Duration // how long the dependency may continue an abandoned call
+	Feedback              Feedback      // how callers interpret Actions.AdvertiseLoad
+	MaxRetryAfter         time.Duration // longest Retry-After that callers honour; 0 = they honour none
+	ResultFreshness       time.Duration // how long the result of a safe read may answer other requests
+	HasDeadlines          bool          // requests state how long their callers wait
+	CallerIdleTimeout     time.Duration // how long callers keep an idle connection; 0 = not known
 }
 
 // Request is one attempt that was read; it gets exactly one final answer. The JSON keys are those of captures that
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -115,7 +115,7 @@
 	})
 	list(c, &settings.Tenants, func(tenant *Tenant) { c.float(&tenant.Quota) })
 	c.times(&settings.Tick, &settings.WarmUpTime, &settings.DrainGracePeriod, &settings.CallAveragingTime,
-		&settings.CallLinger, &settings.MaxRetryAfter, &settings.ResultFreshness, &settings.CallerIdleTimeout)
+		&settings.AbandonedCallDuration, &settings.MaxRetryAfter, &settings.ResultFreshness, &settings.CallerIdleTimeout)
 	c.floats(&settings.InitialCapacity, &settings.MemoryKB, &settings.KeyKB, &settings.RunningMemoryFactor,
 		&settings.MaxConcurrencyFactor, &settings.FairCallShare)
 	c.bools(&settings.WarmingUp, &settings.HasDeadlines)
--- a/admission/validate.go
+++ b/admission/validate.go
@@ -69,7 +69,7 @@
 		{"DrainGrace", float64(settings.DrainGracePeriod)},
 		{"FairCalls", settings.FairCallShare},
 		{"CallsOver", float64(settings.CallAveragingTime)},
-		{"CallStays", float64(settings.CallLinger)},
+		{"CallStays", float64(settings.AbandonedCallDuration)},
 		{"RetryAfter", float64(settings.MaxRetryAfter)},
 		{"Fresh", float64(settings.ResultFreshness)},
 		{"CallerIdle", float64(settings.CallerIdleTimeout)},
--- a/internal/settings/text.go
+++ b/internal/settings/text.go
@@ -41,23 +41,23 @@
 
 // serverText mirrors family-info: the properties and supported features of the servers.
 type serverText = struct {
-	Downstream          string        `json:"below"`
-	Callers             int           `json:"callers"`
-	CallerIdleTimeout   time.Duration `json:"caller-idle-ns"`
-	CallAveragingTime   time.Duration `json:"calls-over-ns"`
-	SkippedCallWeights  []float64     `json:"class-skip-worth"` // by class index; may be shorter than the list of classes
-	WarmingUp           bool          `json:"cold"`
-	Cores               int           `json:"cores"`
-	FairCallShare       float64       `json:"fair-calls"`
-	ResultFreshness     time.Duration `json:"fresh-ns"`
-	Gauges              []string      `json:"gauges"`
-	KeyKB               float64       `json:"key-kb"`
-	MemoryKB            float64       `json:"memory-kb"`
-	HasDeadlines        bool          `json:"passes-deadline"`
-	RunningMemoryFactor float64       `json:"run-factor"`
-	Feedback            string        `json:"say"`
-	CallLinger          time.Duration `json:"stays-for-ns"`
-	StopMode            string        `json:"stop-mode"`
+	Downstream            string        `json:"below"`
+	Callers               int           `json:"callers"`
+	CallerIdleTimeout     time.Duration `json:"caller-idle-ns"`
+	CallAveragingTime     time.Duration `json:"calls-over-ns"`
+	SkippedCallWeights    []float64     `json:"class-skip-worth"` // by class index; may be shorter than the list of classes
+	WarmingUp             bool          `json:"cold"`
+	Cores                 int           `json:"cores"`
+	FairCallShare         float64       `json:"fair-calls"`
+	ResultFreshness       time.Duration `json:"fresh-ns"`
+	Gauges                []string      `json:"gauges"`
+	KeyKB                 float64       `json:"key-kb"`
+	MemoryKB              float64       `json:"memory-kb"`
+	HasDeadlines          bool          `json:"passes-deadline"`
+	RunningMemoryFactor   float64       `json:"run-factor"`
+	Feedback              string        `json:"say"`
+	AbandonedCallDuration time.Duration `json:"stays-for-ns"`
+	StopMode              string        `json:"stop-mode"`
 }
 
 // limitsText mirrors limits: the retry delays that callers honour.
@@ -101,24 +101,24 @@
 // numbers returns the settings that are copied without translation: numbers, durations and flags.
 func (t *settingsText) numbers() admission.Settings {
 	settings := admission.Settings{
-		Servers:              *t.Servers,
-		Callers:              t.Server.Callers,
-		Cores:                t.Server.Cores,
-		Tick:                 t.Tick,
-		WarmingUp:            t.Server.WarmingUp,
-		InitialCapacity:      t.Rules.InitialCapacity,
-		WarmUpTime:           t.Rules.WarmUpTime,
-		MemoryKB:             t.Server.MemoryKB,
-		KeyKB:                t.Server.KeyKB,
-		RunningMemoryFactor:  t.Server.RunningMemoryFactor,
-		MaxConcurrencyFactor: t.Rules.MaxConcurrencyFactor,
-		DrainGracePeriod:     t.Rules.DrainGracePeriod,
-		FairCallShare:        t.Server.FairCallShare,
-		CallAveragingTime:    t.Server.CallAveragingTime,
-		CallLinger:           t.Server.CallLinger,
-		ResultFreshness:      t.Server.ResultFreshness,
-		HasDeadlines:         t.Server.HasDeadlines,
-		CallerIdleTimeout:    t.Server.CallerIdleTimeout,
+		Servers:               *t.Servers,
+		Callers:               t.Server.Callers,
+		Cores:                 t.Server.Cores,
+		Tick:                  t.Tick,
+		WarmingUp:             t.Server.WarmingUp,
+		InitialCapacity:       t.Rules.InitialCapacity,
+		WarmUpTime:            t.Rules.WarmUpTime,
+		MemoryKB:              t.Server.MemoryKB,
+		KeyKB:                 t.Server.KeyKB,
+		RunningMemoryFactor:   t.Server.RunningMemoryFactor,
+		MaxConcurrencyFactor:  t.Rules.MaxConcurrencyFactor,
+		DrainGracePeriod:      t.Rules.DrainGracePeriod,
+		FairCallShare:         t.Server.FairCallShare,
+		CallAveragingTime:     t.Server.CallAveragingTime,
+		AbandonedCallDuration: t.Server.AbandonedCallDuration,
+		ResultFreshness:       t.Server.ResultFreshness,
+		HasDeadlines:          t.Server.HasDeadlines,
+		CallerIdleTimeout:     t.Server.CallerIdleTimeout,
 	}
 	if t.Limits.RetryAfter {
 		settings.MaxRetryAfter = t.Limits.MaxRetryAfter
