--- a/internal/calibration/cases.go
+++ b/internal/calibration/cases.go
@@ -75,7 +75,7 @@
 	config.Duration = duration
 	config.NetworkDelay = loopbackDelay / 2
 	config.EndpointListDelay = 0
-	config.Skew = 0
+	config.ZipfExponent = 0
 	config.Arrival = c.arrivalConfig()
 	c.setServers(&config.Servers)
 	for i := range config.Classes {
--- a/internal/clustersim/config.go
+++ b/internal/clustersim/config.go
@@ -22,7 +22,7 @@
 	Arrival  arrival.Config
 
 	ResourceCount int     `json:"Subjects"` // number of distinct resources
-	Skew          float64 `json:"Skew"`     // exponent of the Zipf distribution of resources, greater than 1; 0 means uniform
+	ZipfExponent  float64 `json:"Skew"`     // exponent of the Zipf distribution of resources, greater than 1; 0 means uniform
 
 	NetworkDelay      time.Duration `json:"Delay"`     // mean one-way delay of a message
 	EndpointListDelay time.Duration `json:"ListDelay"` // time until gateways see a change of the endpoint list
--- a/internal/clustersim/default_config.go
+++ b/internal/clustersim/default_config.go
@@ -22,7 +22,7 @@
 		Gateways:          defaultGateways(),
 		Arrival:           arrival.Config{Kind: arrival.Poisson, Rate: 160},
 		ResourceCount:     12000,
-		Skew:              1.1,
+		ZipfExponent:      1.1,
 		NetworkDelay:      3 * time.Millisecond,
 		EndpointListDelay: 2 * time.Second,
 	}
--- a/internal/clustersim/request_source.go
+++ b/internal/clustersim/request_source.go
@@ -68,8 +68,8 @@
 			source.gatewayShares = append(source.gatewayShares, g.Share/float64(g.Count))
 		}
 	}
-	if sim.config.Skew > 1 {
-		source.resourceZipf = rand.NewZipf(source.resourceRandom, sim.config.Skew, 1, uint64(sim.config.ResourceCount-1))
+	if sim.config.ZipfExponent > 1 {
+		source.resourceZipf = rand.NewZipf(source.resourceRandom, sim.config.ZipfExponent, 1, uint64(sim.config.ResourceCount-1))
 	}
 	return source
 }
--- a/internal/clustersim/validate.go
+++ b/internal/clustersim/validate.go
@@ -32,8 +32,9 @@
 	switch {
 	case len(c.Classes) == 0 || len(c.Gateways) == 0:
 		return errors.New("no classes or no gateways, want at least one of each")
-	case c.Skew != 0 && c.Skew <= 1 || c.ResourceCount < 1:
-		return fmt.Errorf("%d resources with a skew of %v, want at least 1 resource and a skew of 0 or above 1", c.ResourceCount, c.Skew)
+	case c.ZipfExponent != 0 && c.ZipfExponent <= 1 || c.ResourceCount < 1:
+		return fmt.Errorf("%d resources with a skew of %v, want at least 1 resource and a skew of 0 or above 1",
+			c.ResourceCount, c.ZipfExponent)
 	case c.NetworkDelay < 0 || c.EndpointListDelay < 0:
 		return fmt.Errorf("network delay %v, endpoint list delay %v, want no negative delay", c.NetworkDelay, c.EndpointListDelay)
 	}
--- a/internal/clustersim/workload.go
+++ b/internal/clustersim/workload.go
@@ -66,7 +66,7 @@
 	config.Servers.draw(rng)
 	config.drawClasses(rng)
 	config.ResourceCount = 4700 + rng.IntN(24300)
-	config.Skew = drawUniform(rng, 1.01, 1.2)
+	config.ZipfExponent = drawUniform(rng, 1.01, 1.2)
 	config.NetworkDelay = drawDuration(rng, 0.0014, 0.0026)
 	config.EndpointListDelay = drawDuration(rng, 1.3, 4.6)
 	config.drawGateways(rng, gateways)
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -54,7 +54,7 @@
 		"delay":      sexp.Duration(&changed.NetworkDelay, 0, time.Minute),
 		"list-delay": sexp.Duration(&changed.EndpointListDelay, 0, time.Hour),
 		"subjects":   sexp.Int(&changed.ResourceCount, 1, 100_000_000),
-		"skew":       sexp.Number(&changed.Skew, 0, 10),
+		"skew":       sexp.Number(&changed.ZipfExponent, 0, 10),
 		"servers":    func(n sexp.Node) error { return readServers(n, &changed.Servers) },
 		"arrivals":   func(n sexp.Node) error { return readArrivals(n, &changed.Arrival) },
 	}
--- a/internal/experiment/variables.go
+++ b/internal/experiment/variables.go
@@ -73,7 +73,7 @@
 		"retry-after":  func(c *clustersim.Config, v float64) { c.Servers.MaxRetryAfter = toSeconds(v) },
 		"list-delay":   func(c *clustersim.Config, v float64) { c.EndpointListDelay = toSeconds(v) },
 		"delay":        func(c *clustersim.Config, v float64) { c.NetworkDelay = toSeconds(v) },
-		"skew":         func(c *clustersim.Config, v float64) { c.Skew = v },
+		"skew":         func(c *clustersim.Config, v float64) { c.ZipfExponent = v },
 		"tries":        applyToGateways(func(g *clustersim.GatewayConfig, v float64) { g.MaxAttempts = toInt(v) }),
 		"budget":       applyToGateways(func(g *clustersim.GatewayConfig, v float64) { g.RetryBudget = v }),
 		"work-spread":  setWorkSpread,
