--- a/cmd/cataloguectl/simulate_run.go
+++ b/cmd/cataloguectl/simulate_run.go
@@ -162,10 +162,10 @@
 	switch recovery := result.Recovery; {
 	case recovery.HadIncidents && recovery.Recovered:
 		out.linef("  recovered %.0f s after the last incident: goodput share %.3f before the incidents, %.3f after them",
-			recovery.RecoverySeconds, recovery.ShareBefore, recovery.ShareAfter)
+			recovery.RecoverySeconds, recovery.GoodputShareBefore, recovery.GoodputShareAfter)
 	case recovery.HadIncidents:
-		out.linef("  did not recover: goodput share %.3f before the incidents, %.3f after them", recovery.ShareBefore,
-			recovery.ShareAfter)
+		out.linef("  did not recover: goodput share %.3f before the incidents, %.3f after them", recovery.GoodputShareBefore,
+			recovery.GoodputShareAfter)
 	}
 	for _, violation := range result.ViolationMessages {
 		out.linef("  invariant violated: %s", violation)
--- a/internal/clustersim/recovery.go
+++ b/internal/clustersim/recovery.go
@@ -4,11 +4,11 @@
 
 // Recovery describes whether and when the goodput of the cluster recovered after its incidents.
 type Recovery struct {
-	HadIncidents    bool    `json:"incidents"`
-	ShareBefore     float64 `json:"before"` // goodput share before the first incident
-	Recovered       bool    `json:"recovered"`
-	RecoverySeconds float64 `json:"after_s"` // from the end of the last incident to the recovery
-	ShareAfter      float64 `json:"left"`    // goodput share from the end of the last incident on
+	HadIncidents       bool    `json:"incidents"`
+	GoodputShareBefore float64 `json:"before"` // goodput share before the first incident
+	Recovered          bool    `json:"recovered"`
+	RecoverySeconds    float64 `json:"after_s"` // from the end of the last incident to the recovery
+	GoodputShareAfter  float64 `json:"left"`    // goodput share from the end of the last incident on
 }
 
 // Parameters of the detection of a recovery.
@@ -30,15 +30,15 @@
 		return Recovery{}
 	}
 	seconds := len(r.Timeline)
-	recovery := Recovery{HadIncidents: true, ShareBefore: 1}
+	recovery := Recovery{HadIncidents: true, GoodputShareBefore: 1}
 	if begin := min(int(first), seconds); begin > 0 {
-		recovery.ShareBefore = r.goodputShare(0, begin)
+		recovery.GoodputShareBefore = r.goodputShare(0, begin)
 	}
 	end := min(int(math.Ceil(last)), seconds)
-	recovery.ShareAfter = r.goodputShare(end, seconds)
+	recovery.GoodputShareAfter = r.goodputShare(end, seconds)
 	recoveredAt := -1
 	for i := seconds - recoveryWindowSeconds; i >= end; i-- {
-		if r.goodputShare(i, i+recoveryWindowSeconds) < recoveredShare*recovery.ShareBefore {
+		if r.goodputShare(i, i+recoveryWindowSeconds) < recoveredShare*recovery.GoodputShareBefore {
 			break
 		}
 		recoveredAt = i
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -32,7 +32,7 @@
 	if result.Recovery.HadIncidents {
 		measures["recovered"] = 0
 		measures["recovered-after"] = result.Recovery.RecoverySeconds
-		measures["left"] = result.Recovery.ShareAfter
+		measures["left"] = result.Recovery.GoodputShareAfter
 		if result.Recovery.Recovered {
 			measures["recovered"] = 1
 		}
