--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// StopTime is the configured maximum time from SIGTERM to the daemon's exit.
-	StopTime = 3200 * time.Millisecond
+	// StopTimeout is the configured maximum time from SIGTERM to the daemon's exit.
+	StopTimeout = 3200 * time.Millisecond
 	// MaxSockets is the configured maximum number of a daemon's sockets. Gateways may use half of them.
 	MaxSockets = 1024
 )
@@ -44,7 +44,7 @@
 		"listen":   endpoints.Listen,
 		"vm":       endpoints.Interpreter,
 		"announce": endpoints.LoadReport,
-		"stop_ms":  StopTime.Milliseconds(),
+		"stop_ms":  StopTimeout.Milliseconds(),
 		"settings": json.RawMessage(settings),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": MaxSockets},
 	}
--- a/internal/loadtest/target.go
+++ b/internal/loadtest/target.go
@@ -159,7 +159,7 @@
 
 // wait waits until the daemon exits and returns its final state.
 func (t *target) wait() (*os.ProcessState, error) {
-	state, err := t.process.Wait(daemon.StopTime + daemonTimeout)
+	state, err := t.process.Wait(daemon.StopTimeout + daemonTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("loadtest: %w", err)
 	}
