--- a/cmd/catalogue-server-durable/main.go
+++ b/cmd/catalogue-server-durable/main.go
@@ -33,6 +33,6 @@
 
 // openStore opens the store in a state directory. It implements cli.OpenStore.
 func openStore(ctx context.Context, d cli.StateDirectory) (server.DurableStore, error) {
-	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.Site, Machine: machineID()}
+	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.SiteFingerprint, Machine: machineID()}
 	return store.OpenWait(ctx, cfg, d.OnWait)
 }
--- a/cmd/cataloguectl/state_serve.go
+++ b/cmd/cataloguectl/state_serve.go
@@ -74,6 +74,6 @@
 
 // openStore opens the server's store on the faulty disk.
 func (o *stateServeOptions) openStore(ctx context.Context, d cli.StateDirectory) (server.DurableStore, error) {
-	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.Site, FS: faultfs.Wrap(vfs.Default, o.faults)}
+	cfg := store.Config{Dir: d.Path, Server: d.Server, SiteFingerprint: d.SiteFingerprint, FS: faultfs.Wrap(vfs.Default, o.faults)}
 	return store.OpenWait(ctx, cfg, d.OnWait)
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -21,10 +21,10 @@
 
 // StateDirectory describes the directory in which a server keeps state across restarts.
 type StateDirectory struct {
-	Path   string
-	Server string // name of the server
-	Site   string // fingerprint of the settings that the stored results depend on
-	OnWait func() // called once if another process uses the directory, before the wait for it
+	Path            string
+	Server          string // name of the server
+	SiteFingerprint string // fingerprint of the settings that the stored results depend on
+	OnWait          func() // called once if another process uses the directory, before the wait for it
 }
 
 // OpenStore opens a state directory. While another process uses the directory, it waits until the context ends.
@@ -113,9 +113,9 @@
 	ctx, cancel := context.WithTimeout(signalled, maxWait)
 	defer cancel()
 	store, err := open(ctx, StateDirectory{
-		Path:   path,
-		Server: cfg.Name,
-		Site:   cfg.Settings.IdempotencyFingerprint(),
+		Path:            path,
+		Server:          cfg.Name,
+		SiteFingerprint: cfg.Settings.IdempotencyFingerprint(),
 		OnWait: func() {
 			log.Info("waiting for the state directory", zap.String("directory", path), zap.Duration("at_most_ms", maxWait))
 		},
