--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -90,9 +90,10 @@
 	return text
 }
 
-// FuzzFolder flips bits in a byte of a file of a state directory, or truncates the file there. Opening and reading the
-// directory must return an error, or records with the written values, of which some may be missing. It must not panic or hang.
-func FuzzFolder(f *testing.F) {
+// FuzzDamagedDirectory flips bits in a byte of a file of a state directory, or truncates the file there. Opening and
+// reading the directory must return an error, or records with the written values, of which some may be missing. It must not
+// panic or hang.
+func FuzzDamagedDirectory(f *testing.F) {
 	intact := vfs.NewMem()
 	writeSample(f, intact)
 	for n := range uint8(12) {
