--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -242,10 +242,10 @@
 	}
 }
 
-// TestErrors makes each call to the file system fail in turn, either only this call or this and all later ones. There must be
-// no panic in the background, nothing that was reported as durable may be lost, and the directory must open again once the
-// disk works.
-func TestErrors(t *testing.T) {
+// TestEveryCallFails makes each call to the file system fail in turn, either only this call or this and all later ones.
+// There must be no panic in the background, nothing that was reported as durable may be lost, and the directory must open
+// again once the disk works.
+func TestEveryCallFails(t *testing.T) {
 	for _, forever := range []bool{false, true} {
 		injected := 0
 		for index := int32(0); ; index++ {
