--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -17,7 +17,7 @@
 // nonDecidingFiles are the files of the package, besides the policy files, that make no decisions: the interface, the
 // state, snapshots, inspection, the export of run times and the validation of the settings.
 var nonDecidingFiles = []string{"inspect.go", "instance.go", "interface.go", "noactions.go", "reason.go", "request.go",
-	"runtimeexport.go", "snapshot.go", "snapshotcoder.go", "validate.go"}
+	"run_time_export.go", "snapshot.go", "snapshotcoder.go", "validate.go"}
 
 // policyFiles returns the files that the deploy file lists as the decision module.
 func policyFiles(t *testing.T) []string {
