--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,7 +23,7 @@
 // Response is the response to one request.
 type Response struct {
 	Status     int
-	Overloaded bool // send the protocol's own status for too many open requests instead of Status, Headers and Body
+	Overloaded bool // reject the request with the protocol's status for overload; Status, Headers and Body are not sent
 	Headers    []Field
 	Body       []byte
 }
@@ -35,7 +35,7 @@
 const (
 	Malformed       RejectReason = iota // its parameters are incomplete or can't be parsed
 	TooLarge                            // its parameters or body exceed a limit
-	TooManyRequests                     // too many requests are open on the connection, or too many bytes are in memory
+	TooManyRequests                     // the connection has too many open requests, or all open requests hold too many bytes
 	UnsupportedRole                     // its role is not implemented
 )
 
@@ -43,10 +43,11 @@
 type Handler interface {
 	// RequestReceived is called with a complete request. The handler must call Session.Respond once for it.
 	RequestReceived(s Session, id StreamID, r Request)
-	// RequestAborted is called if the gateway aborts an open request. The handler must still respond to the request.
+	// RequestAborted is called if the gateway aborts a request that was passed to the handler and has no response yet. The
+	// handler must still respond to the request.
 	RequestAborted(s Session, id StreamID)
 	// RequestInvalid is called if a request is invalid, instead of RequestReceived. The handler must still respond to the
-	// request; the session skips the rest of its input.
+	// request. The session skips the rest of the request.
 	RequestInvalid(s Session, id StreamID, reason RejectReason)
 	// RequestRejected is called after the session itself has rejected a request at its first record. The handler must not
 	// respond to it.
