--- a/internal/nginx/diagnostic.go
+++ b/internal/nginx/diagnostic.go
@@ -6,12 +6,12 @@
 	"tillerusher/internal/sexp"
 )
 
-// Severity is the severity of a Diagnostic.
+// Severity rates how much it matters that a directive is not imported, or is imported with a change.
 type Severity uint8
 
 // The severities.
 const (
-	Harmless        Severity = iota // the directive does not affect which pool gets a request, or not in this router
+	Harmless        Severity = iota // the directive does not affect which pool gets a request, at least not in this router
 	ChangesBehavior                 // requests may be answered differently
 	Unsafe                          // requests may go where they must not; an operator has to review it before use
 )
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestRewrites checks the import of rewrite, try_files, error_page and parameters: rewrites without variables are
-// imported and the others are reported.
+// TestRewrites checks the import of rewrite, try_files, error_page and parameters: rewrites are imported if their
+// replacements have no variables except groups of the regex, and the others are reported.
 func TestRewrites(t *testing.T) {
 	for line, want := range map[string]string{
 		"rewrite ^/a/(.*)$ /b/$1 last;":             "(rewrite \"^/a/(.*)$\" /b/$1 last)",
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -21,7 +21,8 @@
 	otherVariable  = regexp.MustCompile(`\$([^1-9]|$)`)
 )
 
-// importRewrite adds a rewrite whose replacement has no variables except the groups of its regex. It reports all others.
+// importRewrite adds a rewrite to a level, or reports it if it can't be imported. In particular, the replacement must not
+// have variables other than the groups of its regex.
 func (im *importer) importRewrite(level *rewriteContext, directive *Directive) error {
 	flag := route.FlagNone
 	var err error
--- a/internal/nginx/settings.go
+++ b/internal/nginx/settings.go
@@ -63,7 +63,7 @@
 	return protocol, rest
 }
 
-// isInherited reports whether inherit reads the directive with the name.
+// isInherited reports whether inherit reads directives with this name.
 func isInherited(name string) bool {
 	switch protocol, rest := cutProtocol(name); rest {
 	case "merge_slashes", "error_page":
@@ -155,8 +155,8 @@
 	return append(params, routeconfig.Param{Name: name, Value: value}), nil
 }
 
-// gatewayParams are the parameters that the gateway always sends to members, with the values that nginx's fastcgi_params
-// file gives them. importParam does not report them.
+// gatewayParams are the parameters that members always get from the gateway's request, with the values that nginx's
+// fastcgi_params file sets. importParam does not report them if their values contain variables.
 var gatewayParams = map[string]bool{
 	"QUERY_STRING":    true,
 	"REQUEST_METHOD":  true,
--- a/internal/nginx/upstream.go
+++ b/internal/nginx/upstream.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// hashKeys maps the nginx variables that a pool can hash to the hash keys of route configurations. importHash handles
-// header fields ($http_NAME).
+// hashKeys maps nginx variables to the corresponding hash keys of route configurations. It has no header fields
+// ($http_NAME); importHash converts them.
 var hashKeys = map[string]string{
 	"$request_uri":        routeconfig.HashByURI,
 	"$uri":                routeconfig.HashByPath,
--- a/internal/sexp/doc.go
+++ b/internal/sexp/doc.go
@@ -1,5 +1,5 @@
 // Package sexp parses the language of the operators' files: S-expressions in which each node has its file, line and
-// column. It reads the fields of forms with tables of functions, and numbers with their units and bounds checked.
+// column. It reads the fields of a form with a table of functions, and checks the units and bounds of numbers.
 //
 // The grammar:
 //
--- a/internal/sexp/fields.go
+++ b/internal/sexp/fields.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// ReadFields calls, for each form, the function that fields has for the form's name. Each name may occur at most once.
+// ReadFields calls fields[form.Name()] for each form, in the order of the forms. Each name may occur at most once.
 // The error for an unknown name lists the known names.
 func ReadFields(forms []Node, fields map[string]func(form Node) error) error {
 	return ReadForms(forms, fields, nil)
--- a/internal/sexp/parser.go
+++ b/internal/sexp/parser.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// parseNode parses one node that is nested in depth lists. rest must not be empty.
+// parseNode parses one node. depth is the number of lists that contain the node. rest must not be empty.
 func (p *parser) parseNode(depth int) (Node, error) {
 	switch p.peek() {
 	case '(':
@@ -105,7 +105,7 @@
 	return atom, nil
 }
 
-// parseList parses a list that is nested in depth lists.
+// parseList parses a list. depth is the number of lists that contain it.
 func (p *parser) parseList(depth int) (Node, error) {
 	list := Node{Pos: p.pos, Kind: List}
 	if depth >= maxDepth {
