--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -83,8 +83,8 @@
 	step()
 }
 
-// attach starts an instance. It replaces an instance with the same ID. If the settings are rejected, it adds an
-// exception to the reply.
+// attach removes the instance with the event's ID, if there is one, and starts a new instance. If the settings are
+// rejected, it adds an exception to the reply instead of starting an instance.
 func (h *host) attach(event *simulatorwire.Event) {
 	h.detach(event.InstanceID)
 	hosted, err := h.newInstance(event)
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// settingsText are valid settings of a site.
+// settingsText is the text of valid settings of a site.
 const settingsText = `{"servers": 2, "tick-ns": 1000000, "lanes": [{"on-time-ns": 1000000000, "hard-limit-ns": 2000000000,
  "repeat": "retryable", "worth": 1}], "family-info": {"cores": 2, "memory-kb": 1000, "run-factor": 4, "callers": 1,
  "passes-deadline": true}, "obligations": {"overload-factor": 4, "cold-share": 1}}`
@@ -61,8 +61,8 @@
 	return replies
 }
 
-// TestOneReplyPerBatch checks that each batch gets one reply, which runs the batch's request, if several instances are
-// attached, detached and attached again with the same ID.
+// TestOneReplyPerBatch checks that each batch gets one reply and that each request is run, while instances are attached,
+// detached and attached again with the same ID.
 func TestOneReplyPerBatch(t *testing.T) {
 	var in, out bytes.Buffer
 	in.Write(batch(1, ""))
