--- a/cmd/cataloguectl/capture.go
+++ b/cmd/cataloguectl/capture.go
@@ -63,9 +63,9 @@
 // isFlawed reports whether the segment is damaged, has no readable snapshot or follows a gap.
 func (i segmentInfo) isFlawed() bool { return len(i.Damage) > 0 || !i.State || i.Meta.Gap != nil }
 
-// condition returns a text that says whether the segment is complete, and lists missing records and damage.
+// condition returns a text that says whether the segment was closed normally, and lists missing records and damage.
 func (i segmentInfo) condition() string {
-	text := "complete"
+	text := "closed normally"
 	if !i.Complete {
 		text = "not closed normally"
 	}
@@ -114,14 +114,14 @@
 	return &cobra.Command{
 		Use:     "verify CAPTURE...",
 		Short:   "Check captures for damage and gaps",
-		Long:    "verify reads every block of the captures and prints the segments that are damaged or incomplete." + statusHelp,
+		Long:    "verify reads every block of the captures and prints each segment that is damaged or follows a gap in the capture." + statusHelp,
 		Example: "  cataloguectl capture verify /var/lib/tillerusher/capture && echo undamaged",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    withCaptures(verifySegments),
 	}
 }
 
-// verifySegments prints the segments that are damaged or incomplete.
+// verifySegments prints the flawed segments. unreadable is the number of files that can't be read; they count as damaged.
 func verifySegments(out printer, segments []*capture.Segment, unreadable int) error {
 	flawed := unreadable
 	for _, segment := range segments {
@@ -137,7 +137,7 @@
 			return err
 		}
 	}
-	out.linef("%d segments, %d damaged or incomplete", len(segments)+unreadable, flawed)
+	out.linef("%d segments, %d damaged or after a gap", len(segments)+unreadable, flawed)
 	return problemFoundIf(flawed > 0)
 }
 
--- a/cmd/cataloguectl/capture_cut.go
+++ b/cmd/cataloguectl/capture_cut.go
@@ -128,7 +128,7 @@
 			"Predicates:\n" +
 			"  refused:N, failed:N, run:N  the request with the module's number N is rejected, failed or run\n" +
 			"  log:TEXT                    the module logs a line that contains TEXT\n" +
-			"  jam:500ms                   requests are queued and none runs for 500ms, although the module sees no stall" + statusHelp,
+			"  jam:500ms                   for 500ms, requests are queued, none runs or waits for a call, and the module detects no stall" + statusHelp,
 		Example: "  cataloguectl capture shrink complaint.capture --keep refused:4711 -o small.capture",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args) },
--- a/cmd/cataloguectl/captures.go
+++ b/cmd/cataloguectl/captures.go
@@ -6,7 +6,8 @@
 	"tillerusher/internal/capture"
 )
 
-// openCaptures reads captures. unreadable is the number of files that can't be read; openCaptures prints each to standard error.
+// openCaptures reads captures. unreadable is the number of files that can't be read. openCaptures prints the path and the error of
+// each of them to standard error.
 func openCaptures(out printer, paths []string) (segments []*capture.Segment, unreadable int, err error) {
 	for _, path := range paths {
 		list, bad, err := capture.Open(path)
--- a/cmd/cataloguectl/explain.go
+++ b/cmd/cataloguectl/explain.go
@@ -34,7 +34,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return opts.run(newPrinter(cmd), args[0], args[1:]) },
 	}
 	cmd.Flags().DurationVar(&opts.around, "around", 20*time.Millisecond,
-		"with TIME: print the decisions of this duration before TIME and after it")
+		"with TIME: print the decisions that are at most this long before or after TIME")
 	return cmd
 }
 
--- a/cmd/cataloguectl/import.go
+++ b/cmd/cataloguectl/import.go
@@ -37,9 +37,9 @@
 	cmd := &cobra.Command{
 		Use:   "nginx FILE",
 		Short: "Convert an nginx configuration to a route configuration",
-		Long: "nginx reads an nginx configuration with all included files, and prints a route configuration. For everything that it\n" +
-			"does not convert, it prints the file, line and column to standard error, with the reason and the severity: harmless,\n" +
-			"changes behaviour, or unsafe. docs/nginx.md lists every directive." + statusHelp,
+		Long: "nginx reads an nginx configuration with all included files, and prints a route configuration. For each directive\n" +
+			"that it does not convert, or converts with a change, it prints the file, line and column to standard error, with the\n" +
+			"reason and the severity: harmless, changes behaviour, or unsafe. docs/nginx.md lists every directive." + statusHelp,
 		Example: "  cataloguectl import nginx /etc/nginx/nginx.conf -o routes.sexp\n" +
 			"  cataloguectl import nginx nginx.conf --strict >/dev/null\n" +
 			"  cataloguectl import nginx nginx.conf --explain /docs/a.php --host www.example.org",
@@ -49,7 +49,7 @@
 	flags := cmd.Flags()
 	flags.StringVarP(&opts.output, "output", "o", "",
 		"output file for the route configuration, which must not exist; standard output if empty")
-	flags.BoolVar(&opts.strict, "strict", false, "exit with status 1 if anything is not converted")
+	flags.BoolVar(&opts.strict, "strict", false, "exit with status 1 if a directive is not converted, or is converted with a change")
 	flags.StringVar(&opts.explainedPath, "explain", "",
 		"request path; explain step by step which location serves it, instead of printing the configuration")
 	flags.StringVar(&opts.host, "host", "", "Host header of the request to explain")
@@ -117,7 +117,7 @@
 			}
 			isExplained[listen.Addr] = true
 			server, reason := table.FindServer(listen.Addr, host)
-			out.linef("at %v: server at %s, selected by %s", listen.Addr, server.Source, reason)
+			out.linef("at %v: server at %s (%s)", listen.Addr, server.Source, reason)
 			if err := explainAtServer(out, server, path); err != nil {
 				return err
 			}
@@ -135,7 +135,7 @@
 		return nil
 	}
 	if normalized, err := route.NormalizePath(rawPath, server.MergeSlashes); err == nil {
-		out.linef("  %s is normalized to %s", path, normalized)
+		out.linef("  normalized path of %s: %s", path, normalized)
 	}
 	for _, step := range steps {
 		out.linef("  %v", step)
--- a/cmd/cataloguectl/load_cost.go
+++ b/cmd/cataloguectl/load_cost.go
@@ -18,7 +18,7 @@
 	opts := loadCostOptions{loadtest.SaturationConfig{Gateways: 8, OpenRequests: 8, RoundDuration: 3 * time.Second, Rounds: 5, PinnedCore: 0}}
 	cmd := &cobra.Command{
 		Use:   "cost",
-		Short: "Measure what capturing costs a daemon on one core",
+		Short: "Measure the cost of capturing for a daemon on one core",
 		Long: "cost saturates a daemon on one core in pairs of rounds, one with the capture on and one with it off, and prints the\n" +
 			"medians of the ratios of on to off." +
 			statusHelp,
--- a/cmd/cataloguectl/main.go
+++ b/cmd/cataloguectl/main.go
@@ -18,7 +18,7 @@
 // Exit statuses. Scripts may rely on them.
 const (
 	statusOK           = 0
-	statusProblemFound = 1 // the command succeeded and found damage, a difference or a violated invariant
+	statusProblemFound = 1 // the command succeeded and found a problem, such as damage, a difference or a violated invariant
 	statusUsage        = 2 // wrong arguments
 	statusNoInput      = 3 // the input is missing or can't be read
 )
--- a/cmd/cataloguectl/main_test.go
+++ b/cmd/cataloguectl/main_test.go
@@ -63,7 +63,7 @@
 		{"state serve --stall 2s --every 1s", 2, "want at least 0 and less than the stall interval of 1s"},
 		{"capture info " + recorded, 0, "5417 records"},
 		{"capture info " + flipped, 0, "checksum differs"},
-		{"capture verify " + recorded, 0, "1 segments, 0 damaged or incomplete"},
+		{"capture verify " + recorded, 0, "1 segments, 0 damaged or after a gap"},
 		{"capture verify " + flipped, 1, "bytes at"},
 		{"capture verify " + truncated, 1, "torn"},
 		{"capture verify /nowhere", 3, "no such file"},
--- a/cmd/cataloguectl/replay.go
+++ b/cmd/cataloguectl/replay.go
@@ -139,8 +139,8 @@
 	return out.encode(comparison)
 }
 
-// baseline returns the outcomes to compare with: those of the other build with --against, those of this build without changes with
-// --set, and otherwise nil.
+// baseline returns the outcomes to compare with. With --against it reads the outcomes of the other build; with --set it returns the
+// outcomes of this build without the changes; otherwise it returns nil.
 func (o *replayOptions) baseline(segments []*capture.Segment, meta capture.Meta) ([]*replay.Attempt, error) {
 	if o.against != "" {
 		return readAttempts(o.against, meta)
--- a/cmd/cataloguectl/retries.go
+++ b/cmd/cataloguectl/retries.go
@@ -11,7 +11,7 @@
 	"tillerusher/internal/retrysim"
 )
 
-// maxLoadFactor is the threshold in the chart. A retry budget should keep the load, relative to the offered load, below it.
+// maxLoadFactor is the threshold in the chart. A retry budget should keep the load below this multiple of the offered load.
 const maxLoadFactor = 1.2
 
 func newRetriesCommand() *cobra.Command {
@@ -112,5 +112,5 @@
 			count++
 		}
 	}
-	out.linef("%-16s during the outage: load %.3f relative to the offered load, served share of requests %.3f", name, load/count, served/count)
+	out.linef("%-16s during the outage: load %.3f times the offered load, served share of requests %.3f", name, load/count, served/count)
 }
--- a/cmd/cataloguectl/scenario.go
+++ b/cmd/cataloguectl/scenario.go
@@ -149,7 +149,7 @@
 	cmd := &cobra.Command{
 		Use:     "explore",
 		Aliases: []string{"hunt"},
-		Short:   "Run generated scenarios until an invariant is violated",
+		Short:   "Run generated scenarios and print the violated invariants",
 		Long: "explore runs short scenarios with consecutive seeds. It generates the cluster, load, network faults and incidents of\n" +
 			"each from its seed. It prints the scenarios that violate an invariant, with the command that repeats them." + statusHelp,
 		Example: "  cataloguectl scenario explore --for 10m\n  cataloguectl scenario explore --first 1 --seeds 1000",
--- a/cmd/cataloguectl/simulate_calibrate.go
+++ b/cmd/cataloguectl/simulate_calibrate.go
@@ -34,7 +34,7 @@
 	addDaemonFlag(cmd, &opts.daemon)
 	flags.DurationVar(&opts.length, "for", opts.length, "duration of each workload")
 	flags.IntVar(&opts.seeds, "seeds", opts.seeds, "number of seeds with which each workload is run")
-	flags.IntVar(&opts.parallel, "at-once", opts.parallel, "number of workloads that run at a time")
+	flags.IntVar(&opts.parallel, "at-once", opts.parallel, "number of runs at a time; each workload has one run per seed")
 	return cmd
 }
 
--- a/cmd/cataloguectl/simulate_page.go
+++ b/cmd/cataloguectl/simulate_page.go
@@ -39,7 +39,7 @@
 	for _, incident := range s.config.Incidents {
 		incidents = append(incidents, incident.String())
 	}
-	incidents = append(incidents, "no others")
+	incidents = append(incidents, "no further incidents")
 	return fmt.Sprintf("%d servers of %d cores, incidents (shaded): %s", s.config.Servers.Count, s.config.Servers.Cores,
 		strings.Join(incidents, "; "))
 }
--- a/cmd/cataloguectl/simulate_results.go
+++ b/cmd/cataloguectl/simulate_results.go
@@ -93,7 +93,7 @@
 	flags.StringVar(&opts.policy, "a", "module", "policy to compare")
 	flags.StringVar(&opts.baseline, "b", "codel", "baseline policy")
 	flags.IntVar(&opts.worstRuns, "worst", 0,
-		"number of the worst runs of policy --a to print, with what they have in common; 0 means none")
+		"number of the worst runs of policy --a to print, and how their means differ from the means of all its runs; 0 means none")
 	return cmd
 }
 
--- a/cmd/cataloguectl/simulate_sweep.go
+++ b/cmd/cataloguectl/simulate_sweep.go
@@ -23,7 +23,7 @@
 	cmd := &cobra.Command{
 		Use:   "sweep FILE",
 		Short: "Run an experiment on all cores, or resume an interrupted one",
-		Long: "sweep makes all runs of an experiment and writes their measures to a results file, one line of JSON per run, in the\n" +
+		Long: "sweep executes all runs of an experiment and writes their measures to a results file, one line of JSON per run, in the\n" +
 			"order of the plan. If the file exists, sweep resumes after its last complete line." + statusHelp,
 		Example: "  cataloguectl simulate sweep examples/load.sexp --output load.results",
 		Args:    cobra.ExactArgs(1),
--- a/cmd/cataloguectl/state.go
+++ b/cmd/cataloguectl/state.go
@@ -65,7 +65,7 @@
 func newStateInfoCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "info DIR",
-		Short: "Print the server and the number of records of a state directory",
+		Short: "Print which server a state directory belongs to and how many records it has",
 		Long: "info prints the server to which a state directory belongs, its time of creation, the number of records by state, the\n" +
 			"number of expired and unreadable records, and the sizes." + statusHelp,
 		Example: "  cataloguectl state info /var/lib/tillerusher/state",
--- a/cmd/cataloguectl/state_cost.go
+++ b/cmd/cataloguectl/state_cost.go
@@ -25,9 +25,9 @@
 	cmd := &cobra.Command{
 		Use:   "cost",
 		Short: "Measure the cost of keeping state for a daemon on one core",
-		Long: "cost saturates a daemon on one core with lookups, and sends idempotent requests at a fixed rate on a separate\n" +
-			"connection. It measures, in turn, a daemon that keeps no state, one that keeps it on the disk of the temporary\n" +
-			"directory, and one that keeps it on that disk with injected stalls. It prints the median ratios to no state." + statusHelp,
+		Long: "cost saturates a daemon on one core with lookups, and sends idempotent requests at a fixed rate on a separate connection.\n" +
+			"It measures, in turn, a daemon that keeps no state, one that keeps it on the disk of the temporary directory, and one that\n" +
+			"keeps it on that disk with injected stalls. It prints the medians of the ratios to the rounds without state." + statusHelp,
 		Example: "  cataloguectl state cost --keyed-rate 500 --rounds 3\n  cataloguectl state cost --stall 100ms --every 500ms",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return opts.run(cmd) },
--- a/cmd/cataloguectl/state_remove.go
+++ b/cmd/cataloguectl/state_remove.go
@@ -26,7 +26,7 @@
 	return &cobra.Command{
 		Use:   "expire DIR",
 		Short: "Remove expired records",
-		Long: "expire removes the records whose idempotency window has passed, so that no duplicate can need them. A running server\n" +
+		Long: "expire removes the records whose idempotency window has passed; no duplicate needs them any more. A running server\n" +
 			"does this itself a second after the window has passed." + statusHelp,
 		Args: cobra.ExactArgs(1),
 		RunE: withStore(readWrite, recordRemoval{hasExpired, "whose window has passed were removed"}.run),
--- a/cmd/cataloguectl/state_serve.go
+++ b/cmd/cataloguectl/state_serve.go
@@ -36,9 +36,9 @@
 		Use:   "serve",
 		Short: "Run a catalogue server that keeps its state on a faulty disk",
 		Long: "serve runs `catalogue-server serve --state DIR` with injected disk faults: the disk stalls periodically or is full for\n" +
-			"a while. It is for tests of a server's behaviour during the faults. Without --dir the server keeps no state. serve has\n" +
-			"the configuration of catalogue-server, and its exit statuses: 0 after a drain, 1 if serving failed, 2 for wrong\n" +
-			"arguments, settings or configuration.",
+			"a while. It is for tests of a server's behaviour during the faults. Without --dir the server keeps no state. serve\n" +
+			"reads the same configuration as catalogue-server and has the same exit statuses: 0 after a drain, 1 if serving\n" +
+			"failed, 2 for wrong arguments, settings or configuration.",
 		Example: "  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --stall 100ms --every 1s\n" +
 			"  RELAY_CONFIG=/run/balancer/config.json cataloguectl state serve --dir /tmp/state --full-while /tmp/full  # touch /tmp/full",
 		Args: cobra.NoArgs,
--- a/cmd/cataloguectl/state_test.go
+++ b/cmd/cataloguectl/state_test.go
@@ -18,7 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _, stderr := runCommand(t, "state", "info", dir); status != 3 || !strings.Contains(stderr, "another process uses the state directory") {
+	if status, _, stderr := runCommand(t, "state", "info", dir); status != 3 ||
+		!strings.Contains(stderr, "another process uses the state directory") {
 		t.Errorf("a state directory in use: status %d, %s", status, stderr)
 	}
 	now := time.Now()
