--- a/admission/admission.go
+++ b/admission/admission.go
@@ -244,7 +244,7 @@
 }
 
 // retryAfter returns the Retry-After of a rejection. While the server is stalled or draining it is the
-// longest that callers honour. Otherwise it is the predicted wait, or for a tenant over its threshold the
+// longest that callers follow. Otherwise it is the predicted wait, or for a tenant over its threshold the
 // time in which its rate estimate decays to the threshold. In a retry storm it is half of the longest
 // objective, which is also the maximum: after a longer delay all callers would leave the cores idle and
 // then return at the same time.
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -80,7 +80,7 @@
 }
 
 // TestRetryAfterIsAtMostHalfAnObjective checks that the Retry-After in a retry storm is half of the longest
-// objective, even if callers honour a longer one. In a simulation with a longer one, all gateways stayed away for
+// objective, even if callers follow a longer one. In a simulation with a longer one, all gateways stayed away for
 // five seconds, the cores were idle, and then all gateways returned at the same time.
 func TestRetryAfterIsAtMostHalfAnObjective(t *testing.T) {
 	settings := testSettings()
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -119,9 +119,9 @@
 	return weight, true
 }
 
-// callerCredit returns how many requests each caller may have outstanding: the running requests, those that
-// may be queued and those in calls, divided by the number of callers. It is not known until a run has
-// ended.
+// callerCredit returns how many requests each caller may have outstanding: the sum of the running requests,
+// the requests that may be queued and the requests in calls, divided by the number of callers. It is not
+// known until a run has ended.
 func (in *Instance) callerCredit(weight float64) (credit float64, isKnown bool) {
 	run := in.meanCoreTime()
 	if run == 0 {
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -102,14 +102,14 @@
 	CallAveragingTime     time.Duration // DependencyShared: time over which the service averages its calls in flight
 	AbandonedCallDuration time.Duration // how long the dependency may continue an abandoned call
 	Feedback              Feedback      // how callers interpret Actions.AdvertiseLoad
-	MaxRetryAfter         time.Duration // longest Retry-After that callers honour; 0 = they honour none
+	MaxRetryAfter         time.Duration // longest Retry-After that callers follow; 0 = they follow none
 	ResultFreshness       time.Duration // how long the result of a safe read may answer other requests
 	HasDeadlines          bool          // requests state how long their callers wait
 	CallerIdleTimeout     time.Duration // how long callers keep an idle connection; 0 = not known
 }
 
-// Request is one attempt that was read; it gets exactly one final answer. The JSON keys are those of captures that
-// are printed as text.
+// Request is one attempt that was read; it gets exactly one final answer. Captures that are printed as text use the
+// JSON keys.
 type Request struct {
 	ID            RequestID
 	Class         int           // index into Settings.Classes
--- a/admission/stall_test.go
+++ b/admission/stall_test.go
@@ -95,7 +95,7 @@
 		for range 200 {
 			run(5 * time.Millisecond)
 		}
-		for range settings.Cores { // only long runs from now on
+		for range settings.Cores { // all later runs are long
 			id++
 			in.Request(now, testRequest(id, 0))
 			in.Settle(now)
--- a/server/capture.go
+++ b/server/capture.go
@@ -20,7 +20,7 @@
 	tap      *capture.Tap
 }
 
-// openCapture starts recording if the configuration asks for it.
+// openCapture starts recording if the configuration enables it.
 func (s *Server) openCapture() error {
 	if s.cfg.Capture == nil {
 		return nil
--- a/server/catalogue_parser.go
+++ b/server/catalogue_parser.go
@@ -70,7 +70,7 @@
 	return class
 }
 
-// admissionRequest returns the request as it is reported to the module.
+// admissionRequest returns the request in the form that the module gets.
 func (p *catalogueParser) admissionRequest(fields *FieldReader, request gateway.Request, class int) admission.Request {
 	retry := request.Headers["attempt-again"]
 	if retry != "" && retry != "1" {
--- a/server/drain.go
+++ b/server/drain.go
@@ -36,8 +36,8 @@
 	s.loop.AfterFunc(s.cfg.StopTimeout-margin, s.stopNow)
 }
 
-// stopListening closes the listener. A request that arrives from now on would not be run, and a refused connection shows
-// the caller that nothing ran. The loop stops once all connections are closed.
+// stopListening closes the listener. A request that arrives later would not be run, and a refused connection shows the
+// caller that nothing ran. The loop stops once all connections are closed.
 func (s *Server) stopListening() {
 	s.listener.Close()
 	s.stopWhenIdle()
--- a/server/idempotency_table.go
+++ b/server/idempotency_table.go
@@ -165,8 +165,8 @@
 	e.lastRun, e.lastRunUntil = a, until
 }
 
-// unclaim reverts claim for an attempt that turned out not to have run, so that the run before it is the last one again.
-// It also releases the attempt's key.
+// unclaim reverts claim for an attempt that did not run after all, so that the previous run is the last one again. It
+// also releases the attempt's key.
 func (t *idempotencyTable) unclaim(a *attempt) {
 	if e := t.entries[a.idempotencyKey()]; e != nil && e.lastRun == a {
 		e.lastRun, e.lastRunUntil, e.previousRun = e.previousRun, e.previousRunUntil, nil
--- a/server/interleave_conns_test.go
+++ b/server/interleave_conns_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestCrossRoom evicts a connection for a new one while the first request of a gateway is unread. Silent connections
-// must be evicted before that of the gateway.
+// must be evicted before the gateway's connection.
 func TestCrossRoom(t *testing.T) {
 	system := interleave.New()
 	s, it := startServerOn(t, system, testSite(t))
--- a/server/reload.go
+++ b/server/reload.go
@@ -35,7 +35,7 @@
 	s.Annotate("configuration reloaded: vm %v, announce %v", next.Interpreter, next.LoadReports)
 }
 
-// moveLoadReports sends load reports to the address in the new configuration from now on, if that differs.
+// moveLoadReports redirects load reports to the address in the new configuration, if it differs from the present one.
 func (s *Server) moveLoadReports(cfg *Config) error {
 	if cfg.LoadReports == s.cfg.LoadReports {
 		return nil
--- a/server/request_parser.go
+++ b/server/request_parser.go
@@ -36,7 +36,7 @@
 // ParsedRequest is the result of parsing a request: either the Response that answers it, or the other fields.
 type ParsedRequest struct {
 	Request
-	// Admission is the request as it is reported to the module. The server sets its ID and RetryOf.
+	// Admission is the request in the form that the module gets. The server sets its ID and RetryOf.
 	Admission admission.Request
 	// Response, if not nil, is the answer to a request that needs neither the module nor a run.
 	Response *gateway.Response
--- a/server/requests.go
+++ b/server/requests.go
@@ -118,7 +118,7 @@
 	return maphash.Bytes(s.bodyHashSeed, body)
 }
 
-// Whether a rejection is final. Callers that honour a final rejection do not send the request to another server.
+// Whether a rejection is final. Callers that respect a final rejection do not send the request to another server.
 const (
 	retryElsewhere = false
 	finalRejection = true
--- a/server/server.go
+++ b/server/server.go
@@ -5,8 +5,9 @@
 // reports the events to the module in order and then calls the module's Settle once, and the loop writes the answers
 // and commands. A method that other goroutines may call says so in its comment. It posts its work to the loop.
 //
-// A server needs a RequestParser and a Backend. New uses those of the catalogue server, which runs requests in the
-// platform's interpreter. Package internal/router supplies others, which pass requests to pools of servers.
+// A server needs a RequestParser and a Backend. New uses the parser and the backend of the catalogue server, which
+// runs requests in the platform's interpreter. Package internal/router supplies others, which pass requests to pools of
+// servers.
 package server
 
 import (
