--- a/internal/clustersim/config.go
+++ b/internal/clustersim/config.go
@@ -103,6 +103,11 @@
 	FeedbackNone   Feedback = "none"   // servers advertise nothing
 )
 
+// feedbackKinds returns all kinds of feedback.
+func feedbackKinds() []Feedback {
+	return []Feedback{FeedbackLevel, FeedbackCredit, FeedbackWeight, FeedbackNone}
+}
+
 // admissionFeedback converts the feedback for the module's settings; ok is false if it is unknown.
 func (f Feedback) admissionFeedback() (feedback admission.Feedback, ok bool) {
 	switch f {
@@ -129,6 +134,9 @@
 	Pareto      Distribution = "pareto" // heavy-tailed; Class.CV is its exponent (alpha)
 )
 
+// Distributions returns all distributions.
+func Distributions() []Distribution { return []Distribution{Constant, Exponential, LogNormal, Pareto} }
+
 // Class is a class of requests that have the same distribution of work, latency objective, deadline and weight.
 type Class struct {
 	Name             string
@@ -169,6 +177,11 @@
 	Random         BalancingPolicy = "random"
 )
 
+// BalancingPolicies returns all balancing policies.
+func BalancingPolicies() []BalancingPolicy {
+	return []BalancingPolicy{RoundRobin, LeastRequest, PowerOfTwo, ResourceHash, LowestLatency, WeightedRandom, Random}
+}
+
 // RetryPolicy selects when and where a gateway retries a request.
 type RetryPolicy string
 
@@ -182,6 +195,11 @@
 	RetryBackoff   RetryPolicy = "patient"   // after the server's retry-after, with jitter of up to the same length
 )
 
+// RetryPolicies returns all retry policies.
+func RetryPolicies() []RetryPolicy {
+	return []RetryPolicy{RetryNever, RetryUnbounded, RetryBudgeted, RetryOnTimeout, RetryHedged, RetryBackoff}
+}
+
 // GatewayConfig describes one kind of gateway.
 type GatewayConfig struct {
 	Count                int             `json:"N"`
--- a/internal/clustersim/validate.go
+++ b/internal/clustersim/validate.go
@@ -39,7 +39,7 @@
 		return fmt.Errorf("network delay %v, endpoint list delay %v, want no negative delay", c.NetworkDelay, c.EndpointListDelay)
 	}
 	if _, ok := c.Servers.Feedback.admissionFeedback(); !ok {
-		return fmt.Errorf("unknown feedback %q, want level, credit, weight or none", c.Servers.Feedback)
+		return fmt.Errorf("unknown feedback %q, want one of %v", c.Servers.Feedback, feedbackKinds())
 	}
 	for i := range c.Classes {
 		if err := c.Classes[i].validate(); err != nil {
@@ -102,7 +102,7 @@
 			return fmt.Errorf("class %s: a Pareto exponent of %v has no mean, want more than 1", c.Name, c.CV)
 		}
 	default:
-		return fmt.Errorf("class %s: unknown distribution %q, want constant, exponential, lognormal or pareto", c.Name, c.Distribution)
+		return fmt.Errorf("class %s: unknown distribution %q, want one of %v", c.Name, c.Distribution, Distributions())
 	}
 	return nil
 }
@@ -116,12 +116,12 @@
 				g.Balancing, maxScannedServers)
 		}
 	default:
-		return fmt.Errorf("unknown balancing policy %q, want round, least, two, hash, fastest, weight or random", g.Balancing)
+		return fmt.Errorf("unknown balancing policy %q, want one of %v", g.Balancing, BalancingPolicies())
 	}
 	switch g.Retry {
 	case RetryNever, RetryUnbounded, RetryBudgeted, RetryOnTimeout, RetryHedged, RetryBackoff:
 	default:
-		return fmt.Errorf("unknown retry policy %q, want never, unbounded, budgeted, hasty, copies or patient", g.Retry)
+		return fmt.Errorf("unknown retry policy %q, want one of %v", g.Retry, RetryPolicies())
 	}
 	if g.Count < 1 || g.Share < 0 || g.MaxAttempts < 1 || g.RetryBudget < 0 || g.AttemptTimeoutFactor < 0 || g.SubsetSize < 0 {
 		return fmt.Errorf("%d gateways, share %v, %d attempts, retry budget %v, attempt timeout factor %v, subset size %d, "+
--- a/internal/experiment/parse_config.go
+++ b/internal/experiment/parse_config.go
@@ -167,10 +167,9 @@
 	}
 	distribution := string(class.Distribution)
 	err = sexp.ReadFields(n.ItemsFrom(2), fields{
-		"share": sexp.Number(&class.Share, 0, 1e6),
-		"work":  sexp.Duration(&class.MeanWork, time.Microsecond, time.Hour),
-		"dist": sexp.OneOf(&distribution, string(clustersim.Constant), string(clustersim.Exponential), string(clustersim.LogNormal),
-			string(clustersim.Pareto)),
+		"share":      sexp.Number(&class.Share, 0, 1e6),
+		"work":       sexp.Duration(&class.MeanWork, time.Microsecond, time.Hour),
+		"dist":       sexp.OneOf(&distribution, toWords(clustersim.Distributions())...),
 		"spread":     sexp.Number(&class.CV, 0, 100),
 		"aim":        sexp.Duration(&class.LatencyObjective, time.Millisecond, maxDuration),
 		"deadline":   sexp.Duration(&class.Deadline, time.Millisecond, maxDuration),
@@ -201,19 +200,26 @@
 	wordNo  = "no"
 )
 
+// toWords converts named values to the words that stand for them in a configuration.
+func toWords[T ~string](values []T) []string {
+	words := make([]string, len(values))
+	for i, value := range values {
+		words[i] = string(value)
+	}
+	return words
+}
+
 // readGateways reads (gateways ...).
 func readGateways(n sexp.Node, to *[]clustersim.GatewayConfig) error {
 	gateways := clustersim.GatewayConfig{Count: 1, Share: 1, MaxAttempts: 3, RetryBudget: 0.2}
 	balancing, retry := string(clustersim.RoundRobin), string(clustersim.RetryBudgeted)
 	honorsFeedback, usesHealthChecks := wordYes, wordNo
 	err := sexp.ReadFields(n.Args(), fields{
-		"n":     sexp.Int(&gateways.Count, 1, 10_000),
-		"share": sexp.Number(&gateways.Share, 0, 1e6),
-		"tries": sexp.Int(&gateways.MaxAttempts, 1, 1000),
-		"choice": sexp.OneOf(&balancing, string(clustersim.RoundRobin), string(clustersim.LeastRequest), string(clustersim.PowerOfTwo),
-			string(clustersim.ResourceHash), string(clustersim.LowestLatency), string(clustersim.WeightedRandom), string(clustersim.Random)),
-		"again": sexp.OneOf(&retry, string(clustersim.RetryNever), string(clustersim.RetryUnbounded), string(clustersim.RetryBudgeted),
-			string(clustersim.RetryOnTimeout), string(clustersim.RetryHedged), string(clustersim.RetryBackoff)),
+		"n":       sexp.Int(&gateways.Count, 1, 10_000),
+		"share":   sexp.Number(&gateways.Share, 0, 1e6),
+		"tries":   sexp.Int(&gateways.MaxAttempts, 1, 1000),
+		"choice":  sexp.OneOf(&balancing, toWords(clustersim.BalancingPolicies())...),
+		"again":   sexp.OneOf(&retry, toWords(clustersim.RetryPolicies())...),
 		"budget":  sexp.Number(&gateways.RetryBudget, 0, 100),
 		"wait":    sexp.Number(&gateways.AttemptTimeoutFactor, 0, 100),
 		"heeds":   sexp.OneOf(&honorsFeedback, wordYes, wordNo),
